--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -61,7 +61,11 @@
     /// The answer as a reply of HTTP.
     pub fn into_reply(self) -> HttpReply {
         let body = serde_json::to_vec(&self).unwrap_or_else(|_| EMPTY_DOCUMENT.to_vec());
-        HttpReply { status: 200, retry_after_s: None, body }
+        HttpReply {
+            status: 200,
+            retry_after_s: None,
+            body,
+        }
     }
 }
 
@@ -70,5 +74,9 @@
 
 /// A reply that says nothing but its status.
 pub fn bare(status: u16) -> HttpReply {
-    HttpReply { status, retry_after_s: None, body: EMPTY_DOCUMENT.to_vec() }
+    HttpReply {
+        status,
+        retry_after_s: None,
+        body: EMPTY_DOCUMENT.to_vec(),
+    }
 }
--- a/crates/agent/src/distribution.rs
+++ b/crates/agent/src/distribution.rs
@@ -18,7 +18,11 @@
 impl ConfigRelay {
     /// Holds nothing and knows nobody.
     pub fn new(node: NodeId, seed: u64) -> ConfigRelay {
-        ConfigRelay { relay: Relay::new(node, seed), core: Vec::new(), relays: Vec::new() }
+        ConfigRelay {
+            relay: Relay::new(node, seed),
+            core: Vec::new(),
+            relays: Vec::new(),
+        }
     }
 
     /// The version held, 0 for none.
@@ -49,7 +53,9 @@
 
     /// When `poll` is due at the latest.
     pub fn next_wake(&self) -> Option<Time> {
-        self.relay.next_wake().map(|due| due.plus_millis(PATIENCE_MS))
+        self.relay
+            .next_wake()
+            .map(|due| due.plus_millis(PATIENCE_MS))
     }
 
     fn take_candidates(&mut self, uplink: &Uplink) {
@@ -63,5 +69,7 @@
 }
 
 fn send(messages: Vec<(NodeId, Message)>, outbox: &mut Outbox) {
-    messages.into_iter().for_each(|(to, message)| outbox.send(to, message));
+    messages
+        .into_iter()
+        .for_each(|(to, message)| outbox.send(to, message));
 }
--- a/crates/agent/src/heartbeat.rs
+++ b/crates/agent/src/heartbeat.rs
@@ -93,7 +93,8 @@
         if body.len() > MAX_HEARTBEAT_BYTES {
             return Err(HeartbeatError::TooLong(body.len()));
         }
-        let document: HeartbeatDocument = serde_json::from_slice(body).map_err(HeartbeatError::Malformed)?;
+        let document: HeartbeatDocument =
+            serde_json::from_slice(body).map_err(HeartbeatError::Malformed)?;
         Heartbeat::from_document(document)
     }
 
@@ -116,17 +117,26 @@
     /// Whether this run is listed, as active or as finished.
     pub fn lists(&self, task: &str, attempt: u64) -> bool {
         self.lists_active(task, attempt)
-            || self.finished.iter().any(|run| run.attempt == attempt && &*run.task == task)
+            || self
+                .finished
+                .iter()
+                .any(|run| run.attempt == attempt && &*run.task == task)
     }
 
     /// Whether this run is listed as active.
     pub fn lists_active(&self, task: &str, attempt: u64) -> bool {
-        self.active.iter().any(|run| run.attempt == attempt && &*run.task == task)
+        self.active
+            .iter()
+            .any(|run| run.attempt == attempt && &*run.task == task)
     }
 }
 
 fn resources(document: CapacityDocument) -> Resources {
-    Resources { cpu: document.cpu as u64, mem_mb: document.mem_mb as u64, gpu: document.gpu as u64 }
+    Resources {
+        cpu: document.cpu as u64,
+        mem_mb: document.mem_mb as u64,
+        gpu: document.gpu as u64,
+    }
 }
 
 /// Whole milliseconds; zero where the number is missing, negative or none.
@@ -141,15 +151,22 @@
     Ok(Text(text))
 }
 
-fn optional_name(text: Option<String>, field: &'static str) -> Result<Option<Text>, HeartbeatError> {
-    text.map(|text| bounded(text, MAX_NAME_BYTES, field)).transpose()
+fn optional_name(
+    text: Option<String>,
+    field: &'static str,
+) -> Result<Option<Text>, HeartbeatError> {
+    text.map(|text| bounded(text, MAX_NAME_BYTES, field))
+        .transpose()
 }
 
 fn labels(labels: Vec<String>) -> Result<Vec<Text>, HeartbeatError> {
     if labels.len() > MAX_LABELS {
         return Err(HeartbeatError::OverLimit("labels"));
     }
-    labels.into_iter().map(|label| bounded(label, MAX_NAME_BYTES, "label")).collect()
+    labels
+        .into_iter()
+        .map(|label| bounded(label, MAX_NAME_BYTES, "label"))
+        .collect()
 }
 
 fn active_runs(rows: Vec<ActiveRow>) -> Result<Vec<ActiveRun>, HeartbeatError> {
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -74,9 +74,12 @@
 }
 
 fn required<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(
-    fields: &mut A, what: &'static str,
+    fields: &mut A,
+    what: &'static str,
 ) -> Result<T, A::Error> {
-    fields.next_element()?.ok_or_else(|| A::Error::missing_field(what))
+    fields
+        .next_element()?
+        .ok_or_else(|| A::Error::missing_field(what))
 }
 
 fn pass_over_rest<'de, A: SeqAccess<'de>>(mut fields: A) -> Result<(), A::Error> {
--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -45,7 +45,11 @@
 impl AgentNode {
     /// An agent that knows its seeds alone, and asks them.
     pub fn new(settings: AgentSettings, now: Now, outbox: &mut Outbox) -> AgentNode {
-        let hello = Hello { kind: NodeKind::Side, incarnation: settings.incarnation, config_version: 0 };
+        let hello = Hello {
+            kind: NodeKind::Side,
+            incarnation: settings.incarnation,
+            config_version: 0,
+        };
         let seeds = settings.seeds.clone();
         let uplink = Uplink::new(settings.node, hello, seeds, settings.seed);
         let mut agent = AgentNode {
@@ -86,7 +90,10 @@
     }
 
     fn deregister(&mut self, now: Time, instance: &str) -> HttpReply {
-        if self.runner.deregister(now, instance, self.settings.bounds.drain_ms) {
+        if self
+            .runner
+            .deregister(now, instance, self.settings.bounds.drain_ms)
+        {
             self.pace.note_change();
         }
         bare(200)
@@ -102,9 +109,11 @@
                 self.counters.replaced_heartbeats += 1;
                 bare(409)
             }
-            Admission::Unconfirmed => {
-                Answer { retry_after_ms: Some(BUSY_RETRY_MS), ..Answer::default() }.into_reply()
+            Admission::Unconfirmed => Answer {
+                retry_after_ms: Some(BUSY_RETRY_MS),
+                ..Answer::default()
             }
+            .into_reply(),
             Admission::Stale => {
                 self.counters.stale_heartbeats += 1;
                 bare(200)
@@ -116,10 +125,20 @@
     fn refuse(&mut self, error: &HeartbeatError) -> HttpReply {
         self.counters.malformed_heartbeats += 1;
         log::debug!("heartbeat refused: {error}");
-        bare(if matches!(error, HeartbeatError::TooLong(_)) { 413 } else { 400 })
+        bare(if matches!(error, HeartbeatError::TooLong(_)) {
+            413
+        } else {
+            400
+        })
     }
 
-    fn accept(&mut self, now: Time, instance: &str, heartbeat: &Heartbeat, changed: bool) -> HttpReply {
+    fn accept(
+        &mut self,
+        now: Time,
+        instance: &str,
+        heartbeat: &Heartbeat,
+        changed: bool,
+    ) -> HttpReply {
         // The first heartbeat of all may be one that an agent before this one had answered already.
         let settled = self.counters.heartbeats > 0 && self.orders.settle();
         self.counters.heartbeats += 1;
@@ -140,7 +159,9 @@
     /// The hold that may be granted now; 0 for none.
     fn hold_ms(&self, now: Time) -> u64 {
         let lease_left_ms = self.orders.lease_left_ms(now);
-        RUNNER_HOLD_MS.min(self.settings.bounds.hold_max_ms).min(lease_left_ms)
+        RUNNER_HOLD_MS
+            .min(self.settings.bounds.hold_max_ms)
+            .min(lease_left_ms)
     }
 
     fn answer(&self, instance: &str, heartbeat: &Heartbeat, hold_ms: u64) -> Answer<'_> {
@@ -178,7 +199,12 @@
     fn stops(&self, instance: &str, heartbeat: &Heartbeat) -> Vec<Stop<'_>> {
         let wanted = self.orders.stops(instance).iter();
         let active = wanted.filter(|order| heartbeat.lists_active(&order.task, order.attempt));
-        active.map(|order| Stop { task: &order.task, attempt: order.attempt }).collect()
+        active
+            .map(|order| Stop {
+                task: &order.task,
+                attempt: order.attempt,
+            })
+            .collect()
     }
 
     /// A scheduler that is new to this process is told at once what is.
@@ -217,10 +243,15 @@
 
     fn report(&mut self, now: Time, outbox: &mut Outbox) {
         let sequence = self.pace.sent(now);
-        let heading = Heading { agent: self.settings.incarnation, sequence, now };
+        let heading = Heading {
+            agent: self.settings.incarnation,
+            sequence,
+            now,
+        };
         let report = build(heading, &self.orders, &self.runner);
         self.counters.reports += 1;
-        self.uplink.report(now, Message::RunnerReport(report), outbox);
+        self.uplink
+            .report(now, Message::RunnerReport(report), outbox);
     }
 
     fn terminate(&mut self, now: Time) {
--- a/crates/agent/src/node/looks.rs
+++ b/crates/agent/src/node/looks.rs
@@ -20,7 +20,10 @@
         if self.watch.due().is_none_or(|due| now < due) {
             return;
         }
-        let told = self.runner.current().and_then(|runner| runner.profile.address.parse().ok());
+        let told = self
+            .runner
+            .current()
+            .and_then(|runner| runner.profile.address.parse().ok());
         let Some(address) = self.settings.runner_address.or(told) else {
             self.watch.rest();
             return;
--- a/crates/agent/src/node/messages.rs
+++ b/crates/agent/src/node/messages.rs
@@ -9,18 +9,31 @@
 
 impl AgentNode {
     pub(super) fn message(
-        &mut self, now: Time, from: NodeId, relay: Option<NodeId>, message: Message, outbox: &mut Outbox,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        relay: Option<NodeId>,
+        message: Message,
+        outbox: &mut Outbox,
     ) {
         match message {
             Message::Directory(directory) => self.uplink.directory(now, directory),
             Message::NotOwner(refusal) => self.uplink.not_owner(from, &refusal),
             Message::RunnerOrders(orders) => self.take_orders(now, from, relay, orders),
-            Message::Relayed(relayed) if relay.is_none() => self.relayed(now, from, relayed, outbox),
+            Message::Relayed(relayed) if relay.is_none() => {
+                self.relayed(now, from, relayed, outbox)
+            }
             message => self.config.message(now, from, message, outbox),
         }
     }
 
-    fn take_orders(&mut self, now: Time, from: NodeId, relay: Option<NodeId>, orders: RunnerOrders) {
+    fn take_orders(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        relay: Option<NodeId>,
+        orders: RunnerOrders,
+    ) {
         let (epoch, answer) = (orders.epoch, orders.agent == self.settings.incarnation);
         match self.orders.receive(now, orders) {
             Adoption::Adopted | Adoption::Known => self.uplink.heard(from, epoch, relay, answer),
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -80,7 +80,8 @@
     }
 
     fn revive_starts(&mut self, orders: &RunnerOrders) {
-        let answers_later = |since: Time| orders.agent == self.agent && Time(orders.sent_at) > since;
+        let answers_later =
+            |since: Time| orders.agent == self.agent && Time(orders.sent_at) > since;
         if self.starts_void_since.is_some_and(answers_later) {
             self.starts_void_since = None;
         }
@@ -118,7 +119,9 @@
 
     /// The starts wanted of this instance.
     pub fn starts(&self, instance: &str) -> &[StartOrder] {
-        let orders = self.orders_of(instance).filter(|_| self.starts_void_since.is_none());
+        let orders = self
+            .orders_of(instance)
+            .filter(|_| self.starts_void_since.is_none());
         orders.map_or(&[], |orders| &orders.start)
     }
 
@@ -134,11 +137,16 @@
 
     /// When the next heartbeat is wanted; `None` where the scheduler says nothing of it.
     pub fn retry_after_ms(&self) -> Option<u64> {
-        self.adopted.as_ref().map(|orders| orders.retry_after_ms).filter(|wait_ms| *wait_ms > 0)
+        self.adopted
+            .as_ref()
+            .map(|orders| orders.retry_after_ms)
+            .filter(|wait_ms| *wait_ms > 0)
     }
 
     fn orders_of(&self, instance: &str) -> Option<&RunnerOrders> {
-        self.adopted.as_ref().filter(|orders| &*orders.instance == instance)
+        self.adopted
+            .as_ref()
+            .filter(|orders| &*orders.instance == instance)
     }
 
     /// Only an answer to a report of this very agent extends its lease, counted from the report's sending.
@@ -150,7 +158,9 @@
             return;
         }
         self.lease_until = until;
-        let low_micros = orders.lease_ms.saturating_mul(LOW_LEASE_PERCENT * MICROS_PER_PERCENT_MS);
+        let low_micros = orders
+            .lease_ms
+            .saturating_mul(LOW_LEASE_PERCENT * MICROS_PER_PERCENT_MS);
         self.low_lease_at = Time(until.0.saturating_sub(low_micros));
     }
 
--- a/crates/agent/src/pace.rs
+++ b/crates/agent/src/pace.rs
@@ -23,7 +23,9 @@
 
     /// When the next report is due, given when the lease runs low.
     pub fn due(&self, low_lease_at: Time) -> Time {
-        let Some(last) = self.last else { return Time(0) };
+        let Some(last) = self.last else {
+            return Time(0);
+        };
         if self.changed {
             return last.plus_millis(REPORT_SPACING_MS);
         }
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -76,7 +76,9 @@
 impl RunnerRegister {
     /// A register that knows of no runner yet. Runners send a heartbeat about every `heartbeat_ms`.
     pub fn new(now: Time, heartbeat_ms: u64) -> RunnerRegister {
-        let silence_ms = heartbeat_ms.saturating_add(SILENCE_MARGIN_MS).min(RUNNER_HOLD_MS);
+        let silence_ms = heartbeat_ms
+            .saturating_add(SILENCE_MARGIN_MS)
+            .min(RUNNER_HOLD_MS);
         RunnerRegister {
             current: None,
             retired: VecDeque::new(),
@@ -98,7 +100,11 @@
         if self.is_retired(instance) {
             return Admission::Replaced;
         }
-        if let Some(runner) = self.current.as_mut().filter(|runner| &*runner.instance == instance) {
+        if let Some(runner) = self
+            .current
+            .as_mut()
+            .filter(|runner| &*runner.instance == instance)
+        {
             self.unconfirmed = None;
             return runner.heartbeat(now, heartbeat);
         }
@@ -115,7 +121,10 @@
     /// True at the second heartbeat in a row of an unknown instance. A single one may be late: sent by an instance
     /// that crashed before it was ever heard, or known to a former agent only.
     fn confirm(&mut self, instance: &str) -> bool {
-        let known = self.unconfirmed.as_ref().is_some_and(|unconfirmed| &**unconfirmed == instance);
+        let known = self
+            .unconfirmed
+            .as_ref()
+            .is_some_and(|unconfirmed| &**unconfirmed == instance);
         self.unconfirmed = Some(Text::from(instance));
         known
     }
@@ -171,11 +180,17 @@
 
     /// When the runner counts as silent beyond every hold, unless it is heard before.
     pub fn lapse_due(&self) -> Option<Time> {
-        let Some(runner) = &self.current else { return (!self.silent).then_some(self.former_hold_end) };
+        let Some(runner) = &self.current else {
+            return (!self.silent).then_some(self.former_hold_end);
+        };
         if runner.lapsed {
             return None;
         }
-        Some(runner.hold_end.max(runner.last_heartbeat.plus_millis(self.silence_ms)))
+        Some(
+            runner
+                .hold_end
+                .max(runner.last_heartbeat.plus_millis(self.silence_ms)),
+        )
     }
 
     fn replace(&mut self, runner: Runner) {
@@ -250,7 +265,9 @@
             self.note_active(&heartbeat.active),
             self.note_finished(&heartbeat.finished),
         ];
-        Admission::Accepted { changed: changed.contains(&true) }
+        Admission::Accepted {
+            changed: changed.contains(&true),
+        }
     }
 
     fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
--- a/crates/agent/src/uplink.rs
+++ b/crates/agent/src/uplink.rs
@@ -110,7 +110,8 @@
         if refusal.epoch >= self.epoch && self.owner == Some(from) {
             self.owner = None;
         }
-        let told = Some(refusal.owner).filter(|owner| *owner != NodeId::default() && *owner != from);
+        let told =
+            Some(refusal.owner).filter(|owner| *owner != NodeId::default() && *owner != from);
         self.learn(refusal.epoch, told);
     }
 
@@ -161,18 +162,23 @@
 
     /// When `poll` is due: at the regular time, or once the scheduler has been silent for too long.
     pub fn hello_due(&self) -> Time {
-        let Some(last_asked) = self.last_asked else { return Time(0) };
+        let Some(last_asked) = self.last_asked else {
+            return Time(0);
+        };
         let search_due = last_asked.plus_millis(SEARCH_INTERVAL_MS);
         if self.owner.is_none() {
             return search_due;
         }
         let regular_due = last_asked.plus_millis(HELLO_INTERVAL_MS);
-        let Some(since) = self.unanswered_since else { return regular_due };
+        let Some(since) = self.unanswered_since else {
+            return regular_due;
+        };
         regular_due.min(search_due.max(since.plus_millis(ANSWER_TIMEOUT_MS + 1)))
     }
 
     fn heard_directory_within(&self, now: Time, millis: u64) -> bool {
-        self.last_directory.is_some_and(|at| now.millis_since(at) <= millis)
+        self.last_directory
+            .is_some_and(|at| now.millis_since(at) <= millis)
     }
 
     fn is_searching(&self, now: Time) -> bool {
@@ -181,7 +187,8 @@
     }
 
     fn learn(&mut self, epoch: Epoch, owner: Option<NodeId>) {
-        if epoch < self.epoch || (epoch == self.epoch && (owner.is_none() || self.owner.is_some())) {
+        if epoch < self.epoch || (epoch == self.epoch && (owner.is_none() || self.owner.is_some()))
+        {
             return;
         }
         self.epoch = epoch;
@@ -200,7 +207,10 @@
         let width = if searching { SEARCH_WIDTH } else { 1 };
         let mut targets = self.members.clone();
         if searching || targets.is_empty() {
-            let seeds = self.seeds.iter().filter(|seed| !self.members.contains(seed));
+            let seeds = self
+                .seeds
+                .iter()
+                .filter(|seed| !self.members.contains(seed));
             targets.extend(seeds.copied());
         }
         targets.retain(|target| *target != self.node);
@@ -221,16 +231,26 @@
 
     /// Hands a message to a process that may reach its receiver: the one that did last, else each in turn.
     fn relay_to(&mut self, to: NodeId, message: &Message, outbox: &mut Outbox) {
-        let Some(relay) = self.relay.or_else(|| self.next_relay(to)) else { return };
-        let Ok(payload) = frame::encode(message) else { return };
-        let relayed = Relayed { from: self.node, to, payload: Blob(payload) };
+        let Some(relay) = self.relay.or_else(|| self.next_relay(to)) else {
+            return;
+        };
+        let Ok(payload) = frame::encode(message) else {
+            return;
+        };
+        let relayed = Relayed {
+            from: self.node,
+            to,
+            payload: Blob(payload),
+        };
         outbox.send(relay, Message::Relayed(relayed));
     }
 
     fn next_relay(&mut self, to: NodeId) -> Option<NodeId> {
         let members = self.members.iter().chain(&self.relays).chain(&self.seeds);
-        let usable: Vec<NodeId> =
-            members.copied().filter(|relay| *relay != to && *relay != self.node).collect();
+        let usable: Vec<NodeId> = members
+            .copied()
+            .filter(|relay| *relay != to && *relay != self.node)
+            .collect();
         if usable.is_empty() {
             return None;
         }
--- a/crates/agent/src/watch.rs
+++ b/crates/agent/src/watch.rs
@@ -48,7 +48,11 @@
         self.last_id += 1;
         let id = ProbeId(self.last_id);
         self.waits_for = Some(id);
-        outbox.probe(Probe { id, address, path: HEALTH_PATH.to_owned() });
+        outbox.probe(Probe {
+            id,
+            address,
+            path: HEALTH_PATH.to_owned(),
+        });
     }
 
     /// Takes what came of a look; true where the runner is gone, and was not heard meanwhile.
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -31,7 +31,10 @@
 }
 
 pub fn now(time: Time) -> Now {
-    Now { steady: time, wall_ms: 1_700_000_000_000 }
+    Now {
+        steady: time,
+        wall_ms: 1_700_000_000_000,
+    }
 }
 
 pub fn settings(incarnation: Incarnation) -> AgentSettings {
@@ -56,7 +59,14 @@
         let time = Time(1_000);
         let agent = AgentNode::new(settings(incarnation), now(time), &mut outbox);
         let sends = outbox.sends;
-        Script { agent, now: time, sends, probes: Vec::new(), finished: false, next_request: 0 }
+        Script {
+            agent,
+            now: time,
+            sends,
+            probes: Vec::new(),
+            finished: false,
+            next_request: 0,
+        }
     }
 
     /// An agent that knows the scheduler, has orders without content, and whose runner has been heard twice.
@@ -107,7 +117,12 @@
             body,
         };
         let id = HttpRequestId(self.next_request);
-        self.event(Event::Http { id, door: Door::Control, request }).expect("answered at once")
+        self.event(Event::Http {
+            id,
+            door: Door::Control,
+            request,
+        })
+        .expect("answered at once")
     }
 
     pub fn beat_as(&mut self, instance: &str, sequence: u64, extra: Value) -> HttpReply {
@@ -118,7 +133,10 @@
         for (name, value) in extra.as_object().unwrap() {
             body[name] = value.clone();
         }
-        self.post(&format!("/v1/instances/{instance}/heartbeat"), serde_json::to_vec(&body).unwrap())
+        self.post(
+            &format!("/v1/instances/{instance}/heartbeat"),
+            serde_json::to_vec(&body).unwrap(),
+        )
     }
 
     /// A heartbeat of the runner; the document that answers it.
@@ -185,13 +203,24 @@
 }
 
 pub fn start(task: &str, attempt: u64) -> StartOrder {
-    StartOrder { task: task.into(), attempt, spec: "(text)".into(), saved: "".into() }
+    StartOrder {
+        task: task.into(),
+        attempt,
+        spec: "(text)".into(),
+        saved: "".into(),
+    }
 }
 
 pub fn stop(task: &str, attempt: u64) -> StopOrder {
-    StopOrder { task: task.into(), attempt }
+    StopOrder {
+        task: task.into(),
+        attempt,
+    }
 }
 
 pub fn orders_with_start(epoch: Epoch, revision: u64) -> RunnerOrders {
-    RunnerOrders { start: List(vec![start(TASK, 1)]), ..orders(epoch, revision) }
+    RunnerOrders {
+        start: List(vec![start(TASK, 1)]),
+        ..orders(epoch, revision)
+    }
 }
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/agent/tests/cut_off.rs
@@ -73,12 +73,17 @@
     /// The scheduler answers each report that reaches it; some answers are late.
     fn serve(&mut self) {
         for (to, message) in std::mem::take(&mut self.script.sends) {
-            let Message::RunnerReport(report) = message else { continue };
+            let Message::RunnerReport(report) = message else {
+                continue;
+            };
             if self.cut || to != self.owner() {
                 continue;
             }
-            let way_ms =
-                if self.chance.once_in(8) { self.chance.below(8_000) } else { self.chance.below(20) };
+            let way_ms = if self.chance.once_in(8) {
+                self.chance.below(8_000)
+            } else {
+                self.chance.below(20)
+            };
             let revision = self.now_ms();
             let given = RunnerOrders {
                 agent: INCARNATION,
@@ -87,7 +92,11 @@
                 observed: revision,
                 ..orders(self.epoch, revision)
             };
-            self.coming.push(Answer { at_ms: self.now_ms() + way_ms, from: to, orders: given });
+            self.coming.push(Answer {
+                at_ms: self.now_ms() + way_ms,
+                from: to,
+                orders: given,
+            });
         }
     }
 
@@ -102,13 +111,17 @@
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms();
-        let due: Vec<Answer> = self.coming.extract_if(.., |answer| answer.at_ms <= now_ms).collect();
+        let due: Vec<Answer> = self
+            .coming
+            .extract_if(.., |answer| answer.at_ms <= now_ms)
+            .collect();
         for mut answer in due {
             self.answered = self.answered.max(answer.orders.sent_at);
             if self.stamp == Stamp::OfArrival {
                 answer.orders.sent_at = self.script.now.0;
             }
-            self.script.message(answer.from, Message::RunnerOrders(answer.orders));
+            self.script
+                .message(answer.from, Message::RunnerOrders(answer.orders));
         }
     }
 
@@ -123,20 +136,26 @@
         let hold_ms = answer["hold_ms"].as_u64().unwrap_or_default();
         let lease_end = Time(self.answered).plus_millis(AGENT_LEASE_MS);
         if hold_ms > 0 && now.plus_millis(hold_ms) > lease_end {
-            self.violations
-                .push(format!("a hold of {hold_ms} ms at {now:?}, the lease ends at {lease_end:?}"));
+            self.violations.push(format!(
+                "a hold of {hold_ms} ms at {now:?}, the lease ends at {lease_end:?}"
+            ));
         }
         if hold_ms == 0 && !answer["start"].is_null() {
-            self.violations.push(format!("a start without a hold at {now:?}"));
+            self.violations
+                .push(format!("a start without a hold at {now:?}"));
         }
         let fence = answer["fence_token"].as_u64().unwrap_or(self.fence);
         let observed = answer["observed"].as_u64().unwrap_or(self.observed);
         if fence < self.fence || observed < self.observed {
-            self.violations.push(format!("{answer} after fence {} and {}", self.fence, self.observed));
+            self.violations.push(format!(
+                "{answer} after fence {} and {}",
+                self.fence, self.observed
+            ));
         }
         let attempt = answer["start"][0][1].as_u64().unwrap_or(fence);
         if attempt != fence {
-            self.violations.push(format!("a start of another term: {answer}"));
+            self.violations
+                .push(format!("a start of another term: {answer}"));
         }
         (self.fence, self.observed) = (fence, observed);
     }
@@ -180,14 +199,19 @@
         if self.chance.once_in(2) {
             self.epoch = 2;
             // The former scheduler tells what it knows; another member of the core names the new one.
-            let refusal = NotOwner { request: 0, epoch: 1, owner: NodeId::default() };
+            let refusal = NotOwner {
+                request: 0,
+                epoch: 1,
+                owner: NodeId::default(),
+            };
             self.script.message(OWNER, Message::NotOwner(refusal));
             self.script.directory(2, OTHER);
         }
         self.run(3_000);
         self.sequence += 1;
         if self.script.beat(self.sequence, json!({}))["hold_ms"].is_null() {
-            self.violations.push("no hold 3 s after the return".to_owned());
+            self.violations
+                .push("no hold 3 s after the return".to_owned());
         }
         self.violations
     }
@@ -203,7 +227,9 @@
 
 #[test]
 fn the_checker_flags_a_lease_that_is_counted_from_the_arrival_of_an_answer() {
-    let flagged = (0..40).filter(|seed| !Line::new(*seed, Stamp::OfArrival).play().is_empty()).count();
+    let flagged = (0..40)
+        .filter(|seed| !Line::new(*seed, Stamp::OfArrival).play().is_empty())
+        .count();
     assert!(flagged >= 20, "{flagged} of 40 schedules were flagged");
 }
 
@@ -219,5 +245,8 @@
             last_hold_ms = script.now.millis_since(began);
         }
     }
-    assert!((AGENT_LEASE_MS - 200..AGENT_LEASE_MS).contains(&last_hold_ms), "{last_hold_ms} ms");
+    assert!(
+        (AGENT_LEASE_MS - 200..AGENT_LEASE_MS).contains(&last_hold_ms),
+        "{last_hold_ms} ms"
+    );
 }
--- a/crates/agent/tests/deregister.rs
+++ b/crates/agent/tests/deregister.rs
@@ -25,12 +25,19 @@
     let report = script.last_report();
     assert!(report.draining && !report.lapsed);
     assert_eq!(report.active.len(), 1);
-    assert!((SERVES_ON_MS - 50..=SERVES_ON_MS).contains(&report.remaining_ms), "{}", report.remaining_ms);
+    assert!(
+        (SERVES_ON_MS - 50..=SERVES_ON_MS).contains(&report.remaining_ms),
+        "{}",
+        report.remaining_ms
+    );
     for sequence in 4..100 {
         script.pass(100);
         script.orders(orders(1, 1), true);
         let answer = script.beat(sequence, json!({"active":[[TASK, 1, "", 1]]}));
-        assert_eq!(answer["hold_ms"], 2500, "its hold goes on as long as it says that it lives");
+        assert_eq!(
+            answer["hold_ms"], 2500,
+            "its hold goes on as long as it says that it lives"
+        );
         assert!(!script.last_report().lapsed && script.last_report().active.len() == 1);
     }
     script.pass(2_650);
@@ -42,7 +49,13 @@
     let mut script = with_a_run();
     script.post(DEREGISTER, Vec::new());
     script.orders(orders_with_start(1, 2), true);
-    for (sequence, state) in [(4, "ready"), (2, "ready"), (9, "ready"), (8, "draining"), (10, "ready")] {
+    for (sequence, state) in [
+        (4, "ready"),
+        (2, "ready"),
+        (9, "ready"),
+        (8, "draining"),
+        (10, "ready"),
+    ] {
         let answer = script.beat(sequence, json!({"state": state}));
         assert!(answer["start"].is_null(), "{sequence}: {answer}");
     }
@@ -57,12 +70,18 @@
 #[test]
 fn a_runner_that_said_draining_keeps_the_time_that_it_told() {
     let mut script = with_a_run();
-    script.beat(4, json!({"state":"draining","remaining_ms":300,"active":[[TASK, 1, "", 1]]}));
+    script.beat(
+        4,
+        json!({"state":"draining","remaining_ms":300,"active":[[TASK, 1, "", 1]]}),
+    );
     script.pass(100);
     script.post(DEREGISTER, Vec::new());
     script.pass(500);
     assert_eq!(script.last_report().remaining_ms, 0);
-    assert!(!script.last_report().lapsed, "its port tells when it is gone, or its hold");
+    assert!(
+        !script.last_report().lapsed,
+        "its port tells when it is gone, or its hold"
+    );
 }
 
 #[test]
@@ -111,6 +130,12 @@
         departed += world.departed;
         late += world.late;
     }
-    assert!(departed > 200 && late > 1_000, "{departed} departed, {late} late heartbeats");
-    assert!(starts > 500 && over > 500, "{starts} starts, {over} given up");
+    assert!(
+        departed > 200 && late > 1_000,
+        "{departed} departed, {late} late heartbeats"
+    );
+    assert!(
+        starts > 500 && over > 500,
+        "{starts} starts, {over} given up"
+    );
 }
--- a/crates/agent/tests/fences.rs
+++ b/crates/agent/tests/fences.rs
@@ -15,5 +15,8 @@
         deaths += world.deaths_found;
     }
     assert!(deaths > 50, "{deaths} crashed runners found by a look");
-    assert!(starts > 1_000 && over > 1_000, "{starts} starts, {over} given up");
+    assert!(
+        starts > 1_000 && over > 1_000,
+        "{starts} starts, {over} given up"
+    );
 }
--- a/crates/agent/tests/heartbeats.rs
+++ b/crates/agent/tests/heartbeats.rs
@@ -19,7 +19,11 @@
 fn a_leased_agent_holds_starts_stops_and_observes() {
     let mut script = Script::settled();
     let wanted = RunnerOrders {
-        start: List(vec![start("a.0.0.0", 3), start("b.0.0.0", 1), start("c.0.0.0", 1)]),
+        start: List(vec![
+            start("a.0.0.0", 3),
+            start("b.0.0.0", 1),
+            start("c.0.0.0", 1),
+        ]),
         stop: List(vec![stop("d.0.0.0", 1), stop("e.0.0.0", 1)]),
         observed: 58,
         retry_after_ms: 70,
@@ -39,7 +43,10 @@
     let mut script = Script::settled();
     script.orders(orders_with_start(1, 2), true);
     for sequence in 3..6 {
-        assert!(script.beat(sequence, json!({}))["start"].is_array(), "the answer before was lost");
+        assert!(
+            script.beat(sequence, json!({}))["start"].is_array(),
+            "the answer before was lost"
+        );
     }
     let active = json!({"active":[[TASK, 1, "", 0]]});
     assert!(script.beat(6, active)["start"].is_null());
@@ -49,7 +56,13 @@
 fn a_hold_ends_with_the_lease() {
     let mut script = Script::settled();
     script.orders(orders(1, 1), true);
-    script.orders(RunnerOrders { lease_ms: 3000, ..orders_with_start(1, 2) }, true);
+    script.orders(
+        RunnerOrders {
+            lease_ms: 3000,
+            ..orders_with_start(1, 2)
+        },
+        true,
+    );
     script.now = script.now.plus_millis(12_000 - 1_200);
     assert_eq!(script.beat(3, json!({}))["hold_ms"], 1200);
     script.now = script.now.plus_millis(900);
@@ -96,11 +109,19 @@
     script.beat_as("i-2", 1, json!({}));
     let reply = script.beat_as("i-2", 2, json!({}));
     let answer: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
-    assert!(answer["start"].is_null(), "the orders name another instance");
+    assert!(
+        answer["start"].is_null(),
+        "the orders name another instance"
+    );
     assert!(answer["observed"].is_null());
     let report = script.last_report();
     assert_eq!((&*report.instance, report.active.len()), ("i-2", 0));
-    assert_eq!(script.beat_as(RUNNER, 4, json!({"active":[[TASK, 1, "", 0]]})).status, 409);
+    assert_eq!(
+        script
+            .beat_as(RUNNER, 4, json!({"active":[[TASK, 1, "", 0]]}))
+            .status,
+        409
+    );
     assert_eq!(&*script.last_report().instance, "i-2");
     assert_eq!(script.agent.counters().replaced_heartbeats, 1);
 }
@@ -109,7 +130,10 @@
 fn a_single_late_heartbeat_is_not_taken_for_a_new_instance() {
     let mut script = Script::settled();
     let late = script.beat_as("i-former", 90, json!({"active":[[TASK, 1, "", 0]]}));
-    assert_eq!((late.status, &late.body[..]), (200, &br#"{"retry_after_ms":100}"#[..]));
+    assert_eq!(
+        (late.status, &late.body[..]),
+        (200, &br#"{"retry_after_ms":100}"#[..])
+    );
     script.beat(3, json!({}));
     script.beat_as("i-former", 91, json!({}));
     script.pass(600);
@@ -138,7 +162,12 @@
     let mut script = Script::settled();
     let body = br#"{"seq":9,"finished":[[1,"t.0.0.0",1,"alone","ab"],[2,"u.0.0.0",1,"melted"]]}"#;
     script.pass(20);
-    assert_eq!(script.post("/v1/instances/i-7f3a91c2/heartbeat", body.to_vec()).status, 200);
+    assert_eq!(
+        script
+            .post("/v1/instances/i-7f3a91c2/heartbeat", body.to_vec())
+            .status,
+        200
+    );
     let report = script.last_report();
     assert_eq!((report.capacity.cpu, &*report.service), (16000, "huvo11a"));
     let ends: Vec<RunEnd> = report.finished.iter().map(|run| run.end).collect();
@@ -149,14 +178,38 @@
 fn what_cannot_be_read_is_refused() {
     let mut script = Script::settled();
     let path = "/v1/instances/i-7f3a91c2/heartbeat";
-    for body in ["", "[", "{\"active\":[[1]]}", "{\"active\":[[\"t\"]]}", "{\"seq\":\"x\"}"] {
+    for body in [
+        "",
+        "[",
+        "{\"active\":[[1]]}",
+        "{\"active\":[[\"t\"]]}",
+        "{\"seq\":\"x\"}",
+    ] {
         assert_eq!(script.post(path, body.into()).status, 400, "{body}");
     }
     let many = vec![json!(["t", 1, "", 0]); MAX_ACTIVE_RUNS + 1];
-    assert_eq!(script.post(path, serde_json::to_vec(&json!({"active": many})).unwrap()).status, 400);
-    assert_eq!(script.post(path, vec![b' '; MAX_HEARTBEAT_BYTES + 1]).status, 413);
-    assert_eq!(script.post("/v1/instances//heartbeat", Vec::new()).status, 404);
-    assert_eq!(script.post("/v1/instances/a/b/heartbeat", Vec::new()).status, 404);
+    assert_eq!(
+        script
+            .post(path, serde_json::to_vec(&json!({"active": many})).unwrap())
+            .status,
+        400
+    );
+    assert_eq!(
+        script
+            .post(path, vec![b' '; MAX_HEARTBEAT_BYTES + 1])
+            .status,
+        413
+    );
+    assert_eq!(
+        script.post("/v1/instances//heartbeat", Vec::new()).status,
+        404
+    );
+    assert_eq!(
+        script
+            .post("/v1/instances/a/b/heartbeat", Vec::new())
+            .status,
+        404
+    );
     assert_eq!(script.post("/v1/other", Vec::new()).status, 404);
     assert_eq!(script.agent.counters().malformed_heartbeats, 7);
 }
--- a/crates/agent/tests/model/runner.rs
+++ b/crates/agent/tests/model/runner.rs
@@ -66,13 +66,20 @@
     /// Begins to leave without ever saying `draining`.
     pub fn depart(&mut self, now_ms: u64, serves_on_ms: u64) {
         let ends_ms = now_ms + serves_on_ms;
-        self.departure.get_or_insert(Departure { ends_ms, deregisters_ms: Some(now_ms) });
+        self.departure.get_or_insert(Departure {
+            ends_ms,
+            deregisters_ms: Some(now_ms),
+        });
     }
 
     /// True where it deregisters now; it does so again until that is acknowledged.
     pub fn deregisters(&mut self, now_ms: u64) -> bool {
-        let Some(departure) = &mut self.departure else { return false };
-        let due = departure.deregisters_ms.is_some_and(|at_ms| now_ms >= at_ms);
+        let Some(departure) = &mut self.departure else {
+            return false;
+        };
+        let due = departure
+            .deregisters_ms
+            .is_some_and(|at_ms| now_ms >= at_ms);
         if due {
             departure.deregisters_ms = Some(now_ms + PATIENCE_MS);
         }
@@ -95,16 +102,23 @@
             let tasks: Vec<String> = self.running.keys().cloned().collect();
             tasks.iter().for_each(|task| self.end(task, "lapsed"));
         }
-        if self.outstanding.as_ref().is_some_and(|waiting| now_ms > waiting.sent_ms + PATIENCE_MS) {
+        if self
+            .outstanding
+            .as_ref()
+            .is_some_and(|waiting| now_ms > waiting.sent_ms + PATIENCE_MS)
+        {
             self.outstanding = None;
             self.next_heartbeat_ms = now_ms + 50;
         }
     }
 
     pub fn end(&mut self, task: &str, how: &'static str) {
-        let Some(attempt) = self.running.remove(task) else { return };
+        let Some(attempt) = self.running.remove(task) else {
+            return;
+        };
         self.ended.insert(task.to_owned(), attempt);
-        self.finished.push((self.next_end, task.to_owned(), attempt, how));
+        self.finished
+            .push((self.next_end, task.to_owned(), attempt, how));
         self.next_end += 1;
     }
 
@@ -115,8 +129,16 @@
         }
         self.sequence += 1;
         let draining = self.draining;
-        self.outstanding = Some(Outstanding { sequence: self.sequence, sent_ms: now_ms, draining });
-        let active: Vec<Value> = self.running.iter().map(|(task, run)| json!([task, run, "", 0])).collect();
+        self.outstanding = Some(Outstanding {
+            sequence: self.sequence,
+            sent_ms: now_ms,
+            draining,
+        });
+        let active: Vec<Value> = self
+            .running
+            .iter()
+            .map(|(task, run)| json!([task, run, "", 0]))
+            .collect();
         let state = if draining { "draining" } else { "ready" };
         let document = json!({"seq": self.sequence, "state": state, "active": active,
             "finished": self.finished, "service": "s", "capacity": {"cpu": 1000}});
@@ -125,7 +147,9 @@
 
     /// Takes an answer to the heartbeat that waits for one.
     pub fn answer(&mut self, now_ms: u64, sequence: u64, body: &[u8]) {
-        let waiting = self.outstanding.take_if(|waiting| waiting.sequence == sequence);
+        let waiting = self
+            .outstanding
+            .take_if(|waiting| waiting.sequence == sequence);
         let Some(waiting) = waiting else { return };
         let answer: Value = serde_json::from_slice(body).unwrap();
         self.next_heartbeat_ms = now_ms + answer["retry_after_ms"].as_u64().unwrap_or(1500);
--- a/crates/agent/tests/model/scheduler.rs
+++ b/crates/agent/tests/model/scheduler.rs
@@ -58,14 +58,22 @@
     }
 
     pub fn assign(&mut self, task: &str) {
-        let taken = self.assignments.iter().any(|assignment| assignment.task == task);
+        let taken = self
+            .assignments
+            .iter()
+            .any(|assignment| assignment.task == task);
         if taken || !self.settled || self.instance.is_empty() {
             return;
         }
         self.attempts += 1;
         let instance = self.instance.clone();
         let task = task.to_owned();
-        self.assignments.push(Assignment { task, attempt: self.attempts, instance, wanted: true });
+        self.assignments.push(Assignment {
+            task,
+            attempt: self.attempts,
+            instance,
+            wanted: true,
+        });
     }
 
     /// A run is no longer wanted; orders without it get a revision of their own.
@@ -82,8 +90,11 @@
     }
 
     fn give_up(&mut self, is_over: impl Fn(&Assignment) -> bool) {
-        let over = self.assignments.extract_if(.., |assignment| is_over(assignment));
-        self.over.extend(over.map(|assignment| (assignment.task, assignment.attempt)));
+        let over = self
+            .assignments
+            .extract_if(.., |assignment| is_over(assignment));
+        self.over
+            .extend(over.map(|assignment| (assignment.task, assignment.attempt)));
     }
 
     /// Takes a report; what answers it.
@@ -120,7 +131,11 @@
             self.observed = 0;
         }
         self.instance = instance.clone();
-        self.active = report.active.iter().map(|run| (run.task.to_string(), run.attempt)).collect();
+        self.active = report
+            .active
+            .iter()
+            .map(|run| (run.task.to_string(), run.attempt))
+            .collect();
         self.give_up(|assignment| assignment.instance != instance);
         for end in report.finished.iter() {
             self.give_up(|run| *run.task == *end.task && run.attempt == end.attempt);
@@ -140,7 +155,10 @@
     /// The newest orders, unasked.
     pub fn orders(&mut self) -> RunnerOrders {
         let listed = |run: &&Assignment| self.active.contains(&(run.task.clone(), run.attempt));
-        let wanted = self.assignments.iter().filter(|run| run.wanted && run.instance == self.instance);
+        let wanted = self
+            .assignments
+            .iter()
+            .filter(|run| run.wanted && run.instance == self.instance);
         let start = wanted.filter(|run| !listed(run)).map(|run| StartOrder {
             task: run.task.clone().into(),
             attempt: run.attempt,
@@ -148,10 +166,18 @@
             saved: "".into(),
         });
         let kept = |task: &str, attempt: u64| {
-            self.assignments.iter().any(|run| run.task == task && run.attempt == attempt && run.wanted)
+            self.assignments
+                .iter()
+                .any(|run| run.task == task && run.attempt == attempt && run.wanted)
         };
-        let stop = self.active.iter().filter(|(task, attempt)| !kept(task, *attempt));
-        let stop = stop.map(|(task, attempt)| StopOrder { task: task.clone().into(), attempt: *attempt });
+        let stop = self
+            .active
+            .iter()
+            .filter(|(task, attempt)| !kept(task, *attempt));
+        let stop = stop.map(|(task, attempt)| StopOrder {
+            task: task.clone().into(),
+            attempt: *attempt,
+        });
         let mut orders = RunnerOrders {
             epoch: self.epoch,
             revision: self.revision,
--- a/crates/agent/tests/model/world.rs
+++ b/crates/agent/tests/model/world.rs
@@ -96,7 +96,10 @@
     }
 
     pub fn with_departures(seed: u64) -> World {
-        World { departures: true, ..World::new(seed) }
+        World {
+            departures: true,
+            ..World::new(seed)
+        }
     }
 
     pub fn over(&self) -> usize {
@@ -156,7 +159,12 @@
             let serves_on_ms = 200 + self.chance.below(8_000);
             self.runner.depart(self.now_ms, serves_on_ms);
         }
-        if self.runner.departure.as_ref().is_some_and(|departure| self.now_ms >= departure.ends_ms) {
+        if self
+            .runner
+            .departure
+            .as_ref()
+            .is_some_and(|departure| self.now_ms >= departure.ends_ms)
+        {
             self.departed += 1;
             self.end_runner();
         }
@@ -175,13 +183,21 @@
             self.agent_number += 1;
             self.agent_started_ms = self.now_ms;
             let mut outbox = Outbox::default();
-            let agent = AgentNode::new(settings(self.agent_number), now(self.agent_time()), &mut outbox);
+            let agent = AgentNode::new(
+                settings(self.agent_number),
+                now(self.agent_time()),
+                &mut outbox,
+            );
             self.agent = Some(agent);
             self.leaving.clear();
             self.post(outbox);
         }
         let time = self.agent_time();
-        let due = self.agent.as_ref().and_then(Node::next_wake).is_some_and(|wake| wake <= time);
+        let due = self
+            .agent
+            .as_ref()
+            .and_then(Node::next_wake)
+            .is_some_and(|wake| wake <= time);
         if due && !self.chance.once_in(10) {
             self.agent_event(Event::Wake);
         }
@@ -192,7 +208,10 @@
         let agent = self.agent.as_mut()?;
         let mut outbox = Outbox::default();
         agent.handle(now(time), event, &mut outbox);
-        let reply = outbox.replies.pop().map(|(_, reply)| (reply.status, reply.body));
+        let reply = outbox
+            .replies
+            .pop()
+            .map(|(_, reply)| (reply.status, reply.body));
         self.post(outbox);
         reply
     }
@@ -205,7 +224,10 @@
             }
         }
         for probe in outbox.probes {
-            self.send(Letter::Probe { agent: self.agent_number, id: probe.id });
+            self.send(Letter::Probe {
+                agent: self.agent_number,
+                id: probe.id,
+            });
         }
     }
 
@@ -220,7 +242,12 @@
     }
 
     fn probed(&mut self, id: ProbeId, result: ProbeResult) {
-        let deaths = |world: &World| world.agent.as_ref().map_or(0, |agent| agent.counters().deaths);
+        let deaths = |world: &World| {
+            world
+                .agent
+                .as_ref()
+                .map_or(0, |agent| agent.counters().deaths)
+        };
         let before = deaths(self);
         self.agent_event(Event::Probe { id, result });
         self.deaths_found += deaths(self) - before;
@@ -233,38 +260,71 @@
     }
 
     fn runner_calls(&mut self) {
-        let Some(body) = self.runner.heartbeat(self.now_ms) else { return };
+        let Some(body) = self.runner.heartbeat(self.now_ms) else {
+            return;
+        };
         let sequence = self.runner.outstanding.as_ref().unwrap().sequence;
         let instance = self.runner.instance();
         let runner = self.runner.number;
         if self.departures && self.chance.once_in(8) {
             self.late += 1;
             let at_ms = self.now_ms + 1_000 + self.chance.below(4_000);
-            return self
-                .letters
-                .push((at_ms, Letter::Heartbeat { agent: None, runner, sequence, instance, body }));
+            return self.letters.push((
+                at_ms,
+                Letter::Heartbeat {
+                    agent: None,
+                    runner,
+                    sequence,
+                    instance,
+                    body,
+                },
+            ));
         }
         let agent = Some(self.agent_number);
-        self.send(Letter::Heartbeat { agent, runner, sequence, instance, body });
+        self.send(Letter::Heartbeat {
+            agent,
+            runner,
+            sequence,
+            instance,
+            body,
+        });
     }
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms;
-        let due: Vec<_> = self.letters.extract_if(.., |(at_ms, _)| *at_ms <= now_ms).collect();
+        let due: Vec<_> = self
+            .letters
+            .extract_if(.., |(at_ms, _)| *at_ms <= now_ms)
+            .collect();
         for (_, letter) in due {
             match letter {
-                Letter::Heartbeat { agent, runner, sequence, instance, body } => {
+                Letter::Heartbeat {
+                    agent,
+                    runner,
+                    sequence,
+                    instance,
+                    body,
+                } => {
                     self.deliver_heartbeat(agent, runner, sequence, &instance, body);
                 }
-                Letter::Deregister { runner, instance } => self.deliver_deregister(runner, instance),
+                Letter::Deregister { runner, instance } => {
+                    self.deliver_deregister(runner, instance)
+                }
                 Letter::Deregistered { runner } if runner == self.runner.number => {
                     self.runner.deregistered();
                 }
-                Letter::Answer { runner, sequence, body } if runner == self.runner.number => {
+                Letter::Answer {
+                    runner,
+                    sequence,
+                    body,
+                } if runner == self.runner.number => {
                     self.runner.answer(now_ms, sequence, &body);
                 }
                 Letter::ToAgent { agent, message } if agent == self.agent_number => {
-                    self.agent_event(Event::Message { from: OWNER, message });
+                    self.agent_event(Event::Message {
+                        from: OWNER,
+                        message,
+                    });
                 }
                 Letter::ToScheduler { epoch, message } if epoch == self.scheduler.epoch => {
                     self.scheduler_message(message);
@@ -279,20 +339,36 @@
     }
 
     fn deliver_heartbeat(
-        &mut self, agent: Option<u64>, runner: u64, sequence: u64, instance: &str, body: Vec<u8>,
+        &mut self,
+        agent: Option<u64>,
+        runner: u64,
+        sequence: u64,
+        instance: &str,
+        body: Vec<u8>,
     ) {
         if agent.is_some_and(|agent| agent != self.agent_number) {
             return;
         }
-        if let Some((200, body)) = self.call(format!("/v1/instances/{instance}/heartbeat"), sequence, body) {
+        if let Some((200, body)) = self.call(
+            format!("/v1/instances/{instance}/heartbeat"),
+            sequence,
+            body,
+        ) {
             self.check_answer(instance, &body);
-            self.send(Letter::Answer { runner, sequence, body });
+            self.send(Letter::Answer {
+                runner,
+                sequence,
+                body,
+            });
         }
     }
 
     fn deliver_deregister(&mut self, runner: u64, instance: String) {
         let path = format!("/v1/instances/{instance}/deregister");
-        if self.call(path, 0, Vec::new()).is_some_and(|(status, _)| status == 200) {
+        if self
+            .call(path, 0, Vec::new())
+            .is_some_and(|(status, _)| status == 200)
+        {
             self.leaving.push(instance);
             self.send(Letter::Deregistered { runner });
         }
@@ -300,15 +376,29 @@
 
     fn call(&mut self, path: String, number: u64, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
         let (host, method) = (String::new(), Method::Post);
-        let request = HttpRequest { method, host, path, base_version: None, deadline_ms: None, body };
-        self.agent_event(Event::Http { id: HttpRequestId(number), door: Door::Control, request })
+        let request = HttpRequest {
+            method,
+            host,
+            path,
+            base_version: None,
+            deadline_ms: None,
+            body,
+        };
+        self.agent_event(Event::Http {
+            id: HttpRequestId(number),
+            door: Door::Control,
+            request,
+        })
     }
 
     /// An agent starts nothing at a runner that it has heard deregister.
     fn check_answer(&self, instance: &str, body: &[u8]) {
         let answer: serde_json::Value = serde_json::from_slice(body).unwrap();
         let leaves = self.leaving.iter().any(|leaving| leaving == instance);
-        assert!(!leaves || answer["start"].is_null(), "a start at {instance}, which leaves: {answer}");
+        assert!(
+            !leaves || answer["start"].is_null(),
+            "a start at {instance}, which leaves: {answer}"
+        );
     }
 
     fn scheduler_message(&mut self, message: Message) {
@@ -328,7 +418,10 @@
             }
             _ => return,
         };
-        self.send(Letter::ToAgent { agent, message: answer });
+        self.send(Letter::ToAgent {
+            agent,
+            message: answer,
+        });
     }
 
     fn decide(&mut self) {
@@ -353,8 +446,15 @@
     fn check(&self) {
         for (task, attempt) in &self.scheduler.over {
             let running = self.runner.running.get(task) == Some(attempt);
-            assert!(!running, "{task} run {attempt} was given up and runs at {} ms", self.now_ms);
+            assert!(
+                !running,
+                "{task} run {attempt} was given up and runs at {} ms",
+                self.now_ms
+            );
         }
-        assert!(!self.runner.started_after_notice, "a start after the notice of leaving");
+        assert!(
+            !self.runner.started_after_notice,
+            "a start after the notice of leaving"
+        );
     }
 }
--- a/crates/agent/tests/reports.rs
+++ b/crates/agent/tests/reports.rs
@@ -14,7 +14,9 @@
     let mut script = Script::new();
     let asked = |script: &Script, node| script.sends.iter().any(|(to, _)| *to == node);
     script.pass(1000);
-    assert!([OWNER, OTHER, THIRD].iter().all(|seed| asked(&script, *seed)));
+    assert!([OWNER, OTHER, THIRD]
+        .iter()
+        .all(|seed| asked(&script, *seed)));
     assert!(script.reports().is_empty());
     script.directory(1, OWNER);
     assert!(!script.last_report().present);
@@ -30,7 +32,10 @@
     script.beat(4, json!({"active":[[TASK, 1, "", 50]]}));
     assert_eq!(script.reports().len(), 1);
     script.beat(5, json!({"active":[[TASK, 1, "cp", 50]]}));
-    script.beat(6, json!({"active":[[TASK, 1, "cp", 50]],"finished":[[1,"t.0.0.0",1,"done",""]]}));
+    script.beat(
+        6,
+        json!({"active":[[TASK, 1, "cp", 50]],"finished":[[1,"t.0.0.0",1,"done",""]]}),
+    );
     assert_eq!(script.reports().len(), 2, "reports keep a distance");
     script.pass(10);
     assert_eq!(script.reports().len(), 3);
@@ -61,7 +66,10 @@
     let mut script = Script::settled();
     script.orders(orders_with_start(1, 2), true);
     script.pass(600);
-    assert_eq!((script.last_report().revision, script.last_report().settled), (2, false));
+    assert_eq!(
+        (script.last_report().revision, script.last_report().settled),
+        (2, false)
+    );
     script.beat(3, json!({}));
     assert!(script.last_report().settled);
 }
@@ -74,7 +82,10 @@
     script.pass(20);
     script.beat(1, json!({}));
     script.pass(600);
-    assert_eq!((script.last_report().revision, script.last_report().settled), (1, false));
+    assert_eq!(
+        (script.last_report().revision, script.last_report().settled),
+        (1, false)
+    );
     script.beat(2, json!({}));
     assert!(script.last_report().settled);
 }
@@ -92,7 +103,10 @@
     assert_eq!(answer["fence_token"], 3);
     assert_eq!(script.agent.counters().older_orders, 2);
     script.now = script.now.plus_millis(6000);
-    assert!(script.beat(5, json!({}))["hold_ms"].is_null(), "older orders extend no lease");
+    assert!(
+        script.beat(5, json!({}))["hold_ms"].is_null(),
+        "older orders extend no lease"
+    );
 }
 
 #[test]
@@ -101,10 +115,21 @@
     script.directory(1, OWNER);
     script.beat(1, json!({}));
     script.orders(orders_with_start(1, 1), false);
-    let former = RunnerOrders { agent: INCARNATION - 1, sent_at: 900, ..orders_with_start(1, 1) };
+    let former = RunnerOrders {
+        agent: INCARNATION - 1,
+        sent_at: 900,
+        ..orders_with_start(1, 1)
+    };
     script.orders(former, false);
     let ahead = script.now.plus_millis(5).0;
-    script.orders(RunnerOrders { agent: INCARNATION, sent_at: ahead, ..orders_with_start(1, 1) }, false);
+    script.orders(
+        RunnerOrders {
+            agent: INCARNATION,
+            sent_at: ahead,
+            ..orders_with_start(1, 1)
+        },
+        false,
+    );
     let answer = script.beat(2, json!({}));
     assert!(answer["hold_ms"].is_null() && answer["start"].is_null());
     script.orders(orders_with_start(1, 1), true);
@@ -135,7 +160,14 @@
     assert!(script.last_report().lapsed);
     assert!(script.beat(3, json!({}))["start"].is_null());
     script.orders(orders_with_start(1, 2), false);
-    script.orders(RunnerOrders { agent: INCARNATION, sent_at: before, ..orders_with_start(1, 2) }, false);
+    script.orders(
+        RunnerOrders {
+            agent: INCARNATION,
+            sent_at: before,
+            ..orders_with_start(1, 2)
+        },
+        false,
+    );
     assert!(script.beat(4, json!({}))["start"].is_null());
     script.orders(orders_with_start(1, 2), true);
     assert!(script.beat(5, json!({}))["start"].is_array());
@@ -157,13 +189,26 @@
     let mut script = Script::settled();
     script.beat(3, json!({"active":[[TASK, 1, "", 1]]}));
     script.pass(20);
-    assert_eq!(script.post("/v1/instances/i-7f3a91c2/deregister", Vec::new()).status, 200);
+    assert_eq!(
+        script
+            .post("/v1/instances/i-7f3a91c2/deregister", Vec::new())
+            .status,
+        200
+    );
     script.pass(20);
     let report = script.last_report();
-    assert!(report.draining && !report.lapsed && report.active.len() == 1, "it may serve on");
+    assert!(
+        report.draining && !report.lapsed && report.active.len() == 1,
+        "it may serve on"
+    );
     script.pass(2_700);
     assert!(script.last_report().lapsed && script.last_report().active.is_empty());
-    assert_eq!(script.post("/v1/instances/unknown/deregister", Vec::new()).status, 200);
+    assert_eq!(
+        script
+            .post("/v1/instances/unknown/deregister", Vec::new())
+            .status,
+        200
+    );
 }
 
 #[test]
@@ -178,13 +223,22 @@
         to_owner.map(|(relay, _)| *relay).collect()
     };
     let relays = relayed(&script);
-    assert!([OTHER, THIRD, RELAY].iter().all(|relay| relays.contains(relay)), "{relays:?}");
+    assert!(
+        [OTHER, THIRD, RELAY]
+            .iter()
+            .all(|relay| relays.contains(relay)),
+        "{relays:?}"
+    );
     let payload = frame::encode(&Message::RunnerOrders(RunnerOrders {
         agent: INCARNATION,
         sent_at: script.now.0,
         ..orders(1, 2)
     }));
-    let answer = Relayed { from: OWNER, to: AGENT, payload: Blob(payload.unwrap()) };
+    let answer = Relayed {
+        from: OWNER,
+        to: AGENT,
+        payload: Blob(payload.unwrap()),
+    };
     script.message(THIRD, Message::Relayed(answer));
     script.sends.clear();
     script.pass(600);
@@ -198,12 +252,20 @@
 #[test]
 fn messages_of_others_are_passed_on_once() {
     let mut script = Script::settled();
-    let relayed = Relayed { from: OTHER, to: OWNER, payload: Blob(vec![1]) };
+    let relayed = Relayed {
+        from: OTHER,
+        to: OWNER,
+        payload: Blob(vec![1]),
+    };
     script.message(OTHER, Message::Relayed(relayed.clone()));
     assert_eq!(script.sends, [(OWNER, Message::Relayed(relayed.clone()))]);
     script.message(THIRD, Message::Relayed(relayed));
     assert_eq!(script.sends.len(), 1);
-    let nested = Relayed { from: OWNER, to: AGENT, payload: Blob(vec![9, 9, 9]) };
+    let nested = Relayed {
+        from: OWNER,
+        to: AGENT,
+        payload: Blob(vec![9, 9, 9]),
+    };
     script.message(OTHER, Message::Relayed(nested));
     assert_eq!(script.sends.len(), 1);
 }
@@ -211,7 +273,11 @@
 #[test]
 fn a_new_scheduler_is_told_at_once() {
     let mut script = Script::settled();
-    let refusal = NotOwner { request: 0, epoch: 2, owner: THIRD };
+    let refusal = NotOwner {
+        request: 0,
+        epoch: 2,
+        owner: THIRD,
+    };
     script.message(OWNER, Message::NotOwner(refusal));
     let (to, message) = script.sends.last().unwrap();
     assert!(*to == THIRD && matches!(message, Message::RunnerReport(_)));
@@ -227,9 +293,20 @@
 #[test]
 fn a_refusal_without_a_name_starts_a_search() {
     let mut script = Script::settled();
-    script.message(OWNER, Message::NotOwner(NotOwner { request: 0, epoch: 1, owner: NodeId::default() }));
+    script.message(
+        OWNER,
+        Message::NotOwner(NotOwner {
+            request: 0,
+            epoch: 1,
+            owner: NodeId::default(),
+        }),
+    );
     script.pass(260);
-    let hellos = script.sends.iter().filter(|(_, message)| matches!(message, Message::Hello(_))).count();
+    let hellos = script
+        .sends
+        .iter()
+        .filter(|(_, message)| matches!(message, Message::Hello(_)))
+        .count();
     assert!(hellos >= 3);
 }
 
--- a/crates/agent/tests/watch.rs
+++ b/crates/agent/tests/watch.rs
@@ -42,7 +42,13 @@
     let report = script.last_report();
     assert!(report.lapsed && report.present && report.active.is_empty());
     assert!(report.silent_ms < 400, "{}", report.silent_ms);
-    assert_eq!((script.agent.counters().probes, script.agent.counters().deaths), (1, 1));
+    assert_eq!(
+        (
+            script.agent.counters().probes,
+            script.agent.counters().deaths
+        ),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -57,7 +63,11 @@
 
 #[test]
 fn an_answer_of_any_kind_and_silence_leave_the_hold() {
-    for result in [ProbeResult::Status(200), ProbeResult::Status(503), ProbeResult::Silent] {
+    for result in [
+        ProbeResult::Status(200),
+        ProbeResult::Status(503),
+        ProbeResult::Silent,
+    ] {
         let mut script = with_a_run();
         script.pass(OVERDUE_MS);
         let probe = script.probes.pop().expect("a look");
@@ -73,7 +83,11 @@
 fn looks_are_few() {
     let mut script = with_a_run();
     script.pass(20_000);
-    assert_eq!(script.probes.len(), 3, "at 350, 850 and 1850 ms, and none after the hold");
+    assert_eq!(
+        script.probes.len(),
+        3,
+        "at 350, 850 and 1850 ms, and none after the hold"
+    );
 }
 
 #[test]
@@ -112,7 +126,14 @@
     let probe = script.probes.pop().expect("a look");
     looked(&mut script, probe.id, ProbeResult::Refused);
     assert!(script.beat(3, json!({}))["start"].is_null());
-    script.orders(RunnerOrders { agent: INCARNATION, sent_at: before, ..orders_with_start(1, 2) }, false);
+    script.orders(
+        RunnerOrders {
+            agent: INCARNATION,
+            sent_at: before,
+            ..orders_with_start(1, 2)
+        },
+        false,
+    );
     assert!(script.beat(4, json!({}))["start"].is_null());
     script.pass(1);
     script.orders(orders_with_start(1, 2), true);
@@ -122,7 +143,13 @@
 #[test]
 fn an_idle_runner_gets_as_long_as_it_was_told() {
     let mut script = Script::settled();
-    script.orders(RunnerOrders { retry_after_ms: 400, ..orders(1, 2) }, true);
+    script.orders(
+        RunnerOrders {
+            retry_after_ms: 400,
+            ..orders(1, 2)
+        },
+        true,
+    );
     script.beat(3, json!({}));
     script.pass(640);
     assert!(script.probes.is_empty());
@@ -134,7 +161,10 @@
 fn without_a_setting_the_address_of_the_heartbeat_is_looked_at() {
     let mut script = Script::new();
     let mut outbox = Outbox::default();
-    let settings = sagetrail_agent::AgentSettings { runner_address: None, ..settings(INCARNATION) };
+    let settings = sagetrail_agent::AgentSettings {
+        runner_address: None,
+        ..settings(INCARNATION)
+    };
     script.agent = AgentNode::new(settings, now(Time(1_000)), &mut outbox);
     script.beat(1, json!({}));
     script.pass(500);
--- a/crates/agreed/src/config.rs
+++ b/crates/agreed/src/config.rs
@@ -12,7 +12,10 @@
 impl Default for Timing {
     /// A timeout of five heartbeats, so that one or two lost ones, or a slow disk, unseat no leader.
     fn default() -> Self {
-        Timing { heartbeat_s: 0.1, election_timeout_s: 0.5 }
+        Timing {
+            heartbeat_s: 0.1,
+            election_timeout_s: 0.5,
+        }
     }
 }
 
--- a/crates/agreed/src/entry.rs
+++ b/crates/agreed/src/entry.rs
@@ -55,7 +55,14 @@
     /// The entry right behind a place.
     pub fn after(before: &Mark, term: u64, payload: EntryPayload) -> Entry {
         let chain = chain(before, term, &payload);
-        Entry { mark: Mark { index: before.index + 1, term, chain }, payload }
+        Entry {
+            mark: Mark {
+                index: before.index + 1,
+                term,
+                chain,
+            },
+            payload,
+        }
     }
 
     /// It is whole, and stands behind this.
--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -15,7 +15,9 @@
 pub use config::{RaftConfig, Timing};
 pub use entry::{Entry, EntryPayload, Mark, Snapshot, Voter};
 pub use log::{EntryBatch, Log};
-pub use message::{AppendEntries, AppendReply, Message, MessageBody, SnapshotPart, VoteReply, VoteRequest};
+pub use message::{
+    AppendEntries, AppendReply, Message, MessageBody, SnapshotPart, VoteReply, VoteRequest,
+};
 pub use output::{Committed, Fault, Output, Status};
 pub use raft::Raft;
 pub use record::{DiskRecord, DiskWritten};
--- a/crates/agreed/src/log.rs
+++ b/crates/agreed/src/log.rs
@@ -75,20 +75,35 @@
 
     /// The voters as of an index, and the index where that was said.
     fn voters_at(&self, index: u64) -> (&[Voter], u64) {
-        let earlier = self.entries.iter().rev().filter(|entry| entry.mark.index <= index);
+        let earlier = self
+            .entries
+            .iter()
+            .rev()
+            .filter(|entry| entry.mark.index <= index);
         let mut changes = earlier.filter_map(|entry| match &entry.payload {
             EntryPayload::Voters(voters) => Some((voters.as_slice(), entry.mark.index)),
             _ => None,
         });
-        changes.next().unwrap_or((&self.snapshot.voters, self.base().index))
+        changes
+            .next()
+            .unwrap_or((&self.snapshot.voters, self.base().index))
     }
 
     /// Puts a snapshot in place of all up to an index that is held.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) -> bool {
-        let Some(mark) = self.mark(index).filter(|mark| mark.index > self.base().index) else { return false };
+        let Some(mark) = self
+            .mark(index)
+            .filter(|mark| mark.index > self.base().index)
+        else {
+            return false;
+        };
         let voters = self.voters_at(index).0.to_vec();
         self.drop_up_to(index);
-        self.snapshot = Rc::new(Snapshot { mark, voters, state });
+        self.snapshot = Rc::new(Snapshot {
+            mark,
+            voters,
+            state,
+        });
         true
     }
 
--- a/crates/agreed/src/raft.rs
+++ b/crates/agreed/src/raft.rs
@@ -113,7 +113,14 @@
     }
 
     fn blank(config: RaftConfig, written: u64, now: f64) -> Raft {
-        let RaftConfig { me, disk, members, founders, timing, seed } = config;
+        let RaftConfig {
+            me,
+            disk,
+            members,
+            founders,
+            timing,
+            seed,
+        } = config;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nonce: u64 = random.random();
         Raft {
@@ -162,7 +169,12 @@
     }
 
     fn send(&mut self, to: u64, body: MessageBody) {
-        let message = Message { disk: self.disk, written: self.records_written, term: self.term, body };
+        let message = Message {
+            disk: self.disk,
+            written: self.records_written,
+            term: self.term,
+            body,
+        };
         self.output.messages.push((to, message));
     }
 
@@ -186,11 +198,18 @@
     }
 
     fn myself(&self) -> Voter {
-        Voter { who: self.me, disk: self.disk }
+        Voter {
+            who: self.me,
+            disk: self.disk,
+        }
     }
 
     fn other_members(&self) -> Vec<u64> {
-        self.members.iter().copied().filter(|who| *who != self.me).collect()
+        self.members
+            .iter()
+            .copied()
+            .filter(|who| *who != self.me)
+            .collect()
     }
 
     /// It has a vote, by the log as it stands here.
@@ -239,7 +258,11 @@
             commit: self.commit,
             voters: self.voters().to_vec(),
             votes: self.votes(),
-            silent_s: if self.is_leader() { 0.0 } else { now - self.leader_heard },
+            silent_s: if self.is_leader() {
+                0.0
+            } else {
+                now - self.leader_heard
+            },
             incoming: self.incoming.as_ref().map(IncomingSnapshot::progress),
         }
     }
--- a/crates/agreed/src/raft/append.rs
+++ b/crates/agreed/src/raft/append.rs
@@ -16,7 +16,13 @@
 impl Raft {
     /// Takes a leader's entries. False for ones that no leader can have sent.
     pub(super) fn append_entries(&mut self, from: u64, request: AppendEntries) -> bool {
-        let AppendEntries { before, entries, commit, round, disks } = request;
+        let AppendEntries {
+            before,
+            entries,
+            commit,
+            round,
+            disks,
+        } = request;
         self.note_disks(disks);
         if !is_chain(before, &entries) {
             return false;
@@ -34,13 +40,26 @@
             return;
         }
         let reply = match outcome {
-            AppendOutcome::Matched { index } => AppendReply { success: true, index, round },
-            AppendOutcome::Mismatch { hint } => AppendReply { success: false, index: hint, round },
+            AppendOutcome::Matched { index } => AppendReply {
+                success: true,
+                index,
+                round,
+            },
+            AppendOutcome::Mismatch { hint } => AppendReply {
+                success: false,
+                index: hint,
+                round,
+            },
         };
         self.send(to, MessageBody::AppendReply(reply));
     }
 
-    fn merge(&mut self, before: Mark, entries: Vec<Entry>, commit: u64) -> Result<AppendOutcome, Fault> {
+    fn merge(
+        &mut self,
+        before: Mark,
+        entries: Vec<Entry>,
+        commit: u64,
+    ) -> Result<AppendOutcome, Fault> {
         let base = self.log.base();
         let (before, entries) = match before.index < base.index {
             false => (before, entries),
@@ -52,7 +71,9 @@
         if let Some(hint) = self.mismatch(before)? {
             return Ok(AppendOutcome::Mismatch { hint });
         }
-        let index = entries.last().map_or(before.index, |entry| entry.mark.index);
+        let index = entries
+            .last()
+            .map_or(before.index, |entry| entry.mark.index);
         for entry in entries {
             self.merge_entry(entry)?;
         }
@@ -66,7 +87,9 @@
         match self.log.mark(before.index) {
             Some(mark) if mark == before => Ok(None),
             Some(mark) if mark.term == before.term || before.index <= self.commit => {
-                Err(Fault::Differs { index: before.index })
+                Err(Fault::Differs {
+                    index: before.index,
+                })
             }
             _ => {
                 let hint = self.log.last().index.min(before.index.saturating_sub(1));
@@ -113,7 +136,12 @@
 fn behind_snapshot(base: Mark, entries: Vec<Entry>) -> Result<Option<Vec<Entry>>, Fault> {
     match entries.iter().find(|entry| entry.mark.index == base.index) {
         Some(entry) if entry.mark != base => Err(Fault::Differs { index: base.index }),
-        Some(_) => Ok(Some(entries.into_iter().filter(|entry| entry.mark.index > base.index).collect())),
+        Some(_) => Ok(Some(
+            entries
+                .into_iter()
+                .filter(|entry| entry.mark.index > base.index)
+                .collect(),
+        )),
         None => Ok(None),
     }
 }
--- a/crates/agreed/src/raft/disk_check.rs
+++ b/crates/agreed/src/raft/disk_check.rs
@@ -24,7 +24,11 @@
 
 impl DiskCheck {
     pub(super) fn new(now: f64) -> DiskCheck {
-        DiskCheck { since: now, next_query: now, answered: BTreeSet::new() }
+        DiskCheck {
+            since: now,
+            next_query: now,
+            answered: BTreeSet::new(),
+        }
     }
 }
 
@@ -39,7 +43,9 @@
 
 impl Raft {
     pub(super) fn note_disks(&mut self, disks: Vec<DiskWritten>) {
-        disks.into_iter().for_each(|known| self.note_written(known.disk, known.written));
+        disks
+            .into_iter()
+            .for_each(|known| self.note_written(known.disk, known.written));
     }
 
     pub(super) fn note_written(&mut self, disk: u64, written: u64) {
@@ -55,21 +61,32 @@
         let voters = self.voters();
         let is_voter = |disk: &u64| voters.iter().any(|voter| voter.disk == *disk);
         let known = self.known_written.iter().filter(|(disk, _)| is_voter(disk));
-        known.map(|(&disk, &written)| DiskWritten { disk, written }).collect()
+        known
+            .map(|(&disk, &written)| DiskWritten { disk, written })
+            .collect()
     }
 
     /// A voter's disk is gone: the member comes with another, and this one is not heard of any more. Guards against
     /// a message of a former disk that comes late.
     pub(super) fn is_disk_lost(&self, now: f64, voter: &Voter) -> bool {
-        let heard = self.voter_heard.get(voter).copied().unwrap_or(f64::NEG_INFINITY);
+        let heard = self
+            .voter_heard
+            .get(voter)
+            .copied()
+            .unwrap_or(f64::NEG_INFINITY);
         let same_member = |other: &Voter| other.who == voter.who && other.disk != voter.disk;
-        let mut replacements = self.voter_heard.iter().filter(|(other, _)| same_member(other));
+        let mut replacements = self
+            .voter_heard
+            .iter()
+            .filter(|(other, _)| same_member(other));
         now > heard + DISK_LOST_S && replacements.any(|(_, at)| now < at + 0.5 * DISK_LOST_S)
     }
 
     /// Ends the check once enough have answered; asks again otherwise.
     pub(super) fn check_disk(&mut self, now: f64) {
-        let Some(check) = &self.disk_check else { return };
+        let Some(check) = &self.disk_check else {
+            return;
+        };
         if self.is_check_complete(now, check) {
             self.disk_check = None;
         } else if now >= check.next_query {
@@ -84,11 +101,16 @@
     /// its log. One alone may not know what another that is cut off does.
     fn is_check_complete(&self, now: f64, check: &DiskCheck) -> bool {
         let others = self.other_voters_or_founders();
-        let answered = others.iter().filter(|who| check.answered.contains(who)).count();
+        let answered = others
+            .iter()
+            .filter(|who| check.answered.contains(who))
+            .count();
         if answered == others.len() {
             return true;
         }
-        let leader_answered = self.leader.is_some_and(|leader| check.answered.contains(&leader));
+        let leader_answered = self
+            .leader
+            .is_some_and(|leader| check.answered.contains(&leader));
         let led = leader_answered && self.leader_heard >= check.since;
         let majority = 2 * (answered + 1) > others.len() + 1;
         led && majority && now >= check.since + MIN_CHECK_S
@@ -106,7 +128,10 @@
 
     /// Asks all others what they know of this disk.
     pub(super) fn query_disk(&mut self, blank: bool) {
-        let query = MessageBody::DiskQuery { nonce: self.nonce, blank };
+        let query = MessageBody::DiskQuery {
+            nonce: self.nonce,
+            blank,
+        };
         for to in self.other_members() {
             self.send(to, query.clone());
         }
@@ -123,7 +148,10 @@
         }
         // What it has written since its start went on from what the disk held then.
         if written > self.records_written {
-            self.fault = Some(Fault::Old { here: self.records_written, known: written });
+            self.fault = Some(Fault::Old {
+                here: self.records_written,
+                known: written,
+            });
         }
         if let Some(check) = &mut self.disk_check {
             check.answered.insert(from);
--- a/crates/agreed/src/raft/election.rs
+++ b/crates/agreed/src/raft/election.rs
@@ -18,8 +18,16 @@
         self.leader = None;
         let term = if pre_vote { self.term + 1 } else { self.term };
         let granted = BTreeSet::from([self.myself()]);
-        self.role = Role::Candidate(Candidacy { pre_vote, term, granted });
-        self.request_votes(VoteRequest { pre_vote, election_term: term, last: self.log.last() });
+        self.role = Role::Candidate(Candidacy {
+            pre_vote,
+            term,
+            granted,
+        });
+        self.request_votes(VoteRequest {
+            pre_vote,
+            election_term: term,
+            last: self.log.last(),
+        });
         self.count_votes(now);
     }
 
@@ -32,7 +40,9 @@
     }
 
     fn count_votes(&mut self, now: f64) {
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         if !self.is_quorum(|voter| candidacy.granted.contains(voter)) {
             return;
         }
@@ -67,7 +77,11 @@
     }
 
     pub(super) fn answer_vote_request(&mut self, now: f64, from: u64, request: VoteRequest) {
-        let VoteRequest { pre_vote, election_term, last } = request;
+        let VoteRequest {
+            pre_vote,
+            election_term,
+            last,
+        } = request;
         // Guards against one that was cut off, or is being removed, unseating a leader that the others hear.
         if self.disk_check.is_some() || self.has_live_leader(now) {
             return;
@@ -82,7 +96,14 @@
             self.raise_term(now, election_term);
             up_to_date && self.grant_vote(now, from)
         };
-        self.send(from, MessageBody::VoteReply(VoteReply { pre_vote, election_term, granted }));
+        self.send(
+            from,
+            MessageBody::VoteReply(VoteReply {
+                pre_vote,
+                election_term,
+                granted,
+            }),
+        );
     }
 
     fn has_live_leader(&self, now: f64) -> bool {
@@ -112,7 +133,9 @@
     pub(super) fn take_vote(&mut self, now: f64, from: Voter, term: u64, reply: VoteReply) {
         // Of a later term: this member's own is over. A granted vote says nothing of terms.
         self.raise_term(now, term);
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         let current = (reply.pre_vote, reply.election_term) == (candidacy.pre_vote, candidacy.term);
         if reply.granted && current {
             candidacy.granted.insert(from);
--- a/crates/agreed/src/raft/founding.rs
+++ b/crates/agreed/src/raft/founding.rs
@@ -14,7 +14,9 @@
         if self.founders.first() != Some(&self.me) {
             return;
         }
-        let Some(mut voters) = self.founding_voters(now) else { return };
+        let Some(mut voters) = self.founding_voters(now) else {
+            return;
+        };
         // Nobody anywhere may belong to a log already.
         if self.peers.values().any(|peer| !peer.blank) {
             return;
@@ -22,14 +24,20 @@
         voters.sort_unstable();
         let entry = Entry::after(&Mark::default(), FIRST_TERM, EntryPayload::Voters(voters));
         self.term = FIRST_TERM;
-        self.write(DiskRecord::Term { term: FIRST_TERM, vote: None });
+        self.write(DiskRecord::Term {
+            term: FIRST_TERM,
+            vote: None,
+        });
         self.push(entry);
         self.start_election(now, true);
     }
 
     /// All founders with their disks; `None` while one is not there with a blank one.
     fn founding_voters(&self, now: f64) -> Option<Vec<Voter>> {
-        self.founders.iter().map(|who| self.founding_voter(now, *who)).collect()
+        self.founders
+            .iter()
+            .map(|who| self.founding_voter(now, *who))
+            .collect()
     }
 
     fn founding_voter(&self, now: f64, who: u64) -> Option<Voter> {
@@ -38,6 +46,9 @@
         }
         let peer = self.peers.get(&who)?;
         let fresh = peer.blank && now < peer.heard + FOUNDER_FRESH_S;
-        fresh.then_some(Voter { who, disk: peer.disk })
+        fresh.then_some(Voter {
+            who,
+            disk: peer.disk,
+        })
     }
 }
--- a/crates/agreed/src/raft/leader.rs
+++ b/crates/agreed/src/raft/leader.rs
@@ -34,7 +34,9 @@
 
     /// Sends heartbeats when they are due.
     pub(super) fn tick_leader(&mut self, now: f64) {
-        let Role::Leader(state) = &self.role else { return };
+        let Role::Leader(state) = &self.role else {
+            return;
+        };
         if now < state.next_heartbeat {
             return;
         }
@@ -43,7 +45,9 @@
             return self.step_down(now, None);
         }
         let heartbeat_s = self.timing.heartbeat_s;
-        let Some(state) = self.leader_state() else { return };
+        let Some(state) = self.leader_state() else {
+            return;
+        };
         state.next_heartbeat = now + heartbeat_s;
         state.round += 1;
         state.catch_up_left = MAX_CATCH_UP_BYTES;
--- a/crates/agreed/src/raft/persistence.rs
+++ b/crates/agreed/src/raft/persistence.rs
@@ -17,22 +17,33 @@
             return;
         }
         let unsaved = std::mem::take(&mut self.unsaved_written);
-        let disks = unsaved.into_iter().map(|(disk, written)| DiskWritten { disk, written }).collect();
+        let disks = unsaved
+            .into_iter()
+            .map(|(disk, written)| DiskWritten { disk, written })
+            .collect();
         self.output.records.push(DiskRecord::Disks(disks));
         self.records_written += 1;
     }
 
     pub(super) fn write_term(&mut self) {
-        self.write(DiskRecord::Term { term: self.term, vote: self.vote });
+        self.write(DiskRecord::Term {
+            term: self.term,
+            vote: self.vote,
+        });
     }
 
     /// All that the disk has to hold, in place of what it does.
     pub(super) fn rewrite(&mut self) {
-        let mut records = vec![DiskRecord::Term { term: self.term, vote: self.vote }];
+        let mut records = vec![DiskRecord::Term {
+            term: self.term,
+            vote: self.vote,
+        }];
         records.push(DiskRecord::Snapshot((*self.log.snapshot).clone()));
         records.extend(self.log.entries.iter().cloned().map(DiskRecord::Entry));
         let known = self.known_written.iter();
-        let disks = known.map(|(&disk, &written)| DiskWritten { disk, written }).collect();
+        let disks = known
+            .map(|(&disk, &written)| DiskWritten { disk, written })
+            .collect();
         records.push(DiskRecord::Disks(disks));
         self.unsaved_written.clear();
         self.records_written += records.len() as u64;
--- a/crates/agreed/src/raft/progress.rs
+++ b/crates/agreed/src/raft/progress.rs
@@ -70,7 +70,11 @@
 
 impl LeaderState {
     pub(super) fn new(now: f64, others: &[u64], last: u64) -> LeaderState {
-        let progress = Progress { next: last + 1, heard: now, ..Progress::default() };
+        let progress = Progress {
+            next: last + 1,
+            heard: now,
+            ..Progress::default()
+        };
         LeaderState {
             followers: others.iter().map(|who| (*who, progress.clone())).collect(),
             previous_index: last,
@@ -85,6 +89,8 @@
 
     /// The progress of a voter, if its member still answers from the same disk.
     pub(super) fn of_voter(&self, voter: &Voter) -> Option<&Progress> {
-        self.followers.get(&voter.who).filter(|progress| progress.disk == voter.disk)
+        self.followers
+            .get(&voter.who)
+            .filter(|progress| progress.disk == voter.disk)
     }
 }
--- a/crates/agreed/src/raft/read_index.rs
+++ b/crates/agreed/src/raft/read_index.rs
@@ -16,7 +16,9 @@
         self.read_number += 1;
         let number = self.read_number;
         match self.leader {
-            Some(leader) if leader != self.me => self.send(leader, MessageBody::ReadIndex { number }),
+            Some(leader) if leader != self.me => {
+                self.send(leader, MessageBody::ReadIndex { number })
+            }
             _ => self.start_read(now, self.me, number),
         }
         number
@@ -32,21 +34,32 @@
         let index = self.commit;
         // Before this term has agreed on something, a leader does not know what was agreed before.
         let knows_commit = self.is_of_own_term(index);
-        let Some(state) = self.leader_state() else { return };
+        let Some(state) = self.leader_state() else {
+            return;
+        };
         if !knows_commit || state.reads.len() >= MAX_PENDING_READS {
             return;
         }
         state.round += 1;
         let round = state.round;
-        state.reads.push(PendingRead { who, number, round, index });
+        state.reads.push(PendingRead {
+            who,
+            number,
+            round,
+            index,
+        });
         self.replicate(now, true);
         self.answer_reads();
     }
 
     /// Answers the reads that a majority has confirmed this leader after.
     pub(super) fn answer_reads(&mut self) {
-        let Some(confirmed) = self.confirmed_round() else { return };
-        let Some(state) = self.leader_state() else { return };
+        let Some(confirmed) = self.confirmed_round() else {
+            return;
+        };
+        let Some(state) = self.leader_state() else {
+            return;
+        };
         let reads = std::mem::take(&mut state.reads);
         let (done, waiting): (Vec<PendingRead>, Vec<PendingRead>) =
             reads.into_iter().partition(|read| read.round <= confirmed);
@@ -56,7 +69,9 @@
 
     /// The highest round that a majority has answered. `None` if no read waits.
     fn confirmed_round(&self) -> Option<u64> {
-        let Role::Leader(state) = &self.role else { return None };
+        let Role::Leader(state) = &self.role else {
+            return None;
+        };
         if state.reads.is_empty() {
             return None;
         }
@@ -69,7 +84,9 @@
     }
 
     fn answer_read(&mut self, read: PendingRead) {
-        let PendingRead { who, number, index, .. } = read;
+        let PendingRead {
+            who, number, index, ..
+        } = read;
         if who == self.me {
             self.read_results.insert(number, index);
         } else {
--- a/crates/agreed/src/raft/receive.rs
+++ b/crates/agreed/src/raft/receive.rs
@@ -16,7 +16,10 @@
         if self.fault.is_some() {
             return true;
         }
-        let sender = Voter { who: from, disk: message.disk };
+        let sender = Voter {
+            who: from,
+            disk: message.disk,
+        };
         self.note_written(message.disk, message.written);
         self.note_sender(now, sender, &message.body);
         self.dispatch(now, sender, message.term, message.body)
@@ -31,7 +34,14 @@
             MessageBody::VoteRequest(_) => false,
             _ => known.is_some_and(|peer| peer.blank),
         };
-        self.peers.insert(who, Peer { disk, heard: now, blank });
+        self.peers.insert(
+            who,
+            Peer {
+                disk,
+                heard: now,
+                blank,
+            },
+        );
         self.voter_heard.insert(sender, now);
         self.voter_heard.retain(|_, at| now < *at + FORGET_VOTER_S);
     }
@@ -40,11 +50,17 @@
         let from = sender.who;
         match body {
             MessageBody::DiskQuery { nonce, .. } => self.answer_disk_query(sender, nonce),
-            MessageBody::DiskReport { nonce, written } => self.take_disk_report(from, nonce, written),
+            MessageBody::DiskReport { nonce, written } => {
+                self.take_disk_report(from, nonce, written)
+            }
             MessageBody::VoteRequest(request) => self.answer_vote_request(now, from, request),
             MessageBody::VoteReply(reply) => self.take_vote(now, sender, term, reply),
-            MessageBody::AppendEntries(request) => return self.receive_append(now, from, term, request),
-            MessageBody::InstallSnapshot(part) => return self.receive_snapshot_part(now, from, term, part),
+            MessageBody::AppendEntries(request) => {
+                return self.receive_append(now, from, term, request)
+            }
+            MessageBody::InstallSnapshot(part) => {
+                return self.receive_snapshot_part(now, from, term, part)
+            }
             MessageBody::AppendReply(reply) => self.receive_append_reply(now, sender, term, reply),
             MessageBody::InstallSnapshotReply { mark, offset } => {
                 self.take_snapshot_reply(now, sender, mark, offset);
@@ -57,7 +73,11 @@
 
     fn receive_append(&mut self, now: f64, from: u64, term: u64, request: AppendEntries) -> bool {
         if term < self.term {
-            let refusal = AppendReply { success: false, index: 0, round: 0 };
+            let refusal = AppendReply {
+                success: false,
+                index: 0,
+                round: 0,
+            };
             self.send(from, MessageBody::AppendReply(refusal));
             return true;
         }
@@ -70,7 +90,13 @@
         self.take_append_reply(now, from, term, reply);
     }
 
-    fn receive_snapshot_part(&mut self, now: f64, from: u64, term: u64, part: SnapshotPart) -> bool {
+    fn receive_snapshot_part(
+        &mut self,
+        now: f64,
+        from: u64,
+        term: u64,
+        part: SnapshotPart,
+    ) -> bool {
         if term < self.term {
             return true;
         }
--- a/crates/agreed/src/raft/reconfigure.rs
+++ b/crates/agreed/src/raft/reconfigure.rs
@@ -12,11 +12,15 @@
     /// Moves the voters one step towards `wanted`, if no change is under way: out whoever is not wanted or has lost
     /// its disk, in whoever has caught up.
     pub fn reconfigure(&mut self, now: f64, wanted: &[u64]) {
-        let Role::Leader(state) = &self.role else { return };
+        let Role::Leader(state) = &self.role else {
+            return;
+        };
         if wanted.is_empty() || !self.may_reconfigure(state) {
             return;
         }
-        let change = self.without_one(now, wanted).or_else(|| self.with_one_more(now, wanted, state));
+        let change = self
+            .without_one(now, wanted)
+            .or_else(|| self.with_one_more(now, wanted, state));
         if let Some(voters) = change {
             self.append_own(now, EntryPayload::Voters(voters));
         }
@@ -36,15 +40,27 @@
             return None;
         }
         let lost = |voter: &Voter| *voter != self.myself() && self.is_disk_lost(now, voter);
-        let leaves = voters.iter().find(|voter| !wanted.contains(&voter.who) || lost(voter))?;
-        Some(voters.iter().filter(|voter| *voter != leaves).copied().collect())
+        let leaves = voters
+            .iter()
+            .find(|voter| !wanted.contains(&voter.who) || lost(voter))?;
+        Some(
+            voters
+                .iter()
+                .filter(|voter| *voter != leaves)
+                .copied()
+                .collect(),
+        )
     }
 
     /// The voters with the first one that is missing and ready.
     fn with_one_more(&self, now: f64, wanted: &[u64], state: &LeaderState) -> Option<Vec<Voter>> {
         let voters = self.voters();
-        let missing = wanted.iter().filter(|who| voters.iter().all(|voter| voter.who != **who));
-        let new = missing.filter_map(|who| self.ready_voter(now, *who, state)).next()?;
+        let missing = wanted
+            .iter()
+            .filter(|who| voters.iter().all(|voter| voter.who != **who));
+        let new = missing
+            .filter_map(|who| self.ready_voter(now, *who, state))
+            .next()?;
         let mut more = voters.to_vec();
         more.push(new);
         more.sort_unstable();
@@ -61,6 +77,9 @@
         let matched = progress.matched;
         let caught_up = matched >= base && matched + MAX_LAG >= last && matched > 0;
         let heard_lately = now < progress.heard + HEARD_LATELY_S;
-        (caught_up && heard_lately).then_some(Voter { who, disk: progress.disk })
+        (caught_up && heard_lately).then_some(Voter {
+            who,
+            disk: progress.disk,
+        })
     }
 }
--- a/crates/agreed/src/raft/replication.rs
+++ b/crates/agreed/src/raft/replication.rs
@@ -32,7 +32,9 @@
 
     /// Sends each what it lacks; at a heartbeat everybody something.
     pub(super) fn replicate(&mut self, now: f64, heartbeat: bool) {
-        let Some(state) = self.leader_state() else { return };
+        let Some(state) = self.leader_state() else {
+            return;
+        };
         let others: Vec<u64> = state.followers.keys().copied().collect();
         for who in others {
             self.replicate_to(now, who, heartbeat);
@@ -40,13 +42,19 @@
     }
 
     pub(super) fn replicate_to(&mut self, now: f64, who: u64, heartbeat: bool) {
-        let Role::Leader(state) = &self.role else { return };
-        let Some(progress) = state.followers.get(&who) else { return };
+        let Role::Leader(state) = &self.role else {
+            return;
+        };
+        let Some(progress) = state.followers.get(&who) else {
+            return;
+        };
         let (next, base) = (progress.next, self.log.base());
         if next <= base.index {
             return self.replicate_snapshot(now, who, heartbeat);
         }
-        let Some(before) = self.log.mark(next - 1) else { return };
+        let Some(before) = self.log.mark(next - 1) else {
+            return;
+        };
         let entries = self.entries_for(now, who);
         if heartbeat || !entries.is_empty() {
             let commit = self.commit;
@@ -63,10 +71,18 @@
     }
 
     fn send_append(&mut self, to: u64, before: Mark, entries: Vec<Entry>, commit: u64) {
-        let Some(state) = self.leader_state() else { return };
+        let Some(state) = self.leader_state() else {
+            return;
+        };
         let round = state.round;
         let disks = self.voters_disks();
-        let request = AppendEntries { before, entries, commit, round, disks };
+        let request = AppendEntries {
+            before,
+            entries,
+            commit,
+            round,
+            disks,
+        };
         self.send(to, MessageBody::AppendEntries(request));
     }
 
@@ -74,8 +90,12 @@
     fn entries_for(&mut self, now: f64, who: u64) -> Vec<Entry> {
         let retry_s = self.retry_s();
         let last = self.log.last().index;
-        let Role::Leader(state) = &mut self.role else { return Vec::new() };
-        let Some(progress) = state.followers.get_mut(&who) else { return Vec::new() };
+        let Role::Leader(state) = &mut self.role else {
+            return Vec::new();
+        };
+        let Some(progress) = state.followers.get_mut(&who) else {
+            return Vec::new();
+        };
         // Not known to be there: only asked whether, with nothing to carry.
         let silent = now > progress.heard + SILENT_RETRIES * retry_s;
         if progress.next > last || silent || progress.awaits_reply(now, retry_s) {
@@ -98,11 +118,19 @@
     }
 
     /// A follower has answered `AppendEntries`.
-    pub(super) fn take_append_reply(&mut self, now: f64, from: Voter, term: u64, reply: AppendReply) {
+    pub(super) fn take_append_reply(
+        &mut self,
+        now: f64,
+        from: Voter,
+        term: u64,
+        reply: AppendReply,
+    ) {
         if term != self.term {
             return;
         }
-        let Some(effect) = self.apply_reply(now, from, reply) else { return };
+        let Some(effect) = self.apply_reply(now, from, reply) else {
+            return;
+        };
         let commit = self.commit;
         self.advance_commit(now);
         self.answer_reads();
@@ -119,7 +147,10 @@
 
     /// More at once while the heartbeat's share lasts; the rest at the next.
     pub(super) fn send_more(&mut self, now: f64, who: u64) {
-        if self.leader_state().is_some_and(|state| state.catch_up_left > 0) {
+        if self
+            .leader_state()
+            .is_some_and(|state| state.catch_up_left > 0)
+        {
             self.replicate_to(now, who, false);
         }
     }
@@ -129,7 +160,11 @@
         let progress = self.leader_state()?.followers.get_mut(&from.who)?;
         if progress.disk != from.disk {
             // Another disk: nothing that was known of it holds.
-            *progress = Progress { disk: from.disk, next: last + 1, ..Progress::default() };
+            *progress = Progress {
+                disk: from.disk,
+                next: last + 1,
+                ..Progress::default()
+            };
         }
         // Guards against messages without end: what comes twice is answered once.
         let awaited = progress.take_reply(now);
@@ -144,6 +179,11 @@
             progress.next = back.max(progress.matched + 1);
         }
         let lacks = progress.next <= last;
-        Some(ReplyEffect { awaited, lacks, matched_before, matched: progress.matched })
+        Some(ReplyEffect {
+            awaited,
+            lacks,
+            matched_before,
+            matched: progress.matched,
+        })
     }
 }
--- a/crates/agreed/src/raft/snapshot_receiver.rs
+++ b/crates/agreed/src/raft/snapshot_receiver.rs
@@ -17,7 +17,12 @@
 
 impl IncomingSnapshot {
     fn new(part: &SnapshotPart) -> IncomingSnapshot {
-        IncomingSnapshot { mark: part.mark, size: part.size, sum: part.sum, bytes: Vec::new() }
+        IncomingSnapshot {
+            mark: part.mark,
+            size: part.size,
+            sum: part.sum,
+            bytes: Vec::new(),
+        }
     }
 
     fn is_of(&self, part: &SnapshotPart) -> bool {
@@ -75,7 +80,10 @@
 
     /// The same bytes from another sender go on where the last one stopped.
     fn extend_incoming(&mut self, part: SnapshotPart) -> IncomingSnapshot {
-        let current = self.incoming.take().filter(|incoming| incoming.is_of(&part));
+        let current = self
+            .incoming
+            .take()
+            .filter(|incoming| incoming.is_of(&part));
         let mut incoming = current.unwrap_or_else(|| IncomingSnapshot::new(&part));
         if incoming.received() == part.offset {
             incoming.bytes.extend(part.bytes);
--- a/crates/agreed/src/raft/timer.rs
+++ b/crates/agreed/src/raft/timer.rs
@@ -12,7 +12,10 @@
 
     /// When `tick` is to be called next.
     pub fn due(&self) -> f64 {
-        let query = self.disk_check.as_ref().map_or(f64::INFINITY, |check| check.next_query);
+        let query = self
+            .disk_check
+            .as_ref()
+            .map_or(f64::INFINITY, |check| check.next_query);
         let protocol = match &self.role {
             Role::Leader(state) => state.next_heartbeat,
             _ if self.voters().is_empty() => self.last_tick + QUERY_INTERVAL_S,
--- a/crates/agreed/tests/schedules.rs
+++ b/crates/agreed/tests/schedules.rs
@@ -7,7 +7,11 @@
 /// One day with faults by the seed; then all is well for a while, and everybody must have the same.
 fn day(seed: u64, broken: Broken) -> World {
     let members = 3 + (seed % 4) as usize;
-    let voters = if members >= 5 && seed.is_multiple_of(3) { 5 } else { 3 };
+    let voters = if members >= 5 && seed.is_multiple_of(3) {
+        5
+    } else {
+        3
+    };
     let mut world = World::new(members, voters, seed, broken);
     world.until(1.5);
     world.loss = [0.0, 0.05, 0.3][(seed / 2 % 3) as usize];
@@ -19,7 +23,8 @@
     for step in 0..60 {
         let at = world.now + 0.1;
         let any = world.chance.random_range(0..members);
-        if let Some(n) = hurt.filter(|n| world.votes(*n) && world.given_to(*n) + 2 >= world.most()) {
+        if let Some(n) = hurt.filter(|n| world.votes(*n) && world.given_to(*n) + 2 >= world.most())
+        {
             let _ = n;
             hurt = None;
         }
@@ -47,8 +52,9 @@
                 world.cuts.push((any, other));
             }
             5 => {
-                let others: Vec<(usize, usize)> =
-                    (0..members).flat_map(|other| [(any, other), (other, any)]).collect();
+                let others: Vec<(usize, usize)> = (0..members)
+                    .flat_map(|other| [(any, other), (other, any)])
+                    .collect();
                 world.cuts = others;
             }
             6 | 7 => world.cuts.clear(),
@@ -109,26 +115,37 @@
     let end = world.now + 1.0;
     world.until(end);
     if world.leader().is_none() {
-        world.faults.push("nobody leads when all is well again".to_string());
+        world
+            .faults
+            .push("nobody leads when all is well again".to_string());
     }
     for n in 0..members {
         if world.given_to(n) < world.most() {
-            world.faults.push(format!("{n} has {} of {}", world.given_to(n), world.most()));
+            world
+                .faults
+                .push(format!("{n} has {} of {}", world.given_to(n), world.most()));
         }
         if n < voters && !world.votes(n) {
-            world.faults.push(format!("{n} does not vote when all is well again"));
+            world
+                .faults
+                .push(format!("{n} does not vote when all is well again"));
         }
     }
     world
 }
 
 fn schedules() -> u64 {
-    std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000)
+    std::env::var("SCHEDULES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(10_000)
 }
 
 #[test]
 fn what_is_agreed_is_never_lost_in_thousands_of_schedules() {
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get() as u64).min(6);
+    let threads = std::thread::available_parallelism()
+        .map_or(4, |n| n.get() as u64)
+        .min(6);
     let each: Vec<_> = (0..threads)
         .map(|thread| {
             std::thread::spawn(move || {
@@ -147,10 +164,18 @@
             })
         })
         .collect();
-    let (reads, most) =
-        each.into_iter().map(|t| t.join().unwrap()).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
-    println!("{} schedules, {most} entries agreed, {reads} reads", schedules());
-    assert!(reads as u64 > schedules() && most > 20 * schedules(), "nothing was agreed or read");
+    let (reads, most) = each
+        .into_iter()
+        .map(|t| t.join().unwrap())
+        .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
+    println!(
+        "{} schedules, {most} entries agreed, {reads} reads",
+        schedules()
+    );
+    assert!(
+        reads as u64 > schedules() && most > 20 * schedules(),
+        "nothing was agreed or read"
+    );
 }
 
 #[test]
@@ -165,7 +190,12 @@
         Broken::ForgetsCuts,
     ];
     let each = all.map(|broken| {
-        (broken, std::thread::spawn(move || (0..6_000).find(|seed| !day(*seed, broken).faults.is_empty())))
+        (
+            broken,
+            std::thread::spawn(move || {
+                (0..6_000).find(|seed| !day(*seed, broken).faults.is_empty())
+            }),
+        )
     });
     for (broken, thread) in each {
         let caught = thread.join().unwrap_or(Some(0));
--- a/crates/agreed/tests/sim/mod.rs
+++ b/crates/agreed/tests/sim/mod.rs
@@ -102,7 +102,10 @@
             let name = world.chance.random();
             world.members.push(Member {
                 raft: None,
-                disk: Disk { name, ..Disk::default() },
+                disk: Disk {
+                    name,
+                    ..Disk::default()
+                },
                 old: None,
                 pending: VecDeque::new(),
                 awake: 0.0,
@@ -128,7 +131,12 @@
             seed,
         };
         let member = &mut self.members[n];
-        let raft = Raft::open(terms, member.disk.recs.clone(), member.disk.written, self.now);
+        let raft = Raft::open(
+            terms,
+            member.disk.recs.clone(),
+            member.disk.written,
+            self.now,
+        );
         (member.raft, member.dead_disk, member.given) = (Some(raft), false, 0);
         member.words.clear();
         member.reads.clear();
@@ -144,7 +152,10 @@
             if !batch.out.rewrite {
                 let there = (torn * (batch.out.records.len() + 1) as f64) as usize;
                 member.disk.written += there as u64;
-                member.disk.recs.extend(batch.out.records.into_iter().take(there));
+                member
+                    .disk
+                    .recs
+                    .extend(batch.out.records.into_iter().take(there));
             }
         }
         member.pending.clear();
@@ -167,8 +178,15 @@
 
     pub fn lose_disk(&mut self, n: usize) {
         let same = self.broken == Broken::SameName;
-        let name = if same { self.members[n].disk.name } else { self.chance.random() };
-        self.members[n].disk = Disk { name, ..Disk::default() };
+        let name = if same {
+            self.members[n].disk.name
+        } else {
+            self.chance.random()
+        };
+        self.members[n].disk = Disk {
+            name,
+            ..Disk::default()
+        };
     }
 
     pub fn pause(&mut self, n: usize, for_s: f64) {
@@ -183,7 +201,10 @@
     pub fn slow_disk(&mut self, n: usize, by_s: f64) {
         self.members[n].slow_s = by_s;
         let now = self.now;
-        self.members[n].pending.iter_mut().for_each(|batch| batch.at = batch.at.min(now + by_s));
+        self.members[n]
+            .pending
+            .iter_mut()
+            .for_each(|batch| batch.at = batch.at.min(now + by_s));
     }
 
     pub fn up(&self, n: usize) -> bool {
@@ -191,11 +212,19 @@
     }
 
     pub fn votes(&self, n: usize) -> bool {
-        self.members[n].raft.as_ref().is_some_and(|raft| raft.votes())
+        self.members[n]
+            .raft
+            .as_ref()
+            .is_some_and(|raft| raft.votes())
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.members.len()).find(|n| self.members[*n].raft.as_ref().is_some_and(|raft| raft.is_leader()))
+        (0..self.members.len()).find(|n| {
+            self.members[*n]
+                .raft
+                .as_ref()
+                .is_some_and(|raft| raft.is_leader())
+        })
     }
 
     fn post(&mut self, from: usize, out: Vec<(u64, Message)>) {
@@ -203,7 +232,11 @@
             self.letters += 1;
             assert!(self.letters < 2_000_000, "letters without end");
             let to = (to - 100) as usize;
-            let copies = if self.chance.random::<f64>() < 0.05 { 2 } else { 1 };
+            let copies = if self.chance.random::<f64>() < 0.05 {
+                2
+            } else {
+                1
+            };
             for _ in 0..copies {
                 if self.chance.random::<f64>() < self.loss || self.cuts.contains(&(from, to)) {
                     continue;
@@ -219,12 +252,15 @@
     /// Takes what a member asks for, and what it was given.
     fn after(&mut self, n: usize) {
         let (broken, now) = (self.broken, self.now);
-        let Some(raft) = self.members[n].raft.as_mut() else { return };
+        let Some(raft) = self.members[n].raft.as_mut() else {
+            return;
+        };
         let mut out = raft.output();
         let mark = raft.last();
         let fault = raft.fault();
         if broken == Broken::ForgetsCuts && mark.index % 2 == 0 {
-            out.records.retain(|record| !matches!(record, DiskRecord::Truncate { .. }));
+            out.records
+                .retain(|record| !matches!(record, DiskRecord::Truncate { .. }));
         }
         self.given(n);
         if let Some(fault) = fault {
@@ -232,7 +268,8 @@
             self.replaced += 1;
             if let Fault::Differs { index } = fault {
                 if self.broken == Broken::No {
-                    self.faults.push(format!("{n} differs at {index} at {now:.3}"));
+                    self.faults
+                        .push(format!("{n} differs at {index} at {now:.3}"));
                 }
             }
             self.members[n].raft = None;
@@ -250,20 +287,38 @@
         }
         let member = &mut self.members[n];
         if member.pending.is_empty() && out.records.is_empty() {
-            return if member.dead_disk { Default::default() } else { self.post(n, out.messages) };
+            return if member.dead_disk {
+                Default::default()
+            } else {
+                self.post(n, out.messages)
+            };
         }
-        let lasts_in = if out.records.is_empty() { 0.0 } else { member.slow_s };
+        let lasts_in = if out.records.is_empty() {
+            0.0
+        } else {
+            member.slow_s
+        };
         let from = member.pending.back().map_or(now, |batch| batch.at.max(now));
-        member.pending.push_back(Batch { out, at: from + lasts_in, mark });
+        member.pending.push_back(Batch {
+            out,
+            at: from + lasts_in,
+            mark,
+        });
     }
 
     fn last(&mut self, n: usize) {
-        while self.members[n].pending.front().is_some_and(|batch| batch.at <= self.now) {
+        while self.members[n]
+            .pending
+            .front()
+            .is_some_and(|batch| batch.at <= self.now)
+        {
             let member = &mut self.members[n];
             if member.dead_disk {
                 return;
             }
-            let Some(Batch { out, mark, .. }) = member.pending.pop_front() else { return };
+            let Some(Batch { out, mark, .. }) = member.pending.pop_front() else {
+                return;
+            };
             let lost = self.broken == Broken::SyncLies && self.no.is_multiple_of(16);
             if out.rewrite {
                 member.disk.recs.clear();
@@ -286,14 +341,17 @@
             let mark = match given {
                 Committed::Entry(entry) => {
                     if let sagetrail_agreed::EntryPayload::Command(word) = &entry.payload {
-                        self.members[n].words.push(u64::from_le_bytes(word[..8].try_into().unwrap()));
+                        self.members[n]
+                            .words
+                            .push(u64::from_le_bytes(word[..8].try_into().unwrap()));
                     }
                     entry.mark
                 }
                 Committed::Snapshot(snapshot) => {
                     let chunks = snapshot.state.chunks_exact(8);
-                    self.members[n].words =
-                        chunks.map(|word| u64::from_le_bytes(word.try_into().unwrap())).collect();
+                    self.members[n].words = chunks
+                        .map(|word| u64::from_le_bytes(word.try_into().unwrap()))
+                        .collect();
                     snapshot.mark
                 }
             };
@@ -308,31 +366,44 @@
                 || words[..] != self.all[..words.len().min(self.all.len())]
                 || words.len() != count
             {
-                self.faults.push(format!("{n} was given another {} at {:.3}", mark.index, self.now));
+                self.faults.push(format!(
+                    "{n} was given another {} at {:.3}",
+                    mark.index, self.now
+                ));
             }
             if mark.index.is_multiple_of(16) {
                 let short = usize::from(self.broken == Broken::ShortSnapshot);
                 let upto = words.len().saturating_sub(short);
-                let state: Vec<u8> = words[..upto].iter().flat_map(|word| word.to_le_bytes()).collect();
+                let state: Vec<u8> = words[..upto]
+                    .iter()
+                    .flat_map(|word| word.to_le_bytes())
+                    .collect();
                 if let Some(raft) = self.members[n].raft.as_mut() {
                     raft.compact(mark.index, state);
                 }
             }
         }
         let member = &mut self.members[n];
-        let Some(raft) = member.raft.as_mut() else { return };
+        let Some(raft) = member.raft.as_mut() else {
+            return;
+        };
         let mut done = Vec::new();
-        member.reads.retain(|(no, least)| match raft.read_index(*no) {
-            Some(index) => {
-                done.push((index, *least));
-                false
-            }
-            None => true,
-        });
+        member
+            .reads
+            .retain(|(no, least)| match raft.read_index(*no) {
+                Some(index) => {
+                    done.push((index, *least));
+                    false
+                }
+                None => true,
+            });
         for (index, least) in done {
             self.reads_done += 1;
             if index < least {
-                self.faults.push(format!("{n} read up to {index}, {least} was agreed at {:.3}", self.now));
+                self.faults.push(format!(
+                    "{n} read up to {index}, {least} was agreed at {:.3}",
+                    self.now
+                ));
             }
         }
     }
@@ -364,7 +435,13 @@
             return;
         }
         if self.broken == Broken::ReadsUnasked {
-            let Some(raft) = self.members[n].raft.as_ref().filter(|raft| raft.is_leader()) else { return };
+            let Some(raft) = self.members[n]
+                .raft
+                .as_ref()
+                .filter(|raft| raft.is_leader())
+            else {
+                return;
+            };
             self.reads_done += 1;
             if raft.status(self.now).commit < least {
                 self.faults.push(format!("{n} read old"));
@@ -407,8 +484,14 @@
             self.now = at.max(self.now + 1e-6);
             let now = self.now;
             let due = (now * 1e6) as u64;
-            while let Some((&key, _)) = self.wire.first_key_value().filter(|((at, _), _)| *at <= due) {
-                let Some((from, to, mut letter)) = self.wire.remove(&key) else { break };
+            while let Some((&key, _)) = self
+                .wire
+                .first_key_value()
+                .filter(|((at, _), _)| *at <= due)
+            {
+                let Some((from, to, mut letter)) = self.wire.remove(&key) else {
+                    break;
+                };
                 if now < self.members[to].awake {
                     // It waits in the socket of one that is stopped.
                     let at = (self.members[to].awake * 1e6) as u64 + 1;
@@ -432,7 +515,11 @@
                     continue;
                 }
                 self.last(n);
-                if let Some(raft) = self.members[n].raft.as_mut().filter(|raft| raft.due() <= now) {
+                if let Some(raft) = self.members[n]
+                    .raft
+                    .as_mut()
+                    .filter(|raft| raft.due() <= now)
+                {
                     raft.tick(now);
                     self.after(n);
                 }
--- a/crates/cluster-sim/src/actor.rs
+++ b/crates/cluster-sim/src/actor.rs
@@ -68,7 +68,13 @@
     fn wake(&mut self, now: Micros, surroundings: &mut Surroundings);
 
     /// A call has ended.
-    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, surroundings: &mut Surroundings);
+    fn outcome(
+        &mut self,
+        now: Micros,
+        tag: CallTag,
+        outcome: Outcome,
+        surroundings: &mut Surroundings,
+    );
 
     /// When it wants to be woken.
     fn next_wake(&self) -> Option<Micros>;
--- a/crates/cluster-sim/src/bin/sagetrail-sim.rs
+++ b/crates/cluster-sim/src/bin/sagetrail-sim.rs
@@ -62,7 +62,10 @@
 fn print_history(arguments: &Arguments, report: &Report) {
     for seen in &report.history.seen {
         let line = format!("{:>10.3} {:?}", seen.at as f64 / 1e6, seen.sight);
-        let wanted = arguments.about.as_ref().is_some_and(|about| line.contains(about.as_str()));
+        let wanted = arguments
+            .about
+            .as_ref()
+            .is_some_and(|about| line.contains(about.as_str()));
         if arguments.history || wanted {
             println!("{line}");
         }
@@ -96,7 +99,17 @@
 
 /// The jobs that violations name.
 fn named_jobs(report: &Report) -> Vec<&sagetrail_cluster_sim::job::JobDefinition> {
-    let named =
-        |id: &String| report.violations.iter().any(|violation| violation.detail.contains(id.as_str()));
-    report.history.jobs.jobs.values().filter(|job| named(&job.id)).collect()
+    let named = |id: &String| {
+        report
+            .violations
+            .iter()
+            .any(|violation| violation.detail.contains(id.as_str()))
+    };
+    report
+        .history
+        .jobs
+        .jobs
+        .values()
+        .filter(|job| named(&job.id))
+        .collect()
 }
--- a/crates/cluster-sim/src/checker/calm.rs
+++ b/crates/cluster-sim/src/checker/calm.rs
@@ -34,10 +34,18 @@
 impl Calm {
     /// Reads the troubles of a day.
     pub fn gather(history: &History, contact_ms: u64) -> Calm {
-        let mut calm = Calm { troubles: Vec::new(), contact: contact_ms * MILLISECOND, clocks_jump: false };
+        let mut calm = Calm {
+            troubles: Vec::new(),
+            contact: contact_ms * MILLISECOND,
+            clocks_jump: false,
+        };
         for seen in &history.seen {
             if let Sight::Trouble { until, what, reach } = &seen.sight {
-                calm.troubles.push(Span { from: seen.at, until: *until, reach: reach.clone() });
+                calm.troubles.push(Span {
+                    from: seen.at,
+                    until: *until,
+                    reach: reach.clone(),
+                });
                 calm.clocks_jump |= what.contains("ClockStep");
             }
         }
@@ -47,7 +55,8 @@
     /// True where no trouble of anyone was near at any instant of a span.
     pub fn during(&self, from: Micros, until: Micros) -> bool {
         // After a loss of most of the core the span of contact is twice as long.
-        let near = |trouble: &Span| trouble.from <= until && trouble.until + 2 * self.contact >= from;
+        let near =
+            |trouble: &Span| trouble.from <= until && trouble.until + 2 * self.contact >= from;
         !self.troubles.iter().any(near)
     }
 
@@ -58,6 +67,9 @@
 
     /// True where a machine outside the core was in touch at an instant, whatever troubled other machines.
     pub fn in_touch(&self, machine: NodeId, instant: Micros) -> bool {
-        !self.troubles.iter().any(|trouble| trouble.touches(machine, instant, self.contact))
+        !self
+            .troubles
+            .iter()
+            .any(|trouble| trouble.touches(machine, instant, self.contact))
     }
 }
--- a/crates/cluster-sim/src/checker/cancels.rs
+++ b/crates/cluster-sim/src/checker/cancels.rs
@@ -13,7 +13,11 @@
             let detail = format!("{} starts after its job was shown as completed", run.task);
             judge.accuse(Rule::Twice, run.started, detail);
         }
-        let Some(cancelled) = judge.facts.submits.get(&run.task.job).and_then(|submit| submit.cancelled)
+        let Some(cancelled) = judge
+            .facts
+            .submits
+            .get(&run.task.job)
+            .and_then(|submit| submit.cancelled)
         else {
             continue;
         };
@@ -22,7 +26,10 @@
         if run.started > last_start && judge.in_touch(&run) {
             let detail = format!("{} starts after its job was cancelled", run.task);
             judge.accuse(Rule::Unasked, run.started, detail);
-        } else if run.over > last_end && reached(judge, last_end) && judge.calm.during(cancelled, last_end) {
+        } else if run.over > last_end
+            && reached(judge, last_end)
+            && judge.calm.during(cancelled, last_end)
+        {
             let detail = format!("{} runs on after its job was cancelled", run.task);
             judge.accuse(Rule::Unasked, last_end, detail);
         }
@@ -30,13 +37,22 @@
 }
 
 fn reached(judge: &Judge, instant: Micros) -> bool {
-    judge.history.seen.last().is_some_and(|seen| seen.at >= instant)
+    judge
+        .history
+        .seen
+        .last()
+        .is_some_and(|seen| seen.at >= instant)
 }
 
 fn first_completed(judge: &Judge) -> BTreeMap<String, Micros> {
     let mut completed = BTreeMap::new();
     for seen in &judge.history.seen {
-        if let Sight::StateRead { job, state: ShownState::Completed, .. } = &seen.sight {
+        if let Sight::StateRead {
+            job,
+            state: ShownState::Completed,
+            ..
+        } = &seen.sight
+        {
             completed.entry(job.clone()).or_insert(seen.at);
         }
     }
--- a/crates/cluster-sim/src/checker/configs.rs
+++ b/crates/cluster-sim/src/checker/configs.rs
@@ -64,12 +64,19 @@
 fn acknowledgements(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
     let mut on_base: BTreeMap<u64, &OrderFact> = BTreeMap::new();
     for fact in orders.values() {
-        let Some(at) = fact.acknowledged else { continue };
+        let Some(at) = fact.acknowledged else {
+            continue;
+        };
         if !fact.seen.valid {
-            judge.accuse(Rule::Config, at, format!("invalid order {} was acknowledged", fact.seen.order));
+            judge.accuse(
+                Rule::Config,
+                at,
+                format!("invalid order {} was acknowledged", fact.seen.order),
+            );
         }
-        if let Some(other) =
-            on_base.insert(fact.seen.base, fact).filter(|other| other.seen.content != fact.seen.content)
+        if let Some(other) = on_base
+            .insert(fact.seen.base, fact)
+            .filter(|other| other.seen.content != fact.seen.content)
         {
             let detail = format!(
                 "orders {} and {} on top of version {} were both acknowledged",
@@ -82,7 +89,9 @@
 
 fn repeats(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
     for fact in orders.values() {
-        let (Some(acknowledged), Some(refused)) = (fact.acknowledged, fact.refused) else { continue };
+        let (Some(acknowledged), Some(refused)) = (fact.acknowledged, fact.refused) else {
+            continue;
+        };
         let other = |other: &&OrderFact| {
             other.seen.order != fact.seen.order
                 && other.seen.valid
@@ -90,7 +99,10 @@
                 && other.seen.version > fact.seen.version
         };
         if refused > acknowledged && !orders.values().any(|one| other(&one)) {
-            let detail = format!("order {} was acknowledged and then refused", fact.seen.order);
+            let detail = format!(
+                "order {} was acknowledged and then refused",
+                fact.seen.order
+            );
             judge.accuse(Rule::Config, refused, detail);
         }
     }
@@ -99,32 +111,52 @@
 fn reads(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
     let history = judge.history;
     for seen in &history.seen {
-        let Sight::ConfigRead { content: Some(content), .. } = &seen.sight else { continue };
+        let Sight::ConfigRead {
+            content: Some(content),
+            ..
+        } = &seen.sight
+        else {
+            continue;
+        };
         let possible = orders.values().any(|fact| {
             let same = fact.seen.content.as_ref() == Some(content);
             same && (fact.refused.is_none() || fact.acknowledged.is_some())
         });
         if !possible {
-            let detail = format!("version {} was read, which is not as sent or was refused", content.version);
+            let detail = format!(
+                "version {} was read, which is not as sent or was refused",
+                content.version
+            );
             judge.accuse(Rule::Config, seen.at, detail);
         }
     }
 }
 
 fn newest_acknowledged(orders: &BTreeMap<OrderNumber, OrderFact>, by: Micros) -> u64 {
-    let known = orders.values().filter(|fact| fact.acknowledged.is_some_and(|at| at <= by));
+    let known = orders
+        .values()
+        .filter(|fact| fact.acknowledged.is_some_and(|at| at <= by));
     known.map(|fact| fact.seen.version).max().unwrap_or(0)
 }
 
 fn read_back(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
-    let Some(end) = judge.facts.day_end else { return };
-    let mut reads = judge.history.seen.iter().rev().filter_map(|seen| match &seen.sight {
-        Sight::ConfigRead { sent, content } => Some((*sent, content.clone())),
-        _ => None,
-    });
+    let Some(end) = judge.facts.day_end else {
+        return;
+    };
+    let mut reads = judge
+        .history
+        .seen
+        .iter()
+        .rev()
+        .filter_map(|seen| match &seen.sight {
+            Sight::ConfigRead { sent, content } => Some((*sent, content.clone())),
+            _ => None,
+        });
     let last: Option<(Micros, Option<Configuration>)> = reads.next();
     let newest = newest_acknowledged(orders, last.as_ref().map_or(end, |(sent, _)| *sent));
-    let shown = last.and_then(|(_, content)| content).map_or(0, |content| content.version);
+    let shown = last
+        .and_then(|(_, content)| content)
+        .map_or(0, |content| content.version);
     if shown < newest {
         let detail = format!("the last read gives version {shown}, {newest} was acknowledged");
         judge.accuse(Rule::Config, end, detail);
@@ -136,7 +168,16 @@
     let history = judge.history;
     let apply = judge.limits.bounds.config_apply_ms * MILLISECOND;
     for seen in &history.seen {
-        let Sight::QueueRead { sent, host, prefix, answer, gateway } = &seen.sight else { continue };
+        let Sight::QueueRead {
+            sent,
+            host,
+            prefix,
+            answer,
+            gateway,
+        } = &seen.sight
+        else {
+            continue;
+        };
         let status = match answer {
             Answer::Status(status @ (200 | 404)) => *status,
             _ => continue,
@@ -145,12 +186,15 @@
         if settled == 0 || !judge.calm.in_touch(*gateway, *sent) {
             continue;
         }
-        let may_be =
-            orders.values().filter(|fact| fact.seen.version >= settled && fact.first_sent <= seen.at);
+        let may_be = orders
+            .values()
+            .filter(|fact| fact.seen.version >= settled && fact.first_sent <= seen.at);
         let contents = may_be.filter_map(|fact| fact.seen.content.as_ref());
-        let fits = |content: &Configuration| content.route_of(host, prefix).is_some() == (status == 200);
+        let fits =
+            |content: &Configuration| content.route_of(host, prefix).is_some() == (status == 200);
         if !contents.into_iter().any(fits) {
-            let detail = format!("{gateway} answers {status} for {prefix}, version {settled} is in force");
+            let detail =
+                format!("{gateway} answers {status} for {prefix}, version {settled} is in force");
             judge.accuse(Rule::Config, *sent, detail);
         }
     }
--- a/crates/cluster-sim/src/checker/facts.rs
+++ b/crates/cluster-sim/src/checker/facts.rs
@@ -75,13 +75,27 @@
             }
             Sight::SubmitAnswered { job, answer } => self.take_submit(at, job, *answer),
             Sight::CancelSent { job } => {
-                self.submits.entry(job.clone()).or_default().cancel_sent.get_or_insert(at);
+                self.submits
+                    .entry(job.clone())
+                    .or_default()
+                    .cancel_sent
+                    .get_or_insert(at);
             }
             Sight::CancelAnswered { job, answer } if answer.is_success() => {
-                self.submits.entry(job.clone()).or_default().cancelled.get_or_insert(at);
+                self.submits
+                    .entry(job.clone())
+                    .or_default()
+                    .cancelled
+                    .get_or_insert(at);
             }
             Sight::RunnerUp(runner) => {
-                self.lives.insert(runner.instance.clone(), LifeFact { from: at, until: Micros::MAX });
+                self.lives.insert(
+                    runner.instance.clone(),
+                    LifeFact {
+                        from: at,
+                        until: Micros::MAX,
+                    },
+                );
                 self.runners.insert(runner.instance.clone(), runner.clone());
             }
             Sight::RunnerDown { instance } => self.take_down(at, instance),
@@ -108,11 +122,19 @@
     }
 
     fn take_start(&mut self, at: Micros, start: &StartSeen) {
-        let Some(task) = TaskName::parse(&start.task) else { return };
+        let Some(task) = TaskName::parse(&start.task) else {
+            return;
+        };
         let index = self.runs.len();
         self.runs_of.entry(task.clone()).or_default().push(index);
-        self.runs_of_step.entry(task.step_name()).or_default().push(index);
-        self.runs_of_instance.entry(start.instance.clone()).or_default().push(index);
+        self.runs_of_step
+            .entry(task.step_name())
+            .or_default()
+            .push(index);
+        self.runs_of_instance
+            .entry(start.instance.clone())
+            .or_default()
+            .push(index);
         self.runs.push(RunFact {
             instance: start.instance.clone(),
             task,
@@ -127,7 +149,9 @@
     }
 
     fn take_end(&mut self, at: Micros, end: &EndSeen) {
-        let Some(indices) = self.runs_of.get(&end.task) else { return };
+        let Some(indices) = self.runs_of.get(&end.task) else {
+            return;
+        };
         for index in indices {
             let run = &mut self.runs[*index];
             let same = run.instance == end.instance && run.attempt == end.attempt;
@@ -169,7 +193,10 @@
 
     /// The most attempts that any configuration allows a queue.
     pub fn max_attempts(&self, prefix: &str) -> u64 {
-        let routes = self.configurations.iter().flat_map(|configuration| configuration.routes.values());
+        let routes = self
+            .configurations
+            .iter()
+            .flat_map(|configuration| configuration.routes.values());
         routes
             .filter(|route| route.path_prefix == prefix)
             .map(|route| route.max_attempts)
@@ -179,24 +206,39 @@
 
     /// The services to which some configuration sends a queue.
     pub fn services(&self, prefix: &str) -> BTreeSet<String> {
-        let routes = self.configurations.iter().flat_map(|configuration| configuration.routes.values());
-        routes.filter(|route| route.path_prefix == prefix).map(|route| route.service.clone()).collect()
+        let routes = self
+            .configurations
+            .iter()
+            .flat_map(|configuration| configuration.routes.values());
+        routes
+            .filter(|route| route.path_prefix == prefix)
+            .map(|route| route.service.clone())
+            .collect()
     }
 
     /// The runs of a task.
     pub fn of_task(&self, task: &TaskName) -> impl Iterator<Item = &RunFact> {
-        self.runs_of.get(task).into_iter().flatten().map(|index| &self.runs[*index])
+        self.runs_of
+            .get(task)
+            .into_iter()
+            .flatten()
+            .map(|index| &self.runs[*index])
     }
 
     /// The runs of a step at one time.
     pub fn of_step(&self, step: &StepName) -> impl Iterator<Item = &RunFact> {
-        self.runs_of_step.get(step).into_iter().flatten().map(|index| &self.runs[*index])
+        self.runs_of_step
+            .get(step)
+            .into_iter()
+            .flatten()
+            .map(|index| &self.runs[*index])
     }
 
     /// The runs at a runner that go on at an instant, what started before in the same instant included.
     pub fn going_at(&self, instance: &str, run: &RunFact) -> Vec<&RunFact> {
         let indices = self.runs_of_instance.get(instance).into_iter().flatten();
         let all = indices.map(|index| &self.runs[*index]);
-        all.filter(|other| other.started <= run.started && other.over > run.started).collect()
+        all.filter(|other| other.started <= run.started && other.over > run.started)
+            .collect()
     }
 }
--- a/crates/cluster-sim/src/checker/jobs.rs
+++ b/crates/cluster-sim/src/checker/jobs.rs
@@ -14,10 +14,25 @@
     let history = judge.history;
     let mut last: BTreeMap<String, ShownState> = BTreeMap::new();
     for seen in &history.seen {
-        let Sight::StateRead { job, sent, state, gateway } = &seen.sight else { continue };
-        let Some(definition) = history.jobs.jobs.get(job) else { continue };
+        let Sight::StateRead {
+            job,
+            sent,
+            state,
+            gateway,
+        } = &seen.sight
+        else {
+            continue;
+        };
+        let Some(definition) = history.jobs.jobs.get(job) else {
+            continue;
+        };
         let submit = judge.facts.submits.get(job).cloned().unwrap_or_default();
-        let look = Look { at: seen.at, sent: *sent, gateway: *gateway, state };
+        let look = Look {
+            at: seen.at,
+            sent: *sent,
+            gateway: *gateway,
+            state,
+        };
         read(judge, &look, definition, &submit, last.get(job));
         last.insert(job.clone(), state.clone());
     }
@@ -35,24 +50,42 @@
 }
 
 fn read(
-    judge: &mut Judge, look: &Look, job: &JobDefinition, submit: &SubmitFact, before: Option<&ShownState>,
+    judge: &mut Judge,
+    look: &Look,
+    job: &JobDefinition,
+    submit: &SubmitFact,
+    before: Option<&ShownState>,
 ) {
     let (at, state) = (look.at, look.state);
     match state {
-        ShownState::Unreadable => judge.accuse(Rule::Mixed, at, format!("{}: unreadable state", job.id)),
+        ShownState::Unreadable => {
+            judge.accuse(Rule::Mixed, at, format!("{}: unreadable state", job.id))
+        }
         ShownState::Completed => completed(judge, at, job),
         ShownState::Failed if !has_failed(&judge.facts, job, at) => {
-            judge.accuse(Rule::Lost, at, format!("{} is shown as failed without cause", job.id));
+            judge.accuse(
+                Rule::Lost,
+                at,
+                format!("{} is shown as failed without cause", job.id),
+            );
         }
         ShownState::Cancelled if submit.cancel_sent.is_none() => {
-            judge.accuse(Rule::Lost, at, format!("{} is shown as cancelled without cause", job.id));
+            judge.accuse(
+                Rule::Lost,
+                at,
+                format!("{} is shown as cancelled without cause", job.id),
+            );
         }
         ShownState::Gone => gone(judge, look, job, submit),
         _ => (),
     }
     let regressed = before == Some(&ShownState::Completed) && is_open(state);
     if regressed {
-        judge.accuse(Rule::Mixed, at, format!("{} was completed and is now {state:?}", job.id));
+        judge.accuse(
+            Rule::Mixed,
+            at,
+            format!("{} was completed and is now {state:?}", job.id),
+        );
     }
 }
 
@@ -64,7 +97,10 @@
     for time in 0..job.times() {
         for step in 0..job.steps.len() {
             if !step_done(&judge.facts, job, time, step, at) {
-                let detail = format!("{} is shown as completed, {time}.{step} has not ended so", job.id);
+                let detail = format!(
+                    "{} is shown as completed, {time}.{step} has not ended so",
+                    job.id
+                );
                 return judge.accuse(Rule::Mixed, at, detail);
             }
         }
@@ -74,9 +110,15 @@
 fn gone(judge: &mut Judge, look: &Look, job: &JobDefinition, submit: &SubmitFact) {
     let sent = look.sent;
     let visible = judge.limits.visible_ms * MILLISECOND;
-    let known = submit.accepted.is_some_and(|accepted| sent > accepted + visible);
+    let known = submit
+        .accepted
+        .is_some_and(|accepted| sent > accepted + visible);
     if known && submit.cancel_sent.is_none() && judge.calm.in_touch(look.gateway, sent) {
-        judge.accuse(Rule::Lost, sent, format!("{} was accepted and is unknown", job.id));
+        judge.accuse(
+            Rule::Lost,
+            sent,
+            format!("{} was accepted and is unknown", job.id),
+        );
     }
 }
 
@@ -86,10 +128,17 @@
     let failed = |run: &&RunFact| run.end == Some(RunEnd::Failed) && run.over <= by;
     for time in 0..job.times() {
         for (step, definition) in job.steps.iter().enumerate() {
-            let name = StepName { job: job.id.clone(), time, step };
+            let name = StepName {
+                job: job.id.clone(),
+                time,
+                step,
+            };
             if definition.gang {
-                let attempts: BTreeSet<u64> =
-                    facts.of_step(&name).filter(failed).map(|run| run.attempt).collect();
+                let attempts: BTreeSet<u64> = facts
+                    .of_step(&name)
+                    .filter(failed)
+                    .map(|run| run.attempt)
+                    .collect();
                 if attempts.len() >= most {
                     return true;
                 }
@@ -112,7 +161,9 @@
         if submit.accepted.is_none() || submit.cancel_sent.is_some() {
             continue;
         }
-        let Some(job) = judge.history.jobs.jobs.get(&id) else { continue };
+        let Some(job) = judge.history.jobs.jobs.get(&id) else {
+            continue;
+        };
         let shown = last.get(&id);
         if job.long_running {
             if !all_at_work(&judge.facts, job, end) {
@@ -123,7 +174,11 @@
                 );
             }
         } else if must && !matches!(shown, Some(ShownState::Completed | ShownState::Failed)) {
-            judge.accuse(Rule::Lost, end, format!("{id} is not over at the day's end; shown {shown:?}"));
+            judge.accuse(
+                Rule::Lost,
+                end,
+                format!("{id} is not over at the day's end; shown {shown:?}"),
+            );
         }
     }
 }
--- a/crates/cluster-sim/src/checker/mod.rs
+++ b/crates/cluster-sim/src/checker/mod.rs
@@ -46,7 +46,13 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "{:>9.3} s {:?}: {}", self.at as f64 / 1e6, self.rule, self.detail)
+        write!(
+            formatter,
+            "{:>9.3} s {:?}: {}",
+            self.at as f64 / 1e6,
+            self.rule,
+            self.detail
+        )
     }
 }
 
@@ -94,7 +100,13 @@
 pub fn check(history: &History, limits: Limits) -> Vec<Violation> {
     let facts = Facts::gather(history);
     let calm = Calm::gather(history, limits.bounds.contact_ms);
-    let mut judge = Judge { history, facts, calm, limits, violations: Vec::new() };
+    let mut judge = Judge {
+        history,
+        facts,
+        calm,
+        limits,
+        violations: Vec::new(),
+    };
     runs::judge(&mut judge);
     starts::judge(&mut judge);
     cancels::judge(&mut judge);
--- a/crates/cluster-sim/src/checker/recover.rs
+++ b/crates/cluster-sim/src/checker/recover.rs
@@ -23,13 +23,17 @@
 
 /// Judges the jobs that were handed in before the final fault and after the recovery from it.
 pub fn judge(judge: &mut Judge) {
-    let Some((struck, back)) = final_fault(judge) else { return };
+    let Some((struck, back)) = final_fault(judge) else {
+        return;
+    };
     let recovered = back + judge.limits.recovery_ms * MILLISECOND;
     let before = served(judge, 0, struck);
     let after = served(judge, recovered, Micros::MAX);
     if before.is_enough() && !after.is_enough() {
-        let detail =
-            format!("{} of {} requests are served after the final fault", after.served, after.requests);
+        let detail = format!(
+            "{} of {} requests are served after the final fault",
+            after.served, after.requests
+        );
         judge.accuse(Rule::Recover, recovered, detail);
     }
 }
@@ -45,7 +49,12 @@
 fn served(judge: &Judge, from: Micros, until: Micros) -> Served {
     let mut counted = Served::default();
     for submit in judge.facts.submits.values() {
-        let Some(sent) = submit.first_sent.filter(|sent| *sent > from && *sent < until) else { continue };
+        let Some(sent) = submit
+            .first_sent
+            .filter(|sent| *sent > from && *sent < until)
+        else {
+            continue;
+        };
         counted.requests += 1;
         counted.served += usize::from(submit.accepted.is_some_and(|at| at <= sent + SERVED_WITHIN));
     }
--- a/crates/cluster-sim/src/checker/runs.rs
+++ b/crates/cluster-sim/src/checker/runs.rs
@@ -13,8 +13,12 @@
 pub fn judge(judge: &mut Judge) {
     let runs = judge.facts.runs.clone();
     for run in &runs {
-        let Some(job) = judge.history.jobs.jobs.get(&run.task.job).cloned() else { continue };
-        let Some(step) = job.step_of(&run.task).cloned() else { continue };
+        let Some(job) = judge.history.jobs.jobs.get(&run.task.job).cloned() else {
+            continue;
+        };
+        let Some(step) = job.step_of(&run.task).cloned() else {
+            continue;
+        };
         if !step.speculative {
             overlap(judge, run);
         }
@@ -28,8 +32,14 @@
 }
 
 fn overlap(judge: &mut Judge, run: &RunFact) {
-    let earlier = judge.facts.of_task(&run.task).filter(|other| place(other) < place(run));
-    let overlapping = earlier.into_iter().find(|other| other.over > run.started).cloned();
+    let earlier = judge
+        .facts
+        .of_task(&run.task)
+        .filter(|other| place(other) < place(run));
+    let overlapping = earlier
+        .into_iter()
+        .find(|other| other.over > run.started)
+        .cloned();
     if let Some(other) = overlapping {
         let detail = format!(
             "{} run {} on {} starts while run {} goes on on {}",
@@ -54,8 +64,11 @@
 
 fn after_done(judge: &mut Judge, run: &RunFact, step: &StepDefinition) {
     let done = |other: &&RunFact| other.end == Some(RunEnd::Done) && other.over < run.started;
-    let ends: Vec<RunFact> =
-        counting(&judge.facts, &run.task, step).into_iter().filter(done).cloned().collect();
+    let ends: Vec<RunFact> = counting(&judge.facts, &run.task, step)
+        .into_iter()
+        .filter(done)
+        .cloned()
+        .collect();
     for end in ends {
         let Some(noted) = end.noted else { continue };
         let late = run.started > noted + SECOND && judge.in_touch(run);
@@ -76,13 +89,24 @@
 
 fn budget(judge: &mut Judge, run: &RunFact, job: &JobDefinition, step: &StepDefinition) {
     let failed = |other: &&RunFact| {
-        let in_time = !step.speculative || other.noted.is_some_and(|noted| noted + SECOND < run.started);
-        other.end == Some(RunEnd::Failed) && other.over <= run.started && other.noted.is_some() && in_time
+        let in_time = !step.speculative
+            || other
+                .noted
+                .is_some_and(|noted| noted + SECOND < run.started);
+        other.end == Some(RunEnd::Failed)
+            && other.over <= run.started
+            && other.noted.is_some()
+            && in_time
     };
-    let relevant = counting(&judge.facts, &run.task, step).into_iter().filter(failed);
+    let relevant = counting(&judge.facts, &run.task, step)
+        .into_iter()
+        .filter(failed);
     let attempts: BTreeSet<u64> = relevant.map(|other| other.attempt).collect();
     if attempts.len() as u64 >= judge.facts.max_attempts(&job.prefix) {
-        let detail = format!("{} run {} starts after runs {attempts:?} failed", run.task, run.attempt);
+        let detail = format!(
+            "{} run {} starts after runs {attempts:?} failed",
+            run.task, run.attempt
+        );
         judge.accuse(Rule::Budget, run.started, detail);
     }
 }
@@ -90,7 +114,10 @@
 fn order(judge: &mut Judge, run: &RunFact, job: &JobDefinition, step: &StepDefinition) {
     for earlier in &step.depends_on {
         if !step_done(&judge.facts, job, run.task.time, *earlier, run.started) {
-            let detail = format!("{} run {} starts before step {earlier} is done", run.task, run.attempt);
+            let detail = format!(
+                "{} run {} starts before step {earlier} is done",
+                run.task, run.attempt
+            );
             judge.accuse(Rule::Order, run.started, detail);
         }
     }
@@ -101,7 +128,11 @@
 
 fn due(judge: &mut Judge, run: &RunFact, job: &JobDefinition) {
     let due = job.first_run_ms + (run.task.time * job.interval_ms) as i64;
-    let allowance = if judge.calm.clocks_jump { JUMP_ALLOWANCE_MS } else { 0 };
+    let allowance = if judge.calm.clocks_jump {
+        JUMP_ALLOWANCE_MS
+    } else {
+        0
+    };
     let earliest = due - judge.limits.bounds.early_ms as i64 - allowance;
     let started = WALL_START_MS + (run.started / MILLISECOND) as i64;
     if started < earliest {
@@ -113,22 +144,39 @@
 /// True where each task of a step had ended `done` by an instant.
 pub fn step_done(facts: &Facts, job: &JobDefinition, time: u64, step: usize, by: Micros) -> bool {
     let done = |run: &RunFact| run.end == Some(RunEnd::Done) && run.over <= by;
-    let Some(definition) = job.steps.get(step) else { return false };
+    let Some(definition) = job.steps.get(step) else {
+        return false;
+    };
     if definition.gang {
-        let name = StepName { job: job.id.clone(), time, step };
+        let name = StepName {
+            job: job.id.clone(),
+            time,
+            step,
+        };
         return facts.of_step(&name).any(done);
     }
-    job.tasks(time, step).iter().all(|task| facts.of_task(task).any(done))
+    job.tasks(time, step)
+        .iter()
+        .all(|task| facts.of_task(task).any(done))
 }
 
 fn alone(judge: &mut Judge, run: &RunFact) {
     if run.end != Some(RunEnd::Alone) {
         return;
     }
-    let cancelled = judge.facts.submits.get(&run.task.job).and_then(|submit| submit.cancel_sent);
-    let from = run.started.saturating_sub(judge.limits.bounds.gang_ms * MILLISECOND);
+    let cancelled = judge
+        .facts
+        .submits
+        .get(&run.task.job)
+        .and_then(|submit| submit.cancel_sent);
+    let from = run
+        .started
+        .saturating_sub(judge.limits.bounds.gang_ms * MILLISECOND);
     if cancelled.is_none_or(|at| at > run.over) && judge.calm.during(from, run.over) {
-        let detail = format!("{} run {} on {} waited in vain", run.task, run.attempt, run.instance);
+        let detail = format!(
+            "{} run {} on {} waited in vain",
+            run.task, run.attempt, run.instance
+        );
         judge.accuse(Rule::Gang, run.over, detail);
     }
 }
--- a/crates/cluster-sim/src/checker/stalls.rs
+++ b/crates/cluster-sim/src/checker/stalls.rs
@@ -23,9 +23,19 @@
 
 /// Judges standstill: for `finish_ms` at any time, for `STANDSTILL` from `finish_ms` after the last job was sent.
 pub fn judge(judge: &mut Judge) {
-    let Some(end) = judge.facts.day_end else { return };
-    let sent = || judge.facts.submits.values().filter_map(|submit| submit.first_sent);
-    let (Some(first), Some(last)) = (sent().min(), sent().max()) else { return };
+    let Some(end) = judge.facts.day_end else {
+        return;
+    };
+    let sent = || {
+        judge
+            .facts
+            .submits
+            .values()
+            .filter_map(|submit| submit.first_sent)
+    };
+    let (Some(first), Some(last)) = (sent().min(), sent().max()) else {
+        return;
+    };
     let finish = judge.limits.finish_ms * MILLISECOND;
     let ended = first_final(judge);
     let runs = runs_by_job(judge);
@@ -44,7 +54,11 @@
             let since = *idle.since.entry(job.id.clone()).or_insert(at);
             let lost = at >= since + finish || at >= since.max(last + finish) + STANDSTILL;
             if lost && idle.accused.insert(job.id.clone()) {
-                judge.accuse(Rule::Lost, at, format!("{} stands still though there is room", job.id));
+                judge.accuse(
+                    Rule::Lost,
+                    at,
+                    format!("{} stands still though there is room", job.id),
+                );
             }
         }
         at += SAMPLE;
@@ -54,7 +68,9 @@
 fn runs_by_job(judge: &Judge) -> BTreeMap<String, Vec<RunFact>> {
     let mut runs: BTreeMap<String, Vec<RunFact>> = BTreeMap::new();
     for run in &judge.facts.runs {
-        runs.entry(run.task.job.clone()).or_default().push(run.clone());
+        runs.entry(run.task.job.clone())
+            .or_default()
+            .push(run.clone());
     }
     runs
 }
@@ -62,7 +78,12 @@
 fn first_final(judge: &Judge) -> BTreeMap<String, Micros> {
     let mut ended = BTreeMap::new();
     for seen in &judge.history.seen {
-        if let Sight::StateRead { job, state: ShownState::Completed | ShownState::Failed, .. } = &seen.sight {
+        if let Sight::StateRead {
+            job,
+            state: ShownState::Completed | ShownState::Failed,
+            ..
+        } = &seen.sight
+        {
             ended.entry(job.clone()).or_insert(seen.at);
         }
     }
@@ -76,7 +97,14 @@
         });
         accepted && ended.get(&job.id).is_none_or(|end| *end > at)
     };
-    judge.history.jobs.jobs.values().filter(open).cloned().collect()
+    judge
+        .history
+        .jobs
+        .jobs
+        .values()
+        .filter(open)
+        .cloned()
+        .collect()
 }
 
 fn stands_still(judge: &Judge, job: &JobDefinition, runs: &[RunFact], at: Micros) -> bool {
@@ -85,11 +113,16 @@
         return false;
     }
     let runners = runners_of(judge, job, at);
-    let free: Vec<Room> = runners.iter().map(|runner| room(judge, runner, at)).collect();
+    let free: Vec<Room> = runners
+        .iter()
+        .map(|runner| room(judge, runner, at))
+        .collect();
     if !is_half_empty(&runners, &free) {
         return false;
     }
-    waiting_steps(judge, job, at).into_iter().any(|step| has_room_twice(step, &free))
+    waiting_steps(judge, job, at)
+        .into_iter()
+        .any(|step| has_room_twice(step, &free))
 }
 
 fn runners_of(judge: &Judge, job: &JobDefinition, at: Micros) -> Vec<RunnerFacts> {
@@ -112,16 +145,30 @@
 
 fn room(judge: &Judge, runner: &RunnerFacts, at: Micros) -> Room {
     let mut free = runner.capacity;
-    for index in judge.facts.runs_of_instance.get(&runner.instance).into_iter().flatten() {
+    for index in judge
+        .facts
+        .runs_of_instance
+        .get(&runner.instance)
+        .into_iter()
+        .flatten()
+    {
         let run = &judge.facts.runs[*index];
         if run.started <= at && run.over > at {
-            let asked = judge.history.jobs.step_of(&run.task).map(StepDefinition::asked).unwrap_or_default();
+            let asked = judge
+                .history
+                .jobs
+                .step_of(&run.task)
+                .map(StepDefinition::asked)
+                .unwrap_or_default();
             free.cpu = free.cpu.saturating_sub(asked.cpu);
             free.mem_mb = free.mem_mb.saturating_sub(asked.mem_mb);
             free.gpu = free.gpu.saturating_sub(asked.gpu);
         }
     }
-    Room { free, labels: runner.labels.clone() }
+    Room {
+        free,
+        labels: runner.labels.clone(),
+    }
 }
 
 fn is_half_empty(runners: &[RunnerFacts], free: &[Room]) -> bool {
@@ -132,11 +179,15 @@
 
 fn waiting_steps<'a>(judge: &Judge, job: &'a JobDefinition, at: Micros) -> Vec<&'a StepDefinition> {
     let wall = WALL_START_MS + (at / MILLISECOND) as i64;
-    let due = |time: &u64| job.repeat == 0 || job.first_run_ms + (time * job.interval_ms) as i64 <= wall;
+    let due =
+        |time: &u64| job.repeat == 0 || job.first_run_ms + (time * job.interval_ms) as i64 <= wall;
     let mut waiting = Vec::new();
     for time in (0..job.times()).filter(due) {
         for (number, step) in job.steps.iter().enumerate() {
-            let met = step.depends_on.iter().all(|earlier| step_done(&judge.facts, job, time, *earlier, at));
+            let met = step
+                .depends_on
+                .iter()
+                .all(|earlier| step_done(&judge.facts, job, time, *earlier, at));
             if met && !step_done(&judge.facts, job, time, number, at) {
                 waiting.push(step);
             }
@@ -148,14 +199,17 @@
 fn has_room_twice(step: &StepDefinition, free: &[Room]) -> bool {
     let wanted = if step.gang { 2 * step.count } else { 2 };
     let asked = step.asked();
-    let fitting =
-        free.iter().filter(|room| step.constraints.is_empty() || room.labels.contains(&step.constraints));
+    let fitting = free
+        .iter()
+        .filter(|room| step.constraints.is_empty() || room.labels.contains(&step.constraints));
     let places: u64 = fitting.map(|room| places(room.free, asked)).sum();
     places >= wanted
 }
 
 fn places(free: Resources, asked: Resources) -> u64 {
     let by = |free: u64, asked: u64| free.checked_div(asked).unwrap_or(u64::MAX);
-    let most = by(free.cpu, asked.cpu).min(by(free.mem_mb, asked.mem_mb)).min(by(free.gpu, asked.gpu));
+    let most = by(free.cpu, asked.cpu)
+        .min(by(free.mem_mb, asked.mem_mb))
+        .min(by(free.gpu, asked.gpu));
     most.min(u64::from(u16::MAX))
 }
--- a/crates/cluster-sim/src/client.rs
+++ b/crates/cluster-sim/src/client.rs
@@ -77,7 +77,9 @@
             looks_left: LOOKS_AFTER_END,
             cancelled: false,
         };
-        Clients { courses: plans.into_iter().map(course).collect() }
+        Clients {
+            courses: plans.into_iter().map(course).collect(),
+        }
     }
 }
 
@@ -93,14 +95,20 @@
     fn send(&mut self, now: Micros, tag: CallTag, surroundings: &mut Surroundings) {
         let kind = self.kind();
         let gateway = surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
-        let Some(definition) = surroundings.history.jobs.jobs.get(&self.plan.job) else { return };
+        let Some(definition) = surroundings.history.jobs.jobs.get(&self.plan.job) else {
+            return;
+        };
         let request = HttpRequest {
             method: method(kind),
             host: self.plan.host.clone(),
             path: definition.path(),
             base_version: None,
             deadline_ms: Some(DEADLINE / MILLISECOND),
-            body: if kind == Kind::Submit { definition.body() } else { Vec::new() },
+            body: if kind == Kind::Submit {
+                definition.body()
+            } else {
+                Vec::new()
+            },
         };
         surroundings.calls.push(OutgoingCall {
             tag,
@@ -116,7 +124,11 @@
             Kind::Read => (),
         }
         self.tries += 1;
-        self.pending = Some(Pending { kind, sent: now, gateway });
+        self.pending = Some(Pending {
+            kind,
+            sent: now,
+            gateway,
+        });
     }
 
     fn pause(&mut self, now: Micros) {
@@ -126,7 +138,13 @@
 
     fn take_submit(&mut self, now: Micros, answer: Answer, surroundings: &mut Surroundings) {
         let job = self.plan.job.clone();
-        surroundings.history.note(now, Sight::SubmitAnswered { job: job.clone(), answer });
+        surroundings.history.note(
+            now,
+            Sight::SubmitAnswered {
+                job: job.clone(),
+                answer,
+            },
+        );
         if answer.is_success() {
             self.phase = Phase::Following;
             self.tries = 0;
@@ -148,7 +166,9 @@
 
     fn take_cancel(&mut self, now: Micros, answer: Answer, surroundings: &mut Surroundings) {
         let job = self.plan.job.clone();
-        surroundings.history.note(now, Sight::CancelAnswered { job, answer });
+        surroundings
+            .history
+            .note(now, Sight::CancelAnswered { job, answer });
         if answer.is_success() || answer == Answer::Status(410) {
             self.cancelled = true;
             self.phase = Phase::Following;
@@ -160,11 +180,20 @@
     }
 
     fn take_state(
-        &mut self, now: Micros, pending: &Pending, outcome: &Outcome, surroundings: &mut Surroundings,
+        &mut self,
+        now: Micros,
+        pending: &Pending,
+        outcome: &Outcome,
+        surroundings: &mut Surroundings,
     ) {
         self.plan_next_look(now, surroundings);
-        let Some(state) = shown_state(outcome) else { return };
-        let end = matches!(state, ShownState::Completed | ShownState::Failed | ShownState::Cancelled);
+        let Some(state) = shown_state(outcome) else {
+            return;
+        };
+        let end = matches!(
+            state,
+            ShownState::Completed | ShownState::Failed | ShownState::Cancelled
+        );
         let gone = state == ShownState::Gone;
         let sight = Sight::StateRead {
             job: self.plan.job.clone(),
@@ -182,7 +211,9 @@
     }
 
     fn wants_cancel(&self, now: Micros) -> bool {
-        self.phase == Phase::Following && !self.cancelled && self.plan.cancel_at.is_some_and(|at| at <= now)
+        self.phase == Phase::Following
+            && !self.cancelled
+            && self.plan.cancel_at.is_some_and(|at| at <= now)
     }
 }
 
@@ -204,7 +235,10 @@
 
 fn read_state(body: &[u8]) -> ShownState {
     let value: Option<Value> = serde_json::from_slice(body).ok();
-    let state = value.as_ref().and_then(|value| value.get("state")).and_then(Value::as_str);
+    let state = value
+        .as_ref()
+        .and_then(|value| value.get("state"))
+        .and_then(Value::as_str);
     match state {
         Some("queued") => ShownState::Queued,
         Some("running") => ShownState::Running,
@@ -229,9 +263,19 @@
         }
     }
 
-    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, surroundings: &mut Surroundings) {
-        let Some(course) = self.courses.get_mut(tag as usize) else { return };
-        let Some(pending) = course.pending.take() else { return };
+    fn outcome(
+        &mut self,
+        now: Micros,
+        tag: CallTag,
+        outcome: Outcome,
+        surroundings: &mut Surroundings,
+    ) {
+        let Some(course) = self.courses.get_mut(tag as usize) else {
+            return;
+        };
+        let Some(pending) = course.pending.take() else {
+            return;
+        };
         match pending.kind {
             Kind::Submit => course.take_submit(now, outcome.answer(), surroundings),
             Kind::Cancel => course.take_cancel(now, outcome.answer(), surroundings),
@@ -240,8 +284,10 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let waiting =
-            self.courses.iter().filter(|course| course.phase != Phase::Over && course.pending.is_none());
+        let waiting = self
+            .courses
+            .iter()
+            .filter(|course| course.phase != Phase::Over && course.pending.is_none());
         waiting.map(|course| course.due).min()
     }
 }
--- a/crates/cluster-sim/src/cluster/calls.rs
+++ b/crates/cluster-sim/src/cluster/calls.rs
@@ -31,19 +31,35 @@
     pub(crate) fn start_call(&mut self, actor: ActorId, outgoing: OutgoingCall) {
         let id = HttpRequestId(self.next_call);
         self.next_call += 1;
-        let call =
-            Call { owner: CallOwner { actor, tag: outgoing.tag }, node: outgoing.to, door: outgoing.door };
+        let call = Call {
+            owner: CallOwner {
+                actor,
+                tag: outgoing.tag,
+            },
+            node: outgoing.to,
+            door: outgoing.door,
+        };
         let arrives = self.now() + call.latency();
         let timeout = self.now() + outgoing.patience;
         self.calls.insert(id, call);
-        self.queue.schedule(arrives, WorldEvent::RequestArrives { id, request: outgoing.request });
+        self.queue.schedule(
+            arrives,
+            WorldEvent::RequestArrives {
+                id,
+                request: outgoing.request,
+            },
+        );
         self.queue.schedule(timeout, WorldEvent::CallTimeout(id));
     }
 
     pub(crate) fn request_arrives(&mut self, id: HttpRequestId, request: HttpRequest) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (node, door) = (call.node, call.door);
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         let event = Event::Http { id, door, request };
         match process.state {
             ProcessState::PowerOff => (),
@@ -61,14 +77,19 @@
 
     /// Sends a call's outcome on its way back.
     pub(crate) fn answer_call(&mut self, id: HttpRequestId, outcome: Outcome) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (latency, node, actor) = (call.latency(), call.node, call.owner.actor);
         if let Some(process) = self.processes.get_mut(&node) {
             process.requests.remove(&id);
         }
         let lost = actor == ActorId::Operator && self.chance.happens(self.plan.lost_answers);
         if !lost {
-            self.queue.schedule(self.queue.now() + latency, WorldEvent::OutcomeArrives { id, outcome });
+            self.queue.schedule(
+                self.queue.now() + latency,
+                WorldEvent::OutcomeArrives { id, outcome },
+            );
         }
     }
 
@@ -79,8 +100,13 @@
     }
 
     pub(crate) fn call_timeout(&mut self, id: HttpRequestId) {
-        let Some(call) = self.calls.remove(&id) else { return };
-        let waiting = self.processes.get_mut(&call.node).is_some_and(|process| process.requests.remove(&id));
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
+        let waiting = self
+            .processes
+            .get_mut(&call.node)
+            .is_some_and(|process| process.requests.remove(&id));
         if waiting {
             self.dispatch(call.node, Event::HttpAbandoned { id });
         }
--- a/crates/cluster-sim/src/cluster/life.rs
+++ b/crates/cluster-sim/src/cluster/life.rs
@@ -15,7 +15,11 @@
         let now = self.now();
         let incarnation = self.chance.nonzero();
         let seed = self.chance.nonzero();
-        let Some(process) = self.processes.get_mut(&node).filter(|process| process.may_start()) else {
+        let Some(process) = self
+            .processes
+            .get_mut(&node)
+            .filter(|process| process.may_start())
+        else {
             return;
         };
         process.generation += 1;
@@ -30,7 +34,11 @@
             bounds: self.plan.bounds,
             tolerated_machines: self.plan.tolerated_machines,
             heartbeat_ms: self.plan.heartbeat_ms,
-            image: process.disk.as_ref().map(|disk| disk.image()).unwrap_or_default(),
+            image: process
+                .disk
+                .as_ref()
+                .map(|disk| disk.image())
+                .unwrap_or_default(),
             seed,
             now: process.clock.read(now),
         };
@@ -48,12 +56,16 @@
     /// Gives an event to a process, now or after its thaw.
     pub(crate) fn dispatch(&mut self, node: NodeId, event: Event) {
         let now = self.now();
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         if process.state == ProcessState::Frozen {
             process.held.push(Held::Event(Box::new(event)));
             return;
         }
-        let Some(logic) = &mut process.logic else { return };
+        let Some(logic) = &mut process.logic else {
+            return;
+        };
         let mut outbox = Outbox::default();
         logic.handle(process.clock.read(now), event, &mut outbox);
         self.empty(node, outbox);
@@ -68,7 +80,10 @@
         }
         self.writes(node, outbox.writes);
         self.start_probes(node, outbox.probes);
-        let terminating = self.processes.get(&node).is_some_and(|process| process.terminating);
+        let terminating = self
+            .processes
+            .get(&node)
+            .is_some_and(|process| process.terminating);
         if outbox.finished && terminating {
             self.finish_gracefully(node);
             return;
@@ -79,7 +94,9 @@
     fn schedule_wake(&mut self, node: NodeId) {
         let now = self.now();
         let late = self.chance.between(1, TIMER_LATENESS);
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         let wanted = process.logic.as_ref().and_then(|logic| logic.next_wake());
         let due = wanted.map(|steady| process.clock.true_time(steady).max(now));
         // A wake that comes early enough is kept: being late by chance must not be drawn anew at each event.
@@ -98,7 +115,9 @@
     }
 
     pub(crate) fn wake_process(&mut self, node: NodeId, at: Micros) {
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         if process.wake_at != Some(at) {
             return;
         }
@@ -108,14 +127,20 @@
 
     pub(crate) fn disk_done(&mut self, node: NodeId, generation: u64) {
         let now = self.now();
-        let Some(process) = self.processes.get_mut(&node).filter(|process| process.generation == generation)
+        let Some(process) = self
+            .processes
+            .get_mut(&node)
+            .filter(|process| process.generation == generation)
         else {
             return;
         };
-        let Some(disk) = &mut process.disk else { return };
+        let Some(disk) = &mut process.disk else {
+            return;
+        };
         let synced = disk.end_sync();
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
-            self.queue.schedule(at, WorldEvent::DiskDone { node, generation });
+            self.queue
+                .schedule(at, WorldEvent::DiskDone { node, generation });
         }
         if process.state == ProcessState::Frozen {
             process.held.push(Held::Synced(synced));
@@ -137,16 +162,21 @@
 
     /// A process freezes until `until`.
     pub(crate) fn freeze(&mut self, node: NodeId, until: Micros) {
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         if process.state == ProcessState::Running {
             process.state = ProcessState::Frozen;
             let generation = process.generation;
-            self.queue.schedule(until, WorldEvent::Thaw { node, generation });
+            self.queue
+                .schedule(until, WorldEvent::Thaw { node, generation });
         }
     }
 
     pub(crate) fn thaw(&mut self, node: NodeId, generation: u64) {
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         if process.state != ProcessState::Frozen || process.generation != generation {
             return;
         }
@@ -162,7 +192,9 @@
 
     /// Ends a process at once. What it had asked of its disk is kept up to some point.
     pub(crate) fn kill(&mut self, node: NodeId, state: ProcessState) {
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         let unanswered = process.end(state);
         if let Some(disk) = &mut process.disk {
             if state == ProcessState::PowerOff && self.chance.happens(0.3) {
@@ -181,12 +213,20 @@
     /// Asks a process to end; it is killed after its grace and started again later.
     pub(crate) fn terminate(&mut self, node: NodeId, back_after: Micros) {
         let grace = self.grace();
-        let Some(process) = self.processes.get_mut(&node).filter(|process| process.is_alive()) else {
+        let Some(process) = self
+            .processes
+            .get_mut(&node)
+            .filter(|process| process.is_alive())
+        else {
             return;
         };
         process.terminating = true;
         let generation = process.generation;
-        let event = WorldEvent::GraceOver { node, generation, back_after };
+        let event = WorldEvent::GraceOver {
+            node,
+            generation,
+            back_after,
+        };
         self.queue.schedule(self.queue.now() + grace, event);
         self.dispatch(node, Event::Terminate);
     }
@@ -198,19 +238,28 @@
 
     fn finish_gracefully(&mut self, node: NodeId) {
         self.kill(node, ProcessState::Down);
-        self.queue.schedule(self.queue.now() + SECOND, WorldEvent::Start(node));
+        self.queue
+            .schedule(self.queue.now() + SECOND, WorldEvent::Start(node));
     }
 
     pub(crate) fn grace_over(&mut self, node: NodeId, generation: u64, back_after: Micros) {
-        let alive = self.processes.get(&node).is_some_and(|process| process.generation == generation);
+        let alive = self
+            .processes
+            .get(&node)
+            .is_some_and(|process| process.generation == generation);
         if alive {
             self.kill(node, ProcessState::Down);
-            self.queue.schedule(self.queue.now() + back_after, WorldEvent::Start(node));
+            self.queue
+                .schedule(self.queue.now() + back_after, WorldEvent::Start(node));
         }
     }
 
     pub(crate) fn set_sync(&mut self, node: NodeId, sync: Option<Micros>) {
-        if let Some(disk) = self.processes.get_mut(&node).and_then(|process| process.disk.as_mut()) {
+        if let Some(disk) = self
+            .processes
+            .get_mut(&node)
+            .and_then(|process| process.disk.as_mut())
+        {
             disk.set_sync(sync);
         }
     }
--- a/crates/cluster-sim/src/cluster/mod.rs
+++ b/crates/cluster-sim/src/cluster/mod.rs
@@ -154,11 +154,18 @@
             let disk = (place.kind == NodeKind::Core).then(|| Disk::new(plan.disks));
             processes.insert(
                 place.node,
-                Process::new(place.kind, disk, draw_clock_rate(&mut chance, plan.clock_drift_ppm)),
+                Process::new(
+                    place.kind,
+                    disk,
+                    draw_clock_rate(&mut chance, plan.clock_drift_ppm),
+                ),
             );
         }
         let surroundings = Surroundings {
-            history: History { jobs, ..History::default() },
+            history: History {
+                jobs,
+                ..History::default()
+            },
             chance: Chance::new(plan.seed ^ 0x5eed),
             gangs: GangBoard::default(),
             bounds: plan.bounds,
@@ -188,7 +195,11 @@
 
     /// Puts everyone outside in place and lets the machines start.
     pub fn begin(
-        &mut self, runners: Vec<Runner>, clients: Clients, operator: Operator, faults: Vec<PlannedFault>,
+        &mut self,
+        runners: Vec<Runner>,
+        clients: Clients,
+        operator: Operator,
+        faults: Vec<PlannedFault>,
     ) {
         self.runners = runners;
         self.clients = clients;
@@ -199,7 +210,8 @@
             self.queue.schedule(at, WorldEvent::Start(node));
         }
         for planned in faults {
-            self.queue.schedule(planned.at, WorldEvent::Fault(planned.fault));
+            self.queue
+                .schedule(planned.at, WorldEvent::Fault(planned.fault));
         }
         self.schedule_all_actors();
     }
@@ -227,7 +239,9 @@
 
     pub(crate) fn note_trouble(&mut self, until: Micros, what: String, reach: Reach) {
         let now = self.now();
-        self.surroundings.history.note(now, Sight::Trouble { until, what, reach });
+        self.surroundings
+            .history
+            .note(now, Sight::Trouble { until, what, reach });
     }
 
     fn take(&mut self, event: WorldEvent) {
@@ -246,12 +260,16 @@
             WorldEvent::Listed { gone, came } => self.list(gone, came),
             WorldEvent::Leave(node) => self.leave(node),
             WorldEvent::Thaw { node, generation } => self.thaw(node, generation),
-            WorldEvent::Join(directions) => directions.into_iter().for_each(|one| self.network.join(one)),
+            WorldEvent::Join(directions) => directions
+                .into_iter()
+                .for_each(|one| self.network.join(one)),
             WorldEvent::Rejoin(node) => self.network.isolate(node, false),
             WorldEvent::DiskUsual(node) => self.set_sync(node, None),
-            WorldEvent::GraceOver { node, generation, back_after } => {
-                self.grace_over(node, generation, back_after)
-            }
+            WorldEvent::GraceOver {
+                node,
+                generation,
+                back_after,
+            } => self.grace_over(node, generation, back_after),
         }
     }
 
@@ -263,13 +281,27 @@
         };
         match frame::decode(&payload) {
             Ok(decoded) if decoded == *message => (),
-            other => return self.codec_faults.push(format!("{message:?} came out as {other:?}")),
+            other => {
+                return self
+                    .codec_faults
+                    .push(format!("{message:?} came out as {other:?}"))
+            }
         }
         self.messages += 1;
         self.message_bytes += payload.len() as u64;
         let now = self.now();
-        for at in self.network.arrivals(now, Direction { from, to }, &mut self.chance) {
-            self.queue.schedule(at, WorldEvent::Deliver { to, from, payload: payload.clone() });
+        for at in self
+            .network
+            .arrivals(now, Direction { from, to }, &mut self.chance)
+        {
+            self.queue.schedule(
+                at,
+                WorldEvent::Deliver {
+                    to,
+                    from,
+                    payload: payload.clone(),
+                },
+            );
         }
     }
 
@@ -288,12 +320,17 @@
 
     pub(crate) fn writes(&mut self, node: NodeId, writes: Vec<DiskWrite>) {
         let now = self.now();
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         let generation = process.generation;
-        let Some(disk) = &mut process.disk else { return };
+        let Some(disk) = &mut process.disk else {
+            return;
+        };
         writes.into_iter().for_each(|write| disk.write(write));
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
-            self.queue.schedule(at, WorldEvent::DiskDone { node, generation });
+            self.queue
+                .schedule(at, WorldEvent::DiskDone { node, generation });
         }
     }
 }
@@ -306,7 +343,11 @@
 impl WorldPlan {
     /// All processes of a class.
     pub fn nodes(&self, kind: NodeKind) -> Vec<NodeId> {
-        self.places.iter().filter(|place| place.kind == kind).map(|place| place.node).collect()
+        self.places
+            .iter()
+            .filter(|place| place.kind == kind)
+            .map(|place| place.node)
+            .collect()
     }
 }
 
--- a/crates/cluster-sim/src/cluster/outside.rs
+++ b/crates/cluster-sim/src/cluster/outside.rs
@@ -6,14 +6,19 @@
 impl World {
     fn actor(&mut self, id: ActorId) -> Option<&mut dyn Actor> {
         match id {
-            ActorId::Runner(index) => self.runners.get_mut(index).map(|runner| runner as &mut dyn Actor),
+            ActorId::Runner(index) => self
+                .runners
+                .get_mut(index)
+                .map(|runner| runner as &mut dyn Actor),
             ActorId::Clients => Some(&mut self.clients),
             ActorId::Operator => Some(&mut self.operator),
         }
     }
 
     pub(crate) fn with_actor(
-        &mut self, id: ActorId, act: impl FnOnce(&mut dyn Actor, Micros, &mut Surroundings),
+        &mut self,
+        id: ActorId,
+        act: impl FnOnce(&mut dyn Actor, Micros, &mut Surroundings),
     ) {
         let now = self.now();
         let actor: &mut dyn Actor = match id {
@@ -58,14 +63,18 @@
 
     fn schedule_actor(&mut self, id: ActorId) {
         let now = self.now();
-        let next = self.actor(id).and_then(|actor| actor.next_wake()).map(|at| at.max(now));
+        let next = self
+            .actor(id)
+            .and_then(|actor| actor.next_wake())
+            .map(|at| at.max(now));
         if self.actor_wakes.get(&id).copied() == next {
             return;
         }
         match next {
             Some(at) => {
                 self.actor_wakes.insert(id, at);
-                self.queue.schedule(at, WorldEvent::ActorWake { actor: id, at });
+                self.queue
+                    .schedule(at, WorldEvent::ActorWake { actor: id, at });
             }
             None => {
                 self.actor_wakes.remove(&id);
@@ -83,6 +92,8 @@
 
     pub(crate) fn tell_actor(&mut self, owner: CallOwner, outcome: Outcome) {
         let CallOwner { actor, tag } = owner;
-        self.with_actor(actor, |acting, now, surroundings| acting.outcome(now, tag, outcome, surroundings));
+        self.with_actor(actor, |acting, now, surroundings| {
+            acting.outcome(now, tag, outcome, surroundings)
+        });
     }
 }
--- a/crates/cluster-sim/src/cluster/probes.rs
+++ b/crates/cluster-sim/src/cluster/probes.rs
@@ -19,25 +19,43 @@
 
 impl World {
     pub(crate) fn start_probes(&mut self, node: NodeId, probes: Vec<Probe>) {
-        let Some(generation) = self.processes.get(&node).map(|process| process.generation) else { return };
+        let Some(generation) = self.processes.get(&node).map(|process| process.generation) else {
+            return;
+        };
         let at = self.now() + BESIDE;
         for probe in probes {
-            let look = Look { node, generation, id: probe.id };
+            let look = Look {
+                node,
+                generation,
+                id: probe.id,
+            };
             self.queue.schedule(at, WorldEvent::ProbeArrives(look));
         }
     }
 
     /// The port is looked at as it is now.
     pub(crate) fn probe_arrives(&mut self, look: Look) {
-        let up = self.runners.iter().any(|runner| runner.agent() == look.node && runner.is_up());
+        let up = self
+            .runners
+            .iter()
+            .any(|runner| runner.agent() == look.node && runner.is_up());
         let result = if up { WELL } else { ProbeResult::Refused };
-        self.queue.schedule(self.queue.now() + BESIDE, WorldEvent::Probed { look, result });
+        self.queue.schedule(
+            self.queue.now() + BESIDE,
+            WorldEvent::Probed { look, result },
+        );
     }
 
     pub(crate) fn probed(&mut self, look: Look, result: ProbeResult) {
         let process = self.processes.get(&look.node);
         if process.is_some_and(|process| process.generation == look.generation) {
-            self.dispatch(look.node, Event::Probe { id: look.id, result });
+            self.dispatch(
+                look.node,
+                Event::Probe {
+                    id: look.id,
+                    result,
+                },
+            );
         }
     }
 }
--- a/crates/cluster-sim/src/cluster/replacement.rs
+++ b/crates/cluster-sim/src/cluster/replacement.rs
@@ -10,20 +10,34 @@
 
 impl World {
     /// A core machine is gone for good, and its successor comes later.
-    pub(crate) fn replace(&mut self, node: NodeId, successor: NodeId, successor_after: Micros) -> Micros {
+    pub(crate) fn replace(
+        &mut self,
+        node: NodeId,
+        successor: NodeId,
+        successor_after: Micros,
+    ) -> Micros {
         self.kill(node, ProcessState::PowerOff);
         self.remove(node);
         self.add_successor(node, successor);
-        self.queue.schedule(self.queue.now() + successor_after, WorldEvent::Start(successor));
+        self.queue.schedule(
+            self.queue.now() + successor_after,
+            WorldEvent::Start(successor),
+        );
         self.list_later(node, successor);
         successor_after
     }
 
     /// A core machine's successor starts now; after `overlap` the machine itself is asked to end.
-    pub(crate) fn replace_planned(&mut self, node: NodeId, successor: NodeId, overlap: Micros) -> Micros {
+    pub(crate) fn replace_planned(
+        &mut self,
+        node: NodeId,
+        successor: NodeId,
+        overlap: Micros,
+    ) -> Micros {
         self.add_successor(node, successor);
         self.start(successor);
-        self.queue.schedule(self.queue.now() + overlap, WorldEvent::Leave(node));
+        self.queue
+            .schedule(self.queue.now() + overlap, WorldEvent::Leave(node));
         self.list_later(node, successor);
         overlap + self.grace()
     }
@@ -36,12 +50,21 @@
 
     /// The operator's list, and so the seeds of what starts from now on, name `came` in the place of `gone`.
     pub(crate) fn list(&mut self, gone: NodeId, came: NodeId) {
-        let lists = self.surroundings.cores.iter_mut().chain(&mut self.plan.seeds);
-        lists.filter(|node| **node == gone).for_each(|node| *node = came);
+        let lists = self
+            .surroundings
+            .cores
+            .iter_mut()
+            .chain(&mut self.plan.seeds);
+        lists
+            .filter(|node| **node == gone)
+            .for_each(|node| *node = came);
     }
 
     fn list_later(&mut self, gone: NodeId, came: NodeId) {
-        self.queue.schedule(self.queue.now() + LIST_LAG, WorldEvent::Listed { gone, came });
+        self.queue.schedule(
+            self.queue.now() + LIST_LAG,
+            WorldEvent::Listed { gone, came },
+        );
     }
 
     fn remove(&mut self, node: NodeId) {
--- a/crates/cluster-sim/src/cluster/trouble.rs
+++ b/crates/cluster-sim/src/cluster/trouble.rs
@@ -37,14 +37,18 @@
             | Fault::StallDisk { node, .. }
             | Fault::ReplaceCore { node, .. }
             | Fault::ReplaceCorePlanned { node, .. } => self.reach_of(&[*node]),
-            Fault::KillMany { nodes, .. } | Fault::PowerLossMany { nodes, .. } => self.reach_of(nodes),
+            Fault::KillMany { nodes, .. } | Fault::PowerLossMany { nodes, .. } => {
+                self.reach_of(nodes)
+            }
             Fault::CutOneWay { from, to, .. } => self.reach_of_cut(&[*from], &[*to]),
             Fault::CutGroups { one, other, .. } => self.reach_of_cut(one, other),
         }
     }
 
     fn is_core(&self, node: NodeId) -> bool {
-        self.processes.get(&node).is_some_and(|process| process.kind == NodeKind::Core)
+        self.processes
+            .get(&node)
+            .is_some_and(|process| process.kind == NodeKind::Core)
     }
 
     /// Troubles at machines; those of the core touch everyone.
@@ -68,11 +72,15 @@
     /// Lets a trouble strike; gives how long it lasts.
     fn strike(&mut self, fault: Fault) -> Micros {
         match fault {
-            Fault::Kill { node, back_after } => self.take_down(&[node], ProcessState::Down, back_after),
+            Fault::Kill { node, back_after } => {
+                self.take_down(&[node], ProcessState::Down, back_after)
+            }
             Fault::PowerLoss { node, back_after } => {
                 self.take_down(&[node], ProcessState::PowerOff, back_after)
             }
-            Fault::KillMany { nodes, back_after } => self.take_down(&nodes, ProcessState::Down, back_after),
+            Fault::KillMany { nodes, back_after } => {
+                self.take_down(&nodes, ProcessState::Down, back_after)
+            }
             Fault::PowerLossMany { nodes, back_after } => {
                 self.take_down(&nodes, ProcessState::PowerOff, back_after)
             }
@@ -86,19 +94,27 @@
                 back_after + self.grace()
             }
             Fault::FinalPowerLoss { back_after } => self.lose_all_power(back_after),
-            Fault::ReplaceCore { node, successor, successor_after } => {
-                self.replace(node, successor, successor_after)
-            }
-            Fault::ReplaceCorePlanned { node, successor, overlap } => {
-                self.replace_planned(node, successor, overlap)
-            }
+            Fault::ReplaceCore {
+                node,
+                successor,
+                successor_after,
+            } => self.replace(node, successor, successor_after),
+            Fault::ReplaceCorePlanned {
+                node,
+                successor,
+                overlap,
+            } => self.replace_planned(node, successor, overlap),
             Fault::Isolate { node, lasts } => {
                 self.network.isolate(node, true);
                 self.end_after(lasts, WorldEvent::Rejoin(node))
             }
             Fault::CutOneWay { from, to, lasts } => self.cut(vec![Direction { from, to }], lasts),
             Fault::CutGroups { one, other, lasts } => self.cut(between(&one, &other), lasts),
-            Fault::ClockStep { node, millis, lasts } => self.step_clock(node, millis, lasts),
+            Fault::ClockStep {
+                node,
+                millis,
+                lasts,
+            } => self.step_clock(node, millis, lasts),
             Fault::SlowDisk { node, sync, lasts } => {
                 self.set_sync(node, Some(sync));
                 self.end_after(lasts, WorldEvent::DiskUsual(node))
@@ -124,7 +140,8 @@
         let absence = back_after.max(SHORTEST_ABSENCE);
         for node in nodes {
             self.kill(*node, state);
-            self.queue.schedule(self.queue.now() + absence, WorldEvent::Start(*node));
+            self.queue
+                .schedule(self.queue.now() + absence, WorldEvent::Start(*node));
         }
         absence
     }
@@ -133,16 +150,28 @@
         let nodes: Vec<NodeId> = self.processes.keys().copied().collect();
         let absence = self.take_down(&nodes, ProcessState::PowerOff, back_after);
         for runner in 0..self.runners.len() {
-            self.trouble_runner(Fault::RunnerCrash { runner, back_after: absence });
+            self.trouble_runner(Fault::RunnerCrash {
+                runner,
+                back_after: absence,
+            });
         }
         let now = self.now();
-        self.surroundings.history.note(now, Sight::FinalFault { back: now + absence });
+        self.surroundings.history.note(
+            now,
+            Sight::FinalFault {
+                back: now + absence,
+            },
+        );
         absence
     }
 
     fn wipe(&mut self, node: NodeId, back_after: Micros) -> Micros {
         let absence = self.take_down(&[node], ProcessState::PowerOff, back_after);
-        if let Some(disk) = self.processes.get_mut(&node).and_then(|process| process.disk.as_mut()) {
+        if let Some(disk) = self
+            .processes
+            .get_mut(&node)
+            .and_then(|process| process.disk.as_mut())
+        {
             disk.wipe();
         }
         absence
@@ -156,19 +185,29 @@
     }
 
     fn step_clock(&mut self, node: NodeId, millis: i64, lasts: Micros) -> Micros {
-        let Some(process) = self.processes.get_mut(&node) else { return 0 };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return 0;
+        };
         if process.clock.wall_ahead_ms != 0 {
             process.clock.wall_ahead_ms = 0;
             return lasts;
         }
         process.clock.wall_ahead_ms = millis;
-        let back = Fault::ClockStep { node, millis: 0, lasts: 0 };
+        let back = Fault::ClockStep {
+            node,
+            millis: 0,
+            lasts: 0,
+        };
         self.end_after(lasts, WorldEvent::Fault(back))
     }
 
     fn stall_disk(&mut self, node: NodeId, lasts: Micros) -> Micros {
         let until = self.now() + lasts;
-        if let Some(disk) = self.processes.get_mut(&node).and_then(|process| process.disk.as_mut()) {
+        if let Some(disk) = self
+            .processes
+            .get_mut(&node)
+            .and_then(|process| process.disk.as_mut())
+        {
             disk.stall(until);
         }
         lasts
@@ -181,7 +220,11 @@
                 self.runners[runner].crash(now, back_after, &mut self.surroundings);
                 (runner, back_after)
             }
-            Fault::RunnerDrain { runner, left, serves_on } => {
+            Fault::RunnerDrain {
+                runner,
+                left,
+                serves_on,
+            } => {
                 self.runners[runner].start_drain(now, left, serves_on);
                 (runner, 0)
             }
@@ -204,8 +247,14 @@
     let mut directions = Vec::new();
     for from in one {
         for to in other {
-            directions.push(Direction { from: *from, to: *to });
-            directions.push(Direction { from: *to, to: *from });
+            directions.push(Direction {
+                from: *from,
+                to: *to,
+            });
+            directions.push(Direction {
+                from: *to,
+                to: *from,
+            });
         }
     }
     directions
--- a/crates/cluster-sim/src/configuration.rs
+++ b/crates/cluster-sim/src/configuration.rs
@@ -86,8 +86,11 @@
     /// The body of a replacement.
     pub fn to_json(&self) -> Value {
         let routes: Vec<Value> = self.routes.values().map(RouteItem::to_json).collect();
-        let services: Vec<Value> =
-            self.services.iter().map(|(name, guards)| service_json(name, *guards)).collect();
+        let services: Vec<Value> = self
+            .services
+            .iter()
+            .map(|(name, guards)| service_json(name, *guards))
+            .collect();
         json!({
             "version": self.version, "routes": routes, "services": services,
             "limits": {"max_header_bytes": 16384, "max_body_bytes": 262144,
@@ -98,12 +101,18 @@
     /// What the operator reads.
     pub fn from_json(bytes: &[u8]) -> Option<Configuration> {
         let value: Value = serde_json::from_slice(bytes).ok()?;
-        let mut read = Configuration { version: value.get("version")?.as_u64()?, ..Configuration::default() };
+        let mut read = Configuration {
+            version: value.get("version")?.as_u64()?,
+            ..Configuration::default()
+        };
         for route in value.get("routes")?.as_array()? {
             read.put_route(RouteItem::from_json(route)?);
         }
         for service in value.get("services")?.as_array()? {
-            let guards = service.get("preconditions").and_then(Value::as_bool).unwrap_or(false);
+            let guards = service
+                .get("preconditions")
+                .and_then(Value::as_bool)
+                .unwrap_or(false);
             read.services.insert(text(service, "name")?, guards);
         }
         Some(read)
@@ -125,7 +134,10 @@
 impl Patch {
     /// The configuration with these changes.
     pub fn applied_to(&self, base: &Configuration, version: u64) -> Configuration {
-        let mut next = Configuration { version, ..base.clone() };
+        let mut next = Configuration {
+            version,
+            ..base.clone()
+        };
         for route in &self.upsert {
             next.put_route(route.clone());
         }
--- a/crates/cluster-sim/src/disk.rs
+++ b/crates/cluster-sim/src/disk.rs
@@ -14,7 +14,10 @@
 
 impl Default for DiskSpeed {
     fn default() -> Self {
-        DiskSpeed { sync: 6 * MILLISECOND, jitter: 3 * MILLISECOND }
+        DiskSpeed {
+            sync: 6 * MILLISECOND,
+            jitter: 3 * MILLISECOND,
+        }
     }
 }
 
@@ -45,12 +48,18 @@
     }
 
     fn image(&self) -> DiskImage {
-        DiskImage { control: entries(&self.control), records: entries(&self.records) }
+        DiskImage {
+            control: entries(&self.control),
+            records: entries(&self.records),
+        }
     }
 }
 
 fn entries(table: &BTreeMap<Vec<u8>, Vec<u8>>) -> Vec<(Vec<u8>, Vec<u8>)> {
-    table.iter().map(|(key, value)| (key.clone(), value.clone())).collect()
+    table
+        .iter()
+        .map(|(key, value)| (key.clone(), value.clone()))
+        .collect()
 }
 
 /// One disk.
@@ -135,7 +144,10 @@
     /// A sync takes so long from now on; `None`: as usual.
     pub fn set_sync(&mut self, sync: Option<Micros>) {
         self.speed = match sync {
-            Some(sync) => DiskSpeed { sync, jitter: self.usual.jitter },
+            Some(sync) => DiskSpeed {
+                sync,
+                jitter: self.usual.jitter,
+            },
             None => self.usual,
         };
     }
--- a/crates/cluster-sim/src/engine.rs
+++ b/crates/cluster-sim/src/engine.rs
@@ -36,7 +36,9 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.cmp(&other.at).then(self.sequence.cmp(&other.sequence))
+        self.at
+            .cmp(&other.at)
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -49,7 +51,11 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), sequence: 0, now: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            sequence: 0,
+            now: 0,
+        }
     }
 }
 
@@ -62,7 +68,11 @@
     /// Lets `event` happen at `at`, or now where that has passed.
     pub fn schedule(&mut self, at: Micros, event: E) {
         self.sequence += 1;
-        let entry = Entry { at: at.max(self.now), sequence: self.sequence, event };
+        let entry = Entry {
+            at: at.max(self.now),
+            sequence: self.sequence,
+            event,
+        };
         self.heap.push(Reverse(entry));
     }
 
