--- a/crates/cluster-sim/src/faults.rs
+++ b/crates/cluster-sim/src/faults.rs
@@ -135,7 +135,10 @@
 /// Draws troubles of the core one after another, with time to catch up between them, and troubles of everything
 /// else at any time.
 pub fn random_schedule(
-    chance: &mut Chance, field: &FaultField, from: Micros, until: Micros,
+    chance: &mut Chance,
+    field: &FaultField,
+    from: Micros,
+    until: Micros,
 ) -> Vec<PlannedFault> {
     let mut schedule = core_schedule(chance, field, from, until);
     let others = chance.between(0, 14);
@@ -148,10 +151,18 @@
     schedule
 }
 
-fn core_schedule(chance: &mut Chance, field: &FaultField, from: Micros, until: Micros) -> Vec<PlannedFault> {
+fn core_schedule(
+    chance: &mut Chance,
+    field: &FaultField,
+    from: Micros,
+    until: Micros,
+) -> Vec<PlannedFault> {
     let mut schedule = Vec::new();
     let mut at = from + chance.between(0, 6 * SECOND);
-    let mut core = CoreField { machines: field.cores.clone(), successors: field.successors.clone() };
+    let mut core = CoreField {
+        machines: field.cores.clone(),
+        successors: field.successors.clone(),
+    };
     while at < until && field.tolerated > 0 {
         let lasts = chance.between(200, 6_000) * MILLISECOND;
         let faults = core_faults(chance, &mut core, lasts);
@@ -173,7 +184,11 @@
 
 impl CoreField {
     fn others(&self, node: NodeId) -> Vec<NodeId> {
-        self.machines.iter().copied().filter(|other| *other != node).collect()
+        self.machines
+            .iter()
+            .copied()
+            .filter(|other| *other != node)
+            .collect()
     }
 
     /// A new machine takes the place of `node`.
@@ -192,30 +207,73 @@
     }
     let node = pick(chance, &core.machines);
     let back_after = chance.between(200, 3_000) * MILLISECOND;
-    let others = Fault::PowerLossMany { nodes: core.others(node), back_after };
-    vec![Fault::Wipe { node, back_after: lasts }, others]
+    let others = Fault::PowerLossMany {
+        nodes: core.others(node),
+        back_after,
+    };
+    vec![
+        Fault::Wipe {
+            node,
+            back_after: lasts,
+        },
+        others,
+    ]
 }
 
 fn core_fault(chance: &mut Chance, core: &mut CoreField, lasts: Micros) -> Fault {
     let node = pick(chance, &core.machines);
     let others = core.others(node);
     match chance.between(0, 16) {
-        0 => Fault::Kill { node, back_after: lasts },
-        1 => Fault::PowerLoss { node, back_after: lasts },
-        2 => Fault::Wipe { node, back_after: lasts },
+        0 => Fault::Kill {
+            node,
+            back_after: lasts,
+        },
+        1 => Fault::PowerLoss {
+            node,
+            back_after: lasts,
+        },
+        2 => Fault::Wipe {
+            node,
+            back_after: lasts,
+        },
         3 => Fault::Freeze { node, lasts },
-        4 => Fault::Terminate { node, back_after: SECOND },
+        4 => Fault::Terminate {
+            node,
+            back_after: SECOND,
+        },
         5 => Fault::Isolate { node, lasts },
-        6 => Fault::CutGroups { one: vec![node], other: others, lasts },
-        7 => Fault::CutOneWay { from: node, to: pick(chance, &others), lasts },
-        8 => Fault::ClockStep { node, millis: clock_step(chance), lasts },
-        9 => Fault::SlowDisk { node, sync: chance.between(20, 400) * MILLISECOND, lasts },
+        6 => Fault::CutGroups {
+            one: vec![node],
+            other: others,
+            lasts,
+        },
+        7 => Fault::CutOneWay {
+            from: node,
+            to: pick(chance, &others),
+            lasts,
+        },
+        8 => Fault::ClockStep {
+            node,
+            millis: clock_step(chance),
+            lasts,
+        },
+        9 => Fault::SlowDisk {
+            node,
+            sync: chance.between(20, 400) * MILLISECOND,
+            lasts,
+        },
         10 => Fault::StallDisk { node, lasts },
         11 => {
             let back_after = chance.between(100, 1_000) * MILLISECOND;
-            Fault::KillMany { nodes: core.machines.clone(), back_after }
+            Fault::KillMany {
+                nodes: core.machines.clone(),
+                back_after,
+            }
         }
-        12 => Fault::PowerLossMany { nodes: core.machines.clone(), back_after: lasts },
+        12 => Fault::PowerLossMany {
+            nodes: core.machines.clone(),
+            back_after: lasts,
+        },
         drawn => replacement(core, node, drawn == 13, lasts),
     }
 }
@@ -223,9 +281,20 @@
 /// A replaced machine, or a killed one where no address is left.
 fn replacement(core: &mut CoreField, node: NodeId, planned: bool, lasts: Micros) -> Fault {
     match core.replace(node) {
-        Some(successor) if planned => Fault::ReplaceCorePlanned { node, successor, overlap: lasts },
-        Some(successor) => Fault::ReplaceCore { node, successor, successor_after: lasts },
-        None => Fault::Kill { node, back_after: lasts },
+        Some(successor) if planned => Fault::ReplaceCorePlanned {
+            node,
+            successor,
+            overlap: lasts,
+        },
+        Some(successor) => Fault::ReplaceCore {
+            node,
+            successor,
+            successor_after: lasts,
+        },
+        None => Fault::Kill {
+            node,
+            back_after: lasts,
+        },
     }
 }
 
@@ -234,29 +303,84 @@
 }
 
 fn other_fault(chance: &mut Chance, field: &FaultField) -> Fault {
-    let cores: Vec<NodeId> = field.cores.iter().chain(&field.successors).copied().collect();
+    let cores: Vec<NodeId> = field
+        .cores
+        .iter()
+        .chain(&field.successors)
+        .copied()
+        .collect();
     let lasts = chance.between(200, 8_000) * MILLISECOND;
     let side = pick(chance, &field.sides);
     let frontend = pick(chance, &field.frontends);
     let runner = chance.index(field.runners);
     match chance.between(0, 18) {
-        13 => Fault::KillMany { nodes: field.sides.clone(), back_after: lasts / 4 },
-        14 => Fault::KillMany { nodes: field.frontends.clone(), back_after: lasts / 4 },
-        15 => Fault::CutGroups { one: field.sides.clone(), other: cores, lasts: 2 * lasts },
-        0 => Fault::Kill { node: side, back_after: lasts },
+        13 => Fault::KillMany {
+            nodes: field.sides.clone(),
+            back_after: lasts / 4,
+        },
+        14 => Fault::KillMany {
+            nodes: field.frontends.clone(),
+            back_after: lasts / 4,
+        },
+        15 => Fault::CutGroups {
+            one: field.sides.clone(),
+            other: cores,
+            lasts: 2 * lasts,
+        },
+        0 => Fault::Kill {
+            node: side,
+            back_after: lasts,
+        },
         1 => Fault::Freeze { node: side, lasts },
         2 => Fault::Isolate { node: side, lasts },
-        3 => Fault::CutGroups { one: vec![side], other: cores, lasts },
-        4 => Fault::CutOneWay { from: side, to: pick(chance, &field.cores), lasts },
-        5 => Fault::Kill { node: frontend, back_after: lasts },
-        6 => Fault::Freeze { node: frontend, lasts },
-        7 => Fault::CutGroups { one: vec![frontend], other: cores, lasts },
-        8 => Fault::Terminate { node: frontend, back_after: SECOND },
-        9 => Fault::Terminate { node: side, back_after: SECOND },
-        10 => Fault::RunnerCrash { runner, back_after: lasts },
-        11 => Fault::RunnerDrain { runner, left: 3 * SECOND, serves_on: 2 * SECOND + lasts },
+        3 => Fault::CutGroups {
+            one: vec![side],
+            other: cores,
+            lasts,
+        },
+        4 => Fault::CutOneWay {
+            from: side,
+            to: pick(chance, &field.cores),
+            lasts,
+        },
+        5 => Fault::Kill {
+            node: frontend,
+            back_after: lasts,
+        },
+        6 => Fault::Freeze {
+            node: frontend,
+            lasts,
+        },
+        7 => Fault::CutGroups {
+            one: vec![frontend],
+            other: cores,
+            lasts,
+        },
+        8 => Fault::Terminate {
+            node: frontend,
+            back_after: SECOND,
+        },
+        9 => Fault::Terminate {
+            node: side,
+            back_after: SECOND,
+        },
+        10 => Fault::RunnerCrash {
+            runner,
+            back_after: lasts,
+        },
+        11 => Fault::RunnerDrain {
+            runner,
+            left: 3 * SECOND,
+            serves_on: 2 * SECOND + lasts,
+        },
         12 => Fault::RunnerSilence { runner, lasts },
-        16 => Fault::RunnerDeregister { runner, serves_on: 2 * SECOND + lasts },
-        _ => Fault::Storm { loss: 0.2, lasts: lasts / 4 },
+        16 => Fault::RunnerDeregister {
+            runner,
+            serves_on: 2 * SECOND + lasts,
+        },
+        _ => Fault::Storm {
+            loss: 0.2,
+            lasts: lasts / 4,
+        },
     }
 }
--- a/crates/cluster-sim/src/gang.rs
+++ b/crates/cluster-sim/src/gang.rs
@@ -50,14 +50,20 @@
         let gang = self.gangs.entry(run.clone()).or_default();
         gang.present.insert(index);
         if gang.course.is_none() && !gang.broken && gang.present.len() as u64 == plan.members {
-            gang.course = Some(GangCourse { from: now, ends: now + plan.lasts, fails: plan.fails });
+            gang.course = Some(GangCourse {
+                from: now,
+                ends: now + plan.lasts,
+                fails: plan.fails,
+            });
             self.changed = true;
         }
     }
 
     /// A member has gone before the joint end: the others are broken.
     pub fn leave(&mut self, now: Micros, run: &GangRun) {
-        let Some(gang) = self.gangs.get_mut(run) else { return };
+        let Some(gang) = self.gangs.get_mut(run) else {
+            return;
+        };
         let over = gang.course.is_some_and(|course| course.ends <= now);
         if !over && !gang.broken {
             gang.broken = true;
--- a/crates/cluster-sim/src/history.rs
+++ b/crates/cluster-sim/src/history.rs
@@ -24,7 +24,10 @@
 
     /// True for an answer that promises that nothing was done.
     pub fn is_rejection(self) -> bool {
-        matches!(self, Answer::Status(429 | 503 | 404 | 400..=403 | 405..=407 | 409..=428))
+        matches!(
+            self,
+            Answer::Status(429 | 503 | 404 | 400..=403 | 405..=407 | 409..=428)
+        )
     }
 }
 
--- a/crates/cluster-sim/src/job.rs
+++ b/crates/cluster-sim/src/job.rs
@@ -27,7 +27,11 @@
 impl StepDefinition {
     /// What one task asks for.
     pub fn asked(&self) -> Resources {
-        Resources { cpu: self.cpu, mem_mb: self.mem_mb, gpu: self.gpu }
+        Resources {
+            cpu: self.cpu,
+            mem_mb: self.mem_mb,
+            gpu: self.gpu,
+        }
     }
 }
 
@@ -76,20 +80,33 @@
         let step = parts.next()?.parse().ok()?;
         let index = parts.next()?.parse().ok()?;
         match parts.next() {
-            None => Some(TaskName { job, time, step, index }),
+            None => Some(TaskName {
+                job,
+                time,
+                step,
+                index,
+            }),
             Some(_) => None,
         }
     }
 
     /// Its step.
     pub fn step_name(&self) -> StepName {
-        StepName { job: self.job.clone(), time: self.time, step: self.step }
+        StepName {
+            job: self.job.clone(),
+            time: self.time,
+            step: self.step,
+        }
     }
 }
 
 impl fmt::Display for TaskName {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(
+            formatter,
+            "{}.{}.{}.{}",
+            self.job, self.time, self.step, self.index
+        )
     }
 }
 
@@ -113,8 +130,18 @@
 
     /// Every task of a step at one time.
     pub fn tasks(&self, time: u64, step: usize) -> Vec<TaskName> {
-        let count = self.steps.get(step).map_or(0, |definition| definition.count);
-        (0..count).map(|index| TaskName { job: self.id.clone(), time, step, index }).collect()
+        let count = self
+            .steps
+            .get(step)
+            .map_or(0, |definition| definition.count);
+        (0..count)
+            .map(|index| TaskName {
+                job: self.id.clone(),
+                time,
+                step,
+                index,
+            })
+            .collect()
     }
 
     /// The body by which it is handed in.
--- a/crates/cluster-sim/src/network.rs
+++ b/crates/cluster-sim/src/network.rs
@@ -21,7 +21,13 @@
 
 impl Default for LinkQuality {
     fn default() -> Self {
-        LinkQuality { near: 200, far: 1_400, jitter: MILLISECOND, loss: 0.0005, duplicates: 0.0005 }
+        LinkQuality {
+            near: 200,
+            far: 1_400,
+            jitter: MILLISECOND,
+            loss: 0.0005,
+            duplicates: 0.0005,
+        }
     }
 }
 
@@ -97,7 +103,8 @@
     /// True where a message in this direction would pass.
     pub fn passes(&self, direction: Direction) -> bool {
         let cut = self.cuts.get(&direction).is_some_and(|count| *count > 0);
-        let isolated = self.isolated.contains(&direction.from) || self.isolated.contains(&direction.to);
+        let isolated =
+            self.isolated.contains(&direction.from) || self.isolated.contains(&direction.to);
         direction.from == direction.to || !(cut || isolated)
     }
 
@@ -125,7 +132,11 @@
 
     fn delay(&self, direction: Direction, chance: &mut Chance) -> Micros {
         let same = self.zones.get(&direction.from) == self.zones.get(&direction.to);
-        let base = if same { self.quality.near } else { self.quality.far };
+        let base = if same {
+            self.quality.near
+        } else {
+            self.quality.far
+        };
         base + chance.between(0, self.quality.jitter)
     }
 }
--- a/crates/cluster-sim/src/operator.rs
+++ b/crates/cluster-sim/src/operator.rs
@@ -43,9 +43,17 @@
 
 #[derive(Clone, PartialEq)]
 enum Task {
-    Order { seen: OrderSeen, path: &'static str, body: Vec<u8> },
+    Order {
+        seen: OrderSeen,
+        path: &'static str,
+        body: Vec<u8>,
+    },
     Learn,
-    Probe { host: String, prefix: String, gateway: NodeId },
+    Probe {
+        host: String,
+        prefix: String,
+        gateway: NodeId,
+    },
 }
 
 struct Errand {
@@ -95,47 +103,99 @@
             ChangeKind::Patch(patch) => {
                 let next = patch.applied_to(&self.current, version);
                 let body = patch.to_json(version).to_string();
-                self.order(now, self.current.version, Some(next), "/v1/config/patch", body);
+                self.order(
+                    now,
+                    self.current.version,
+                    Some(next),
+                    "/v1/config/patch",
+                    body,
+                );
             }
             ChangeKind::Replace(patch) => {
                 let next = patch.applied_to(&self.current, version);
                 let body = next.to_json().to_string();
-                self.order(now, self.current.version, Some(next), "/v1/config/replace", body);
+                self.order(
+                    now,
+                    self.current.version,
+                    Some(next),
+                    "/v1/config/replace",
+                    body,
+                );
             }
             ChangeKind::Invalid => self.order_invalid(now, version),
             ChangeKind::Repeat => self.repeat(now),
             ChangeKind::Read => self.errand(now, Task::Learn),
             ChangeKind::Probe { host, prefix } => {
-                let gateway = surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
-                self.errand(now, Task::Probe { host, prefix, gateway });
+                let gateway =
+                    surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
+                self.errand(
+                    now,
+                    Task::Probe {
+                        host,
+                        prefix,
+                        gateway,
+                    },
+                );
             }
         }
     }
 
     fn order(
-        &mut self, now: Micros, base: u64, content: Option<Configuration>, path: &'static str, body: String,
+        &mut self,
+        now: Micros,
+        base: u64,
+        content: Option<Configuration>,
+        path: &'static str,
+        body: String,
     ) {
-        let version = content.as_ref().map_or(self.current.version + 1, |content| content.version);
-        let seen = OrderSeen { order: self.orders, base, version, valid: content.is_some(), content };
+        let version = content
+            .as_ref()
+            .map_or(self.current.version + 1, |content| content.version);
+        let seen = OrderSeen {
+            order: self.orders,
+            base,
+            version,
+            valid: content.is_some(),
+            content,
+        };
         self.orders += 1;
-        self.errand(now, Task::Order { seen, path, body: body.into_bytes() });
+        self.errand(
+            now,
+            Task::Order {
+                seen,
+                path,
+                body: body.into_bytes(),
+            },
+        );
     }
 
     fn order_invalid(&mut self, now: Micros, version: u64) {
         let route = RouteItem::new("r-invalid", "any.example", "/invalid/", "no-such-service");
-        let patch = Patch { upsert: vec![route], remove: Vec::new() };
+        let patch = Patch {
+            upsert: vec![route],
+            remove: Vec::new(),
+        };
         let body = patch.to_json(version).to_string();
         self.order(now, self.current.version, None, "/v1/config/patch", body);
     }
 
     fn repeat(&mut self, now: Micros) {
-        let Some(index) = self.last_acknowledged else { return };
+        let Some(index) = self.last_acknowledged else {
+            return;
+        };
         let task = self.errands[index].task.clone();
         self.errand(now, task);
     }
 
     fn errand(&mut self, now: Micros, task: Task) {
-        self.errands.push(Errand { task, due: now, tries: 0, sent: now, out: false, over: false });
+        self.errands.push(Errand {
+            task,
+            due: now,
+            tries: 0,
+            sent: now,
+            out: false,
+            over: false,
+        });
     }
 
     fn changes_wait(&self) -> bool {
@@ -143,14 +203,31 @@
         self.unsure && self.errands.iter().any(open)
     }
 
-    fn take_order(&mut self, now: Micros, index: usize, answer: Answer, surroundings: &mut Surroundings) {
-        let Task::Order { seen, .. } = self.errands[index].task.clone() else { return };
-        surroundings.history.note(now, Sight::OrderAnswered { order: seen.order, answer });
+    fn take_order(
+        &mut self,
+        now: Micros,
+        index: usize,
+        answer: Answer,
+        surroundings: &mut Surroundings,
+    ) {
+        let Task::Order { seen, .. } = self.errands[index].task.clone() else {
+            return;
+        };
+        surroundings.history.note(
+            now,
+            Sight::OrderAnswered {
+                order: seen.order,
+                answer,
+            },
+        );
         match answer {
             Answer::Status(200..=299) => {
                 self.errands[index].over = true;
                 self.last_acknowledged = Some(index);
-                if let Some(content) = seen.content.filter(|content| content.version > self.current.version) {
+                if let Some(content) = seen
+                    .content
+                    .filter(|content| content.version > self.current.version)
+                {
                     self.current = content;
                 }
             }
@@ -167,10 +244,22 @@
         self.errand(now, Task::Learn);
     }
 
-    fn take_read(&mut self, now: Micros, index: usize, outcome: &Outcome, surroundings: &mut Surroundings) {
+    fn take_read(
+        &mut self,
+        now: Micros,
+        index: usize,
+        outcome: &Outcome,
+        surroundings: &mut Surroundings,
+    ) {
         let content = outcome.success_body().and_then(Configuration::from_json);
         let sent = self.errands[index].sent;
-        surroundings.history.note(now, Sight::ConfigRead { sent, content: content.clone() });
+        surroundings.history.note(
+            now,
+            Sight::ConfigRead {
+                sent,
+                content: content.clone(),
+            },
+        );
         match content {
             Some(content) => {
                 self.errands[index].over = true;
@@ -183,11 +272,28 @@
         }
     }
 
-    fn take_probe(&mut self, now: Micros, index: usize, answer: Answer, surroundings: &mut Surroundings) {
+    fn take_probe(
+        &mut self,
+        now: Micros,
+        index: usize,
+        answer: Answer,
+        surroundings: &mut Surroundings,
+    ) {
         let errand = &mut self.errands[index];
         errand.over = true;
-        if let Task::Probe { host, prefix, gateway } = errand.task.clone() {
-            let sight = Sight::QueueRead { sent: errand.sent, gateway, host, prefix, answer };
+        if let Task::Probe {
+            host,
+            prefix,
+            gateway,
+        } = errand.task.clone()
+        {
+            let sight = Sight::QueueRead {
+                sent: errand.sent,
+                gateway,
+                host,
+                prefix,
+                answer,
+            };
             surroundings.history.note(now, sight);
         }
     }
@@ -225,9 +331,15 @@
                 request.path = (*path).to_owned();
                 request.base_version = Some(seen.base);
                 request.body = body.clone();
-                surroundings.history.note(now, Sight::OrderSent(seen.clone()));
+                surroundings
+                    .history
+                    .note(now, Sight::OrderSent(seen.clone()));
             }
-            Task::Probe { host, prefix, gateway } => {
+            Task::Probe {
+                host,
+                prefix,
+                gateway,
+            } => {
                 request.host = host.clone();
                 request.path = prefix.clone();
                 request.deadline_ms = Some(PATIENCE / MILLISECOND);
@@ -258,9 +370,17 @@
         }
     }
 
-    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, surroundings: &mut Surroundings) {
+    fn outcome(
+        &mut self,
+        now: Micros,
+        tag: CallTag,
+        outcome: Outcome,
+        surroundings: &mut Surroundings,
+    ) {
         let index = tag as usize;
-        let Some(errand) = self.errands.get_mut(index) else { return };
+        let Some(errand) = self.errands.get_mut(index) else {
+            return;
+        };
         errand.out = false;
         match errand.task {
             Task::Order { .. } => self.take_order(now, index, outcome.answer(), surroundings),
@@ -270,9 +390,18 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let open = self.errands.iter().filter(|errand| !errand.over && !errand.out);
+        let open = self
+            .errands
+            .iter()
+            .filter(|errand| !errand.over && !errand.out);
         let errand = open.map(|errand| errand.due).min();
-        let change = self.changes.get(self.next_change).filter(|_| !self.changes_wait());
-        [errand, change.map(|change| change.at)].into_iter().flatten().min()
+        let change = self
+            .changes
+            .get(self.next_change)
+            .filter(|_| !self.changes_wait());
+        [errand, change.map(|change| change.at)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/crates/cluster-sim/src/process.rs
+++ b/crates/cluster-sim/src/process.rs
@@ -60,12 +60,16 @@
     pub fn read(&self, now: Micros) -> Now {
         let elapsed = now - self.started;
         let wall = WALL_START_MS + (now / MILLISECOND) as i64 + self.wall_ahead_ms;
-        Now { steady: Time(scaled(elapsed, self.fast_ppm)), wall_ms: wall }
+        Now {
+            steady: Time(scaled(elapsed, self.fast_ppm)),
+            wall_ms: wall,
+        }
     }
 
     /// The first true time at which it shows `steady`.
     pub fn true_time(&self, steady: Time) -> Micros {
-        self.started.saturating_add(true_span(steady.0, self.fast_ppm))
+        self.started
+            .saturating_add(true_span(steady.0, self.fast_ppm))
     }
 }
 
@@ -107,7 +111,11 @@
             state: ProcessState::Down,
             logic: None,
             generation: 0,
-            clock: ProcessClock { started: 0, fast_ppm, wall_ahead_ms: 0 },
+            clock: ProcessClock {
+                started: 0,
+                fast_ppm,
+                wall_ahead_ms: 0,
+            },
             disk,
             held: Vec::new(),
             wake_at: None,
@@ -120,7 +128,10 @@
 
     /// The process of a machine that comes while the others run.
     pub fn added(kind: NodeKind, disk: Option<Disk>, fast_ppm: i64) -> Process {
-        Process { started_before: true, ..Process::new(kind, disk, fast_ppm) }
+        Process {
+            started_before: true,
+            ..Process::new(kind, disk, fast_ppm)
+        }
     }
 
     /// True where it does not run and may.
--- a/crates/cluster-sim/src/real.rs
+++ b/crates/cluster-sim/src/real.rs
@@ -11,7 +11,11 @@
 
 /// The processes as they run in service.
 pub fn factories() -> Factories {
-    Factories { core: core(), frontend: frontend(), side: side() }
+    Factories {
+        core: core(),
+        frontend: frontend(),
+        side: side(),
+    }
 }
 
 /// Makes core processes, with the scheduler on the elected one.
@@ -27,7 +31,13 @@
             seed: birth.seed,
         };
         let service = scheduler(birth.bounds);
-        let node: Box<dyn Node> = Box::new(CoreNode::new(settings, birth.image, service, birth.now, outbox));
+        let node: Box<dyn Node> = Box::new(CoreNode::new(
+            settings,
+            birth.image,
+            service,
+            birth.now,
+            outbox,
+        ));
         node
     })
 }
--- a/crates/cluster-sim/src/report.rs
+++ b/crates/cluster-sim/src/report.rs
@@ -27,7 +27,10 @@
 impl Report {
     /// Counts what was seen; rules are judged elsewhere.
     pub fn from_history(history: &History, workload: &Workload) -> Report {
-        let mut report = Report { submitted: workload.plans.len(), ..Report::default() };
+        let mut report = Report {
+            submitted: workload.plans.len(),
+            ..Report::default()
+        };
         let mut accepted = BTreeSet::new();
         let mut shown: BTreeMap<&str, &ShownState> = BTreeMap::new();
         for seen in &history.seen {
@@ -61,7 +64,11 @@
     for seen in &history.seen {
         match &seen.sight {
             Sight::SubmitSent { job } => {
-                let timed = workload.book.jobs.get(job).is_some_and(|job| job.repeat > 0);
+                let timed = workload
+                    .book
+                    .jobs
+                    .get(job)
+                    .is_some_and(|job| job.repeat > 0);
                 if !timed {
                     sent.entry(job).or_insert(seen.at);
                 }
--- a/crates/cluster-sim/src/runner/beat.rs
+++ b/crates/cluster-sim/src/runner/beat.rs
@@ -25,7 +25,13 @@
 }
 
 fn end_json(end: &EndSeen) -> Value {
-    json!([end.number, end.task.to_string(), end.attempt, end_word(end.end), end.saved])
+    json!([
+        end.number,
+        end.task.to_string(),
+        end.attempt,
+        end_word(end.end),
+        end.saved
+    ])
 }
 
 impl Runner {
@@ -39,7 +45,11 @@
         let body = self.beat_body(now, surroundings).to_string().into_bytes();
         let path = format!("/v1/instances/{}/heartbeat", self.instance());
         let tag = self.call(path, body, surroundings);
-        self.beat = Some(Beat { tag, sent: now, said_draining: self.says_draining() });
+        self.beat = Some(Beat {
+            tag,
+            sent: now,
+            said_draining: self.says_draining(),
+        });
         self.beat_due = now + self.plan.heartbeat;
     }
 
@@ -63,15 +73,24 @@
             deadline_ms: None,
             body,
         };
-        let call =
-            OutgoingCall { tag, to: self.plan.agent, door: Door::Control, request, patience: ANSWER_LIMIT };
+        let call = OutgoingCall {
+            tag,
+            to: self.plan.agent,
+            door: Door::Control,
+            request,
+            patience: ANSWER_LIMIT,
+        };
         surroundings.calls.push(call);
         tag
     }
 
     fn beat_body(&self, now: Micros, surroundings: &Surroundings) -> Value {
         let plan = &self.plan;
-        let state = if self.says_draining() { "draining" } else { "ready" };
+        let state = if self.says_draining() {
+            "draining"
+        } else {
+            "ready"
+        };
         let mut body = json!({
             "service": plan.service, "address": format!("10.128.0.{}:8080", plan.number + 1),
             "zone": plan.zone, "version": "v1", "slots": 8, "state": state, "cold_remaining_ms": 0,
@@ -94,7 +113,12 @@
     fn active_json(&self, now: Micros, surroundings: &Surroundings) -> Value {
         let list = self.active.iter().map(|(key, run)| {
             let saved = run.saved(now, surroundings);
-            json!([key.task.to_string(), key.attempt, saved, run.percent(now, surroundings)])
+            json!([
+                key.task.to_string(),
+                key.attempt,
+                saved,
+                run.percent(now, surroundings)
+            ])
         });
         list.collect()
     }
--- a/crates/cluster-sim/src/runner/drain.rs
+++ b/crates/cluster-sim/src/runner/drain.rs
@@ -25,7 +25,14 @@
     /// A planned end that is said first.
     pub fn new(began: Micros, left: Micros, serves_on: Micros) -> Drain {
         let (deregisters_first, acknowledged, deregister_sent) = (false, None, None);
-        Drain { began, left, serves_on, deregisters_first, acknowledged, deregister_sent }
+        Drain {
+            began,
+            left,
+            serves_on,
+            deregisters_first,
+            acknowledged,
+            deregister_sent,
+        }
     }
 
     /// True where it says in its heartbeats that it drains.
@@ -64,7 +71,10 @@
     /// Leaves once its time has come.
     pub(super) fn check_drain(&mut self, now: Micros, surroundings: &mut Surroundings) {
         let Some(drain) = self.drain else { return };
-        if drain.deregister_sent.is_some_and(|sent| now >= drain.ends_at(sent)) {
+        if drain
+            .deregister_sent
+            .is_some_and(|sent| now >= drain.ends_at(sent))
+        {
             self.end_life(now, now + 5 * SECOND, surroundings);
         } else if drain.deregister_sent.is_none() && drain.deregisters_at() <= now {
             self.send_deregister(now, surroundings);
@@ -73,7 +83,13 @@
 
     /// Its deregistration was acknowledged.
     pub(super) fn take_deregistered(&mut self, now: Micros, surroundings: &mut Surroundings) {
-        let Some(drain) = self.drain.as_mut().filter(|drain| drain.deregister_sent.is_some()) else { return };
+        let Some(drain) = self
+            .drain
+            .as_mut()
+            .filter(|drain| drain.deregister_sent.is_some())
+        else {
+            return;
+        };
         if drain.deregisters_first {
             drain.acknowledged.get_or_insert(now);
         } else {
--- a/crates/cluster-sim/src/runner/mod.rs
+++ b/crates/cluster-sim/src/runner/mod.rs
@@ -138,7 +138,10 @@
     /// It deregisters without saying that it drains, and serves on.
     pub fn start_deregister(&mut self, now: Micros, serves_on: Micros) {
         if self.up && self.drain.is_none() {
-            self.drain = Some(Drain { deregisters_first: true, ..Drain::new(now, 0, serves_on) });
+            self.drain = Some(Drain {
+                deregisters_first: true,
+                ..Drain::new(now, 0, serves_on)
+            });
         }
     }
 
@@ -171,7 +174,12 @@
         for run in std::mem::take(&mut self.active).into_values() {
             run.leave_gang(now, surroundings);
         }
-        surroundings.history.note(now, Sight::RunnerDown { instance: self.instance() });
+        surroundings.history.note(
+            now,
+            Sight::RunnerDown {
+                instance: self.instance(),
+            },
+        );
         self.up = false;
         self.back_at = Some(back_at);
         self.hold_until = None;
@@ -191,7 +199,12 @@
             return;
         }
         self.hold_until = None;
-        surroundings.history.note(now, Sight::HoldLapsed { instance: self.instance() });
+        surroundings.history.note(
+            now,
+            Sight::HoldLapsed {
+                instance: self.instance(),
+            },
+        );
         let keys: Vec<RunKey> = self.active.keys().cloned().collect();
         for key in keys {
             self.end_run(now, &key, RunEnd::Lapsed, surroundings);
@@ -201,7 +214,10 @@
     fn check_runs(&mut self, now: Micros, surroundings: &mut Surroundings) {
         let keys: Vec<RunKey> = self.active.keys().cloned().collect();
         for key in keys {
-            let end = self.active.get(&key).and_then(|run| run.end_by(now, surroundings));
+            let end = self
+                .active
+                .get(&key)
+                .and_then(|run| run.end_by(now, surroundings));
             if let Some(end) = end {
                 self.end_run(now, &key, end, surroundings);
             }
@@ -209,14 +225,21 @@
     }
 
     fn end_run(&mut self, now: Micros, key: &RunKey, end: RunEnd, surroundings: &mut Surroundings) {
-        let Some(run) = self.active.remove(key) else { return };
+        let Some(run) = self.active.remove(key) else {
+            return;
+        };
         run.leave_gang(now, surroundings);
         let saved = run.saved_at_end(now, end, surroundings);
         self.list_end(now, key, end, saved, surroundings);
     }
 
     fn list_end(
-        &mut self, now: Micros, key: &RunKey, end: RunEnd, saved: String, surroundings: &mut Surroundings,
+        &mut self,
+        now: Micros,
+        key: &RunKey,
+        end: RunEnd,
+        saved: String,
+        surroundings: &mut Surroundings,
     ) {
         let highest = self.over.entry(key.task.clone()).or_insert(0);
         *highest = (*highest).max(key.attempt);
@@ -252,7 +275,13 @@
         }
     }
 
-    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, surroundings: &mut Surroundings) {
+    fn outcome(
+        &mut self,
+        now: Micros,
+        tag: CallTag,
+        outcome: Outcome,
+        surroundings: &mut Surroundings,
+    ) {
         if !self.up {
             return;
         }
@@ -271,6 +300,9 @@
         }
         let beat = self.beat.is_none().then_some(self.beat_due);
         let ends = self.active.values().filter_map(Run::next_check).min();
-        [beat, ends, self.hold_until, self.drain_wake()].into_iter().flatten().min()
+        [beat, ends, self.hold_until, self.drain_wake()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/crates/cluster-sim/src/runner/orders.rs
+++ b/crates/cluster-sim/src/runner/orders.rs
@@ -10,17 +10,29 @@
 
 impl Runner {
     /// Takes the answer to the heartbeat that is out.
-    pub(super) fn take_answer(&mut self, now: Micros, outcome: Outcome, surroundings: &mut Surroundings) {
+    pub(super) fn take_answer(
+        &mut self,
+        now: Micros,
+        outcome: Outcome,
+        surroundings: &mut Surroundings,
+    ) {
         let Some(beat) = self.beat.take() else { return };
-        let Some(body) = outcome.success_body() else { return };
+        let Some(body) = outcome.success_body() else {
+            return;
+        };
         if beat.said_draining {
             self.take_drain_acknowledgement(now, surroundings);
         }
-        let Ok(answer) = serde_json::from_slice::<Value>(body) else { return };
+        let Ok(answer) = serde_json::from_slice::<Value>(body) else {
+            return;
+        };
         if let Some(again) = answer.get("retry_after_ms").and_then(Value::as_u64) {
             self.beat_due = self.beat_due.min(now + again * MILLISECOND);
         }
-        let fence = answer.get("fence_token").and_then(Value::as_u64).unwrap_or(0);
+        let fence = answer
+            .get("fence_token")
+            .and_then(Value::as_u64)
+            .unwrap_or(0);
         if fence < self.fence {
             return;
         }
@@ -52,18 +64,31 @@
         let Some(drain) = &mut self.drain else { return };
         if drain.acknowledged.is_none() {
             drain.acknowledged = Some(now);
-            surroundings.history.note(now, Sight::DrainAcknowledged { instance });
+            surroundings
+                .history
+                .note(now, Sight::DrainAcknowledged { instance });
         }
     }
 
     fn take_observed(&mut self, now: Micros, number: u64, surroundings: &mut Surroundings) {
         self.finished.retain(|end| end.number > number);
-        let sight = Sight::Observed { instance: self.instance(), number };
+        let sight = Sight::Observed {
+            instance: self.instance(),
+            number,
+        };
         surroundings.history.note(now, sight);
     }
 
-    fn take_hold(&mut self, now: Micros, sent: Micros, answer: &Value, surroundings: &Surroundings) -> bool {
-        let Some(hold_ms) = answer.get("hold_ms").and_then(Value::as_u64) else { return false };
+    fn take_hold(
+        &mut self,
+        now: Micros,
+        sent: Micros,
+        answer: &Value,
+        surroundings: &Surroundings,
+    ) -> bool {
+        let Some(hold_ms) = answer.get("hold_ms").and_then(Value::as_u64) else {
+            return false;
+        };
         let granted = hold_ms.min(surroundings.bounds.hold_max_ms) * MILLISECOND;
         let until = sent + self.own(granted);
         if until > now {
@@ -74,7 +99,9 @@
 
     fn take_stop(&mut self, now: Micros, stop: &Value, surroundings: &mut Surroundings) {
         let Some(key) = run_key(stop) else { return };
-        let took = surroundings.chance.between(0, surroundings.bounds.stop_ms * MILLISECOND);
+        let took = surroundings
+            .chance
+            .between(0, surroundings.bounds.stop_ms * MILLISECOND);
         match self.active.get_mut(&key) {
             Some(run) => run.stop_at(now + took),
             None => {
@@ -91,28 +118,63 @@
             self.note_start(now, &text_at(start, 0), 0, spec, saved, surroundings);
             return;
         };
-        let listed = self.finished.iter().any(|end| end.task == key.task && end.attempt == key.attempt);
+        let listed = self
+            .finished
+            .iter()
+            .any(|end| end.task == key.task && end.attempt == key.attempt);
         if self.active.contains_key(&key) || listed {
             return;
         }
-        let stale = self.over.get(&key.task).is_some_and(|highest| key.attempt <= *highest);
-        let asked =
-            surroundings.history.jobs.step_of(&key.task).map(StepDefinition::asked).unwrap_or_default();
+        let stale = self
+            .over
+            .get(&key.task)
+            .is_some_and(|highest| key.attempt <= *highest);
+        let asked = surroundings
+            .history
+            .jobs
+            .step_of(&key.task)
+            .map(StepDefinition::asked)
+            .unwrap_or_default();
         if stale || (self.plan.guards && !self.fits(asked)) {
             self.list_end(now, &key, RunEnd::Refused, saved, surroundings);
             return;
         }
-        let run = Run::start(now, &self.plan, &key.task, key.attempt, &saved, surroundings);
-        self.note_start(now, &key.task.to_string(), key.attempt, spec, saved, surroundings);
+        let run = Run::start(
+            now,
+            &self.plan,
+            &key.task,
+            key.attempt,
+            &saved,
+            surroundings,
+        );
+        self.note_start(
+            now,
+            &key.task.to_string(),
+            key.attempt,
+            spec,
+            saved,
+            surroundings,
+        );
         self.active.insert(key, run);
     }
 
     fn note_start(
-        &self, now: Micros, task: &str, attempt: u64, spec: String, saved: String,
+        &self,
+        now: Micros,
+        task: &str,
+        attempt: u64,
+        spec: String,
+        saved: String,
         surroundings: &mut Surroundings,
     ) {
         let instance = self.instance();
-        let seen = StartSeen { instance, task: task.to_owned(), attempt, spec, saved };
+        let seen = StartSeen {
+            instance,
+            task: task.to_owned(),
+            attempt,
+            spec,
+            saved,
+        };
         surroundings.history.note(now, Sight::Started(seen));
     }
 
@@ -129,11 +191,18 @@
 }
 
 fn items<'a>(answer: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> {
-    answer.get(name).and_then(Value::as_array).into_iter().flatten()
+    answer
+        .get(name)
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
 }
 
 fn text_at(list: &Value, index: usize) -> String {
-    list.get(index).and_then(Value::as_str).unwrap_or_default().to_owned()
+    list.get(index)
+        .and_then(Value::as_str)
+        .unwrap_or_default()
+        .to_owned()
 }
 
 fn run_key(list: &Value) -> Option<RunKey> {
--- a/crates/cluster-sim/src/runner/run.rs
+++ b/crates/cluster-sim/src/runner/run.rs
@@ -13,12 +13,20 @@
 
 /// The checkpoint of a task, or of its gang, after so much work.
 pub fn checkpoint(owner: &str, progress: Micros) -> String {
-    format!("{:0width$}-{owner}", progress / MILLISECOND, width = PROGRESS_DIGITS)
+    format!(
+        "{:0width$}-{owner}",
+        progress / MILLISECOND,
+        width = PROGRESS_DIGITS
+    )
 }
 
 /// How much work a checkpoint holds.
 pub fn progress_of(saved: &str) -> Micros {
-    saved.get(..PROGRESS_DIGITS).and_then(|digits| digits.parse::<u64>().ok()).unwrap_or(0) * MILLISECOND
+    saved
+        .get(..PROGRESS_DIGITS)
+        .and_then(|digits| digits.parse::<u64>().ok())
+        .unwrap_or(0)
+        * MILLISECOND
 }
 
 /// Work that goes on.
@@ -45,17 +53,42 @@
 impl Run {
     /// Starts the work of a task.
     pub fn start(
-        now: Micros, plan: &RunnerPlan, task: &TaskName, attempt: u64, saved: &str,
+        now: Micros,
+        plan: &RunnerPlan,
+        task: &TaskName,
+        attempt: u64,
+        saved: &str,
         surroundings: &mut Surroundings,
     ) -> Run {
-        let job = surroundings.history.jobs.jobs.get(&task.job).cloned().unwrap_or_default();
+        let job = surroundings
+            .history
+            .jobs
+            .jobs
+            .get(&task.job)
+            .cloned()
+            .unwrap_or_default();
         let step = job.step_of(task).cloned().unwrap_or_default();
-        let work = if step.count == 0 { UNKNOWN_WORK } else { step.work };
-        let gang = step.gang.then(|| GangRun { step: task.step_name(), attempt });
-        let owner = if step.gang { format!("{:?}", task.step_name()) } else { task.to_string() };
+        let work = if step.count == 0 {
+            UNKNOWN_WORK
+        } else {
+            step.work
+        };
+        let gang = step.gang.then(|| GangRun {
+            step: task.step_name(),
+            attempt,
+        });
+        let owner = if step.gang {
+            format!("{:?}", task.step_name())
+        } else {
+            task.to_string()
+        };
         let fails = surroundings.chance.happens(job.failing + plan.failing);
         let restored = progress_of(saved).min(work);
-        let restore = if saved.is_empty() { 0 } else { surroundings.bounds.restore_ms * MILLISECOND };
+        let restore = if saved.is_empty() {
+            0
+        } else {
+            surroundings.bounds.restore_ms * MILLISECOND
+        };
         let mut run = Run {
             asked: step.asked(),
             gang,
@@ -77,7 +110,11 @@
         let lasts = run.lasts(fails, surroundings);
         match run.gang.clone() {
             Some(gang) => {
-                let plan = GangPlan { members: step.count, lasts, fails };
+                let plan = GangPlan {
+                    members: step.count,
+                    lasts,
+                    fails,
+                };
                 surroundings.gangs.join(now, &gang, task.index, plan);
             }
             None if job.long_running && !fails => (),
@@ -88,7 +125,11 @@
 
     fn lasts(&self, fails: bool, surroundings: &mut Surroundings) -> Micros {
         let left = (self.work - self.restored) * self.slowness_percent / 100;
-        let part = if fails { surroundings.chance.between(5, 100) } else { 100 };
+        let part = if fails {
+            surroundings.chance.between(5, 100)
+        } else {
+            100
+        };
         (self.restore + left * part / 100).max(MILLISECOND)
     }
 
@@ -99,11 +140,19 @@
 
     /// How it has ended by now.
     pub fn end_by(&self, now: Micros, surroundings: &Surroundings) -> Option<RunEnd> {
-        let own = if self.fails { RunEnd::Failed } else { RunEnd::Done };
+        let own = if self.fails {
+            RunEnd::Failed
+        } else {
+            RunEnd::Done
+        };
         if let Some(gang) = &self.gang {
             let course = surroundings.gangs.course(gang);
             if let Some(course) = course.filter(|course| course.ends <= now) {
-                let failed = if self.index == 0 { RunEnd::Failed } else { RunEnd::Broken };
+                let failed = if self.index == 0 {
+                    RunEnd::Failed
+                } else {
+                    RunEnd::Broken
+                };
                 return Some(if course.fails { failed } else { RunEnd::Done });
             }
             if surroundings.gangs.is_broken(gang) {
@@ -127,7 +176,11 @@
 
     /// The wait for the other members is over; looks at the joint end from now on.
     pub fn follow_gang(&mut self, surroundings: &Surroundings) {
-        if let Some(course) = self.gang.as_ref().and_then(|gang| surroundings.gangs.course(gang)) {
+        if let Some(course) = self
+            .gang
+            .as_ref()
+            .and_then(|gang| surroundings.gangs.course(gang))
+        {
             self.gang_until = course.ends;
         }
     }
@@ -144,7 +197,9 @@
             Some(gang) => surroundings.gangs.course(gang).map(|course| course.from),
             None => Some(self.joined),
         };
-        let Some(from) = from else { return self.restored };
+        let Some(from) = from else {
+            return self.restored;
+        };
         let worked = now.saturating_sub(from + self.restore) * 100 / self.slowness_percent.max(1);
         (self.restored + worked).min(self.work)
     }
--- a/crates/cluster-sim/src/scenario.rs
+++ b/crates/cluster-sim/src/scenario.rs
@@ -107,7 +107,11 @@
 
     /// A day with troubles drawn from the seed.
     pub fn troubled(seed: u64) -> Scenario {
-        Scenario { random_faults: true, lost_answers: 0.1, ..Scenario::calm(seed) }
+        Scenario {
+            random_faults: true,
+            lost_answers: 0.1,
+            ..Scenario::calm(seed)
+        }
     }
 
     /// A troubled day with more work than there is room for at times.
@@ -172,7 +176,12 @@
         let runners = self.runners(&mut chance);
         let operator = Operator::new(self.operator_plan(&mut chance));
         let faults = self.fault_plan(&mut chance);
-        world.begin(runners, Clients::new(workload.plans.clone()), operator, faults);
+        world.begin(
+            runners,
+            Clients::new(workload.plans.clone()),
+            operator,
+            faults,
+        );
         let end = self.traffic_end() + TAIL;
         world.run_until(end);
         world.history().note(end, Sight::DayEnd);
@@ -187,7 +196,11 @@
             (NodeKind::Side, self.side_nodes()),
         ] {
             let placed = nodes.into_iter().enumerate();
-            places.extend(placed.map(|(index, node)| Place { node, kind, zone: index % ZONES }));
+            places.extend(placed.map(|(index, node)| Place {
+                node,
+                kind,
+                zone: index % ZONES,
+            }));
         }
         WorldPlan {
             seed: self.seed,
@@ -249,8 +262,11 @@
     }
 
     fn operator_plan(&self, chance: &mut Chance) -> Vec<Change> {
-        let mut changes =
-            vec![Change { at: SECOND, kind: ChangeKind::Found(first_configuration()), step: 1 }];
+        let mut changes = vec![Change {
+            at: SECOND,
+            kind: ChangeKind::Found(first_configuration()),
+            step: 1,
+        }];
         for number in 0..self.changes {
             let at = chance.between(LEAD, self.traffic_end());
             let patch = draw_patch(chance, number);
@@ -267,19 +283,34 @@
         }
         if let Some(at) = self.final_power_loss {
             let at = LEAD + at - chance.between(0, BEFORE_FINAL_FAULT);
-            changes.push(Change { at, kind: ChangeKind::Patch(draw_patch(chance, self.changes)), step: 1 });
+            changes.push(Change {
+                at,
+                kind: ChangeKind::Patch(draw_patch(chance, self.changes)),
+                step: 1,
+            });
         }
         changes.extend(self.probes(chance));
         let last = self.traffic_end() + TAIL - QUIET / 2;
-        changes.push(Change { at: last, kind: ChangeKind::Read, step: 1 });
+        changes.push(Change {
+            at: last,
+            kind: ChangeKind::Read,
+            step: 1,
+        });
         changes
     }
 
     fn probes(&self, chance: &mut Chance) -> Vec<Change> {
         let probe = |_| {
             let prefix = format!("/extra-{}/", chance.between(0, 4));
-            let kind = ChangeKind::Probe { host: HOST.into(), prefix };
-            Change { at: chance.between(LEAD, self.traffic_end() + TAIL / 2), kind, step: 1 }
+            let kind = ChangeKind::Probe {
+                host: HOST.into(),
+                prefix,
+            };
+            Change {
+                at: chance.between(LEAD, self.traffic_end() + TAIL / 2),
+                kind,
+                step: 1,
+            }
         };
         (0..40).map(probe).collect()
     }
@@ -296,11 +327,19 @@
                 tolerated: self.tolerated as usize,
                 catch_up: (self.bounds.catch_up_s * 1e6) as Micros,
             };
-            faults.extend(random_schedule(chance, &field, LEAD / 2, self.trouble_end()));
+            faults.extend(random_schedule(
+                chance,
+                &field,
+                LEAD / 2,
+                self.trouble_end(),
+            ));
         }
         if let Some(at) = self.final_power_loss {
             let back_after = chance.between(200, 3_000) * MILLISECOND;
-            faults.push(PlannedFault { at: LEAD + at, fault: Fault::FinalPowerLoss { back_after } });
+            faults.push(PlannedFault {
+                at: LEAD + at,
+                fault: Fault::FinalPowerLoss { back_after },
+            });
         }
         faults
     }
--- a/crates/cluster-sim/src/tamper.rs
+++ b/crates/cluster-sim/src/tamper.rs
@@ -18,7 +18,12 @@
 
 impl Default for Tampering {
     fn default() -> Self {
-        Tampering { request: |_| (), reply: |_| (), birth: |_| (), clock_slow_percent: 0 }
+        Tampering {
+            request: |_| (),
+            reply: |_| (),
+            birth: |_| (),
+            clock_slow_percent: 0,
+        }
     }
 }
 
@@ -30,12 +35,20 @@
 impl Tampering {
     /// What the process reads where its machine's clocks show `now`.
     fn slowed(&self, now: Now) -> Now {
-        Now { steady: Time(now.steady.0.saturating_mul(100 - self.clock_slow_percent) / 100), ..now }
+        Now {
+            steady: Time(now.steady.0.saturating_mul(100 - self.clock_slow_percent) / 100),
+            ..now
+        }
     }
 
     /// What its machine's steady clock shows first where the process reads `steady`.
     fn of_machine(&self, steady: Time) -> Time {
-        Time(steady.0.saturating_mul(100).div_ceil(100 - self.clock_slow_percent))
+        Time(
+            steady
+                .0
+                .saturating_mul(100)
+                .div_ceil(100 - self.clock_slow_percent),
+        )
     }
 }
 
@@ -51,7 +64,9 @@
     }
 
     fn next_wake(&self) -> Option<Time> {
-        self.inner.next_wake().map(|steady| self.tampering.of_machine(steady))
+        self.inner
+            .next_wake()
+            .map(|steady| self.tampering.of_machine(steady))
     }
 }
 
--- a/crates/cluster-sim/src/workload.rs
+++ b/crates/cluster-sim/src/workload.rs
@@ -49,25 +49,42 @@
         let job = draw_job(chance, plan, number, submit_at);
         let cancelled = job.long_running || chance.happens(plan.cancelled);
         let cancel_at = cancelled.then(|| submit_at + chance.between(SECOND, 25 * SECOND));
-        let client = JobPlan { job: job.id.clone(), host: HOST.into(), submit_at, cancel_at };
+        let client = JobPlan {
+            job: job.id.clone(),
+            host: HOST.into(),
+            submit_at,
+            cancel_at,
+        };
         workload.plans.push(client);
         workload.book.jobs.insert(job.id.clone(), job);
     }
     workload
 }
 
-fn draw_job(chance: &mut Chance, plan: &WorkloadPlan, number: u64, submit_at: Micros) -> JobDefinition {
+fn draw_job(
+    chance: &mut Chance,
+    plan: &WorkloadPlan,
+    number: u64,
+    submit_at: Micros,
+) -> JobDefinition {
     let queue = &plan.queues[chance.index(plan.queues.len())];
     let mut job = JobDefinition {
         id: format!("{:08x}{:08x}", chance.between(0, 1 << 32), number),
         spec: format!("work of job {number}"),
         prefix: queue.prefix.clone(),
-        failing: if chance.happens(plan.poison) { 1.0 } else { plan.failing },
+        failing: if chance.happens(plan.poison) {
+            1.0
+        } else {
+            plan.failing
+        },
         ..JobDefinition::default()
     };
     if chance.happens(plan.long_running) {
         job.long_running = true;
-        job.steps = vec![StepDefinition { anti_affinity: chance.between(0, 3), ..plain_step(chance) }];
+        job.steps = vec![StepDefinition {
+            anti_affinity: chance.between(0, 3),
+            ..plain_step(chance)
+        }];
     } else if queue.has_gpu && chance.happens(plan.gangs) {
         job.steps = vec![gang_step(chance)];
     } else {
@@ -77,7 +94,8 @@
         job.repeat = chance.between(1, 5);
         job.interval_ms = chance.between(500, 3_000);
         job.first_run_ms =
-            WALL_START_MS + (submit_at / MILLISECOND) as i64 + chance.between(0, 6_000) as i64 - 1_000;
+            WALL_START_MS + (submit_at / MILLISECOND) as i64 + chance.between(0, 6_000) as i64
+                - 1_000;
     }
     job
 }
--- a/crates/cluster-sim/tests/broken.rs
+++ b/crates/cluster-sim/tests/broken.rs
@@ -13,17 +13,28 @@
 use std::collections::BTreeSet;
 
 fn broken_rules(scenario: &Scenario, factories: Factories) -> BTreeSet<Rule> {
-    scenario.run_with(factories).violations.into_iter().map(|violation| violation.rule).collect()
+    scenario
+        .run_with(factories)
+        .violations
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 fn assert_noticed(rule: Rule, scenario: &Scenario, factories: Factories) {
     let rules = broken_rules(scenario, factories);
-    assert!(rules.contains(&rule), "{rule:?} was not noticed, only {rules:?}");
+    assert!(
+        rules.contains(&rule),
+        "{rule:?} was not noticed, only {rules:?}"
+    );
 }
 
 fn with_agents(tampering: Tampering) -> Factories {
     let side: Factory = tamper(real::side(), tampering);
-    Factories { side, ..real::factories() }
+    Factories {
+        side,
+        ..real::factories()
+    }
 }
 
 fn edit(body: &mut Vec<u8>, change: impl FnOnce(&mut Value)) {
@@ -35,7 +46,12 @@
 
 fn rename_ends(request: &mut HttpRequest, from: &str, to: &str) {
     edit(&mut request.body, |beat| {
-        for end in beat.get_mut("finished").and_then(Value::as_array_mut).into_iter().flatten() {
+        for end in beat
+            .get_mut("finished")
+            .and_then(Value::as_array_mut)
+            .into_iter()
+            .flatten()
+        {
             if end[3] == from {
                 end[3] = json!(to);
             }
@@ -45,22 +61,61 @@
 
 #[test]
 fn an_agent_that_extends_holds_for_ever_runs_tasks_twice() {
-    let extend = |reply: &mut HttpReply| edit(&mut reply.body, |answer| answer["hold_ms"] = json!(10_000));
-    let scenario = Scenario { long_running: 0.6, failing: 0.0, poison: 0.0, ..Scenario::calm(3) };
+    let extend =
+        |reply: &mut HttpReply| edit(&mut reply.body, |answer| answer["hold_ms"] = json!(10_000));
+    let scenario = Scenario {
+        long_running: 0.6,
+        failing: 0.0,
+        poison: 0.0,
+        ..Scenario::calm(3)
+    };
     let sides = scenario.side_nodes().into_iter().step_by(2);
-    let cut = |node| PlannedFault { at: 22 * SECOND, fault: Fault::Isolate { node, lasts: 40 * SECOND } };
-    let scenario = Scenario { faults: sides.map(cut).collect(), ..scenario };
-    assert_noticed(Rule::Twice, &scenario, with_agents(Tampering { reply: extend, ..Tampering::default() }));
+    let cut = |node| PlannedFault {
+        at: 22 * SECOND,
+        fault: Fault::Isolate {
+            node,
+            lasts: 40 * SECOND,
+        },
+    };
+    let scenario = Scenario {
+        faults: sides.map(cut).collect(),
+        ..scenario
+    };
+    assert_noticed(
+        Rule::Twice,
+        &scenario,
+        with_agents(Tampering {
+            reply: extend,
+            ..Tampering::default()
+        }),
+    );
 }
 
 #[test]
 fn an_agent_whose_clock_runs_slower_than_clocks_may_runs_tasks_twice() {
-    let scenario = Scenario { long_running: 0.6, failing: 0.0, poison: 0.0, ..Scenario::calm(3) };
+    let scenario = Scenario {
+        long_running: 0.6,
+        failing: 0.0,
+        poison: 0.0,
+        ..Scenario::calm(3)
+    };
     let sides = scenario.side_nodes().into_iter().step_by(2);
-    let cut = |node| PlannedFault { at: 22 * SECOND, fault: Fault::Isolate { node, lasts: 40 * SECOND } };
-    let scenario = Scenario { faults: sides.map(cut).collect(), ..scenario };
+    let cut = |node| PlannedFault {
+        at: 22 * SECOND,
+        fault: Fault::Isolate {
+            node,
+            lasts: 40 * SECOND,
+        },
+    };
+    let scenario = Scenario {
+        faults: sides.map(cut).collect(),
+        ..scenario
+    };
     assert_eq!(broken_rules(&scenario, real::factories()), BTreeSet::new());
-    let slow = Tampering { clock_slow_percent: 15, ..Tampering::default() };
+    let slow = Tampering {
+        clock_slow_percent: 15,
+        ..Tampering::default()
+    };
     assert_noticed(Rule::Twice, &scenario, with_agents(slow));
 }
 
@@ -71,11 +126,18 @@
             beat["capacity"] = json!({"cpu": 900_000, "mem_mb": 9_000_000, "gpu": 90})
         });
     };
-    let scenario = Scenario { jobs: 150, length: 20 * SECOND, ..Scenario::calm(3) };
+    let scenario = Scenario {
+        jobs: 150,
+        length: 20 * SECOND,
+        ..Scenario::calm(3)
+    };
     assert_noticed(
         Rule::Limit,
         &scenario,
-        with_agents(Tampering { request: exaggerate, ..Tampering::default() }),
+        with_agents(Tampering {
+            request: exaggerate,
+            ..Tampering::default()
+        }),
     );
 }
 
@@ -88,11 +150,22 @@
             }
         });
     };
-    let scenario = Scenario { random_faults: false, ..Scenario::pressed(3) };
-    let report = scenario.run_with(with_agents(Tampering { request: hide, ..Tampering::default() }));
-    let traffic_end = report.violations.iter().filter(|violation| violation.at < 40 * SECOND);
+    let scenario = Scenario {
+        random_faults: false,
+        ..Scenario::pressed(3)
+    };
+    let report = scenario.run_with(with_agents(Tampering {
+        request: hide,
+        ..Tampering::default()
+    }));
+    let traffic_end = report
+        .violations
+        .iter()
+        .filter(|violation| violation.at < 40 * SECOND);
     assert!(
-        traffic_end.into_iter().any(|violation| violation.rule == Rule::Lost),
+        traffic_end
+            .into_iter()
+            .any(|violation| violation.rule == Rule::Lost),
         "{:#?}",
         report.violations
     );
@@ -101,8 +174,17 @@
 #[test]
 fn an_agent_that_calls_failures_successes_breaks_the_order_and_mixes_states() {
     let praise = |request: &mut HttpRequest| rename_ends(request, "failed", "done");
-    let scenario = Scenario { failing: 0.3, ..Scenario::calm(3) };
-    let rules = broken_rules(&scenario, with_agents(Tampering { request: praise, ..Tampering::default() }));
+    let scenario = Scenario {
+        failing: 0.3,
+        ..Scenario::calm(3)
+    };
+    let rules = broken_rules(
+        &scenario,
+        with_agents(Tampering {
+            request: praise,
+            ..Tampering::default()
+        }),
+    );
     assert!(rules.contains(&Rule::Order), "{rules:?}");
     assert!(rules.contains(&Rule::Mixed), "{rules:?}");
 }
@@ -110,31 +192,57 @@
 #[test]
 fn an_agent_that_hides_failures_breaks_the_budget() {
     let hide = |request: &mut HttpRequest| rename_ends(request, "failed", "lapsed");
-    let scenario = Scenario { poison: 0.2, jobs: 30, ..Scenario::calm(3) };
-    assert_noticed(Rule::Budget, &scenario, with_agents(Tampering { request: hide, ..Tampering::default() }));
+    let scenario = Scenario {
+        poison: 0.2,
+        jobs: 30,
+        ..Scenario::calm(3)
+    };
+    assert_noticed(
+        Rule::Budget,
+        &scenario,
+        with_agents(Tampering {
+            request: hide,
+            ..Tampering::default()
+        }),
+    );
 }
 
 #[test]
 fn an_agent_that_changes_specs_starts_what_is_unasked() {
     let change = |reply: &mut HttpReply| {
         edit(&mut reply.body, |answer| {
-            for start in answer.get_mut("start").and_then(Value::as_array_mut).into_iter().flatten() {
+            for start in answer
+                .get_mut("start")
+                .and_then(Value::as_array_mut)
+                .into_iter()
+                .flatten()
+            {
                 start[2] = json!("other work");
             }
         });
     };
-    let tampering = Tampering { reply: change, ..Tampering::default() };
+    let tampering = Tampering {
+        reply: change,
+        ..Tampering::default()
+    };
     assert_noticed(Rule::Unasked, &Scenario::calm(3), with_agents(tampering));
 }
 
 #[test]
 fn an_agent_that_drops_stops_lets_cancelled_work_run_on() {
-    let drop_stops = |reply: &mut HttpReply| edit(&mut reply.body, |answer| answer["stop"] = json!([]));
-    let scenario = Scenario { long_running: 0.5, ..Scenario::calm(3) };
+    let drop_stops =
+        |reply: &mut HttpReply| edit(&mut reply.body, |answer| answer["stop"] = json!([]));
+    let scenario = Scenario {
+        long_running: 0.5,
+        ..Scenario::calm(3)
+    };
     assert_noticed(
         Rule::Unasked,
         &scenario,
-        with_agents(Tampering { reply: drop_stops, ..Tampering::default() }),
+        with_agents(Tampering {
+            reply: drop_stops,
+            ..Tampering::default()
+        }),
     );
 }
 
@@ -147,30 +255,77 @@
             reply.status = 503;
         }
     };
-    let frontend = tamper(real::frontend(), Tampering { reply: refuse, ..Tampering::default() });
-    assert_noticed(Rule::Refused, &Scenario::calm(3), Factories { frontend, ..real::factories() });
+    let frontend = tamper(
+        real::frontend(),
+        Tampering {
+            reply: refuse,
+            ..Tampering::default()
+        },
+    );
+    assert_noticed(
+        Rule::Refused,
+        &Scenario::calm(3),
+        Factories {
+            frontend,
+            ..real::factories()
+        },
+    );
 }
 
 #[test]
 fn a_core_that_forgets_its_disks_loses_jobs_and_configurations() {
     let forget = |birth: &mut Birth| birth.image = DiskImage::default();
-    let core = tamper(real::core(), Tampering { birth: forget, ..Tampering::default() });
+    let core = tamper(
+        real::core(),
+        Tampering {
+            birth: forget,
+            ..Tampering::default()
+        },
+    );
     let scenario = Scenario::calm(3);
     let nodes = scenario.core_nodes();
-    let fault = Fault::PowerLossMany { nodes, back_after: 2 * SECOND };
-    let scenario = Scenario { faults: vec![PlannedFault { at: 30 * SECOND, fault }], ..scenario };
-    let rules = broken_rules(&scenario, Factories { core, ..real::factories() });
+    let fault = Fault::PowerLossMany {
+        nodes,
+        back_after: 2 * SECOND,
+    };
+    let scenario = Scenario {
+        faults: vec![PlannedFault {
+            at: 30 * SECOND,
+            fault,
+        }],
+        ..scenario
+    };
+    let rules = broken_rules(
+        &scenario,
+        Factories {
+            core,
+            ..real::factories()
+        },
+    );
     assert!(rules.contains(&Rule::Lost), "{rules:?}");
     assert!(rules.contains(&Rule::Config), "{rules:?}");
 }
 
 /// A day on which three of five core machines are gone for good, one after another.
 fn most_of_the_core_replaced() -> Scenario {
-    let scenario = Scenario { changes: 12, ..Scenario::calm(3) };
-    let pairs = scenario.core_nodes().into_iter().zip(scenario.successor_nodes());
+    let scenario = Scenario {
+        changes: 12,
+        ..Scenario::calm(3)
+    };
+    let pairs = scenario
+        .core_nodes()
+        .into_iter()
+        .zip(scenario.successor_nodes());
     let replace = |(number, (node, successor)): (u64, (NodeId, NodeId))| {
-        let fault = Fault::ReplaceCore { node, successor, successor_after: SECOND };
-        PlannedFault { at: (12 + 8 * number) * SECOND, fault }
+        let fault = Fault::ReplaceCore {
+            node,
+            successor,
+            successor_after: SECOND,
+        };
+        PlannedFault {
+            at: (12 + 8 * number) * SECOND,
+            fault,
+        }
     };
     let faults = (0..3).zip(pairs).map(replace).collect();
     Scenario { faults, ..scenario }
@@ -188,8 +343,21 @@
             birth.seeds.clear();
         }
     };
-    let core = tamper(real::core(), Tampering { birth: strand, ..Tampering::default() });
-    assert_noticed(Rule::Lost, &most_of_the_core_replaced(), Factories { core, ..real::factories() });
+    let core = tamper(
+        real::core(),
+        Tampering {
+            birth: strand,
+            ..Tampering::default()
+        },
+    );
+    assert_noticed(
+        Rule::Lost,
+        &most_of_the_core_replaced(),
+        Factories {
+            core,
+            ..real::factories()
+        },
+    );
 }
 
 #[test]
@@ -200,16 +368,45 @@
             birth.bootstrap = true;
         }
     };
-    let core = tamper(real::core(), Tampering { birth: found, ..Tampering::default() });
-    assert_noticed(Rule::Config, &most_of_the_core_replaced(), Factories { core, ..real::factories() });
+    let core = tamper(
+        real::core(),
+        Tampering {
+            birth: found,
+            ..Tampering::default()
+        },
+    );
+    assert_noticed(
+        Rule::Config,
+        &most_of_the_core_replaced(),
+        Factories {
+            core,
+            ..real::factories()
+        },
+    );
 }
 
 #[test]
 fn a_core_that_forgets_its_disks_does_not_recover() {
     let forget = |birth: &mut Birth| birth.image = DiskImage::default();
-    let core = tamper(real::core(), Tampering { birth: forget, ..Tampering::default() });
-    let scenario = Scenario { random_faults: false, ..Scenario::recovering(3) };
-    assert_noticed(Rule::Recover, &scenario, Factories { core, ..real::factories() });
+    let core = tamper(
+        real::core(),
+        Tampering {
+            birth: forget,
+            ..Tampering::default()
+        },
+    );
+    let scenario = Scenario {
+        random_faults: false,
+        ..Scenario::recovering(3)
+    };
+    assert_noticed(
+        Rule::Recover,
+        &scenario,
+        Factories {
+            core,
+            ..real::factories()
+        },
+    );
 }
 
 #[test]
@@ -219,9 +416,25 @@
             birth.seeds.clear();
         }
     };
-    let frontend = tamper(real::frontend(), Tampering { birth: strand, ..Tampering::default() });
-    let scenario = Scenario { random_faults: false, ..Scenario::recovering(3) };
-    assert_noticed(Rule::Recover, &scenario, Factories { frontend, ..real::factories() });
+    let frontend = tamper(
+        real::frontend(),
+        Tampering {
+            birth: strand,
+            ..Tampering::default()
+        },
+    );
+    let scenario = Scenario {
+        random_faults: false,
+        ..Scenario::recovering(3)
+    };
+    assert_noticed(
+        Rule::Recover,
+        &scenario,
+        Factories {
+            frontend,
+            ..real::factories()
+        },
+    );
 }
 
 /// A day on which some agent's machine is in trouble at any time.
@@ -229,8 +442,14 @@
     let scenario = Scenario::calm(3);
     let sides = scenario.side_nodes().into_iter().cycle();
     let freeze = |(number, node): (u64, NodeId)| {
-        let fault = Fault::Freeze { node, lasts: SECOND };
-        PlannedFault { at: 5 * number * SECOND, fault }
+        let fault = Fault::Freeze {
+            node,
+            lasts: SECOND,
+        };
+        PlannedFault {
+            at: 5 * number * SECOND,
+            fault,
+        }
     };
     let faults = (0..22).zip(sides).map(freeze).collect();
     Scenario { faults, ..scenario }
@@ -245,8 +464,21 @@
     };
     let scenario = troubled_elsewhere();
     assert_eq!(broken_rules(&scenario, real::factories()), BTreeSet::new());
-    let frontend = tamper(real::frontend(), Tampering { reply: deny, ..Tampering::default() });
-    assert_noticed(Rule::Config, &scenario, Factories { frontend, ..real::factories() });
+    let frontend = tamper(
+        real::frontend(),
+        Tampering {
+            reply: deny,
+            ..Tampering::default()
+        },
+    );
+    assert_noticed(
+        Rule::Config,
+        &scenario,
+        Factories {
+            frontend,
+            ..real::factories()
+        },
+    );
 }
 
 #[test]
@@ -256,7 +488,23 @@
             reply.status = 200;
         }
     };
-    let core = tamper(real::core(), Tampering { reply: praise, ..Tampering::default() });
-    let scenario = Scenario { changes: 20, ..Scenario::calm(3) };
-    assert_noticed(Rule::Config, &scenario, Factories { core, ..real::factories() });
+    let core = tamper(
+        real::core(),
+        Tampering {
+            reply: praise,
+            ..Tampering::default()
+        },
+    );
+    let scenario = Scenario {
+        changes: 20,
+        ..Scenario::calm(3)
+    };
+    assert_noticed(
+        Rule::Config,
+        &scenario,
+        Factories {
+            core,
+            ..real::factories()
+        },
+    );
 }
--- a/crates/cluster-sim/tests/checker_histories.rs
+++ b/crates/cluster-sim/tests/checker_histories.rs
@@ -14,14 +14,26 @@
 const JOB: &str = "00000000000000aa";
 
 fn configuration(version: u64) -> Configuration {
-    let mut made = Configuration { version, ..Configuration::default() };
+    let mut made = Configuration {
+        version,
+        ..Configuration::default()
+    };
     made.services.insert("s".into(), false);
-    made.put_route(RouteItem { max_attempts: 2, ..RouteItem::new("r", "h", "/q/", "s") });
+    made.put_route(RouteItem {
+        max_attempts: 2,
+        ..RouteItem::new("r", "h", "/q/", "s")
+    });
     made
 }
 
 fn order(number: usize, base: u64, version: u64) -> OrderSeen {
-    OrderSeen { order: number, base, version, valid: true, content: Some(configuration(version)) }
+    OrderSeen {
+        order: number,
+        base,
+        version,
+        valid: true,
+        content: Some(configuration(version)),
+    }
 }
 
 fn limits(all_must_finish: bool) -> Limits {
@@ -36,7 +48,10 @@
 
 /// The machine of a runner.
 fn machine(instance: &str) -> NodeId {
-    NodeId { ip: u32::from(instance.as_bytes()[0]), port: 1 }
+    NodeId {
+        ip: u32::from(instance.as_bytes()[0]),
+        port: 1,
+    }
 }
 
 /// A day on which the job was accepted at 10 s, with a configuration and two runners.
@@ -48,9 +63,19 @@
         history.jobs.jobs.insert(job.id.clone(), job);
         let mut day = Day(history);
         day.at(1.0, Sight::OrderSent(order(0, 0, 1)));
-        day.at(1.1, Sight::OrderAnswered { order: 0, answer: Answer::Status(200) });
+        day.at(
+            1.1,
+            Sight::OrderAnswered {
+                order: 0,
+                answer: Answer::Status(200),
+            },
+        );
         for instance in ["a", "b"] {
-            let capacity = Resources { cpu: 1_000, mem_mb: 1_000, gpu: 0 };
+            let capacity = Resources {
+                cpu: 1_000,
+                mem_mb: 1_000,
+                gpu: 0,
+            };
             let labels = vec!["good".to_owned()];
             let facts = RunnerFacts {
                 instance: instance.into(),
@@ -76,38 +101,88 @@
     }
 
     fn trouble(&mut self, seconds: f64, until_second: u64, reach: Reach) {
-        self.at(seconds, Sight::Trouble { until: until_second * SECOND, what: "Kill".into(), reach });
+        self.at(
+            seconds,
+            Sight::Trouble {
+                until: until_second * SECOND,
+                what: "Kill".into(),
+                reach,
+            },
+        );
     }
 
     fn submit(&mut self, seconds: f64, answer: Answer) {
         self.at(seconds, Sight::SubmitSent { job: JOB.into() });
-        self.at(seconds, Sight::SubmitAnswered { job: JOB.into(), answer });
+        self.at(
+            seconds,
+            Sight::SubmitAnswered {
+                job: JOB.into(),
+                answer,
+            },
+        );
     }
 
     fn start(&mut self, seconds: f64, instance: &str, task: &str, attempt: u64) {
         let task = format!("{JOB}.{task}");
-        let seen =
-            StartSeen { instance: instance.into(), task, attempt, spec: "work".into(), saved: String::new() };
+        let seen = StartSeen {
+            instance: instance.into(),
+            task,
+            attempt,
+            spec: "work".into(),
+            saved: String::new(),
+        };
         self.at(seconds, Sight::Started(seen));
     }
 
-    fn end(&mut self, seconds: f64, instance: &str, task: &str, attempt: u64, number: u64, end: RunEnd) {
+    fn end(
+        &mut self,
+        seconds: f64,
+        instance: &str,
+        task: &str,
+        attempt: u64,
+        number: u64,
+        end: RunEnd,
+    ) {
         let task = TaskName::parse(&format!("{JOB}.{task}")).expect("a task's name");
-        let seen = EndSeen { instance: instance.into(), number, task, attempt, end, saved: String::new() };
+        let seen = EndSeen {
+            instance: instance.into(),
+            number,
+            task,
+            attempt,
+            end,
+            saved: String::new(),
+        };
         self.at(seconds, Sight::Ended(seen));
     }
 
     fn observed(&mut self, seconds: f64, instance: &str, number: u64) {
-        self.at(seconds, Sight::Observed { instance: instance.into(), number });
+        self.at(
+            seconds,
+            Sight::Observed {
+                instance: instance.into(),
+                number,
+            },
+        );
     }
 
     fn read(&mut self, seconds: f64, state: ShownState) {
         let sent = (seconds * SECOND as f64) as Micros;
-        self.at(seconds, Sight::StateRead { job: JOB.into(), sent, gateway: NodeId::default(), state });
+        self.at(
+            seconds,
+            Sight::StateRead {
+                job: JOB.into(),
+                sent,
+                gateway: NodeId::default(),
+                state,
+            },
+        );
     }
 
     fn rules(&self) -> BTreeSet<Rule> {
-        check(&self.0, limits(true)).into_iter().map(|violation| violation.rule).collect()
+        check(&self.0, limits(true))
+            .into_iter()
+            .map(|violation| violation.rule)
+            .collect()
     }
 
     fn breaks(&self, rule: Rule) {
@@ -120,7 +195,13 @@
 }
 
 fn step(count: u64) -> StepDefinition {
-    StepDefinition { count, cpu: 600, mem_mb: 10, work: SECOND, ..StepDefinition::default() }
+    StepDefinition {
+        count,
+        cpu: 600,
+        mem_mb: 10,
+        work: SECOND,
+        ..StepDefinition::default()
+    }
 }
 
 fn job(steps: Vec<StepDefinition>) -> JobDefinition {
@@ -135,7 +216,10 @@
 
 #[test]
 fn a_day_that_keeps_all_rules_is_not_accused() {
-    let dependent = StepDefinition { depends_on: vec![0], ..step(1) };
+    let dependent = StepDefinition {
+        depends_on: vec![0],
+        ..step(1)
+    };
     let mut day = Day::accepted(job(vec![step(1), dependent]));
     day.start(11.0, "a", "0.0.0", 1);
     day.end(12.0, "a", "0.0.0", 1, 1, RunEnd::Failed);
@@ -146,7 +230,13 @@
     day.observed(13.3, "b", 1);
     day.end(14.0, "b", "0.1.0", 1, 2, RunEnd::Done);
     day.read(15.0, ShownState::Completed);
-    day.at(60.0, Sight::ConfigRead { sent: 59 * SECOND, content: Some(configuration(1)) });
+    day.at(
+        60.0,
+        Sight::ConfigRead {
+            sent: 59 * SECOND,
+            content: Some(configuration(1)),
+        },
+    );
     day.at(70.0, Sight::DayEnd);
     day.keeps_all();
 }
@@ -161,7 +251,10 @@
 
 #[test]
 fn speculative_runs_at_once_are_allowed() {
-    let mut day = Day::accepted(job(vec![StepDefinition { speculative: true, ..step(1) }]));
+    let mut day = Day::accepted(job(vec![StepDefinition {
+        speculative: true,
+        ..step(1)
+    }]));
     day.start(11.0, "a", "0.0.0", 1);
     day.start(11.5, "b", "0.0.0", 2);
     day.keeps_all();
@@ -183,7 +276,12 @@
     let mut day = Day::accepted(job(vec![step(1)]));
     day.start(11.0, "a", "0.0.0", 1);
     day.end(12.0, "a", "0.0.0", 1, 1, RunEnd::Done);
-    day.at(12.2, Sight::HoldLapsed { instance: "a".into() });
+    day.at(
+        12.2,
+        Sight::HoldLapsed {
+            instance: "a".into(),
+        },
+    );
     day.start(12.5, "b", "0.0.0", 2);
     day.observed(13.0, "a", 1);
     day.keeps_all();
@@ -209,7 +307,10 @@
 
 #[test]
 fn a_step_before_the_earlier_one_breaks_the_order() {
-    let dependent = StepDefinition { depends_on: vec![0], ..step(1) };
+    let dependent = StepDefinition {
+        depends_on: vec![0],
+        ..step(1)
+    };
     let mut day = Day::accepted(job(vec![step(1), dependent]));
     day.start(11.0, "a", "0.0.0", 1);
     day.start(11.5, "b", "0.1.0", 1);
@@ -218,7 +319,11 @@
 
 #[test]
 fn a_start_before_its_time_breaks_the_order() {
-    let timed = JobDefinition { repeat: 2, first_run_ms: WALL_START_MS + 20_000, ..job(vec![step(1)]) };
+    let timed = JobDefinition {
+        repeat: 2,
+        first_run_ms: WALL_START_MS + 20_000,
+        ..job(vec![step(1)])
+    };
     let mut day = Day::accepted(timed);
     day.start(19.8, "a", "0.0.0", 1);
     day.keeps_all();
@@ -251,7 +356,13 @@
 fn a_start_after_the_cancelling_is_unasked() {
     let mut day = Day::accepted(job(vec![step(1)]));
     day.at(11.0, Sight::CancelSent { job: JOB.into() });
-    day.at(11.1, Sight::CancelAnswered { job: JOB.into(), answer: Answer::Status(200) });
+    day.at(
+        11.1,
+        Sight::CancelAnswered {
+            job: JOB.into(),
+            answer: Answer::Status(200),
+        },
+    );
     day.start(14.0, "a", "0.0.0", 1);
     day.end(14.5, "a", "0.0.0", 1, 1, RunEnd::Stopped);
     day.keeps_all();
@@ -264,19 +375,34 @@
     let mut day = Day::accepted(job(vec![step(1)]));
     day.start(11.0, "a", "0.0.0", 1);
     day.at(11.0, Sight::CancelSent { job: JOB.into() });
-    day.at(11.1, Sight::CancelAnswered { job: JOB.into(), answer: Answer::Status(200) });
+    day.at(
+        11.1,
+        Sight::CancelAnswered {
+            job: JOB.into(),
+            answer: Answer::Status(200),
+        },
+    );
     day.end(16.0, "a", "0.0.0", 1, 1, RunEnd::Done);
     day.breaks(Rule::Unasked);
 }
 
 #[test]
 fn another_jobs_checkpoint_is_unasked() {
-    let mut day = Day::accepted(job(vec![StepDefinition { checkpoints: true, ..step(1) }]));
+    let mut day = Day::accepted(job(vec![StepDefinition {
+        checkpoints: true,
+        ..step(1)
+    }]));
     let saved = "0000000100-00000000000000bb.0.0.0".to_owned();
     let task = format!("{JOB}.0.0.0");
     day.at(
         11.0,
-        Sight::Started(StartSeen { instance: "a".into(), task, attempt: 1, spec: "work".into(), saved }),
+        Sight::Started(StartSeen {
+            instance: "a".into(),
+            task,
+            attempt: 1,
+            spec: "work".into(),
+            saved,
+        }),
     );
     day.breaks(Rule::Unasked);
 }
@@ -332,17 +458,30 @@
         let mut day = Day::accepted(job(vec![step(1)]));
         day.trouble(12.0, 13, reach.clone());
         day.read(read_at, ShownState::Gone);
-        let expected = if excused { BTreeSet::new() } else { BTreeSet::from([Rule::Lost]) };
+        let expected = if excused {
+            BTreeSet::new()
+        } else {
+            BTreeSet::from([Rule::Lost])
+        };
         assert_eq!(day.rules(), expected, "{reach:?} at {read_at}");
     }
 }
 
 #[test]
 fn a_start_after_the_cancelling_is_excused_by_trouble_of_its_machine_alone() {
-    for (troubled, expected) in [("a", BTreeSet::new()), ("b", BTreeSet::from([Rule::Unasked]))] {
+    for (troubled, expected) in [
+        ("a", BTreeSet::new()),
+        ("b", BTreeSet::from([Rule::Unasked])),
+    ] {
         let mut day = Day::accepted(job(vec![step(1)]));
         day.at(12.0, Sight::CancelSent { job: JOB.into() });
-        day.at(12.0, Sight::CancelAnswered { job: JOB.into(), answer: Answer::Status(200) });
+        day.at(
+            12.0,
+            Sight::CancelAnswered {
+                job: JOB.into(),
+                answer: Answer::Status(200),
+            },
+        );
         day.trouble(15.0, 16, Reach::Machines(vec![machine(troubled)]));
         day.start(16.0, "a", "0.0.0", 1);
         day.end(16.5, "a", "0.0.0", 1, 1, RunEnd::Stopped);
@@ -363,7 +502,13 @@
 fn a_job_that_never_ends_is_lost() {
     let mut day = Day::accepted(job(vec![step(1)]));
     day.read(13.0, ShownState::Queued);
-    day.at(60.0, Sight::ConfigRead { sent: 59 * SECOND, content: Some(configuration(1)) });
+    day.at(
+        60.0,
+        Sight::ConfigRead {
+            sent: 59 * SECOND,
+            content: Some(configuration(1)),
+        },
+    );
     day.at(90.0, Sight::DayEnd);
     day.breaks(Rule::Lost);
 }
@@ -373,11 +518,19 @@
     let limits = limits(false);
     for (cpu, broken) in [(400, 1), (1_200, 0)] {
         let mut day = Day::accepted(job(vec![StepDefinition { cpu, ..step(1) }]));
-        day.at(60.0, Sight::ConfigRead { sent: 59 * SECOND, content: Some(configuration(1)) });
+        day.at(
+            60.0,
+            Sight::ConfigRead {
+                sent: 59 * SECOND,
+                content: Some(configuration(1)),
+            },
+        );
         day.at(90.0, Sight::DayEnd);
         let violations = check(&day.0, limits);
         assert_eq!(violations.len(), broken, "{violations:?}");
-        assert!(violations.iter().all(|violation| violation.rule == Rule::Lost));
+        assert!(violations
+            .iter()
+            .all(|violation| violation.rule == Rule::Lost));
     }
 }
 
@@ -392,7 +545,10 @@
 
 #[test]
 fn a_member_that_waited_in_vain_breaks_the_gang() {
-    let mut day = Day::accepted(job(vec![StepDefinition { gang: true, ..step(2) }]));
+    let mut day = Day::accepted(job(vec![StepDefinition {
+        gang: true,
+        ..step(2)
+    }]));
     day.start(11.0, "a", "0.0.0", 1);
     day.end(14.0, "a", "0.0.0", 1, 1, RunEnd::Alone);
     day.breaks(Rule::Gang);
@@ -400,14 +556,21 @@
 
 #[test]
 fn a_runner_without_the_label_breaks_the_route() {
-    let mut day = Day::accepted(job(vec![StepDefinition { constraints: "other".into(), ..step(1) }]));
+    let mut day = Day::accepted(job(vec![StepDefinition {
+        constraints: "other".into(),
+        ..step(1)
+    }]));
     day.start(11.0, "a", "0.0.0", 1);
     day.breaks(Rule::Route);
 }
 
 #[test]
 fn too_many_of_a_step_on_one_runner_break_the_route() {
-    let mut day = Day::accepted(job(vec![StepDefinition { anti_affinity: 1, cpu: 100, ..step(2) }]));
+    let mut day = Day::accepted(job(vec![StepDefinition {
+        anti_affinity: 1,
+        cpu: 100,
+        ..step(2)
+    }]));
     day.start(11.0, "a", "0.0.0", 1);
     day.start(11.2, "a", "0.0.1", 1);
     day.breaks(Rule::Route);
@@ -416,7 +579,12 @@
 #[test]
 fn a_start_on_a_runner_that_drains_is_accused() {
     let mut day = Day::accepted(job(vec![step(1)]));
-    day.at(10.5, Sight::DrainAcknowledged { instance: "a".into() });
+    day.at(
+        10.5,
+        Sight::DrainAcknowledged {
+            instance: "a".into(),
+        },
+    );
     day.start(13.0, "a", "0.0.0", 1);
     day.breaks(Rule::Drain);
 }
@@ -426,7 +594,13 @@
     let mut day = Day::new(job(vec![step(1)]));
     for (number, version) in [(1, 2), (2, 3)] {
         day.at(11.0, Sight::OrderSent(order(number, 1, version)));
-        day.at(11.5, Sight::OrderAnswered { order: number, answer: Answer::Status(200) });
+        day.at(
+            11.5,
+            Sight::OrderAnswered {
+                order: number,
+                answer: Answer::Status(200),
+            },
+        );
     }
     day.breaks(Rule::Config);
 }
@@ -434,15 +608,36 @@
 #[test]
 fn an_acknowledged_change_that_is_refused_again_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
-    day.at(12.0, Sight::OrderAnswered { order: 0, answer: Answer::Status(412) });
+    day.at(
+        12.0,
+        Sight::OrderAnswered {
+            order: 0,
+            answer: Answer::Status(412),
+        },
+    );
     day.breaks(Rule::Config);
 }
 
 #[test]
 fn an_acknowledged_invalid_change_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
-    day.at(11.0, Sight::OrderSent(OrderSeen { order: 1, base: 1, version: 2, valid: false, content: None }));
-    day.at(11.5, Sight::OrderAnswered { order: 1, answer: Answer::Status(200) });
+    day.at(
+        11.0,
+        Sight::OrderSent(OrderSeen {
+            order: 1,
+            base: 1,
+            version: 2,
+            valid: false,
+            content: None,
+        }),
+    );
+    day.at(
+        11.5,
+        Sight::OrderAnswered {
+            order: 1,
+            answer: Answer::Status(200),
+        },
+    );
     day.breaks(Rule::Config);
 }
 
@@ -450,8 +645,20 @@
 fn an_older_read_back_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
     day.at(11.0, Sight::OrderSent(order(1, 1, 2)));
-    day.at(11.5, Sight::OrderAnswered { order: 1, answer: Answer::Status(200) });
-    day.at(60.0, Sight::ConfigRead { sent: 59 * SECOND, content: Some(configuration(1)) });
+    day.at(
+        11.5,
+        Sight::OrderAnswered {
+            order: 1,
+            answer: Answer::Status(200),
+        },
+    );
+    day.at(
+        60.0,
+        Sight::ConfigRead {
+            sent: 59 * SECOND,
+            content: Some(configuration(1)),
+        },
+    );
     day.at(70.0, Sight::DayEnd);
     day.breaks(Rule::Config);
 }
@@ -460,8 +667,20 @@
 fn a_refused_change_in_force_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
     day.at(11.0, Sight::OrderSent(order(1, 1, 2)));
-    day.at(11.5, Sight::OrderAnswered { order: 1, answer: Answer::Status(412) });
-    day.at(12.0, Sight::ConfigRead { sent: 11 * SECOND, content: Some(configuration(2)) });
+    day.at(
+        11.5,
+        Sight::OrderAnswered {
+            order: 1,
+            answer: Answer::Status(412),
+        },
+    );
+    day.at(
+        12.0,
+        Sight::ConfigRead {
+            sent: 11 * SECOND,
+            content: Some(configuration(2)),
+        },
+    );
     day.breaks(Rule::Config);
 }
 
@@ -483,16 +702,27 @@
 #[test]
 fn a_job_that_stands_still_while_others_come_is_lost() {
     for (started, broken) in [(20.0, 0), (30.0, 1)] {
-        let mut day = Day::accepted(job(vec![StepDefinition { cpu: 400, ..step(1) }]));
+        let mut day = Day::accepted(job(vec![StepDefinition {
+            cpu: 400,
+            ..step(1)
+        }]));
         day.start(started, "a", "0.0.0", 1);
         day.end(started + 1.0, "a", "0.0.0", 1, 1, RunEnd::Done);
         day.read(started + 2.0, ShownState::Completed);
         day.at(35.0, Sight::SubmitSent { job: "last".into() });
-        day.at(60.0, Sight::ConfigRead { sent: 59 * SECOND, content: Some(configuration(1)) });
+        day.at(
+            60.0,
+            Sight::ConfigRead {
+                sent: 59 * SECOND,
+                content: Some(configuration(1)),
+            },
+        );
         day.at(90.0, Sight::DayEnd);
         let violations = check(&day.0, limits(false));
         assert_eq!(violations.len(), broken, "{violations:?}");
-        assert!(violations.iter().all(|violation| violation.rule == Rule::Lost));
+        assert!(violations
+            .iter()
+            .all(|violation| violation.rule == Rule::Lost));
     }
 }
 
@@ -502,14 +732,23 @@
         let mut day = Day::accepted(job(vec![step(1)]));
         day.at(20.0, Sight::FinalFault { back: 22 * SECOND });
         // Sent before the recovery is over.
-        day.at(33.0, Sight::SubmitSent { job: "early".into() });
+        day.at(
+            33.0,
+            Sight::SubmitSent {
+                job: "early".into(),
+            },
+        );
         for number in 0..8 {
             let job = format!("late-{number}");
             day.at(35.0, Sight::SubmitSent { job: job.clone() });
             let answer = Answer::Status(if number < served { 200 } else { 503 });
             day.at(37.0, Sight::SubmitAnswered { job, answer });
         }
-        let expected = if broken { BTreeSet::from([Rule::Recover]) } else { BTreeSet::new() };
+        let expected = if broken {
+            BTreeSet::from([Rule::Recover])
+        } else {
+            BTreeSet::new()
+        };
         assert_eq!(day.rules(), expected, "{served}");
     }
 }
@@ -519,6 +758,12 @@
     let mut day = Day::accepted(job(vec![step(1)]));
     day.at(20.0, Sight::FinalFault { back: 22 * SECOND });
     day.at(35.0, Sight::SubmitSent { job: "late".into() });
-    day.at(39.0, Sight::SubmitAnswered { job: "late".into(), answer: Answer::Status(200) });
+    day.at(
+        39.0,
+        Sight::SubmitAnswered {
+            job: "late".into(),
+            answer: Answer::Status(200),
+        },
+    );
     day.breaks(Rule::Recover);
 }
--- a/crates/cluster-sim/tests/days.rs
+++ b/crates/cluster-sim/tests/days.rs
@@ -17,12 +17,20 @@
 fn assert_keeps_all(seed: u64, report: &Report) {
     let broken: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
     assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-    assert!(report.codec_faults.is_empty(), "seed {seed}: {:#?}", report.codec_faults);
+    assert!(
+        report.codec_faults.is_empty(),
+        "seed {seed}: {:#?}",
+        report.codec_faults
+    );
 }
 
 #[test]
 fn a_calm_day_completes_all_jobs() {
-    let scenario = Scenario { failing: 0.0, poison: 0.0, ..Scenario::calm(7) };
+    let scenario = Scenario {
+        failing: 0.0,
+        poison: 0.0,
+        ..Scenario::calm(7)
+    };
     let report = scenario.run();
     assert_keeps_all(7, &report);
     assert_eq!(report.accepted, report.submitted);
@@ -54,7 +62,9 @@
 }
 
 fn asked_seeds() -> RangeInclusive<u64> {
-    let asked = std::env::var(SEEDS_VARIABLE).ok().and_then(|count| count.parse().ok());
+    let asked = std::env::var(SEEDS_VARIABLE)
+        .ok()
+        .and_then(|count| count.parse().ok());
     1..=asked.unwrap_or(USUAL_SEEDS)
 }
 
@@ -66,7 +76,10 @@
 #[test]
 fn no_job_stands_still_on_pressed_days() {
     assert_all_keep_all(asked_seeds(), Scenario::pressed);
-    assert_all_keep_all(1..=4, |seed| Scenario { random_faults: false, ..Scenario::pressed(seed) });
+    assert_all_keep_all(1..=4, |seed| Scenario {
+        random_faults: false,
+        ..Scenario::pressed(seed)
+    });
 }
 
 #[test]
@@ -76,13 +89,27 @@
 
 /// Each second core machine in turn, planned and not.
 fn replacements(scenario: &Scenario) -> Vec<PlannedFault> {
-    let pairs = scenario.core_nodes().into_iter().zip(scenario.successor_nodes());
+    let pairs = scenario
+        .core_nodes()
+        .into_iter()
+        .zip(scenario.successor_nodes());
     let replace = |(number, (node, successor)): (u64, (NodeId, NodeId))| {
         let fault = match number % 2 {
-            0 => Fault::ReplaceCore { node, successor, successor_after: SECOND },
-            _ => Fault::ReplaceCorePlanned { node, successor, overlap: SECOND },
+            0 => Fault::ReplaceCore {
+                node,
+                successor,
+                successor_after: SECOND,
+            },
+            _ => Fault::ReplaceCorePlanned {
+                node,
+                successor,
+                overlap: SECOND,
+            },
         };
-        PlannedFault { at: (12 + 8 * number) * SECOND, fault }
+        PlannedFault {
+            at: (12 + 8 * number) * SECOND,
+            fault,
+        }
     };
     (0..).zip(pairs).map(replace).collect()
 }
@@ -90,8 +117,16 @@
 #[test]
 fn the_whole_core_is_replaced_machine_by_machine() {
     for seed in 1..=6 {
-        let scenario = Scenario { length: 45 * SECOND, changes: 12, ..Scenario::calm(seed) };
-        let report = Scenario { faults: replacements(&scenario), ..scenario }.run();
+        let scenario = Scenario {
+            length: 45 * SECOND,
+            changes: 12,
+            ..Scenario::calm(seed)
+        };
+        let report = Scenario {
+            faults: replacements(&scenario),
+            ..scenario
+        }
+        .run();
         assert_keeps_all(seed, &report);
         assert_eq!(report.accepted, report.submitted, "seed {seed}");
     }
@@ -100,29 +135,52 @@
 #[test]
 fn due_times_are_kept_while_clocks_drift() {
     for seed in 1..=6 {
-        let scenario =
-            Scenario { repeated: 0.8, long_running: 0.0, length: 40 * SECOND, ..Scenario::calm(seed) };
+        let scenario = Scenario {
+            repeated: 0.8,
+            long_running: 0.0,
+            length: 40 * SECOND,
+            ..Scenario::calm(seed)
+        };
         assert_keeps_all(seed, &scenario.run());
     }
 }
 
 #[test]
 fn due_times_survive_the_restart_of_the_whole_core() {
-    let scenario = Scenario { repeated: 0.8, long_running: 0.0, cancelled: 0.0, ..Scenario::calm(5) };
+    let scenario = Scenario {
+        repeated: 0.8,
+        long_running: 0.0,
+        cancelled: 0.0,
+        ..Scenario::calm(5)
+    };
     let nodes = scenario.core_nodes();
     let kill = |second: u64| {
-        let fault = Fault::KillMany { nodes: nodes.clone(), back_after: 400 * MILLISECOND };
-        PlannedFault { at: second * SECOND, fault }
+        let fault = Fault::KillMany {
+            nodes: nodes.clone(),
+            back_after: 400 * MILLISECOND,
+        };
+        PlannedFault {
+            at: second * SECOND,
+            fault,
+        }
+    };
+    let scenario = Scenario {
+        faults: [18, 26, 34].into_iter().map(kill).collect(),
+        ..scenario
     };
-    let scenario = Scenario { faults: [18, 26, 34].into_iter().map(kill).collect(), ..scenario };
     assert_keeps_all(5, &scenario.run());
 }
 
 #[test]
 fn a_runner_under_suspicion_gets_starts_again_after_a_gang_tried_it() {
     for seed in 1..=6 {
-        let scenario =
-            Scenario { poison: 0.15, gangs: 0.6, long_running: 0.0, jobs: 80, ..Scenario::calm(seed) };
+        let scenario = Scenario {
+            poison: 0.15,
+            gangs: 0.6,
+            long_running: 0.0,
+            jobs: 80,
+            ..Scenario::calm(seed)
+        };
         assert_keeps_all(seed, &scenario.run());
     }
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -6,7 +6,10 @@
 
 impl ConfigDocument {
     /// The whole configuration in `body`, to take the place of `current`.
-    pub fn replace(current: Option<&ConfigDocument>, body: &[u8]) -> Result<ConfigDocument, ConfigError> {
+    pub fn replace(
+        current: Option<&ConfigDocument>,
+        body: &[u8],
+    ) -> Result<ConfigDocument, ConfigError> {
         let json = read::object(body)?;
         check_version(current, &json)?;
         ConfigDocument::from_json(json)
@@ -14,7 +17,10 @@
 
     /// `current` after the change in `body`: the items under `remove` go first, then those under `upsert` are put
     /// in the place of their namesakes, or at the end.
-    pub fn patch(current: Option<&ConfigDocument>, body: &[u8]) -> Result<ConfigDocument, ConfigError> {
+    pub fn patch(
+        current: Option<&ConfigDocument>,
+        body: &[u8],
+    ) -> Result<ConfigDocument, ConfigError> {
         let patch = read::object(body)?;
         let version = check_version(current, &patch)?;
         let mut json = current.ok_or(ConfigError::NothingToPatch)?.json().clone();
@@ -49,10 +55,13 @@
 
 fn remove(json: &mut Object, key: &str, change: &Value) -> Result<(), ConfigError> {
     let place = format!("remove.{key}");
-    let names = change.as_array().ok_or_else(|| ConfigError::at(&place, "must be a list of names"))?;
+    let names = change
+        .as_array()
+        .ok_or_else(|| ConfigError::at(&place, "must be a list of names"))?;
     for (position, name) in names.iter().enumerate() {
-        let name =
-            name.as_str().ok_or_else(|| ConfigError::at(format!("{place}[{position}]"), "must be a name"))?;
+        let name = name
+            .as_str()
+            .ok_or_else(|| ConfigError::at(format!("{place}[{position}]"), "must be a name"))?;
         if let Some(Value::Array(items)) = json.get_mut(key) {
             items.retain(|item| name_of(item) != Some(name));
         }
@@ -69,13 +78,22 @@
     }
 }
 
-fn upsert_items(json: &mut Object, key: &str, changes: &[Value], place: &str) -> Result<(), ConfigError> {
+fn upsert_items(
+    json: &mut Object,
+    key: &str,
+    changes: &[Value],
+    place: &str,
+) -> Result<(), ConfigError> {
     let list = json.entry(key).or_insert_with(|| Value::Array(Vec::new()));
-    let items = list.as_array_mut().ok_or_else(|| ConfigError::at(place, "does not change a list"))?;
+    let items = list
+        .as_array_mut()
+        .ok_or_else(|| ConfigError::at(place, "does not change a list"))?;
     for (position, change) in changes.iter().enumerate() {
         let place = || format!("{place}[{position}]");
         let name = name_of(change).ok_or_else(|| ConfigError::at(place(), "must have a name"))?;
-        let repeated = changes[..position].iter().any(|earlier| name_of(earlier) == Some(name));
+        let repeated = changes[..position]
+            .iter()
+            .any(|earlier| name_of(earlier) == Some(name));
         if repeated {
             return Err(ConfigError::at(place(), format!("{name} is there twice")));
         }
@@ -88,9 +106,18 @@
 }
 
 /// Takes the fields of a nameless object such as `limits`; those it does not name stay.
-fn upsert_fields(json: &mut Object, key: &str, changes: &Object, place: &str) -> Result<(), ConfigError> {
-    let target = json.entry(key).or_insert_with(|| Value::Object(Object::new()));
-    let fields = target.as_object_mut().ok_or_else(|| ConfigError::at(place, "does not change an object"))?;
+fn upsert_fields(
+    json: &mut Object,
+    key: &str,
+    changes: &Object,
+    place: &str,
+) -> Result<(), ConfigError> {
+    let target = json
+        .entry(key)
+        .or_insert_with(|| Value::Object(Object::new()));
+    let fields = target
+        .as_object_mut()
+        .ok_or_else(|| ConfigError::at(place, "does not change an object"))?;
     for (name, value) in changes {
         fields.insert(name.clone(), value.clone());
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -38,12 +38,17 @@
     /// The route of a request: `host` without a port, `path` without a query.
     pub fn route<'a>(&'a self, host: &str, path: &'a str) -> Option<RouteMatch<'a>> {
         let route = &self.routes[self.route_index.find(host, path)?];
-        Some(RouteMatch { route, rest: &path[route.path_prefix.len()..] })
+        Some(RouteMatch {
+            route,
+            rest: &path[route.path_prefix.len()..],
+        })
     }
 
     /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
-        self.service_positions.get(name).map(|position| &self.services[*position])
+        self.service_positions
+            .get(name)
+            .map(|position| &self.services[*position])
     }
 
     pub(crate) fn from_json(json: Object) -> Result<ConfigDocument, ConfigError> {
@@ -52,23 +57,41 @@
         let services: Vec<ServiceEntry> = read::items(&json, "services")?;
         let limits = read::limits(&json)?;
         read::unique_names("routes", routes.iter().map(|route| route.name.as_str()))?;
-        read::unique_names("services", services.iter().map(|service| service.name.as_str()))?;
+        read::unique_names(
+            "services",
+            services.iter().map(|service| service.name.as_str()),
+        )?;
         let route_index = RouteIndex::build(&routes)?;
         let service_positions = positions(&services);
         check_services(&routes, &service_positions)?;
-        Ok(ConfigDocument { version, routes, services, limits, json, route_index, service_positions })
+        Ok(ConfigDocument {
+            version,
+            routes,
+            services,
+            limits,
+            json,
+            route_index,
+            service_positions,
+        })
     }
 }
 
 fn positions(services: &[ServiceEntry]) -> HashMap<String, usize> {
-    services.iter().enumerate().map(|(position, service)| (service.name.clone(), position)).collect()
+    services
+        .iter()
+        .enumerate()
+        .map(|(position, service)| (service.name.clone(), position))
+        .collect()
 }
 
 fn check_services(routes: &[Route], known: &HashMap<String, usize>) -> Result<(), ConfigError> {
     for (position, route) in routes.iter().enumerate() {
         if !known.contains_key(&route.service) {
             let reason = format!("no service is named {}", route.service);
-            return Err(ConfigError::at(format!("routes[{position}].service"), reason));
+            return Err(ConfigError::at(
+                format!("routes[{position}].service"),
+                reason,
+            ));
         }
     }
     Ok(())
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -17,7 +17,10 @@
 impl ConfigError {
     /// An error at `place`.
     pub(crate) fn at(place: impl Into<String>, reason: impl Into<String>) -> ConfigError {
-        ConfigError::Invalid { place: place.into(), reason: reason.into() }
+        ConfigError::Invalid {
+            place: place.into(),
+            reason: reason.into(),
+        }
     }
 }
 
@@ -27,7 +30,10 @@
             ConfigError::Unreadable { reason } => write!(formatter, "unreadable: {reason}"),
             ConfigError::Invalid { place, reason } => write!(formatter, "{place}: {reason}"),
             ConfigError::OldVersion { version, current } => {
-                write!(formatter, "version: {version} is not above the current {current}")
+                write!(
+                    formatter,
+                    "version: {version} is not above the current {current}"
+                )
             }
             ConfigError::NothingToPatch => write!(formatter, "there is no configuration to patch"),
         }
--- a/crates/config/src/index.rs
+++ b/crates/config/src/index.rs
@@ -35,7 +35,10 @@
             let host = index.hosts.entry(route.host.clone()).or_default();
             if let Some(earlier) = host.by_prefix.insert(route.path_prefix.clone(), position) {
                 let reason = format!("shares host and prefix with routes[{earlier}]");
-                return Err(ConfigError::at(format!("routes[{position}].path_prefix"), reason));
+                return Err(ConfigError::at(
+                    format!("routes[{position}].path_prefix"),
+                    reason,
+                ));
             }
             host.lengths.push(route.path_prefix.len());
         }
--- a/crates/config/tests/change.rs
+++ b/crates/config/tests/change.rs
@@ -19,14 +19,39 @@
 fn versions_must_climb() {
     let old = current();
     for version in [4, 5] {
-        let refused = Err(ConfigError::OldVersion { version, current: 5 });
-        assert_eq!(ConfigDocument::replace(Some(&old), &body(&document(version))), refused);
-        assert_eq!(ConfigDocument::patch(Some(&old), &body(&json!({"version": version}))), refused);
+        let refused = Err(ConfigError::OldVersion {
+            version,
+            current: 5,
+        });
+        assert_eq!(
+            ConfigDocument::replace(Some(&old), &body(&document(version))),
+            refused
+        );
+        assert_eq!(
+            ConfigDocument::patch(Some(&old), &body(&json!({"version": version}))),
+            refused
+        );
     }
-    assert_eq!(ConfigDocument::replace(Some(&old), &body(&document(9))).unwrap().version, 9);
-    assert_eq!(ConfigDocument::patch(Some(&old), &body(&json!({"version": 6}))).unwrap().version, 6);
+    assert_eq!(
+        ConfigDocument::replace(Some(&old), &body(&document(9)))
+            .unwrap()
+            .version,
+        9
+    );
+    assert_eq!(
+        ConfigDocument::patch(Some(&old), &body(&json!({"version": 6})))
+            .unwrap()
+            .version,
+        6
+    );
     let zero = ConfigDocument::replace(None, &body(&document(0)));
-    assert_eq!(zero, Err(ConfigError::OldVersion { version: 0, current: 0 }));
+    assert_eq!(
+        zero,
+        Err(ConfigError::OldVersion {
+            version: 0,
+            current: 0
+        })
+    );
 }
 
 #[test]
@@ -50,7 +75,10 @@
     expected["services"] = json!([common::service("two"), {"name": "three", "tls": true}]);
     assert_eq!(read_back(&config), expected);
     assert!(config.route("a.example", "/one/x").is_none());
-    assert_eq!(config.route("c.example", "/new/x").unwrap().route.name, "r-new");
+    assert_eq!(
+        config.route("c.example", "/new/x").unwrap().route.name,
+        "r-new"
+    );
 }
 
 #[test]
@@ -59,7 +87,10 @@
     let first = ConfigDocument::patch(Some(&current()), &body(&patch)).unwrap();
     let patch = json!({"version": 9, "upsert": {"limits": {"idle_timeout_ms": 8}}});
     let second = ConfigDocument::patch(Some(&first), &body(&patch)).unwrap();
-    assert_eq!((second.limits.max_body_bytes, second.limits.idle_timeout_ms), (7, 8));
+    assert_eq!(
+        (second.limits.max_body_bytes, second.limits.idle_timeout_ms),
+        (7, 8)
+    );
 }
 
 #[test]
@@ -78,7 +109,10 @@
     ];
     for patch in bad {
         let refused = ConfigDocument::patch(Some(&current()), &body(&patch));
-        assert!(matches!(refused, Err(ConfigError::Invalid { .. })), "{patch} gave {refused:?}");
+        assert!(
+            matches!(refused, Err(ConfigError::Invalid { .. })),
+            "{patch} gave {refused:?}"
+        );
     }
 }
 
@@ -96,7 +130,12 @@
 }
 
 fn numbered(name: u8, timeout: u32) -> Value {
-    let mut item = route(&format!("r-{name}"), "a.example", &format!("/{name}/"), "one");
+    let mut item = route(
+        &format!("r-{name}"),
+        "a.example",
+        &format!("/{name}/"),
+        "one",
+    );
     item["timeout_ms"] = json!(timeout);
     item["extra"] = json!(f64::from(timeout) / 7.0);
     item
--- a/crates/config/tests/document.rs
+++ b/crates/config/tests/document.rs
@@ -6,7 +6,9 @@
 use serde_json::{json, Value};
 
 fn error_of(value: &Value) -> String {
-    ConfigDocument::parse(&body(value)).expect_err("must be refused").to_string()
+    ConfigDocument::parse(&body(value))
+        .expect_err("must be refused")
+        .to_string()
 }
 
 #[test]
@@ -31,7 +33,10 @@
     let back = ConfigDocument::parse(&body(&sent)).unwrap().to_bytes();
     assert_eq!(serde_json::from_slice::<Value>(&back).unwrap(), sent);
     let text = String::from_utf8(back).unwrap();
-    assert!(text.contains("\"extension\":4.0") && text.contains("\"extension\":4,"), "{text}");
+    assert!(
+        text.contains("\"extension\":4.0") && text.contains("\"extension\":4,"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -42,12 +47,26 @@
     routes.push(route("other", "b.example", "/", "two"));
     let config = ConfigDocument::parse(&body(&sent)).unwrap();
     let found = |host: &str, path: &str| {
-        config.route(host, path).map(|found| (found.route.name.clone(), found.rest.to_owned()))
+        config
+            .route(host, path)
+            .map(|found| (found.route.name.clone(), found.rest.to_owned()))
     };
-    assert_eq!(found("a.example", "/one/abc"), Some(("r-one".into(), "abc".into())));
-    assert_eq!(found("a.example", "/one/two/abc"), Some(("deep".into(), "abc".into())));
-    assert_eq!(found("a.example", "/one/"), Some(("r-one".into(), String::new())));
-    assert_eq!(found("b.example", "/one/x"), Some(("other".into(), "one/x".into())));
+    assert_eq!(
+        found("a.example", "/one/abc"),
+        Some(("r-one".into(), "abc".into()))
+    );
+    assert_eq!(
+        found("a.example", "/one/two/abc"),
+        Some(("deep".into(), "abc".into()))
+    );
+    assert_eq!(
+        found("a.example", "/one/"),
+        Some(("r-one".into(), String::new()))
+    );
+    assert_eq!(
+        found("b.example", "/one/x"),
+        Some(("other".into(), "one/x".into()))
+    );
     assert_eq!(found("a.example", "/on"), None);
     assert_eq!(found("c.example", "/one/abc"), None);
     assert_eq!(found("a.example", "/one\u{e9}"), None);
@@ -56,27 +75,66 @@
 #[test]
 fn bad_configurations_are_refused_with_their_place() {
     let whole = body(&document(1));
-    assert!(matches!(ConfigDocument::parse(&whole[..whole.len() / 2]), Err(ConfigError::Unreadable { .. })));
-    assert!(matches!(ConfigDocument::parse(b"[]"), Err(ConfigError::Unreadable { .. })));
-    assert!(matches!(ConfigDocument::parse(b""), Err(ConfigError::Unreadable { .. })));
+    assert!(matches!(
+        ConfigDocument::parse(&whole[..whole.len() / 2]),
+        Err(ConfigError::Unreadable { .. })
+    ));
+    assert!(matches!(
+        ConfigDocument::parse(b"[]"),
+        Err(ConfigError::Unreadable { .. })
+    ));
+    assert!(matches!(
+        ConfigDocument::parse(b""),
+        Err(ConfigError::Unreadable { .. })
+    ));
     type Fault = fn(&mut Value);
     let faults: [(Fault, &str); 13] = [
-        (|sent| sent["routes"][1]["timeout_ms"] = json!(0), "routes[1].timeout_ms: must be above 0"),
-        (|sent| sent["routes"][1]["service"] = json!("gone"), "routes[1].service: no service is named gone"),
+        (
+            |sent| sent["routes"][1]["timeout_ms"] = json!(0),
+            "routes[1].timeout_ms: must be above 0",
+        ),
+        (
+            |sent| sent["routes"][1]["service"] = json!("gone"),
+            "routes[1].service: no service is named gone",
+        ),
         (
             |sent| sent["routes"][1]["path_prefix"] = json!("/one/"),
             "routes[1].path_prefix: shares host and prefix",
         ),
-        (|sent| sent["routes"][1]["name"] = json!("r-one"), "routes[1].name: r-one is there twice"),
-        (|sent| sent["routes"][0]["host"] = json!(""), "routes[0].host: must not be empty"),
-        (|sent| sent["routes"][0]["path_prefix"] = json!(""), "routes[0].path_prefix: must not be empty"),
-        (|sent| sent["services"][1]["name"] = json!("one"), "services[1].name: one is there twice"),
-        (|sent| sent["routes"][0]["timeout_ms"] = json!("soon"), "routes[0]: "),
+        (
+            |sent| sent["routes"][1]["name"] = json!("r-one"),
+            "routes[1].name: r-one is there twice",
+        ),
+        (
+            |sent| sent["routes"][0]["host"] = json!(""),
+            "routes[0].host: must not be empty",
+        ),
+        (
+            |sent| sent["routes"][0]["path_prefix"] = json!(""),
+            "routes[0].path_prefix: must not be empty",
+        ),
+        (
+            |sent| sent["services"][1]["name"] = json!("one"),
+            "services[1].name: one is there twice",
+        ),
+        (
+            |sent| sent["routes"][0]["timeout_ms"] = json!("soon"),
+            "routes[0]: ",
+        ),
         (|sent| sent["routes"][0] = json!(7), "routes[0]: "),
         (|sent| sent["routes"] = json!({}), "routes: must be a list"),
-        (|sent| sent["services"] = Value::Null, "services: must be a list"),
-        (|sent| sent["version"] = json!(-1), "version: must be a whole number"),
-        (|sent| sent["limits"] = json!({"max_body_bytes": -4}), "limits: "),
+        (
+            |sent| sent["services"] = Value::Null,
+            "services: must be a list",
+        ),
+        (
+            |sent| sent["version"] = json!(-1),
+            "version: must be a whole number",
+        ),
+        (
+            |sent| sent["limits"] = json!({"max_body_bytes": -4}),
+            "limits: ",
+        ),
     ];
     for (fault, expected) in faults {
         let mut sent = document(1);
@@ -100,13 +158,23 @@
 fn four_hundred_routes_are_told_apart() {
     let mut sent = document(1);
     sent["routes"] = (0..400)
-        .map(|number| route(&format!("r-{number}"), "a.example", &format!("/p{number}/"), "one"))
+        .map(|number| {
+            route(
+                &format!("r-{number}"),
+                "a.example",
+                &format!("/p{number}/"),
+                "one",
+            )
+        })
         .collect();
     sent["services"] = json!([service("one")]);
     let config = ConfigDocument::parse(&body(&sent)).unwrap();
     for number in 0..400 {
         let path = format!("/p{number}/0123");
         let found = config.route("a.example", &path).unwrap();
-        assert_eq!((found.route.name.as_str(), found.rest), (format!("r-{number}").as_str(), "0123"));
+        assert_eq!(
+            (found.route.name.as_str(), found.rest),
+            (format!("r-{number}").as_str(), "0123")
+        );
     }
 }
--- a/crates/control/src/accept_change.rs
+++ b/crates/control/src/accept_change.rs
@@ -13,12 +13,21 @@
 
 /// The change to be sent in the place of the value `bytes`, which `job` made of the value accepted in ballot `on`.
 pub fn compose(job: &Job, ballot: Ballot, on: Ballot, bytes: &Blob) -> Option<AcceptChange> {
-    let Job::Order { change, .. } = job else { return None };
+    let Job::Order { change, .. } = job else {
+        return None;
+    };
     if change.body.len() * WORTHWHILE_FACTOR > bytes.len() {
         return None;
     }
     let (kind, base, body) = (change.kind, change.base, Blob(change.body.clone()));
-    Some(AcceptChange { ballot, on, kind, base, body, result: digest(bytes) })
+    Some(AcceptChange {
+        ballot,
+        on,
+        kind,
+        base,
+        body,
+        result: digest(bytes),
+    })
 }
 
 /// The value that the change makes of `value`, if it is the one that the proposer made.
--- a/crates/control/src/accepted_changes.rs
+++ b/crates/control/src/accepted_changes.rs
@@ -61,7 +61,10 @@
     /// What the disk holds, from the entries of `Table::Control`.
     pub fn load(entries: &[(Vec<u8>, Vec<u8>)]) -> AcceptedChanges {
         let mut changes = AcceptedChanges::default();
-        for (_, value) in entries.iter().filter(|(key, _)| key.starts_with(KEY_PREFIX)) {
+        for (_, value) in entries
+            .iter()
+            .filter(|(key, _)| key.starts_with(KEY_PREFIX))
+        {
             if let Ok((_, change)) = AcceptedChange::from_bytes((value, 0)) {
                 changes.insert(change);
                 changes.unwritten.clear();
@@ -88,7 +91,11 @@
 
     /// Takes entries in; true where one of them is new.
     pub fn insert_all(&mut self, changes: &[AcceptedChange]) -> bool {
-        changes.iter().filter(|change| self.insert(**change)).count() > 0
+        changes
+            .iter()
+            .filter(|change| self.insert(**change))
+            .count()
+            > 0
     }
 
     /// At most `limit` entries from base `after` on, and whether there are more.
@@ -101,11 +108,19 @@
     /// Where entries are missing, oldest first. What a full archive has dropped is not missing.
     pub fn gaps(&self) -> impl Iterator<Item = Gap> + '_ {
         let full = self.by_base.len() >= self.capacity;
-        self.breaks.iter().filter_map(move |before| match self.previous(*before) {
-            Some(previous) => Some(Gap { after: previous.version, before: *before }),
-            None if full => None,
-            None => Some(Gap { after: 0, before: *before }),
-        })
+        self.breaks
+            .iter()
+            .filter_map(move |before| match self.previous(*before) {
+                Some(previous) => Some(Gap {
+                    after: previous.version,
+                    before: *before,
+                }),
+                None if full => None,
+                None => Some(Gap {
+                    after: 0,
+                    before: *before,
+                }),
+            })
     }
 
     /// Whether enough waits to be written.
@@ -117,7 +132,9 @@
     pub fn take_writes(&mut self) -> Vec<DiskOperation> {
         let mut operations = Vec::new();
         for _ in 0..MAX_WRITTEN {
-            let Some(base) = self.unwritten.pop_first() else { break };
+            let Some(base) = self.unwritten.pop_first() else {
+                break;
+            };
             operations.extend(self.by_base.get(&base).map(put));
         }
         operations.extend(std::mem::take(&mut self.dropped).into_iter().map(delete));
@@ -129,7 +146,11 @@
             return false;
         }
         if !self.fits(&change) {
-            log::error!("accepted change {} -> {} contradicts the archive", change.base, change.version);
+            log::error!(
+                "accepted change {} -> {} contradicts the archive",
+                change.base,
+                change.version
+            );
             return false;
         }
         self.by_base.insert(change.base, change);
@@ -147,15 +168,20 @@
 
     /// Whether the change overlaps with no other one.
     fn fits(&self, change: &AcceptedChange) -> bool {
-        let after_previous =
-            self.previous(change.base).is_none_or(|previous| previous.version <= change.base);
-        let before_next = self.next(change.base).is_none_or(|next| change.version <= next.base);
+        let after_previous = self
+            .previous(change.base)
+            .is_none_or(|previous| previous.version <= change.base);
+        let before_next = self
+            .next(change.base)
+            .is_none_or(|next| change.version <= next.base);
         let unknown = !self.by_base.contains_key(&change.base);
         unknown && change.base < change.version && after_previous && before_next
     }
 
     fn note_breaks(&mut self, change: &AcceptedChange) {
-        let follows = self.previous(change.base).is_some_and(|previous| previous.version == change.base);
+        let follows = self
+            .previous(change.base)
+            .is_some_and(|previous| previous.version == change.base);
         if !follows && change.base > 0 {
             self.breaks.insert(change.base);
         }
@@ -165,7 +191,9 @@
 
     fn drop_surplus(&mut self) {
         while self.by_base.len() > self.capacity {
-            let Some((base, oldest)) = self.by_base.pop_first() else { return };
+            let Some((base, oldest)) = self.by_base.pop_first() else {
+                return;
+            };
             self.breaks.remove(&base);
             if !self.unwritten.remove(&base) {
                 self.dropped.insert(base);
@@ -177,7 +205,10 @@
     }
 
     fn previous(&self, base: u64) -> Option<&AcceptedChange> {
-        self.by_base.range(..base).next_back().map(|(_, change)| change)
+        self.by_base
+            .range(..base)
+            .next_back()
+            .map(|(_, change)| change)
     }
 
     fn next(&self, base: u64) -> Option<&AcceptedChange> {
@@ -192,9 +223,16 @@
 
 fn put(change: &AcceptedChange) -> DiskOperation {
     let value = change.to_bytes().unwrap_or_default();
-    DiskOperation::Put { table: Table::Control, key: key(change.base), value }
+    DiskOperation::Put {
+        table: Table::Control,
+        key: key(change.base),
+        value,
+    }
 }
 
 fn delete(base: u64) -> DiskOperation {
-    DiskOperation::Delete { table: Table::Control, key: key(base) }
+    DiskOperation::Delete {
+        table: Table::Control,
+        key: key(base),
+    }
 }
--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -3,8 +3,8 @@
 use crate::effects::Effects;
 use crate::persisted::{put_ballots, put_value, AcceptorBallots};
 use sagetrail_wire::control::{
-    Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Read, ReadReply, Refused,
-    Settled, ValueNeeded,
+    Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Read, ReadReply,
+    Refused, Settled, ValueNeeded,
 };
 use sagetrail_wire::node::DiskOperation;
 use sagetrail_wire::{Blob, NodeId};
@@ -41,7 +41,11 @@
         }
         self.ballots.promised = prepare.ballot;
         let value = self.value_unless(prepare.have);
-        let promised = Promised { ballot: prepare.ballot, accepted: self.ballots.accepted, value };
+        let promised = Promised {
+            ballot: prepare.ballot,
+            accepted: self.ballots.accepted,
+            value,
+        };
         let then = vec![(from, ControlMessage::Promised(promised))];
         effects.write(vec![put_ballots(&self.ballots)], then);
     }
@@ -52,7 +56,13 @@
             return self.refuse(from, accept.ballot, effects);
         }
         let ballot = accept.ballot;
-        self.adopt(AcceptorBallots { promised: ballot, accepted: ballot }, accept.value);
+        self.adopt(
+            AcceptorBallots {
+                promised: ballot,
+                accepted: ballot,
+            },
+            accept.value,
+        );
         let settled = (node, ControlMessage::Settled(Settled { ballot }));
         let accepted = (from, ControlMessage::Accepted(Accepted { ballot }));
         effects.write(self.operations(), vec![settled, accepted]);
@@ -60,7 +70,11 @@
 
     /// Second round with the change alone, put on the accepted value.
     pub fn accept_change(
-        &mut self, node: NodeId, from: NodeId, accept: &AcceptChange, effects: &mut Effects,
+        &mut self,
+        node: NodeId,
+        from: NodeId,
+        accept: &AcceptChange,
+        effects: &mut Effects,
     ) {
         let ballot = accept.ballot;
         if ballot < self.ballots.promised {
@@ -80,7 +94,11 @@
     /// A read promises nothing. The answer waits for the sync of what it tells.
     pub fn read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
         let value = self.value_unless(read.have);
-        let reply = ReadReply { nonce: read.nonce, accepted: self.ballots.accepted, value };
+        let reply = ReadReply {
+            nonce: read.nonce,
+            accepted: self.ballots.accepted,
+            value,
+        };
         let reply = ControlMessage::ReadReply(reply);
         if self.synced == self.ballots.accepted {
             return effects.control(from, reply);
@@ -106,12 +124,17 @@
     }
 
     fn refuse(&self, from: NodeId, ballot: Ballot, effects: &mut Effects) {
-        let refused = Refused { ballot, promised: self.ballots.promised };
+        let refused = Refused {
+            ballot,
+            promised: self.ballots.promised,
+        };
         effects.control(from, ControlMessage::Refused(refused));
     }
 }
 
 fn members_version(value: &Blob) -> u64 {
-    let bytes = value.get(..size_of::<u64>()).and_then(|bytes| bytes.try_into().ok());
+    let bytes = value
+        .get(..size_of::<u64>())
+        .and_then(|bytes| bytes.try_into().ok());
     bytes.map(u64::from_ne_bytes).unwrap_or_default()
 }
--- a/crates/control/src/base.rs
+++ b/crates/control/src/base.rs
@@ -13,7 +13,9 @@
     /// next voters may know the newest state without that source.
     pub(crate) fn step_base(&mut self, now: Time) {
         let silent = !self.holds_base() && self.replica.source_is_silent(now);
-        let Some(term) = self.term.as_mut().filter(|_| silent) else { return };
+        let Some(term) = self.term.as_mut().filter(|_| silent) else {
+            return;
+        };
         if !term.turn_to_next_source(now) {
             log::info!("term {}: nobody has its base", term.epoch);
             self.step_down();
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -29,8 +29,10 @@
 impl Elected {
     /// Voters with the newest records besides the source.
     pub fn other_sources(&self) -> Vec<NodeId> {
-        let holders =
-            self.votes.iter().filter(|(voter, vote)| vote.tag == self.base && **voter != self.source);
+        let holders = self
+            .votes
+            .iter()
+            .filter(|(voter, vote)| vote.tag == self.base && **voter != self.source);
         holders.map(|(voter, _)| *voter).collect()
     }
 }
@@ -65,13 +67,24 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let jitter_ms = random.random_range(0..ELECTION_JITTER_MS);
         let not_before = Time::default();
-        Elections { node, incarnation, random, jitter_ms, not_before, highest: 0, candidacy: None }
+        Elections {
+            node,
+            incarnation,
+            random,
+            jitter_ms,
+            not_before,
+            highest: 0,
+            candidacy: None,
+        }
     }
 
     /// When an election or its next step is due, with the granted lease running until `lease_until`.
     pub fn next_wake(&self, lease_until: Time) -> Time {
         match &self.candidacy {
-            Some(candidacy) => candidacy.sent_at.plus_millis(RESEND_MS).min(candidacy.ends()),
+            Some(candidacy) => candidacy
+                .sent_at
+                .plus_millis(RESEND_MS)
+                .min(candidacy.ends()),
             None => lease_until.plus_millis(self.jitter_ms).max(self.not_before),
         }
     }
@@ -95,8 +108,11 @@
 
     /// Gives a candidacy up and frees those who promised its term.
     fn give_up(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        let term =
-            self.candidacy.as_ref().filter(|candidacy| !candidacy.probe).map(|candidacy| candidacy.epoch);
+        let term = self
+            .candidacy
+            .as_ref()
+            .filter(|candidacy| !candidacy.probe)
+            .map(|candidacy| candidacy.epoch);
         self.stand_back(now);
         if let Some(epoch) = term {
             effects.broadcast(list.all(), &ControlMessage::Resign(Resign { epoch }));
@@ -125,22 +141,35 @@
         }
         let (votes, refusals) = (BTreeMap::new(), BTreeSet::new());
         let members_version = list.version;
-        let candidacy =
-            Candidacy { epoch, probe, members_version, started: now, sent_at: now, votes, refusals };
+        let candidacy = Candidacy {
+            epoch,
+            probe,
+            members_version,
+            started: now,
+            sent_at: now,
+            votes,
+            refusals,
+        };
         candidacy.send(self.incarnation, list, effects);
         self.candidacy = Some(candidacy);
     }
 
     /// An answer came.
     pub fn reply(
-        &mut self, now: Time, from: NodeId, reply: &VoteReply, list: &MemberList, effects: &mut Effects,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        reply: &VoteReply,
+        list: &MemberList,
+        effects: &mut Effects,
     ) -> Option<Elected> {
         self.highest = self.highest.max(reply.promised);
         let candidacy = self.candidacy.as_mut()?;
         if reply.incarnation != self.incarnation {
             return None;
         }
-        let same = reply.probe == candidacy.probe && (reply.probe || reply.epoch == candidacy.epoch);
+        let same =
+            reply.probe == candidacy.probe && (reply.probe || reply.epoch == candidacy.epoch);
         if !same || !list.contains(from) {
             return None;
         }
@@ -154,7 +183,13 @@
         if now >= Time(reply.sent_at).plus_millis(OWNER_LEASE_MS) {
             return None;
         }
-        candidacy.votes.insert(from, Vote { tag: reply.tag, sent_at: reply.sent_at });
+        candidacy.votes.insert(
+            from,
+            Vote {
+                tag: reply.tag,
+                sent_at: reply.sent_at,
+            },
+        );
         let voters: BTreeSet<NodeId> = candidacy.votes.keys().copied().collect();
         if !list.reached_by(&voters) {
             return None;
@@ -166,7 +201,9 @@
         if candidacy.members_version != list.version || !voters.contains(&self.node) {
             return None;
         }
-        self.candidacy.take().map(|candidacy| candidacy.won(self.node))
+        self.candidacy
+            .take()
+            .map(|candidacy| candidacy.won(self.node))
     }
 }
 
@@ -184,14 +221,27 @@
             probe: self.probe,
             sent_at: self.sent_at.0,
         };
-        let silent = list.all().into_iter().filter(|member| !self.votes.contains_key(member));
+        let silent = list
+            .all()
+            .into_iter()
+            .filter(|member| !self.votes.contains_key(member));
         effects.broadcast(silent, &ControlMessage::VoteRequest(request));
     }
 
     /// The newest records count; among equals, this process's own.
     fn won(self, node: NodeId) -> Elected {
-        let newest = self.votes.iter().max_by_key(|(voter, vote)| (vote.tag, **voter == node));
-        let (source, base) = newest.map(|(voter, vote)| (*voter, vote.tag)).unwrap_or_default();
-        Elected { epoch: self.epoch, base, source, votes: self.votes }
+        let newest = self
+            .votes
+            .iter()
+            .max_by_key(|(voter, vote)| (vote.tag, **voter == node));
+        let (source, base) = newest
+            .map(|(voter, vote)| (*voter, vote.tag))
+            .unwrap_or_default();
+        Elected {
+            epoch: self.epoch,
+            base,
+            source,
+            votes: self.votes,
+        }
     }
 }
--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -22,7 +22,12 @@
     /// A change with its digest.
     pub fn new(kind: ChangeKind, base: u64, body: Vec<u8>) -> Change {
         let digest = digest(kind, &body);
-        Change { kind, base, body, digest }
+        Change {
+            kind,
+            base,
+            body,
+            digest,
+        }
     }
 
     /// The value with the change put on top of it.
@@ -33,8 +38,15 @@
         };
         let document = self.document(current.as_ref())?;
         let mut next = value.clone();
-        next.config = StoredConfig { version: document.version, document: Blob(document.to_bytes()) };
-        next.remember(AcceptedChange { base: self.base, version: document.version, digest: self.digest });
+        next.config = StoredConfig {
+            version: document.version,
+            document: Blob(document.to_bytes()),
+        };
+        next.remember(AcceptedChange {
+            base: self.base,
+            version: document.version,
+            digest: self.digest,
+        });
         Ok(next)
     }
 
@@ -93,7 +105,10 @@
 
 impl Step {
     fn keep(verdict: Verdict) -> Step {
-        Step { value: None, verdict }
+        Step {
+            value: None,
+            verdict,
+        }
     }
 }
 
@@ -113,15 +128,23 @@
         return Step::keep(elsewhere(change, value, changes));
     }
     match change.applied_to(value) {
-        Ok(next) => Step { value: Some(next), verdict: Verdict::Taken },
+        Ok(next) => Step {
+            value: Some(next),
+            verdict: Verdict::Taken,
+        },
         Err(error) => Step::keep(Verdict::Invalid(error)),
     }
 }
 
 /// What became of a change whose base is not the current version.
 fn elsewhere(change: &Change, value: &RegisterValue, changes: &AcceptedChanges) -> Verdict {
-    match value.change_over(change.base).or_else(|| changes.change_over(change.base)) {
-        Some(taken) if taken.base == change.base && taken.digest == change.digest => Verdict::Repeated,
+    match value
+        .change_over(change.base)
+        .or_else(|| changes.change_over(change.base))
+    {
+        Some(taken) if taken.base == change.base && taken.digest == change.digest => {
+            Verdict::Repeated
+        }
         Some(_) => Verdict::Stale,
         None if change.base > value.config.version => Verdict::Stale,
         None => Verdict::Unknown,
@@ -143,7 +166,10 @@
         }
         MemberStep::Begin(_) | MemberStep::Complete => return Step::keep(Verdict::Stale),
     }
-    Step { value: Some(next), verdict: Verdict::Taken }
+    Step {
+        value: Some(next),
+        verdict: Verdict::Taken,
+    }
 }
 
 fn digest(kind: ChangeKind, body: &[u8]) -> [u8; 32] {
@@ -151,5 +177,9 @@
         ChangeKind::Replace => 1,
         ChangeKind::Patch => 2,
     };
-    Sha256::new().chain_update([kind_byte]).chain_update(body).finalize().into()
+    Sha256::new()
+        .chain_update([kind_byte])
+        .chain_update(body)
+        .finalize()
+        .into()
 }
--- a/crates/control/src/changes_fetch.rs
+++ b/crates/control/src/changes_fetch.rs
@@ -49,14 +49,24 @@
 impl ChangesFetch {
     /// Sends, repeats or postpones requests for what is missing. `node`: this process, which is not asked.
     pub fn tick(
-        &mut self, now: Time, node: NodeId, changes: &AcceptedChanges, list: &MemberList,
+        &mut self,
+        now: Time,
+        node: NodeId,
+        changes: &AcceptedChanges,
+        list: &MemberList,
         effects: &mut Effects,
     ) {
-        if self.request.is_some_and(|request| now < request.sent_at.plus_millis(RESEND_MS)) {
+        if self
+            .request
+            .is_some_and(|request| now < request.sent_at.plus_millis(RESEND_MS))
+        {
             return;
         }
         if let Some(request) = self.request.take() {
-            self.attempts.entry(request.after).or_default().silent(request.member);
+            self.attempts
+                .entry(request.after)
+                .or_default()
+                .silent(request.member);
             self.preferred = None;
         }
         let gaps: BTreeSet<u64> = changes.gaps().map(|gap| gap.after).collect();
@@ -64,10 +74,19 @@
         if gaps.is_empty() {
             return;
         }
-        let others: Vec<NodeId> = list.all().into_iter().filter(|member| *member != node).collect();
-        self.request = gaps.into_iter().find_map(|after| self.next_request(now, after, &others));
+        let others: Vec<NodeId> = list
+            .all()
+            .into_iter()
+            .filter(|member| *member != node)
+            .collect();
+        self.request = gaps
+            .into_iter()
+            .find_map(|after| self.next_request(now, after, &others));
         if let Some(Request { member, after, .. }) = self.request {
-            effects.control(member, ControlMessage::ChangesRequest(ChangesRequest { after }));
+            effects.control(
+                member,
+                ControlMessage::ChangesRequest(ChangesRequest { after }),
+            );
         }
     }
 
@@ -81,7 +100,11 @@
         let new = changes.insert_all(&reply.changes);
         self.preferred = (new && reply.more).then_some(from);
         if !new {
-            self.attempts.entry(reply.after).or_default().unable.insert(from);
+            self.attempts
+                .entry(reply.after)
+                .or_default()
+                .unable
+                .insert(from);
         }
     }
 
@@ -90,13 +113,22 @@
         if let Some(request) = self.request {
             return Some(request.sent_at.plus_millis(RESEND_MS));
         }
-        let due = |gap: Gap| self.attempts.get(&gap.after).map(|tried| tried.resume_at).unwrap_or_default();
+        let due = |gap: Gap| {
+            self.attempts
+                .get(&gap.after)
+                .map(|tried| tried.resume_at)
+                .unwrap_or_default()
+        };
         changes.gaps().map(due).min()
     }
 
     /// Whether nothing is missing but what every member was asked for in vain.
     pub fn is_done(&self, changes: &AcceptedChanges) -> bool {
-        changes.gaps().all(|gap| self.attempts.get(&gap.after).is_some_and(|tried| tried.open))
+        changes.gaps().all(|gap| {
+            self.attempts
+                .get(&gap.after)
+                .is_some_and(|tried| tried.open)
+        })
     }
 
     fn next_request(&mut self, now: Time, after: u64, members: &[NodeId]) -> Option<Request> {
@@ -108,7 +140,11 @@
             attempts.postpone(now);
             return None;
         };
-        Some(Request { member, after, sent_at: now })
+        Some(Request {
+            member,
+            after,
+            sent_at: now,
+        })
     }
 }
 
@@ -123,7 +159,10 @@
 
     /// The preferred member, or the one that was silent least often.
     fn next_member(&self, preferred: Option<NodeId>, members: &[NodeId]) -> Option<NodeId> {
-        let able = members.iter().copied().filter(|member| !self.unable.contains(member));
+        let able = members
+            .iter()
+            .copied()
+            .filter(|member| !self.unable.contains(member));
         let silences = |member: &NodeId| self.silences.get(member).copied().unwrap_or_default();
         able.min_by_key(|member| (Some(*member) != preferred, silences(member)))
     }
@@ -147,7 +186,8 @@
     pub(crate) fn step_changes(&mut self, now: Time) {
         let (node, list) = (self.settings.node, &self.knowledge.list);
         if list.version > 0 {
-            self.changes_fetch.tick(now, node, &self.accepted_changes, list, &mut self.effects);
+            self.changes_fetch
+                .tick(now, node, &self.accepted_changes, list, &mut self.effects);
         }
         // A process that never took part keeps nothing on disk.
         if self.standing.ready && self.accepted_changes.needs_writing() {
@@ -159,18 +199,28 @@
     /// When a request is due.
     pub(crate) fn changes_wake(&self) -> Option<Time> {
         let founded = self.knowledge.list.version > 0;
-        founded.then(|| self.changes_fetch.next_wake(&self.accepted_changes)).flatten()
+        founded
+            .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
+            .flatten()
     }
 
     /// Another core process misses accepted changes. They are facts: telling them needs no promise.
     pub(crate) fn on_changes_request(&mut self, from: NodeId, request: &ChangesRequest) {
-        let (changes, more) = self.accepted_changes.from_base(request.after, MAX_CHANGES_TOLD);
-        let reply = ChangesReply { after: request.after, changes: List(changes), more };
-        self.effects.control(from, ControlMessage::ChangesReply(reply));
+        let (changes, more) = self
+            .accepted_changes
+            .from_base(request.after, MAX_CHANGES_TOLD);
+        let reply = ChangesReply {
+            after: request.after,
+            changes: List(changes),
+            more,
+        };
+        self.effects
+            .control(from, ControlMessage::ChangesReply(reply));
     }
 
     /// A member told accepted changes.
     pub(crate) fn on_changes_reply(&mut self, from: NodeId, reply: &ChangesReply) {
-        self.changes_fetch.reply(from, reply, &mut self.accepted_changes);
+        self.changes_fetch
+            .reply(from, reply, &mut self.accepted_changes);
     }
 }
--- a/crates/control/src/collection.rs
+++ b/crates/control/src/collection.rs
@@ -30,7 +30,11 @@
 impl Collection {
     /// Asks for the first piece.
     pub fn start(
-        now: Time, epoch: Epoch, source: NodeId, oldest: RecordsTag, effects: &mut Effects,
+        now: Time,
+        epoch: Epoch,
+        source: NodeId,
+        oldest: RecordsTag,
+        effects: &mut Effects,
     ) -> Collection {
         let collection = Collection {
             epoch,
@@ -62,7 +66,8 @@
 
     /// When the request is repeated.
     pub fn next_wake(&self) -> Time {
-        self.asked_at.plus_millis(RESEND_MS << self.repeats.min(MAX_DOUBLINGS))
+        self.asked_at
+            .plus_millis(RESEND_MS << self.repeats.min(MAX_DOUBLINGS))
     }
 
     /// Repeats the request where no piece came.
@@ -76,7 +81,11 @@
 
     /// Takes a piece; everything and its state once it was the last.
     pub fn take(
-        &mut self, now: Time, from: NodeId, chunk: SnapshotChunk, effects: &mut Effects,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        chunk: SnapshotChunk,
+        effects: &mut Effects,
     ) -> Option<(RecordsTag, Records)> {
         if from != self.source || chunk.epoch != self.epoch || chunk.tag < self.oldest {
             return None;
@@ -122,8 +131,16 @@
     }
 
     fn send(&self, effects: &mut Effects) {
-        let tag = if self.index == 0 { self.oldest } else { self.tag };
-        let fetch = FetchSnapshot { epoch: self.epoch, tag, index: self.index };
+        let tag = if self.index == 0 {
+            self.oldest
+        } else {
+            self.tag
+        };
+        let fetch = FetchSnapshot {
+            epoch: self.epoch,
+            tag,
+            index: self.index,
+        };
         effects.control(self.source, ControlMessage::FetchSnapshot(fetch));
     }
 }
--- a/crates/control/src/courier.rs
+++ b/crates/control/src/courier.rs
@@ -54,7 +54,13 @@
     pub fn came_by(&mut self, now: Time, from: NodeId, forwarder: NodeId) {
         self.ways.retain(|_, way| way.until > now);
         if self.ways.len() < MAX_ROUTES {
-            self.ways.insert(from, Way { forwarder, until: now.plus_millis(RELAY_MS) });
+            self.ways.insert(
+                from,
+                Way {
+                    forwarder,
+                    until: now.plus_millis(RELAY_MS),
+                },
+            );
         }
     }
 
@@ -68,10 +74,16 @@
         for write in effects.writes.drain(..) {
             let (own, others): (Vec<_>, Vec<_>) =
                 write.then.into_iter().partition(|(to, _)| *to == self.node);
-            let then =
-                others.into_iter().filter_map(|(to, message)| self.address(now, to, message)).collect();
+            let then = others
+                .into_iter()
+                .filter_map(|(to, message)| self.address(now, to, message))
+                .collect();
             let token = (!own.is_empty()).then(|| self.wait(own));
-            outbox.writes.push(DiskWrite { operations: write.operations, then, token });
+            outbox.writes.push(DiskWrite {
+                operations: write.operations,
+                then,
+                token,
+            });
         }
         for (to, message) in effects.sends.drain(..) {
             if to == self.node {
@@ -86,7 +98,8 @@
     fn wait(&mut self, own: Vec<(NodeId, Message)>) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
-        self.unsynced.insert(token, own.into_iter().map(|(_, message)| message).collect());
+        self.unsynced
+            .insert(token, own.into_iter().map(|(_, message)| message).collect());
         token
     }
 
@@ -96,7 +109,14 @@
         match (way, &message) {
             (Some(way), message) if !matches!(message, Message::Relayed(_)) => {
                 let payload = Blob(frame::encode(message).ok()?);
-                Some((way.forwarder, Message::Relayed(Relayed { from: self.node, to, payload })))
+                Some((
+                    way.forwarder,
+                    Message::Relayed(Relayed {
+                        from: self.node,
+                        to,
+                        payload,
+                    }),
+                ))
             }
             _ => Some((to, message)),
         }
--- a/crates/control/src/door.rs
+++ b/crates/control/src/door.rs
@@ -39,7 +39,9 @@
         (Method::Post, REPLACE_PATH) if founded => replace(request),
         (Method::Post, PATCH_PATH) if founded => patch(request),
         (Method::Get, GET_PATH) if founded => Asked::ReadBack,
-        (Method::Post, REPLACE_PATH | PATCH_PATH) | (Method::Get, GET_PATH) => Asked::Status(UNAVAILABLE),
+        (Method::Post, REPLACE_PATH | PATCH_PATH) | (Method::Get, GET_PATH) => {
+            Asked::Status(UNAVAILABLE)
+        }
         (_, REPLACE_PATH | PATCH_PATH | GET_PATH) => Asked::Status(NOT_ALLOWED),
         (_, path) if path.starts_with(INSTANCES_PATH) => Asked::Status(UNAVAILABLE),
         _ => Asked::Status(NOT_FOUND),
--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -33,12 +33,22 @@
 
     /// Writes, and says something to core processes once that is synced.
     pub fn write(&mut self, operations: Vec<DiskOperation>, then: Vec<(NodeId, ControlMessage)>) {
-        let then = then.into_iter().map(|(to, message)| (to, Message::Control(message))).collect();
+        let then = then
+            .into_iter()
+            .map(|(to, message)| (to, Message::Control(message)))
+            .collect();
         self.writes.push(PlannedWrite { operations, then });
     }
 
     /// Answers a request of HTTP with a status and no body.
     pub fn status(&mut self, id: HttpRequestId, status: u16) {
-        self.replies.push((id, HttpReply { status, retry_after_s: None, body: Vec::new() }));
+        self.replies.push((
+            id,
+            HttpReply {
+                status,
+                retry_after_s: None,
+                body: Vec::new(),
+            },
+        ));
     }
 }
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -20,7 +20,12 @@
     /// At the start of the founder.
     pub fn new(node: NodeId, tolerated_machines: u32, now: Time) -> Founding {
         let wanted = 2 * tolerated_machines as usize + 1;
-        Founding { heard: BTreeSet::from([node]), wanted, started: now, changed: now }
+        Founding {
+            heard: BTreeSet::from([node]),
+            wanted,
+            started: now,
+            changed: now,
+        }
     }
 
     /// A core process said hello.
--- a/crates/control/src/image.rs
+++ b/crates/control/src/image.rs
@@ -44,12 +44,20 @@
     /// The piece asked for; the first one where the asker holds pieces of an image that is gone. `None` where the
     /// asker has to wait. `tag` and `records`: the newest state.
     pub fn chunk(
-        &mut self, now: Time, from: NodeId, fetch: &FetchSnapshot, tag: RecordsTag, records: &Records,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        fetch: &FetchSnapshot,
+        tag: RecordsTag,
+        records: &Records,
     ) -> Option<SnapshotChunk> {
         if tag < fetch.tag {
             return None;
         }
-        if self.begun(fetch).is_none() && self.recent(now, fetch, tag).is_none() && self.make_room(now) {
+        if self.begun(fetch).is_none()
+            && self.recent(now, fetch, tag).is_none()
+            && self.make_room(now)
+        {
             self.images.push(Image::new(now, tag, records));
         }
         let place = self.begun(fetch).or_else(|| self.newest(fetch))?;
@@ -68,7 +76,9 @@
 
     /// The image of which the asker holds pieces.
     fn begun(&self, fetch: &FetchSnapshot) -> Option<usize> {
-        self.images.iter().position(|image| fetch.index > 0 && image.tag == fetch.tag)
+        self.images
+            .iter()
+            .position(|image| fetch.index > 0 && image.tag == fetch.tag)
     }
 
     /// An image that is worth being given to one more.
@@ -80,7 +90,11 @@
 
     /// The newest image, where it is new enough for the asker.
     fn newest(&self, fetch: &FetchSnapshot) -> Option<usize> {
-        let (place, image) = self.images.iter().enumerate().max_by_key(|(_, image)| image.tag)?;
+        let (place, image) = self
+            .images
+            .iter()
+            .enumerate()
+            .max_by_key(|(_, image)| image.tag)?;
         (image.tag >= fetch.tag).then_some(place)
     }
 
@@ -103,17 +117,31 @@
 
 impl Image {
     fn new(now: Time, tag: RecordsTag, records: &Records) -> Image {
-        let bytes = records.0.iter().map(|(key, value)| key.len() + value.len()).sum();
+        let bytes = records
+            .0
+            .iter()
+            .map(|(key, value)| key.len() + value.len())
+            .sum();
         let mut checksum = ImageChecksum::default();
         let cut = cut(records);
         let last = cut.len() - 1;
         let piece = |(index, entries): (usize, Vec<RecordEntry>)| {
             checksum.update(&entries);
             let checksum = checksum.of_piece(tag, index as u32, index == last);
-            Piece { entries: List(entries), checksum }
+            Piece {
+                entries: List(entries),
+                checksum,
+            }
         };
         let pieces = cut.into_iter().enumerate().map(piece).collect();
-        Image { tag, made: now, used: now, bytes, pieces, fetchers: BTreeMap::new() }
+        Image {
+            tag,
+            made: now,
+            used: now,
+            bytes,
+            pieces,
+            fetchers: BTreeMap::new(),
+        }
     }
 
     fn expires(&self) -> Time {
@@ -121,11 +149,17 @@
     }
 
     fn is_fetched(&self, now: Time) -> bool {
-        self.fetchers.values().any(|asked| now < asked.plus_millis(SOURCE_SILENT_MS))
+        self.fetchers
+            .values()
+            .any(|asked| now < asked.plus_millis(SOURCE_SILENT_MS))
     }
 
     fn chunk(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot) -> Option<SnapshotChunk> {
-        let index = if fetch.tag == self.tag { fetch.index } else { 0 };
+        let index = if fetch.tag == self.tag {
+            fetch.index
+        } else {
+            0
+        };
         let Piece { entries, checksum } = self.pieces.get(index as usize)?;
         let (entries, checksum) = (entries.clone(), *checksum);
         let last = index as usize + 1 == self.pieces.len();
@@ -134,7 +168,14 @@
         if last {
             self.fetchers.remove(&from);
         }
-        Some(SnapshotChunk { epoch: fetch.epoch, tag: self.tag, index, last, checksum, entries })
+        Some(SnapshotChunk {
+            epoch: fetch.epoch,
+            tag: self.tag,
+            index,
+            last,
+            checksum,
+            entries,
+        })
     }
 }
 
@@ -150,7 +191,10 @@
             bytes = 0;
         }
         bytes += entry_bytes;
-        piece.push(RecordEntry { key: Blob(key.clone()), value: Blob(value.clone()) });
+        piece.push(RecordEntry {
+            key: Blob(key.clone()),
+            value: Blob(value.clone()),
+        });
     }
     pieces.push(piece);
     pieces
--- a/crates/control/src/knowledge.rs
+++ b/crates/control/src/knowledge.rs
@@ -31,7 +31,10 @@
 impl Knowledge {
     /// The ballot of the newest chosen value.
     pub fn ballot(&self) -> Ballot {
-        self.chosen.as_ref().map(|chosen| chosen.ballot).unwrap_or_default()
+        self.chosen
+            .as_ref()
+            .map(|chosen| chosen.ballot)
+            .unwrap_or_default()
     }
 
     /// Takes a chosen value; true where it is newer.
--- a/crates/control/src/learner.rs
+++ b/crates/control/src/learner.rs
@@ -19,7 +19,11 @@
 impl Learner {
     /// A learner that has not been heard yet.
     pub fn new(now: Time, incarnation: Incarnation) -> Learner {
-        Learner { incarnation, since: now, held: None }
+        Learner {
+            incarnation,
+            since: now,
+            held: None,
+        }
     }
 
     /// It acknowledged a renewal. False where its former life may have done so.
@@ -33,6 +37,7 @@
 
     /// Whether it holds the records of this term up to about the newest batch.
     pub fn holds(&self, epoch: Epoch, newest: u64) -> bool {
-        self.held.is_some_and(|held| held.epoch == epoch && held.number + MAX_LAG >= newest)
+        self.held
+            .is_some_and(|held| held.epoch == epoch && held.number + MAX_LAG >= newest)
     }
 }
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -44,16 +44,31 @@
     /// A process outside the core said hello.
     pub(crate) fn hear(&mut self, now: Time, node: NodeId, kind: NodeKind) {
         if self.own.contains_key(&node) || self.own.len() < MAX_LEASES {
-            self.own.insert(node, Lease { kind, until: now.plus_millis(MEMBER_LEASE_MS) });
+            self.own.insert(
+                node,
+                Lease {
+                    kind,
+                    until: now.plus_millis(MEMBER_LEASE_MS),
+                },
+            );
         }
     }
 
     /// Another core process told of its leases.
     pub(crate) fn take(&mut self, now: Time, from: NodeId, leases: &MemberLeases) {
-        let until = |lease: &MemberLease| now.plus_millis(u64::from(lease.remaining_ms).min(MEMBER_LEASE_MS));
-        let relays = leases.relays.iter().take(MAX_RELAYS).map(|lease| (lease.node, until(lease)));
-        let told =
-            Told { count: leases.count, until: now.plus_millis(MEMBER_LEASE_MS), relays: relays.collect() };
+        let until = |lease: &MemberLease| {
+            now.plus_millis(u64::from(lease.remaining_ms).min(MEMBER_LEASE_MS))
+        };
+        let relays = leases
+            .relays
+            .iter()
+            .take(MAX_RELAYS)
+            .map(|lease| (lease.node, until(lease)));
+        let told = Told {
+            count: leases.count,
+            until: now.plus_millis(MEMBER_LEASE_MS),
+            relays: relays.collect(),
+        };
         self.told.insert(from, told);
     }
 
@@ -92,9 +107,15 @@
 
     fn summary(&self, now: Time) -> MemberLeases {
         let own = self.own_relays();
-        let lease = |node: NodeId| MemberLease { node, remaining_ms: millis_until(own[&node], now) };
+        let lease = |node: NodeId| MemberLease {
+            node,
+            remaining_ms: millis_until(own[&node], now),
+        };
         let best = best_relays(own.keys().copied().collect(), MAX_RELAYS);
-        MemberLeases { count: self.own.len() as u32, relays: List(best.into_iter().map(lease).collect()) }
+        MemberLeases {
+            count: self.own.len() as u32,
+            relays: List(best.into_iter().map(lease).collect()),
+        }
     }
 
     fn choose(&self, now: Time) -> Vec<(NodeId, Time)> {
@@ -109,7 +130,10 @@
     }
 
     fn own_relays(&self) -> BTreeMap<NodeId, Time> {
-        let relays = self.own.iter().filter(|(_, lease)| lease.kind.relay_weight() > 0);
+        let relays = self
+            .own
+            .iter()
+            .filter(|(_, lease)| lease.kind.relay_weight() > 0);
         relays.map(|(node, lease)| (*node, lease.until)).collect()
     }
 }
@@ -122,7 +146,9 @@
 impl CoreNode {
     /// Tells the other members of the core which leases this process holds.
     pub(crate) fn step_leases(&mut self, now: Time) {
-        let Some(leases) = self.leases.share(now) else { return };
+        let Some(leases) = self.leases.share(now) else {
+            return;
+        };
         let message = ControlMessage::MemberLeases(leases);
         let mut others = self.knowledge.list.all();
         others.remove(&self.settings.node);
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -36,10 +36,19 @@
     }
 
     /// At most `count` of those that were heard lately and are not in the list.
-    pub fn candidates(&self, now: Time, list: &MemberList, count: usize) -> BTreeMap<NodeId, Incarnation> {
-        let asks =
-            self.heard.iter().filter(|(node, (_, heard))| is_recent(now, *heard) && !list.contains(**node));
-        asks.take(count).map(|(node, (incarnation, _))| (*node, *incarnation)).collect()
+    pub fn candidates(
+        &self,
+        now: Time,
+        list: &MemberList,
+        count: usize,
+    ) -> BTreeMap<NodeId, Incarnation> {
+        let asks = self
+            .heard
+            .iter()
+            .filter(|(node, (_, heard))| is_recent(now, *heard) && !list.contains(**node));
+        asks.take(count)
+            .map(|(node, (incarnation, _))| (*node, *incarnation))
+            .collect()
     }
 
     /// Whether anybody may still be waiting.
@@ -55,7 +64,10 @@
 impl CoreNode {
     /// Whether there are members to be changed, or a change to be brought to its end.
     pub(crate) fn watches_membership(&self) -> bool {
-        let serving = self.term.as_ref().is_some_and(|term| term.service.is_some());
+        let serving = self
+            .term
+            .as_ref()
+            .is_some_and(|term| term.service.is_some());
         serving && (self.knowledge.list.is_changing() || !self.joiners.heard.is_empty())
     }
 
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -8,8 +8,8 @@
 use crate::replica::Condition;
 use crate::term::Term;
 use sagetrail_wire::control::{
-    Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew, RenewAck,
-    VoteReply,
+    Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew,
+    RenewAck, VoteReply,
 };
 use sagetrail_wire::node::{Door, HttpRequest, HttpRequestId};
 use sagetrail_wire::{Message, NodeId, Time};
@@ -90,19 +90,25 @@
                 self.proposer.note(prepare.ballot);
                 self.acceptor.prepare(from, &prepare, effects);
             }
-            ControlMessage::Accept(accept) => self.acceptor.accept(self.settings.node, from, accept, effects),
+            ControlMessage::Accept(accept) => {
+                self.acceptor
+                    .accept(self.settings.node, from, accept, effects)
+            }
             ControlMessage::AcceptChange(accept) => {
-                self.acceptor.accept_change(self.settings.node, from, &accept, effects);
+                self.acceptor
+                    .accept_change(self.settings.node, from, &accept, effects);
             }
             ControlMessage::Read(read) => self.acceptor.read(from, &read, effects),
             ControlMessage::Recover(recover) => self.on_recover(from, &recover),
             ControlMessage::VoteRequest(request) => {
                 let members_version = self.acceptor.members_version;
-                self.replica.vote(now, from, &request, members_version, effects);
+                self.replica
+                    .vote(now, from, &request, members_version, effects);
             }
             ControlMessage::Renew(renew) => {
                 let condition = self.condition(&renew);
-                self.replica.renew(now, from, &renew, condition, &mut self.effects);
+                self.replica
+                    .renew(now, from, &renew, condition, &mut self.effects);
                 self.on_rumour(renew.learned);
             }
             ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.epoch) => {
@@ -118,7 +124,10 @@
     /// What this process says of itself to the owner of the term.
     fn condition(&self, renew: &Renew) -> Condition {
         let caught_up = self.knowledge.ballot() >= renew.learned && self.changes_caught_up();
-        Condition { leaving: self.terminating.is_some(), caught_up }
+        Condition {
+            leaving: self.terminating.is_some(),
+            caught_up,
+        }
     }
 
     fn on_promised(&mut self, from: NodeId, promised: Promised) {
@@ -130,7 +139,9 @@
         }
         let now = self.now.steady;
         let changes = &self.accepted_changes;
-        let outcome = self.proposer.promised(now, from, promised, changes, &mut self.effects);
+        let outcome = self
+            .proposer
+            .promised(now, from, promised, changes, &mut self.effects);
         self.on_outcome(outcome);
     }
 
@@ -157,7 +168,14 @@
             let now = self.now.steady;
             let owner = self.replica.live_owner(now);
             let wait = owner.is_some_and(|owner| owner != self.settings.node);
-            self.operator.outcome(now, number, &outcome.verdict, ballot, wait, &mut self.effects);
+            self.operator.outcome(
+                now,
+                number,
+                &outcome.verdict,
+                ballot,
+                wait,
+                &mut self.effects,
+            );
         }
     }
 
@@ -188,7 +206,9 @@
         self.on_rumour(ballot);
         let known = self.knowledge.ballot();
         if known >= ballot {
-            return self.effects.control(from, ControlMessage::Learned(Learned { ballot: known }));
+            return self
+                .effects
+                .control(from, ControlMessage::Learned(Learned { ballot: known }));
         }
         if self.learn_askers.len() < MAX_LEARN_ASKERS {
             self.learn_askers.push(LearnAsker { node: from, ballot });
@@ -214,14 +234,19 @@
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
         let owner: Option<NodeId> = self.replica.live_owner(self.now.steady);
         if owner.is_none_or(|owner| owner == from) {
-            self.operator.owner_learned(learned.ballot, &mut self.effects);
+            self.operator
+                .owner_learned(learned.ballot, &mut self.effects);
         }
     }
 
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
         let promised = self.acceptor.ballots.promised;
         let epoch = self.replica.state.promise.epoch;
-        let reply = RecoverReply { nonce: recover.nonce, promised, epoch };
+        let reply = RecoverReply {
+            nonce: recover.nonce,
+            promised,
+            epoch,
+        };
         let reply = ControlMessage::RecoverReply(reply);
         self.effects.write(Vec::new(), vec![(from, reply)]);
     }
@@ -232,7 +257,9 @@
             self.rumour_at = self.rumour_at.or(Some(now));
         }
         let list = &self.knowledge.list;
-        let elected: Option<Elected> = self.elections.reply(now, from, reply, list, &mut self.effects);
+        let elected: Option<Elected> =
+            self.elections
+                .reply(now, from, reply, list, &mut self.effects);
         if let Some(elected) = elected.filter(|_| self.may_lead()) {
             self.term = Some(Term::new(self.settings.node, now, elected, list));
         }
@@ -258,7 +285,8 @@
             Asked::Status(status) => self.effects.status(id, status),
             Asked::ReadBack => self.operator.read_back(now, id, &mut self.effects),
             Asked::Change(change) => {
-                self.operator.order(now, id, change, &mut self.proposer, &mut self.effects)
+                self.operator
+                    .order(now, id, change, &mut self.proposer, &mut self.effects)
             }
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -86,7 +86,11 @@
 impl CoreNode {
     /// A process that starts with `image` on its disk.
     pub fn new(
-        mut settings: CoreSettings, image: DiskImage, factory: ServiceFactory, now: Now, outbox: &mut Outbox,
+        mut settings: CoreSettings,
+        image: DiskImage,
+        factory: ServiceFactory,
+        now: Now,
+        outbox: &mut Outbox,
     ) -> CoreNode {
         let node = settings.node;
         let mut random = Pcg64Mcg::seed_from_u64(own_seed(&settings));
@@ -155,9 +159,14 @@
 
     fn begin_empty(&mut self, now: Time) {
         let node = self.settings.node;
-        let founder = self.settings.seeds.first().is_none_or(|first| *first == node);
+        let founder = self
+            .settings
+            .seeds
+            .first()
+            .is_none_or(|first| *first == node);
         if self.settings.bootstrap && founder {
-            self.standing.founding = Some(Founding::new(node, self.settings.tolerated_machines, now));
+            self.standing.founding =
+                Some(Founding::new(node, self.settings.tolerated_machines, now));
         }
     }
 
@@ -165,7 +174,8 @@
     fn settle_all(&mut self, outbox: &mut Outbox) {
         loop {
             self.step();
-            self.courier.flush(self.now.steady, &mut self.effects, outbox);
+            self.courier
+                .flush(self.now.steady, &mut self.effects, outbox);
             let mut heard = false;
             while let Some(message) = self.courier.next_own() {
                 heard = true;
@@ -182,7 +192,11 @@
 /// Differs between processes and between their lives, also where they were given the same seed.
 fn own_seed(settings: &CoreSettings) -> u64 {
     let place = (u64::from(settings.node.ip) << 16) | u64::from(settings.node.port);
-    settings.seed.wrapping_mul(SEED_FACTOR).wrapping_add(settings.incarnation.rotate_left(17)) ^ place
+    settings
+        .seed
+        .wrapping_mul(SEED_FACTOR)
+        .wrapping_add(settings.incarnation.rotate_left(17))
+        ^ place
 }
 
 impl Node for CoreNode {
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -46,7 +46,12 @@
     /// Without any; `ack_ms` is how long the operator waits.
     pub fn new(ack_ms: u64) -> Operator {
         let patience_ms = ack_ms.saturating_sub(ORDER_MARGIN_MS).max(UNTOUCHED_MS);
-        Operator { patience_ms, next_number: 0, orders: BTreeMap::new(), read_backs: Vec::new() }
+        Operator {
+            patience_ms,
+            next_number: 0,
+            orders: BTreeMap::new(),
+            read_backs: Vec::new(),
+        }
     }
 
     /// Whether nothing is under way.
@@ -56,10 +61,18 @@
 
     /// Takes an order; the same order under way gets one more listener.
     pub fn order(
-        &mut self, now: Time, id: HttpRequestId, change: Change, proposer: &mut Proposer,
+        &mut self,
+        now: Time,
+        id: HttpRequestId,
+        change: Change,
+        proposer: &mut Proposer,
         effects: &mut Effects,
     ) {
-        if let Some(order) = self.orders.values_mut().find(|order| *order.change == change) {
+        if let Some(order) = self
+            .orders
+            .values_mut()
+            .find(|order| *order.change == change)
+        {
             return order.waiters.push(id);
         }
         if self.orders.len() >= MAX_WAITING {
@@ -68,8 +81,19 @@
         self.next_number += 1;
         let number = self.next_number;
         let change = Arc::new(change);
-        proposer.push(Job::Order { number, change: change.clone() });
-        self.orders.insert(number, Order { change, waiters: vec![id], arrived: now, taken: None });
+        proposer.push(Job::Order {
+            number,
+            change: change.clone(),
+        });
+        self.orders.insert(
+            number,
+            Order {
+                change,
+                waiters: vec![id],
+                arrived: now,
+                taken: None,
+            },
+        );
     }
 
     /// Takes a read-back.
@@ -95,7 +119,12 @@
 
     /// The outcome of an order. `wait`: the scheduler has yet to learn it.
     pub fn outcome(
-        &mut self, now: Time, number: u64, verdict: &Verdict, ballot: Ballot, wait: bool,
+        &mut self,
+        now: Time,
+        number: u64,
+        verdict: &Verdict,
+        ballot: Ballot,
+        wait: bool,
         effects: &mut Effects,
     ) {
         if let (Verdict::Taken, true) = (verdict, wait) {
@@ -108,7 +137,9 @@
             Verdict::Taken | Verdict::Repeated => self.answer(number, OK, Vec::new(), effects),
             Verdict::Stale => self.answer(number, PRECONDITION_FAILED, Vec::new(), effects),
             Verdict::Invalid(error) => self.answer(number, BAD_REQUEST, error_body(error), effects),
-            Verdict::Unchanged | Verdict::Unknown => self.answer(number, UNKNOWN, Vec::new(), effects),
+            Verdict::Unchanged | Verdict::Unknown => {
+                self.answer(number, UNKNOWN, Vec::new(), effects)
+            }
         }
     }
 
@@ -119,8 +150,18 @@
     }
 
     /// Answers what is due.
-    pub fn tick(&mut self, now: Time, knowledge: &Knowledge, proposer: &mut Proposer, effects: &mut Effects) {
-        self.answer_all(|order| order.taken.is_some_and(|(_, until)| now >= until), OK, effects);
+    pub fn tick(
+        &mut self,
+        now: Time,
+        knowledge: &Knowledge,
+        proposer: &mut Proposer,
+        effects: &mut Effects,
+    ) {
+        self.answer_all(
+            |order| order.taken.is_some_and(|(_, until)| now >= until),
+            OK,
+            effects,
+        );
         self.give_up(now, proposer, effects);
         self.answer_reads(now, knowledge, effects);
     }
@@ -140,7 +181,10 @@
 
     /// What can be said of an order before its outcome.
     fn status_now(&self, number: u64, proposer: &Proposer) -> u16 {
-        let taken = self.orders.get(&number).is_some_and(|order| order.taken.is_some());
+        let taken = self
+            .orders
+            .get(&number)
+            .is_some_and(|order| order.taken.is_some());
         match (taken, proposer.may_be_accepted(number)) {
             (true, _) => OK,
             (false, true) => UNKNOWN,
@@ -150,8 +194,14 @@
 
     /// When something is due.
     pub fn next_wake(&self, proposer: &Proposer) -> Option<Time> {
-        let orders = self.orders.iter().map(|(number, order)| self.due(*number, order, proposer));
-        let reads = self.read_backs.iter().map(|read| read.arrived.plus_millis(self.patience_ms));
+        let orders = self
+            .orders
+            .iter()
+            .map(|(number, order)| self.due(*number, order, proposer));
+        let reads = self
+            .read_backs
+            .iter()
+            .map(|read| read.arrived.plus_millis(self.patience_ms));
         orders.chain(reads).min()
     }
 
@@ -159,13 +209,22 @@
         if let Some((_, until)) = order.taken {
             return until;
         }
-        let patience = if proposer.may_be_accepted(number) { self.patience_ms } else { UNTOUCHED_MS };
+        let patience = if proposer.may_be_accepted(number) {
+            self.patience_ms
+        } else {
+            UNTOUCHED_MS
+        };
         order.arrived.plus_millis(patience)
     }
 
     fn give_up(&mut self, now: Time, proposer: &mut Proposer, effects: &mut Effects) {
         let is_due = |(number, order): &(&u64, &Order)| now >= self.due(**number, order, proposer);
-        let due: Vec<u64> = self.orders.iter().filter(is_due).map(|(number, _)| *number).collect();
+        let due: Vec<u64> = self
+            .orders
+            .iter()
+            .filter(is_due)
+            .map(|(number, _)| *number)
+            .collect();
         for number in due {
             let status = self.status_now(number, proposer);
             proposer.cancel(number);
@@ -177,7 +236,9 @@
         let patience_ms = self.patience_ms;
         self.read_backs.retain(|read| {
             let reply = match knowledge.config() {
-                Some(config) if knowledge.is_fresh(read.arrived) => json(OK, config.document.to_vec()),
+                Some(config) if knowledge.is_fresh(read.arrived) => {
+                    json(OK, config.document.to_vec())
+                }
                 None if knowledge.is_fresh(read.arrived) => json(UNAVAILABLE, Vec::new()),
                 _ if now >= read.arrived.plus_millis(patience_ms) => json(UNAVAILABLE, Vec::new()),
                 _ => return true,
@@ -196,7 +257,9 @@
     }
 
     fn answer(&mut self, number: u64, status: u16, body: Vec<u8>, effects: &mut Effects) {
-        let Some(order) = self.orders.remove(&number) else { return };
+        let Some(order) = self.orders.remove(&number) else {
+            return;
+        };
         for waiter in order.waiters {
             effects.replies.push((waiter, json(status, body.clone())));
         }
@@ -204,9 +267,15 @@
 }
 
 fn json(status: u16, body: Vec<u8>) -> HttpReply {
-    HttpReply { status, retry_after_s: None, body }
+    HttpReply {
+        status,
+        retry_after_s: None,
+        body,
+    }
 }
 
 fn error_body(error: &sagetrail_config::ConfigError) -> Vec<u8> {
-    serde_json::json!({ "error": error.to_string() }).to_string().into_bytes()
+    serde_json::json!({ "error": error.to_string() })
+        .to_string()
+        .into_bytes()
 }
--- a/crates/control/src/outer.rs
+++ b/crates/control/src/outer.rs
@@ -23,13 +23,16 @@
 
     fn on_relayed(&mut self, forwarder: NodeId, relayed: Relayed) {
         if relayed.to != self.settings.node {
-            self.effects.sends.push((relayed.to, Message::Relayed(relayed)));
+            self.effects
+                .sends
+                .push((relayed.to, Message::Relayed(relayed)));
             return;
         }
         match frame::decode(&relayed.payload) {
             Ok(Message::Relayed(_)) | Err(_) => {}
             Ok(message) => {
-                self.courier.came_by(self.now.steady, relayed.from, forwarder);
+                self.courier
+                    .came_by(self.now.steady, relayed.from, forwarder);
                 self.on_message(relayed.from, message);
             }
         }
@@ -87,29 +90,49 @@
     /// goes on following the term after the lease is over.
     fn known_owner(&self) -> (u64, NodeId) {
         if let Some(term) = &self.term {
-            let owner = if term.service.is_some() { self.settings.node } else { NodeId::default() };
+            let owner = if term.service.is_some() {
+                self.settings.node
+            } else {
+                NodeId::default()
+            };
             return (term.epoch, owner);
         }
         let (epoch, owner) = self.replica.term();
-        (epoch, if owner == self.settings.node { NodeId::default() } else { owner })
+        (
+            epoch,
+            if owner == self.settings.node {
+                NodeId::default()
+            } else {
+                owner
+            },
+        )
     }
 
     /// Hands a message to the service, at once or once the register was read again.
     pub(crate) fn serve(&mut self, from: NodeId, message: Message) {
-        let serving = self.term.as_ref().is_some_and(|term| term.service.is_some());
+        let serving = self
+            .term
+            .as_ref()
+            .is_some_and(|term| term.service.is_some());
         if !serving || !self.knows_less(&message) {
             return self.deliver(from, message);
         }
         if self.delayed.len() < MAX_DELAYED {
             let arrived = self.now.steady;
-            self.delayed.push_back(Delayed { from, message, arrived });
+            self.delayed.push_back(Delayed {
+                from,
+                message,
+                arrived,
+            });
         }
     }
 
     /// Whether the sender has seen a newer configuration.
     fn knows_less(&self, message: &Message) -> bool {
         match message {
-            Message::ClientRequest(request) => request.config_version > self.knowledge.config_version(),
+            Message::ClientRequest(request) => {
+                request.config_version > self.knowledge.config_version()
+            }
             _ => false,
         }
     }
@@ -128,6 +151,13 @@
             _ => 0,
         };
         let (epoch, owner) = self.known_owner();
-        self.effects.sends.push((from, Message::NotOwner(NotOwner { request, epoch, owner })));
+        self.effects.sends.push((
+            from,
+            Message::NotOwner(NotOwner {
+                request,
+                epoch,
+                owner,
+            }),
+        ));
     }
 }
--- a/crates/control/src/persisted.rs
+++ b/crates/control/src/persisted.rs
@@ -56,7 +56,11 @@
 
 impl From<StoredMembers> for MemberList {
     fn from(stored: StoredMembers) -> MemberList {
-        MemberList { version: stored.version, members: stored.members.0, next_members: stored.next_members.0 }
+        MemberList {
+            version: stored.version,
+            members: stored.members.0,
+            next_members: stored.next_members.0,
+        }
     }
 }
 
@@ -86,19 +90,29 @@
         if image.control.is_empty() && image.records.is_empty() {
             return DiskContent::Empty;
         }
-        ControlState::read(&image.control)
-            .map_or(DiskContent::Damaged, |state| DiskContent::State(Box::new(state)))
+        ControlState::read(&image.control).map_or(DiskContent::Damaged, |state| {
+            DiskContent::State(Box::new(state))
+        })
     }
 
     /// `None` where a row is missing or cannot be read in full.
     fn read(rows: &[(Vec<u8>, Vec<u8>)]) -> Option<ControlState> {
-        let find = |key: &[u8]| rows.iter().find(|row| row.0 == key).map(|row| row.1.as_slice());
+        let find = |key: &[u8]| {
+            rows.iter()
+                .find(|row| row.0 == key)
+                .map(|row| row.1.as_slice())
+        };
         let ballots: AcceptorBallots = decode(find(ACCEPTOR_KEY)?)?;
         let replica = decode(find(REPLICA_KEY)?)?;
         let members = decode(find(MEMBERS_KEY)?)?;
         let value = Blob(find(VALUE_KEY)?.to_vec());
         decode::<RegisterValue>(&value)?;
-        Some(ControlState { ballots, value, replica, members })
+        Some(ControlState {
+            ballots,
+            value,
+            replica,
+            members,
+        })
     }
 }
 
@@ -129,5 +143,9 @@
 }
 
 fn put(key: &[u8], value: Vec<u8>) -> DiskOperation {
-    DiskOperation::Put { table: Table::Control, key: key.to_vec(), value }
+    DiskOperation::Put {
+        table: Table::Control,
+        key: key.to_vec(),
+        value,
+    }
 }
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -109,8 +109,11 @@
 
     /// Gives an order up.
     pub fn cancel(&mut self, number: u64) {
-        let is_order = |job: &Job| matches!(job, Job::Order { number: other, .. } if *other == number);
-        let Some(position) = self.queue.iter().position(is_order) else { return };
+        let is_order =
+            |job: &Job| matches!(job, Job::Order { number: other, .. } if *other == number);
+        let Some(position) = self.queue.iter().position(is_order) else {
+            return;
+        };
         self.queue.remove(position);
         if position == 0 {
             self.round = None;
@@ -122,7 +125,8 @@
     /// Whether this order may have been accepted somewhere.
     pub fn may_be_accepted(&self, number: u64) -> bool {
         let front = self.queue.front();
-        self.accept_sent && matches!(front, Some(Job::Order { number: other, .. }) if *other == number)
+        self.accept_sent
+            && matches!(front, Some(Job::Order { number: other, .. }) if *other == number)
     }
 
     /// Notes a ballot that others have promised.
@@ -142,7 +146,11 @@
         if self.queue.is_empty() {
             return None;
         }
-        Some(self.round.as_ref().map_or(self.retry_at, |round| round.sent_at.plus_millis(RESEND_MS)))
+        Some(
+            self.round
+                .as_ref()
+                .map_or(self.retry_at, |round| round.sent_at.plus_millis(RESEND_MS)),
+        )
     }
 
     /// Starts, repeats or gives up rounds.
@@ -170,31 +178,64 @@
 
     fn start(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
         self.counter += 1;
-        let ballot = Ballot { counter: self.counter, node: self.node, incarnation: self.incarnation };
+        let ballot = Ballot {
+            counter: self.counter,
+            node: self.node,
+            incarnation: self.incarnation,
+        };
         let newer = self.newer_list.version > knowledge.list.version;
-        let list = if newer { self.newer_list.clone() } else { knowledge.list.clone() };
-        let first = FirstRound { replies: BTreeMap::new(), newest: Ballot::default(), value: None };
+        let list = if newer {
+            self.newer_list.clone()
+        } else {
+            knowledge.list.clone()
+        };
+        let first = FirstRound {
+            replies: BTreeMap::new(),
+            newest: Ballot::default(),
+            value: None,
+        };
         let known = knowledge.chosen.clone();
-        let round = Round { ballot, list, known, started: now, sent_at: now, phase: Phase::First(first) };
+        let round = Round {
+            ballot,
+            list,
+            known,
+            started: now,
+            sent_at: now,
+            phase: Phase::First(first),
+        };
         round.send(effects);
         self.round = Some(round);
     }
 
     /// A promise came.
     pub fn promised(
-        &mut self, now: Time, from: NodeId, promised: Promised, changes: &AcceptedChanges,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        promised: Promised,
+        changes: &AcceptedChanges,
         effects: &mut Effects,
     ) -> Option<Outcome> {
-        let round = self.round.as_mut().filter(|round| round.ballot == promised.ballot)?;
+        let round = self
+            .round
+            .as_mut()
+            .filter(|round| round.ballot == promised.ballot)?;
         if !round.take_promise(from, promised) {
             return None;
         }
         self.read_done(now, changes, effects)
     }
 
-    fn read_done(&mut self, now: Time, changes: &AcceptedChanges, effects: &mut Effects) -> Option<Outcome> {
+    fn read_done(
+        &mut self,
+        now: Time,
+        changes: &AcceptedChanges,
+        effects: &mut Effects,
+    ) -> Option<Outcome> {
         let round = self.round.as_mut()?;
-        let Phase::First(first) = &round.phase else { return None };
+        let Phase::First(first) = &round.phase else {
+            return None;
+        };
         let Some(value) = first.value.clone() else {
             self.back_off(now);
             return None;
@@ -209,7 +250,10 @@
         let step = job.apply(&value, changes);
         let settled = first.replies.values().all(|ballot| *ballot == first.newest);
         if step.value.is_none() && settled {
-            let chosen = Chosen { ballot: first.newest, value };
+            let chosen = Chosen {
+                ballot: first.newest,
+                value,
+            };
             return self.finish(chosen, step.verdict);
         }
         let next = step.value.map_or(value, Arc::new);
@@ -222,21 +266,41 @@
 
     /// A value was accepted.
     pub fn accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Outcome> {
-        let round = self.round.as_mut().filter(|round| round.ballot == accepted.ballot)?;
-        let Phase::Second(second) = &mut round.phase else { return None };
+        let round = self
+            .round
+            .as_mut()
+            .filter(|round| round.ballot == accepted.ballot)?;
+        let Phase::Second(second) = &mut round.phase else {
+            return None;
+        };
         second.replies.insert(from);
-        if !second.quorums.iter().all(|list| list.reached_by(&second.replies)) {
+        if !second
+            .quorums
+            .iter()
+            .all(|list| list.reached_by(&second.replies))
+        {
             return None;
         }
-        let chosen = Chosen { ballot: round.ballot, value: second.value.clone() };
+        let chosen = Chosen {
+            ballot: round.ballot,
+            value: second.value.clone(),
+        };
         let verdict = second.verdict.clone();
         self.finish(chosen, verdict)
     }
 
     /// A member cannot make the value from the change.
     pub fn value_needed(&mut self, from: NodeId, needed: &ValueNeeded, effects: &mut Effects) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == needed.ballot) else { return };
-        let Phase::Second(second) = &mut round.phase else { return };
+        let Some(round) = self
+            .round
+            .as_mut()
+            .filter(|round| round.ballot == needed.ballot)
+        else {
+            return;
+        };
+        let Phase::Second(second) = &mut round.phase else {
+            return;
+        };
         if second.need_value.insert(from) {
             effects.control(from, second.message(round.ballot, from));
         }
@@ -245,7 +309,11 @@
     /// A higher ballot is about.
     pub fn refused(&mut self, now: Time, refused: &Refused) {
         self.note(refused.promised);
-        if self.round.as_ref().is_some_and(|round| round.ballot == refused.ballot) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| round.ballot == refused.ballot)
+        {
             self.back_off(now);
         }
     }
@@ -256,7 +324,12 @@
         self.failures = 0;
         self.accept_sent = false;
         self.retry_at = Time::default();
-        Some(Outcome { job, verdict, chosen, as_of: round.started })
+        Some(Outcome {
+            job,
+            verdict,
+            chosen,
+            as_of: round.started,
+        })
     }
 
     fn back_off(&mut self, now: Time) {
@@ -271,13 +344,24 @@
     fn send(&self, effects: &mut Effects) {
         match &self.phase {
             Phase::First(first) => {
-                let have = self.known.as_ref().map(|known| known.ballot).unwrap_or_default();
-                let prepare = ControlMessage::Prepare(Prepare { ballot: self.ballot, have });
+                let have = self
+                    .known
+                    .as_ref()
+                    .map(|known| known.ballot)
+                    .unwrap_or_default();
+                let prepare = ControlMessage::Prepare(Prepare {
+                    ballot: self.ballot,
+                    have,
+                });
                 let members = self.list.all().into_iter();
-                effects.broadcast(members.filter(|member| !first.replies.contains_key(member)), &prepare);
+                effects.broadcast(
+                    members.filter(|member| !first.replies.contains_key(member)),
+                    &prepare,
+                );
             }
             Phase::Second(second) => {
-                let members: BTreeSet<NodeId> = second.quorums.iter().flat_map(MemberList::all).collect();
+                let members: BTreeSet<NodeId> =
+                    second.quorums.iter().flat_map(MemberList::all).collect();
                 for member in members.difference(&second.replies) {
                     effects.control(*member, second.message(self.ballot, *member));
                 }
@@ -287,10 +371,15 @@
 
     /// True once a majority has promised.
     fn take_promise(&mut self, from: NodeId, promised: Promised) -> bool {
-        let Phase::First(first) = &mut self.phase else { return false };
+        let Phase::First(first) = &mut self.phase else {
+            return false;
+        };
         first.replies.insert(from, promised.accepted);
         if promised.accepted > first.newest {
-            let known = self.known.as_ref().filter(|known| known.ballot == promised.accepted);
+            let known = self
+                .known
+                .as_ref()
+                .filter(|known| known.ballot == promised.accepted);
             let sent = || RegisterValue::decode(&promised.value).ok().map(Arc::new);
             let value = known.map(|known| known.value.clone()).or_else(sent);
             if value.is_none() {
@@ -300,24 +389,40 @@
             first.newest = promised.accepted;
             first.value = value;
         }
-        self.list.reached_by(&first.replies.keys().copied().collect())
+        self.list
+            .reached_by(&first.replies.keys().copied().collect())
     }
 
     /// `job`: what made the value of the one that was read; `None` where that is only finished.
     fn propose(
-        &mut self, node: NodeId, value: Arc<RegisterValue>, verdict: Verdict, job: Option<&Job>,
+        &mut self,
+        node: NodeId,
+        value: Arc<RegisterValue>,
+        verdict: Verdict,
+        job: Option<&Job>,
         effects: &mut Effects,
     ) {
-        let Phase::First(first) = &self.phase else { return };
+        let Phase::First(first) = &self.phase else {
+            return;
+        };
         let mut quorums = vec![self.list.clone()];
         if value.members_version != self.list.version {
             quorums.push(value.member_list());
         }
         let bytes = Blob(value.encode());
-        let change = job.and_then(|job| accept_change::compose(job, self.ballot, first.newest, &bytes));
+        let change =
+            job.and_then(|job| accept_change::compose(job, self.ballot, first.newest, &bytes));
         let need_value = first.need_value(node);
         let replies = BTreeSet::new();
-        let second = SecondRound { value, bytes, change, need_value, quorums, replies, verdict };
+        let second = SecondRound {
+            value,
+            bytes,
+            change,
+            need_value,
+            quorums,
+            replies,
+            verdict,
+        };
         self.phase = Phase::Second(Box::new(second));
         self.send(effects);
     }
@@ -326,7 +431,10 @@
 impl FirstRound {
     /// Members that accepted another value than the one read, and `node` itself, to which nothing travels.
     fn need_value(&self, node: NodeId) -> BTreeSet<NodeId> {
-        let differs = self.replies.iter().filter(|(_, accepted)| **accepted != self.newest);
+        let differs = self
+            .replies
+            .iter()
+            .filter(|(_, accepted)| **accepted != self.newest);
         differs.map(|(member, _)| *member).chain([node]).collect()
     }
 }
@@ -338,7 +446,10 @@
             Some(change) if !self.need_value.contains(&member) => {
                 ControlMessage::AcceptChange(change.clone())
             }
-            _ => ControlMessage::Accept(Accept { ballot, value: self.bytes.clone() }),
+            _ => ControlMessage::Accept(Accept {
+                ballot,
+                value: self.bytes.clone(),
+            }),
         }
     }
 }
--- a/crates/control/src/quorum.rs
+++ b/crates/control/src/quorum.rs
@@ -16,7 +16,12 @@
 
 impl fmt::Display for MemberList {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "members, version {}: {}", self.version, names(&self.members))?;
+        write!(
+            formatter,
+            "members, version {}: {}",
+            self.version,
+            names(&self.members)
+        )?;
         if self.is_changing() {
             write!(formatter, "; next: {}", names(&self.next_members))?;
         }
@@ -27,7 +32,11 @@
 impl MemberList {
     /// A list of which no change is under way.
     pub fn new(version: u64, members: Vec<NodeId>) -> MemberList {
-        MemberList { version, members, next_members: Vec::new() }
+        MemberList {
+            version,
+            members,
+            next_members: Vec::new(),
+        }
     }
 
     /// Whether a change of members is under way.
@@ -42,12 +51,19 @@
 
     /// Everyone who takes part, in order.
     pub fn all(&self) -> BTreeSet<NodeId> {
-        self.members.iter().chain(&self.next_members).copied().collect()
+        self.members
+            .iter()
+            .chain(&self.next_members)
+            .copied()
+            .collect()
     }
 
     /// Whether these processes hold a majority.
     pub fn reached_by(&self, nodes: &BTreeSet<NodeId>) -> bool {
-        !self.members.is_empty() && self.groups().all(|group| present(group, nodes) >= majority(group))
+        !self.members.is_empty()
+            && self
+                .groups()
+                .all(|group| present(group, nodes) >= majority(group))
     }
 
     /// Whether a majority is left without these processes.
@@ -67,7 +83,10 @@
 
     /// The highest figure that a majority has reached.
     pub fn reached_figure(&self, figure_of: impl Fn(&NodeId) -> u64) -> Option<u64> {
-        self.groups().map(|group| reached_in(group, &figure_of)).min().flatten()
+        self.groups()
+            .map(|group| reached_in(group, &figure_of))
+            .min()
+            .flatten()
     }
 
     fn groups(&self) -> impl Iterator<Item = &[NodeId]> {
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/reader.rs
@@ -39,7 +39,10 @@
 impl Reader {
     /// Nonces begin at `seed`, so that two lives of a process differ.
     pub fn new(seed: u64) -> Reader {
-        Reader { nonce: seed, round: None }
+        Reader {
+            nonce: seed,
+            round: None,
+        }
     }
 
     /// Whether no read is under way.
@@ -49,7 +52,9 @@
 
     /// When something is due.
     pub fn next_wake(&self) -> Option<Time> {
-        self.round.as_ref().map(|round| round.sent_at.plus_millis(RESEND_MS))
+        self.round
+            .as_ref()
+            .map(|round| round.sent_at.plus_millis(RESEND_MS))
     }
 
     /// Starts a read, in the place of one that is under way.
@@ -74,7 +79,9 @@
         if now < round.sent_at.plus_millis(RESEND_MS) {
             return None;
         }
-        let differs = round.list.reached_by(&round.replies.keys().copied().collect());
+        let differs = round
+            .list
+            .reached_by(&round.replies.keys().copied().collect());
         if differs || now >= round.started.plus_millis(ROUND_MS) {
             self.round = None;
             return differs.then_some(Found::Unsettled);
@@ -86,7 +93,10 @@
 
     /// An answer came.
     pub fn reply(&mut self, from: NodeId, reply: ReadReply) -> Option<Found> {
-        let round = self.round.as_mut().filter(|round| round.nonce == reply.nonce)?;
+        let round = self
+            .round
+            .as_mut()
+            .filter(|round| round.nonce == reply.nonce)?;
         if !round.list.contains(from) {
             return None;
         }
@@ -107,15 +117,29 @@
 
 impl ReadRound {
     fn send(&self, effects: &mut Effects) {
-        let have = self.known.as_ref().map(|known| known.ballot).unwrap_or_default();
-        let read = ControlMessage::Read(Read { nonce: self.nonce, have });
-        let silent = self.list.all().into_iter().filter(|member| !self.replies.contains_key(member));
+        let have = self
+            .known
+            .as_ref()
+            .map(|known| known.ballot)
+            .unwrap_or_default();
+        let read = ControlMessage::Read(Read {
+            nonce: self.nonce,
+            have,
+        });
+        let silent = self
+            .list
+            .all()
+            .into_iter()
+            .filter(|member| !self.replies.contains_key(member));
         effects.broadcast(silent, &read);
     }
 
     /// The ballot that a majority tells.
     fn agreed(&self) -> Option<Ballot> {
-        self.replies.values().find(|ballot| self.list.reached_by(&self.tellers(ballot))).copied()
+        self.replies
+            .values()
+            .find(|ballot| self.list.reached_by(&self.tellers(ballot)))
+            .copied()
     }
 
     fn tellers(&self, ballot: &Ballot) -> BTreeSet<NodeId> {
@@ -125,11 +149,18 @@
 
     fn finish(self, ballot: Ballot) -> Found {
         let known = self.known.as_ref().filter(|known| known.ballot == ballot);
-        let sent =
-            || self.values.get(&ballot).and_then(|bytes| RegisterValue::decode(bytes).ok()).map(Arc::new);
+        let sent = || {
+            self.values
+                .get(&ballot)
+                .and_then(|bytes| RegisterValue::decode(bytes).ok())
+                .map(Arc::new)
+        };
         let value = known.map(|known| known.value.clone()).or_else(sent);
         match value.filter(|value| value.members_version == self.list.version) {
-            Some(value) => Found::Chosen { chosen: Chosen { ballot, value }, as_of: self.started },
+            Some(value) => Found::Chosen {
+                chosen: Chosen { ballot, value },
+                as_of: self.started,
+            },
             None => Found::Unsettled,
         }
     }
