--- a/crates/control/src/records.rs
+++ b/crates/control/src/records.rs
@@ -12,19 +12,27 @@
 impl Records {
     /// Applies a batch and gives what is to be written.
     pub fn apply(&mut self, changes: &[RecordChange]) -> Vec<DiskOperation> {
-        changes.iter().map(|change| self.apply_one(change)).collect()
+        changes
+            .iter()
+            .map(|change| self.apply_one(change))
+            .collect()
     }
 
     /// Everything, to be written over whatever is there.
     pub fn rewrite(&self) -> Vec<DiskOperation> {
-        let clear = DiskOperation::Clear { table: Table::Records };
+        let clear = DiskOperation::Clear {
+            table: Table::Records,
+        };
         let puts = self.0.iter().map(|(key, value)| put(key, value));
         std::iter::once(clear).chain(puts).collect()
     }
 
     /// Takes entries in.
     pub fn insert_all(&mut self, entries: List<RecordEntry>) {
-        let pairs = entries.0.into_iter().map(|entry| (entry.key.0, entry.value.0));
+        let pairs = entries
+            .0
+            .into_iter()
+            .map(|entry| (entry.key.0, entry.value.0));
         self.0.extend(pairs);
     }
 
@@ -36,7 +44,10 @@
             }
             RecordChange::Delete { key } => {
                 self.0.remove(&key.0);
-                DiskOperation::Delete { table: Table::Records, key: key.0.clone() }
+                DiskOperation::Delete {
+                    table: Table::Records,
+                    key: key.0.clone(),
+                }
             }
         }
     }
@@ -49,11 +60,18 @@
 
 fn to_change(operation: RecordOperation) -> RecordChange {
     match operation {
-        RecordOperation::Put { key, value } => RecordChange::Put { key: Blob(key), value: Blob(value) },
+        RecordOperation::Put { key, value } => RecordChange::Put {
+            key: Blob(key),
+            value: Blob(value),
+        },
         RecordOperation::Delete { key } => RecordChange::Delete { key: Blob(key) },
     }
 }
 
 fn put(key: &[u8], value: &[u8]) -> DiskOperation {
-    DiskOperation::Put { table: Table::Records, key: key.to_vec(), value: value.to_vec() }
+    DiskOperation::Put {
+        table: Table::Records,
+        key: key.to_vec(),
+        value: value.to_vec(),
+    }
 }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -6,7 +6,9 @@
 use crate::persisted::AcceptorBallots;
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
-use sagetrail_wire::control::{Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused};
+use sagetrail_wire::control::{
+    Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused,
+};
 use sagetrail_wire::{Blob, Epoch, Incarnation, NodeId, Time};
 use std::collections::BTreeSet;
 
@@ -47,9 +49,17 @@
 impl Recovery {
     /// Begins by asking all other members.
     pub fn start(
-        node: NodeId, incarnation: Incarnation, list: &MemberList, now: Time, effects: &mut Effects,
+        node: NodeId,
+        incarnation: Incarnation,
+        list: &MemberList,
+        now: Time,
+        effects: &mut Effects,
     ) -> Recovery {
-        let others: Vec<NodeId> = list.all().into_iter().filter(|member| *member != node).collect();
+        let others: Vec<NodeId> = list
+            .all()
+            .into_iter()
+            .filter(|member| *member != node)
+            .collect();
         let recovery = Recovery {
             node,
             incarnation,
@@ -85,7 +95,10 @@
 
     /// A member told its highest promises.
     pub fn reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
-        if reply.nonce != self.nonce || !self.others.contains(&from) || !matches!(self.phase, Phase::Asking) {
+        if reply.nonce != self.nonce
+            || !self.others.contains(&from)
+            || !matches!(self.phase, Phase::Asking)
+        {
             return;
         }
         self.highest = self.highest.max(reply.promised);
@@ -111,9 +124,17 @@
         if !self.list.known_without(self.node, &self.replies) || self.value.is_empty() {
             return None;
         }
-        let ballots = AcceptorBallots { promised: self.ballot(), accepted: self.accepted };
+        let ballots = AcceptorBallots {
+            promised: self.ballot(),
+            accepted: self.accepted,
+        };
         let members_version = self.list.version;
-        Some(Recovered { ballots, value: self.value.clone(), epoch: self.epoch, members_version })
+        Some(Recovered {
+            ballots,
+            value: self.value.clone(),
+            epoch: self.epoch,
+            members_version,
+        })
     }
 
     /// A higher ballot is about: the next one goes above it.
@@ -125,17 +146,26 @@
     }
 
     fn ballot(&self) -> Ballot {
-        Ballot { counter: self.highest.counter + 1, node: self.node, incarnation: self.incarnation }
+        Ballot {
+            counter: self.highest.counter + 1,
+            node: self.node,
+            incarnation: self.incarnation,
+        }
     }
 
     fn send(&self, effects: &mut Effects) {
         let message = match self.phase {
             Phase::Asking => ControlMessage::Recover(Recover { nonce: self.nonce }),
-            Phase::Preparing => {
-                ControlMessage::Prepare(Prepare { ballot: self.ballot(), have: Ballot::default() })
-            }
+            Phase::Preparing => ControlMessage::Prepare(Prepare {
+                ballot: self.ballot(),
+                have: Ballot::default(),
+            }),
         };
-        let silent = self.others.iter().copied().filter(|other| !self.replies.contains(other));
+        let silent = self
+            .others
+            .iter()
+            .copied()
+            .filter(|other| !self.replies.contains(other));
         effects.broadcast(silent, &message);
     }
 }
--- a/crates/control/src/renounce.rs
+++ b/crates/control/src/renounce.rs
@@ -24,12 +24,18 @@
         self.replica.lease_until = self.started;
         self.elections.hasten();
         let until = self.started.plus_millis(RENOUNCE_MS);
-        self.renouncing = Some(Renouncing { epoch: promise.epoch, until, next: self.started });
+        self.renouncing = Some(Renouncing {
+            epoch: promise.epoch,
+            until,
+            next: self.started,
+        });
     }
 
     /// Says it again: others may come back later.
     pub(crate) fn step_renouncing(&mut self, now: Time) {
-        let Some(renouncing) = self.renouncing else { return };
+        let Some(renouncing) = self.renouncing else {
+            return;
+        };
         let current = self.replica.state.promise.epoch == renouncing.epoch;
         if self.term.is_some() || !current || now >= renouncing.until {
             self.renouncing = None;
@@ -38,9 +44,14 @@
         if now < renouncing.next {
             return;
         }
-        let resign = ControlMessage::Resign(Resign { epoch: renouncing.epoch });
+        let resign = ControlMessage::Resign(Resign {
+            epoch: renouncing.epoch,
+        });
         self.effects.broadcast(self.knowledge.list.all(), &resign);
-        self.renouncing = Some(Renouncing { next: now.plus_millis(RENOUNCE_INTERVAL_MS), ..renouncing });
+        self.renouncing = Some(Renouncing {
+            next: now.plus_millis(RENOUNCE_INTERVAL_MS),
+            ..renouncing
+        });
     }
 
     /// When it is due.
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -6,8 +6,8 @@
 use crate::records::Records;
 use crate::timing::{BEHIND_MS, LEASE_MS};
 use sagetrail_wire::control::{
-    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck, SnapshotChunk,
-    Stored,
+    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck,
+    SnapshotChunk, Stored,
 };
 use sagetrail_wire::{Epoch, List, NodeId, Time};
 use std::collections::BTreeMap;
@@ -73,7 +73,9 @@
     /// The highest term known and its owner, if that is known.
     pub fn term(&self) -> (Epoch, NodeId) {
         match &self.followed {
-            Some(followed) if followed.epoch == self.state.promise.epoch => (followed.epoch, followed.owner),
+            Some(followed) if followed.epoch == self.state.promise.epoch => {
+                (followed.epoch, followed.owner)
+            }
             _ => (self.state.promise.epoch, NodeId::default()),
         }
     }
@@ -86,7 +88,12 @@
 
     /// The owner renews its lease.
     pub fn renew(
-        &mut self, now: Time, from: NodeId, renew: &Renew, condition: Condition, effects: &mut Effects,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        renew: &Renew,
+        condition: Condition,
+        effects: &mut Effects,
     ) {
         if renew.epoch < self.state.promise.epoch {
             let ack = self.renew_ack(renew, condition);
@@ -109,7 +116,11 @@
     /// After a restart the promise alone tells who may hold a lease. It may have been made to a candidate that lost.
     fn name_owner(&mut self, owner: NodeId, epoch: Epoch) {
         if (self.state.promise.epoch, self.state.promise.node) != (epoch, owner) {
-            self.state.promise = TermPromise { epoch, node: owner, incarnation: 0 };
+            self.state.promise = TermPromise {
+                epoch,
+                node: owner,
+                incarnation: 0,
+            };
         }
     }
 
@@ -138,26 +149,41 @@
     }
 
     fn follow(&mut self, owner: NodeId, renew: &Renew) {
-        if self.followed.is_none_or(|followed| followed.epoch != renew.epoch) {
+        if self
+            .followed
+            .is_none_or(|followed| followed.epoch != renew.epoch)
+        {
             self.forget_transfers();
         }
-        self.followed = Some(Followed { epoch: renew.epoch, owner, base: renew.base, source: renew.source });
+        self.followed = Some(Followed {
+            epoch: renew.epoch,
+            owner,
+            base: renew.base,
+            source: renew.source,
+        });
     }
 
     fn catch_up(&mut self, now: Time, newest: u64, effects: &mut Effects) {
-        let Some(followed) = self.followed else { return };
+        let Some(followed) = self.followed else {
+            return;
+        };
         if self.state.tag.epoch == followed.epoch && self.state.whole {
             // The owner sends on once it hears what was synced: what waits for the disk is not behind.
             let behind = newest > self.state.tag.number && self.synced == self.state.tag;
             self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
-            let long = self.behind_since.is_some_and(|since| now >= since.plus_millis(BEHIND_MS));
+            let long = self
+                .behind_since
+                .is_some_and(|since| now >= since.plus_millis(BEHIND_MS));
             if long {
                 self.collect(now, followed, newest, effects);
             }
             return;
         }
         if self.state.tag == followed.base && self.state.whole {
-            self.state.tag = RecordsTag { epoch: followed.epoch, number: 0 };
+            self.state.tag = RecordsTag {
+                epoch: followed.epoch,
+                number: 0,
+            };
             self.store(Vec::new(), effects);
             return self.apply_buffered(effects);
         }
@@ -172,7 +198,15 @@
         }
         let oldest = self.oldest_useful(followed.epoch, newest);
         match &mut self.collection {
-            None => self.collection = Some(Collection::start(now, followed.epoch, source, oldest, effects)),
+            None => {
+                self.collection = Some(Collection::start(
+                    now,
+                    followed.epoch,
+                    source,
+                    oldest,
+                    effects,
+                ))
+            }
             Some(collection) if collection.source != source && collection.is_silent(now) => {
                 collection.turn_to(now, source, effects);
             }
@@ -184,22 +218,32 @@
     /// is no newer than the owner's newest batch; otherwise its own state holds all of that.
     fn oldest_useful(&self, epoch: Epoch, newest: u64) -> RecordsTag {
         if !self.state.whole && newest > 0 {
-            return RecordsTag { epoch, number: newest };
+            return RecordsTag {
+                epoch,
+                number: newest,
+            };
         }
         if self.state.whole && self.state.tag.epoch == epoch {
-            return RecordsTag { epoch, number: self.state.tag.number + 1 };
+            return RecordsTag {
+                epoch,
+                number: self.state.tag.number + 1,
+            };
         }
         RecordsTag::default()
     }
 
     /// Whether records are being fetched from a source that gives nothing.
     pub fn source_is_silent(&self, now: Time) -> bool {
-        self.collection.as_ref().is_some_and(|collection| collection.is_silent(now))
+        self.collection
+            .as_ref()
+            .is_some_and(|collection| collection.is_silent(now))
     }
 
     /// A batch came.
     pub fn batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
-        let Some(followed) = self.followed else { return };
+        let Some(followed) = self.followed else {
+            return;
+        };
         let current = followed.epoch == batch.epoch && followed.owner == from;
         if !current || self.state.promise.epoch != batch.epoch {
             return;
@@ -217,7 +261,9 @@
     }
 
     fn apply_buffered(&mut self, effects: &mut Effects) {
-        let Some(followed) = self.followed else { return };
+        let Some(followed) = self.followed else {
+            return;
+        };
         if self.state.tag.epoch != followed.epoch {
             return;
         }
@@ -237,9 +283,15 @@
         }
     }
 
-    fn store(&mut self, mut operations: Vec<sagetrail_wire::node::DiskOperation>, effects: &mut Effects) {
+    fn store(
+        &mut self,
+        mut operations: Vec<sagetrail_wire::node::DiskOperation>,
+        effects: &mut Effects,
+    ) {
         operations.push(put_replica(&self.state));
-        let stored = ControlMessage::Stored(Stored { tag: self.state.tag });
+        let stored = ControlMessage::Stored(Stored {
+            tag: self.state.tag,
+        });
         let mut then = vec![(self.node, stored.clone())];
         if let Some(followed) = self.followed.filter(|followed| followed.owner != self.node) {
             then.push((followed.owner, stored));
@@ -257,23 +309,36 @@
         if !self.state.whole {
             return;
         }
-        if let Some(chunk) = self.images.chunk(now, from, fetch, self.state.tag, &self.records) {
+        if let Some(chunk) = self
+            .images
+            .chunk(now, from, fetch, self.state.tag, &self.records)
+        {
             effects.control(from, ControlMessage::SnapshotChunk(chunk));
         }
     }
 
     /// A piece of the whole records came.
     pub fn chunk(&mut self, now: Time, from: NodeId, chunk: SnapshotChunk, effects: &mut Effects) {
-        let Some(collection) = &mut self.collection else { return };
-        let Some((tag, records)) = collection.take(now, from, chunk, effects) else { return };
+        let Some(collection) = &mut self.collection else {
+            return;
+        };
+        let Some((tag, records)) = collection.take(now, from, chunk, effects) else {
+            return;
+        };
         self.collection = None;
         self.install(tag, records, effects);
     }
 
     fn install(&mut self, tag: RecordsTag, records: Records, effects: &mut Effects) {
-        let Some(followed) = self.followed else { return };
+        let Some(followed) = self.followed else {
+            return;
+        };
         let epoch = followed.epoch;
-        let tag = if tag == followed.base { RecordsTag { epoch, number: 0 } } else { tag };
+        let tag = if tag == followed.base {
+            RecordsTag { epoch, number: 0 }
+        } else {
+            tag
+        };
         let newer = tag > self.state.tag || !self.state.whole;
         if tag.epoch != epoch || !newer || self.state.promise.epoch != epoch {
             return;
@@ -301,6 +366,9 @@
     pub fn next_wake(&self) -> Option<Time> {
         let collection = self.collection.as_ref().map(Collection::next_wake);
         let collection = collection.filter(|due| *due < self.lease_until);
-        [collection, self.images.next_wake()].into_iter().flatten().min()
+        [collection, self.images.next_wake()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/crates/control/src/standing.rs
+++ b/crates/control/src/standing.rs
@@ -69,14 +69,19 @@
     pub(crate) fn standing_wake(&self) -> Option<Time> {
         let standing = &self.standing;
         let hello = self.needs_hello().then_some(standing.hello_at);
-        let out_of_touch = standing.ready.then(|| self.out_of_touch_at().max(standing.ask_at));
+        let out_of_touch = standing
+            .ready
+            .then(|| self.out_of_touch_at().max(standing.ask_at));
         let founding = standing.founding.as_ref().map(Founding::due_at);
         let tell = (!standing.untold.is_empty()).then_some(standing.tell_at);
         let recovery = match &standing.recovery {
             Some(recovery) => Some(recovery.next_wake()),
             None => self.recovery_due(),
         };
-        [hello, out_of_touch, founding, tell, recovery].into_iter().flatten().min()
+        [hello, out_of_touch, founding, tell, recovery]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn needs_hello(&self) -> bool {
@@ -87,13 +92,23 @@
         if !self.needs_hello() || now < self.standing.hello_at {
             return;
         }
-        let interval_ms = if self.standing.ready { HELLO_INTERVAL_MS } else { UNREADY_HELLO_MS };
+        let interval_ms = if self.standing.ready {
+            HELLO_INTERVAL_MS
+        } else {
+            UNREADY_HELLO_MS
+        };
         self.standing.hello_at = now.plus_millis(interval_ms);
         let incarnation = self.settings.incarnation;
         let config_version = self.knowledge.config_version();
-        let hello = Message::Hello(Hello { kind: NodeKind::Core, incarnation, config_version });
+        let hello = Message::Hello(Hello {
+            kind: NodeKind::Core,
+            incarnation,
+            config_version,
+        });
         let known = self.known_core().into_iter();
-        self.effects.sends.extend(known.map(|node| (node, hello.clone())));
+        self.effects
+            .sends
+            .extend(known.map(|node| (node, hello.clone())));
     }
 
     /// All members that this process knows may have been replaced while it was away.
@@ -104,7 +119,8 @@
         }
         self.standing.ask_at = now.plus_millis(HELLO_INTERVAL_MS);
         let known = self.known_core();
-        self.effects.broadcast(known, &ControlMessage::DirectoryRequest);
+        self.effects
+            .broadcast(known, &ControlMessage::DirectoryRequest);
     }
 
     fn out_of_touch_at(&self) -> Time {
@@ -129,18 +145,33 @@
     }
 
     fn found(&mut self, now: Time) {
-        let due = self.standing.founding.as_ref().and_then(|founding| founding.due(now));
+        let due = self
+            .standing
+            .founding
+            .as_ref()
+            .and_then(|founding| founding.due(now));
         let Some(value) = due else { return };
         self.standing.founding = None;
         let settings = &self.settings;
-        let ballot =
-            Ballot { counter: FOUNDING_COUNTER, node: settings.node, incarnation: settings.incarnation };
+        let ballot = Ballot {
+            counter: FOUNDING_COUNTER,
+            node: settings.node,
+            incarnation: settings.incarnation,
+        };
         self.take_founding(ballot, Blob(value.encode()), None);
     }
 
     fn take_founding(&mut self, ballot: Ballot, bytes: Blob, teller: Option<NodeId>) {
-        let Ok(value) = RegisterValue::decode(&bytes) else { return };
-        self.acceptor.adopt(AcceptorBallots { promised: ballot, accepted: ballot }, bytes);
+        let Ok(value) = RegisterValue::decode(&bytes) else {
+            return;
+        };
+        self.acceptor.adopt(
+            AcceptorBallots {
+                promised: ballot,
+                accepted: ballot,
+            },
+            bytes,
+        );
         self.replica.state.whole = true;
         self.knowledge.adopt_list(value.member_list());
         self.settle(ballot, teller);
@@ -155,14 +186,18 @@
         operations.push(put_members(&members));
         let settled = ControlMessage::Settled(Settled { ballot });
         let listeners = teller.into_iter().chain([self.settings.node]);
-        let then = listeners.map(|listener| (listener, settled.clone())).collect();
+        let then = listeners
+            .map(|listener| (listener, settled.clone()))
+            .collect();
         self.effects.write(operations, then);
     }
 
     /// The founder tells the cluster's first value.
     pub(crate) fn on_found(&mut self, from: NodeId, found: Found) {
         if self.standing.ready {
-            let settled = ControlMessage::Settled(Settled { ballot: found.ballot });
+            let settled = ControlMessage::Settled(Settled {
+                ballot: found.ballot,
+            });
             return self.effects.control(from, settled);
         }
         let busy = self.standing.settling || self.standing.recovery.is_some();
@@ -186,11 +221,16 @@
     }
 
     fn begin_to_take_part(&mut self) {
-        let Ok(value) = RegisterValue::decode(&self.acceptor.value) else { return };
+        let Ok(value) = RegisterValue::decode(&self.acceptor.value) else {
+            return;
+        };
         self.proposer.note(self.acceptor.ballots.promised);
         let ballot = self.acceptor.ballots.accepted;
         if self.founded_by_itself() {
-            self.learn(Chosen { ballot, value: Arc::new(value) });
+            self.learn(Chosen {
+                ballot,
+                value: Arc::new(value),
+            });
             self.begin_to_tell();
         }
     }
@@ -218,9 +258,13 @@
             return self.standing.untold.clear();
         }
         self.standing.tell_at = now.plus_millis(RESEND_MS);
-        let found = Found { ballot: self.acceptor.ballots.accepted, value: self.acceptor.value.clone() };
+        let found = Found {
+            ballot: self.acceptor.ballots.accepted,
+            value: self.acceptor.value.clone(),
+        };
         let untold = self.standing.untold.clone();
-        self.effects.broadcast(untold, &ControlMessage::Found(found));
+        self.effects
+            .broadcast(untold, &ControlMessage::Found(found));
     }
 
     fn knows_its_promises(&self) -> bool {
@@ -233,8 +277,16 @@
             return None;
         }
         let listed_since = self.standing.listed_since?;
-        let grace_ms = if self.settings.bootstrap { FOUNDING_GRACE_MS } else { 0 };
-        Some(listed_since.plus_millis(grace_ms).max(self.started.plus_millis(LEASE_MS)))
+        let grace_ms = if self.settings.bootstrap {
+            FOUNDING_GRACE_MS
+        } else {
+            0
+        };
+        Some(
+            listed_since
+                .plus_millis(grace_ms)
+                .max(self.started.plus_millis(LEASE_MS)),
+        )
     }
 
     fn recover(&mut self, now: Time) {
@@ -248,20 +300,33 @@
             return;
         }
         let recovery = &mut self.standing.recovery;
-        let renew = recovery.as_mut().is_none_or(|recovery| recovery.tick(now, &mut self.effects));
+        let renew = recovery
+            .as_mut()
+            .is_none_or(|recovery| recovery.tick(now, &mut self.effects));
         if renew {
             let settings = &self.settings;
             let known = &self.knowledge.list;
             let found = &self.standing.found_list;
-            let list = if found.version > known.version { found } else { known };
-            *recovery =
-                Some(Recovery::start(settings.node, settings.incarnation, list, now, &mut self.effects));
+            let list = if found.version > known.version {
+                found
+            } else {
+                known
+            };
+            *recovery = Some(Recovery::start(
+                settings.node,
+                settings.incarnation,
+                list,
+                now,
+                &mut self.effects,
+            ));
         }
     }
 
     /// The others told what this process may have promised.
     pub(crate) fn on_recovered(&mut self, recovered: Recovered) {
-        let Ok(value) = RegisterValue::decode(&recovered.value) else { return };
+        let Ok(value) = RegisterValue::decode(&recovered.value) else {
+            return;
+        };
         self.standing.recovery = None;
         if value.members_version > recovered.members_version {
             // Members that are not among those asked may know of later promises.
@@ -270,7 +335,10 @@
         }
         let ballot = recovered.ballots.accepted;
         self.acceptor.adopt(recovered.ballots, recovered.value);
-        self.replica.state.promise = TermPromise { epoch: recovered.epoch, ..TermPromise::default() };
+        self.replica.state.promise = TermPromise {
+            epoch: recovered.epoch,
+            ..TermPromise::default()
+        };
         self.settle(ballot, None);
     }
 
--- a/crates/control/src/steps.rs
+++ b/crates/control/src/steps.rs
@@ -23,20 +23,37 @@
         self.step_term();
         self.step_membership(now);
         self.step_leases(now);
-        self.subscribers.serve(now, &self.knowledge, &mut self.effects);
+        self.subscribers
+            .serve(now, &self.knowledge, &mut self.effects);
         self.step_delayed(now);
         self.step_termination(now);
     }
 
     /// When something is due next.
     pub(crate) fn earliest_wake(&self) -> Option<Time> {
-        let proposer = if self.may_propose() { self.proposer.next_wake() } else { None };
-        let reads = if self.knowledge.list.version == 0 { None } else { self.reads_wake() };
-        let elections = self.may_stand().then(|| self.elections.next_wake(self.replica.lease_until));
+        let proposer = if self.may_propose() {
+            self.proposer.next_wake()
+        } else {
+            None
+        };
+        let reads = if self.knowledge.list.version == 0 {
+            None
+        } else {
+            self.reads_wake()
+        };
+        let elections = self
+            .may_stand()
+            .then(|| self.elections.next_wake(self.replica.lease_until));
         let term = self.term.as_ref().map(|term| term.next_wake());
-        let service = self.term.as_ref().and_then(|term| term.service.as_ref()?.next_wake());
+        let service = self
+            .term
+            .as_ref()
+            .and_then(|term| term.service.as_ref()?.next_wake());
         let membership = self.watches_membership().then_some(self.membership_at);
-        let delayed = self.delayed.front().map(|delayed| delayed.arrived.plus_millis(DELAYED_MS));
+        let delayed = self
+            .delayed
+            .front()
+            .map(|delayed| delayed.arrived.plus_millis(DELAYED_MS));
         let wakes = [
             self.standing_wake(),
             proposer,
@@ -59,7 +76,11 @@
     /// A term whose lease is over ends before anything else is done.
     pub(crate) fn drop_spent_lease(&mut self) {
         let now = self.now.steady;
-        if self.term.as_ref().is_some_and(|term| now >= term.lease_until) {
+        if self
+            .term
+            .as_ref()
+            .is_some_and(|term| now >= term.lease_until)
+        {
             self.term = None;
             self.elections.stand_back(now);
         }
@@ -92,13 +113,15 @@
         if self.wants_read(now) {
             self.read_register(now);
         }
-        self.operator.tick(now, &self.knowledge, &mut self.proposer, &mut self.effects);
+        self.operator
+            .tick(now, &self.knowledge, &mut self.proposer, &mut self.effects);
     }
 
     /// Reads the register. Where this process has accepted a newer member list, the members of the list that it knows
     /// may have gone, so a round of the newer list's members settles whether that one is chosen.
     fn read_register(&mut self, now: Time) {
-        let newer = self.acceptor.members_version > self.knowledge.list.version && self.may_propose();
+        let newer =
+            self.acceptor.members_version > self.knowledge.list.version && self.may_propose();
         match newer.then(|| self.own_value()).flatten() {
             Some(own) => {
                 self.proposer.note_list(own.value.member_list());
@@ -119,21 +142,38 @@
 
     /// The moment as of which somebody here needs to know the register.
     fn wanted_freshness(&self) -> Option<Time> {
-        let starting = self.term.as_ref().filter(|term| term.service.is_none()).map(|term| term.elected_at);
+        let starting = self
+            .term
+            .as_ref()
+            .filter(|term| term.service.is_none())
+            .map(|term| term.elected_at);
         let delayed = self.delayed.back().map(|delayed| delayed.arrived);
-        [starting, delayed, self.rumour_at, self.operator.wants_fresh()].into_iter().flatten().max()
+        [
+            starting,
+            delayed,
+            self.rumour_at,
+            self.operator.wants_fresh(),
+        ]
+        .into_iter()
+        .flatten()
+        .max()
     }
 
     fn reads_wake(&self) -> Option<Time> {
         let settling = self.proposer.any(|job| *job == Job::Refresh);
-        self.reader.next_wake().or((!settling).then_some(self.poll_at))
+        self.reader
+            .next_wake()
+            .or((!settling).then_some(self.poll_at))
     }
 
     /// Everything chosen before `moment` is known now.
     pub(crate) fn freshen(&mut self, moment: Time) {
         self.knowledge.freshen(moment);
         self.poll_at = self.now.steady.plus_millis(POLL_MS);
-        if self.rumour_at.is_some_and(|rumour| self.knowledge.is_fresh(rumour)) {
+        if self
+            .rumour_at
+            .is_some_and(|rumour| self.knowledge.is_fresh(rumour))
+        {
             self.rumour_at = None;
         }
     }
@@ -163,7 +203,9 @@
     }
 
     fn put_config_in_force(&mut self) {
-        let Some(config) = self.knowledge.config().cloned() else { return };
+        let Some(config) = self.knowledge.config().cloned() else {
+            return;
+        };
         if let Some(service) = self.term.as_mut().and_then(|term| term.service.as_mut()) {
             service.config(self.now, config);
         }
@@ -171,18 +213,23 @@
 
     fn answer_learn_askers(&mut self) {
         let known = self.knowledge.ballot();
-        let (answered, waiting) =
-            std::mem::take(&mut self.learn_askers).into_iter().partition(|asker| asker.ballot <= known);
+        let (answered, waiting) = std::mem::take(&mut self.learn_askers)
+            .into_iter()
+            .partition(|asker| asker.ballot <= known);
         self.learn_askers = waiting;
         for asker in answered as Vec<crate::node::LearnAsker> {
-            self.effects.control(asker.node, ControlMessage::Learned(Learned { ballot: known }));
+            self.effects.control(
+                asker.node,
+                ControlMessage::Learned(Learned { ballot: known }),
+            );
         }
     }
 
     fn step_elections(&mut self, now: Time) {
         if self.may_stand() {
             let lease_until = self.replica.lease_until;
-            self.elections.tick(now, lease_until, &self.knowledge.list, &mut self.effects);
+            self.elections
+                .tick(now, lease_until, &self.knowledge.list, &mut self.effects);
         }
     }
 
@@ -193,7 +240,12 @@
         if holds_base {
             term.holds_base(now);
         }
-        term.renew(now, &self.knowledge.list, self.knowledge.ballot(), &mut self.effects);
+        term.renew(
+            now,
+            &self.knowledge.list,
+            self.knowledge.ballot(),
+            &mut self.effects,
+        );
         let advanced = term.advance(&self.knowledge.list);
         if let (Some(number), Some(service)) = (advanced, &mut term.service) {
             service.committed(self.now, number);
@@ -213,7 +265,12 @@
         if term.service.is_some() || !holds_base || !term.base_is_kept() || !fresh {
             return;
         }
-        let records = self.replica.records.0.iter().map(|(key, value)| (key.clone(), value.clone()));
+        let records = self
+            .replica
+            .records
+            .0
+            .iter()
+            .map(|(key, value)| (key.clone(), value.clone()));
         let restored = Restored {
             epoch: term.epoch,
             node: self.settings.node,
@@ -221,7 +278,11 @@
             config: self.knowledge.config().cloned(),
             seed: self.random.random(),
         };
-        log::info!("term {}: scheduler starts with {} records", term.epoch, restored.records.len());
+        log::info!(
+            "term {}: scheduler starts with {} records",
+            term.epoch,
+            restored.records.len()
+        );
         term.service = Some((self.factory)(self.now, restored));
     }
 
@@ -231,7 +292,9 @@
             if !fresh && now < front.arrived.plus_millis(DELAYED_MS) {
                 return;
             }
-            let Some(delayed) = self.delayed.pop_front() else { return };
+            let Some(delayed) = self.delayed.pop_front() else {
+                return;
+            };
             if fresh {
                 self.deliver(delayed.from, delayed.message);
             }
@@ -241,6 +304,9 @@
     /// The accepted value of this process as a chosen one.
     pub(crate) fn own_value(&self) -> Option<Chosen> {
         let value = crate::value::RegisterValue::decode(&self.acceptor.value).ok()?;
-        Some(Chosen { ballot: self.acceptor.ballots.accepted, value: Arc::new(value) })
+        Some(Chosen {
+            ballot: self.acceptor.ballots.accepted,
+            value: Arc::new(value),
+        })
     }
 }
--- a/crates/control/src/subscribers.rs
+++ b/crates/control/src/subscribers.rs
@@ -31,35 +31,56 @@
 impl Subscribers {
     /// A process asks for what is newer than it has.
     pub fn subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
-        self.subscriptions.retain(|_, subscription| subscription.expires > now);
+        self.subscriptions
+            .retain(|_, subscription| subscription.expires > now);
         let expires = now.plus_millis(SUBSCRIPTION_MS);
         let known = self.subscriptions.contains_key(&from);
         if known || self.subscriptions.len() < MAX_SUBSCRIBERS {
-            self.subscriptions
-                .insert(from, Subscription { have: subscribe.have, expires, asked_at: subscribe.asked_at });
+            self.subscriptions.insert(
+                from,
+                Subscription {
+                    have: subscribe.have,
+                    expires,
+                    asked_at: subscribe.asked_at,
+                },
+            );
             self.unanswered.insert(from);
         }
     }
 
     /// Answers questions and sends a newer configuration, where what is known here is fresh enough.
     pub fn serve(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
-        let Some(age_ms) = knowledge.age_ms(now).filter(|age_ms| *age_ms <= HANDOUT_MS) else { return };
+        let Some(age_ms) = knowledge.age_ms(now).filter(|age_ms| *age_ms <= HANDOUT_MS) else {
+            return;
+        };
         for node in std::mem::take(&mut self.unanswered) {
             self.answer(node, knowledge, age_ms, effects);
         }
-        if let Some(config) = knowledge.config().filter(|config| config.version > self.pushed) {
+        if let Some(config) = knowledge
+            .config()
+            .filter(|config| config.version > self.pushed)
+        {
             self.pushed = config.version;
             self.push(now, config, effects);
         }
     }
 
     fn answer(&mut self, node: NodeId, knowledge: &Knowledge, age_ms: u64, effects: &mut Effects) {
-        let Some(subscription) = self.subscriptions.get_mut(&node) else { return };
+        let Some(subscription) = self.subscriptions.get_mut(&node) else {
+            return;
+        };
         let version = knowledge.config_version();
         let asked_at = subscription.asked_at;
-        let answer = match knowledge.config().filter(|config| config.version > subscription.have) {
+        let answer = match knowledge
+            .config()
+            .filter(|config| config.version > subscription.have)
+        {
             Some(config) => update(config),
-            None => Message::ConfigCurrent(ConfigCurrent { version, age_ms, asked_at }),
+            None => Message::ConfigCurrent(ConfigCurrent {
+                version,
+                age_ms,
+                asked_at,
+            }),
         };
         subscription.have = subscription.have.max(version);
         effects.sends.push((node, answer));
@@ -77,5 +98,8 @@
 
 fn update(config: &ConfigInForce) -> Message {
     let document = Blob(config.document.to_vec());
-    Message::ConfigUpdate(ConfigUpdate { version: config.version, document })
+    Message::ConfigUpdate(ConfigUpdate {
+        version: config.version,
+        document,
+    })
 }
--- a/crates/control/src/term.rs
+++ b/crates/control/src/term.rs
@@ -6,7 +6,9 @@
 use crate::records::to_changes;
 use crate::timing::{OWNER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
 use crate::window::Window;
-use sagetrail_wire::control::{Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign};
+use sagetrail_wire::control::{
+    Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign,
+};
 use sagetrail_wire::node::Now;
 use sagetrail_wire::service::{Batch, Service};
 use sagetrail_wire::{Epoch, Incarnation, NodeId, Time};
@@ -34,7 +36,14 @@
 impl Progress {
     /// Of a replica that has yet to say where it stands.
     fn new(now: Time, lease_sent_at: Option<u64>) -> Progress {
-        Progress { acked: None, next: 1, progressed_at: now, lease_sent_at, heard: now, leaving: false }
+        Progress {
+            acked: None,
+            next: 1,
+            progressed_at: now,
+            lease_sent_at,
+            heard: now,
+            leaving: false,
+        }
     }
 }
 
@@ -63,7 +72,10 @@
     /// Begins with the votes as first grants of the lease.
     pub fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Term {
         let vote = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
-        let progress = list.all().into_iter().map(|member| (member, Progress::new(now, vote(&member))));
+        let progress = list
+            .all()
+            .into_iter()
+            .map(|member| (member, Progress::new(now, vote(&member))));
         let progress: BTreeMap<NodeId, Progress> = progress.collect();
         let other_sources = elected.other_sources();
         let mut term = Term {
@@ -101,7 +113,9 @@
 
     /// The records are to come from another voter that has the base; false where there is none.
     pub fn turn_to_next_source(&mut self, now: Time) -> bool {
-        let Some(source) = self.other_sources.pop() else { return false };
+        let Some(source) = self.other_sources.pop() else {
+            return false;
+        };
         self.source = source;
         self.renew_at = now;
         true
@@ -109,10 +123,19 @@
 
     /// When something is due, the service's own times apart.
     pub fn next_wake(&self) -> Time {
-        let resends = self.progress.values().filter(|progress| progress.outstanding());
-        let resend_at = resends.map(|progress| progress.progressed_at.plus_millis(RESEND_MS)).min();
+        let resends = self
+            .progress
+            .values()
+            .filter(|progress| progress.outstanding());
+        let resend_at = resends
+            .map(|progress| progress.progressed_at.plus_millis(RESEND_MS))
+            .min();
         let timers = [Some(self.renew_at), Some(self.lease_until), resend_at];
-        timers.into_iter().flatten().min().unwrap_or(self.lease_until)
+        timers
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(self.lease_until)
     }
 
     /// Renews the lease where that is due.
@@ -135,14 +158,24 @@
     }
 
     /// A replica granted the lease. False: a higher term was promised.
-    pub fn renew_ack(&mut self, now: Time, from: NodeId, ack: &RenewAck, list: &MemberList) -> bool {
+    pub fn renew_ack(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        ack: &RenewAck,
+        list: &MemberList,
+    ) -> bool {
         if ack.promised > self.epoch {
             return false;
         }
         if ack.epoch != self.epoch || ack.sent_at > now.0 {
             return true;
         }
-        if self.learners.get_mut(&from).is_some_and(|learner| !learner.hear(ack)) {
+        if self
+            .learners
+            .get_mut(&from)
+            .is_some_and(|learner| !learner.hear(ack))
+        {
             return true;
         }
         self.heard(now, from, ack.tag, list);
@@ -156,10 +189,15 @@
 
     fn extend_lease(&mut self, list: &MemberList) {
         let granted = |member: &NodeId| {
-            self.progress.get(member).and_then(|progress| progress.lease_sent_at).unwrap_or_default()
+            self.progress
+                .get(member)
+                .and_then(|progress| progress.lease_sent_at)
+                .unwrap_or_default()
         };
         if let Some(sent_at) = list.reached_figure(granted).filter(|sent_at| *sent_at > 0) {
-            self.lease_until = self.lease_until.max(Time(sent_at).plus_millis(OWNER_LEASE_MS));
+            self.lease_until = self
+                .lease_until
+                .max(Time(sent_at).plus_millis(OWNER_LEASE_MS));
         }
     }
 
@@ -174,7 +212,10 @@
         if !list.contains(from) && !self.learners.contains_key(&from) {
             return;
         }
-        let progress = self.progress.entry(from).or_insert_with(|| Progress::new(now, None));
+        let progress = self
+            .progress
+            .entry(from)
+            .or_insert_with(|| Progress::new(now, None));
         progress.heard = now;
         if tag.epoch != self.epoch || Some(tag.number) <= progress.acked {
             return;
@@ -200,22 +241,33 @@
     }
 
     fn kept_by_quorum(&self, list: &MemberList) -> u64 {
-        list.reached_figure(|member| self.kept_by(member)).unwrap_or_default()
+        list.reached_figure(|member| self.kept_by(member))
+            .unwrap_or_default()
     }
 
     fn kept_by(&self, member: &NodeId) -> u64 {
-        let acked = self.progress.get(member).and_then(|progress| progress.acked);
+        let acked = self
+            .progress
+            .get(member)
+            .and_then(|progress| progress.acked);
         acked.map_or(0, |number| number + 1)
     }
 
     /// Takes batches from the service and sends what replicas miss.
     pub fn pump(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
         while self.base_is_kept() && self.last + 1 - self.kept < MAX_IN_FLIGHT {
-            let Some(batch) = self.service.as_mut().and_then(|service| service.take_batch()) else { break };
+            let Some(batch) = self
+                .service
+                .as_mut()
+                .and_then(|service| service.take_batch())
+            else {
+                break;
+            };
             self.keep(now, batch);
         }
         let learners = &self.learners;
-        self.progress.retain(|member, _| list.contains(*member) || learners.contains_key(member));
+        self.progress
+            .retain(|member, _| list.contains(*member) || learners.contains_key(member));
         for (member, progress) in &mut self.progress {
             send_missing(now, *member, progress, &self.window, effects);
         }
@@ -225,14 +277,23 @@
         self.last = batch.number;
         let changes = to_changes(batch.operations);
         let missed = self.first_missed(now);
-        self.window.push(RecordBatch { epoch: self.epoch, number: batch.number, changes }, missed);
+        self.window.push(
+            RecordBatch {
+                epoch: self.epoch,
+                number: batch.number,
+                changes,
+            },
+            missed,
+        );
     }
 
     /// The first batch that a member that was heard lately has not synced. One that fetches an image, or that was
     /// frozen for a while, goes on from there.
     fn first_missed(&self, now: Time) -> u64 {
-        let there =
-            self.progress.values().filter(|progress| now < progress.heard.plus_millis(WINDOW_PATIENCE_MS));
+        let there = self
+            .progress
+            .values()
+            .filter(|progress| now < progress.heard.plus_millis(WINDOW_PATIENCE_MS));
         let missed = there.map(|progress| progress.acked.map_or(1, |acked| acked + 1));
         missed.min().unwrap_or(u64::MAX)
     }
@@ -241,39 +302,57 @@
     pub fn set_learners(&mut self, now: Time, candidates: &BTreeMap<NodeId, Incarnation>) {
         let mut former = std::mem::take(&mut self.learners);
         for (node, incarnation) in candidates {
-            let same = former.remove(node).filter(|learner| learner.incarnation == *incarnation);
+            let same = former
+                .remove(node)
+                .filter(|learner| learner.incarnation == *incarnation);
             if same.is_none() {
                 self.progress.insert(*node, Progress::new(now, None));
                 self.renew_at = now;
             }
-            self.learners.insert(*node, same.unwrap_or_else(|| Learner::new(now, *incarnation)));
+            self.learners.insert(
+                *node,
+                same.unwrap_or_else(|| Learner::new(now, *incarnation)),
+            );
         }
     }
 
     /// A learner that holds everything a member holds.
     pub fn ready_learner(&self) -> Option<NodeId> {
         let is_ready = |learner: &Learner| learner.holds(self.epoch, self.last);
-        self.learners.iter().find(|(_, learner)| is_ready(learner)).map(|(node, _)| *node)
+        self.learners
+            .iter()
+            .find(|(_, learner)| is_ready(learner))
+            .map(|(node, _)| *node)
     }
 
     /// The member that a learner should replace: one that is about to end, else the one that has been silent for longest,
     /// since before `moment`.
     pub fn replaceable(&self, list: &MemberList, moment: Option<Time>) -> Option<NodeId> {
-        let members = || self.progress.iter().filter(|(member, _)| list.members.contains(member));
+        let members = || {
+            self.progress
+                .iter()
+                .filter(|(member, _)| list.members.contains(member))
+        };
         let leaving = members().find(|(_, progress)| progress.leaving);
-        let silent = members().filter(|(_, progress)| moment.is_some_and(|moment| progress.heard <= moment));
+        let silent =
+            members().filter(|(_, progress)| moment.is_some_and(|moment| progress.heard <= moment));
         let longest = || silent.min_by_key(|(_, progress)| progress.heard);
         leaving.or_else(longest).map(|(member, _)| *member)
     }
 
     /// Gives the lease up and says so.
     pub fn resign(self, list: &MemberList, effects: &mut Effects) {
-        effects.broadcast(list.all(), &ControlMessage::Resign(Resign { epoch: self.epoch }));
+        effects.broadcast(
+            list.all(),
+            &ControlMessage::Resign(Resign { epoch: self.epoch }),
+        );
     }
 
     /// Wakes the service where that is due.
     pub fn wake_service(&mut self, now: Now) {
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         if service.next_wake().is_some_and(|due| due <= now.steady) {
             service.wake(now);
         }
@@ -286,8 +365,16 @@
     }
 }
 
-fn send_missing(now: Time, member: NodeId, progress: &mut Progress, window: &Window, effects: &mut Effects) {
-    let (Some(acked), Some(first)) = (progress.acked, window.first()) else { return };
+fn send_missing(
+    now: Time,
+    member: NodeId,
+    progress: &mut Progress,
+    window: &Window,
+    effects: &mut Effects,
+) {
+    let (Some(acked), Some(first)) = (progress.acked, window.first()) else {
+        return;
+    };
     if progress.outstanding() && now >= progress.progressed_at.plus_millis(RESEND_MS) {
         progress.next = acked + 1;
         progress.progressed_at = now;
@@ -296,7 +383,9 @@
         progress.progressed_at = now;
     }
     while progress.next >= first && progress.next <= acked + MAX_OUTSTANDING {
-        let Some(batch) = window.get(progress.next) else { break };
+        let Some(batch) = window.get(progress.next) else {
+            break;
+        };
         effects.control(member, ControlMessage::RecordBatch(batch.clone()));
         progress.next += 1;
     }
--- a/crates/control/src/termination.rs
+++ b/crates/control/src/termination.rs
@@ -10,7 +10,14 @@
     /// The platform wants the process to end.
     pub(crate) fn terminate(&mut self) {
         let waits = self.joiners.any(self.now.steady, &self.knowledge.list);
-        log::info!("asked to end; {}", if waits { "a successor waits" } else { "no successor waits" });
+        log::info!(
+            "asked to end; {}",
+            if waits {
+                "a successor waits"
+            } else {
+                "no successor waits"
+            }
+        );
         self.terminating = self.terminating.or(Some(self.now.steady));
         if !self.may_lead() {
             self.step_down();
@@ -25,7 +32,9 @@
 
     /// Answers what is left, and gives the term up at the end.
     pub(crate) fn step_termination(&mut self, now: Time) {
-        let Some(since) = self.terminating else { return };
+        let Some(since) = self.terminating else {
+            return;
+        };
         if now >= since.plus_millis(TERMINATE_MS) {
             self.operator.close(&mut self.proposer, &mut self.effects);
         }
@@ -37,7 +46,8 @@
     /// Whether the process may end.
     pub(crate) fn is_finished(&self) -> bool {
         let now = self.now.steady;
-        let quiet = |since: Time| now >= since.plus_millis(TERMINATE_QUIET_MS) && self.operator.is_idle();
+        let quiet =
+            |since: Time| now >= since.plus_millis(TERMINATE_QUIET_MS) && self.operator.is_idle();
         self.terminating.is_some_and(quiet) && !self.hands_over()
     }
 
@@ -52,13 +62,17 @@
     /// Whether a successor may still take this member's place in time.
     fn hands_over(&self) -> bool {
         let now = self.now.steady;
-        let in_time = self.terminating.is_some_and(|since| now < since.plus_millis(self.handover_ms()));
+        let in_time = self
+            .terminating
+            .is_some_and(|since| now < since.plus_millis(self.handover_ms()));
         let list = &self.knowledge.list;
         in_time && self.takes_part() && (list.is_changing() || self.joiners.any(now, list))
     }
 
     fn handover_ms(&self) -> u64 {
         let grace_ms = (self.settings.bounds.grace_s * MILLIS_PER_SECOND) as u64;
-        grace_ms.saturating_sub(HANDOVER_MARGIN_MS).max(TERMINATE_MS)
+        grace_ms
+            .saturating_sub(HANDOVER_MARGIN_MS)
+            .max(TERMINATE_MS)
     }
 }
--- a/crates/control/src/value.rs
+++ b/crates/control/src/value.rs
@@ -50,7 +50,9 @@
 impl RegisterValue {
     /// The value that bytes hold.
     pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ValueError> {
-        RegisterValue::from_bytes((bytes, 0)).map(|(_, value)| value).map_err(ValueError::Malformed)
+        RegisterValue::from_bytes((bytes, 0))
+            .map(|(_, value)| value)
+            .map_err(ValueError::Malformed)
     }
 
     /// The value as bytes.
@@ -69,7 +71,9 @@
 
     /// The recent change that led from `base`, or over it, to a later version.
     pub fn change_over(&self, base: u64) -> Option<&AcceptedChange> {
-        self.recent.iter().find(|change| change.base <= base && base < change.version)
+        self.recent
+            .iter()
+            .find(|change| change.base <= base && base < change.version)
     }
 
     /// Adds the change that led to the configuration.
--- a/crates/control/src/voting.rs
+++ b/crates/control/src/voting.rs
@@ -9,13 +9,21 @@
 impl Replica {
     /// Answers a candidate. `members_version`: the newest member list that this process has accepted.
     pub fn vote(
-        &mut self, now: Time, from: NodeId, request: &VoteRequest, members_version: u64,
+        &mut self,
+        now: Time,
+        from: NodeId,
+        request: &VoteRequest,
+        members_version: u64,
         effects: &mut Effects,
     ) {
-        let granted = self.may_promise(now, from, request) && request.members_version >= members_version;
+        let granted =
+            self.may_promise(now, from, request) && request.members_version >= members_version;
         if granted && !request.probe {
-            self.state.promise =
-                TermPromise { epoch: request.epoch, node: from, incarnation: request.incarnation };
+            self.state.promise = TermPromise {
+                epoch: request.epoch,
+                node: from,
+                incarnation: request.incarnation,
+            };
             self.lease_until = now.plus_millis(LEASE_MS);
             self.forget_transfers();
         }
--- a/crates/control/src/window.rs
+++ b/crates/control/src/window.rs
@@ -26,7 +26,9 @@
         self.bytes += batch_bytes(&batch);
         self.batches.push_back(batch);
         while self.is_surplus(missed) {
-            let Some(oldest) = self.batches.pop_front() else { break };
+            let Some(oldest) = self.batches.pop_front() else {
+                break;
+            };
             self.bytes = self.bytes.saturating_sub(batch_bytes(&oldest));
         }
     }
@@ -44,10 +46,12 @@
 
     fn is_surplus(&self, missed: u64) -> bool {
         let exceeds = |batches: usize, bytes: usize| {
-            self.batches.len() > batches || (self.bytes > bytes && self.batches.len() > FEWEST_BATCHES)
+            self.batches.len() > batches
+                || (self.bytes > bytes && self.batches.len() > FEWEST_BATCHES)
         };
         let is_missed = self.first().is_some_and(|first| first >= missed);
-        exceeds(MAX_MISSED_BATCHES, MAX_MISSED_BYTES) || (!is_missed && exceeds(MAX_BATCHES, MAX_BYTES))
+        exceeds(MAX_MISSED_BATCHES, MAX_MISSED_BYTES)
+            || (!is_missed && exceeds(MAX_BATCHES, MAX_BYTES))
     }
 }
 
--- a/crates/control/tests/accepted_changes.rs
+++ b/crates/control/tests/accepted_changes.rs
@@ -9,7 +9,11 @@
 fn chain(steps: &[u64]) -> Vec<AcceptedChange> {
     let mut base = 0;
     let link = |step: &u64| {
-        let change = AcceptedChange { base, version: base + step, digest: [base as u8; 32] };
+        let change = AcceptedChange {
+            base,
+            version: base + step,
+            digest: [base as u8; 32],
+        };
         base = change.version;
         change
     };
@@ -35,18 +39,30 @@
     }
 
     fn change_over(&self, base: u64) -> Option<&AcceptedChange> {
-        self.entries.iter().find(|entry| (entry.base..entry.version).contains(&base))
+        self.entries
+            .iter()
+            .find(|entry| (entry.base..entry.version).contains(&base))
     }
 
     fn gaps(&self) -> Vec<Gap> {
         let mut gaps = Vec::new();
         if let Some(oldest) = self.entries.first().filter(|oldest| oldest.base > 0) {
             if self.entries.len() < self.capacity {
-                gaps.push(Gap { after: 0, before: oldest.base });
+                gaps.push(Gap {
+                    after: 0,
+                    before: oldest.base,
+                });
             }
         }
-        for pair in self.entries.windows(2).filter(|pair| pair[0].version != pair[1].base) {
-            gaps.push(Gap { after: pair[0].version, before: pair[1].base });
+        for pair in self
+            .entries
+            .windows(2)
+            .filter(|pair| pair[0].version != pair[1].base)
+        {
+            gaps.push(Gap {
+                after: pair[0].version,
+                before: pair[1].base,
+            });
         }
         gaps
     }
@@ -126,12 +142,34 @@
 fn what_contradicts_it_is_not_taken() {
     let mut changes = AcceptedChanges::default();
     let known = [
-        AcceptedChange { base: 0, version: 5, digest: [1; 32] },
-        AcceptedChange { base: 9, version: 12, digest: [1; 32] },
+        AcceptedChange {
+            base: 0,
+            version: 5,
+            digest: [1; 32],
+        },
+        AcceptedChange {
+            base: 9,
+            version: 12,
+            digest: [1; 32],
+        },
     ];
     assert!(changes.insert_all(&known));
-    for (base, version) in [(0, 5), (0, 6), (3, 5), (4, 8), (5, 10), (9, 13), (10, 11), (7, 7), (8, 6)] {
-        let other = AcceptedChange { base, version, digest: [2; 32] };
+    for (base, version) in [
+        (0, 5),
+        (0, 6),
+        (3, 5),
+        (4, 8),
+        (5, 10),
+        (9, 13),
+        (10, 11),
+        (7, 7),
+        (8, 6),
+    ] {
+        let other = AcceptedChange {
+            base,
+            version,
+            digest: [2; 32],
+        };
         assert!(!changes.insert_all(&[other]), "{base} -> {version}");
     }
     assert_eq!(all(&changes), known);
--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -11,10 +11,15 @@
 /// The same on the grown sites.
 const GROWN_CATCH_UP_MS: u64 = 6_000;
 /// Ways of 15 ms: the pieces of an image take longer than images were once used again.
-const FAR: Weather = Weather { delay_us: (14_000, 15_000), ..CALM };
+const FAR: Weather = Weather {
+    delay_us: (14_000, 15_000),
+    ..CALM
+};
 
 fn emptied(history: &mut History, members: &[usize], pause_ms: u64) {
-    members.iter().for_each(|member| history.world.wipe(*member));
+    members
+        .iter()
+        .for_each(|member| history.world.wipe(*member));
     history.run(500);
     for member in members {
         history.world.start(*member, false);
@@ -29,7 +34,10 @@
     history.run(500);
     let late = history.followers()[0];
     // The image needs two seconds on its way to this disk; the owner makes 2 MiB of batches in one.
-    let slow = Speeds { disk_bytes_per_us: 10, ..SMALL_SITE };
+    let slow = Speeds {
+        disk_bytes_per_us: 10,
+        ..SMALL_SITE
+    };
     history.world.busy.others.insert(late, slow);
     emptied(&mut history, &[late], 0);
     let times = history.catch_up(&[late], 6_000);
@@ -63,7 +71,11 @@
         emptied(&mut history, &late, 400);
         let times = history.catch_up(&late, limit_ms);
         assert!(times.iter().all(Option::is_some), "{times:?}");
-        assert_eq!(*first_pieces.lock().unwrap(), lost, "one first piece for each");
+        assert_eq!(
+            *first_pieces.lock().unwrap(),
+            lost,
+            "one first piece for each"
+        );
         history.finish("at once");
     }
 }
@@ -80,7 +92,13 @@
         history.world.start(owner, false);
         history.run(2_000);
     }
-    assert!(history.world.owner().is_some_and(|owner| !seeds.contains(&owner)), "no owner besides the seeds");
+    assert!(
+        history
+            .world
+            .owner()
+            .is_some_and(|owner| !seeds.contains(&owner)),
+        "no owner besides the seeds"
+    );
     emptied(&mut history, &seeds, 0);
     let times = history.catch_up(&seeds, GROWN_CATCH_UP_MS);
     assert!(times.iter().all(Option::is_some), "{times:?}");
@@ -135,8 +153,12 @@
         let vote = voted.clone();
         world.tamper = Some(Box::new(move |from, _, message| match control(message) {
             // It votes and does not stand itself; not one piece of an image leaves it.
-            Some(ControlMessage::VoteRequest(_) | ControlMessage::SnapshotChunk(_)) => from != source,
-            Some(ControlMessage::VoteReply(reply)) if from == source && reply.granted && !reply.probe => {
+            Some(ControlMessage::VoteRequest(_) | ControlMessage::SnapshotChunk(_)) => {
+                from != source
+            }
+            Some(ControlMessage::VoteReply(reply))
+                if from == source && reply.granted && !reply.probe =>
+            {
                 *vote.lock().unwrap() = true;
                 true
             }
@@ -154,11 +176,18 @@
         world.run(5);
         world.power_off(holder);
         world.run(4_000);
-        assert!(world.terms() > terms, "seed {seed}: nobody schedules without the source");
+        assert!(
+            world.terms() > terms,
+            "seed {seed}: nobody schedules without the source"
+        );
         let (owner, acked) = (world.owner().unwrap(), world.acked());
         world.client(owner, 1_000);
         world.run(500);
-        assert_eq!(world.acked(), acked + 1, "seed {seed}: nothing is kept without the source");
+        assert_eq!(
+            world.acked(),
+            acked + 1,
+            "seed {seed}: nothing is kept without the source"
+        );
     }
 }
 
@@ -254,12 +283,20 @@
         let holder = (owner + 1) % 5;
         let voter = id(holder);
         world.speeds = Some(SMALL_SITE);
-        world.busy.others.insert(holder, Speeds { sync_us: 700_000 + 100_000 * seed, ..SMALL_SITE });
+        world.busy.others.insert(
+            holder,
+            Speeds {
+                sync_us: 700_000 + 100_000 * seed,
+                ..SMALL_SITE
+            },
+        );
         let vote = Arc::new(Mutex::new(None));
         let seen = vote.clone();
         world.tamper = Some(Box::new(move |from, _, message| match control(message) {
             Some(ControlMessage::VoteRequest(_)) => from != voter,
-            Some(ControlMessage::VoteReply(reply)) if from == voter && reply.granted && !reply.probe => {
+            Some(ControlMessage::VoteReply(reply))
+                if from == voter && reply.granted && !reply.probe =>
+            {
                 *seen.lock().unwrap() = Some(reply.tag);
                 true
             }
@@ -272,11 +309,16 @@
         world.power_off(owner);
         for _ in 0..5_000 {
             world.run(1);
-            let Some(tag) = vote.lock().unwrap().take() else { continue };
+            let Some(tag) = vote.lock().unwrap().take() else {
+                continue;
+            };
             voted += 1;
             // Batches of the first term put one record each at least; a later term's base holds them all.
             let rows = world.machines[holder].disk.records.len() as u64;
-            assert!(tag.epoch > 1 || rows >= tag.number, "seed {seed}: {rows} rows with {tag:?}");
+            assert!(
+                tag.epoch > 1 || rows >= tag.number,
+                "seed {seed}: {rows} rows with {tag:?}"
+            );
         }
     }
     assert!(voted >= 10, "{voted} votes");
@@ -291,7 +333,9 @@
         let tell = told.clone();
         world.tamper = Some(Box::new(move |from, _, message| match control(message) {
             Some(ControlMessage::VoteRequest(_)) => from != source,
-            Some(ControlMessage::VoteReply(reply)) if from == source && reply.granted && !reply.probe => {
+            Some(ControlMessage::VoteReply(reply))
+                if from == source && reply.granted && !reply.probe =>
+            {
                 tell.lock().unwrap().get_or_insert(reply.tag);
                 true
             }
@@ -304,7 +348,10 @@
                 break;
             }
         }
-        assert!(told.lock().unwrap().is_some(), "seed {seed}: no vote of the source");
+        assert!(
+            told.lock().unwrap().is_some(),
+            "seed {seed}: no vote of the source"
+        );
         let newest = world.machines[holder].disk.records.clone();
         world.power_off(holder);
         world.run(200);
@@ -312,6 +359,10 @@
         world.run(4_000);
         assert!(world.owner().is_some(), "seed {seed}: nobody schedules");
         let rows = world.journal.lock().unwrap().records_restored;
-        assert!(rows >= newest.len(), "seed {seed}: {rows} records after {}", newest.len());
+        assert!(
+            rows >= newest.len(),
+            "seed {seed}: {rows} records after {}",
+            newest.len()
+        );
     }
 }
--- a/crates/control/tests/catch_up_times.rs
+++ b/crates/control/tests/catch_up_times.rs
@@ -28,16 +28,29 @@
 impl Case {
     /// Times to catch up of the members whose disks are emptied, from their start.
     fn play(&self) -> Vec<Option<u64>> {
-        let speeds = Speeds { sync_us: self.sync_ms * 1_000, ..SMALL_SITE };
+        let speeds = Speeds {
+            sync_us: self.sync_ms * 1_000,
+            ..SMALL_SITE
+        };
         let bytes = ROW_BYTES as usize - size_of::<u64>();
-        let mut history = History::new(self.members as usize, 1, self.rows as usize, bytes, Some(speeds));
-        history.world.weather = Weather { delay_us: WAY_US, ..CALM };
+        let mut history = History::new(
+            self.members as usize,
+            1,
+            self.rows as usize,
+            bytes,
+            Some(speeds),
+        );
+        history.world.weather = Weather {
+            delay_us: WAY_US,
+            ..CALM
+        };
         history.rate = self.rate;
         history.run(BEFORE_MS);
         let late = history.followers()[(self.members - self.lost) as usize - 1..].to_vec();
         late.iter().for_each(|member| history.world.wipe(*member));
         history.run(DOWN_MS);
-        late.iter().for_each(|member| history.world.start(*member, false));
+        late.iter()
+            .for_each(|member| history.world.start(*member, false));
         history.catch_up(&late, 20_000)
     }
 
@@ -53,12 +66,21 @@
     }
 
     fn check(&self, limit_ms: u64) {
-        let Case { members, lost, rows, rate, sync_ms } = self;
+        let Case {
+            members,
+            lost,
+            rows,
+            rate,
+            sync_ms,
+        } = self;
         let bound = self.bound().min(limit_ms);
         let times = self.play();
         println!("{lost} of {members}, {rows} rows, {rate}/s, sync {sync_ms} ms: {times:?} ms of {bound}");
         let in_time = |time: &Option<u64>| time.is_some_and(|time| time <= bound);
-        assert!(times.iter().all(in_time), "{lost} of {members}, {rows} rows, {rate}/s: {times:?}, {bound}");
+        assert!(
+            times.iter().all(in_time),
+            "{lost} of {members}, {rows} rows, {rate}/s: {times:?}, {bound}"
+        );
     }
 }
 
@@ -69,7 +91,16 @@
 fn emptied_members_of_a_small_site_are_back_within_the_bound() {
     for (lost, sync_ms) in [(1, 6), (2, 9)] {
         for rows in ROWS {
-            RATES.iter().for_each(|rate| Case { members: 5, lost, rows, rate: *rate, sync_ms }.check(4_000));
+            RATES.iter().for_each(|rate| {
+                Case {
+                    members: 5,
+                    lost,
+                    rows,
+                    rate: *rate,
+                    sync_ms,
+                }
+                .check(4_000)
+            });
         }
     }
 }
@@ -77,9 +108,16 @@
 #[test]
 fn emptied_members_of_a_grown_site_are_back_within_the_bound() {
     for rows in ROWS {
-        RATES
-            .iter()
-            .for_each(|rate| Case { members: 9, lost: 4, rows, rate: *rate, sync_ms: 9 }.check(6_000));
+        RATES.iter().for_each(|rate| {
+            Case {
+                members: 9,
+                lost: 4,
+                rows,
+                rate: *rate,
+                sync_ms: 9,
+            }
+            .check(6_000)
+        });
     }
 }
 
@@ -87,9 +125,19 @@
 fn with_slow_disks_everywhere_catching_up_still_ends() {
     for rows in [ROWS[0], ROWS[2]] {
         for rate in [RATES[0], RATES[2]] {
-            let times = Case { members: 5, lost: 2, rows, rate, sync_ms: 90 }.play();
+            let times = Case {
+                members: 5,
+                lost: 2,
+                rows,
+                rate,
+                sync_ms: 90,
+            }
+            .play();
             println!("2 of 5, {rows} rows, {rate}/s, sync 90 ms: {times:?} ms");
-            assert!(times.iter().all(Option::is_some), "{rows} rows, {rate}/s: {times:?}");
+            assert!(
+                times.iter().all(Option::is_some),
+                "{rows} rows, {rate}/s: {times:?}"
+            );
         }
     }
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -36,7 +36,12 @@
 const ASK_MS: u64 = 150;
 /// After its return the member answers a read-back within this, in milliseconds.
 const RETURN_READ_MS: u64 = 1_200;
-const ROUGH: Weather = Weather { loss: 0.02, twice: 0.02, delay_us: (200, 20_000), sync_us: (1_000, 12_000) };
+const ROUGH: Weather = Weather {
+    loss: 0.02,
+    twice: 0.02,
+    delay_us: (200, 20_000),
+    sync_us: (1_000, 12_000),
+};
 
 /// What happens to the member.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -166,10 +171,17 @@
 
     /// The newest version acknowledged, or read, before a moment.
     fn newest_before(&self, moment: u64) -> u64 {
-        let acknowledged = self.orders.iter().filter(|order| order.taken_before(moment));
+        let acknowledged = self
+            .orders
+            .iter()
+            .filter(|order| order.taken_before(moment));
         let acknowledged = acknowledged.map(|order| order.version);
         let known = |read: &&ReadBack| read.answer.is_some_and(|(_, at)| at < moment);
-        let read = self.reads.iter().filter(known).filter_map(|read| read.version);
+        let read = self
+            .reads
+            .iter()
+            .filter(known)
+            .filter_map(|read| read.version);
         acknowledged.chain(read).max().unwrap_or_default()
     }
 
@@ -177,7 +189,10 @@
         for read in self.reads.iter().filter(|read| read.version.is_some()) {
             let newest = self.newest_before(read.sent_at);
             if read.version < Some(newest) {
-                found.push((Rule::NewestIsRead, format!("an old read-back, {newest} was there: {read:?}")));
+                found.push((
+                    Rule::NewestIsRead,
+                    format!("an old read-back, {newest} was there: {read:?}"),
+                ));
             }
         }
     }
@@ -185,14 +200,22 @@
     /// What is in force was sent under its number, and was not refused.
     fn check_in_force(&self, found: &mut Vec<Violation>) {
         for read in &self.reads {
-            let (Some(version), Some(route)) = (read.version, &read.route) else { continue };
-            let brought = |order: &&Order| order.version == version && order.content.contains(route);
+            let (Some(version), Some(route)) = (read.version, &read.route) else {
+                continue;
+            };
+            let brought =
+                |order: &&Order| order.version == version && order.content.contains(route);
             let senders: Vec<&Order> = self.orders.iter().filter(brought).collect();
             let refused = |order: &&Order| {
-                order.answer.is_some_and(|(status, _)| status == UNAVAILABLE || (400..500).contains(&status))
+                order.answer.is_some_and(|(status, _)| {
+                    status == UNAVAILABLE || (400..500).contains(&status)
+                })
             };
             if senders.iter().all(refused) {
-                found.push((Rule::RefusedIsNotInForce, format!("{read:?} brought by {senders:?}")));
+                found.push((
+                    Rule::RefusedIsNotInForce,
+                    format!("{read:?} brought by {senders:?}"),
+                ));
             }
         }
     }
@@ -200,16 +223,24 @@
     fn check_orders(&self, found: &mut Vec<Violation>) {
         let mut winners: BTreeMap<u64, &Order> = BTreeMap::new();
         for order in &self.orders {
-            let Some((status, answered_at)) = order.answer else { continue };
+            let Some((status, answered_at)) = order.answer else {
+                continue;
+            };
             if status == OK && order.needs_current {
-                found.push((Rule::InvalidIsNotTaken, format!("invalid and taken: {order:?}")));
+                found.push((
+                    Rule::InvalidIsNotTaken,
+                    format!("invalid and taken: {order:?}"),
+                ));
             }
             if status == OK {
                 let winner = winners.entry(order.base).or_insert(order);
                 if winner.content != order.content {
                     found.push((
                         Rule::OneWinner,
-                        format!("two changes on top of {}: {winner:?}, {order:?}", order.base),
+                        format!(
+                            "two changes on top of {}: {winner:?}, {order:?}",
+                            order.base
+                        ),
                     ));
                 }
             }
@@ -233,28 +264,45 @@
             return true;
         }
         let same = |other: &&Order| other.base == order.base && other.content == order.content;
-        if self.orders.iter().filter(same).any(|other| other.taken_before(answered_at)) {
+        if self
+            .orders
+            .iter()
+            .filter(same)
+            .any(|other| other.taken_before(answered_at))
+        {
             return false;
         }
         // 503 is a promise as well: such an order was accepted nowhere.
         let other_change = |other: &&Order| {
-            let given_back =
-                other.answer.is_some_and(|(status, _)| (400..500).contains(&status) || status == UNAVAILABLE);
+            let given_back = other
+                .answer
+                .is_some_and(|(status, _)| (400..500).contains(&status) || status == UNAVAILABLE);
             let sent = other.sent_at < answered_at;
             other.base >= order.base && other.content != order.content && !given_back && sent
         };
         let raced = self.orders.iter().any(|other| other_change(&other));
-        raced && order.answer.is_some_and(|(status, _)| status == PRECONDITION_FAILED)
+        raced
+            && order
+                .answer
+                .is_some_and(|(status, _)| status == PRECONDITION_FAILED)
     }
 
     /// Without a majority the member answers 503 or 504, and does answer.
     fn check_cut(&self, found: &mut Vec<Violation>) {
-        let Some((members, from, until)) = self.cut.clone() else { return };
+        let Some((members, from, until)) = self.cut.clone() else {
+            return;
+        };
         let inside = |sent_at: u64| sent_at >= from + ON_THE_WAY_MS * MICROS_PER_MS;
         let longest = longest(Bounds::default().ack_ms - 300) + SLACK_MS * MICROS_PER_MS;
-        let orders = self.orders.iter().filter(|order| members.contains(&order.member));
+        let orders = self
+            .orders
+            .iter()
+            .filter(|order| members.contains(&order.member));
         let orders = orders.map(|order| (order.sent_at, order.answer));
-        let reads = self.reads.iter().filter(|read| members.contains(&read.member));
+        let reads = self
+            .reads
+            .iter()
+            .filter(|read| members.contains(&read.member));
         let reads = reads.map(|read| (read.sent_at, read.answer));
         for (sent_at, answer) in orders.chain(reads).filter(|(sent_at, _)| inside(*sent_at)) {
             match answer {
@@ -304,14 +352,22 @@
                         ));
                     }
                 }
-                Message::Directory(directory) if directory.owner == *from && !self.schedules(*from, *at) => {
+                Message::Directory(directory)
+                    if directory.owner == *from && !self.schedules(*from, *at) =>
+                {
                     found.push((
                         Rule::OnlyOwnerNamesItself,
-                        format!("{from} names itself at {} ms in a term that is over", millis(*at)),
+                        format!(
+                            "{from} names itself at {} ms in a term that is over",
+                            millis(*at)
+                        ),
                     ));
                 }
                 Message::NotOwner(refusal) if refusal.owner == *from => {
-                    found.push((Rule::OnlyOwnerNamesItself, format!("{from} refuses and names itself")));
+                    found.push((
+                        Rule::OnlyOwnerNamesItself,
+                        format!("{from} refuses and names itself"),
+                    ));
                 }
                 Message::ClientReply(reply) => {
                     if !self.schedules(*from, *at) {
@@ -337,7 +393,11 @@
     /// Whether the lease of the newest term may be with this process: nobody started a later one, and it has not
     /// been without a majority for longer than a lease.
     fn schedules(&self, node: NodeId, at: u64) -> bool {
-        let newest = self.term_starts.iter().rev().find(|(started, _)| *started <= at);
+        let newest = self
+            .term_starts
+            .iter()
+            .rev()
+            .find(|(started, _)| *started <= at);
         let cut = self.cut.as_ref().is_some_and(|(members, from, until)| {
             members.clone().any(|member| id(member) == node)
                 && at > from + longest(OWNER_LEASE_MS)
@@ -349,7 +409,8 @@
 
 impl Order {
     fn taken_before(&self, moment: u64) -> bool {
-        self.answer.is_some_and(|(status, at)| status == OK && at < moment)
+        self.answer
+            .is_some_and(|(status, at)| status == OK && at < moment)
     }
 }
 
@@ -370,14 +431,23 @@
         let mut world = World::founded(count, seed);
         for index in 0..count {
             let steps = world.random.random_range(0..=2);
-            world.machines[index].set_rate(world.now, TRUE_RATE_PPM + DRIFT_PPM - steps * DRIFT_PPM);
+            world.machines[index]
+                .set_rate(world.now, TRUE_RATE_PPM + DRIFT_PPM - steps * DRIFT_PPM);
         }
         world.weather = if seed.is_multiple_of(3) { ROUGH } else { CALM };
         // Every other time it is the scheduler that is in trouble.
         let owner = world.owner().unwrap();
         let member = (owner + if seed.is_multiple_of(2) { 0 } else { 1 }) % count;
         let history = History::default();
-        Trial { world, history, variant, trouble, member, count, under_way: false }
+        Trial {
+            world,
+            history,
+            variant,
+            trouble,
+            member,
+            count,
+            under_way: false,
+        }
     }
 
     fn healthy(&mut self) -> usize {
@@ -402,7 +472,12 @@
     }
 
     fn send_order(
-        &mut self, member: usize, base: u64, version: u64, content: String, needs_current: bool,
+        &mut self,
+        member: usize,
+        base: u64,
+        version: u64,
+        content: String,
+        needs_current: bool,
     ) -> usize {
         let sent_at = self.world.now;
         let mut answer = None;
@@ -410,14 +485,23 @@
             let now = sent_at;
             answer = match self.variant {
                 Variant::ConfirmsAlone => Some((OK, now)),
-                Variant::RefusesAlone if self.own_version() != base => Some((PRECONDITION_FAILED, now)),
+                Variant::RefusesAlone if self.own_version() != base => {
+                    Some((PRECONDITION_FAILED, now))
+                }
                 _ => None,
             };
         }
-        let path = if content.contains("upsert") { "/v1/config/patch" } else { "/v1/config/replace" };
+        let path = if content.contains("upsert") {
+            "/v1/config/patch"
+        } else {
+            "/v1/config/replace"
+        };
         let number = match answer {
             Some(_) => None,
-            None => Some(self.world.http(member, Method::Post, path, Some(base), &content)),
+            None => Some(
+                self.world
+                    .http(member, Method::Post, path, Some(base), &content),
+            ),
         };
         self.history.orders.push(Order {
             member,
@@ -434,12 +518,22 @@
 
     fn read_back(&mut self, member: usize) -> usize {
         let sent_at = self.world.now;
-        let mut read = ReadBack { member, sent_at, answer: None, number: None, version: None, route: None };
+        let mut read = ReadBack {
+            member,
+            sent_at,
+            answer: None,
+            number: None,
+            version: None,
+            route: None,
+        };
         if self.under_way && member == self.member && self.variant == Variant::ReadsAlone {
             read.answer = Some((OK, sent_at));
             read.version = Some(self.own_version());
         } else {
-            read.number = Some(self.world.http(member, Method::Get, "/v1/config/get", None, ""));
+            read.number = Some(
+                self.world
+                    .http(member, Method::Get, "/v1/config/get", None, ""),
+            );
         }
         self.history.reads.push(read);
         self.history.reads.len() - 1
@@ -449,7 +543,10 @@
     fn own_version(&self) -> u64 {
         let rows = self.world.machines[self.member].disk.control.values();
         let values = rows.filter_map(|row| RegisterValue::decode(row).ok());
-        values.map(|value| value.config.version).max().unwrap_or_default()
+        values
+            .map(|value| value.config.version)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Runs on and notes the answers.
@@ -460,10 +557,20 @@
             let number = number.filter(|number| world.replies.contains_key(number))?;
             Some((world.status(number), world.replied_at[&number]))
         };
-        for order in self.history.orders.iter_mut().filter(|order| order.answer.is_none()) {
+        for order in self
+            .history
+            .orders
+            .iter_mut()
+            .filter(|order| order.answer.is_none())
+        {
             order.answer = answer(order.number);
         }
-        for read in self.history.reads.iter_mut().filter(|read| read.answer.is_none()) {
+        for read in self
+            .history
+            .reads
+            .iter_mut()
+            .filter(|read| read.answer.is_none())
+        {
             read.answer = answer(read.number);
             if read.answer.is_some_and(|(status, _)| status == OK) {
                 let reply = read.number.and_then(|number| world.replies.get(&number));
@@ -476,13 +583,34 @@
 
     /// A child of the relay tree and a client ask a process.
     fn ask(&mut self, member: usize) {
-        let have = if self.world.random.random_bool(0.3) { 0 } else { self.newest() };
-        let hello = Hello { kind: NodeKind::Side, incarnation: 5, config_version: have };
-        let subscribe = Subscribe { have, asked_at: self.world.now };
+        let have = if self.world.random.random_bool(0.3) {
+            0
+        } else {
+            self.newest()
+        };
+        let hello = Hello {
+            kind: NodeKind::Side,
+            incarnation: 5,
+            config_version: have,
+        };
+        let subscribe = Subscribe {
+            have,
+            asked_at: self.world.now,
+        };
         let by_a_third = self.world.random.random_bool(0.25);
         for message in [Message::Subscribe(subscribe), Message::Hello(hello), read()] {
-            let message = if by_a_third { relayed(member, &message) } else { message };
-            self.world.event(member, Event::Message { from: CLIENT, message });
+            let message = if by_a_third {
+                relayed(member, &message)
+            } else {
+                message
+            };
+            self.world.event(
+                member,
+                Event::Message {
+                    from: CLIENT,
+                    message,
+                },
+            );
         }
     }
 
@@ -528,11 +656,22 @@
     fn begin(&mut self) {
         let member = self.member;
         let own = id(member);
-        let others: Vec<NodeId> = (0..self.count).filter(|other| *other != member).map(id).collect();
+        let others: Vec<NodeId> = (0..self.count)
+            .filter(|other| *other != member)
+            .map(id)
+            .collect();
         match self.trouble {
-            Trouble::Whole | Trouble::CoreOnly | Trouble::OperatorOnSide => self.world.cut_off(member),
-            Trouble::Outbound => self.world.cut.extend(others.iter().map(|other| (own, *other))),
-            Trouble::Inbound => self.world.cut.extend(others.iter().map(|other| (*other, own))),
+            Trouble::Whole | Trouble::CoreOnly | Trouble::OperatorOnSide => {
+                self.world.cut_off(member)
+            }
+            Trouble::Outbound => self
+                .world
+                .cut
+                .extend(others.iter().map(|other| (own, *other))),
+            Trouble::Inbound => self
+                .world
+                .cut
+                .extend(others.iter().map(|other| (*other, own))),
             Trouble::OperatorOnly => {}
             Trouble::Apart => (0..self.count).for_each(|member| self.world.cut_off(member)),
             Trouble::Frozen => self.world.freeze(member),
@@ -561,7 +700,11 @@
         self.work(span_ms);
         if !matches!(self.trouble, Trouble::OperatorOnly | Trouble::Frozen) {
             let alone = self.member..self.member + 1;
-            let members = if self.trouble == Trouble::Apart { 0..self.count } else { alone };
+            let members = if self.trouble == Trouble::Apart {
+                0..self.count
+            } else {
+                alone
+            };
             self.history.cut = Some((members, since, self.world.now));
         }
         self.end(since);
@@ -581,7 +724,11 @@
         }
         if self.variant == Variant::Sound {
             let answer = self.history.reads[read].answer;
-            assert!(answer.is_some_and(|(status, _)| status == OK), "{:?}: {answer:?}", self.trouble);
+            assert!(
+                answer.is_some_and(|(status, _)| status == OK),
+                "{:?}: {answer:?}",
+                self.trouble
+            );
         }
         self.order(self.member, false);
         self.run(100);
@@ -591,7 +738,11 @@
     fn settle(&mut self) {
         self.world.weather = CALM;
         self.run(4_500);
-        let taken = self.history.orders.iter().filter(|order| order.taken_before(self.world.now));
+        let taken = self
+            .history
+            .orders
+            .iter()
+            .filter(|order| order.taken_before(self.world.now));
         let again: Vec<Order> = taken.rev().take(3).cloned().collect();
         for order in again {
             self.send_order(self.member, order.base, order.version, order.content, false);
@@ -603,7 +754,11 @@
         self.run(1_500);
         if self.variant == Variant::Sound {
             let answer = self.history.orders[order].answer;
-            assert!(answer.is_some_and(|(status, _)| status == OK), "{:?}: {answer:?}", self.trouble);
+            assert!(
+                answer.is_some_and(|(status, _)| status == OK),
+                "{:?}: {answer:?}",
+                self.trouble
+            );
         }
         for member in 0..self.count {
             self.read_back(member);
@@ -615,7 +770,9 @@
         let messages = std::mem::take(&mut self.world.client_messages);
         let sources = std::mem::take(&mut self.world.client_sources);
         let told = sources.into_iter().zip(messages);
-        self.history.told = told.map(|((at, from), message)| (at, from, unwrapped(message))).collect();
+        self.history.told = told
+            .map(|((at, from), message)| (at, from, unwrapped(message)))
+            .collect();
         self.history.term_starts = std::mem::take(&mut self.world.term_starts);
         self.history
     }
@@ -652,7 +809,11 @@
 /// A message of `FAR` that the client passes on.
 fn relayed(member: usize, message: &Message) -> Message {
     let payload = Blob(frame::encode(message).unwrap());
-    Message::Relayed(Relayed { from: FAR, to: id(member), payload })
+    Message::Relayed(Relayed {
+        from: FAR,
+        to: id(member),
+        payload,
+    })
 }
 
 /// What an answer says, however it came.
@@ -666,7 +827,10 @@
 /// The version and the path of the only route.
 fn document_in(body: &[u8]) -> Option<(u64, String)> {
     let json: serde_json::Value = serde_json::from_slice(body).ok()?;
-    Some((json["version"].as_u64()?, json["routes"][0]["path_prefix"].as_str()?.to_owned()))
+    Some((
+        json["version"].as_u64()?,
+        json["routes"][0]["path_prefix"].as_str()?.to_owned(),
+    ))
 }
 
 /// What schedules of a trouble led to.
@@ -683,10 +847,16 @@
     let mut tally = Tally::default();
     for seed in seeds {
         let found = Trial::new(seed, variant, trouble).play().violations();
-        let Some((_, violation)) = found.first() else { continue };
+        let Some((_, violation)) = found.first() else {
+            continue;
+        };
         tally.broken += 1;
-        tally.first.get_or_insert(format!("seed {seed}: {violation}"));
-        found.iter().for_each(|(rule, _)| *tally.rules.entry(*rule).or_default() += 1);
+        tally
+            .first
+            .get_or_insert(format!("seed {seed}: {violation}"));
+        found
+            .iter()
+            .for_each(|(rule, _)| *tally.rules.entry(*rule).or_default() += 1);
     }
     tally
 }
@@ -748,7 +918,10 @@
     ];
     for (variant, rule) in variants {
         let tally = tally(variant, Trouble::CoreOnly, 0..12);
-        assert!(tally.broken >= 9 && tally.rules.contains_key(&rule), "{variant:?}: {tally:?}");
+        assert!(
+            tally.broken >= 9 && tally.rules.contains_key(&rule),
+            "{variant:?}: {tally:?}"
+        );
     }
 }
 
--- a/crates/control/tests/damaged_disks.rs
+++ b/crates/control/tests/damaged_disks.rs
@@ -42,14 +42,21 @@
     world.kill(0);
     world.start(0, true);
     world.run(9_000);
-    assert_eq!(world.terms(), terms, "{context}: founded anew at the second start");
+    assert_eq!(
+        world.terms(),
+        terms,
+        "{context}: founded anew at the second start"
+    );
     world.start(1, false);
     world.start(2, false);
     world.run(6_000);
     assert_eq!(world.read_back(0), Some(5), "{context}");
     feed(world, 1_001..1_011);
     assert_eq!(world.acked(), 60, "{context}");
-    assert_eq!(world.machines[0].disk.records, world.machines[1].disk.records, "{context}");
+    assert_eq!(
+        world.machines[0].disk.records, world.machines[1].disk.records,
+        "{context}"
+    );
 }
 
 #[test]
@@ -76,7 +83,13 @@
             let context = format!("row {place}, damage {kind}");
             let mut world = busy(100 + 10 * place as u64 + kind as u64);
             (0..3).for_each(|index| world.power_off(index));
-            let missing = world.machines[1].disk.records.keys().next().unwrap().clone();
+            let missing = world.machines[1]
+                .disk
+                .records
+                .keys()
+                .next()
+                .unwrap()
+                .clone();
             world.machines[1].disk.records.remove(&missing);
             damage(&mut world.machines[1].disk, row);
             let terms = world.terms();
@@ -84,11 +97,18 @@
             world.start(1, false);
             world.start(2, false);
             world.run(5_000);
-            assert_eq!(world.terms(), terms, "{context}: elected by a member that forgot");
+            assert_eq!(
+                world.terms(),
+                terms,
+                "{context}: elected by a member that forgot"
+            );
             world.start(0, false);
             world.run(5_000);
             assert_eq!(world.read_back(1), Some(5), "{context}");
-            assert_eq!(world.machines[1].disk.records, world.machines[0].disk.records, "{context}");
+            assert_eq!(
+                world.machines[1].disk.records, world.machines[0].disk.records,
+                "{context}"
+            );
         }
     }
 }
--- a/crates/control/tests/distribution.rs
+++ b/crates/control/tests/distribution.rs
@@ -65,22 +65,33 @@
 fn a_small_fleet_is_served_by_the_core_alone() {
     let fleet = Fleet::settled(1, 3, 4, 12);
     assert_eq!(fleet.inner(), []);
-    assert!(fleet.directories.values().all(|directory| directory.relays.is_empty()));
+    assert!(fleet
+        .directories
+        .values()
+        .all(|directory| directory.relays.is_empty()));
 }
 
 #[test]
 fn the_lists_of_relays_agree_and_are_bounded() {
     let mut fleet = hundred(3);
-    let lists: Vec<Vec<NodeId>> =
-        fleet.directories.values().map(|directory| directory.relays.0.clone()).collect();
+    let lists: Vec<Vec<NodeId>> = fleet
+        .directories
+        .values()
+        .map(|directory| directory.relays.0.clone())
+        .collect();
     assert_eq!(lists.len(), 3);
     assert!(lists.iter().all(|list| *list == lists[0]));
     assert_eq!(lists[0].len(), MAX_RELAYS);
-    assert!(lists[0].iter().all(|node| !is_gateway(*node) && !is_core(*node)));
+    assert!(lists[0]
+        .iter()
+        .all(|node| !is_gateway(*node) && !is_core(*node)));
     let ended = lists[0][0];
     fleet.end(ended);
     fleet.run(2 * MEMBER_LEASE_MS + 1_000);
-    let named = fleet.directories.values().any(|directory| directory.relays.contains(&ended));
+    let named = fleet
+        .directories
+        .values()
+        .any(|directory| directory.relays.contains(&ended));
     assert!(!named, "a process without a lease is named");
 }
 
@@ -94,5 +105,8 @@
 fn the_core_serves_no_more_processes_in_a_larger_fleet() {
     let small = Fleet::settled(1, 3, 10, 90).children_of_core();
     let large = Fleet::settled(1, 3, 10, 300).children_of_core();
-    assert!(small <= MAX_RELAYS + 16 && large <= MAX_RELAYS + 16, "{small} and {large}");
+    assert!(
+        small <= MAX_RELAYS + 16 && large <= MAX_RELAYS + 16,
+        "{small} and {large}"
+    );
 }
--- a/crates/control/tests/doors.rs
+++ b/crates/control/tests/doors.rs
@@ -32,10 +32,16 @@
 fn a_hello_is_answered_with_the_directory() {
     let mut world = World::founded(3, 1);
     let owner = world.owner().unwrap();
-    let hello = Hello { kind: NodeKind::Side, incarnation: 5, config_version: 0 };
+    let hello = Hello {
+        kind: NodeKind::Side,
+        incarnation: 5,
+        config_version: 0,
+    };
     for index in 0..3 {
         send(&mut world, index, CLIENT, Message::Hello(hello.clone()));
-        let Some(Message::Directory(directory)) = world.client_messages.pop() else { panic!("no directory") };
+        let Some(Message::Directory(directory)) = world.client_messages.pop() else {
+            panic!("no directory")
+        };
         assert_eq!(directory.members.0, [id(0), id(1), id(2)]);
         assert_eq!((directory.members_version, directory.owner), (1, id(owner)));
     }
@@ -46,7 +52,9 @@
     let mut world = World::founded(3, 2);
     let owner = world.owner().unwrap();
     send(&mut world, (owner + 1) % 3, CLIENT, request(0));
-    let Some(Message::NotOwner(answer)) = world.client_messages.pop() else { panic!("no answer") };
+    let Some(Message::NotOwner(answer)) = world.client_messages.pop() else {
+        panic!("no answer")
+    };
     assert_eq!((answer.request, answer.owner), (77, id(owner)));
 }
 
@@ -54,12 +62,19 @@
 fn a_subscriber_gets_what_is_newer_and_what_comes() {
     let mut world = World::founded(3, 3);
     send(&mut world, 1, CLIENT, subscribe(0));
-    assert!(matches!(world.client_messages.pop(), Some(Message::ConfigCurrent(_))));
+    assert!(matches!(
+        world.client_messages.pop(),
+        Some(Message::ConfigCurrent(_))
+    ));
     assert_eq!(world.replace(0, 0, 5), 200);
-    let Some(Message::ConfigUpdate(update)) = world.client_messages.pop() else { panic!("no update") };
+    let Some(Message::ConfigUpdate(update)) = world.client_messages.pop() else {
+        panic!("no update")
+    };
     assert_eq!(update.version, 5);
     send(&mut world, 2, CLIENT, subscribe(3));
-    let Some(Message::ConfigUpdate(update)) = world.client_messages.pop() else { panic!("no update") };
+    let Some(Message::ConfigUpdate(update)) = world.client_messages.pop() else {
+        panic!("no update")
+    };
     assert_eq!(update.version, 5);
 }
 
@@ -70,7 +85,10 @@
     send(&mut world, owner, CLIENT, request(9));
     assert!(world.client_messages.is_empty());
     world.run(100);
-    assert!(matches!(world.client_messages.pop(), Some(Message::ClientReply(_))));
+    assert!(matches!(
+        world.client_messages.pop(),
+        Some(Message::ClientReply(_))
+    ));
 }
 
 #[test]
@@ -89,19 +107,32 @@
     let owner = world.owner().unwrap();
     let outer = NodeId { ip: 200, port: 9 };
     let payload = Blob(frame::encode(&request(0)).unwrap());
-    let relayed = Message::Relayed(Relayed { from: outer, to: id(owner), payload });
+    let relayed = Message::Relayed(Relayed {
+        from: outer,
+        to: id(owner),
+        payload,
+    });
     send(&mut world, owner, CLIENT, relayed);
     world.run(100);
-    let Some(Message::Relayed(answer)) = world.client_messages.pop() else { panic!("no relayed answer") };
+    let Some(Message::Relayed(answer)) = world.client_messages.pop() else {
+        panic!("no relayed answer")
+    };
     assert_eq!((answer.from, answer.to), (id(owner), outer));
-    assert!(matches!(frame::decode(&answer.payload), Ok(Message::ClientReply(_))));
+    assert!(matches!(
+        frame::decode(&answer.payload),
+        Ok(Message::ClientReply(_))
+    ));
 }
 
 #[test]
 fn a_relayed_message_for_another_process_is_forwarded() {
     let mut world = World::founded(3, 7);
     let payload = Blob(frame::encode(&request(0)).unwrap());
-    let relayed = Message::Relayed(Relayed { from: id(0), to: CLIENT, payload });
+    let relayed = Message::Relayed(Relayed {
+        from: id(0),
+        to: CLIENT,
+        payload,
+    });
     send(&mut world, 1, id(0), relayed.clone());
     assert_eq!(world.client_messages.pop(), Some(relayed));
 }
--- a/crates/control/tests/leases.rs
+++ b/crates/control/tests/leases.rs
@@ -19,12 +19,24 @@
 }
 
 fn say(world: &mut World, replica: usize, from: NodeId, message: ControlMessage) {
-    world.event(replica, Event::Message { from, message: Message::Control(message) });
+    world.event(
+        replica,
+        Event::Message {
+            from,
+            message: Message::Control(message),
+        },
+    );
 }
 
 fn ask_for_vote(world: &mut World, replica: usize, epoch: Epoch, probe: bool) -> bool {
     world.client_messages.clear();
-    let request = VoteRequest { epoch, incarnation: 77, members_version: 1, probe, sent_at: 1 };
+    let request = VoteRequest {
+        epoch,
+        incarnation: 77,
+        members_version: 1,
+        probe,
+        sent_at: 1,
+    };
     say(world, replica, CLIENT, ControlMessage::VoteRequest(request));
     world.run(50);
     let replies = world.client_messages.iter();
@@ -37,11 +49,19 @@
 
 fn renew(sent_at: u64, source: NodeId) -> ControlMessage {
     let (base, learned) = (RecordsTag::default(), Ballot::default());
-    ControlMessage::Renew(Renew { epoch: TERM, sent_at, base, source, number: 0, learned })
+    ControlMessage::Renew(Renew {
+        epoch: TERM,
+        sent_at,
+        base,
+        source,
+        number: 0,
+        learned,
+    })
 }
 
 fn grants(world: &World) -> usize {
-    let is_grant = |message: &&Message| matches!(message, Message::Control(ControlMessage::RenewAck(_)));
+    let is_grant =
+        |message: &&Message| matches!(message, Message::Control(ControlMessage::RenewAck(_)));
     world.client_messages.iter().filter(is_grant).count()
 }
 
@@ -54,8 +74,16 @@
     world.run(50);
     world.kill(replica);
     world.start(replica, false);
-    say(&mut world, replica, CLIENT, ControlMessage::Resign(Resign { epoch: TERM }));
-    assert!(!ask_for_vote(&mut world, replica, TERM + 1, true), "the owner's lease may be running");
+    say(
+        &mut world,
+        replica,
+        CLIENT,
+        ControlMessage::Resign(Resign { epoch: TERM }),
+    );
+    assert!(
+        !ask_for_vote(&mut world, replica, TERM + 1, true),
+        "the owner's lease may be running"
+    );
     world.run(1_000);
     assert!(ask_for_vote(&mut world, replica, TERM + 1, true));
 }
@@ -63,7 +91,10 @@
 #[test]
 fn no_lease_is_granted_before_its_holder_is_on_disk() {
     let (mut world, replica, _) = lonely_replica(2);
-    world.weather = Weather { sync_us: (50_000, 60_000), ..CALM };
+    world.weather = Weather {
+        sync_us: (50_000, 60_000),
+        ..CALM
+    };
     world.client_messages.clear();
     say(&mut world, replica, CLIENT, renew(1, CLIENT));
     world.run(2);
--- a/crates/control/tests/long_histories.rs
+++ b/crates/control/tests/long_histories.rs
@@ -11,7 +11,12 @@
 /// Few large records make an image of several pieces.
 const ROWS: usize = 40;
 const ROW_BYTES: usize = 15_000;
-const ROUGH: Weather = Weather { loss: 0.02, twice: 0.03, delay_us: (200, 15_000), sync_us: (1_000, 15_000) };
+const ROUGH: Weather = Weather {
+    loss: 0.02,
+    twice: 0.03,
+    delay_us: (200, 15_000),
+    sync_us: (1_000, 15_000),
+};
 /// After the last trouble: an election, and the time to catch up.
 const HEALED_MS: u64 = 1_500 + 4_000;
 
@@ -32,7 +37,8 @@
         if world.machines[index].node.is_some() {
             let body = config(self.acknowledged + 1);
             let base = Some(self.acknowledged);
-            self.sent.push(world.http(index, Method::Post, "/v1/config/replace", base, &body));
+            self.sent
+                .push(world.http(index, Method::Post, "/v1/config/replace", base, &body));
         }
     }
 }
@@ -57,7 +63,12 @@
         history.rate = 150;
         history.world.weather = ROUGH;
         let (orders, lost) = (Orders::default(), BTreeSet::new());
-        Schedule { history, orders, lost, context: format!("{members} members, seed {seed}") }
+        Schedule {
+            history,
+            orders,
+            lost,
+            context: format!("{members} members, seed {seed}"),
+        }
     }
 
     fn trouble(&mut self) {
@@ -104,7 +115,11 @@
         self.heal();
         let members: Vec<usize> = (0..self.history.world.machines.len()).collect();
         let times = self.history.catch_up(&members, HEALED_MS);
-        assert!(times.iter().all(Option::is_some), "{}: {times:?}", self.context);
+        assert!(
+            times.iter().all(Option::is_some),
+            "{}: {times:?}",
+            self.context
+        );
         let before = self.history.world.acked();
         for _ in 0..ELECTION_MS / 100 {
             self.history.run(100);
@@ -112,13 +127,21 @@
                 break;
             }
         }
-        assert!(self.history.world.acked() > before, "{}: the service stands still", self.context);
+        assert!(
+            self.history.world.acked() > before,
+            "{}: the service stands still",
+            self.context
+        );
         self.history.finish(&self.context);
         self.orders.step(&mut self.history.world);
         for member in members {
             let version = self.history.world.read_back(member);
             let newest = Some(self.orders.acknowledged).filter(|newest| *newest > 0);
-            assert!(version >= newest, "{}: {version:?} after {newest:?}", self.context);
+            assert!(
+                version >= newest,
+                "{}: {version:?} after {newest:?}",
+                self.context
+            );
         }
     }
 
@@ -153,12 +176,14 @@
 }
 
 #[test]
-fn a_member_that_missed_hundreds_of_configurations_and_thousands_of_records_leads_with_the_newest() {
+fn a_member_that_missed_hundreds_of_configurations_and_thousands_of_records_leads_with_the_newest()
+{
     let mut history = History::new(5, 7, 2_000, 200, None);
     history.rate = 300;
     let late = history.followers()[..2].to_vec();
     history.run(100);
-    late.iter().for_each(|member| history.world.power_off(*member));
+    late.iter()
+        .for_each(|member| history.world.power_off(*member));
     let owner = history.world.owner().unwrap();
     for version in 1..=700 {
         let number = history.world.http(
@@ -178,7 +203,8 @@
     }
     // One of the two also loses its disk; the majority then consists of these two and one that knows everything.
     history.world.wipe(late[0]);
-    late.iter().for_each(|member| history.world.start(*member, false));
+    late.iter()
+        .for_each(|member| history.world.start(*member, false));
     assert!(history.catch_up(&late, 4_000).iter().all(Option::is_some));
     let others: Vec<usize> = (0..5).filter(|index| !late.contains(index)).collect();
     history.world.power_off(others[0]);
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -44,7 +44,10 @@
     assert_eq!(world.replace(spare, 5, 7), 200);
     assert_eq!(world.read_back(spare), Some(7));
     for index in 0..=spare {
-        assert_eq!(world.members(index), (0..3).map(id).collect::<BTreeSet<NodeId>>());
+        assert_eq!(
+            world.members(index),
+            (0..3).map(id).collect::<BTreeSet<NodeId>>()
+        );
     }
 }
 
--- a/crates/control/tests/ordinary.rs
+++ b/crates/control/tests/ordinary.rs
@@ -74,12 +74,24 @@
     let mut world = World::founded(3, 7);
     let numbers: Vec<u64> = (0..8)
         .map(|order| {
-            world.http(order % 3, Method::Post, "/v1/config/replace", Some(0), &config(order as u64 + 5))
+            world.http(
+                order % 3,
+                Method::Post,
+                "/v1/config/replace",
+                Some(0),
+                &config(order as u64 + 5),
+            )
         })
         .collect();
     world.run(4_000);
-    let taken = numbers.iter().filter(|number| world.status(**number) == 200).count();
-    let refused = numbers.iter().filter(|number| world.status(**number) == 412).count();
+    let taken = numbers
+        .iter()
+        .filter(|number| world.status(**number) == 200)
+        .count();
+    let refused = numbers
+        .iter()
+        .filter(|number| world.status(**number) == 412)
+        .count();
     assert_eq!((taken, refused), (1, 7));
 }
 
@@ -87,7 +99,13 @@
 fn a_change_reaches_the_scheduler_before_its_acknowledgement() {
     let mut world = World::founded(3, 8);
     let owner = world.owner().unwrap();
-    let number = world.http((owner + 1) % 3, Method::Post, "/v1/config/replace", Some(0), &config(5));
+    let number = world.http(
+        (owner + 1) % 3,
+        Method::Post,
+        "/v1/config/replace",
+        Some(0),
+        &config(5),
+    );
     while world.status(number) == 0 {
         world.run(1);
     }
--- a/crates/control/tests/repeats.rs
+++ b/crates/control/tests/repeats.rs
@@ -19,7 +19,10 @@
 }
 
 fn change_often(
-    world: &mut World, operators: &mut Operators, bases: std::ops::Range<u64>, through: &[usize],
+    world: &mut World,
+    operators: &mut Operators,
+    bases: std::ops::Range<u64>,
+    through: &[usize],
 ) {
     for base in bases {
         let index = through[base as usize % through.len()];
@@ -42,8 +45,16 @@
 fn repeat_all(world: &mut World, operators: &mut Operators, through: &[usize]) {
     for base in PLACES {
         for index in through {
-            assert_eq!(operators.insist(world, *index, &order(base, "a")), 200, "base {base} at {index}");
-            assert_eq!(operators.insist(world, *index, &order(base, "b")), 412, "base {base} at {index}");
+            assert_eq!(
+                operators.insist(world, *index, &order(base, "a")),
+                200,
+                "base {base} at {index}"
+            );
+            assert_eq!(
+                operators.insist(world, *index, &order(base, "b")),
+                412,
+                "base {base} at {index}"
+            );
         }
     }
     let read = read_back(world, through[0]);
@@ -51,11 +62,19 @@
 }
 
 fn archived(world: &World, index: usize) -> usize {
-    world.machines[index].disk.control.keys().filter(|key| key.starts_with(b"change/")).count()
+    world.machines[index]
+        .disk
+        .control
+        .keys()
+        .filter(|key| key.starts_with(b"change/"))
+        .count()
 }
 
 fn caught_up(world: &World, index: usize) -> bool {
-    world.machines[index].node.as_ref().is_some_and(|node| node.changes_caught_up())
+    world.machines[index]
+        .node
+        .as_ref()
+        .is_some_and(|node| node.changes_caught_up())
 }
 
 #[test]
@@ -136,7 +155,10 @@
     let (mut world, mut operators) = with_many_changes(7, &[0, 1, 2]);
     for index in 0..3 {
         world.kill(index);
-        world.machines[index].disk.control.retain(|key, _| !key.starts_with(b"change/"));
+        world.machines[index]
+            .disk
+            .control
+            .retain(|key, _| !key.starts_with(b"change/"));
     }
     (0..3).for_each(|index| world.start(index, false));
     world.run(4_000);
@@ -144,7 +166,10 @@
         assert!(caught_up(&world, index));
         assert_eq!(operators.ask(&mut world, index, &order(0, "a")), 504);
         assert_eq!(operators.ask(&mut world, index, &order(0, "b")), 504);
-        assert_eq!(operators.ask(&mut world, index, &order(MANY_CHANGES - 1, "a")), 200);
+        assert_eq!(
+            operators.ask(&mut world, index, &order(MANY_CHANGES - 1, "a")),
+            200
+        );
     }
     let read = read_back(&mut world, 0);
     assert_eq!(operators.check(&world, &read), Ok(()));
@@ -155,7 +180,8 @@
     let (mut world, mut operators) = with_many_changes(8, &[0, 1, 2]);
     world.kill(1);
     let rows = &mut world.machines[1].disk.control;
-    let in_gap = |base: u64| (100..300).contains(&base) || (1_000..1_010).contains(&base) || base < 5;
+    let in_gap =
+        |base: u64| (100..300).contains(&base) || (1_000..1_010).contains(&base) || base < 5;
     rows.retain(|key, _| match key.strip_prefix(b"change/") {
         Some(base) => !in_gap(u64::from_be_bytes(base.try_into().unwrap())),
         None => true,
@@ -166,8 +192,16 @@
     world.kill(0);
     world.run(2_500);
     for base in [0, 4, 100, 299, 1_005] {
-        assert_eq!(operators.insist(&mut world, 1, &order(base, "a")), 200, "base {base}");
-        assert_eq!(operators.insist(&mut world, 1, &order(base, "b")), 412, "base {base}");
+        assert_eq!(
+            operators.insist(&mut world, 1, &order(base, "a")),
+            200,
+            "base {base}"
+        );
+        assert_eq!(
+            operators.insist(&mut world, 1, &order(base, "b")),
+            412,
+            "base {base}"
+        );
     }
 }
 
@@ -176,7 +210,10 @@
     let (mut world, _) = with_many_changes(9, &[0, 1, 2]);
     for index in 0..3 {
         world.kill(index);
-        world.machines[index].disk.control.retain(|key, _| !key.starts_with(b"change/"));
+        world.machines[index]
+            .disk
+            .control
+            .retain(|key, _| !key.starts_with(b"change/"));
     }
     (0..3).for_each(|index| world.start(index, false));
     world.run(60_000);
@@ -200,14 +237,26 @@
         }
         let up: Vec<usize> = (0..3).filter(|index| down != Some(*index)).collect();
         let index = up[world.random.random_range(0..up.len())];
-        assert_eq!(operators.insist(&mut world, index, &order(base, "a")), 200, "seed {seed}, base {base}");
+        assert_eq!(
+            operators.insist(&mut world, index, &order(base, "a")),
+            200,
+            "seed {seed}, base {base}"
+        );
     }
     down.and_then(|index| come_back(&mut world, index));
     world.run(5_000);
     for base in (0..400).step_by(9) {
         let index = base as usize % 3;
-        assert_eq!(operators.insist(&mut world, index, &order(base, "a")), 200, "seed {seed}, base {base}");
-        assert_eq!(operators.insist(&mut world, index, &order(base, "b")), 412, "seed {seed}, base {base}");
+        assert_eq!(
+            operators.insist(&mut world, index, &order(base, "a")),
+            200,
+            "seed {seed}, base {base}"
+        );
+        assert_eq!(
+            operators.insist(&mut world, index, &order(base, "b")),
+            412,
+            "seed {seed}, base {base}"
+        );
     }
     let read = read_back(&mut world, 0);
     assert_eq!(operators.check(&world, &read), Ok(()), "seed {seed}");
--- a/crates/control/tests/replacements.rs
+++ b/crates/control/tests/replacements.rs
@@ -61,7 +61,11 @@
 fn check_after_losses(world: &mut World, successor: usize, what: &str) {
     world.run(3_000);
     assert!(serves(world), "{what}: nothing is served");
-    assert_eq!(world.read_back(successor), Some(5), "{what}: the configuration is not read back");
+    assert_eq!(
+        world.read_back(successor),
+        Some(5),
+        "{what}: the configuration is not read back"
+    );
 }
 
 /// A planned replacement, and further losses `loss_ms` after the successor's start.
@@ -157,7 +161,10 @@
         let took_ms = (world.now - asked) / 1000;
         assert!(took_ms < 1_000, "seed {seed}: {took_ms} ms");
         world.run(100);
-        assert!(world.members(successor).contains(&id(successor)), "seed {seed}");
+        assert!(
+            world.members(successor).contains(&id(successor)),
+            "seed {seed}"
+        );
         assert!(!world.members(successor).contains(&id(gone)), "seed {seed}");
     }
 }
@@ -174,7 +181,10 @@
         world.run(1_000);
         world.start(restarted, false);
         world.run(2_000);
-        assert!(world.members(restarted).contains(&id(restarted)), "seed {seed}");
+        assert!(
+            world.members(restarted).contains(&id(restarted)),
+            "seed {seed}"
+        );
         assert!(serves(&mut world), "seed {seed}");
     }
 }
@@ -253,16 +263,31 @@
         }
         let terms = world.terms();
         world.run(5_000);
-        assert_eq!(world.terms(), terms, "seed {seed}: former members elected somebody");
+        assert_eq!(
+            world.terms(),
+            terms,
+            "seed {seed}: former members elected somebody"
+        );
         for former in 0..3 {
-            assert_eq!(world.read_back(former), None, "seed {seed}: a former member reads back");
-            assert!(world.replace(former, 5, 11) >= 500, "seed {seed}: a former member confirms or refuses");
+            assert_eq!(
+                world.read_back(former),
+                None,
+                "seed {seed}: a former member reads back"
+            );
+            assert!(
+                world.replace(former, 5, 11) >= 500,
+                "seed {seed}: a former member confirms or refuses"
+            );
         }
         world.mend();
         world.run(5_000);
         assert_eq!(world.read_back(0), Some(9), "seed {seed}");
         assert!(serves(&mut world), "seed {seed}");
-        assert_eq!(world.members(4), (3..6).map(id).collect::<BTreeSet<NodeId>>(), "seed {seed}");
+        assert_eq!(
+            world.members(4),
+            (3..6).map(id).collect::<BTreeSet<NodeId>>(),
+            "seed {seed}"
+        );
     }
 }
 
--- a/crates/control/tests/rounds.rs
+++ b/crates/control/tests/rounds.rs
@@ -26,7 +26,13 @@
 
 fn with_large_config(seed: u64) -> World {
     let mut world = World::founded(3, seed);
-    let number = world.http(0, Method::Post, "/v1/config/replace", Some(0), &large_config(1));
+    let number = world.http(
+        0,
+        Method::Post,
+        "/v1/config/replace",
+        Some(0),
+        &large_config(1),
+    );
     world.run(2_000);
     assert_eq!(world.status(number), 200);
     world
@@ -42,9 +48,16 @@
     let bytes = world.sent_bytes - before;
     assert!(bytes < SMALL_CHANGE_BYTES, "{bytes} bytes for one change");
     for index in 0..3 {
-        assert_eq!(read_back(&mut world, index).map(|(version, _)| version), Some(2));
+        assert_eq!(
+            read_back(&mut world, index).map(|(version, _)| version),
+            Some(2)
+        );
     }
-    let values: Vec<_> = world.machines.iter().map(|machine| &machine.disk.control[&b"value"[..]]).collect();
+    let values: Vec<_> = world
+        .machines
+        .iter()
+        .map(|machine| &machine.disk.control[&b"value"[..]])
+        .collect();
     assert!(values.iter().all(|value| *value == values[0]));
 }
 
@@ -54,7 +67,10 @@
     let mut operators = Operators::new(Answering::Sound);
     world.cut_off(2);
     for version in 2..6 {
-        assert_eq!(operators.insist(&mut world, 0, &patch(version - 1, version, "away")), 200);
+        assert_eq!(
+            operators.insist(&mut world, 0, &patch(version - 1, version, "away")),
+            200
+        );
     }
     world.mend();
     assert_eq!(operators.insist(&mut world, 0, &patch(5, 6, "back")), 200);
@@ -68,13 +84,22 @@
 /// The process's answers to a message that `CLIENT` sends in the place of a core process.
 fn answers(world: &mut World, message: ControlMessage) -> Vec<ControlMessage> {
     world.client_messages.clear();
-    world.event(0, Event::Message { from: CLIENT, message: Message::Control(message) });
+    world.event(
+        0,
+        Event::Message {
+            from: CLIENT,
+            message: Message::Control(message),
+        },
+    );
     world.run(20);
     let control = |message: Message| match message {
         Message::Control(message) => Some(message),
         _ => None,
     };
-    std::mem::take(&mut world.client_messages).into_iter().filter_map(control).collect()
+    std::mem::take(&mut world.client_messages)
+        .into_iter()
+        .filter_map(control)
+        .collect()
 }
 
 #[test]
@@ -82,20 +107,58 @@
     let mut world = with_large_config(3);
     world.kill(1);
     world.kill(2);
-    let ballot = Ballot { counter: 1_000, node: CLIENT, incarnation: 7 };
-    let promised = answers(&mut world, ControlMessage::Prepare(Prepare { ballot, have: Ballot::default() }));
-    let [ControlMessage::Promised(promised)] = &promised[..] else { panic!("{promised:?}") };
+    let ballot = Ballot {
+        counter: 1_000,
+        node: CLIENT,
+        incarnation: 7,
+    };
+    let promised = answers(
+        &mut world,
+        ControlMessage::Prepare(Prepare {
+            ballot,
+            have: Ballot::default(),
+        }),
+    );
+    let [ControlMessage::Promised(promised)] = &promised[..] else {
+        panic!("{promised:?}")
+    };
     let body = Blob(patch(1, 2, "forged").content.into_bytes());
     let on = promised.accepted;
-    let accept = AcceptChange { ballot, on, kind: ChangeKind::Patch, base: 1, body, result: [9; 32] };
-    let other = AcceptChange { on: Ballot { counter: 999, ..ballot }, ..accept.clone() };
-    let late = AcceptChange { ballot: Ballot { counter: 1, ..ballot }, ..accept.clone() };
+    let accept = AcceptChange {
+        ballot,
+        on,
+        kind: ChangeKind::Patch,
+        base: 1,
+        body,
+        result: [9; 32],
+    };
+    let other = AcceptChange {
+        on: Ballot {
+            counter: 999,
+            ..ballot
+        },
+        ..accept.clone()
+    };
+    let late = AcceptChange {
+        ballot: Ballot {
+            counter: 1,
+            ..ballot
+        },
+        ..accept.clone()
+    };
     for wrong in [accept, other] {
         let answer = answers(&mut world, ControlMessage::AcceptChange(wrong));
-        assert!(matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.ballot == ballot));
+        assert!(
+            matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.ballot == ballot)
+        );
     }
     let answer = answers(&mut world, ControlMessage::AcceptChange(late));
-    assert!(matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == ballot));
-    let kept = answers(&mut world, ControlMessage::Prepare(Prepare { ballot, have: on }));
+    assert!(
+        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == ballot)
+    );
+    let kept = answers(
+        &mut world,
+        ControlMessage::Prepare(Prepare { ballot, have: on }),
+    );
     assert!(matches!(&kept[..], [ControlMessage::Promised(promised)] if promised.accepted == on));
 }
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -10,7 +10,12 @@
 const STEPS: usize = 60;
 /// With odd seeds trouble comes only at each so many steps.
 const CALM_STEPS: usize = 5;
-const ROUGH: Weather = Weather { loss: 0.05, twice: 0.05, delay_us: (200, 30_000), sync_us: (1_000, 20_000) };
+const ROUGH: Weather = Weather {
+    loss: 0.05,
+    twice: 0.05,
+    delay_us: (200, 30_000),
+    sync_us: (1_000, 20_000),
+};
 
 /// Machines that come and go for good.
 #[derive(Default)]
@@ -33,13 +38,16 @@
     /// Starts a successor and asks a member to end; once that one has ended, it is gone with its disk if it was a member
     /// no more, and restarts otherwise.
     fn step(&mut self, world: &mut World) {
-        let Some(leaving) = self.leaving else { return self.begin(world) };
+        let Some(leaving) = self.leaving else {
+            return self.begin(world);
+        };
         let ended = world.machines[leaving].finished || world.machines[leaving].node.is_none();
         if !ended {
             return;
         }
         self.leaving = None;
-        let member = world.machines[leaving].node.is_none() || world.members(leaving).contains(&id(leaving));
+        let member =
+            world.machines[leaving].node.is_none() || world.members(leaving).contains(&id(leaving));
         if member {
             return world.kill(leaving);
         }
@@ -62,7 +70,9 @@
 
     /// All machines that are there for the cluster.
     fn present(&self, world: &World) -> Vec<usize> {
-        (0..world.machines.len()).filter(|index| !self.retired.contains(index)).collect()
+        (0..world.machines.len())
+            .filter(|index| !self.retired.contains(index))
+            .collect()
     }
 }
 
@@ -123,12 +133,26 @@
     let mark: u32 = world.random.random_range(0..1000);
     let content = config(version).replace("/p", &format!("/x{mark}p"));
     let index = pick(world, present);
-    let number = world.http(index, Method::Post, "/v1/config/replace", Some(newest), &content);
-    Order { base: newest, version, content, number }
+    let number = world.http(
+        index,
+        Method::Post,
+        "/v1/config/replace",
+        Some(newest),
+        &content,
+    );
+    Order {
+        base: newest,
+        version,
+        content,
+        number,
+    }
 }
 
 fn version_read(world: &World, number: u64) -> Option<u64> {
-    let reply = world.replies.get(&number).filter(|reply| reply.status == 200)?;
+    let reply = world
+        .replies
+        .get(&number)
+        .filter(|reply| reply.status == 200)?;
     let json: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
     json["version"].as_u64()
 }
@@ -162,15 +186,31 @@
         if let Some(again) = orders.iter().rev().nth(3) {
             let (base, content) = (again.base, again.content.clone());
             let index = pick(&mut world, &present);
-            world.http(index, Method::Post, "/v1/config/replace", Some(base), &content);
+            world.http(
+                index,
+                Method::Post,
+                "/v1/config/replace",
+                Some(base),
+                &content,
+            );
         }
         let pause = world.random.random_range(10..400);
         world.run(pause);
-        newest = newest.max(read_back.and_then(|number| version_read(&world, number)).unwrap_or(0));
+        newest = newest.max(
+            read_back
+                .and_then(|number| version_read(&world, number))
+                .unwrap_or(0),
+        );
         let index = pick(&mut world, &present);
         read_back = Some(world.http(index, Method::Get, "/v1/config/get", None, ""));
-        let acked = orders.iter().filter(|order| world.status(order.number) == 200);
-        newest = acked.map(|order| order.version).max().unwrap_or(newest).max(newest);
+        let acked = orders
+            .iter()
+            .filter(|order| world.status(order.number) == 200);
+        newest = acked
+            .map(|order| order.version)
+            .max()
+            .unwrap_or(newest)
+            .max(newest);
     }
     let present = replacements.present(&world);
     heal(&mut world, &present);
@@ -187,34 +227,65 @@
     let present = replacements.present(&world);
     check_orders(&mut world, &orders, &present, seed);
     let before = world.acked();
-    let owner = world.owner().unwrap_or_else(|| panic!("seed {seed}: nobody schedules"));
+    let owner = world
+        .owner()
+        .unwrap_or_else(|| panic!("seed {seed}: nobody schedules"));
     world.client(owner, 1_000_000);
     world.run(500);
-    assert_eq!(world.acked(), before + 1, "seed {seed}: the service stands still");
+    assert_eq!(
+        world.acked(),
+        before + 1,
+        "seed {seed}: the service stands still"
+    );
     let members = world.members(owner);
     assert_eq!(members.len(), count, "seed {seed}: {members:?}");
     assert!(
-        replacements.retired.iter().all(|index| !members.contains(&id(*index))),
+        replacements
+            .retired
+            .iter()
+            .all(|index| !members.contains(&id(*index))),
         "seed {seed}: {members:?}"
     );
 }
 
 fn check_orders(world: &mut World, orders: &[Order], present: &[usize], seed: u64) {
     let mut by_base: BTreeMap<u64, &str> = BTreeMap::new();
-    for order in orders.iter().filter(|order| world.status(order.number) == 200) {
+    for order in orders
+        .iter()
+        .filter(|order| world.status(order.number) == 200)
+    {
         let winner = by_base.entry(order.base).or_insert(&order.content);
-        assert_eq!(*winner, order.content, "seed {seed}: two changes on top of {}", order.base);
+        assert_eq!(
+            *winner, order.content,
+            "seed {seed}: two changes on top of {}",
+            order.base
+        );
     }
-    let newest =
-        orders.iter().filter(|order| world.status(order.number) == 200).map(|order| order.version).max();
+    let newest = orders
+        .iter()
+        .filter(|order| world.status(order.number) == 200)
+        .map(|order| order.version)
+        .max();
     for index in present.iter().copied() {
         let read = world.read_back(index);
-        assert!(read >= newest, "seed {seed}: {read:?} is older than {newest:?}");
+        assert!(
+            read >= newest,
+            "seed {seed}: {read:?} is older than {newest:?}"
+        );
     }
-    let taken: Vec<&Order> = orders.iter().filter(|order| world.status(order.number) == 200).collect();
+    let taken: Vec<&Order> = orders
+        .iter()
+        .filter(|order| world.status(order.number) == 200)
+        .collect();
     for order in taken {
         let index = present[0];
-        let number = world.http(index, Method::Post, "/v1/config/replace", Some(order.base), &order.content);
+        let number = world.http(
+            index,
+            Method::Post,
+            "/v1/config/replace",
+            Some(order.base),
+            &order.content,
+        );
         world.run(300);
         assert_eq!(
             world.status(number),
--- a/crates/control/tests/snapshots.rs
+++ b/crates/control/tests/snapshots.rs
@@ -28,7 +28,12 @@
         let place = random.random_range(0..chunk.entries.0.len());
         drop(chunk.entries.0.remove(place));
     },
-    |chunk, random| chunk.entries.0.truncate(random.random_range(0..chunk.entries.0.len())),
+    |chunk, random| {
+        chunk
+            .entries
+            .0
+            .truncate(random.random_range(0..chunk.entries.0.len()))
+    },
     |chunk, _| chunk.last = !chunk.last,
     |chunk, _| chunk.tag.number += 1,
     |chunk, random| {
@@ -61,7 +66,9 @@
 }
 
 /// Lets a function see the pieces alone.
-fn pieces(mut spoil: impl FnMut(&mut SnapshotChunk) + 'static) -> impl FnMut(&mut ControlMessage) + 'static {
+fn pieces(
+    mut spoil: impl FnMut(&mut SnapshotChunk) + 'static,
+) -> impl FnMut(&mut ControlMessage) + 'static {
     move |message| {
         if let ControlMessage::SnapshotChunk(chunk) = message {
             spoil(chunk);
@@ -109,7 +116,10 @@
             }
         });
         let late = refill(&mut history, spoil);
-        assert!(history.catch_up(&[late], 8_000)[0].is_some(), "seed {seed}: never caught up");
+        assert!(
+            history.catch_up(&[late], 8_000)[0].is_some(),
+            "seed {seed}: never caught up"
+        );
         history.finish(&format!("seed {seed}"));
     }
 }
@@ -120,12 +130,19 @@
     let mut wanted = 0;
     move |message| match message {
         ControlMessage::FetchSnapshot(fetch) => {
-            wanted = if fetch.tag == old[0].tag { fetch.index as usize } else { 0 };
+            wanted = if fetch.tag == old[0].tag {
+                fetch.index as usize
+            } else {
+                0
+            };
         }
         ControlMessage::SnapshotChunk(chunk) if left > 0 => {
             left -= 1;
             let epoch = chunk.epoch;
-            *chunk = SnapshotChunk { epoch, ..old[wanted].clone() };
+            *chunk = SnapshotChunk {
+                epoch,
+                ..old[wanted].clone()
+            };
         }
         _ => {}
     }
@@ -135,8 +152,14 @@
 fn first_transfer(history: &mut History) -> Vec<SnapshotChunk> {
     let kept: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
     let sent = kept.clone();
-    let late = refill(history, pieces(move |chunk| sent.lock().unwrap().push(chunk.clone())));
-    assert!(history.catch_up(&[late], 8_000)[0].is_some(), "the first transfer");
+    let late = refill(
+        history,
+        pieces(move |chunk| sent.lock().unwrap().push(chunk.clone())),
+    );
+    assert!(
+        history.catch_up(&[late], 8_000)[0].is_some(),
+        "the first transfer"
+    );
     history.world.tamper = None;
     let pieces = kept.lock().unwrap().clone();
     assert!(pieces.last().is_some_and(|piece| piece.last), "no transfer");
@@ -148,7 +171,10 @@
     for _ in 0..millis / 5 {
         history.run(5);
         let rows = history.world.machines[member].disk.records.len();
-        assert!(rows == 0 || rows >= least, "{context}: {rows} records after {least}");
+        assert!(
+            rows == 0 || rows >= least,
+            "{context}: {rows} records after {least}"
+        );
     }
 }
 
@@ -180,9 +206,12 @@
         let mut spoil = replay(old);
         let mut batches_lost = 400;
         history.world.tamper = Some(Box::new(move |_, to, message| {
-            let Some(message) = control(message) else { return true };
+            let Some(message) = control(message) else {
+                return true;
+            };
             spoil(message);
-            let lost = to == name && batches_lost > 0 && matches!(message, ControlMessage::RecordBatch(_));
+            let lost =
+                to == name && batches_lost > 0 && matches!(message, ControlMessage::RecordBatch(_));
             batches_lost -= usize::from(lost);
             !lost
         }));
@@ -203,7 +232,18 @@
         history.run(2_500);
         history.world.start(owner, false);
         history.run(1_000);
-        assert!(old[0].tag.epoch < history.world.journal.lock().unwrap().terms.last().unwrap().0);
+        assert!(
+            old[0].tag.epoch
+                < history
+                    .world
+                    .journal
+                    .lock()
+                    .unwrap()
+                    .terms
+                    .last()
+                    .unwrap()
+                    .0
+        );
         let late = history.followers()[0];
         let least = history.world.machines[late].disk.records.len();
         refill(&mut history, replay(old));
@@ -219,7 +259,8 @@
     let count = Arc::new(Mutex::new(0));
     let counted = count.clone();
     history.world.tamper = Some(Box::new(move |_, _, message| {
-        *counted.lock().unwrap() += usize::from(control(message).is_some_and(|control| is_piece(control)));
+        *counted.lock().unwrap() +=
+            usize::from(control(message).is_some_and(|control| is_piece(control)));
         true
     }));
     history.run(5_000);
--- a/crates/control/tests/support/fleet.rs
+++ b/crates/control/tests/support/fleet.rs
@@ -35,9 +35,18 @@
 }
 
 enum Action {
-    Message { from: NodeId, to: NodeId, message: Box<Message> },
-    Synced { node: NodeId, token: u64 },
-    Wake { node: NodeId },
+    Message {
+        from: NodeId,
+        to: NodeId,
+        message: Box<Message>,
+    },
+    Synced {
+        node: NodeId,
+        token: u64,
+    },
+    Wake {
+        node: NodeId,
+    },
 }
 
 pub struct Fleet {
@@ -58,7 +67,12 @@
 }
 
 fn names(network: u32, count: u32) -> Vec<NodeId> {
-    (1..=count).map(|number| NodeId { ip: network + number, port: 7380 }).collect()
+    (1..=count)
+        .map(|number| NodeId {
+            ip: network + number,
+            port: 7380,
+        })
+        .collect()
 }
 
 pub fn is_gateway(node: NodeId) -> bool {
@@ -86,9 +100,15 @@
             sequence: 0,
         };
         let seeds = names(CORE_NETWORK, core);
-        seeds.iter().for_each(|node| fleet.start_core(*node, &seeds));
-        names(GATEWAY_NETWORK, gateways).into_iter().for_each(|node| fleet.start_gateway(node, &seeds));
-        names(AGENT_NETWORK, agents).into_iter().for_each(|node| fleet.start_agent(node, &seeds));
+        seeds
+            .iter()
+            .for_each(|node| fleet.start_core(*node, &seeds));
+        names(GATEWAY_NETWORK, gateways)
+            .into_iter()
+            .for_each(|node| fleet.start_gateway(node, &seeds));
+        names(AGENT_NETWORK, agents)
+            .into_iter()
+            .for_each(|node| fleet.start_agent(node, &seeds));
         fleet
     }
 
@@ -103,7 +123,10 @@
     }
 
     pub(crate) fn clock(&self) -> Now {
-        Now { steady: Time(self.now), wall_ms: 0 }
+        Now {
+            steady: Time(self.now),
+            wall_ms: 0,
+        }
     }
 
     pub(crate) fn begin(&mut self, node: NodeId, process: Process, outbox: Outbox) {
@@ -130,7 +153,11 @@
             deadline_ms: None,
             body: document.into_bytes(),
         };
-        let event = Event::Http { id: HttpRequestId(version), door: Door::Control, request };
+        let event = Event::Http {
+            id: HttpRequestId(version),
+            door: Door::Control,
+            request,
+        };
         self.event(names(CORE_NETWORK, 1)[0], event);
     }
 
@@ -150,7 +177,10 @@
             Process::Gateway(node) => node.config_version(),
             Process::Agent(node) => node.config_version(),
         };
-        let behind = self.processes.iter().filter(|(_, process)| holds(process) < version);
+        let behind = self
+            .processes
+            .iter()
+            .filter(|(_, process)| holds(process) < version);
         behind.map(|(node, _)| *node).collect()
     }
 
@@ -171,20 +201,29 @@
         let mut children: BTreeMap<NodeId, usize> = BTreeMap::new();
         let parents = self.parents.values().filter(|parent| !is_core(**parent));
         parents.for_each(|parent| *children.entry(*parent).or_default() += 1);
-        let mut inner: Vec<(usize, NodeId)> =
-            children.into_iter().map(|(node, count)| (count, node)).collect();
+        let mut inner: Vec<(usize, NodeId)> = children
+            .into_iter()
+            .map(|(node, count)| (count, node))
+            .collect();
         inner.sort_unstable_by(|left, right| right.cmp(left));
         inner.into_iter().map(|(_, node)| node).collect()
     }
 
     /// How many processes ask a core process.
     pub fn children_of_core(&self) -> usize {
-        self.parents.values().filter(|parent| is_core(**parent)).count()
+        self.parents
+            .values()
+            .filter(|parent| is_core(**parent))
+            .count()
     }
 
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1000;
-        while let Some(entry) = self.actions.first_entry().filter(|entry| entry.key().0 <= end) {
+        while let Some(entry) = self
+            .actions
+            .first_entry()
+            .filter(|entry| entry.key().0 <= end)
+        {
             let ((due, _), action) = entry.remove_entry();
             self.now = self.now.max(due);
             self.act(action);
@@ -196,7 +235,13 @@
         match action {
             Action::Message { from, to, message } => {
                 *self.heard.entry(to).or_default() += 1;
-                self.event(to, Event::Message { from, message: *message });
+                self.event(
+                    to,
+                    Event::Message {
+                        from,
+                        message: *message,
+                    },
+                );
             }
             Action::Synced { node, token } => self.event(node, Event::Synced { token }),
             Action::Wake { node } => {
@@ -210,7 +255,9 @@
 
     fn event(&mut self, node: NodeId, event: Event) {
         let clock = self.clock();
-        let Some(process) = self.processes.get_mut(&node) else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
         let mut outbox = Outbox::default();
         process.node().handle(clock, event, &mut outbox);
         self.take(node, outbox);
@@ -239,10 +286,15 @@
             let synced_at = self.now + SYNC_US;
             let token = write.token.map(|token| Action::Synced { node, token });
             let then = write.then.into_iter();
-            let sends =
-                then.map(|(to, message)| Action::Message { from: node, to, message: Box::new(message) });
+            let sends = then.map(|(to, message)| Action::Message {
+                from: node,
+                to,
+                message: Box::new(message),
+            });
             let actions: Vec<Action> = token.into_iter().chain(sends).collect();
-            actions.into_iter().for_each(|action| self.plan(synced_at, action));
+            actions
+                .into_iter()
+                .for_each(|action| self.plan(synced_at, action));
         }
         self.plan_wake(node);
     }
@@ -256,12 +308,23 @@
         let payload = frame::encode(&message).unwrap();
         assert_eq!(frame::decode(&payload).unwrap(), message);
         let at = self.now + self.random.random_range(WAY_US.0..=WAY_US.1);
-        self.plan(at, Action::Message { from, to, message: Box::new(message) });
+        self.plan(
+            at,
+            Action::Message {
+                from,
+                to,
+                message: Box::new(message),
+            },
+        );
     }
 
     fn plan_wake(&mut self, node: NodeId) {
-        let Some(process) = self.processes.get_mut(&node) else { return };
-        let Some(due) = process.node().next_wake() else { return };
+        let Some(process) = self.processes.get_mut(&node) else {
+            return;
+        };
+        let Some(due) = process.node().next_wake() else {
+            return;
+        };
         let due = due.0.max(self.now + 20);
         if due < u64::MAX / 2 && self.wakes.get(&node) != Some(&due) {
             self.wakes.insert(node, due);
--- a/crates/control/tests/support/histories.rs
+++ b/crates/control/tests/support/histories.rs
@@ -27,20 +27,42 @@
 
 impl History {
     /// `count` members with so many records of so many bytes on their disks, which have elected an owner.
-    pub fn new(count: usize, seed: u64, rows: usize, bytes: usize, speeds: Option<Speeds>) -> History {
+    pub fn new(
+        count: usize,
+        seed: u64,
+        rows: usize,
+        bytes: usize,
+        speeds: Option<Speeds>,
+    ) -> History {
         let mut world = World::founded(count, seed);
         (0..count).for_each(|index| world.power_off(index));
         let table: Vec<_> = (0..rows as u64)
-            .map(|row| ((PRELOADED + row).to_be_bytes().to_vec(), vec![row as u8; bytes]))
+            .map(|row| {
+                (
+                    (PRELOADED + row).to_be_bytes().to_vec(),
+                    vec![row as u8; bytes],
+                )
+            })
             .collect();
-        world.machines.iter_mut().for_each(|machine| machine.disk.records.extend(table.iter().cloned()));
+        world
+            .machines
+            .iter_mut()
+            .for_each(|machine| machine.disk.records.extend(table.iter().cloned()));
         world.run(1_000);
         (0..count).for_each(|index| world.start(index, false));
         world.weather = CALM;
         world.speeds = speeds;
         world.run(3_000);
         assert!(world.owner().is_some(), "nobody schedules");
-        History { world, rate: 0, bytes, sent: 0, owed_us: 0, rows, acked: VecDeque::new() }
+        History {
+            world,
+            rate: 0,
+            bytes,
+            sent: 0,
+            owed_us: 0,
+            rows,
+            acked: VecDeque::new(),
+        }
     }
 
     /// Runs for so long under the rate.
@@ -93,18 +115,35 @@
     pub fn finish(&mut self, context: &str) {
         self.rate = 0;
         self.world.run(6_000);
-        let owner = self.world.owner().unwrap_or_else(|| panic!("{context}: nobody schedules"));
+        let owner = self
+            .world
+            .owner()
+            .unwrap_or_else(|| panic!("{context}: nobody schedules"));
         let wanted = self.world.machines[owner].disk.records.clone();
-        assert!(wanted.len() >= self.rows + self.world.acked(), "{context}: the owner lacks records");
-        for machine in self.world.machines.iter().filter(|machine| machine.node.is_some()) {
-            assert!(machine.disk.records == wanted, "{context}: {} differs from the owner", machine.id);
+        assert!(
+            wanted.len() >= self.rows + self.world.acked(),
+            "{context}: the owner lacks records"
+        );
+        for machine in self
+            .world
+            .machines
+            .iter()
+            .filter(|machine| machine.node.is_some())
+        {
+            assert!(
+                machine.disk.records == wanted,
+                "{context}: {} differs from the owner",
+                machine.id
+            );
         }
     }
 
     /// Members other than the owner, in order.
     pub fn followers(&self) -> Vec<usize> {
         let owner = self.world.owner().unwrap();
-        (0..self.world.machines.len()).filter(|index| *index != owner).collect()
+        (0..self.world.machines.len())
+            .filter(|index| *index != owner)
+            .collect()
     }
 }
 
--- a/crates/control/tests/support/journal.rs
+++ b/crates/control/tests/support/journal.rs
@@ -1,7 +1,9 @@
 //! The service of the tests, and what all its lives have done: a checker of what must hold across them.
 use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_wire::node::Now;
-use sagetrail_wire::service::{Batch, ConfigInForce, RecordOperation, Restored, Service, ServiceFactory};
+use sagetrail_wire::service::{
+    Batch, ConfigInForce, RecordOperation, Restored, Service, ServiceFactory,
+};
 use sagetrail_wire::{Blob, Epoch, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -51,26 +53,51 @@
     fn answer(&mut self, to: NodeId, request: u64) {
         let (status, retry_after_ms, body) = (200, 0, Blob::default());
         let config_version = self.config_version;
-        let reply = ClientReply { request, status, retry_after_ms, body, config_version };
+        let reply = ClientReply {
+            request,
+            status,
+            retry_after_ms,
+            body,
+            config_version,
+        };
         self.ready.push((to, Message::ClientReply(reply)));
     }
 
     fn start(journal: SharedJournal, restored: Restored) -> Counter {
         let mut book = journal.lock().unwrap();
-        let kept: BTreeSet<u64> = restored.records.iter().map(|(key, _)| number_of(key)).collect();
+        let kept: BTreeSet<u64> = restored
+            .records
+            .iter()
+            .map(|(key, _)| number_of(key))
+            .collect();
         let lost: Vec<&u64> = book.acked.difference(&kept).collect();
         assert!(lost.is_empty(), "term {} lost {lost:?}", restored.epoch);
         if let Some((epoch, _)) = book.terms.last() {
-            assert!(restored.epoch > *epoch, "term {} after {epoch}", restored.epoch);
+            assert!(
+                restored.epoch > *epoch,
+                "term {} after {epoch}",
+                restored.epoch
+            );
         }
         book.terms.push((restored.epoch, restored.node));
         book.records_restored = kept.len();
         let config_version = restored.config.map_or(0, |config| config.version);
-        assert!(config_version >= book.config_version, "the configuration went back");
+        assert!(
+            config_version >= book.config_version,
+            "the configuration went back"
+        );
         book.config_version = config_version;
         drop(book);
         let (batch, ready, waiting) = (Vec::new(), Vec::new(), BTreeMap::new());
-        Counter { journal, epoch: restored.epoch, number: 0, batch, waiting, ready, config_version }
+        Counter {
+            journal,
+            epoch: restored.epoch,
+            number: 0,
+            batch,
+            waiting,
+            ready,
+            config_version,
+        }
     }
 }
 
@@ -80,13 +107,27 @@
 
 impl Service for Counter {
     fn message(&mut self, _: Now, from: NodeId, message: Message) {
-        let Message::ClientRequest(ClientRequest { request, method, body, .. }) = message else { return };
+        let Message::ClientRequest(ClientRequest {
+            request,
+            method,
+            body,
+            ..
+        }) = message
+        else {
+            return;
+        };
         if method == ClientMethod::Read {
             return self.answer(from, READ);
         }
-        let operation = RecordOperation::Put { key: request.to_be_bytes().to_vec(), value: body.0 };
+        let operation = RecordOperation::Put {
+            key: request.to_be_bytes().to_vec(),
+            value: body.0,
+        };
         self.batch.push(operation);
-        self.waiting.entry(self.number + 1).or_default().push((from, request));
+        self.waiting
+            .entry(self.number + 1)
+            .or_default()
+            .push((from, request));
     }
 
     fn config(&mut self, _: Now, config: ConfigInForce) {
@@ -98,7 +139,10 @@
 
     fn committed(&mut self, _: Now, number: u64) {
         let later = self.waiting.split_off(&(number + 1));
-        for (from, request) in std::mem::replace(&mut self.waiting, later).into_values().flatten() {
+        for (from, request) in std::mem::replace(&mut self.waiting, later)
+            .into_values()
+            .flatten()
+        {
             self.answer(from, request);
         }
     }
@@ -114,14 +158,21 @@
             return None;
         }
         self.number += 1;
-        Some(Batch { number: self.number, operations: std::mem::take(&mut self.batch) })
+        Some(Batch {
+            number: self.number,
+            operations: std::mem::take(&mut self.batch),
+        })
     }
 
     fn take_sends(&mut self) -> Vec<(NodeId, Message)> {
         let sends = std::mem::take(&mut self.ready);
         let mut book = self.journal.lock().unwrap();
         if !sends.is_empty() {
-            assert_eq!(book.terms.last().unwrap().0, self.epoch, "an old term still speaks");
+            assert_eq!(
+                book.terms.last().unwrap().0,
+                self.epoch,
+                "an old term still speaks"
+            );
         }
         for (_, message) in &sends {
             if let Message::ClientReply(reply) = message {
--- a/crates/control/tests/support/operators.rs
+++ b/crates/control/tests/support/operators.rs
@@ -20,14 +20,26 @@
 /// A whole configuration; `mark` tells apart the contents under one number.
 pub fn replacement(base: u64, version: u64, mark: &str) -> Order {
     let content = config(version).replace("/p", &format!("/{mark}p"));
-    Order { path: "/v1/config/replace", base, version, content }
+    Order {
+        path: "/v1/config/replace",
+        base,
+        version,
+        content,
+    }
 }
 
 /// A change of the only route, with the same effect as `replacement`.
 pub fn patch(base: u64, version: u64, mark: &str) -> Order {
-    let whole: serde_json::Value = serde_json::from_str(&replacement(base, version, mark).content).unwrap();
-    let content = serde_json::json!({ "version": version, "upsert": { "routes": whole["routes"] } });
-    Order { path: "/v1/config/patch", base, version, content: content.to_string() }
+    let whole: serde_json::Value =
+        serde_json::from_str(&replacement(base, version, mark).content).unwrap();
+    let content =
+        serde_json::json!({ "version": version, "upsert": { "routes": whole["routes"] } });
+    Order {
+        path: "/v1/config/patch",
+        base,
+        version,
+        content: content.to_string(),
+    }
 }
 
 /// How the processes answer: as they do, or as one that a checker must find out.
@@ -53,13 +65,25 @@
 
 impl Operators {
     pub fn new(answering: Answering) -> Operators {
-        Operators { answering, attempts: Vec::new() }
+        Operators {
+            answering,
+            attempts: Vec::new(),
+        }
     }
 
     /// Sends an order and gives the request's number.
     pub fn send(&mut self, world: &mut World, index: usize, order: &Order) -> u64 {
-        let number = world.http(index, Method::Post, order.path, Some(order.base), &order.content);
-        self.attempts.push(Attempt { order: order.clone(), number });
+        let number = world.http(
+            index,
+            Method::Post,
+            order.path,
+            Some(order.base),
+            &order.content,
+        );
+        self.attempts.push(Attempt {
+            order: order.clone(),
+            number,
+        });
         number
     }
 
@@ -87,7 +111,11 @@
 
     /// All orders that were ever sent, each once.
     pub fn orders(&self) -> Vec<Order> {
-        let mut orders: Vec<Order> = self.attempts.iter().map(|attempt| attempt.order.clone()).collect();
+        let mut orders: Vec<Order> = self
+            .attempts
+            .iter()
+            .map(|attempt| attempt.order.clone())
+            .collect();
         orders.sort();
         orders.dedup();
         orders
@@ -96,7 +124,10 @@
     /// The answer to one request.
     pub fn status(&self, world: &World, number: u64) -> u16 {
         let answers = self.answers(world);
-        let place = self.attempts.iter().position(|attempt| attempt.number == number);
+        let place = self
+            .attempts
+            .iter()
+            .position(|attempt| attempt.number == number);
         place.map_or(0, |place| answers[place].1)
     }
 
@@ -106,14 +137,19 @@
         for attempt in &self.attempts {
             let status = world.status(attempt.number);
             let confirmed = |wanted: &dyn Fn(&Order) -> bool| {
-                answers.iter().any(|(order, status)| *status == 200 && wanted(order))
+                answers
+                    .iter()
+                    .any(|(order, status)| *status == 200 && wanted(order))
             };
             let answer = match self.answering {
-                Answering::RefusesRepeats if status == 200 && confirmed(&|order| *order == attempt.order) => {
+                Answering::RefusesRepeats
+                    if status == 200 && confirmed(&|order| *order == attempt.order) =>
+                {
                     412
                 }
                 Answering::ConfirmsByVersion
-                    if status == 412 && confirmed(&|order| order.version == attempt.order.version) =>
+                    if status == 412
+                        && confirmed(&|order| order.version == attempt.order.version) =>
                 {
                     200
                 }
@@ -127,13 +163,19 @@
     /// What must hold of all answers that were given, and of the configuration read back last.
     pub fn check(&self, world: &World, read_back: &Option<(u64, String)>) -> Result<(), String> {
         let answers = self.answers(world);
-        let taken: Vec<&Order> =
-            answers.iter().filter(|answer| answer.1 == 200).map(|answer| answer.0).collect();
+        let taken: Vec<&Order> = answers
+            .iter()
+            .filter(|answer| answer.1 == 200)
+            .map(|answer| answer.0)
+            .collect();
         let mut by_base: BTreeMap<u64, &Order> = BTreeMap::new();
         for order in taken {
             let winner = by_base.entry(order.base).or_insert(order);
             if *winner != order {
-                return Err(format!("two changes on top of {} were confirmed", order.base));
+                return Err(format!(
+                    "two changes on top of {} were confirmed",
+                    order.base
+                ));
             }
         }
         for (order, status) in &answers {
@@ -153,17 +195,27 @@
 fn check_chain(by_base: &BTreeMap<u64, &Order>) -> Result<(), String> {
     for (former, later) in by_base.values().zip(by_base.values().skip(1)) {
         if former.version > later.base {
-            return Err(format!("{} was confirmed within {} to {}", later.base, former.base, former.version));
+            return Err(format!(
+                "{} was confirmed within {} to {}",
+                later.base, former.base, former.version
+            ));
         }
     }
     Ok(())
 }
 
 /// What is read back is the newest confirmed change, or one without a clear answer on top of it.
-fn check_read_back(by_base: &BTreeMap<u64, &Order>, read_back: &Option<(u64, String)>) -> Result<(), String> {
-    let Some(newest) = by_base.values().next_back() else { return Ok(()) };
+fn check_read_back(
+    by_base: &BTreeMap<u64, &Order>,
+    read_back: &Option<(u64, String)>,
+) -> Result<(), String> {
+    let Some(newest) = by_base.values().next_back() else {
+        return Ok(());
+    };
     match read_back {
-        Some((version, _)) if *version < newest.version => Err(format!("{version} read back is too old")),
+        Some((version, _)) if *version < newest.version => {
+            Err(format!("{version} read back is too old"))
+        }
         Some((version, mark)) if *version == newest.version && !newest.content.contains(mark) => {
             Err(format!("{version} read back is not what was confirmed"))
         }
@@ -180,7 +232,12 @@
 /// The caller closes its connection: the answer is lost.
 pub fn abandon(world: &mut World, number: u64) {
     for index in 0..world.machines.len() {
-        world.event(index, Event::HttpAbandoned { id: HttpRequestId(number) });
+        world.event(
+            index,
+            Event::HttpAbandoned {
+                id: HttpRequestId(number),
+            },
+        );
     }
 }
 
@@ -189,9 +246,18 @@
     for _ in 0..MAX_TRIES {
         let number = world.http(index, Method::Get, "/v1/config/get", None, "");
         world.run(300);
-        let Some(reply) = world.replies.get(&number).filter(|reply| reply.status == 200) else { continue };
+        let Some(reply) = world
+            .replies
+            .get(&number)
+            .filter(|reply| reply.status == 200)
+        else {
+            continue;
+        };
         let json: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
-        let prefix = json["routes"][0]["path_prefix"].as_str().unwrap_or_default().to_owned();
+        let prefix = json["routes"][0]["path_prefix"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned();
         return json["version"].as_u64().map(|version| (version, prefix));
     }
     None
--- a/crates/control/tests/support/speeds.rs
+++ b/crates/control/tests/support/speeds.rs
@@ -13,7 +13,11 @@
 }
 
 /// 1,000 Mbit/s; 120 MB/s and 9 ms for a sync.
-pub const SMALL_SITE: Speeds = Speeds { link_bytes_per_us: 125, disk_bytes_per_us: 120, sync_us: 9_000 };
+pub const SMALL_SITE: Speeds = Speeds {
+    link_bytes_per_us: 125,
+    disk_bytes_per_us: 120,
+    sync_us: 9_000,
+};
 
 /// The ends of the group of writes that is being synced and of the one behind it.
 #[derive(Default)]
@@ -35,7 +39,11 @@
 impl Busy {
     /// When a message of so many bytes has left a machine.
     pub fn sent(&mut self, now: u64, from: NodeId, bytes: u64, site: Speeds) -> u64 {
-        let speeds = self.others.get(&((from.ip - 1) as usize)).copied().unwrap_or(site);
+        let speeds = self
+            .others
+            .get(&((from.ip - 1) as usize))
+            .copied()
+            .unwrap_or(site);
         *self.bytes_sent.entry(from).or_default() += bytes;
         let free = self.links.entry(from).or_default();
         *free = now.max(*free) + bytes / speeds.link_bytes_per_us;
--- a/crates/control/tests/support/starts.rs
+++ b/crates/control/tests/support/starts.rs
@@ -23,14 +23,25 @@
         };
         let service = factory(Arc::new(Mutex::new(Journal::default())));
         let mut outbox = Outbox::default();
-        let process = CoreNode::new(settings, DiskImage::default(), service, self.clock(), &mut outbox);
+        let process = CoreNode::new(
+            settings,
+            DiskImage::default(),
+            service,
+            self.clock(),
+            &mut outbox,
+        );
         self.begin(node, Process::Core(Box::new(process)), outbox);
     }
 
     pub(crate) fn start_gateway(&mut self, node: NodeId, seeds: &[NodeId]) {
         let (incarnation, seed) = (self.random.random::<u64>() | 1, self.random.random());
-        let settings =
-            GatewaySettings { node, incarnation, seeds: seeds.to_vec(), bounds: Bounds::default(), seed };
+        let settings = GatewaySettings {
+            node,
+            incarnation,
+            seeds: seeds.to_vec(),
+            bounds: Bounds::default(),
+            seed,
+        };
         let mut outbox = Outbox::default();
         let process = GatewayNode::new(settings, self.clock(), &mut outbox);
         self.begin(node, Process::Gateway(Box::new(process)), outbox);
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/world.rs
@@ -8,8 +8,8 @@
 use sagetrail_wire::client::{ClientMethod, ClientRequest};
 use sagetrail_wire::directory::Hello;
 use sagetrail_wire::node::{
-    DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node,
-    Now, Outbox, Table,
+    DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId,
+    Method, Node, Now, Outbox, Table,
 };
 use sagetrail_wire::{Blob, Message, NodeId, NodeKind, Text, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,7 +44,10 @@
     /// The clocks of the machine at a true time.
     fn clock(&self, now: u64) -> Now {
         let local = (now - self.started) * self.rate_ppm / TRUE_RATE_PPM;
-        Now { steady: Time(local.max(1)), wall_ms: self.wall_ms }
+        Now {
+            steady: Time(local.max(1)),
+            wall_ms: self.wall_ms,
+        }
     }
 
     /// From now on the steady clock runs at another rate.
@@ -58,14 +61,26 @@
     fn true_time(&self, local: Time) -> u64 {
         let span = u128::from(local.0) * u128::from(TRUE_RATE_PPM);
         let span = span.div_ceil(u128::from(self.rate_ppm));
-        u64::try_from(span).unwrap_or(u64::MAX).saturating_add(self.started)
+        u64::try_from(span)
+            .unwrap_or(u64::MAX)
+            .saturating_add(self.started)
     }
 }
 
 enum Action {
-    Deliver { from: NodeId, to: NodeId, message: Box<Message> },
-    Sync { machine: usize, life: u64 },
-    Wake { machine: usize, life: u64 },
+    Deliver {
+        from: NodeId,
+        to: NodeId,
+        message: Box<Message>,
+    },
+    Sync {
+        machine: usize,
+        life: u64,
+    },
+    Wake {
+        machine: usize,
+        life: u64,
+    },
 }
 
 /// How the network and the disks behave.
@@ -77,7 +92,12 @@
     pub sync_us: (u64, u64),
 }
 
-pub const CALM: Weather = Weather { loss: 0.0, twice: 0.0, delay_us: (300, 900), sync_us: (1_000, 4_000) };
+pub const CALM: Weather = Weather {
+    loss: 0.0,
+    twice: 0.0,
+    delay_us: (300, 900),
+    sync_us: (1_000, 4_000),
+};
 
 /// Changes a message on its way; false loses it.
 pub type Tamper = Box<dyn FnMut(NodeId, NodeId, &mut Message) -> bool>;
@@ -121,7 +141,10 @@
 pub const CLIENT: NodeId = NodeId { ip: 99, port: 1 };
 
 pub fn id(index: usize) -> NodeId {
-    NodeId { ip: index as u32 + 1, port: 7000 }
+    NodeId {
+        ip: index as u32 + 1,
+        port: 7000,
+    }
 }
 
 impl World {
@@ -205,9 +228,18 @@
             control: machine.disk.control.clone().into_iter().collect(),
             records: machine.disk.records.clone().into_iter().collect(),
         };
-        let clock = Now { steady: Time(1), wall_ms: 0 };
+        let clock = Now {
+            steady: Time(1),
+            wall_ms: 0,
+        };
         let mut outbox = Outbox::default();
-        let node = CoreNode::new(settings, image, factory(self.journal.clone()), clock, &mut outbox);
+        let node = CoreNode::new(
+            settings,
+            image,
+            factory(self.journal.clone()),
+            clock,
+            &mut outbox,
+        );
         self.machines[index].node = Some(node);
         self.take(index, outbox);
     }
@@ -222,7 +254,9 @@
 
     /// A machine loses power: of what was not synced a part from the front may be there.
     pub fn power_off(&mut self, index: usize) {
-        let kept = self.random.random_range(0..=self.machines[index].unsynced.len());
+        let kept = self
+            .random
+            .random_range(0..=self.machines[index].unsynced.len());
         let machine = &mut self.machines[index];
         machine.life += 1;
         machine.node = None;
@@ -299,7 +333,9 @@
         self.events += 1;
         let clock = self.machines[index].clock(self.now);
         let mut outbox = Outbox::default();
-        let Some(node) = &mut self.machines[index].node else { return };
+        let Some(node) = &mut self.machines[index].node else {
+            return;
+        };
         node.handle(clock, event, &mut outbox);
         self.take(index, outbox);
     }
@@ -324,7 +360,13 @@
             };
             self.machines[index].unsynced.push_back(write);
             let life = self.machines[index].life;
-            self.plan(due, Action::Sync { machine: index, life });
+            self.plan(
+                due,
+                Action::Sync {
+                    machine: index,
+                    life,
+                },
+            );
         }
         self.plan_wake(index);
     }
@@ -332,7 +374,8 @@
     fn note_terms(&mut self) {
         let book = self.journal.lock().unwrap();
         let started = &book.terms[self.term_starts.len()..];
-        self.term_starts.extend(started.iter().map(|(_, node)| (self.now, *node)));
+        self.term_starts
+            .extend(started.iter().map(|(_, node)| (self.now, *node)));
     }
 
     fn plan_wake(&mut self, index: usize) {
@@ -344,7 +387,13 @@
             let due = due.max(self.now + 20);
             if machine.wake != Some(due) {
                 self.machines[index].wake = Some(due);
-                self.plan(due, Action::Wake { machine: index, life });
+                self.plan(
+                    due,
+                    Action::Wake {
+                        machine: index,
+                        life,
+                    },
+                );
             }
         }
     }
@@ -360,7 +409,10 @@
         let payload = sagetrail_wire::frame::encode(&message).unwrap();
         assert_eq!(sagetrail_wire::frame::decode(&payload).unwrap(), message);
         self.sent_bytes += payload.len() as u64;
-        let kept = self.tamper.as_mut().is_none_or(|tamper| tamper(from, to, &mut message));
+        let kept = self
+            .tamper
+            .as_mut()
+            .is_none_or(|tamper| tamper(from, to, &mut message));
         if !kept || self.cut.contains(&(from, to)) || self.random.random_bool(self.weather.loss) {
             return;
         }
@@ -368,11 +420,22 @@
             Some(site) => self.busy.sent(self.now, from, payload.len() as u64, site),
             None => self.now,
         };
-        let times = if self.random.random_bool(self.weather.twice) { 2 } else { 1 };
+        let times = if self.random.random_bool(self.weather.twice) {
+            2
+        } else {
+            1
+        };
         for _ in 0..times {
             let (least, most) = self.weather.delay_us;
             let due = leaves + self.random.random_range(least..=most);
-            self.plan(due, Action::Deliver { from, to, message: Box::new(message.clone()) });
+            self.plan(
+                due,
+                Action::Deliver {
+                    from,
+                    to,
+                    message: Box::new(message.clone()),
+                },
+            );
         }
     }
 
@@ -384,7 +447,11 @@
     /// Runs for so many milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1000;
-        while let Some(entry) = self.actions.first_entry().filter(|entry| entry.key().0 <= end) {
+        while let Some(entry) = self
+            .actions
+            .first_entry()
+            .filter(|entry| entry.key().0 <= end)
+        {
             let ((due, _), action) = entry.remove_entry();
             self.now = self.now.max(due);
             self.act(action);
@@ -397,7 +464,13 @@
             Action::Deliver { from, to, message } => {
                 let index = (to.ip - 1) as usize;
                 if index < self.machines.len() && !self.cut.contains(&(from, to)) {
-                    self.event(index, Event::Message { from, message: *message });
+                    self.event(
+                        index,
+                        Event::Message {
+                            from,
+                            message: *message,
+                        },
+                    );
                 }
             }
             Action::Sync { machine, life } => self.sync(machine, life),
@@ -418,7 +491,9 @@
         if self.machines[machine].life != life {
             return;
         }
-        let Some(write) = self.machines[machine].unsynced.pop_front() else { return };
+        let Some(write) = self.machines[machine].unsynced.pop_front() else {
+            return;
+        };
         apply(&mut self.machines[machine].disk, write.operations);
         let from = self.machines[machine].id;
         for (to, message) in write.then {
@@ -429,7 +504,14 @@
         }
     }
 
-    pub fn http(&mut self, index: usize, method: Method, path: &str, base: Option<u64>, body: &str) -> u64 {
+    pub fn http(
+        &mut self,
+        index: usize,
+        method: Method,
+        path: &str,
+        base: Option<u64>,
+        body: &str,
+    ) -> u64 {
         let number = self.next_http;
         self.next_http += 1;
         let request = HttpRequest {
@@ -440,13 +522,26 @@
             deadline_ms: None,
             body: body.as_bytes().to_vec(),
         };
-        self.event(index, Event::Http { id: HttpRequestId(number), door: Door::Control, request });
+        self.event(
+            index,
+            Event::Http {
+                id: HttpRequestId(number),
+                door: Door::Control,
+                request,
+            },
+        );
         number
     }
 
     /// Sends a configuration and waits; the status, 0 where there was no answer.
     pub fn replace(&mut self, index: usize, base: u64, version: u64) -> u16 {
-        let number = self.http(index, Method::Post, "/v1/config/replace", Some(base), &config(version));
+        let number = self.http(
+            index,
+            Method::Post,
+            "/v1/config/replace",
+            Some(base),
+            &config(version),
+        );
         self.run(4_000);
         self.status(number)
     }
@@ -459,7 +554,10 @@
     pub fn read_back(&mut self, index: usize) -> Option<u64> {
         let number = self.http(index, Method::Get, "/v1/config/get", None, "");
         self.run(4_000);
-        let reply = self.replies.get(&number).filter(|reply| reply.status == 200)?;
+        let reply = self
+            .replies
+            .get(&number)
+            .filter(|reply| reply.status == 200)?;
         let json: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
         json["version"].as_u64()
     }
@@ -489,18 +587,38 @@
             config_version: 0,
             remaining_ms: 1000,
         });
-        self.event(index, Event::Message { from: CLIENT, message });
+        self.event(
+            index,
+            Event::Message {
+                from: CLIENT,
+                message,
+            },
+        );
     }
 
     /// The members by the word of a process.
     pub fn members(&mut self, index: usize) -> BTreeSet<NodeId> {
         self.client_messages.clear();
-        let hello = Hello { kind: NodeKind::Frontend, incarnation: 1, config_version: 0 };
-        self.event(index, Event::Message { from: CLIENT, message: Message::Hello(hello) });
-        let directory = self.client_messages.iter().rev().find_map(|message| match message {
-            Message::Directory(directory) => Some(directory.members.iter().copied().collect()),
-            _ => None,
-        });
+        let hello = Hello {
+            kind: NodeKind::Frontend,
+            incarnation: 1,
+            config_version: 0,
+        };
+        self.event(
+            index,
+            Event::Message {
+                from: CLIENT,
+                message: Message::Hello(hello),
+            },
+        );
+        let directory = self
+            .client_messages
+            .iter()
+            .rev()
+            .find_map(|message| match message {
+                Message::Directory(directory) => Some(directory.members.iter().copied().collect()),
+                _ => None,
+            });
         directory.unwrap_or_default()
     }
 
--- a/crates/control/tests/trouble.rs
+++ b/crates/control/tests/trouble.rs
@@ -53,7 +53,13 @@
     world.cut_off(owner);
     world.run(2_500);
     assert_ne!(world.owner(), Some(owner));
-    let number = world.http(owner, Method::Post, "/v1/config/replace", Some(5), &config(9));
+    let number = world.http(
+        owner,
+        Method::Post,
+        "/v1/config/replace",
+        Some(5),
+        &config(9),
+    );
     world.run(4_500);
     assert_eq!(world.status(number), 503);
     world.mend();
@@ -87,7 +93,10 @@
         world.start(victim, false);
         world.run(4_000);
         let healthy = (victim + 1) % 3;
-        assert_eq!(world.machines[victim].disk.records, world.machines[healthy].disk.records, "seed {seed}");
+        assert_eq!(
+            world.machines[victim].disk.records, world.machines[healthy].disk.records,
+            "seed {seed}"
+        );
         world.kill(healthy);
         world.run(3_000);
         assert_eq!(world.read_back(victim), Some(5), "seed {seed}");
@@ -139,7 +148,10 @@
     world.mend();
     world.run(3_000);
     let owner = world.owner().unwrap();
-    assert_eq!(world.machines[behind].disk.records, world.machines[owner].disk.records);
+    assert_eq!(
+        world.machines[behind].disk.records,
+        world.machines[owner].disk.records
+    );
 }
 
 #[test]
@@ -191,7 +203,13 @@
     let proposer = (owner + 1) % 5;
     // Whoever could tell the owner of the change cannot reach it; it reaches them.
     world.cut.insert((id(proposer), id(owner)));
-    let number = world.http(proposer, Method::Post, "/v1/config/replace", Some(5), &config(9));
+    let number = world.http(
+        proposer,
+        Method::Post,
+        "/v1/config/replace",
+        Some(5),
+        &config(9),
+    );
     world.run(600);
     assert_eq!(world.status(number), 200);
     world.run(900);
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/carry.rs
@@ -17,7 +17,11 @@
     }
 
     pub fn listed(&mut self, told: Told) {
-        let news = if told.whole { News::Whole } else { News::Changes };
+        let news = if told.whole {
+            News::Whole
+        } else {
+            News::Changes
+        };
         self.apply(told, news);
     }
 
@@ -43,13 +47,19 @@
             }
         }
         if news == News::Whole {
-            self.desk.load.gates.iter().for_each(|runner| runner.listed.set(false));
+            self.desk
+                .load
+                .gates
+                .iter()
+                .for_each(|runner| runner.listed.set(false));
         }
         for (place, listed) in &entries {
             self.desk.load.gates[*place].listed.set(listed.is_some());
         }
         // Guards against a first beat of the list taken for the list itself: nothing has been named yet.
-        self.desk.outside.has_list(news == News::Whole || !self.desk.load.gates.is_empty());
+        self.desk
+            .outside
+            .has_list(news == News::Whole || !self.desk.load.gates.is_empty());
         self.dispatcher.listed(self.desk.now, news, &entries);
         self.hold_out(&entries);
         self.bury(&entries);
@@ -58,7 +68,9 @@
 
     /// Operators take a runner out, whatever the list says, or put it back; false for one never listed.
     pub fn by_hand(&mut self, id: &str, out: bool) -> bool {
-        let Some(&place) = self.desk.places.get(id) else { return false };
+        let Some(&place) = self.desk.places.get(id) else {
+            return false;
+        };
         let runner = &self.desk.load.gates[place];
         if runner.out.replace(out) != out {
             self.desk.outside.drop_idle(place);
@@ -72,8 +84,11 @@
     /// All that operators hold out, agreed among the dispatchers: also those that no list has named yet.
     pub fn held_out(&mut self, out: BTreeSet<String>) {
         let before = std::mem::replace(&mut self.desk.held_out, out.clone());
-        before.difference(&out).for_each(|id| _ = self.by_hand(id, false));
-        out.difference(&before).for_each(|id| _ = self.by_hand(id, true));
+        before
+            .difference(&out)
+            .for_each(|id| _ = self.by_hand(id, false));
+        out.difference(&before)
+            .for_each(|id| _ = self.by_hand(id, true));
     }
 
     /// Guards against a first attempt to a runner that is named after the word on it.
@@ -101,39 +116,75 @@
 
     /// Every runner that was ever named, with its start by the list, in Unix seconds.
     pub fn named(&self) -> Vec<(String, f64)> {
-        self.desk.load.gates.iter().map(|gate| (gate.name.clone(), gate.started.get())).collect()
+        self.desk
+            .load
+            .gates
+            .iter()
+            .map(|gate| (gate.name.clone(), gate.started.get()))
+            .collect()
     }
 
     /// How many runners the list names, and how many of them the decisions avoid now.
     pub fn listed_and_avoided(&self) -> (usize, usize) {
-        let listed = || (0..self.desk.load.gates.len()).filter(|&r| self.desk.load.gates[r].listed.get());
+        let listed =
+            || (0..self.desk.load.gates.len()).filter(|&r| self.desk.load.gates[r].listed.get());
         let now = self.desk.now;
-        (listed().count(), listed().filter(|&r| self.dispatcher.avoids(r, now)).count())
+        (
+            listed().count(),
+            listed().filter(|&r| self.dispatcher.avoids(r, now)).count(),
+        )
     }
 
     // ---- what outlives a planned restart ----
 
     pub fn learnt(&self, terms: &[u64]) -> Learnt {
-        let usual = |(n, &terms)| self.dispatcher.usual(n).map(|seconds| Usual { terms, seconds });
+        let usual = |(n, &terms)| {
+            self.dispatcher
+                .usual(n)
+                .map(|seconds| Usual { terms, seconds })
+        };
         let known = |(r, runner): (usize, &Rc<Gate>)| {
             let (born, slots, pace) = self.dispatcher.learnt(r)?;
-            let started = if born.is_finite() { born + self.desk.unix } else { 0.0 };
+            let started = if born.is_finite() {
+                born + self.desk.unix
+            } else {
+                0.0
+            };
             let (name, address) = (runner.name.clone(), runner.address.get().to_string());
-            Some(Known { name, address, started, slots, pace })
+            Some(Known {
+                name,
+                address,
+                started,
+                slots,
+                pace,
+            })
         };
         Learnt {
             usuals: terms.iter().enumerate().filter_map(usual).collect(),
-            runners: self.desk.load.gates.iter().enumerate().filter_map(known).collect(),
+            runners: self
+                .desk
+                .load
+                .gates
+                .iter()
+                .enumerate()
+                .filter_map(known)
+                .collect(),
             ..Learnt::default()
         }
     }
 
     /// How many categories it was of use for; runners follow as the list names them.
     pub fn take_up(&mut self, learnt: Learnt, terms: &[u64]) -> usize {
-        self.desk.carried = learnt.runners.into_iter().map(|known| (known.name.clone(), known)).collect();
+        self.desk.carried = learnt
+            .runners
+            .into_iter()
+            .map(|known| (known.name.clone(), known))
+            .collect();
         let usual = |u: &Usual| Some((terms.iter().position(|t| *t == u.terms)?, u.seconds));
         let usuals = learnt.usuals.iter().filter_map(usual);
-        usuals.map(|(n, seconds)| self.dispatcher.carry_usual(n, seconds)).count()
+        usuals
+            .map(|(n, seconds)| self.dispatcher.carry_usual(n, seconds))
+            .count()
     }
 
     // ---- upgrades ----
@@ -144,12 +195,33 @@
         self.dispatcher.leave_cold(self.desk.now, true);
         let unix = |at: f64| at + self.desk.unix;
         let inherits = |(place, member): (usize, &Member)| {
-            let Kept { out, back, spent, evidence, resting, rest_s } = self.dispatcher.kept(place);
+            let Kept {
+                out,
+                back,
+                spent,
+                evidence,
+                resting,
+                rest_s,
+            } = self.dispatcher.kept(place);
             let (out, back, resting) = (out.map(unix), back.map(unix), resting.map(unix));
-            let spent = spent.into_iter().map(|(at, size)| (unix(at), size)).collect();
-            Inherited { member: member.clone(), out, back, spent, evidence, resting, rest_s }
+            let spent = spent
+                .into_iter()
+                .map(|(at, size)| (unix(at), size))
+                .collect();
+            Inherited {
+                member: member.clone(),
+                out,
+                back,
+                spent,
+                evidence,
+                resting,
+                rest_s,
+            }
         };
-        (self.learnt(terms), self.desk.members.iter().enumerate().map(inherits).collect())
+        (
+            self.learnt(terms),
+            self.desk.members.iter().enumerate().map(inherits).collect(),
+        )
     }
 
     /// The new process has ended before its time.
@@ -164,18 +236,52 @@
         }
         // Also those that are gone: whoever was listed once is known at the operators' door.
         for Inherited { member, .. } in &state.runners {
-            member.address.map(|address| self.desk.enlist(member, address));
+            member
+                .address
+                .map(|address| self.desk.enlist(member, address));
         }
-        let members: Vec<Member> = state.runners.iter().map(|inherited| inherited.member.clone()).collect();
-        self.known(Told { whole: true, members, ..Told::default() });
+        let members: Vec<Member> = state
+            .runners
+            .iter()
+            .map(|inherited| inherited.member.clone())
+            .collect();
+        self.known(Told {
+            whole: true,
+            members,
+            ..Told::default()
+        });
         let here = |at: f64| at - self.desk.unix;
         let mut kept = Vec::new();
-        for Inherited { member, out, back, spent, evidence, resting, rest_s } in state.runners {
-            let Some(&place) = self.desk.places.get(&member.id) else { continue };
+        for Inherited {
+            member,
+            out,
+            back,
+            spent,
+            evidence,
+            resting,
+            rest_s,
+        } in state.runners
+        {
+            let Some(&place) = self.desk.places.get(&member.id) else {
+                continue;
+            };
             self.desk.load.gates[place].out.set(out.is_some());
             let (out, back, resting) = (out.map(here), back.map(here), resting.map(here));
-            let spent = spent.into_iter().map(|(at, size)| (here(at), size)).collect();
-            kept.push((place, Kept { out, back, spent, evidence, resting, rest_s }));
+            let spent = spent
+                .into_iter()
+                .map(|(at, size)| (here(at), size))
+                .collect();
+            kept.push((
+                place,
+                Kept {
+                    out,
+                    back,
+                    spent,
+                    evidence,
+                    resting,
+                    rest_s,
+                },
+            ));
         }
         self.dispatcher.inherit(self.desk.now, kept);
     }
@@ -185,8 +291,14 @@
         let mut carried = 0;
         for &(place, listed) in entries {
             let runner = &self.desk.load.gates[place];
-            let Some(known) = self.desk.carried.remove(&*runner.name) else { continue };
-            let born = if known.started > 0.0 { known.started - self.desk.unix } else { f64::NEG_INFINITY };
+            let Some(known) = self.desk.carried.remove(&*runner.name) else {
+                continue;
+            };
+            let born = if known.started > 0.0 {
+                known.started - self.desk.unix
+            } else {
+                f64::NEG_INFINITY
+            };
             // 10 ms: clocks are read twice, processes take longer to start.
             let same = |listed: Listed| listed.born == born || (listed.born - born).abs() < 0.01;
             if listed.is_some_and(same) && runner.address.get().to_string() == known.address {
@@ -200,12 +312,25 @@
     /// Guards against waiting for word of jobs whose machine vanished without one: a process that has started
     /// again has none of the earlier one's.
     fn bury(&mut self, entries: &[(usize, Option<Listed>)]) {
-        let born: BTreeMap<usize, f64> =
-            entries.iter().filter_map(|(place, listed)| Some((*place, (*listed)?.born))).collect();
+        let born: BTreeMap<usize, f64> = entries
+            .iter()
+            .filter_map(|(place, listed)| Some((*place, (*listed)?.born)))
+            .collect();
         for place in 0..self.desk.taken.len() {
-            let Some(Taken { serial, out: Some(out), .. }) = &self.desk.taken[place] else { continue };
+            let Some(Taken {
+                serial,
+                out: Some(out),
+                ..
+            }) = &self.desk.taken[place]
+            else {
+                continue;
+            };
             if out.accepted && born.get(&out.runner).is_some_and(|born| *born > out.sent) {
-                let ticket = Ticket { work_item: WorkItem(place as u32), serial: *serial, no: out.no };
+                let ticket = Ticket {
+                    work_item: WorkItem(place as u32),
+                    serial: *serial,
+                    no: out.no,
+                };
                 self.ended(ticket, Outcome::Reset);
             }
         }
@@ -233,19 +358,32 @@
             }
         };
         let address = member.address.or(self.members[place].address);
-        self.members[place] = Member { address, ..member.clone() };
+        self.members[place] = Member {
+            address,
+            ..member.clone()
+        };
         let runner = self.load.gates[place].clone();
-        let moved = member.address.is_some_and(|address| runner.address.replace(address) != address);
+        let moved = member
+            .address
+            .is_some_and(|address| runner.address.replace(address) != address);
         if moved || runner.started.replace(member.started) != member.started {
             self.outside.drop_idle(place);
         }
         runner.zone.set(member.zone);
         let ready = member.life == Life::Ready;
-        runner.shut_at.set(if ready { f64::INFINITY } else { runner.shut_at.get().min(shut_at) });
+        runner.shut_at.set(if ready {
+            f64::INFINITY
+        } else {
+            runner.shut_at.get().min(shut_at)
+        });
         let listed = Listed {
             id: number(&member.id),
             kind: member.kind,
-            born: if member.started > 0.0 { member.started - self.unix } else { f64::NEG_INFINITY },
+            born: if member.started > 0.0 {
+                member.started - self.unix
+            } else {
+                f64::NEG_INFINITY
+            },
             cell: member.cell,
             zone: member.zone,
             ready,
--- a/crates/core/src/desk.rs
+++ b/crates/core/src/desk.rs
@@ -20,7 +20,12 @@
     /// Takes a message to a runner and tells `Exchange::errand_ended` how that went, exactly once; `whole` is
     /// set with the last byte written. Given up at `until`.
     fn begin(
-        &mut self, task: Task, runner: usize, message: Outgoing, until: f64, whole: Rc<Cell<bool>>,
+        &mut self,
+        task: Task,
+        runner: usize,
+        message: Outgoing,
+        until: f64,
+        whole: Rc<Cell<bool>>,
     ) -> Self::Errand;
     fn stop(&mut self, errand: Self::Errand);
     /// Calls `Exchange::again` after a pause.
@@ -75,7 +80,11 @@
 impl Load {
     fn count(counts: &mut Vec<u32>, place: usize, more: bool) {
         counts.resize(counts.len().max(place + 1), 0);
-        counts[place] = if more { counts[place] + 1 } else { counts[place].saturating_sub(1) };
+        counts[place] = if more {
+            counts[place] + 1
+        } else {
+            counts[place].saturating_sub(1)
+        };
     }
 
     pub(crate) fn takes(&mut self, category: usize, more: bool) {
@@ -186,7 +195,9 @@
 
     /// The attempt that a ticket names, if it is still out.
     pub fn out(&mut self, ticket: Ticket) -> Option<&mut Out<O::Errand>> {
-        let taken = self.taken(ticket.work_item).filter(|taken| taken.serial == ticket.serial)?;
+        let taken = self
+            .taken(ticket.work_item)
+            .filter(|taken| taken.serial == ticket.serial)?;
         taken.out.as_mut().filter(|out| out.no == ticket.no)
     }
 
@@ -201,18 +212,29 @@
     pub fn call_off(&mut self, ticket: Ticket, then: Option<Outcome>) {
         let until = self.now + 2.0 * self.dial_s;
         let may_cancel = self.may_cancel;
-        let Some(taken) = self.taken(ticket.work_item).filter(|taken| taken.serial == ticket.serial) else {
+        let Some(taken) = self
+            .taken(ticket.work_item)
+            .filter(|taken| taken.serial == ticket.serial)
+        else {
+            return;
+        };
+        let give_up = Outgoing::GiveUp {
+            id: taken.order.id.to_string(),
+        };
+        let Some(out) = taken.out.as_mut().filter(|out| out.no == ticket.no) else {
             return;
         };
-        let give_up = Outgoing::GiveUp { id: taken.order.id.to_string() };
-        let Some(out) = taken.out.as_mut().filter(|out| out.no == ticket.no) else { return };
         out.off = true;
         let (errand, accepted, runner) = (out.errand.take(), out.accepted, out.runner);
         // Closes the connection, if that still waits for an answer.
-        errand.into_iter().for_each(|errand| self.outside.stop(errand));
+        errand
+            .into_iter()
+            .for_each(|errand| self.outside.stop(errand));
         if accepted && may_cancel {
             let task = Task::GiveUp(ticket, then);
-            let errand = self.outside.begin(task, runner, give_up, until, Rc::default());
+            let errand = self
+                .outside
+                .begin(task, runner, give_up, until, Rc::default());
             if let Some(out) = self.out(ticket) {
                 out.errand = Some(errand);
             }
@@ -227,28 +249,71 @@
 
     fn send_attempt(&mut self, work_item: WorkItem, runner: usize, drop_at: f64, begin_by: f64) {
         let (sent, drop_at) = (self.now, drop_at.min(self.end_at - LEAD_S));
-        let Some(taken) = self.taken(work_item) else { return };
+        let Some(taken) = self.taken(work_item) else {
+            return;
+        };
         let (no, category) = (taken.made, taken.category);
         taken.made += 1;
-        let ticket = Ticket { work_item, serial: taken.serial, no };
-        let Order { target, headers, body, gone, .. } = &taken.order;
-        let (target, headers, body, gone) = (target.clone(), headers.clone(), body.clone(), gone.clone());
+        let ticket = Ticket {
+            work_item,
+            serial: taken.serial,
+            no,
+        };
+        let Order {
+            target,
+            headers,
+            body,
+            gone,
+            ..
+        } = &taken.order;
+        let (target, headers, body, gone) =
+            (target.clone(), headers.clone(), body.clone(), gone.clone());
         let begin_by = begin_by.min(self.outside.spend_by(sent, runner, category));
-        let message = Outgoing::Work { target, headers, wait_s: 0.0, begin_by, gone, body };
+        let message = Outgoing::Work {
+            target,
+            headers,
+            wait_s: 0.0,
+            begin_by,
+            gone,
+            body,
+        };
         self.outside.goes(sent, no > 0);
         self.load.sends(category, true);
         let whole = Rc::new(Cell::new(false));
-        let errand = Some(self.outside.begin(Task::Attempt(ticket), runner, message, drop_at, whole.clone()));
+        let errand = Some(self.outside.begin(
+            Task::Attempt(ticket),
+            runner,
+            message,
+            drop_at,
+            whole.clone(),
+        ));
         let (accepted, started, off, unheard) = (false, false, false, false);
         if let Some(taken) = self.taken(work_item) {
-            taken.out =
-                Some(Out { no, runner, sent, drop_at, errand, whole, accepted, started, off, unheard });
+            taken.out = Some(Out {
+                no,
+                runner,
+                sent,
+                drop_at,
+                errand,
+                whole,
+                accepted,
+                started,
+                off,
+                unheard,
+            });
         }
-        self.timers.insert((micros(drop_at), ticket.serial, no), work_item);
+        self.timers
+            .insert((micros(drop_at), ticket.serial, no), work_item);
     }
 
     fn defer(&mut self, work_item: WorkItem, retry_after_s: f64) {
-        self.answer(work_item, Reply { retry_after_s, ..Reply::new(503, "deferred\n") });
+        self.answer(
+            work_item,
+            Reply {
+                retry_after_s,
+                ..Reply::new(503, "deferred\n")
+            },
+        );
     }
 
     fn write_off(&mut self, work_item: WorkItem) {
@@ -256,9 +321,19 @@
     }
 
     fn cancel(&mut self, work_item: WorkItem, attempt: u16) {
-        let Some(taken) = self.taken(work_item) else { return };
-        let ticket = Ticket { work_item, serial: taken.serial, no: attempt };
-        if taken.out.as_ref().is_some_and(|out| out.no == attempt && !out.off) {
+        let Some(taken) = self.taken(work_item) else {
+            return;
+        };
+        let ticket = Ticket {
+            work_item,
+            serial: taken.serial,
+            no: attempt,
+        };
+        if taken
+            .out
+            .as_ref()
+            .is_some_and(|out| out.no == attempt && !out.off)
+        {
             // While its client still waits, it is called off for its runner's sake.
             let runner = taken.out.as_ref().map_or(0, |out| out.runner);
             if taken.answer.is_some() {
@@ -269,7 +344,11 @@
     }
 
     fn forget(&mut self, work_item: WorkItem) {
-        if let Some(taken) = self.taken.get_mut(work_item.0 as usize).and_then(Option::take) {
+        if let Some(taken) = self
+            .taken
+            .get_mut(work_item.0 as usize)
+            .and_then(Option::take)
+        {
             self.load.takes(taken.category, false);
             if let Some(out) = &taken.out {
                 self.load.sends(taken.category, false);
@@ -278,7 +357,8 @@
                 }
             }
             self.ids.remove(&taken.order.id);
-            self.timers.remove(&(micros(taken.expiry + OVERDUE_S), taken.serial, EXPIRY));
+            self.timers
+                .remove(&(micros(taken.expiry + OVERDUE_S), taken.serial, EXPIRY));
         }
     }
 
