--- a/crates/members/src/swim.rs
+++ b/crates/members/src/swim.rs
@@ -22,7 +22,11 @@
     /// 0.3 s: a dead one of three is suspected within a second; two datagrams a period are nothing. 0.1 s: many
     /// round trips on a private network.
     fn default() -> Self {
-        Pace { probe_s: 0.3, ack_s: 0.1, helpers: 3 }
+        Pace {
+            probe_s: 0.3,
+            ack_s: 0.1,
+            helpers: 3,
+        }
     }
 }
 
@@ -165,11 +169,32 @@
 impl Members {
     /// `me` is this member's place in the roster; `incarnation` must not lie under an earlier process's of the
     /// same name: milliseconds of Unix time do, and where a clock was set back, hearing of itself mends it.
-    pub fn new(pace: Pace, roster: Vec<Peer>, me: usize, incarnation: u64, seed: u64, now: f64) -> Self {
-        let unknown = Seen { life: Life::Unknown, incarnation: 0, since: now, heard: f64::NEG_INFINITY };
+    pub fn new(
+        pace: Pace,
+        roster: Vec<Peer>,
+        me: usize,
+        incarnation: u64,
+        seed: u64,
+        now: f64,
+    ) -> Self {
+        let unknown = Seen {
+            life: Life::Unknown,
+            incarnation: 0,
+            since: now,
+            heard: f64::NEG_INFINITY,
+        };
         let mut seen = vec![unknown; roster.len()];
-        seen[me] = Seen { life: Life::Alive, incarnation, since: now, heard: now };
-        let numbers = roster.iter().enumerate().map(|(n, peer)| (peer.number, n)).collect();
+        seen[me] = Seen {
+            life: Life::Alive,
+            incarnation,
+            since: now,
+            heard: now,
+        };
+        let numbers = roster
+            .iter()
+            .enumerate()
+            .map(|(n, peer)| (peer.number, n))
+            .collect();
         let mut chance = Pcg64Mcg::seed_from_u64(seed ^ roster[me].number);
         // Spread, so that a fleet started at once does not probe at once.
         let next = now + pace.probe_s * chance.random::<f64>();
@@ -228,15 +253,25 @@
     }
 
     pub fn living(&self) -> usize {
-        self.seen.iter().filter(|seen| matches!(seen.life, Life::Alive | Life::Suspect)).count()
+        self.seen
+            .iter()
+            .filter(|seen| matches!(seen.life, Life::Alive | Life::Suspect))
+            .count()
     }
 
     pub fn due(&self) -> f64 {
-        let probe = self.probe.as_ref().map_or(f64::INFINITY, |probe| match probe.asked {
-            0 => probe.until.min(probe.end),
-            _ => probe.end,
-        });
-        let suspicion = self.suspicions.values().map(|s| s.until).fold(f64::INFINITY, f64::min);
+        let probe = self
+            .probe
+            .as_ref()
+            .map_or(f64::INFINITY, |probe| match probe.asked {
+                0 => probe.until.min(probe.end),
+                _ => probe.end,
+            });
+        let suspicion = self
+            .suspicions
+            .values()
+            .map(|s| s.until)
+            .fold(f64::INFINITY, f64::min);
         self.next.min(probe).min(suspicion)
     }
 
@@ -245,7 +280,11 @@
     }
 
     fn fares(&mut self, worse: bool) {
-        self.health = if worse { (self.health + 1).min(WORST) } else { self.health.saturating_sub(1) };
+        self.health = if worse {
+            (self.health + 1).min(WORST)
+        } else {
+            self.health.saturating_sub(1)
+        };
     }
 
     fn log_n(&self) -> f64 {
@@ -253,21 +292,43 @@
     }
 
     fn spread(&mut self, who: usize) {
-        let Seen { life, incarnation, .. } = self.seen[who];
+        let Seen {
+            life, incarnation, ..
+        } = self.seen[who];
         let (number, by) = (self.roster[who].number, self.roster[self.me].number);
         let times = (TOLD * self.log_n()).ceil() as u32;
-        self.news.insert(who, (Update { who: number, incarnation, life, by }, times));
+        self.news.insert(
+            who,
+            (
+                Update {
+                    who: number,
+                    incarnation,
+                    life,
+                    by,
+                },
+                times,
+            ),
+        );
     }
 
     /// What goes along with a message: first what was told least.
     fn updates(&mut self) -> Vec<Update> {
-        let mut order: Vec<(u32, usize)> =
-            self.news.iter().map(|(who, (_, left))| (u32::MAX - left, *who)).collect();
+        let mut order: Vec<(u32, usize)> = self
+            .news
+            .iter()
+            .map(|(who, (_, left))| (u32::MAX - left, *who))
+            .collect();
         order.sort_unstable();
-        let told: Vec<usize> = order.into_iter().take(UPDATES).map(|(_, who)| who).collect();
+        let told: Vec<usize> = order
+            .into_iter()
+            .take(UPDATES)
+            .map(|(_, who)| who)
+            .collect();
         let mut updates = Vec::with_capacity(told.len());
         for who in told {
-            let Some((update, left)) = self.news.get_mut(&who) else { continue };
+            let Some((update, left)) = self.news.get_mut(&who) else {
+                continue;
+            };
             updates.push(*update);
             *left -= 1;
             if *left == 0 {
@@ -280,7 +341,11 @@
     /// All that is known, for a whole exchange.
     pub fn whole(&self) -> Vec<Update> {
         let by = self.roster[self.me].number;
-        let known = self.seen.iter().zip(&self.roster).filter(|(seen, _)| seen.life != Life::Unknown);
+        let known = self
+            .seen
+            .iter()
+            .zip(&self.roster)
+            .filter(|(seen, _)| seen.life != Life::Unknown);
         known
             .map(|(seen, peer)| Update {
                 who: peer.number,
@@ -344,9 +409,17 @@
         match life {
             Life::Suspect => {
                 self.tally.suspected += 1;
-                let least = SUSPICION * (self.roster.len() as f64).log10().max(1.0) * self.pace.probe_s;
+                let least =
+                    SUSPICION * (self.roster.len() as f64).log10().max(1.0) * self.pace.probe_s;
                 let until = now + ALONE * least * self.slower();
-                self.suspicions.insert(who, Suspicion { until, from: now, accusers: Vec::new() });
+                self.suspicions.insert(
+                    who,
+                    Suspicion {
+                        until,
+                        from: now,
+                        accusers: Vec::new(),
+                    },
+                );
                 self.accuse(who, by);
             }
             Life::Dead if was != Life::Dead => self.tally.died += 1,
@@ -357,10 +430,14 @@
 
     /// One more accuser: the more there are, the sooner it is believed.
     fn accuse(&mut self, who: usize, by: u64) {
-        let least =
-            SUSPICION * (self.roster.len() as f64).log10().max(1.0) * self.pace.probe_s * self.slower();
+        let least = SUSPICION
+            * (self.roster.len() as f64).log10().max(1.0)
+            * self.pace.probe_s
+            * self.slower();
         let most = ALONE * least;
-        let Some(suspicion) = self.suspicions.get_mut(&who) else { return };
+        let Some(suspicion) = self.suspicions.get_mut(&who) else {
+            return;
+        };
         if suspicion.accusers.contains(&by) || suspicion.accusers.len() > ACCUSERS {
             return;
         }
@@ -416,20 +493,39 @@
                 }
                 if let Some(at) = self.favours.iter().position(|favour| favour.no == no) {
                     let favour = self.favours.swap_remove(at);
-                    post.push((favour.asker, Message::Ack { no: favour.theirs, updates: Vec::new() }));
+                    post.push((
+                        favour.asker,
+                        Message::Ack {
+                            no: favour.theirs,
+                            updates: Vec::new(),
+                        },
+                    ));
                 }
                 sound
             }
             Message::Help { no, who, updates } => {
                 let sound = self.told(now, &updates);
-                let Some(who) = self.place(who).filter(|who| *who != self.me) else { return false };
+                let Some(who) = self.place(who).filter(|who| *who != self.me) else {
+                    return false;
+                };
                 // Bounded: a few a member at once are more than the protocol asks for.
                 if self.favours.len() < 4 * self.roster.len() {
                     self.no += 1;
                     let until = now + self.pace.ack_s;
-                    self.favours.push(Favour { no: self.no, theirs: no, asker: from, until });
+                    self.favours.push(Favour {
+                        no: self.no,
+                        theirs: no,
+                        asker: from,
+                        until,
+                    });
                     let updates = self.updates();
-                    post.push((who, Message::Probe { no: self.no, updates }));
+                    post.push((
+                        who,
+                        Message::Probe {
+                            no: self.no,
+                            updates,
+                        },
+                    ));
                 }
                 sound
             }
@@ -467,11 +563,21 @@
         }
         self.ask_others(now, post);
         self.give_up(now);
-        let over: Vec<usize> =
-            self.suspicions.iter().filter(|(_, s)| s.until <= now).map(|(who, _)| *who).collect();
+        let over: Vec<usize> = self
+            .suspicions
+            .iter()
+            .filter(|(_, s)| s.until <= now)
+            .map(|(who, _)| *who)
+            .collect();
         for who in over {
             let incarnation = self.seen[who].incarnation;
-            self.believe(now, who, incarnation, Life::Dead, self.roster[self.me].number);
+            self.believe(
+                now,
+                who,
+                incarnation,
+                Life::Dead,
+                self.roster[self.me].number,
+            );
         }
         if now >= self.next {
             self.next = now + self.pace.probe_s * self.slower();
@@ -486,9 +592,22 @@
         let until = now + self.pace.ack_s * self.slower();
         // The answer through others has what is left of the period.
         let end = (now + 0.95 * self.pace.probe_s * self.slower()).max(until);
-        self.probe = Some(Probe { who, no: self.no, until, asked: 0, neither: 0, end });
+        self.probe = Some(Probe {
+            who,
+            no: self.no,
+            until,
+            asked: 0,
+            neither: 0,
+            end,
+        });
         let updates = self.updates();
-        post.push((who, Message::Probe { no: self.no, updates }));
+        post.push((
+            who,
+            Message::Probe {
+                no: self.no,
+                updates,
+            },
+        ));
     }
 
     /// A shuffled round over all others: each is probed within n periods (SWIM's bounded time). The dead are in
@@ -497,7 +616,8 @@
         if self.round.is_empty() {
             self.rounds += 1;
             let dead = self.rounds.is_multiple_of(REVIVE);
-            let asked = |who: &usize| *who != self.me && (dead || self.seen[*who].life != Life::Dead);
+            let asked =
+                |who: &usize| *who != self.me && (dead || self.seen[*who].life != Life::Dead);
             self.round = (0..self.roster.len()).filter(asked).collect();
             for at in (1..self.round.len()).rev() {
                 let other = self.chance.random_range(0..=at);
@@ -508,7 +628,9 @@
     }
 
     fn ask_others(&mut self, now: f64, post: &mut Post) {
-        let Some(Probe { who, no, asked: 0, .. }) = self.probe.as_ref().filter(|probe| probe.until <= now)
+        let Some(Probe {
+            who, no, asked: 0, ..
+        }) = self.probe.as_ref().filter(|probe| probe.until <= now)
         else {
             return;
         };
@@ -522,7 +644,14 @@
             let other = self.chance.random_range(at..able.len());
             able.swap(at, other);
             let updates = self.updates();
-            post.push((able[at], Message::Help { no, who: number, updates }));
+            post.push((
+                able[at],
+                Message::Help {
+                    no,
+                    who: number,
+                    updates,
+                },
+            ));
         }
         if let Some(probe) = &mut self.probe {
             probe.asked = most;
@@ -531,9 +660,13 @@
     }
 
     fn give_up(&mut self, now: f64) {
-        let Some(probe) = self.probe.take_if(|probe| probe.end <= now) else { return };
+        let Some(probe) = self.probe.take_if(|probe| probe.end <= now) else {
+            return;
+        };
         // Who was asked and said nothing at all, not even that, is a sign of this member's own links.
-        let Seen { life, incarnation, .. } = self.seen[probe.who];
+        let Seen {
+            life, incarnation, ..
+        } = self.seen[probe.who];
         if life != Life::Dead && (probe.asked == 0 || probe.neither < probe.asked) {
             self.fares(true);
         }
--- a/crates/members/tests/sim/mod.rs
+++ b/crates/members/tests/sim/mod.rs
@@ -27,7 +27,13 @@
 }
 
 pub fn roster(n: usize) -> Vec<Peer> {
-    (0..n).map(|m| Peer { name: format!("m{m}"), number: 1000 + m as u64, site: (m % 3) as u16 }).collect()
+    (0..n)
+        .map(|m| Peer {
+            name: format!("m{m}"),
+            number: 1000 + m as u64,
+            site: (m % 3) as u16,
+        })
+        .collect()
 }
 
 impl Net {
@@ -55,8 +61,14 @@
     pub fn start(&mut self, who: usize, incarnation: u64) {
         self.born[who] += 1;
         let seed = self.chance.random();
-        self.members[who] =
-            Some(Members::new(Pace::default(), self.roster.clone(), who, incarnation, seed, self.now));
+        self.members[who] = Some(Members::new(
+            Pace::default(),
+            self.roster.clone(),
+            who,
+            incarnation,
+            seed,
+            self.now,
+        ));
     }
 
     pub fn kill(&mut self, who: usize) {
@@ -65,9 +77,16 @@
 
     fn post(&mut self, from: usize, post: Post) {
         for (to, message) in post {
-            let Some(member) = &self.members[from] else { return };
+            let Some(member) = &self.members[from] else {
+                return;
+            };
             let (number, incarnation) = (self.roster[from].number, member.incarnation());
-            let envelope = Envelope { from: number, birth: self.born[from], incarnation, no: self.sent };
+            let envelope = Envelope {
+                from: number,
+                birth: self.born[from],
+                incarnation,
+                no: self.sent,
+            };
             let frame = self.codec.write(&envelope, &message);
             assert!(frame.len() <= DATAGRAM_MOST);
             self.bytes += frame.len() as u64;
@@ -79,7 +98,8 @@
                 let late = self.chance.random_range(self.delay_s.0..=self.delay_s.1);
                 self.sent += 1;
                 let at = ((self.now + late) * 1e6) as u64;
-                self.queue.insert((at, self.sent), (from, to, self.born[to], frame.clone()));
+                self.queue
+                    .insert((at, self.sent), (from, to, self.born[to], frame.clone()));
             }
         }
     }
@@ -88,11 +108,21 @@
     pub fn until(&mut self, end: f64, mut test: impl FnMut(&Net) -> bool) -> bool {
         loop {
             let awake = |who: &usize| !self.paused[*who] && self.members[*who].is_some();
-            let due =
-                |who: usize| self.members[who].as_ref().map_or(f64::INFINITY, |m| m.due().max(self.now));
-            let next = (0..self.members.len()).filter(awake).map(|who| (due(who), who));
-            let next = next.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((f64::INFINITY, 0));
-            let frame = self.queue.first_key_value().map_or(f64::INFINITY, |((at, _), _)| *at as f64 / 1e6);
+            let due = |who: usize| {
+                self.members[who]
+                    .as_ref()
+                    .map_or(f64::INFINITY, |m| m.due().max(self.now))
+            };
+            let next = (0..self.members.len())
+                .filter(awake)
+                .map(|who| (due(who), who));
+            let next = next
+                .min_by(|a, b| a.0.total_cmp(&b.0))
+                .unwrap_or((f64::INFINITY, 0));
+            let frame = self
+                .queue
+                .first_key_value()
+                .map_or(f64::INFINITY, |((at, _), _)| *at as f64 / 1e6);
             if next.0.min(frame) > end {
                 self.now = end;
                 return test(self);
@@ -100,24 +130,32 @@
             let mut post = Post::new();
             if frame <= next.0 {
                 self.now = frame.max(self.now);
-                let Some((key, (from, to, born, frame))) = self.queue.pop_first() else { return false };
+                let Some((key, (from, to, born, frame))) = self.queue.pop_first() else {
+                    return false;
+                };
                 if self.cut.contains(&(from, to)) || born != self.born[to] {
                     continue;
                 }
                 if self.paused[to] {
                     // The socket's buffer keeps it: it is read at the end of the pause.
-                    self.queue.insert((key.0 + 50_000, key.1), (from, to, born, frame));
+                    self.queue
+                        .insert((key.0 + 50_000, key.1), (from, to, born, frame));
                     continue;
                 }
                 let (envelope, message): (Envelope, Message) =
                     self.codec.read(&frame, DATAGRAM_MOST).unwrap();
-                let Some(member) = &mut self.members[to] else { continue };
+                let Some(member) = &mut self.members[to] else {
+                    continue;
+                };
                 member.alive(self.now, from, envelope.incarnation);
                 assert!(member.heard(self.now, from, message, &mut post));
                 self.post(to, post);
             } else {
                 self.now = next.0;
-                self.members[next.1].as_mut().unwrap().tick(self.now, &mut post);
+                self.members[next.1]
+                    .as_mut()
+                    .unwrap()
+                    .tick(self.now, &mut post);
                 self.post(next.1, post);
             }
             if test(self) {
@@ -136,7 +174,8 @@
     }
 
     pub fn all_say(&self, of: usize, life: Life) -> bool {
-        (0..self.members.len()).all(|by| by == of || self.members[by].is_none() || self.life(of, by) == life)
+        (0..self.members.len())
+            .all(|by| by == of || self.members[by].is_none() || self.life(of, by) == life)
     }
 
     pub fn all_alive(&self) -> bool {
--- a/crates/members/tests/stories.rs
+++ b/crates/members/tests/stories.rs
@@ -11,7 +11,11 @@
         assert!(net.until(5.0, Net::all_alive), "all meet");
         net.kill(1);
         let end = net.now + within;
-        assert!(net.until(end, |net| net.all_say(1, Life::Dead)), "{n}: known by {}", net.now);
+        assert!(
+            net.until(end, |net| net.all_say(1, Life::Dead)),
+            "{n}: known by {}",
+            net.now
+        );
         assert_eq!(net.tally().refuted, 0);
     }
 }
@@ -22,8 +26,13 @@
     (net.loss, net.delay_s, net.double) = (0.3, (0.0, 0.5), 0.1);
     net.run(60.0);
     let wrong = (0..12).flat_map(|of| (0..12).map(move |by| (of, by)));
-    let wrong = wrong.filter(|(of, by)| of != by && net.life(*of, *by) == Life::Dead).count();
-    assert!(wrong <= 26, "{wrong} of 132 views hold a living member dead");
+    let wrong = wrong
+        .filter(|(of, by)| of != by && net.life(*of, *by) == Life::Dead)
+        .count();
+    assert!(
+        wrong <= 26,
+        "{wrong} of 132 views hold a living member dead"
+    );
     (net.loss, net.delay_s) = (0.0, (0.0005, 0.002));
     let end = net.now + 30.0;
     assert!(net.until(end, Net::all_alive), "all is well again");
@@ -33,7 +42,9 @@
 fn two_halves_each_hold_the_other_dead_and_find_each_other_again() {
     let mut net = Net::new(6, 8);
     net.run(3.0);
-    net.cut = (0..3).flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)])).collect();
+    net.cut = (0..3)
+        .flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)]))
+        .collect();
     let apart = |net: &Net| (0..3).all(|a| (3..6).all(|b| net.life(b, a) == Life::Dead));
     assert!(net.until(60.0, apart));
     net.cut.clear();
@@ -47,10 +58,16 @@
     net.run(3.0);
     net.cut = (1..5).map(|from| (from, 0)).collect();
     net.run(30.0);
-    for (of, by) in (1..5).flat_map(|of| (1..5).map(move |by| (of, by))).filter(|(of, by)| of != by) {
+    for (of, by) in (1..5)
+        .flat_map(|of| (1..5).map(move |by| (of, by)))
+        .filter(|(of, by)| of != by)
+    {
         assert_ne!(net.life(of, by), Life::Dead, "{by} of {of}");
     }
-    assert!(net.members[0].as_ref().unwrap().health() > 2, "it knows that it fares badly");
+    assert!(
+        net.members[0].as_ref().unwrap().health() > 2,
+        "it knows that it fares badly"
+    );
 }
 
 #[test]
@@ -94,13 +111,21 @@
 fn a_lie_that_somebody_died_is_refuted() {
     let mut net = Net::new(4, 13);
     net.run(3.0);
-    let lie = Update { who: 1003, incarnation: 1000, life: Life::Dead, by: 1000 };
+    let lie = Update {
+        who: 1003,
+        incarnation: 1000,
+        life: Life::Dead,
+        by: 1000,
+    };
     let mut post = Vec::new();
     for to in 1..3 {
         net.members[to].as_mut().unwrap().heard(
             net.now,
             0,
-            Message::Probe { no: 1, updates: vec![lie] },
+            Message::Probe {
+                no: 1,
+                updates: vec![lie],
+            },
             &mut post,
         );
         assert_eq!(net.life(3, to), Life::Suspect, "hearsay makes nobody dead");
@@ -114,22 +139,72 @@
     let mut member = Members::new(Pace::default(), roster(3), 0, 1000, 1, 0.0);
     let mut post = Vec::new();
     let strangers: Vec<Update> = (0..100_000)
-        .map(|n| Update { who: 50_000 + n, incarnation: 1, life: Life::Alive, by: 1001 })
+        .map(|n| Update {
+            who: 50_000 + n,
+            incarnation: 1,
+            life: Life::Alive,
+            by: 1001,
+        })
         .collect();
-    assert!(!member.heard(1.0, 1, Message::Probe { no: 1, updates: strangers }, &mut post));
-    let late = Update { who: 1002, incarnation: u64::MAX, life: Life::Alive, by: 1001 };
-    assert!(!member.heard(1.0, 1, Message::Ack { no: 9, updates: vec![late] }, &mut post));
-    assert!(!member.heard(1.0, 1, Message::Help { no: 9, who: 77, updates: vec![] }, &mut post));
+    assert!(!member.heard(
+        1.0,
+        1,
+        Message::Probe {
+            no: 1,
+            updates: strangers
+        },
+        &mut post
+    ));
+    let late = Update {
+        who: 1002,
+        incarnation: u64::MAX,
+        life: Life::Alive,
+        by: 1001,
+    };
+    assert!(!member.heard(
+        1.0,
+        1,
+        Message::Ack {
+            no: 9,
+            updates: vec![late]
+        },
+        &mut post
+    ));
+    assert!(!member.heard(
+        1.0,
+        1,
+        Message::Help {
+            no: 9,
+            who: 77,
+            updates: vec![]
+        },
+        &mut post
+    ));
     assert_eq!(member.living(), 1);
     assert_eq!(member.seen(2).life, Life::Unknown);
 }
 
 #[test]
 fn frames_that_are_not_ours_are_told_apart() {
-    let (codec, envelope) = (Codec::new("a"), Envelope { from: 1, birth: 2, incarnation: 3, no: 4 });
-    let body = Message::Probe { no: 7, updates: vec![] };
+    let (codec, envelope) = (
+        Codec::new("a"),
+        Envelope {
+            from: 1,
+            birth: 2,
+            incarnation: 3,
+            no: 4,
+        },
+    );
+    let body = Message::Probe {
+        no: 7,
+        updates: vec![],
+    };
     let frame = codec.write(&envelope, &body);
-    let read = |frame: &[u8]| codec.read::<Message>(frame, DATAGRAM_MOST).map(|(_, body)| body);
+    let read = |frame: &[u8]| {
+        codec
+            .read::<Message>(frame, DATAGRAM_MOST)
+            .map(|(_, body)| body)
+    };
     assert_eq!(read(&frame), Ok(body.clone()));
     for length in 0..frame.len() {
         assert!(read(&frame[..length]).is_err());
@@ -139,7 +214,10 @@
         flipped[bit / 8] ^= 1 << (bit % 8);
         assert_eq!(read(&flipped), Err(Refused::Checksum), "bit {bit}");
     }
-    assert_eq!(read(&Codec::new("b").write(&envelope, &body)), Err(Refused::Fleet));
+    assert_eq!(
+        read(&Codec::new("b").write(&envelope, &body)),
+        Err(Refused::Fleet)
+    );
     assert_eq!(read(&[0; DATAGRAM_MOST + 1]), Err(Refused::TooLong));
     let resealed = |change: &dyn Fn(&mut Vec<u8>)| {
         let mut said = frame[..frame.len() - 4].to_vec();
--- a/crates/policy/src/pcg.rs
+++ b/crates/policy/src/pcg.rs
@@ -10,7 +10,9 @@
 
     fn next(&mut self) -> u32 {
         let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = old
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -71,7 +71,9 @@
 impl Dispatcher {
     /// The process is to end then: nothing in hand may outlast it.
     pub fn end_by(&mut self, at: f64) {
-        self.works.iter_mut().for_each(|work| work.job.expiry = work.job.expiry.min(at));
+        self.works
+            .iter_mut()
+            .for_each(|work| work.job.expiry = work.job.expiry.min(at));
         self.longest.clear(); // What comes from now on has less time left, and is no repeat for that.
         self.next_look = self.next_look.min(at - 2.0 * LOOK_S);
     }
@@ -99,7 +101,11 @@
             }
         }
         let busy = self.works.len() > self.free.len();
-        let next = if busy { self.next_look.min(self.next_ask).min(self.next_seek) } else { self.next_ask };
+        let next = if busy {
+            self.next_look.min(self.next_ask).min(self.next_seek)
+        } else {
+            self.next_ask
+        };
         if self.wake_at <= by || next < self.wake_at - 1e-6 {
             self.wake_at = next;
             host.wake((next - now).max(0.0));
--- a/crates/policy/src/policy/cold.rs
+++ b/crates/policy/src/policy/cold.rs
@@ -17,12 +17,18 @@
     /// it, whatever became of it, stays under this dispatcher's part of what the rule allows in any span.
     pub(super) fn cold_left(&self, r: usize, now: f64) -> f64 {
         let (runner, t) = (&self.runners[r], &self.terms);
-        let Some(whole) = self.cold_whole(r, now) else { return f64::INFINITY };
+        let Some(whole) = self.cold_whole(r, now) else {
+            return f64::INFINITY;
+        };
         // Even parts among many are under any work item's size, and what is left to who has no work is lost:
         // as many as the whole has room for, in rank order, may send so much as the largest usual one each.
         let largest = self.usual.iter().copied().fold(0.0, f64::max) + self.fetch_s;
         let heads = ((whole / largest) as usize).clamp(1, t.replicas);
-        let part = if heads == t.replicas { whole / heads as f64 } else { largest.min(whole) };
+        let part = if heads == t.replicas {
+            whole / heads as f64
+        } else {
+            largest.min(whole)
+        };
         let mine = match runner.part {
             // Where parts are lent: three quarters, since a part is then used in full and sizes spread.
             Some(part) => 0.75 * part * whole,
@@ -39,7 +45,11 @@
     /// What a work item weighs on a cold runner. Guards against counting by the hint alone: a runner that has
     /// just started holds nothing, so every work item fetches first.
     pub(super) fn cold_size(&self, job: &Job) -> f64 {
-        let warm = if self.lent { self.warm[job.category] } else { 1.0 };
+        let warm = if self.lent {
+            self.warm[job.category]
+        } else {
+            1.0
+        };
         (warm * self.expected(job) + self.fetch_s) * job.slots
     }
 
@@ -48,7 +58,13 @@
     /// one is what they have at the least. 0.75 since slots may outnumber cores. Lent parts: in warm runs.
     pub(super) fn size_up(&mut self, kind: u8, now: f64) {
         let used = || self.chosen.iter().map(|&r| &self.runners[r]);
-        let slots = |r: &Runner| if r.at.kind == kind { r.most.max(r.slots) } else { 0.0 };
+        let slots = |r: &Runner| {
+            if r.at.kind == kind {
+                r.most.max(r.slots)
+            } else {
+                0.0
+            }
+        };
         let most = used().map(slots).fold(CAP_START, f64::max);
         // Guards against one unwell that is all its kind has warm, by whose pace the cold ones get nothing.
         let grown = || used().filter(|r| now > r.born() + self.terms.cold_s);
@@ -62,7 +78,11 @@
             let busy = self.busy.mean().unwrap_or(0.0) * self.terms.replicas as f64;
             (busy / grown().count().max(1) as f64).min(2.5 * most)
         };
-        let most = most.max(if self.told_most > 0.0 { self.told_most } else { all() });
+        let most = most.max(if self.told_most > 0.0 {
+            self.told_most
+        } else {
+            all()
+        });
         let of_kind = self.runners.iter_mut().filter(|r| r.at.kind == kind);
         of_kind.for_each(|r| r.capacity = 0.75 * most / pace);
     }
--- a/crates/policy/src/policy/health.rs
+++ b/crates/policy/src/policy/health.rs
@@ -11,7 +11,11 @@
             Outcome::Finished => {
                 runner.heard = now;
                 let prompt = attempt.started.is_none_or(|s| s - attempt.sent < PROMPT_S);
-                let lid = if now < runner.ceiling.1 { runner.ceiling.0 } else { f64::INFINITY };
+                let lid = if now < runner.ceiling.1 {
+                    runner.ceiling.0
+                } else {
+                    f64::INFINITY
+                };
                 if attempt.at_cap && prompt && runner.cap < lid {
                     runner.cap += job.slots;
                 }
@@ -19,7 +23,11 @@
                 self.measured(job, attempt, run, expected);
                 // A slow finish is a weaker sign than silence or an error: a full store slows everyone's
                 // work, and large sizes come in runs. ln(0.4/0.11), one in nine of a well runner's.
-                self.weigh(attempt.runner, now, if run / expected > slow { 1.3 } else { -0.5 });
+                self.weigh(
+                    attempt.runner,
+                    now,
+                    if run / expected > slow { 1.3 } else { -0.5 },
+                );
                 self.served(now, attempt.runner, job.key);
             }
             Outcome::Full | Outcome::Unsure => {
@@ -49,7 +57,9 @@
     /// Guards against blaming runners for what fails anywhere: a lock or a store behind all, bad requests.
     pub(super) fn error_sign(&self, r: usize) -> f64 {
         let others = self.errors.samples().iter().filter(|(at, ..)| *at != r);
-        let (all, bad) = others.fold((0.0, 0.0), |(all, bad), (_, b, _)| (all + 1.0, bad + *b as u8 as f64));
+        let (all, bad) = others.fold((0.0, 0.0), |(all, bad), (_, b, _)| {
+            (all + 1.0, bad + *b as u8 as f64)
+        });
         // One in 33 where nothing is known, the rate of the test itself.
         (0.4 * (all + 33.0) / (bad + 1.0)).ln().clamp(0.0, 3.0)
     }
@@ -57,7 +67,11 @@
     /// Of late all work of a key failed, at three runners or more. Guards against work that fails wherever it
     /// goes: it takes slots, and attempts at runners that are well. It may hurt where just these three fail.
     pub(super) fn fails_anywhere(&self, key: u32) -> bool {
-        let of_key = self.errors.samples().iter().filter(|(.., k)| *k == key && key != 0);
+        let of_key = self
+            .errors
+            .samples()
+            .iter()
+            .filter(|(.., k)| *k == key && key != 0);
         let at: BTreeSet<usize> = of_key.clone().map(|(at, ..)| *at).collect();
         at.len() >= 3 && of_key.clone().all(|(_, bad, _)| *bad)
     }
@@ -68,9 +82,11 @@
         let (evidence, _) = self.runners[r].shun(category);
         *evidence = (*evidence + sign).min(6.0);
         let evidence = *evidence;
-        let gone =
-            |r: &&usize| self.runners[**r].shunned(category, now) || self.runners[**r].resting.is_some();
-        if evidence > 4.5 && 2 * (self.chosen.iter().filter(gone).count() + 1) <= self.chosen.len() {
+        let gone = |r: &&usize| {
+            self.runners[**r].shunned(category, now) || self.runners[**r].resting.is_some()
+        };
+        if evidence > 4.5 && 2 * (self.chosen.iter().filter(gone).count() + 1) <= self.chosen.len()
+        {
             *self.runners[r].shun(category) = (2.0, now + REST_S);
         }
     }
@@ -114,7 +130,9 @@
     /// Silence and standing still are evidence too. Guards against runners that take work and answer nothing.
     pub(super) fn doubt(&mut self, host: &mut impl Host, w: u32, now: f64) {
         let work = &self.works[w as usize];
-        let Some(attempt) = work.out.as_ref().filter(|attempt| !attempt.cancelled) else { return };
+        let Some(attempt) = work.out.as_ref().filter(|attempt| !attempt.cancelled) else {
+            return;
+        };
         let (r, run, category) = (attempt.runner, self.expected(&work.job), work.job.category);
         // Guards against taking a wait behind our own long jobs for silence.
         let full = self.runners[r].running >= self.runners[r].most.max(1.0);
@@ -132,9 +150,17 @@
         // Guards against a queue that no report tells of: what waits there for its start says it is full.
         let waits = self.terms.probes && attempt.started.is_none() && now > attempt.sent + PROMPT_S;
         // Guards against an attempt never taken by a runner that is well otherwise: taking is said at once.
-        let unsaid = self.terms.tells_taking && attempt.moved <= attempt.sent && now > attempt.sent + QUIET_S;
-        let spoke = self.runners[r].heard.max(if unsaid { self.runners[r].took } else { 0.0 });
-        let heard = if attempt.started.is_some() { attempt.moved } else { attempt.moved.max(spoke) };
+        let unsaid = self.terms.tells_taking
+            && attempt.moved <= attempt.sent
+            && now > attempt.sent + QUIET_S;
+        let spoke = self.runners[r]
+            .heard
+            .max(if unsaid { self.runners[r].took } else { 0.0 });
+        let heard = if attempt.started.is_some() {
+            attempt.moved
+        } else {
+            attempt.moved.max(spoke)
+        };
         let silent = now - heard > quiet_s * (1.0 + attempt.doubts as f64);
         let rerun = self.terms.categories[category].repeat != Repeat::AtMostOnce;
         if attempt.started.is_none() && now > attempt.sent + PROMPT_S {
@@ -159,7 +185,9 @@
         if unsaid {
             self.shun(r, category, now, 6.0);
         }
-        if (unsaid || ended || stuck && self.runners[r].resting.is_some()) && rerun && self.may_resend(w, now)
+        if (unsaid || ended || stuck && self.runners[r].resting.is_some())
+            && rerun
+            && self.may_resend(w, now)
         {
             self.cancel(host, w);
         }
--- a/crates/policy/src/policy/looks.rs
+++ b/crates/policy/src/policy/looks.rs
@@ -9,16 +9,30 @@
         // Guards against fetches that look free once most work fetches: the usual run then holds one itself.
         // The mean of the quartiles, since a few large runs outweigh a fetch in a mean.
         let typical = |runs: &Ring<f64, RUNS>| {
-            [0.25, 0.5, 0.75].iter().filter_map(|part| runs.quantile(*part)).sum::<f64>() / 3.0
+            [0.25, 0.5, 0.75]
+                .iter()
+                .filter_map(|part| runs.quantile(*part))
+                .sum::<f64>()
+                / 3.0
         };
-        let known = self.near_runs.samples().len().min(self.far_runs.samples().len()) >= RUNS / 4;
+        let known = self
+            .near_runs
+            .samples()
+            .len()
+            .min(self.far_runs.samples().len())
+            >= RUNS / 4;
         let longer = typical(&self.far_runs) - typical(&self.near_runs);
         self.far_s = DEAR * if known { longer.max(0.0) } else { self.fetch_s };
         self.fresh_s = FRESH * self.mean_run;
         // Guards against a wait that is over shutting work out, none of which then starts and tells.
         let lately = self.waits.samples().iter().filter(|(_, at)| now < at + 5.0);
         self.wait_s = median(lately.map(|(wait, _)| *wait)).unwrap_or(0.0);
-        self.longest_wait = self.waits.samples().iter().map(|(wait, _)| *wait).fold(0.0, f64::max);
+        self.longest_wait = self
+            .waits
+            .samples()
+            .iter()
+            .map(|(wait, _)| *wait)
+            .fold(0.0, f64::max);
         self.pace = self.ratios.quantile(0.5).unwrap_or(1.0).max(1.0);
         for place in (0..self.held.len()).rev() {
             let w = self.held[place];
@@ -33,7 +47,8 @@
             }
         }
         (0..self.works.len() as u32).for_each(|w| self.doubt(host, w, now));
-        self.busy.push(self.runners.iter().map(|runner| runner.running).sum());
+        self.busy
+            .push(self.runners.iter().map(|runner| runner.running).sum());
         let wanted = LEAST.max(FOR_EACH * self.busy.mean().unwrap_or(0.0)).ceil();
         if (wanted - self.wanted).abs() > 0.25 * self.wanted {
             self.wanted = wanted;
@@ -47,7 +62,10 @@
             if cold && !std::mem::replace(&mut sized[at.kind as usize], true) {
                 self.size_up(at.kind, now);
             }
-            if self.runners[r].resting.is_some_and(|until| until - self.runners[r].rest_s > now - LOOK_S) {
+            if self.runners[r]
+                .resting
+                .is_some_and(|until| until - self.runners[r].rest_s > now - LOOK_S)
+            {
                 host.log(r, "judged unwell, rests");
             }
         }
@@ -56,8 +74,16 @@
     pub(super) fn due(&self, w: u32) -> f64 {
         let work = &self.works[w as usize];
         let category = self.category(w);
-        let own = if work.job.hint > 0.0 { work.job.hint } else { self.expected(&work.job) };
-        let since = if self.terms.probes { work.taken } else { work.begun };
+        let own = if work.job.hint > 0.0 {
+            work.job.hint
+        } else {
+            self.expected(&work.job)
+        };
+        let since = if self.terms.probes {
+            work.taken
+        } else {
+            work.begun
+        };
         (since + category.due_s + category.stretch * own).min(work.job.expiry)
     }
 
@@ -67,9 +93,13 @@
         let (due, run) = (self.due(w), self.pace * self.expected(&work.job));
         // Where late pays nothing, it ends with the last start that a long run would still make in time.
         let late_pays = self.category(w).tardy > 0.0;
-        let last =
-            if late_pays { 0.5 * (due + work.job.expiry) - run } else { due - 1.4 * run - self.wait_s };
+        let last = if late_pays {
+            0.5 * (due + work.job.expiry) - run
+        } else {
+            due - 1.4 * run - self.wait_s
+        };
         // Never into the expiry itself: two looks before it the answer is given whatever it is.
-        last.max(work.taken + LOOK_S).min(work.job.expiry - 2.0 * LOOK_S)
+        last.max(work.taken + LOOK_S)
+            .min(work.job.expiry - 2.0 * LOOK_S)
     }
 }
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -25,7 +25,11 @@
                     let started = moved > 1e-6 || off > 0.0 && moved < -1e-6;
                     if started {
                         runner.restart();
-                        runner.start = if off > 0.0 { now.min(listed.born + off) } else { listed.born };
+                        runner.start = if off > 0.0 {
+                            now.min(listed.born + off)
+                        } else {
+                            listed.born
+                        };
                     }
                     runner.rank = draw(self.terms.me as u64, listed.id);
                     runner.at = listed;
@@ -64,16 +68,33 @@
     /// Where a fetch is priced no lower than crossing, all use all, so that a key lies at the same places.
     pub(super) fn choose(&mut self) {
         let all = self.terms.probes || self.terms.fetch_is_dear;
-        let most = if all { usize::MAX } else { self.wanted as usize };
+        let most = if all {
+            usize::MAX
+        } else {
+            self.wanted as usize
+        };
         let runners = &self.runners;
-        let bound: Vec<&Placement> =
-            self.terms.categories.iter().map(|c| &c.placement).filter(|p| p.binds()).collect();
-        let open_to = |r: usize| bound.iter().map(|p| p.admits(&runners[r].at)).collect::<Vec<bool>>();
+        let bound: Vec<&Placement> = self
+            .terms
+            .categories
+            .iter()
+            .map(|c| &c.placement)
+            .filter(|p| p.binds())
+            .collect();
+        let open_to = |r: usize| {
+            bound
+                .iter()
+                .map(|p| p.admits(&runners[r].at))
+                .collect::<Vec<bool>>()
+        };
         let ready = (0..runners.len()).filter(|&r| runners[r].ready());
         let mut ready: Vec<_> = ready.map(|r| (open_to(r), !runners[r].rank, r)).collect();
         ready.sort_unstable();
         let alike = ready.chunk_by(|a, b| a.0 == b.0);
-        self.chosen = alike.flat_map(|group| group.iter().take(most)).map(|(.., r)| *r).collect();
+        self.chosen = alike
+            .flat_map(|group| group.iter().take(most))
+            .map(|(.., r)| *r)
+            .collect();
         self.chosen.sort_unstable();
         self.orders.clear();
     }
--- a/crates/policy/src/policy/passes.rs
+++ b/crates/policy/src/policy/passes.rs
@@ -20,13 +20,17 @@
                 }
             }
         }
-        (1..open.len()).rev().for_each(|i| open.swap(i, self.pcg.below(i + 1)));
+        (1..open.len())
+            .rev()
+            .for_each(|i| open.swap(i, self.pcg.below(i + 1)));
         if !open.is_empty() || self.terms.probes {
             self.price(&open, now);
         }
         open.retain(|&r| {
             while self.has_room(r, now) {
-                let Some((place, p)) = self.largest(r, now) else { return false };
+                let Some((place, p)) = self.largest(r, now) else {
+                    return false;
+                };
                 if p < P_MIN || self.pcg.chance() >= p {
                     return true;
                 }
@@ -56,9 +60,18 @@
     pub(super) fn price(&mut self, open: &[usize], now: f64) {
         // Crowded: not all that is held can be in time; something has waited half its spare time.
         let spent = |w: u32| now + self.wait_s - self.works[w as usize].taken;
-        let crowded = self.held.iter().any(|&w| spent(w) > 0.5 * self.category(w).due_s);
+        let crowded = self
+            .held
+            .iter()
+            .any(|&w| spent(w) > 0.5 * self.category(w).due_s);
         self.crowded_at = if crowded { now } else { self.crowded_at };
-        let a_slots_second = |n: usize| if self.terms.pays_by_work { 1.0 } else { self.usual[n].max(1e-3) };
+        let a_slots_second = |n: usize| {
+            if self.terms.pays_by_work {
+                1.0
+            } else {
+                self.usual[n].max(1e-3)
+            }
+        };
         let worth = |n: usize| self.terms.categories[n].payoff / a_slots_second(n);
         let best = (0..self.usual.len()).map(worth).fold(0.0, f64::max);
         for &w in &self.held {
@@ -69,7 +82,11 @@
             // A repeat that asks and is turned away costs runners more than it can still earn.
             let again = self.terms.probes && work.begun < work.taken - PROMPT_S;
             let late = again || ends > self.due(w);
-            let value = if crowded { worth * if late { category.tardy } else { 1.0 } } else { 0.0 };
+            let value = if crowded {
+                worth * if late { category.tardy } else { 1.0 }
+            } else {
+                0.0
+            };
             // Guards against freed slots going round among cheap work while dear work waits elsewhere: in a
             // crowd what is late, or pays under 0.4 of the best, leaves a slot free; where runners are
             // asked, and dear work asks for a slot, what is late does so for 5 s more. What is late and then
@@ -87,7 +104,8 @@
             let waits = !self.terms.probes && !late && busy;
             let odds = start_chance(others as f64 / open.len().max(1) as f64, FAR_COST);
             let work = &mut self.works[w as usize];
-            (work.value, work.spare, work.waits, work.odds) = (value, leaves as u8 as f64, waits, odds);
+            (work.value, work.spare, work.waits, work.odds) =
+                (value, leaves as u8 as f64, waits, odds);
         }
     }
 
@@ -110,21 +128,34 @@
         let now = host.now();
         let w = self.held.remove(place);
         let size = self.cold_size(&self.works[w as usize].job);
-        let Work { job, own, ref near, .. } = self.works[w as usize];
+        let Work {
+            job, own, ref near, ..
+        } = self.works[w as usize];
         let own = near.samples()[..own.min(near.samples().len())].contains(&r);
         let fetches = Some(!own).filter(|_| own == self.runners[r].holds(job.key, now));
         let runner = &mut self.runners[r];
         let work = &mut self.works[w as usize];
-        self.left.get_mut(job.category).into_iter().for_each(|left| *left -= 1.0);
+        self.left
+            .get_mut(job.category)
+            .into_iter()
+            .for_each(|left| *left -= 1.0);
         self.resends -= if work.made > 0 { 1.0 } else { 0.0 };
         runner.load(&work.job, 1.0);
         runner.cold_left -= size;
         if now < runner.born() + self.terms.cold_s {
-            runner.cold_sent.retain(|(at, _)| now < at + self.terms.fall_s);
+            runner
+                .cold_sent
+                .retain(|(at, _)| now < at + self.terms.fall_s);
             runner.cold_sent.push_back((now, size));
         }
         runner.trial = runner.resting.map(|_| now + runner.rest_s);
-        work.out = Some(Attempt::new(r, work.made, now, runner.mine >= runner.cap, fetches));
+        work.out = Some(Attempt::new(
+            r,
+            work.made,
+            now,
+            runner.mine >= runner.cap,
+            fetches,
+        ));
         work.made += 1;
         // Guards against clocks that differ: the client may wait longer than was told, and be answered then.
         let drop_at = work.job.expiry + self.terms.expiry_off_s;
@@ -143,7 +174,8 @@
     pub(super) fn has_room(&self, r: usize, now: f64) -> bool {
         let runner = &self.runners[r];
         let able = runner.ready() && runner.cold_left > self.fetch_s && now >= runner.left_until;
-        able && runner.tried(now) && (runner.room >= 1.0 || runner.mine <= 0.0 && !self.terms.probes)
+        able && runner.tried(now)
+            && (runner.room >= 1.0 || runner.mine <= 0.0 && !self.terms.probes)
     }
 
     pub(super) fn fits(&self, w: u32, r: usize, now: f64) -> bool {
@@ -153,23 +185,34 @@
         let (job, probes) = (&work.job, self.terms.probes);
         let jam = !probes && self.wait_s > PROMPT_S;
         // Guards against a fetch for want of a question: its places come first, in their order.
-        let asked = || work.near.samples().iter().take(work.asked).any(|&asked| asked == r);
+        let asked = || {
+            work.near
+                .samples()
+                .iter()
+                .take(work.asked)
+                .any(|&asked| asked == r)
+        };
         if work.waits
             || probes && job.key != 0 && work.rounds == 0 && !asked()
-            || work.spare > 0.0 && (runner.room < job.slots + work.spare || jam && work.value <= 0.0)
+            || work.spare > 0.0
+                && (runner.room < job.slots + work.spare || jam && work.value <= 0.0)
             || self.cold_size(job) > runner.cold_left
             || !self.usable(w, r, now)
         {
             return false;
         }
-        job.slots <= runner.room && job.memory <= runner.free_memory || runner.mine <= 0.0 && !probes
+        job.slots <= runner.room && job.memory <= runner.free_memory
+            || runner.mine <= 0.0 && !probes
     }
 
     /// A runner that a work item might use, whatever its room.
     pub(super) fn usable(&self, w: u32, r: usize, now: f64) -> bool {
         let (work, runner) = (&self.works[w as usize], &self.runners[r]);
         runner.ready()
-            && self.left.get(work.job.category).is_none_or(|left| *left >= 1.0)
+            && self
+                .left
+                .get(work.job.category)
+                .is_none_or(|left| *left >= 1.0)
             && self.open_to(w, r)
             && (work.avoid.0 != r || now >= work.avoid.1)
             && !runner.shunned(work.job.category, now)
--- a/crates/policy/src/policy/probing.rs
+++ b/crates/policy/src/policy/probing.rs
@@ -7,7 +7,12 @@
     /// long says that the runner is busy: the next are asked.
     pub(super) fn seek(&mut self, host: &mut impl Host) {
         let now = host.now();
-        let wait_s = 3.0 * self.probe_times.quantile(0.5).unwrap_or(QUIET_S / 3.0).max(1e-3);
+        let wait_s = 3.0
+            * self
+                .probe_times
+                .quantile(0.5)
+                .unwrap_or(QUIET_S / 3.0)
+                .max(1e-3);
         self.next_seek = f64::INFINITY;
         let mut again = false;
         for place in 0..self.held.len() {
@@ -16,13 +21,24 @@
             let (mut asked, mut at) = (work.asked, work.ask_at);
             let places = &work.near.clone();
             let places = &places.samples()[..places.samples().len().min(PLACES)];
-            let out = |r: &usize| self.runners[*r].probed.map(|t| t + wait_s).filter(|t| now < *t);
-            let due =
-                places[..asked.min(places.len())].iter().filter_map(out).fold(f64::NEG_INFINITY, f64::max);
+            let out = |r: &usize| {
+                self.runners[*r]
+                    .probed
+                    .map(|t| t + wait_s)
+                    .filter(|t| now < *t)
+            };
+            let due = places[..asked.min(places.len())]
+                .iter()
+                .filter_map(out)
+                .fold(f64::NEG_INFINITY, f64::max);
             at = at.max(due);
             let mut sent = 0;
             // Only one is asked in a later round: what has waited so long has learnt that all are full.
-            let most = if work.rounds > 0 { (asked + 1).min(places.len()) } else { places.len() };
+            let most = if work.rounds > 0 {
+                (asked + 1).min(places.len())
+            } else {
+                places.len()
+            };
             while now >= at && sent == 0 && asked < most {
                 let r = places[asked];
                 asked += 1;
@@ -46,9 +62,14 @@
             if sent > 0 {
                 at = now + wait_s;
             } else if now >= at {
-                work.ask_at = now + (self.fresh_s / FRESH).max(wait_s) * 2f64.powi(work.rounds.min(8));
+                work.ask_at =
+                    now + (self.fresh_s / FRESH).max(wait_s) * 2f64.powi(work.rounds.min(8));
                 (at, work.rounds) = (work.ask_at, work.rounds + 1);
-                asked = if work.rounds == 1 || asked >= places.len() { 0 } else { asked };
+                asked = if work.rounds == 1 || asked >= places.len() {
+                    0
+                } else {
+                    asked
+                };
             }
             work.asked = asked;
             self.next_seek = self.next_seek.min(at);
@@ -75,7 +96,11 @@
             let may = work.rounds > 0 && work.spare <= 0.0;
             let idlest = |r: &usize| (10.0 * self.runners[*r].busy) as i64;
             let places = work.near.samples().iter().take(PLACES);
-            match places.filter(|r| may && queues(r)).copied().min_by_key(idlest) {
+            match places
+                .filter(|r| may && queues(r))
+                .copied()
+                .min_by_key(idlest)
+            {
                 Some(r) => self.send(host, place, r),
                 None => place += 1,
             }
--- a/crates/policy/src/policy/rules.rs
+++ b/crates/policy/src/policy/rules.rs
@@ -9,7 +9,9 @@
 
     pub(super) fn may_go(&self, w: u32, r: usize, now: f64) -> bool {
         let work = &self.works[w as usize];
-        let Some((_, first)) = work.ran else { return true };
+        let Some((_, first)) = work.ran else {
+            return true;
+        };
         let category = self.category(w);
         let (a, b) = (&self.runners[first].at, &self.runners[r].at);
         match category.repeat {
@@ -36,16 +38,30 @@
 
     /// The final answer for what is given up on: deferred where that is harmless, else written off.
     pub(super) fn end(&mut self, host: &mut impl Host, w: u32, in_time: bool) {
-        let again = matches!(self.category(w).repeat, Repeat::Idempotent | Repeat::Keyed(Scope::All));
+        let again = matches!(
+            self.category(w).repeat,
+            Repeat::Idempotent | Repeat::Keyed(Scope::All)
+        );
         let work = &mut self.works[w as usize];
         let refused = work.refused;
         work.ended = true;
         if in_time && (again || work.ran.is_none()) {
-            let backlog: f64 = self.held.iter().map(|&h| self.expected(&self.works[h as usize].job)).sum();
+            let backlog: f64 = self
+                .held
+                .iter()
+                .map(|&h| self.expected(&self.works[h as usize].job))
+                .sum();
             let ready = self.runners.iter().filter(|r| r.ready()).count().max(1) as f64;
             // Guards against all who are refused coming back at once.
-            let apart = if refused { 1.0 + self.pcg.chance() } else { 0.0 };
-            host.defer(WorkItem(w), (0.2 + backlog / ready + apart).min(self.terms.max_retry_after_s));
+            let apart = if refused {
+                1.0 + self.pcg.chance()
+            } else {
+                0.0
+            };
+            host.defer(
+                WorkItem(w),
+                (0.2 + backlog / ready + apart).min(self.terms.max_retry_after_s),
+            );
         } else {
             host.write_off(WorkItem(w));
         }
@@ -54,7 +70,11 @@
 
     pub(super) fn cancel(&mut self, host: &mut impl Host, w: u32) {
         let may = self.terms.may_cancel;
-        if let Some(attempt) = self.works[w as usize].out.as_mut().filter(|a| may && !a.cancelled) {
+        if let Some(attempt) = self.works[w as usize]
+            .out
+            .as_mut()
+            .filter(|a| may && !a.cancelled)
+        {
             attempt.cancelled = true;
             host.cancel(WorkItem(w), attempt.no);
         }
--- a/crates/policy/src/policy/work_items.rs
+++ b/crates/policy/src/policy/work_items.rs
@@ -9,7 +9,9 @@
     /// The attempt's job has started.
     pub fn started(self, d: &mut Dispatcher, now: f64, no: u16) {
         let first = |a: &&mut Attempt| a.no == no && a.started.is_none(); // A callback may come twice.
-        let Some(attempt) = d.works[self.0 as usize].out.as_mut().filter(first) else { return };
+        let Some(attempt) = d.works[self.0 as usize].out.as_mut().filter(first) else {
+            return;
+        };
         (attempt.started, attempt.moved) = (Some(now), now);
         let (waited, runner) = (now - attempt.sent, &mut d.runners[attempt.runner]);
         d.waits.push((waited, now));
@@ -28,14 +30,26 @@
 
     /// The runner has said that it takes the attempt.
     pub fn accepted(self, d: &mut Dispatcher, now: f64, no: u16) {
-        let Some(out) = d.works[self.0 as usize].out.as_mut().filter(|out| out.no == no) else { return };
+        let Some(out) = d.works[self.0 as usize]
+            .out
+            .as_mut()
+            .filter(|out| out.no == no)
+        else {
+            return;
+        };
         out.moved = out.moved.max(now);
         d.runners[out.runner].took = now;
     }
 
     /// So much of the attempt's job is done.
     pub fn progressed(self, d: &mut Dispatcher, now: f64, no: u16, share: f64) {
-        let Some(out) = d.works[self.0 as usize].out.as_mut().filter(|out| out.no == no) else { return };
+        let Some(out) = d.works[self.0 as usize]
+            .out
+            .as_mut()
+            .filter(|out| out.no == no)
+        else {
+            return;
+        };
         (out.moved, out.share) = (now, share);
         d.runners[out.runner].heard = now;
     }
@@ -49,10 +63,19 @@
     }
 
     /// A attempt has come back.
-    pub fn outcome(self, d: &mut Dispatcher, host: &mut impl Host, no: u16, outcome: Outcome, settled: bool) {
+    pub fn outcome(
+        self,
+        d: &mut Dispatcher,
+        host: &mut impl Host,
+        no: u16,
+        outcome: Outcome,
+        settled: bool,
+    ) {
         let now = host.now();
         let work = &mut d.works[self.0 as usize];
-        let Some(attempt) = work.out.take_if(|attempt| attempt.no == no) else { return };
+        let Some(attempt) = work.out.take_if(|attempt| attempt.no == no) else {
+            return;
+        };
         let job = work.job;
         d.runners[attempt.runner].unload(&job, &attempt);
         d.changed = true;
@@ -70,7 +93,14 @@
             return d.end(host, self.0, false);
         }
         // Guards against giving the same failing runner its work straight back.
-        work.avoid = (attempt.runner, if outcome == Outcome::Stale { now } else { now + 1.0 });
+        work.avoid = (
+            attempt.runner,
+            if outcome == Outcome::Stale {
+                now
+            } else {
+                now + 1.0
+            },
+        );
         if !d.may_resend(self.0, now) {
             return d.end(host, self.0, true);
         }
@@ -100,11 +130,22 @@
     pub(super) fn hold(&mut self, now: f64, w: u32) {
         self.changed = true;
         self.find_home(w, now);
-        let Work { taken, job, refused, .. } = self.works[w as usize];
+        let Work {
+            taken,
+            job,
+            refused,
+            ..
+        } = self.works[w as usize];
         self.works[w as usize].holders = self.holders(w, now);
-        let place = self.held.partition_point(|&h| self.works[h as usize].taken <= taken);
+        let place = self
+            .held
+            .partition_point(|&h| self.works[h as usize].taken <= taken);
         self.held.insert(place, w);
         // Guards against work that arrives, or comes back, with its expiry already upon it.
-        self.next_look = self.next_look.min(if refused { now } else { job.expiry - 2.0 * LOOK_S });
+        self.next_look = self.next_look.min(if refused {
+            now
+        } else {
+            job.expiry - 2.0 * LOOK_S
+        });
     }
 }
--- a/crates/policy/src/reading.rs
+++ b/crates/policy/src/reading.rs
@@ -20,7 +20,9 @@
             "" => Ok(0.0),
             text => match text.parse::<f64>() {
                 Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
-                _ => Err(format!("setting {path}: '{text}' is not a number of 0 or more")),
+                _ => Err(format!(
+                    "setting {path}: '{text}' is not a number of 0 or more"
+                )),
             },
         }
     }
@@ -41,7 +43,9 @@
         match self.text(path) {
             "true" => Ok(true),
             "false" | "" => Ok(false),
-            text => Err(format!("setting {path}: '{text}' is neither true nor false")),
+            text => Err(format!(
+                "setting {path}: '{text}' is neither true nor false"
+            )),
         }
     }
 
@@ -59,7 +63,11 @@
         let items = self.text(path).split(',').filter(|item| !item.is_empty());
         let place = |item: &str| {
             let named = self.text(names).split(',').position(|name| name == item);
-            let place = item.parse::<usize>().ok().or(named).filter(|place| *place < below);
+            let place = item
+                .parse::<usize>()
+                .ok()
+                .or(named)
+                .filter(|place| *place < below);
             place.ok_or_else(|| format!("setting {path}: '{item}' is not one of {names}"))
         };
         items.map(place).collect()
@@ -74,7 +82,9 @@
         let numbers: Result<Vec<f64>, _> = text.split(',').map(str::parse).collect();
         match numbers {
             Ok(list) if list.len() == count && list[place].is_finite() => Ok(Some(list[place])),
-            _ => Err(format!("setting {path}: '{text}' is not a list of {count} numbers")),
+            _ => Err(format!(
+                "setting {path}: '{text}' is not a list of {count} numbers"
+            )),
         }
     }
 }
@@ -92,20 +102,31 @@
         Some(kind) if kind >= 0.0 => {
             let runs_it = kind as u8;
             if !kinds.is_empty() && !kinds.contains(&runs_it) {
-                return Err(format!("setting {}: it leaves out the kind that runs it", path("BoundTo")));
+                return Err(format!(
+                    "setting {}: it leaves out the kind that runs it",
+                    path("BoundTo")
+                ));
             }
             kinds = vec![runs_it];
         }
         _ => {}
     }
-    Ok(Placement { kinds, zones: zones.into_iter().map(|zone| zone as u16).collect() })
+    Ok(Placement {
+        kinds,
+        zones: zones.into_iter().map(|zone| zone as u16).collect(),
+    })
 }
 
 pub fn read_terms(info: &Stated) -> Result<Terms, String> {
     let fields: Vec<&str> = info.text("Report.Fields").split(',').collect();
     let meaning = |name: &str| {
-        let field = ["x0", "x1"].into_iter().zip(["Domain.ReportX0", "Domain.ReportX1"]);
-        let field = field.filter(|(_, path)| info.text(path) == name).map(|(field, _)| field).next()?;
+        let field = ["x0", "x1"]
+            .into_iter()
+            .zip(["Domain.ReportX0", "Domain.ReportX1"]);
+        let field = field
+            .filter(|(_, path)| info.text(path) == name)
+            .map(|(field, _)| field)
+            .next()?;
         fields.iter().position(|f| *f == field)
     };
     let free_slots_at = meaning("free_slots");
@@ -124,12 +145,20 @@
             "read_like" => Repeat::Idempotent,
             "idempotency_key" => Repeat::Keyed(scope),
             "non_idempotent" => Repeat::AtMostOnce,
-            other => return Err(format!("setting {}: '{other}' is not known", path("Repeat"))),
+            other => {
+                return Err(format!(
+                    "setting {}: '{other}' is not known",
+                    path("Repeat")
+                ))
+            }
         };
         let stretch = info.number(&path("AimStretch"))?;
         categories.push(Category {
             due_s: info.seconds(&path("DueTimeUs"))?,
-            stretch: info.listed("Domain.ClassStretch", n, count)?.unwrap_or(stretch).max(0.0),
+            stretch: info
+                .listed("Domain.ClassStretch", n, count)?
+                .unwrap_or(stretch)
+                .max(0.0),
             payoff: info.number(&path("Payoff"))?,
             tardy: info.number(&path("TardyPayoff"))?,
             repeat,
@@ -138,7 +167,10 @@
         });
     }
     let retry_after = info.yes("Limits.RetryAfter")?;
-    let (crossing, fetch) = (info.number("Penalties.CrossZone")?, info.number("Penalties.Origin")?);
+    let (crossing, fetch) = (
+        info.number("Penalties.CrossZone")?,
+        info.number("Penalties.Origin")?,
+    );
     Ok(Terms {
         replicas: info.count("ReplicasOfMe")?.max(1),
         me: info.count("Me")?,
@@ -147,14 +179,21 @@
         probes: on_probe && free_slots_at.is_some(),
         free_slots_at,
         free_memory_at: meaning("free_memory"),
-        busy_at: fields.iter().position(|f| *f == "queue").or(fields.iter().position(|f| *f == "util")),
+        busy_at: fields
+            .iter()
+            .position(|f| *f == "queue")
+            .or(fields.iter().position(|f| *f == "util")),
         zone: info.count("Zone")? as u16,
         fetch_is_dear: fetch > 0.0 && fetch >= crossing,
         tells_taking: false,
         tells_start: info.yes("Domain.TellsStart")?,
         progress_s: info.seconds("Domain.ProgressUs")?,
         may_cancel: info.yes("Limits.MayCancel")?,
-        max_retry_after_s: if retry_after { info.seconds("Limits.MaxRetryAfterUs")? } else { 0.0 },
+        max_retry_after_s: if retry_after {
+            info.seconds("Limits.MaxRetryAfterUs")?
+        } else {
+            0.0
+        },
         most_attempts: info.count("Limits.MostHandOffs")? as u16,
         cold_from: info.number("Safety.ColdFrom")?,
         cold_s: info.seconds("Safety.ColdUs")?,
--- a/crates/policy/src/ring.rs
+++ b/crates/policy/src/ring.rs
@@ -8,7 +8,11 @@
 
 impl<T: Copy + Default, const N: usize> Default for Ring<T, N> {
     fn default() -> Self {
-        Ring { kept: [T::default(); N], len: 0, at: 0 }
+        Ring {
+            kept: [T::default(); N],
+            len: 0,
+            at: 0,
+        }
     }
 }
 
@@ -24,7 +28,13 @@
         if self.len < N {
             return self.push(sample);
         }
-        let first = (1..N).fold(0, |a, b| if before(&self.kept[b], &self.kept[a]) { b } else { a });
+        let first = (1..N).fold(0, |a, b| {
+            if before(&self.kept[b], &self.kept[a]) {
+                b
+            } else {
+                a
+            }
+        });
         self.kept[first] = sample;
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,6 +1,8 @@
 //! What the decisions keep of each work item, attempt and runner.
 use crate::pcg::{draw, Pcg};
-use crate::policy::{ASKED, CAP_START, KEYS, KEY_AGE_S, LEAST, NEAR, OUTCOMES, REST_S, RUNS, WAITS};
+use crate::policy::{
+    ASKED, CAP_START, KEYS, KEY_AGE_S, LEAST, NEAR, OUTCOMES, REST_S, RUNS, WAITS,
+};
 use crate::ring::Ring;
 use crate::terms::*;
 use crate::WorkItem;
@@ -175,7 +177,14 @@
 impl Runner {
     pub fn new() -> Self {
         Runner {
-            at: Listed { id: 0, kind: 0, born: f64::NEG_INFINITY, cell: 0, zone: 0, ready: false },
+            at: Listed {
+                id: 0,
+                kind: 0,
+                born: f64::NEG_INFINITY,
+                cell: 0,
+                zone: 0,
+                ready: false,
+            },
             start: f64::NEG_INFINITY,
             out: None,
             back: f64::NEG_INFINITY,
@@ -218,7 +227,8 @@
 
     pub fn restart(&mut self) {
         let old = std::mem::replace(self, Runner::new());
-        (self.mine, self.memory, self.rank, self.probed) = (old.mine, old.memory, old.rank, old.probed);
+        (self.mine, self.memory, self.rank, self.probed) =
+            (old.mine, old.memory, old.rank, old.probed);
         (self.cold_sent, self.running, self.out) = (old.cold_sent, old.running, old.out);
         (self.part, self.away) = (old.part, old.away);
     }
@@ -331,15 +341,25 @@
     pub fn new(terms: Terms, seed: u64, now: f64) -> Self {
         let mut pcg = Pcg::new(seed);
         // Spread, since all dispatchers may start together and the list answers few calls a second.
-        let next_ask =
-            if terms.asks_for_list { now + terms.ask_spread_s() * pcg.chance() } else { f64::INFINITY };
+        let next_ask = if terms.asks_for_list {
+            now + terms.ask_spread_s() * pcg.chance()
+        } else {
+            f64::INFINITY
+        };
         let ask_again_s = terms.ask_spread_s();
         Dispatcher {
             runs: vec![Ring::default(); terms.categories.len()],
             usual: terms.categories.iter().map(|c| c.due_s).collect(),
             hints: vec![Ring::default(); terms.categories.len()],
             hinted: vec![1.0; terms.categories.len()],
-            longest: vec![0.0; if terms.expiry_off_s > 0.0 { 0 } else { terms.categories.len() }],
+            longest: vec![
+                0.0;
+                if terms.expiry_off_s > 0.0 {
+                    0
+                } else {
+                    terms.categories.len()
+                }
+            ],
             warm_runs: vec![Ring::default(); terms.categories.len()],
             warm: vec![1.0; terms.categories.len()],
             terms,
@@ -408,7 +428,8 @@
 
     /// It does not rest, or is due for a trial.
     pub fn tried(&self, now: f64) -> bool {
-        self.resting.is_none_or(|until| now >= until.max(self.trial.unwrap_or(until)))
+        self.resting
+            .is_none_or(|until| now >= until.max(self.trial.unwrap_or(until)))
     }
 
     pub fn shun(&mut self, category: usize) -> &mut (f64, f64) {
@@ -418,11 +439,18 @@
     }
 
     pub fn shunned(&self, category: usize, now: f64) -> bool {
-        self.shuns.get(category).is_some_and(|(_, until)| now < *until)
+        self.shuns
+            .get(category)
+            .is_some_and(|(_, until)| now < *until)
     }
 
     pub fn holds(&self, key: u32, now: f64) -> bool {
-        key != 0 && self.keys.samples().iter().any(|&(k, at)| k == key && now < at + KEY_AGE_S)
+        key != 0
+            && self
+                .keys
+                .samples()
+                .iter()
+                .any(|&(k, at)| k == key && now < at + KEY_AGE_S)
     }
 
     pub fn learn_key(&mut self, key: u32, now: f64) {
@@ -441,7 +469,9 @@
     /// A runner that gets nothing now, whatever its room: it drains, rests, or could not be reached just now.
     pub fn avoids(&self, r: usize, now: f64) -> bool {
         let runner = self.runners.get(r);
-        runner.is_none_or(|runner| !runner.ready() || runner.resting.is_some() || now < runner.left_until)
+        runner.is_none_or(|runner| {
+            !runner.ready() || runner.resting.is_some() || now < runner.left_until
+        })
     }
 }
 
@@ -462,7 +492,11 @@
     /// Leaves cold runners to another process, or takes them up again. Guards against what that one sent just
     /// before it died, which nobody here knows of: it counts for as long as the rule looks back.
     pub fn leave_cold(&mut self, now: f64, leave: bool) {
-        self.leaves_cold = if leave { f64::INFINITY } else { now + self.terms.fall_s };
+        self.leaves_cold = if leave {
+            f64::INFINITY
+        } else {
+            now + self.terms.fall_s
+        };
     }
 
     /// It begins now. Guards against a budget spent twice: what a process before this one sent just now to a runner that
@@ -495,7 +529,8 @@
         for (r, kept) in kept {
             let runner = &mut self.runners[r];
             (runner.out, runner.back) = (kept.out, kept.back.unwrap_or(f64::NEG_INFINITY));
-            (runner.evidence, runner.resting, runner.rest_s) = (kept.evidence, kept.resting, kept.rest_s);
+            (runner.evidence, runner.resting, runner.rest_s) =
+                (kept.evidence, kept.resting, kept.rest_s);
             runner.cold_sent = kept.spent.into();
             self.share(r);
         }
@@ -517,7 +552,11 @@
 
     /// What is left of each category's cap, in work items, and of the resends.
     pub fn left(&mut self, left: &[f64], resends: f64) {
-        let more = self.left.iter().zip(left).any(|(old, new)| *old < 1.0 && *new >= 1.0);
+        let more = self
+            .left
+            .iter()
+            .zip(left)
+            .any(|(old, new)| *old < 1.0 && *new >= 1.0);
         self.changed |= more;
         self.left.clear();
         self.left.extend_from_slice(left);
@@ -547,7 +586,14 @@
     pub fn asks(&self, category: usize) -> (f64, f64) {
         let usual = self.usual[category].max(1e-3);
         let payoff = self.terms.categories[category].payoff;
-        (usual, if self.terms.pays_by_work { payoff } else { payoff / usual })
+        (
+            usual,
+            if self.terms.pays_by_work {
+                payoff
+            } else {
+                payoff / usual
+            },
+        )
     }
 
     /// The most that all dispatchers together have running on one runner.
@@ -563,13 +609,20 @@
             let spent = self.cold_spent(r, now);
             // What is held may be for others: work that looked at this one wants it.
             let looks = |w: &u32| self.works[*w as usize].near.samples().contains(&r);
-            Some((r, spent / whole.max(1e-9), spent > 0.0 || self.held.iter().take(32).any(looks)))
+            Some((
+                r,
+                spent / whole.max(1e-9),
+                spent > 0.0 || self.held.iter().take(32).any(looks),
+            ))
         };
         self.chosen.iter().filter_map(of).collect()
     }
 
     pub(crate) fn cold_spent(&self, r: usize, now: f64) -> f64 {
-        let recent = self.runners[r].cold_sent.iter().filter(|(at, _)| *at > now - self.terms.fall_s);
+        let recent = self.runners[r]
+            .cold_sent
+            .iter()
+            .filter(|(at, _)| *at > now - self.terms.fall_s);
         recent.map(|(_, size)| size).sum()
     }
 }
@@ -583,7 +636,10 @@
 
     /// When a runner started, the slots it was seen to have and its pace, where one was measured.
     pub fn learnt(&self, r: usize) -> Option<(f64, f64, f64)> {
-        let runner = self.runners.get(r).filter(|runner| !runner.paces.samples().is_empty())?;
+        let runner = self
+            .runners
+            .get(r)
+            .filter(|runner| !runner.paces.samples().is_empty())?;
         Some((runner.at.born, runner.most.max(runner.slots), runner.pace))
     }
 
@@ -627,7 +683,8 @@
             self.warm_runs[job.category].push(run);
         }
         let usual = self.warm_runs[job.category].mean();
-        self.warm[job.category] = usual.map_or(1.0, |warm| warm / self.usual[job.category].max(1e-3));
+        self.warm[job.category] =
+            usual.map_or(1.0, |warm| warm / self.usual[job.category].max(1e-3));
         if job.hint > 0.0 {
             self.hints[job.category].push(job.hint);
             self.hinted[job.category] =
@@ -658,28 +715,39 @@
     /// sizes.
     pub(crate) fn slow_ratio(&self) -> f64 {
         let known = self.ratios.samples().len() >= 8;
-        self.ratios.quantile(0.8).filter(|_| known).map_or(f64::INFINITY, |ratio| 2.0 * ratio)
+        self.ratios
+            .quantile(0.8)
+            .filter(|_| known)
+            .map_or(f64::INFINITY, |ratio| 2.0 * ratio)
     }
 
     /// How long a work item should run: by its own hint as far as hints went of late, else as its like.
     pub(crate) fn expected(&self, job: &Job) -> f64 {
-        let usual =
-            if job.hint > 0.0 { job.hint * self.hinted[job.category] } else { self.usual[job.category] };
+        let usual = if job.hint > 0.0 {
+            job.hint * self.hinted[job.category]
+        } else {
+            self.usual[job.category]
+        };
         usual.max(1e-3)
     }
 
     /// A probe has come back, with a report where it was answered. Without one the runner counts as full for
     /// a moment. Guards against a cut: who cannot be reached is left alone, as after a failed attempt.
     pub fn probed(&mut self, now: f64, r: usize, outcome: Outcome, report: &[f32]) {
-        let Some(runner) = self.runners.get_mut(r) else { return };
-        self.probe_times.push(runner.probed.take().map_or(0.0, |t| now - t));
+        let Some(runner) = self.runners.get_mut(r) else {
+            return;
+        };
+        self.probe_times
+            .push(runner.probed.take().map_or(0.0, |t| now - t));
         let figure = |at: Option<usize>| at.and_then(|at| report.get(at)).map(|&f| f as f64);
         let free = figure(self.terms.free_slots_at).filter(|f| f.is_finite() && *f >= 0.0);
         let memory = figure(self.terms.free_memory_at).filter(|f| f.is_finite() && *f >= 0.0);
         runner.free = free.unwrap_or(0.0).round();
         runner.free_memory = memory.unwrap_or(f64::INFINITY);
         runner.slots = runner.slots.max(runner.free);
-        runner.busy = figure(self.terms.busy_at).filter(|f| f.is_finite() && *f >= 0.0).unwrap_or(0.0);
+        runner.busy = figure(self.terms.busy_at)
+            .filter(|f| f.is_finite() && *f >= 0.0)
+            .unwrap_or(0.0);
         runner.reported = now;
         if outcome != Outcome::Finished {
             runner.refused = now;
@@ -694,7 +762,8 @@
         let work = &self.works[w as usize];
         // A holder where work waits longer than a fetch takes is none.
         let listed = || work.holders.samples().contains(&r);
-        work.home == r || listed() && (self.terms.probes || self.wait_at(r, self.last_pass) <= self.far_s)
+        work.home == r
+            || listed() && (self.terms.probes || self.wait_at(r, self.last_pass) <= self.far_s)
     }
 
     /// The runners that rank highest for a key by a hash that all share; kept until other runners are in use.
@@ -704,7 +773,10 @@
         if let Some(order) = self.orders.get(&(key, bound)) {
             return order.clone();
         }
-        let order = self.highest(key, self.chosen.iter().copied().filter(|&r| self.open_to(w, r)));
+        let order = self.highest(
+            key,
+            self.chosen.iter().copied().filter(|&r| self.open_to(w, r)),
+        );
         if self.orders.len() >= ORDERS {
             self.orders.clear();
         }
@@ -716,7 +788,8 @@
     pub(crate) fn holders(&self, w: u32, now: f64) -> Ring<usize, 8> {
         let (work, mut holders) = (&self.works[w as usize], Ring::default());
         let near = work.near.samples().iter();
-        near.filter(|&&r| self.runners[r].holds(work.job.key, now)).for_each(|&r| holders.push(r));
+        near.filter(|&&r| self.runners[r].holds(work.job.key, now))
+            .for_each(|&r| holders.push(r));
         holders
     }
 
--- a/crates/policy/src/terms.rs
+++ b/crates/policy/src/terms.rs
@@ -106,7 +106,8 @@
     pub fn ask_spread_s(&self) -> f64 {
         match self.asks_agent {
             true => AGENT_S,
-            false => (CALL_S * self.replicas as f64).clamp(0.3, SPREAD_S.min(0.5 * self.must_ask_s.max(0.6))),
+            false => (CALL_S * self.replicas as f64)
+                .clamp(0.3, SPREAD_S.min(0.5 * self.must_ask_s.max(0.6))),
         }
     }
 
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -59,7 +59,14 @@
 }
 
 fn fleet_terms(me: usize) -> Terms {
-    Terms { replicas: FLEET, me, cold_from: 0.12, cold_s: 24.0, tells_taking: true, ..terms() }
+    Terms {
+        replicas: FLEET,
+        me,
+        cold_from: 0.12,
+        cold_s: 24.0,
+        tells_taking: true,
+        ..terms()
+    }
 }
 
 fn warmth(age: f64, terms: &Terms) -> f64 {
@@ -72,21 +79,44 @@
     const RUNNERS: usize = 12;
     let mut pcg = Chance(days.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     let terms = fleet_terms(0);
-    let listed = |r: usize, born: f64| (r, Some(Listed { born, ..runner(r as u64) }));
+    let listed = |r: usize, born: f64| {
+        (
+            r,
+            Some(Listed {
+                born,
+                ..runner(r as u64)
+            }),
+        )
+    };
     let fresh = |me: usize, now: f64, seed: u64, machines: &[Machine]| {
         let mut d = Dispatcher::new(fleet_terms(me), seed, now);
         d.begins_anew(now);
         let born = |m: &Machine| m.born.unwrap_or(f64::NEG_INFINITY);
-        let all: Vec<_> = machines.iter().enumerate().map(|(r, m)| listed(r, born(m))).collect();
+        let all: Vec<_> = machines
+            .iter()
+            .enumerate()
+            .map(|(r, m)| listed(r, born(m)))
+            .collect();
         d.listed(now, News::Whole, &all);
-        let host = Fake { now, ..Fake::default() };
-        Member { d, host, attempts: BTreeMap::new(), sizes: BTreeMap::new(), hears: Vec::new() }
+        let host = Fake {
+            now,
+            ..Fake::default()
+        };
+        Member {
+            d,
+            host,
+            attempts: BTreeMap::new(),
+            sizes: BTreeMap::new(),
+            hears: Vec::new(),
+        }
     };
     let mut machines: Vec<Machine> = (0..RUNNERS).map(|_| Machine::default()).collect();
-    let mut members: Vec<Member> =
-        (0..FLEET).map(|me| fresh(me, 100.0, days.seed * 100 + me as u64, &machines)).collect();
-    let mut starts: Vec<(f64, usize)> =
-        (0..days.replaced).map(|r| (RELEASE_S + 3.0 * pcg.next(), r)).collect();
+    let mut members: Vec<Member> = (0..FLEET)
+        .map(|me| fresh(me, 100.0, days.seed * 100 + me as u64, &machines))
+        .collect();
+    let mut starts: Vec<(f64, usize)> = (0..days.replaced)
+        .map(|r| (RELEASE_S + 3.0 * pcg.next(), r))
+        .collect();
     let mut restarts: Vec<(f64, usize)> = (0..FLEET)
         .filter(|me| days.restarts && me % 10 < 7)
         .map(|me| (RELEASE_S + 4.5 + 0.1 * pcg.next(), me))
@@ -96,9 +126,14 @@
     while now < END_S {
         now += TICK_S;
         for (_, r) in starts.extract_if(.., |(at, _)| *at <= now) {
-            machines[r] = Machine { born: Some(now), ..Machine::default() };
+            machines[r] = Machine {
+                born: Some(now),
+                ..Machine::default()
+            };
             // Lists come late, to each at another time.
-            members.iter_mut().for_each(|m| m.hears.push((now + 2.0 * pcg.next(), r)));
+            members
+                .iter_mut()
+                .for_each(|m| m.hears.push((now + 2.0 * pcg.next(), r)));
         }
         for (_, me) in restarts.extract_if(.., |(at, _)| *at <= now) {
             members[me] = fresh(me, now, days.seed * 100 + 50 + me as u64, &machines);
@@ -110,7 +145,11 @@
             }
         }
         // A herd: all who were refused come back within a second.
-        let herd = if (RELEASE_S + 4.0..RELEASE_S + 5.0).contains(&now) { 4.0 } else { 1.0 };
+        let herd = if (RELEASE_S + 4.0..RELEASE_S + 5.0).contains(&now) {
+            4.0
+        } else {
+            1.0
+        };
         for (me, member) in members.iter_mut().enumerate() {
             member.host.now = now;
             for (_, r) in member.hears.extract_if(.., |(at, _)| *at <= now) {
@@ -120,10 +159,15 @@
             // Some see several times the mean.
             let own = if me % 10 == 0 { 3.0 } else { 0.8 };
             if pcg.next() < herd * own * rate / FLEET as f64 * TICK_S {
-                let job = Job { expiry: now + 6.0, ..job(IDEMPOTENT, 0) };
+                let job = Job {
+                    expiry: now + 6.0,
+                    ..job(IDEMPOTENT, 0)
+                };
                 let work_item = member.d.take(now, job).unwrap();
                 member.attempts.insert(work_item.0, 0);
-                member.sizes.insert(work_item.0, -days.mean_s * (1.0 - pcg.next()).ln());
+                member
+                    .sizes
+                    .insert(work_item.0, -days.mean_s * (1.0 - pcg.next()).ln());
             }
             member.d.decide(&mut member.host);
             for asked in std::mem::take(&mut member.host.asked) {
@@ -132,10 +176,13 @@
                     Attempt(work_item, r) if member.hears.iter().any(|(_, other)| *other == r) => {
                         let no = member.attempts[&work_item.0];
                         member.attempts.insert(work_item.0, no + 1);
-                        member.host.come(&mut member.d, work_item, no, Outcome::NoConnection);
+                        member
+                            .host
+                            .come(&mut member.d, work_item, no, Outcome::NoConnection);
                     }
                     Attempt(work_item, r) => {
-                        let (no, size) = (member.attempts[&work_item.0], member.sizes[&work_item.0]);
+                        let (no, size) =
+                            (member.attempts[&work_item.0], member.sizes[&work_item.0]);
                         member.attempts.insert(work_item.0, no + 1);
                         machines[r].waits.push_back((me, work_item, no, size));
                         if machines[r].born.is_some() {
@@ -145,10 +192,14 @@
                     }
                     Cancel(work_item, no) => {
                         machines.iter_mut().for_each(|m| {
-                            m.waits.retain(|job| (job.0, job.1, job.2) != (me, work_item, no));
-                            m.runs.retain(|(_, job)| (job.0, job.1, job.2) != (me, work_item, no));
+                            m.waits
+                                .retain(|job| (job.0, job.1, job.2) != (me, work_item, no));
+                            m.runs
+                                .retain(|(_, job)| (job.0, job.1, job.2) != (me, work_item, no));
                         });
-                        member.host.come(&mut member.d, work_item, no, Outcome::Cancelled);
+                        member
+                            .host
+                            .come(&mut member.d, work_item, no, Outcome::Cancelled);
                     }
                     _ => {}
                 }
@@ -156,20 +207,24 @@
         }
         for machine in &mut machines {
             let pace = machine.born.map_or(1.0, |born| warmth(now - born, &terms));
-            for (_, (me, work_item, no, _)) in machine.runs.extract_if(.., |(ends, _)| *ends <= now) {
+            for (_, (me, work_item, no, _)) in machine.runs.extract_if(.., |(ends, _)| *ends <= now)
+            {
                 if let Some(Member { d, host, .. }) = members.get_mut(me) {
                     host.come(d, work_item, no, Outcome::Finished);
                 }
             }
             while machine.runs.len() < days.slots {
-                let Some(job) = machine.waits.pop_front() else { break };
+                let Some(job) = machine.waits.pop_front() else {
+                    break;
+                };
                 job.1.started(&mut members[job.0].d, now, job.2);
                 machine.runs.push((now + job.3 / pace, job));
             }
             let Some(born) = machine.born else { continue };
             machine.sent.retain(|at| now < at + terms.fall_s);
-            let allowed = terms.fall_multiple * days.slots as f64 * warmth(now - born, &terms) * terms.fall_s
-                / days.mean_s;
+            let allowed =
+                terms.fall_multiple * days.slots as f64 * warmth(now - born, &terms) * terms.fall_s
+                    / days.mean_s;
             let got = machine.sent.len() as f64;
             worst = worst.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
             used = used.max(got / allowed);
@@ -180,11 +235,22 @@
 
 #[test]
 fn thirty_dispatchers_keep_a_cold_runner_within_chance_of_its_budget_and_use_it() {
-    for (slots, mean_s, least) in
-        [(1, 2.0, 1.0), (2, 0.6, 1.0), (4, 0.5, 0.8), (8, 0.2, 0.5), (16, 0.05, 0.3)]
-    {
+    for (slots, mean_s, least) in [
+        (1, 2.0, 1.0),
+        (2, 0.6, 1.0),
+        (4, 0.5, 0.8),
+        (8, 0.2, 0.5),
+        (16, 0.05, 0.3),
+    ] {
         for (seed, load) in [(1, 0.95), (2, 0.6), (3, 0.95)] {
-            let days = Days { seed, slots, mean_s, load, replaced: 6, restarts: seed != 1 };
+            let days = Days {
+                seed,
+                slots,
+                mean_s,
+                load,
+                replaced: 6,
+                restarts: seed != 1,
+            };
             let (worst, used) = play(&days);
             let what = format!("{slots} slots, {mean_s} s, load {load}, seed {seed}");
             assert!(worst <= 1.0, "{what}: {worst:.2} of what chance allows");
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -51,8 +51,12 @@
     }
 }
 
-pub const CATEGORIES: [Repeat; 4] =
-    [Repeat::Idempotent, Repeat::Keyed(Scope::Cell), Repeat::AtMostOnce, Repeat::Keyed(Scope::All)];
+pub const CATEGORIES: [Repeat; 4] = [
+    Repeat::Idempotent,
+    Repeat::Keyed(Scope::Cell),
+    Repeat::AtMostOnce,
+    Repeat::Keyed(Scope::All),
+];
 
 pub fn terms() -> Terms {
     let category = |repeat| Category {
@@ -82,7 +86,14 @@
 }
 
 pub fn runner(id: u64) -> Listed {
-    Listed { id, kind: 0, born: f64::NEG_INFINITY, cell: id as u16, zone: 0, ready: true }
+    Listed {
+        id,
+        kind: 0,
+        born: f64::NEG_INFINITY,
+        cell: id as u16,
+        zone: 0,
+        ready: true,
+    }
 }
 
 /// A dispatcher with so many ready runners, each a cell of its own, at 100 s.
@@ -90,11 +101,24 @@
     let mut d = Dispatcher::new(terms.clone(), 7 + terms.me as u64, 100.0);
     let entries: Vec<_> = (0..runners).map(|r| (r, Some(runner(r as u64)))).collect();
     d.listed(100.0, News::Cached, &entries);
-    (d, Fake { now: 100.0, ..Fake::default() })
+    (
+        d,
+        Fake {
+            now: 100.0,
+            ..Fake::default()
+        },
+    )
 }
 
 pub fn job(category: usize, key: u32) -> Job {
-    Job { category, key, expiry: 110.0, hint: 0.0, slots: 1.0, memory: 0.0 }
+    Job {
+        category,
+        key,
+        expiry: 110.0,
+        hint: 0.0,
+        slots: 1.0,
+        memory: 0.0,
+    }
 }
 
 impl Fake {
@@ -109,12 +133,32 @@
             }
         }
         self.asked.clear();
-        let fresh = |r| (r, Some(Listed { born: self.now - 50.0, ..runner(r as u64) }));
-        d.listed(self.now, News::Changes, &(0..runners).map(fresh).collect::<Vec<_>>());
+        let fresh = |r| {
+            (
+                r,
+                Some(Listed {
+                    born: self.now - 50.0,
+                    ..runner(r as u64)
+                }),
+            )
+        };
+        d.listed(
+            self.now,
+            News::Changes,
+            &(0..runners).map(fresh).collect::<Vec<_>>(),
+        );
     }
     pub fn take(&mut self, d: &mut Dispatcher, category: usize, key: u32) -> WorkItem {
         let expiry = self.now + 10.0;
-        let work_item = d.take(self.now, Job { expiry, ..job(category, key) }).unwrap();
+        let work_item = d
+            .take(
+                self.now,
+                Job {
+                    expiry,
+                    ..job(category, key)
+                },
+            )
+            .unwrap();
         d.decide(self);
         work_item
     }
@@ -135,7 +179,13 @@
         }
     }
     pub fn sent_to(&self, work_item: WorkItem) -> Vec<usize> {
-        let to = |a: &Asked| if let Attempt(w, r) = a { (*w == work_item).then_some(*r) } else { None };
+        let to = |a: &Asked| {
+            if let Attempt(w, r) = a {
+                (*w == work_item).then_some(*r)
+            } else {
+                None
+            }
+        };
         self.asked.iter().filter_map(to).collect()
     }
     pub fn ends(&self, work_item: WorkItem) -> Vec<Asked> {
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -22,9 +22,16 @@
         ("Safety.MustAskInUs", "10000000"),
         ("Domain.TellsStart", "true"),
     ];
-    usual.iter().chain(settings).for_each(|(path, value)| stated.state(path, value));
+    usual
+        .iter()
+        .chain(settings)
+        .for_each(|(path, value)| stated.state(path, value));
     for n in [BOUND, UNBOUND] {
-        for (leaf, value) in [("Repeat", "read_like"), ("DueTimeUs", "1000000"), ("Payoff", "1")] {
+        for (leaf, value) in [
+            ("Repeat", "read_like"),
+            ("DueTimeUs", "1000000"),
+            ("Payoff", "1"),
+        ] {
             stated.state(&format!("Categories.{n}.{leaf}"), value);
         }
     }
@@ -33,18 +40,33 @@
 
 /// Zones take turns, kinds change after each pair.
 fn placed(r: usize) -> Listed {
-    Listed { zone: (r % ZONES) as u16, kind: (r / ZONES % 2) as u8, ..runner(r as u64) }
+    Listed {
+        zone: (r % ZONES) as u16,
+        kind: (r / ZONES % 2) as u8,
+        ..runner(r as u64)
+    }
 }
 
 fn fleet(terms: Terms) -> (Dispatcher, Fake) {
     let mut d = Dispatcher::new(terms, 7, 100.0);
     let entries: Vec<_> = (0..RUNNERS).map(|r| (r, Some(placed(r)))).collect();
     d.listed(100.0, News::Cached, &entries);
-    (d, Fake { now: 100.0, ..Fake::default() })
+    (
+        d,
+        Fake {
+            now: 100.0,
+            ..Fake::default()
+        },
+    )
 }
 
 /// Sixty work items of many keys, each answered as said until it is ended or served; where all went.
-fn all_sent_to(d: &mut Dispatcher, host: &mut Fake, category: usize, outcome: Outcome) -> Vec<usize> {
+fn all_sent_to(
+    d: &mut Dispatcher,
+    host: &mut Fake,
+    category: usize,
+    outcome: Outcome,
+) -> Vec<usize> {
     let mut sent = Vec::new();
     for key in 0..60 {
         let work_item = host.take(d, category, key);
@@ -61,11 +83,20 @@
 
 #[test]
 fn work_bound_to_a_zone_goes_to_no_other_at_every_attempt() {
-    for outcome in [Outcome::Finished, Outcome::Error, Outcome::NoConnection, Outcome::Full, Outcome::Reset] {
+    for outcome in [
+        Outcome::Finished,
+        Outcome::Error,
+        Outcome::NoConnection,
+        Outcome::Full,
+        Outcome::Reset,
+    ] {
         let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
         let sent = all_sent_to(&mut d, &mut host, BOUND, outcome);
         assert!(!sent.is_empty());
-        assert!(sent.iter().all(|r| placed(*r).zone == 1), "{outcome:?}: {sent:?}");
+        assert!(
+            sent.iter().all(|r| placed(*r).zone == 1),
+            "{outcome:?}: {sent:?}"
+        );
     }
 }
 
@@ -73,12 +104,19 @@
 fn work_bound_to_a_kind_or_to_both_goes_to_no_other() {
     for (settings, zones) in [
         (vec![("Categories.0.BoundTo", "0")], vec![0, 1]),
-        (vec![("Categories.0.BoundTo", "0"), ("Categories.0.DcsOnly", "1")], vec![1]),
+        (
+            vec![("Categories.0.BoundTo", "0"), ("Categories.0.DcsOnly", "1")],
+            vec![1],
+        ),
     ] {
         let (mut d, mut host) = fleet(told(&settings).unwrap());
         let sent = all_sent_to(&mut d, &mut host, BOUND, Outcome::Error);
         assert!(!sent.is_empty());
-        assert!(sent.iter().all(|r| placed(*r).kind == 0 && zones.contains(&placed(*r).zone)), "{sent:?}");
+        assert!(
+            sent.iter()
+                .all(|r| placed(*r).kind == 0 && zones.contains(&placed(*r).zone)),
+            "{sent:?}"
+        );
     }
 }
 
@@ -97,7 +135,10 @@
 #[test]
 fn bound_work_with_none_of_its_runners_left_is_ended_at_once_and_the_rest_goes_on() {
     let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-    let gone: Vec<_> = (0..RUNNERS).filter(|r| placed(*r).zone == 1).map(|r| (r, None)).collect();
+    let gone: Vec<_> = (0..RUNNERS)
+        .filter(|r| placed(*r).zone == 1)
+        .map(|r| (r, None))
+        .collect();
     d.listed(host.now, News::Changes, &gone);
     let unbound = host.take(&mut d, UNBOUND, 5);
     let bound = host.take(&mut d, BOUND, 5);
@@ -116,8 +157,10 @@
 
 #[test]
 fn places_are_told_by_number_or_by_name_and_what_is_neither_is_refused() {
-    let zones =
-        |value| told(&[("Categories.0.DcsOnly", value)]).map(|t| t.categories[BOUND].placement.zones.clone());
+    let zones = |value| {
+        told(&[("Categories.0.DcsOnly", value)])
+            .map(|t| t.categories[BOUND].placement.zones.clone())
+    };
     assert_eq!(zones("south"), Ok(vec![1]));
     assert_eq!(zones("0,south"), Ok(vec![0, 1]));
     assert_eq!(zones(""), Ok(vec![]));
@@ -129,7 +172,10 @@
 #[test]
 fn gone_without_draining_binds_nobody_where_so_stated_and_one_try_shows_what_is_so() {
     for binds in [true, false] {
-        let stays_open = ("Safety.DroppedStayOpen", if binds { "false" } else { "true" });
+        let stays_open = (
+            "Safety.DroppedStayOpen",
+            if binds { "false" } else { "true" },
+        );
         let (mut d, mut host) = fleet(told(&[stays_open]).unwrap());
         d.listed(host.now, News::Whole, &[]);
         let work_item = host.take(&mut d, UNBOUND, 5);
@@ -137,7 +183,11 @@
         assert_eq!(host.sent_to(work_item).is_empty(), binds);
         if !binds {
             let more = host.take(&mut d, UNBOUND, 5);
-            assert_ne!(host.sent_to(more), host.sent_to(work_item), "one try at a time");
+            assert_ne!(
+                host.sent_to(more),
+                host.sent_to(work_item),
+                "one try at a time"
+            );
             host.come(&mut d, work_item, 0, Outcome::Finished);
             let next = host.take(&mut d, UNBOUND, 5);
             assert_eq!(host.sent_to(next), host.sent_to(work_item), "it serves");
@@ -148,10 +198,24 @@
 #[test]
 fn one_listed_as_draining_gets_nothing_new_though_it_is_gone_later() {
     let (mut d, mut host) = fleet(told(&[("Safety.DroppedStayOpen", "true")]).unwrap());
-    let drains = |r| (r, Some(Listed { ready: false, ..placed(r) }));
+    let drains = |r| {
+        (
+            r,
+            Some(Listed {
+                ready: false,
+                ..placed(r)
+            }),
+        )
+    };
     d.listed(host.now, News::Changes, &[drains(0), drains(1)]);
     d.listed(host.now, News::Changes, &[(0, None)]);
-    d.listed(host.now, News::Whole, &(2..RUNNERS).map(|r| (r, Some(placed(r)))).collect::<Vec<_>>());
+    d.listed(
+        host.now,
+        News::Whole,
+        &(2..RUNNERS)
+            .map(|r| (r, Some(placed(r))))
+            .collect::<Vec<_>>(),
+    );
     let sent = all_sent_to(&mut d, &mut host, UNBOUND, Outcome::Finished);
     assert!(sent.iter().all(|r| *r >= 2), "{sent:?}");
 }
@@ -159,13 +223,26 @@
 #[test]
 fn where_a_fetch_is_dear_all_dispatchers_bring_a_key_to_the_same_runner_of_many() {
     let homes = |fetch: &str| {
-        let prices = [("ReplicasOfMe", "30"), ("Penalties.CrossZone", "0.02"), ("Penalties.Origin", fetch)];
+        let prices = [
+            ("ReplicasOfMe", "30"),
+            ("Penalties.CrossZone", "0.02"),
+            ("Penalties.Origin", fetch),
+        ];
         let home = |me: usize| {
-            let (mut d, mut host) = start(Terms { me, ..told(&prices).unwrap() }, 100);
+            let (mut d, mut host) = start(
+                Terms {
+                    me,
+                    ..told(&prices).unwrap()
+                },
+                100,
+            );
             let work_item = host.take(&mut d, UNBOUND, 42);
             host.sent_to(work_item)[0]
         };
-        (0..30).map(home).collect::<std::collections::BTreeSet<usize>>().len()
+        (0..30)
+            .map(home)
+            .collect::<std::collections::BTreeSet<usize>>()
+            .len()
     };
     assert_eq!(homes("0.1"), 1);
     assert!(homes("0") > 1, "each has its own few");
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -34,7 +34,10 @@
         let mut d = Dispatcher::new(terms(), seed, 100.0);
         let entries: Vec<_> = (0..8).map(|r| (r, Some(runner(r as u64)))).collect();
         d.listed(100.0, News::Cached, &entries);
-        let mut host = Fake { now: 100.0, ..Fake::default() };
+        let mut host = Fake {
+            now: 100.0,
+            ..Fake::default()
+        };
         let work_item = host.take(&mut d, IDEMPOTENT, 42);
         host.sent_to(work_item)
     };
@@ -48,7 +51,10 @@
     let all: Vec<WorkItem> = (0..3).map(|_| host.take(&mut d, IDEMPOTENT, 42)).collect();
     let home = host.sent_to(all[0])[0];
     assert_eq!(host.sent_to(all[1]), [home]);
-    assert!(host.sent_to(all[2]).is_empty(), "the holder is full, the other one has room");
+    assert!(
+        host.sent_to(all[2]).is_empty(),
+        "the holder is full, the other one has room"
+    );
     host.pass(&mut d, 1.5);
     assert_eq!(host.sent_to(all[2]), [1 - home]);
 }
@@ -104,12 +110,29 @@
 #[test]
 fn a_draining_runner_gets_nothing_new() {
     let (mut d, mut host) = start(terms(), 1);
-    d.listed(100.0, News::Changes, &[(0, Some(Listed { ready: false, ..runner(0) })), (1, Some(runner(1)))]);
+    d.listed(
+        100.0,
+        News::Changes,
+        &[
+            (
+                0,
+                Some(Listed {
+                    ready: false,
+                    ..runner(0)
+                }),
+            ),
+            (1, Some(runner(1))),
+        ],
+    );
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
     assert_eq!(host.sent_to(work_item), [1]);
     d.listed(100.0, News::Whole, &[(0, Some(runner(0)))]);
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
-    assert_eq!(host.sent_to(work_item), [0], "a whole list that drops a runner ends it");
+    assert_eq!(
+        host.sent_to(work_item),
+        [0],
+        "a whole list that drops a runner ends it"
+    );
 }
 
 #[test]
@@ -125,7 +148,15 @@
 fn work_that_arrives_at_its_expiry_is_answered_in_the_same_batch() {
     let (mut d, mut host) = start(terms(), 0);
     host.pass(&mut d, 0.1);
-    let work_item = d.take(host.now, Job { expiry: host.now, ..job(IDEMPOTENT, 0) }).unwrap();
+    let work_item = d
+        .take(
+            host.now,
+            Job {
+                expiry: host.now,
+                ..job(IDEMPOTENT, 0)
+            },
+        )
+        .unwrap();
     d.decide(&mut host);
     assert_eq!(host.ends(work_item).len(), 1);
 }
@@ -137,7 +168,10 @@
     host.now += 10.0;
     host.come(&mut d, work_item, 0, Outcome::Timeout);
     host.pass(&mut d, 1.0);
-    assert_eq!((host.ends(work_item), host.sent_to(work_item).len()), (vec![WriteOff(work_item)], 1));
+    assert_eq!(
+        (host.ends(work_item), host.sent_to(work_item).len()),
+        (vec![WriteOff(work_item)], 1)
+    );
 }
 
 #[test]
@@ -155,14 +189,34 @@
 
 #[test]
 fn a_cold_runner_gets_no_more_than_its_part() {
-    let (mut d, mut host) = start(Terms { replicas: 2, ..terms() }, 1);
-    d.listed(100.0, News::Changes, &[(0, Some(Listed { born: 100.0, ..runner(0) }))]);
+    let (mut d, mut host) = start(
+        Terms {
+            replicas: 2,
+            ..terms()
+        },
+        1,
+    );
+    d.listed(
+        100.0,
+        News::Changes,
+        &[(
+            0,
+            Some(Listed {
+                born: 100.0,
+                ..runner(0)
+            }),
+        )],
+    );
     // Two slots held likely: 1.4 x 3 x (0.75 x 2 x 0.1) x 1 s = 0.63 s of work, one item of 0.5 s for who
     // ranks first, and this one is the second.
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
     assert!(host.sent_to(work_item).is_empty());
     host.pass(&mut d, 4.5);
-    assert_eq!(host.sent_to(work_item), [0], "it warms up, and the part grows");
+    assert_eq!(
+        host.sent_to(work_item),
+        [0],
+        "it warms up, and the part grows"
+    );
 }
 
 #[test]
@@ -185,7 +239,12 @@
         let work_item = host.take(&mut d, IDEMPOTENT, 0);
         while host.sent_to(work_item).last() == Some(&0) {
             bad.push(host.now);
-            host.come(&mut d, work_item, host.sent_to(work_item).len() as u16 - 1, Outcome::Error);
+            host.come(
+                &mut d,
+                work_item,
+                host.sent_to(work_item).len() as u16 - 1,
+                Outcome::Error,
+            );
         }
         let last = host.sent_to(work_item).len() as u16 - 1;
         host.come(&mut d, work_item, last, Outcome::Finished);
@@ -195,7 +254,10 @@
     host.pass(&mut d, 1.6);
     let all: Vec<WorkItem> = (0..3).map(|_| host.take(&mut d, IDEMPOTENT, 0)).collect();
     assert!(
-        all.iter().filter(|work_item| host.sent_to(**work_item).contains(&0)).count() <= 1,
+        all.iter()
+            .filter(|work_item| host.sent_to(**work_item).contains(&0))
+            .count()
+            <= 1,
         "a single trial"
     );
 }
@@ -206,14 +268,22 @@
     for _ in 0..5 {
         let work_item = host.take(&mut d, IDEMPOTENT, 0);
         host.come(&mut d, work_item, 0, Outcome::Stale);
-        assert_eq!(host.sent_to(work_item), [0, 0], "straight back, on another connection");
+        assert_eq!(
+            host.sent_to(work_item),
+            [0, 0],
+            "straight back, on another connection"
+        );
         host.come(&mut d, work_item, 1, Outcome::Stale);
         host.come(&mut d, work_item, 2, Outcome::Finished);
         host.asked.clear();
     }
     let work_item = host.take(&mut d, AT_MOST_ONCE, 0);
     host.come(&mut d, work_item, 0, Outcome::Stale);
-    assert_eq!(host.ends(work_item), [WriteOff(work_item)], "it may have run");
+    assert_eq!(
+        host.ends(work_item),
+        [WriteOff(work_item)],
+        "it may have run"
+    );
     assert!(host.logged.is_empty());
 }
 
@@ -232,14 +302,19 @@
 fn a_start_told_twice_is_one_start_and_in_time() {
     let (mut d, mut host) = start(terms(), 1);
     let both = [0, 1].map(|_| host.take(&mut d, IDEMPOTENT, 0));
-    both.iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
+    both.iter()
+        .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
     host.asked.clear();
     let first = host.take(&mut d, IDEMPOTENT, 0);
     first.started(&mut d, host.now, 0);
     host.now += 0.2;
     first.started(&mut d, host.now, 0);
     let all = [0, 1, 2].map(|_| host.take(&mut d, IDEMPOTENT, 0));
-    assert_eq!(all.map(|work_item| host.sent_to(work_item).len()), [1, 1, 0], "three slots, as before");
+    assert_eq!(
+        all.map(|work_item| host.sent_to(work_item).len()),
+        [1, 1, 0],
+        "three slots, as before"
+    );
 }
 
 #[test]
@@ -247,26 +322,42 @@
     let (mut d, mut host) = start(terms(), 1);
     let run = |d: &mut Dispatcher, host: &mut Fake, late: f64| {
         let all = [0, 1, 2].map(|_| host.take(d, IDEMPOTENT, 0));
-        let out: Vec<WorkItem> =
-            all.into_iter().filter(|work_item| !host.sent_to(*work_item).is_empty()).collect();
-        out[1..].iter().for_each(|work_item| work_item.started(d, host.now, 0));
+        let out: Vec<WorkItem> = all
+            .into_iter()
+            .filter(|work_item| !host.sent_to(*work_item).is_empty())
+            .collect();
+        out[1..]
+            .iter()
+            .for_each(|work_item| work_item.started(d, host.now, 0));
         host.now += late;
         out[0].started(d, host.now, 0);
-        all.iter().for_each(|work_item| host.come(d, *work_item, 0, Outcome::Finished));
+        all.iter()
+            .for_each(|work_item| host.come(d, *work_item, 0, Outcome::Finished));
         host.asked.clear();
         out.len()
     };
-    assert_eq!([run(&mut d, &mut host, 0.0), run(&mut d, &mut host, 0.0)], [2, 3]);
+    assert_eq!(
+        [run(&mut d, &mut host, 0.0), run(&mut d, &mut host, 0.0)],
+        [2, 3]
+    );
     let all = [0, 1, 2].map(|_| host.take(&mut d, IDEMPOTENT, 0));
     // A lost job holds one of the three slots: two start, the third only when one of them has ended.
-    all[..2].iter().for_each(|work_item| work_item.started(&mut d, host.now, 0));
+    all[..2]
+        .iter()
+        .for_each(|work_item| work_item.started(&mut d, host.now, 0));
     host.now += 0.2;
     host.come(&mut d, all[0], 0, Outcome::Finished);
     all[2].started(&mut d, host.now, 0);
-    all[1..].iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
+    all[1..]
+        .iter()
+        .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
     host.asked.clear();
     host.now += 1.5;
-    assert_eq!([run(&mut d, &mut host, 0.0), run(&mut d, &mut host, 0.0)], [2, 3], "not only after 10 s");
+    assert_eq!(
+        [run(&mut d, &mut host, 0.0), run(&mut d, &mut host, 0.0)],
+        [2, 3],
+        "not only after 10 s"
+    );
 }
 
 #[test]
@@ -278,15 +369,28 @@
                 host.come(&mut d, work_item, 0, Outcome::Error);
             }
             if host.ends(work_item).is_empty() {
-                host.come(&mut d, work_item, host.sent_to(work_item).len() as u16 - 1, Outcome::Finished);
+                host.come(
+                    &mut d,
+                    work_item,
+                    host.sent_to(work_item).len() as u16 - 1,
+                    Outcome::Finished,
+                );
             }
         }
         host.asked.clear();
     }
     host.pass(&mut d, 1.6);
-    let trials = |host: &Fake| host.asked.iter().filter(|a| matches!(a, Attempt(_, 0))).count();
+    let trials = |host: &Fake| {
+        host.asked
+            .iter()
+            .filter(|a| matches!(a, Attempt(_, 0)))
+            .count()
+    };
     let all: Vec<WorkItem> = (0..8).map(|_| host.take(&mut d, IDEMPOTENT, 0)).collect();
-    let trial = all.into_iter().find(|work_item| host.sent_to(*work_item) == [0]).unwrap();
+    let trial = all
+        .into_iter()
+        .find(|work_item| host.sent_to(*work_item) == [0])
+        .unwrap();
     trial.started(&mut d, host.now, 0);
     host.pass(&mut d, 0.5);
     assert_eq!(trials(&host), 1, "it rested");
@@ -313,22 +417,42 @@
         let category = if n % 6 == 0 { IDEMPOTENT } else { KEYED };
         let work_item = host.take(&mut d, category, 0);
         for no in 0..3 {
-            let Some(&r) = host.sent_to(work_item).get(no) else { break };
+            let Some(&r) = host.sent_to(work_item).get(no) else {
+                break;
+            };
             let bad = category == IDEMPOTENT && r == 0;
             failed += bad as usize;
-            host.come(&mut d, work_item, no as u16, if bad { Outcome::Error } else { Outcome::Finished });
+            host.come(
+                &mut d,
+                work_item,
+                no as u16,
+                if bad {
+                    Outcome::Error
+                } else {
+                    Outcome::Finished
+                },
+            );
         }
         host.now += 0.02;
         host.asked.clear();
     }
     assert_eq!(failed, 2, "two errors are enough for that category");
-    assert!(host.logged.is_empty(), "and the other one is still at home there");
+    assert!(
+        host.logged.is_empty(),
+        "and the other one is still at home there"
+    );
 }
 
 #[test]
 fn work_that_its_runner_does_not_take_is_called_off_though_the_runner_is_well() {
     for (category, moves) in [(IDEMPOTENT, true), (AT_MOST_ONCE, false)] {
-        let (mut d, mut host) = start(Terms { tells_taking: true, ..terms() }, 1);
+        let (mut d, mut host) = start(
+            Terms {
+                tells_taking: true,
+                ..terms()
+            },
+            1,
+        );
         let [lost, well] = [0, 1].map(|_| host.take(&mut d, category, 0));
         well.accepted(&mut d, host.now, 0);
         well.started(&mut d, host.now, 0);
@@ -357,7 +481,13 @@
 
 #[test]
 fn the_list_is_asked_for_and_asked_again_after_failures() {
-    let (mut d, mut host) = start(Terms { asks_for_list: true, ..terms() }, 1);
+    let (mut d, mut host) = start(
+        Terms {
+            asks_for_list: true,
+            ..terms()
+        },
+        1,
+    );
     let mut asked = 0;
     for _ in 0..10 {
         host.pass(&mut d, 2.0);
@@ -375,7 +505,15 @@
 #[test]
 fn calls_to_the_list_are_spread_after_a_common_start_and_after_a_failure() {
     let asks = |seed| {
-        let mut d = Dispatcher::new(Terms { replicas: 100, asks_for_list: true, ..terms() }, seed, 0.0);
+        let mut d = Dispatcher::new(
+            Terms {
+                replicas: 100,
+                asks_for_list: true,
+                ..terms()
+            },
+            seed,
+            0.0,
+        );
         let mut host = Fake::default();
         let mut ask = |d: &mut Dispatcher| {
             while !host.asked.contains(&Watch) {
@@ -390,17 +528,33 @@
         (first, ask(&mut d) - first)
     };
     let all: Vec<(f64, f64)> = (0..100).map(asks).collect();
-    for times in [all.iter().map(|a| a.0).collect::<Vec<_>>(), all.iter().map(|a| a.1).collect()] {
-        let most =
-            times.iter().map(|t| times.iter().filter(|u| (t - **u).abs() < 0.5).count()).max().unwrap();
+    for times in [
+        all.iter().map(|a| a.0).collect::<Vec<_>>(),
+        all.iter().map(|a| a.1).collect(),
+    ] {
+        let most = times
+            .iter()
+            .map(|t| times.iter().filter(|u| (t - **u).abs() < 0.5).count())
+            .max()
+            .unwrap();
         assert!(most < 40, "{most} within a second");
-        assert!(times.iter().all(|t| *t < 10.0), "in time for the rule on drains");
+        assert!(
+            times.iter().all(|t| *t < 10.0),
+            "in time for the rule on drains"
+        );
     }
 }
 
 /// One of a hundred dispatchers over as many runners as each uses at the least.
 fn one_of_many(me: usize) -> (Dispatcher, Fake) {
-    start(Terms { replicas: 100, me, ..terms() }, 16)
+    start(
+        Terms {
+            replicas: 100,
+            me,
+            ..terms()
+        },
+        16,
+    )
 }
 
 #[test]
@@ -410,8 +564,11 @@
             .map(|me| {
                 let (mut d, mut host) = one_of_many(me);
                 let keys = (0..63).map(|n| if frequent { 42 } else { 100 + n });
-                let before: Vec<WorkItem> = keys.map(|key| host.take(&mut d, IDEMPOTENT, key)).collect();
-                before.iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
+                let before: Vec<WorkItem> =
+                    keys.map(|key| host.take(&mut d, IDEMPOTENT, key)).collect();
+                before
+                    .iter()
+                    .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
                 let work_item = host.take(&mut d, IDEMPOTENT, 42);
                 *host.sent_to(work_item).last().unwrap()
             })
@@ -440,7 +597,11 @@
     host.pass(&mut d, 0.2);
     d.carry_usual(IDEMPOTENT, 0.1);
     let again = host.take(&mut d, IDEMPOTENT, 42);
-    assert_ne!(host.sent_to(again).last(), Some(&home), "others' work stands in its queue");
+    assert_ne!(
+        host.sent_to(again).last(),
+        Some(&home),
+        "others' work stands in its queue"
+    );
     host.come(&mut d, again, 0, Outcome::Finished);
     host.pass(&mut d, 40.0);
     let later = host.take(&mut d, IDEMPOTENT, 42);
@@ -453,7 +614,11 @@
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
     work_item.accepted(&mut d, host.now, 0);
     host.pass(&mut d, 1.2);
-    assert!(host.logged.is_empty() && !host.asked.contains(&Cancel(work_item, 0)), "{:?}", host.logged);
+    assert!(
+        host.logged.is_empty() && !host.asked.contains(&Cancel(work_item, 0)),
+        "{:?}",
+        host.logged
+    );
 }
 
 #[test]
@@ -463,36 +628,68 @@
     host.now += 5.0;
     first.started(&mut d, host.now, 0);
     host.come(&mut d, first, 0, Outcome::Finished);
-    let all: Vec<WorkItem> = (0..8).map(|n| host.take(&mut d, IDEMPOTENT, 50 + n)).collect();
-    all.iter().for_each(|work_item| work_item.accepted(&mut d, host.now, 0));
+    let all: Vec<WorkItem> = (0..8)
+        .map(|n| host.take(&mut d, IDEMPOTENT, 50 + n))
+        .collect();
+    all.iter()
+        .for_each(|work_item| work_item.accepted(&mut d, host.now, 0));
     host.pass(&mut d, 4.0);
     let off = |a: &Asked| matches!(a, Cancel(..));
-    assert!(host.logged.is_empty() && !host.asked.iter().any(off), "{:?}", host.logged);
+    assert!(
+        host.logged.is_empty() && !host.asked.iter().any(off),
+        "{:?}",
+        host.logged
+    );
 }
 
 #[test]
 fn who_cannot_use_all_runners_uses_those_that_rank_highest() {
-    let (mut d, mut host) = start(Terms { replicas: 400, me: 399, ..terms() }, 300);
+    let (mut d, mut host) = start(
+        Terms {
+            replicas: 400,
+            me: 399,
+            ..terms()
+        },
+        300,
+    );
     let used = |d: &mut Dispatcher, host: &mut Fake| {
         host.asked.clear();
         for n in 1..2000u32 {
             let work_item = host.take(d, IDEMPOTENT, n.wrapping_mul(0x9e37_79b1));
             host.come(d, work_item, 0, Outcome::Finished);
         }
-        let to = |a: &Asked| if let Attempt(_, r) = a { Some(*r) } else { None };
-        host.asked.iter().filter_map(to).collect::<std::collections::BTreeSet<usize>>()
+        let to = |a: &Asked| {
+            if let Attempt(_, r) = a {
+                Some(*r)
+            } else {
+                None
+            }
+        };
+        host.asked
+            .iter()
+            .filter_map(to)
+            .collect::<std::collections::BTreeSet<usize>>()
     };
     let first = used(&mut d, &mut host);
     assert_eq!(first.len(), 16, "the least, with next to nothing running");
-    d.listed(host.now, News::Changes, &first.iter().map(|&r| (r, None)).collect::<Vec<_>>());
+    d.listed(
+        host.now,
+        News::Changes,
+        &first.iter().map(|&r| (r, None)).collect::<Vec<_>>(),
+    );
     let next = used(&mut d, &mut host);
-    assert!(next.len() == 16 && next.is_disjoint(&first), "the next in rank take the places of those gone");
+    assert!(
+        next.len() == 16 && next.is_disjoint(&first),
+        "the next in rank take the places of those gone"
+    );
     // More of ours runs: four runners for each.
     let all: Vec<WorkItem> = (1..17).map(|n| host.take(&mut d, IDEMPOTENT, n)).collect();
-    all.iter().for_each(|work_item| work_item.started(&mut d, host.now, 0));
+    all.iter()
+        .for_each(|work_item| work_item.started(&mut d, host.now, 0));
     for _ in 0..30 {
         host.pass(&mut d, 1.0);
-        all.iter().for_each(|work_item| work_item.progressed(&mut d, host.now, 0, 0.1));
+        all.iter()
+            .for_each(|work_item| work_item.progressed(&mut d, host.now, 0, 0.1));
     }
     let more = used(&mut d, &mut host).len();
     assert!((32..=64).contains(&more), "{more}");
@@ -504,20 +701,46 @@
     // 4 s, two items; 2.26 s after 12.5 s, four.
     for (age, items) in [(4.0, 2), (12.5, 4)] {
         let sent = |me| {
-            let (mut d, mut host) = start(Terms { replicas: 12, me, cold_s: 40.0, ..terms() }, 1);
-            d.listed(100.0, News::Changes, &[(0, Some(Listed { born: 100.0 - age, ..runner(0) }))]);
+            let (mut d, mut host) = start(
+                Terms {
+                    replicas: 12,
+                    me,
+                    cold_s: 40.0,
+                    ..terms()
+                },
+                1,
+            );
+            d.listed(
+                100.0,
+                News::Changes,
+                &[(
+                    0,
+                    Some(Listed {
+                        born: 100.0 - age,
+                        ..runner(0)
+                    }),
+                )],
+            );
             let all = [0; 4].map(|_| host.take(&mut d, IDEMPOTENT, 0));
-            all.iter().filter(|work_item| !host.sent_to(**work_item).is_empty()).count()
+            all.iter()
+                .filter(|work_item| !host.sent_to(**work_item).is_empty())
+                .count()
         };
         let all: Vec<usize> = (0..12).map(sent).collect();
-        assert_eq!((all.iter().sum::<usize>(), all.iter().max()), (items, Some(&1)), "{all:?}");
+        assert_eq!(
+            (all.iter().sum::<usize>(), all.iter().max()),
+            (items, Some(&1)),
+            "{all:?}"
+        );
     }
 }
 
 #[test]
 fn before_a_planned_end_all_in_hand_is_given_up_on_in_time() {
     let (mut d, mut host) = start(terms(), 1);
-    let all: Vec<WorkItem> = [IDEMPOTENT, AT_MOST_ONCE, IDEMPOTENT].map(|c| host.take(&mut d, c, 0)).to_vec();
+    let all: Vec<WorkItem> = [IDEMPOTENT, AT_MOST_ONCE, IDEMPOTENT]
+        .map(|c| host.take(&mut d, c, 0))
+        .to_vec();
     assert!(host.sent_to(all[2]).is_empty(), "two are out, one is held");
     d.end_by(host.now + 0.65);
     host.pass(&mut d, 0.5);
@@ -525,30 +748,46 @@
     // The host drops what is out a moment before.
     host.come(&mut d, all[0], 0, Outcome::Timeout);
     host.come(&mut d, all[1], 0, Outcome::Timeout);
-    assert!(matches!(host.ends(all[0])[..], [Defer(..)]), "it may run again elsewhere");
+    assert!(
+        matches!(host.ends(all[0])[..], [Defer(..)]),
+        "it may run again elsewhere"
+    );
     assert_eq!(host.ends(all[1]), [WriteOff(all[1])]);
 }
 
 fn probing(replicas: usize) -> Terms {
-    Terms { probes: true, free_slots_at: Some(0), replicas, ..terms() }
+    Terms {
+        probes: true,
+        free_slots_at: Some(0),
+        replicas,
+        ..terms()
+    }
 }
 
 #[test]
 fn a_runner_that_happens_to_be_known_free_gets_no_work_whose_own_places_were_not_asked() {
     let (mut d, mut host) = start(probing(50), 8);
     let first = host.take(&mut d, IDEMPOTENT, 42);
-    let Probe(free) = host.asked[0] else { panic!("{:?}", host.asked) };
+    let Probe(free) = host.asked[0] else {
+        panic!("{:?}", host.asked)
+    };
     host.probed(&mut d, free, &[20.0]);
     assert_eq!(host.sent_to(first), [free]);
     let others = (50..60).map(|key| host.take(&mut d, IDEMPOTENT, key));
     let others: Vec<WorkItem> = others.collect();
-    let asked: Vec<usize> =
-        host.asked.iter().filter_map(|a| if let Probe(r) = a { Some(*r) } else { None }).collect();
+    let asked: Vec<usize> = host
+        .asked
+        .iter()
+        .filter_map(|a| if let Probe(r) = a { Some(*r) } else { None })
+        .collect();
     assert!(asked.len() > 2, "each asks the place of its own key");
     for r in asked.into_iter().skip(1) {
         host.probed(&mut d, r, &[20.0]);
     }
-    let there = others.iter().filter(|work_item| host.sent_to(**work_item) == [free]).count();
+    let there = others
+        .iter()
+        .filter(|work_item| host.sent_to(**work_item) == [free])
+        .count();
     assert!(there <= 3, "only those at home there: {there}");
 }
 
@@ -556,14 +795,22 @@
 fn held_work_asks_its_places_one_after_another_and_goes_where_a_slot_is_free() {
     let (mut d, mut host) = start(probing(50), 8);
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
-    let Probe(home) = host.asked[0] else { panic!("{:?}", host.asked) };
+    let Probe(home) = host.asked[0] else {
+        panic!("{:?}", host.asked)
+    };
     assert_eq!(host.asked.len(), 1, "one probe, and nothing is sent unseen");
     host.probed(&mut d, home, &[0.0]);
-    let Probe(next) = host.asked[1] else { panic!("{:?}", host.asked) };
+    let Probe(next) = host.asked[1] else {
+        panic!("{:?}", host.asked)
+    };
     host.probed(&mut d, next, &[2.0]);
     assert_eq!(host.sent_to(work_item), [next]);
     let again = host.take(&mut d, IDEMPOTENT, 42);
-    assert_eq!(host.sent_to(again), [next], "one of its two slots is left by the same report");
+    assert_eq!(
+        host.sent_to(again),
+        [next],
+        "one of its two slots is left by the same report"
+    );
     let third = host.take(&mut d, IDEMPOTENT, 42);
     assert!(host.sent_to(third).is_empty());
 }
@@ -574,7 +821,9 @@
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
     let mut asked = Vec::new();
     while host.sent_to(work_item).is_empty() && asked.len() < 5 {
-        let Some(Probe(r)) = host.asked.last().cloned() else { panic!("{:?}", host.asked) };
+        let Some(Probe(r)) = host.asked.last().cloned() else {
+            panic!("{:?}", host.asked)
+        };
         asked.push(r);
         host.probed(&mut d, r, &[0.0]);
     }
@@ -586,7 +835,11 @@
     let (mut d, mut host) = start(probing(50), 3);
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
     host.pass(&mut d, 0.4);
-    assert!(host.asked.iter().filter(|a| matches!(a, Probe(_))).count() >= 2, "{:?}", host.asked);
+    assert!(
+        host.asked.iter().filter(|a| matches!(a, Probe(_))).count() >= 2,
+        "{:?}",
+        host.asked
+    );
     let Probe(home) = host.asked[0] else { panic!() };
     host.probed(&mut d, home, &[f32::NAN]);
     host.probed(&mut d, home, &[-3.0]);
@@ -595,13 +848,32 @@
 
 #[test]
 fn what_was_learnt_before_a_planned_restart_counts_from_the_first_second() {
-    let (mut d, mut host) = start(Terms { cold_from: 0.1, ..terms() }, 1);
-    d.listed(100.0, News::Changes, &[(0, Some(Listed { born: 100.0, ..runner(0) }))]);
+    let (mut d, mut host) = start(
+        Terms {
+            cold_from: 0.1,
+            ..terms()
+        },
+        1,
+    );
+    d.listed(
+        100.0,
+        News::Changes,
+        &[(
+            0,
+            Some(Listed {
+                born: 100.0,
+                ..runner(0)
+            }),
+        )],
+    );
     assert_eq!((d.usual(IDEMPOTENT), d.learnt(0)), (None, None));
     d.carry_usual(IDEMPOTENT, 0.1);
     // 0.32 s of work may be sent: no item of the stated half second, but one of the carried 0.1 s.
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
-    assert_eq!((host.sent_to(work_item), d.usual(IDEMPOTENT)), (vec![0], Some(0.1)));
+    assert_eq!(
+        (host.sent_to(work_item), d.usual(IDEMPOTENT)),
+        (vec![0], Some(0.1))
+    );
     d.carry_runner(0, 5.0, 1.5);
     assert_eq!(d.learnt(0), Some((100.0, 5.0, 1.5)));
 }
@@ -612,23 +884,34 @@
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
     let mut cut = Vec::new();
     while cut.len() < 4 {
-        let Some(Probe(r)) = host.asked.last().cloned() else { panic!("{:?}", host.asked) };
+        let Some(Probe(r)) = host.asked.last().cloned() else {
+            panic!("{:?}", host.asked)
+        };
         cut.push(r);
         d.probed(host.now, r, Outcome::NoConnection, &[]);
         d.decide(&mut host);
     }
     host.pass(&mut d, 0.5);
     let to = host.sent_to(work_item);
-    assert!(!to.is_empty() && to.iter().all(|r| !cut.contains(r)), "{to:?}, {cut:?}");
+    assert!(
+        !to.is_empty() && to.iter().all(|r| !cut.contains(r)),
+        "{to:?}, {cut:?}"
+    );
 }
 
 #[test]
 fn a_started_job_without_word_for_a_beat_and_a_half_goes_elsewhere_though_its_runner_is_well() {
     let (mut d, mut host) = start(terms(), 2);
-    let [lost, exclusive] = [IDEMPOTENT, AT_MOST_ONCE].map(|category| host.take(&mut d, category, 0));
-    [lost, exclusive].iter().for_each(|work_item| work_item.started(&mut d, host.now, 0));
+    let [lost, exclusive] =
+        [IDEMPOTENT, AT_MOST_ONCE].map(|category| host.take(&mut d, category, 0));
+    [lost, exclusive]
+        .iter()
+        .for_each(|work_item| work_item.started(&mut d, host.now, 0));
     host.pass(&mut d, 1.3);
-    assert!(!host.asked.iter().any(|a| matches!(a, Cancel(..))), "a beat of one second may be late");
+    assert!(
+        !host.asked.iter().any(|a| matches!(a, Cancel(..))),
+        "a beat of one second may be late"
+    );
     host.pass(&mut d, 0.4);
     assert!(host.asked.contains(&Cancel(lost, 0)) && !host.asked.contains(&Cancel(exclusive, 0)));
     assert!(host.logged.is_empty());
@@ -646,11 +929,26 @@
     assert!(host.sent_to(waits).is_empty(), "for its busy holder");
     d.by_hand(host.now, home, true);
     d.decide(&mut host);
-    assert_eq!(host.sent_to(waits), [1 - home], "at once, the holder is of no use");
+    assert_eq!(
+        host.sent_to(waits),
+        [1 - home],
+        "at once, the holder is of no use"
+    );
     // The whole list names it; it drains, goes, and comes back as a new process.
-    let named = |ready, born| Some(Listed { ready, born, ..runner(home as u64) });
+    let named = |ready, born| {
+        Some(Listed {
+            ready,
+            born,
+            ..runner(home as u64)
+        })
+    };
     let (other, old) = ((1 - home, Some(runner(1 - home as u64))), f64::NEG_INFINITY);
-    for entry in [named(true, old), named(false, old), None, named(true, host.now)] {
+    for entry in [
+        named(true, old),
+        named(false, old),
+        None,
+        named(true, host.now),
+    ] {
         d.listed(host.now, News::Whole, &[(home, entry), other]);
         d.by_hand(host.now, home, true);
         host.pass(&mut d, 1.0);
@@ -661,16 +959,28 @@
         assert!(d.avoids(home, host.now));
     }
     // A single call back ends it.
-    first.iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Reset));
+    first
+        .iter()
+        .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Reset));
     d.by_hand(host.now, home, false);
-    assert!(!d.avoids(home, host.now), "what its end did to work is no sign against the new process");
+    assert!(
+        !d.avoids(home, host.now),
+        "what its end did to work is no sign against the new process"
+    );
 }
 
 #[test]
 fn a_runner_put_back_is_cold_unless_the_list_has_told_when_it_started() {
     // Of the last start that the list told, before the ban or in it, and what may be sent at once then.
     for (born, sent) in [(None, 1), (Some(90.0), 1), (Some(101.0), 2)] {
-        let (mut d, mut host) = start(Terms { cold_s: 2.0, fall_s: 0.5, ..terms() }, 1);
+        let (mut d, mut host) = start(
+            Terms {
+                cold_s: 2.0,
+                fall_s: 0.5,
+                ..terms()
+            },
+            1,
+        );
         let tell = |d: &mut Dispatcher, now| {
             let born = born.filter(|born| *born < now).unwrap_or(f64::NEG_INFINITY);
             d.listed(now, News::Whole, &[(0, Some(Listed { born, ..runner(0) }))]);
@@ -683,7 +993,9 @@
         d.by_hand(105.0, 0, false);
         let all: Vec<WorkItem> = (0..2).map(|_| host.take(&mut d, IDEMPOTENT, 0)).collect();
         assert_eq!(
-            all.iter().filter(|work_item| !host.sent_to(**work_item).is_empty()).count(),
+            all.iter()
+                .filter(|work_item| !host.sent_to(**work_item).is_empty())
+                .count(),
             sent,
             "{born:?}"
         );
@@ -694,21 +1006,45 @@
 fn two_processes_of_one_dispatcher_have_one_part_of_a_cold_runner() {
     let both = || {
         let (mut d, host) = start(terms(), 1);
-        d.listed(100.0, News::Changes, &[(0, Some(Listed { born: 95.0, ..runner(0) }))]);
+        d.listed(
+            100.0,
+            News::Changes,
+            &[(
+                0,
+                Some(Listed {
+                    born: 95.0,
+                    ..runner(0)
+                }),
+            )],
+        );
         d.carry_usual(IDEMPOTENT, 0.4);
         (d, host)
     };
     let sent = |d: &mut Dispatcher, host: &mut Fake| {
         let all: Vec<WorkItem> = (0..3).map(|_| host.take(d, IDEMPOTENT, 0)).collect();
-        all.iter().filter(|work_item| !host.sent_to(**work_item).is_empty()).count()
+        all.iter()
+            .filter(|work_item| !host.sent_to(**work_item).is_empty())
+            .count()
     };
     // It bears 1.8 s of work in this second, and the cap is two.
     let (mut old, mut host) = both();
     assert_eq!(sent(&mut old, &mut host), 2);
     let kept = old.kept(0);
-    for (spent, may) in [(kept.spent.clone(), 2), (vec![(100.0, 0.8), (100.0, 0.8)], 0)] {
+    for (spent, may) in [
+        (kept.spent.clone(), 2),
+        (vec![(100.0, 0.8), (100.0, 0.8)], 0),
+    ] {
         let (mut new, mut host) = both();
-        new.inherit(100.0, vec![(0, Kept { spent, ..kept.clone() })]);
+        new.inherit(
+            100.0,
+            vec![(
+                0,
+                Kept {
+                    spent,
+                    ..kept.clone()
+                },
+            )],
+        );
         assert_eq!(sent(&mut new, &mut host), may);
     }
     let (mut old, mut host) = both();
@@ -716,7 +1052,11 @@
     assert_eq!(sent(&mut old, &mut host), 0, "the new one has its part");
     old.leave_cold(host.now, false);
     host.pass(&mut old, 0.8);
-    assert_eq!(host.asked.len(), 0, "the new one has died, and may just have sent its part");
+    assert_eq!(
+        host.asked.len(),
+        0,
+        "the new one has died, and may just have sent its part"
+    );
     host.pass(&mut old, 0.4);
     assert_eq!(host.asked.len(), 2);
 }
@@ -726,13 +1066,23 @@
     let mut terms = terms();
     terms.categories[IDEMPOTENT].placement.kinds = vec![1];
     let (mut d, mut host) = start(terms, 6);
-    let of_kind = |r: u64, born| (r as usize, Some(Listed { kind: 1, born, ..runner(r) }));
+    let of_kind = |r: u64, born| {
+        (
+            r as usize,
+            Some(Listed {
+                kind: 1,
+                born,
+                ..runner(r)
+            }),
+        )
+    };
     d.listed(100.0, News::Changes, &[of_kind(0, f64::NEG_INFINITY)]);
     // The others do well; the only one of its kind takes ten times as long.
     for seconds in [0.1, 0.1, 0.1] {
         let all: Vec<WorkItem> = (0..5).map(|_| host.take(&mut d, AT_MOST_ONCE, 0)).collect();
         host.now += seconds;
-        all.iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
+        all.iter()
+            .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
     }
     d.carry_runner(0, 4.0, 10.0);
     d.carry_usual(IDEMPOTENT, 0.2);
@@ -741,15 +1091,31 @@
     host.asked.clear();
     // Four slots likely: 0.7 x 3 x (0.75 x 4 x 0.2) x 1 s = 1.3 s of work, six items of 0.2 s, two by its cap.
     let all: Vec<WorkItem> = (0..6).map(|_| host.take(&mut d, IDEMPOTENT, 0)).collect();
-    assert!(all.iter().filter(|work_item| host.sent_to(**work_item) == [9]).count() >= 2, "{:?}", host.asked);
+    assert!(
+        all.iter()
+            .filter(|work_item| host.sent_to(**work_item) == [9])
+            .count()
+            >= 2,
+        "{:?}",
+        host.asked
+    );
 }
 
 #[test]
 fn work_of_ours_at_a_keys_place_makes_another_place_cheaper_than_waiting_there() {
     // Room is left at the home, but two run there and nothing does elsewhere; a fetch costs next to nothing.
-    let (mut d, mut host) = start(Terms { replicas: 5, ..terms() }, 4);
+    let (mut d, mut host) = start(
+        Terms {
+            replicas: 5,
+            ..terms()
+        },
+        4,
+    );
     let all: Vec<WorkItem> = (0..4).map(|_| host.take(&mut d, IDEMPOTENT, 42)).collect();
-    let mut places: Vec<usize> = all.iter().map(|work_item| host.sent_to(*work_item)[0]).collect();
+    let mut places: Vec<usize> = all
+        .iter()
+        .map(|work_item| host.sent_to(*work_item)[0])
+        .collect();
     places.sort_unstable();
     assert_eq!(places, [0, 1, 2, 3]);
 }
@@ -766,16 +1132,41 @@
 
 #[test]
 fn where_clocks_differ_a_runner_is_cold_from_the_word_of_its_start_whatever_its_stamp_says() {
-    for (off, stamp, sent) in [(0.0, -50.0, 2), (60.0, -50.0, 1), (60.0, 30.0, 1), (60.0, -90.0, 2)] {
-        let (mut d, mut host) = start(Terms { start_off_s: off, ..terms() }, 1);
+    for (off, stamp, sent) in [
+        (0.0, -50.0, 2),
+        (60.0, -50.0, 1),
+        (60.0, 30.0, 1),
+        (60.0, -90.0, 2),
+    ] {
+        let (mut d, mut host) = start(
+            Terms {
+                start_off_s: off,
+                ..terms()
+            },
+            1,
+        );
         // A restart, stamped earlier than the start before it: only where clocks differ is that another one.
-        d.listed(100.0, News::Changes, &[(0, Some(Listed { born: 100.0 + stamp, ..runner(0) }))]);
+        d.listed(
+            100.0,
+            News::Changes,
+            &[(
+                0,
+                Some(Listed {
+                    born: 100.0 + stamp,
+                    ..runner(0)
+                }),
+            )],
+        );
         let all = [0, 1, 2].map(|_| host.take(&mut d, IDEMPOTENT, 0));
-        let got = all.iter().filter(|work_item| !host.sent_to(**work_item).is_empty()).count();
+        let got = all
+            .iter()
+            .filter(|work_item| !host.sent_to(**work_item).is_empty())
+            .count();
         assert_eq!(got, sent, "off by {off}, stamped {stamp}");
         host.pass(&mut d, 21.0);
         let late = [0, 1].map(|_| host.take(&mut d, IDEMPOTENT, 0));
-        all.iter().for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
+        all.iter()
+            .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
         assert!(
             late.iter().all(|work_item| host.sent_to(*work_item) == [0]),
             "warm by then, off by {off}, stamped {stamp}"
@@ -785,8 +1176,14 @@
 
 /// Late pays nothing, and one runner is full with two of ours.
 fn full_runner(pays_by_work: bool) -> (Dispatcher, Fake, Vec<WorkItem>) {
-    let mut terms = Terms { pays_by_work, ..terms() };
-    terms.categories.iter_mut().for_each(|category| category.tardy = 0.0);
+    let mut terms = Terms {
+        pays_by_work,
+        ..terms()
+    };
+    terms
+        .categories
+        .iter_mut()
+        .for_each(|category| category.tardy = 0.0);
     terms.categories[KEYED].payoff = 2.0;
     let (mut d, mut host) = start(terms, 1);
     let out = [0, 1].map(|_| host.take(&mut d, IDEMPOTENT, 0)).to_vec();
@@ -798,9 +1195,20 @@
     let (mut d, mut host, _) = full_runner(false);
     let fresh = host.take(&mut d, IDEMPOTENT, 0);
     // Its client gives up three seconds before others do, so it first came that long ago.
-    let again = d.take(host.now, Job { expiry: host.now + 7.0, ..job(IDEMPOTENT, 0) }).unwrap();
+    let again = d
+        .take(
+            host.now,
+            Job {
+                expiry: host.now + 7.0,
+                ..job(IDEMPOTENT, 0)
+            },
+        )
+        .unwrap();
     host.pass(&mut d, 0.3);
-    assert!(matches!(host.ends(again)[..], [Defer(..)]), "it can no longer be in time: at once");
+    assert!(
+        matches!(host.ends(again)[..], [Defer(..)]),
+        "it can no longer be in time: at once"
+    );
     assert!(host.ends(fresh).is_empty());
 }
 
@@ -808,8 +1216,16 @@
 fn a_work_item_is_due_by_its_own_hint() {
     let (mut d, mut host, _) = full_runner(false);
     let [small, large] = [0.01, 2.0].map(|hint| {
-        let work_item =
-            d.take(host.now, Job { expiry: host.now + 10.0, hint, ..job(IDEMPOTENT, 0) }).unwrap();
+        let work_item = d
+            .take(
+                host.now,
+                Job {
+                    expiry: host.now + 10.0,
+                    hint,
+                    ..job(IDEMPOTENT, 0)
+                },
+            )
+            .unwrap();
         d.decide(&mut host);
         work_item
     });
@@ -826,7 +1242,9 @@
         let held = [IDEMPOTENT, KEYED].map(|category| host.take(&mut d, category, 0));
         host.pass(&mut d, 0.4);
         host.come(&mut d, out[0], 0, Outcome::Finished);
-        let went = held.iter().position(|work_item| !host.sent_to(*work_item).is_empty());
+        let went = held
+            .iter()
+            .position(|work_item| !host.sent_to(*work_item).is_empty());
         assert_eq!(went, Some((first == KEYED) as usize), "by work: {by_work}");
     }
 }
@@ -841,7 +1259,11 @@
     };
     assert_eq!(read("Me", "0"), Ok((0.0, 0.0)), "absent");
     assert_eq!(read("Safety.ReadyMarginUs", "9936000"), Ok((9.936, 0.0)));
-    assert_eq!(read("Safety.BudgetErrorUs", "1e12"), Ok((0.0, 1e6)), "huge, and of no harm");
+    assert_eq!(
+        read("Safety.BudgetErrorUs", "1e12"),
+        Ok((0.0, 1e6)),
+        "huge, and of no harm"
+    );
     for path in ["Safety.ReadyMarginUs", "Safety.BudgetErrorUs"] {
         for value in ["-1", "soon", "inf", "NaN"] {
             let refused = read(path, value).unwrap_err();
@@ -852,10 +1274,18 @@
 
 #[test]
 fn in_a_jam_what_comes_too_late_to_pay_is_turned_away_at_once_and_no_longer_than_waits_are_told() {
-    let mut terms = Terms { replicas: 5, ..terms() };
-    terms.categories.iter_mut().for_each(|category| category.tardy = 0.0);
+    let mut terms = Terms {
+        replicas: 5,
+        ..terms()
+    };
+    terms
+        .categories
+        .iter_mut()
+        .for_each(|category| category.tardy = 0.0);
     let (mut d, mut host) = start(terms, 60);
-    let all: Vec<WorkItem> = (0..32).map(|n| host.take(&mut d, IDEMPOTENT, 100 + n)).collect();
+    let all: Vec<WorkItem> = (0..32)
+        .map(|n| host.take(&mut d, IDEMPOTENT, 100 + n))
+        .collect();
     host.now += 3.0;
     for work_item in all {
         work_item.started(&mut d, host.now, 0);
@@ -877,7 +1307,15 @@
 fn what_comes_before_a_planned_end_is_no_repeat_for_having_less_time() {
     let (mut d, mut host, _) = full_runner(false);
     d.end_by(host.now + 3.0);
-    let work_item = d.take(host.now, Job { expiry: host.now + 3.0, ..job(IDEMPOTENT, 0) }).unwrap();
+    let work_item = d
+        .take(
+            host.now,
+            Job {
+                expiry: host.now + 3.0,
+                ..job(IDEMPOTENT, 0)
+            },
+        )
+        .unwrap();
     host.pass(&mut d, 0.3);
     assert!(host.ends(work_item).is_empty(), "it can be in time");
 }
@@ -885,11 +1323,34 @@
 #[test]
 fn a_part_that_is_lent_bounds_what_a_cold_runner_gets_and_none_is_as_without() {
     let sent = |part: Option<f64>| {
-        let (mut d, mut host) = start(Terms { replicas: 6, cold_from: 0.5, ..terms() }, 1);
-        d.listed(host.now, News::Changes, &[(0, Some(Listed { born: host.now, ..runner(0) }))]);
+        let (mut d, mut host) = start(
+            Terms {
+                replicas: 6,
+                cold_from: 0.5,
+                ..terms()
+            },
+            1,
+        );
+        d.listed(
+            host.now,
+            News::Changes,
+            &[(
+                0,
+                Some(Listed {
+                    born: host.now,
+                    ..runner(0)
+                }),
+            )],
+        );
         d.part(0, part);
         (0..6).for_each(|_| _ = host.take(&mut d, 0, 0));
-        (host.asked.iter().filter(|asked| matches!(asked, Attempt(..))).count(), d.cold(host.now))
+        (
+            host.asked
+                .iter()
+                .filter(|asked| matches!(asked, Attempt(..)))
+                .count(),
+            d.cold(host.now),
+        )
     };
     let (all, cold) = sent(Some(1.0));
     assert!(cold[0].1 <= 0.76 && cold[0].2, "{cold:?}");
@@ -912,7 +1373,10 @@
     }
     d.heard(host.now, 2, true);
     host.pass(&mut d, 0.3);
-    let trial = host.asked.iter().any(|asked| matches!(asked, Attempt(_, 2)));
+    let trial = host
+        .asked
+        .iter()
+        .any(|asked| matches!(asked, Attempt(_, 2)));
     assert!(trial, "it is tried before its rest would have ended");
 }
 
@@ -927,8 +1391,19 @@
 fn a_category_at_its_cap_is_held_and_the_others_go_on() {
     let (mut d, mut host) = start(terms(), 4);
     d.left(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
-    let (first, second, other) = (host.take(&mut d, 0, 0), host.take(&mut d, 0, 0), host.take(&mut d, 2, 0));
-    assert_eq!((host.sent_to(first).len(), host.sent_to(second).len(), host.sent_to(other).len()), (1, 0, 1));
+    let (first, second, other) = (
+        host.take(&mut d, 0, 0),
+        host.take(&mut d, 0, 0),
+        host.take(&mut d, 2, 0),
+    );
+    assert_eq!(
+        (
+            host.sent_to(first).len(),
+            host.sent_to(second).len(),
+            host.sent_to(other).len()
+        ),
+        (1, 0, 1)
+    );
     d.left(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
     host.now += 0.01;
     d.decide(&mut host);
@@ -962,16 +1437,30 @@
         host.asked.clear();
     }
     assert!(failed_at.len() >= 3, "{failed_at:?}");
-    let (bad, other) = (host.take(&mut d, IDEMPOTENT, 42), host.take(&mut d, IDEMPOTENT, 43));
+    let (bad, other) = (
+        host.take(&mut d, IDEMPOTENT, 42),
+        host.take(&mut d, IDEMPOTENT, 43),
+    );
     host.come(&mut d, other, 0, Outcome::Error);
-    assert_eq!(host.sent_to(other).len(), 2, "another key's work is sent again");
+    assert_eq!(
+        host.sent_to(other).len(),
+        2,
+        "another key's work is sent again"
+    );
     host.come(&mut d, bad, 0, Outcome::Error);
-    assert!(matches!(host.ends(bad)[..], [Defer(..)]), "answered at once");
+    assert!(
+        matches!(host.ends(bad)[..], [Defer(..)]),
+        "answered at once"
+    );
     assert_eq!(host.sent_to(bad).len(), 1);
     let served = host.take(&mut d, IDEMPOTENT, 42);
     host.come(&mut d, served, 0, Outcome::Finished);
     host.asked.clear(); // Handles are given out again.
     let again = host.take(&mut d, IDEMPOTENT, 42);
     host.come(&mut d, again, 0, Outcome::Error);
-    assert_eq!(host.sent_to(again).len(), 2, "one that ended well clears the key");
+    assert_eq!(
+        host.sent_to(again).len(),
+        2,
+        "one that ended well clears the key"
+    );
 }
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -23,7 +23,9 @@
 
 impl Pool {
     pub fn new(dispatchers: usize) -> Pool {
-        Pool { idle: (0..dispatchers).map(|_| Mutex::default()).collect() }
+        Pool {
+            idle: (0..dispatchers).map(|_| Mutex::default()).collect(),
+        }
     }
 }
 
@@ -41,13 +43,20 @@
     let shares: Vec<f64> = (0..scenario.processes)
         .map(|n| {
             let site = &shared.cast.sites[n % shared.cast.sites.len()];
-            scenario.clients.shares.get(site).copied().unwrap_or(1.0).max(0.0)
+            scenario
+                .clients
+                .shares
+                .get(site)
+                .copied()
+                .unwrap_or(1.0)
+                .max(0.0)
         })
         .collect();
     let all: f64 = shares.iter().sum();
     let mut plans = Vec::new();
     for (category, terms) in scenario.categories.iter().enumerate() {
-        let mut chance = Pcg64Mcg::seed_from_u64(shared.seed.wrapping_mul(31).wrapping_add(category as u64));
+        let mut chance =
+            Pcg64Mcg::seed_from_u64(shared.seed.wrapping_mul(31).wrapping_add(category as u64));
         let (mut at, mut n) = (0.0f64, 0);
         if terms.rate <= 0.0 {
             continue;
@@ -64,11 +73,27 @@
                 place < 0.0
             });
             let work_s = terms.work.0 * chance.random_range(0.5..1.5);
-            let key = if terms.keys > 0 { chance.random_range(1..=terms.keys) } else { 0 };
+            let key = if terms.keys > 0 {
+                chance.random_range(1..=terms.keys)
+            } else {
+                0
+            };
             let id = format!("{:08x}-{category}-{n}", shared.seed as u32);
             n += 1;
-            shared.specs.lock().unwrap().insert(id.clone(), Spec { category, work_s, key: u64::from(key) });
-            plans.push(Plan { at, category, dispatcher: dispatcher.unwrap_or(0), id });
+            shared.specs.lock().unwrap().insert(
+                id.clone(),
+                Spec {
+                    category,
+                    work_s,
+                    key: u64::from(key),
+                },
+            );
+            plans.push(Plan {
+                at,
+                category,
+                dispatcher: dispatcher.unwrap_or(0),
+                id,
+            });
         }
     }
     plans.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -109,7 +134,9 @@
             None if terms.record > 0 => Some(0.2),
             _ => None,
         };
-        let Some(pause) = again.filter(|pause| shared.clock.now() + pause < end) else { return };
+        let Some(pause) = again.filter(|pause| shared.clock.now() + pause < end) else {
+            return;
+        };
         intended = shared.clock.now() + pause;
         shared.clock.until(intended).await;
         dispatcher = (dispatcher + usize::from(wi.answer.is_none())) % shared.scenario.processes;
@@ -118,7 +145,12 @@
 
 /// One request, from its intended time on; written down as it went.
 async fn request(
-    shared: &Arc<Shared>, plan: &Plan, id: String, dispatcher: usize, intended: f64, end: f64,
+    shared: &Arc<Shared>,
+    plan: &Plan,
+    id: String,
+    dispatcher: usize,
+    intended: f64,
+    end: f64,
     first: Option<String>,
 ) -> Wi {
     let work_s = shared.spec(&id).map_or(0.0, |(_, work_s, _)| work_s);
@@ -163,7 +195,9 @@
     };
     // Patience past the expiry, to see what comes late.
     let patience = Duration::from_secs_f64((end - shared.clock.now()).max(0.0) + 1.5);
-    let at = shared.stage.relay(Node::Clients, Node::Dispatcher(wi.dispatcher));
+    let at = shared
+        .stage
+        .relay(Node::Clients, Node::Dispatcher(wi.dispatcher));
     let mut rested = {
         let mut idle = shared.pool.idle[wi.dispatcher].lock().unwrap();
         idle.retain(|(reader, _)| !reader.spent());
@@ -212,7 +246,10 @@
         wi.answer = Some((shared.clock.now(), answer.status(), body));
         wi.come_back_s = answer.header("retry-after").and_then(|s| s.parse().ok());
         if answer.header("connection") != Some("close") {
-            shared.pool.idle[wi.dispatcher].lock().unwrap().push((reader, write));
+            shared.pool.idle[wi.dispatcher]
+                .lock()
+                .unwrap()
+                .push((reader, write));
         }
         return Ok(());
     }
--- a/crates/rig/src/compare.rs
+++ b/crates/rig/src/compare.rs
@@ -22,7 +22,12 @@
     /// The mean difference, and from where to where it lies in 95 of 100 draws of the pairs (percentile bootstrap,
     /// Efron and Tibshirani 1993).
     pub fn difference(&self) -> (f64, f64, f64) {
-        let pairs: Vec<f64> = self.with.iter().zip(&self.against).map(|(a, b)| a - b).collect();
+        let pairs: Vec<f64> = self
+            .with
+            .iter()
+            .zip(&self.against)
+            .map(|(a, b)| a - b)
+            .collect();
         let mut chance = Pcg64Mcg::seed_from_u64(1);
         let mut means: Vec<f64> = (0..4000)
             .map(|_| {
@@ -48,16 +53,39 @@
 
 /// Plays both on each of the seeds, one after the other, the first in turn.
 pub fn compare(
-    scenario: &Scenario, base: &Options, with: &str, against: &str, pairs: usize, mut told: impl FnMut(&str),
+    scenario: &Scenario,
+    base: &Options,
+    with: &str,
+    against: &str,
+    pairs: usize,
+    mut told: impl FnMut(&str),
 ) -> Result<Vec<Compared>, Bad> {
-    let figures = ["goodput", "failed hand-offs", "use of cold runners", "broken"];
-    let mut compared: Vec<Compared> =
-        figures.iter().map(|figure| Compared { figure, with: Vec::new(), against: Vec::new() }).collect();
+    let figures = [
+        "goodput",
+        "failed hand-offs",
+        "use of cold runners",
+        "broken",
+    ];
+    let mut compared: Vec<Compared> = figures
+        .iter()
+        .map(|figure| Compared {
+            figure,
+            with: Vec::new(),
+            against: Vec::new(),
+        })
+        .collect();
     let first = base.seed.unwrap_or(scenario.seed);
     for pair in 0..pairs {
         let order = [(with, true), (against, false)];
-        for (text, is_with) in if pair % 2 == 0 { order } else { [order[1], order[0]] } {
-            let options = Options { seed: Some(first + pair as u64), ..variant(text, base) };
+        for (text, is_with) in if pair % 2 == 0 {
+            order
+        } else {
+            [order[1], order[0]]
+        } {
+            let options = Options {
+                seed: Some(first + pair as u64),
+                ..variant(text, base)
+            };
             let outcome = play(scenario, &options)?;
             let (good, cold) = outcome.world(|world| {
                 let cold = cold_use(world, &outcome.records);
@@ -73,9 +101,17 @@
                 first + pair as u64,
                 outcome.breaks.len()
             ));
-            for (figure, value) in compared.iter_mut().zip([good, failed, cold, outcome.breaks.len() as f64])
+            for (figure, value) in
+                compared
+                    .iter_mut()
+                    .zip([good, failed, cold, outcome.breaks.len() as f64])
             {
-                if is_with { &mut figure.with } else { &mut figure.against }.push(value);
+                if is_with {
+                    &mut figure.with
+                } else {
+                    &mut figure.against
+                }
+                .push(value);
             }
         }
     }
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -17,18 +17,28 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// Of an answer.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0)
     }
 
     /// Of a request: method and target.
     pub fn call(&self) -> (&str, &str) {
         let mut words = self.first.split(' ');
-        (words.next().unwrap_or_default(), words.next().unwrap_or_default())
+        (
+            words.next().unwrap_or_default(),
+            words.next().unwrap_or_default(),
+        )
     }
 }
 
@@ -48,7 +58,11 @@
 
 impl<R: AsyncRead + Unpin> Reader<R> {
     pub fn new(from: R) -> Self {
-        Reader { from, buffer: Vec::new(), offset: 0 }
+        Reader {
+            from,
+            buffer: Vec::new(),
+            offset: 0,
+        }
     }
 
     /// Whether anything of a message has come.
@@ -75,17 +89,28 @@
                 let mut answer = httparse::Response::new(&mut headers);
                 let status = answer.parse(&self.buffer).map_err(bad)?;
                 let first = format!("HTTP/1.1 {}", answer.code.unwrap_or(0));
-                status.is_complete().then(|| (status.unwrap(), first, own(answer.headers)))
+                status
+                    .is_complete()
+                    .then(|| (status.unwrap(), first, own(answer.headers)))
             } else {
                 let mut call = httparse::Request::new(&mut headers);
                 let status = call.parse(&self.buffer).map_err(bad)?;
-                let first = format!("{} {}", call.method.unwrap_or_default(), call.path.unwrap_or_default());
-                status.is_complete().then(|| (status.unwrap(), first, own(call.headers)))
+                let first = format!(
+                    "{} {}",
+                    call.method.unwrap_or_default(),
+                    call.path.unwrap_or_default()
+                );
+                status
+                    .is_complete()
+                    .then(|| (status.unwrap(), first, own(call.headers)))
             };
             if let Some((length, first, headers)) = head {
                 let said = headers.iter().find(|(name, _)| name == "content-length");
                 let body = said.map_or(Ok(0), |(_, length)| length.parse::<usize>());
-                let body = body.ok().filter(|body| *body <= MOST).ok_or(io::ErrorKind::InvalidData)?;
+                let body = body
+                    .ok()
+                    .filter(|body| *body <= MOST)
+                    .ok_or(io::ErrorKind::InvalidData)?;
                 while self.buffer.len() < length + body {
                     if !self.more().await? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -95,7 +120,12 @@
                 self.offset += (length + body) as u64;
                 let rest = self.buffer.split_off(length + body);
                 let mut whole = std::mem::replace(&mut self.buffer, rest);
-                return Ok(Some(Message { first, headers, body: whole.split_off(length), offset }));
+                return Ok(Some(Message {
+                    first,
+                    headers,
+                    body: whole.split_off(length),
+                    offset,
+                }));
             }
             if !self.more().await? {
                 return match self.buffer.is_empty() {
@@ -109,7 +139,10 @@
 
 fn own(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let owned = |header: &httparse::Header| {
-        (header.name.to_lowercase(), String::from_utf8_lossy(header.value).trim().to_string())
+        (
+            header.name.to_lowercase(),
+            String::from_utf8_lossy(header.value).trim().to_string(),
+        )
     };
     headers.iter().map(owned).collect()
 }
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -39,14 +39,22 @@
 
 impl List {
     pub fn new() -> List {
-        List { entries: std::sync::Mutex::new((1, BTreeMap::new())), version: watch::Sender::new(1) }
+        List {
+            entries: std::sync::Mutex::new((1, BTreeMap::new())),
+            version: watch::Sender::new(1),
+        }
     }
 
     pub fn say(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
         let mut entries = self.entries.lock().unwrap();
         entries.0 += 1;
         let version = entries.0;
-        let fresh = Entry { life: Life::Ready, started_ms: 0, process: 0, changed: version };
+        let fresh = Entry {
+            life: Life::Ready,
+            started_ms: 0,
+            process: 0,
+            changed: version,
+        };
         let entry = entries.1.entry(runner).or_insert(fresh);
         change(entry);
         entry.changed = version;
@@ -55,8 +63,14 @@
 
     fn after(&self, version: u64) -> (u64, Vec<(usize, Entry)>) {
         let entries = self.entries.lock().unwrap();
-        let changed = entries.1.iter().filter(|(_, entry)| entry.changed > version);
-        (entries.0, changed.map(|(runner, entry)| (*runner, *entry)).collect())
+        let changed = entries
+            .1
+            .iter()
+            .filter(|(_, entry)| entry.changed > version);
+        (
+            entries.0,
+            changed.map(|(runner, entry)| (*runner, *entry)).collect(),
+        )
     }
 }
 
@@ -69,7 +83,13 @@
     }
 }
 
-fn line(shared: &Shared, dispatcher: usize, version: u64, whole: bool, entries: &[(usize, Entry)]) -> String {
+fn line(
+    shared: &Shared,
+    dispatcher: usize,
+    version: u64,
+    whole: bool,
+    entries: &[(usize, Entry)],
+) -> String {
     let instance = |(runner, entry): &(usize, Entry)| {
         let node = Node::Runner(*runner);
         json!({
@@ -92,13 +112,23 @@
 }
 
 async fn watch(shared: Arc<Shared>, stream: TcpStream, from: SocketAddr) -> std::io::Result<()> {
-    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else { return Ok(()) };
+    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else {
+        return Ok(());
+    };
     let (read, mut write) = stream.into_split();
     let mut reader = Reader::new(read);
-    let Some(call) = reader.next().await? else { return Ok(()) };
+    let Some(call) = reader.next().await? else {
+        return Ok(());
+    };
     let (_, target) = call.call();
-    let index = target.split("index=").nth(1).and_then(|index| index.parse().ok()).unwrap_or(0);
-    write.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    let index = target
+        .split("index=")
+        .nth(1)
+        .and_then(|index| index.parse().ok())
+        .unwrap_or(0);
+    write
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await?;
     let mut written = 46u64;
     let mut version = shared.list.version.subscribe();
     let (mut had, mut first) = (index, true);
@@ -129,10 +159,17 @@
 
 /// Writes down when a word of the list had been handed to its dispatcher, if ever.
 async fn told(
-    shared: Arc<Shared>, from: SocketAddr, offset: u64, dispatcher: usize, entries: Vec<(usize, Entry)>,
+    shared: Arc<Shared>,
+    from: SocketAddr,
+    offset: u64,
+    dispatcher: usize,
+    entries: Vec<(usize, Entry)>,
 ) {
     for _ in 0..3000 {
-        let at = shared.relays.trace(from).and_then(|trace| trace.given_by(offset));
+        let at = shared
+            .relays
+            .trace(from)
+            .and_then(|trace| trace.given_by(offset));
         if let Some(at) = at {
             let word = |(runner, entry): &(usize, Entry)| Word {
                 at,
@@ -141,7 +178,12 @@
                 ready: entry.life == Life::Ready,
                 process: entry.process,
             };
-            shared.records.lock().unwrap().words.extend(entries.iter().map(word));
+            shared
+                .records
+                .lock()
+                .unwrap()
+                .words
+                .extend(entries.iter().map(word));
             return;
         }
         sleep(Duration::from_millis(10)).await;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -29,8 +29,19 @@
 
 impl How {
     fn options(self) -> Options {
-        let How { seed, processes, program, set } = self;
-        Options { seed, processes, program, set, ..Options::default() }
+        let How {
+            seed,
+            processes,
+            program,
+            set,
+        } = self;
+        Options {
+            seed,
+            processes,
+            program,
+            set,
+            ..Options::default()
+        }
     }
 }
 
@@ -85,9 +96,24 @@
 
 fn run(command: Command) -> Result<u8, Bad> {
     match command {
-        Command::Play { file, how, broken, json, html: page, records, logs } => {
+        Command::Play {
+            file,
+            how,
+            broken,
+            json,
+            html: page,
+            records,
+            logs,
+        } => {
             let scenario = Scenario::read(&file)?;
-            let outcome = play(&scenario, &Options { broken, logs, ..how.options() })?;
+            let outcome = play(
+                &scenario,
+                &Options {
+                    broken,
+                    logs,
+                    ..how.options()
+                },
+            )?;
             let report = outcome.json();
             print!("{}", table(&report));
             json.map_or(Ok(()), |path| write(&path, &format!("{report:#}\n")))?;
@@ -96,14 +122,24 @@
             records.map_or(Ok(()), |path| write(&path, &all()))?;
             Ok(u8::from(!outcome.breaks.is_empty()))
         }
-        Command::Compare { file, with, against, pairs, how } => {
+        Command::Compare {
+            file,
+            with,
+            against,
+            pairs,
+            how,
+        } => {
             let scenario = Scenario::read(&file)?;
             if !(1..=1000).contains(&pairs) {
                 return Err(Bad(format!("{pairs} pairs are not from 1 to 1000")));
             }
-            let compared =
-                compare(&scenario, &how.options(), &with, &against, pairs, |line| eprintln!("{line}"))?;
-            println!("{:<22} {with:>24} {against:>24} {:>12}  95 in 100", "figure", "difference");
+            let compared = compare(&scenario, &how.options(), &with, &against, pairs, |line| {
+                eprintln!("{line}")
+            })?;
+            println!(
+                "{:<22} {with:>24} {against:>24} {:>12}  95 in 100",
+                "figure", "difference"
+            );
             for c in &compared {
                 let (mean, low, high) = c.difference();
                 println!(
@@ -118,15 +154,17 @@
         Command::Report { json, html: page } => {
             let text = std::fs::read_to_string(&json)
                 .map_err(|error| Bad(format!("{}: {error}", json.display())))?;
-            let report =
-                serde_json::from_str(&text).map_err(|error| Bad(format!("{}: {error}", json.display())))?;
+            let report = serde_json::from_str(&text)
+                .map_err(|error| Bad(format!("{}: {error}", json.display())))?;
             print!("{}", table(&report));
             page.map_or(Ok(()), |path| write(&path, &html(&report)))?;
             Ok(0)
         }
         Command::List => {
             println!("faults:");
-            WHATS.iter().for_each(|(name, on, what)| println!("  {name:<14} {on:<11} {what}"));
+            WHATS
+                .iter()
+                .for_each(|(name, on, what)| println!("  {name:<14} {on:<11} {what}"));
             println!("broken variants:");
             let all = sagetrail_setup::BROKEN.iter();
             all.for_each(|(name, breaks, how)| println!("  {name:<18} {breaks:<15} {how}"));
--- a/crates/rig/src/names.rs
+++ b/crates/rig/src/names.rs
@@ -67,7 +67,11 @@
     pub fn all(&self) -> Vec<Node> {
         let dispatchers = (0..self.dispatchers).map(Node::Dispatcher);
         let runners = (0..self.runners).map(Node::Runner);
-        [Node::Clients, Node::List].into_iter().chain(dispatchers).chain(runners).collect()
+        [Node::Clients, Node::List]
+            .into_iter()
+            .chain(dispatchers)
+            .chain(runners)
+            .collect()
     }
 
     /// The nodes that a selector names: `d2`, `r1`, `dispatchers`, `runners`, `clients`, `list`, `all`, `site:a`,
@@ -107,9 +111,15 @@
                 if let Some(name) = word.strip_prefix("site:") {
                     all.into_iter().filter(within(site(name)?)).collect()
                 } else if let Some(name) = word.strip_prefix("d@") {
-                    all.into_iter().filter(within(site(name)?)).filter(is_d).collect()
+                    all.into_iter()
+                        .filter(within(site(name)?))
+                        .filter(is_d)
+                        .collect()
                 } else if let Some(name) = word.strip_prefix("r@") {
-                    all.into_iter().filter(within(site(name)?)).filter(is_r).collect()
+                    all.into_iter()
+                        .filter(within(site(name)?))
+                        .filter(is_r)
+                        .collect()
                 } else if let Some(n) = numbered('d', self.dispatchers) {
                     vec![Node::Dispatcher(n)]
                 } else if let Some(n) = numbered('r', self.runners) {
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -70,7 +70,11 @@
 
 impl Shared {
     pub fn spec(&self, id: &str) -> Option<(usize, f64, u64)> {
-        self.specs.lock().unwrap().get(id).map(|spec| (spec.category, spec.work_s, spec.key))
+        self.specs
+            .lock()
+            .unwrap()
+            .get(id)
+            .map(|spec| (spec.category, spec.work_s, spec.key))
     }
 
     /// A number from 0 to 1 for a request, the same at every hand-off of it.
@@ -82,15 +86,29 @@
     }
 
     pub fn fails(&self, category: usize) -> f64 {
-        self.failing.lock().unwrap().get(&category).copied().unwrap_or(0.0)
+        self.failing
+            .lock()
+            .unwrap()
+            .get(&category)
+            .copied()
+            .unwrap_or(0.0)
     }
 
     pub fn killed_since(&self, dispatcher: usize, at: f64) -> bool {
-        self.killed.lock().unwrap().iter().any(|(who, when)| *who == dispatcher && *when >= at)
+        self.killed
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|(who, when)| *who == dispatcher && *when >= at)
     }
 
     pub fn line(&self, runner: usize, dispatcher: usize) -> Arc<Line> {
-        self.lines.lock().unwrap().entry((runner, dispatcher)).or_default().clone()
+        self.lines
+            .lock()
+            .unwrap()
+            .entry((runner, dispatcher))
+            .or_default()
+            .clone()
     }
 
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
@@ -99,7 +117,9 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |unix| unix.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .map_or(0, |unix| unix.as_millis() as u64)
 }
 
 /// The program that is played unless one is named: the one built beside the rig.
@@ -108,7 +128,11 @@
         return Ok(program.clone());
     }
     let here = std::env::current_exe().map_err(|error| Bad(error.to_string()))?;
-    let beside = here.ancestors().skip(1).take(2).map(|folder| folder.join("sagetrail"));
+    let beside = here
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("sagetrail"));
     let found = beside.into_iter().find(|path| path.is_file());
     found.ok_or_else(|| {
         Bad("no program `sagetrail` is built beside the rig; name one with --program".to_string())
@@ -120,8 +144,13 @@
     let mut scenario = scenario.clone();
     scenario.processes = options.processes.unwrap_or(scenario.processes);
     for set in &options.set {
-        let (key, value) = set.split_once('=').ok_or_else(|| Bad(format!("'{set}' is not KEY=VALUE")))?;
-        let read = format!("v = {value}").parse::<toml::Table>().ok().and_then(|mut table| table.remove("v"));
+        let (key, value) = set
+            .split_once('=')
+            .ok_or_else(|| Bad(format!("'{set}' is not KEY=VALUE")))?;
+        let read = format!("v = {value}")
+            .parse::<toml::Table>()
+            .ok()
+            .and_then(|mut table| table.remove("v"));
         let value = read.unwrap_or_else(|| toml::Value::String(value.to_string()));
         match (key, value.as_bool()) {
             ("fleet.sharing", Some(sharing)) => scenario.fleet.sharing = sharing,
@@ -129,13 +158,22 @@
         }
     }
     if let Some(broken) = &options.broken {
-        if !sagetrail_setup::BROKEN.iter().any(|(name, ..)| name == broken) {
+        if !sagetrail_setup::BROKEN
+            .iter()
+            .any(|(name, ..)| name == broken)
+        {
             let names = sagetrail_setup::BROKEN.iter().map(|(name, ..)| *name);
-            let hint =
-                sagetrail_setup::nearest(broken, names).map(|hint| format!("; did you mean '{hint}'?"));
-            return Err(Bad(format!("'{broken}' is no broken variant{}", hint.unwrap_or_default())));
+            let hint = sagetrail_setup::nearest(broken, names)
+                .map(|hint| format!("; did you mean '{hint}'?"));
+            return Err(Bad(format!(
+                "'{broken}' is no broken variant{}",
+                hint.unwrap_or_default()
+            )));
         }
-        scenario.set.insert("trial.break".to_string(), toml::Value::String(broken.clone()));
+        scenario.set.insert(
+            "trial.break".to_string(),
+            toml::Value::String(broken.clone()),
+        );
     }
     scenario.check()?;
     Ok(scenario)
@@ -147,27 +185,64 @@
     let seed = options.seed.unwrap_or(scenario.seed);
     let program = program(options)?;
     let schedule = schedule(&scenario, seed)?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| Bad(error.to_string()))?;
-    let (records, version) = runtime.block_on(run(&scenario, seed, &schedule, &program, options))?;
+    let (records, version) =
+        runtime.block_on(run(&scenario, seed, &schedule, &program, options))?;
     runtime.shutdown_background();
     let cast = scenario.cast();
-    let breaks = judge(&World { scenario: &scenario, cast: &cast, schedule: &schedule }, &records);
-    Ok(Outcome { scenario, seed, schedule, records, breaks, version })
+    let breaks = judge(
+        &World {
+            scenario: &scenario,
+            cast: &cast,
+            schedule: &schedule,
+        },
+        &records,
+    );
+    Ok(Outcome {
+        scenario,
+        seed,
+        schedule,
+        records,
+        breaks,
+        version,
+    })
 }
 
 /// So long after all are ready the play begins: what budgets hold back after a start has been given free.
 fn warm_up(scenario: &Scenario) -> f64 {
-    let (fleet, longest) =
-        (&scenario.fleet, scenario.categories.iter().map(|c| c.expiry.0).fold(0.0, f64::max));
-    let hold = if fleet.caps.is_empty() { scenario.cold.span.0.max(1.0) } else { longest };
-    let shared = if fleet.sharing { (fleet.lease.0 + hold) * 1.02 + 0.4 } else { 0.5 };
+    let (fleet, longest) = (
+        &scenario.fleet,
+        scenario
+            .categories
+            .iter()
+            .map(|c| c.expiry.0)
+            .fold(0.0, f64::max),
+    );
+    let hold = if fleet.caps.is_empty() {
+        scenario.cold.span.0.max(1.0)
+    } else {
+        longest
+    };
+    let shared = if fleet.sharing {
+        (fleet.lease.0 + hold) * 1.02 + 0.4
+    } else {
+        0.5
+    };
     // What is recorded is taken once former records would have ended; the store is founded within two seconds.
     let keeps = |c: &crate::scenario::Category| match c.repeat.as_str() {
         "ticketed" => c.expiry.0 + c.expiry.0.max(c.window.0),
         _ => 2.0 * c.expiry.0,
     };
-    let recorded = scenario.categories.iter().filter(|c| c.record > 0).map(keeps).fold(0.0, f64::max);
+    let recorded = scenario
+        .categories
+        .iter()
+        .filter(|c| c.record > 0)
+        .map(keeps)
+        .fold(0.0, f64::max);
     match &scenario.store {
         Some(_) => shared.max(1.02 * recorded + 0.4).max(2.0),
         None => shared,
@@ -175,7 +250,11 @@
 }
 
 async fn run(
-    scenario: &Scenario, seed: u64, schedule: &[What], program: &PathBuf, options: &Options,
+    scenario: &Scenario,
+    seed: u64,
+    schedule: &[What],
+    program: &PathBuf,
+    options: &Options,
 ) -> Result<(Records, String), Bad> {
     let bad = |what: &str| {
         let what = what.to_string();
@@ -185,7 +264,12 @@
     let cast = scenario.cast();
     let clock = Clock::new(Instant::now());
     let traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>> = Arc::default();
-    let relays = Relays { ways: Ways::default(), clock: clock.clone(), seed, traces };
+    let relays = Relays {
+        ways: Ways::default(),
+        clock: clock.clone(),
+        seed,
+        traces,
+    };
     let shared = Arc::new(Shared {
         scenario: scenario.clone(),
         seed,
@@ -203,18 +287,30 @@
         handle: tokio::runtime::Handle::current(),
     });
     let stage = &shared.stage;
-    let listen = async |node: Node| TcpListener::bind(stage.own(node)).await.map_err(bad("a stand-in"));
+    let listen = async |node: Node| {
+        TcpListener::bind(stage.own(node))
+            .await
+            .map_err(bad("a stand-in"))
+    };
     let mut runners = Vec::new();
     for n in 0..cast.runners {
         let runner = Arc::new(Runner::new(n));
-        tokio::spawn(runners::serve(shared.clone(), runner.clone(), listen(Node::Runner(n)).await?));
+        tokio::spawn(runners::serve(
+            shared.clone(),
+            runner.clone(),
+            listen(Node::Runner(n)).await?,
+        ));
         runners.push(runner);
     }
     tokio::spawn(list::serve(shared.clone(), listen(Node::List).await?));
     for n in 0..cast.dispatchers {
         let me = Node::Dispatcher(n);
         let link = |from: Node, to: Node| {
-            tokio::spawn(relays.clone().streams(stage.relay(from, to), stage.own(to), from, to))
+            tokio::spawn(
+                relays
+                    .clone()
+                    .streams(stage.relay(from, to), stage.own(to), from, to),
+            )
         };
         link(me, Node::List);
         link(Node::Clients, me);
@@ -225,7 +321,11 @@
         for other in (0..cast.dispatchers).filter(|other| *other != n) {
             let (at, to) = (stage.relay_links(n, other), stage.own_links(other));
             tokio::spawn(relays.clone().streams(at, to, me, Node::Dispatcher(other)));
-            tokio::spawn(relays.clone().datagrams(at, to, me, Node::Dispatcher(other)));
+            tokio::spawn(
+                relays
+                    .clone()
+                    .datagrams(at, to, me, Node::Dispatcher(other)),
+            );
         }
     }
     // Warm ones have run for long; those that start cold do so when the play begins.
@@ -237,37 +337,58 @@
     let mut dispatchers = Vec::new();
     for n in 0..cast.dispatchers {
         let dispatcher = Dispatcher::new(n, folder.path(), program).map_err(bad("a folder"))?;
-        for what in schedule.iter().filter(|what| what.nodes.contains(&Node::Dispatcher(n))) {
+        for what in schedule
+            .iter()
+            .filter(|what| what.nodes.contains(&Node::Dispatcher(n)))
+        {
             // In a trial from the start: the door's call to move the clock is there only then.
             if ["clock-off", "clock-jump"].contains(&what.what) {
-                let off = if what.what == "clock-off" { what.by } else { 0.0 };
+                let off = if what.what == "clock-off" {
+                    what.by
+                } else {
+                    0.0
+                };
                 dispatcher.set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
             }
             if what.what == "disk-slow" {
                 let delay = format!("{:.3}ms", what.delay_s * 1e3);
-                dispatcher.set(&[("trial.disk_slow".to_string(), toml::Value::String(delay))].into());
+                dispatcher
+                    .set(&[("trial.disk_slow".to_string(), toml::Value::String(delay))].into());
             }
             if what.what == "disk-full" {
                 let bytes = toml::Value::Integer(what.by as i64);
                 dispatcher.set(&[("trial.disk_full".to_string(), bytes)].into());
             }
         }
-        dispatcher.start(stage, scenario, &cast).map_err(bad("the program"))?;
+        dispatcher
+            .start(stage, scenario, &cast)
+            .map_err(bad("the program"))?;
         dispatchers.push(Arc::new(dispatcher));
     }
     for dispatcher in &dispatchers {
         if !dispatcher.ready(stage).await {
             let log = dispatcher.log();
             let last = log.lines().last().unwrap_or("without a word").to_string();
-            return Err(Bad(format!("{} is not ready: {last}", Node::Dispatcher(dispatcher.n).name())));
+            return Err(Bad(format!(
+                "{} is not ready: {last}",
+                Node::Dispatcher(dispatcher.n).name()
+            )));
         }
     }
     let crowd = |at: f64| {
         let now = |what: &&What| what.what == "crowd" && what.from <= at && at < what.to;
-        schedule.iter().filter(now).map(|what| what.by).product::<f64>()
+        schedule
+            .iter()
+            .filter(now)
+            .map(|what| what.by)
+            .product::<f64>()
     };
     let plans = clients::plan(&shared, crowd);
-    let crew = Arc::new(Crew { shared: shared.clone(), runners, dispatchers });
+    let crew = Arc::new(Crew {
+        shared: shared.clone(),
+        runners,
+        dispatchers,
+    });
     tokio::time::sleep(Duration::from_secs_f64(warm_up(scenario))).await;
     clock.begin();
     if scenario.runners.cold {
@@ -295,20 +416,32 @@
         open.iter_mut()
             .filter(|absence| absence.to.is_infinite())
             .for_each(|absence| absence.to = now + 60.0);
-        shared.records.lock().unwrap().absences.extend(open.drain(..));
+        shared
+            .records
+            .lock()
+            .unwrap()
+            .absences
+            .extend(open.drain(..));
         if let Some(logs) = &options.logs {
             std::fs::create_dir_all(logs).map_err(bad("logs"))?;
             let name = logs.join(format!("{}.log", Node::Dispatcher(dispatcher.n).name()));
             std::fs::write(name, dispatcher.log()).map_err(bad("logs"))?;
         }
     }
-    let version = std::process::Command::new(program).arg("--version").output();
-    let version =
-        version.map(|out| String::from_utf8_lossy(&out.stdout).trim().to_string()).unwrap_or_default();
+    let version = std::process::Command::new(program)
+        .arg("--version")
+        .output();
+    let version = version
+        .map(|out| String::from_utf8_lossy(&out.stdout).trim().to_string())
+        .unwrap_or_default();
     let mut records = std::mem::take(&mut *shared.records.lock().unwrap());
     for ho in &mut records.hos {
-        let Some((from, answered)) = ho.came_by else { continue };
-        let Some(trace) = relays.trace(from) else { continue };
+        let Some((from, answered)) = ho.came_by else {
+            continue;
+        };
+        let Some(trace) = relays.trace(from) else {
+            continue;
+        };
         let told = trace.given_by(answered).unwrap_or(f64::INFINITY);
         ho.closed = trace.closed_at().filter(|closed| *closed < told);
     }
@@ -338,7 +471,12 @@
         for dispatcher in &self.dispatchers {
             if let Some((false, how)) = dispatcher.ended() {
                 let at = self.shared.clock.now();
-                self.shared.records.lock().unwrap().crashes.push((dispatcher.n, at, how));
+                self.shared
+                    .records
+                    .lock()
+                    .unwrap()
+                    .crashes
+                    .push((dispatcher.n, at, how));
             }
         }
     }
@@ -348,27 +486,39 @@
         if died {
             self.shared.killed.lock().unwrap().push((n, from));
         }
-        let absence = Absence { dispatcher: n, from, to: f64::INFINITY, died };
+        let absence = Absence {
+            dispatcher: n,
+            from,
+            to: f64::INFINITY,
+            died,
+        };
         self.dispatchers[n].absences.lock().unwrap().push(absence);
     }
 
     fn present(&self, n: usize) {
         let now = self.shared.clock.now();
         let mut absences = self.dispatchers[n].absences.lock().unwrap();
-        absences.iter_mut().filter(|absence| absence.to.is_infinite()).for_each(|absence| absence.to = now);
+        absences
+            .iter_mut()
+            .filter(|absence| absence.to.is_infinite())
+            .for_each(|absence| absence.to = now);
     }
 
     /// What a process that starts again comes back with.
     fn come_back(&self, n: usize, what: &What) {
         self.dispatchers[n].give_disk(&what.with);
         if let Some(off) = what.off {
-            self.dispatchers[n].set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
+            self.dispatchers[n]
+                .set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
         }
     }
 
     async fn start(&self, n: usize) {
         let (shared, dispatcher) = (&self.shared, &self.dispatchers[n]);
-        if dispatcher.start(&shared.stage, &shared.scenario, &shared.cast).is_ok() {
+        if dispatcher
+            .start(&shared.stage, &shared.scenario, &shared.cast)
+            .is_ok()
+        {
             dispatcher.ready(&shared.stage).await;
         }
         self.present(n);
@@ -414,19 +564,29 @@
             "full" => self.ill(what, |ill| ill.full = true),
             "mute" => self.ill(what, |ill| ill.mute = true),
             "crash" | "vanish" => {
-                let ways = what.nodes.iter().flat_map(|n| shared.cast.ways(&n.name()).unwrap_or_default());
-                let cut = What { what: "cut", ways: ways.collect(), ..what.clone() };
+                let ways = what
+                    .nodes
+                    .iter()
+                    .flat_map(|n| shared.cast.ways(&n.name()).unwrap_or_default());
+                let cut = What {
+                    what: "cut",
+                    ways: ways.collect(),
+                    ..what.clone()
+                };
                 if what.what == "vanish" {
                     shared.relays.ways.begin(no, &cut);
                 }
                 self.ill(what, |ill| ill.dead = true);
                 let told = what.what == "crash";
-                self.each(what, |n| async move { self.runners[n].die(shared, told) }).await;
+                self.each(what, |n| async move { self.runners[n].die(shared, told) })
+                    .await;
                 // Its agent, or the silence of it, reaches the list a little later.
                 tokio::time::sleep(Duration::from_millis(if told { 500 } else { 2000 })).await;
                 if shared.clock.now() < what.to {
-                    self.each(what, |n| async move { shared.list.say(n, |entry| entry.life = Life::Gone) })
-                        .await;
+                    self.each(what, |n| async move {
+                        shared.list.say(n, |entry| entry.life = Life::Gone)
+                    })
+                    .await;
                 }
             }
             "new" => {
@@ -437,9 +597,17 @@
                 .await;
             }
             "drain" => {
-                self.each(what, |n| async move { shared.list.say(n, |e| e.life = Life::Draining) }).await
+                self.each(what, |n| async move {
+                    shared.list.say(n, |e| e.life = Life::Draining)
+                })
+                .await
+            }
+            "gone" => {
+                self.each(what, |n| async move {
+                    shared.list.say(n, |e| e.life = Life::Gone)
+                })
+                .await
             }
-            "gone" => self.each(what, |n| async move { shared.list.say(n, |e| e.life = Life::Gone) }).await,
             "by-hand" => self.each(what, |n| self.by_hand(n, true)).await,
             "ban" => self.each(what, |n| self.ban(n, &what.with, true)).await,
             "propose" => self.each(what, |n| self.propose(n, what)).await,
@@ -451,7 +619,11 @@
                 .await;
             }
             "fail-category" => {
-                let category = shared.scenario.categories.iter().position(|c| c.name == what.with);
+                let category = shared
+                    .scenario
+                    .categories
+                    .iter()
+                    .position(|c| c.name == what.with);
                 category.map(|category| shared.failing.lock().unwrap().insert(category, p));
             }
             "kill" => {
@@ -495,7 +667,10 @@
             "reload" => {
                 self.each(what, |n| async move {
                     self.dispatchers[n].set(&what.set);
-                    if self.dispatchers[n].write(&shared.stage, &shared.scenario, &shared.cast).is_ok() {
+                    if self.dispatchers[n]
+                        .write(&shared.stage, &shared.scenario, &shared.cast)
+                        .is_ok()
+                    {
                         self.dispatchers[n].reload();
                     }
                 })
@@ -525,15 +700,23 @@
             "crash" | "vanish" => {
                 self.ill(what, |ill| ill.dead = false);
                 shared.relays.ways.end(no);
-                self.each(what, |n| async move { self.fresh(n, true) }).await;
+                self.each(what, |n| async move { self.fresh(n, true) })
+                    .await;
             }
             "drain" | "gone" => {
-                self.each(what, |n| async move { shared.list.say(n, |e| e.life = Life::Ready) }).await;
+                self.each(what, |n| async move {
+                    shared.list.say(n, |e| e.life = Life::Ready)
+                })
+                .await;
             }
             "by-hand" => self.each(what, |n| self.by_hand(n, false)).await,
             "ban" => self.each(what, |n| self.ban(n, &what.with, false)).await,
             "fail-category" => {
-                let category = shared.scenario.categories.iter().position(|c| c.name == what.with);
+                let category = shared
+                    .scenario
+                    .categories
+                    .iter()
+                    .position(|c| c.name == what.with);
                 category.map(|category| shared.failing.lock().unwrap().remove(&category));
             }
             "kill" => {
@@ -590,33 +773,64 @@
     /// A word at one door: it counts from when that has said that all agree.
     async fn ban(&self, runner: usize, with: &str, out: bool) {
         let shared = &self.shared;
-        let door = shared.cast.select(with).ok().and_then(|nodes| nodes.first().copied());
-        let Some(Node::Dispatcher(n)) = door else { return };
-        let path =
-            format!("/runners/{}/{}", Node::Runner(runner).name(), if out { "maint" } else { "ready" });
+        let door = shared
+            .cast
+            .select(with)
+            .ok()
+            .and_then(|nodes| nodes.first().copied());
+        let Some(Node::Dispatcher(n)) = door else {
+            return;
+        };
+        let path = format!(
+            "/runners/{}/{}",
+            Node::Runner(runner).name(),
+            if out { "maint" } else { "ready" }
+        );
         if !out {
             let now = shared.clock.now();
             let mut records = shared.records.lock().unwrap();
-            records.banned.iter_mut().filter(|b| b.0 == runner && b.2.is_infinite()).for_each(|b| b.2 = now);
+            records
+                .banned
+                .iter_mut()
+                .filter(|b| b.0 == runner && b.2.is_infinite())
+                .for_each(|b| b.2 = now);
         }
         let said = call(shared.stage.door(n), "POST", &path).await;
         if out && matches!(said, Ok((200, _))) {
             let now = shared.clock.now();
-            shared.records.lock().unwrap().banned.push((runner, now, f64::INFINITY));
+            shared
+                .records
+                .lock()
+                .unwrap()
+                .banned
+                .push((runner, now, f64::INFINITY));
         }
     }
 
     async fn propose(&self, n: usize, what: &What) {
         let shared = &self.shared;
         let mut table = toml::Table::new();
-        what.set.iter().for_each(|(path, value)| crate::stage::put(&mut table, path, value.clone()));
+        what.set
+            .iter()
+            .for_each(|(path, value)| crate::stage::put(&mut table, path, value.clone()));
         let text = toml::to_string(&table).unwrap_or_default();
         let said = say(shared.stage.door(n), "POST", "/store/propose", &text).await;
-        let caps = table.get("fleet").and_then(|fleet| fleet.get("caps")).and_then(|caps| caps.as_table());
+        let caps = table
+            .get("fleet")
+            .and_then(|fleet| fleet.get("caps"))
+            .and_then(|caps| caps.as_table());
         if let (Ok((200, _)), Some(caps)) = (said, caps) {
             let now = shared.clock.now();
-            let of = |name: &str| shared.scenario.categories.iter().position(|c| c.name == name);
-            let caps = caps.iter().filter_map(|(name, cap)| Some((now, of(name)?, cap.as_integer()? as u64)));
+            let of = |name: &str| {
+                shared
+                    .scenario
+                    .categories
+                    .iter()
+                    .position(|c| c.name == name)
+            };
+            let caps = caps
+                .iter()
+                .filter_map(|(name, cap)| Some((now, of(name)?, cap.as_integer()? as u64)));
             shared.records.lock().unwrap().caps.extend(caps);
         }
     }
@@ -627,7 +841,11 @@
         if !out {
             let now = shared.clock.now();
             let mut records = shared.records.lock().unwrap();
-            records.by_hand.iter_mut().filter(|b| b.0 == runner && b.3.is_infinite()).for_each(|b| b.3 = now);
+            records
+                .by_hand
+                .iter_mut()
+                .filter(|b| b.0 == runner && b.3.is_infinite())
+                .for_each(|b| b.3 = now);
         }
         for n in 0..self.dispatchers.len() {
             let said = call(shared.stage.door(n), "POST", &path).await;
@@ -659,11 +877,17 @@
                 })
                 .collect();
             let life = |n: usize| {
-                lives.get(Node::Dispatcher(n).name().as_str()).map_or(String::new(), |life| life.to_string())
+                lives
+                    .get(Node::Dispatcher(n).name().as_str())
+                    .map_or(String::new(), |life| life.to_string())
             };
             let lives = (0..crew.dispatchers.len()).map(life).collect();
             let at = crew.shared.clock.now();
-            crew.shared.records.lock().unwrap().beliefs.push(Beliefs { at, dispatcher: dispatcher.n, lives });
+            crew.shared.records.lock().unwrap().beliefs.push(Beliefs {
+                at,
+                dispatcher: dispatcher.n,
+                lives,
+            });
         }
         n += 1;
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/rig/src/records.rs
+++ b/crates/rig/src/records.rs
@@ -63,7 +63,9 @@
     /// When its dispatcher could hold it for over: ended, given up, or no longer waited for.
     pub fn over(&self) -> f64 {
         let ended = self.ended.map_or(f64::INFINITY, |(at, _)| at);
-        ended.min(self.closed.unwrap_or(f64::INFINITY)).min(self.left + self.wait_s)
+        ended
+            .min(self.closed.unwrap_or(f64::INFINITY))
+            .min(self.left + self.wait_s)
     }
 }
 
