--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -26,12 +26,18 @@
 impl Clock {
     pub fn new(base: Instant) -> Clock {
         // Far off until then, so that times of before are smaller than all that follow.
-        Clock { base, began: Arc::new(AtomicU64::new(1e4f64.to_bits())) }
+        Clock {
+            base,
+            began: Arc::new(AtomicU64::new(1e4f64.to_bits())),
+        }
     }
 
     /// The play begins now.
     pub fn begin(&self) {
-        self.began.store(self.base.elapsed().as_secs_f64().to_bits(), Ordering::Relaxed);
+        self.began.store(
+            self.base.elapsed().as_secs_f64().to_bits(),
+            Ordering::Relaxed,
+        );
     }
 
     pub fn now(&self) -> f64 {
@@ -68,7 +74,9 @@
     /// When all bytes before this offset had been handed back.
     pub fn given_by(&self, offset: u64) -> Option<f64> {
         let marks = self.given.lock().unwrap();
-        marks.get(marks.partition_point(|(at, _)| *at < offset)).map(|(_, when)| *when)
+        marks
+            .get(marks.partition_point(|(at, _)| *at < offset))
+            .map(|(_, when)| *when)
     }
 
     /// When who opened it closed it.
@@ -117,7 +125,10 @@
         let (mut there, mut back) = (self.ways.way(from, to), self.ways.way(to, from));
         let mut listener = Some(bind(at).await);
         loop {
-            let (forth, home) = (there.borrow_and_update().clone(), back.borrow_and_update().clone());
+            let (forth, home) = (
+                there.borrow_and_update().clone(),
+                back.borrow_and_update().clone(),
+            );
             if forth.refuse || home.refuse {
                 listener = None;
             } else if forth.cut || home.cut {
@@ -151,7 +162,14 @@
         }
     }
 
-    async fn connection(&self, stream: TcpStream, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
+    async fn connection(
+        &self,
+        stream: TcpStream,
+        at: SocketAddr,
+        target: SocketAddr,
+        from: Node,
+        to: Node,
+    ) {
         let _ = stream.set_nodelay(true);
         // From the relay's own address, by which the other side knows whose connection it is.
         let dial = async {
@@ -164,13 +182,30 @@
         };
         let _ = onward.set_nodelay(true);
         let trace = Arc::new(Trace::default());
-        let Ok(local) = onward.local_addr() else { return };
+        let Ok(local) = onward.local_addr() else {
+            return;
+        };
         self.traces.lock().unwrap().insert(local, trace.clone());
         let (from_read, from_write) = stream.into_split();
         let (to_read, to_write) = onward.into_split();
-        let there = self.pump(from_read, to_write, self.ways.way(from, to), (from, to), &trace, true);
-        let back = self.pump(to_read, from_write, self.ways.way(to, from), (to, from), &trace, false);
-        let (mut broken_there, mut broken_back) = (self.ways.way(from, to), self.ways.way(to, from));
+        let there = self.pump(
+            from_read,
+            to_write,
+            self.ways.way(from, to),
+            (from, to),
+            &trace,
+            true,
+        );
+        let back = self.pump(
+            to_read,
+            from_write,
+            self.ways.way(to, from),
+            (to, from),
+            &trace,
+            false,
+        );
+        let (mut broken_there, mut broken_back) =
+            (self.ways.way(from, to), self.ways.way(to, from));
         tokio::select! {
             _ = async { tokio::join!(there, back) } => {}
             () = wait(&mut broken_there, |way| way.reset) => {}
@@ -182,8 +217,13 @@
     /// One way of one connection. Whatever ends the select above drops both halves of both streams: they end by
     /// reset if they had not ended before.
     async fn pump(
-        &self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf, way: Told, ends: (Node, Node),
-        trace: &Trace, opener: bool,
+        &self,
+        mut read: OwnedReadHalf,
+        mut write: OwnedWriteHalf,
+        way: Told,
+        ends: (Node, Node),
+        trace: &Trace,
+        opener: bool,
     ) {
         reset(read.as_ref());
         let mut chance = self.chance(ends.0, ends.1);
@@ -208,7 +248,8 @@
                 };
                 let (now, way) = (self.clock.now(), reads.borrow().clone());
                 let lost = |chance: &mut Pcg64Mcg| {
-                    let again = std::iter::repeat_with(|| way.drop < 1.0 && chance.random_bool(way.drop));
+                    let again =
+                        std::iter::repeat_with(|| way.drop < 1.0 && chance.random_bool(way.drop));
                     0.2 * again.take(20).take_while(|lost| *lost).count() as f64
                 };
                 let jitter = way.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
@@ -284,13 +325,17 @@
 
     /// Datagrams that come to `at` go on to `target`.
     pub async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
-        let Ok(socket) = UdpSocket::bind(at).await else { return };
+        let Ok(socket) = UdpSocket::bind(at).await else {
+            return;
+        };
         let socket = Arc::new(socket);
         let way = self.ways.way(from, to);
         let mut chance = self.chance(from, to);
         let mut buffer = vec![0; 64 << 10];
         loop {
-            let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
+            let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
+                continue;
+            };
             let now = way.borrow().clone();
             if now.cut
                 || now.black_hole
@@ -304,8 +349,11 @@
             let copies = 1 + usize::from(chance.random_bool(now.double));
             for _ in 0..copies {
                 let jitter = now.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
-                let behind =
-                    if chance.random_bool(now.reorder) { 0.05 * chance.random::<f64>() } else { 0.0 };
+                let behind = if chance.random_bool(now.reorder) {
+                    0.05 * chance.random::<f64>()
+                } else {
+                    0.0
+                };
                 let late = (now.delay_s + jitter).max(0.0) + behind;
                 let frame = buffer[..length].to_vec();
                 if late <= 0.0 {
@@ -339,7 +387,12 @@
 
 /// While a way is cut, connections never come up: the queue of a listener that holds one is full, and the kernel
 /// answers no one else.
-async fn shut(listener: TcpListener, at: SocketAddr, there: &mut Told, back: &mut Told) -> TcpListener {
+async fn shut(
+    listener: TcpListener,
+    at: SocketAddr,
+    there: &mut Told,
+    back: &mut Told,
+) -> TcpListener {
     let _ = SockRef::from(&listener).listen(0);
     let filler: io::Result<TcpStream> = timeout(Duration::from_millis(200), TcpStream::connect(at))
         .await
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -12,7 +12,11 @@
 impl Outcome {
     pub fn world<T>(&self, look: impl FnOnce(&World) -> T) -> T {
         let cast = self.scenario.cast();
-        look(&World { scenario: &self.scenario, cast: &cast, schedule: &self.schedule })
+        look(&World {
+            scenario: &self.scenario,
+            cast: &cast,
+            schedule: &self.schedule,
+        })
     }
 
     /// All of it, for `report` and for whoever reads JSON.
@@ -23,7 +27,11 @@
             .schedule
             .iter()
             .map(|what| {
-                let to = if what.to.is_finite() { json!(what.to) } else { Value::Null };
+                let to = if what.to.is_finite() {
+                    json!(what.to)
+                } else {
+                    Value::Null
+                };
                 json!({"from": what.from, "to": to, "what": what.what, "on": what.on})
             })
             .collect();
@@ -46,7 +54,9 @@
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3) else {
         return Value::Null;
     };
-    times.drain(..).for_each(|s| _ = histogram.record((s * 1e6).max(1.0) as u64));
+    times
+        .drain(..)
+        .for_each(|s| _ = histogram.record((s * 1e6).max(1.0) as u64));
     let at = |q: f64| histogram.value_at_quantile(q) as f64 / 1e3;
     json!({"n": histogram.len(), "p50_ms": at(0.5), "p90_ms": at(0.9), "p99_ms": at(0.99), "max_ms": at(1.0)})
 }
@@ -57,16 +67,27 @@
     let mut categories = Vec::new();
     for (n, terms) in world.scenario.categories.iter().enumerate() {
         let of = || records.wis.iter().filter(move |wi| wi.category == n);
-        let status = |which: u16| of().filter(|wi| wi.answer.as_ref().is_some_and(|a| a.1 == which)).count();
+        let status = |which: u16| {
+            of().filter(|wi| wi.answer.as_ref().is_some_and(|a| a.1 == which))
+                .count()
+        };
         let served = of().filter(|wi| wi.answer.as_ref().is_some_and(|a| a.1 == 200));
-        let times = served.map(|wi| wi.answer.as_ref().map_or(0.0, |a| a.0) - wi.intended).collect();
+        let times = served
+            .map(|wi| wi.answer.as_ref().map_or(0.0, |a| a.0) - wi.intended)
+            .collect();
         let mut by_second = vec![(0.0, 0.0); seconds];
         for wi in of().filter(|wi| wi.first.is_none()) {
             let slot = &mut by_second[(wi.intended.max(0.0) as usize).min(seconds - 1)];
             slot.0 += terms.payoff;
             slot.1 += earned(world, wi);
         }
-        let share = |(all, got): &(f64, f64)| if *all > 0.0 { json!(got / all) } else { Value::Null };
+        let share = |(all, got): &(f64, f64)| {
+            if *all > 0.0 {
+                json!(got / all)
+            } else {
+                Value::Null
+            }
+        };
         categories.push(json!({
             "name": terms.name,
             "requests": of().count(),
@@ -81,11 +102,17 @@
     let mut runners = Vec::new();
     for n in 0..world.cast.runners {
         let mut by_second = vec![0; seconds];
-        for ho in records.hos.iter().filter(|ho| ho.runner == n && ho.left >= 0.0) {
+        for ho in records
+            .hos
+            .iter()
+            .filter(|ho| ho.runner == n && ho.left >= 0.0)
+        {
             by_second[(ho.left as usize).min(seconds - 1)] += 1;
         }
         let all: u32 = by_second.iter().sum();
-        runners.push(json!({"name": Node::Runner(n).name(), "hand_offs": all, "by_second": by_second}));
+        runners.push(
+            json!({"name": Node::Runner(n).name(), "hand_offs": all, "by_second": by_second}),
+        );
     }
     let cold: Vec<Value> = cold_use(world, records)
         .iter()
@@ -116,7 +143,9 @@
     let figures = &report["figures"];
     let text = |value: &Value| match value {
         Value::String(text) => text.clone(),
-        Value::Number(number) if number.is_f64() => format!("{:.3}", number.as_f64().unwrap_or(0.0)),
+        Value::Number(number) if number.is_f64() => {
+            format!("{:.3}", number.as_f64().unwrap_or(0.0))
+        }
         value => value.to_string(),
     };
     let _ = writeln!(
@@ -149,9 +178,16 @@
             c["latency"]["p99_ms"].as_f64().unwrap_or(0.0)
         );
     }
-    let most = figures["cold"].as_array().into_iter().flatten().filter_map(|c| c["most"].as_f64());
+    let most = figures["cold"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|c| c["most"].as_f64());
     if let Some(most) = most.reduce(f64::max) {
-        let _ = writeln!(out, "cold runners: at most {most:.2} of what all may send within a span");
+        let _ = writeln!(
+            out,
+            "cold runners: at most {most:.2} of what all may send within a span"
+        );
     }
     for broken in report["breaks"].as_array().into_iter().flatten() {
         let _ = writeln!(
@@ -166,16 +202,30 @@
     out
 }
 
-const COLOURS: [&str; 8] =
-    ["#1b6ca8", "#c0504d", "#5b8c3e", "#7d5ba6", "#c98b1a", "#2a9d8f", "#8d6e63", "#546e7a"];
+const COLOURS: [&str; 8] = [
+    "#1b6ca8", "#c0504d", "#5b8c3e", "#7d5ba6", "#c98b1a", "#2a9d8f", "#8d6e63", "#546e7a",
+];
 
 /// Lines over time, with faults as bands behind them.
-fn chart(title: &str, lines: &[(String, Vec<Option<f64>>)], faults: &Value, seconds: f64) -> String {
+fn chart(
+    title: &str,
+    lines: &[(String, Vec<Option<f64>>)],
+    faults: &Value,
+    seconds: f64,
+) -> String {
     let (width, height, left, top) = (900.0, 220.0, 50.0, 24.0);
-    let most = lines.iter().flat_map(|(_, points)| points).flatten().copied().fold(1e-9, f64::max);
+    let most = lines
+        .iter()
+        .flat_map(|(_, points)| points)
+        .flatten()
+        .copied()
+        .fold(1e-9, f64::max);
     let x = |at: f64| left + (width - left - 10.0) * (at / seconds.max(1e-9)).clamp(0.0, 1.0);
     let y = |value: f64| top + (height - top - 24.0) * (1.0 - value / most);
-    let mut svg = format!("<h2>{}</h2><svg viewBox='0 0 {width} {height}' role='img'>", escape(title));
+    let mut svg = format!(
+        "<h2>{}</h2><svg viewBox='0 0 {width} {height}' role='img'>",
+        escape(title)
+    );
     for fault in faults.as_array().into_iter().flatten() {
         let from = fault["from"].as_f64().unwrap_or(0.0);
         let to = fault["to"].as_f64().unwrap_or(seconds);
@@ -228,16 +278,25 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('\'', "&#39;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('\'', "&#39;")
 }
 
 /// One page that a browser opens, with nothing from outside.
 pub fn html(report: &Value) -> String {
     let figures = &report["figures"];
     let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
-    let points = |value: &Value| -> Vec<Option<f64>> { list(value).iter().map(Value::as_f64).collect() };
+    let points =
+        |value: &Value| -> Vec<Option<f64>> { list(value).iter().map(Value::as_f64).collect() };
     let named = |of: &str, figure: &str| -> Vec<(String, Vec<Option<f64>>)> {
-        let line = |c: &Value| (c["name"].as_str().unwrap_or("").to_string(), points(&c[figure]));
+        let line = |c: &Value| {
+            (
+                c["name"].as_str().unwrap_or("").to_string(),
+                points(&c[figure]),
+            )
+        };
         list(&figures[of]).iter().map(line).collect()
     };
     let goodput = named("categories", "goodput_by_second");
@@ -248,11 +307,17 @@
     for n in 0..count {
         let by = Node::Dispatcher(n).name();
         let mut alive = vec![None; seconds as usize];
-        for belief in list(&figures["beliefs"]).iter().filter(|belief| belief["by"] == json!(by)) {
+        for belief in list(&figures["beliefs"])
+            .iter()
+            .filter(|belief| belief["by"] == json!(by))
+        {
             let at = belief["at"].as_f64().unwrap_or(0.0).max(0.0) as usize;
             let lives = list(&belief["lives"]);
             let live = lives.iter().filter(|life| **life == json!("alive")).count();
-            alive.get_mut(at).into_iter().for_each(|slot| *slot = Some(live as f64));
+            alive
+                .get_mut(at)
+                .into_iter()
+                .for_each(|slot| *slot = Some(live as f64));
         }
         held.push((by, alive));
     }
@@ -275,10 +340,17 @@
         seconds,
     );
     page += &chart("Hand-offs by runner, a second", &load, faults, seconds);
-    page += &chart("How many members each dispatcher holds alive", &held, faults, seconds);
+    page += &chart(
+        "How many members each dispatcher holds alive",
+        &held,
+        faults,
+        seconds,
+    );
     page += "<h2>Faults</h2><pre>";
     for fault in list(faults) {
-        let to = fault["to"].as_f64().map_or("the end".to_string(), |to| format!("{to:.2} s"));
+        let to = fault["to"]
+            .as_f64()
+            .map_or("the end".to_string(), |to| format!("{to:.2} s"));
         let _ = writeln!(
             page,
             "{:>7.2} s to {to}: {} on {}",
--- a/crates/rig/src/runners.rs
+++ b/crates/rig/src/runners.rs
@@ -30,7 +30,14 @@
 
 impl Default for Ill {
     fn default() -> Self {
-        Ill { hang: false, mute: false, full: false, fail: 0.0, slow: 1.0, dead: false }
+        Ill {
+            hang: false,
+            mute: false,
+            full: false,
+            fail: 0.0,
+            slow: 1.0,
+            dead: false,
+        }
     }
 }
 
@@ -67,9 +74,19 @@
         let now = shared.clock.now();
         let mut inside = self.inside.lock().unwrap();
         let process = *self.process.borrow();
-        *inside = Inside { process, started: now, cold, ..Inside::default() };
+        *inside = Inside {
+            process,
+            started: now,
+            cold,
+            ..Inside::default()
+        };
         drop(inside);
-        let birth = Birth { runner: self.n, process, at: now, cold };
+        let birth = Birth {
+            runner: self.n,
+            process,
+            at: now,
+            cold,
+        };
         shared.records.lock().unwrap().births.push(birth);
         process
     }
@@ -80,13 +97,22 @@
         let now = shared.clock.now();
         let mut records = shared.records.lock().unwrap();
         let mut lost = Vec::new();
-        for ho in records.hos.iter_mut().filter(|ho| ho.runner == self.n && ho.ended.is_none()) {
+        for ho in records
+            .hos
+            .iter_mut()
+            .filter(|ho| ho.runner == self.n && ho.ended.is_none())
+        {
             ho.ended = Some((now, End::Lost));
             lost.push((ho.id.clone(), ho.dispatcher));
         }
         drop(records);
         for (id, dispatcher) in lost.into_iter().filter(|_| tells) {
-            shared.spawn(tell(shared.clone(), self.n, dispatcher, json!({"id": id, "state": "lost"})));
+            shared.spawn(tell(
+                shared.clone(),
+                self.n,
+                dispatcher,
+                json!({"id": id, "state": "lost"}),
+            ));
         }
     }
 
@@ -144,10 +170,15 @@
 }
 
 async fn connection(
-    shared: &Arc<Shared>, runner: &Arc<Runner>, stream: TcpStream, from: SocketAddr,
+    shared: &Arc<Shared>,
+    runner: &Arc<Runner>,
+    stream: TcpStream,
+    from: SocketAddr,
 ) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
-    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else { return Ok(()) };
+    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else {
+        return Ok(());
+    };
     let (read, mut write) = stream.into_split();
     let mut reader = Reader::new(read);
     let mut answered = 0;
@@ -168,7 +199,9 @@
             continue;
         }
         let Some(at) = hand_off(shared, runner, &message, from, dispatcher) else {
-            write.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await?;
+            write
+                .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+                .await?;
             continue;
         };
         if ill.borrow_and_update().hang {
@@ -207,14 +240,23 @@
 
 /// Writes down a hand-off that has come; its place in the records.
 fn hand_off(
-    shared: &Shared, runner: &Runner, message: &Message, from: SocketAddr, dispatcher: usize,
+    shared: &Shared,
+    runner: &Runner,
+    message: &Message,
+    from: SocketAddr,
+    dispatcher: usize,
 ) -> Option<usize> {
     let id = message.header("req-id")?.to_string();
     let wait = message.header("req-deadline")?;
-    let wait_s = wait.strip_suffix('m').and_then(|ms| ms.parse::<f64>().ok()).map_or(0.0, |ms| ms / 1e3);
+    let wait_s = wait
+        .strip_suffix('m')
+        .and_then(|ms| ms.parse::<f64>().ok())
+        .map_or(0.0, |ms| ms / 1e3);
     let now = shared.clock.now();
     let trace = shared.relays.trace(from);
-    let left = trace.and_then(|trace| trace.taken_at(message.offset)).unwrap_or(now);
+    let left = trace
+        .and_then(|trace| trace.taken_at(message.offset))
+        .unwrap_or(now);
     let (category, work_s, _) = shared.spec(&id)?;
     let process = runner.inside.lock().unwrap().process;
     let mut records = shared.records.lock().unwrap();
@@ -238,17 +280,29 @@
 
 fn end(shared: &Shared, at: usize, how: End) {
     let now = shared.clock.now();
-    shared.records.lock().unwrap().hos[at].ended.get_or_insert((now, how));
+    shared.records.lock().unwrap().hos[at]
+        .ended
+        .get_or_insert((now, how));
 }
 
 /// The connection was closed before the 202: given up, from when the relay saw that.
 fn close(shared: &Shared, runner: &Runner, at: usize, from: SocketAddr) {
-    let closed = shared.relays.trace(from).and_then(|trace| trace.closed_at());
+    let closed = shared
+        .relays
+        .trace(from)
+        .and_then(|trace| trace.closed_at());
     let now = shared.clock.now();
     let mut records = shared.records.lock().unwrap();
-    records.hos[at].ended.get_or_insert((closed.unwrap_or(now), End::GivenUp));
+    records.hos[at]
+        .ended
+        .get_or_insert((closed.unwrap_or(now), End::GivenUp));
     drop(records);
-    runner.inside.lock().unwrap().queue.retain(|other| *other != at);
+    runner
+        .inside
+        .lock()
+        .unwrap()
+        .queue
+        .retain(|other| *other != at);
 }
 
 fn give_up(shared: &Arc<Shared>, runner: &Arc<Runner>, id: &str, dispatcher: usize) {
@@ -268,7 +322,9 @@
             if inside.running >= shared.scenario.runners.slots {
                 return;
             }
-            let Some(at) = inside.queue.pop_front() else { return };
+            let Some(at) = inside.queue.pop_front() else {
+                return;
+            };
             inside.running += 1;
             at
         };
@@ -295,7 +351,9 @@
         ho.started = Some(now);
         (ho.id.clone(), ho.dispatcher, ho.category)
     };
-    let Some((_, work_s, key)) = shared.spec(&id) else { return };
+    let Some((_, work_s, key)) = shared.spec(&id) else {
+        return;
+    };
     let mut ill = runner.ill.subscribe();
     let mut dies = runner.process.subscribe();
     dies.borrow_and_update();
@@ -313,7 +371,8 @@
     let beat = shared.scenario.runners.progress.0;
     let mut told = shared.clock.now();
     while left > 1e-4 {
-        let speed = runner.speed(shared, shared.clock.now()) / ill.borrow_and_update().slow.max(0.01);
+        let speed =
+            runner.speed(shared, shared.clock.now()) / ill.borrow_and_update().slow.max(0.01);
         let step = (left / speed).min(0.1);
         let began = shared.clock.now();
         tokio::select! {
@@ -333,7 +392,9 @@
         }
         if beat > 0.0 && shared.clock.now() >= told + beat {
             told = shared.clock.now();
-            news(json!({"id": id, "state": "running", "share": (1.0 - left / all).clamp(0.0, 1.0)}));
+            news(
+                json!({"id": id, "state": "running", "share": (1.0 - left / all).clamp(0.0, 1.0)}),
+            );
         }
     }
     let result = format!("{id} by {} {at}", Node::Runner(n).name());
@@ -343,8 +404,15 @@
         if ho.ended.is_some() {
             return;
         }
-        ho.ended = Some((shared.clock.now(), if fails { End::Failed } else { End::Done }));
-        records.results.entry(id.clone()).or_default().push(result.clone());
+        ho.ended = Some((
+            shared.clock.now(),
+            if fails { End::Failed } else { End::Done },
+        ));
+        records
+            .results
+            .entry(id.clone())
+            .or_default()
+            .push(result.clone());
     }
     news(match fails {
         true => json!({"id": id, "state": "failed"}),
@@ -353,25 +421,43 @@
 }
 
 /// A connection for call-backs, kept while it is good.
-pub type Line = Lock<Option<(Reader<tokio::net::tcp::OwnedReadHalf>, tokio::net::tcp::OwnedWriteHalf)>>;
+pub type Line = Lock<
+    Option<(
+        Reader<tokio::net::tcp::OwnedReadHalf>,
+        tokio::net::tcp::OwnedWriteHalf,
+    )>,
+>;
 
-async fn call(shared: &Shared, line: &Line, n: usize, dispatcher: usize, body: &str) -> std::io::Result<u16> {
+async fn call(
+    shared: &Shared,
+    line: &Line,
+    n: usize,
+    dispatcher: usize,
+    body: &str,
+) -> std::io::Result<u16> {
     let mut held = line.lock().await;
     let (mut reader, mut write) = match held.take() {
         Some(line) => line,
         None => {
             let socket = TcpSocket::new_v4()?;
-            let at = shared.stage.relay(Node::Runner(n), Node::Dispatcher(dispatcher));
+            let at = shared
+                .stage
+                .relay(Node::Runner(n), Node::Dispatcher(dispatcher));
             let stream = socket.connect(at).await?;
             let _ = stream.set_nodelay(true);
             let (read, write) = stream.into_split();
             (Reader::new(read), write)
         }
     };
-    let head =
-        format!("POST /_jobs/news HTTP/1.1\r\nHost: d\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let head = format!(
+        "POST /_jobs/news HTTP/1.1\r\nHost: d\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     write.write_all(head.as_bytes()).await?;
-    let answer = reader.next().await?.ok_or(std::io::ErrorKind::UnexpectedEof)?;
+    let answer = reader
+        .next()
+        .await?
+        .ok_or(std::io::ErrorKind::UnexpectedEof)?;
     if answer.header("connection") != Some("close") {
         *held = Some((reader, write));
     }
@@ -386,7 +472,11 @@
     for time in 0..TRIES {
         // One that cannot get through does not hold up those behind it.
         let line = if time == 0 { &*line } else { &alone };
-        let told = timeout(Duration::from_secs(2), call(&shared, line, n, dispatcher, &body)).await;
+        let told = timeout(
+            Duration::from_secs(2),
+            call(&shared, line, n, dispatcher, &body),
+        )
+        .await;
         if matches!(told, Ok(Ok(200 | 204))) {
             return;
         }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -24,7 +24,9 @@
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Time, D::Error> {
         let text = String::deserialize(from)?;
-        let said = |_| serde::de::Error::custom(format!("'{text}' is no length of time, such as \"250ms\""));
+        let said = |_| {
+            serde::de::Error::custom(format!("'{text}' is no length of time, such as \"250ms\""))
+        };
         seconds(&text).map(Time).ok_or(()).map_err(said)
     }
 }
@@ -88,7 +90,15 @@
 
 impl Default for Runners {
     fn default() -> Self {
-        Runners { count: 6, slots: 4, queue: 8, cold: false, fetch: Time(0.0), keys: 20, progress: Time(0.0) }
+        Runners {
+            count: 6,
+            slots: 4,
+            queue: 8,
+            cold: false,
+            fetch: Time(0.0),
+            keys: 20,
+            progress: Time(0.0),
+        }
     }
 }
 
@@ -103,7 +113,12 @@
 
 impl Default for Cold {
     fn default() -> Self {
-        Cold { from: 0.2, time: Time(20.0), multiple: 3.0, span: Time(1.0) }
+        Cold {
+            from: 0.2,
+            time: Time(20.0),
+            multiple: 3.0,
+            span: Time(1.0),
+        }
     }
 }
 
@@ -118,7 +133,10 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        Clients { tries: 1, shares: BTreeMap::new() }
+        Clients {
+            tries: 1,
+            shares: BTreeMap::new(),
+        }
     }
 }
 
@@ -159,7 +177,11 @@
 
 impl Default for Store {
     fn default() -> Self {
-        Store { voters: 3, within: Time(2.0), marks: None }
+        Store {
+            voters: 3,
+            within: Time(2.0),
+            marks: None,
+        }
     }
 }
 
@@ -302,17 +324,25 @@
 impl Scenario {
     /// Who votes: fewer where there are not so many, and an odd number.
     pub fn voters(&self) -> usize {
-        let most = self.store.as_ref().map_or(0, |store| store.voters).min(self.processes);
+        let most = self
+            .store
+            .as_ref()
+            .map_or(0, |store| store.voters)
+            .min(self.processes);
         most - usize::from(most.is_multiple_of(2) && most > 0)
     }
 
     pub fn cast(&self) -> Cast {
-        Cast { sites: self.sites.clone(), dispatchers: self.processes, runners: self.runners.count }
+        Cast {
+            sites: self.sites.clone(),
+            dispatchers: self.processes,
+            runners: self.runners.count,
+        }
     }
 
     pub fn read(path: &Path) -> Result<Scenario, Bad> {
-        let text =
-            std::fs::read_to_string(path).map_err(|error| Bad(format!("{}: {error}", path.display())))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| Bad(format!("{}: {error}", path.display())))?;
         Scenario::parse(&text).map_err(|Bad(why)| Bad(format!("{}: {why}", path.display())))
     }
 
@@ -321,8 +351,13 @@
             return Err(Bad("over 1 MiB is no scenario".to_string()));
         }
         let scenario: Scenario = toml::from_str(text).map_err(|error| {
-            let line = error.span().map_or(1, |span| 1 + text[..span.start].matches('\n').count());
-            Bad(format!("line {line}: {}", error.message().replace('\n', " ")))
+            let line = error
+                .span()
+                .map_or(1, |span| 1 + text[..span.start].matches('\n').count());
+            Bad(format!(
+                "line {line}: {}",
+                error.message().replace('\n', " ")
+            ))
         })?;
         scenario.check()?;
         Ok(scenario)
@@ -332,10 +367,16 @@
     pub fn check(&self) -> Result<(), Bad> {
         let bad = |why: String| Err(Bad(why));
         if !(2..=MOST_DISPATCHERS).contains(&self.processes) {
-            return bad(format!("processes: {} is not from 2 to {MOST_DISPATCHERS}", self.processes));
+            return bad(format!(
+                "processes: {} is not from 2 to {MOST_DISPATCHERS}",
+                self.processes
+            ));
         }
         if !(1..=MOST_RUNNERS).contains(&self.runners.count) {
-            return bad(format!("runners.count: {} is not from 1 to {MOST_RUNNERS}", self.runners.count));
+            return bad(format!(
+                "runners.count: {} is not from 1 to {MOST_RUNNERS}",
+                self.runners.count
+            ));
         }
         if self.runners.slots == 0 {
             return bad("runners.slots: a runner needs one".to_string());
@@ -344,7 +385,10 @@
             return bad("sites: there is none".to_string());
         }
         if !(0.5..=3600.0).contains(&self.length.0) {
-            return bad(format!("length: {} s is not from 0.5 s to 1 h", self.length.0));
+            return bad(format!(
+                "length: {} s is not from 0.5 s to 1 h",
+                self.length.0
+            ));
         }
         if self.categories.is_empty() {
             return bad("categories: there is none".to_string());
@@ -357,9 +401,16 @@
             }
             let word = |said: &str, known: [&str; 3], what: &str| match known.contains(&said) {
                 true => Ok(()),
-                false => Err(Bad(at(&format!("{what} '{said}' is none of {}", known.join(", "))))),
+                false => Err(Bad(at(&format!(
+                    "{what} '{said}' is none of {}",
+                    known.join(", ")
+                )))),
             };
-            word(&category.repeat, ["rerunnable", "ticketed", "exclusive"], "repeat")?;
+            word(
+                &category.repeat,
+                ["rerunnable", "ticketed", "exclusive"],
+                "repeat",
+            )?;
             word(&category.group, ["all", "zone", "cell"], "group")?;
             if !(0.0..=10_000.0).contains(&category.rate) {
                 return bad(at("its rate is not from 0 to 10000 a second"));
@@ -367,16 +418,29 @@
             if !(0.001..=600.0).contains(&category.work.0) || category.due.0 > category.expiry.0 {
                 return bad(at("work is not from 1 ms to 10 min, or due after expiry"));
             }
-            if self.categories.iter().filter(|other| other.name == category.name).count() > 1 {
+            if self
+                .categories
+                .iter()
+                .filter(|other| other.name == category.name)
+                .count()
+                > 1
+            {
                 return bad(at("it stands twice"));
             }
         }
         if let Some(store) = &self.store {
             if !matches!(store.voters, 1 | 3 | 5) {
-                return bad(format!("store.voters: {} do not do; 1, 3 or 5", store.voters));
+                return bad(format!(
+                    "store.voters: {} do not do; 1, 3 or 5",
+                    store.voters
+                ));
             }
         }
-        for category in self.categories.iter().filter(|category| category.record > 0) {
+        for category in self
+            .categories
+            .iter()
+            .filter(|category| category.record > 0)
+        {
             if self.store.is_none() || category.repeat == "rerunnable" || category.record > 2 {
                 return bad(format!(
                     "category '{}': record is 1 or 2, for ticketed or exclusive work, with a [store]",
@@ -385,7 +449,11 @@
             }
         }
         for name in self.fleet.caps.keys() {
-            if !self.categories.iter().any(|category| category.name == *name) {
+            if !self
+                .categories
+                .iter()
+                .any(|category| category.name == *name)
+            {
                 return bad(format!("fleet.caps: '{name}' is not a category"));
             }
         }
@@ -398,7 +466,11 @@
             if !WHATS.iter().any(|(name, ..)| *name == fault.what) {
                 let hint = nearest(&fault.what, WHATS.iter().map(|(name, ..)| *name));
                 let hint = hint.map_or(String::new(), |hint| format!("; did you mean '{hint}'?"));
-                return bad(format!("fault {}: '{}' is not a fault{hint}", n + 1, fault.what));
+                return bad(format!(
+                    "fault {}: '{}' is not a fault{hint}",
+                    n + 1,
+                    fault.what
+                ));
             }
             if fault.p.is_some_and(|p| !(0.0..=1.0).contains(&p)) {
                 return bad(format!("fault {}: p is not from 0 to 1", n + 1));
--- a/crates/rig/src/schedule.rs
+++ b/crates/rig/src/schedule.rs
@@ -7,37 +7,89 @@
 
 /// Every fault there is: name, what it is done to, and what it does.
 pub const WHATS: &[(&str, &str, &str)] = &[
-    ("drop", "link", "loses a part `p` of datagrams; bytes of streams come 200 ms later for each loss"),
+    (
+        "drop",
+        "link",
+        "loses a part `p` of datagrams; bytes of streams come 200 ms later for each loss",
+    ),
     (
         "delay",
         "link",
         "everything comes `delay` later, give or take `jitter`; datagrams may overtake each other",
     ),
-    ("reorder", "link", "a part `p` of datagrams is overtaken by those that follow within 50 ms"),
+    (
+        "reorder",
+        "link",
+        "a part `p` of datagrams is overtaken by those that follow within 50 ms",
+    ),
     ("double", "link", "a part `p` of datagrams comes twice"),
     ("throttle", "link", "`rate` bytes a second at the most"),
-    ("stall", "link", "nothing is read: the sender's buffer fills; new connections come up"),
-    ("reset", "link", "connections are reset, and new ones at once"),
-    ("refuse", "link", "new connections are refused; those there are go on"),
-    ("cut", "link", "nothing passes, new connections never come up; what was on the way comes at the end"),
-    ("black-hole", "link", "connections come up and all that is sent is gone; reset at the end"),
+    (
+        "stall",
+        "link",
+        "nothing is read: the sender's buffer fills; new connections come up",
+    ),
+    (
+        "reset",
+        "link",
+        "connections are reset, and new ones at once",
+    ),
+    (
+        "refuse",
+        "link",
+        "new connections are refused; those there are go on",
+    ),
+    (
+        "cut",
+        "link",
+        "nothing passes, new connections never come up; what was on the way comes at the end",
+    ),
+    (
+        "black-hole",
+        "link",
+        "connections come up and all that is sent is gone; reset at the end",
+    ),
     (
         "kill",
         "dispatcher",
         "SIGKILL; started again at the end, `with` disk, old-copy or none; its Unix time off `by`",
     ),
-    ("term", "dispatcher", "SIGTERM; started again once it has ended, as with kill"),
+    (
+        "term",
+        "dispatcher",
+        "SIGTERM; started again once it has ended, as with kill",
+    ),
     ("pause", "dispatcher", "SIGSTOP, and SIGCONT at the end"),
-    ("restart", "dispatcher", "SIGKILL and started again at once, as with kill"),
+    (
+        "restart",
+        "dispatcher",
+        "SIGKILL and started again at once, as with kill",
+    ),
     (
         "clock-off",
         "dispatcher",
         "its Unix time is off `by` seconds from its start on (`at` is not looked at)",
     ),
-    ("clock-jump", "dispatcher", "its Unix time jumps `by` seconds"),
-    ("reload", "dispatcher", "`set` goes into its configuration, and SIGHUP"),
-    ("propose", "dispatcher", "`set` is proposed at its door as settings for all"),
-    ("say", "dispatcher", "a call at its door, as in `with`: \"POST /store/add/d4\""),
+    (
+        "clock-jump",
+        "dispatcher",
+        "its Unix time jumps `by` seconds",
+    ),
+    (
+        "reload",
+        "dispatcher",
+        "`set` goes into its configuration, and SIGHUP",
+    ),
+    (
+        "propose",
+        "dispatcher",
+        "`set` is proposed at its door as settings for all",
+    ),
+    (
+        "say",
+        "dispatcher",
+        "a call at its door, as in `with`: \"POST /store/add/d4\"",
+    ),
     (
         "disk-slow",
         "dispatcher",
@@ -48,25 +100,61 @@
         "dispatcher",
         "its store's disk is full after `by` bytes from its start on (`at` is not looked at)",
     ),
-    ("drain-by-hand", "dispatcher", "emptied at its operators' door, and that ended at the end"),
+    (
+        "drain-by-hand",
+        "dispatcher",
+        "emptied at its operators' door, and that ended at the end",
+    ),
     ("hang", "runner", "answers nothing and finishes nothing"),
-    ("fail", "runner", "a part `p` of its jobs fails, at a fifth of their time"),
+    (
+        "fail",
+        "runner",
+        "a part `p` of its jobs fails, at a fifth of their time",
+    ),
     ("slow", "runner", "takes `by` times as long"),
     ("full", "runner", "turns everything away"),
     ("mute", "runner", "tells no news"),
-    ("crash", "runner", "its process dies: jobs lost; started again, cold, at the end"),
-    ("new", "runner", "its process is replaced by another one, cold, at once"),
-    ("vanish", "runner", "its machine is gone without a word: as crash, and cut from all"),
-    ("drain", "runner", "the list says that it drains; ready again at the end"),
-    ("gone", "runner", "the list does not name it any more; again at the end"),
-    ("by-hand", "runner", "taken out at all operators' doors, and put back at the end"),
+    (
+        "crash",
+        "runner",
+        "its process dies: jobs lost; started again, cold, at the end",
+    ),
+    (
+        "new",
+        "runner",
+        "its process is replaced by another one, cold, at once",
+    ),
+    (
+        "vanish",
+        "runner",
+        "its machine is gone without a word: as crash, and cut from all",
+    ),
+    (
+        "drain",
+        "runner",
+        "the list says that it drains; ready again at the end",
+    ),
+    (
+        "gone",
+        "runner",
+        "the list does not name it any more; again at the end",
+    ),
+    (
+        "by-hand",
+        "runner",
+        "taken out at all operators' doors, and put back at the end",
+    ),
     (
         "ban",
         "runner",
         "taken out at one dispatcher's door, `with`, and put back there at the end; needs a store",
     ),
     ("crowd", "clients", "`by` times as many requests"),
-    ("fail-category", "clients", "jobs of the category in `with` fail everywhere, a part `p` of them"),
+    (
+        "fail-category",
+        "clients",
+        "jobs of the category in `with` fail everywhere, a part `p` of them",
+    ),
 ];
 
 /// One fault on one target, from a moment to another.
@@ -133,7 +221,8 @@
     let with = fault.with.clone().unwrap_or_default();
     match *name {
         "kill" | "restart" | "term"
-            if !["", "disk", "old-copy", "none", "flipped", "torn", "others"].contains(&with.as_str()) =>
+            if !["", "disk", "old-copy", "none", "flipped", "torn", "others"]
+                .contains(&with.as_str()) =>
         {
             let all = "disk, old-copy, none, flipped, torn, others";
             return Err(format!("{}: with '{with}' is none of {all}", fault.what));
@@ -149,7 +238,12 @@
         "say" if with.split_once(' ').is_none() => {
             return Err(format!("say: with '{with}' is not a method and a path"));
         }
-        "fail-category" if !scenario.categories.iter().any(|category| category.name == with) => {
+        "fail-category"
+            if !scenario
+                .categories
+                .iter()
+                .any(|category| category.name == with) =>
+        {
             return Err(format!("fail-category: with '{with}' is not a category"));
         }
         "throttle" if fault.rate.is_none_or(|rate| rate <= 0.0) => {
@@ -172,7 +266,9 @@
         jitter_s: fault.jitter.unwrap_or_default().0,
         rate: fault.rate.unwrap_or(0.0),
         by: fault.by.unwrap_or(2.0),
-        off: fault.by.filter(|_| ["kill", "restart", "term"].contains(name)),
+        off: fault
+            .by
+            .filter(|_| ["kill", "restart", "term"].contains(name)),
         with,
         set: fault.set.clone().unwrap_or_default(),
         on: fault.on.clone(),
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/stage.rs
@@ -60,7 +60,11 @@
     }
 
     pub fn relay_links(&self, from: usize, to: usize) -> SocketAddr {
-        self.at(Node::Dispatcher(from).number(), Node::Dispatcher(to).number(), FLEET)
+        self.at(
+            Node::Dispatcher(from).number(),
+            Node::Dispatcher(to).number(),
+            FLEET,
+        )
     }
 
     pub fn door(&self, n: usize) -> SocketAddr {
@@ -82,7 +86,12 @@
 }
 
 /// The same with a body.
-pub async fn say(at: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<(u16, String)> {
+pub async fn say(
+    at: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<(u16, String)> {
     let called = async {
         let mut stream = TcpStream::connect(at).await?;
         let head = format!(
@@ -92,11 +101,17 @@
         stream.write_all(head.as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
-        let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
+        let status = answer
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0);
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         Ok((status, body.to_string()))
     };
-    timeout(Duration::from_secs(3), called).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+    timeout(Duration::from_secs(3), called)
+        .await
+        .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
 }
 
 #[derive(Default)]
@@ -121,7 +136,9 @@
     match path.split_once('.') {
         None => _ = table.insert(path.to_string(), value),
         Some((first, rest)) => {
-            let below = table.entry(first).or_insert(toml::Value::Table(toml::Table::new()));
+            let below = table
+                .entry(first)
+                .or_insert(toml::Value::Table(toml::Table::new()));
             if let Some(below) = below.as_table_mut() {
                 put(below, rest, value);
             }
@@ -138,7 +155,13 @@
         let folder = folder.join(Node::Dispatcher(n).name());
         fs::create_dir_all(folder.join("disk"))?;
         let (program, state) = (program.to_path_buf(), Mutex::default());
-        Ok(Dispatcher { n, folder, program, state, absences: Mutex::default() })
+        Ok(Dispatcher {
+            n,
+            folder,
+            program,
+            state,
+            absences: Mutex::default(),
+        })
     }
 
     pub fn set(&self, set: &BTreeMap<String, toml::Value>) {
@@ -158,12 +181,30 @@
         say("discovery", string(stage.relay(me, Node::List).to_string()));
         say("console", string(stage.door(self.n).to_string()));
         let starts = self.state.lock().unwrap().starts;
-        say("seed", string(format!("{:x}", (self.n as u64 + 1) * 7919 + u64::from(starts))));
-        say("learnt", string(self.folder.join("disk/learnt.json").display().to_string()));
+        say(
+            "seed",
+            string(format!(
+                "{:x}",
+                (self.n as u64 + 1) * 7919 + u64::from(starts)
+            )),
+        );
+        say(
+            "learnt",
+            string(self.folder.join("disk/learnt.json").display().to_string()),
+        );
         say("me", whole(self.n));
         say("dispatchers", whole(scenario.processes));
         say("zone", string(site(me)));
-        say("zones", toml::Value::Array(cast.sites.iter().cloned().map(toml::Value::String).collect()));
+        say(
+            "zones",
+            toml::Value::Array(
+                cast.sites
+                    .iter()
+                    .cloned()
+                    .map(toml::Value::String)
+                    .collect(),
+            ),
+        );
         say("kinds", toml::Value::Array(vec![string("k".to_string())]));
         say("runners.tells_start", toml::Value::Boolean(true));
         say("runners.progress", text(scenario.runners.progress.0));
@@ -174,7 +215,10 @@
         say("cold.span", text(scenario.cold.span.0));
         say("fleet.name", string("rig".to_string()));
         say("fleet.listen", string(stage.own_links(self.n).to_string()));
-        say("fleet.sharing", toml::Value::Boolean(scenario.fleet.sharing));
+        say(
+            "fleet.sharing",
+            toml::Value::Boolean(scenario.fleet.sharing),
+        );
         say("fleet.lease", text(scenario.fleet.lease.0));
         say("fleet.owners", whole(scenario.fleet.owners));
         if let Some(probe) = &scenario.fleet.probe {
@@ -187,19 +231,32 @@
             say(&format!("fleet.caps.{name}"), whole(*most as usize));
         }
         let member = |n: usize| {
-            let at = if n == self.n { stage.own_links(n) } else { stage.relay_links(self.n, n) };
+            let at = if n == self.n {
+                stage.own_links(n)
+            } else {
+                stage.relay_links(self.n, n)
+            };
             let mut member = toml::Table::new();
             member.insert("name".to_string(), string(Node::Dispatcher(n).name()));
             member.insert("site".to_string(), string(site(Node::Dispatcher(n))));
             member.insert("at".to_string(), string(at.to_string()));
             toml::Value::Table(member)
         };
-        say("fleet.members", toml::Value::Array((0..scenario.processes).map(member).collect()));
+        say(
+            "fleet.members",
+            toml::Value::Array((0..scenario.processes).map(member).collect()),
+        );
         if let Some(store) = &scenario.store {
-            say("store.folder", string(self.folder.join("disk/store").display().to_string()));
+            say(
+                "store.folder",
+                string(self.folder.join("disk/store").display().to_string()),
+            );
             let voters = (0..scenario.voters()).map(|n| string(Node::Dispatcher(n).name()));
             say("store.voters", toml::Value::Array(voters.collect()));
-            store.marks.into_iter().for_each(|marks| say("store.marks", text(marks.0)));
+            store
+                .marks
+                .into_iter()
+                .for_each(|marks| say("store.marks", text(marks.0)));
         }
         let category = |c: &crate::scenario::Category| {
             let mut table = toml::Table::new();
@@ -213,30 +270,57 @@
             say("payoff", toml::Value::Float(c.payoff));
             say("tardy", toml::Value::Float(c.tardy));
             if c.record > 0 {
-                say("record", whole((c.record as usize).min(scenario.processes - 1)));
+                say(
+                    "record",
+                    whole((c.record as usize).min(scenario.processes - 1)),
+                );
                 say("unrecorded", string(c.unrecorded.clone()));
             }
             toml::Value::Table(table)
         };
-        say("categories", toml::Value::Array(scenario.categories.iter().map(category).collect()));
+        say(
+            "categories",
+            toml::Value::Array(scenario.categories.iter().map(category).collect()),
+        );
         for (path, value) in scenario.set.iter().chain(&self.state.lock().unwrap().set) {
             put(&mut table, path, value.clone());
         }
         let trial = table.contains_key("trial");
-        fs::write(self.folder.join("new.toml"), toml::to_string(&table).map_err(io::Error::other)?)?;
-        fs::rename(self.folder.join("new.toml"), self.folder.join("config.toml"))?;
+        fs::write(
+            self.folder.join("new.toml"),
+            toml::to_string(&table).map_err(io::Error::other)?,
+        )?;
+        fs::rename(
+            self.folder.join("new.toml"),
+            self.folder.join("config.toml"),
+        )?;
         Ok(trial)
     }
 
     pub fn start(&self, stage: &Stage, scenario: &Scenario, cast: &Cast) -> io::Result<()> {
         let trial = self.write(stage, scenario, cast)?;
-        let log = File::options().append(true).create(true).open(self.folder.join("log"))?;
+        let log = File::options()
+            .append(true)
+            .create(true)
+            .open(self.folder.join("log"))?;
         let mut command = Command::new(&self.program);
-        command.arg(if trial { "trial" } else { "run" }).arg("--config").arg(self.folder.join("config.toml"));
-        for name in ["RELAY_CONFIG", "RELAY_FD", "RELAY_CONSOLE", "RELAY_LISTEN", "RELAY_DISCOVERY"] {
+        command
+            .arg(if trial { "trial" } else { "run" })
+            .arg("--config")
+            .arg(self.folder.join("config.toml"));
+        for name in [
+            "RELAY_CONFIG",
+            "RELAY_FD",
+            "RELAY_CONSOLE",
+            "RELAY_LISTEN",
+            "RELAY_DISCOVERY",
+        ] {
             command.env_remove(name);
         }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         let mut state = self.state.lock().unwrap();
         state.child = Some(command.spawn()?);
         state.expected = false;
@@ -320,17 +404,27 @@
             // In the middle of what was promised; and what a write leaves that was cut short.
             "flipped" => changed(&|bytes| {
                 let middle = 48 + bytes.len().saturating_sub(48) / 2;
-                bytes.get_mut(middle).into_iter().for_each(|byte| *byte ^= 0x10);
+                bytes
+                    .get_mut(middle)
+                    .into_iter()
+                    .for_each(|byte| *byte ^= 0x10);
             }),
             "torn" => changed(&|bytes| {
                 let record = [100u8, 0, 0, 0, 155, 255, 255, 255, 1, 2, 3, 4, 5];
                 bytes.extend(record);
             }),
             "others" => {
-                let next = self.folder.parent().map(|all| fs::read_dir(all).into_iter().flatten().flatten());
-                let others = next.into_iter().flatten().map(|entry| entry.path().join("disk/store"));
-                let mut others: Vec<PathBuf> =
-                    others.filter(|path| !path.starts_with(&self.folder) && path.exists()).collect();
+                let next = self
+                    .folder
+                    .parent()
+                    .map(|all| fs::read_dir(all).into_iter().flatten().flatten());
+                let others = next
+                    .into_iter()
+                    .flatten()
+                    .map(|entry| entry.path().join("disk/store"));
+                let mut others: Vec<PathBuf> = others
+                    .filter(|path| !path.starts_with(&self.folder) && path.exists())
+                    .collect();
                 others.sort();
                 if let Some(other) = others.first() {
                     let _ = fs::remove_dir_all(disk.join("store"));
--- a/crates/rig/src/ways.rs
+++ b/crates/rig/src/ways.rs
@@ -37,7 +37,13 @@
             }
             "reorder" => self.reorder = self.reorder.max(what.p),
             "double" => self.double = self.double.max(what.p),
-            "throttle" => self.rate = if self.rate > 0.0 { self.rate.min(what.rate) } else { what.rate },
+            "throttle" => {
+                self.rate = if self.rate > 0.0 {
+                    self.rate.min(what.rate)
+                } else {
+                    what.rate
+                }
+            }
             "stall" => self.stall = true,
             "reset" => self.reset = true,
             "refuse" => self.refuse = true,
@@ -61,15 +67,22 @@
 impl Ways {
     pub fn way(&self, from: Node, to: Node) -> Told {
         let mut all = self.all.lock().unwrap();
-        all.entry((from, to)).or_insert_with(|| watch::Sender::new(Way::default())).subscribe()
+        all.entry((from, to))
+            .or_insert_with(|| watch::Sender::new(Way::default()))
+            .subscribe()
     }
 
     fn set(&self, ways: &[(Node, Node)]) {
         let (mut all, active) = (self.all.lock().unwrap(), self.active.lock().unwrap());
         for pair in ways {
             let mut way = Way::default();
-            active.iter().filter(|(_, what)| what.ways.contains(pair)).for_each(|(_, what)| way.with(what));
-            let sender = all.entry(*pair).or_insert_with(|| watch::Sender::new(Way::default()));
+            active
+                .iter()
+                .filter(|(_, what)| what.ways.contains(pair))
+                .for_each(|(_, what)| way.with(what));
+            let sender = all
+                .entry(*pair)
+                .or_insert_with(|| watch::Sender::new(Way::default()));
             sender.send_if_modified(|old| std::mem::replace(old, way.clone()) != way);
         }
     }
@@ -81,7 +94,9 @@
 
     pub fn end(&self, no: usize) {
         let mut active = self.active.lock().unwrap();
-        let Some(at) = active.iter().position(|(other, _)| *other == no) else { return };
+        let Some(at) = active.iter().position(|(other, _)| *other == no) else {
+            return;
+        };
         let (_, what) = active.swap_remove(at);
         drop(active);
         self.set(&what.ways);
--- a/crates/rig/tests/stories.rs
+++ b/crates/rig/tests/stories.rs
@@ -15,7 +15,9 @@
             let mut scenario = Scenario::read(&path).unwrap_or_else(|why| panic!("{why}"));
             for processes in [2, 3, 7, 25] {
                 scenario.processes = processes;
-                scenario.check().unwrap_or_else(|why| panic!("{} at {processes}: {why}", path.display()));
+                scenario
+                    .check()
+                    .unwrap_or_else(|why| panic!("{} at {processes}: {why}", path.display()));
             }
             seen += 1;
         }
@@ -27,15 +29,26 @@
 fn a_bad_scenario_is_told_with_its_place() {
     assert!(bad("length = 5").contains("line 1"));
     assert!(bad("lenght = \"5s\"").contains("unknown field `lenght`"));
-    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kil\"\non = \"d1\"").contains("did you mean 'kill'?"));
-    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kill\"\non = \"r1\"").contains("selects no dispatcher"));
-    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"cut\"\non = \"d1>x9\"").contains("'x9' selects nobody"));
-    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"cut\"\non = \"site:z\"").contains("'z' is no site"));
-    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"drop\"\np = 1.5\non = \"all\"")
-        .contains("p is not from 0 to 1"));
+    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kil\"\non = \"d1\"")
+        .contains("did you mean 'kill'?"));
+    assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kill\"\non = \"r1\"")
+        .contains("selects no dispatcher"));
+    assert!(
+        bad("[[faults]]\nat = \"1s\"\nwhat = \"cut\"\non = \"d1>x9\"")
+            .contains("'x9' selects nobody")
+    );
+    assert!(
+        bad("[[faults]]\nat = \"1s\"\nwhat = \"cut\"\non = \"site:z\"").contains("'z' is no site")
+    );
+    assert!(
+        bad("[[faults]]\nat = \"1s\"\nwhat = \"drop\"\np = 1.5\non = \"all\"")
+            .contains("p is not from 0 to 1")
+    );
     assert!(bad("processes = 26").contains("not from 2 to 25"));
     assert!(bad("[fleet]\ncaps = { x = 1 }").contains("'x' is not a category"));
-    assert!(bad("[[categories]]\nname = \"a\"\nrate = 1.0\nrepeat = \"again\"").contains("is none of"));
+    assert!(
+        bad("[[categories]]\nname = \"a\"\nrate = 1.0\nrepeat = \"again\"").contains("is none of")
+    );
 }
 
 fn scenario(text: &str) -> Scenario {
@@ -92,7 +105,8 @@
         wait_s: 2.0,
         category: 2,
         work_s: 0.1,
-        started: matches!(ended, None | Some((_, End::Done | End::Failed | End::Lost))).then_some(left),
+        started: matches!(ended, None | Some((_, End::Done | End::Failed | End::Lost)))
+            .then_some(left),
         ended,
         closed: None,
         came_by: None,
@@ -110,16 +124,26 @@
         breaks: Vec::new(),
         version: String::new(),
     };
-    let mut rules: Vec<&str> = outcome.world(|world| judge(world, records)).iter().map(|b| b.rule).collect();
+    let mut rules: Vec<&str> = outcome
+        .world(|world| judge(world, records))
+        .iter()
+        .map(|b| b.rule)
+        .collect();
     rules.dedup();
     rules
 }
 
 fn with(wis: Vec<Wi>, hos: Vec<Ho>) -> Records {
-    let mut records = Records { wis, hos, ..Records::default() };
+    let mut records = Records {
+        wis,
+        hos,
+        ..Records::default()
+    };
     let done: Vec<String> = records.hos.iter().map(|ho| ho.id.clone()).collect();
     for id in done {
-        records.results.insert(id.clone(), vec![format!("{id} made")]);
+        records
+            .results
+            .insert(id.clone(), vec![format!("{id} made")]);
     }
     records
 }
@@ -128,15 +152,29 @@
 fn rule_1_an_answer_that_never_comes_or_was_made_by_nobody() {
     let ran = || vec![ho("a", 0, 1.0, Some((1.1, End::Done)))];
     assert!(rules("", &with(vec![wi("a", 2)], ran())).is_empty());
-    let none = Wi { answer: None, ..wi("a", 2) };
+    let none = Wi {
+        answer: None,
+        ..wi("a", 2)
+    };
     assert_eq!(rules("", &with(vec![none.clone()], ran())), ["rule-1"]);
-    let made_up = Wi { answer: Some((1.2, 200, "made up".to_string())), ..wi("a", 2) };
+    let made_up = Wi {
+        answer: Some((1.2, 200, "made up".to_string())),
+        ..wi("a", 2)
+    };
     assert_eq!(rules("", &with(vec![made_up], ran())), ["rule-1"]);
-    let late = Wi { answer: Some((4.2, 502, String::new())), ..wi("a", 2) };
+    let late = Wi {
+        answer: Some((4.2, 502, String::new())),
+        ..wi("a", 2)
+    };
     assert_eq!(rules("", &with(vec![late], ran())), ["rule-1"]);
     // What a killed process held is its client's to repeat; what a cut swallowed never came.
     let mut records = with(vec![none.clone()], ran());
-    records.absences.push(sagetrail_rig::Absence { dispatcher: 0, from: 1.1, to: 2.0, died: true });
+    records.absences.push(sagetrail_rig::Absence {
+        dispatcher: 0,
+        from: 1.1,
+        to: 2.0,
+        died: true,
+    });
     assert!(rules("", &records).is_empty());
     let cut = "[[faults]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"cut\"\non = \"clients<>d1\"";
     assert!(rules(cut, &with(vec![none], ran())).is_empty());
@@ -151,16 +189,44 @@
         let hos = [first, second].map(|ho| Ho { category, ..ho });
         rules("", &with(vec![wi("a", category)], hos.to_vec()))
     };
-    assert_eq!(all(2, first(), second()), ["rule-2"], "exclusive, and may have run");
+    assert_eq!(
+        all(2, first(), second()),
+        ["rule-2"],
+        "exclusive, and may have run"
+    );
     assert!(all(2, declined(), second()).is_empty(), "never ran");
     assert!(all(0, first(), second()).is_empty(), "rerunnable");
-    assert!(all(1, first(), second()).is_empty(), "ticketed, within group and window");
-    assert_eq!(all(1, first(), Ho { left: 6.4, came: 6.4, ..second() }), ["rule-2"], "past its window");
-    let running = Ho { ended: Some((1.9, End::Done)), ..first() };
+    assert!(
+        all(1, first(), second()).is_empty(),
+        "ticketed, within group and window"
+    );
+    assert_eq!(
+        all(
+            1,
+            first(),
+            Ho {
+                left: 6.4,
+                came: 6.4,
+                ..second()
+            }
+        ),
+        ["rule-2"],
+        "past its window"
+    );
+    let running = Ho {
+        ended: Some((1.9, End::Done)),
+        ..first()
+    };
     assert_eq!(all(0, running, second()), ["rule-2"], "two at once");
-    let given_up = Ho { ended: Some((1.3, End::GivenUp)), ..first() };
+    let given_up = Ho {
+        ended: Some((1.3, End::GivenUp)),
+        ..first()
+    };
     assert!(all(0, given_up, second()).is_empty());
-    let deferred = Wi { answer: Some((1.2, 503, String::new())), ..wi("a", 2) };
+    let deferred = Wi {
+        answer: Some((1.2, 503, String::new())),
+        ..wi("a", 2)
+    };
     assert_eq!(
         rules("", &with(vec![deferred], vec![first()])),
         ["rule-2"],
@@ -170,8 +236,17 @@
 
 #[test]
 fn rule_3_a_first_byte_after_the_grace_by_list_or_by_hand() {
-    let mut records = with(vec![wi("a", 2)], vec![ho("a", 0, 2.0, Some((2.1, End::Done)))]);
-    let word = |at, ready| sagetrail_rig::Word { at, dispatcher: 0, runner: 0, ready, process: 0 };
+    let mut records = with(
+        vec![wi("a", 2)],
+        vec![ho("a", 0, 2.0, Some((2.1, End::Done)))],
+    );
+    let word = |at, ready| sagetrail_rig::Word {
+        at,
+        dispatcher: 0,
+        runner: 0,
+        ready,
+        process: 0,
+    };
     records.words = vec![word(0.0, true), word(1.8, false)];
     assert!(rules("", &records).is_empty(), "within the grace");
     records.words[1].at = 1.0;
@@ -186,9 +261,21 @@
 fn rule_4_more_than_a_cold_runner_bears_in_any_span() {
     // Four slots at a fifth, three times that: 2.4 s of work within a second, and a little by its age.
     let sent = |n: usize| {
-        let hos = (0..n).map(|k| ho(&format!("a{k}"), 0, 1.0 + 0.001 * k as f64, Some((1.5, End::Done))));
+        let hos = (0..n).map(|k| {
+            ho(
+                &format!("a{k}"),
+                0,
+                1.0 + 0.001 * k as f64,
+                Some((1.5, End::Done)),
+            )
+        });
         let mut records = with(Vec::new(), hos.collect());
-        records.births.push(sagetrail_rig::Birth { runner: 0, process: 0, at: 0.9, cold: true });
+        records.births.push(sagetrail_rig::Birth {
+            runner: 0,
+            process: 0,
+            at: 0.9,
+            cold: true,
+        });
         records.words.push(sagetrail_rig::Word {
             at: 0.92,
             dispatcher: 0,
@@ -206,16 +293,37 @@
 fn bounds_on_what_is_shared() {
     let caps = "[fleet]\ncaps = { once = 2 }\nresends = 1";
     let at = |ids: &[(&str, f64)]| {
-        let hos = ids.iter().map(|(id, left)| ho(id, 0, *left, Some((left + 0.3, End::Done))));
+        let hos = ids
+            .iter()
+            .map(|(id, left)| ho(id, 0, *left, Some((left + 0.3, End::Done))));
         let hos: Vec<Ho> = hos.collect();
         hos
     };
-    assert!(rules(caps, &with(vec![], at(&[("a", 1.0), ("b", 1.1), ("c", 1.35)]))).is_empty());
-    assert_eq!(rules(caps, &with(vec![], at(&[("a", 1.0), ("b", 1.1), ("c", 1.2)]))), ["bound-cap"]);
+    assert!(rules(
+        caps,
+        &with(vec![], at(&[("a", 1.0), ("b", 1.1), ("c", 1.35)]))
+    )
+    .is_empty());
+    assert_eq!(
+        rules(
+            caps,
+            &with(vec![], at(&[("a", 1.0), ("b", 1.1), ("c", 1.2)]))
+        ),
+        ["bound-cap"]
+    );
     let again = |ids: &[&str]| {
         let both = ids.iter().flat_map(|id| {
-            let first = Ho { category: 0, ..ho(id, 0, 1.0, Some((1.1, End::Failed))) };
-            [first, Ho { category: 0, ..ho(id, 1, 1.3, Some((1.4, End::Done))) }]
+            let first = Ho {
+                category: 0,
+                ..ho(id, 0, 1.0, Some((1.1, End::Failed)))
+            };
+            [
+                first,
+                Ho {
+                    category: 0,
+                    ..ho(id, 1, 1.3, Some((1.4, End::Done)))
+                },
+            ]
         });
         rules(caps, &with(vec![], both.collect()))
     };
@@ -228,8 +336,20 @@
     let sent = |to: &[usize]| {
         let hos = (0..1200).map(|n| {
             let left = 0.01 * f64::from(n);
-            let runner = if left < 1.0 { n as usize % 6 } else { to[n as usize % to.len()] };
-            Ho { category: 0, ..ho(&format!("a{n}"), runner, left, Some((left + 0.005, End::Done))) }
+            let runner = if left < 1.0 {
+                n as usize % 6
+            } else {
+                to[n as usize % to.len()]
+            };
+            Ho {
+                category: 0,
+                ..ho(
+                    &format!("a{n}"),
+                    runner,
+                    left,
+                    Some((left + 0.005, End::Done)),
+                )
+            }
         });
         with(vec![], hos.collect())
     };
@@ -237,7 +357,10 @@
     assert!(rules(long, &sent(&[0, 1, 2, 3, 4, 5])).is_empty());
     assert_eq!(rules(long, &sent(&[0, 1, 2, 3, 4])), ["bound-shut-out"]);
     let ill = format!("{long}\n[[faults]]\nat = \"0s\"\nwhat = \"hang\"\non = \"r6\"");
-    assert!(rules(&ill, &sent(&[0, 1, 2, 3, 4])).is_empty(), "it was not well");
+    assert!(
+        rules(&ill, &sent(&[0, 1, 2, 3, 4])).is_empty(),
+        "it was not well"
+    );
     let cut = format!("{long}\n[[faults]]\nat = \"0s\"\nwhat = \"cut\"\non = \"d2>r6\"");
     assert_eq!(
         rules(&cut, &sent(&[0, 1, 2, 3, 4])),
@@ -249,30 +372,65 @@
 #[test]
 fn what_a_scenario_expects_is_held_against_what_was_earned() {
     let records = with(
-        vec![wi("a", 2), Wi { answer: Some((1.2, 502, String::new())), ..wi("b", 2) }],
-        vec![ho("a", 0, 1.0, Some((1.1, End::Done))), ho("b", 0, 1.0, Some((1.1, End::Failed)))],
+        vec![
+            wi("a", 2),
+            Wi {
+                answer: Some((1.2, 502, String::new())),
+                ..wi("b", 2)
+            },
+        ],
+        vec![
+            ho("a", 0, 1.0, Some((1.1, End::Done))),
+            ho("b", 0, 1.0, Some((1.1, End::Failed))),
+        ],
     );
     assert!(rules("[expect]\ngoodput = 0.5", &records).is_empty());
     assert_eq!(rules("[expect]\ngoodput = 0.6", &records), ["expected"]);
-    assert_eq!(rules("[expect]\nfailed_hand_offs = 0", &records), ["expected"]);
+    assert_eq!(
+        rules("[expect]\nfailed_hand_offs = 0", &records),
+        ["expected"]
+    );
 }
 
 #[test]
 fn recorded_work_is_one_work_item_under_its_name() {
     let text = "[store]\n[[categories]]\nname = \"once\"\nrate = 1.0\nrecord = 1";
-    let again = || Wi { first: Some("a".to_string()), ..wi("a-1", 0) };
+    let again = || Wi {
+        first: Some("a".to_string()),
+        ..wi("a-1", 0)
+    };
     let at = |id: &str, runner, left: f64, end| Ho {
         category: 0,
         ..ho(id, runner, left, Some((left + 0.1, end)))
     };
-    let wis = || vec![Wi { answer: None, closed: Some(1.1), ..wi("a", 0) }, again()];
+    let wis = || {
+        vec![
+            Wi {
+                answer: None,
+                closed: Some(1.1),
+                ..wi("a", 0)
+            },
+            again(),
+        ]
+    };
     let killed = |mut records: Records| {
-        records.absences.push(sagetrail_rig::Absence { dispatcher: 0, from: 1.05, to: 1.2, died: true });
+        records.absences.push(sagetrail_rig::Absence {
+            dispatcher: 0,
+            from: 1.05,
+            to: 1.2,
+            died: true,
+        });
         rules(text, &records)
     };
-    let twice = with(wis(), vec![at("a", 0, 1.0, End::Done), at("a-1", 1, 1.4, End::Done)]);
+    let twice = with(
+        wis(),
+        vec![at("a", 0, 1.0, End::Done), at("a-1", 1, 1.4, End::Done)],
+    );
     assert_eq!(killed(twice), ["rule-2"], "its effect twice, under two ids");
-    let declined = with(wis(), vec![at("a", 0, 1.0, End::Declined), at("a-1", 1, 1.4, End::Done)]);
+    let declined = with(
+        wis(),
+        vec![at("a", 0, 1.0, End::Declined), at("a-1", 1, 1.4, End::Done)],
+    );
     assert!(killed(declined).is_empty(), "it never ran the first time");
     // What the first try made is an answer to the second.
     let mut given = with(wis(), vec![at("a", 0, 1.0, End::Done)]);
@@ -283,12 +441,20 @@
 #[test]
 fn bound_what_was_agreed_holds_everywhere() {
     let banned = |schedule: &str, left: f64| {
-        let mut records =
-            with(vec![], vec![Ho { dispatcher: 1, ..ho("a", 2, left, Some((left + 0.1, End::Done))) }]);
+        let mut records = with(
+            vec![],
+            vec![Ho {
+                dispatcher: 1,
+                ..ho("a", 2, left, Some((left + 0.1, End::Done)))
+            }],
+        );
         records.banned.push((2, 1.0, 9.0));
         rules(&format!("length = \"10s\"\n[store]\n{schedule}"), &records)
     };
-    assert!(banned("", 3.0).is_empty(), "within two seconds and the grace");
+    assert!(
+        banned("", 3.0).is_empty(),
+        "within two seconds and the grace"
+    );
     assert_eq!(banned("", 4.0), ["bound-agreed"]);
     assert!(banned("", 9.5).is_empty(), "it is back");
     let cut = "[[faults]]\nat = \"0s\"\nfor = \"8s\"\nwhat = \"cut\"\non = \"d2<>dispatchers\"";
--- a/crates/sagetrail/src/cli.rs
+++ b/crates/sagetrail/src/cli.rs
@@ -130,7 +130,11 @@
 
 impl Given {
     pub fn source(self, trial: bool) -> Source {
-        Source { file: self.config, flags: self.set, trial }
+        Source {
+            file: self.config,
+            flags: self.set,
+            trial,
+        }
     }
 }
 
@@ -144,13 +148,22 @@
         return Err("a call is a method and a path".to_string());
     }
     let length = body.len();
-    let head = format!("{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: {length}\r\n\r\n");
+    let head =
+        format!("{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: {length}\r\n\r\n");
     write!(stream, "{head}{body}").map_err(said)?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).map_err(said)?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or(format!("the door at {at} does not answer"))?;
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok((status.ok_or(format!("the door at {at} answers in another language"))?, body.to_string()))
+    let (head, body) = answer
+        .split_once("\r\n\r\n")
+        .ok_or(format!("the door at {at} does not answer"))?;
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok());
+    Ok((
+        status.ok_or(format!("the door at {at} answers in another language"))?,
+        body.to_string(),
+    ))
 }
 
 fn ask(at: SocketAddr, method: &str, path: &str) -> Result<u8, String> {
@@ -168,13 +181,26 @@
     let state = |at| -> Result<Vec<String>, String> {
         let (_, status) = call(at, "GET", "/store", "")?;
         let (_, kept) = call(at, "GET", "/store/backup", "")?;
-        let same =
-            |line: &&str| ["voters", "settings", "out ", "words "].iter().any(|word| line.starts_with(word));
-        Ok(status.lines().filter(same).chain(kept.lines()).map(str::to_string).collect())
+        let same = |line: &&str| {
+            ["voters", "settings", "out ", "words "]
+                .iter()
+                .any(|word| line.starts_with(word))
+        };
+        Ok(status
+            .lines()
+            .filter(same)
+            .chain(kept.lines())
+            .map(str::to_string)
+            .collect())
     };
     let (ours, theirs) = (state(at)?, state(with)?);
-    ours.iter().filter(|line| !theirs.contains(line)).for_each(|line| println!("{at} {line}"));
-    theirs.iter().filter(|line| !ours.contains(line)).for_each(|line| println!("{with} {line}"));
+    ours.iter()
+        .filter(|line| !theirs.contains(line))
+        .for_each(|line| println!("{at} {line}"));
+    theirs
+        .iter()
+        .filter(|line| !ours.contains(line))
+        .for_each(|line| println!("{with} {line}"));
     Ok(u8::from(ours != theirs))
 }
 
@@ -206,13 +232,17 @@
 }
 
 fn show(given: &Given) -> Result<u8, String> {
-    let Some(file) = &given.config else { return Err("show-config needs --config FILE".to_string()) };
-    let read = setup::read(&start::layers(file, &given.set)?).map_err(|faults| faults.join("\n"))?;
+    let Some(file) = &given.config else {
+        return Err("show-config needs --config FILE".to_string());
+    };
+    let read =
+        setup::read(&start::layers(file, &given.set)?).map_err(|faults| faults.join("\n"))?;
     for (path, value) in &read.values {
         println!("{path} = {}  # {}", value.value, value.origin);
     }
-    for key in
-        setup::KEYS.iter().filter(|key| !key.path.contains("[]") && !read.values.contains_key(key.path))
+    for key in setup::KEYS
+        .iter()
+        .filter(|key| !key.path.contains("[]") && !read.values.contains_key(key.path))
     {
         if !["", "none"].contains(&key.default) {
             println!("{} = {}  # default", key.path, key.default);
@@ -226,7 +256,11 @@
     match command {
         Command::Run(_) | Command::Trial(_) => Ok(0),
         Command::Check { file, set } => {
-            let source = Source { file: Some(file), flags: set, trial: true };
+            let source = Source {
+                file: Some(file),
+                flags: set,
+                trial: true,
+            };
             match source.open() {
                 Ok(_) => Ok(0),
                 Err(why) => {
@@ -248,9 +282,13 @@
         Command::Members { at } => ask(at, "GET", "/members"),
         Command::Shared { at } => ask(at, "GET", "/shared"),
         Command::Store { at, what } => store(at, what),
-        Command::Plan { look: Look::Check { file } } => match setup::read(&start::layers(&file, &[])?) {
+        Command::Plan {
+            look: Look::Check { file },
+        } => match setup::read(&start::layers(&file, &[])?) {
             Ok(read) => {
-                read.warnings.iter().for_each(|line| println!("unwise: {line}"));
+                read.warnings
+                    .iter()
+                    .for_each(|line| println!("unwise: {line}"));
                 Ok(0)
             }
             Err(faults) => {
@@ -258,8 +296,11 @@
                 Ok(1)
             }
         },
-        Command::Plan { look: Look::WhatIf { file, html } } => {
-            let read = setup::read(&start::layers(&file, &[])?).map_err(|faults| faults.join("\n"))?;
+        Command::Plan {
+            look: Look::WhatIf { file, html },
+        } => {
+            let read =
+                setup::read(&start::layers(&file, &[])?).map_err(|faults| faults.join("\n"))?;
             let losses = read.plan.losses();
             if losses.is_empty() {
                 return Err("the plan names no two sites: there is nothing to lose".to_string());
@@ -267,12 +308,18 @@
             print!("{}", whatif::table(&losses));
             if let Some(path) = html {
                 let page = whatif::page(&losses);
-                std::fs::write(&path, page).map_err(|error| format!("{}: {error}", path.display()))?;
+                std::fs::write(&path, page)
+                    .map_err(|error| format!("{}: {error}", path.display()))?;
             }
             Ok(0)
         }
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "sagetrail", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "sagetrail",
+                &mut std::io::stdout(),
+            );
             Ok(0)
         }
     }
--- a/crates/sagetrail/src/clients.rs
+++ b/crates/sagetrail/src/clients.rs
@@ -78,7 +78,9 @@
                 spawn_local(async move {
                     let (_place, _placed) = (place, Counted::new(&door.placed));
                     let open = Counted::new(&door.open);
-                    let Ok(Some((wire, within_s))) = connection(stream, &door).await else { return };
+                    let Ok(Some((wire, within_s))) = connection(stream, &door).await else {
+                        return;
+                    };
                     // It keeps its place, but takes nobody's: no work is turned away for one that is on its way out.
                     let _unsettled = Counted::new(&door.unsettled);
                     drop(open);
@@ -132,7 +134,11 @@
             // Guards against a reset over a request that crosses the close: it is read and left, and its client, who
             // sees a plain end, sends it once more elsewhere.
             Come::Close => {
-                let within_s = if door.short_of_places() { 0.0 } else { LINGER_S };
+                let within_s = if door.short_of_places() {
+                    0.0
+                } else {
+                    LINGER_S
+                };
                 return Ok(Some((wire, within_s)));
             }
             Come::Request(request) => {
@@ -146,7 +152,9 @@
                 (Reply { bare, ..reply }, open, keep)
             }
             Come::Fault(fault) => {
-                let Some(status) = fault.status() else { return Err(fault) };
+                let Some(status) = fault.status() else {
+                    return Err(fault);
+                };
                 (Reply::new(status, format!("{fault}\n")), None, false)
             }
         };
@@ -224,7 +232,9 @@
 async fn begun(wire: &mut Wire) -> Begun {
     poll_fn(|cx| match Pin::new(&mut *wire).poll_next(cx) {
         Poll::Ready(read) => Poll::Ready(Some(read)),
-        Poll::Pending if !wire.read_buffer().is_empty() || !wire.codec().between() => Poll::Ready(None),
+        Poll::Pending if !wire.read_buffer().is_empty() || !wire.codec().between() => {
+            Poll::Ready(None)
+        }
         Poll::Pending => Poll::Pending,
     })
     .await
@@ -287,7 +297,10 @@
 
 /// The answer to a request, and the work item that it ends; `None` if its client has gone.
 async fn answer(
-    request: Request, wire: &mut Wire, ahead: &mut Ahead, door: &Door,
+    request: Request,
+    wire: &mut Wire,
+    ahead: &mut Ahead,
+    door: &Door,
 ) -> Option<(Reply, Option<Open>)> {
     let path = request.target.split('?').next().unwrap_or_default();
     let looks = matches!(request.method, Method::Get | Method::Head);
@@ -312,7 +325,10 @@
                 let reply = match door.crowded() {
                     true => {
                         let retry_after_s = door.retry_after_s;
-                        Reply { retry_after_s, ..Reply::new(503, "too many connections\n") }
+                        Reply {
+                            retry_after_s,
+                            ..Reply::new(503, "too many connections\n")
+                        }
                     }
                     false => work(request, job, wait_s, wire, ahead, door).await?,
                 };
@@ -328,11 +344,17 @@
 /// that holds the work item, and the runner tells again what that did not hear.
 async fn callback(callback: Callback, door: &Door) -> Reply {
     if !door.handover.linked() {
-        door.mailbox.call(move |exchange| _ = exchange.callback(callback)).await;
+        door.mailbox
+            .call(move |exchange| _ = exchange.callback(callback))
+            .await;
         return Reply::new(204, "");
     }
     let again = callback.clone();
-    if door.mailbox.ask(move |exchange| exchange.callback(callback)).await != Some(true)
+    if door
+        .mailbox
+        .ask(move |exchange| exchange.callback(callback))
+        .await
+        != Some(true)
         && door.handover.tell(Ask::News(again)).await == Heard::Silent
     {
         return Reply::new(503, "not heard\n");
@@ -343,7 +365,10 @@
 /// A number and a unit: milliseconds or microseconds.
 fn seconds(text: &str) -> Option<f64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let number: f64 = number.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)?;
+    let number: f64 = number
+        .parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite() && *number >= 0.0)?;
     match unit {
         "m" => Some(number / 1e3),
         "u" => Some(number / 1e6),
@@ -358,23 +383,46 @@
     if id.is_empty() || id.len() > 128 || !id.bytes().all(plain) {
         return Err((400, "this Req-Id cannot stand in a path"));
     }
-    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
-    let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+    let (path, query) = request
+        .target
+        .split_once('?')
+        .unwrap_or((&request.target, ""));
+    let first = path
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or_default();
     let name = request.category.as_deref().unwrap_or(first);
     if name != first {
         return Err((400, "Req-Kind and the path name different categories"));
     }
-    let category = door.categories.iter().position(|c| c == name).ok_or((404, "unknown category"))?;
+    let category = door
+        .categories
+        .iter()
+        .position(|c| c == name)
+        .ok_or((404, "unknown category"))?;
     let wait_s = match &request.waits {
         Some(text) => seconds(text).ok_or((400, "Req-Deadline cannot be read"))?,
         None => door.expiries[category],
     };
-    let key = query.split('&').find_map(|pair| pair.strip_prefix("key=")).filter(|key| !key.is_empty());
+    let key = query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix("key="))
+        .filter(|key| !key.is_empty());
     let (mut slots, mut memory) = (1.0, 0.0);
-    for pair in request.extra.iter().flat_map(|extra| extra.split(',')).filter(|pair| !pair.trim().is_empty())
+    for pair in request
+        .extra
+        .iter()
+        .flat_map(|extra| extra.split(','))
+        .filter(|pair| !pair.trim().is_empty())
     {
-        let (name, figure) = pair.split_once('=').ok_or((400, "Req-Extra cannot be read"))?;
-        let figure: f64 = figure.trim().parse().map_err(|_| (400, "Req-Extra cannot be read"))?;
+        let (name, figure) = pair
+            .split_once('=')
+            .ok_or((400, "Req-Extra cannot be read"))?;
+        let figure: f64 = figure
+            .trim()
+            .parse()
+            .map_err(|_| (400, "Req-Extra cannot be read"))?;
         if !(figure.is_finite() && figure >= 0.0) {
             return Err((400, "Req-Extra cannot be read"));
         }
@@ -386,7 +434,9 @@
     }
     let job = Job {
         category,
-        key: key.map_or(0, |key| (number(key) >> 32) as u32).max(key.is_some() as u32),
+        key: key
+            .map_or(0, |key| (number(key) >> 32) as u32)
+            .max(key.is_some() as u32),
         expiry: 0.0,
         hint: 0.0,
         slots,
@@ -425,7 +475,11 @@
         let (status, body) = (reply.status, Some(reply.body.to_vec()));
         // At-most-once work is deferred only if it never ran; what was refused at the door was never taken.
         let ran = !(status == 503 && self.exclusive || matches!(status, 400 | 404));
-        let status = if matches!(status, 400 | 404) { 503 } else { status };
+        let status = if matches!(status, 400 | 404) {
+            503
+        } else {
+            status
+        };
         self.store.ended(self.no, Ended { status, ran, body });
     }
 }
@@ -433,19 +487,40 @@
 impl Drop for Claim<'_> {
     fn drop(&mut self) {
         if !self.told {
-            self.store.ended(self.no, Ended { status: 502, ran: true, body: None });
+            self.store.ended(
+                self.no,
+                Ended {
+                    status: 502,
+                    ran: true,
+                    body: None,
+                },
+            );
         }
     }
 }
 
 /// Makes known to others what its category says is to be known before it is handed off; what is answered at once
 /// where another has had it, or too few could be told.
-async fn record<'a>(request: &Request, job: &Job, door: &'a Door) -> Result<Option<Claim<'a>>, Reply> {
-    let Some(store) = &door.store else { return Ok(None) };
-    let Some(recorded) = store.said.recorded.get(job.category).and_then(Option::as_ref) else {
+async fn record<'a>(
+    request: &Request,
+    job: &Job,
+    door: &'a Door,
+) -> Result<Option<Claim<'a>>, Reply> {
+    let Some(store) = &door.store else {
         return Ok(None);
     };
-    let (_, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+    let Some(recorded) = store
+        .said
+        .recorded
+        .get(job.category)
+        .and_then(Option::as_ref)
+    else {
+        return Ok(None);
+    };
+    let (_, query) = request
+        .target
+        .split_once('?')
+        .unwrap_or((&request.target, ""));
     let key = query.split('&').find_map(|pair| pair.strip_prefix("key="));
     let called = match recorded.by_key {
         true => key.filter(|key| !key.is_empty()),
@@ -453,8 +528,16 @@
     };
     let called = called.or(request.id.as_deref()).unwrap_or_default();
     let exclusive = recorded.window_s.is_none();
-    match store.claim(&door.categories[job.category], called, recorded).await {
-        Ok(no) => Ok(no.map(|no| Claim { store, no, exclusive, told: false })),
+    match store
+        .claim(&door.categories[job.category], called, recorded)
+        .await
+    {
+        Ok(no) => Ok(no.map(|no| Claim {
+            store,
+            no,
+            exclusive,
+            told: false,
+        })),
         Err(Answer::Say { status, body }) => Err(Reply::new(status, body)),
         Err(Answer::WriteOff) => Err(Reply::new(502, "written off: another dispatcher had it\n")),
         Err(Answer::Later) => {
@@ -469,19 +552,41 @@
 
 /// Hands a work item in and waits for its answer, reading on: a client that closes has left.
 async fn work(
-    request: Request, job: Job, wait_s: f64, wire: &mut Wire, ahead: &mut Ahead, door: &Door,
+    request: Request,
+    job: Job,
+    wait_s: f64,
+    wire: &mut Wire,
+    ahead: &mut Ahead,
+    door: &Door,
 ) -> Option<Reply> {
     let claimed = match record(&request, &job, door).await {
         Ok(claimed) => claimed,
         Err(reply) => return Some(reply),
     };
     let id: Rc<str> = request.id.unwrap_or_default().into();
-    let Request { target, headers, body, .. } = request;
+    let Request {
+        target,
+        headers,
+        body,
+        ..
+    } = request;
     let gone = Rc::new(Cell::new(false));
-    let order = Order { id: id.clone(), target, headers, body, gone: gone.clone() };
-    let mut waiting = Waiting { mailbox: &door.mailbox, id: Some(id), gone };
+    let order = Order {
+        id: id.clone(),
+        target,
+        headers,
+        body,
+        gone: gone.clone(),
+    };
+    let mut waiting = Waiting {
+        mailbox: &door.mailbox,
+        id: Some(id),
+        gone,
+    };
     let (tell, mut told) = oneshot::channel();
-    door.mailbox.call(move |exchange| exchange.take(order, job, wait_s, tell)).await;
+    door.mailbox
+        .call(move |exchange| exchange.take(order, job, wait_s, tell))
+        .await;
     tokio::select! {
         biased;
         reply = &mut told => {
--- a/crates/sagetrail/src/clock.rs
+++ b/crates/sagetrail/src/clock.rs
@@ -12,7 +12,10 @@
     /// `off_s`: how far Unix time is off, in a trial.
     pub fn start(off_s: f64) -> Self {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Clock { start: Instant::now(), unix: unix.map_or(0.0, |unix| unix.as_secs_f64()) + off_s }
+        Clock {
+            start: Instant::now(),
+            unix: unix.map_or(0.0, |unix| unix.as_secs_f64()) + off_s,
+        }
     }
 
     pub fn now(&self) -> f64 {
--- a/crates/sagetrail/src/console.rs
+++ b/crates/sagetrail/src/console.rs
@@ -36,7 +36,12 @@
 
 impl Console {
     pub fn new(door: Rc<Door>, fleet: Option<Rc<Fleet>>, trial: bool) -> Self {
-        Console { door, fleet, trial, unheard: RefCell::default() }
+        Console {
+            door,
+            fleet,
+            trial,
+            unheard: RefCell::default(),
+        }
     }
 }
 
@@ -50,7 +55,9 @@
                 Ok(Err(_)) => return,
                 Err(_) => {
                     let longest = console.unheard.borrow_mut().pop_first();
-                    longest.into_iter().for_each(|(_, leave)| leave.notify_one());
+                    longest
+                        .into_iter()
+                        .for_each(|(_, leave)| leave.notify_one());
                 }
             }
         };
@@ -85,11 +92,24 @@
         None => return Ok(()),
         Some(Ok(request)) => {
             let bare = request.method == Method::Head;
-            Reply { bare, ..answer(request, console).await }
+            Reply {
+                bare,
+                ..answer(request, console).await
+            }
         }
-        Some(Err(fault)) => Reply::new(fault.status().ok_or(fault)?, "not a call that can be read\n"),
+        Some(Err(fault)) => Reply::new(
+            fault.status().ok_or(fault)?,
+            "not a call that can be read\n",
+        ),
     };
-    let sent = timeout(within, wire.send(Reply { close: true, ..reply })).await;
+    let sent = timeout(
+        within,
+        wire.send(Reply {
+            close: true,
+            ..reply
+        }),
+    )
+    .await;
     sent.map_err(|_| Fault::Unfinished)??;
     linger(wire, LINGER_S).await
 }
@@ -121,7 +141,9 @@
         match &about {
             About::Runner(id) => {
                 let id = id.clone();
-                door.mailbox.ask(move |exchange| exchange.by_hand(&id, true)).await;
+                door.mailbox
+                    .ask(move |exchange| exchange.by_hand(&id, true))
+                    .await;
             }
             About::Dispatcher(_) => {}
         }
@@ -140,13 +162,19 @@
     let says = request.method == Method::Post;
     match path {
         "/healthcheck" if looks && door.shutting_down.get() => Reply::new(503, "ending\n"),
-        "/healthcheck" if looks && !(door.lets_in.get() && door.listed.get()) => Reply::new(503, "not yet\n"),
+        "/healthcheck" if looks && !(door.lets_in.get() && door.listed.get()) => {
+            Reply::new(503, "not yet\n")
+        }
         // Asked of the exchange itself: guards against a yes from a process whose decisions stand still.
         "/healthcheck" if looks => match door.mailbox.ask(|_| ()).await {
             Some(()) => Reply::new(200, "ok\n"),
             None => Reply::new(503, "it decides nothing\n"),
         },
-        "/stats" if looks => match door.mailbox.ask(|exchange| exchange.listed_and_avoided()).await {
+        "/stats" if looks => match door
+            .mailbox
+            .ask(|exchange| exchange.listed_and_avoided())
+            .await
+        {
             Some((listed, avoided)) => Reply::new(200, door.figures.lines(listed, avoided)),
             None => Reply::new(503, "the list cannot be asked\n"),
         },
@@ -162,7 +190,11 @@
             both(true, Ask::Drain(on), door).await
         }
         "/members" | "/shared" if looks => match &console.fleet {
-            Some(fleet) => match door.mailbox.ask(|exchange| (exchange.now(), exchange.named())).await {
+            Some(fleet) => match door
+                .mailbox
+                .ask(|exchange| (exchange.now(), exchange.named()))
+                .await
+            {
                 Some((now, _)) if path == "/members" => Reply::new(200, fleet.members(now)),
                 Some((now, named)) => Reply::new(200, fleet.shared(now, &door.categories, &named)),
                 None => Reply::new(503, "it decides nothing\n"),
@@ -171,8 +203,16 @@
         },
         // Only in a trial: Unix time is found to be off by so many seconds.
         _ if console.trial && says && path.starts_with("/trial/clock/") => {
-            match path["/trial/clock/".len()..].parse::<f64>().ok().filter(|by| by.is_finite()) {
-                Some(by) => match door.mailbox.ask(move |exchange| exchange.clock_jumped(by)).await {
+            match path["/trial/clock/".len()..]
+                .parse::<f64>()
+                .ok()
+                .filter(|by| by.is_finite())
+            {
+                Some(by) => match door
+                    .mailbox
+                    .ask(move |exchange| exchange.clock_jumped(by))
+                    .await
+                {
                     Some(()) => Reply::new(200, "ok\n"),
                     None => Reply::new(503, "it decides nothing\n"),
                 },
@@ -198,8 +238,15 @@
                 None => Reply::new(404, "no store is configured\n"),
             },
             Some((id, out)) => {
-                let ask = Ask::ByHand { id: id.clone(), out };
-                match door.mailbox.ask(move |exchange| exchange.by_hand(&id, out)).await {
+                let ask = Ask::ByHand {
+                    id: id.clone(),
+                    out,
+                };
+                match door
+                    .mailbox
+                    .ask(move |exchange| exchange.by_hand(&id, out))
+                    .await
+                {
                     Some(known) => both(known, ask, door).await,
                     None => Reply::new(503, "it decides nothing\n"),
                 }
--- a/crates/sagetrail/src/discovery.rs
+++ b/crates/sagetrail/src/discovery.rs
@@ -102,7 +102,10 @@
             return match serde_json::from_slice(line) {
                 Ok(value) => Some(Ok(value)),
                 Err(error) if error.is_eof() => {
-                    *self = Indented { text: line.to_vec(), margin };
+                    *self = Indented {
+                        text: line.to_vec(),
+                        margin,
+                    };
                     None
                 }
                 Err(_) => Some(Err(None)),
@@ -203,20 +206,32 @@
 
     async fn lines(&self, place: &Place) -> Result<(), Fault> {
         let late = |_| std::io::Error::from(ErrorKind::TimedOut);
-        let dial = timeout(Duration::from_secs_f64(DIAL_S), TcpStream::connect(place.at));
+        let dial = timeout(
+            Duration::from_secs_f64(DIAL_S),
+            TcpStream::connect(place.at),
+        );
         let stream = dial.await.map_err(late)??;
         let mut wire = wire(stream, Watching::new(place.at.to_string()));
-        wire.send(AskList { after: place.after.get() }).await?;
+        wire.send(AskList {
+            after: place.after.get(),
+        })
+        .await?;
         let (mut first, mut sound, mut indented) = (true, true, Indented::default());
         loop {
             let line = timeout(Duration::from_secs_f64(SILENT_S), next(&mut wire)).await;
-            let Some(line) = line.map_err(late)?.transpose()? else { return Ok(()) };
+            let Some(line) = line.map_err(late)?.transpose()? else {
+                return Ok(());
+            };
             let mut told = Told::default();
             let beat = line.trim_ascii().is_empty();
             if !beat {
-                let Some(read) = indented.add(&line) else { continue };
+                let Some(read) = indented.add(&line) else {
+                    continue;
+                };
                 let broke_off = read.is_err();
-                let value = read.map_or_else(|alone| alone, Some).ok_or("it is broken".to_string());
+                let value = read
+                    .map_or_else(|alone| alone, Some)
+                    .ok_or("it is broken".to_string());
                 match value.and_then(|value| Told::read(value, &self.names)) {
                     Ok(read) => told = read,
                     Err(why) => {
@@ -250,10 +265,14 @@
             if self.failing.take() {
                 tracing::info!("the list is watched again");
             }
-            self.broken.into_iter().for_each(|broken| broken.hears(&mut told));
+            self.broken
+                .into_iter()
+                .for_each(|broken| broken.hears(&mut told));
             let known = self.known.take().filter(|_| !told.whole);
             let listed = move |exchange: &mut Exchange| {
-                known.into_iter().for_each(|known| _ = exchange.known(known));
+                known
+                    .into_iter()
+                    .for_each(|known| _ = exchange.known(known));
                 exchange.listed(told);
             };
             self.mailbox.call(listed).await;
--- a/crates/sagetrail/src/disk.rs
+++ b/crates/sagetrail/src/disk.rs
@@ -54,7 +54,9 @@
 }
 
 fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |unix| unix.as_secs())
 }
 
 /// Written whole under another name, made to last, then moved into place: who reads it finds the old or the new one.
@@ -64,7 +66,8 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     fs::rename(&new, path)?;
-    path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())
+    path.parent()
+        .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
 }
 
 fn aside(path: &Path) -> io::Result<()> {
@@ -92,7 +95,10 @@
     let path = log(folder);
     let size = fs::metadata(&path).map_or(0, |data| data.len());
     if size > MOST_BYTES {
-        return Err(format!("{}: {size} bytes are no log of ours", path.display()));
+        return Err(format!(
+            "{}: {size} bytes are no log of ours",
+            path.display()
+        ));
     }
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
@@ -100,29 +106,55 @@
         Err(error) => return Err(said(error)),
     };
     let merged = fs::read(folder.join("merged")).ok();
-    let age = fs::metadata(folder.join("merged")).and_then(|data| data.modified()).ok();
-    let age_s =
-        age.and_then(|at| SystemTime::now().duration_since(at).ok()).map_or(0.0, |age| age.as_secs_f64());
+    let age = fs::metadata(folder.join("merged"))
+        .and_then(|data| data.modified())
+        .ok();
+    let age_s = age
+        .and_then(|at| SystemTime::now().duration_since(at).ok())
+        .map_or(0.0, |age| age.as_secs_f64());
     let begun = |why: Option<String>| -> Result<Found, String> {
         if let Some(why) = why {
-            tracing::warn!("the log in {} is put aside: {why}; begins as a new member", folder.display());
+            tracing::warn!(
+                "the log in {} is put aside: {why}; begins as a new member",
+                folder.display()
+            );
             aside(&path).map_err(said)?;
             aside(&folder.join("merged")).map_err(said)?;
         }
         replace(&path, &begin(fleet, me, fresh, 0)).map_err(said)?;
-        Ok(Found { disk: fresh, recs: Vec::new(), written: 0, merged: None })
+        Ok(Found {
+            disk: fresh,
+            recs: Vec::new(),
+            written: 0,
+            merged: None,
+        })
     };
     match open(&bytes, fleet, me) {
         Held::Blank => begun(None),
         Held::Foreign(why) => begun(Some(why.to_string())),
         Held::Damaged(why) => begun(Some(why)),
-        Held::Whole { disk, recs, written, upto } => {
+        Held::Whole {
+            disk,
+            recs,
+            written,
+            upto,
+        } => {
             if upto < bytes.len() {
-                tracing::warn!("the log in {} ends with what was never promised: cut", folder.display());
+                tracing::warn!(
+                    "the log in {} ends with what was never promised: cut",
+                    folder.display()
+                );
                 let file = OpenOptions::new().write(true).open(&path).map_err(said)?;
-                file.set_len(upto as u64).and_then(|()| file.sync_all()).map_err(said)?;
+                file.set_len(upto as u64)
+                    .and_then(|()| file.sync_all())
+                    .map_err(said)?;
             }
-            Ok(Found { disk, recs, written, merged: merged.map(|bytes| (bytes, age_s)) })
+            Ok(Found {
+                disk,
+                recs,
+                written,
+                merged: merged.map(|bytes| (bytes, age_s)),
+            })
         }
     }
 }
@@ -133,7 +165,9 @@
         let (jobs, queue) = queue::channel();
         let (tell, told) = mpsc::unbounded_channel();
         let name = "store".to_string();
-        std::thread::Builder::new().name(name).spawn(move || write(&folder, ill, &queue, &tell))?;
+        std::thread::Builder::new()
+            .name(name)
+            .spawn(move || write(&folder, ill, &queue, &tell))?;
         Ok((Disk { jobs }, told))
     }
 
@@ -142,7 +176,12 @@
     }
 }
 
-fn write(folder: &Path, mut ill: Ill, jobs: &queue::Receiver<Job>, tell: &mpsc::UnboundedSender<Done>) {
+fn write(
+    folder: &Path,
+    mut ill: Ill,
+    jobs: &queue::Receiver<Job>,
+    tell: &mpsc::UnboundedSender<Done>,
+) {
     let path = log(folder);
     let mut file = None;
     while let Ok(first) = jobs.recv() {
--- a/crates/sagetrail/src/door.rs
+++ b/crates/sagetrail/src/door.rs
@@ -82,7 +82,14 @@
         if self.drained.replace(on) == on {
             return;
         }
-        tracing::info!("{}", if on { "drained by hand: clients are sent away" } else { "the drain is over" });
+        tracing::info!(
+            "{}",
+            if on {
+                "drained by hand: clients are sent away"
+            } else {
+                "the drain is over"
+            }
+        );
         self.drains.set(self.drains.get() + 1);
         if !on {
             self.closing.send_replace(self.shutting_down.get());
--- a/crates/sagetrail/src/fleet.rs
+++ b/crates/sagetrail/src/fleet.rs
@@ -47,20 +47,40 @@
 
 fn caps(said: &Said, categories: &[String]) -> Vec<Option<(Key, u64)>> {
     let cap = |name: &String| {
-        said.caps.get(name).map(|most| (Key { kind: Kind::Category, of: number(name) }, *most))
+        said.caps.get(name).map(|most| {
+            (
+                Key {
+                    kind: Kind::Category,
+                    of: number(name),
+                },
+                *most,
+            )
+        })
     };
     categories.iter().map(cap).collect()
 }
 
-const RESENDS: Key = Key { kind: Kind::Resends, of: 0 };
+const RESENDS: Key = Key {
+    kind: Kind::Resends,
+    of: 0,
+};
 
 impl Fleet {
     /// `longest_s`: how long a work item may be out at the most; `span_s`: of the rule on cold runners.
     pub fn new(
-        said: &Said, categories: &[String], longest_s: f64, span_s: f64, unix: f64, now: f64,
+        said: &Said,
+        categories: &[String],
+        longest_s: f64,
+        span_s: f64,
+        unix: f64,
+        now: f64,
         broken: Option<Broken>,
     ) -> Rc<Fleet> {
-        let mut sites: Vec<&str> = said.members.iter().map(|member| member.site.as_str()).collect();
+        let mut sites: Vec<&str> = said
+            .members
+            .iter()
+            .map(|member| member.site.as_str())
+            .collect();
         sites.sort_unstable();
         sites.dedup();
         let site = |name: &str| sites.iter().position(|site| *site == name).unwrap_or(0) as u16;
@@ -70,11 +90,36 @@
             site: site(&member.site),
         };
         let all = said.members.len();
-        let hold_s = if broken == Some(Broken::LendsTooSoon) { 0.0 } else { longest_s };
+        let hold_s = if broken == Some(Broken::LendsTooSoon) {
+            0.0
+        } else {
+            longest_s
+        };
         let lending = [
-            (Kind::Cold, Lending { lease_s: said.lease_s, hold_s: span_s, owners: said.owners }),
-            (Kind::Resends, Lending { lease_s: said.lease_s, hold_s: RESENDS_S, owners: all }),
-            (Kind::Category, Lending { lease_s: said.lease_s, hold_s, owners: all }),
+            (
+                Kind::Cold,
+                Lending {
+                    lease_s: said.lease_s,
+                    hold_s: span_s,
+                    owners: said.owners,
+                },
+            ),
+            (
+                Kind::Resends,
+                Lending {
+                    lease_s: said.lease_s,
+                    hold_s: RESENDS_S,
+                    owners: all,
+                },
+            ),
+            (
+                Kind::Category,
+                Lending {
+                    lease_s: said.lease_s,
+                    hold_s,
+                    owners: all,
+                },
+            ),
         ];
         let judge = match broken {
             Some(Broken::BelievesOne) => Judge {
@@ -92,7 +137,11 @@
             fleet: said.name.clone(),
             roster: said.members.iter().map(peer).collect(),
             me: said.me,
-            pace: Pace { probe_s: said.probe_s, ack_s: said.ack_s, helpers: said.helpers },
+            pace: Pace {
+                probe_s: said.probe_s,
+                ack_s: said.ack_s,
+                helpers: said.helpers,
+            },
             lending: lending.into(),
             judge,
             categories: categories.len(),
@@ -100,7 +149,11 @@
             birth: rand_pcg::Pcg64Mcg::from_os_rng().random(),
         };
         // Long ago, to a process that forgets when it started.
-        let began = if broken == Some(Broken::ForgetsItsStart) { now - 1e6 } else { now };
+        let began = if broken == Some(Broken::ForgetsItsStart) {
+            now - 1e6
+        } else {
+            now
+        };
         let mut node = Node::new(terms, now);
         node.budgets.began(began);
         Rc::new(Fleet {
@@ -142,7 +195,10 @@
             Saw::Failed | Saw::Silent => false,
             Saw::Heard => return,
         };
-        self.node.borrow_mut().sights.saw(now, number(&gate.name), good);
+        self.node
+            .borrow_mut()
+            .sights
+            .saw(now, number(&gate.name), good);
     }
 
     /// What others saw of runners in the last seconds: when, at which place, whether good.
@@ -152,9 +208,15 @@
         }
         let (node, places) = (self.node.borrow(), self.places.borrow());
         let me = node.members.roster()[node.members.me()].number;
-        for (report, age_s) in node.reports.fresh(now, TOLD_S).filter(|(report, _)| report.who != me) {
+        for (report, age_s) in node
+            .reports
+            .fresh(now, TOLD_S)
+            .filter(|(report, _)| report.who != me)
+        {
             for seen in &report.seen {
-                let Some(&place) = places.get(&seen.of) else { continue };
+                let Some(&place) = places.get(&seen.of) else {
+                    continue;
+                };
                 let at = |ago: u16| now - age_s - f64::from(ago) / 100.0;
                 if seen.good_ago < u16::MAX {
                     tell(at(seen.good_ago), place, true);
@@ -179,7 +241,11 @@
 
     pub fn spend_by(&self, now: f64, runner: usize, category: usize) -> f64 {
         let node = self.node.borrow();
-        let cold = self.cold.borrow().get(&runner).map(|key| node.budgets.usable_until(now, *key));
+        let cold = self
+            .cold
+            .borrow()
+            .get(&runner)
+            .map(|key| node.budgets.usable_until(now, *key));
         let cap = self
             .caps
             .borrow()
@@ -187,7 +253,8 @@
             .copied()
             .flatten()
             .map(|(key, _)| node.budgets.usable_until(now, key));
-        cold.unwrap_or(f64::INFINITY).min(cap.unwrap_or(f64::INFINITY))
+        cold.unwrap_or(f64::INFINITY)
+            .min(cap.unwrap_or(f64::INFINITY))
     }
 
     /// Whether parts are lent from here.
@@ -203,13 +270,18 @@
         self.spent(now, d, load);
         let mut node = self.node.borrow_mut();
         for (&r, &key) in self.cold.borrow().iter() {
-            let usable =
-                if self.broken == Some(Broken::WholeForEach) { WHOLE } else { node.budgets.usable(now, key) };
+            let usable = if self.broken == Some(Broken::WholeForEach) {
+                WHOLE
+            } else {
+                node.budgets.usable(now, key)
+            };
             d.part(r, Some(usable as f64 / WHOLE as f64));
         }
         let out = |category: usize| f64::from(load.out.get(category).copied().unwrap_or(0));
         let left = |(category, cap): (usize, &Option<(Key, u64)>)| match cap {
-            Some((_, most)) if self.broken == Some(Broken::CapForEach) => *most as f64 - out(category),
+            Some((_, most)) if self.broken == Some(Broken::CapForEach) => {
+                *most as f64 - out(category)
+            }
             Some((key, _)) => node.budgets.usable(now, *key) as f64 - out(category),
             None => f64::INFINITY,
         };
@@ -231,7 +303,9 @@
         }
         let mut believed = self.believed.borrow_mut();
         for (of, heard) in node.heard(now) {
-            let Some(&place) = places.get(&of) else { continue };
+            let Some(&place) = places.get(&of) else {
+                continue;
+            };
             match self.broken == Some(Broken::BelievesOne) {
                 true if heard == Heard::Unwell => _ = believed.insert(place, now + 10.0),
                 true => {}
@@ -246,7 +320,10 @@
         // In the mean of the last second: what several tell at moments of their own does not add up otherwise.
         let mut runs = self.runs.borrow_mut();
         runs.resize(load.gates.len(), 0.0);
-        for (mean, now) in runs.iter_mut().zip(load.runs.iter().chain(std::iter::repeat(&0))) {
+        for (mean, now) in runs
+            .iter_mut()
+            .zip(load.runs.iter().chain(std::iter::repeat(&0)))
+        {
             *mean += HEAR_S * (f64::from(*now) - *mean);
         }
         let told = |(of, place): (&u64, &usize)| {
@@ -270,19 +347,29 @@
         cold.clear();
         let mut short = false;
         for (r, spent, wants) in d.cold(now) {
-            let Some(gate) = load.gates.get(r) else { continue };
-            let key = Key { kind: Kind::Cold, of: number(&format!("{} {}", gate.name, gate.started.get())) };
+            let Some(gate) = load.gates.get(r) else {
+                continue;
+            };
+            let key = Key {
+                kind: Kind::Cold,
+                of: number(&format!("{} {}", gate.name, gate.started.get())),
+            };
             if !node.budgets.limit(now, key, WHOLE) {
                 continue;
             }
             let occupied = (spent * WHOLE as f64).ceil() as u64;
             short |= wants && node.budgets.usable(now, key) < WHOLE / 2;
-            node.budgets.told(now, key, occupied, if wants { WHOLE } else { 0 });
+            node.budgets
+                .told(now, key, occupied, if wants { WHOLE } else { 0 });
             cold.insert(r, key);
         }
         let count = |counts: &[u32], n: usize| u64::from(counts.get(n).copied().unwrap_or(0));
-        for (n, (key, most)) in
-            self.caps.borrow().iter().enumerate().filter_map(|(n, cap)| Some((n, (*cap)?)))
+        for (n, (key, most)) in self
+            .caps
+            .borrow()
+            .iter()
+            .enumerate()
+            .filter_map(|(n, cap)| Some((n, (*cap)?)))
         {
             node.budgets.limit(now, key, most);
             let (out, taken) = (count(&load.out, n), count(&load.taken, n));
@@ -351,12 +438,19 @@
         let mut node = self.node.borrow_mut();
         let name = |key: Key| match key.kind {
             Kind::Resends => "resends".to_string(),
-            Kind::Category => {
-                categories.iter().find(|name| number(name) == key.of).cloned().unwrap_or_default()
-            }
+            Kind::Category => categories
+                .iter()
+                .find(|name| number(name) == key.of)
+                .cloned()
+                .unwrap_or_default(),
             Kind::Cold => {
-                let of = |(name, started): &&(String, f64)| number(&format!("{name} {started}")) == key.of;
-                gates.iter().find(of).map_or("?".to_string(), |(name, _)| name.clone())
+                let of = |(name, started): &&(String, f64)| {
+                    number(&format!("{name} {started}")) == key.of
+                };
+                gates
+                    .iter()
+                    .find(of)
+                    .map_or("?".to_string(), |(name, _)| name.clone())
             }
         };
         let mut lines = format!("sharing {}\n", if self.sharing { "on" } else { "off" });
@@ -378,10 +472,18 @@
         lines.push_str("category taken_by_all off_by_at_most oldest_s members\n");
         for (n, category) in categories.iter().enumerate() {
             let t = node.reports.arrivals(now, n);
-            let _ = writeln!(lines, "{category} {} {} {:.1} {}", t.sum, t.off, t.oldest_s, t.members);
+            let _ = writeln!(
+                lines,
+                "{category} {} {} {:.1} {}",
+                t.sum, t.off, t.oldest_s, t.members
+            );
         }
         lines.push_str("runner heard\n");
-        for (of, heard) in node.heard(now).into_iter().filter(|(_, heard)| *heard == Heard::Unwell) {
+        for (of, heard) in node
+            .heard(now)
+            .into_iter()
+            .filter(|(_, heard)| *heard == Heard::Unwell)
+        {
             let runner = gates.iter().find(|(name, _)| number(name) == of);
             let runner = runner.map_or("?", |(name, _)| name);
             let _ = writeln!(lines, "{runner} {}", format!("{heard:?}").to_lowercase());
--- a/crates/sagetrail/src/handover.rs
+++ b/crates/sagetrail/src/handover.rs
@@ -90,7 +90,9 @@
     }
 
     pub async fn tell(&self, ask: Ask) -> Heard {
-        let Some(peer) = self.peer.borrow().clone() else { return Heard::Nobody };
+        let Some(peer) = self.peer.borrow().clone() else {
+            return Heard::Nobody;
+        };
         let no = self.asked.get();
         self.asked.set(no + 1);
         let (give, got) = oneshot::channel();
@@ -112,29 +114,45 @@
 
 /// The clients' listening socket, where the platform holds it. Guards against a descriptor that is none.
 pub fn inherited() -> Result<Option<TcpListener>, String> {
-    let Ok(text) = std::env::var("RELAY_FD") else { return Ok(None) };
+    let Ok(text) = std::env::var("RELAY_FD") else {
+        return Ok(None);
+    };
     let bad = |why: &str| Err(format!("RELAY_FD '{text}': {why}"));
-    let Ok(fd) = text.parse::<RawFd>() else { return bad("not a descriptor") };
+    let Ok(fd) = text.parse::<RawFd>() else {
+        return bad("not a descriptor");
+    };
     if fd < 3 || !Path::new(&format!("/proc/self/fd/{fd}")).exists() {
         return bad("no such descriptor is open");
     }
     // SAFETY: it is open, and nothing else in this process has opened a descriptor yet or knows this one.
     let socket = unsafe { Socket::from_raw_fd(fd) };
     let stream = socket.r#type().is_ok_and(|of| of == Type::STREAM);
-    let tcp = socket.domain().is_ok_and(|of| of == Domain::IPV4 || of == Domain::IPV6);
+    let tcp = socket
+        .domain()
+        .is_ok_and(|of| of == Domain::IPV4 || of == Domain::IPV6);
     if !(stream && tcp && socket.is_listener().is_ok_and(|listens| listens)) {
         return bad("not a listening TCP socket");
     }
-    match socket.set_cloexec(true).and_then(|()| socket.set_nonblocking(true)) {
+    match socket
+        .set_cloexec(true)
+        .and_then(|()| socket.set_nonblocking(true))
+    {
         Ok(()) => Ok(Some(socket.into())),
         Err(error) => bad(&error.to_string()),
     }
 }
 
 pub fn frames(stream: UnixStream) -> (Read, Write) {
-    let codec = || LengthDelimitedCodec::builder().max_frame_length(FRAME_MOST).new_codec();
+    let codec = || {
+        LengthDelimitedCodec::builder()
+            .max_frame_length(FRAME_MOST)
+            .new_codec()
+    };
     let (read, write) = stream.into_split();
-    (FramedRead::new(read, codec()), FramedWrite::new(write, codec()))
+    (
+        FramedRead::new(read, codec()),
+        FramedWrite::new(write, codec()),
+    )
 }
 
 pub async fn send(write: &mut Write, frame: &Frame) -> std::io::Result<()> {
--- a/crates/sagetrail/src/http.rs
+++ b/crates/sagetrail/src/http.rs
@@ -91,7 +91,11 @@
     fn new(framing: Framing, most: usize) -> Result<Self, Fault> {
         match framing {
             Framing::Length(length) if length > most => Err(Fault::BodyTooLong),
-            framing => Ok(Body { framing, got: BytesMut::new(), most }),
+            framing => Ok(Body {
+                framing,
+                got: BytesMut::new(),
+                most,
+            }),
         }
     }
 
@@ -107,7 +111,11 @@
                 }
                 Framing::UntilClosed => {
                     self.got.extend_from_slice(&src.split());
-                    return if self.got.len() > self.most { Err(Fault::BodyTooLong) } else { Ok(false) };
+                    return if self.got.len() > self.most {
+                        Err(Fault::BodyTooLong)
+                    } else {
+                        Ok(false)
+                    };
                 }
                 Framing::ChunkSize => match httparse::parse_chunk_size(src) {
                     Ok(Status::Complete((length, size))) => {
@@ -162,7 +170,12 @@
 }
 
 fn said(headers: &[Header]) -> Result<Said, Fault> {
-    let mut said = Said { length: None, chunked: false, close: false, keep: false };
+    let mut said = Said {
+        length: None,
+        chunked: false,
+        close: false,
+        keep: false,
+    };
     for header in headers {
         let name = header.name;
         if name.eq_ignore_ascii_case("content-length") {
@@ -201,7 +214,9 @@
 
 /// A header's value, if it is there once and is text.
 fn value(headers: &[Header], name: &str) -> Result<Option<String>, Fault> {
-    let mut found = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+    let mut found = headers
+        .iter()
+        .filter(|header| header.name.eq_ignore_ascii_case(name));
     match (found.next(), found.next()) {
         (None, _) => Ok(None),
         (Some(header), None) => match std::str::from_utf8(header.value) {
@@ -213,7 +228,10 @@
 }
 
 /// The length of a whole head, `None` while more must come.
-fn whole(parsed: Result<Status<usize>, httparse::Error>, has: usize) -> Result<Option<usize>, Fault> {
+fn whole(
+    parsed: Result<Status<usize>, httparse::Error>,
+    has: usize,
+) -> Result<Option<usize>, Fault> {
     match parsed {
         Ok(Status::Complete(length)) if length <= HEAD_MOST => Ok(Some(length)),
         Ok(Status::Partial) if has < HEAD_MOST => Ok(None),
@@ -243,14 +261,22 @@
 /// key by which that drops a repeat, is not the dispatcher's to leave out.
 fn end_to_end(headers: &[Header]) -> Bytes {
     let named = |name: &str| {
-        let connection = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("connection"));
+        let connection = headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case("connection"));
         let mut options = connection.flat_map(|header| header.value.split(|b| *b == b','));
         options.any(|option| option.trim_ascii().eq_ignore_ascii_case(name.as_bytes()))
     };
     let mut lines = BytesMut::new();
     for Header { name, value } in headers {
-        if !NOT_PASSED_ON.iter().any(|other| name.eq_ignore_ascii_case(other)) && !named(name) {
-            [name.as_bytes(), b": ", value, b"\r\n"].iter().for_each(|part| lines.put_slice(part));
+        if !NOT_PASSED_ON
+            .iter()
+            .any(|other| name.eq_ignore_ascii_case(other))
+            && !named(name)
+        {
+            [name.as_bytes(), b": ", value, b"\r\n"]
+                .iter()
+                .for_each(|part| lines.put_slice(part));
         }
     }
     lines.freeze()
@@ -293,10 +319,15 @@
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut head = httparse::Request::new(&mut headers);
         let parsed = head.parse(src);
-        let Some(length) = whole(parsed, src.len())? else { return Ok(None) };
+        let Some(length) = whole(parsed, src.len())? else {
+            return Ok(None);
+        };
         let said = said(head.headers)?;
-        let framing =
-            if said.chunked { Framing::ChunkSize } else { Framing::Length(said.length.unwrap_or(0)) };
+        let framing = if said.chunked {
+            Framing::ChunkSize
+        } else {
+            Framing::Length(said.length.unwrap_or(0))
+        };
         let method = match head.method {
             Some("GET") => Method::Get,
             Some("HEAD") => Method::Head,
@@ -328,11 +359,16 @@
         if self.reading.is_none() {
             self.reading = Self::head(src)?;
         }
-        let Some((_, body)) = &mut self.reading else { return Ok(None) };
+        let Some((_, body)) = &mut self.reading else {
+            return Ok(None);
+        };
         if !body.read(src)? {
             return Ok(None);
         }
-        Ok(self.reading.take().map(|(request, body)| Request { body: body.got.freeze(), ..request }))
+        Ok(self.reading.take().map(|(request, body)| Request {
+            body: body.got.freeze(),
+            ..request
+        }))
     }
 }
 
@@ -370,7 +406,11 @@
         if reply.retry_after_s > 0.0 {
             let _ = write!(head, "Retry-After: {:.3}\r\n", reply.retry_after_s);
         }
-        head.push_str(if reply.close { "Connection: close\r\n\r\n" } else { "\r\n" });
+        head.push_str(if reply.close {
+            "Connection: close\r\n\r\n"
+        } else {
+            "\r\n"
+        });
         dst.reserve(head.len() + reply.body.len());
         dst.put_slice(head.as_bytes());
         if !reply.bare && reply.status != 204 {
@@ -409,17 +449,27 @@
     fn encode(&mut self, message: Outgoing, dst: &mut BytesMut) -> Result<(), Fault> {
         let host = self.at;
         match message {
-            Outgoing::Work { target, headers, wait_s, body, .. } => {
+            Outgoing::Work {
+                target,
+                headers,
+                wait_s,
+                body,
+                ..
+            } => {
                 let wait = (wait_s * 1e3).max(0.0) as u64;
                 let head = format!(
                     "POST {target} HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {wait}m\r\nContent-Length: {}\r\n",
                     body.len()
                 );
                 dst.reserve(head.len() + headers.len() + 2 + body.len());
-                [head.as_bytes(), &headers, b"\r\n", &body].iter().for_each(|part| dst.put_slice(part));
+                [head.as_bytes(), &headers, b"\r\n", &body]
+                    .iter()
+                    .for_each(|part| dst.put_slice(part));
             }
             Outgoing::GiveUp { id } => {
-                let head = format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n");
+                let head = format!(
+                    "DELETE /jobs/{id} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
+                );
                 dst.put_slice(head.as_bytes());
             }
         }
@@ -433,7 +483,9 @@
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut head = httparse::Response::new(&mut headers);
         let parsed = head.parse(src);
-        let Some(length) = whole(parsed, src.len())? else { return Ok(None) };
+        let Some(length) = whole(parsed, src.len())? else {
+            return Ok(None);
+        };
         let status = head.code.unwrap_or(0);
         let said = said(head.headers)?;
         let declined = value(head.headers, "srv-declined")?.is_some_and(|said| said == "1");
@@ -446,7 +498,15 @@
         let keep = said.keeps(head.version) && !matches!(framing, Framing::UntilClosed);
         src.advance(length);
         if !(100..200).contains(&status) {
-            return Ok(Some((Answer { status, declined, doubtful: false, keep }, Body::new(framing, most)?)));
+            return Ok(Some((
+                Answer {
+                    status,
+                    declined,
+                    doubtful: false,
+                    keep,
+                },
+                Body::new(framing, most)?,
+            )));
         }
     }
 }
@@ -459,7 +519,9 @@
         if self.reading.is_none() {
             self.reading = answer(src, BODY_MOST)?;
         }
-        let Some((_, body)) = &mut self.reading else { return Ok(None) };
+        let Some((_, body)) = &mut self.reading else {
+            return Ok(None);
+        };
         if !body.read(src)? {
             return Ok(None);
         }
@@ -471,7 +533,13 @@
             return Ok(Some(answer));
         }
         match self.reading.take() {
-            Some((answer, Body { framing: Framing::UntilClosed, .. })) => Ok(Some(answer)),
+            Some((
+                answer,
+                Body {
+                    framing: Framing::UntilClosed,
+                    ..
+                },
+            )) => Ok(Some(answer)),
             None if src.is_empty() => Ok(None),
             _ => malformed("the answer breaks off"),
         }
@@ -495,7 +563,10 @@
 
 impl Watching {
     pub fn new(host: String) -> Self {
-        Watching { host, ..Watching::default() }
+        Watching {
+            host,
+            ..Watching::default()
+        }
     }
 }
 
@@ -504,7 +575,9 @@
 
     fn encode(&mut self, ask: AskList, dst: &mut BytesMut) -> Result<(), Fault> {
         let (after, host) = (ask.after, &self.host);
-        let head = format!("GET /registry/instances?stream=1&index={after} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+        let head = format!(
+            "GET /registry/instances?stream=1&index={after} HTTP/1.1\r\nHost: {host}\r\n\r\n"
+        );
         dst.put_slice(head.as_bytes());
         Ok(())
     }
@@ -522,7 +595,9 @@
                 None => return Ok(None),
             }
         }
-        let Some(body) = &mut self.reading else { return Ok(None) };
+        let Some(body) = &mut self.reading else {
+            return Ok(None);
+        };
         if !self.whole {
             self.whole = body.read(src)?;
         }
@@ -535,7 +610,9 @@
 }
 
 /// The next message of a connection; `None` once it is closed.
-pub async fn next<C: Decoder>(wire: &mut Framed<TcpStream, C>) -> Option<Result<C::Item, C::Error>> {
+pub async fn next<C: Decoder>(
+    wire: &mut Framed<TcpStream, C>,
+) -> Option<Result<C::Item, C::Error>> {
     poll_fn(|cx| Pin::new(&mut *wire).poll_next(cx)).await
 }
 
--- a/crates/sagetrail/src/learnt.rs
+++ b/crates/sagetrail/src/learnt.rs
@@ -12,14 +12,22 @@
 const MOST_BYTES: u64 = 1 << 20;
 
 pub fn unix() -> f64 {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |unix| unix.as_secs_f64())
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .map_or(0.0, |unix| unix.as_secs_f64())
 }
 
 /// Guards against figures that no runner can have had.
 fn sane(learnt: &Learnt) -> bool {
     let within = |x: f64, least: f64, most: f64| (least..=most).contains(&x);
-    learnt.usuals.iter().all(|usual| within(usual.seconds, 1e-4, 3600.0))
-        && learnt.runners.iter().all(|r| within(r.slots, 0.0, 4096.0) && within(r.pace, 0.01, 100.0))
+    learnt
+        .usuals
+        .iter()
+        .all(|usual| within(usual.seconds, 1e-4, 3600.0))
+        && learnt
+            .runners
+            .iter()
+            .all(|r| within(r.slots, 0.0, 4096.0) && within(r.pace, 0.01, 100.0))
 }
 
 pub fn read(path: &Path, deployment: u64) -> Result<Learnt, String> {
@@ -41,8 +49,15 @@
 
 /// Written whole under another name first: who reads it finds the old one or the new one.
 pub fn write(path: &Path, deployment: u64, learnt: Learnt) -> Result<(), String> {
-    let learnt = Learnt { version: VERSION, deployment, written: unix(), ..learnt };
+    let learnt = Learnt {
+        version: VERSION,
+        deployment,
+        written: unix(),
+        ..learnt
+    };
     let text = serde_json::to_string(&learnt).map_err(|error| error.to_string())?;
     let new = path.with_extension("new");
-    fs::write(&new, text).and_then(|()| fs::rename(&new, path)).map_err(|error| error.to_string())
+    fs::write(&new, text)
+        .and_then(|()| fs::rename(&new, path))
+        .map_err(|error| error.to_string())
 }
--- a/crates/sagetrail/src/links.rs
+++ b/crates/sagetrail/src/links.rs
@@ -32,7 +32,9 @@
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
 fn framed(stream: TcpStream) -> Stream {
-    let codec = LengthDelimitedCodec::builder().max_frame_length(WHOLE_MOST).new_codec();
+    let codec = LengthDelimitedCodec::builder()
+        .max_frame_length(WHOLE_MOST)
+        .new_codec();
     Framed::new(stream, codec)
 }
 
@@ -153,11 +155,18 @@
 }
 
 /// Answers whole exchanges, and takes in the store's frames.
-pub async fn listen(fleet: Rc<Fleet>, clock: Clock, listener: TcpListener, store: Option<Rc<Store>>) {
+pub async fn listen(
+    fleet: Rc<Fleet>,
+    clock: Clock,
+    listener: TcpListener,
+    store: Option<Rc<Store>>,
+) {
     let more = store.as_ref().map_or(0, |_| store_streams(fleet.at.len()));
     let places = Arc::new(Semaphore::new(STREAMS + more));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(50)).await;
             continue;
@@ -166,7 +175,9 @@
         spawn_local(async move {
             let _place = place;
             let mut stream = framed(stream);
-            let Ok(Some(Ok(first))) = timeout(Duration::from_secs_f64(WHOLE_S), stream.next()).await else {
+            let Ok(Some(Ok(first))) =
+                timeout(Duration::from_secs_f64(WHOLE_S), stream.next()).await
+            else {
                 return;
             };
             if let (Some(store), Some(&STORE_VERSION)) = (&store, first.first()) {
--- a/crates/sagetrail/src/logger.rs
+++ b/crates/sagetrail/src/logger.rs
@@ -24,7 +24,11 @@
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => self.words = format!("{value:?}"),
-            name => _ = self.fields.insert(name.to_string(), format!("{value:?}").into()),
+            name => {
+                _ = self
+                    .fields
+                    .insert(name.to_string(), format!("{value:?}").into())
+            }
         }
     }
 
@@ -39,7 +43,10 @@
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(
-        &self, _: &FmtContext<'_, S, N>, mut writer: Writer<'_>, event: &Event<'_>,
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
     ) -> fmt::Result {
         let mut said = Said::default();
         event.record(&mut said);
@@ -77,7 +84,10 @@
 pub fn start(json: bool) {
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(Level::INFO)
-        .event_format(Lines { start: Instant::now(), json })
+        .event_format(Lines {
+            start: Instant::now(),
+            json,
+        })
         .with_writer(|| Deaf)
         .finish();
     let _ = tracing::subscriber::set_global_default(subscriber);
--- a/crates/sagetrail/src/mailbox.rs
+++ b/crates/sagetrail/src/mailbox.rs
@@ -27,13 +27,19 @@
     }
 
     pub fn at_hand(&mut self) -> Option<Call<X>> {
-        self.first.try_recv().or_else(|_| self.calls.try_recv()).ok()
+        self.first
+            .try_recv()
+            .or_else(|_| self.calls.try_recv())
+            .ok()
     }
 }
 
 impl<X> Clone for Mailbox<X> {
     fn clone(&self) -> Self {
-        Mailbox { calls: self.calls.clone(), first: self.first.clone() }
+        Mailbox {
+            calls: self.calls.clone(),
+            first: self.first.clone(),
+        }
     }
 }
 
@@ -47,7 +53,13 @@
     pub fn new() -> (Mailbox<X>, Calls<X>) {
         let (to_calls, calls) = mpsc::channel(Self::MOST);
         let (to_first, first) = mpsc::channel(Self::FIRST);
-        (Mailbox { calls: to_calls, first: to_first }, Calls { calls, first })
+        (
+            Mailbox {
+                calls: to_calls,
+                first: to_first,
+            },
+            Calls { calls, first },
+        )
     }
 
     /// Asks the exchange something ahead of all else; `None` if it could not answer.
--- a/crates/sagetrail/src/main.rs
+++ b/crates/sagetrail/src/main.rs
@@ -34,7 +34,9 @@
     let inherited = handover::inherited()?;
     let start = source.open()?;
     logger::start(start.json_log);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| error.to_string())?;
     LocalSet::new().block_on(&runtime, serve::serve(start, source, inherited))
 }
@@ -45,7 +47,9 @@
     match run(given.source(trial)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            message.lines().for_each(|line| eprintln!("sagetrail: {line}"));
+            message
+                .lines()
+                .for_each(|line| eprintln!("sagetrail: {line}"));
             fault.into()
         }
     }
--- a/crates/sagetrail/src/meeting.rs
+++ b/crates/sagetrail/src/meeting.rs
@@ -45,16 +45,24 @@
         let told = async {
             let stream = UnixStream::connect(&self.common).await.ok()?;
             let (mut read, mut write) = frames(stream);
-            send(&mut write, &Frame::Hello { version: VERSION }).await.ok()?;
+            send(&mut write, &Frame::Hello { version: VERSION })
+                .await
+                .ok()?;
             match receive(&mut read).await? {
                 Frame::State(state) => Some((*state, Former { read, write, path })),
                 _ => None,
             }
         };
-        let found = timeout(Duration::from_secs_f64(STATE_S), told).await.ok().flatten();
+        let found = timeout(Duration::from_secs_f64(STATE_S), told)
+            .await
+            .ok()
+            .flatten();
         match &found {
             Some((state, _)) => {
-                tracing::info!("takes over from the process before: {} runners", state.runners.len());
+                tracing::info!(
+                    "takes over from the process before: {} runners",
+                    state.runners.len()
+                );
             }
             None => tracing::info!("no process before this one answers; starts afresh"),
         }
@@ -81,12 +89,17 @@
         {
             Ok(listener) => listener,
             Err(why) => {
-                return tracing::warn!("the next process will start afresh: {}: {why}", self.own.display());
+                return tracing::warn!(
+                    "the next process will start afresh: {}: {why}",
+                    self.own.display()
+                );
             }
         };
         let places = Arc::new(Semaphore::new(LINKS));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(place) = places.clone().acquire_owned().await else {
+                return;
+            };
             let Ok((stream, _)) = listener.accept().await else {
                 sleep(Duration::from_millis(50)).await;
                 continue;
@@ -96,17 +109,31 @@
                 let _place = place;
                 let (mut read, write) = frames(stream);
                 let hello = timeout(Duration::from_secs_f64(STATE_S), receive(&mut read)).await;
-                let Ok(Some(Frame::Hello { version: VERSION })) = hello else { return };
+                let Ok(Some(Frame::Hello { version: VERSION })) = hello else {
+                    return;
+                };
                 // Linked before it is told: a call in between goes after, and misses neither.
                 let linked = Linked::new(true, &door);
-                let state = door.mailbox.ask(move |exchange| exchange.hand_over(&terms)).await;
-                let Some((learnt, runners)) = state else { return };
-                let state = Passed { drained: door.drained.get(), deployment, learnt, runners };
+                let state = door
+                    .mailbox
+                    .ask(move |exchange| exchange.hand_over(&terms))
+                    .await;
+                let Some((learnt, runners)) = state else {
+                    return;
+                };
+                let state = Passed {
+                    drained: door.drained.get(),
+                    deployment,
+                    learnt,
+                    runners,
+                };
                 tracing::info!("a new process takes over");
                 linked.serve(Some(state), read, write).await;
                 if !door.shutting_down.get() {
                     tracing::warn!("the new process has ended; this one goes on");
-                    door.mailbox.ask(|exchange| exchange.hand_over_failed()).await;
+                    door.mailbox
+                        .ask(|exchange| exchange.hand_over_failed())
+                        .await;
                     let _ = meeting.claim();
                 }
             });
@@ -117,9 +144,13 @@
 impl Former {
     /// Keeps up the link until the process before has ended.
     pub async fn keep(self, door: Rc<Door>) {
-        Linked::new(false, &door).serve(None, self.read, self.write).await;
+        Linked::new(false, &door)
+            .serve(None, self.read, self.write)
+            .await;
         // One that was killed leaves its name.
-        self.path.into_iter().for_each(|path| drop(std::fs::remove_file(path)));
+        self.path
+            .into_iter()
+            .for_each(|path| drop(std::fs::remove_file(path)));
         tracing::info!("the process before has ended");
     }
 }
@@ -134,7 +165,10 @@
 impl Drop for Linked {
     fn drop(&mut self) {
         let mut linked = self.door.handover.peer.borrow_mut();
-        if linked.as_ref().is_some_and(|other| Rc::ptr_eq(other, &self.peer)) {
+        if linked
+            .as_ref()
+            .is_some_and(|other| Rc::ptr_eq(other, &self.peer))
+        {
             *linked = None;
         }
         self.peer.waiting.borrow_mut().clear();
@@ -144,9 +178,17 @@
 impl Linked {
     fn new(newer: bool, door: &Rc<Door>) -> Linked {
         let (out, frames) = mpsc::channel(FRAMES);
-        let peer = Rc::new(Peer { newer, frames: out, waiting: RefCell::default() });
+        let peer = Rc::new(Peer {
+            newer,
+            frames: out,
+            waiting: RefCell::default(),
+        });
         door.handover.peer.replace(Some(peer.clone()));
-        Linked { door: door.clone(), peer, frames }
+        Linked {
+            door: door.clone(),
+            peer,
+            frames,
+        }
     }
 
     /// Serves the other process until one of the two ends; `first` goes before all that is laid on the link.
@@ -187,10 +229,16 @@
 /// Does what the other process asks; whether it concerned anything here.
 async fn carry_out(ask: Ask, door: &Rc<Door>) -> bool {
     match ask {
-        Ask::News(word) => door.mailbox.ask(move |exchange| exchange.callback(word)).await.unwrap_or(false),
-        Ask::ByHand { id, out } => {
-            door.mailbox.ask(move |exchange| exchange.by_hand(&id, out)).await.unwrap_or(false)
-        }
+        Ask::News(word) => door
+            .mailbox
+            .ask(move |exchange| exchange.callback(word))
+            .await
+            .unwrap_or(false),
+        Ask::ByHand { id, out } => door
+            .mailbox
+            .ask(move |exchange| exchange.by_hand(&id, out))
+            .await
+            .unwrap_or(false),
         Ask::Drain(on) => {
             door.drain(on);
             true
--- a/crates/sagetrail/src/runners.rs
+++ b/crates/sagetrail/src/runners.rs
@@ -32,7 +32,10 @@
 
 impl Runner {
     pub fn new(gate: Rc<Gate>) -> Rc<Self> {
-        Rc::new(Runner { gate, idle: RefCell::default() })
+        Rc::new(Runner {
+            gate,
+            idle: RefCell::default(),
+        })
     }
 
     /// Closes the idle connections: they lead to a process that is no more.
@@ -56,7 +59,10 @@
     /// Closes the idle connection that has rested longest at the runner with the most of them.
     fn spare_one(&self) {
         let runners = self.runners.borrow();
-        if let Some(runner) = runners.iter().max_by_key(|runner| runner.idle.borrow().len()) {
+        if let Some(runner) = runners
+            .iter()
+            .max_by_key(|runner| runner.idle.borrow().len())
+        {
             let mut idle = runner.idle.borrow_mut();
             if !idle.is_empty() {
                 idle.remove(0);
@@ -109,17 +115,32 @@
 impl Errand {
     /// The errand, and what stops it; `whole` is set once it has been written whole.
     pub fn new(
-        message: Outgoing, until: f64, whole: Rc<Cell<bool>>,
+        message: Outgoing,
+        until: f64,
+        whole: Rc<Cell<bool>>,
         tell: impl FnOnce(Result<Answer, Broken>) + 'static,
     ) -> (Errand, oneshot::Sender<()>) {
         let (stopper, stop) = oneshot::channel();
-        let ending = Ending { whole, tell: Some(Box::new(tell)) };
-        (Errand { message, stop: Some(stop), until, ending }, stopper)
+        let ending = Ending {
+            whole,
+            tell: Some(Box::new(tell)),
+        };
+        (
+            Errand {
+                message,
+                stop: Some(stop),
+                until,
+                ending,
+            },
+            stopper,
+        )
     }
 
     /// What forbids that it begins now, though it did not when its connection was asked for.
     fn held_back(&self, runner: &Runner, at: SocketAddr, now: f64) -> Option<Broken> {
-        let Outgoing::Work { begin_by, gone, .. } = &self.message else { return None };
+        let Outgoing::Work { begin_by, gone, .. } = &self.message else {
+            return None;
+        };
         let gate = &runner.gate;
         match () {
             // Guards against a runner told to drain while its connection was coming up.
@@ -135,7 +156,11 @@
     /// Writes the message and waits for the answer; true if the connection can carry another. `rested`: since when it
     /// has, after an earlier answer.
     async fn carry(
-        &mut self, wire: &mut Wire, runner: &Runner, pool: &Pool, rested: Option<Instant>,
+        &mut self,
+        wire: &mut Wire,
+        runner: &Runner,
+        pool: &Pool,
+        rested: Option<Instant>,
     ) -> bool {
         let now = pool.clock.now();
         let mut message = self.message.clone();
@@ -172,7 +197,11 @@
             // and until it does nothing proves that it never ran.
             match timeout(Duration::from_secs_f64(CROSSING_S), next(wire)).await {
                 Ok(Some(Ok(own))) => Ok(Answer { keep: false, ..own }),
-                _ => Ok(Answer { keep: false, doubtful: true, ..answer }),
+                _ => Ok(Answer {
+                    keep: false,
+                    doubtful: true,
+                    ..answer
+                }),
             }
         };
         let ended = {
@@ -224,7 +253,10 @@
     let crossing = timeout(Duration::from_secs_f64(CROSSING_S), next(wire));
     match closed {
         true => match crossing.await {
-            Ok(Some(Ok(answer))) => Ok(Answer { keep: false, ..answer }),
+            Ok(Some(Ok(answer))) => Ok(Answer {
+                keep: false,
+                ..answer
+            }),
             _ => Err(Broken::Unanswered),
         },
         false => Err(Broken::Unanswered),
@@ -262,7 +294,9 @@
 pub async fn run(pool: Rc<Pool>, runner: Rc<Runner>, mut errand: Errand) {
     loop {
         let idle = runner.idle.borrow_mut().pop();
-        let Some(idle) = idle else { return dial(pool, runner, errand).await };
+        let Some(idle) = idle else {
+            return dial(pool, runner, errand).await;
+        };
         match idle.send(errand) {
             Ok(()) => return,
             Err(back) => errand = back,
@@ -295,14 +329,20 @@
         opened = open(&pool, at) => opened,
     };
     match opened {
-        Ok((stream, permit)) => serve(pool, runner, wire(stream, Calling::new(at)), permit, errand).await,
+        Ok((stream, permit)) => {
+            serve(pool, runner, wire(stream, Calling::new(at)), permit, errand).await
+        }
         Err(broken) => errand.ending.tell(Err(broken)),
     }
 }
 
 /// A connection's life: errand after errand, idle in between.
 async fn serve(
-    pool: Rc<Pool>, runner: Rc<Runner>, mut wire: Wire, _permit: OwnedSemaphorePermit, mut errand: Errand,
+    pool: Rc<Pool>,
+    runner: Rc<Runner>,
+    mut wire: Wire,
+    _permit: OwnedSemaphorePermit,
+    mut errand: Errand,
 ) {
     let mut rested = None;
     loop {
--- a/crates/sagetrail/src/serve.rs
+++ b/crates/sagetrail/src/serve.rs
@@ -59,11 +59,17 @@
 
 /// Reads the page again whenever told to; where the list is is all that a running process takes up.
 async fn reload(
-    mut hup: Signal, source: Source, ours: Value, discovery_at: watch::Sender<SocketAddr>,
-    fleet: Option<Rc<Fleet>>, store: Option<Rc<Store>>,
+    mut hup: Signal,
+    source: Source,
+    ours: Value,
+    discovery_at: watch::Sender<SocketAddr>,
+    fleet: Option<Rc<Fleet>>,
+    store: Option<Rc<Store>>,
 ) {
     while hup.recv().await.is_some() {
-        let agreed = store.as_ref().map_or(String::new(), |store| store.settings());
+        let agreed = store
+            .as_ref()
+            .map_or(String::new(), |store| store.settings());
         match source.open_on(&agreed) {
             Ok(page) => {
                 if let (Some(fleet), Some(said)) = (&fleet, &page.fleet) {
@@ -71,11 +77,14 @@
                 }
                 let rest = start::needs_restart(&ours, &page.page);
                 if !rest.is_empty() {
-                    tracing::warn!("the page changed in what only a restart takes up: {}", rest.join(", "));
+                    tracing::warn!(
+                        "the page changed in what only a restart takes up: {}",
+                        rest.join(", ")
+                    );
                 }
-                if discovery_at
-                    .send_if_modified(|at| std::mem::replace(at, page.discovery_at) != page.discovery_at)
-                {
+                if discovery_at.send_if_modified(|at| {
+                    std::mem::replace(at, page.discovery_at) != page.discovery_at
+                }) {
                     tracing::info!("the page names another list, at {}", page.discovery_at);
                 }
             }
@@ -87,7 +96,11 @@
 /// Lets clients in; where the platform holds their socket, not before this process can serve: until then they
 /// are the former one's.
 async fn let_in(
-    listener: TcpListener, door: Rc<Door>, meeting: Option<Rc<Meeting>>, deployment: u64, terms: Rc<Vec<u64>>,
+    listener: TcpListener,
+    door: Rc<Door>,
+    meeting: Option<Rc<Meeting>>,
+    deployment: u64,
+    terms: Rc<Vec<u64>>,
 ) {
     if let Some(meeting) = meeting {
         while !door.listed.get() {
@@ -100,15 +113,24 @@
 }
 
 pub async fn serve(
-    mut start: Start, source: Source, inherited: Option<std::net::TcpListener>,
+    mut start: Start,
+    source: Source,
+    inherited: Option<std::net::TcpListener>,
 ) -> Result<(), String> {
     let trial = start.trial.take();
     let clock = Clock::start(trial.as_ref().map_or(0.0, |trial| trial.clock_off_s));
-    let broken = trial.as_ref().and_then(|trial| Broken::named(trial.broken.as_deref()?));
-    broken.into_iter().for_each(|broken| broken.apply(&mut start));
+    let broken = trial
+        .as_ref()
+        .and_then(|trial| Broken::named(trial.broken.as_deref()?));
+    broken
+        .into_iter()
+        .for_each(|broken| broken.apply(&mut start));
     // First of all: until someone listens to them, these end the process on the spot.
     let listen_to = |kind| signal(kind).map_err(|error| error.to_string());
-    let (hup, mut term) = (listen_to(SignalKind::hangup())?, listen_to(SignalKind::terminate())?);
+    let (hup, mut term) = (
+        listen_to(SignalKind::hangup())?,
+        listen_to(SignalKind::terminate())?,
+    );
     let mut int = listen_to(SignalKind::interrupt())?;
     let spare = SPARE
         + start.console.map_or(0, |_| console::DESCRIPTORS)
@@ -118,14 +140,27 @@
             fleet.members.len() + links::store_streams(fleet.members.len()) + 4
         });
     // Guards against two processes over one limit during an upgrade: neither ever holds more than half.
-    let descriptors = if inherited.is_some() { start.descriptors / 2 } else { start.descriptors };
+    let descriptors = if inherited.is_some() {
+        start.descriptors / 2
+    } else {
+        start.descriptors
+    };
     let rest = descriptors.saturating_sub(spare);
     if rest < FEWEST {
-        return Err(format!("{descriptors} sockets are too few, {} at least", spare + FEWEST));
+        return Err(format!(
+            "{descriptors} sockets are too few, {} at least",
+            spare + FEWEST
+        ));
     }
     let (to_runners, more) = (rest / 4, rest / 16);
-    let listen_at = async |at| bind(at, clock).await.map_err(|error| format!("listening on {at}: {error}"));
-    let meeting = inherited.as_ref().map(|_| Rc::new(Meeting::new(start.listen)));
+    let listen_at = async |at| {
+        bind(at, clock)
+            .await
+            .map_err(|error| format!("listening on {at}: {error}"))
+    };
+    let meeting = inherited
+        .as_ref()
+        .map(|_| Rc::new(Meeting::new(start.listen)));
     let listener = match inherited {
         Some(listener) => TcpListener::from_std(listener).map_err(|error| error.to_string())?,
         None => listen_at(start.listen).await?,
@@ -153,7 +188,12 @@
         ask: ask_discovery.clone(),
         after: start.known.generation,
         // An agent's word goes before the page's, from the first moment.
-        known: Cell::new(start.terms.asks_agent.then(|| std::mem::take(&mut start.known))),
+        known: Cell::new(
+            start
+                .terms
+                .asks_agent
+                .then(|| std::mem::take(&mut start.known)),
+        ),
         turn_s: start.terms.ask_spread_s() * start.terms.me as f64 / start.terms.replicas as f64,
         failing: Cell::new(false),
         broken,
@@ -162,12 +202,22 @@
     let members = start.fleet.take();
     let fleet = members.as_ref().map(|said| {
         let span_s = start.terms.fall_s;
-        Fleet::new(said, &start.categories, longest, span_s, clock.unix, clock.now(), broken)
-    });
-    let ill = trial.as_ref().map_or(disk::Ill::default(), |trial| disk::Ill {
-        slow: Duration::from_secs_f64(trial.disk_slow_s),
-        room: trial.disk_full,
+        Fleet::new(
+            said,
+            &start.categories,
+            longest,
+            span_s,
+            clock.unix,
+            clock.now(),
+            broken,
+        )
     });
+    let ill = trial
+        .as_ref()
+        .map_or(disk::Ill::default(), |trial| disk::Ill {
+            slow: Duration::from_secs_f64(trial.disk_slow_s),
+            room: trial.disk_full,
+        });
     let mut store_parts = None;
     if let (Some(said), Some(members), Some(fleet)) = (start.store.take(), &members, &fleet) {
         let (store, done, queues) = Store::open(
@@ -186,7 +236,10 @@
                 start.plan = agreed.plan;
                 discovery_at.send_replace(agreed.discovery_at);
             }
-            Err(why) => tracing::warn!("the agreed settings cannot be used: {}", why.replace('\n', "; ")),
+            Err(why) => tracing::warn!(
+                "the agreed settings cannot be used: {}",
+                why.replace('\n', "; ")
+            ),
         }
         store_parts = Some((store, done, queues));
     }
@@ -221,7 +274,11 @@
     if start.probes_allowed {
         tracing::warn!("the page allows probes, this protocol has none: nobody is probed");
     }
-    let terms = door.categories.iter().zip(&start.terms.categories).map(|(name, c)| terms(name, c));
+    let terms = door
+        .categories
+        .iter()
+        .zip(&start.terms.categories)
+        .map(|(name, c)| terms(name, c));
     let (terms, deployment) = (Rc::new(terms.collect::<Vec<u64>>()), start.deployment);
     if let Some(fleet) = &fleet {
         let at = fleet.listen;
@@ -229,12 +286,26 @@
         let datagrams = UdpSocket::bind(at).await.map_err(said)?;
         let listener = bind(at, clock).await.map_err(said)?;
         spawn_local(links::listen(fleet.clone(), clock, listener, store.clone()));
-        spawn_local(Links { fleet: fleet.clone(), clock, datagrams }.keep());
+        spawn_local(
+            Links {
+                fleet: fleet.clone(),
+                clock,
+                datagrams,
+            }
+            .keep(),
+        );
         tracing::info!("one of {} members, links on {at}", fleet.at.len());
     }
     let siting = (start.zones.len() > 1 && start.siting).then(|| {
         let who = (number(&start.name), start.terms.zone);
-        Siting::new(who, start.plan, start.zones, door.categories.clone(), fleet.clone(), broken)
+        Siting::new(
+            who,
+            start.plan,
+            start.zones,
+            door.categories.clone(),
+            fleet.clone(),
+            broken,
+        )
     });
     let outside = Sockets {
         mailbox: mailbox.clone(),
@@ -272,9 +343,14 @@
             Ok(learnt) => {
                 let categories = exchange.take_up(learnt, &terms);
                 let runners = exchange.known(std::mem::take(&mut start.known));
-                tracing::info!("took up what was learnt of {categories} categories and {runners} runners");
+                tracing::info!(
+                    "took up what was learnt of {categories} categories and {runners} runners"
+                );
             }
-            Err(why) => tracing::warn!("what was learnt is not taken up from {}: {why}", path.display()),
+            Err(why) => tracing::warn!(
+                "what was learnt is not taken up from {}: {why}",
+                path.display()
+            ),
         }
     }
     if !start.known.members.is_empty() {
@@ -288,12 +364,29 @@
     }
     tracing::info!("{} serves on {}", start.name, start.listen);
     spawn_local(watch.keep());
-    spawn_local(reload(hup, source, start.page, discovery_at, fleet.clone(), store));
-    let lets_in = spawn_local(let_in(listener, door.clone(), meeting.clone(), deployment, terms.clone()));
+    spawn_local(reload(
+        hup,
+        source,
+        start.page,
+        discovery_at,
+        fleet.clone(),
+        store,
+    ));
+    let lets_in = spawn_local(let_in(
+        listener,
+        door.clone(),
+        meeting.clone(),
+        deployment,
+        terms.clone(),
+    ));
     if let Some(listener) = operators {
         spawn_local(console::listen(
             listener,
-            Rc::new(console::Console::new(door.clone(), fleet.clone(), trial.is_some())),
+            Rc::new(console::Console::new(
+                door.clone(),
+                fleet.clone(),
+                trial.is_some(),
+            )),
         ));
     }
     spawn_local(sockets::run(exchange, calls, clock));
@@ -314,7 +407,11 @@
     }
     // Guards against turning away whom nobody else serves: clients go on with the connections that they have
     // as long as these stay open. Who has others to go to is sent there while nearly any job still ends here.
-    let last_call = if alone && !door.handing_over.get() { end_at - LAST_S } else { end_at - MOVE_S };
+    let last_call = if alone && !door.handing_over.get() {
+        end_at - LAST_S
+    } else {
+        end_at - MOVE_S
+    };
     while clock.now() < last_call && (clock.now() < told + COMING_S || door.open.get() > 0) {
         sleep(Duration::from_millis(10)).await;
     }
@@ -327,11 +424,15 @@
     }
     if let Some(path) = &start.learnt {
         let (give, got) = oneshot::channel();
-        mailbox.call(move |exchange| drop(give.send(exchange.learnt(&terms)))).await;
+        mailbox
+            .call(move |exchange| drop(give.send(exchange.learnt(&terms))))
+            .await;
         match timeout(KEEP, got).await.ok().and_then(Result::ok) {
             Some(learnt) => match learnt::write(path, deployment, learnt) {
                 Ok(()) => tracing::info!("what was learnt is kept in {}", path.display()),
-                Err(why) => tracing::warn!("what was learnt is not kept in {}: {why}", path.display()),
+                Err(why) => {
+                    tracing::warn!("what was learnt is not kept in {}: {why}", path.display())
+                }
             },
             None => tracing::warn!("what was learnt is not kept"),
         }
--- a/crates/sagetrail/src/siting.rs
+++ b/crates/sagetrail/src/siting.rs
@@ -31,8 +31,12 @@
 
 impl Siting {
     pub fn new(
-        (me, mine): (u64, u16), plan: Plan, zones: Vec<String>, categories: Vec<String>,
-        fleet: Option<Rc<Fleet>>, yardstick: Option<Broken>,
+        (me, mine): (u64, u16),
+        plan: Plan,
+        zones: Vec<String>,
+        categories: Vec<String>,
+        fleet: Option<Rc<Fleet>>,
+        yardstick: Option<Broken>,
     ) -> Siting {
         let none = vec![0; categories.len()];
         let rates = vec![0.0; categories.len()];
@@ -65,7 +69,9 @@
     }
 
     fn name(&self, site: u16) -> &str {
-        self.zones.get(usize::from(site)).map_or("a site without a name", String::as_str)
+        self.zones
+            .get(usize::from(site))
+            .map_or("a site without a name", String::as_str)
     }
 
     pub fn advise(&mut self, now: f64, d: &mut Dispatcher, load: &Load) {
@@ -73,10 +79,15 @@
             return;
         }
         self.next = now + LOOK_S;
-        let fresh = load.gates.iter().skip(self.numbers.len()).map(|gate| number(&gate.name));
+        let fresh = load
+            .gates
+            .iter()
+            .skip(self.numbers.len())
+            .map(|gate| number(&gate.name));
         self.numbers.extend(fresh);
         for (place, (gate, of)) in load.gates.iter().zip(&self.numbers).enumerate() {
-            self.sites.listed(place, *of, gate.zone.get(), gate.listed.get());
+            self.sites
+                .listed(place, *of, gate.zone.get(), gate.listed.get());
         }
         if let Some(fleet) = &self.fleet {
             fleet.sights(now, |at, place, good| self.sites.heard(at, place, good));
@@ -87,7 +98,9 @@
                 (Stage::Lost, Cause::CutFromHere) => {
                     tracing::warn!("site {name} is cut off from here; others reach it");
                 }
-                (Stage::Lost, _) => tracing::warn!("site {name} is lost: its work goes to the others"),
+                (Stage::Lost, _) => {
+                    tracing::warn!("site {name} is lost: its work goes to the others")
+                }
                 (Stage::Returning(part), _) => {
                     tracing::info!("site {name} comes back: {part}% of its runners")
                 }
@@ -109,13 +122,20 @@
     /// at once.
     fn go_otherwise(&self, load: &Load, away: &mut Vec<usize>) {
         let troubled = self.sites.troubled();
-        let lost = |site: u16| troubled.iter().any(|(s, _, stage, _)| *s == site && *stage == Stage::Lost);
+        let lost = |site: u16| {
+            troubled
+                .iter()
+                .any(|(s, _, stage, _)| *s == site && *stage == Stage::Lost)
+        };
         let zone = |place: &usize| load.gates[*place].zone.get();
         match self.yardstick {
             Some(Broken::AllToNearest) if lost(self.mine) => {
                 let count = self.zones.len() as u16;
-                let nearest = (1..count).map(|n| (self.mine + n) % count).find(|site| !lost(*site));
-                let other = |place: &usize| Some(zone(place)) != nearest && zone(place) != self.mine;
+                let nearest = (1..count)
+                    .map(|n| (self.mine + n) % count)
+                    .find(|site| !lost(*site));
+                let other =
+                    |place: &usize| Some(zone(place)) != nearest && zone(place) != self.mine;
                 away.extend((0..load.gates.len()).filter(other));
                 away.sort_unstable();
                 away.dedup();
@@ -128,12 +148,18 @@
     /// While a site is lost or on its way back, what would not fit into the rest is turned away at the door; with a
     /// plan's capacities, and counts of all.
     fn refuse(&mut self, now: f64, d: &mut Dispatcher) {
-        let Some(fleet) = self.fleet.as_ref().filter(|_| !self.plan.sites.is_empty()) else { return };
+        let Some(fleet) = self.fleet.as_ref().filter(|_| !self.plan.sites.is_empty()) else {
+            return;
+        };
         if now >= self.counted.0 + RATE_S {
-            let all: Vec<u64> = (0..self.categories.len()).map(|n| fleet.arrivals(now, n)).collect();
+            let all: Vec<u64> = (0..self.categories.len())
+                .map(|n| fleet.arrivals(now, n))
+                .collect();
             let since = (now - self.counted.0).max(1e-3);
-            let rates =
-                all.iter().zip(&self.counted.1).map(|(new, old)| new.saturating_sub(*old) as f64 / since);
+            let rates = all
+                .iter()
+                .zip(&self.counted.1)
+                .map(|(new, old)| new.saturating_sub(*old) as f64 / since);
             self.counted = (now, all.clone(), rates.collect());
         }
         let troubled = self.sites.troubled();
@@ -156,7 +182,11 @@
         let demand = |(n, name): (usize, &String)| {
             let (usual_s, worth) = d.asks(n);
             let order = self.plan.order.iter().position(|first| first == name);
-            Demand { slots: self.counted.2[n] * usual_s, worth, order }
+            Demand {
+                slots: self.counted.2[n] * usual_s,
+                worth,
+                order,
+            }
         };
         let demands: Vec<Demand> = self.categories.iter().enumerate().map(demand).collect();
         d.admit(&admitted(&demands, capacity, self.plan.floor));
--- a/crates/sagetrail/src/sockets.rs
+++ b/crates/sagetrail/src/sockets.rs
@@ -36,7 +36,9 @@
     fn answer(&mut self, client: Self::Client, reply: Reply) {
         self.answered += 1;
         match self.broken {
-            Some(Broken::LosesAnswers) if self.answered.is_multiple_of(40) => std::mem::forget(client),
+            Some(Broken::LosesAnswers) if self.answered.is_multiple_of(40) => {
+                std::mem::forget(client)
+            }
             Some(Broken::MakesUpAnswers) if reply.status == 503 => {
                 let _ = client.send(Reply::new(200, "made up"));
             }
@@ -49,9 +51,17 @@
     }
 
     fn begin(
-        &mut self, task: Task, runner: usize, message: Outgoing, until: f64, whole: Rc<Cell<bool>>,
+        &mut self,
+        task: Task,
+        runner: usize,
+        message: Outgoing,
+        until: f64,
+        whole: Rc<Cell<bool>>,
     ) -> Self::Errand {
-        let (mailbox, to) = (self.mailbox.clone(), self.pool.runners.borrow()[runner].clone());
+        let (mailbox, to) = (
+            self.mailbox.clone(),
+            self.pool.runners.borrow()[runner].clone(),
+        );
         let told = move |ended| mailbox.put(move |exchange| exchange.errand_ended(task, ended));
         let (errand, stop) = Errand::new(message, until, whole, told);
         spawn_local(runners::run(self.pool.clone(), to, errand));
@@ -63,7 +73,10 @@
     }
 
     fn again(&mut self, task: Task) {
-        let (mailbox, pause) = (self.mailbox.clone(), Duration::from_secs_f64(self.pool.dial_s));
+        let (mailbox, pause) = (
+            self.mailbox.clone(),
+            Duration::from_secs_f64(self.pool.dial_s),
+        );
         spawn_local(async move {
             tokio::time::sleep(pause).await;
             mailbox.call(move |exchange| exchange.again(task)).await;
@@ -93,7 +106,9 @@
     }
 
     fn spend_by(&self, now: f64, runner: usize, category: usize) -> f64 {
-        self.fleet.as_ref().map_or(f64::INFINITY, |fleet| fleet.spend_by(now, runner, category))
+        self.fleet
+            .as_ref()
+            .map_or(f64::INFINITY, |fleet| fleet.spend_by(now, runner, category))
     }
 
     fn goes(&mut self, now: f64, again: bool) {
--- a/crates/sagetrail/src/start.rs
+++ b/crates/sagetrail/src/start.rs
@@ -79,10 +79,11 @@
 pub fn needs_restart(now: &Value, later: &Value) -> Vec<String> {
     let parts = |page: &Value| page.as_object().cloned().unwrap_or_default();
     let (ours, mut parted) = (parts(now), parts(later));
-    ours.iter().for_each(|(name, value)| match parted.get(name) == Some(value) {
-        true => drop(parted.remove(name)),
-        false => drop(parted.insert(name.clone(), Value::Null)),
-    });
+    ours.iter()
+        .for_each(|(name, value)| match parted.get(name) == Some(value) {
+            true => drop(parted.remove(name)),
+            false => drop(parted.insert(name.clone(), Value::Null)),
+        });
     parted
         .into_iter()
         .map(|(name, _)| name)
@@ -92,12 +93,23 @@
 
 /// Nested values as paths, the way the simulator writes them.
 fn flatten(path: &str, value: &Value, into: &mut Stated) {
-    let below = |leaf: &str| if path.is_empty() { leaf.to_string() } else { format!("{path}.{leaf}") };
+    let below = |leaf: &str| {
+        if path.is_empty() {
+            leaf.to_string()
+        } else {
+            format!("{path}.{leaf}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(leaf, value)| flatten(&below(leaf), value, into)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(leaf, value)| flatten(&below(leaf), value, into)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             into.state(&below("count"), &items.len().to_string());
-            items.iter().enumerate().for_each(|(n, item)| flatten(&below(&n.to_string()), item, into));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(n, item)| flatten(&below(&n.to_string()), item, into));
         }
         Value::Array(items) => {
             let words: Vec<String> = items.iter().map(plain).collect();
@@ -117,12 +129,17 @@
 
 fn strings(value: &Value) -> Vec<String> {
     let items = value.as_array().into_iter().flatten();
-    items.map(|item| item.as_str().unwrap_or_default().to_string()).collect()
+    items
+        .map(|item| item.as_str().unwrap_or_default().to_string())
+        .collect()
 }
 
 fn address(said: Option<String>, variable: &str, what: &str) -> Result<SocketAddr, String> {
-    let text = said.or_else(|| std::env::var(variable).ok()).ok_or_else(|| format!("no {what} is given"))?;
-    text.parse().map_err(|_| format!("{what} '{text}' is not an address and port"))
+    let text = said
+        .or_else(|| std::env::var(variable).ok())
+        .ok_or_else(|| format!("no {what} is given"))?;
+    text.parse()
+        .map_err(|_| format!("{what} '{text}' is not an address and port"))
 }
 
 /// What a configuration of the project's own is read from.
@@ -136,8 +153,16 @@
         return Err(format!("{file}: {} bytes are no configuration", size.len()));
     }
     let text = std::fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
-    let environment = std::env::vars().filter(|(name, _)| name.starts_with("SAGETRAIL_")).collect();
-    Ok(Layers { file, text, environment, flags: flags.to_vec(), agreed: String::new() })
+    let environment = std::env::vars()
+        .filter(|(name, _)| name.starts_with("SAGETRAIL_"))
+        .collect();
+    Ok(Layers {
+        file,
+        text,
+        environment,
+        flags: flags.to_vec(),
+        agreed: String::new(),
+    })
 }
 
 impl Source {
@@ -148,15 +173,24 @@
 
     /// The same with settings that all dispatchers have agreed on.
     pub fn open_on(&self, agreed: &str) -> Result<Start, String> {
-        let Some(path) = self.file.as_ref().filter(|path| path.extension().is_none_or(|end| end != "json"))
+        let Some(path) = self
+            .file
+            .as_ref()
+            .filter(|path| path.extension().is_none_or(|end| end != "json"))
         else {
             return open(self.file.as_deref());
         };
-        let layers = Layers { agreed: agreed.to_string(), ..layers(path, &self.flags)? };
+        let layers = Layers {
+            agreed: agreed.to_string(),
+            ..layers(path, &self.flags)?
+        };
         let told = sagetrail_setup::read(&layers).map_err(|faults| faults.join("\n"))?;
         let mut start = read(told.page).map_err(|why| format!("{}: {why}", layers.file))?;
         if told.trial.is_some() && !self.trial {
-            return Err(format!("{}: trial: only `sagetrail trial` takes such settings", layers.file));
+            return Err(format!(
+                "{}: trial: only `sagetrail trial` takes such settings",
+                layers.file
+            ));
         }
         (start.fleet, start.trial, start.json_log) = (told.fleet, told.trial, told.json_log);
         start.store = told.store;
@@ -169,7 +203,9 @@
 fn open(file: Option<&Path>) -> Result<Start, String> {
     let path = match file {
         Some(path) => path.display().to_string(),
-        None => std::env::var("RELAY_CONFIG").map_err(|_| "RELAY_CONFIG names no file".to_string())?,
+        None => {
+            std::env::var("RELAY_CONFIG").map_err(|_| "RELAY_CONFIG names no file".to_string())?
+        }
     };
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?;
     let whole = serde_json::from_str(&text).map_err(|error| format!("{path}: {error}"))?;
@@ -195,11 +231,18 @@
     if terms.must_ask_s <= 0.0 {
         terms.must_ask_s = 10.0;
     }
-    let names = Names { zones: strings(&page.settings["Dcs"]), kinds: strings(&page.settings["Kinds"]) };
+    let names = Names {
+        zones: strings(&page.settings["Dcs"]),
+        kinds: strings(&page.settings["Kinds"]),
+    };
     let of = |leaf: &str, n: usize| format!("Categories.{n}.{leaf}");
     let count = terms.categories.len();
-    let categories: Vec<String> = (0..count).map(|n| stated.text(&of("Name", n)).to_string()).collect();
-    let expiries: Result<_, _> = (0..count).map(|n| stated.seconds(&of("ExpiryUs", n))).collect();
+    let categories: Vec<String> = (0..count)
+        .map(|n| stated.text(&of("Name", n)).to_string())
+        .collect();
+    let expiries: Result<_, _> = (0..count)
+        .map(|n| stated.seconds(&of("ExpiryUs", n)))
+        .collect();
     let or = |said: f64, usual: f64| if said > 0.0 { said } else { usual };
     let seed = page.seed.unwrap_or_default();
     let known = match page.known {
@@ -214,8 +257,12 @@
             true => Some(address(page.console, "RELAY_CONSOLE", "console")?),
             false => None,
         },
-        seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("seed '{seed}' is not a number"))?,
-        descriptors: page.limits.and_then(|limits| limits.sockets).unwrap_or(1024),
+        seed: u64::from_str_radix(&seed, 16)
+            .map_err(|_| format!("seed '{seed}' is not a number"))?,
+        descriptors: page
+            .limits
+            .and_then(|limits| limits.sockets)
+            .unwrap_or(1024),
         known,
         learnt: page.learnt,
         deployment: number(&format!("{categories:?} {:?}", names.kinds)),
--- a/crates/sagetrail/src/store.rs
+++ b/crates/sagetrail/src/store.rs
@@ -68,8 +68,13 @@
 
 impl Store {
     pub fn open(
-        said: Said, members: &Members, fleet: Rc<Fleet>, clock: Clock, source: Source,
-        discovery_at: watch::Sender<SocketAddr>, trial: (disk::Ill, Option<Broken>),
+        said: Said,
+        members: &Members,
+        fleet: Rc<Fleet>,
+        clock: Clock,
+        source: Source,
+        discovery_at: watch::Sender<SocketAddr>,
+        trial: (disk::Ill, Option<Broken>),
     ) -> Result<(Rc<Store>, mpsc::UnboundedReceiver<Done>, Queues), String> {
         let (ill, broken) = trial;
         let mut chance = rand_pcg::Pcg64Mcg::from_os_rng();
@@ -79,13 +84,24 @@
         let config = NodeConfig {
             fleet: members.name.clone(),
             me,
-            members: members.members.iter().map(|member| number(&member.name)).collect(),
+            members: members
+                .members
+                .iter()
+                .map(|member| number(&member.name))
+                .collect(),
             founders: said.voters.iter().map(|name| number(name)).collect(),
-            timing: Timing { heartbeat_s: said.beat_s, election_timeout_s: said.patience_s },
+            timing: Timing {
+                heartbeat_s: said.beat_s,
+                election_timeout_s: said.patience_s,
+            },
             incarnation: (clock.unix * 1e3) as u64,
             birth: chance.random(),
             disk: found.disk,
-            records: if broken == Some(Broken::ForgetsWords) { Vec::new() } else { found.recs },
+            records: if broken == Some(Broken::ForgetsWords) {
+                Vec::new()
+            } else {
+                found.recs
+            },
             written: found.written,
             marks_s: said.marks_s,
             records_s: said.records_s,
@@ -97,10 +113,14 @@
         if let Some((bytes, age_s)) = found.merged {
             node.merged.take_up(clock.now(), &bytes, age_s);
         }
-        let (disk, done) =
-            Disk::start(said.folder.clone(), ill).map_err(|error| format!("the store's thread: {error}"))?;
+        let (disk, done) = Disk::start(said.folder.clone(), ill)
+            .map_err(|error| format!("the store's thread: {error}"))?;
         let (mut queues, mut receivers) = (BTreeMap::new(), Vec::new());
-        for member in members.members.iter().filter(|member| number(&member.name) != me) {
+        for member in members
+            .members
+            .iter()
+            .filter(|member| number(&member.name) != me)
+        {
             let (queue, frames) = mpsc::channel(QUEUE);
             queues.insert(number(&member.name), queue);
             receivers.push((member.at, frames));
@@ -112,7 +132,11 @@
             clock,
             said,
             fleet,
-            names: members.members.iter().map(|member| (number(&member.name), member.name.clone())).collect(),
+            names: members
+                .members
+                .iter()
+                .map(|member| (number(&member.name), member.name.clone()))
+                .collect(),
             me,
             name,
             fleet_sum,
@@ -149,7 +173,10 @@
     // ---- the loop ----
 
     pub async fn keep(
-        self: Rc<Self>, mut done: mpsc::UnboundedReceiver<Done>, mailbox: Mailbox, door: Rc<Door>,
+        self: Rc<Self>,
+        mut done: mpsc::UnboundedReceiver<Done>,
+        mailbox: Mailbox,
+        door: Rc<Door>,
     ) {
         self.flush(&mailbox, &door);
         loop {
@@ -183,13 +210,17 @@
         match said {
             Ok(n) => {
                 for _ in 0..n {
-                    let Some(batch) = self.writing.borrow_mut().pop_front() else { return };
+                    let Some(batch) = self.writing.borrow_mut().pop_front() else {
+                        return;
+                    };
                     self.post(batch.frames);
                     self.node.borrow_mut().persisted(now, batch.mark);
                 }
             }
             Err(why) => {
-                tracing::error!("the store's disk failed, nothing is promised from here any more: {why}");
+                tracing::error!(
+                    "the store's disk failed, nothing is promised from here any more: {why}"
+                );
                 self.writing.borrow_mut().clear();
                 self.node.borrow_mut().disk_failed();
             }
@@ -199,7 +230,9 @@
     fn post(&self, frames: Vec<(u64, Vec<u8>)>) {
         for (to, frame) in frames {
             // Lost is lost: what matters is sent again.
-            self.queues.get(&to).map(|queue| queue.try_send(Bytes::from(frame)));
+            self.queues
+                .get(&to)
+                .map(|queue| queue.try_send(Bytes::from(frame)));
         }
     }
 
@@ -207,7 +240,9 @@
         let out = std::mem::take(&mut self.node.borrow_mut().out);
         self.post(out);
         loop {
-            let Some(batch) = self.node.borrow_mut().next_batch() else { return };
+            let Some(batch) = self.node.borrow_mut().next_batch() else {
+                return;
+            };
             let mut writing = self.writing.borrow_mut();
             if writing.is_empty() && batch.bytes.is_empty() {
                 drop(writing);
@@ -219,7 +254,11 @@
                 return self.lasts(Err("it is too slow".to_string()));
             }
             let bytes = batch.bytes.clone();
-            self.disk.put(if batch.rewrite { Job::Anew(bytes) } else { Job::Append(bytes) });
+            self.disk.put(if batch.rewrite {
+                Job::Anew(bytes)
+            } else {
+                Job::Append(bytes)
+            });
             writing.push_back(batch);
         }
     }
@@ -228,7 +267,11 @@
         let now = self.clock.now();
         let mut claims = self.claims.borrow_mut();
         let answered = std::mem::take(&mut self.node.borrow_mut().answered);
-        let look: Vec<u64> = if all { claims.keys().copied().collect() } else { answered };
+        let look: Vec<u64> = if all {
+            claims.keys().copied().collect()
+        } else {
+            answered
+        };
         for no in look {
             let outcome = self.node.borrow_mut().outcome(now, no);
             if let Some(outcome) = outcome {
@@ -247,10 +290,13 @@
                     format!("it is an old copy: {here} records, others saw {known}")
                 }
             };
-            tracing::error!("this copy of what is agreed is put aside: {why}; begins as a new member");
+            tracing::error!(
+                "this copy of what is agreed is put aside: {why}; begins as a new member"
+            );
             let fresh = rand_pcg::Pcg64Mcg::from_os_rng().random();
             self.writing.borrow_mut().clear();
-            self.disk.put(Job::Aside(begin(self.fleet_sum, self.me, fresh, 0)));
+            self.disk
+                .put(Job::Aside(begin(self.fleet_sum, self.me, fresh, 0)));
             self.node.borrow_mut().restart_blank(now, fresh);
         }
         self.hand_out();
@@ -273,7 +319,8 @@
         if self.dirty.get() && now >= self.next_keep.get() {
             self.dirty.set(false);
             self.next_keep.set(now + KEEP_S);
-            self.disk.put(Job::Merged(self.node.borrow().merged.write()));
+            self.disk
+                .put(Job::Merged(self.node.borrow().merged.write()));
         }
     }
 
@@ -302,7 +349,11 @@
             let node = self.node.borrow();
             (node.facts.version(), node.facts.settings().to_string())
         };
-        let tried = self.unusable.borrow().as_ref().map_or(0, |(version, _)| *version);
+        let tried = self
+            .unusable
+            .borrow()
+            .as_ref()
+            .map_or(0, |(version, _)| *version);
         if behind || version == self.version.get() || version == tried {
             return;
         }
@@ -314,16 +365,23 @@
                 if let Some(said) = &start.fleet {
                     self.fleet.limits(said, &start.categories);
                 }
-                self.discovery_at
-                    .send_if_modified(|at| std::mem::replace(at, start.discovery_at) != start.discovery_at);
+                self.discovery_at.send_if_modified(|at| {
+                    std::mem::replace(at, start.discovery_at) != start.discovery_at
+                });
                 let plan = start.plan;
                 mailbox.put(move |exchange| {
-                    exchange.outside().siting.iter_mut().for_each(|siting| siting.plan(plan.clone()))
+                    exchange
+                        .outside()
+                        .siting
+                        .iter_mut()
+                        .for_each(|siting| siting.plan(plan.clone()))
                 });
             }
             Err(why) => {
                 let why = why.replace('\n', "; ");
-                tracing::warn!("version {version} of the agreed settings cannot be used here: {why}");
+                tracing::warn!(
+                    "version {version} of the agreed settings cannot be used here: {why}"
+                );
                 *self.unusable.borrow_mut() = Some((version, why));
             }
         }
@@ -333,19 +391,28 @@
 
     /// Makes a work item known to others before it is taken. Its number, or what is answered at once.
     pub async fn claim(
-        &self, category: &str, called: &str, recorded: &Recorded,
+        &self,
+        category: &str,
+        called: &str,
+        recorded: &Recorded,
     ) -> Result<Option<u64>, Answer> {
         if self.broken == Some(Broken::RecordsNothing) {
             return Ok(None);
         }
         let name = Name::of(category, called);
         let (tell, told) = oneshot::channel();
-        let no = self.node.borrow_mut().claim_name(self.clock.now(), name, recorded.copies);
+        let no = self
+            .node
+            .borrow_mut()
+            .claim_name(self.clock.now(), name, recorded.copies);
         self.claims.borrow_mut().insert(no, tell);
         self.hand_out();
         self.tell_claims(true);
         self.kick.notify_one();
-        let outcome = timeout(Duration::from_secs_f64(CLAIM_S), told).await.ok().and_then(Result::ok);
+        let outcome = timeout(Duration::from_secs_f64(CLAIM_S), told)
+            .await
+            .ok()
+            .and_then(Result::ok);
         self.claims.borrow_mut().remove(&no);
         // Guards against a claim that is granted when nobody waits for it any more.
         let outcome = outcome.unwrap_or_else(|| {
@@ -355,7 +422,10 @@
         match outcome {
             Outcome::Own { .. } => Ok(Some(no)),
             Outcome::TooFew if recorded.send => Ok(None),
-            outcome => Err(RetryPolicy { window_s: recorded.window_s }.answer(&outcome)),
+            outcome => Err(RetryPolicy {
+                window_s: recorded.window_s,
+            }
+            .answer(&outcome)),
         }
     }
 
@@ -399,7 +469,14 @@
         if self.broken == Some(Broken::WordsStayHere) {
             return true;
         }
-        if !out && self.node.borrow().all_out().iter().all(|(other, _)| *other != about) {
+        if !out
+            && self
+                .node
+                .borrow()
+                .all_out()
+                .iter()
+                .all(|(other, _)| *other != about)
+        {
             return true;
         }
         let no = self.node.borrow_mut().word(self.clock.now(), about, out);
@@ -419,7 +496,10 @@
     }
 
     fn member(&self, name: &str) -> Option<u64> {
-        self.names.iter().find(|(_, known)| *known == name).map(|(who, _)| *who)
+        self.names
+            .iter()
+            .find(|(_, known)| *known == name)
+            .map(|(who, _)| *who)
     }
 
     fn named(&self, who: u64) -> &str {
@@ -429,10 +509,17 @@
     /// A call at the door: status and text.
     pub async fn call(&self, path: &str, says: bool, body: &[u8]) -> (u16, String) {
         let words: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let text = || String::from_utf8(body.to_vec()).ok().filter(|text| text.len() <= SETTINGS_MOST);
+        let text = || {
+            String::from_utf8(body.to_vec())
+                .ok()
+                .filter(|text| text.len() <= SETTINGS_MOST)
+        };
         let said = |done: Option<bool>| match done {
             Some(true) => (200, "agreed\n".to_string()),
-            Some(false) => (409, "refused: another word came first, or it cannot hold\n".to_string()),
+            Some(false) => (
+                409,
+                "refused: another word came first, or it cannot hold\n".to_string(),
+            ),
             None => (503, "not agreed in time; it may still be\n".to_string()),
         };
         match (says, words.as_slice()) {
@@ -453,8 +540,14 @@
                     let node = self.node.borrow();
                     let versions = &node.facts.versions;
                     // Before the first there were none.
-                    let before = versions.len().checked_sub(2).map(|n| versions[n].text.clone());
-                    before.or(versions.first().filter(|first| first.no == 1).map(|_| String::new()))
+                    let before = versions
+                        .len()
+                        .checked_sub(2)
+                        .map(|n| versions[n].text.clone());
+                    before.or(versions
+                        .first()
+                        .filter(|first| first.no == 1)
+                        .map(|_| String::new()))
                 };
                 match before {
                     Some(text) => self.propose(text).await,
@@ -466,7 +559,9 @@
                 None => (400, "no backup, or over 64 KiB\n".to_string()),
             },
             (true, ["store", how @ ("add" | "remove"), name]) => {
-                let Some(who) = self.member(name) else { return (404, "no such member\n".to_string()) };
+                let Some(who) = self.member(name) else {
+                    return (404, "no such member\n".to_string());
+                };
                 let mut voters = {
                     let node = self.node.borrow();
                     match node.facts.voters.is_empty() {
@@ -486,14 +581,21 @@
                 (status, text)
             }
             (true, ["store", "voters", names]) => {
-                let voters: Option<Vec<u64>> = names.split(',').map(|name| self.member(name)).collect();
+                let voters: Option<Vec<u64>> =
+                    names.split(',').map(|name| self.member(name)).collect();
                 match voters {
                     Some(voters) => said(self.agree(Op::Voters(voters)).await),
                     None => (404, "no such member\n".to_string()),
                 }
             }
             (true, ["store", "lend", name, on @ ("on" | "off")]) => match self.member(name) {
-                Some(who) => said(self.agree(Op::Lends { who, yes: *on == "on" }).await),
+                Some(who) => said(
+                    self.agree(Op::Lends {
+                        who,
+                        yes: *on == "on",
+                    })
+                    .await,
+                ),
                 None => (404, "no such member\n".to_string()),
             },
             _ => (404, "no such call\n".to_string()),
@@ -518,7 +620,11 @@
             true => {
                 let no = self.node.borrow_mut().read(self.clock.now());
                 self.hand_out();
-                Some(self.until(|node| node.read_done(no).then_some(())).await.is_some())
+                Some(
+                    self.until(|node| node.read_done(no).then_some(()))
+                        .await
+                        .is_some(),
+                )
             }
             false => None,
         };
@@ -539,7 +645,11 @@
             s.silent_s.min(99_999.0)
         );
         if let Some(sure) = sure {
-            let word = if sure { "all that was agreed by now is here" } else { "it may lack what is agreed" };
+            let word = if sure {
+                "all that was agreed by now is here"
+            } else {
+                "it may lack what is agreed"
+            };
             let _ = writeln!(lines, "{word}");
         }
         if let Some((have, size)) = s.incoming {
@@ -548,9 +658,18 @@
         let voters: Vec<&str> = s.voters.iter().map(|voter| self.named(voter.who)).collect();
         let _ = writeln!(lines, "voters {}", voters.join(" "));
         let disk = if node.is_muted() { "failed" } else { "good" };
-        let _ =
-            writeln!(lines, "disk {:016x} {disk}, {} batches wait", node.disk(), self.writing.borrow().len());
-        let _ = writeln!(lines, "settings {} in force {}", node.facts.version(), self.version.get());
+        let _ = writeln!(
+            lines,
+            "disk {:016x} {disk}, {} batches wait",
+            node.disk(),
+            self.writing.borrow().len()
+        );
+        let _ = writeln!(
+            lines,
+            "settings {} in force {}",
+            node.facts.version(),
+            self.version.get()
+        );
         if let Some((version, why)) = self.unusable.borrow().as_ref() {
             let _ = writeln!(lines, "version {version} cannot be used here: {why}");
         }
@@ -559,13 +678,23 @@
             About::Dispatcher(name) => format!("dispatcher {name}"),
         };
         for (whom, agreed) in node.all_out() {
-            let how = if agreed { "agreed" } else { "said, not agreed yet" };
+            let how = if agreed {
+                "agreed"
+            } else {
+                "said, not agreed yet"
+            };
             let _ = writeln!(lines, "out {} {how}", about(&whom));
         }
         for (whom, all) in node.facts.words.iter().filter(|(_, all)| all.len() > 1) {
             let words: Vec<String> = all
                 .iter()
-                .map(|said| format!("{} by {}", if said.out { "out" } else { "back" }, self.named(said.by)))
+                .map(|said| {
+                    format!(
+                        "{} by {}",
+                        if said.out { "out" } else { "back" },
+                        self.named(said.by)
+                    )
+                })
                 .collect();
             let _ = writeln!(
                 lines,
@@ -574,7 +703,12 @@
                 words.join(", ")
             );
         }
-        let no_loans: Vec<&str> = node.facts.no_loans.iter().map(|who| self.named(*who)).collect();
+        let no_loans: Vec<&str> = node
+            .facts
+            .no_loans
+            .iter()
+            .map(|who| self.named(*who))
+            .collect();
         if !no_loans.is_empty() {
             let _ = writeln!(lines, "lends nothing: {}", no_loans.join(" "));
         }
@@ -603,13 +737,23 @@
     fn diff(&self) -> String {
         let node = self.node.borrow();
         let versions = &node.facts.versions;
-        let Some(last) = versions.last() else { return "nothing was agreed yet\n".to_string() };
+        let Some(last) = versions.last() else {
+            return "nothing was agreed yet\n".to_string();
+        };
         let before = versions.len().checked_sub(2).map(|n| &versions[n]);
         let old: Vec<&str> = before.map_or(Vec::new(), |version| version.text.lines().collect());
         let new: Vec<&str> = last.text.lines().collect();
-        let mut lines = format!("version {} against {}\n", last.no, before.map_or(0, |version| version.no));
-        old.iter().filter(|line| !new.contains(line)).for_each(|line| _ = writeln!(lines, "- {line}"));
-        new.iter().filter(|line| !old.contains(line)).for_each(|line| _ = writeln!(lines, "+ {line}"));
+        let mut lines = format!(
+            "version {} against {}\n",
+            last.no,
+            before.map_or(0, |version| version.no)
+        );
+        old.iter()
+            .filter(|line| !new.contains(line))
+            .for_each(|line| _ = writeln!(lines, "- {line}"));
+        new.iter()
+            .filter(|line| !old.contains(line))
+            .for_each(|line| _ = writeln!(lines, "+ {line}"));
         lines
     }
 
@@ -636,7 +780,9 @@
     /// Has all that a backup says agreed anew, on top of what is agreed.
     async fn restore(&self, text: &str) -> (u16, String) {
         let bad = |why: &str| (400, format!("{why}: nothing was changed\n"));
-        let Some((head, body)) = text.trim_end().split_once('\n') else { return bad("not a backup") };
+        let Some((head, body)) = text.trim_end().split_once('\n') else {
+            return bad("not a backup");
+        };
         let words: Vec<&str> = head.split(' ').collect();
         let ["sagetrail", "backup", version, fleet, sum] = words.as_slice() else {
             return bad("not a backup");
@@ -650,7 +796,9 @@
         if *sum != format!("{:08x}", crc32fast::hash(body.as_bytes())) {
             return bad("an altered backup");
         }
-        let Ok(body) = serde_json::from_str::<serde_json::Value>(body) else { return bad("not a backup") };
+        let Ok(body) = serde_json::from_str::<serde_json::Value>(body) else {
+            return bad("not a backup");
+        };
         let settings = body["settings"].as_str().unwrap_or_default().to_string();
         if let Err(why) = self.source.open_on(&settings) {
             return bad(&why.replace('\n', "; "));
@@ -665,14 +813,20 @@
         let mut all = true;
         for item in body["out"].as_array().into_iter().flatten() {
             let name = item[1].as_str().unwrap_or_default().to_string();
-            let about = if item[0] == "runner" { About::Runner(name) } else { About::Dispatcher(name) };
+            let about = if item[0] == "runner" {
+                About::Runner(name)
+            } else {
+                About::Dispatcher(name)
+            };
             all &= self.word(about, true).await;
         }
         match all {
             true => (200, "restored\n".to_string()),
-            false => {
-                (503, "settings are restored; words by hand are held here and not agreed yet\n".to_string())
-            }
+            false => (
+                503,
+                "settings are restored; words by hand are held here and not agreed yet\n"
+                    .to_string(),
+            ),
         }
     }
 }
--- a/crates/sagetrail/src/trial.rs
+++ b/crates/sagetrail/src/trial.rs
@@ -77,7 +77,10 @@
     /// Breaks what the list says.
     pub fn hears(self, told: &mut Told) {
         if self == IgnoresDrains {
-            let draining = told.members.iter_mut().filter(|member| member.life == Life::Draining);
+            let draining = told
+                .members
+                .iter_mut()
+                .filter(|member| member.life == Life::Draining);
             draining.for_each(|member| member.life = Life::Ready);
         }
     }
--- a/crates/sagetrail/src/whatif.rs
+++ b/crates/sagetrail/src/whatif.rs
@@ -3,13 +3,18 @@
 use std::fmt::Write;
 
 fn moved(loss: &Loss) -> String {
-    let all = loss.moved.iter().map(|(name, slots)| format!("{name} +{slots:.1}"));
+    let all = loss
+        .moved
+        .iter()
+        .map(|(name, slots)| format!("{name} +{slots:.1}"));
     all.collect::<Vec<_>>().join(", ")
 }
 
 fn refused(loss: &Loss) -> String {
     let some = loss.admitted.iter().filter(|(_, part)| *part < 0.9995);
-    let all: Vec<String> = some.map(|(name, part)| format!("{name} {:.0}%", 100.0 * (1.0 - part))).collect();
+    let all: Vec<String> = some
+        .map(|(name, part)| format!("{name} {:.0}%", 100.0 * (1.0 - part)))
+        .collect();
     if all.is_empty() {
         "nothing".to_string()
     } else {
@@ -40,7 +45,11 @@
 /// Bars: what remains is asked for, by loss and load; over the line is refused.
 pub fn page(losses: &[Loss]) -> String {
     let escape = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
-    let most = losses.iter().map(|loss| loss.of_rest).filter(|part| part.is_finite()).fold(1.2, f64::max);
+    let most = losses
+        .iter()
+        .map(|loss| loss.of_rest)
+        .filter(|part| part.is_finite())
+        .fold(1.2, f64::max);
     let (row, left, width) = (22.0, 170.0, 700.0);
     let height = row * losses.len() as f64 + 30.0;
     let mut svg = format!("<svg viewBox='0 0 900 {height}' role='img'>");
@@ -61,7 +70,10 @@
         );
     }
     let line = left + width / most;
-    let _ = write!(svg, "<line x1='{line:.1}' x2='{line:.1}' y1='0' y2='{height}' stroke='#333'/></svg>");
+    let _ = write!(
+        svg,
+        "<line x1='{line:.1}' x2='{line:.1}' y1='0' y2='{height}' stroke='#333'/></svg>"
+    );
     format!(
         "<!doctype html><meta charset='utf-8'><title>what if</title><style>body{{font:15px sans-serif;max-width:960px;\
          margin:2em auto}}svg{{width:100%;font:12px sans-serif}}pre{{overflow:auto}}</style><h1>What if a site is lost</h1>\
