--- a/crates/sagetrail/tests/crossings/attempts.rs
+++ b/crates/sagetrail/tests/crossings/attempts.rs
@@ -19,18 +19,29 @@
     for handed in [first, other.next()] {
         let header = |name: &str| handed.message.header(name);
         assert_eq!(header("idempotency-key"), Some("6328 52c2"));
-        assert_eq!((header("req-id"), header("req-extra")), (Some("9b1f"), Some("slots=1")));
-        assert_eq!(handed.message.headers.matches("req-deadline").count(), 1, "it is told anew");
+        assert_eq!(
+            (header("req-id"), header("req-extra")),
+            (Some("9b1f"), Some("slots=1"))
+        );
+        assert_eq!(
+            handed.message.headers.matches("req-deadline").count(),
+            1,
+            "it is told anew"
+        );
         assert_eq!(handed.message.headers.matches("content-length").count(), 1);
-        assert_eq!((header("connection"), header("x-hop"), header("te")), (None, None, None));
+        assert_eq!(
+            (header("connection"), header("x-hop"), header("te")),
+            (None, None, None)
+        );
         assert_eq!(handed.message.body, "waves");
     }
 }
 
 /// A stage that knows no runner yet, and whose connections may take long to come up.
 fn slow_dials(change: impl Fn(String) -> String) -> (Stage, Watch) {
-    let dials =
-        |page: String| change(page.replace(r#""DialTimeoutUs":250000"#, r#""DialTimeoutUs":4000000"#));
+    let dials = |page: String| {
+        change(page.replace(r#""DialTimeoutUs":250000"#, r#""DialTimeoutUs":4000000"#))
+    };
     let stage = Stage::of(0, 1024, dials);
     let watch = stage.list.watch();
     (stage, watch)
@@ -131,7 +142,11 @@
     decline(&handed);
     let second = two.hand_in("once", "6000m");
     let next = a.next();
-    assert_eq!((next.id(), a.connections()), (second.as_str(), 1), "on the same connection");
+    assert_eq!(
+        (next.id(), a.connections()),
+        (second.as_str(), 1),
+        "on the same connection"
+    );
     stage.list.watch().tell(42, false, &[b.entry("Ready", 0)]);
     let moved = b.next();
     assert_eq!(moved.id(), first);
@@ -199,9 +214,16 @@
     let id = client.hand_in("rerun", "6000m");
     let (handed, slow, other) = match stage.runners[0].poll(300) {
         Some(handed) => (handed, &stage.runners[0], &stage.runners[1]),
-        None => (stage.runners[1].next(), &stage.runners[1], &stage.runners[0]),
+        None => (
+            stage.runners[1].next(),
+            &stage.runners[1],
+            &stage.runners[0],
+        ),
     };
-    assert!(handed.is_closed(), "given up, since it was not taken at once");
+    assert!(
+        handed.is_closed(),
+        "given up, since it was not taken at once"
+    );
     handed.take();
     let told = slow.next();
     assert_eq!(told.message.first, format!("DELETE /jobs/{id} HTTP/1.1"));
@@ -212,7 +234,9 @@
 
 #[test]
 fn a_word_that_comes_once_more_does_not_end_the_next_attempt_at_the_same_runner() {
-    let stage = Stage::of(1, 1024, |page| page.replace(r#""DueTimeUs":600000"#, r#""DueTimeUs":3000000"#));
+    let stage = Stage::of(1, 1024, |page| {
+        page.replace(r#""DueTimeUs":600000"#, r#""DueTimeUs":3000000"#)
+    });
     let runner = &stage.runners[0];
     let mut client = stage.client();
     let id = client.hand_in("once", "9000m");
@@ -232,9 +256,13 @@
 
 #[test]
 fn a_new_process_sends_nothing_to_a_cold_runner_until_what_went_before_is_past() {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
-    let stage =
-        Stage::of(1, 1024, |page| page.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{now}"#)));
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    let stage = Stage::of(1, 1024, |page| {
+        page.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{now}"#))
+    });
     let mut client = stage.client();
     client.hand_in("rerun", "9000m");
     stage.runners[0].nothing(600);
--- a/crates/sagetrail/tests/crossings/clients.rs
+++ b/crates/sagetrail/tests/crossings/clients.rs
@@ -12,7 +12,10 @@
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(client.answer().body, "a");
     let answer = client.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (400, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (400, Some("close"))
+    );
     assert!(client.read().is_none());
 }
 
@@ -64,7 +67,10 @@
     runner.next().take();
     stage.news(&second, "s-0", r#""done","result":"second""#);
     let answer = floods.answer();
-    assert_eq!((answer.body.as_str(), answer.header("connection")), ("second", Some("close")));
+    assert_eq!(
+        (answer.body.as_str(), answer.header("connection")),
+        ("second", Some("close"))
+    );
     assert!(floods.read().is_none());
 }
 
@@ -76,7 +82,8 @@
     let id = stays.hand_in("once", "9000m");
     runner.next().take();
     let mut held: Vec<Client> = (0..40).map(|_| stage.client()).collect();
-    held.iter_mut().for_each(|client| _ = client.hand_in("once", "9000m"));
+    held.iter_mut()
+        .for_each(|client| _ = client.hand_in("once", "9000m"));
     let mut out: Vec<Handed> = std::iter::from_fn(|| runner.poll(300)).collect();
     assert!(out.len() < 40, "some are held");
     out.drain(..).for_each(|handed| handed.take());
@@ -84,13 +91,20 @@
     let mut news = stage.client();
     stage.signal("-STOP");
     let body = format!(r#"{{"id":"{id}","from":"s-0","state":"done","result":"a"}}"#);
-    news.send(&format!("POST /_jobs/news HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    news.send(&format!(
+        "POST /_jobs/news HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ));
     drop(held);
     stage.signal("-CONT");
     assert_eq!(news.answer().status(), 204);
     assert_eq!(stays.answer().body, "a");
     while let Some(handed) = runner.poll(400) {
-        assert!(handed.message.first.starts_with("DELETE"), "{}", handed.message.first);
+        assert!(
+            handed.message.first.starts_with("DELETE"),
+            "{}",
+            handed.message.first
+        );
         handed.answer("204 No Content", "");
     }
 }
@@ -116,7 +130,10 @@
             assert_eq!(handed.id(), id);
             handed.take();
         }
-        assert_eq!(stage.news(id, "s-0", &format!(r#""done","result":"{n}""#)), 204);
+        assert_eq!(
+            stage.news(id, "s-0", &format!(r#""done","result":"{n}""#)),
+            204
+        );
         assert_eq!(client.answer().body, n.to_string());
         if n == 0 {
             client.send(later);
--- a/crates/sagetrail/tests/crossings/idle.rs
+++ b/crates/sagetrail/tests/crossings/idle.rs
@@ -6,7 +6,9 @@
 
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_meets_a_plain_end() {
-    let stage = Stage::of(1, 1024, |page| page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#));
+    let stage = Stage::of(1, 1024, |page| {
+        page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#)
+    });
     let mut idle = stage.client();
     assert_eq!(idle.send(READY).answer().status(), 200);
     stage.term();
@@ -26,7 +28,11 @@
     let down = free();
     let former = stage.list.watch();
     former.tell(42, false, &[]);
-    stage.reload(&stage.page.replace(&stage.list.at.to_string(), &down.to_string()));
+    stage.reload(
+        &stage
+            .page
+            .replace(&stage.list.at.to_string(), &down.to_string()),
+    );
     pause(200);
     drop(former);
     // Idle on purpose: each has served once.
@@ -38,11 +44,16 @@
     let mut client = stage.client();
     let id = client.hand_in("rerun", "9000m");
     stage.runners[0].next().take();
-    assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204, "a runner's call-back is heard");
+    assert_eq!(
+        stage.news(&id, "s-0", r#""done","result":"a""#),
+        204,
+        "a runner's call-back is heard"
+    );
     assert_eq!(client.answer().body, "a");
     assert_eq!(stage.client().send(READY).answer().status(), 200);
     let (back, list) = (Instant::now(), List::at(down));
-    list.watch().tell(7, true, &[stage.runners[0].entry("Terminating", 0)]);
+    list.watch()
+        .tell(7, true, &[stage.runners[0].entry("Terminating", 0)]);
     assert!(back.elapsed().as_secs_f64() < 5.5, "{:?}", back.elapsed());
     pause(200);
     let mut client = stage.client();
--- a/crates/sagetrail/tests/crossings/shutdown.rs
+++ b/crates/sagetrail/tests/crossings/shutdown.rs
@@ -4,7 +4,9 @@
 
 /// One of two: it sends its clients away while nearly any job still ends here.
 fn one_of_two() -> Stage {
-    Stage::of(1, 1024, |page| page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#))
+    Stage::of(1, 1024, |page| {
+        page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#)
+    })
 }
 
 #[test]
@@ -21,7 +23,10 @@
     stage.runners[0].next().take();
     assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204);
     let answer = half.answer();
-    assert_eq!((answer.body.as_str(), answer.header("connection")), ("a", Some("close")));
+    assert_eq!(
+        (answer.body.as_str(), answer.header("connection")),
+        ("a", Some("close"))
+    );
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
 }
@@ -35,7 +40,11 @@
     stage.term();
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
-    assert!(start.elapsed().as_millis() < 3700, "before it is killed: {:?}", start.elapsed());
+    assert!(
+        start.elapsed().as_millis() < 3700,
+        "before it is killed: {:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
@@ -44,7 +53,9 @@
     let mut client = stage.client();
     let id = client.hand_in("once", "9000m");
     stage.runners[0].next().take();
-    ["-HUP", "-TERM", "-TERM", "-HUP", "-TERM"].iter().for_each(|signal| stage.signal(signal));
+    ["-HUP", "-TERM", "-TERM", "-HUP", "-TERM"]
+        .iter()
+        .for_each(|signal| stage.signal(signal));
     pause(100);
     stage.signal("-TERM");
     assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204);
@@ -59,12 +70,22 @@
 fn told_to_end_before_the_first_list_it_answers_what_it_has_and_ends() {
     let mut stage = Stage::of(0, 1024, |page| page);
     let mut client = stage.client();
-    assert_eq!(client.send("GET /health/ready HTTP/1.1\r\n\r\n").answer().status(), 503);
+    assert_eq!(
+        client
+            .send("GET /health/ready HTTP/1.1\r\n\r\n")
+            .answer()
+            .status(),
+        503
+    );
     client.hand_in("once", "9000m");
     stage.term();
     assert_eq!(client.answer().status(), 503);
     client.hand_in("once", "9000m");
-    assert_eq!(client.answer().status(), 503, "what comes later is answered at once too");
+    assert_eq!(
+        client.answer().status(),
+        503,
+        "what comes later is answered at once too"
+    );
     drop(client);
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
@@ -79,7 +100,10 @@
     stage.term();
     assert!(idle.read().is_none());
     let long = "x".repeat(60_000);
-    assert_eq!(stage.news(&id, "s-0", &format!(r#""done","result":"{long}""#)), 204);
+    assert_eq!(
+        stage.news(&id, "s-0", &format!(r#""done","result":"{long}""#)),
+        204
+    );
     // Sent in the moment in which the connection is closed: a reset would take the answer along.
     slow.hand_in("rerun", "9000m");
     let (code, log) = stage.ended();
--- a/crates/sagetrail/tests/crossings/watch.rs
+++ b/crates/sagetrail/tests/crossings/watch.rs
@@ -17,10 +17,13 @@
 fn a_change_that_comes_on_several_lines_is_read() {
     let stage = Stage::start(1);
     let watch = stage.list.watch();
-    let entry = stage.runners[0].entry("Terminating", 0).replace(',', ",\n      ");
-    for line in
-        format!("{{\n  \"generation\": 42,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}")
-            .lines()
+    let entry = stage.runners[0]
+        .entry("Terminating", 0)
+        .replace(',', ",\n      ");
+    for line in format!(
+        "{{\n  \"generation\": 42,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}"
+    )
+    .lines()
     {
         watch.say(line);
     }
@@ -92,7 +95,11 @@
     for most in [3.7, 2.2, 2.2, 2.2] {
         let start = Instant::now();
         drop(stage.list.watch());
-        assert!(start.elapsed().as_secs_f64() < most, "{:?}", start.elapsed());
+        assert!(
+            start.elapsed().as_secs_f64() < most,
+            "{:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -114,25 +121,49 @@
 
 #[test]
 fn where_lists_are_pushed_an_agent_is_asked_before_an_old_list_is_used() {
-    let pushed = |page: String| page.replace(r#""Discovery":"on_request""#, r#""Discovery":"pushed""#);
+    let pushed =
+        |page: String| page.replace(r#""Discovery":"on_request""#, r#""Discovery":"pushed""#);
     let stage = Stage::of(1, 1024, pushed);
     let watch = stage.list.watch();
     let mut client = stage.client();
-    assert_eq!(client.send("GET /health/ready HTTP/1.1\r\n\r\n").answer().status(), 503);
+    assert_eq!(
+        client
+            .send("GET /health/ready HTTP/1.1\r\n\r\n")
+            .answer()
+            .status(),
+        503
+    );
     watch.tell(42, false, &[stage.runners[0].entry("Terminating", 0)]);
     pause(100);
     assert!(nowhere_to_go(&stage));
-    assert_eq!(client.send("GET /health/ready HTTP/1.1\r\n\r\n").answer().status(), 200);
+    assert_eq!(
+        client
+            .send("GET /health/ready HTTP/1.1\r\n\r\n")
+            .answer()
+            .status(),
+        200
+    );
     // It comes back, and what it has counts at once.
     drop(watch);
     for _ in 0..5 {
         let start = Instant::now();
         drop(stage.list.watch());
-        assert!(start.elapsed().as_secs_f64() < 0.25, "{:?}", start.elapsed());
+        assert!(
+            start.elapsed().as_secs_f64() < 0.25,
+            "{:?}",
+            start.elapsed()
+        );
     }
     // Nobody there to ask: the old list is all there is.
     let stage = Stage::of(1, 1024, |page| {
-        let at = page.split(r#""discovery":""#).nth(1).unwrap().split('"').next().unwrap().to_string();
+        let at = page
+            .split(r#""discovery":""#)
+            .nth(1)
+            .unwrap()
+            .split('"')
+            .next()
+            .unwrap()
+            .to_string();
         pushed(page).replace(&at, &free().to_string())
     });
     let mut client = stage.client();
@@ -146,7 +177,11 @@
     let stage = Stage::start(2);
     let old = stage.list.watch();
     old.tell(42, false, &[]);
-    let to = |at: std::net::SocketAddr| stage.page.replace(&stage.list.at.to_string(), &at.to_string());
+    let to = |at: std::net::SocketAddr| {
+        stage
+            .page
+            .replace(&stage.list.at.to_string(), &at.to_string())
+    };
     stage.reload(&to(free()));
     pause(300);
     old.tell(43, false, &[stage.runners[0].entry("Terminating", 0)]);
--- a/crates/sagetrail/tests/fleet.rs
+++ b/crates/sagetrail/tests/fleet.rs
@@ -10,12 +10,19 @@
 const DAYS: u64 = 3;
 
 fn played(name: &str, change: impl Fn(&mut Options)) -> Outcome {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rig").join(format!("{name}.toml"));
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../examples/rig")
+        .join(format!("{name}.toml"));
     let scenario = Scenario::read(&file).unwrap_or_else(|why| panic!("{why}"));
     let program = Some(PathBuf::from(env!("CARGO_BIN_EXE_sagetrail")));
-    let mut options = Options { program, ..Options::default() };
+    let mut options = Options {
+        program,
+        ..Options::default()
+    };
     change(&mut options);
-    let places = PLACES.1.wait_while(PLACES.0.lock().unwrap(), |places| *places == 0);
+    let places = PLACES
+        .1
+        .wait_while(PLACES.0.lock().unwrap(), |places| *places == 0);
     *places.unwrap() -= 1;
     let outcome = play(&scenario, &options);
     *PLACES.0.lock().unwrap() += 1;
@@ -32,7 +39,12 @@
         let broken = outcome.breaks.iter().any(|b| b.rule != "expected");
         tries -= 1;
         if broken || tries == 0 || outcome.breaks.is_empty() {
-            let breaks: Vec<String> = outcome.breaks.iter().take(5).map(ToString::to_string).collect();
+            let breaks: Vec<String> = outcome
+                .breaks
+                .iter()
+                .take(5)
+                .map(ToString::to_string)
+                .collect();
             assert!(breaks.is_empty(), "{name}: {breaks:#?}");
             return outcome;
         }
--- a/crates/sagetrail/tests/operators/mod.rs
+++ b/crates/sagetrail/tests/operators/mod.rs
@@ -17,16 +17,28 @@
 /// One call; its answer within the second that a caller waits.
 fn call(door: SocketAddr, line: &str) -> Message {
     let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-    stream.write_all(format!("{line} HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(1)))
+        .unwrap();
+    stream
+        .write_all(format!("{line} HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n").as_bytes())
+        .unwrap();
     let mut reader = BufReader::new(stream);
     let answer = read(&mut reader).expect("an answer in time");
-    assert_eq!(reader.read(&mut [0]).unwrap(), 0, "one call to a connection");
+    assert_eq!(
+        reader.read(&mut [0]).unwrap(),
+        0,
+        "one call to a connection"
+    );
     answer
 }
 
 fn ready(stage: &Stage) -> u16 {
-    stage.client().send("GET /health/ready HTTP/1.1\r\n\r\n").answer().status()
+    stage
+        .client()
+        .send("GET /health/ready HTTP/1.1\r\n\r\n")
+        .answer()
+        .status()
 }
 
 #[test]
@@ -36,9 +48,21 @@
     let silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(door).unwrap()).collect();
     (&silent[39]).write_all(b"GET /healthcheck HT").unwrap();
     assert_eq!(call(door, "GET /healthcheck").status(), 200);
-    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
-    let lines = ["GET /nothing", "POST /healthcheck", "GET /healthcheck/fail", "BAD\u{1} /healthcheck"];
-    assert_eq!(lines.map(|line| call(door, line).status()), [404, 405, 405, 400]);
+    assert!(
+        start.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        start.elapsed()
+    );
+    let lines = [
+        "GET /nothing",
+        "POST /healthcheck",
+        "GET /healthcheck/fail",
+        "BAD\u{1} /healthcheck",
+    ];
+    assert_eq!(
+        lines.map(|line| call(door, line).status()),
+        [404, 405, 405, 400]
+    );
     // A call that is never whole ends with a word, if nobody has needed its place before.
     let half = TcpStream::connect(door).unwrap();
     (&half).write_all(b"GET /healthcheck HT").unwrap();
@@ -50,8 +74,12 @@
 #[test]
 fn a_door_that_cannot_be_opened_ends_the_start_with_one_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    for at in ["nowhere".to_string(), taken.local_addr().unwrap().to_string()] {
-        let page = page(free(), free(), 1024, &[]).replacen('{', &format!(r#"{{"console":"{at}","#), 1);
+    for at in [
+        "nowhere".to_string(),
+        taken.local_addr().unwrap().to_string(),
+    ] {
+        let page =
+            page(free(), free(), 1024, &[]).replacen('{', &format!(r#"{{"console":"{at}","#), 1);
         let (code, log) = ended(&mut launch(&file(), &page));
         assert_eq!((code, log.lines().count()), (Some(1), 1), "{log}");
         assert!(log.contains(&at), "{log}");
@@ -71,7 +99,11 @@
     let mut news = stage.client();
     let tell = |news: &mut Client, id: &str| {
         let answer = news.tell(id, "s-0", r#""done","result":"b""#);
-        assert_eq!((answer.status(), answer.header("connection")), (204, None), "a runner is no client");
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (204, None),
+            "a runner is no client"
+        );
     };
     tell(&mut news, "unknown");
     let id = busy.hand_in("once", "4000m");
@@ -79,17 +111,35 @@
     let start = Instant::now();
     // A word said twice is one word, and a quick change of mind does no harm.
     for word in ["fail", "fail", "ok", "ok", "fail"] {
-        assert_eq!(call(door, &format!("POST /healthcheck/{word}")).status(), 200);
+        assert_eq!(
+            call(door, &format!("POST /healthcheck/{word}")).status(),
+            200
+        );
     }
     assert_eq!(ready(&stage), 503);
     pause(200);
-    assert_eq!(idle.send("GET /health/live HTTP/1.1\r\n\r\n").answer().header("connection"), None);
-    assert!(start.elapsed() < Duration::from_millis(450), "the front has not looked yet");
+    assert_eq!(
+        idle.send("GET /health/live HTTP/1.1\r\n\r\n")
+            .answer()
+            .header("connection"),
+        None
+    );
+    assert!(
+        start.elapsed() < Duration::from_millis(450),
+        "the front has not looked yet"
+    );
     assert!(idle.read().is_none(), "let go");
-    assert!((400..1500).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
+    assert!(
+        (400..1500).contains(&start.elapsed().as_millis()),
+        "{:?}",
+        start.elapsed()
+    );
     tell(&mut news, &id);
     let answer = busy.answer();
-    assert_eq!((answer.body.as_str(), answer.header("connection")), ("b", Some("close")));
+    assert_eq!(
+        (answer.body.as_str(), answer.header("connection")),
+        ("b", Some("close"))
+    );
     // Who comes all the same is served and sent away.
     let mut late = stage.client();
     let id = late.hand_in("rerun", "4000m");
@@ -99,7 +149,13 @@
     assert_eq!(call(door, "POST /healthcheck/ok").status(), 200);
     assert_eq!(ready(&stage), 200);
     let mut again = stage.client();
-    assert_eq!(again.send("GET /health/live HTTP/1.1\r\n\r\n").answer().header("connection"), None);
+    assert_eq!(
+        again
+            .send("GET /health/live HTTP/1.1\r\n\r\n")
+            .answer()
+            .header("connection"),
+        None
+    );
 }
 
 #[test]
@@ -121,7 +177,9 @@
 /// A figure as it is read at the door.
 fn figure(door: SocketAddr, name: &str) -> u64 {
     let text = call(door, "GET /stats").body;
-    let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_relay.{name}:")));
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(&format!("edge_relay.{name}:")));
     let line = line.unwrap_or_else(|| panic!("{name} in {text}"));
     line.split('|').next().unwrap().parse().unwrap()
 }
@@ -144,7 +202,8 @@
         };
         seen += 1;
         handed.take();
-        end.iter().for_each(|end| assert_eq!(stage.news(&id, from, end), 204));
+        end.iter()
+            .for_each(|end| assert_eq!(stage.news(&id, from, end), 204));
     };
     let done = Some(r#""done","result":"a""#);
     let mut clients: Vec<Client> = (0..5).map(|_| stage.client()).collect();
@@ -163,19 +222,43 @@
     pause(100);
     assert_eq!(figure(door, "open_requests"), 0);
     assert_eq!(figure(door, "registry_entries"), 2);
-    let drains = [stage.runners[0].entry("Ready", 0), stage.runners[1].entry("Terminating", 0)];
+    let drains = [
+        stage.runners[0].entry("Ready", 0),
+        stage.runners[1].entry("Terminating", 0),
+    ];
     let watch = stage.list.watch();
     watch.tell(42, true, &drains);
     pause(150);
-    assert_eq!((figure(door, "registry_entries"), figure(door, "out_of_rotation")), (2, 1));
+    assert_eq!(
+        (
+            figure(door, "registry_entries"),
+            figure(door, "out_of_rotation")
+        ),
+        (2, 1)
+    );
     watch.tell(43, true, &[]);
     pause(150);
-    assert_eq!((figure(door, "registry_entries"), figure(door, "out_of_rotation")), (0, 0));
+    assert_eq!(
+        (
+            figure(door, "registry_entries"),
+            figure(door, "out_of_rotation")
+        ),
+        (0, 0)
+    );
     let mut client = stage.client();
     client.hand_in("once", "4000m");
     assert_eq!(client.answer().status(), 503);
-    let ends = ["rerun.fulfilled", "once.fulfilled", "rerun.throttled", "once.throttled", "once.faulted"];
-    assert_eq!(ends.map(|end| figure(door, &format!("operations.{end}"))), [3, 0, 0, 1, 1]);
+    let ends = [
+        "rerun.fulfilled",
+        "once.fulfilled",
+        "rerun.throttled",
+        "once.throttled",
+        "once.faulted",
+    ];
+    assert_eq!(
+        ends.map(|end| figure(door, &format!("operations.{end}"))),
+        [3, 0, 0, 1, 1]
+    );
     assert_eq!(figure(door, "relayed"), seen);
 }
 
@@ -184,7 +267,13 @@
     let (stage, door) = with_door(2);
     let watch = stage.list.watch();
     let name = |call: &str| format!("POST /runners/{call}");
-    for unknown in ["s-9/maint", "s-9/ready", "s-0/else", "s-%ff/maint", "/maint"] {
+    for unknown in [
+        "s-9/maint",
+        "s-9/ready",
+        "s-0/else",
+        "s-%ff/maint",
+        "/maint",
+    ] {
         assert_eq!(call(door, &name(unknown)).status(), 404, "{unknown}");
     }
     assert_eq!(call(door, "GET /runners/s-0/maint").status(), 405);
@@ -208,7 +297,11 @@
     let listed = |started| [0, 1].map(|r| stage.runners[r].entry("Ready", started));
     for generation in 42..45 {
         watch.tell(generation, true, &listed(0));
-        assert_eq!(call(door, &name(&format!("{ban}/maint"))).status(), 200, "it may be repeated");
+        assert_eq!(
+            call(door, &name(&format!("{ban}/maint"))).status(),
+            200,
+            "it may be repeated"
+        );
         pause(60);
         for _ in 0..3 {
             assert_eq!(serve(Some(1 - out)), 1 - out);
@@ -245,15 +338,24 @@
         let mut new = platform.client();
         let second = new.hand_in("once", "6000m");
         let second_at = from(&platform);
-        assert_eq!(runner.tell(&second, second_at, DONE).header("connection"), Some("close"));
+        assert_eq!(
+            runner.tell(&second, second_at, DONE).header("connection"),
+            Some("close")
+        );
         assert_eq!(new.answer().status(), 200);
         assert_eq!(platform.client().tell(&first, first_at, DONE).status(), 204);
         let answer = old.answer();
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         drop(idle);
         let (code, log) = platform.ended();
         assert_eq!(code, Some(0), "{log}");
-        assert!(log.contains("a new process takes over") && log.contains("ends with 0 unanswered"), "{log}");
+        assert!(
+            log.contains("a new process takes over") && log.contains("ends with 0 unanswered"),
+            "{log}"
+        );
     }
 }
 
@@ -261,15 +363,27 @@
 fn what_operators_said_holds_over_an_upgrade_and_binds_both_processes() {
     let mut platform = Platform::start(2, 256);
     let old = platform.children[0].1;
-    platform.list.watch().tell(42, false, &[entry("s-1", free(), "Gone", 0)]);
+    platform
+        .list
+        .watch()
+        .tell(42, false, &[entry("s-1", free(), "Gone", 0)]);
     assert_eq!(call(old, "POST /runners/s-0/maint").status(), 200);
     assert_eq!(call(old, "POST /healthcheck/fail").status(), 200);
     let new = platform.upgrade();
-    let ready =
-        |platform: &Platform| platform.client().send("GET /health/ready HTTP/1.1\r\n\r\n").answer().status();
+    let ready = |platform: &Platform| {
+        platform
+            .client()
+            .send("GET /health/ready HTTP/1.1\r\n\r\n")
+            .answer()
+            .status()
+    };
     // Either process may answer.
     assert!((0..8).all(|_| ready(&platform) == 503));
-    assert_eq!(call(new, "POST /runners/s-1/maint").status(), 200, "gone, but listed once");
+    assert_eq!(
+        call(new, "POST /runners/s-1/maint").status(),
+        200,
+        "gone, but listed once"
+    );
     assert_eq!(call(new, "POST /runners/s-9/maint").status(), 404);
     assert_eq!(call(old, "POST /healthcheck/ok").status(), 200);
     assert!((0..8).all(|_| ready(&platform) == 200));
@@ -306,7 +420,11 @@
     platform.upgrade();
     platform.term();
     let (code, log) = platform.ended();
-    assert_eq!((code, log.matches("the new process has ended").count()), (Some(0), 2), "{log}");
+    assert_eq!(
+        (code, log.matches("the new process has ended").count()),
+        (Some(0), 2),
+        "{log}"
+    );
     assert_eq!(log.matches("a new process takes over").count(), 3, "{log}");
     platform.children[0].0.kill().unwrap();
     platform.ended();
@@ -323,10 +441,15 @@
     clients.extend((0..100).map(|_| platform.client()));
     pause(700);
     let held = |(child, _): &(std::process::Child, SocketAddr)| {
-        std::fs::read_dir(format!("/proc/{}/fd", child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", child.id()))
+            .unwrap()
+            .count()
     };
     let held: Vec<usize> = platform.children.iter().map(held).collect();
-    assert!(held.iter().sum::<usize>() <= 128 && held.iter().all(|&held| held > 20), "{held:?}");
+    assert!(
+        held.iter().sum::<usize>() <= 128 && held.iter().all(|&held| held > 20),
+        "{held:?}"
+    );
 }
 
 #[test]
@@ -352,11 +475,22 @@
     platform.term();
     pause(100);
     let new = platform.children[1].0.id().to_string();
-    assert!(std::process::Command::new("kill").args(["-TERM", &new]).status().unwrap().success());
+    assert!(std::process::Command::new("kill")
+        .args(["-TERM", &new])
+        .status()
+        .unwrap()
+        .success());
     // Longer than it would stay for work of its own.
     pause(1800);
-    assert!(platform.children[1].0.try_wait().unwrap().is_none(), "the old one still has work");
-    assert_eq!(platform.client().tell(&id, "s-0", DONE).status(), 204, "and its news come here");
+    assert!(
+        platform.children[1].0.try_wait().unwrap().is_none(),
+        "the old one still has work"
+    );
+    assert_eq!(
+        platform.client().tell(&id, "s-0", DONE).status(),
+        204,
+        "and its news come here"
+    );
     assert_eq!(client.answer().status(), 200);
     assert_eq!((platform.ended().0, platform.ended().0), (Some(0), Some(0)));
 }
--- a/crates/sagetrail/tests/stage/mod.rs
+++ b/crates/sagetrail/tests/stage/mod.rs
@@ -1,8 +1,8 @@
 //! The program on a stage: a list, runners and clients played by the test, all over loopback. Every wait is
 //! bounded.
 use seccompiler::{
-    apply_filter, BpfProgram, SeccompAction, SeccompCmpArgLen, SeccompCmpOp, SeccompCondition, SeccompFilter,
-    SeccompRule,
+    apply_filter, BpfProgram, SeccompAction, SeccompCmpArgLen, SeccompCmpOp, SeccompCondition,
+    SeccompFilter, SeccompRule,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -35,7 +35,9 @@
         self.first.split(' ').nth(1).unwrap().parse().unwrap()
     }
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
+        self.headers
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
@@ -55,8 +57,14 @@
         }
         headers.push_str(&line.to_lowercase().replace('\r', ""));
     }
-    let mut message = Message { first: first.trim_end().to_string(), headers, body: String::new() };
-    let length = message.header("content-length").map_or(0, |length| length.parse().unwrap());
+    let mut message = Message {
+        first: first.trim_end().to_string(),
+        headers,
+        body: String::new(),
+    };
+    let length = message
+        .header("content-length")
+        .map_or(0, |length| length.parse().unwrap());
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
     message.body = String::from_utf8(body).unwrap();
@@ -93,7 +101,9 @@
 
 /// The other side closes, or has closed.
 pub fn is_closed(stream: &TcpStream) -> bool {
-    stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(2)))
+        .unwrap();
     matches!(stream.peek(&mut [0]), Ok(0))
 }
 
@@ -115,8 +125,11 @@
 
 impl Late {
     pub fn start(name: &str) -> Late {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let at = listener.local_addr().unwrap();
@@ -124,11 +137,18 @@
         while let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) {
             queue.push(stream);
         }
-        Late { name: name.to_string(), at, listener, queue }
+        Late {
+            name: name.to_string(),
+            at,
+            listener,
+            queue,
+        }
     }
     /// Lets connections come up: those asked for do at their system's next try.
     pub fn open(self) -> Runner {
-        self.queue.iter().for_each(|_| drop(self.listener.accept().unwrap()));
+        self.queue
+            .iter()
+            .for_each(|_| drop(self.listener.accept().unwrap()));
         Runner::serve(&self.name, self.listener)
     }
     pub fn entry(&self, life: &str) -> String {
@@ -151,7 +171,10 @@
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(message) = read(&mut reader) {
-                        let handed = Handed { message, stream: stream.try_clone().unwrap() };
+                        let handed = Handed {
+                            message,
+                            stream: stream.try_clone().unwrap(),
+                        };
                         if give.send(handed).is_err() {
                             return;
                         }
@@ -159,17 +182,28 @@
                 });
             }
         });
-        Runner { name: name.to_string(), at, got, connections }
+        Runner {
+            name: name.to_string(),
+            at,
+            got,
+            connections,
+        }
     }
     pub fn next(&self) -> Handed {
-        self.got.recv_timeout(LONG).expect("the runner is handed something")
+        self.got
+            .recv_timeout(LONG)
+            .expect("the runner is handed something")
     }
     pub fn poll(&self, ms: u64) -> Option<Handed> {
         self.got.recv_timeout(Duration::from_millis(ms)).ok()
     }
     pub fn nothing(&self, ms: u64) {
         let more = self.got.recv_timeout(Duration::from_millis(ms));
-        assert!(more.is_err(), "the runner was handed {:?}", more.unwrap().message);
+        assert!(
+            more.is_err(),
+            "the runner was handed {:?}",
+            more.unwrap().message
+        );
     }
     pub fn connections(&self) -> usize {
         self.connections.try_iter().count()
@@ -219,8 +253,13 @@
     }
     /// The next watch, its answer's head written.
     pub fn watch(&self) -> Watch {
-        let (asked, stream) = self.watches.recv_timeout(LONG).expect("the list is watched");
-        (&stream).write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+        let (asked, stream) = self
+            .watches
+            .recv_timeout(LONG)
+            .expect("the list is watched");
+        (&stream)
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .unwrap();
         Watch { asked, stream }
     }
 }
@@ -235,12 +274,16 @@
     }
     /// Whether it has ended by now.
     pub fn has_ended(&self) -> bool {
-        self.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+        self.stream
+            .set_read_timeout(Some(Duration::from_millis(1)))
+            .unwrap();
         matches!(self.stream.peek(&mut [0]), Ok(0))
     }
     pub fn tell(&self, generation: u64, whole: bool, entries: &[String]) {
         let entries = entries.join(",");
-        self.say(&format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{entries}]}}"#));
+        self.say(&format!(
+            r#"{{"generation":{generation},"reset":{whole},"instances":[{entries}]}}"#
+        ));
     }
 }
 
@@ -263,7 +306,10 @@
     /// A runner's call-back, on this connection; the answer.
     pub fn tell(&mut self, id: &str, from: &str, state: &str) -> Message {
         let body = format!(r#"{{"id":"{id}","from":"{from}","state":{state}}}"#);
-        self.send(&format!("POST /_jobs/news HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.send(&format!(
+            "POST /_jobs/news HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
         self.answer()
     }
     pub fn send(&mut self, text: &str) -> &mut Self {
@@ -319,7 +365,10 @@
 pub fn launch(path: &Path, page: &str) -> Child {
     std::fs::write(path, page).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_sagetrail"));
-    command.env("RELAY_CONFIG", path).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .env("RELAY_CONFIG", path)
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command.spawn().unwrap()
 }
 
@@ -331,7 +380,11 @@
             "Payoff":1.0,"TardyPayoff":0.2,"WindowUs":5000000}}"#
         )
     };
-    let categories = [category("rerun", "read_like"), category("once", "non_idempotent")].join(",");
+    let categories = [
+        category("rerun", "read_like"),
+        category("once", "non_idempotent"),
+    ]
+    .join(",");
     let known = known.join(",");
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{list}","seed":"8c1f30d27a5be964",
@@ -369,12 +422,24 @@
     }
 
     pub fn of(runners: usize, sockets: usize, change: impl Fn(String) -> String) -> Stage {
-        let runners: Vec<Runner> = (0..runners).map(|n| Runner::start(&format!("s-{n}"))).collect();
+        let runners: Vec<Runner> = (0..runners)
+            .map(|n| Runner::start(&format!("s-{n}")))
+            .collect();
         let list = List::start();
-        let known: Vec<String> = runners.iter().map(|runner| runner.entry("Ready", 0)).collect();
+        let known: Vec<String> = runners
+            .iter()
+            .map(|runner| runner.entry("Ready", 0))
+            .collect();
         let at = free();
         let (file, page) = (file(), change(page(at, list.at, sockets, &known)));
-        let stage = Stage { child: launch(&file, &page), page, file, at, list, runners };
+        let stage = Stage {
+            child: launch(&file, &page),
+            page,
+            file,
+            at,
+            list,
+            runners,
+        };
         let start = Instant::now();
         while TcpStream::connect(at).is_err() {
             assert!(start.elapsed() < LONG, "the program listens");
@@ -387,10 +452,22 @@
     pub fn without_tcp_options() -> Stage {
         let (level, tcp) = (SeccompCmpArgLen::Dword, libc::IPPROTO_TCP as u64);
         let tcp = SeccompCondition::new(1, level, SeccompCmpOp::Eq, tcp).unwrap();
-        let rules = [(libc::SYS_setsockopt, vec![SeccompRule::new(vec![tcp]).unwrap()])].into();
-        let (refuse, arch) = (SeccompAction::Errno(libc::EBADF as u32), std::env::consts::ARCH);
-        let filter =
-            SeccompFilter::new(rules, SeccompAction::Allow, refuse, arch.try_into().unwrap()).unwrap();
+        let rules = [(
+            libc::SYS_setsockopt,
+            vec![SeccompRule::new(vec![tcp]).unwrap()],
+        )]
+        .into();
+        let (refuse, arch) = (
+            SeccompAction::Errno(libc::EBADF as u32),
+            std::env::consts::ARCH,
+        );
+        let filter = SeccompFilter::new(
+            rules,
+            SeccompAction::Allow,
+            refuse,
+            arch.try_into().unwrap(),
+        )
+        .unwrap();
         let filter: BpfProgram = filter.try_into().unwrap();
         let start = move || {
             apply_filter(&filter).unwrap();
@@ -405,14 +482,17 @@
 
     /// A runner's call-back; the status it is answered with.
     pub fn news(&self, id: &str, from: &str, state: &str) -> u16 {
-        self.post(&format!(r#"{{"id":"{id}","from":"{from}","state":{state}}}"#))
+        self.post(&format!(
+            r#"{{"id":"{id}","from":"{from}","state":{state}}}"#
+        ))
     }
 
     pub fn post(&self, body: &str) -> u16 {
         let mut client = self.client();
         let length = body.len();
-        client
-            .send(&format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"));
+        client.send(&format!(
+            "POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"
+        ));
         client.answer().status()
     }
 
@@ -430,7 +510,11 @@
 
     pub fn signal(&self, which: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([which, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([which, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// How the program ended, and what it logged.
@@ -446,7 +530,12 @@
         pause(5);
     }
     let mut log = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut log)
+        .unwrap();
     (child.wait().unwrap().code(), log)
 }
 
@@ -476,7 +565,10 @@
     let path = file();
     std::fs::write(&path, page).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_sagetrail"));
-    command.env("RELAY_CONFIG", path).env("RELAY_FD", "3").env("TMPDIR", folder);
+    command
+        .env("RELAY_CONFIG", path)
+        .env("RELAY_FD", "3")
+        .env("TMPDIR", folder);
     command.stdout(Stdio::null()).stderr(Stdio::piped());
     // SAFETY: both calls may be made between fork and exec.
     unsafe {
@@ -495,13 +587,25 @@
 
 impl Platform {
     pub fn start(runners: usize, sockets: usize) -> Platform {
-        let runners: Vec<Runner> = (0..runners).map(|n| Runner::start(&format!("s-{n}"))).collect();
+        let runners: Vec<Runner> = (0..runners)
+            .map(|n| Runner::start(&format!("s-{n}")))
+            .collect();
         let (list, socket) = (List::start(), TcpListener::bind("127.0.0.1:0").unwrap());
-        let known: Vec<String> = runners.iter().map(|runner| runner.entry("Ready", 0)).collect();
+        let known: Vec<String> = runners
+            .iter()
+            .map(|runner| runner.entry("Ready", 0))
+            .collect();
         let page = page(socket.local_addr().unwrap(), list.at, sockets, &known);
         let folder = file().with_extension("tmp");
         std::fs::create_dir(&folder).unwrap();
-        let mut platform = Platform { socket, folder, page, list, runners, children: Vec::new() };
+        let mut platform = Platform {
+            socket,
+            folder,
+            page,
+            list,
+            runners,
+            children: Vec::new(),
+        };
         platform.upgrade();
         platform
     }
@@ -509,7 +613,9 @@
     /// Starts the program once more and waits for its yes; its door.
     pub fn upgrade(&mut self) -> SocketAddr {
         let door = free();
-        let page = self.page.replacen('{', &format!(r#"{{"console":"{door}","#), 1);
+        let page = self
+            .page
+            .replacen('{', &format!(r#"{{"console":"{door}","#), 1);
         let child = launch_with(Some(self.socket.as_raw_fd()), &page, &self.folder);
         self.children.push((child, door));
         let start = Instant::now();
@@ -522,7 +628,11 @@
 
     pub fn term(&self) {
         let id = self.children[0].0.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-TERM", &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// How the oldest process ended, and what it logged.
@@ -536,7 +646,11 @@
 }
 
 fn yes(door: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(door) else { return false };
-    stream.write_all(b"GET /healthcheck HTTP/1.1\r\n\r\n").unwrap();
+    let Ok(mut stream) = TcpStream::connect(door) else {
+        return false;
+    };
+    stream
+        .write_all(b"GET /healthcheck HTTP/1.1\r\n\r\n")
+        .unwrap();
     read(&mut BufReader::new(stream)).is_some_and(|answer| answer.status() == 200)
 }
--- a/crates/scale/src/board.rs
+++ b/crates/scale/src/board.rs
@@ -84,8 +84,12 @@
     /// An empty board; jobs whose tasks have all ended come by the channel.
     pub fn new() -> (Board, mpsc::UnboundedReceiver<OverJob>) {
         let (over, receiver) = mpsc::unbounded_channel();
-        let board =
-            Board { counts: Counts::default(), timings: Timings::default(), state: Mutex::default(), over };
+        let board = Board {
+            counts: Counts::default(),
+            timings: Timings::default(),
+            state: Mutex::default(),
+            over,
+        };
         (board, receiver)
     }
 
@@ -107,16 +111,23 @@
         if state.running.insert(task.to_owned(), attempt).is_some() {
             Counts::add(&self.counts.double_starts);
         }
-        let Some(job) = job_of(task).and_then(|id| state.jobs.get_mut(&id)) else { return };
+        let Some(job) = job_of(task).and_then(|id| state.jobs.get_mut(&id)) else {
+            return;
+        };
         if !std::mem::replace(&mut job.started, true) && job.measured {
-            self.timings.record(Timing::SubmitToFirstStart, &job.shape, now - job.due);
+            self.timings
+                .record(Timing::SubmitToFirstStart, &job.shape, now - job.due);
         }
     }
 
     /// A run has ended; `done` where its work was done.
     pub fn ended(&self, task: &str, attempt: u64, done: bool, now: Instant) {
         self.counts.running.fetch_sub(1, Ordering::Relaxed);
-        Counts::add(if done { &self.counts.ends } else { &self.counts.other_ends });
+        Counts::add(if done {
+            &self.counts.ends
+        } else {
+            &self.counts.other_ends
+        });
         let mut state = self.lock();
         if state.running.get(task) == Some(&attempt) {
             state.running.remove(task);
@@ -125,11 +136,18 @@
             return;
         }
         let Some(id) = job_of(task) else { return };
-        let Some(job) = state.jobs.get_mut(&id) else { return };
+        let Some(job) = state.jobs.get_mut(&id) else {
+            return;
+        };
         job.left = job.left.saturating_sub(1);
         if job.left == 0 {
             let job = state.jobs.remove(&id).expect("looked at");
-            let over = OverJob { id, at: now, shape: job.shape, measured: job.measured };
+            let over = OverJob {
+                id,
+                at: now,
+                shape: job.shape,
+                measured: job.measured,
+            };
             // An error: the run is over.
             let _ = self.over.send(over);
         }
@@ -147,13 +165,20 @@
 
     /// Since when all members are there.
     pub fn whole_since(&self, run: &str) -> Option<Instant> {
-        self.lock().gangs.get(run).and_then(|gathering| gathering.whole_since)
+        self.lock()
+            .gangs
+            .get(run)
+            .and_then(|gathering| gathering.whole_since)
     }
 
     /// A runner hears of a term for the first time.
     pub fn heard_of_term(&self, term: u64, now: Instant) {
         let mut state = self.lock();
-        let seen = state.terms.entry(term).or_insert(TermSeen { first: now, last: now, runners: 0 });
+        let seen = state.terms.entry(term).or_insert(TermSeen {
+            first: now,
+            last: now,
+            runners: 0,
+        });
         seen.last = now;
         seen.runners += 1;
     }
@@ -165,14 +190,22 @@
 
     /// How many runners have heard of the newest term.
     pub fn newest_term_runners(&self) -> u64 {
-        self.lock().terms.values().next_back().map_or(0, |seen| seen.runners)
+        self.lock()
+            .terms
+            .values()
+            .next_back()
+            .map_or(0, |seen| seen.runners)
     }
 
     /// The first term that runners heard of after an instant and before another.
     pub fn term_between(&self, from: Instant, to: Option<Instant>) -> Option<(u64, TermSeen)> {
         let state = self.lock();
         let within = |seen: &TermSeen| seen.first > from && to.is_none_or(|to| seen.first < to);
-        state.terms.iter().find(|(_, seen)| within(seen)).map(|(&term, &seen)| (term, seen))
+        state
+            .terms
+            .iter()
+            .find(|(_, seen)| within(seen))
+            .map(|(&term, &seen)| (term, seen))
     }
 
     /// The first start under a term.
--- a/crates/scale/src/call.rs
+++ b/crates/scale/src/call.rs
@@ -47,7 +47,9 @@
     fn default() -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        Caller { client: Client::builder(TokioExecutor::new()).build(connector) }
+        Caller {
+            client: Client::builder(TokioExecutor::new()).build(connector),
+        }
     }
 }
 
@@ -69,10 +71,21 @@
         if let Some(base) = call.base_version {
             request = request.header("Base-Version", base.to_string());
         }
-        let request = request.body(Full::from(call.body)).map_err(|_| CallError::Broken)?;
-        let answer = self.client.request(request).await.map_err(|_| CallError::Broken)?;
+        let request = request
+            .body(Full::from(call.body))
+            .map_err(|_| CallError::Broken)?;
+        let answer = self
+            .client
+            .request(request)
+            .await
+            .map_err(|_| CallError::Broken)?;
         let status = answer.status().as_u16();
-        let body = answer.into_body().collect().await.map_err(|_| CallError::Broken)?.to_bytes();
+        let body = answer
+            .into_body()
+            .collect()
+            .await
+            .map_err(|_| CallError::Broken)?
+            .to_bytes();
         Ok(Answer { status, body })
     }
 }
--- a/crates/scale/src/cluster.rs
+++ b/crates/scale/src/cluster.rs
@@ -32,22 +32,41 @@
 impl Founder<'_> {
     fn start(&self, kind: NodeKind, number: u32, ip: Ipv4Addr) -> anyhow::Result<Program> {
         let settings = self.write(kind, number, ip, true)?;
-        Program::start(self.programs.join(format!("sagetrail-{}", class(kind))), settings)
+        Program::start(
+            self.programs.join(format!("sagetrail-{}", class(kind))),
+            settings,
+        )
     }
 
     /// Waits for a process's first line, which it writes once it has read its settings.
     fn wait_for_log(&self, program: &Program) -> anyhow::Result<()> {
         let started = Instant::now();
         while std::fs::metadata(program.log())?.len() == 0 {
-            anyhow::ensure!(started.elapsed() < START_PATIENCE, "no start: {}", program.log().display());
+            anyhow::ensure!(
+                started.elapsed() < START_PATIENCE,
+                "no start: {}",
+                program.log().display()
+            );
             std::thread::sleep(LOOK_AGAIN);
         }
         Ok(())
     }
 
-    fn write(&self, kind: NodeKind, number: u32, ip: Ipv4Addr, bootstrap: bool) -> anyhow::Result<PathBuf> {
+    fn write(
+        &self,
+        kind: NodeKind,
+        number: u32,
+        ip: Ipv4Addr,
+        bootstrap: bool,
+    ) -> anyhow::Result<PathBuf> {
         let name = format!("{}-{number}", class(kind));
-        let machine = Machine { kind, name: &name, ip, folder: self.folder, bootstrap };
+        let machine = Machine {
+            kind,
+            name: &name,
+            ip,
+            folder: self.folder,
+            bootstrap,
+        };
         write(self.scenario, self.places, &machine)
     }
 }
@@ -63,19 +82,43 @@
 impl Cluster {
     /// Starts all real processes for the first time.
     pub fn start(
-        scenario: &Scenario, places: Places, programs: &Path, folder: &Path,
+        scenario: &Scenario,
+        places: Places,
+        programs: &Path,
+        folder: &Path,
     ) -> anyhow::Result<Cluster> {
-        let founder = Founder { scenario, places, programs, folder };
-        let mut cluster = Cluster { cores: Vec::new(), frontends: Vec::new(), sides: Vec::new() };
+        let founder = Founder {
+            scenario,
+            places,
+            programs,
+            folder,
+        };
+        let mut cluster = Cluster {
+            cores: Vec::new(),
+            frontends: Vec::new(),
+            sides: Vec::new(),
+        };
         for number in 0..scenario.cores {
-            cluster.cores.push(founder.start(NodeKind::Core, number, places.core_ip(number))?);
+            cluster
+                .cores
+                .push(founder.start(NodeKind::Core, number, places.core_ip(number))?);
         }
         for number in 0..scenario.frontends {
-            cluster.frontends.push(founder.start(NodeKind::Frontend, number, places.frontend_ip(number))?);
+            cluster.frontends.push(founder.start(
+                NodeKind::Frontend,
+                number,
+                places.frontend_ip(number),
+            )?);
         }
-        let sides = if scenario.real_sides { scenario.workers } else { 0 };
+        let sides = if scenario.real_sides {
+            scenario.workers
+        } else {
+            0
+        };
         for number in 0..sides {
-            cluster.sides.push(founder.start(NodeKind::Side, number, places.worker_ip(number))?);
+            cluster
+                .sides
+                .push(founder.start(NodeKind::Side, number, places.worker_ip(number))?);
         }
         for number in 0..scenario.cores {
             // Each has read its file by the time that it would start again.
@@ -88,21 +131,34 @@
     /// The scheduler's place among the core processes: whose log tells the newest term.
     pub fn scheduler(&self) -> Option<usize> {
         let newest = |core: &Program| newest_term(core.log());
-        let terms = self.cores.iter().enumerate().filter_map(|(place, core)| Some((newest(core)?, place)));
+        let terms = self
+            .cores
+            .iter()
+            .enumerate()
+            .filter_map(|(place, core)| Some((newest(core)?, place)));
         terms.max().map(|(_, place)| place)
     }
 
     /// Terms that have begun, by the core processes' logs.
     pub fn terms(&self) -> u64 {
-        let logs = self.cores.iter().filter_map(|core| std::fs::read_to_string(core.log()).ok());
-        logs.map(|log| log.lines().filter(|line| term_of(line).is_some()).count() as u64).sum()
+        let logs = self
+            .cores
+            .iter()
+            .filter_map(|core| std::fs::read_to_string(core.log()).ok());
+        logs.map(|log| log.lines().filter(|line| term_of(line).is_some()).count() as u64)
+            .sum()
     }
 
     /// Ends all processes; their logs stay.
     pub fn end(&mut self) {
-        let all = self.sides.iter_mut().chain(&mut self.frontends).chain(&mut self.cores);
+        let all = self
+            .sides
+            .iter_mut()
+            .chain(&mut self.frontends)
+            .chain(&mut self.cores);
         let all: Vec<&mut Program> = all.collect();
-        all.iter().for_each(|program| program.signal(Signal::SIGTERM));
+        all.iter()
+            .for_each(|program| program.signal(Signal::SIGTERM));
         all.into_iter().for_each(Program::wait);
     }
 }
@@ -116,7 +172,9 @@
 pub fn term_of(line: &str) -> Option<u64> {
     let (_, after) = line.split_once(TERM_MARK)?;
     let (term, rest) = after.split_once(':')?;
-    rest.contains("scheduler starts").then(|| term.parse().ok()).flatten()
+    rest.contains("scheduler starts")
+        .then(|| term.parse().ok())
+        .flatten()
 }
 
 /// The folder of the programs: beside this one.
--- a/crates/scale/src/disk_probe.rs
+++ b/crates/scale/src/disk_probe.rs
@@ -31,7 +31,9 @@
                 file.rewind()?;
                 file.write_all(&BYTES)?;
                 file.sync_data()?;
-                board.timings.record(Timing::DiskSync, "all", started.elapsed());
+                board
+                    .timings
+                    .record(Timing::DiskSync, "all", started.elapsed());
             }
             Ok(())
         });
@@ -41,7 +43,10 @@
     /// Ends it.
     pub fn end(self) -> anyhow::Result<()> {
         drop(self.over);
-        let ended = self.thread.join().map_err(|_| anyhow::anyhow!("the probe of the disk has failed"))?;
+        let ended = self
+            .thread
+            .join()
+            .map_err(|_| anyhow::anyhow!("the probe of the disk has failed"))?;
         Ok(ended?)
     }
 }
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -30,11 +30,14 @@
 
 /// Plays all faults; `measured_from` is where their times count from.
 pub async fn play(
-    faults: Vec<Fault>, cluster: Arc<Mutex<Cluster>>, measured_from: Instant,
+    faults: Vec<Fault>,
+    cluster: Arc<Mutex<Cluster>>,
+    measured_from: Instant,
 ) -> anyhow::Result<Vec<Played>> {
     let mut played = Vec::new();
     for fault in faults {
-        tokio::time::sleep_until((measured_from + Duration::from_secs_f64(fault.at_s)).into()).await;
+        tokio::time::sleep_until((measured_from + Duration::from_secs_f64(fault.at_s)).into())
+            .await;
         let at = Instant::now();
         let places = begin(&fault, &cluster);
         tokio::time::sleep(Duration::from_secs_f64(fault.for_s)).await;
@@ -80,7 +83,11 @@
 /// What the played faults led to, by what runners saw, each up to the next one.
 pub fn takeovers(played: &[Played], board: &Board) -> Vec<Takeover> {
     let next = |place: usize| played.get(place + 1).map(|next| next.at);
-    played.iter().enumerate().map(|(place, fault)| takeover(fault, next(place), board)).collect()
+    played
+        .iter()
+        .enumerate()
+        .map(|(place, fault)| takeover(fault, next(place), board))
+        .collect()
 }
 
 fn takeover(played: &Played, next: Option<Instant>, board: &Board) -> Takeover {
@@ -94,6 +101,8 @@
         first_runner_ms: seen.map(|seen| since(seen.first)),
         last_runner_ms: seen.map(|seen| since(seen.last)),
         runners: seen.map_or(0, |seen| seen.runners),
-        first_start_ms: term.and_then(|(term, _)| board.first_start_of(term)).map(since),
+        first_start_ms: term
+            .and_then(|(term, _)| board.first_start_of(term))
+            .map(since),
     }
 }
--- a/crates/scale/src/hollow/agent.rs
+++ b/crates/scale/src/hollow/agent.rs
@@ -27,7 +27,10 @@
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         self.agent.handle(now, event, outbox);
         let reports = self.agent.counters().reports;
-        self.board.counts.reports.fetch_add(reports - self.reports, Ordering::Relaxed);
+        self.board
+            .counts
+            .reports
+            .fetch_add(reports - self.reports, Ordering::Relaxed);
         self.reports = reports;
     }
 
@@ -38,7 +41,11 @@
 
 /// An agent's logic, with its reports counted on the board.
 pub fn counted(agent: AgentNode, board: Arc<Board>) -> Box<dyn Node> {
-    Box::new(CountedAgent { agent, board, reports: 0 })
+    Box::new(CountedAgent {
+        agent,
+        board,
+        reports: 0,
+    })
 }
 
 /// Starts an agent on the current thread; where its events go.
--- a/crates/scale/src/hollow/door.rs
+++ b/crates/scale/src/hollow/door.rs
@@ -14,20 +14,32 @@
     /// In this process.
     Direct { inputs: Inputs, last_request: u64 },
     /// A real process.
-    Http { caller: Caller, address: SocketAddrV4 },
+    Http {
+        caller: Caller,
+        address: SocketAddrV4,
+    },
 }
 
 impl AgentDoor {
     /// Hands a heartbeat over; the body of the answer, where it is a good one.
     pub async fn heartbeat(&mut self, path: &str, body: Vec<u8>) -> Option<Vec<u8>> {
         match self {
-            AgentDoor::Direct { inputs, last_request } => {
+            AgentDoor::Direct {
+                inputs,
+                last_request,
+            } => {
                 *last_request += 1;
                 direct(inputs, HttpRequestId(*last_request), path, body).await
             }
             AgentDoor::Http { caller, address } => {
                 let path = path.to_owned();
-                let call = Call { method: "POST", path, base_version: None, body, patience: PATIENCE };
+                let call = Call {
+                    method: "POST",
+                    path,
+                    base_version: None,
+                    body,
+                    patience: PATIENCE,
+                };
                 let answer = caller.call(*address, call).await.ok()?;
                 (answer.status == 200).then(|| answer.body.to_vec())
             }
@@ -45,7 +57,14 @@
         deadline_ms: None,
         body,
     };
-    inputs.send(Input::Request { id, door: Door::Control, request, reply }).ok()?;
+    inputs
+        .send(Input::Request {
+            id,
+            door: Door::Control,
+            request,
+            reply,
+        })
+        .ok()?;
     let answer = tokio::time::timeout(PATIENCE, answer).await.ok()?.ok()?;
     (answer.status == 200).then_some(answer.body)
 }
--- a/crates/scale/src/hollow/runner.rs
+++ b/crates/scale/src/hollow/runner.rs
@@ -85,7 +85,10 @@
     /// When something is due: a heartbeat, or an end.
     pub fn due(&self) -> Instant {
         let ends = self.active.iter().filter_map(|run| run.ends_at());
-        ends.map(|end| end + AFTER_END).chain([self.next_heartbeat]).min().unwrap_or(self.next_heartbeat)
+        ends.map(|end| end + AFTER_END)
+            .chain([self.next_heartbeat])
+            .min()
+            .unwrap_or(self.next_heartbeat)
     }
 
     /// Lets time pass up to now, and writes a heartbeat.
@@ -93,8 +96,14 @@
         self.pass(now);
         self.sequence += 1;
         self.next_heartbeat = now + self.profile.heartbeat;
-        let active = self.active.iter().map(|run| (&*run.task, run.attempt, "", run.percent(now)));
-        let finished = self.finished.iter().map(|end| (end.number, &*end.task, end.attempt, end.how, ""));
+        let active = self
+            .active
+            .iter()
+            .map(|run| (&*run.task, run.attempt, "", run.percent(now)));
+        let finished = self
+            .finished
+            .iter()
+            .map(|end| (end.number, &*end.task, end.attempt, end.how, ""));
         let heartbeat = Heartbeat {
             service: &self.profile.service,
             address: &self.profile.address,
@@ -141,7 +150,9 @@
     fn pass(&mut self, now: Instant) {
         if now > self.held_until {
             let lapsed = std::mem::take(&mut self.active);
-            lapsed.into_iter().for_each(|run| self.end(now, run, "lapsed"));
+            lapsed
+                .into_iter()
+                .for_each(|run| self.end(now, run, "lapsed"));
         }
         for mut run in std::mem::take(&mut self.active) {
             run.begin(&self.board);
@@ -158,12 +169,20 @@
             return;
         }
         *highest = attempt;
-        let Some(text) = TaskText::read(spec) else { return };
+        let Some(text) = TaskText::read(spec) else {
+            return;
+        };
         self.board.started(&task, attempt, self.fence, now);
         if text.gang > 0 {
             self.board.joined(&gang_run(&task, attempt), text.gang, now);
         }
-        let mut run = Run { task, attempt, text, arrived: now, begun: None };
+        let mut run = Run {
+            task,
+            attempt,
+            text,
+            arrived: now,
+            begun: None,
+        };
         if text.gang == 0 {
             run.begun = Some(now);
         }
@@ -171,7 +190,10 @@
     }
 
     fn stop(&mut self, now: Instant, task: &str, attempt: u64) {
-        let place = self.active.iter().position(|run| run.task == task && run.attempt == attempt);
+        let place = self
+            .active
+            .iter()
+            .position(|run| run.task == task && run.attempt == attempt);
         if let Some(place) = place {
             let run = self.active.swap_remove(place);
             self.end(now, run, "stopped");
@@ -184,7 +206,12 @@
             self.highest_attempt.remove(&run.task);
         }
         self.ends += 1;
-        self.finished.push(End { number: self.ends, task: run.task, attempt: run.attempt, how });
+        self.finished.push(End {
+            number: self.ends,
+            task: run.task,
+            attempt: run.attempt,
+            how,
+        });
     }
 
     /// Runs that are active.
@@ -202,7 +229,8 @@
     }
 
     fn ends_at(&self) -> Option<Instant> {
-        self.begun.map(|begun| begun + Duration::from_millis(self.text.work_ms))
+        self.begun
+            .map(|begun| begun + Duration::from_millis(self.text.work_ms))
     }
 
     fn how_it_ends(&self, now: Instant) -> Option<&'static str> {
@@ -213,7 +241,9 @@
     }
 
     fn percent(&self, now: Instant) -> u8 {
-        let passed = self.begun.map_or(Duration::ZERO, |begun| now.saturating_duration_since(begun));
+        let passed = self
+            .begun
+            .map_or(Duration::ZERO, |begun| now.saturating_duration_since(begun));
         let percent = passed.as_millis() * WHOLE_PERCENT / u128::from(self.text.work_ms.max(1));
         percent.min(WHOLE_PERCENT) as u8
     }
--- a/crates/scale/src/hollow/threads.rs
+++ b/crates/scale/src/hollow/threads.rs
@@ -48,21 +48,32 @@
             let (settings, watch) = (settings.clone(), watch.clone());
             std::thread::spawn(move || carry(&settings, number, watch))
         });
-        HollowFleet { threads: threads.collect(), over }
+        HollowFleet {
+            threads: threads.collect(),
+            over,
+        }
     }
 
     /// Ends all workers; an error where one could not be started.
     pub fn end(self) -> anyhow::Result<()> {
         self.over.send_replace(true);
         for thread in self.threads {
-            thread.join().map_err(|_| anyhow::anyhow!("a thread of hollow workers has failed"))??;
+            thread
+                .join()
+                .map_err(|_| anyhow::anyhow!("a thread of hollow workers has failed"))??;
         }
         Ok(())
     }
 }
 
-fn carry(settings: &HollowSettings, thread: u32, over: watch::Receiver<bool>) -> anyhow::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+fn carry(
+    settings: &HollowSettings,
+    thread: u32,
+    over: watch::Receiver<bool>,
+) -> anyhow::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = LocalSet::new();
     let result = runtime.block_on(local.run_until(start_all(settings, thread, over)));
     runtime.shutdown_background();
@@ -70,14 +81,20 @@
 }
 
 async fn start_all(
-    settings: &HollowSettings, thread: u32, mut over: watch::Receiver<bool>,
+    settings: &HollowSettings,
+    thread: u32,
+    mut over: watch::Receiver<bool>,
 ) -> anyhow::Result<()> {
     let scenario = &settings.scenario;
     let caller = Caller::default();
     for number in (thread..scenario.workers).step_by(scenario.hollow_threads as usize) {
         let door = door(settings, number, &caller)?;
         tokio::task::spawn_local(answer_looks(listen(settings.places.runner(number)).await?));
-        let runner = HollowRunner::new(profile(settings, number), settings.board.clone(), Instant::now());
+        let runner = HollowRunner::new(
+            profile(settings, number),
+            settings.board.clone(),
+            Instant::now(),
+        );
         tokio::task::spawn_local(work(runner, door, settings.board.clone(), over.clone()));
         tokio::time::sleep(START_GAP).await;
     }
@@ -89,14 +106,22 @@
 fn door(settings: &HollowSettings, number: u32, caller: &Caller) -> anyhow::Result<AgentDoor> {
     let ip = settings.places.worker_ip(number);
     if settings.scenario.real_sides {
-        return Ok(AgentDoor::Http { caller: caller.clone(), address: Places::control(ip) });
+        return Ok(AgentDoor::Http {
+            caller: caller.clone(),
+            address: Places::control(ip),
+        });
     }
     let inputs = start(agent_settings(settings, number), settings.board.clone())?;
-    Ok(AgentDoor::Direct { inputs, last_request: 0 })
+    Ok(AgentDoor::Direct {
+        inputs,
+        last_request: 0,
+    })
 }
 
 async fn listen(address: SocketAddrV4) -> anyhow::Result<TcpListener> {
-    TcpListener::bind(address).await.with_context(|| format!("listening at {address}"))
+    TcpListener::bind(address)
+        .await
+        .with_context(|| format!("listening at {address}"))
 }
 
 /// A hollow runner is well: looks at it are answered so.
@@ -110,7 +135,9 @@
 /// What a worker's agent is started with.
 pub fn agent_settings(settings: &HollowSettings, number: u32) -> AgentSettings {
     let scenario = &settings.scenario;
-    let seeds = (0..scenario.cores).map(|core| settings.places.core_node(core)).collect();
+    let seeds = (0..scenario.cores)
+        .map(|core| settings.places.core_node(core))
+        .collect();
     AgentSettings {
         node: settings.places.agent_node(number),
         incarnation: u64::from(number) + 1,
@@ -130,7 +157,11 @@
         instance: format!("i-{number:08x}"),
         service: SERVICE.to_owned(),
         address: settings.places.runner(number).to_string(),
-        capacity: Capacity { cpu: shape.cpu, mem_mb: shape.mem_mb, gpu: shape.gpu },
+        capacity: Capacity {
+            cpu: shape.cpu,
+            mem_mb: shape.mem_mb,
+            gpu: shape.gpu,
+        },
         labels: vec!["a".to_owned(), format!("rack-{rack}")],
         heartbeat: Duration::from_millis(settings.scenario.heartbeat_ms),
     }
--- a/crates/scale/src/hollow/worker.rs
+++ b/crates/scale/src/hollow/worker.rs
@@ -9,7 +9,10 @@
 
 /// Sends heartbeats until the run is over.
 pub async fn work(
-    mut runner: HollowRunner, mut door: AgentDoor, board: Arc<Board>, mut over: watch::Receiver<bool>,
+    mut runner: HollowRunner,
+    mut door: AgentDoor,
+    board: Arc<Board>,
+    mut over: watch::Receiver<bool>,
 ) {
     let path = runner.path();
     while !*over.borrow() {
@@ -19,7 +22,10 @@
         }
         let sent = Instant::now();
         let body = runner.heartbeat(sent);
-        let orders = door.heartbeat(&path, body).await.and_then(|body| read(&body));
+        let orders = door
+            .heartbeat(&path, body)
+            .await
+            .and_then(|body| read(&body));
         Counts::add(&board.counts.heartbeats);
         match orders {
             Some(orders) => runner.obey(sent, Instant::now(), orders),
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -47,16 +47,33 @@
         let due = self.started + job.at;
         let measured = job.at.as_secs_f64() >= self.scenario.warm_up_s;
         let (name, left) = (shape.name.clone(), shape.steps * shape.tasks);
-        self.board.expect(job.id, JobFacts { due, shape: name.clone(), measured, left, started: false });
+        self.board.expect(
+            job.id,
+            JobFacts {
+                due,
+                shape: name.clone(),
+                measured,
+                left,
+                started: false,
+            },
+        );
         self.record(measured, Timing::SendDelay, ALL, due.elapsed());
         let body = document(shape, job.work_ms).to_string().into_bytes();
         for attempt in 0..TRIES {
-            let frontend = self.frontends[(job.id as usize).wrapping_add(attempt) % self.frontends.len()];
+            let frontend =
+                self.frontends[(job.id as usize).wrapping_add(attempt) % self.frontends.len()];
             let path = format!("/{name}/{:016x}", job.id);
-            let call =
-                Call { method: "POST", path, base_version: None, body: body.clone(), patience: PATIENCE };
+            let call = Call {
+                method: "POST",
+                path,
+                base_version: None,
+                body: body.clone(),
+                patience: PATIENCE,
+            };
             match self.caller.call(frontend, call).await {
-                Ok(Answer { status: 200..=299, .. }) => {
+                Ok(Answer {
+                    status: 200..=299, ..
+                }) => {
                     Counts::add(&self.board.counts.accepted);
                     return self.record(measured, Timing::SubmitToAccept, &name, due.elapsed());
                 }
@@ -79,7 +96,13 @@
         let frontend = self.frontends[job.id as usize % self.frontends.len()];
         while job.at.elapsed() < ASK_PATIENCE {
             let path = format!("/{}/{:016x}", job.shape, job.id);
-            let call = Call { method: "GET", path, base_version: None, body: Vec::new(), patience: PATIENCE };
+            let call = Call {
+                method: "GET",
+                path,
+                base_version: None,
+                body: Vec::new(),
+                patience: PATIENCE,
+            };
             if let Ok(answer) = self.caller.call(frontend, call).await {
                 if is_completed(&answer) {
                     return self.record(true, Timing::EndToDone, &job.shape, job.at.elapsed());
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -26,14 +26,19 @@
 
 fn load() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split(' ').next().and_then(|load| load.parse().ok()).unwrap_or(0.0)
+    text.split(' ')
+        .next()
+        .and_then(|load| load.parse().ok())
+        .unwrap_or(0.0)
 }
 
 /// A line of `/proc/meminfo`, in kilobytes.
 fn memory(name: &str) -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(name));
-    line.and_then(|rest| rest.trim().split(' ').next()).and_then(|kb| kb.parse().ok()).unwrap_or(0)
+    line.and_then(|rest| rest.trim().split(' ').next())
+        .and_then(|kb| kb.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The most that a run may hold in memory, in bytes: under half of the machine's.
--- a/crates/scale/src/operator.rs
+++ b/crates/scale/src/operator.rs
@@ -32,15 +32,26 @@
 impl Operator {
     /// An operator of this run's cluster.
     pub fn new(scenario: &Scenario, places: Places, board: Arc<Board>) -> Operator {
-        let cores = (0..scenario.cores).map(|number| Places::control(places.core_ip(number))).collect();
+        let cores = (0..scenario.cores)
+            .map(|number| Places::control(places.core_ip(number)))
+            .collect();
         let frontends = frontends(scenario, places);
-        Operator { caller: Caller::default(), cores, frontends, board, version: 0 }
+        Operator {
+            caller: Caller::default(),
+            cores,
+            frontends,
+            board,
+            version: 0,
+        }
     }
 
     /// Sends the first configuration until it is taken.
     pub async fn configure(&mut self, scenario: &Scenario) -> anyhow::Result<()> {
-        let routes: Vec<Value> =
-            scenario.job.iter().map(|shape| route(&shape.name, shape.priority)).collect();
+        let routes: Vec<Value> = scenario
+            .job
+            .iter()
+            .map(|shape| route(&shape.name, shape.priority))
+            .collect();
         let body = json!({
             "version": 1, "routes": routes, "services": [service()],
             "limits": {"max_header_bytes": 16384, "max_body_bytes": 262144, "header_timeout_ms": 3000,
@@ -80,7 +91,9 @@
         for frontend in self.frontends.clone() {
             self.wait_for_route(frontend, &name(version)).await?;
         }
-        self.board.timings.record(Timing::ChangeToInForce, "all", taken.elapsed());
+        self.board
+            .timings
+            .record(Timing::ChangeToInForce, "all", taken.elapsed());
         Ok(())
     }
 
@@ -100,7 +113,10 @@
                 Ok(Answer { status: 200, .. }) => return Ok(()),
                 answer => last = format!("{answer:?}"),
             }
-            anyhow::ensure!(started.elapsed() < FIRST_PATIENCE, "{path} is not taken: {last}");
+            anyhow::ensure!(
+                started.elapsed() < FIRST_PATIENCE,
+                "{path} is not taken: {last}"
+            );
             tokio::time::sleep(PAUSE).await;
         }
         anyhow::bail!("no core process")
@@ -116,7 +132,10 @@
                 body: Vec::new(),
                 patience: PATIENCE,
             };
-            if matches!(self.caller.call(frontend, call).await, Ok(Answer { status: 200, .. })) {
+            if matches!(
+                self.caller.call(frontend, call).await,
+                Ok(Answer { status: 200, .. })
+            ) {
                 return Ok(());
             }
             tokio::time::sleep(PROBE_INTERVAL).await;
@@ -127,7 +146,11 @@
 
 /// The configuration that a run begins with: a queue for each shape of jobs.
 pub fn first_configuration(scenario: &Scenario) -> Value {
-    let routes: Vec<Value> = scenario.job.iter().map(|shape| route(&shape.name, shape.priority)).collect();
+    let routes: Vec<Value> = scenario
+        .job
+        .iter()
+        .map(|shape| route(&shape.name, shape.priority))
+        .collect();
     json!({
         "version": 1, "routes": routes, "services": [service()],
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 262144, "header_timeout_ms": 3000,
@@ -137,7 +160,9 @@
 
 /// Where clients call.
 pub fn frontends(scenario: &Scenario, places: Places) -> Vec<SocketAddrV4> {
-    (0..scenario.frontends).map(|number| Places::clients(places.frontend_ip(number))).collect()
+    (0..scenario.frontends)
+        .map(|number| Places::clients(places.frontend_ip(number)))
+        .collect()
 }
 
 fn route(name: &str, priority: u32) -> Value {
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -49,18 +49,45 @@
 
 fn charts(course: &[CourseRow]) -> String {
     let processors = [
-        Line { name: "scheduler (real)", value: |row| row.scheduler_cpu },
-        Line { name: "replica (real)", value: |row| row.replica_cpu },
-        Line { name: "frontend (real)", value: |row| row.frontend_cpu },
-        Line { name: "side (real)", value: |row| row.side_cpu },
+        Line {
+            name: "scheduler (real)",
+            value: |row| row.scheduler_cpu,
+        },
+        Line {
+            name: "replica (real)",
+            value: |row| row.replica_cpu,
+        },
+        Line {
+            name: "frontend (real)",
+            value: |row| row.frontend_cpu,
+        },
+        Line {
+            name: "side (real)",
+            value: |row| row.side_cpu,
+        },
     ];
-    let starts = [Line { name: "starts a second", value: |row| row.starts_s }];
-    let running = [Line { name: "running tasks", value: |row| row.running as f64 }];
+    let starts = [Line {
+        name: "starts a second",
+        value: |row| row.starts_s,
+    }];
+    let running = [Line {
+        name: "running tasks",
+        value: |row| row.running as f64,
+    }];
     let messages = [
-        Line { name: "heartbeats a second (hollow)", value: |row| row.heartbeats_s },
-        Line { name: "reports a second", value: |row| row.reports_s },
+        Line {
+            name: "heartbeats a second (hollow)",
+            value: |row| row.heartbeats_s,
+        },
+        Line {
+            name: "reports a second",
+            value: |row| row.reports_s,
+        },
     ];
-    let memory = [Line { name: "scheduler's memory, MB", value: |row| row.scheduler_mb }];
+    let memory = [Line {
+        name: "scheduler's memory, MB",
+        value: |row| row.scheduler_mb,
+    }];
     let all: [(&str, &[Line]); 5] = [
         ("Processors in use by one process", &processors),
         ("Starts", &starts),
@@ -68,12 +95,16 @@
         ("Messages", &messages),
         ("Memory", &memory),
     ];
-    all.iter().map(|(title, lines)| chart(title, course, lines)).collect()
+    all.iter()
+        .map(|(title, lines)| chart(title, course, lines))
+        .collect()
 }
 
 fn chart(title: &str, course: &[CourseRow], lines: &[Line]) -> String {
     let end = course.last().map_or(1.0, |row| row.at_s).max(1.0);
-    let values = course.iter().flat_map(|row| lines.iter().map(|line| (line.value)(row)));
+    let values = course
+        .iter()
+        .flat_map(|row| lines.iter().map(|line| (line.value)(row)));
     let top = values.fold(0.0, f64::max).max(1e-3);
     let mut svg = format!(
         "<h2>{title}</h2><svg width=\"{WIDTH}\" height=\"{HEIGHT}\" role=\"img\" aria-label=\"{title}\">\
@@ -84,7 +115,10 @@
     for (line, colour) in lines.iter().zip(COLOURS) {
         let x = |row: &CourseRow| MARGIN + row.at_s / end * (WIDTH - 2.0 * MARGIN);
         let y = |row: &CourseRow| HEIGHT - 20.0 - (line.value)(row) / top * (HEIGHT - 40.0);
-        let points: Vec<String> = course.iter().map(|row| format!("{:.1},{:.1}", x(row), y(row))).collect();
+        let points: Vec<String> = course
+            .iter()
+            .map(|row| format!("{:.1},{:.1}", x(row), y(row)))
+            .collect();
         let _ = write!(
             svg,
             "<polyline fill=\"none\" stroke=\"{colour}\" points=\"{}\"><title>{}</title></polyline>",
@@ -152,7 +186,8 @@
         "<h2>Usage of one process</h2><table><tr><th>role<th>processes<th>processors<th>memory, MB\
                      <th>disk, kB/s<th>sent, kB/s<th>received, kB/s</tr>"
             .to_owned();
-    let known = |figure: Option<f64>| figure.map_or("not measured".to_owned(), |kb| format!("{kb:.1}"));
+    let known =
+        |figure: Option<f64>| figure.map_or("not measured".to_owned(), |kb| format!("{kb:.1}"));
     for row in &results.usage {
         let _ = write!(
             table,
--- a/crates/scale/src/places.rs
+++ b/crates/scale/src/places.rs
@@ -24,7 +24,9 @@
 impl Places {
     /// A network of loopback that other runs hardly use: by the process's id.
     pub fn of_process() -> Places {
-        Places { network: (std::process::id() % 127) as u8 | 0x80 }
+        Places {
+            network: (std::process::id() % 127) as u8 | 0x80,
+        }
     }
 
     fn ip(self, number: u32) -> Ipv4Addr {
@@ -73,6 +75,9 @@
 
     /// A worker's agent, as others name it.
     pub fn agent_node(self, number: u32) -> NodeId {
-        NodeId::from_address(SocketAddrV4::new(self.worker_ip(number), PEER_PORTS[0] + SIDE_PORT_OFFSET))
+        NodeId::from_address(SocketAddrV4::new(
+            self.worker_ip(number),
+            PEER_PORTS[0] + SIDE_PORT_OFFSET,
+        ))
     }
 }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -32,15 +32,26 @@
 }
 
 fn draw_shape(
-    scenario: &Scenario, place: usize, shape: &JobShape, random: &mut Pcg64Mcg, jobs: &mut Vec<PlannedJob>,
+    scenario: &Scenario,
+    place: usize,
+    shape: &JobShape,
+    random: &mut Pcg64Mcg,
+    jobs: &mut Vec<PlannedJob>,
 ) {
-    let Ok(gaps) = Exp::new(scenario.rate(shape)) else { return };
+    let Ok(gaps) = Exp::new(scenario.rate(shape)) else {
+        return;
+    };
     let end = scenario.warm_up_s + scenario.measured_s;
     let mut at = gaps.sample(random);
     while at < end {
         let part = LEAST_PART + PART_SPAN * random.random::<f64>();
         let work_ms = (shape.work_ms as f64 * part) as u64;
-        jobs.push(PlannedJob { at: Duration::from_secs_f64(at), id: random.random(), shape: place, work_ms });
+        jobs.push(PlannedJob {
+            at: Duration::from_secs_f64(at),
+            id: random.random(),
+            shape: place,
+            work_ms,
+        });
         at += gaps.sample(random);
     }
 }
@@ -62,6 +73,9 @@
     /// Reads it back.
     pub fn read(text: &str) -> Option<TaskText> {
         let (work_ms, gang) = text.split_once(' ')?;
-        Some(TaskText { work_ms: work_ms.parse().ok()?, gang: gang.parse().ok()? })
+        Some(TaskText {
+            work_ms: work_ms.parse().ok()?,
+            gang: gang.parse().ok()?,
+        })
     }
 }
--- a/crates/scale/src/program.rs
+++ b/crates/scale/src/program.rs
@@ -23,7 +23,12 @@
     /// Starts a program with a settings file; its log goes beside that.
     pub fn start(program: PathBuf, settings: PathBuf) -> anyhow::Result<Program> {
         let log = settings.with_extension("log");
-        let mut started = Program { program, settings, log, child: None };
+        let mut started = Program {
+            program,
+            settings,
+            log,
+            child: None,
+        };
         started.restart()?;
         Ok(started)
     }
@@ -32,8 +37,15 @@
     pub fn restart(&mut self) -> anyhow::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.program);
-        command.arg("--settings").arg(&self.settings).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().with_context(|| format!("starting {}", self.program.display()))?;
+        command
+            .arg("--settings")
+            .arg(&self.settings)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        let child = command
+            .spawn()
+            .with_context(|| format!("starting {}", self.program.display()))?;
         self.child = Some(child);
         Ok(())
     }
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -62,12 +62,21 @@
     pub fn write(&self, folder: &Path) -> anyhow::Result<()> {
         std::fs::create_dir_all(folder)?;
         let name = format!("{}-{}", self.scenario.name, self.scenario.workers);
-        std::fs::write(folder.join(format!("{name}.json")), serde_json::to_vec_pretty(self)?)?;
+        std::fs::write(
+            folder.join(format!("{name}.json")),
+            serde_json::to_vec_pretty(self)?,
+        )?;
         table(&folder.join(format!("{name}-timings.csv")), &self.timings)?;
         table(&folder.join(format!("{name}-usage.csv")), &self.usage)?;
         table(&folder.join(format!("{name}-course.csv")), &self.course)?;
-        table(&folder.join(format!("{name}-takeovers.csv")), &self.takeovers)?;
-        std::fs::write(folder.join(format!("{name}.html")), crate::page::render(self))?;
+        table(
+            &folder.join(format!("{name}-takeovers.csv")),
+            &self.takeovers,
+        )?;
+        std::fs::write(
+            folder.join(format!("{name}.html")),
+            crate::page::render(self),
+        )?;
         Ok(())
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -58,13 +58,29 @@
     let (board, over) = Board::new();
     let board = Arc::new(board);
     let scenario = Arc::new(scenario);
-    let cluster = Arc::new(Mutex::new(Cluster::start(&scenario, places, programs, folder.path())?));
-    let settings = HollowSettings { scenario: scenario.clone(), places, board: board.clone() };
+    let cluster = Arc::new(Mutex::new(Cluster::start(
+        &scenario,
+        places,
+        programs,
+        folder.path(),
+    )?));
+    let settings = HollowSettings {
+        scenario: scenario.clone(),
+        places,
+        board: board.clone(),
+    };
     let probe = DiskProbe::start(folder.path(), board.clone())?;
     let fleet = HollowFleet::start(&settings);
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(LOAD_THREADS).enable_all().build()?;
-    let stage = Stage { scenario: scenario.clone(), places, board: board.clone(), cluster: cluster.clone() };
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(LOAD_THREADS)
+        .enable_all()
+        .build()?;
+    let stage = Stage {
+        scenario: scenario.clone(),
+        places,
+        board: board.clone(),
+        cluster: cluster.clone(),
+    };
     let course = runtime.block_on(stage.play(over));
     runtime.shutdown_background();
     let ended = fleet.end();
@@ -136,7 +152,11 @@
         };
         tokio::spawn(load.clone().ask_all(over));
         tokio::spawn(load.submit_all(plan::draw(scenario)));
-        let faults = tokio::spawn(play(scenario.fault.clone(), self.cluster.clone(), measured_from));
+        let faults = tokio::spawn(play(
+            scenario.fault.clone(),
+            self.cluster.clone(),
+            measured_from,
+        ));
         let bar = progress(scenario);
         let mut rows = self.sample_until(started, measured_from, &bar).await?;
         let changes = tokio::spawn(change(operator, scenario.changes_a_second, end));
@@ -162,7 +182,10 @@
         let wanted = u64::from(self.scenario.workers);
         while self.board.newest_term_runners() < wanted {
             let heard = self.board.newest_term_runners();
-            anyhow::ensure!(started.elapsed() < GATHER_PATIENCE, "{heard} of {wanted} workers are served");
+            anyhow::ensure!(
+                started.elapsed() < GATHER_PATIENCE,
+                "{heard} of {wanted} workers are served"
+            );
             tokio::time::sleep(LOOK_AGAIN).await;
         }
         Ok(())
@@ -178,7 +201,8 @@
 
     async fn mark(&self) -> Mark {
         let cluster = self.cluster.clone();
-        let looked = tokio::task::spawn_blocking(move || Mark::set(&cluster.lock().expect("no panics")));
+        let looked =
+            tokio::task::spawn_blocking(move || Mark::set(&cluster.lock().expect("no panics")));
         looked.await.unwrap_or_default()
     }
 
@@ -189,18 +213,31 @@
     }
 
     async fn sample_until(
-        &self, started: Instant, end: Instant, bar: &ProgressBar,
+        &self,
+        started: Instant,
+        end: Instant,
+        bar: &ProgressBar,
     ) -> anyhow::Result<Vec<CourseRow>> {
         let mut rows = Vec::new();
         let mut former = (self.sample().await, self.totals(), Instant::now());
         while Instant::now() < end {
             tokio::time::sleep_until((Instant::now() + SAMPLE_INTERVAL).min(end).into()).await;
             let newer = (self.sample().await, self.totals(), Instant::now());
-            anyhow::ensure!(newer.0.memory() < machine::memory_bound(), "over half of the machine's memory");
+            anyhow::ensure!(
+                newer.0.memory() < machine::memory_bound(),
+                "over half of the machine's memory"
+            );
             let at = newer.2 - started;
             bar.set_position(at.as_secs());
             let seconds = (newer.2 - former.2).as_secs_f64();
-            rows.push(row(at.as_secs_f64(), &former.0, &newer.0, &former.1, &newer.1, seconds));
+            rows.push(row(
+                at.as_secs_f64(),
+                &former.0,
+                &newer.0,
+                &former.1,
+                &newer.1,
+                seconds,
+            ));
             former = newer;
         }
         Ok(rows)
@@ -261,9 +298,17 @@
 }
 
 fn row(
-    at_s: f64, former: &Sample, newer: &Sample, before: &CountRow, after: &CountRow, seconds: f64,
+    at_s: f64,
+    former: &Sample,
+    newer: &Sample,
+    before: &CountRow,
+    after: &CountRow,
+    seconds: f64,
 ) -> CourseRow {
-    let marks = |sample: &Sample| Mark { sample: sample.clone(), traffic: None };
+    let marks = |sample: &Sample| Mark {
+        sample: sample.clone(),
+        traffic: None,
+    };
     let usage = between(&marks(former), &marks(newer), seconds);
     let of = |role: Role| usage.iter().find(|usage| usage.role == role);
     let cpu = |role: Role| of(role).map_or(0.0, |usage| usage.cpu_share);
@@ -279,6 +324,8 @@
         frontend_cpu: cpu(Role::Frontend),
         side_cpu: cpu(Role::Side),
         hollow_cpu: cpu(Role::Hollow),
-        scheduler_mb: of(Role::Scheduler).and_then(|usage| usage.memory_mb).unwrap_or(0.0),
+        scheduler_mb: of(Role::Scheduler)
+            .and_then(|usage| usage.memory_mb)
+            .unwrap_or(0.0),
     }
 }
--- a/crates/scale/src/samples.rs
+++ b/crates/scale/src/samples.rs
@@ -50,14 +50,32 @@
 /// Looks at all processes.
 pub fn look(cluster: &Cluster) -> Sample {
     let scheduler = cluster.scheduler();
-    let core = |place: usize| if Some(place) == scheduler { Role::Scheduler } else { Role::Replica };
-    let cores = cluster.cores.iter().enumerate().map(|(place, program)| (core(place), program.id()));
-    let frontends = cluster.frontends.iter().map(|program| (Role::Frontend, program.id()));
-    let sides = cluster.sides.iter().map(|program| (Role::Side, program.id()));
+    let core = |place: usize| {
+        if Some(place) == scheduler {
+            Role::Scheduler
+        } else {
+            Role::Replica
+        }
+    };
+    let cores = cluster
+        .cores
+        .iter()
+        .enumerate()
+        .map(|(place, program)| (core(place), program.id()));
+    let frontends = cluster
+        .frontends
+        .iter()
+        .map(|program| (Role::Frontend, program.id()));
+    let sides = cluster
+        .sides
+        .iter()
+        .map(|program| (Role::Side, program.id()));
     let own = [(Role::Hollow, Some(std::process::id()))];
     let all = cores.chain(frontends).chain(sides).chain(own);
     let used = all.filter_map(|(role, id)| Some((id?, (role, usage::read(id?)?))));
-    Sample { processes: used.collect() }
+    Sample {
+        processes: used.collect(),
+    }
 }
 
 impl Sample {
@@ -77,7 +95,10 @@
 impl Mark {
     /// Looks at processes and connections.
     pub fn set(cluster: &Cluster) -> Mark {
-        Mark { sample: look(cluster), traffic: sockets::read() }
+        Mark {
+            sample: look(cluster),
+            traffic: sockets::read(),
+        }
     }
 }
 
@@ -85,23 +106,47 @@
 pub fn between(before: &Mark, after: &Mark, seconds: f64) -> Vec<RoleUsage> {
     let mut roles: BTreeMap<Role, Vec<RoleUsage>> = BTreeMap::new();
     for (id, (role, usage)) in &after.sample.processes {
-        let Some((_, former)) = before.sample.processes.get(id) else { continue };
+        let Some((_, former)) = before.sample.processes.get(id) else {
+            continue;
+        };
         let traffic = difference(before, after, *id);
-        roles.entry(*role).or_default().push(one(*role, *former, *usage, traffic, seconds));
+        roles
+            .entry(*role)
+            .or_default()
+            .push(one(*role, *former, *usage, traffic, seconds));
     }
-    roles.into_values().map(|processes| mean(&processes)).collect()
+    roles
+        .into_values()
+        .map(|processes| mean(&processes))
+        .collect()
 }
 
 fn difference(before: &Mark, after: &Mark, id: u32) -> Option<Traffic> {
-    let former = before.traffic.as_ref()?.get(&id).copied().unwrap_or_default();
-    let newer = after.traffic.as_ref()?.get(&id).copied().unwrap_or_default();
+    let former = before
+        .traffic
+        .as_ref()?
+        .get(&id)
+        .copied()
+        .unwrap_or_default();
+    let newer = after
+        .traffic
+        .as_ref()?
+        .get(&id)
+        .copied()
+        .unwrap_or_default();
     Some(Traffic {
         sent: newer.sent.saturating_sub(former.sent),
         received: newer.received.saturating_sub(former.received),
     })
 }
 
-fn one(role: Role, former: Usage, usage: Usage, traffic: Option<Traffic>, seconds: f64) -> RoleUsage {
+fn one(
+    role: Role,
+    former: Usage,
+    usage: Usage,
+    traffic: Option<Traffic>,
+    seconds: f64,
+) -> RoleUsage {
     let kb_s = |bytes: u64| bytes as f64 / 1_000.0 / seconds;
     RoleUsage {
         role,
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -77,7 +77,12 @@
 
 impl Default for NetworkShape {
     fn default() -> NetworkShape {
-        NetworkShape { regions: 1, near_ms: 1.0, far_ms: 15.0, sync_ms: 6.0 }
+        NetworkShape {
+            regions: 1,
+            near_ms: 1.0,
+            far_ms: 15.0,
+            sync_ms: 6.0,
+        }
     }
 }
 
@@ -163,6 +168,9 @@
 
     /// Tasks started a second at this size, when all goes well.
     pub fn starts_a_second(&self) -> f64 {
-        self.job.iter().map(|shape| self.rate(shape) * f64::from(shape.steps * shape.tasks)).sum()
+        self.job
+            .iter()
+            .map(|shape| self.rate(shape) * f64::from(shape.steps * shape.tasks))
+            .sum()
     }
 }
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -62,7 +62,9 @@
 
 /// The seeds of a run.
 pub fn seeds(scenario: &Scenario, places: Places) -> Vec<SocketAddrV4> {
-    (0..scenario.cores.min(SEEDS)).map(|number| Places::control(places.core_ip(number))).collect()
+    (0..scenario.cores.min(SEEDS))
+        .map(|number| Places::control(places.core_ip(number)))
+        .collect()
 }
 
 /// Writes the settings of a process; where.
@@ -89,8 +91,13 @@
             frontend: front.then(|| Places::clients(machine.ip)),
             readiness: front.then(|| Places::readiness(machine.ip)),
         },
-        limits: Limits { memory_mb: MEMORY_MB, max_fds: MAX_FDS },
-        fault_tolerance: Tolerance { machines: (scenario.cores - 1) / 2 },
+        limits: Limits {
+            memory_mb: MEMORY_MB,
+            max_fds: MAX_FDS,
+        },
+        fault_tolerance: Tolerance {
+            machines: (scenario.cores - 1) / 2,
+        },
         bounds: Bounds { grace_s: GRACE_S },
     };
     Ok(toml::to_string(&file)?)
--- a/crates/scale/src/simulated/engine.rs
+++ b/crates/scale/src/simulated/engine.rs
@@ -64,7 +64,12 @@
 impl Engine {
     /// Time zero.
     pub fn new() -> Engine {
-        Engine { origin: Instant::now(), now: Time(1), number: 0, coming: BTreeMap::new() }
+        Engine {
+            origin: Instant::now(),
+            now: Time(1),
+            number: 0,
+            coming: BTreeMap::new(),
+        }
     }
 
     /// Something happens after a while.
@@ -75,7 +80,8 @@
     /// Something happens at a time, now at the earliest.
     pub fn at(&mut self, time: Time, action: Action) {
         self.number += 1;
-        self.coming.insert((time.max(self.now), self.number), action);
+        self.coming
+            .insert((time.max(self.now), self.number), action);
     }
 
     /// The next thing up to `end`; time goes on to it.
@@ -90,7 +96,10 @@
 
     /// Both clocks of all machines.
     pub fn clocks(&self) -> Now {
-        Now { steady: self.now, wall_ms: DAY_MS + (self.now.0 / 1_000) as i64 }
+        Now {
+            steady: self.now,
+            wall_ms: DAY_MS + (self.now.0 / 1_000) as i64,
+        }
     }
 
     /// A time as hollow runners take it.
--- a/crates/scale/src/simulated/found.rs
+++ b/crates/scale/src/simulated/found.rs
@@ -41,7 +41,11 @@
 }
 
 fn process(
-    settings: &HollowSettings, now: Now, kind: NodeKind, number: u32, node: NodeId,
+    settings: &HollowSettings,
+    now: Now,
+    kind: NodeKind,
+    number: u32,
+    node: NodeId,
 ) -> anyhow::Result<Founded> {
     let scenario = &settings.scenario;
     let (maker, role, name): (Maker, Role, &str) = match kind {
@@ -69,7 +73,10 @@
     let mut outbox = Outbox::default();
     let logic = maker(ground, now, &mut outbox);
     let region = number % scenario.network.regions;
-    Ok(Founded { machine: Machine::new(node, role, region, logic), outbox })
+    Ok(Founded {
+        machine: Machine::new(node, role, region, logic),
+        outbox,
+    })
 }
 
 fn agent(settings: &HollowSettings, now: Now, number: u32) -> Founded {
@@ -78,7 +85,12 @@
     let region = number % settings.scenario.network.regions;
     let node = settings.places.agent_node(number);
     Founded {
-        machine: Machine::new(node, Role::Agent, region, counted(agent, settings.board.clone())),
+        machine: Machine::new(
+            node,
+            Role::Agent,
+            region,
+            counted(agent, settings.board.clone()),
+        ),
         outbox,
     }
 }
--- a/crates/scale/src/simulated/machine.rs
+++ b/crates/scale/src/simulated/machine.rs
@@ -70,24 +70,37 @@
     /// Writes messages as frames; its cost goes to the meter.
     pub fn pack(&mut self, messages: Vec<(NodeId, Message)>) -> Vec<Sending> {
         let started = thread_time();
-        let pack =
-            |(to, message): (NodeId, Message)| Some(Sending { to, frame: frame::encode(&message).ok()? });
+        let pack = |(to, message): (NodeId, Message)| {
+            Some(Sending {
+                to,
+                frame: frame::encode(&message).ok()?,
+            })
+        };
         let frames: Vec<Sending> = messages.into_iter().filter_map(pack).collect();
         self.meter.cpu += thread_time().saturating_sub(started);
-        self.meter.sent_bytes += frames.iter().map(|sending| sending.frame.len() as u64).sum::<u64>();
+        self.meter.sent_bytes += frames
+            .iter()
+            .map(|sending| sending.frame.len() as u64)
+            .sum::<u64>();
         frames
     }
 
     /// Notes writes towards the disk; true where a sync is to begin.
     pub fn write(&mut self, writes: Vec<DiskWrite>) -> bool {
-        self.meter.written_bytes += writes.iter().flat_map(|write| &write.operations).map(bytes).sum::<u64>();
+        self.meter.written_bytes += writes
+            .iter()
+            .flat_map(|write| &write.operations)
+            .map(bytes)
+            .sum::<u64>();
         self.waiting.extend(writes);
         !self.syncing && !self.waiting.is_empty()
     }
 
     /// When the logic wants to be woken.
     pub fn next_wake(&self) -> Option<Time> {
-        self.logic.next_wake().map(|due| due.max(self.no_wake_before))
+        self.logic
+            .next_wake()
+            .map(|due| due.max(self.no_wake_before))
     }
 }
 
--- a/crates/scale/src/simulated/world.rs
+++ b/crates/scale/src/simulated/world.rs
@@ -14,7 +14,9 @@
 use crate::samples::{Role, RoleUsage};
 use crate::scenario::{FaultKind, FaultTarget, Scenario};
 use crate::timings::Timing;
-use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Outbox, ProbeResult};
+use sagetrail_wire::node::{
+    Door, Event, HttpReply, HttpRequest, HttpRequestId, Outbox, ProbeResult,
+};
 use sagetrail_wire::{Message, NodeId, Time};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::Ordering;
@@ -61,8 +63,11 @@
     let machine = look();
     let scenario = Arc::new(scenario);
     let (board, _over) = Board::new();
-    let settings =
-        HollowSettings { scenario: scenario.clone(), places: Places::of_process(), board: Arc::new(board) };
+    let settings = HollowSettings {
+        scenario: scenario.clone(),
+        places: Places::of_process(),
+        board: Arc::new(board),
+    };
     let mut world = World::new(&settings)?;
     let measured_from = Time(world.load_from.0 + micros(scenario.warm_up_s));
     let end = Time(measured_from.0 + micros(scenario.measured_s));
@@ -98,11 +103,16 @@
         let engine = Engine::new();
         let founded = found(settings, engine.clocks())?;
         let started = engine.instant(engine.now);
-        let runner = |number| HollowRunner::new(profile(settings, number), settings.board.clone(), started);
+        let runner =
+            |number| HollowRunner::new(profile(settings, number), settings.board.clone(), started);
         let mut world = World {
             load_from: Time(engine.now.0 + GATHER.as_micros() as u64),
             lost: vec![false; founded.len()],
-            places: founded.iter().enumerate().map(|(at, one)| (one.machine.node, at)).collect(),
+            places: founded
+                .iter()
+                .enumerate()
+                .map(|(at, one)| (one.machine.node, at))
+                .collect(),
             runners: (0..scenario.workers).map(runner).collect(),
             board: settings.board.clone(),
             plan: draw(&scenario),
@@ -130,7 +140,8 @@
         let workers = self.runners.len();
         let spread = Duration::from_millis(self.scenario.heartbeat_ms) / workers as u32;
         for worker in 0..workers {
-            self.engine.after(spread * worker as u32, Action::Heartbeat { worker });
+            self.engine
+                .after(spread * worker as u32, Action::Heartbeat { worker });
         }
         self.engine.after(CONFIGURE_PAUSE, Action::Configure);
         for (job, planned) in self.plan.iter().enumerate() {
@@ -161,9 +172,17 @@
             Action::Wake { machine } => self.wake(machine),
             Action::Synced { machine, writes } => self.synced(machine, writes),
             Action::Heartbeat { worker } => self.heartbeat(worker),
-            Action::HeartbeatAnswer { worker, sent, reply } => self.heartbeat_answer(worker, sent, &reply),
+            Action::HeartbeatAnswer {
+                worker,
+                sent,
+                reply,
+            } => self.heartbeat_answer(worker, sent, &reply),
             Action::Submit { job, attempt } => self.submit(job, attempt),
-            Action::SubmitAnswer { job, attempt, reply } => self.submit_answer(job, attempt, reply.as_ref()),
+            Action::SubmitAnswer {
+                job,
+                attempt,
+                reply,
+            } => self.submit_answer(job, attempt, reply.as_ref()),
             Action::Looked { machine, id } => {
                 let result = ProbeResult::Status(WELL);
                 self.drive(machine, |machine, now, outbox| {
@@ -183,14 +202,23 @@
     }
 
     fn lose_scheduler(&mut self, fault: usize) {
-        let Some(scheduler) = self.scheduler else { return };
+        let Some(scheduler) = self.scheduler else {
+            return;
+        };
         self.lost[scheduler] = true;
         let fault = self.scenario.fault[fault].clone();
-        self.played.push(Played { fault, at: self.engine.instant(self.engine.now) });
+        self.played.push(Played {
+            fault,
+            at: self.engine.instant(self.engine.now),
+        });
     }
 
     /// Lets a machine do something, and performs what its logic then wants done.
-    fn drive(&mut self, at: usize, what: impl FnOnce(&mut Machine, sagetrail_wire::node::Now, &mut Outbox)) {
+    fn drive(
+        &mut self,
+        at: usize,
+        what: impl FnOnce(&mut Machine, sagetrail_wire::node::Now, &mut Outbox),
+    ) {
         if self.lost[at] {
             return;
         }
@@ -204,7 +232,9 @@
             return;
         }
         self.machines[at].wake_at = None;
-        self.drive(at, |machine, now, outbox| machine.handle(now, Event::Wake, outbox));
+        self.drive(at, |machine, now, outbox| {
+            machine.handle(now, Event::Wake, outbox)
+        });
     }
 
     fn perform(&mut self, at: usize, outbox: Outbox) {
@@ -216,11 +246,22 @@
             self.answer(id, reply);
         }
         for probe in outbox.probes {
-            self.engine.after(LOCAL, Action::Looked { machine: at, id: probe.id });
+            self.engine.after(
+                LOCAL,
+                Action::Looked {
+                    machine: at,
+                    id: probe.id,
+                },
+            );
         }
         let due = self.machines[at].next_wake();
-        let Some(due) = due.map(|due| due.max(self.engine.now)) else { return };
-        if self.machines[at].wake_at.is_none_or(|scheduled| due < scheduled) {
+        let Some(due) = due.map(|due| due.max(self.engine.now)) else {
+            return;
+        };
+        if self.machines[at]
+            .wake_at
+            .is_none_or(|scheduled| due < scheduled)
+        {
             self.machines[at].wake_at = Some(due);
             self.engine.at(due, Action::Wake { machine: at });
         }
@@ -232,7 +273,13 @@
         machine.meter.syncs += 1;
         let writes = std::mem::take(&mut machine.waiting);
         let sync = Duration::from_secs_f64(self.scenario.network.sync_ms / 1e3);
-        self.engine.after(sync, Action::Synced { machine: at, writes });
+        self.engine.after(
+            sync,
+            Action::Synced {
+                machine: at,
+                writes,
+            },
+        );
     }
 
     fn synced(&mut self, at: usize, writes: Vec<sagetrail_wire::node::DiskWrite>) {
@@ -240,7 +287,9 @@
         for write in writes {
             self.send(at, write.then);
             if let Some(token) = write.token {
-                self.drive(at, |machine, now, outbox| machine.handle(now, Event::Synced { token }, outbox));
+                self.drive(at, |machine, now, outbox| {
+                    machine.handle(now, Event::Synced { token }, outbox)
+                });
             }
         }
         if !self.machines[at].syncing && !self.machines[at].waiting.is_empty() {
@@ -252,14 +301,26 @@
         if self.lost[at] || messages.is_empty() {
             return;
         }
-        if messages.iter().any(|(_, message)| matches!(message, Message::RunnerOrders(_))) {
+        if messages
+            .iter()
+            .any(|(_, message)| matches!(message, Message::RunnerOrders(_)))
+        {
             self.scheduler = Some(at);
         }
         let from = self.machines[at].node;
         for sending in self.machines[at].pack(messages) {
-            let Some(&to) = self.places.get(&sending.to) else { continue };
+            let Some(&to) = self.places.get(&sending.to) else {
+                continue;
+            };
             let delay = self.delay(at, to);
-            self.engine.after(delay, Action::Frame { to, from, frame: sending.frame });
+            self.engine.after(
+                delay,
+                Action::Frame {
+                    to,
+                    from,
+                    frame: sending.frame,
+                },
+            );
         }
     }
 
@@ -269,7 +330,13 @@
             return Duration::ZERO;
         }
         let near = self.machines[from].region == self.machines[to].region;
-        Duration::from_secs_f64(if near { network.near_ms } else { network.far_ms } / 1e3)
+        Duration::from_secs_f64(
+            if near {
+                network.near_ms
+            } else {
+                network.far_ms
+            } / 1e3,
+        )
     }
 
     fn call(&mut self, at: usize, door: Door, request: HttpRequest, waiting: Waiting) {
@@ -283,10 +350,16 @@
 
     fn answer(&mut self, id: HttpRequestId, reply: HttpReply) {
         let action = match self.callers.remove(&id.0) {
-            Some(Waiting::Worker { worker, sent }) => Action::HeartbeatAnswer { worker, sent, reply },
-            Some(Waiting::Client { job, attempt }) => {
-                Action::SubmitAnswer { job, attempt, reply: Some(reply) }
-            }
+            Some(Waiting::Worker { worker, sent }) => Action::HeartbeatAnswer {
+                worker,
+                sent,
+                reply,
+            },
+            Some(Waiting::Client { job, attempt }) => Action::SubmitAnswer {
+                job,
+                attempt,
+                reply: Some(reply),
+            },
             Some(Waiting::Operator) => Action::ConfigureAnswer { reply },
             None => return,
         };
@@ -299,17 +372,26 @@
         let (path, body) = (runner.path(), runner.heartbeat(now));
         self.board.counts.heartbeats.fetch_add(1, Ordering::Relaxed);
         let at = self.machines.len() - self.runners.len() + worker;
-        let waiting = Waiting::Worker { worker, sent: self.engine.now };
+        let waiting = Waiting::Worker {
+            worker,
+            sent: self.engine.now,
+        };
         self.call(at, Door::Control, heartbeat(path, body), waiting);
     }
 
     fn heartbeat_answer(&mut self, worker: usize, sent: Time, reply: &HttpReply) {
-        let (sent, now) = (self.engine.instant(sent), self.engine.instant(self.engine.now));
+        let (sent, now) = (
+            self.engine.instant(sent),
+            self.engine.instant(self.engine.now),
+        );
         if let Ok(orders) = serde_json::from_slice::<Orders>(&reply.body) {
             self.runners[worker].obey(sent, now, orders);
         }
         let due = self.engine.time(self.runners[worker].due());
-        self.engine.at(due.max(self.engine.now.plus_millis(1)), Action::Heartbeat { worker });
+        self.engine.at(
+            due.max(self.engine.now.plus_millis(1)),
+            Action::Heartbeat { worker },
+        );
     }
 
     fn submit(&mut self, job: usize, attempt: u32) {
@@ -326,10 +408,15 @@
             self.board.expect(planned.id, facts);
         }
         let frontends = self.scenario.frontends as usize;
-        let at =
-            self.scenario.cores as usize + (planned.id as usize).wrapping_add(attempt as usize) % frontends;
+        let at = self.scenario.cores as usize
+            + (planned.id as usize).wrapping_add(attempt as usize) % frontends;
         let request = submission(&self.scenario, &planned);
-        self.call(at, Door::Frontend, request, Waiting::Client { job, attempt });
+        self.call(
+            at,
+            Door::Frontend,
+            request,
+            Waiting::Client { job, attempt },
+        );
     }
 
     fn measured(&self, job: &PlannedJob) -> bool {
@@ -344,10 +431,18 @@
                 let due = self.load_from.0 + planned.at.as_micros() as u64;
                 let took = Duration::from_micros(self.engine.now.0 - due);
                 let name = &self.scenario.job[planned.shape].name;
-                self.board.timings.record(Timing::SubmitToAccept, name, took);
+                self.board
+                    .timings
+                    .record(Timing::SubmitToAccept, name, took);
             }
         } else if attempt + 1 < TRIES {
-            self.engine.after(RETRY_PAUSE, Action::Submit { job, attempt: attempt + 1 });
+            self.engine.after(
+                RETRY_PAUSE,
+                Action::Submit {
+                    job,
+                    attempt: attempt + 1,
+                },
+            );
         } else {
             self.board.counts.refused.fetch_add(1, Ordering::Relaxed);
         }
@@ -380,7 +475,11 @@
         let seconds = self.scenario.measured_s;
         let mut roles: BTreeMap<Role, (usize, Meter)> = BTreeMap::new();
         for (at, machine) in self.machines.iter().enumerate() {
-            let role = if Some(at) == self.scheduler { Role::Scheduler } else { machine.role };
+            let role = if Some(at) == self.scheduler {
+                Role::Scheduler
+            } else {
+                machine.role
+            };
             let (count, sum) = roles.entry(role).or_default();
             *count += 1;
             sum.cpu += after[at].cpu - before[at].cpu;
@@ -388,7 +487,10 @@
             sum.received_bytes += after[at].received_bytes - before[at].received_bytes;
             sum.written_bytes += after[at].written_bytes - before[at].written_bytes;
         }
-        roles.into_iter().map(|(role, (count, sum))| usage(role, count, &sum, seconds)).collect()
+        roles
+            .into_iter()
+            .map(|(role, (count, sum))| usage(role, count, &sum, seconds))
+            .collect()
     }
 }
 
--- a/crates/scale/src/timings.rs
+++ b/crates/scale/src/timings.rs
@@ -61,14 +61,19 @@
     /// Takes one time.
     pub fn record(&self, timing: Timing, of: &str, time: Duration) {
         let mut histograms = self.histograms.lock().expect("no holder panics");
-        let histogram = histograms.entry((timing, of.to_owned())).or_insert_with(empty);
+        let histogram = histograms
+            .entry((timing, of.to_owned()))
+            .or_insert_with(empty);
         histogram.saturating_record((time.as_micros() as u64).max(1));
     }
 
     /// All histograms in figures.
     pub fn rows(&self) -> Vec<TimingRow> {
         let histograms = self.histograms.lock().expect("no holder panics");
-        histograms.iter().map(|((timing, of), histogram)| row(*timing, of, histogram)).collect()
+        histograms
+            .iter()
+            .map(|((timing, of), histogram)| row(*timing, of, histogram))
+            .collect()
     }
 }
 
--- a/crates/scale/src/usage.rs
+++ b/crates/scale/src/usage.rs
@@ -25,11 +25,17 @@
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let (_, fields) = stat.rsplit_once(") ")?;
     let fields: Vec<&str> = fields.split(' ').collect();
-    let ticks = |place: usize| fields.get(place).and_then(|field| field.parse::<f64>().ok());
+    let ticks = |place: usize| {
+        fields
+            .get(place)
+            .and_then(|field| field.parse::<f64>().ok())
+    };
     let statm = fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
     let pages: u64 = statm.split(' ').nth(RESIDENT_FIELD)?.parse().ok()?;
     let io = fs::read_to_string(format!("/proc/{id}/io")).unwrap_or_default();
-    let written = io.lines().find_map(|line| line.strip_prefix("write_bytes: "));
+    let written = io
+        .lines()
+        .find_map(|line| line.strip_prefix("write_bytes: "));
     Some(Usage {
         cpu_s: (ticks(USER_FIELD)? + ticks(SYSTEM_FIELD)?) / TICKS_IN_SECOND,
         memory: pages * PAGE_BYTES,
--- a/crates/scale/tests/plan.rs
+++ b/crates/scale/tests/plan.rs
@@ -38,13 +38,20 @@
     let seconds = scenario.warm_up_s + scenario.measured_s;
     let rate: f64 = scenario.job.iter().map(|shape| scenario.rate(shape)).sum();
     let expected = rate * seconds;
-    assert!((jobs.len() as f64 - expected).abs() < 0.1 * expected, "{} of {expected}", jobs.len());
+    assert!(
+        (jobs.len() as f64 - expected).abs() < 0.1 * expected,
+        "{} of {expected}",
+        jobs.len()
+    );
     assert!((scenario.starts_a_second() - 1_100.0).abs() < 20.0);
 }
 
 #[test]
 fn a_task_s_text_is_read_as_written() {
-    let text = TaskText { work_ms: 700, gang: 16 };
+    let text = TaskText {
+        work_ms: 700,
+        gang: 16,
+    };
     assert_eq!(TaskText::read(&text.write()), Some(text));
     assert_eq!(TaskText::read("no task"), None);
 }
--- a/crates/scale/tests/readings.rs
+++ b/crates/scale/tests/readings.rs
@@ -7,7 +7,10 @@
 
 #[test]
 fn a_scheduler_s_start_is_told_from_other_lines() {
-    assert_eq!(term_of("INFO term 12: scheduler starts with 3 records"), Some(12));
+    assert_eq!(
+        term_of("INFO term 12: scheduler starts with 3 records"),
+        Some(12)
+    );
     assert_eq!(term_of("INFO term 12: something else"), None);
     assert_eq!(term_of("INFO a runner lapsed"), None);
 }
@@ -20,10 +23,28 @@
              bytes_acked:{sent} bytes_received:{received} segs_out:4\n"
         )
     };
-    let text = [line(7, 10, 20), line(8, 1, 2), line(7, 5, 5), "LISTEN 0 1 *:1 *:*\n".to_owned()].concat();
+    let text = [
+        line(7, 10, 20),
+        line(8, 1, 2),
+        line(7, 5, 5),
+        "LISTEN 0 1 *:1 *:*\n".to_owned(),
+    ]
+    .concat();
     let traffic = parse(&text);
-    assert_eq!(traffic[&7], Traffic { sent: 15, received: 25 });
-    assert_eq!(traffic[&8], Traffic { sent: 1, received: 2 });
+    assert_eq!(
+        traffic[&7],
+        Traffic {
+            sent: 15,
+            received: 25
+        }
+    );
+    assert_eq!(
+        traffic[&8],
+        Traffic {
+            sent: 1,
+            received: 2
+        }
+    );
     assert_eq!(traffic.len(), 2);
 }
 
@@ -37,11 +58,15 @@
 #[test]
 fn times_are_told_by_what_they_are_of() {
     let timings = Timings::default();
-    (1..=100).for_each(|ms| timings.record(Timing::SubmitToAccept, "short", Duration::from_millis(ms)));
+    (1..=100)
+        .for_each(|ms| timings.record(Timing::SubmitToAccept, "short", Duration::from_millis(ms)));
     timings.record(Timing::EndToDone, "short", Duration::from_millis(5));
     let rows = timings.rows();
     assert_eq!(rows.len(), 2);
-    let accept = rows.iter().find(|row| row.timing == "submit_to_accept").expect("recorded");
+    let accept = rows
+        .iter()
+        .find(|row| row.timing == "submit_to_accept")
+        .expect("recorded");
     assert_eq!(accept.count, 100);
     assert!((accept.p50_ms - 50.0).abs() < 0.1, "{}", accept.p50_ms);
     assert!((accept.max_ms - 100.0).abs() < 0.2, "{}", accept.max_ms);
--- a/crates/scale/tests/runner.rs
+++ b/crates/scale/tests/runner.rs
@@ -22,7 +22,8 @@
         let (board, over) = Board::new();
         let board = Arc::new(board);
         let started = Instant::now();
-        let capacity = serde_json::from_value(json!({"cpu": 16000, "mem_mb": 1000, "gpu": 0})).unwrap();
+        let capacity =
+            serde_json::from_value(json!({"cpu": 16000, "mem_mb": 1000, "gpu": 0})).unwrap();
         let profile = RunnerProfile {
             instance: "i-1".to_owned(),
             service: "s".to_owned(),
@@ -32,7 +33,12 @@
             heartbeat: Duration::from_millis(1_000),
         };
         let runner = HollowRunner::new(profile, board.clone(), started);
-        Stage { board, over, runner, started }
+        Stage {
+            board,
+            over,
+            runner,
+            started,
+        }
     }
 
     fn at(&self, ms: u64) -> Instant {
@@ -52,7 +58,10 @@
 
     fn start(&mut self, ms: u64, task: &str, attempt: u64, text: &str) {
         let start = json!([[task, attempt, text, ""]]);
-        self.orders(ms, json!({"hold_ms": 60_000, "fence_token": 1, "start": start}));
+        self.orders(
+            ms,
+            json!({"hold_ms": 60_000, "fence_token": 1, "start": start}),
+        );
     }
 }
 
@@ -71,11 +80,20 @@
 #[test]
 fn without_a_hold_nothing_starts_and_everything_lapses() {
     let mut stage = Stage::new();
-    stage.orders(0, json!({"fence_token": 1, "start": [[TASK, 1, "500 0", ""]]}));
+    stage.orders(
+        0,
+        json!({"fence_token": 1, "start": [[TASK, 1, "500 0", ""]]}),
+    );
     assert_eq!(stage.runner.active(), 0);
-    stage.orders(0, json!({"hold_ms": 100, "fence_token": 1, "start": [[TASK, 1, "500 0", ""]]}));
+    stage.orders(
+        0,
+        json!({"hold_ms": 100, "fence_token": 1, "start": [[TASK, 1, "500 0", ""]]}),
+    );
     assert_eq!(stage.runner.active(), 1);
-    assert_eq!(stage.beat(200)["finished"], json!([[1, TASK, 1, "lapsed", ""]]));
+    assert_eq!(
+        stage.beat(200)["finished"],
+        json!([[1, TASK, 1, "lapsed", ""]])
+    );
 }
 
 #[test]
@@ -88,7 +106,14 @@
     stage.orders(10, start.clone());
     stage.orders(20, start);
     assert_eq!(stage.runner.active(), 1);
-    assert_eq!(stage.board.counts.double_starts.load(std::sync::atomic::Ordering::Relaxed), 0);
+    assert_eq!(
+        stage
+            .board
+            .counts
+            .double_starts
+            .load(std::sync::atomic::Ordering::Relaxed),
+        0
+    );
 }
 
 #[test]
@@ -100,14 +125,22 @@
     assert_eq!(stage.beat(1_250)["active"][0][3], json!(50));
     assert_eq!(stage.beat(1_600)["finished"].as_array().unwrap().len(), 2);
     stage.start(2_000, TASK, 2, "500 2");
-    assert_eq!(stage.beat(5_100)["finished"][2], json!([3, TASK, 2, "alone", ""]));
+    assert_eq!(
+        stage.beat(5_100)["finished"][2],
+        json!([3, TASK, 2, "alone", ""])
+    );
 }
 
 #[test]
 fn a_job_is_over_with_the_last_of_its_tasks() {
     let mut stage = Stage::new();
-    let facts =
-        JobFacts { due: stage.started, shape: "short".to_owned(), measured: true, left: 2, started: false };
+    let facts = JobFacts {
+        due: stage.started,
+        shape: "short".to_owned(),
+        measured: true,
+        left: 2,
+        started: false,
+    };
     stage.board.expect(JOB, facts);
     stage.start(0, TASK, 1, "100 0");
     stage.start(0, OTHER, 1, "300 0");
--- a/crates/scale/tests/takeovers.rs
+++ b/crates/scale/tests/takeovers.rs
@@ -5,7 +5,15 @@
 use std::time::{Duration, Instant};
 
 fn fault(target: FaultTarget, at: Instant) -> Played {
-    Played { fault: Fault { kind: FaultKind::Kill, target, at_s: 0.0, for_s: 1.0 }, at }
+    Played {
+        fault: Fault {
+            kind: FaultKind::Kill,
+            target,
+            at_s: 0.0,
+            for_s: 1.0,
+        },
+        at,
+    }
 }
 
 #[test]
--- a/crates/scheduler/benches/placement.rs
+++ b/crates/scheduler/benches/placement.rs
@@ -15,8 +15,15 @@
 
 fn runners(count: u32) -> Vec<OpenRunner> {
     let runner = |number: u32| OpenRunner {
-        node: NodeId { ip: number, port: 1 },
-        room: Resources { cpu: 16_000, mem_mb: 32_768, gpu: 0 },
+        node: NodeId {
+            ip: number,
+            port: 1,
+        },
+        room: Resources {
+            cpu: 16_000,
+            mem_mb: 32_768,
+            gpu: 0,
+        },
         labels: vec!["a".to_owned(), format!("r1-{}", number / RUNNERS_OF_A_RACK)].into(),
         reserved: None,
         starts: u32::MAX,
@@ -26,15 +33,27 @@
 
 fn held() -> Vec<HeldStep> {
     let step = |number: u64| HeldStep {
-        id: StepId { job: JobId(number), time: 0, step: 0 },
+        id: StepId {
+            job: JobId(number),
+            time: 0,
+            step: 0,
+        },
         priority: (number % 3) as u32,
-        resources: Resources { cpu: 240, mem_mb: 250, gpu: 0 },
+        resources: Resources {
+            cpu: 240,
+            mem_mb: 250,
+            gpu: 0,
+        },
         waiting: TASKS_OF_A_STEP,
         gang: false,
         lasting: false,
         rack_local: false,
         held_ms: 0,
-        affinity: if number.is_multiple_of(2) { format!("r1-{}", number % 4) } else { String::new() },
+        affinity: if number.is_multiple_of(2) {
+            format!("r1-{}", number % 4)
+        } else {
+            String::new()
+        },
         constraints: Labels::default(),
         anti_affinity: 0,
         carried: BTreeMap::new(),
@@ -50,7 +69,8 @@
         criterion.bench_function(&format!("a pass at {count} runners"), |bencher| {
             let mut random = Pcg64Mcg::seed_from_u64(1);
             let input = || (runners(count), held());
-            let run = |(runners, held)| Pass::new(runners, held, Resources::default(), &mut random).run();
+            let run =
+                |(runners, held)| Pass::new(runners, held, Resources::default(), &mut random).run();
             bencher.iter_batched(input, run, BatchSize::LargeInput);
         });
     }
--- a/crates/scheduler/src/clients.rs
+++ b/crates/scheduler/src/clients.rs
@@ -35,15 +35,26 @@
 
 impl Answer {
     fn status(status: u16) -> Answer {
-        Answer { status, body: Vec::new(), retry_after_ms: 0 }
+        Answer {
+            status,
+            body: Vec::new(),
+            retry_after_ms: 0,
+        }
     }
 
     fn json(status: u16, value: serde_json::Value) -> Answer {
-        Answer { status, body: value.to_string().into_bytes(), retry_after_ms: 0 }
+        Answer {
+            status,
+            body: value.to_string().into_bytes(),
+            retry_after_ms: 0,
+        }
     }
 
     fn refused(status: u16) -> Answer {
-        Answer { retry_after_ms: RETRY_AFTER_MS, ..Answer::status(status) }
+        Answer {
+            retry_after_ms: RETRY_AFTER_MS,
+            ..Answer::status(status)
+        }
     }
 }
 
@@ -56,21 +67,28 @@
         if config.version < request.config_version {
             return; // The gateway knows a newer one; it asks again, and by then so do we.
         }
-        let target = config.route(&request.host, &request.path).map(|found| Target {
-            queue: found.route.name.clone(),
-            service: found.route.service.clone(),
-            max_attempts: found.route.max_attempts.max(1),
-            priority: found.route.priority,
-            extension: found.route.extension,
-            target_ms: found.route.target_latency_ms,
-            rest: found.rest.to_owned(),
-        });
+        let target = config
+            .route(&request.host, &request.path)
+            .map(|found| Target {
+                queue: found.route.name.clone(),
+                service: found.route.service.clone(),
+                max_attempts: found.route.max_attempts.max(1),
+                priority: found.route.priority,
+                extension: found.route.extension,
+                target_ms: found.route.target_latency_ms,
+                rest: found.rest.to_owned(),
+            });
         let Some(target) = target else {
             return self.answer(from, request.request, 0, Answer::status(404));
         };
         if target.rest.is_empty() && request.method == ClientMethod::Read {
             let pending = self.pending(&target.queue);
-            return self.answer(from, request.request, 0, Answer::json(200, json!({ "pending": pending })));
+            return self.answer(
+                from,
+                request.request,
+                0,
+                Answer::json(200, json!({ "pending": pending })),
+            );
         }
         let Some(id) = JobId::parse(&target.rest) else {
             return self.answer(
@@ -87,7 +105,14 @@
         }
     }
 
-    fn submit(&mut self, now: Now, from: NodeId, request: ClientRequest, target: Target, id: JobId) {
+    fn submit(
+        &mut self,
+        now: Now,
+        from: NodeId,
+        request: ClientRequest,
+        target: Target,
+        id: JobId,
+    ) {
         if let Some(job) = self.jobs.get(&id) {
             let batch = job.batch;
             return self.answer(from, request.request, batch, Answer::status(200));
@@ -113,7 +138,8 @@
             target_ms: target.target_ms,
         };
         self.next_order += 1;
-        self.jobs.insert(id, Job::new(id, terms, spec, request.body.0, now.steady));
+        self.jobs
+            .insert(id, Job::new(id, terms, spec, request.body.0, now.steady));
         self.active.insert(id);
         self.write_job(id);
         self.hold_job(now, id);
@@ -133,7 +159,12 @@
             Outcome::Cancelled => "cancelled",
         };
         let batch = job.batch;
-        self.answer(from, request, batch, Answer::json(200, json!({ "state": state })));
+        self.answer(
+            from,
+            request,
+            batch,
+            Answer::json(200, json!({ "state": state })),
+        );
     }
 
     fn cancel(&mut self, now: Now, from: NodeId, request: u64, id: JobId) {
@@ -160,6 +191,7 @@
             body: Blob(answer.body),
             config_version: self.config.as_ref().map_or(0, |config| config.version),
         };
-        self.ledger.send_after(batch, to, Message::ClientReply(reply));
+        self.ledger
+            .send_after(batch, to, Message::ClientReply(reply));
     }
 }
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -16,7 +16,10 @@
 impl SteadyDay {
     /// Anchored at this moment.
     pub fn new(now: Now) -> SteadyDay {
-        SteadyDay { anchor: now, differs_since: None }
+        SteadyDay {
+            anchor: now,
+            differs_since: None,
+        }
     }
 
     /// The time of day in milliseconds since 1970.
--- a/crates/scheduler/src/drain.rs
+++ b/crates/scheduler/src/drain.rs
@@ -32,15 +32,30 @@
 impl Scheduler {
     /// Keeps the least loaded suitable runners for a step that has waited for long.
     pub(crate) fn drain_for(&mut self, now: Now, service: &str, key: HeldKey) {
-        let Some(job) = self.jobs.get(&key.step.job) else { return };
-        let (Some(stage), Some(step)) = (job.stage(key.step).cloned(), job.step(key.step)) else { return };
-        let waited_ms = now.steady.millis_since(step.waiting_since.max(job.taken_at));
-        let wanted = if stage.gang { step.waiting.len() as u32 } else { 1 };
+        let Some(job) = self.jobs.get(&key.step.job) else {
+            return;
+        };
+        let (Some(stage), Some(step)) = (job.stage(key.step).cloned(), job.step(key.step)) else {
+            return;
+        };
+        let waited_ms = now
+            .steady
+            .millis_since(step.waiting_since.max(job.taken_at));
+        let wanted = if stage.gang {
+            step.waiting.len() as u32
+        } else {
+            1
+        };
         if waited_ms < PATIENCE_MS || self.drains(service) {
             return;
         }
         let until = now.steady.plus_millis(KEPT_MS);
-        let reservation = Reservation { step: key.step, priority: key.priority, until, drain: true };
+        let reservation = Reservation {
+            step: key.step,
+            priority: key.priority,
+            until,
+            drain: true,
+        };
         let mut left = wanted;
         for candidate in self.drain_candidates(now, service, key, &stage, wanted) {
             if left == 0 {
@@ -53,39 +68,74 @@
 
     /// True where runners of the service are being emptied already.
     fn drains(&self, service: &str) -> bool {
-        let of_service =
-            |node: &NodeId| self.runners.get(node).is_some_and(|runner| runner.service == service);
-        self.reservations.iter().any(|(node, held)| held.drain && of_service(node))
+        let of_service = |node: &NodeId| {
+            self.runners
+                .get(node)
+                .is_some_and(|runner| runner.service == service)
+        };
+        self.reservations
+            .iter()
+            .any(|(node, held)| held.drain && of_service(node))
     }
 
     /// The runners to empty, least loaded first; none where they would not suffice.
     fn drain_candidates(
-        &self, now: Now, service: &str, key: HeldKey, stage: &Stage, wanted: u32,
+        &self,
+        now: Now,
+        service: &str,
+        key: HeldKey,
+        stage: &Stage,
+        wanted: u32,
     ) -> Vec<Candidate> {
         let mut racks: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         for (&node, runner) in &self.runners {
-            let free = self.reservations.get(&node).is_none_or(|held| held.priority > key.priority);
+            let free = self
+                .reservations
+                .get(&node)
+                .is_none_or(|held| held.priority > key.priority);
             let suits = runner.service == service && stage.constraints.all_in(&runner.labels);
             let seats = times_fitting(stage.resources(), runner.capacity, u32::MAX);
             let large = seats > 0 && seats <= MOST_SEATS;
             if free && suits && large && runner.usable(now.steady) {
-                let rack = if stage.gang && stage.rack_local { runner.rack() } else { "" };
+                let rack = if stage.gang && stage.rack_local {
+                    runner.rack()
+                } else {
+                    ""
+                };
                 let load = load_of(runner);
-                racks.entry(rack).or_default().push(Candidate { node, seats, load });
+                racks
+                    .entry(rack)
+                    .or_default()
+                    .push(Candidate { node, seats, load });
             }
         }
-        let enough =
-            |candidates: &Vec<Candidate>| candidates.iter().map(|of| of.seats).sum::<u32>() >= wanted;
+        let enough = |candidates: &Vec<Candidate>| {
+            candidates.iter().map(|of| of.seats).sum::<u32>() >= wanted
+        };
         let mut groups: Vec<Vec<Candidate>> = racks.into_values().filter(enough).collect();
-        groups.iter_mut().for_each(|group| group.sort_by_key(|candidate| candidate.load));
+        groups
+            .iter_mut()
+            .for_each(|group| group.sort_by_key(|candidate| candidate.load));
         let needed_load = |group: &Vec<Candidate>| {
-            let needed = wanted.div_ceil(group.iter().map(|of| of.seats).max().unwrap_or(1)) as usize;
-            group.iter().take(needed).map(|candidate| candidate.load).sum::<u64>()
+            let needed =
+                wanted.div_ceil(group.iter().map(|of| of.seats).max().unwrap_or(1)) as usize;
+            group
+                .iter()
+                .take(needed)
+                .map(|candidate| candidate.load)
+                .sum::<u64>()
         };
-        groups.into_iter().min_by_key(needed_load).unwrap_or_default()
+        groups
+            .into_iter()
+            .min_by_key(needed_load)
+            .unwrap_or_default()
     }
 }
 
 fn load_of(runner: &Runner) -> u64 {
-    runner.assigned.values().map(|assignment| assignment.resources.cpu).sum()
+    runner
+        .assigned
+        .values()
+        .map(|assignment| assignment.resources.cpu)
+        .sum()
 }
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -18,23 +18,34 @@
 impl Scheduler {
     /// Takes an assignment off its runner and decides what becomes of the task.
     pub(crate) fn run_over(&mut self, now: Now, over: OverRun) {
-        let Some(runner) = self.runners.get_mut(&over.node) else { return };
-        let Some(assignment) = runner.assigned.remove(&over.task) else { return };
+        let Some(runner) = self.runners.get_mut(&over.node) else {
+            return;
+        };
+        let Some(assignment) = runner.assigned.remove(&over.task) else {
+            return;
+        };
         runner.health.trial_over();
         self.changed.insert(over.node);
         self.place_again = true;
-        let job = self.jobs.get_mut(&over.task.step.job).filter(|job| job.outcome == Outcome::Active);
+        let job = self
+            .jobs
+            .get_mut(&over.task.step.job)
+            .filter(|job| job.outcome == Outcome::Active);
         let Some(job) = job else {
             self.ledger.delete(Key::Task(over.task));
             return;
         };
-        let Some(task) = job.task_mut(over.task) else { return };
+        let Some(task) = job.task_mut(over.task) else {
+            return;
+        };
         task.on = None;
         if !over.saved.is_empty() {
             task.saved = over.saved;
         }
         let first_failure = task.failures == 0;
-        let lasting = job.stage(over.task.step).is_some_and(|stage| stage.long_running);
+        let lasting = job
+            .stage(over.task.step)
+            .is_some_and(|stage| stage.long_running);
         match over.end {
             RunEnd::Done => {
                 self.credit(over.node);
@@ -56,7 +67,9 @@
     }
 
     fn credit(&mut self, node: NodeId) {
-        let Some(runner) = self.runners.get_mut(&node) else { return };
+        let Some(runner) = self.runners.get_mut(&node) else {
+            return;
+        };
         let usual = self.usual_rates.entry(runner.service.clone()).or_default();
         usual.note(false);
         runner.health.succeeded(*usual);
@@ -64,25 +77,41 @@
 
     /// A run of the job failed at the runner, or stood still there.
     pub(crate) fn blame(&mut self, now: Now, node: NodeId, job: JobId) {
-        let Some(runner) = self.runners.get_mut(&node) else { return };
+        let Some(runner) = self.runners.get_mut(&node) else {
+            return;
+        };
         let usual = self.usual_rates.entry(runner.service.clone()).or_default();
         usual.note(true);
         runner.health.failed(now.steady, job, *usual);
     }
 
     fn task_done(&mut self, now: Now, id: TaskId) {
-        let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
+        let Some(job) = self.jobs.get_mut(&id.step.job) else {
+            return;
+        };
         let gang = job.stage(id.step).is_some_and(|stage| stage.gang);
         let count = job.step(id.step).map_or(0, |step| step.tasks.len() as u32);
-        let members = if gang { 0..count } else { id.index..id.index + 1 };
+        let members = if gang {
+            0..count
+        } else {
+            id.index..id.index + 1
+        };
         for index in members {
-            let member = TaskId { step: id.step, index };
-            let done = self.jobs.get_mut(&id.step.job).is_some_and(|job| job.mark_done(member));
+            let member = TaskId {
+                step: id.step,
+                index,
+            };
+            let done = self
+                .jobs
+                .get_mut(&id.step.job)
+                .is_some_and(|job| job.mark_done(member));
             if done || member == id {
                 self.write_task(member);
             }
         }
-        let Some(job) = self.jobs.get(&id.step.job) else { return };
+        let Some(job) = self.jobs.get(&id.step.job) else {
+            return;
+        };
         if job.left == 0 {
             return self.end_job(now, id.step.job, Outcome::Completed);
         }
@@ -94,10 +123,18 @@
     }
 
     fn open_dependents(&mut self, now: Time, ended: StepId) {
-        let Some(job) = self.jobs.get_mut(&ended.job) else { return };
-        let depends =
-            |id: &StepId| job.stage(*id).is_some_and(|stage| stage.depends_on.contains(&ended.step));
-        let dependents: Vec<StepId> = job.steps_of(ended.time).into_iter().filter(depends).collect();
+        let Some(job) = self.jobs.get_mut(&ended.job) else {
+            return;
+        };
+        let depends = |id: &StepId| {
+            job.stage(*id)
+                .is_some_and(|stage| stage.depends_on.contains(&ended.step))
+        };
+        let dependents: Vec<StepId> = job
+            .steps_of(ended.time)
+            .into_iter()
+            .filter(depends)
+            .collect();
         for id in dependents {
             if let Some(step) = self.jobs.get_mut(&id.job).and_then(|job| job.step_mut(id)) {
                 step.waiting_since = now;
@@ -108,12 +145,20 @@
 
     /// Counts a failed run; true where the job has failed with it.
     fn count_failure(&mut self, now: Now, id: TaskId, node: NodeId, attempt: u64) -> bool {
-        let Some(job) = self.jobs.get_mut(&id.step.job) else { return false };
+        let Some(job) = self.jobs.get_mut(&id.step.job) else {
+            return false;
+        };
         let most = job.terms.max_attempts;
-        let Some(stage) = job.stage(id.step) else { return false };
+        let Some(stage) = job.stage(id.step) else {
+            return false;
+        };
         let (gang, lasting) = (stage.gang, stage.long_running);
-        let Some(step) = job.step_mut(id.step) else { return false };
-        let Some(task) = step.tasks.get_mut(id.index as usize) else { return false };
+        let Some(step) = job.step_mut(id.step) else {
+            return false;
+        };
+        let Some(task) = step.tasks.get_mut(id.index as usize) else {
+            return false;
+        };
         let mut counted = task.failures + 1;
         if gang {
             // One failed run of a gang counts once, whoever of its members failed.
@@ -130,17 +175,26 @@
         if lasting || counted < most {
             return false;
         }
-        log::info!("job {} has failed: {id} failed {counted} times", id.step.job);
+        log::info!(
+            "job {} has failed: {id} failed {counted} times",
+            id.step.job
+        );
         self.write_task(id);
         self.end_job(now, id.step.job, Outcome::Failed);
         true
     }
 
     fn wait_again(&mut self, now: Now, id: TaskId) {
-        let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
+        let Some(job) = self.jobs.get_mut(&id.step.job) else {
+            return;
+        };
         let gang = job.stage(id.step).is_some_and(|stage| stage.gang);
-        let Some(step) = job.step_mut(id.step) else { return };
-        let Some(task) = step.tasks.get(id.index as usize) else { return };
+        let Some(step) = job.step_mut(id.step) else {
+            return;
+        };
+        let Some(task) = step.tasks.get(id.index as usize) else {
+            return;
+        };
         if !task.done {
             step.waiting.insert(id.index);
             step.waiting_since = now.steady;
@@ -149,7 +203,9 @@
             true => assigned_members(id.step, &step.tasks),
             false => Vec::new(),
         };
-        others.into_iter().for_each(|(member, node)| self.stop(node, member));
+        others
+            .into_iter()
+            .for_each(|(member, node)| self.stop(node, member));
         self.write_task(id);
         self.refresh_step(id.step);
     }
@@ -157,7 +213,15 @@
 
 fn assigned_members(step: StepId, tasks: &[crate::job::Task]) -> Vec<(TaskId, NodeId)> {
     let member = |(index, task): (usize, &crate::job::Task)| {
-        task.on.map(|node| (TaskId { step, index: index as u32 }, node))
+        task.on.map(|node| {
+            (
+                TaskId {
+                    step,
+                    index: index as u32,
+                },
+                node,
+            )
+        })
     };
     tasks.iter().enumerate().filter_map(member).collect()
 }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -45,12 +45,16 @@
         let peak = self.peaks.entry(service.to_owned()).or_default();
         let part = 0.5f64.powf(now.millis_since(peak.at) as f64 / PEAK_HALF_LIFE_MS);
         let needed = sum(use_of.running, use_of.waiting);
-        peak.needed = map(peak.needed, needed, |former, needed| ((former as f64 * part) as u64).max(needed));
+        peak.needed = map(peak.needed, needed, |former, needed| {
+            ((former as f64 * part) as u64).max(needed)
+        });
         peak.at = now;
         let missing = map(peak.needed, use_of.running, u64::saturating_sub);
-        let most =
-            map(use_of.capacity, Resources::default(), |capacity, _| capacity * MOST_KEPT_PERCENT / 100);
-        self.kept.insert(service.to_owned(), map(missing, most, u64::min));
+        let most = map(use_of.capacity, Resources::default(), |capacity, _| {
+            capacity * MOST_KEPT_PERCENT / 100
+        });
+        self.kept
+            .insert(service.to_owned(), map(missing, most, u64::min));
     }
 }
 
@@ -68,7 +72,11 @@
 }
 
 fn map(a: Resources, b: Resources, join: impl Fn(u64, u64) -> u64) -> Resources {
-    Resources { cpu: join(a.cpu, b.cpu), mem_mb: join(a.mem_mb, b.mem_mb), gpu: join(a.gpu, b.gpu) }
+    Resources {
+        cpu: join(a.cpu, b.cpu),
+        mem_mb: join(a.mem_mb, b.mem_mb),
+        gpu: join(a.gpu, b.gpu),
+    }
 }
 
 impl Scheduler {
@@ -86,13 +94,22 @@
                 add(&mut of.capacity, runner.capacity);
             }
             for (task, assignment) in &runner.assigned {
-                if self.jobs.get(&task.step.job).is_some_and(|job| job.terms.priority == URGENT) {
+                if self
+                    .jobs
+                    .get(&task.step.job)
+                    .is_some_and(|job| job.terms.priority == URGENT)
+                {
                     add(&mut of.running, assignment.resources);
                 }
             }
         }
         for (service, use_of) in &mut uses {
-            for key in self.queue.held(service, usize::MAX).iter().take_while(|key| key.priority == URGENT) {
+            for key in self
+                .queue
+                .held(service, usize::MAX)
+                .iter()
+                .take_while(|key| key.priority == URGENT)
+            {
                 if self.may_run_somewhere(now, service, key) {
                     add(&mut use_of.waiting, self.waiting_of(key));
                 }
@@ -105,7 +122,11 @@
 
     /// Whether any runner that takes new work meets the constraints of a step.
     fn may_run_somewhere(&self, now: Now, service: &str, key: &HeldKey) -> bool {
-        let Some(stage) = self.jobs.get(&key.step.job).and_then(|job| job.stage(key.step)) else {
+        let Some(stage) = self
+            .jobs
+            .get(&key.step.job)
+            .and_then(|job| job.stage(key.step))
+        else {
             return false;
         };
         let meets = |runner: &Runner| {
@@ -117,11 +138,15 @@
     }
 
     fn waiting_of(&self, key: &HeldKey) -> Resources {
-        let Some(job) = self.jobs.get(&key.step.job) else { return Resources::default() };
+        let Some(job) = self.jobs.get(&key.step.job) else {
+            return Resources::default();
+        };
         let (Some(stage), Some(step)) = (job.stage(key.step), job.step(key.step)) else {
             return Resources::default();
         };
         let tasks = step.waiting.len() as u64;
-        map(stage.resources(), Resources::default(), |wanted, _| wanted.saturating_mul(tasks))
+        map(stage.resources(), Resources::default(), |wanted, _| {
+            wanted.saturating_mul(tasks)
+        })
     }
 }
--- a/crates/scheduler/src/ids.rs
+++ b/crates/scheduler/src/ids.rs
@@ -52,7 +52,10 @@
         if parts.next().is_some() {
             return None;
         }
-        Some(TaskId { step: StepId { job, time, step }, index })
+        Some(TaskId {
+            step: StepId { job, time, step },
+            index,
+        })
     }
 }
 
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -51,12 +51,22 @@
 
     /// The attempt that the next run of a gang has.
     pub fn next_gang_attempt(&self) -> u64 {
-        self.tasks.iter().map(|task| task.attempt).max().unwrap_or(0) + 1
+        self.tasks
+            .iter()
+            .map(|task| task.attempt)
+            .max()
+            .unwrap_or(0)
+            + 1
     }
 
     /// The checkpoint that all members of a gang resume from: any member's serves.
     pub fn gang_saved(&self) -> String {
-        self.tasks.iter().map(|task| &task.saved).find(|saved| !saved.is_empty()).cloned().unwrap_or_default()
+        self.tasks
+            .iter()
+            .map(|task| &task.saved)
+            .find(|saved| !saved.is_empty())
+            .cloned()
+            .unwrap_or_default()
     }
 }
 
@@ -106,9 +116,18 @@
 impl Job {
     /// A job just handed in.
     pub fn new(id: JobId, terms: JobTerms, spec: JobSpec, body: Vec<u8>, now: Time) -> Job {
-        let steps = || spec.stages.iter().map(|stage| StepRun::new(stage.count)).collect();
+        let steps = || {
+            spec.stages
+                .iter()
+                .map(|stage| StepRun::new(stage.count))
+                .collect()
+        };
         let times: Vec<Vec<StepRun>> = (0..spec.times()).map(|_| steps()).collect();
-        let left = times.iter().flatten().map(|step| u64::from(step.left)).sum();
+        let left = times
+            .iter()
+            .flatten()
+            .map(|step| u64::from(step.left))
+            .sum();
         Job {
             id,
             terms,
@@ -179,7 +198,9 @@
 
     /// A step's state, to change it.
     pub fn step_mut(&mut self, id: StepId) -> Option<&mut StepRun> {
-        self.times.get_mut(id.time as usize)?.get_mut(id.step as usize)
+        self.times
+            .get_mut(id.time as usize)?
+            .get_mut(id.step as usize)
     }
 
     /// A task's state, to change it.
@@ -190,20 +211,35 @@
     /// All steps of one time.
     pub fn steps_of(&self, time: u32) -> Vec<StepId> {
         let count = self.times.get(time as usize).map_or(0, Vec::len);
-        (0..count as u32).map(|step| StepId { job: self.id, time, step }).collect()
+        (0..count as u32)
+            .map(|step| StepId {
+                job: self.id,
+                time,
+                step,
+            })
+            .collect()
     }
 
     /// True where all steps that this one depends on have ended.
     pub fn dependencies_met(&self, id: StepId) -> bool {
-        let Some(stage) = self.stage(id) else { return false };
-        let ended = |&on: &u32| self.step(StepId { step: on, ..id }).is_some_and(|step| step.left == 0);
+        let Some(stage) = self.stage(id) else {
+            return false;
+        };
+        let ended = |&on: &u32| {
+            self.step(StepId { step: on, ..id })
+                .is_some_and(|step| step.left == 0)
+        };
         stage.depends_on.iter().all(ended)
     }
 
     /// Marks a task done; true where it was not.
     pub fn mark_done(&mut self, id: TaskId) -> bool {
-        let Some(step) = self.step_mut(id.step) else { return false };
-        let Some(task) = step.tasks.get_mut(id.index as usize) else { return false };
+        let Some(step) = self.step_mut(id.step) else {
+            return false;
+        };
+        let Some(task) = step.tasks.get_mut(id.index as usize) else {
+            return false;
+        };
         if task.done {
             return false;
         }
@@ -220,8 +256,12 @@
             self.mark_done(id);
         }
         self.begun = true;
-        let Some(step) = self.step_mut(id.step) else { return };
-        let Some(task) = step.tasks.get_mut(id.index as usize) else { return };
+        let Some(step) = self.step_mut(id.step) else {
+            return;
+        };
+        let Some(task) = step.tasks.get_mut(id.index as usize) else {
+            return;
+        };
         task.attempt = record.attempt;
         task.failures = record.failures;
         task.saved = record.saved.0.clone();
--- a/crates/scheduler/src/ledger.rs
+++ b/crates/scheduler/src/ledger.rs
@@ -88,7 +88,10 @@
             Some(value) => RecordOperation::Put { key, value },
             None => RecordOperation::Delete { key },
         };
-        Some(Batch { number, operations: changes.into_iter().map(operation).collect() })
+        Some(Batch {
+            number,
+            operations: changes.into_iter().map(operation).collect(),
+        })
     }
 
     /// The messages that may leave.
--- a/crates/scheduler/src/objective.rs
+++ b/crates/scheduler/src/objective.rs
@@ -35,8 +35,16 @@
 impl Objective {
     /// The standing of a step at a time of day in milliseconds since 1970.
     pub fn of(job: &Job, id: StepId, day_ms: i64) -> Objective {
-        let Some(spec) = &job.spec else { return Objective { hope: Hope::None, due_ms: day_ms } };
-        let begins_ms = spec.due_ms(id.time).unwrap_or(job.terms.taken_ms).max(job.terms.taken_ms);
+        let Some(spec) = &job.spec else {
+            return Objective {
+                hope: Hope::None,
+                due_ms: day_ms,
+            };
+        };
+        let begins_ms = spec
+            .due_ms(id.time)
+            .unwrap_or(job.terms.taken_ms)
+            .max(job.terms.taken_ms);
         let chains = chains_ms(spec);
         let longest_ms = chains.iter().copied().fold(0.0, f64::max);
         let objective_ms = job.terms.extension * longest_ms + job.terms.target_ms;
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -15,7 +15,9 @@
     /// Orders to all runners whose orders have changed.
     pub(crate) fn send_changed_orders(&mut self, now: Now) {
         for node in std::mem::take(&mut self.changed) {
-            let Some(runner) = self.runners.get(&node).filter(|runner| runner.agent != 0) else { continue };
+            let Some(runner) = self.runners.get(&node).filter(|runner| runner.agent != 0) else {
+                continue;
+            };
             if self.wanted(runner) != runner.ordered {
                 self.send_orders(now, node, None);
             }
@@ -38,8 +40,14 @@
         for (&task, assignment) in &runner.assigned {
             let attempt = assignment.attempt;
             if assignment.stop && assignment.active {
-                wanted.stop.push(StopOrder { task: task.to_string().into(), attempt });
-            } else if !assignment.stop && !assignment.active && self.ledger.is_kept(assignment.batch) {
+                wanted.stop.push(StopOrder {
+                    task: task.to_string().into(),
+                    attempt,
+                });
+            } else if !assignment.stop
+                && !assignment.active
+                && self.ledger.is_kept(assignment.batch)
+            {
                 wanted.start.insert((task, attempt));
             }
         }
@@ -47,18 +55,27 @@
     }
 
     fn send_orders(&mut self, now: Now, node: NodeId, report: Option<&RunnerReport>) {
-        let Some(runner) = self.runners.get(&node) else { return };
+        let Some(runner) = self.runners.get(&node) else {
+            return;
+        };
         let wanted = self.wanted(runner);
-        let start =
-            wanted.start.iter().filter_map(|&(task, attempt)| self.start_order(task, attempt)).collect();
-        let Some(runner) = self.runners.get_mut(&node) else { return };
+        let start = wanted
+            .start
+            .iter()
+            .filter_map(|&(task, attempt)| self.start_order(task, attempt))
+            .collect();
+        let Some(runner) = self.runners.get_mut(&node) else {
+            return;
+        };
         if wanted != runner.ordered || runner.revision == 0 {
             runner.revision += 1;
             runner.ordered = wanted;
         }
         let revision = runner.revision;
-        let unwanted =
-            runner.assigned.values_mut().filter(|assignment| assignment.stop && !assignment.active);
+        let unwanted = runner
+            .assigned
+            .values_mut()
+            .filter(|assignment| assignment.stop && !assignment.active);
         unwanted.for_each(|assignment| {
             assignment.withdrawn.get_or_insert(revision);
         });
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -99,8 +99,9 @@
 /// How many times `wanted` fits into `room`, at most `most`.
 pub fn times_fitting(wanted: Resources, room: Resources, most: u32) -> u32 {
     let part = |wanted: u64, room: u64| room.checked_div(wanted).unwrap_or(u64::from(most));
-    let times =
-        part(wanted.cpu, room.cpu).min(part(wanted.mem_mb, room.mem_mb)).min(part(wanted.gpu, room.gpu));
+    let times = part(wanted.cpu, room.cpu)
+        .min(part(wanted.mem_mb, room.mem_mb))
+        .min(part(wanted.gpu, room.gpu));
     times.min(u64::from(most)) as u32
 }
 
@@ -122,12 +123,25 @@
 impl<'a, R: Rng> Pass<'a, R> {
     /// A pass over these; work that is not urgent leaves so much room free.
     pub fn new(
-        mut runners: Vec<OpenRunner>, held: Vec<HeldStep>, kept: Resources, random: &'a mut R,
+        mut runners: Vec<OpenRunner>,
+        held: Vec<HeldStep>,
+        kept: Resources,
+        random: &'a mut R,
     ) -> Pass<'a, R> {
         runners.shuffle(random);
         let mut free = Resources::default();
-        runners.iter().for_each(|runner| add(&mut free, runner.room));
-        let mut pass = Pass { runners, held, kept, free, mean_costs: Vec::new(), random, placed: Vec::new() };
+        runners
+            .iter()
+            .for_each(|runner| add(&mut free, runner.room));
+        let mut pass = Pass {
+            runners,
+            held,
+            kept,
+            free,
+            mean_costs: Vec::new(),
+            random,
+            placed: Vec::new(),
+        };
         pass.mean_costs = (0..pass.held.len()).map(|h| pass.mean_cost(h)).collect();
         pass
     }
@@ -137,9 +151,13 @@
         let mut first = 0;
         while first < self.held.len() {
             let priority = self.held[first].priority;
-            let count = self.held[first..].iter().take_while(|held| held.priority == priority).count();
+            let count = self.held[first..]
+                .iter()
+                .take_while(|held| held.priority == priority)
+                .count();
             let level = first..first + count;
-            let (gangs, singles): (Vec<usize>, Vec<usize>) = level.clone().partition(|&h| self.held[h].gang);
+            let (gangs, singles): (Vec<usize>, Vec<usize>) =
+                level.clone().partition(|&h| self.held[h].gang);
             gangs.into_iter().for_each(|h| self.place_gang(h));
             self.visit_runners(level);
             singles.into_iter().for_each(|h| self.place_cheapest(h));
@@ -201,7 +219,9 @@
     fn may_start(&self, h: usize, r: usize) -> bool {
         let (held, runner) = (&self.held[h], &self.runners[r]);
         let avoiding = held.avoiding.get(&runner.node).copied().unwrap_or(0);
-        let kept = runner.reserved.is_some_and(|r| r.step != held.id && r.priority <= held.priority);
+        let kept = runner
+            .reserved
+            .is_some_and(|r| r.step != held.id && r.priority <= held.priority);
         held.waiting > avoiding
             && self.leaves_enough(held)
             && !kept
@@ -220,7 +240,11 @@
 
     fn carries_less(&self, h: usize, r: usize) -> bool {
         let held = &self.held[h];
-        let carried = held.carried.get(&self.runners[r].node).copied().unwrap_or(0);
+        let carried = held
+            .carried
+            .get(&self.runners[r].node)
+            .copied()
+            .unwrap_or(0);
         held.anti_affinity == 0 || carried < held.anti_affinity
     }
 
@@ -232,7 +256,10 @@
         runner.starts -= 1;
         held.waiting -= 1;
         *held.carried.entry(runner.node).or_default() += 1;
-        self.placed.push(Placement { step: held.id, runner: runner.node });
+        self.placed.push(Placement {
+            step: held.id,
+            runner: runner.node,
+        });
     }
 
     /// Whatever is left of a step takes its cheapest runner with room.
@@ -252,7 +279,9 @@
         for (r, runner) in self.runners.iter().enumerate() {
             racks.entry(runner.rack()).or_default().push(r);
         }
-        let within = racks.into_values().filter_map(|runners| self.gang_seats(h, runners));
+        let within = racks
+            .into_values()
+            .filter_map(|runners| self.gang_seats(h, runners));
         let tightest = within.min_by_key(|seats| seats.len());
         let spread = || self.gang_seats(h, (0..self.runners.len()).collect());
         let seats = match held.rack_local && held.held_ms < RACK_PATIENCE_MS {
@@ -267,8 +296,13 @@
     /// Seats for all tasks of a gang among these runners, on as few of them as can be.
     fn gang_seats(&self, h: usize, runners: Vec<usize>) -> Option<Vec<Seat>> {
         let held = &self.held[h];
-        let mut seats: Vec<Seat> =
-            runners.into_iter().map(|r| Seat { runner: r, tasks: self.seats_at(h, r) }).collect();
+        let mut seats: Vec<Seat> = runners
+            .into_iter()
+            .map(|r| Seat {
+                runner: r,
+                tasks: self.seats_at(h, r),
+            })
+            .collect();
         seats.retain(|seat| seat.tasks > 0);
         seats.sort_by_key(|seat| std::cmp::Reverse(seat.tasks));
         let mut left = held.waiting;
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -58,9 +58,13 @@
     /// Makes room for the first held steps of a service that found none.
     pub(crate) fn preempt(&mut self, now: Now, service: &str) {
         let queue = &self.queue;
-        self.reservations.retain(|_, held| now.steady < held.until && queue.is_held(held.step));
+        self.reservations
+            .retain(|_, held| now.steady < held.until && queue.is_held(held.step));
         for key in self.queue.held(service, STEPS_IN_A_ROUND) {
-            let reserved = self.reservations.values().any(|reservation| reservation.step == key.step);
+            let reserved = self
+                .reservations
+                .values()
+                .any(|reservation| reservation.step == key.step);
             if !reserved && (key.priority == 0 || self.has_waited(now, key.step)) {
                 self.make_room(now, service, key);
             }
@@ -68,19 +72,38 @@
     }
 
     fn has_waited(&self, now: Now, id: StepId) -> bool {
-        let Some(job) = self.jobs.get(&id.job) else { return false };
-        let since = job.step(id).map_or(now.steady, |step| step.waiting_since.max(job.taken_at));
+        let Some(job) = self.jobs.get(&id.job) else {
+            return false;
+        };
+        let since = job
+            .step(id)
+            .map_or(now.steady, |step| step.waiting_since.max(job.taken_at));
         now.steady.millis_since(since) >= PATIENCE_MS
     }
 
     fn make_room(&mut self, now: Now, service: &str, key: HeldKey) {
-        let Some(job) = self.jobs.get(&key.step.job) else { return };
-        let (Some(stage), Some(step)) = (job.stage(key.step).cloned(), job.step(key.step)) else { return };
+        let Some(job) = self.jobs.get(&key.step.job) else {
+            return;
+        };
+        let (Some(stage), Some(step)) = (job.stage(key.step).cloned(), job.step(key.step)) else {
+            return;
+        };
         let wanted = step.waiting.len() as u32;
         let offers = self.offers(now, service, key, &stage);
-        let chosen = if stage.gang { whole_gang(offers, &stage, wanted) } else { offers };
-        let until = now.steady.plus_millis(self.settings.bounds.stop_ms + RESERVATION_MARGIN_MS);
-        let reservation = Reservation { step: key.step, priority: key.priority, until, drain: false };
+        let chosen = if stage.gang {
+            whole_gang(offers, &stage, wanted)
+        } else {
+            offers
+        };
+        let until = now
+            .steady
+            .plus_millis(self.settings.bounds.stop_ms + RESERVATION_MARGIN_MS);
+        let reservation = Reservation {
+            step: key.step,
+            priority: key.priority,
+            until,
+            drain: false,
+        };
         if chosen.is_empty() {
             return self.drain_for(now, service, key);
         }
@@ -92,7 +115,9 @@
             if stage.gang || !victims.is_empty() {
                 self.reservations.insert(offer.node, reservation);
             }
-            victims.into_iter().for_each(|victim| self.stop(victim.node, victim.task));
+            victims
+                .into_iter()
+                .for_each(|victim| self.stop(victim.node, victim.task));
             if left == 0 {
                 break;
             }
@@ -103,11 +128,18 @@
     fn offers(&self, now: Now, service: &str, key: HeldKey, stage: &Stage) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (&node, runner) in &self.runners {
-            let free = self.reservations.get(&node).is_none_or(|held| held.priority > key.priority);
+            let free = self
+                .reservations
+                .get(&node)
+                .is_none_or(|held| held.priority > key.priority);
             let suits = runner.service == service
                 && stage.constraints.all_in(&runner.labels)
                 && self.carries_less(node, key, stage);
-            if free && suits && runner.usable(now.steady) && fits(stage.resources(), runner.capacity) {
+            if free
+                && suits
+                && runner.usable(now.steady)
+                && fits(stage.resources(), runner.capacity)
+            {
                 offers.extend(self.offer(now, node, runner, key.priority, stage));
             }
         }
@@ -120,13 +152,23 @@
         if stage.anti_affinity == 0 {
             return true;
         }
-        let step = self.jobs.get(&key.step.job).and_then(|job| job.step(key.step));
+        let step = self
+            .jobs
+            .get(&key.step.job)
+            .and_then(|job| job.step(key.step));
         let tasks = step.iter().flat_map(|step| &step.tasks);
         let carried = tasks.filter(|task| task.on == Some(node)).count();
         carried < stage.anti_affinity as usize
     }
 
-    fn offer(&self, now: Now, node: NodeId, runner: &Runner, priority: u32, stage: &Stage) -> Option<Offer> {
+    fn offer(
+        &self,
+        now: Now,
+        node: NodeId,
+        runner: &Runner,
+        priority: u32,
+        stage: &Stage,
+    ) -> Option<Offer> {
         let mut victims = Vec::new();
         let mut room = runner.room();
         for (&task, assignment) in &runner.assigned {
@@ -135,21 +177,40 @@
                 continue;
             }
             let old = now.steady.millis_since(assignment.since) >= YOUNG_MS;
-            if let Some(loss) = self.loss(now, task, priority).filter(|_| old && assignment.active) {
-                victims.push(Victim { node, task, resources: assignment.resources, loss });
+            if let Some(loss) = self
+                .loss(now, task, priority)
+                .filter(|_| old && assignment.active)
+            {
+                victims.push(Victim {
+                    node,
+                    task,
+                    resources: assignment.resources,
+                    loss,
+                });
             }
         }
         victims.sort_by_key(|victim| (victim.loss, std::cmp::Reverse(victim.resources.gpu)));
         let mut freed = room;
-        victims.iter().for_each(|victim| add(&mut freed, victim.resources));
+        victims
+            .iter()
+            .for_each(|victim| add(&mut freed, victim.resources));
         let seats = times_fitting(stage.resources(), freed, stage.count);
         let rack = runner.rack().to_owned();
-        (seats > 0).then_some(Offer { node, rack, room, victims, seats })
+        (seats > 0).then_some(Offer {
+            node,
+            rack,
+            room,
+            victims,
+            seats,
+        })
     }
 
     /// What stopping a run would waste; `None` where it may not be stopped for this priority.
     fn loss(&self, now: Now, id: TaskId, priority: u32) -> Option<u64> {
-        let job = self.jobs.get(&id.step.job).filter(|job| job.outcome == Outcome::Active)?;
+        let job = self
+            .jobs
+            .get(&id.step.job)
+            .filter(|job| job.outcome == Outcome::Active)?;
         let stage = job.stage(id.step)?;
         if job.terms.priority <= priority || stage.gang || stage.long_running {
             return None;
@@ -167,12 +228,20 @@
 fn whole_gang(offers: Vec<Offer>, stage: &Stage, wanted: u32) -> Vec<Offer> {
     let mut racks: BTreeMap<String, Vec<Offer>> = BTreeMap::new();
     for offer in offers {
-        let rack = if stage.rack_local { offer.rack.clone() } else { String::new() };
+        let rack = if stage.rack_local {
+            offer.rack.clone()
+        } else {
+            String::new()
+        };
         racks.entry(rack).or_default().push(offer);
     }
     let seats = |offers: &Vec<Offer>| offers.iter().map(|offer| offer.seats).sum::<u32>();
     let loss = |offers: &Vec<Offer>| {
-        offers.iter().flat_map(|offer| &offer.victims).map(|victim| victim.loss).sum::<u64>()
+        offers
+            .iter()
+            .flat_map(|offer| &offer.victims)
+            .map(|victim| victim.loss)
+            .sum::<u64>()
     };
     let enough = racks.into_values().filter(|offers| seats(offers) >= wanted);
     enough.min_by_key(loss).unwrap_or_default()
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -26,18 +26,29 @@
 impl HeldQueue {
     /// Holds a step, or moves it.
     pub fn hold(&mut self, service: &str, key: HeldKey) {
-        if self.places.get(&key.step).is_some_and(|(held, at)| held == service && *at == key) {
+        if self
+            .places
+            .get(&key.step)
+            .is_some_and(|(held, at)| held == service && *at == key)
+        {
             return;
         }
         self.release(key.step);
-        self.services.entry(service.to_owned()).or_default().insert(key);
+        self.services
+            .entry(service.to_owned())
+            .or_default()
+            .insert(key);
         self.places.insert(key.step, (service.to_owned(), key));
     }
 
     /// Holds a step no longer.
     pub fn release(&mut self, step: StepId) {
-        let Some((service, key)) = self.places.remove(&step) else { return };
-        let Some(held) = self.services.get_mut(&service) else { return };
+        let Some((service, key)) = self.places.remove(&step) else {
+            return;
+        };
+        let Some(held) = self.services.get_mut(&service) else {
+            return;
+        };
         held.remove(&key);
         if held.is_empty() {
             self.services.remove(&service);
@@ -56,7 +67,10 @@
 
     /// The first `most` held steps of a service, in order.
     pub fn held(&self, service: &str, most: usize) -> Vec<HeldKey> {
-        self.services.get(service).map(|held| held.iter().take(most).copied().collect()).unwrap_or_default()
+        self.services
+            .get(service)
+            .map(|held| held.iter().take(most).copied().collect())
+            .unwrap_or_default()
     }
 
     /// True where nothing is held.
--- a/crates/scheduler/src/record.rs
+++ b/crates/scheduler/src/record.rs
@@ -78,7 +78,10 @@
     pub fn to_bytes(self) -> Vec<u8> {
         match self {
             Key::Job(id) => [&[JOB_KEY][..], &id.0.to_be_bytes()].concat(),
-            Key::Task(TaskId { step: StepId { job, time, step }, index }) => [
+            Key::Task(TaskId {
+                step: StepId { job, time, step },
+                index,
+            }) => [
                 &[TASK_KEY][..],
                 &job.0.to_be_bytes(),
                 &time.to_be_bytes(),
@@ -100,8 +103,15 @@
         let (time, rest) = rest.split_first_chunk::<4>()?;
         let (step, rest) = rest.split_first_chunk::<4>()?;
         let (index, rest) = rest.split_first_chunk::<4>()?;
-        let step = StepId { job, time: u32::from_be_bytes(*time), step: u32::from_be_bytes(*step) };
-        let task = TaskId { step, index: u32::from_be_bytes(*index) };
+        let step = StepId {
+            job,
+            time: u32::from_be_bytes(*time),
+            step: u32::from_be_bytes(*step),
+        };
+        let task = TaskId {
+            step,
+            index: u32::from_be_bytes(*index),
+        };
         (kind == TASK_KEY && rest.is_empty()).then_some(Key::Task(task))
     }
 }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -17,7 +17,10 @@
             return;
         }
         let (started_at, epoch) = (self.started_at, self.epoch);
-        let runner = self.runners.entry(from).or_insert_with(|| Runner::new(started_at));
+        let runner = self
+            .runners
+            .entry(from)
+            .or_insert_with(|| Runner::new(started_at));
         match admit(runner, &report, epoch) {
             Admission::Newest => {}
             Admission::Unproven => return self.answer_report(now, from, &report),
@@ -38,9 +41,15 @@
         if !self.take_instance(now, from, report) {
             return;
         }
-        let Some(runner) = self.runners.get_mut(&from) else { return };
+        let Some(runner) = self.runners.get_mut(&from) else {
+            return;
+        };
         runner.service = report.service.0.clone();
-        if !runner.labels.iter().eq(report.labels.iter().map(|label| &label.0)) {
+        if !runner
+            .labels
+            .iter()
+            .eq(report.labels.iter().map(|label| &label.0))
+        {
             runner.labels = report.labels.iter().map(|label| label.0.clone()).collect();
         }
         runner.capacity = report.capacity;
@@ -52,7 +61,9 @@
         self.note_active(now, from, report);
         self.note_finished(now, from, report);
         self.note_absent(now, from, report);
-        let Some(runner) = self.runners.get_mut(&from) else { return };
+        let Some(runner) = self.runners.get_mut(&from) else {
+            return;
+        };
         runner.known |= report.epoch == self.epoch && report.settled;
     }
 
@@ -60,7 +71,9 @@
     /// former one ran is over, but an agent that started anew may have been told by one that is no more: it is settled,
     /// or no hold lasts, before that counts.
     fn take_instance(&mut self, now: Now, node: NodeId, report: &RunnerReport) -> bool {
-        let Some(runner) = self.runners.get_mut(&node) else { return false };
+        let Some(runner) = self.runners.get_mut(&node) else {
+            return false;
+        };
         if runner.instance == *report.instance {
             return true;
         }
@@ -80,21 +93,42 @@
 
     /// Everything assigned to the runner is over.
     pub(crate) fn all_over(&mut self, now: Now, node: NodeId) {
-        let Some(runner) = self.runners.get(&node) else { return };
+        let Some(runner) = self.runners.get(&node) else {
+            return;
+        };
         let tasks: Vec<TaskId> = runner.assigned.keys().copied().collect();
-        tasks.into_iter().for_each(|task| self.over_without_end(now, node, task));
+        tasks
+            .into_iter()
+            .for_each(|task| self.over_without_end(now, node, task));
     }
 
     fn over_without_end(&mut self, now: Now, node: NodeId, task: TaskId) {
-        self.run_over(now, OverRun { node, task, end: RunEnd::Lapsed, saved: String::new() });
+        self.run_over(
+            now,
+            OverRun {
+                node,
+                task,
+                end: RunEnd::Lapsed,
+                saved: String::new(),
+            },
+        );
     }
 
     fn note_active(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
-        let Some(runner) = self.runners.get_mut(&from) else { return };
-        runner.assigned.values_mut().for_each(|assignment| assignment.active = false);
+        let Some(runner) = self.runners.get_mut(&from) else {
+            return;
+        };
+        runner
+            .assigned
+            .values_mut()
+            .for_each(|assignment| assignment.active = false);
         runner.unknown.clear();
         let mut progressed = Vec::new();
-        let listed = if report.lapsed { &[][..] } else { &report.active[..] };
+        let listed = if report.lapsed {
+            &[][..]
+        } else {
+            &report.active[..]
+        };
         for run in listed {
             let id = TaskId::parse(&run.task);
             let assignment = id.and_then(|id| runner.assigned.get_mut(&id));
@@ -107,9 +141,16 @@
                         assignment.moved_at = now.steady;
                     }
                 }
-                None => runner.unknown.push(StopOrder { task: run.task.clone(), attempt: run.attempt }),
+                None => runner.unknown.push(StopOrder {
+                    task: run.task.clone(),
+                    attempt: run.attempt,
+                }),
             }
-            let task = id.and_then(|id| self.jobs.get_mut(&id.step.job).and_then(|job| job.task_mut(id)));
+            let task = id.and_then(|id| {
+                self.jobs
+                    .get_mut(&id.step.job)
+                    .and_then(|job| job.task_mut(id))
+            });
             let task = task.filter(|task| !run.saved.is_empty() && task.attempt == run.attempt);
             if let (Some(task), Some(id)) = (task, id) {
                 if task.saved != run.saved.0 {
@@ -131,7 +172,9 @@
         let mut finished: Vec<_> = report.finished.iter().collect();
         finished.sort_by_key(|run| run.number);
         for run in finished {
-            let Some(runner) = self.runners.get_mut(&from) else { return };
+            let Some(runner) = self.runners.get_mut(&from) else {
+                return;
+            };
             if run.number <= runner.noted {
                 continue;
             }
@@ -140,11 +183,22 @@
             let assigned = id.and_then(|id| runner.assigned.get(&id));
             if let Some(task) = id.filter(|_| assigned.is_some_and(|a| a.attempt == run.attempt)) {
                 let saved = run.saved.0.clone();
-                self.run_over(now, OverRun { node: from, task, end: run.end, saved });
+                self.run_over(
+                    now,
+                    OverRun {
+                        node: from,
+                        task,
+                        end: run.end,
+                        saved,
+                    },
+                );
             }
             let batch = self.ledger.current();
             if let Some(runner) = self.runners.get_mut(&from) {
-                runner.ends.push_back(NotedEnd { number: run.number, batch });
+                runner.ends.push_back(NotedEnd {
+                    number: run.number,
+                    batch,
+                });
             }
             self.awaiting.wait_for(batch, from);
             self.changed.insert(from);
@@ -155,10 +209,18 @@
     /// What is neither active nor finished, and can no longer start, is over.
     fn note_absent(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let own = report.epoch == self.epoch;
-        let Some(runner) = self.runners.get_mut(&from) else { return };
+        let Some(runner) = self.runners.get_mut(&from) else {
+            return;
+        };
         let mut over = Vec::new();
-        for (&task, assignment) in runner.assigned.iter_mut().filter(|(_, assignment)| !assignment.active) {
-            let withdrawn = assignment.withdrawn.is_some_and(|revision| own && report.revision >= revision);
+        for (&task, assignment) in runner
+            .assigned
+            .iter_mut()
+            .filter(|(_, assignment)| !assignment.active)
+        {
+            let withdrawn = assignment
+                .withdrawn
+                .is_some_and(|revision| own && report.revision >= revision);
             if withdrawn && (report.settled || report.lapsed) || report.lapsed && assignment.seen {
                 over.push(task);
             } else if report.lapsed {
@@ -166,12 +228,15 @@
                 self.changed.insert(from);
             }
         }
-        over.into_iter().for_each(|task| self.over_without_end(now, from, task));
+        over.into_iter()
+            .for_each(|task| self.over_without_end(now, from, task));
     }
 
     /// Ends of a runner whose batches are kept may be observed.
     pub(crate) fn observe_ends(&mut self, node: NodeId) {
-        let Some(runner) = self.runners.get_mut(&node) else { return };
+        let Some(runner) = self.runners.get_mut(&node) else {
+            return;
+        };
         let before = runner.observed;
         let ledger = &self.ledger;
         runner.observe(|batch| ledger.is_kept(batch));
@@ -183,10 +248,16 @@
     /// Runs of runners that cannot have been allowed to go on are over.
     pub(crate) fn give_up_unreachable(&mut self, now: Now) {
         let over = |runner: &Runner| !runner.assigned.is_empty() && runner.is_over(now.steady);
-        let nodes: Vec<NodeId> =
-            self.runners.iter().filter(|(_, runner)| over(runner)).map(|(&node, _)| node).collect();
+        let nodes: Vec<NodeId> = self
+            .runners
+            .iter()
+            .filter(|(_, runner)| over(runner))
+            .map(|(&node, _)| node)
+            .collect();
         for node in nodes {
-            log::warn!("runner at {node} is out of reach for longer than its lease: its runs are over");
+            log::warn!(
+                "runner at {node} is out of reach for longer than its lease: its runs are over"
+            );
             self.all_over(now, node);
             if let Some(runner) = self.runners.get_mut(&node) {
                 runner.known = false;
@@ -210,7 +281,11 @@
     if runner.agent == report.agent {
         let newer = report.sequence > runner.sequence;
         runner.sequence = runner.sequence.max(report.sequence);
-        return if newer { Admission::Newest } else { Admission::Late };
+        return if newer {
+            Admission::Newest
+        } else {
+            Admission::Late
+        };
     }
     if runner.replaced.contains(&report.agent) {
         return Admission::Late;
@@ -232,10 +307,16 @@
 /// True where the report was sent under orders that its agent was first answered with. A report that comes late, of an
 /// agent that is no more, cannot have been.
 fn proves_itself(runner: &mut Runner, report: &RunnerReport, epoch: Epoch) -> bool {
-    if let Some(candidate) = runner.candidate.filter(|candidate| candidate.agent == report.agent) {
+    if let Some(candidate) = runner
+        .candidate
+        .filter(|candidate| candidate.agent == report.agent)
+    {
         return report.epoch == epoch && report.revision >= candidate.revision;
     }
     runner.revision += 1;
-    runner.candidate = Some(Candidate { agent: report.agent, revision: runner.revision });
+    runner.candidate = Some(Candidate {
+        agent: report.agent,
+        revision: runner.revision,
+    });
     false
 }
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -38,12 +38,14 @@
         };
         self.next_order = self.next_order.max(terms.order + 1);
         if record.outcome != Outcome::Active {
-            self.jobs.insert(id, Job::ended(id, terms, record.outcome, now.steady));
+            self.jobs
+                .insert(id, Job::ended(id, terms, record.outcome, now.steady));
             return;
         }
         match JobSpec::parse(&record.body) {
             Ok(spec) => {
-                self.jobs.insert(id, Job::new(id, terms, spec, record.body.0, now.steady));
+                self.jobs
+                    .insert(id, Job::new(id, terms, spec, record.body.0, now.steady));
                 self.active.insert(id);
             }
             Err(error) => log::error!("job {id} as kept cannot be read: {error}"),
@@ -56,7 +58,11 @@
             return;
         };
         let mut wanted = false;
-        if let Some(job) = self.jobs.get_mut(&id.step.job).filter(|job| job.outcome == Outcome::Active) {
+        if let Some(job) = self
+            .jobs
+            .get_mut(&id.step.job)
+            .filter(|job| job.outcome == Outcome::Active)
+        {
             job.restore_task(id, &record);
             wanted = record.done == 0;
         }
@@ -69,7 +75,10 @@
 
     fn restore_assignment(&mut self, now: Now, id: TaskId, record: &TaskRecord, wanted: bool) {
         let started_at = self.started_at;
-        let runner = self.runners.entry(record.assignment.agent).or_insert_with(|| Runner::new(started_at));
+        let runner = self
+            .runners
+            .entry(record.assignment.agent)
+            .or_insert_with(|| Runner::new(started_at));
         // Only one instance at a machine can still be running; the newest assignment names it.
         runner.instance = record.assignment.instance.0.clone();
         let assignment = Assignment {
--- a/crates/scheduler/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -16,7 +16,8 @@
 const SILENT_MS: u64 = 900;
 
 /// How long after the last grant of a lease every run of an unreachable runner is over, in milliseconds.
-pub const OVER_AFTER_MS: u64 = AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * CLOCK_RATE) as u64 + LEASE_MARGIN_MS;
+pub const OVER_AFTER_MS: u64 =
+    AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * CLOCK_RATE) as u64 + LEASE_MARGIN_MS;
 
 /// A run that may be on the runner.
 #[derive(Clone, Debug)]
@@ -139,7 +140,12 @@
     /// True where it is present, known, well and heard of.
     pub fn reachable(&self, now: Time) -> bool {
         let heard = now.millis_since(self.heard) < UNHEARD_MS && self.silent_ms < SILENT_MS;
-        self.present && self.known && heard && !self.draining && !self.lapsed && self.unknown.is_empty()
+        self.present
+            && self.known
+            && heard
+            && !self.draining
+            && !self.lapsed
+            && self.unknown.is_empty()
     }
 
     /// Its capacity less what may be running there.
