--- a/crates/store/src/node/frames.rs
+++ b/crates/store/src/node/frames.rs
@@ -22,11 +22,18 @@
     /// What the sender has of merged state.
     MergedDigest(Vec<Digest>),
     /// What the receiver lacks of it; `have`: what the sender has, empty in an answer to an answer.
-    MergedItems { have: Vec<Digest>, items: Vec<(Key, Item)> },
+    MergedItems {
+        have: Vec<Digest>,
+        items: Vec<(Key, Item)>,
+    },
     /// A claim of a name.
     Claim { name: Name, no: u64, epoch: u32 },
     /// The answer to that.
-    ClaimReply { no: u64, epoch: u32, reply: ClaimReply },
+    ClaimReply {
+        no: u64,
+        epoch: u32,
+        reply: ClaimReply,
+    },
     /// The end of a claim.
     End { name: Name, no: u64, ended: Ended },
     /// Confirms that.
@@ -40,8 +47,12 @@
 impl Node {
     pub(super) fn frame(&mut self, body: &Body) -> Vec<u8> {
         self.frame_no += 1;
-        let envelope =
-            Envelope { from: self.me, birth: self.birth, incarnation: self.incarnation, no: self.frame_no };
+        let envelope = Envelope {
+            from: self.me,
+            birth: self.birth,
+            incarnation: self.incarnation,
+            no: self.frame_no,
+        };
         let frame = self.codec.write(&envelope, body);
         self.sent.count(&frame);
         frame
@@ -63,7 +74,14 @@
             return self.refuse(Refused::Stranger);
         }
         self.received.count(frame);
-        self.dispatch(now, Owner { who: from, birth: envelope.birth }, body);
+        self.dispatch(
+            now,
+            Owner {
+                who: from,
+                birth: envelope.birth,
+            },
+            body,
+        );
     }
 
     fn dispatch(&mut self, now: f64, sender: Owner, body: Body) {
--- a/crates/store/src/node/gossip.rs
+++ b/crates/store/src/node/gossip.rs
@@ -28,13 +28,22 @@
     pub(super) fn answer_digest(&mut self, now: f64, from: u64, have: &[Digest]) {
         self.merged.heard(now, from, have);
         let items = self.merged.beyond(have, MAX_GOSSIP_BYTES);
-        let body = Body::MergedItems { have: self.merged.digest(), items };
+        let body = Body::MergedItems {
+            have: self.merged.digest(),
+            items,
+        };
         self.send(from, &body);
     }
 
     /// The answer to a question brings what the asker lacks, and asks for what it has beyond; the answer to that says
     /// no more.
-    pub(super) fn take_items(&mut self, now: f64, from: u64, have: &[Digest], items: Vec<(Key, Item)>) {
+    pub(super) fn take_items(
+        &mut self,
+        now: f64,
+        from: u64,
+        have: &[Digest],
+        items: Vec<(Key, Item)>,
+    ) {
         for (key, item) in items {
             if self.members.contains(&key.owner) {
                 self.changed |= self.merged.join(now, key, item);
@@ -46,7 +55,13 @@
         self.merged.heard(now, from, have);
         let items = self.merged.beyond(have, MAX_GOSSIP_BYTES);
         if !items.is_empty() {
-            self.send(from, &Body::MergedItems { have: Vec::new(), items });
+            self.send(
+                from,
+                &Body::MergedItems {
+                    have: Vec::new(),
+                    items,
+                },
+            );
         }
     }
 }
--- a/crates/store/src/node/journaling.rs
+++ b/crates/store/src/node/journaling.rs
@@ -63,7 +63,12 @@
         for (to, message) in output.messages {
             frames.push((to, self.frame(&Body::Log(message))));
         }
-        Batch { rewrite: output.rewrite, bytes, frames, mark: self.raft.last() }
+        Batch {
+            rewrite: output.rewrite,
+            bytes,
+            frames,
+            mark: self.raft.last(),
+        }
     }
 
     /// The next to be written, synced, and only then sent: in order, one after the other.
--- a/crates/store/src/node/operator_words.rs
+++ b/crates/store/src/node/operator_words.rs
@@ -27,11 +27,20 @@
 }
 
 fn word_out(record: &DiskRecord) -> Option<About> {
-    let DiskRecord::Entry(Entry { payload: EntryPayload::Command(command), .. }) = record else {
+    let DiskRecord::Entry(Entry {
+        payload: EntryPayload::Command(command),
+        ..
+    }) = record
+    else {
         return None;
     };
     match postcard::from_bytes(command) {
-        Ok(Proposal { op: Op::Word { about, out: true, .. }, .. }) => Some(about),
+        Ok(Proposal {
+            op: Op::Word {
+                about, out: true, ..
+            },
+            ..
+        }) => Some(about),
         _ => None,
     }
 }
@@ -56,7 +65,14 @@
     /// Says one out or back for all. Out holds here and at all who hear of it from now on, agreed or not.
     pub fn word(&mut self, now: f64, about: About, out: bool) -> Option<u64> {
         let seen = self.facts.seen(&about);
-        let no = self.propose(now, Op::Word { about: about.clone(), out, seen })?;
+        let no = self.propose(
+            now,
+            Op::Word {
+                about: about.clone(),
+                out,
+                seen,
+            },
+        )?;
         if out {
             self.publish_waiting(now, &about, seen, no);
         }
@@ -64,7 +80,11 @@
     }
 
     fn publish_waiting(&mut self, now: f64, about: &About, seen: u64, no: u64) {
-        let word = WaitingWord { seen, birth: self.birth, no };
+        let word = WaitingWord {
+            seen,
+            birth: self.birth,
+            no,
+        };
         let value = postcard::to_allocvec(&word).unwrap_or_default();
         self.merged.put(now, &merged_name(about), Some(value));
         self.changed = true;
@@ -72,9 +92,13 @@
 
     /// Words that were said here and are agreed by now wait no longer; one from before a restart is proposed anew.
     pub(super) fn settle_words(&mut self, now: f64) {
-        let own = self.merged.under(WORD_PREFIX).filter(|(key, _)| key.owner == self.me);
-        let own: Vec<(String, Vec<u8>)> =
-            own.map(|(key, value)| (key.name.clone(), value.to_vec())).collect();
+        let own = self
+            .merged
+            .under(WORD_PREFIX)
+            .filter(|(key, _)| key.owner == self.me);
+        let own: Vec<(String, Vec<u8>)> = own
+            .map(|(key, value)| (key.name.clone(), value.to_vec()))
+            .collect();
         for (name, value) in own {
             let word = postcard::from_bytes::<WaitingWord>(&value).ok();
             if let Some((about, word)) = about(&name).zip(word) {
@@ -90,7 +114,14 @@
             self.merged.put(now, name, None);
             self.changed = true;
         } else if birth != self.birth && !self.behind() {
-            if let Some(no) = self.propose(now, Op::Word { about: about.clone(), out: true, seen }) {
+            if let Some(no) = self.propose(
+                now,
+                Op::Word {
+                    about: about.clone(),
+                    out: true,
+                    seen,
+                },
+            ) {
                 self.publish_waiting(now, &about, seen, no);
             }
         }
@@ -105,7 +136,12 @@
         for (key, _) in self.merged.under(WORD_PREFIX) {
             about(&key.name).map(|about| out.insert(about, false));
         }
-        for about in self.facts.words.keys().filter(|about| self.facts.out(about)) {
+        for about in self
+            .facts
+            .words
+            .keys()
+            .filter(|about| self.facts.out(about))
+        {
             out.insert(about.clone(), true);
         }
         out.into_iter().collect()
--- a/crates/store/src/node/proposals.rs
+++ b/crates/store/src/node/proposals.rs
@@ -11,7 +11,10 @@
 impl Node {
     /// Puts a proposal on the log, if this member leads and it is new.
     pub(super) fn append_proposal(&mut self, now: f64, proposal: &Proposal) {
-        let known = self.facts.done(proposal.who, proposal.birth, proposal.no).is_some();
+        let known = self
+            .facts
+            .done(proposal.who, proposal.birth, proposal.no)
+            .is_some();
         if known || self.disk_failed {
             return;
         }
@@ -27,7 +30,12 @@
             return None;
         }
         self.proposal_no += 1;
-        let proposal = Proposal { who: self.me, birth: self.birth, no: self.proposal_no, op };
+        let proposal = Proposal {
+            who: self.me,
+            birth: self.birth,
+            no: self.proposal_no,
+            op,
+        };
         self.proposals.push_back(proposal);
         self.next_propose = self.next_propose.min(now);
         self.hand_in(now);
@@ -50,7 +58,9 @@
         if now < self.next_propose {
             return;
         }
-        let Some(first) = self.proposals.front().cloned() else { return };
+        let Some(first) = self.proposals.front().cloned() else {
+            return;
+        };
         self.next_propose = now + RETRY_INTERVAL_S;
         if self.raft.is_leader() {
             self.append_proposal(now, &first);
@@ -78,6 +88,8 @@
 
     /// All that was agreed when it was asked is here.
     pub fn read_done(&mut self, no: u64) -> bool {
-        self.raft.read_index(no).is_some_and(|index| self.at >= index)
+        self.raft
+            .read_index(no)
+            .is_some_and(|index| self.at >= index)
     }
 }
--- a/crates/store/src/node/timer.rs
+++ b/crates/store/src/node/timer.rs
@@ -7,8 +7,16 @@
 impl Node {
     /// When `tick` is to be called next.
     pub fn due(&self) -> f64 {
-        let propose = if self.proposals.is_empty() { f64::INFINITY } else { self.next_propose };
-        let rest = self.next_merge.min(self.next_voters).min(self.claims.due()).min(self.holder_due);
+        let propose = if self.proposals.is_empty() {
+            f64::INFINITY
+        } else {
+            self.next_propose
+        };
+        let rest = self
+            .next_merge
+            .min(self.next_voters)
+            .min(self.claims.due())
+            .min(self.holder_due);
         self.raft.due().min(propose).min(rest)
     }
 
--- a/crates/store/src/records/claim.rs
+++ b/crates/store/src/records/claim.rs
@@ -73,11 +73,17 @@
         }
         self.sends += 1;
         self.next_send = now + RETRY_INTERVAL_S;
-        self.replicas.iter().copied().filter(|who| !self.has_answered(*who)).collect()
+        self.replicas
+            .iter()
+            .copied()
+            .filter(|who| !self.has_answered(*who))
+            .collect()
     }
 
     fn has_answered(&self, who: u64) -> bool {
-        self.granted.contains(&who) || self.refused.contains_key(&who) || self.unavailable.contains(&who)
+        self.granted.contains(&who)
+            || self.refused.contains_key(&who)
+            || self.unavailable.contains(&who)
     }
 
     /// A replica has answered. A grant outlives what the same one says later.
@@ -112,14 +118,21 @@
         if self.can_succeed() && !late && !self.is_exhausted(now) {
             return None;
         }
-        let Some(latest) = self.latest_refusal() else { return Some(Outcome::TooFew) };
+        let Some(latest) = self.latest_refusal() else {
+            return Some(Outcome::TooFew);
+        };
         match latest.ended {
             Some(ended) if !ended.ran && latest.epoch < MAX_EPOCH && !late => {
                 self.restart(now, latest.epoch + 1);
                 None
             }
-            Some(ended) => Some(Outcome::Known { ended, age_ms: latest.age_ms }),
-            None => Some(Outcome::InHand { age_ms: self.longest_age_ms() }),
+            Some(ended) => Some(Outcome::Known {
+                ended,
+                age_ms: latest.age_ms,
+            }),
+            None => Some(Outcome::InHand {
+                age_ms: self.longest_age_ms(),
+            }),
         }
     }
 
@@ -140,7 +153,11 @@
     }
 
     fn longest_age_ms(&self) -> u32 {
-        self.refused.values().map(|refusal| refusal.age_ms).max().unwrap_or(0)
+        self.refused
+            .values()
+            .map(|refusal| refusal.age_ms)
+            .max()
+            .unwrap_or(0)
     }
 
     fn restart(&mut self, now: f64, epoch: u32) {
--- a/crates/store/src/records/claims.rs
+++ b/crates/store/src/records/claims.rs
@@ -66,7 +66,10 @@
 impl Claims {
     /// Nothing is claimed yet.
     pub fn new(me: u64) -> Claims {
-        Claims { me, ..Claims::default() }
+        Claims {
+            me,
+            ..Claims::default()
+        }
     }
 
     /// How many names are owned.
@@ -81,7 +84,8 @@
         let own_copy = usize::from(replicas.contains(&self.me));
         let majority = replicas.len() / 2 + 1;
         let quorum = majority.max(copies + own_copy);
-        self.pending.insert(self.last_no, Claim::new(now, name, replicas, quorum));
+        self.pending
+            .insert(self.last_no, Claim::new(now, name, replicas, quorum));
         self.last_no
     }
 
@@ -90,7 +94,11 @@
         if !self.unsent_reports.is_empty() {
             return 0.0;
         }
-        let claims = self.pending.values().map(|claim| claim.next_send).fold(f64::INFINITY, f64::min);
+        let claims = self
+            .pending
+            .values()
+            .map(|claim| claim.next_send)
+            .fold(f64::INFINITY, f64::min);
         match self.reports.is_empty() {
             true => claims,
             false => claims.min(self.next_report),
@@ -103,7 +111,9 @@
         let mut reports = std::mem::take(&mut self.unsent_reports);
         if now >= self.next_report {
             self.next_report = now + END_REPORT_INTERVAL_S;
-            self.reports.retain(|_, report| report.sends < MAX_END_REPORTS && !report.unconfirmed.is_empty());
+            self.reports.retain(|_, report| {
+                report.sends < MAX_END_REPORTS && !report.unconfirmed.is_empty()
+            });
             reports = self.reports.keys().copied().collect();
         }
         for no in reports {
@@ -114,21 +124,34 @@
     fn send_claims(&mut self, now: f64, messages: &mut Vec<(u64, ClaimMessage)>) {
         for (&no, claim) in &mut self.pending {
             let receivers = claim.send_to(now);
-            let message = ClaimMessage::Claim { name: claim.name, no, epoch: claim.epoch };
+            let message = ClaimMessage::Claim {
+                name: claim.name,
+                no,
+                epoch: claim.epoch,
+            };
             messages.extend(receivers.into_iter().map(|to| (to, message.clone())));
         }
     }
 
     fn send_report(&mut self, no: u64, messages: &mut Vec<(u64, ClaimMessage)>) {
-        let Some(report) = self.reports.get_mut(&no) else { return };
+        let Some(report) = self.reports.get_mut(&no) else {
+            return;
+        };
         report.sends += 1;
-        let message = ClaimMessage::End { name: report.name, no, ended: report.ended.clone() };
+        let message = ClaimMessage::End {
+            name: report.name,
+            no,
+            ended: report.ended.clone(),
+        };
         messages.extend(report.unconfirmed.iter().map(|to| (*to, message.clone())));
     }
 
     /// A replica has answered a claim.
     pub fn answered(&mut self, from: u64, no: u64, epoch: u32, reply: ClaimReply) {
-        let claim = self.pending.get_mut(&no).filter(|claim| claim.epoch == epoch);
+        let claim = self
+            .pending
+            .get_mut(&no)
+            .filter(|claim| claim.epoch == epoch);
         if let Some(claim) = claim {
             claim.take_reply(from, reply);
         }
@@ -149,7 +172,15 @@
 
     fn report_end(&mut self, no: u64, owned: OwnedName, ended: Ended) {
         let unconfirmed = owned.replicas.into_iter().collect();
-        self.reports.insert(no, EndReport { name: owned.name, ended, unconfirmed, sends: 0 });
+        self.reports.insert(
+            no,
+            EndReport {
+                name: owned.name,
+                ended,
+                unconfirmed,
+                sends: 0,
+            },
+        );
         self.unsent_reports.push(no);
     }
 
@@ -173,7 +204,9 @@
 
     /// A replica has confirmed an end.
     pub fn confirmed(&mut self, from: u64, no: u64) {
-        let Some(report) = self.reports.get_mut(&no) else { return };
+        let Some(report) = self.reports.get_mut(&no) else {
+            return;
+        };
         report.unconfirmed.remove(&from);
         if report.unconfirmed.is_empty() {
             self.reports.remove(&no);
--- a/crates/store/src/records/holder.rs
+++ b/crates/store/src/records/holder.rs
@@ -61,9 +61,14 @@
 
     pub(super) fn sweep(&mut self, now: f64) {
         let now_us = microseconds(now);
-        while let Some(&(until, name)) = self.expiries.first().filter(|(until, _)| *until <= now_us) {
+        while let Some(&(until, name)) = self.expiries.first().filter(|(until, _)| *until <= now_us)
+        {
             self.expiries.pop_first();
-            if self.records.get(&name).is_some_and(|record| microseconds(record.until) == until) {
+            if self
+                .records
+                .get(&name)
+                .is_some_and(|record| microseconds(record.until) == until)
+            {
                 self.records.remove(&name);
             }
         }
@@ -94,7 +99,10 @@
             None if self.records.len() >= MAX_RECORDS => return ClaimReply::Unavailable,
             None => {}
         }
-        self.insert(name, Record::granted(claim, epoch, now, now + self.retention_s));
+        self.insert(
+            name,
+            Record::granted(claim, epoch, now, now + self.retention_s),
+        );
         ClaimReply::Granted
     }
 
--- a/crates/store/src/records/record.rs
+++ b/crates/store/src/records/record.rs
@@ -39,7 +39,11 @@
 impl Ended {
     /// The end of a work item that was provably never sent.
     pub(super) fn never_sent() -> Ended {
-        Ended { status: NEVER_SENT_STATUS, ran: false, body: None }
+        Ended {
+            status: NEVER_SENT_STATUS,
+            ran: false,
+            body: None,
+        }
     }
 }
 
@@ -97,14 +101,34 @@
 impl Record {
     /// A record of a claim that is granted now.
     pub(super) fn granted(claim: ClaimId, epoch: u32, now: f64, until: f64) -> Record {
-        Record { claim, epoch, since: now, until, ended: None, also: Vec::new() }
+        Record {
+            claim,
+            epoch,
+            since: now,
+            until,
+            ended: None,
+            also: Vec::new(),
+        }
     }
 
     /// A record that another sent, kept for `retention_s` from its beginning.
     pub(super) fn from_copy(copy: RecordCopy, now: f64, retention_s: f64) -> Record {
         let since = now - f64::from(copy.age_ms) / 1e3;
-        let RecordCopy { claim, epoch, ended, also, .. } = copy;
-        Record { claim, epoch, since, until: since + retention_s, ended, also }
+        let RecordCopy {
+            claim,
+            epoch,
+            ended,
+            also,
+            ..
+        } = copy;
+        Record {
+            claim,
+            epoch,
+            since,
+            until: since + retention_s,
+            ended,
+            also,
+        }
     }
 
     pub(super) fn to_copy(&self, name: Name, now: f64) -> RecordCopy {
@@ -136,8 +160,15 @@
     }
 
     fn refusal(&self, now: f64) -> Refusal {
-        let ended = self.ended.clone().filter(|ended| ended.ran || self.also.is_empty());
-        Refusal { epoch: self.epoch, ended, age_ms: self.age_ms(now) }
+        let ended = self
+            .ended
+            .clone()
+            .filter(|ended| ended.ran || self.also.is_empty());
+        Refusal {
+            epoch: self.epoch,
+            ended,
+            age_ms: self.age_ms(now),
+        }
     }
 
     /// Notes the end of a claim. Another's, or an earlier one's, is passed over.
@@ -176,14 +207,23 @@
         } else {
             self.with_claims_of(other)
         };
-        Record { epoch, since, until, ..merged }
+        Record {
+            epoch,
+            since,
+            until,
+            ..merged
+        }
     }
 
     /// Adds the claims of another record that may yet run.
     fn with_claims_of(mut self, other: Record) -> Record {
         let open = other.is_open().then_some(other.claim);
         let main = self.claim;
-        let further = other.also.into_iter().chain(open).filter(|claim| *claim != main);
+        let further = other
+            .also
+            .into_iter()
+            .chain(open)
+            .filter(|claim| *claim != main);
         self.also.extend(further);
         self.also.sort_unstable();
         self.also.dedup();
--- a/crates/store/src/records/recovery.rs
+++ b/crates/store/src/records/recovery.rs
@@ -68,7 +68,10 @@
         }
         self.recovery.next_request = now + REQUEST_INTERVAL_S;
         let recovery = &self.recovery;
-        let missing = others.iter().copied().filter(|who| !recovery.complete.contains(who));
+        let missing = others
+            .iter()
+            .copied()
+            .filter(|who| !recovery.complete.contains(who));
         missing.map(|who| (who, recovery.position(who))).collect()
     }
 
@@ -81,8 +84,14 @@
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self.records.range((from, Bound::Unbounded));
         let page = rest.by_ref().take(PAGE_RECORDS);
-        let records = page.map(|(name, record)| record.to_copy(*name, now)).collect();
-        Some(RecordPage { after, records, is_last: rest.next().is_none() })
+        let records = page
+            .map(|(name, record)| record.to_copy(*name, now))
+            .collect();
+        Some(RecordPage {
+            after,
+            records,
+            is_last: rest.next().is_none(),
+        })
     }
 
     /// Takes another's page; once all others have sent all, claims are granted.
@@ -98,7 +107,10 @@
         if page.is_last {
             self.recovery.complete.insert(from);
         }
-        if others.iter().all(|who| self.recovery.complete.contains(who)) {
+        if others
+            .iter()
+            .all(|who| self.recovery.complete.contains(who))
+        {
             self.ready_at = now;
         }
     }
--- a/crates/store/src/records/retry.rs
+++ b/crates/store/src/records/retry.rs
@@ -39,11 +39,19 @@
 
     fn answer_ended(self, ended: &Ended, age_ms: u32) -> Answer {
         match ended {
-            Ended { status: STATUS_OK, body: Some(body), .. } => {
-                Answer::Say { status: STATUS_OK, body: body.clone() }
-            }
+            Ended {
+                status: STATUS_OK,
+                body: Some(body),
+                ..
+            } => Answer::Say {
+                status: STATUS_OK,
+                body: body.clone(),
+            },
             // Done, but what it gave is not here; or given up already: no promise either way.
-            Ended { status: STATUS_OK | STATUS_WRITTEN_OFF, .. } => Answer::WriteOff,
+            Ended {
+                status: STATUS_OK | STATUS_WRITTEN_OFF,
+                ..
+            } => Answer::WriteOff,
             Ended { ran: false, .. } => Answer::Later,
             Ended { ran: true, .. } => self.answer_uncertain(age_ms),
         }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -4,13 +4,29 @@
 
 fn recs() -> Vec<DiskRecord> {
     let first = Entry::after(&Mark::default(), 1, EntryPayload::Noop);
-    let second = Entry::after(&first.mark, 2, EntryPayload::Command(b"a word of some length".to_vec()));
+    let second = Entry::after(
+        &first.mark,
+        2,
+        EntryPayload::Command(b"a word of some length".to_vec()),
+    );
     vec![
-        DiskRecord::Term { term: 2, vote: Some(7) },
+        DiskRecord::Term {
+            term: 2,
+            vote: Some(7),
+        },
         DiskRecord::Entry(first),
         DiskRecord::Entry(second),
         DiskRecord::Truncate { from: 2 },
-        DiskRecord::Disks(vec![DiskWritten { disk: 1, written: 2 }, DiskWritten { disk: 3, written: 4 }]),
+        DiskRecord::Disks(vec![
+            DiskWritten {
+                disk: 1,
+                written: 2,
+            },
+            DiskWritten {
+                disk: 3,
+                written: 4,
+            },
+        ]),
     ]
 }
 
@@ -31,8 +47,17 @@
         let whole = ends.iter().filter(|end| **end <= cut).count();
         match open(&bytes[..cut], 1, 2) {
             Held::Blank => assert_eq!(whole, 0, "{cut}"),
-            Held::Whole { disk, recs: held, written, upto } => {
-                assert_eq!((disk, written, upto), (3, 10 + whole as u64 - 1, ends[whole - 1]), "{cut}");
+            Held::Whole {
+                disk,
+                recs: held,
+                written,
+                upto,
+            } => {
+                assert_eq!(
+                    (disk, written, upto),
+                    (3, 10 + whole as u64 - 1, ends[whole - 1]),
+                    "{cut}"
+                );
                 assert_eq!(held, recs()[..whole - 1], "{cut}");
             }
             other => panic!("cut at {cut}: {other:?}"),
@@ -55,7 +80,10 @@
             flipped[at] ^= 1 << bit;
             let held = open(&flipped, 1, 2);
             // In the numbers of the head its own sum tells; everywhere else a record's. None is taken for whole.
-            assert!(matches!(held, Held::Damaged(_)), "byte {at} bit {bit}: {held:?}");
+            assert!(
+                matches!(held, Held::Damaged(_)),
+                "byte {at} bit {bit}: {held:?}"
+            );
         }
     }
 }
--- a/crates/store/tests/joins.rs
+++ b/crates/store/tests/joins.rs
@@ -5,14 +5,25 @@
 const OWNERS: u64 = 3;
 
 fn items() -> impl Strategy<Value = Vec<(Key, Item)>> {
-    let item =
-        (0..OWNERS, 0..4u8, 1..3u64, 1..9u64, any::<bool>()).prop_map(|(owner, key, inc, version, live)| {
-            let stamp = Stamp { incarnation: inc, version: version * 4 + u64::from(key) };
+    let item = (0..OWNERS, 0..4u8, 1..3u64, 1..9u64, any::<bool>()).prop_map(
+        |(owner, key, inc, version, live)| {
+            let stamp = Stamp {
+                incarnation: inc,
+                version: version * 4 + u64::from(key),
+            };
             // An owner's stamp is of one key and one value alone.
             let live = live ^ (stamp.version.is_multiple_of(3));
-            let value = (live && stamp.version % 2 == 1).then(|| vec![stamp.version as u8, inc as u8]);
-            (Key { owner, name: format!("k{key}") }, Item { stamp, value })
-        });
+            let value =
+                (live && stamp.version % 2 == 1).then(|| vec![stamp.version as u8, inc as u8]);
+            (
+                Key {
+                    owner,
+                    name: format!("k{key}"),
+                },
+                Item { stamp, value },
+            )
+        },
+    );
     proptest::collection::vec(item, 0..40).prop_map(|mut items| {
         // Oldest first, as they come from whoever has them all; one stamp, one item.
         items.sort_by_key(|(key, item)| (key.owner, item.stamp));
@@ -32,7 +43,10 @@
 }
 
 fn live(merged: &Merged) -> Vec<(Key, Vec<u8>)> {
-    merged.under("").map(|(key, value)| (key.clone(), value.to_vec())).collect()
+    merged
+        .under("")
+        .map(|(key, value)| (key.clone(), value.to_vec()))
+        .collect()
 }
 
 proptest! {
@@ -115,19 +129,32 @@
     owner.put(2.0, "k", None);
     let mut forgetful = Merged::new(2, 5, 100.0, 2.0);
     spread(&away, &mut forgetful, 3.0, 3);
-    assert_eq!(forgetful.get(1, "k"), Some(&[1][..]), "one that never heard of the mark takes the old value");
+    assert_eq!(
+        forgetful.get(1, "k"),
+        Some(&[1][..]),
+        "one that never heard of the mark takes the old value"
+    );
     spread(&owner, &mut forgetful, 4.0, 1);
     assert_eq!(forgetful.get(1, "k"), None, "until it hears");
 }
 
 fn op(who: u64, no: u64, op: Op) -> Proposal {
-    Proposal { who, birth: 1, no, op }
+    Proposal {
+        who,
+        birth: 1,
+        no,
+        op,
+    }
 }
 
 #[test]
 fn words_on_two_sides_of_a_split_both_stand_until_one_decides() {
     let about = About::Runner("r1".to_string());
-    let word = |out, seen| Op::Word { about: about.clone(), out, seen };
+    let word = |out, seen| Op::Word {
+        about: about.clone(),
+        out,
+        seen,
+    };
     let mut facts = Facts::default();
     assert!(facts.take(10, op(1, 1, word(true, 0))));
     assert!(facts.out(&about));
@@ -136,10 +163,16 @@
     assert!(!facts.out(&about));
     assert!(facts.take(12, op(2, 1, word(true, 10))));
     assert!(facts.out(&about), "the more cautious holds");
-    assert!(facts.take(13, op(1, 3, word(false, 10))), "without having seen 12");
+    assert!(
+        facts.take(13, op(1, 3, word(false, 10))),
+        "without having seen 12"
+    );
     assert!(facts.out(&about));
     assert_eq!(facts.words[&about].len(), 2, "both are shown");
-    assert!(facts.take(14, op(1, 4, word(false, 13))), "an operator who saw both");
+    assert!(
+        facts.take(14, op(1, 4, word(false, 13))),
+        "an operator who saw both"
+    );
     assert!(!facts.out(&about));
     // A doubled or late proposal changes nothing.
     assert!(!facts.take(15, op(1, 1, word(true, 0))));
@@ -152,7 +185,18 @@
     let mut facts = Facts::default();
     // Both were said before either was agreed.
     for (no, out) in [(1, true), (2, false)] {
-        assert!(facts.take(20 + no, op(1, no, Op::Word { about: about.clone(), out, seen: 0 })));
+        assert!(facts.take(
+            20 + no,
+            op(
+                1,
+                no,
+                Op::Word {
+                    about: about.clone(),
+                    out,
+                    seen: 0
+                }
+            )
+        ));
     }
     assert!(!facts.out(&about));
 }
@@ -160,9 +204,15 @@
 #[test]
 fn a_version_of_settings_stands_on_the_one_that_was_seen() {
     let mut facts = Facts::default();
-    let settings = |text: &str, on| Op::Settings { text: text.to_string(), on };
+    let settings = |text: &str, on| Op::Settings {
+        text: text.to_string(),
+        on,
+    };
     assert!(facts.take(1, op(1, 1, settings("a", 0))));
-    assert!(!facts.take(2, op(1, 2, settings("b", 0))), "another came first");
+    assert!(
+        !facts.take(2, op(1, 2, settings("b", 0))),
+        "another came first"
+    );
     assert!(facts.take(3, op(1, 3, settings("c", 1))));
     assert_eq!((facts.version(), facts.settings()), (2, "c"));
     assert_eq!(Facts::read(&facts.write()), Some(facts));
--- a/crates/store/tests/records.rs
+++ b/crates/store/tests/records.rs
@@ -2,7 +2,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_store::{
-    Answer, ClaimMessage, ClaimReply, Claims, Ended, Holder, Name, Outcome, Owner, RecordPage, RetryPolicy,
+    Answer, ClaimMessage, ClaimReply, Claims, Ended, Holder, Name, Outcome, Owner, RecordPage,
+    RetryPolicy,
 };
 use std::collections::BTreeMap;
 
@@ -31,7 +32,11 @@
 fn day(seed: u64, forgets_start: bool) -> (u32, u32) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let members = 3 + (seed % 3) as usize;
-    let copies = if members == 5 && seed.is_multiple_of(2) { 2 } else { 1 };
+    let copies = if members == 5 && seed.is_multiple_of(2) {
+        2
+    } else {
+        1
+    };
     let loss = [0.0, 0.1, 0.3][(seed / 3 % 3) as usize];
     let late_s = [0.005, 0.05, 0.4][(seed / 9 % 3) as usize];
     let all: Vec<u64> = (0..members as u64).collect();
@@ -41,9 +46,18 @@
             holder.forget_start();
         }
         let (claims, asked, out) = (Claims::new(me), BTreeMap::new(), Vec::new());
-        Member { holder, claims, birth, up: now, asked, out }
+        Member {
+            holder,
+            claims,
+            birth,
+            up: now,
+            asked,
+            out,
+        }
     };
-    let mut all_members: Vec<Member> = (0..members).map(|n| start(-10.0, n as u64, n as u64 + 1)).collect();
+    let mut all_members: Vec<Member> = (0..members)
+        .map(|n| start(-10.0, n as u64, n as u64 + 1))
+        .collect();
     let mut wire: BTreeMap<(u64, u64), (usize, usize, u64, Wire)> = BTreeMap::new();
     let (mut no, mut births) = (0u64, 100u64);
     // By name: who may have had an effect, not counting those that said that they never sent anything.
@@ -86,24 +100,48 @@
             all_members[n] = start(now + 0.3 * chance.random::<f64>(), n as u64, births);
         }
         // What is due on the wire.
-        while let Some((&key, _)) = wire.first_key_value().filter(|((at, _), _)| *at as f64 / 1e6 <= now) {
-            let Some((from, to, birth, what)) = wire.remove(&key) else { break };
+        while let Some((&key, _)) = wire
+            .first_key_value()
+            .filter(|((at, _), _)| *at as f64 / 1e6 <= now)
+        {
+            let Some((from, to, birth, what)) = wire.remove(&key) else {
+                break;
+            };
             if now < all_members[to].up {
                 if chance.random::<f64>() < 0.5 {
                     // It waits in the socket of one that is stopped.
-                    wire.insert(((all_members[to].up * 1e6) as u64 + 1, key.1), (from, to, birth, what));
+                    wire.insert(
+                        ((all_members[to].up * 1e6) as u64 + 1, key.1),
+                        (from, to, birth, what),
+                    );
                 }
                 continue;
             }
             let member = &mut all_members[to];
             let answer = match what {
                 Wire::Sent(ClaimMessage::Claim { name, no, epoch }) => {
-                    let verdict =
-                        member.holder.claim(now, Owner { who: from as u64, birth }, no, name, epoch);
+                    let verdict = member.holder.claim(
+                        now,
+                        Owner {
+                            who: from as u64,
+                            birth,
+                        },
+                        no,
+                        name,
+                        epoch,
+                    );
                     Some(Wire::Said(no, epoch, verdict))
                 }
                 Wire::Sent(ClaimMessage::End { name, no, ended }) => {
-                    member.holder.ended(Owner { who: from as u64, birth }, no, name, ended);
+                    member.holder.ended(
+                        Owner {
+                            who: from as u64,
+                            birth,
+                        },
+                        no,
+                        name,
+                        ended,
+                    );
                     Some(Wire::Heard(no))
                 }
                 // Answers to a former process are none of this one's.
@@ -119,7 +157,8 @@
                 Wire::Records(after) => member.holder.page(now, after).map(Wire::Told),
                 Wire::Told(..) if birth != member.birth => None,
                 Wire::Told(page) => {
-                    let others: Vec<u64> = (0..members as u64).filter(|n| *n != to as u64).collect();
+                    let others: Vec<u64> =
+                        (0..members as u64).filter(|n| *n != to as u64).collect();
                     member.holder.take_page(now, from as u64, page, &others);
                     None
                 }
@@ -136,13 +175,24 @@
             }
             let asked: Vec<u64> = member.asked.keys().copied().collect();
             for asked in asked {
-                let Some(outcome) = member.claims.outcome(now, asked) else { continue };
-                let Some(name) = member.asked.remove(&asked) else { continue };
+                let Some(outcome) = member.claims.outcome(now, asked) else {
+                    continue;
+                };
+                let Some(name) = member.asked.remove(&asked) else {
+                    continue;
+                };
                 if let Outcome::Own { .. } = outcome {
                     owned += 1;
                     // Deferred unsent now and then; else there is an effect.
                     if chance.random::<f64>() < 0.3 {
-                        member.claims.ended(asked, Ended { status: 503, ran: false, body: None });
+                        member.claims.ended(
+                            asked,
+                            Ended {
+                                status: 503,
+                                ran: false,
+                                body: None,
+                            },
+                        );
                     } else {
                         let effects = owners.entry(name).or_default();
                         *effects += 1;
@@ -155,12 +205,21 @@
             member.out = rest;
             let over: Vec<(u64, f64)> = over;
             for (asked, _) in over {
-                member.claims.ended(asked, Ended { status: 200, ran: true, body: Some(vec![1]) });
+                member.claims.ended(
+                    asked,
+                    Ended {
+                        status: 200,
+                        ran: true,
+                        body: Some(vec![1]),
+                    },
+                );
             }
             let mut post = Vec::new();
             member.claims.tick(now, &mut post);
             let birth = member.birth;
-            let others: Vec<u64> = (0..members as u64).filter(|other| *other != n as u64).collect();
+            let others: Vec<u64> = (0..members as u64)
+                .filter(|other| *other != n as u64)
+                .collect();
             for (to, after) in member.holder.recovery_requests(now, &others) {
                 if chance.random::<f64>() >= loss {
                     no += 1;
@@ -186,8 +245,13 @@
 
 #[test]
 fn ten_thousand_schedules_and_no_name_has_two_effects() {
-    let schedules: u64 = std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000);
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get() as u64).min(6);
+    let schedules: u64 = std::env::var("SCHEDULES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(10_000);
+    let threads = std::thread::available_parallelism()
+        .map_or(4, |n| n.get() as u64)
+        .min(6);
     let all: Vec<_> = (0..threads)
         .map(|thread| {
             std::thread::spawn(move || {
@@ -202,7 +266,10 @@
         })
         .collect();
     let owned: u64 = all.into_iter().map(|thread| thread.join().unwrap()).sum();
-    assert!(owned > 10 * schedules, "{owned} names owned in {schedules} schedules");
+    assert!(
+        owned > 10 * schedules,
+        "{owned} names owned in {schedules} schedules"
+    );
 }
 
 #[test]
@@ -215,19 +282,52 @@
 #[test]
 fn a_retry_is_answered_by_rule_2() {
     let known = |status, ran, body: Option<&[u8]>| Outcome::Known {
-        ended: Ended { status, ran, body: body.map(<[u8]>::to_vec) },
+        ended: Ended {
+            status,
+            ran,
+            body: body.map(<[u8]>::to_vec),
+        },
         age_ms: 1000,
     };
     let exclusive = RetryPolicy { window_s: None };
-    let ticketed = RetryPolicy { window_s: Some(2.0) };
-    let given = Answer::Say { status: 200, body: b"r".to_vec() };
-    assert_eq!(exclusive.answer(&known(200, true, Some(b"r"))), given, "what was made once is given again");
-    assert_eq!(exclusive.answer(&known(200, true, None)), Answer::WriteOff, "made, and too long to keep");
+    let ticketed = RetryPolicy {
+        window_s: Some(2.0),
+    };
+    let given = Answer::Say {
+        status: 200,
+        body: b"r".to_vec(),
+    };
+    assert_eq!(
+        exclusive.answer(&known(200, true, Some(b"r"))),
+        given,
+        "what was made once is given again"
+    );
+    assert_eq!(
+        exclusive.answer(&known(200, true, None)),
+        Answer::WriteOff,
+        "made, and too long to keep"
+    );
     assert_eq!(exclusive.answer(&known(502, true, None)), Answer::WriteOff);
-    assert_eq!(exclusive.answer(&Outcome::InHand { age_ms: 100 }), Answer::WriteOff, "it may have run");
-    assert_eq!(ticketed.answer(&Outcome::InHand { age_ms: 100 }), Answer::Later, "within its window");
-    assert_eq!(ticketed.answer(&Outcome::InHand { age_ms: 2100 }), Answer::WriteOff, "past it");
-    assert_eq!(exclusive.answer(&known(503, false, None)), Answer::Later, "it provably never ran");
+    assert_eq!(
+        exclusive.answer(&Outcome::InHand { age_ms: 100 }),
+        Answer::WriteOff,
+        "it may have run"
+    );
+    assert_eq!(
+        ticketed.answer(&Outcome::InHand { age_ms: 100 }),
+        Answer::Later,
+        "within its window"
+    );
+    assert_eq!(
+        ticketed.answer(&Outcome::InHand { age_ms: 2100 }),
+        Answer::WriteOff,
+        "past it"
+    );
+    assert_eq!(
+        exclusive.answer(&known(503, false, None)),
+        Answer::Later,
+        "it provably never ran"
+    );
     assert_eq!(exclusive.answer(&Outcome::TooFew), Answer::Later);
 }
 
@@ -236,7 +336,10 @@
     let mut holder = Holder::new(-100.0, KEEP_S);
     for n in 0..100_000u64 {
         let name = Name(u128::from(n));
-        assert_eq!(holder.claim(1.0, Owner { who: 1, birth: 1 }, n, name, 1), ClaimReply::Granted);
+        assert_eq!(
+            holder.claim(1.0, Owner { who: 1, birth: 1 }, n, name, 1),
+            ClaimReply::Granted
+        );
     }
     assert_eq!(
         holder.claim(1.0, Owner { who: 1, birth: 1 }, 0, Name(u128::MAX), 1),
@@ -244,7 +347,13 @@
         "no room"
     );
     assert_eq!(
-        holder.claim(1.0 + 1.1 * KEEP_S, Owner { who: 1, birth: 1 }, 0, Name(u128::MAX), 1),
+        holder.claim(
+            1.0 + 1.1 * KEEP_S,
+            Owner { who: 1, birth: 1 },
+            0,
+            Name(u128::MAX),
+            1
+        ),
         ClaimReply::Granted,
         "room again"
     );
--- a/crates/wire/src/collections.rs
+++ b/crates/wire/src/collections.rs
@@ -106,7 +106,10 @@
 }
 
 impl DekuReader<'_> for Blob {
-    fn from_reader_with_ctx<R: Read + Seek>(reader: &mut Reader<R>, _: ()) -> Result<Self, DekuError> {
+    fn from_reader_with_ctx<R: Read + Seek>(
+        reader: &mut Reader<R>,
+        _: (),
+    ) -> Result<Self, DekuError> {
         let length = read_length(reader, MAX_BLOB_BYTES)?;
         let mut bytes = Vec::with_capacity(length.min(ALLOCATED_AHEAD));
         let mut piece = [0; ALLOCATED_AHEAD];
@@ -127,9 +130,14 @@
 }
 
 impl DekuReader<'_> for Text {
-    fn from_reader_with_ctx<R: Read + Seek>(reader: &mut Reader<R>, _: ()) -> Result<Self, DekuError> {
+    fn from_reader_with_ctx<R: Read + Seek>(
+        reader: &mut Reader<R>,
+        _: (),
+    ) -> Result<Self, DekuError> {
         let bytes = Blob::from_reader_with_ctx(reader, ())?.0;
-        String::from_utf8(bytes).map(Text).map_err(|_| DekuError::Parse("a text that is no UTF-8"))
+        String::from_utf8(bytes)
+            .map(Text)
+            .map_err(|_| DekuError::Parse("a text that is no UTF-8"))
     }
 }
 
@@ -141,7 +149,10 @@
 }
 
 impl<T: for<'a> DekuReader<'a>> DekuReader<'_> for List<T> {
-    fn from_reader_with_ctx<R: Read + Seek>(reader: &mut Reader<R>, _: ()) -> Result<Self, DekuError> {
+    fn from_reader_with_ctx<R: Read + Seek>(
+        reader: &mut Reader<R>,
+        _: (),
+    ) -> Result<Self, DekuError> {
         let length = read_length(reader, MAX_LIST_ITEMS)?;
         let mut items = Vec::with_capacity(length.min(ALLOCATED_AHEAD));
         for _ in 0..length {
@@ -154,6 +165,8 @@
 impl<T: DekuWriter> DekuWriter for List<T> {
     fn to_writer<W: Write + Seek>(&self, writer: &mut Writer<W>, _: ()) -> Result<(), DekuError> {
         (self.0.len() as u32).to_writer(writer, ())?;
-        self.0.iter().try_for_each(|item| item.to_writer(writer, ()))
+        self.0
+            .iter()
+            .try_for_each(|item| item.to_writer(writer, ()))
     }
 }
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -4,7 +4,9 @@
 use deku::prelude::*;
 
 /// Orders the rounds of the register. The incarnation keeps two lives of one process apart. All zero: none.
-#[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
+#[derive(
+    DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
+)]
 pub struct Ballot {
     pub counter: u64,
     pub node: NodeId,
@@ -12,7 +14,9 @@
 }
 
 /// Names a state of the replicated records: the term and the batch within it.
-#[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
+#[derive(
+    DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
+)]
 pub struct RecordsTag {
     pub epoch: Epoch,
     pub number: u64,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -63,5 +63,7 @@
     if payload.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(payload.len()));
     }
-    Message::from_bytes((payload, 0)).map(|(_, message)| message).map_err(FrameError::Malformed)
+    Message::from_bytes((payload, 0))
+        .map(|(_, message)| message)
+        .map_err(FrameError::Malformed)
 }
--- a/crates/wire/src/id.rs
+++ b/crates/wire/src/id.rs
@@ -15,7 +15,10 @@
 impl NodeId {
     /// The process that listens at `address`.
     pub fn from_address(address: SocketAddrV4) -> NodeId {
-        NodeId { ip: u32::from(*address.ip()), port: address.port() }
+        NodeId {
+            ip: u32::from(*address.ip()),
+            port: address.port(),
+        }
     }
 
     /// Where the process listens.
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -45,7 +45,10 @@
     for dispatcher in dispatchers() {
         let mut stream = TcpStream::connect(&dispatcher)?;
         let length = body.len();
-        write!(stream, "POST /_jobs/news HTTP/1.1\r\nHost: toy\r\nContent-Length: {length}\r\n\r\n{body}")?;
+        write!(
+            stream,
+            "POST /_jobs/news HTTP/1.1\r\nHost: toy\r\nContent-Length: {length}\r\n\r\n{body}"
+        )?;
         read(&mut BufReader::new(stream));
     }
     Ok(())
@@ -68,7 +71,9 @@
     spawn(move || {
         for stream in listener.incoming().flatten() {
             spawn(move || {
-                let Ok(mut writer) = stream.try_clone() else { return };
+                let Ok(mut writer) = stream.try_clone() else {
+                    return;
+                };
                 let mut reader = BufReader::new(stream);
                 while let Some((first, id, text)) = read(&mut reader) {
                     println!("{name}: {} {id}", first.trim_end());
@@ -96,8 +101,14 @@
         )
     };
     let entries: Vec<String> = RUNNERS.iter().map(entry).collect();
-    let mut line = format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, entries.join(","));
-    write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
+    let mut line = format!(
+        r#"{{"generation":1,"reset":true,"instances":[{}]}}"#,
+        entries.join(",")
+    );
+    write!(
+        stream,
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    )?;
     loop {
         write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
         sleep(Duration::from_secs(2));
