--- /dev/null
+++ b/crates/agent/tests/http_answers.rs
@@ -0,0 +1,206 @@
+//! What the agent answers to its runner, byte by byte: status, `Retry-After` and body of each outcome, as kept in
+//! `fixtures/http_answers.txt`.
+mod common;
+
+use common::{orders, orders_with_start, start, stop, Script, RUNNER, TASK};
+use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES, MAX_INSTANCE_BYTES};
+use sagetrail_golden::Transcript;
+use sagetrail_wire::agent::RunnerOrders;
+use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Method};
+use sagetrail_wire::List;
+use serde_json::json;
+
+const KEPT: &str = "tests/fixtures/http_answers.txt";
+const HEARTBEAT: &str = "/v1/instances/i-7f3a91c2/heartbeat";
+const DEREGISTER: &str = "/v1/instances/i-7f3a91c2/deregister";
+/// A request whose number no other has.
+const OWN_REQUEST: HttpRequestId = HttpRequestId(900_000);
+
+/// Heartbeats that cannot be read.
+const BAD_HEARTBEATS: [&str; 10] = [
+    "",
+    "[",
+    "7",
+    r#"{"seq":"x"}"#,
+    r#"{"active":[[1]]}"#,
+    r#"{"active":[["t"]]}"#,
+    r#"{"active":{}}"#,
+    r#"{"finished":[[1,"t",1]]}"#,
+    r#"{"capacity":{"cpu":"all"}}"#,
+    r#"{"labels":[1]}"#,
+];
+
+fn add(transcript: &mut Transcript, name: &str, reply: &HttpReply) {
+    transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
+}
+
+/// The answer to a request of any kind.
+fn ask(script: &mut Script, door: Door, method: Method, path: &str) -> HttpReply {
+    let request = HttpRequest {
+        method,
+        host: String::new(),
+        path: path.to_owned(),
+        base_version: None,
+        deadline_ms: None,
+        body: b"{}".to_vec(),
+    };
+    let id = OWN_REQUEST;
+    script
+        .event(Event::Http { id, door, request })
+        .expect("answered at once")
+}
+
+fn heartbeats_without_a_scheduler(transcript: &mut Transcript) {
+    let mut script = Script::new();
+    let idle = script.beat_as(RUNNER, 1, json!({}));
+    add(transcript, "no scheduler, nothing runs", &idle);
+    let active = json!({"active":[[TASK, 2, "00000bb87a21d94b", 41]]});
+    let busy = script.beat_as(RUNNER, 2, active);
+    add(transcript, "no scheduler, a run", &busy);
+    let bare = script.post(HEARTBEAT, b"{}".to_vec());
+    add(transcript, "a heartbeat that says nothing", &bare);
+}
+
+fn heartbeats_under_a_lease(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    let idle = script.beat_as(RUNNER, 3, json!({}));
+    add(transcript, "a lease, nothing runs", &idle);
+    let wanted = RunnerOrders {
+        start: List(vec![start("a.0.0.0", 3), start("b.0.0.0", 1)]),
+        stop: List(vec![stop("d.0.0.0", 1), stop("e.0.0.0", 1)]),
+        observed: 58,
+        retry_after_ms: 70,
+        ..orders(7, 1)
+    };
+    script.orders(wanted, true);
+    let lists = json!({"active":[["b.0.0.0",1,"",0],["d.0.0.0",1,"",9.5],["e.0.0.0",1,"",1]],
+        "finished":[[59,"c.0.0.0",1,"done",""]]});
+    let answer = script.beat_as(RUNNER, 4, lists);
+    add(transcript, "a start and two stops", &answer);
+    let late = script.beat_as(RUNNER, 4, json!({}));
+    add(transcript, "a heartbeat that was heard before", &late);
+    let draining = script.beat_as(RUNNER, 5, json!({"state":"draining","remaining_ms":4000}));
+    add(transcript, "a runner that drains", &draining);
+}
+
+fn heartbeats_as_a_lease_ends(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    script.orders(orders(1, 1), true);
+    let short = RunnerOrders {
+        lease_ms: 3000,
+        ..orders_with_start(1, 2)
+    };
+    script.orders(short, true);
+    script.now = script.now.plus_millis(12_000 - 1_200);
+    for (sequence, name, passes_ms) in [
+        (3, "1200 ms of a lease are left", 900),
+        (4, "300 ms of a lease are left", 300),
+        (5, "the lease is over", 0),
+    ] {
+        add(
+            transcript,
+            name,
+            &script.beat_as(RUNNER, sequence, json!({})),
+        );
+        script.now = script.now.plus_millis(passes_ms);
+    }
+}
+
+fn heartbeats_of_other_instances(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    let first = script.beat_as("i-2", 1, json!({}));
+    add(transcript, "the first of an unknown instance", &first);
+    let second = script.beat_as("i-2", 2, json!({}));
+    add(transcript, "its second", &second);
+    let replaced = script.beat_as(RUNNER, 4, json!({}));
+    add(transcript, "the instance that it replaced", &replaced);
+}
+
+fn heartbeats_that_cannot_be_read(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    for body in BAD_HEARTBEATS {
+        let reply = script.post(HEARTBEAT, body.into());
+        add(transcript, &format!("no heartbeat: {body}"), &reply);
+    }
+    let many = vec![json!(["t", 1, "", 0]); MAX_ACTIVE_RUNS + 1];
+    let many = serde_json::to_vec(&json!({ "active": many })).unwrap();
+    add(
+        transcript,
+        "one run too many",
+        &script.post(HEARTBEAT, many),
+    );
+    let long = vec![b' '; MAX_HEARTBEAT_BYTES + 1];
+    add(
+        transcript,
+        "one byte too many",
+        &script.post(HEARTBEAT, long),
+    );
+}
+
+fn deregistration(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    let other = script.post("/v1/instances/i-9/deregister", Vec::new());
+    add(transcript, "deregistration of an unknown instance", &other);
+    let reply = script.post(DEREGISTER, Vec::new());
+    add(transcript, "deregistration", &reply);
+    let again = script.post(DEREGISTER, Vec::new());
+    add(transcript, "deregistration again", &again);
+    script.orders(orders_with_start(1, 2), true);
+    let answer = script.beat_as(RUNNER, 3, json!({}));
+    add(transcript, "a heartbeat after it", &answer);
+}
+
+fn paths_and_methods(transcript: &mut Transcript) {
+    let mut script = Script::settled();
+    let long = format!(
+        "/v1/instances/{}/heartbeat",
+        "i".repeat(MAX_INSTANCE_BYTES + 1)
+    );
+    for (name, path) in [
+        ("/", "/"),
+        ("/v1/other", "/v1/other"),
+        ("/v1/instances/", "/v1/instances/"),
+        ("/v1/instances//heartbeat", "/v1/instances//heartbeat"),
+        ("/v1/instances/a/b/heartbeat", "/v1/instances/a/b/heartbeat"),
+        ("/v1/instances/a/other", "/v1/instances/a/other"),
+        ("a name that is too long", &long),
+    ] {
+        add(
+            transcript,
+            &format!("POST {name}"),
+            &script.post(path, b"{}".to_vec()),
+        );
+    }
+    for method in [Method::Get, Method::Delete, Method::Other] {
+        let name = match method {
+            Method::Get => "GET",
+            Method::Delete => "DELETE",
+            _ => "PUT",
+        };
+        for path in [HEARTBEAT, DEREGISTER, "/v1/other"] {
+            let reply = ask(&mut script, Door::Control, method, path);
+            add(transcript, &format!("{name} {path}"), &reply);
+        }
+    }
+    let reply = ask(&mut script, Door::Readiness, Method::Get, "/v1/readyz");
+    add(transcript, "the readiness address: GET /v1/readyz", &reply);
+    let reply = ask(&mut script, Door::Frontend, Method::Post, HEARTBEAT);
+    add(
+        transcript,
+        &format!("the clients' address: POST {HEARTBEAT}"),
+        &reply,
+    );
+}
+
+#[test]
+fn every_answer_is_the_one_kept() {
+    let mut transcript = Transcript::default();
+    heartbeats_without_a_scheduler(&mut transcript);
+    heartbeats_under_a_lease(&mut transcript);
+    heartbeats_as_a_lease_ends(&mut transcript);
+    heartbeats_of_other_instances(&mut transcript);
+    heartbeats_that_cannot_be_read(&mut transcript);
+    deregistration(&mut transcript);
+    paths_and_methods(&mut transcript);
+    transcript.assert_kept(KEPT);
+}
--- /dev/null
+++ b/crates/daemon/tests/http_form.rs
@@ -0,0 +1,248 @@
+//! HTTP of the cluster's processes as it stands on the wire: the head and body of an answer, what the logic is handed
+//! of a request, and the request of a probe, as kept in `fixtures/`.
+mod common;
+
+use common::soon;
+use sagetrail_daemon::http::{serve, Room, ServeContext};
+use sagetrail_daemon::input::Input;
+use sagetrail_daemon::phase::{phases, Phase, PhaseSetter};
+use sagetrail_daemon::probe;
+use sagetrail_golden::Transcript;
+use sagetrail_wire::node::{Door, HttpReply, HttpRequest, Method, Probe, ProbeId};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{self, UnboundedReceiver};
+
+const ANSWERS: &str = "tests/fixtures/http_answers.txt";
+const REQUESTS: &str = "tests/fixtures/http_requests.txt";
+const PROBE: &str = "tests/fixtures/probe_request.txt";
+/// One byte over the longest body taken from a client.
+const LONG_BODY: usize = (1 << 20) + 1;
+/// More than a connection reads of a head.
+const LONG_HEAD: usize = 128 << 10;
+
+/// A server, and what reaches the logic behind it.
+struct Served {
+    at: SocketAddr,
+    phase: PhaseSetter,
+    inputs: UnboundedReceiver<Input>,
+}
+
+fn served() -> Served {
+    let (sender, inputs) = mpsc::unbounded_channel();
+    let (phase, watch) = phases();
+    let context = ServeContext {
+        inputs: sender,
+        phase: watch,
+        room: Room::of(100),
+        next_id: Arc::new(AtomicU64::new(1)),
+    };
+    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let at = serve(any, Door::Frontend, context).unwrap().address;
+    Served { at, phase, inputs }
+}
+
+/// A text with the date's value masked: it is the time of the answer.
+fn without_date(text: &str) -> String {
+    let masked = text.split_inclusive("\r\n").map(|line| {
+        if line.starts_with("date: ") {
+            "date: (now)\r\n"
+        } else {
+            line
+        }
+    });
+    masked.collect()
+}
+
+/// A text with its line ends visible.
+fn visible(text: &str) -> String {
+    text.replace("\r\n", "\\r\\n\n")
+}
+
+/// Sends `request` on a connection of its own and reads until that closes.
+async fn exchanged(at: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(at).await.unwrap();
+    stream.write_all(request.as_bytes()).await.unwrap();
+    let mut answer = String::new();
+    let _ = soon(stream.read_to_string(&mut answer)).await;
+    visible(&without_date(&answer))
+}
+
+/// The next request that reaches the logic, answered with `reply`; without one it is dropped unanswered.
+async fn answered(inputs: &mut UnboundedReceiver<Input>, reply: Option<HttpReply>) -> HttpRequest {
+    loop {
+        if let Some(Input::Request {
+            request,
+            reply: sender,
+            ..
+        }) = soon(inputs.recv()).await
+        {
+            if let Some(reply) = reply {
+                sender.send(reply).unwrap();
+            }
+            return request;
+        }
+    }
+}
+
+fn reply(status: u16, retry_after_s: Option<u32>, body: &str) -> HttpReply {
+    HttpReply {
+        status,
+        retry_after_s,
+        body: body.as_bytes().to_vec(),
+    }
+}
+
+#[tokio::test]
+async fn an_answer_is_written_as_it_is_kept() {
+    let mut served = served();
+    let mut transcript = Transcript::default();
+    let request = "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    for (name, given) in [
+        ("200 with a body", Some(reply(200, None, r#"{"a":1}"#))),
+        ("200 without a body", Some(reply(200, None, ""))),
+        ("429, again after 2 s", Some(reply(429, Some(2), ""))),
+        (
+            "503, again after 1 s, with a body",
+            Some(reply(503, Some(1), "{}")),
+        ),
+        ("409", Some(reply(409, None, "{}"))),
+        ("410", Some(reply(410, None, ""))),
+        ("412", Some(reply(412, None, ""))),
+        ("a status that is none", Some(reply(7, None, ""))),
+        ("no answer by the logic", None),
+    ] {
+        let (answer, _) = tokio::join!(
+            exchanged(served.at, request),
+            answered(&mut served.inputs, given)
+        );
+        transcript.add(name, &answer);
+    }
+    let old = "GET /a HTTP/1.0\r\n\r\n";
+    let given = Some(reply(200, None, "{}"));
+    let (answer, _) = tokio::join!(
+        exchanged(served.at, old),
+        answered(&mut served.inputs, given)
+    );
+    transcript.add("200 by HTTP/1.0", &answer);
+    let bare = "HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let given = Some(reply(405, None, "{}"));
+    let (answer, _) = tokio::join!(
+        exchanged(served.at, bare),
+        answered(&mut served.inputs, given)
+    );
+    transcript.add("405 to HEAD", &answer);
+    for (name, text) in [
+        (
+            "a head that cannot be read",
+            "no request at all\r\n\r\n".to_owned(),
+        ),
+        (
+            "a head that is too long",
+            format!("GET /a HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(LONG_HEAD)),
+        ),
+        (
+            "a body that is too long",
+            format!("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {LONG_BODY}\r\n\r\n"),
+        ),
+        (
+            "a chunk that cannot be read",
+            "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_owned(),
+        ),
+    ] {
+        transcript.add(name, &exchanged(served.at, &text).await);
+    }
+    served.phase.send_replace(Phase::Draining);
+    let kept = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
+    let given = Some(reply(200, None, "{}"));
+    let (answer, _) = tokio::join!(
+        exchanged(served.at, kept),
+        answered(&mut served.inputs, given)
+    );
+    transcript.add("200 while the process ends", &answer);
+    drop(served.inputs);
+    let at = served.at;
+    transcript.add("the logic has ended", &exchanged(at, request).await);
+    transcript.assert_kept(ANSWERS);
+}
+
+fn method(method: Method) -> &'static str {
+    match method {
+        Method::Get => "GET",
+        Method::Post => "POST",
+        Method::Delete => "DELETE",
+        Method::Other => "another",
+    }
+}
+
+fn number(number: Option<u64>) -> String {
+    number.map_or("none".to_owned(), |number| number.to_string())
+}
+
+/// What the logic is handed, a line for each part.
+fn handed(request: &HttpRequest) -> String {
+    format!(
+        "method {}\nhost '{}'\npath '{}'\nbase version {}\ndeadline in ms {}\nbody '{}'\n",
+        method(request.method),
+        request.host,
+        request.path,
+        number(request.base_version),
+        number(request.deadline_ms),
+        String::from_utf8_lossy(&request.body)
+    )
+}
+
+#[tokio::test]
+async fn a_request_is_read_as_it_is_kept() {
+    let mut served = served();
+    let mut transcript = Transcript::default();
+    for head in [
+        "GET /a/b?c=d HTTP/1.1\r\nHost: jobs.example:80\r\nDeadline-Ms: 900\r\n",
+        "GET /a HTTP/1.1\r\nHost: [::1]:80\r\n",
+        "GET http://other.example:8080/a HTTP/1.1\r\n",
+        "POST /a HTTP/1.1\r\nHOST: X.Example\r\nbase-version: 7\r\nContent-Length: 2\r\n",
+        "POST /a HTTP/1.1\r\nBase-Version:  8 \r\nDeadline-Ms: soon\r\nContent-Length: 2\r\n",
+        "POST /a HTTP/1.1\r\nBase-Version: -1\r\nDeadline-Ms: 1.5\r\nContent-Length: 2\r\n",
+        "DELETE /a%20b HTTP/1.1\r\n",
+        "PUT /a HTTP/1.1\r\n",
+        "HEAD /a HTTP/1.1\r\n",
+    ] {
+        let body = if head.starts_with("POST") { "{}" } else { "" };
+        let text = format!("{head}Connection: close\r\n\r\n{body}");
+        let given = Some(reply(200, None, ""));
+        let (_, request) = tokio::join!(
+            exchanged(served.at, &text),
+            answered(&mut served.inputs, given)
+        );
+        transcript.add(visible(head).trim_end(), &handed(&request));
+    }
+    transcript.assert_kept(REQUESTS);
+}
+
+/// A text with the port of a listener of the test's masked.
+fn without_port(text: &str, port: u16) -> String {
+    text.replace(&port.to_string(), "(port)")
+}
+
+#[tokio::test]
+async fn a_probe_asks_as_it_is_kept() {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
+    let port = listener.local_addr().unwrap().port();
+    let (sender, _inputs) = mpsc::unbounded_channel();
+    let looked = Probe {
+        id: ProbeId(7),
+        address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
+        path: "/healthz".to_owned(),
+    };
+    probe::start(looked, sender);
+    let (mut stream, _) = soon(listener.accept()).await.unwrap();
+    let mut asked = Vec::new();
+    while !asked.ends_with(b"\r\n\r\n") {
+        assert!(soon(stream.read_buf(&mut asked)).await.unwrap() > 0);
+    }
+    let asked = String::from_utf8(asked).unwrap();
+    sagetrail_golden::assert_kept(PROBE, &visible(&without_port(&asked, port)));
+}
--- /dev/null
+++ b/crates/gateway/tests/http_answers.rs
@@ -0,0 +1,245 @@
+//! What the gateway answers to clients and to the platform's readiness check, byte by byte: status, `Retry-After`
+//! and body of each outcome, as kept in `fixtures/http_answers.txt`.
+mod common;
+
+use common::{Rig, CORE};
+use sagetrail_golden::Transcript;
+use sagetrail_wire::bounds::Bounds;
+use sagetrail_wire::client::ClientReply;
+use sagetrail_wire::collections::Blob;
+use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_wire::{Message, NodeId};
+
+const KEPT: &str = "tests/fixtures/http_answers.txt";
+/// A request whose number no other has.
+const OWN_REQUEST: HttpRequestId = HttpRequestId(900_000);
+
+/// Adds the answer that a request has got by now.
+fn add(transcript: &mut Transcript, name: &str, rig: &Rig, id: HttpRequestId) {
+    let reply = rig
+        .reply_to(id)
+        .unwrap_or_else(|| panic!("no answer: {name}"));
+    transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
+}
+
+/// Adds the answer to a request at another address than the clients', answered at once.
+fn add_at(
+    transcript: &mut Transcript,
+    name: &str,
+    rig: &mut Rig,
+    door: Door,
+    request: (Method, &str),
+) {
+    rig.clear();
+    let (method, path) = request;
+    let request = HttpRequest {
+        method,
+        host: String::new(),
+        path: path.to_owned(),
+        base_version: None,
+        deadline_ms: None,
+        body: Vec::new(),
+    };
+    let id = OWN_REQUEST;
+    rig.event(Event::Http { id, door, request });
+    add(transcript, name, rig, id);
+}
+
+/// A gateway whose owner answered a request of the client like this; what the client gets.
+fn add_passed_on(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
+    let mut rig = Rig::settled();
+    let id = rig.http(method, b"{}".to_vec(), None);
+    let (status, retry_after_ms, body) = answer;
+    let request = rig.requests()[0].1.request;
+    rig.message(
+        CORE[0],
+        Message::ClientReply(ClientReply {
+            request,
+            status,
+            retry_after_ms,
+            body: Blob(body.as_bytes().to_vec()),
+            config_version: 5,
+        }),
+    );
+    let name = format!("the scheduler says {status}, again after {retry_after_ms} ms: {body}");
+    add(transcript, &name, &rig, id);
+}
+
+fn refused_before_anything_is_sent(transcript: &mut Transcript) {
+    let mut rig = Rig::new();
+    let id = rig.submit();
+    add(transcript, "no scheduler and no configuration", &rig, id);
+
+    let mut rig = Rig::settled();
+    let id = rig.http(Method::Other, Vec::new(), None);
+    add(transcript, "a method that is none of a job's", &rig, id);
+    let id = rig.http(Method::Post, vec![b' '; 101], None);
+    add(transcript, "a body over the configured limit", &rig, id);
+    rig.pass(1501);
+    let id = rig.submit();
+    add(
+        transcript,
+        "a new job while the scheduler is silent",
+        &rig,
+        id,
+    );
+
+    let mut rig = Rig::settled();
+    let last = (0..8193)
+        .map(|_| rig.http(Method::Get, Vec::new(), None))
+        .last();
+    add(
+        transcript,
+        "one request over those held at once",
+        &rig,
+        last.unwrap(),
+    );
+}
+
+fn given_up(transcript: &mut Transcript) {
+    let mut rig = Rig::new();
+    rig.update(CORE[1], 5);
+    let id = rig.submit();
+    rig.pass(300);
+    add(transcript, "a job that nobody was sent", &rig, id);
+
+    for (method, name) in [
+        (Method::Post, "job"),
+        (Method::Get, "read"),
+        (Method::Delete, "cancel"),
+    ] {
+        let mut rig = Rig::settled();
+        let id = rig.http(method, Vec::new(), Some(2000));
+        rig.pass(1850);
+        add(
+            transcript,
+            &format!("a {name} without an answer in time"),
+            &rig,
+            id,
+        );
+    }
+
+    let mut rig = Rig::settled();
+    let id = rig.submit();
+    let number = rig.requests()[0].1.request;
+    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.pass(300);
+    add(
+        transcript,
+        "a job that came back unread from everywhere",
+        &rig,
+        id,
+    );
+
+    let mut rig = Rig::settled();
+    let id = rig.submit();
+    rig.pass(250);
+    let number = rig.requests()[0].1.request;
+    rig.answer(CORE[0], number, 503);
+    add(
+        transcript,
+        "a job refused while a second copy is out",
+        &rig,
+        id,
+    );
+}
+
+fn while_it_ends(transcript: &mut Transcript) {
+    let mut rig = Rig::with_bounds(Bounds {
+        grace_s: 6.0,
+        ..Bounds::default()
+    });
+    rig.directory(CORE[0], 1, CORE[0]);
+    rig.update(CORE[1], 5);
+    let waiting = rig.http(Method::Get, Vec::new(), Some(30_000));
+    rig.event(Event::Terminate);
+    rig.pass(4_500);
+    add(
+        transcript,
+        "a read under way at the end of the grace",
+        &rig,
+        waiting,
+    );
+    let id = rig.submit();
+    add(transcript, "a job after that", &rig, id);
+}
+
+fn readiness(transcript: &mut Transcript) {
+    let ready = (Method::Get, "/v1/readyz");
+    let mut rig = Rig::new();
+    add_at(
+        transcript,
+        "not ready: GET /v1/readyz",
+        &mut rig,
+        Door::Readiness,
+        ready,
+    );
+    let mut rig = Rig::settled();
+    add_at(
+        transcript,
+        "ready: GET /v1/readyz",
+        &mut rig,
+        Door::Readiness,
+        ready,
+    );
+    add_at(
+        transcript,
+        "ready: GET /readyz",
+        &mut rig,
+        Door::Readiness,
+        (Method::Get, "/readyz"),
+    );
+    add_at(
+        transcript,
+        "ready: POST /v1/readyz",
+        &mut rig,
+        Door::Readiness,
+        (Method::Post, "/v1/readyz"),
+    );
+    add_at(
+        transcript,
+        "ready: GET /other",
+        &mut rig,
+        Door::Readiness,
+        (Method::Get, "/other"),
+    );
+    add_at(
+        transcript,
+        "the operator's address: GET /v1/config/get",
+        &mut rig,
+        Door::Control,
+        (Method::Get, "/v1/config/get"),
+    );
+    rig.event(Event::Terminate);
+    add_at(
+        transcript,
+        "told to end: GET /v1/readyz",
+        &mut rig,
+        Door::Readiness,
+        ready,
+    );
+}
+
+#[test]
+fn every_answer_is_the_one_kept() {
+    let mut transcript = Transcript::default();
+    refused_before_anything_is_sent(&mut transcript);
+    given_up(&mut transcript);
+    while_it_ends(&mut transcript);
+    for answer in [
+        (200, 0, ""),
+        (200, 0, r#"{"state":"queued"}"#),
+        (400, 0, r#"{"error":"no job's ID"}"#),
+        (404, 0, ""),
+        (410, 0, ""),
+        (429, 1000, ""),
+        (429, 1001, ""),
+        (503, 1, ""),
+    ] {
+        add_passed_on(&mut transcript, Method::Post, answer);
+    }
+    add_passed_on(&mut transcript, Method::Get, (200, 0, r#"{"pending":3}"#));
+    add_passed_on(&mut transcript, Method::Delete, (410, 0, ""));
+    readiness(&mut transcript);
+    transcript.assert_kept(KEPT);
+}
--- /dev/null
+++ b/crates/scheduler/tests/client_answers.rs
@@ -0,0 +1,271 @@
+//! What the scheduler answers to clients' requests: status, `Retry-After` in milliseconds and body of each outcome, as
+//! kept in `fixtures/client_answers.txt`. The gateway passes them on.
+mod world;
+
+use sagetrail_golden::{http_answer, Transcript};
+use sagetrail_scheduler::{Scheduler, SchedulerSettings};
+use sagetrail_wire::agent::RunEnd;
+use sagetrail_wire::bounds::Bounds;
+use sagetrail_wire::client::ClientMethod::{Cancel, Read, Submit};
+use sagetrail_wire::client::{ClientMethod, ClientReply};
+use sagetrail_wire::service::Restored;
+use sagetrail_wire::NodeId;
+use world::{config, World, DAY_MS};
+
+const KEPT: &str = "tests/fixtures/client_answers.txt";
+const JOB: &str = "00000000000000aa";
+const OTHER_JOB: &str = "00000000000000bb";
+const UNKNOWN_JOB: &str = "00000000000000cc";
+const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
+/// So many jobs are kept at once.
+const MOST_JOBS: usize = 40_000;
+
+/// Bodies that are no job.
+const BAD_JOBS: [&str; 12] = [
+    "",
+    "{",
+    "[]",
+    "{}",
+    r#"{"stages":[]}"#,
+    r#"{"stages":[{"count":0}]}"#,
+    r#"{"stages":[{"count":4000000000}]}"#,
+    r#"{"stages":[{"count":-1}]}"#,
+    r#"{"stages":[{"count":1,"depends_on":[0]}]}"#,
+    r#"{"stages":[{"count":1,"depends_on":[7]}]}"#,
+    r#"{"stages":[{"count":1,"cpu":"x"}]}"#,
+    r#"{"stages":[{"count":1}],"repeat":0}"#,
+];
+
+fn add_reply(transcript: &mut Transcript, name: &str, reply: &ClientReply) {
+    let answer = http_answer(reply.status, None, &reply.body);
+    let wait = reply.retry_after_ms;
+    transcript.add(name, &format!("again after {wait} ms, {answer}"));
+}
+
+/// Adds the answer to a request, once what it changes is kept.
+fn add(
+    transcript: &mut Transcript,
+    world: &mut World,
+    name: &str,
+    request: (ClientMethod, &str, &str),
+) {
+    let (method, path, body) = request;
+    let number = world.request(method, path, body);
+    world.commit();
+    let reply = world
+        .reply(number)
+        .unwrap_or_else(|| panic!("no answer: {name}"));
+    add_reply(transcript, name, reply);
+}
+
+fn job_path(job: &str) -> String {
+    format!("/q/{job}")
+}
+
+fn life_of_a_job(transcript: &mut Transcript) {
+    let mut world = World::new(1);
+    let path = job_path(JOB);
+    add(
+        transcript,
+        &mut world,
+        "a queue without jobs",
+        (Read, "/q/", ""),
+    );
+    add(transcript, &mut world, "a job", (Submit, &path, ONE_TASK));
+    add(
+        transcript,
+        &mut world,
+        "the same job again",
+        (Submit, &path, ONE_TASK),
+    );
+    add(
+        transcript,
+        &mut world,
+        "the same job with another body",
+        (Submit, &path, "{"),
+    );
+    add(transcript, &mut world, "its queue", (Read, "/q/", ""));
+    add(transcript, &mut world, "its state", (Read, &path, ""));
+    world.obey_all();
+    add(
+        transcript,
+        &mut world,
+        "its state once it runs",
+        (Read, &path, ""),
+    );
+    world.end_all(RunEnd::Done);
+    add(
+        transcript,
+        &mut world,
+        "its state at its end",
+        (Read, &path, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its cancellation after its end",
+        (Cancel, &path, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its state after that",
+        (Read, &path, ""),
+    );
+
+    let path = job_path(OTHER_JOB);
+    add(
+        transcript,
+        &mut world,
+        "another job",
+        (Submit, &path, ONE_TASK),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its cancellation",
+        (Cancel, &path, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its cancellation again",
+        (Cancel, &path, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its state when cancelled",
+        (Read, &path, ""),
+    );
+
+    let mut world = World::with_config(1, config(1, 1, 1));
+    let path = job_path(JOB);
+    add(
+        transcript,
+        &mut world,
+        "a job with one attempt",
+        (Submit, &path, ONE_TASK),
+    );
+    world.obey_all();
+    world.end_all(RunEnd::Failed);
+    add(
+        transcript,
+        &mut world,
+        "its state when failed",
+        (Read, &path, ""),
+    );
+}
+
+fn a_job_that_waits(transcript: &mut Transcript) {
+    let mut world = World::new(1);
+    let path = job_path(JOB);
+    let later = DAY_MS + 60_000;
+    let body = format!(
+        r#"{{"stages":[{{"count":1,"cpu":500}}],"repeat":2,"first_run_ms":{later},"interval_ms":2000}}"#
+    );
+    add(
+        transcript,
+        &mut world,
+        "a job for later",
+        (Submit, &path, &body),
+    );
+    add(
+        transcript,
+        &mut world,
+        "its state before",
+        (Read, &path, ""),
+    );
+}
+
+fn what_is_refused(transcript: &mut Transcript) {
+    let mut world = World::new(1);
+    let unknown = job_path(UNKNOWN_JOB);
+    add(
+        transcript,
+        &mut world,
+        "an unknown job's state",
+        (Read, &unknown, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "an unknown job's cancellation",
+        (Cancel, &unknown, ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "no such queue",
+        (Read, "/none/", ""),
+    );
+    add(
+        transcript,
+        &mut world,
+        "no such queue, with a job",
+        (Submit, "/none/00000000000000aa", ONE_TASK),
+    );
+    for path in ["/q/nothex", "/q/00000000000000AA", "/q/0a", "/q/"] {
+        add(
+            transcript,
+            &mut world,
+            &format!("POST {path}"),
+            (Submit, path, ONE_TASK),
+        );
+    }
+    add(transcript, &mut world, "DELETE /q/", (Cancel, "/q/", ""));
+    for body in BAD_JOBS {
+        add(
+            transcript,
+            &mut world,
+            &format!("no job: {body}"),
+            (Submit, &job_path(JOB), body),
+        );
+    }
+}
+
+fn no_room(transcript: &mut Transcript) {
+    let mut world = World::new(0);
+    for number in 0..MOST_JOBS {
+        world.submit(&format!("{number:016x}"), ONE_TASK);
+    }
+    let path = job_path(&format!("{MOST_JOBS:016x}"));
+    add(
+        transcript,
+        &mut world,
+        "one job over those kept",
+        (Submit, &path, ONE_TASK),
+    );
+}
+
+fn no_configuration(transcript: &mut Transcript) {
+    let mut world = World::new(0);
+    let restored = Restored {
+        epoch: 2,
+        node: NodeId { ip: 9, port: 9 },
+        records: Vec::new(),
+        config: None,
+        seed: 7,
+    };
+    let settings = SchedulerSettings {
+        bounds: Bounds::default(),
+    };
+    world.scheduler = Scheduler::new(settings, world.now, restored);
+    add(
+        transcript,
+        &mut world,
+        "without a configuration",
+        (Submit, &job_path(JOB), ONE_TASK),
+    );
+}
+
+#[test]
+fn every_answer_is_the_one_kept() {
+    let mut transcript = Transcript::default();
+    life_of_a_job(&mut transcript);
+    a_job_that_waits(&mut transcript);
+    what_is_refused(&mut transcript);
+    no_room(&mut transcript);
+    no_configuration(&mut transcript);
+    transcript.assert_kept(KEPT);
+}
