--- /dev/null
+++ b/crates/wire/tests/encoding.rs
@@ -0,0 +1,144 @@
+//! The bytes on the wire. `fixtures/wire.txt` has one example or more of each type, with its name and its bytes as
+//! hex; the names are the fixture's own. Processes of different releases speak to each other: a difference from the
+//! fixture is a new protocol version, never a new fixture alone.
+mod examples;
+
+use deku::DekuContainerRead;
+use sagetrail_wire::agent::RunEnd;
+use sagetrail_wire::client::ClientMethod;
+use sagetrail_wire::control::{ChangeKind, ControlMessage, RecordChange};
+use sagetrail_wire::frame::{
+    self, FrameError, LENGTH_BYTES, MAGIC, MAX_FRAME_BYTES, PREAMBLE_BYTES, PROTOCOL_VERSION,
+};
+use sagetrail_wire::{Message, NodeKind};
+
+const FIXTURE: &str = include_str!("fixtures/wire.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits: Vec<u8> = hex
+        .chars()
+        .map(|digit| digit.to_digit(16).unwrap() as u8)
+        .collect();
+    digits
+        .chunks_exact(2)
+        .map(|pair| pair[0] << 4 | pair[1])
+        .collect()
+}
+
+/// The fixture's bytes of an example.
+fn kept(name: &str) -> Vec<u8> {
+    let line = FIXTURE
+        .lines()
+        .find_map(|line| line.split_once(' ').filter(|(kept, _)| *kept == name));
+    bytes_of(
+        line.unwrap_or_else(|| panic!("{name} is not in the fixture"))
+            .1,
+    )
+}
+
+#[test]
+fn all_types_are_written_as_the_fixture_says() {
+    let written: String = examples::all()
+        .iter()
+        .map(|example| format!("{} {}\n", example.name, hex(&example.bytes)))
+        .collect();
+    for (written, kept) in written.lines().zip(FIXTURE.lines()) {
+        assert_eq!(written, kept);
+    }
+    assert_eq!(written, FIXTURE);
+}
+
+#[test]
+fn all_types_are_read_from_the_bytes_of_the_fixture() {
+    for example in examples::all() {
+        (example.reads_back)(&kept(&example.name));
+    }
+}
+
+#[test]
+fn names_of_examples_are_unique() {
+    let mut names: Vec<String> = examples::all().into_iter().map(|e| e.name).collect();
+    names.sort_unstable();
+    let count = names.len();
+    names.dedup();
+    assert_eq!(names.len(), count);
+}
+
+/// `encode` and `decode` put nothing around the bytes of a message.
+#[test]
+fn frames_carry_a_message_as_it_is() {
+    let messages = examples::all()
+        .into_iter()
+        .filter(|example| example.name.starts_with("message/"));
+    for example in messages {
+        let payload = kept(&example.name);
+        let message = frame::decode(&payload).unwrap();
+        assert_eq!(
+            frame::encode(&message).unwrap(),
+            payload,
+            "{}",
+            example.name
+        );
+        // What follows a message is passed over.
+        let longer = [payload, vec![0xee]].concat();
+        assert_eq!(frame::decode(&longer).unwrap(), message, "{}", example.name);
+    }
+}
+
+#[test]
+fn messages_that_are_cut_off_are_refused() {
+    for example in examples::all() {
+        if example.name.starts_with("message/") {
+            let payload = kept(&example.name);
+            for length in 0..payload.len() {
+                let read = frame::decode(&payload[..length]);
+                assert!(
+                    matches!(read, Err(FrameError::Malformed(_))),
+                    "{} cut to {length}",
+                    example.name
+                );
+            }
+        }
+    }
+}
+
+/// Which first bytes name a variant, where zeros follow.
+fn known_ids<T: for<'a> DekuContainerRead<'a>>() -> Vec<u8> {
+    (0..=u8::MAX)
+        .filter(|id| {
+            let mut bytes = vec![0; 512];
+            bytes[0] = *id;
+            T::from_bytes((&bytes, 0)).is_ok()
+        })
+        .collect()
+}
+
+#[test]
+fn no_other_ids_are_taken() {
+    assert_eq!(known_ids::<Message>(), (1..=12).collect::<Vec<u8>>());
+    assert_eq!(known_ids::<NodeKind>(), [0, 1, 2]);
+    assert_eq!(known_ids::<ClientMethod>(), [0, 1, 2]);
+    assert_eq!(known_ids::<RunEnd>(), (0..=6).collect::<Vec<u8>>());
+    assert_eq!(known_ids::<ChangeKind>(), [1, 2]);
+    assert_eq!(known_ids::<RecordChange>(), [0, 1]);
+}
+
+/// One of them has a kind of change within that is never zero.
+#[test]
+fn no_other_ids_of_control_messages_are_taken() {
+    let all: Vec<u8> = (0..=27).filter(|id| *id != 26).collect();
+    assert_eq!(known_ids::<ControlMessage>(), all);
+}
+
+#[test]
+fn a_connection_begins_with_the_same_figures() {
+    assert_eq!(MAGIC, 0x7361_6765);
+    assert_eq!(PROTOCOL_VERSION, 1);
+    assert_eq!(PREAMBLE_BYTES, kept("preamble").len());
+    assert_eq!(LENGTH_BYTES, 4);
+    assert_eq!(MAX_FRAME_BYTES, 32 << 20);
+}
--- /dev/null
+++ b/crates/wire/tests/examples/members.rs
@@ -0,0 +1,92 @@
+//! What names a process, the opening of a connection, and the enums without fields.
+use super::{complete, variants, Example};
+use sagetrail_wire::agent::RunEnd;
+use sagetrail_wire::client::ClientMethod;
+use sagetrail_wire::control::ChangeKind;
+use sagetrail_wire::frame::Preamble;
+use sagetrail_wire::{NodeId, NodeKind};
+
+variants!(NODE_KINDS, node_kind, NodeKind, {
+    NodeKind::Frontend => "frontend",
+    NodeKind::Side => "side",
+    NodeKind::Core => "core",
+});
+
+variants!(CLIENT_METHODS, client_method, ClientMethod, {
+    ClientMethod::Submit => "submit",
+    ClientMethod::Read => "read",
+    ClientMethod::Cancel => "cancel",
+});
+
+variants!(RUN_ENDS, run_end, RunEnd, {
+    RunEnd::Done => "done",
+    RunEnd::Failed => "failed",
+    RunEnd::Stopped => "stopped",
+    RunEnd::Lapsed => "lapsed",
+    RunEnd::Broken => "broken",
+    RunEnd::Alone => "alone",
+    RunEnd::Refused => "refused",
+});
+
+variants!(CHANGE_KINDS, change_kind, ChangeKind, {
+    ChangeKind::Replace => "replace",
+    ChangeKind::Patch => "patch",
+});
+
+/// A process with this last byte in its address.
+pub fn process(last: u8) -> NodeId {
+    NodeId {
+        ip: 0x0a12_4a00 + u32::from(last),
+        port: 0x1f00 + u16::from(last),
+    }
+}
+
+pub fn examples() -> Vec<Example> {
+    let preamble = Preamble {
+        magic: 0x0102_0304,
+        version: 0x0506,
+        from: process(7),
+        incarnation: 0x1112_1314_1516_1718,
+    };
+    let mut examples = vec![
+        Example::of("preamble", preamble),
+        Example::of("node-id", process(9)),
+    ];
+    examples.extend(complete(
+        "node-kind",
+        NODE_KINDS,
+        node_kind,
+        vec![NodeKind::Frontend, NodeKind::Side, NodeKind::Core],
+    ));
+    examples.extend(complete(
+        "client-method",
+        CLIENT_METHODS,
+        client_method,
+        vec![
+            ClientMethod::Submit,
+            ClientMethod::Read,
+            ClientMethod::Cancel,
+        ],
+    ));
+    examples.extend(complete(
+        "run-end",
+        RUN_ENDS,
+        run_end,
+        vec![
+            RunEnd::Done,
+            RunEnd::Failed,
+            RunEnd::Stopped,
+            RunEnd::Lapsed,
+            RunEnd::Broken,
+            RunEnd::Alone,
+            RunEnd::Refused,
+        ],
+    ));
+    examples.extend(complete(
+        "change-kind",
+        CHANGE_KINDS,
+        change_kind,
+        vec![ChangeKind::Replace, ChangeKind::Patch],
+    ));
+    examples
+}
--- /dev/null
+++ b/crates/wire/tests/examples/messages.rs
@@ -0,0 +1,250 @@
+//! Messages between processes, other than those among core processes.
+use super::members::process;
+use super::{complete, variants, Example};
+use sagetrail_wire::agent::{
+    ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport, StartOrder, StopOrder,
+};
+use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_wire::control::{ControlMessage, Learn};
+use sagetrail_wire::directory::{Directory, Hello};
+use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
+use sagetrail_wire::message::Relayed;
+use sagetrail_wire::{Blob, List, Message, NodeKind, Text};
+
+variants!(MESSAGES, message, Message, {
+    Message::Hello(_) => "hello",
+    Message::Directory(_) => "directory",
+    Message::ClientRequest(_) => "client-request",
+    Message::ClientReply(_) => "client-reply",
+    Message::NotOwner(_) => "not-owner",
+    Message::RunnerReport(_) => "runner-report",
+    Message::RunnerOrders(_) => "runner-orders",
+    Message::Subscribe(_) => "subscribe",
+    Message::ConfigUpdate(_) => "config-update",
+    Message::ConfigCurrent(_) => "config-current",
+    Message::Control(_) => "control",
+    Message::Relayed(_) => "relayed",
+});
+
+pub fn examples() -> Vec<Example> {
+    let values = vec![
+        hello(),
+        directory(),
+        client_request(),
+        client_reply(),
+        not_owner(),
+        report(),
+        report_of_draining_runner(),
+        report_without_runner(),
+        orders(),
+        Message::Subscribe(Subscribe {
+            have: 0x3001,
+            asked_at: 0x3002,
+        }),
+        Message::ConfigUpdate(ConfigUpdate {
+            version: 0x3101,
+            document: Blob(b"{\"a\":1}".to_vec()),
+        }),
+        Message::ConfigCurrent(ConfigCurrent {
+            version: 0x3201,
+            age_ms: 0x3202,
+            asked_at: 0x3203,
+        }),
+        Message::Control(ControlMessage::Learn(Learn {
+            ballot: super::control::ballot(0x33),
+        })),
+        Message::Relayed(Relayed {
+            from: process(0x34),
+            to: process(0x35),
+            payload: Blob(vec![0x36, 0x37, 0x38]),
+        }),
+    ];
+    complete("message", MESSAGES, message, values)
+}
+
+fn hello() -> Message {
+    Message::Hello(Hello {
+        kind: NodeKind::Side,
+        incarnation: 0x0102_0304_0506_0708,
+        config_version: 0x1112_1314_1516_1718,
+    })
+}
+
+fn directory() -> Message {
+    Message::Directory(Directory {
+        members_version: 0x2001,
+        members: List(vec![process(1), process(2)]),
+        next_members: List(vec![process(3)]),
+        epoch: 0x2002,
+        owner: process(4),
+        config_version: 0x2003,
+        relays: List(vec![process(5), process(6), process(7)]),
+    })
+}
+
+fn client_request() -> Message {
+    Message::ClientRequest(ClientRequest {
+        request: 0x2101,
+        method: ClientMethod::Cancel,
+        host: Text::from("jobs.example"),
+        path: Text::from("/queue/é"),
+        body: Blob(vec![0, 0xff, 0x7f]),
+        config_version: 0x2102,
+        remaining_ms: 0x2103_2104,
+    })
+}
+
+fn client_reply() -> Message {
+    Message::ClientReply(ClientReply {
+        request: 0x2201,
+        status: 0x0190,
+        retry_after_ms: 0x2202_2203,
+        body: Blob(b"{}".to_vec()),
+        config_version: 0x2204,
+    })
+}
+
+fn not_owner() -> Message {
+    Message::NotOwner(NotOwner {
+        request: 0x2301,
+        epoch: 0x2302,
+        owner: process(0x23),
+    })
+}
+
+fn report() -> Message {
+    Message::RunnerReport(RunnerReport {
+        agent: 0x2401,
+        sequence: 0x2402,
+        sent_at: 0x2403,
+        epoch: 0x2404,
+        revision: 0x2405,
+        settled: true,
+        present: true,
+        instance: Text::from("instance"),
+        service: Text::from("service"),
+        address: Text::from("10.0.0.1:80"),
+        zone: Text::from("zone"),
+        draining: false,
+        remaining_ms: 0x2406,
+        cold_remaining_ms: 0x2407,
+        capacity: Resources {
+            cpu: 0x2408,
+            mem_mb: 0x2409,
+            gpu: 0x240a,
+        },
+        labels: List(vec![Text::from("one"), Text::from("two")]),
+        active: List(vec![
+            ActiveRun {
+                task: Text::from("a.1.2.3"),
+                attempt: 0x240b,
+                saved: Text::from("kept"),
+                percent: 0x2c,
+            },
+            ActiveRun {
+                task: Text::from("b"),
+                attempt: 0x240c,
+                saved: Text::default(),
+                percent: 0x2d,
+            },
+        ]),
+        finished: List(vec![FinishedRun {
+            number: 0x240d,
+            task: Text::from("c.1"),
+            attempt: 0x240e,
+            end: RunEnd::Broken,
+            saved: Text::from("last"),
+        }]),
+        lapsed: false,
+        silent_ms: 0x240f,
+    })
+}
+
+/// A runner that drains. With the other two reports no two flags are always the same.
+fn report_of_draining_runner() -> Message {
+    Message::RunnerReport(RunnerReport {
+        agent: 0x2701,
+        sequence: 0x2702,
+        sent_at: 0x2703,
+        epoch: 0x2704,
+        revision: 0x2705,
+        settled: false,
+        present: true,
+        instance: Text::default(),
+        service: Text::default(),
+        address: Text::default(),
+        zone: Text::default(),
+        draining: true,
+        remaining_ms: 0,
+        cold_remaining_ms: 0,
+        capacity: Resources {
+            cpu: 0,
+            mem_mb: 0,
+            gpu: 0,
+        },
+        labels: List(Vec::new()),
+        active: List(Vec::new()),
+        finished: List(Vec::new()),
+        lapsed: false,
+        silent_ms: 0x2706,
+    })
+}
+
+/// No runner is known, and all that one may have run is over.
+fn report_without_runner() -> Message {
+    Message::RunnerReport(RunnerReport {
+        agent: 0x2501,
+        sequence: 0x2502,
+        sent_at: 0x2503,
+        epoch: 0x2504,
+        revision: 0x2505,
+        settled: false,
+        present: false,
+        instance: Text::default(),
+        service: Text::default(),
+        address: Text::default(),
+        zone: Text::default(),
+        draining: false,
+        remaining_ms: 0,
+        cold_remaining_ms: 0,
+        capacity: Resources {
+            cpu: 0,
+            mem_mb: 0,
+            gpu: 0,
+        },
+        labels: List(Vec::new()),
+        active: List(Vec::new()),
+        finished: List(Vec::new()),
+        lapsed: true,
+        silent_ms: 0x2506,
+    })
+}
+
+fn orders() -> Message {
+    Message::RunnerOrders(RunnerOrders {
+        epoch: 0x2601,
+        revision: 0x2602,
+        agent: 0x2603,
+        sent_at: 0x2604,
+        lease_ms: 0x2605,
+        instance: Text::from("instance"),
+        start: List(vec![StartOrder {
+            task: Text::from("a.1.2.3"),
+            attempt: 0x2606,
+            spec: Text::from("{\"id\":\"a\"}"),
+            saved: Text::from("kept"),
+        }]),
+        stop: List(vec![
+            StopOrder {
+                task: Text::from("b"),
+                attempt: 0x2607,
+            },
+            StopOrder {
+                task: Text::from("c"),
+                attempt: 0x2608,
+            },
+        ]),
+        observed: 0x2609,
+        retry_after_ms: 0x260a,
+    })
+}
