--- /dev/null
+++ b/crates/shared/tests/encoding.rs
@@ -0,0 +1,253 @@
+//! The bytes of what whole members send each other. The frames are those that a pair of members writes in a fixed
+//! story; each is handed to the other one, so that it is read as well. Members of different releases speak to each
+//! other: a difference from `fixtures/frames.txt` is a new version, never a new fixture alone.
+use sagetrail_fixture::Fixture;
+use sagetrail_members::{Codec, Envelope, Life, Message, Pace, Peer, Update, WHOLE_MOST};
+use sagetrail_shared::{
+    Ask, Digest, Grant, Judge, Key, Kind, Lending, Node, Out, Report, Sums, Terms,
+};
+use serde::{Deserialize, Serialize};
+
+const FIXTURE: &str = include_str!("fixtures/frames.txt");
+const FLEET: &str = "fleet";
+/// Shortly before a full second, so that work items come in two of them; seconds.
+const START: f64 = 0.9;
+const RUNNER: u64 = 0x0102_0304_0506_0708;
+
+/// What a frame says, as the fixture has it: a frame of any other form is not read.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+enum Body {
+    Swim(Message),
+    Asks(Vec<Ask>),
+    Grants(Vec<Grant>),
+    Report(Report),
+    Have {
+        updates: Vec<Update>,
+        have: Vec<Digest>,
+    },
+    Give {
+        updates: Vec<Update>,
+        have: Vec<Digest>,
+        reports: Vec<Report>,
+        sums: Vec<Sums>,
+    },
+    Rest {
+        reports: Vec<Report>,
+        sums: Vec<Sums>,
+    },
+}
+
+impl Body {
+    fn name(&self) -> &'static str {
+        match self {
+            Body::Swim(_) => "swim",
+            Body::Asks(_) => "asks",
+            Body::Grants(_) => "grants",
+            Body::Report(_) => "report",
+            Body::Have { .. } => "have",
+            Body::Give { .. } => "give",
+            Body::Rest { .. } => "rest",
+        }
+    }
+}
+
+const BODIES: [&str; 7] = ["swim", "asks", "grants", "report", "have", "give", "rest"];
+
+fn opened(frame: &[u8]) -> (Envelope, Body) {
+    Codec::new(FLEET).read(frame, WHOLE_MOST).unwrap()
+}
+
+fn terms(me: usize) -> Terms {
+    let peer = |name: &str, number, site| Peer {
+        name: name.to_string(),
+        number,
+        site,
+    };
+    let lending = |lease_s| Lending {
+        lease_s,
+        hold_s: 1.0,
+        owners: 2,
+    };
+    Terms {
+        fleet: FLEET.to_string(),
+        roster: vec![peer("a", 0x1001, 1), peer("b", 0x1002, 2)],
+        me,
+        pace: Pace::default(),
+        lending: [
+            (Kind::Cold, lending(3.0)),
+            (Kind::Resends, lending(3.5)),
+            (Kind::Category, lending(4.0)),
+        ]
+        .into(),
+        judge: Judge::default(),
+        categories: 3,
+        incarnation: 0x2001 + me as u64,
+        birth: 0x3001 + me as u64,
+    }
+}
+
+/// A pair of members, and what they have sent.
+struct Pair {
+    a: Node,
+    b: Node,
+    written: Fixture,
+}
+
+impl Pair {
+    fn new() -> Pair {
+        Pair {
+            a: Node::new(terms(0), START),
+            b: Node::new(terms(1), START),
+            written: Fixture::default(),
+        }
+    }
+
+    /// Notes a frame that must say this.
+    fn note(&mut self, name: &str, variant: &str, frame: &[u8]) {
+        let (envelope, body) = opened(frame);
+        assert_eq!(body.name(), variant, "{name}");
+        assert_eq!(Codec::new(FLEET).write(&envelope, &body), frame, "{name}");
+        self.written.add_bytes(name, frame);
+    }
+
+    fn nobody_refused(&self) {
+        assert!(self.a.refused.is_empty(), "{:?}", self.a.refused);
+        assert!(self.b.refused.is_empty(), "{:?}", self.b.refused);
+    }
+}
+
+/// The frames' order among those due at once is no part of the format.
+fn only(out: &Out, variant: &str) -> Vec<u8> {
+    let mut frames = out
+        .iter()
+        .filter(|(_, frame)| opened(frame).1.name() == variant);
+    let (_, frame) = frames.next().unwrap();
+    assert!(frames.next().is_none(), "several frames of {variant}");
+    frame.clone()
+}
+
+fn see_something(node: &mut Node) {
+    node.sights.saw(0.95, RUNNER, true);
+    node.sights.saw(1.0, RUNNER, true);
+    node.sights.saw(1.05, RUNNER, false);
+    for (at, category) in [(0.95, 0), (0.95, 2), (1.1, 2), (1.1, 2)] {
+        node.arrived(at, category);
+    }
+    node.runs(vec![(0x4001, 0x501), (0x4002, 0x502)]);
+}
+
+/// Probes, their answers, and a member's own report.
+fn gossip(pair: &mut Pair) {
+    see_something(&mut pair.a);
+    let mut out = Out::new();
+    pair.a.tick(1.2, &mut out);
+    let (probe, report) = (only(&out, "swim"), only(&out, "report"));
+    pair.note("probe", "swim", &probe);
+    pair.note("report", "report", &report);
+    let mut answers = Out::new();
+    pair.b.datagram(1.21, &probe, &mut answers);
+    pair.b.datagram(1.22, &report, &mut answers);
+    let ack = only(&answers, "swim");
+    pair.note("ack", "swim", &ack);
+    pair.a.datagram(1.23, &ack, &mut Out::new());
+    assert_eq!(pair.a.members.seen(1).life, Life::Alive);
+    assert_eq!(pair.b.reports.digest().len(), 1);
+}
+
+fn exchange(pair: &mut Pair) {
+    pair.b.arrived(2.0, 1);
+    let (_, have) = pair.a.exchange(3.5).unwrap();
+    pair.note("have", "have", &have);
+    let give = pair.b.whole(3.51, &have).unwrap();
+    pair.note("give", "give", &give);
+    let rest = pair.a.whole(3.53, &give).unwrap();
+    pair.note("rest", "rest", &rest);
+    assert_eq!(pair.b.whole(3.56, &rest), None);
+    let heard = (
+        pair.a.reports.arrivals(3.6, 1).sum,
+        pair.b.reports.arrivals(3.6, 2).sum,
+    );
+    assert_eq!(heard, (1, 3));
+}
+
+const KINDS: [Kind; 3] = [Kind::Cold, Kind::Resends, Kind::Category];
+
+fn key(kind: Kind) -> Key {
+    Key { kind, of: RUNNER }
+}
+
+/// Members ask for parts of each kind of budget, once with nothing in use and once with something.
+fn budgets(pair: &mut Pair) {
+    for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
+        pair.a.budgets.limit(10.0, key(kind), limit);
+        pair.b.budgets.limit(10.0, key(kind), limit);
+        pair.a.budgets.told(10.0, key(kind), 0, limit);
+    }
+    ask(pair, 10.0, "asks", "grants");
+    for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
+        let usable = pair.a.budgets.usable(10.1, key(kind));
+        assert!(usable > limit / 2, "{kind:?}: {usable} of {limit}");
+        pair.a.budgets.told(10.1, key(kind), usable - 7, limit);
+    }
+    ask(pair, 12.0, "asks-in-use", "grants-in-use");
+}
+
+fn ask(pair: &mut Pair, at: f64, asks: &str, grants: &str) {
+    let (mut out, mut answers) = (Out::new(), Out::new());
+    pair.a.look(at, &mut out);
+    let frame = only(&out, "asks");
+    pair.note(asks, "asks", &frame);
+    pair.b.datagram(at + 0.01, &frame, &mut answers);
+    let frame = only(&answers, "grants");
+    pair.note(grants, "grants", &frame);
+    pair.a.datagram(at + 0.02, &frame, &mut Out::new());
+}
+
+#[test]
+fn frames_are_written_and_read_as_the_fixture_says() {
+    let mut pair = Pair::new();
+    gossip(&mut pair);
+    exchange(&mut pair);
+    budgets(&mut pair);
+    pair.nobody_refused();
+    Fixture::assert_keeps(FIXTURE, &pair.written);
+}
+
+#[test]
+fn every_kind_of_frame_is_in_the_fixture() {
+    let fixture = Fixture::read(FIXTURE);
+    let mut found: Vec<&str> = fixture
+        .names()
+        .map(|name| opened(&fixture.bytes(name)).1.name())
+        .collect();
+    found.sort_unstable();
+    found.dedup();
+    let mut all = BODIES;
+    all.sort_unstable();
+    assert_eq!(found, all);
+}
+
+/// Figures of the second question and answer, in which none is zero.
+#[test]
+fn questions_and_grants_mean_what_they_did() {
+    let fixture = Fixture::read(FIXTURE);
+    let (_, asks) = opened(&fixture.bytes("asks-in-use"));
+    let (_, grants) = opened(&fixture.bytes("grants-in-use"));
+    let (Body::Asks(asks), Body::Grants(grants)) = (asks, grants) else {
+        panic!("not questions and grants");
+    };
+    assert_eq!(asks.len(), KINDS.len());
+    for ((kind, limit), (ask, grant)) in KINDS
+        .into_iter()
+        .zip([1000, 1100, 1200])
+        .zip(asks.iter().zip(&grants))
+    {
+        assert_eq!((ask.key, grant.key), (key(kind), key(kind)));
+        assert_eq!((grant.to, grant.limit), (0x3001, limit));
+        assert_eq!(grant.no, ask.no);
+        assert!(ask.uses > 0 && ask.uses < ask.want, "{ask:?}");
+        assert!(grant.amount >= ask.uses, "{grant:?}");
+    }
+    let leases: Vec<u32> = grants.iter().map(|grant| grant.lease_ms).collect();
+    assert_eq!(leases, [3000, 3500, 4000]);
+}
