--- /dev/null
+++ b/crates/store/tests/encoding.rs
@@ -0,0 +1,477 @@
+//! The bytes of what members' stores send each other and put on the disk. The frames are those that two members write
+//! in a fixed story; each is handed to the other one, so that it is read as well. What goes into frames, the log, the
+//! journal and saved copies has examples of its own, with all fields distinct. Both outlive a release: a difference
+//! from a fixture needs a way from the one form to the other, never a new fixture alone.
+mod encoding_support;
+
+use encoding_support::{body, open_log_question, Body, Pair, BODIES, NAME};
+use sagetrail_agreed::{
+    DiskRecord, DiskWritten, Entry, EntryPayload, Mark, MessageBody, Snapshot, Voter,
+};
+use sagetrail_fixture::Fixture;
+use sagetrail_store::{
+    begin, open, record, replicas, About, ClaimId, ClaimReply, Digest, Ended, Facts, Held, Item,
+    Key, Merged, Name, Op, Outcome, Owner, Proposal, RecordCopy, RecordPage, Refusal, Stamp,
+    FRAME_MOST, STORE_VERSION,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+
+const FRAMES: &str = include_str!("fixtures/frames.txt");
+const VALUES: &str = include_str!("fixtures/values.txt");
+
+// ---- frames ----
+
+fn merged_state(pair: &mut Pair) {
+    pair.a.merged.put(0.0, "key", Some(b"a's value".to_vec()));
+    pair.a.merged.put(0.0, "dropped", Some(b"x".to_vec()));
+    pair.a.merged.put(0.0, "dropped", None);
+    pair.b.merged.put(0.0, "key", Some(b"b's value".to_vec()));
+    pair.a.tick(0.0);
+    let digest = pair.from_a("merged-digest", |body| {
+        matches!(body, Body::MergedDigest(_))
+    });
+    pair.b.receive(0.1, &digest);
+    let is_items = |body: &Body| matches!(body, Body::MergedItems { .. });
+    let items = pair.from_b("merged-items", is_items);
+    pair.a.receive(0.2, &items);
+    let answer = pair.from_a("merged-items-answer", is_items);
+    pair.b.receive(0.3, &answer);
+    assert_eq!(pair.a.merged.get(2, "key"), Some(&b"b's value"[..]));
+    assert_eq!(pair.b.merged.get(1, "key"), Some(&b"a's value"[..]));
+    assert_eq!(pair.b.merged.get(1, "dropped"), None);
+}
+
+/// A question about a disk, its answer, and a proposal of who doesn't lead. The messages of the log have a fixture of
+/// their own.
+fn log(pair: &mut Pair) {
+    let question = open_log_question();
+    pair.written.add_bytes("log-disk-query", &question);
+    pair.a.receive(0.5, &question);
+    let is_report = |body: &Body| match body {
+        Body::Log(message) => matches!(message.body, MessageBody::DiskReport { .. }),
+        _ => false,
+    };
+    pair.from_a("log-disk-report", is_report);
+    pair.a.tick(0.7);
+    pair.hand_log_to_b(0.8);
+    let op = Op::Settings {
+        text: "settings".to_string(),
+        on: 0,
+    };
+    let no = pair.b.propose(0.9, op).unwrap();
+    let propose = pair.from_b("propose", |body| matches!(body, Body::Propose(_)));
+    pair.a.receive(1.0, &propose);
+    pair.sync();
+    assert_eq!(pair.a.facts.settings(), "settings");
+    assert_eq!(pair.a.facts.done(2, pair.birth_of_b(), no), Some(true));
+}
+
+/// A claim that comes too early, one that is granted, its end, and one of the same name after that.
+fn claims(pair: &mut Pair) {
+    let is_claim = |body: &Body| matches!(body, Body::Claim { .. });
+    let is_reply = |body: &Body| matches!(body, Body::ClaimReply { .. });
+    pair.b.claim_name(2.0, Name(0x99), 1);
+    let claim = pair.from_b("claim", is_claim);
+    pair.a.receive(2.1, &claim);
+    pair.from_a("claim-reply-unavailable", is_reply);
+
+    let no = pair.b.claim_name(20.0, NAME, 1);
+    let claim = pair.from_b(
+        "claim-2",
+        |body| matches!(body, Body::Claim { name, .. } if *name == NAME),
+    );
+    pair.a.receive(20.1, &claim);
+    let granted = pair.from_a("claim-reply-granted", is_reply);
+    pair.b.receive(20.2, &granted);
+    assert_eq!(pair.b.outcome(20.2, no), Some(Outcome::Own { epoch: 1 }));
+
+    pair.b.ended(20.3, no, ended());
+    let end = pair.from_b(
+        "end",
+        |body| matches!(body, Body::End { name, .. } if *name == NAME),
+    );
+    pair.a.receive(20.4, &end);
+    let confirmed = pair.from_a("end-confirmed", |body| {
+        matches!(body, Body::EndConfirmed { .. })
+    });
+    pair.b.receive(20.5, &confirmed);
+
+    let no = pair.a.claim_name(21.0, NAME, 1);
+    let claim = pair.from_a("claim-3", is_claim);
+    pair.b.receive(21.1, &claim);
+    let refused = pair.from_b("claim-reply-refused", is_reply);
+    pair.a.receive(21.2, &refused);
+    let outcome = pair.a.outcome(21.2, no);
+    assert!(
+        matches!(&outcome, Some(Outcome::Known { ended: known, .. }) if *known == ended()),
+        "{outcome:?}"
+    );
+}
+
+fn records(pair: &mut Pair) {
+    pair.restart_b(22.0);
+    pair.b.tick(23.0);
+    let request = pair.from_b("records-request", |body| {
+        matches!(body, Body::RecordsRequest { .. })
+    });
+    pair.a.receive(23.1, &request);
+    let page = pair.from_a("records", |body| matches!(body, Body::Records(_)));
+    pair.b.receive(23.2, &page);
+    assert!(pair.b.holder.is_ready(23.2));
+    assert_eq!(pair.b.holder.count(), 1);
+}
+
+#[test]
+fn frames_are_written_and_read_as_the_fixture_says() {
+    let mut pair = Pair::new();
+    merged_state(&mut pair);
+    log(&mut pair);
+    claims(&mut pair);
+    records(&mut pair);
+    pair.nobody_refused();
+    Fixture::assert_keeps(FRAMES, &pair.written);
+}
+
+#[test]
+fn every_kind_of_frame_is_in_the_fixture() {
+    let fixture = Fixture::read(FRAMES);
+    let found: BTreeSet<&str> = fixture
+        .names()
+        .map(|name| body(&fixture.bytes(name)).name())
+        .collect();
+    assert_eq!(found, BTreeSet::from(BODIES));
+}
+
+#[test]
+fn the_limits_of_frames_are_the_same() {
+    assert_eq!((STORE_VERSION, FRAME_MOST), (0x51, 512 << 10));
+}
+
+// ---- values ----
+
+fn ended() -> Ended {
+    Ended {
+        status: 0x0107,
+        ran: true,
+        body: Some(b"body".to_vec()),
+    }
+}
+
+fn proposals() -> Vec<Proposal> {
+    let ops = vec![
+        Op::Settings {
+            text: "settings".to_string(),
+            on: 0,
+        },
+        Op::Word {
+            about: About::Runner("runner".to_string()),
+            out: true,
+            seen: 0x1002,
+        },
+        Op::Word {
+            about: About::Dispatcher("dispatcher".to_string()),
+            out: true,
+            seen: 0x1003,
+        },
+        Op::Voters(vec![0x1101, 0x1102, 0x1103]),
+        Op::Lends {
+            who: 0x1104,
+            yes: false,
+        },
+    ];
+    let proposal = |(no, op)| Proposal {
+        who: 0x2001,
+        birth: 0x3001,
+        no,
+        op,
+    };
+    (0x4001..).zip(ops).map(proposal).collect()
+}
+
+/// No wildcard: a variant that is not named here does not compile.
+fn proposal_name(proposal: &Proposal) -> &'static str {
+    match &proposal.op {
+        Op::Settings { .. } => "proposal/settings",
+        Op::Word { about, .. } => match about {
+            About::Runner(_) => "proposal/word-runner",
+            About::Dispatcher(_) => "proposal/word-dispatcher",
+        },
+        Op::Voters(_) => "proposal/voters",
+        Op::Lends { .. } => "proposal/lends",
+    }
+}
+
+fn claim(mark: u64) -> ClaimId {
+    ClaimId {
+        owner: Owner {
+            who: 0x5000 + mark,
+            birth: 0x6000 + mark,
+        },
+        no: 0x7000 + mark,
+    }
+}
+
+fn replies() -> Vec<ClaimReply> {
+    vec![
+        ClaimReply::Granted,
+        ClaimReply::Refused(Refusal {
+            epoch: 2,
+            ended: Some(ended()),
+            age_ms: 0x8001,
+        }),
+        ClaimReply::Unavailable,
+    ]
+}
+
+fn reply_name(reply: &ClaimReply) -> &'static str {
+    match reply {
+        ClaimReply::Granted => "claim-reply/granted",
+        ClaimReply::Refused(_) => "claim-reply/refused",
+        ClaimReply::Unavailable => "claim-reply/unavailable",
+    }
+}
+
+fn page() -> RecordPage {
+    let open = RecordCopy {
+        name: NAME,
+        claim: claim(1),
+        epoch: 3,
+        age_ms: 0x8101,
+        ended: None,
+        also: vec![claim(2), claim(3)],
+    };
+    let over = RecordCopy {
+        name: Name(u128::MAX),
+        claim: claim(4),
+        epoch: 1,
+        age_ms: 0x8102,
+        ended: Some(Ended {
+            status: 503,
+            ran: false,
+            body: None,
+        }),
+        also: Vec::new(),
+    };
+    RecordPage {
+        after: Some(Name(0x0102)),
+        records: vec![open, over],
+        is_last: true,
+    }
+}
+
+fn stamp(mark: u64) -> Stamp {
+    Stamp {
+        incarnation: 0x9000 + mark,
+        version: 0xa000 + mark,
+    }
+}
+
+fn items() -> Vec<(Key, Item)> {
+    let key = |owner, name: &str| Key {
+        owner,
+        name: name.to_string(),
+    };
+    let item = |mark, value| Item {
+        stamp: stamp(mark),
+        value,
+    };
+    vec![
+        (key(0xb001, "name"), item(1, Some(b"value".to_vec()))),
+        (key(0xb002, "dropped"), item(2, None)),
+    ]
+}
+
+fn digest() -> Digest {
+    Digest {
+        owner: 0xc001,
+        last: stamp(3),
+        sum: 0x0102_0304_0506_0708,
+    }
+}
+
+/// What is agreed after all proposals, from place 11 on.
+fn facts() -> Facts {
+    let mut facts = Facts::default();
+    for (at, proposal) in (11..).zip(proposals()) {
+        assert!(facts.take(at, proposal));
+    }
+    facts
+}
+
+fn merged() -> Merged {
+    let mut merged = Merged::new(0xb003, 0x9003, 600.0, 0.0);
+    for (key, item) in items() {
+        assert!(merged.join(0.0, key, item));
+    }
+    assert!(merged.put(0.0, "own", Some(b"own value".to_vec())));
+    merged
+}
+
+const FLEET: u32 = 0x0102_0304;
+const ME: u64 = 0x1112_1314_1516_1718;
+const DISK: u64 = 0x2122_2324_2526_2728;
+const WRITTEN_BEFORE: u64 = 0x3132;
+
+fn disk_records() -> Vec<DiskRecord> {
+    let voter = Voter {
+        who: 0xd001,
+        disk: 0xd002,
+    };
+    let entry = Entry::after(
+        &Mark::default(),
+        7,
+        EntryPayload::Command(postcard::to_allocvec(&proposals()[0]).unwrap()),
+    );
+    vec![
+        DiskRecord::Term {
+            term: 7,
+            vote: Some(0xd001),
+        },
+        DiskRecord::Snapshot(Snapshot {
+            mark: entry.mark,
+            voters: vec![voter],
+            state: facts().write(),
+        }),
+        DiskRecord::Entry(entry),
+        DiskRecord::Truncate { from: 9 },
+        DiskRecord::Disks(vec![DiskWritten {
+            disk: 0xd003,
+            written: 0xd004,
+        }]),
+    ]
+}
+
+fn journal() -> Vec<u8> {
+    let mut file = begin(FLEET, ME, DISK, WRITTEN_BEFORE);
+    for each in disk_records() {
+        file.extend(record(&each));
+    }
+    file
+}
+
+fn written(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_allocvec(value).unwrap()
+}
+
+fn reads_back<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let bytes = Fixture::read(VALUES).bytes(name);
+    let (read, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
+    assert_eq!((&read, rest), (value, &[][..]), "{name}");
+}
+
+#[test]
+fn every_variant_has_an_example() {
+    let named: BTreeSet<&str> = proposals().iter().map(proposal_name).collect();
+    let all = [
+        "proposal/settings",
+        "proposal/word-runner",
+        "proposal/word-dispatcher",
+        "proposal/voters",
+        "proposal/lends",
+    ];
+    assert_eq!(named, BTreeSet::from(all));
+    let named: BTreeSet<&str> = replies().iter().map(reply_name).collect();
+    let all = [
+        "claim-reply/granted",
+        "claim-reply/refused",
+        "claim-reply/unavailable",
+    ];
+    assert_eq!(named, BTreeSet::from(all));
+}
+
+#[test]
+fn values_are_written_as_the_fixture_says() {
+    let mut fixture = Fixture::default();
+    for proposal in proposals() {
+        fixture.add_bytes(proposal_name(&proposal), &written(&proposal));
+    }
+    for reply in replies() {
+        fixture.add_bytes(reply_name(&reply), &written(&reply));
+    }
+    fixture.add_bytes("record-page", &written(&page()));
+    fixture.add_bytes("items", &written(&items()));
+    fixture.add_bytes("digest", &written(&digest()));
+    fixture.add_bytes("facts", &facts().write());
+    fixture.add_bytes("merged", &merged().write());
+    fixture.add_bytes("merged-digest", &written(&merged().digest()));
+    fixture.add_bytes("journal", &journal());
+    fixture.add_bytes("name", &Name::of("category", "called").0.to_be_bytes());
+    Fixture::assert_keeps(VALUES, &fixture);
+}
+
+#[test]
+fn values_are_read_from_the_bytes_of_the_fixture() {
+    for proposal in proposals() {
+        reads_back(proposal_name(&proposal), &proposal);
+    }
+    for reply in replies() {
+        reads_back(reply_name(&reply), &reply);
+    }
+    reads_back("record-page", &page());
+    reads_back("items", &items());
+    reads_back("digest", &digest());
+    reads_back("facts", &facts());
+    let fixture = Fixture::read(VALUES);
+    assert_eq!(Facts::read(&fixture.bytes("facts")), Some(facts()));
+    assert_eq!(facts().done(0x2001, 0x3001, 0x4005), Some(true));
+}
+
+#[test]
+fn a_saved_copy_of_merged_state_is_taken_up() {
+    let bytes = Fixture::read(VALUES).bytes("merged");
+    let mut again = Merged::new(0xb003, 0x9004, 600.0, 0.0);
+    assert!(again.take_up(0.0, &bytes, 1.0));
+    assert_eq!(again.get(0xb001, "name"), Some(&b"value"[..]));
+    assert_eq!(again.get(0xb003, "own"), Some(&b"own value"[..]));
+    assert_eq!(again.get(0xb002, "dropped"), None);
+    assert_eq!(again.count(), (3, 1));
+}
+
+#[test]
+fn a_journal_is_opened() {
+    let bytes = Fixture::read(VALUES).bytes("journal");
+    let records = disk_records();
+    let whole = Held::Whole {
+        disk: DISK,
+        written: WRITTEN_BEFORE + records.len() as u64,
+        recs: records,
+        upto: bytes.len(),
+    };
+    assert_eq!(open(&bytes, FLEET, ME), whole);
+}
+
+/// A name's record is kept where all members look for it.
+#[test]
+fn names_are_kept_by_the_same_members() {
+    let members: Vec<u64> = (1..=9).map(|mark| 0xe000 + mark).collect();
+    let name = Name::of("category", "called");
+    assert_eq!(replicas(name, &members, 1), [0xe003, 0xe008, 0xe005]);
+}
+
+/// A word that waits for its agreement lies in merged state, under a name that says about whom it is.
+#[test]
+fn waiting_words_lie_in_merged_state_as_before() {
+    let mut pair = Pair::new();
+    for about in [
+        About::Runner("one".to_string()),
+        About::Dispatcher("two".to_string()),
+    ] {
+        pair.b.word(0.0, about, true).unwrap();
+    }
+    let words: Vec<(String, String)> = pair
+        .b
+        .merged
+        .under("word/")
+        .map(|(key, value)| (key.name.clone(), sagetrail_fixture::hex(value)))
+        .collect();
+    // The place that was seen (none), the process, the proposal's number.
+    let expected = [
+        ("word/dispatcher/two", "00826002"),
+        ("word/runner/one", "00826001"),
+    ];
+    let expected = expected.map(|(name, value)| (name.to_string(), value.to_string()));
+    assert_eq!(words, expected);
+}
