--- a/crates/agent/tests/http_answers.rs
+++ b/crates/agent/tests/http_answers.rs
@@ -4,7 +4,7 @@
 
 use common::{orders, orders_with_start, start, stop, Script, RUNNER, TASK};
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES, MAX_INSTANCE_BYTES};
-use sagetrail_golden::Transcript;
+use sagetrail_fixture::transcript::Transcript;
 use sagetrail_wire::agent::RunnerOrders;
 use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Method};
 use sagetrail_wire::List;
--- a/crates/control/tests/http_answers.rs
+++ b/crates/control/tests/http_answers.rs
@@ -2,7 +2,7 @@
 //! outcome, as kept in `fixtures/http_answers.txt`.
 mod support;
 
-use sagetrail_golden::Transcript;
+use sagetrail_fixture::transcript::Transcript;
 use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method};
 use support::world::{config, World};
 
--- a/crates/daemon/tests/http_form.rs
+++ b/crates/daemon/tests/http_form.rs
@@ -7,7 +7,7 @@
 use sagetrail_daemon::input::Input;
 use sagetrail_daemon::phase::{phases, Phase, PhaseSetter};
 use sagetrail_daemon::probe;
-use sagetrail_golden::Transcript;
+use sagetrail_fixture::transcript::Transcript;
 use sagetrail_wire::node::{Door, HttpReply, HttpRequest, Method, Probe, ProbeId};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::atomic::AtomicU64;
@@ -244,5 +244,5 @@
         assert!(soon(stream.read_buf(&mut asked)).await.unwrap() > 0);
     }
     let asked = String::from_utf8(asked).unwrap();
-    sagetrail_golden::assert_kept(PROBE, &visible(&without_port(&asked, port)));
+    sagetrail_fixture::transcript::assert_kept(PROBE, &visible(&without_port(&asked, port)));
 }
--- a/crates/gateway/tests/http_answers.rs
+++ b/crates/gateway/tests/http_answers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Rig, CORE};
-use sagetrail_golden::Transcript;
+use sagetrail_fixture::transcript::Transcript;
 use sagetrail_wire::bounds::Bounds;
 use sagetrail_wire::client::ClientReply;
 use sagetrail_wire::collections::Blob;
--- a/crates/scheduler/tests/client_answers.rs
+++ b/crates/scheduler/tests/client_answers.rs
@@ -2,7 +2,7 @@
 //! kept in `fixtures/client_answers.txt`. The gateway passes them on.
 mod world;
 
-use sagetrail_golden::{http_answer, Transcript};
+use sagetrail_fixture::transcript::{http_answer, Transcript};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 use sagetrail_wire::agent::RunEnd;
 use sagetrail_wire::bounds::Bounds;
