--- a/crates/store/tests/encoding.rs
+++ b/crates/store/tests/encoding.rs
@@ -30,14 +30,14 @@
     pair.a.merged.put(0.0, "dropped", None);
     pair.b.merged.put(0.0, "key", Some(b"b's value".to_vec()));
     pair.a.tick(0.0);
-    let digest = pair.from_a("merged-digest", |body| {
+    let digest = pair.sent_by_a("merged-digest", |body| {
         matches!(body, Body::MergedDigest(_))
     });
     pair.b.receive(0.1, &digest);
     let is_items = |body: &Body| matches!(body, Body::MergedItems { .. });
-    let items = pair.from_b("merged-items", is_items);
+    let items = pair.sent_by_b("merged-items", is_items);
     pair.a.receive(0.2, &items);
-    let answer = pair.from_a("merged-items-answer", is_items);
+    let answer = pair.sent_by_a("merged-items-answer", is_items);
     pair.b.receive(0.3, &answer);
     assert_eq!(pair.a.merged.get(2, "key"), Some(&b"b's value"[..]));
     assert_eq!(pair.b.merged.get(1, "key"), Some(&b"a's value"[..]));
@@ -54,7 +54,7 @@
         Body::Log(message) => matches!(message.body, MessageBody::DiskReport { .. }),
         _ => false,
     };
-    pair.from_a("log-disk-report", is_report);
+    pair.sent_by_a("log-disk-report", is_report);
     pair.a.tick(0.7);
     pair.hand_log_to_b(0.8);
     let op = Op::Settings {
@@ -62,7 +62,7 @@
         on: 0,
     };
     let no = pair.b.propose(0.9, op).unwrap();
-    let propose = pair.from_b("propose", |body| matches!(body, Body::Propose(_)));
+    let propose = pair.sent_by_b("propose", |body| matches!(body, Body::Propose(_)));
     pair.a.receive(1.0, &propose);
     pair.sync();
     assert_eq!(pair.a.facts.settings(), "settings");
@@ -74,35 +74,35 @@
     let is_claim = |body: &Body| matches!(body, Body::Claim { .. });
     let is_reply = |body: &Body| matches!(body, Body::ClaimReply { .. });
     pair.b.claim_name(2.0, Name(0x99), 1);
-    let claim = pair.from_b("claim", is_claim);
+    let claim = pair.sent_by_b("claim", is_claim);
     pair.a.receive(2.1, &claim);
-    pair.from_a("claim-reply-unavailable", is_reply);
+    pair.sent_by_a("claim-reply-unavailable", is_reply);
 
     let no = pair.b.claim_name(20.0, NAME, 1);
-    let claim = pair.from_b(
+    let claim = pair.sent_by_b(
         "claim-2",
         |body| matches!(body, Body::Claim { name, .. } if *name == NAME),
     );
     pair.a.receive(20.1, &claim);
-    let granted = pair.from_a("claim-reply-granted", is_reply);
+    let granted = pair.sent_by_a("claim-reply-granted", is_reply);
     pair.b.receive(20.2, &granted);
     assert_eq!(pair.b.outcome(20.2, no), Some(Outcome::Own { epoch: 1 }));
 
     pair.b.ended(20.3, no, ended());
-    let end = pair.from_b(
+    let end = pair.sent_by_b(
         "end",
         |body| matches!(body, Body::End { name, .. } if *name == NAME),
     );
     pair.a.receive(20.4, &end);
-    let confirmed = pair.from_a("end-confirmed", |body| {
+    let confirmed = pair.sent_by_a("end-confirmed", |body| {
         matches!(body, Body::EndConfirmed { .. })
     });
     pair.b.receive(20.5, &confirmed);
 
     let no = pair.a.claim_name(21.0, NAME, 1);
-    let claim = pair.from_a("claim-3", is_claim);
+    let claim = pair.sent_by_a("claim-3", is_claim);
     pair.b.receive(21.1, &claim);
-    let refused = pair.from_b("claim-reply-refused", is_reply);
+    let refused = pair.sent_by_b("claim-reply-refused", is_reply);
     pair.a.receive(21.2, &refused);
     let outcome = pair.a.outcome(21.2, no);
     assert!(
@@ -114,11 +114,11 @@
 fn records(pair: &mut Pair) {
     pair.restart_b(22.0);
     pair.b.tick(23.0);
-    let request = pair.from_b("records-request", |body| {
+    let request = pair.sent_by_b("records-request", |body| {
         matches!(body, Body::RecordsRequest { .. })
     });
     pair.a.receive(23.1, &request);
-    let page = pair.from_a("records", |body| matches!(body, Body::Records(_)));
+    let page = pair.sent_by_a("records", |body| matches!(body, Body::Records(_)));
     pair.b.receive(23.2, &page);
     assert!(pair.b.holder.is_ready(23.2));
     assert_eq!(pair.b.holder.count(), 1);
--- a/crates/store/tests/encoding_support/mod.rs
+++ b/crates/store/tests/encoding_support/mod.rs
@@ -161,13 +161,13 @@
     }
 
     /// Notes the one frame among those that member 1 has written that is wanted. The others are lost.
-    pub fn from_a(&mut self, name: &str, is_wanted: fn(&Body) -> bool) -> Vec<u8> {
+    pub fn sent_by_a(&mut self, name: &str, is_wanted: fn(&Body) -> bool) -> Vec<u8> {
         let frames = drained(&mut self.a, self.now);
         self.note(name, frames, is_wanted)
     }
 
     /// The same of member 2.
-    pub fn from_b(&mut self, name: &str, is_wanted: fn(&Body) -> bool) -> Vec<u8> {
+    pub fn sent_by_b(&mut self, name: &str, is_wanted: fn(&Body) -> bool) -> Vec<u8> {
         let frames = drained(&mut self.b, self.now);
         self.note(name, frames, is_wanted)
     }
