--- /dev/null
+++ b/crates/sagetrail/tests/broken_files/mod.rs
@@ -0,0 +1,51 @@
+//! What makes a good file a bad one: a text that it holds, and what stands in its place.
+
+/// Changes of `examples/fleet/d1.toml`, one for each kind of value and rule.
+pub const BROKEN: [(&str, &str); 39] = [
+    ("name = \"d1\"", "name = \"\""),
+    ("name = \"d1\"", "name = 7"),
+    ("name = \"d1\"", "nmae = \"d1\""),
+    ("name = \"d1\"", "name = "),
+    ("listen = \"127.0.0.1:9001\"", "listen = \"nowhere\""),
+    ("listen = \"127.0.0.1:9001\"", ""),
+    ("discovery = \"127.0.0.1:8500\"", ""),
+    ("console = \"127.0.0.1:9101\"", "console = 9101"),
+    ("seed = \"1\"", "seed = \"zz\""),
+    ("me = 0", "me = 7"),
+    ("me = 0", "me = -1"),
+    ("dispatchers = 3", "dispatchers = 0"),
+    ("zone = \"a\"", "zone = \"z\""),
+    ("zones = [\"a\", \"b\", \"c\"]", "zones = \"a\""),
+    ("zones = [\"a\", \"b\", \"c\"]", "zones = [1]"),
+    ("sockets = 1024", "sockets = 20"),
+    ("sockets = 1024", "sockets = 1e3"),
+    ("dial = \"250ms\"", "dial = \"soon\""),
+    ("dial = \"250ms\"", "dial = 250"),
+    ("dial = \"250ms\"", "dail = \"250ms\""),
+    ("hand_offs = 3", "hand_offs = 0"),
+    ("tells_start = true", "tells_start = 1"),
+    ("from = 0.2", "from = 2.0"),
+    ("multiple = 3.0", "multiple = \"3\""),
+    ("repeat = \"rerunnable\"", "repeat = \"sometimes\""),
+    ("name = \"once\"", "name = \"rerun\""),
+    ("due = \"2s\"", "due = \"2 parsecs\""),
+    ("expiry = \"10s\"", "expiry = \"1s\""),
+    ("payoff = 4.0", "payoff = -4.0"),
+    ("record = 1", "record = 9"),
+    ("[fleet]", "[flet]"),
+    ("listen = \"127.0.0.1:9201\"", "listen = \"8.8.8.8:9201\""),
+    ("caps = { once = 8 }", "caps = { nothing = 8 }"),
+    ("caps = { once = 8 }", "caps = { once = -8 }"),
+    ("caps = { once = 8 }", "caps = 8"),
+    ("resends = 20", "resends = \"20\""),
+    ("at = \"127.0.0.1:9202\"", "at = \"127.0.0.1:9201\""),
+    ("name = \"d2\"", "name = \"d3\""),
+    ("name = \"d2\"", "nothing = \"d2\""),
+];
+
+/// Changes of `examples/config.json`.
+pub const BROKEN_PAGES: [(&str, &str); 3] = [
+    ("{", "["),
+    ("\"settings\"", "\"setings\""),
+    ("\"listen\"", "\"lisn\""),
+];
