--- a/crates/daemon/tests/stored_core.rs
+++ b/crates/daemon/tests/stored_core.rs
@@ -31,7 +31,7 @@
 const FOREIGN_EPOCH: u64 = 9;
 const FOREIGN_INCARNATION: u64 = 0x99;
 /// So many batches of records there were in the term of the play.
-const STORED_BATCHES: u64 = 10;
+const STORED_BATCHES: u64 = 11;
 const FOREIGN_BALLOT: Ballot = Ballot {
     counter: 0x0900,
     node: FOREIGN,
@@ -46,10 +46,13 @@
 const CANCELLED: &str = "00000000000000cc";
 const FAILED: &str = "00000000000000dd";
 const QUEUED: &str = "00000000000000ee";
+const STEPS: &str = "0000000000000077";
 const GANG: &str = "00000000000000ff";
 /// What a runner is told of a job, word for word.
 const SPEC: &str = "sleep 5";
 const MANY_STAGE: &str = r#"{"count":4,"cpu":500,"mem_mb":300,"checkpoints":true}"#;
+const STEPS_STAGES: &str =
+    r#"{"count":1,"cpu":50,"mem_mb":5},{"count":1,"cpu":60,"mem_mb":6,"depends_on":[0]}"#;
 const GANG_STAGE: &str = r#"{"count":2,"cpu":200,"mem_mb":20,"gpu":1,"gang":true}"#;
 
 fn document(version: u64) -> String {
@@ -128,8 +131,10 @@
         r#"{"count":1,"cpu":64000,"mem_mb":10}"#,
     );
     submit(&mut core, &format!("/q/{GANG}"), GANG_STAGE);
+    submit(&mut core, &format!("/q/{STEPS}"), STEPS_STAGES);
     rounds(&mut core, &mut runners);
     end(&mut runners, &format!("{COMPLETED}.0.0.0"), RunEnd::Done);
+    end(&mut runners, &format!("{STEPS}.0.0.0"), RunEnd::Done);
     end(&mut runners, &format!("{FAILED}.0.0.0"), RunEnd::Failed);
     end(&mut runners, &format!("{MANY}.0.0.0"), RunEnd::Done);
     end(&mut runners, &format!("{MANY}.0.0.1"), RunEnd::Failed);
@@ -389,7 +394,7 @@
         .find(|row| row.0.ends_with(&[0x99]))
         .unwrap();
     // Behind outcome, queue, service, attempts and priority: the order, one more than the highest stored.
-    assert_eq!(new_job.1[19..27], 7u64.to_le_bytes());
+    assert_eq!(new_job.1[19..27], 8u64.to_le_bytes());
 }
 
 fn state(core: &mut LoneCore, path: &str) -> String {
@@ -409,13 +414,14 @@
         (CANCELLED, "cancelled"),
         (FAILED, "failed"),
         (QUEUED, "queued"),
+        (STEPS, "running"),
         (GANG, "running"),
     ];
     for (job, expected) in states {
         assert_eq!(state(&mut core, &format!("/q/{job}")), expected, "{job}");
     }
     let pending = core.client(ClientMethod::Read, "/q/", "");
-    assert_eq!(pending.body.0, br#"{"pending":3}"#);
+    assert_eq!(pending.body.0, br#"{"pending":4}"#);
     // Nothing has reached the runners yet: what is assigned to them is told them.
     let mut runners = [PlayedRunner::new(1), PlayedRunner::new(2)];
     for _ in 0..2 {
@@ -429,7 +435,10 @@
         (format!("{GANG}.0.0.0"), 2, SPEC, ""),
         (format!("{GANG}.0.0.1"), 2, SPEC, ""),
     ];
-    let second = [(format!("{MANY}.0.0.1"), 2, SPEC, "")];
+    let second = [
+        (format!("{STEPS}.0.1.0"), 1, SPEC, ""),
+        (format!("{MANY}.0.0.1"), 2, SPEC, ""),
+    ];
     assert_eq!(starts(&runners[0]), first.map(owned));
     assert_eq!(starts(&runners[1]), second.map(owned));
 }
