--- /dev/null
+++ b/crates/core/tests/stored.rs
@@ -0,0 +1,122 @@
+//! What goes on to the next process of a dispatcher: what an earlier build wrote is read as it was meant, and a build
+//! writes the same today.
+//!
+//! Where the form has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-core --test stored` writes
+//! `fixtures/passed.json` again; what changed then stands in the commit.
+use sagetrail_core::{terms, Inherited, Known, Learnt, Life, Member, Passed, Usual};
+use sagetrail_policy::{Category, Placement, Repeat, Scope};
+use std::path::PathBuf;
+
+const LIVES: [Life; 3] = [Life::Ready, Life::Draining, Life::Gone];
+
+fn member(number: u16, life: Life) -> Member {
+    Member {
+        id: format!("s-{number}"),
+        address: (number != 3).then(|| ([127, 0, 0, 1], 4000 + number).into()),
+        kind: 1,
+        zone: 2,
+        cell: 3,
+        started: 1000.5,
+        life,
+    }
+}
+
+fn inherited(number: u16, life: Life) -> Inherited {
+    Inherited {
+        member: member(number, life),
+        out: Some(2000.25),
+        back: None,
+        spent: vec![(2001.5, 1.0), (2002.5, 2.0)],
+        evidence: 0.75,
+        resting: Some(2003.0),
+        rest_s: 0.5,
+    }
+}
+
+fn passed() -> Passed {
+    Passed {
+        drained: true,
+        deployment: 17,
+        learnt: Learnt {
+            version: 1,
+            deployment: 17,
+            written: 1999.5,
+            usuals: vec![Usual {
+                terms: 18,
+                seconds: 0.25,
+            }],
+            runners: vec![Known {
+                name: "s-1".to_string(),
+                address: "127.0.0.1:4001".to_string(),
+                started: 1000.5,
+                slots: 6.0,
+                pace: 1.5,
+            }],
+        },
+        runners: LIVES
+            .into_iter()
+            .zip(1..)
+            .map(|(life, number)| inherited(number, life))
+            .collect(),
+    }
+}
+
+fn fixture() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/passed.json")
+}
+
+fn stored() -> String {
+    std::fs::read_to_string(fixture()).unwrap()
+}
+
+#[test]
+fn what_is_passed_on_is_written_as_stored() {
+    let text = serde_json::to_string(&passed()).unwrap();
+    if std::env::var_os("WRITE_STORED").is_some() {
+        std::fs::create_dir_all(fixture().parent().unwrap()).unwrap();
+        std::fs::write(fixture(), &text).unwrap();
+    }
+    assert_eq!(text, stored());
+}
+
+#[test]
+fn what_was_passed_on_is_read_as_written() {
+    let read: Passed = serde_json::from_str(&stored()).unwrap();
+    assert_eq!(
+        serde_json::to_string(&read).unwrap(),
+        serde_json::to_string(&passed()).unwrap()
+    );
+}
+
+/// Under another number what was learnt of a category is not taken up: it is made of all fields and their names.
+#[test]
+fn the_number_of_a_categorys_terms_is_as_stored() {
+    let category = |repeat| Category {
+        due_s: 0.5,
+        stretch: 0.25,
+        payoff: 1.0,
+        tardy: 0.2,
+        repeat,
+        window_s: 3.0,
+        placement: Placement {
+            kinds: vec![1],
+            zones: vec![2],
+        },
+    };
+    let repeats = [
+        Repeat::Idempotent,
+        Repeat::Keyed(Scope::All),
+        Repeat::Keyed(Scope::Zone),
+        Repeat::Keyed(Scope::Cell),
+        Repeat::AtMostOnce,
+    ];
+    let numbers = repeats.map(|repeat| terms("name", &category(repeat)));
+    let stored = [
+        4489956296849528677,
+        16442027526128441362,
+        14556048950111795011,
+        5566738929150478049,
+        15883430893644256669,
+    ];
+    assert_eq!(numbers, stored);
+}
