--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -220,16 +220,23 @@
         out,
         seen: 0,
     };
+    // These are in the snapshot.
+    let about = About::Runner("held-out".to_string());
+    assert!(host.agree(word(about, true)));
+    assert!(host.agree(Op::Lends {
+        who: OTHER,
+        yes: false
+    }));
+    assert!(host.agree(Op::Voters(vec![ME])));
     for number in 0..WORDS {
         let about = About::Runner("runner".to_string());
         assert!(host.agree(word(about, number % 2 == 0)));
     }
-    let about = About::Runner("held-out".to_string());
-    assert!(host.agree(word(about, true)));
+    // Behind the snapshot.
     let about = About::Dispatcher("dispatcher".to_string());
     assert!(host.agree(word(about, true)));
     assert!(host.agree(Op::Lends {
-        who: OTHER,
+        who: 0x33,
         yes: false
     }));
     assert!(host.agree(Op::Voters(vec![ME])));
@@ -305,17 +312,18 @@
             by: ME,
         }]
     };
-    let first_word = WORDS + SETTINGS + FIRST_PROPOSAL;
+    let first_word = FIRST_PROPOSAL + SETTINGS;
     assert_eq!(
         words,
         [
             (&runner, &said(first_word)),
-            (&dispatcher, &said(first_word + 1))
+            (&dispatcher, &said(first_word + 3 + WORDS))
         ]
     );
     assert_eq!(facts.voters, [ME]);
-    assert_eq!(facts.no_loans.iter().copied().collect::<Vec<_>>(), [OTHER]);
-    let last = SETTINGS + WORDS + 5;
+    let no_loans: Vec<u64> = facts.no_loans.iter().copied().collect();
+    assert_eq!(no_loans, [OTHER, 0x33]);
+    let last = SETTINGS + WORDS + 7;
     assert_eq!(facts.done(ME, BIRTH, last), Some(false));
     assert_eq!(facts.done(ME, BIRTH, last - 1), None);
     assert!(facts.agreed_from(ME, BIRTH, last));
