--- a/crates/agent/src/answer.rs
+++ b/crates/cluster/agent/src/answer.rs
@@ -1,5 +1,5 @@
 //! The answer to a heartbeat, as JSON. What is empty or unknown is left out.
-use sagetrail_wire::node::HttpReply;
+use sagetrail_protocol::node::HttpReply;
 use serde::ser::{SerializeTuple, Serializer};
 use serde::Serialize;
 
--- a/crates/agent/src/distribution.rs
+++ b/crates/cluster/agent/src/distribution.rs
@@ -1,8 +1,8 @@
 //! The agent's place in the relay tree: it takes configurations and passes them on to the processes below it.
 use crate::uplink::Uplink;
-use sagetrail_distribution::Relay;
-use sagetrail_wire::node::Outbox;
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_config_distribution::Relay;
+use sagetrail_protocol::node::Outbox;
+use sagetrail_protocol::{Message, NodeId, Time};
 
 /// What is due waits so long for another reason to wake: an idle agent wakes for nothing else, in milliseconds.
 const PATIENCE_MS: u64 = 300;
--- a/crates/agent/src/heartbeat.rs
+++ b/crates/cluster/agent/src/heartbeat.rs
@@ -1,8 +1,8 @@
 //! A runner's heartbeat, read from JSON. Unknown fields are passed over, missing ones left out, and every length
 //! is bounded.
 use crate::lists::{ActiveRow, FinishedRow};
-use sagetrail_wire::agent::{ActiveRun, FinishedRun, Resources, RunEnd};
-use sagetrail_wire::Text;
+use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RunEnd};
+use sagetrail_protocol::Text;
 use serde::Deserialize;
 use std::fmt;
 
--- a/crates/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -13,10 +13,10 @@
 use crate::settings::{AgentSettings, Counters};
 use crate::uplink::Uplink;
 use crate::watch::RunnerWatch;
-use sagetrail_wire::agent::RUNNER_HOLD_MS;
-use sagetrail_wire::directory::Hello;
-use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
-use sagetrail_wire::{Message, NodeId, NodeKind, Time};
+use sagetrail_protocol::agent::RUNNER_HOLD_MS;
+use sagetrail_protocol::directory::Hello;
+use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// After the notice of its end the process serves on for so long, in milliseconds, if its grace allows.
 const LAST_SERVICE_MS: u64 = 800;
--- a/crates/agent/src/node/looks.rs
+++ b/crates/cluster/agent/src/node/looks.rs
@@ -1,7 +1,7 @@
 //! Looks at a runner whose heartbeat is overdue.
 use super::AgentNode;
-use sagetrail_wire::node::{Outbox, ProbeId, ProbeResult};
-use sagetrail_wire::Time;
+use sagetrail_protocol::node::{Outbox, ProbeId, ProbeResult};
+use sagetrail_protocol::Time;
 
 impl AgentNode {
     /// A machine that refuses connections is up without its runner: nothing that it ran goes on.
--- a/crates/agent/src/node/messages.rs
+++ b/crates/cluster/agent/src/node/messages.rs
@@ -1,11 +1,11 @@
 //! Messages of other processes.
 use super::AgentNode;
 use crate::orders::Adoption;
-use sagetrail_wire::agent::RunnerOrders;
-use sagetrail_wire::frame;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::Outbox;
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::frame;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::Outbox;
+use sagetrail_protocol::{Message, NodeId, Time};
 
 impl AgentNode {
     pub(super) fn message(
--- a/crates/agent/src/orders.rs
+++ b/crates/cluster/agent/src/orders.rs
@@ -1,6 +1,6 @@
 //! The scheduler's newest orders, the lease under which they are given, and whether they are settled.
-use sagetrail_wire::agent::{RunnerOrders, StartOrder, StopOrder};
-use sagetrail_wire::{Epoch, Incarnation, Text, Time};
+use sagetrail_protocol::agent::{RunnerOrders, StartOrder, StopOrder};
+use sagetrail_protocol::{Epoch, Incarnation, Text, Time};
 
 /// Below this share of its lease, in hundredths, an agent presses for more.
 const LOW_LEASE_PERCENT: u64 = 70;
--- a/crates/agent/src/pace.rs
+++ b/crates/cluster/agent/src/pace.rs
@@ -1,6 +1,6 @@
 //! When the next report to the scheduler is due.
-use sagetrail_wire::agent::REPORT_INTERVAL_MS;
-use sagetrail_wire::Time;
+use sagetrail_protocol::agent::REPORT_INTERVAL_MS;
+use sagetrail_protocol::Time;
 
 /// Reports keep this distance, in milliseconds.
 const REPORT_SPACING_MS: u64 = 10;
--- a/crates/agent/src/report.rs
+++ b/crates/cluster/agent/src/report.rs
@@ -1,8 +1,8 @@
 //! The report to the scheduler: all that the agent knows of its runner.
 use crate::orders::OrderBook;
 use crate::runner::{Runner, RunnerRegister};
-use sagetrail_wire::agent::{Resources, RunnerReport};
-use sagetrail_wire::{Incarnation, List, Text, Time};
+use sagetrail_protocol::agent::{Resources, RunnerReport};
+use sagetrail_protocol::{Incarnation, List, Text, Time};
 
 /// What names a report.
 #[derive(Clone, Copy, Debug)]
--- a/crates/agent/src/runner.rs
+++ b/crates/cluster/agent/src/runner.rs
@@ -1,7 +1,7 @@
 //! What the agent knows of its runner: its newest heartbeat, and until when a hold may last.
 use crate::heartbeat::Heartbeat;
-use sagetrail_wire::agent::{ActiveRun, FinishedRun, Resources, RUNNER_HOLD_MS};
-use sagetrail_wire::{Text, Time};
+use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RUNNER_HOLD_MS};
+use sagetrail_protocol::{Text, Time};
 use std::collections::VecDeque;
 
 /// Ids of former instances, and of those that leave, that are kept, so that late calls of theirs are known.
--- a/crates/agent/src/settings.rs
+++ b/crates/cluster/agent/src/settings.rs
@@ -1,6 +1,6 @@
 //! What an agent is started with, and what it counts.
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::{Incarnation, NodeId};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::{Incarnation, NodeId};
 use std::net::SocketAddrV4;
 
 /// What an agent is started with.
--- a/crates/agent/src/uplink.rs
+++ b/crates/cluster/agent/src/uplink.rs
@@ -1,10 +1,10 @@
 //! The way to the scheduler: who it is, who may know, and who passes messages on while it cannot be reached.
-use sagetrail_wire::client::NotOwner;
-use sagetrail_wire::directory::{Directory, Hello, HELLO_INTERVAL_MS};
-use sagetrail_wire::frame;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::Outbox;
-use sagetrail_wire::{Blob, Epoch, Message, NodeId, Time};
+use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::directory::{Directory, Hello, HELLO_INTERVAL_MS};
+use sagetrail_protocol::frame;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::Outbox;
+use sagetrail_protocol::{Blob, Epoch, Message, NodeId, Time};
 
 /// A scheduler that leaves reports without an answer for longer is looked for, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 700;
--- a/crates/agent/src/watch.rs
+++ b/crates/cluster/agent/src/watch.rs
@@ -1,6 +1,6 @@
 //! Looks at a runner whose heartbeat is overdue: a dead port tells at once that whatever it ran is over.
-use sagetrail_wire::node::{Outbox, Probe, ProbeId, ProbeResult};
-use sagetrail_wire::Time;
+use sagetrail_protocol::node::{Outbox, Probe, ProbeId, ProbeResult};
+use sagetrail_protocol::Time;
 use std::net::SocketAddrV4;
 
 /// A heartbeat is overdue this long after it was wanted, in milliseconds.
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/cluster/agent/tests/common/mod.rs
@@ -1,13 +1,15 @@
 //! An agent under script: its clock, its runner's calls and the scheduler's messages are set by the test.
 #![allow(dead_code)]
 use sagetrail_agent::{AgentNode, AgentSettings};
-use sagetrail_wire::agent::{RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::directory::Directory;
-use sagetrail_wire::node::{
+use sagetrail_protocol::agent::{
+    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::directory::Directory;
+use sagetrail_protocol::node::{
     Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox, Probe,
 };
-use sagetrail_wire::{Epoch, Incarnation, List, Message, NodeId, Time};
+use sagetrail_protocol::{Epoch, Incarnation, List, Message, NodeId, Time};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/cluster/agent/tests/cut_off.rs
@@ -4,9 +4,9 @@
 mod model;
 use common::{orders, start, Script, INCARNATION, OTHER, OWNER, TASK};
 use model::chance::Chance;
-use sagetrail_wire::agent::{RunnerOrders, AGENT_LEASE_MS};
-use sagetrail_wire::client::NotOwner;
-use sagetrail_wire::{Epoch, List, Message, NodeId, Time};
+use sagetrail_protocol::agent::{RunnerOrders, AGENT_LEASE_MS};
+use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::{Epoch, List, Message, NodeId, Time};
 use serde_json::{json, Value};
 
 const SCHEDULES: u64 = 300;
--- a/crates/agent/tests/heartbeats.rs
+++ b/crates/cluster/agent/tests/heartbeats.rs
@@ -3,8 +3,8 @@
 use common::*;
 use proptest::prelude::*;
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES};
-use sagetrail_wire::agent::{RunEnd, RunnerOrders};
-use sagetrail_wire::List;
+use sagetrail_protocol::agent::{RunEnd, RunnerOrders};
+use sagetrail_protocol::List;
 use serde_json::json;
 
 #[test]
--- a/crates/agent/tests/http_answers.rs
+++ b/crates/cluster/agent/tests/http_answers.rs
@@ -5,9 +5,9 @@
 use common::{orders, orders_with_start, start, stop, Script, RUNNER, TASK};
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES, MAX_INSTANCE_BYTES};
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_wire::agent::RunnerOrders;
-use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Method};
-use sagetrail_wire::List;
+use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::List;
 use serde_json::json;
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
--- a/crates/agent/tests/model/scheduler.rs
+++ b/crates/cluster/agent/tests/model/scheduler.rs
@@ -1,6 +1,8 @@
 //! A scheduler by the design note: it gives a run up only when invariant 3 says that it is over for sure.
-use sagetrail_wire::agent::{RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS};
-use sagetrail_wire::List;
+use sagetrail_protocol::agent::{
+    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+};
+use sagetrail_protocol::List;
 
 /// After so long without an extension an agent's lease is over by any clock, in milliseconds.
 const LEASE_OVER_MS: u64 = AGENT_LEASE_MS * 103 / 100 + 500;
--- a/crates/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -4,11 +4,11 @@
 use super::scheduler::Scheduler;
 use crate::common::{now, settings, AGENT, OWNER};
 use sagetrail_agent::AgentNode;
-use sagetrail_wire::directory::Directory;
-use sagetrail_wire::node::{
+use sagetrail_protocol::directory::Directory;
+use sagetrail_protocol::node::{
     Door, Event, HttpRequest, HttpRequestId, Method, Node, Outbox, ProbeId, ProbeResult,
 };
-use sagetrail_wire::{List, Message, Time};
+use sagetrail_protocol::{List, Message, Time};
 
 const TASKS: [&str; 3] = ["a.0.0.0", "b.0.0.0", "c.0.0.0"];
 
--- a/crates/agent/tests/reports.rs
+++ b/crates/cluster/agent/tests/reports.rs
@@ -1,12 +1,12 @@
 //! What the scheduler is told, when, and by which way.
 mod common;
 use common::*;
-use sagetrail_wire::agent::RunnerOrders;
-use sagetrail_wire::client::NotOwner;
-use sagetrail_wire::frame;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{Event, Node};
-use sagetrail_wire::{Blob, Message, NodeId};
+use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::frame;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{Event, Node};
+use sagetrail_protocol::{Blob, Message, NodeId};
 use serde_json::json;
 
 #[test]
--- a/crates/agent/tests/watch.rs
+++ b/crates/cluster/agent/tests/watch.rs
@@ -2,9 +2,9 @@
 mod common;
 use common::*;
 use sagetrail_agent::AgentNode;
-use sagetrail_wire::agent::RunnerOrders;
-use sagetrail_wire::node::{Event, Outbox, ProbeId, ProbeResult};
-use sagetrail_wire::Time;
+use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::node::{Event, Outbox, ProbeId, ProbeResult};
+use sagetrail_protocol::Time;
 use serde_json::json;
 
 /// Beyond the time at which a heartbeat is overdue that was wanted after 100 ms.
--- a/crates/config/tests/change.rs
+++ b/crates/cluster/cluster-config/tests/change.rs
@@ -3,7 +3,7 @@
 
 use common::{body, document, route};
 use proptest::prelude::*;
-use sagetrail_config::{ConfigDocument, ConfigError};
+use sagetrail_cluster_config::{ConfigDocument, ConfigError};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/crates/config/tests/document.rs
+++ b/crates/cluster/cluster-config/tests/document.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{body, document, route, service};
-use sagetrail_config::{ConfigDocument, ConfigError};
+use sagetrail_cluster_config::{ConfigDocument, ConfigError};
 use serde_json::{json, Value};
 
 fn error_of(value: &Value) -> String {
--- a/crates/daemon/src/bin/sagetrail-core.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-core.rs
@@ -1,6 +1,6 @@
 //! The core process of a cluster.
-use sagetrail_daemon::{core_process, start};
-use sagetrail_wire::NodeKind;
+use sagetrail_cluster_node::{core_process, start};
+use sagetrail_protocol::NodeKind;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/bin/sagetrail-frontend.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-frontend.rs
@@ -1,6 +1,6 @@
 //! The frontend process of a cluster.
-use sagetrail_daemon::{frontend_process, start};
-use sagetrail_wire::NodeKind;
+use sagetrail_cluster_node::{frontend_process, start};
+use sagetrail_protocol::NodeKind;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/bin/sagetrail-side.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-side.rs
@@ -1,6 +1,6 @@
 //! The side process of a cluster.
-use sagetrail_daemon::{side_process, start};
-use sagetrail_wire::NodeKind;
+use sagetrail_cluster_node::{side_process, start};
+use sagetrail_protocol::NodeKind;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/clocks.rs
+++ b/crates/cluster/cluster-node/src/clocks.rs
@@ -1,6 +1,6 @@
 //! The clocks as the logic sees them.
-use sagetrail_wire::node::Now;
-use sagetrail_wire::Time;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The steady clock, counted from the start of the process, and the time of day.
--- a/crates/daemon/src/disk/store.rs
+++ b/crates/cluster/cluster-node/src/disk/store.rs
@@ -4,7 +4,7 @@
 use redb::{
     Database, Durability, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
 };
-use sagetrail_wire::node::{DiskImage, DiskOperation, DiskWrite, Table};
+use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use std::fs::File;
 use std::path::Path;
 
--- a/crates/daemon/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes: takes all writes that wait, syncs them as one, reports what waited for them.
 use super::{DiskError, Store};
 use crate::input::{Input, Inputs};
-use sagetrail_wire::node::DiskWrite;
+use sagetrail_protocol::node::DiskWrite;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
 /// Operations that are synced as one at most; a longer sync holds up what waits first.
--- a/crates/daemon/src/frontend_process.rs
+++ b/crates/cluster/cluster-node/src/frontend_process.rs
@@ -1,7 +1,7 @@
 //! A frontend process: the clients' gateway.
 use crate::start::Ground;
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
-use sagetrail_wire::node::{Node, Now, Outbox};
+use sagetrail_protocol::node::{Node, Now, Outbox};
 
 /// Makes the logic of a frontend process.
 pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
--- a/crates/daemon/src/http/convert.rs
+++ b/crates/cluster/cluster-node/src/http/convert.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode};
-use sagetrail_wire::node::{HttpReply, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpReply, HttpRequest, Method};
 
 const BASE_VERSION: &str = "base-version";
 const DEADLINE_MS: &str = "deadline-ms";
--- a/crates/daemon/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -7,7 +7,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use sagetrail_wire::node::Door;
+use sagetrail_protocol::node::Door;
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::sync::atomic::AtomicU64;
--- a/crates/daemon/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
-use sagetrail_wire::node::{Door, HttpRequestId};
+use sagetrail_protocol::node::{Door, HttpRequestId};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/daemon/src/identity.rs
+++ b/crates/cluster/cluster-node/src/identity.rs
@@ -2,7 +2,7 @@
 use crate::settings::Settings;
 use rand::rngs::OsRng;
 use rand::TryRngCore;
-use sagetrail_wire::{Incarnation, NodeId, NodeKind};
+use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
 
 /// Ports of a machine that are ours, counted from the first of `port_range`: one for each kind of process, so
 /// that two on one machine do not meet.
--- a/crates/daemon/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -1,7 +1,7 @@
 //! What reaches the loop that drives the logic, from sockets, disk and signals.
 use crate::disk::DiskError;
-use sagetrail_wire::node::{Door, HttpReply, HttpRequest, HttpRequestId, ProbeId, ProbeResult};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::node::{Door, HttpReply, HttpRequest, HttpRequestId, ProbeId, ProbeResult};
+use sagetrail_protocol::{Message, NodeId};
 use tokio::sync::{mpsc, oneshot};
 
 /// One thing that happened.
--- a/crates/daemon/src/lib.rs
+++ b/crates/cluster/cluster-node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The cluster's processes: sockets, disk, settings, logs. Each drives one `sagetrail_wire::node::Node`, which
+//! The cluster's processes: sockets, disk, settings, logs. Each drives one `sagetrail_protocol::node::Node`, which
 //! holds the logic; this crate brings it events and performs what it wants done.
 pub mod arguments;
 pub mod clocks;
--- a/crates/daemon/src/probe.rs
+++ b/crates/cluster/cluster-node/src/probe.rs
@@ -6,7 +6,7 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use sagetrail_wire::node::{Probe, ProbeResult, PROBE_TIMEOUT_MS};
+use sagetrail_protocol::node::{Probe, ProbeResult, PROBE_TIMEOUT_MS};
 use std::fmt;
 use std::io::ErrorKind;
 use std::time::Duration;
--- a/crates/daemon/src/settings.rs
+++ b/crates/cluster/cluster-node/src/settings.rs
@@ -6,8 +6,8 @@
 pub use error::SettingsError;
 
 use number::Number;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::NodeKind;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::NodeKind;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/cluster/cluster-node/src/settings/check.rs
@@ -2,7 +2,7 @@
 use super::number::Number;
 use super::{Settings, SettingsError};
 use crate::identity::PORTS_USED;
-use sagetrail_wire::NodeKind;
+use sagetrail_protocol::NodeKind;
 use std::net::Ipv4Addr;
 use validator::ValidationError;
 
--- a/crates/daemon/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -1,7 +1,7 @@
 //! A side process: the agent of the runner on its machine.
 use crate::start::Ground;
 use sagetrail_agent::{AgentNode, AgentSettings};
-use sagetrail_wire::node::{Node, Now, Outbox};
+use sagetrail_protocol::node::{Node, Now, Outbox};
 
 /// Makes the logic of a side process.
 pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
--- a/crates/daemon/src/signals.rs
+++ b/crates/cluster/cluster-node/src/signals.rs
@@ -2,7 +2,7 @@
 use crate::identity::seed_nodes;
 use crate::input::{Input, Inputs};
 use crate::settings::Settings;
-use sagetrail_wire::NodeKind;
+use sagetrail_protocol::NodeKind;
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{signal, SignalKind};
 
--- a/crates/daemon/src/transport/frames.rs
+++ b/crates/cluster/cluster-node/src/transport/frames.rs
@@ -1,10 +1,10 @@
 //! Frames in a buffer of received bytes.
 use bytes::{Buf, BytesMut};
 use deku::DekuContainerRead;
-use sagetrail_wire::frame::{
+use sagetrail_protocol::frame::{
     decode, encode, FrameError, Preamble, LENGTH_BYTES, MAGIC, MAX_FRAME_BYTES, PROTOCOL_VERSION,
 };
-use sagetrail_wire::Message;
+use sagetrail_protocol::Message;
 
 /// A message with its length in front.
 pub fn pack(message: &Message) -> Result<Vec<u8>, FrameError> {
--- a/crates/daemon/src/transport/listener.rs
+++ b/crates/cluster/cluster-node/src/transport/listener.rs
@@ -3,7 +3,7 @@
 use super::link::run;
 use super::shared::Transport;
 use super::socket::prepare_peer;
-use sagetrail_wire::frame::PREAMBLE_BYTES;
+use sagetrail_protocol::frame::PREAMBLE_BYTES;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -41,7 +41,11 @@
     run(stream, transport, peer, link).await;
 }
 
-fn complain(stream: &TcpStream, transport: &Transport, error: &sagetrail_wire::frame::FrameError) {
+fn complain(
+    stream: &TcpStream,
+    transport: &Transport,
+    error: &sagetrail_protocol::frame::FrameError,
+) {
     let who = stream
         .peer_addr()
         .map_or_else(|_| "a stranger".to_owned(), |address| address.to_string());
--- a/crates/daemon/src/transport/peer.rs
+++ b/crates/cluster/cluster-node/src/transport/peer.rs
@@ -1,5 +1,5 @@
 //! Another process: what waits to be sent to it, and the connections that reach it.
-use sagetrail_wire::{Incarnation, NodeId};
+use sagetrail_protocol::{Incarnation, NodeId};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
--- a/crates/daemon/tests/callers.rs
+++ b/crates/cluster/cluster-node/tests/callers.rs
@@ -6,17 +6,17 @@
 use deku::DekuContainerWrite;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sagetrail_daemon::clocks::Clocks;
-use sagetrail_daemon::http::{serve, Room, ServeContext};
-use sagetrail_daemon::input::{Input, Inputs};
-use sagetrail_daemon::phase::phases;
-use sagetrail_daemon::process::{Ended, Parts, Process};
-use sagetrail_daemon::transport::Transport;
-use sagetrail_wire::frame::{
+use sagetrail_cluster_node::clocks::Clocks;
+use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::input::{Input, Inputs};
+use sagetrail_cluster_node::phase::phases;
+use sagetrail_cluster_node::process::{Ended, Parts, Process};
+use sagetrail_cluster_node::transport::Transport;
+use sagetrail_protocol::frame::{
     decode, Preamble, LENGTH_BYTES, MAGIC, PREAMBLE_BYTES, PROTOCOL_VERSION,
 };
-use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequestId, Node, Now, Outbox};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequestId, Node, Now, Outbox};
+use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/cluster/cluster-node/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod cluster;
 pub mod runner;
 
-use sagetrail_wire::distribution::{ConfigUpdate, Subscribe};
-use sagetrail_wire::{Blob, Message, NodeId};
+use sagetrail_protocol::distribution::{ConfigUpdate, Subscribe};
+use sagetrail_protocol::{Blob, Message, NodeId};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::PathBuf;
--- a/crates/daemon/tests/deploy.rs
+++ b/crates/cluster/cluster-node/tests/deploy.rs
@@ -6,7 +6,7 @@
 
 fn packages(file: &str) -> Vec<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../deploy")
+        .join("../../../deploy")
         .join(file);
     let text = std::fs::read_to_string(path).unwrap();
     let deploy: toml::Table = toml::from_str(&text).unwrap();
--- a/crates/daemon/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use common::{folder, numbered, soon};
-use sagetrail_daemon::disk::{Disk, DiskError, Store};
-use sagetrail_daemon::input::Input;
-use sagetrail_wire::node::{DiskImage, DiskOperation, DiskWrite, Table};
-use sagetrail_wire::NodeId;
+use sagetrail_cluster_node::disk::{Disk, DiskError, Store};
+use sagetrail_cluster_node::input::Input;
+use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
+use sagetrail_protocol::NodeId;
 use std::path::Path;
 use tokio::sync::mpsc;
 
--- a/crates/daemon/tests/http_form.rs
+++ b/crates/cluster/cluster-node/tests/http_form.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::soon;
-use sagetrail_daemon::http::{serve, Room, ServeContext};
-use sagetrail_daemon::input::Input;
-use sagetrail_daemon::phase::{phases, Phase, PhaseSetter};
-use sagetrail_daemon::probe;
+use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::input::Input;
+use sagetrail_cluster_node::phase::{phases, Phase, PhaseSetter};
+use sagetrail_cluster_node::probe;
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_wire::node::{Door, HttpReply, HttpRequest, Method, Probe, ProbeId};
+use sagetrail_protocol::node::{Door, HttpReply, HttpRequest, Method, Probe, ProbeId};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
--- a/crates/daemon/tests/probe.rs
+++ b/crates/cluster/cluster-node/tests/probe.rs
@@ -2,9 +2,9 @@
 mod common;
 
 use common::soon;
-use sagetrail_daemon::input::Input;
-use sagetrail_daemon::probe;
-use sagetrail_wire::node::{Probe, ProbeId, ProbeResult};
+use sagetrail_cluster_node::input::Input;
+use sagetrail_cluster_node::probe;
+use sagetrail_protocol::node::{Probe, ProbeId, ProbeResult};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/crates/daemon/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -2,18 +2,18 @@
 mod common;
 
 use common::{folder, free_node, numbered, soon};
-use sagetrail_daemon::clocks::Clocks;
-use sagetrail_daemon::disk::{Disk, Store};
-use sagetrail_daemon::http::{serve, Room, ServeContext};
-use sagetrail_daemon::input::{Input, Inputs};
-use sagetrail_daemon::phase::phases;
-use sagetrail_daemon::process::{Ended, Parts, Process};
-use sagetrail_daemon::transport::Transport;
-use sagetrail_wire::node::{
+use sagetrail_cluster_node::clocks::Clocks;
+use sagetrail_cluster_node::disk::{Disk, Store};
+use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::input::{Input, Inputs};
+use sagetrail_cluster_node::phase::phases;
+use sagetrail_cluster_node::process::{Ended, Parts, Process};
+use sagetrail_cluster_node::transport::Transport;
+use sagetrail_protocol::node::{
     DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequestId, Node, Now, Outbox, Probe,
     ProbeId, Table,
 };
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::{NodeId, Time};
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -433,7 +433,7 @@
 async fn a_failed_disk_ends_the_process() {
     on_stage(async {
         let stage = start(PLAN);
-        let error = sagetrail_daemon::disk::DiskError::Refused("full".to_owned());
+        let error = sagetrail_cluster_node::disk::DiskError::Refused("full".to_owned());
         stage.inputs.send(Input::DiskFailed(error)).ok().unwrap();
         assert!(matches!(
             soon(stage.running).await.unwrap(),
--- a/crates/daemon/tests/scale.rs
+++ b/crates/cluster/cluster-node/tests/scale.rs
@@ -1,6 +1,6 @@
 //! Hollow workers beside the real processes: everything that was accepted runs, and nothing runs twice at once.
-use sagetrail_scale::run::play_scenario;
-use sagetrail_scale::scenario::Scenario;
+use sagetrail_scale_testing::run::play_scenario;
+use sagetrail_scale_testing::scenario::Scenario;
 use std::path::Path;
 
 #[test]
@@ -8,7 +8,7 @@
     let programs = Path::new(env!("CARGO_BIN_EXE_sagetrail-core"))
         .parent()
         .expect("a folder");
-    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale/small.toml");
+    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/scale/small.toml");
     let scenario = Scenario::load(&example).expect("a sound scenario");
     let results = play_scenario(scenario, programs, &std::env::temp_dir()).expect("a run");
     assert!(results.counts.accepted > 0, "{:?}", results.counts);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/cluster/cluster-node/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings: what the page shows is taken, what is bad is named with its field.
-use sagetrail_daemon::identity::{node_id, seed_nodes};
-use sagetrail_daemon::settings::{Settings, SettingsError};
-use sagetrail_wire::NodeKind;
+use sagetrail_cluster_node::identity::{node_id, seed_nodes};
+use sagetrail_cluster_node::settings::{Settings, SettingsError};
+use sagetrail_protocol::NodeKind;
 
 const EXAMPLE: &str = include_str!("example-settings.toml");
 
--- a/crates/daemon/tests/stored/lone_core.rs
+++ b/crates/cluster/cluster-node/tests/stored/lone_core.rs
@@ -1,15 +1,15 @@
 //! The process: events go in with the test's time, writes reach the file at once.
-use sagetrail_control::{CoreNode, CoreSettings};
-use sagetrail_daemon::disk::Store;
-use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest};
-use sagetrail_wire::control::ControlMessage;
-use sagetrail_wire::node::{
+use sagetrail_cluster_node::disk::Store;
+use sagetrail_control_plane::{CoreNode, CoreSettings};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::node::{
     DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
-use sagetrail_wire::service::{Service, ServiceFactory};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::service::{Service, ServiceFactory};
+use sagetrail_protocol::{Message, NodeId, Time};
+use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
 
--- a/crates/daemon/tests/stored/runner.rs
+++ b/crates/cluster/cluster-node/tests/stored/runner.rs
@@ -1,9 +1,9 @@
 //! A runner with its agent, as the scheduler hears of it.
 use super::LoneCore;
-use sagetrail_wire::agent::{
+use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport,
 };
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
 
 const CAPACITY: Resources = Resources {
@@ -45,7 +45,7 @@
     pub fn report(&mut self, core: &mut LoneCore) {
         let report = self.next_report(core.steady_us());
         core.sent.clear();
-        core.event(sagetrail_wire::node::Event::Message {
+        core.event(sagetrail_protocol::node::Event::Message {
             from: self.node,
             message: Message::RunnerReport(report),
         });
--- a/crates/daemon/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -2,21 +2,21 @@
 //! the same rows today.
 //!
 //! `fixtures/core/rows.txt` holds the rows of both tables in hexadecimal, `fixtures/core/state.redb` the file itself.
-//! Both come from `play`. Where a row has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-daemon --test
+//! Both come from `play`. Where a row has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-cluster-node --test
 //! stored_core` writes both again; what changed then stands in the commit, with how a member reads the older rows.
 mod common;
 mod stored;
 
 use common::folder;
-use sagetrail_control::{AcceptedChanges, RegisterValue};
-use sagetrail_daemon::disk::Store;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::client::ClientMethod;
-use sagetrail_wire::control::{
+use sagetrail_cluster_node::disk::Store;
+use sagetrail_control_plane::{AcceptedChanges, RegisterValue};
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::client::ClientMethod;
+use sagetrail_protocol::control::{
     Ballot, ChangesRequest, ControlMessage, Prepare, Read, RecordsTag, VoteReply, VoteRequest,
 };
-use sagetrail_wire::node::DiskImage;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::DiskImage;
+use sagetrail_protocol::NodeId;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use stored::{LoneCore, PlayedRunner, FOREIGN, GATEWAY, ME};
--- a/crates/daemon/tests/torn_files.rs
+++ b/crates/cluster/cluster-node/tests/torn_files.rs
@@ -3,8 +3,8 @@
 
 use common::folder;
 use redb::{Database, TableDefinition};
-use sagetrail_daemon::disk::Store;
-use sagetrail_wire::node::{DiskImage, DiskOperation, DiskWrite, Table};
+use sagetrail_cluster_node::disk::Store;
+use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "state.redb";
--- a/crates/daemon/tests/transport.rs
+++ b/crates/cluster/cluster-node/tests/transport.rs
@@ -3,10 +3,10 @@
 
 use common::{free_node, long, numbered, soon};
 use deku::DekuContainerWrite;
-use sagetrail_daemon::input::Input;
-use sagetrail_daemon::transport::Transport;
-use sagetrail_wire::frame::{Preamble, MAGIC, PROTOCOL_VERSION};
-use sagetrail_wire::{Incarnation, Message, NodeId};
+use sagetrail_cluster_node::input::Input;
+use sagetrail_cluster_node::transport::Transport;
+use sagetrail_protocol::frame::{Preamble, MAGIC, PROTOCOL_VERSION};
+use sagetrail_protocol::{Incarnation, Message, NodeId};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/distribution/src/children.rs
+++ b/crates/cluster/config-distribution/src/children.rs
@@ -1,6 +1,6 @@
 //! The processes that have subscribed here.
-use sagetrail_wire::distribution::SUBSCRIPTION_MS;
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::distribution::SUBSCRIPTION_MS;
+use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 
 /// The most children of a relay; more go to other parents. A core process takes all.
--- a/crates/distribution/src/parent.rs
+++ b/crates/cluster/config-distribution/src/parent.rs
@@ -1,7 +1,7 @@
 //! The way up: whom a process is subscribed to, and when it turns to another.
 use crate::tree::mix;
-use sagetrail_wire::distribution::SUBSCRIBE_INTERVAL_MS;
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::distribution::SUBSCRIBE_INTERVAL_MS;
+use sagetrail_protocol::{NodeId, Time};
 
 /// A parent that says nothing of use for so long is left, in milliseconds.
 pub const SILENCE_MS: u64 = 900;
--- a/crates/distribution/src/relay.rs
+++ b/crates/cluster/config-distribution/src/relay.rs
@@ -2,8 +2,8 @@
 use crate::children::{Children, MAX_CHILDREN};
 use crate::parent::{Parent, STALE_MS};
 use crate::tree;
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
-use sagetrail_wire::{Blob, Message, NodeId, Time};
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
+use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
 /// Told as age by a process that does not know how old its knowledge is.
 pub const AGE_UNKNOWN: u64 = u64::MAX;
--- a/crates/distribution/src/tree.rs
+++ b/crates/cluster/config-distribution/src/tree.rs
@@ -5,8 +5,8 @@
 //! next, `FAN_OUT` times as many, below these, and so on; in the level above, each process chooses its parent by
 //! rendezvous hashing. A parent ranks before its child, so there is no circle even where the lists differ; a relay
 //! that comes or goes moves few others.
-use sagetrail_wire::directory::MAX_RELAYS;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::directory::MAX_RELAYS;
+use sagetrail_protocol::NodeId;
 use std::cmp::Reverse;
 
 /// So many children a process has on average.
--- a/crates/distribution/tests/cut_off.rs
+++ b/crates/cluster/config-distribution/tests/cut_off.rs
@@ -2,9 +2,9 @@
 //! never says that its knowledge is younger than it is.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_distribution::Relay;
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
-use sagetrail_wire::{Blob, Message, NodeId, Time};
+use sagetrail_config_distribution::Relay;
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
+use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
 const SCHEDULES: u64 = 300;
 const TICK_MS: u64 = 5;
--- a/crates/distribution/tests/delivery.rs
+++ b/crates/cluster/config-distribution/tests/delivery.rs
@@ -1,9 +1,9 @@
 //! Configurations reach every process in time, whatever happens to the inner ones.
 mod network;
 use network::{node, nodes, Network};
-use sagetrail_distribution::{parents, RETURN_INTERVAL_MS};
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
-use sagetrail_wire::{Blob, Message, NodeId, Time};
+use sagetrail_config_distribution::{parents, RETURN_INTERVAL_MS};
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
+use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
 /// A configuration is in force everywhere after so long.
 const CONFIG_APPLY_MS: u64 = 2000;
--- a/crates/distribution/tests/leaves.rs
+++ b/crates/cluster/config-distribution/tests/leaves.rs
@@ -1,10 +1,10 @@
 //! Processes that serve nobody, below the relays that a directory names.
 mod network;
 use network::{node, nodes};
-use sagetrail_distribution::{best_relays, leaf_parents, parents, Relay};
-use sagetrail_wire::directory::MAX_RELAYS;
-use sagetrail_wire::distribution::Subscribe;
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_config_distribution::{best_relays, leaf_parents, parents, Relay};
+use sagetrail_protocol::directory::MAX_RELAYS;
+use sagetrail_protocol::distribution::Subscribe;
+use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/distribution/tests/network/mod.rs
+++ b/crates/cluster/config-distribution/tests/network/mod.rs
@@ -1,7 +1,7 @@
 //! Processes of a relay tree on a simulated network, by a seed.
 #![allow(dead_code)]
-use sagetrail_distribution::Relay;
-use sagetrail_wire::{Blob, Message, NodeId, Time};
+use sagetrail_config_distribution::Relay;
+use sagetrail_protocol::{Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The network's time goes in steps of so many milliseconds.
--- a/crates/distribution/tests/shape.rs
+++ b/crates/cluster/config-distribution/tests/shape.rs
@@ -2,8 +2,8 @@
 mod network;
 use network::{node, nodes, Chance};
 use proptest::prelude::*;
-use sagetrail_distribution::{parents, FAN_OUT};
-use sagetrail_wire::NodeId;
+use sagetrail_config_distribution::{parents, FAN_OUT};
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 
 fn depth(start: NodeId, core: &[NodeId], views: &dyn Fn(NodeId) -> Vec<NodeId>) -> usize {
--- a/crates/control/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -4,8 +4,8 @@
 //! under one ballot there still is one value.
 use crate::change::{Change, Job};
 use crate::value::RegisterValue;
-use sagetrail_wire::control::{AcceptChange, Ballot};
-use sagetrail_wire::Blob;
+use sagetrail_protocol::control::{AcceptChange, Ballot};
+use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
 /// A change goes alone where the value is at least so many times its size.
--- a/crates/control/src/accepted_changes.rs
+++ b/crates/cluster/control-plane/src/accepted_changes.rs
@@ -5,8 +5,8 @@
 //! process never enters. The archive grows by the recent changes of each value learnt and by what other core
 //! processes tell; it is written in batches, since what was not yet written is among the value's recent changes.
 use deku::prelude::*;
-use sagetrail_wire::control::AcceptedChange;
-use sagetrail_wire::node::{DiskOperation, Table};
+use sagetrail_protocol::control::AcceptedChange;
+use sagetrail_protocol::node::{DiskOperation, Table};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
--- a/crates/control/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -2,12 +2,12 @@
 use crate::accept_change;
 use crate::effects::Effects;
 use crate::persisted::{put_ballots, put_value, AcceptorBallots};
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Read, ReadReply,
     Refused, Settled, ValueNeeded,
 };
-use sagetrail_wire::node::DiskOperation;
-use sagetrail_wire::{Blob, NodeId};
+use sagetrail_protocol::node::DiskOperation;
+use sagetrail_protocol::{Blob, NodeId};
 
 /// The acceptor of one process.
 #[derive(Debug, Default)]
--- a/crates/control/src/base.rs
+++ b/crates/cluster/control-plane/src/base.rs
@@ -1,6 +1,6 @@
 //! How an owner comes by the records on which its term builds.
 use crate::node::CoreNode;
-use sagetrail_wire::Time;
+use sagetrail_protocol::Time;
 
 impl CoreNode {
     /// Whether this process owns a term and has its base, or more, in hand.
--- a/crates/control/src/candidate.rs
+++ b/crates/cluster/control-plane/src/candidate.rs
@@ -4,8 +4,8 @@
 use crate::timing::{ELECTION_JITTER_MS, OWNER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::control::{ControlMessage, RecordsTag, Resign, VoteReply, VoteRequest};
-use sagetrail_wire::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::control::{ControlMessage, RecordsTag, Resign, VoteReply, VoteRequest};
+use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A vote that was given.
--- a/crates/control/src/change.rs
+++ b/crates/cluster/control-plane/src/change.rs
@@ -1,10 +1,10 @@
 //! What a round of the register makes of the value it read.
 use crate::accepted_changes::AcceptedChanges;
 use crate::value::{RegisterValue, StoredConfig};
-use sagetrail_config::{ConfigDocument, ConfigError};
-use sagetrail_wire::control::AcceptedChange;
-pub use sagetrail_wire::control::ChangeKind;
-use sagetrail_wire::{Blob, List, NodeId};
+use sagetrail_cluster_config::{ConfigDocument, ConfigError};
+use sagetrail_protocol::control::AcceptedChange;
+pub use sagetrail_protocol::control::ChangeKind;
+use sagetrail_protocol::{Blob, List, NodeId};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
--- a/crates/control/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -4,8 +4,8 @@
 use crate::node::CoreNode;
 use crate::quorum::MemberList;
 use crate::timing::RESEND_MS;
-use sagetrail_wire::control::{ChangesReply, ChangesRequest, ControlMessage};
-use sagetrail_wire::{List, NodeId, Time};
+use sagetrail_protocol::control::{ChangesReply, ChangesRequest, ControlMessage};
+use sagetrail_protocol::{List, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many changes are told at once.
--- a/crates/control/src/checksum.rs
+++ b/crates/cluster/control-plane/src/checksum.rs
@@ -1,5 +1,5 @@
 //! The checksum of an image's pieces: CRC-32 over all entries so far, the image's state and the piece's place.
-use sagetrail_wire::control::{RecordEntry, RecordsTag};
+use sagetrail_protocol::control::{RecordEntry, RecordsTag};
 
 /// The checksum over the entries of an image, up to a piece. That of the last piece covers the whole image.
 #[derive(Clone, Debug, Default)]
--- a/crates/control/src/collection.rs
+++ b/crates/cluster/control-plane/src/collection.rs
@@ -3,8 +3,8 @@
 use crate::effects::Effects;
 use crate::records::Records;
 use crate::timing::{RESEND_MS, SOURCE_SILENT_MS};
-use sagetrail_wire::control::{ControlMessage, FetchSnapshot, RecordsTag, SnapshotChunk};
-use sagetrail_wire::{Epoch, NodeId, Time};
+use sagetrail_protocol::control::{ControlMessage, FetchSnapshot, RecordsTag, SnapshotChunk};
+use sagetrail_protocol::{Epoch, NodeId, Time};
 
 /// The pause between requests doubles so many times: a piece may take longer than the first one on a slow link.
 const MAX_DOUBLINGS: u32 = 2;
--- a/crates/control/src/courier.rs
+++ b/crates/cluster/control-plane/src/courier.rs
@@ -1,9 +1,9 @@
 //! Addresses what the parts want said: to this process itself, directly, or by the process that forwards.
 use crate::effects::Effects;
 use crate::timing::RELAY_MS;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{DiskWrite, Outbox};
-use sagetrail_wire::{frame, Blob, Message, NodeId, Time};
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{DiskWrite, Outbox};
+use sagetrail_protocol::{frame, Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// So many ways by a forwarder are remembered.
--- a/crates/control/src/door.rs
+++ b/crates/cluster/control-plane/src/door.rs
@@ -1,7 +1,7 @@
 //! Requests of HTTP at a core process: which of them is the operator's.
 use crate::change::{Change, ChangeKind};
-use sagetrail_config::ConfigDocument;
-use sagetrail_wire::node::{Door, HttpRequest, Method};
+use sagetrail_cluster_config::ConfigDocument;
+use sagetrail_protocol::node::{Door, HttpRequest, Method};
 
 const REPLACE_PATH: &str = "/v1/config/replace";
 const PATCH_PATH: &str = "/v1/config/patch";
--- a/crates/control/src/effects.rs
+++ b/crates/cluster/control-plane/src/effects.rs
@@ -1,7 +1,7 @@
 //! What the parts of a core process want done, before it is addressed.
-use sagetrail_wire::control::ControlMessage;
-use sagetrail_wire::node::{DiskOperation, HttpReply, HttpRequestId};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::node::{DiskOperation, HttpReply, HttpRequestId};
+use sagetrail_protocol::{Message, NodeId};
 
 /// Changes on disk, and what is said once they are synced.
 #[derive(Debug, Default)]
--- a/crates/control/src/founding.rs
+++ b/crates/cluster/control-plane/src/founding.rs
@@ -1,7 +1,7 @@
 //! The first start of the whole system: the first seed fixes the members.
 use crate::timing::{FOUNDING_ALONE_MS, FOUNDING_PATIENCE_MS, FOUNDING_QUIET_MS};
 use crate::value::RegisterValue;
-use sagetrail_wire::{List, NodeId, Time};
+use sagetrail_protocol::{List, NodeId, Time};
 use std::collections::BTreeSet;
 
 const FEWEST_FOR_PATIENCE: usize = 3;
--- a/crates/control/src/image.rs
+++ b/crates/cluster/control-plane/src/image.rs
@@ -2,8 +2,8 @@
 use crate::checksum::ImageChecksum;
 use crate::records::Records;
 use crate::timing::{SNAPSHOT_MS, SOURCE_SILENT_MS};
-use sagetrail_wire::control::{FetchSnapshot, RecordEntry, RecordsTag, SnapshotChunk};
-use sagetrail_wire::{Blob, List, NodeId, Time};
+use sagetrail_protocol::control::{FetchSnapshot, RecordEntry, RecordsTag, SnapshotChunk};
+use sagetrail_protocol::{Blob, List, NodeId, Time};
 use std::collections::BTreeMap;
 
 /// At most about so many bytes go into a piece.
--- a/crates/control/src/knowledge.rs
+++ b/crates/cluster/control-plane/src/knowledge.rs
@@ -1,9 +1,9 @@
 //! What this process knows of the register's chosen values.
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
-use sagetrail_wire::control::Ballot;
-use sagetrail_wire::service::ConfigInForce;
-use sagetrail_wire::Time;
+use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::service::ConfigInForce;
+use sagetrail_protocol::Time;
 use std::sync::Arc;
 
 /// Microseconds in a millisecond.
--- a/crates/control/src/learner.rs
+++ b/crates/cluster/control-plane/src/learner.rs
@@ -1,6 +1,6 @@
 //! A process that holds all that a member holds, and counts in no quorum, until it takes a member's place.
-use sagetrail_wire::control::{RecordsTag, RenewAck};
-use sagetrail_wire::{Epoch, Incarnation, Time};
+use sagetrail_protocol::control::{RecordsTag, RenewAck};
+use sagetrail_protocol::{Epoch, Incarnation, Time};
 
 /// So many batches a learner may lag behind and still be made a member: they are on their way to it.
 const MAX_LAG: u64 = 64;
--- a/crates/control/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -2,10 +2,10 @@
 //! tell each other, in a message whose size does not grow with their number.
 use crate::node::CoreNode;
 use crate::timing::SHARE_INTERVAL_MS;
-use sagetrail_distribution::best_relays;
-use sagetrail_wire::control::{ControlMessage, MemberLease, MemberLeases};
-use sagetrail_wire::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
-use sagetrail_wire::{List, NodeId, NodeKind, Time};
+use sagetrail_config_distribution::best_relays;
+use sagetrail_protocol::control::{ControlMessage, MemberLease, MemberLeases};
+use sagetrail_protocol::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
+use sagetrail_protocol::{List, NodeId, NodeKind, Time};
 use std::collections::BTreeMap;
 
 /// So many leases are kept at one process.
--- a/crates/control/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control plane on the core machines: register, members, elections, replicated records.
 //!
-//! `CoreNode` is the logic of one core process, driven through `sagetrail_wire::node::Node`.
+//! `CoreNode` is the logic of one core process, driven through `sagetrail_protocol::node::Node`.
 mod accept_change;
 mod accepted_changes;
 mod acceptor;
--- a/crates/control/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -9,7 +9,7 @@
 use crate::quorum::MemberList;
 use crate::term::Term;
 use crate::timing::{JOINER_MS, MEMBERSHIP_INTERVAL_MS, UNREACHABLE_MS};
-use sagetrail_wire::{Incarnation, NodeId, Time};
+use sagetrail_protocol::{Incarnation, NodeId, Time};
 use std::collections::BTreeMap;
 
 /// So many processes that ask to join are remembered.
--- a/crates/control/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -7,12 +7,12 @@
 use crate::reader::Found;
 use crate::replica::Condition;
 use crate::term::Term;
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
 };
-use sagetrail_wire::node::{Door, HttpRequest, HttpRequestId};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId};
+use sagetrail_protocol::{Message, NodeId, Time};
 
 /// So many processes wait to be told that a ballot is learnt.
 const MAX_LEARN_ASKERS: usize = 64;
--- a/crates/control/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -22,10 +22,10 @@
 use crate::term::Term;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::control::Ballot;
-use sagetrail_wire::node::{DiskImage, Event, Node, Now, Outbox};
-use sagetrail_wire::service::ServiceFactory;
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::node::{DiskImage, Event, Node, Now, Outbox};
+use sagetrail_protocol::service::ServiceFactory;
+use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::VecDeque;
 
 /// Spreads seeds (the fraction of the golden ratio, odd).
--- a/crates/control/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -4,9 +4,9 @@
 use crate::knowledge::Knowledge;
 use crate::proposer::Proposer;
 use crate::timing::{LEARN_WAIT_MS, ORDER_MARGIN_MS, UNTOUCHED_MS};
-use sagetrail_wire::control::Ballot;
-use sagetrail_wire::node::{HttpReply, HttpRequestId};
-use sagetrail_wire::Time;
+use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::node::{HttpReply, HttpRequestId};
+use sagetrail_protocol::Time;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -274,7 +274,7 @@
     }
 }
 
-fn error_body(error: &sagetrail_config::ConfigError) -> Vec<u8> {
+fn error_body(error: &sagetrail_cluster_config::ConfigError) -> Vec<u8> {
     serde_json::json!({ "error": error.to_string() })
         .to_string()
         .into_bytes()
--- a/crates/control/src/outer.rs
+++ b/crates/cluster/control-plane/src/outer.rs
@@ -1,10 +1,10 @@
 //! Between this process and those outside the core: who is who, relayed messages, what goes to the service.
 use crate::node::{CoreNode, Delayed};
 use crate::quorum::MemberList;
-use sagetrail_wire::client::NotOwner;
-use sagetrail_wire::directory::{Directory, Hello};
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::{frame, List, Message, NodeId, NodeKind};
+use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::directory::{Directory, Hello};
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::{frame, List, Message, NodeId, NodeKind};
 
 /// So many messages wait for fresh knowledge.
 const MAX_DELAYED: usize = 256;
--- a/crates/control/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -2,9 +2,9 @@
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
 use deku::prelude::*;
-use sagetrail_wire::control::{Ballot, RecordsTag};
-use sagetrail_wire::node::{DiskImage, DiskOperation, Table};
-use sagetrail_wire::{Blob, Epoch, Incarnation, List, NodeId};
+use sagetrail_protocol::control::{Ballot, RecordsTag};
+use sagetrail_protocol::node::{DiskImage, DiskOperation, Table};
+use sagetrail_protocol::{Blob, Epoch, Incarnation, List, NodeId};
 
 const ACCEPTOR_KEY: &[u8] = b"acceptor";
 const VALUE_KEY: &[u8] = b"value";
--- a/crates/control/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -9,10 +9,10 @@
 use crate::value::RegisterValue;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Refused, ValueNeeded,
 };
-use sagetrail_wire::{Blob, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/control/src/reader.rs
+++ b/crates/cluster/control-plane/src/reader.rs
@@ -4,8 +4,8 @@
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use crate::value::RegisterValue;
-use sagetrail_wire::control::{Ballot, ControlMessage, Read, ReadReply};
-use sagetrail_wire::{Blob, NodeId, Time};
+use sagetrail_protocol::control::{Ballot, ControlMessage, Read, ReadReply};
+use sagetrail_protocol::{Blob, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/control/src/records.rs
+++ b/crates/cluster/control-plane/src/records.rs
@@ -1,8 +1,8 @@
 //! The replicated records in memory, and their changes on disk.
-use sagetrail_wire::control::{RecordChange, RecordEntry};
-use sagetrail_wire::node::{DiskOperation, Table};
-use sagetrail_wire::service::RecordOperation;
-use sagetrail_wire::{Blob, List};
+use sagetrail_protocol::control::{RecordChange, RecordEntry};
+use sagetrail_protocol::node::{DiskOperation, Table};
+use sagetrail_protocol::service::RecordOperation;
+use sagetrail_protocol::{Blob, List};
 use std::collections::BTreeMap;
 
 /// All records, by key.
--- a/crates/control/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -6,10 +6,10 @@
 use crate::persisted::AcceptorBallots;
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused,
 };
-use sagetrail_wire::{Blob, Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Blob, Epoch, Incarnation, NodeId, Time};
 use std::collections::BTreeSet;
 
 /// What the others know.
--- a/crates/control/src/renounce.rs
+++ b/crates/cluster/control-plane/src/renounce.rs
@@ -2,8 +2,8 @@
 //! wait for that term's lease.
 use crate::node::CoreNode;
 use crate::timing::{RENOUNCE_INTERVAL_MS, RENOUNCE_MS};
-use sagetrail_wire::control::{ControlMessage, Resign};
-use sagetrail_wire::{Epoch, Time};
+use sagetrail_protocol::control::{ControlMessage, Resign};
+use sagetrail_protocol::{Epoch, Time};
 
 /// A term that is being given up.
 #[derive(Clone, Copy, Debug)]
--- a/crates/control/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -5,11 +5,11 @@
 use crate::persisted::{put_replica, ReplicaState, TermPromise};
 use crate::records::Records;
 use crate::timing::{BEHIND_MS, LEASE_MS};
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck,
     SnapshotChunk, Stored,
 };
-use sagetrail_wire::{Epoch, List, NodeId, Time};
+use sagetrail_protocol::{Epoch, List, NodeId, Time};
 use std::collections::BTreeMap;
 
 /// So many batches wait for the whole records or for an earlier batch.
@@ -285,7 +285,7 @@
 
     fn store(
         &mut self,
-        mut operations: Vec<sagetrail_wire::node::DiskOperation>,
+        mut operations: Vec<sagetrail_protocol::node::DiskOperation>,
         effects: &mut Effects,
     ) {
         operations.push(put_replica(&self.state));
--- a/crates/control/src/settings.rs
+++ b/crates/cluster/control-plane/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a core process is told at its start.
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::{Incarnation, NodeId};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::{Incarnation, NodeId};
 
 /// The settings of a core process.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/control/src/standing.rs
+++ b/crates/cluster/control-plane/src/standing.rs
@@ -9,9 +9,9 @@
 use crate::recovery::{Recovered, Recovery};
 use crate::timing::{FOUNDING_GRACE_MS, LEASE_MS, OUT_OF_TOUCH_MS, RESEND_MS, UNREADY_HELLO_MS};
 use crate::value::RegisterValue;
-use sagetrail_wire::control::{Ballot, ControlMessage, Found, Settled};
-use sagetrail_wire::directory::{Hello, HELLO_INTERVAL_MS};
-use sagetrail_wire::{Blob, Message, NodeId, NodeKind, Time};
+use sagetrail_protocol::control::{Ballot, ControlMessage, Found, Settled};
+use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
+use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/control/src/steps.rs
+++ b/crates/cluster/control-plane/src/steps.rs
@@ -4,9 +4,9 @@
 use crate::node::CoreNode;
 use crate::timing::{DELAYED_MS, POLL_MS};
 use rand::Rng;
-use sagetrail_wire::control::{ControlMessage, Learned};
-use sagetrail_wire::service::Restored;
-use sagetrail_wire::Time;
+use sagetrail_protocol::control::{ControlMessage, Learned};
+use sagetrail_protocol::service::Restored;
+use sagetrail_protocol::Time;
 use std::sync::Arc;
 
 impl CoreNode {
--- a/crates/control/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -3,9 +3,9 @@
 use crate::effects::Effects;
 use crate::knowledge::Knowledge;
 use crate::timing::HANDOUT_MS;
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe, SUBSCRIPTION_MS};
-use sagetrail_wire::service::ConfigInForce;
-use sagetrail_wire::{Blob, Message, NodeId, Time};
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe, SUBSCRIPTION_MS};
+use sagetrail_protocol::service::ConfigInForce;
+use sagetrail_protocol::{Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many processes are served at once.
--- a/crates/control/src/term.rs
+++ b/crates/cluster/control-plane/src/term.rs
@@ -6,12 +6,12 @@
 use crate::records::to_changes;
 use crate::timing::{OWNER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
 use crate::window::Window;
-use sagetrail_wire::control::{
+use sagetrail_protocol::control::{
     Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign,
 };
-use sagetrail_wire::node::Now;
-use sagetrail_wire::service::{Batch, Service};
-use sagetrail_wire::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{Batch, Service};
+use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
 use std::collections::BTreeMap;
 
 /// So many batches are under way to the quorum at once.
--- a/crates/control/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -2,7 +2,7 @@
 //! stays a member until that one has its place.
 use crate::node::CoreNode;
 use crate::timing::{HANDOVER_MARGIN_MS, TERMINATE_MS, TERMINATE_QUIET_MS};
-use sagetrail_wire::Time;
+use sagetrail_protocol::Time;
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
--- a/crates/control/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -1,8 +1,8 @@
 //! The register's value: the core's members, the configuration, and the changes that led to it.
 use crate::quorum::MemberList;
 use deku::prelude::*;
-use sagetrail_wire::control::AcceptedChange;
-use sagetrail_wire::{Blob, List, NodeId};
+use sagetrail_protocol::control::AcceptedChange;
+use sagetrail_protocol::{Blob, List, NodeId};
 use std::fmt;
 
 /// So many of the newest changes travel with the value; earlier ones are in each process's `AcceptedChanges`.
--- a/crates/control/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -3,8 +3,8 @@
 use crate::persisted::{put_replica, TermPromise};
 use crate::replica::Replica;
 use crate::timing::LEASE_MS;
-use sagetrail_wire::control::{ControlMessage, VoteReply, VoteRequest};
-use sagetrail_wire::{Epoch, NodeId, Time};
+use sagetrail_protocol::control::{ControlMessage, VoteReply, VoteRequest};
+use sagetrail_protocol::{Epoch, NodeId, Time};
 
 impl Replica {
     /// Answers a candidate. `members_version`: the newest member list that this process has accepted.
--- a/crates/control/src/window.rs
+++ b/crates/cluster/control-plane/src/window.rs
@@ -1,5 +1,5 @@
 //! The newest batches of a term, kept for replicas that missed them.
-use sagetrail_wire::control::{RecordBatch, RecordChange};
+use sagetrail_protocol::control::{RecordBatch, RecordChange};
 use std::collections::VecDeque;
 
 /// So many batches are kept in any case.
--- a/crates/control/tests/accepted_changes.rs
+++ b/crates/cluster/control-plane/tests/accepted_changes.rs
@@ -1,8 +1,8 @@
 //! The archive of accepted changes against a plain list.
 use proptest::prelude::*;
-use sagetrail_control::{AcceptedChanges, Gap};
-use sagetrail_wire::control::AcceptedChange;
-use sagetrail_wire::node::DiskOperation;
+use sagetrail_control_plane::{AcceptedChanges, Gap};
+use sagetrail_protocol::control::AcceptedChange;
+use sagetrail_protocol::node::DiskOperation;
 use std::collections::BTreeMap;
 
 /// A chain whose versions climb by these steps; digests name their place.
--- a/crates/control/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -1,6 +1,6 @@
 //! Members that come back to a long history catch up in a stated time, while writes go on.
 mod support;
-use sagetrail_wire::control::ControlMessage;
+use sagetrail_protocol::control::ControlMessage;
 use std::sync::{Arc, Mutex};
 use support::histories::{control, History};
 use support::speeds::{Speeds, SMALL_SITE};
--- a/crates/control/tests/cut_off.rs
+++ b/crates/cluster/control-plane/tests/cut_off.rs
@@ -2,14 +2,14 @@
 //! operator, to clients and to those that take configurations from it, then and right after its return.
 mod support;
 use rand::Rng;
-use sagetrail_control::RegisterValue;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::{ClientMethod, ClientRequest};
-use sagetrail_wire::directory::Hello;
-use sagetrail_wire::distribution::Subscribe;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{Event, Method};
-use sagetrail_wire::{frame, Blob, Message, NodeId, NodeKind, Text};
+use sagetrail_control_plane::RegisterValue;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::{ClientMethod, ClientRequest};
+use sagetrail_protocol::directory::Hello;
+use sagetrail_protocol::distribution::Subscribe;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{Event, Method};
+use sagetrail_protocol::{frame, Blob, Message, NodeId, NodeKind, Text};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use support::journal::READ;
--- a/crates/control/tests/distribution.rs
+++ b/crates/cluster/control-plane/tests/distribution.rs
@@ -7,9 +7,9 @@
 mod starts;
 use fleet::{is_core, is_gateway, Fleet};
 use rand::Rng;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
+use sagetrail_protocol::NodeId;
 
 /// A hundred processes: three of the core, ten gateways, the others agents.
 fn hundred(seed: u64) -> Fleet {
--- a/crates/control/tests/doors.rs
+++ b/crates/cluster/control-plane/tests/doors.rs
@@ -1,11 +1,11 @@
 //! What other processes are told: directory, subscriptions, relayed messages, who schedules.
 mod support;
-use sagetrail_wire::client::{ClientMethod, ClientRequest};
-use sagetrail_wire::directory::Hello;
-use sagetrail_wire::distribution::Subscribe;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::Event;
-use sagetrail_wire::{frame, Blob, Message, NodeId, NodeKind, Text};
+use sagetrail_protocol::client::{ClientMethod, ClientRequest};
+use sagetrail_protocol::directory::Hello;
+use sagetrail_protocol::distribution::Subscribe;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::Event;
+use sagetrail_protocol::{frame, Blob, Message, NodeId, NodeKind, Text};
 use support::world::{id, World, CLIENT};
 
 fn send(world: &mut World, index: usize, from: NodeId, message: Message) {
--- a/crates/control/tests/http_answers.rs
+++ b/crates/cluster/control-plane/tests/http_answers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId, Method};
 use support::world::{config, World};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
--- a/crates/control/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -1,8 +1,8 @@
 //! What a replica grants a lease to is named on its disk first, so that a restart cannot forget it.
 mod support;
-use sagetrail_wire::control::{Ballot, ControlMessage, RecordsTag, Renew, Resign, VoteRequest};
-use sagetrail_wire::node::Event;
-use sagetrail_wire::{Epoch, Message, NodeId};
+use sagetrail_protocol::control::{Ballot, ControlMessage, RecordsTag, Renew, Resign, VoteRequest};
+use sagetrail_protocol::node::Event;
+use sagetrail_protocol::{Epoch, Message, NodeId};
 use support::world::{Weather, World, CALM, CLIENT};
 
 const TERM: Epoch = 9;
--- a/crates/control/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -2,7 +2,7 @@
 //! starts the service of the tests checks that nothing acknowledged is missing and no configuration goes back.
 mod support;
 use rand::Rng;
-use sagetrail_wire::node::Method;
+use sagetrail_protocol::node::Method;
 use std::collections::BTreeSet;
 use support::histories::History;
 use support::world::{config, Weather, World, CALM};
--- a/crates/control/tests/members.rs
+++ b/crates/cluster/control-plane/tests/members.rs
@@ -1,6 +1,6 @@
 //! The core's members: several emptied disks, late and spare processes, replacement under load.
 mod support;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeSet;
 use support::world::{id, World};
 
--- a/crates/control/tests/ordinary.rs
+++ b/crates/cluster/control-plane/tests/ordinary.rs
@@ -1,6 +1,6 @@
 //! The ordinary path: founding, the configuration, records.
 mod support;
-use sagetrail_wire::node::{Event, Method};
+use sagetrail_protocol::node::{Event, Method};
 use support::world::{config, World};
 
 #[test]
--- a/crates/control/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/replacements.rs
@@ -1,7 +1,7 @@
 //! Members replaced, planned and not, with further losses at every moment from which they have to be borne.
 mod support;
-use sagetrail_wire::control::ControlMessage;
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeSet;
 use support::world::{id, World};
 
--- a/crates/control/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/rounds.rs
@@ -1,8 +1,8 @@
 //! What the rounds of the register carry: the change alone to members that hold the value before it.
 mod support;
-use sagetrail_wire::control::{AcceptChange, Ballot, ChangeKind, ControlMessage, Prepare};
-use sagetrail_wire::node::{Event, Method};
-use sagetrail_wire::{Blob, Message};
+use sagetrail_protocol::control::{AcceptChange, Ballot, ChangeKind, ControlMessage, Prepare};
+use sagetrail_protocol::node::{Event, Method};
+use sagetrail_protocol::{Blob, Message};
 use support::operators::{patch, read_back, Answering, Operators};
 use support::world::{config, World, CLIENT};
 
--- a/crates/control/tests/schedules.rs
+++ b/crates/cluster/control-plane/tests/schedules.rs
@@ -2,8 +2,8 @@
 //! that are replaced meanwhile.
 mod support;
 use rand::Rng;
-use sagetrail_wire::node::Method;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::Method;
+use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 use support::world::{config, id, Weather, World, CALM};
 
--- a/crates/control/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -2,8 +2,8 @@
 mod support;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::control::{ControlMessage, SnapshotChunk};
-use sagetrail_wire::Blob;
+use sagetrail_protocol::control::{ControlMessage, SnapshotChunk};
+use sagetrail_protocol::Blob;
 use std::sync::{Arc, Mutex};
 use support::histories::{control, History};
 
--- a/crates/control/tests/support/fleet.rs
+++ b/crates/cluster/control-plane/tests/support/fleet.rs
@@ -2,11 +2,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_agent::AgentNode;
-use sagetrail_control::CoreNode;
+use sagetrail_control_plane::CoreNode;
 use sagetrail_gateway::GatewayNode;
-use sagetrail_wire::directory::Directory;
-use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox};
-use sagetrail_wire::{frame, Message, NodeId, Time};
+use sagetrail_protocol::directory::Directory;
+use sagetrail_protocol::node::{
+    Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+};
+use sagetrail_protocol::{frame, Message, NodeId, Time};
 use std::collections::BTreeMap;
 
 /// One way between processes, in microseconds, at least and at most.
--- a/crates/control/tests/support/histories.rs
+++ b/crates/cluster/control-plane/tests/support/histories.rs
@@ -1,8 +1,8 @@
 //! Long histories: many records, a steady rate of requests, and when a member holds what was acknowledged.
 use super::speeds::Speeds;
 use super::world::{World, CALM};
-use sagetrail_wire::control::ControlMessage;
-use sagetrail_wire::Message;
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::Message;
 use std::collections::VecDeque;
 
 /// Keys of preloaded records begin here; requests are numbered from 1.
--- a/crates/control/tests/support/journal.rs
+++ b/crates/cluster/control-plane/tests/support/journal.rs
@@ -1,10 +1,10 @@
 //! The service of the tests, and what all its lives have done: a checker of what must hold across them.
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest};
-use sagetrail_wire::node::Now;
-use sagetrail_wire::service::{
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{
     Batch, ConfigInForce, RecordOperation, Restored, Service, ServiceFactory,
 };
-use sagetrail_wire::{Blob, Epoch, Message, NodeId, Time};
+use sagetrail_protocol::{Blob, Epoch, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
--- a/crates/control/tests/support/operators.rs
+++ b/crates/cluster/control-plane/tests/support/operators.rs
@@ -1,6 +1,6 @@
 //! Operators who send orders through any process, and a checker of all the answers that they were given.
 use super::world::{config, World};
-use sagetrail_wire::node::{Event, HttpRequestId, Method};
+use sagetrail_protocol::node::{Event, HttpRequestId, Method};
 use std::collections::BTreeMap;
 
 /// The longest wait for an answer, in milliseconds.
--- a/crates/control/tests/support/speeds.rs
+++ b/crates/cluster/control-plane/tests/support/speeds.rs
@@ -1,7 +1,7 @@
 //! How fast links and disks are: a link carries one message after the other, a disk syncs one group of writes after
 //! the other.
-use sagetrail_wire::node::{DiskOperation, DiskWrite};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{DiskOperation, DiskWrite};
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 
 /// A site's figures. Bytes per microsecond are megabytes a second.
--- a/crates/control/tests/support/starts.rs
+++ b/crates/cluster/control-plane/tests/support/starts.rs
@@ -3,11 +3,11 @@
 use crate::journal::{factory, Journal};
 use rand::Rng;
 use sagetrail_agent::{AgentNode, AgentSettings};
-use sagetrail_control::{CoreNode, CoreSettings};
+use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::{DiskImage, Outbox};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{DiskImage, Outbox};
+use sagetrail_protocol::NodeId;
 use std::sync::{Arc, Mutex};
 
 impl Fleet {
--- a/crates/control/tests/support/world.rs
+++ b/crates/cluster/control-plane/tests/support/world.rs
@@ -3,15 +3,15 @@
 use super::speeds::{Busy, Speeds};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_control::{CoreNode, CoreSettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::{ClientMethod, ClientRequest};
-use sagetrail_wire::directory::Hello;
-use sagetrail_wire::node::{
+use sagetrail_control_plane::{CoreNode, CoreSettings};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::{ClientMethod, ClientRequest};
+use sagetrail_protocol::directory::Hello;
+use sagetrail_protocol::node::{
     DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId,
     Method, Node, Now, Outbox, Table,
 };
-use sagetrail_wire::{Blob, Message, NodeId, NodeKind, Text, Time};
+use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Text, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex};
 
@@ -406,8 +406,11 @@
             return;
         }
         // What is sent must survive the wire.
-        let payload = sagetrail_wire::frame::encode(&message).unwrap();
-        assert_eq!(sagetrail_wire::frame::decode(&payload).unwrap(), message);
+        let payload = sagetrail_protocol::frame::encode(&message).unwrap();
+        assert_eq!(
+            sagetrail_protocol::frame::decode(&payload).unwrap(),
+            message
+        );
         self.sent_bytes += payload.len() as u64;
         let kept = self
             .tamper
--- a/crates/control/tests/trouble.rs
+++ b/crates/cluster/control-plane/tests/trouble.rs
@@ -1,6 +1,6 @@
 //! Single troubles: kills, freezes, cuts, lost power, emptied disks, replaced machines.
 mod support;
-use sagetrail_wire::node::Method;
+use sagetrail_protocol::node::Method;
 use support::world::{config, id, World};
 
 fn busy(count: usize, seed: u64) -> World {
--- a/crates/gateway/src/core_view.rs
+++ b/crates/cluster/gateway/src/core_view.rs
@@ -1,6 +1,6 @@
 //! Who the core processes are, which of them schedules, and whether that one answers.
-use sagetrail_wire::directory::{Directory, HELLO_INTERVAL_MS};
-use sagetrail_wire::{Epoch, NodeId, Time};
+use sagetrail_protocol::directory::{Directory, HELLO_INTERVAL_MS};
+use sagetrail_protocol::{Epoch, NodeId, Time};
 
 /// The owner is sought among all core processes, and reached through relays, once silent for so long.
 const SILENT_MS: u64 = 700;
--- a/crates/gateway/src/drain.rs
+++ b/crates/cluster/gateway/src/drain.rs
@@ -1,5 +1,5 @@
 //! The end of the process within its grace.
-use sagetrail_wire::Time;
+use sagetrail_protocol::Time;
 
 /// So long it serves on after the notice: the platform needs two missed checks, a second apart, to stop sending.
 const SERVE_ON_MS: u64 = 2500;
--- a/crates/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -6,10 +6,10 @@
 use crate::response;
 use crate::settings::GatewaySettings;
 use crate::subscription::Subscription;
-use sagetrail_wire::directory::Hello;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
-use sagetrail_wire::{Message, NodeId, NodeKind, Time};
+use sagetrail_protocol::directory::Hello;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// The platform's readiness check asks for a path that ends so.
 const READINESS_PATH_END: &str = "readyz";
--- a/crates/gateway/src/pending.rs
+++ b/crates/cluster/gateway/src/pending.rs
@@ -1,8 +1,8 @@
 //! Clients' requests that are not answered yet.
-use sagetrail_wire::client::{ClientMethod, ClientRequest};
-use sagetrail_wire::collections::{Blob, Text};
-use sagetrail_wire::node::HttpRequestId;
-use sagetrail_wire::{Incarnation, Time};
+use sagetrail_protocol::client::{ClientMethod, ClientRequest};
+use sagetrail_protocol::collections::{Blob, Text};
+use sagetrail_protocol::node::HttpRequestId;
+use sagetrail_protocol::{Incarnation, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// At most so many requests are held at once.
--- a/crates/gateway/src/relay.rs
+++ b/crates/cluster/gateway/src/relay.rs
@@ -1,7 +1,7 @@
 //! Messages passed on by a third process where two cannot reach each other.
-use sagetrail_wire::collections::Blob;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::{frame, Message, NodeId};
+use sagetrail_protocol::collections::Blob;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::{frame, Message, NodeId};
 
 /// Takes the processes that may pass messages on in turn.
 #[derive(Clone, Copy, Debug)]
--- a/crates/gateway/src/requests.rs
+++ b/crates/cluster/gateway/src/requests.rs
@@ -3,10 +3,10 @@
 use crate::node::GatewayNode;
 use crate::pending::Question;
 use crate::{relay, response};
-use sagetrail_wire::client::{ClientMethod, ClientReply, NotOwner};
-use sagetrail_wire::collections::{Blob, Text};
-use sagetrail_wire::node::{HttpReply, HttpRequest, HttpRequestId, Method, Outbox};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, NotOwner};
+use sagetrail_protocol::collections::{Blob, Text};
+use sagetrail_protocol::node::{HttpReply, HttpRequest, HttpRequestId, Method, Outbox};
+use sagetrail_protocol::{Message, NodeId, Time};
 
 /// A client's patience where it names none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3000;
--- a/crates/gateway/src/response.rs
+++ b/crates/cluster/gateway/src/response.rs
@@ -1,6 +1,6 @@
 //! Answers of HTTP that the gateway gives by itself.
-use sagetrail_wire::client::ClientReply;
-use sagetrail_wire::node::HttpReply;
+use sagetrail_protocol::client::ClientReply;
+use sagetrail_protocol::node::HttpReply;
 use serde_json::json;
 
 /// After a refusal the client may try again so much later, in seconds.
--- a/crates/gateway/src/settings.rs
+++ b/crates/cluster/gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is started with.
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::{Incarnation, NodeId};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::{Incarnation, NodeId};
 
 /// The settings of a gateway.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gateway/src/subscription.rs
+++ b/crates/cluster/gateway/src/subscription.rs
@@ -1,8 +1,8 @@
 //! The configuration's way to this process: the relay tree, in which a gateway serves nobody.
-use sagetrail_config::{ConfigDocument, Limits};
-use sagetrail_distribution::Relay;
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_cluster_config::{ConfigDocument, Limits};
+use sagetrail_config_distribution::Relay;
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate};
+use sagetrail_protocol::{Message, NodeId, Time};
 
 /// A configuration counts as current for so long after it was last confirmed.
 const CONFIRMED_MS: u64 = 2500;
--- a/crates/gateway/tests/any_order.rs
+++ b/crates/cluster/gateway/tests/any_order.rs
@@ -3,8 +3,8 @@
 
 use common::{Rig, CORE};
 use proptest::prelude::*;
-use sagetrail_wire::node::{HttpRequestId, Method};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{HttpRequestId, Method};
+use sagetrail_protocol::NodeId;
 use std::collections::HashMap;
 
 #[derive(Clone, Debug)]
--- a/crates/gateway/tests/callers.rs
+++ b/crates/cluster/gateway/tests/callers.rs
@@ -5,8 +5,8 @@
 use common::{Rig, CORE, GATEWAY};
 use model::world::{Sum, World};
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::{Event, Method, Outbox};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{Event, Method, Outbox};
 
 const SCHEDULES: u64 = 400;
 const SCHEDULE_MS: u64 = 15_000;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -1,16 +1,16 @@
 //! A gateway, its clock, and what it sends.
 #![allow(dead_code)]
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::{ClientReply, ClientRequest, NotOwner};
-use sagetrail_wire::collections::{Blob, List};
-use sagetrail_wire::directory::Directory;
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate};
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::{ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::collections::{Blob, List};
+use sagetrail_protocol::directory::Directory;
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate};
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{
     Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
-use sagetrail_wire::{frame, Message, NodeId, Time};
+use sagetrail_protocol::{frame, Message, NodeId, Time};
 
 /// The gateway itself.
 pub const GATEWAY: NodeId = NodeId { ip: 1, port: 7 };
--- a/crates/gateway/tests/cut_off.rs
+++ b/crates/cluster/gateway/tests/cut_off.rs
@@ -4,9 +4,9 @@
 use common::{directory, reply, Rig, CORE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::distribution::{ConfigCurrent, Subscribe};
-use sagetrail_wire::node::{HttpRequestId, Method};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::distribution::{ConfigCurrent, Subscribe};
+use sagetrail_protocol::node::{HttpRequestId, Method};
+use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
 
 /// The gateway is not ready once the owner or its configuration has been out of reach for so long, in milliseconds.
--- a/crates/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -4,11 +4,11 @@
 
 use common::{Rig, CORE};
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::ClientReply;
-use sagetrail_wire::collections::Blob;
-use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::ClientReply;
+use sagetrail_protocol::collections::Blob;
+use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::{Message, NodeId};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
 /// A request whose number no other has.
--- a/crates/gateway/tests/model/clients.rs
+++ b/crates/cluster/gateway/tests/model/clients.rs
@@ -1,5 +1,5 @@
 //! The clients: each asks one thing on one connection, waits or goes, and tries again where it must.
-use sagetrail_wire::node::{HttpRequestId, Method};
+use sagetrail_protocol::node::{HttpRequestId, Method};
 use std::collections::BTreeMap;
 
 /// One try of a client.
--- a/crates/gateway/tests/model/core.rs
+++ b/crates/cluster/gateway/tests/model/core.rs
@@ -1,8 +1,8 @@
 //! The core processes: one of them takes requests at a time, keeps them a little later, and may lose its office before.
 use super::chance::Chance;
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
-use sagetrail_wire::directory::Directory;
-use sagetrail_wire::{Blob, List, Message, NodeId};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::directory::Directory;
+use sagetrail_protocol::{Blob, List, Message, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const CORE: [NodeId; 3] = [
--- a/crates/gateway/tests/model/world.rs
+++ b/crates/cluster/gateway/tests/model/world.rs
@@ -3,11 +3,13 @@
 use super::clients::Clients;
 use super::core::{Core, CORE};
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::distribution::ConfigUpdate;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox};
-use sagetrail_wire::{frame, Blob, Message, NodeId, Time};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::distribution::ConfigUpdate;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{
+    Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+};
+use sagetrail_protocol::{frame, Blob, Message, NodeId, Time};
 use std::collections::BTreeMap;
 
 const GATEWAYS: usize = 2;
--- a/crates/gateway/tests/requests.rs
+++ b/crates/cluster/gateway/tests/requests.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use common::{Rig, CORE};
-use sagetrail_wire::client::{ClientMethod, ClientReply};
-use sagetrail_wire::collections::Blob;
-use sagetrail_wire::node::{Event, Method};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::client::{ClientMethod, ClientReply};
+use sagetrail_protocol::collections::Blob;
+use sagetrail_protocol::node::{Event, Method};
+use sagetrail_protocol::{Message, NodeId};
 
 #[test]
 fn a_request_goes_to_the_owner_and_its_answer_back() {
--- a/crates/gateway/tests/standing.rs
+++ b/crates/cluster/gateway/tests/standing.rs
@@ -2,11 +2,11 @@
 mod common;
 
 use common::{directory, passed_on, reply, Rig, CORE, GATEWAY};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::collections::Blob;
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::node::{Event, Method};
-use sagetrail_wire::{frame, Message, NodeId};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::collections::Blob;
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{Event, Method};
+use sagetrail_protocol::{frame, Message, NodeId};
 
 #[test]
 fn the_seeds_are_greeted_at_the_start() {
--- a/crates/wire/tests/encoding.rs
+++ b/crates/cluster/protocol/tests/encoding.rs
@@ -5,13 +5,13 @@
 
 use deku::DekuContainerRead;
 use sagetrail_fixture::Fixture;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::client::ClientMethod;
-use sagetrail_wire::control::{ChangeKind, ControlMessage, RecordChange};
-use sagetrail_wire::frame::{
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::client::ClientMethod;
+use sagetrail_protocol::control::{ChangeKind, ControlMessage, RecordChange};
+use sagetrail_protocol::frame::{
     self, FrameError, LENGTH_BYTES, MAGIC, MAX_FRAME_BYTES, PREAMBLE_BYTES, PROTOCOL_VERSION,
 };
-use sagetrail_wire::{Message, NodeKind};
+use sagetrail_protocol::{Message, NodeKind};
 
 const FIXTURE: &str = include_str!("fixtures/wire.txt");
 
--- a/crates/wire/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -1,8 +1,8 @@
 //! Messages among core processes.
 use super::members::process;
 use super::{complete, variants, Example};
-use sagetrail_wire::control::*;
-use sagetrail_wire::{Blob, List};
+use sagetrail_protocol::control::*;
+use sagetrail_protocol::{Blob, List};
 
 variants!(CONTROL_MESSAGES, control_message, ControlMessage, {
     ControlMessage::Prepare(_) => "prepare",
--- a/crates/wire/tests/examples/members.rs
+++ b/crates/cluster/protocol/tests/examples/members.rs
@@ -1,10 +1,10 @@
 //! What names a process, the opening of a connection, and the enums without fields.
 use super::{complete, variants, Example};
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::client::ClientMethod;
-use sagetrail_wire::control::ChangeKind;
-use sagetrail_wire::frame::Preamble;
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::client::ClientMethod;
+use sagetrail_protocol::control::ChangeKind;
+use sagetrail_protocol::frame::Preamble;
+use sagetrail_protocol::{NodeId, NodeKind};
 
 variants!(NODE_KINDS, node_kind, NodeKind, {
     NodeKind::Frontend => "frontend",
--- a/crates/wire/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -1,15 +1,15 @@
 //! Messages between processes, other than those among core processes.
 use super::members::process;
 use super::{complete, variants, Example};
-use sagetrail_wire::agent::{
+use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport, StartOrder, StopOrder,
 };
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
-use sagetrail_wire::control::{ControlMessage, Learn};
-use sagetrail_wire::directory::{Directory, Hello};
-use sagetrail_wire::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
-use sagetrail_wire::message::Relayed;
-use sagetrail_wire::{Blob, List, Message, NodeKind, Text};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::control::{ControlMessage, Learn};
+use sagetrail_protocol::directory::{Directory, Hello};
+use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::{Blob, List, Message, NodeKind, Text};
 
 variants!(MESSAGES, message, Message, {
     Message::Hello(_) => "hello",
--- a/crates/scheduler/benches/placement.rs
+++ b/crates/cluster/scheduler/benches/placement.rs
@@ -2,11 +2,11 @@
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::NodeId;
 use sagetrail_scheduler::placement::{HeldStep, OpenRunner, Pass};
 use sagetrail_scheduler::spec::Labels;
 use sagetrail_scheduler::{JobId, StepId};
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::NodeId;
 use std::collections::BTreeMap;
 
 const HELD_STEPS: u64 = 64;
--- a/crates/scheduler/src/awaiting.rs
+++ b/crates/cluster/scheduler/src/awaiting.rs
@@ -1,5 +1,5 @@
 //! Runners with something in batches that are not kept yet, so that a kept batch concerns these alone.
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// By the number of the batch.
--- a/crates/scheduler/src/clients.rs
+++ b/crates/cluster/scheduler/src/clients.rs
@@ -4,9 +4,9 @@
 use crate::record::Outcome;
 use crate::scheduler::Scheduler;
 use crate::spec::JobSpec;
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest};
-use sagetrail_wire::node::Now;
-use sagetrail_wire::{Blob, Message, NodeId};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{Blob, Message, NodeId};
 use serde_json::json;
 
 /// So many jobs at the most, ended ones included: their records stay under a quarter of a core machine's memory.
--- a/crates/scheduler/src/clock.rs
+++ b/crates/cluster/scheduler/src/clock.rs
@@ -1,5 +1,5 @@
 //! The time of day for due times, steadied: a jump that lasts a few seconds moves no due time.
-use sagetrail_wire::node::Now;
+use sagetrail_protocol::node::Now;
 
 /// A difference from the steady clock that lasts so long is believed, in milliseconds.
 const BELIEVED_AFTER_MS: u64 = 15_000;
--- a/crates/scheduler/src/drain.rs
+++ b/crates/cluster/scheduler/src/drain.rs
@@ -9,8 +9,8 @@
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 
 /// A step waits so long before runners are emptied for it, in milliseconds.
--- a/crates/scheduler/src/ends.rs
+++ b/crates/cluster/scheduler/src/ends.rs
@@ -2,9 +2,9 @@
 use crate::ids::{JobId, StepId, TaskId};
 use crate::record::{Key, Outcome};
 use crate::scheduler::Scheduler;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{NodeId, Time};
 
 /// A run that is over for sure.
 pub(crate) struct OverRun {
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/cluster/scheduler/src/headroom.rs
@@ -6,9 +6,9 @@
 use crate::queue::HeldKey;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::Time;
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::Time;
 use std::collections::BTreeMap;
 
 /// The priority of urgent work.
--- a/crates/scheduler/src/health.rs
+++ b/crates/cluster/scheduler/src/health.rs
@@ -3,7 +3,7 @@
 //! A cumulative sum of log likelihood ratios (CUSUM): each end speaks for the hypothesis that the runner fails
 //! `UNWELL_RATE` of what it starts, or against it. Over `SUSPECT_SCORE` the runner rests, then is tried with one run.
 use crate::ids::JobId;
-use sagetrail_wire::Time;
+use sagetrail_protocol::Time;
 
 /// The share of its runs that an unwell runner fails.
 const UNWELL_RATE: f64 = 0.4;
--- a/crates/scheduler/src/job.rs
+++ b/crates/cluster/scheduler/src/job.rs
@@ -2,7 +2,7 @@
 use crate::ids::{JobId, StepId, TaskId};
 use crate::record::{JobRecord, Outcome, TaskRecord};
 use crate::spec::{JobSpec, Stage};
-use sagetrail_wire::{Blob, NodeId, Time};
+use sagetrail_protocol::{Blob, NodeId, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/scheduler/src/ledger.rs
+++ b/crates/cluster/scheduler/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Changes of records on their way to a quorum, and what waits for them.
 use crate::record::{JobRecord, Key, TaskRecord};
 use deku::DekuContainerWrite;
-use sagetrail_wire::service::{Batch, RecordOperation};
-use sagetrail_wire::{Message, NodeId};
+use sagetrail_protocol::service::{Batch, RecordOperation};
+use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
 
 /// Collects changes into batches and holds messages back until theirs is kept.
--- a/crates/scheduler/src/orders.rs
+++ b/crates/cluster/scheduler/src/orders.rs
@@ -2,9 +2,11 @@
 use crate::ids::TaskId;
 use crate::runner::{OrderedSet, Runner};
 use crate::scheduler::Scheduler;
-use sagetrail_wire::agent::{RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS};
-use sagetrail_wire::node::Now;
-use sagetrail_wire::{List, Message, NodeId};
+use sagetrail_protocol::agent::{
+    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{List, Message, NodeId};
 
 /// A runner with work sends its next heartbeat after so long, in milliseconds.
 const BUSY_RETRY_MS: u64 = 25;
--- a/crates/scheduler/src/pace.rs
+++ b/crates/cluster/scheduler/src/pace.rs
@@ -1,6 +1,6 @@
 //! How often the placement passes over all runners: each pass looks at every one of them, so with many runners
 //! passes keep a distance, and what came in between is placed together.
-use sagetrail_wire::Time;
+use sagetrail_protocol::Time;
 
 /// Up to so many runners every event may lead to a pass.
 const UNPACED_RUNNERS: usize = 200;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/cluster/scheduler/src/placement.rs
@@ -10,8 +10,8 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 use sagetrail_policy::start_chance;
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/cluster/scheduler/src/preempt.rs
@@ -10,9 +10,9 @@
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 
 /// So many held steps are looked at in a round.
--- a/crates/scheduler/src/record.rs
+++ b/crates/cluster/scheduler/src/record.rs
@@ -1,8 +1,8 @@
 //! How jobs and tasks lie in the replicated records.
 use crate::ids::{JobId, StepId, TaskId};
 use deku::prelude::*;
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::{Blob, NodeId, Text};
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::{Blob, NodeId, Text};
 
 /// Where a job stands.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
--- a/crates/scheduler/src/reports.rs
+++ b/crates/cluster/scheduler/src/reports.rs
@@ -3,9 +3,9 @@
 use crate::ids::TaskId;
 use crate::runner::{Candidate, NotedEnd, Runner};
 use crate::scheduler::Scheduler;
-use sagetrail_wire::agent::{RunEnd, RunnerReport, StopOrder};
-use sagetrail_wire::node::Now;
-use sagetrail_wire::{Epoch, NodeId};
+use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopOrder};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{Epoch, NodeId};
 
 /// Incarnations of an agent that are remembered as replaced.
 const REPLACED_KEPT: usize = 16;
--- a/crates/scheduler/src/restore.rs
+++ b/crates/cluster/scheduler/src/restore.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::Scheduler;
 use crate::spec::JobSpec;
 use deku::DekuContainerRead;
-use sagetrail_wire::node::Now;
+use sagetrail_protocol::node::Now;
 
 impl Scheduler {
     /// Takes all records; those of jobs sort before those of tasks.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/cluster/scheduler/src/scheduler.rs
@@ -15,11 +15,11 @@
 use crate::runner::{Assignment, Runner};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sagetrail_config::ConfigDocument;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::service::{Batch, ConfigInForce, Restored, Service};
-use sagetrail_wire::{Epoch, Message, NodeId, Time};
+use sagetrail_cluster_config::ConfigDocument;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{Batch, ConfigInForce, Restored, Service};
+use sagetrail_protocol::{Epoch, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The timer of the placement, in milliseconds.
--- a/crates/scheduler/src/survey.rs
+++ b/crates/cluster/scheduler/src/survey.rs
@@ -1,7 +1,7 @@
 //! A line in the log when steps are held for long: who has room, and who is kept out, and why.
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
-use sagetrail_wire::node::Now;
+use sagetrail_protocol::node::Now;
 
 /// A step held for so long is worth a line, in milliseconds.
 const LONG_MS: u64 = 4_000;
--- a/crates/scheduler/src/watch.rs
+++ b/crates/cluster/scheduler/src/watch.rs
@@ -4,8 +4,8 @@
 use crate::runner::{Assignment, Runner};
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
-use sagetrail_wire::node::Now;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::NodeId;
 
 /// A run whose progress has not moved for so long stands still, in milliseconds, whatever its estimate.
 const STALL_MS: u64 = 2_000;
--- a/crates/scheduler/tests/callers.rs
+++ b/crates/cluster/scheduler/tests/callers.rs
@@ -3,9 +3,9 @@
 mod world;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_wire::agent::{RunEnd, RunnerReport};
-use sagetrail_wire::client::ClientMethod;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::{RunEnd, RunnerReport};
+use sagetrail_protocol::client::ClientMethod;
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 use world::{config, node, World};
 
--- a/crates/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -3,13 +3,13 @@
 mod world;
 
 use sagetrail_fixture::transcript::{http_answer, Transcript};
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::ClientMethod::{Cancel, Read, Submit};
+use sagetrail_protocol::client::{ClientMethod, ClientReply};
+use sagetrail_protocol::service::Restored;
+use sagetrail_protocol::NodeId;
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::ClientMethod::{Cancel, Read, Submit};
-use sagetrail_wire::client::{ClientMethod, ClientReply};
-use sagetrail_wire::service::Restored;
-use sagetrail_wire::NodeId;
 use world::{config, World, DAY_MS};
 
 const KEPT: &str = "tests/fixtures/client_answers.txt";
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/cluster/scheduler/tests/headroom.rs
@@ -1,6 +1,6 @@
 //! Room kept for urgent work never shuts out lesser work that could run.
 mod world;
-use sagetrail_wire::client::ClientMethod;
+use sagetrail_protocol::client::ClientMethod;
 use world::{node, World};
 
 const URGENT: &str = "00000000000000aa";
--- a/crates/scheduler/tests/health.rs
+++ b/crates/cluster/scheduler/tests/health.rs
@@ -1,7 +1,7 @@
 //! Runners judged by what becomes of work there.
 mod world;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::NodeId;
 use world::{config, node, World};
 
 /// Submits jobs of one task each.
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/cluster/scheduler/tests/jobs.rs
@@ -1,7 +1,7 @@
 //! A job's life, as clients and agents see it.
 mod world;
-use sagetrail_wire::agent::{Resources, RunEnd};
-use sagetrail_wire::client::ClientMethod;
+use sagetrail_protocol::agent::{Resources, RunEnd};
+use sagetrail_protocol::client::ClientMethod;
 use world::{config, node, World, DAY_MS};
 
 const A: &str = "00000000000000aa";
--- a/crates/scheduler/tests/many_runners.rs
+++ b/crates/cluster/scheduler/tests/many_runners.rs
@@ -1,7 +1,7 @@
 //! What changes with the number of runners, and what does not.
 mod world;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::service::Service;
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::service::Service;
 use world::{node, World};
 
 const A: &str = "00000000000000aa";
--- a/crates/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -1,7 +1,7 @@
 //! Runs across lost messages, silent runners and changes of the scheduler: never two at once, none lost.
 mod world;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::client::ClientMethod;
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::client::ClientMethod;
 use world::{config, node, World};
 
 const A: &str = "00000000000000aa";
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/cluster/scheduler/tests/world/mod.rs
@@ -1,14 +1,14 @@
 //! A scheduler with agents and clients played by the test; batches are kept when the test says so.
 #![allow(dead_code)]
-use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use sagetrail_wire::agent::{
+use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport,
 };
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::client::{ClientMethod, ClientReply, ClientRequest};
-use sagetrail_wire::node::Now;
-use sagetrail_wire::service::{ConfigInForce, RecordOperation, Restored, Service};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{ConfigInForce, RecordOperation, Restored, Service};
+use sagetrail_protocol::{Message, NodeId, Time};
+use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/core/tests/stored.rs
+++ b/crates/dispatcher/dispatch/tests/stored.rs
@@ -1,9 +1,9 @@
 //! What goes on to the next process of a dispatcher: what an earlier build wrote is read as it was meant, and a build
 //! writes the same today.
 //!
-//! Where the form has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-core --test stored` writes
+//! Where the form has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-dispatch --test stored` writes
 //! `fixtures/passed.json` again; what changed then stands in the commit.
-use sagetrail_core::{terms, Inherited, Known, Learnt, Life, Member, Passed, Usual};
+use sagetrail_dispatch::{terms, Inherited, Known, Learnt, Life, Member, Passed, Usual};
 use sagetrail_policy::{Category, Placement, Repeat, Scope};
 use std::path::PathBuf;
 
--- a/crates/sagetrail/src/cli.rs
+++ b/crates/dispatcher/dispatcher/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::whatif;
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use sagetrail_setup as setup;
+use sagetrail_settings as setup;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
--- a/crates/sagetrail/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -5,9 +5,9 @@
 use crate::sockets::Mailbox;
 use crate::store::Store;
 use futures_util::{SinkExt, Stream};
-use sagetrail_core::{number, Callback, Open, Order, Reply};
+use sagetrail_dispatch::{number, Callback, Open, Order, Reply};
 use sagetrail_policy::Job;
-use sagetrail_store::{Answer, Ended};
+use sagetrail_replicated_store::{Answer, Ended};
 use std::cell::Cell;
 use std::future::{poll_fn, ready};
 use std::io::ErrorKind;
--- a/crates/sagetrail/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -8,7 +8,7 @@
 use crate::sockets::{Exchange, Mailbox};
 use crate::trial::Broken;
 use futures_util::SinkExt;
-use sagetrail_core::{Life, Names, Told};
+use sagetrail_dispatch::{Life, Names, Told};
 use std::cell::Cell;
 use std::future::{pending, Future};
 use std::io::ErrorKind;
--- a/crates/sagetrail/src/disk.rs
+++ b/crates/dispatcher/dispatcher/src/disk.rs
@@ -1,5 +1,5 @@
 //! The store's folder. One thread writes what it is handed, in order, and makes it last; the loop never waits for it.
-use sagetrail_store::{begin, open, Held};
+use sagetrail_replicated_store::{begin, open, Held};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -82,7 +82,7 @@
 /// What was found in a folder.
 pub struct Found {
     pub disk: u64,
-    pub recs: Vec<sagetrail_agreed::DiskRecord>,
+    pub recs: Vec<sagetrail_raft::DiskRecord>,
     pub written: u64,
     /// Merged state, and how old it is in seconds.
     pub merged: Option<(Vec<u8>, f64)>,
--- a/crates/sagetrail/src/door.rs
+++ b/crates/dispatcher/dispatcher/src/door.rs
@@ -2,7 +2,7 @@
 use crate::handover::Handover;
 use crate::sockets::Mailbox;
 use crate::store::Store;
-use sagetrail_core::Figures;
+use sagetrail_dispatch::Figures;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/sagetrail/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -2,11 +2,11 @@
 //! decisions. No socket here; `links` carries the frames.
 use crate::trial::Broken;
 use rand::{Rng, SeedableRng};
-use sagetrail_core::{number, Gate, Load, Saw};
-use sagetrail_members::{Pace, Peer};
+use sagetrail_dispatch::{number, Gate, Load, Saw};
 use sagetrail_policy::Dispatcher;
-use sagetrail_setup::Fleet as Said;
-use sagetrail_shared::{Heard, Judge, Key, Kind, Lending, Node, Terms};
+use sagetrail_settings::Fleet as Said;
+use sagetrail_shared_state::{Heard, Judge, Key, Kind, Lending, Node, Terms};
+use sagetrail_swim::{Pace, Peer};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -84,7 +84,7 @@
         sites.sort_unstable();
         sites.dedup();
         let site = |name: &str| sites.iter().position(|site| *site == name).unwrap_or(0) as u16;
-        let peer = |member: &sagetrail_setup::Member| Peer {
+        let peer = |member: &sagetrail_settings::Member| Peer {
             name: member.name.clone(),
             number: number(&member.name),
             site: site(&member.site),
--- a/crates/sagetrail/src/handover.rs
+++ b/crates/dispatcher/dispatcher/src/handover.rs
@@ -1,7 +1,7 @@
 //! Upgrades: what the old and the new process of one dispatcher tell each other over a Unix socket.
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use sagetrail_core::{Callback, Passed};
+use sagetrail_dispatch::{Callback, Passed};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
--- a/crates/sagetrail/src/http.rs
+++ b/crates/dispatcher/dispatcher/src/http.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use futures_util::Stream;
 use httparse::{Header, Status};
-use sagetrail_core::{Answer, Outgoing, Reply};
+use sagetrail_dispatch::{Answer, Outgoing, Reply};
 use std::fmt::Write;
 use std::future::poll_fn;
 use std::io;
--- a/crates/sagetrail/src/learnt.rs
+++ b/crates/dispatcher/dispatcher/src/learnt.rs
@@ -1,5 +1,5 @@
 //! What is worth keeping over a planned restart, in a file of its own.
-use sagetrail_core::Learnt;
+use sagetrail_dispatch::Learnt;
 use std::fs;
 use std::path::Path;
 use std::time::SystemTime;
--- a/crates/sagetrail/src/meeting.rs
+++ b/crates/dispatcher/dispatcher/src/meeting.rs
@@ -3,7 +3,7 @@
 use crate::handover::{
     frames, receive, send, Ask, Frame, Peer, Read, Write, FRAMES, LINKS, STATE_S, VERSION,
 };
-use sagetrail_core::Passed;
+use sagetrail_dispatch::Passed;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/sagetrail/src/runners.rs
+++ b/crates/dispatcher/dispatcher/src/runners.rs
@@ -2,7 +2,7 @@
 use crate::clock::Clock;
 use crate::http::{next, wire, Calling, Fault};
 use futures_util::{SinkExt, Stream};
-use sagetrail_core::{Answer, Broken, Figures, Gate, Outgoing};
+use sagetrail_dispatch::{Answer, Broken, Figures, Gate, Outgoing};
 use std::cell::{Cell, RefCell};
 use std::future::{pending, poll_fn, ready};
 use std::net::SocketAddr;
--- a/crates/sagetrail/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::start::{self, Source, Start};
 use crate::store::Store;
 use crate::trial::Broken;
-use sagetrail_core::{number, terms, Figures, Parts};
+use sagetrail_dispatch::{number, terms, Figures, Parts};
 use sagetrail_policy::Dispatcher;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
--- a/crates/sagetrail/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -2,9 +2,9 @@
 //! decisions, and in a fleet with a plan what is let in. No socket here.
 use crate::fleet::Fleet;
 use crate::trial::Broken;
-use sagetrail_core::{number, Load, Saw};
+use sagetrail_dispatch::{number, Load, Saw};
+use sagetrail_failover::{admitted, Cause, Demand, Plan, Sites, Stage};
 use sagetrail_policy::Dispatcher;
-use sagetrail_sites::{admitted, Cause, Demand, Plan, Sites, Stage};
 use std::rc::Rc;
 
 /// Sites are looked at this often: several times within an attempt's silence.
@@ -175,7 +175,7 @@
                 Stage::Whole => 1.0,
             })
         };
-        let bears = |site: &sagetrail_sites::Site| {
+        let bears = |site: &sagetrail_failover::Site| {
             part(&site.name) * site.capacity * (1.0 - site.headroom.unwrap_or(self.plan.headroom))
         };
         let capacity: f64 = self.plan.sites.iter().map(bears).sum();
--- a/crates/sagetrail/src/sockets.rs
+++ b/crates/dispatcher/dispatcher/src/sockets.rs
@@ -5,7 +5,7 @@
 use crate::runners::{self, Errand, Pool, Runner};
 use crate::siting::Siting;
 use crate::trial::Broken;
-use sagetrail_core::{Gate, Load, Outgoing, Outside, Reply, Saw, Task};
+use sagetrail_dispatch::{Gate, Load, Outgoing, Outside, Reply, Saw, Task};
 use sagetrail_policy::Dispatcher;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::spawn_local;
 
-pub type Exchange = sagetrail_core::Exchange<Sockets>;
+pub type Exchange = sagetrail_dispatch::Exchange<Sockets>;
 pub type Mailbox = mailbox::Mailbox<Exchange>;
 
 pub struct Sockets {
--- a/crates/sagetrail/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -1,8 +1,8 @@
 //! What a dispatcher is told at its start.
-use sagetrail_core::{number, Names, Told};
+use sagetrail_dispatch::{number, Names, Told};
+use sagetrail_failover::Plan;
 use sagetrail_policy::{read_terms, Stated, Terms};
-use sagetrail_setup::{Fleet, Layers, Store, Trial};
-use sagetrail_sites::Plan;
+use sagetrail_settings::{Fleet, Layers, Store, Trial};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -184,7 +184,7 @@
             agreed: agreed.to_string(),
             ..layers(path, &self.flags)?
         };
-        let told = sagetrail_setup::read(&layers).map_err(|faults| faults.join("\n"))?;
+        let told = sagetrail_settings::read(&layers).map_err(|faults| faults.join("\n"))?;
         let mut start = read(told.page).map_err(|why| format!("{}: {why}", layers.file))?;
         if told.trial.is_some() && !self.trial {
             return Err(format!(
--- a/crates/sagetrail/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -9,13 +9,13 @@
 use crate::trial::Broken;
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
-use sagetrail_agreed::{Fault, Timing};
-use sagetrail_core::number;
-use sagetrail_setup::{Fleet as Members, Recorded, Store as Said};
-use sagetrail_store::{
+use sagetrail_dispatch::number;
+use sagetrail_raft::{Fault, Timing};
+use sagetrail_replicated_store::{
     begin, About, Answer, Batch, Ended, Name, Node, NodeConfig, Op, Outcome, RetryPolicy, CLAIM_S,
     SETTINGS_MOST,
 };
+use sagetrail_settings::{Fleet as Members, Recorded, Store as Said};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
--- a/crates/sagetrail/src/trial.rs
+++ b/crates/dispatcher/dispatcher/src/trial.rs
@@ -1,7 +1,7 @@
 //! Settings for tests of several processes: clocks that are off or jump, and broken variants that a referee must
 //! catch. `run` refuses them.
 use crate::start::Start;
-use sagetrail_core::{Life, Told};
+use sagetrail_dispatch::{Life, Told};
 use sagetrail_policy::Repeat;
 
 /// A program that breaks one rule or passes one bound.
--- a/crates/sagetrail/src/whatif.rs
+++ b/crates/dispatcher/dispatcher/src/whatif.rs
@@ -1,5 +1,5 @@
 //! What the loss of sites would come to, as a table and as a page with a chart.
-use sagetrail_sites::Loss;
+use sagetrail_failover::Loss;
 use std::fmt::Write;
 
 fn moved(loss: &Loss) -> String {
--- a/crates/sagetrail/tests/fleet.rs
+++ b/crates/dispatcher/dispatcher/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Stories of several processes of the program with faults between them, judged by what runners and clients saw; and
 //! of broken variants, which the same judge must catch.
-use sagetrail_rig::{play, Options, Outcome, Scenario};
+use sagetrail_fault_testing::{play, Options, Outcome, Scenario};
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
@@ -11,7 +11,7 @@
 
 fn played(name: &str, change: impl Fn(&mut Options)) -> Outcome {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../examples/rig")
+        .join("../../../examples/rig")
         .join(format!("{name}.toml"));
     let scenario = Scenario::read(&file).unwrap_or_else(|why| panic!("{why}"));
     let program = Some(PathBuf::from(env!("CARGO_BIN_EXE_sagetrail")));
--- a/crates/sagetrail/tests/handover.rs
+++ b/crates/dispatcher/dispatcher/tests/handover.rs
@@ -2,7 +2,7 @@
 //! on the Unix socket where they meet. Two releases speak to each other in an upgrade.
 #[allow(dead_code)] // The other stories use more of it.
 mod stage;
-use sagetrail_core::Passed;
+use sagetrail_dispatch::Passed;
 use stage::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -220,7 +220,7 @@
     assert_eq!(link.read(&mut [0]).unwrap(), 0);
 }
 
-/// The state on the link is what `sagetrail_core` reads; its own form has a fixture there.
+/// The state on the link is what `sagetrail_dispatch` reads; its own form has a fixture there.
 #[test]
 fn the_state_is_read_by_the_core() {
     let state = fresh_state(true, SocketAddr::from(([10, 0, 0, 1], 80)));
--- a/crates/agreed/tests/sim/mod.rs
+++ b/crates/dispatcher/raft/tests/sim/mod.rs
@@ -1,7 +1,7 @@
 //! Several members on a simulated network with simulated disks, and a judge of what they were given.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_agreed::{
+use sagetrail_raft::{
     Committed, DiskRecord, Fault, Mark, Message, MessageBody, Output, Raft, RaftConfig, Timing,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -340,7 +340,7 @@
         while let Some(given) = self.members[n].raft.as_mut().and_then(Raft::next_committed) {
             let mark = match given {
                 Committed::Entry(entry) => {
-                    if let sagetrail_agreed::EntryPayload::Command(word) = &entry.payload {
+                    if let sagetrail_raft::EntryPayload::Command(word) = &entry.payload {
                         self.members[n]
                             .words
                             .push(u64::from_le_bytes(word[..8].try_into().unwrap()));
--- a/crates/store/src/node.rs
+++ b/crates/dispatcher/replicated-store/src/node.rs
@@ -18,8 +18,8 @@
 use operator_words::words_out_in;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sagetrail_agreed::{Fault, Raft, RaftConfig, Status, Timing};
-use sagetrail_members::{Codec, Refused};
+use sagetrail_raft::{Fault, Raft, RaftConfig, Status, Timing};
+use sagetrail_swim::{Codec, Refused};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Tells the node's random numbers from the log's.
--- a/crates/store/src/node/config.rs
+++ b/crates/dispatcher/replicated-store/src/node/config.rs
@@ -1,5 +1,5 @@
 //! What a node is started with, and what it hands to its host.
-use sagetrail_agreed::{DiskRecord, Mark, Timing};
+use sagetrail_raft::{DiskRecord, Mark, Timing};
 
 /// What a member is started with.
 #[derive(Clone, Debug)]
--- a/crates/store/src/node/frames.rs
+++ b/crates/dispatcher/replicated-store/src/node/frames.rs
@@ -3,8 +3,8 @@
 use crate::facts::Proposal;
 use crate::merged::{Digest, Item, Key};
 use crate::records::{ClaimReply, Ended, Name, Owner, RecordPage};
-use sagetrail_agreed::Message;
-use sagetrail_members::{Envelope, Refused};
+use sagetrail_raft::Message;
+use sagetrail_swim::{Envelope, Refused};
 use serde::{Deserialize, Serialize};
 
 /// Frames of this version say so in their first byte, which tells them from the members' own.
--- a/crates/store/src/node/journaling.rs
+++ b/crates/dispatcher/replicated-store/src/node/journaling.rs
@@ -4,7 +4,7 @@
 use crate::facts::{Facts, Proposal};
 use crate::journal;
 use rand::Rng;
-use sagetrail_agreed::{Committed, Entry, EntryPayload, Mark, Output, Raft, RaftConfig};
+use sagetrail_raft::{Committed, Entry, EntryPayload, Mark, Output, Raft, RaftConfig};
 
 /// The log is put into a snapshot after so many entries: a restart reads less than that.
 const COMPACT_ENTRIES: u64 = 256;
--- a/crates/store/src/node/operator_words.rs
+++ b/crates/dispatcher/replicated-store/src/node/operator_words.rs
@@ -1,7 +1,7 @@
 //! Operators' words that take a runner or dispatcher out of service, or back in.
 use super::Node;
 use crate::facts::{About, Op, Proposal};
-use sagetrail_agreed::{DiskRecord, Entry, EntryPayload};
+use sagetrail_raft::{DiskRecord, Entry, EntryPayload};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/store/tests/disk.rs
+++ b/crates/dispatcher/replicated-store/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What lies on the disk: power lost at any byte, any bit flipped, another's disk.
-use sagetrail_agreed::{DiskRecord, DiskWritten, Entry, EntryPayload, Mark};
-use sagetrail_store::{begin, open, record, Held};
+use sagetrail_raft::{DiskRecord, DiskWritten, Entry, EntryPayload, Mark};
+use sagetrail_replicated_store::{begin, open, record, Held};
 
 fn recs() -> Vec<DiskRecord> {
     let first = Entry::after(&Mark::default(), 1, EntryPayload::Noop);
--- a/crates/store/tests/encoding.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding.rs
@@ -5,11 +5,11 @@
 mod encoding_support;
 
 use encoding_support::{body, open_log_question, Body, Pair, BODIES, NAME};
-use sagetrail_agreed::{
+use sagetrail_fixture::Fixture;
+use sagetrail_raft::{
     DiskRecord, DiskWritten, Entry, EntryPayload, Mark, MessageBody, Snapshot, Voter,
 };
-use sagetrail_fixture::Fixture;
-use sagetrail_store::{
+use sagetrail_replicated_store::{
     begin, open, record, replicas, About, ClaimId, ClaimReply, Digest, Ended, Facts, Held, Item,
     Key, Merged, Name, Op, Outcome, Owner, Proposal, RecordCopy, RecordPage, Refusal, Stamp,
     FRAME_MOST, STORE_VERSION,
--- a/crates/store/tests/encoding_support/mod.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
@@ -1,11 +1,11 @@
 //! A pair of members whose frames are noted.
-use sagetrail_agreed::{Message, MessageBody, Timing};
 use sagetrail_fixture::Fixture;
-use sagetrail_members::{Codec, Envelope};
-use sagetrail_store::{
+use sagetrail_raft::{Message, MessageBody, Timing};
+use sagetrail_replicated_store::{
     ClaimReply, Digest, Ended, Item, Key, Name, Node, NodeConfig, Proposal, RecordPage, FRAME_MOST,
     STORE_VERSION,
 };
+use sagetrail_swim::{Codec, Envelope};
 use serde::{Deserialize, Serialize};
 
 const FLEET: &str = "fleet";
--- a/crates/store/tests/records.rs
+++ b/crates/dispatcher/replicated-store/tests/records.rs
@@ -1,7 +1,7 @@
 //! The record of hand-offs under loss, doubles, crashes and restarts: a name is owned by one, ever.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_store::{
+use sagetrail_replicated_store::{
     Answer, ClaimMessage, ClaimReply, Claims, Ended, Holder, Name, Outcome, Owner, RecordPage,
     RetryPolicy,
 };
--- a/crates/setup/src/configuration.rs
+++ b/crates/dispatcher/settings/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The checked configuration that `read` yields.
 use crate::layers::Value;
-use sagetrail_sites::Plan;
+use sagetrail_failover::Plan;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/setup/src/keys.rs
+++ b/crates/dispatcher/settings/src/keys.rs
@@ -262,5 +262,5 @@
         "`trial` only: each sync of the store's disk takes so long",
     ),
     key("trial.disk_full", Kind::Integer(0, 1 << 40), "none", "`trial` only: it is full after so many bytes"),
-    key("trial.break", Kind::Text, "none", "`trial` only: a broken variant, see `sagetrail-rig list`"),
+    key("trial.break", Kind::Text, "none", "`trial` only: a broken variant, see `sagetrail-fault-testing list`"),
 ];
--- a/crates/setup/src/read/plan.rs
+++ b/crates/dispatcher/settings/src/read/plan.rs
@@ -2,7 +2,7 @@
 use super::categories::DEFAULT_PAYOFF;
 use super::reader::Reader;
 use super::values::text_list;
-use sagetrail_sites::{Plan, Site};
+use sagetrail_failover::{Plan, Site};
 use serde_json::{json, Value};
 
 /// The plan, and the warnings about it.
--- a/crates/setup/tests/stories.rs
+++ b/crates/dispatcher/settings/tests/stories.rs
@@ -1,5 +1,5 @@
 //! Stories of configurations, good and bad.
-use sagetrail_setup::*;
+use sagetrail_settings::*;
 use serde_json::json;
 
 const GOOD: &str = r#"
@@ -153,7 +153,7 @@
     assert_eq!(read.page["limits"]["sockets"], json!(99));
     assert!(!read.fleet.unwrap().sharing);
     let wrong =
-        sagetrail_setup::read(&layers(&[("SAGETRAIL_LISEN", "x")], &["limits"])).unwrap_err();
+        sagetrail_settings::read(&layers(&[("SAGETRAIL_LISEN", "x")], &["limits"])).unwrap_err();
     assert!(
         wrong[0].contains("environment SAGETRAIL_LISEN: lisen: not a key; did you mean 'listen'?")
     );
--- a/crates/shared/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -5,7 +5,7 @@
 use crate::reports::{Digest, Report, Reports, Sums};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_members::{
+use sagetrail_swim::{
     Codec, Envelope, Life, Members, Message, Pace, Peer, Refused, Update, DATAGRAM_MOST, WHOLE_MOST,
 };
 use serde::{Deserialize, Serialize};
--- a/crates/shared/tests/budgets.rs
+++ b/crates/dispatcher/shared-state/tests/budgets.rs
@@ -2,7 +2,7 @@
 //! never passes the limit. Broken variants are played on the same schedules and must be caught.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_shared::*;
+use sagetrail_shared_state::*;
 use std::collections::BTreeMap;
 
 const KEY: Key = Key {
@@ -307,7 +307,7 @@
 
 #[test]
 fn ten_thousand_schedules_pass_no_limit() {
-    // More by hand: SCHEDULES=1000000 cargo test --release -p sagetrail-shared
+    // More by hand: SCHEDULES=1000000 cargo test --release -p sagetrail-shared-state
     let schedules = std::env::var("SCHEDULES")
         .ok()
         .and_then(|n| n.parse().ok())
--- a/crates/shared/tests/encoding.rs
+++ b/crates/dispatcher/shared-state/tests/encoding.rs
@@ -2,10 +2,10 @@
 //! story; each is handed to the other one, so that it is read as well. Members of different releases speak to each
 //! other: a difference from `fixtures/frames.txt` is a new version, never a new fixture alone.
 use sagetrail_fixture::Fixture;
-use sagetrail_members::{Codec, Envelope, Life, Message, Pace, Peer, Update, WHOLE_MOST};
-use sagetrail_shared::{
+use sagetrail_shared_state::{
     Ask, Digest, Grant, Judge, Key, Kind, Lending, Node, Out, Report, Sums, Terms,
 };
+use sagetrail_swim::{Codec, Envelope, Life, Message, Pace, Peer, Update, WHOLE_MOST};
 use serde::{Deserialize, Serialize};
 
 const FIXTURE: &str = include_str!("fixtures/frames.txt");
--- a/crates/shared/tests/evidence.rs
+++ b/crates/dispatcher/shared-state/tests/evidence.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_shared::*;
+use sagetrail_shared_state::*;
 
 /// A reporter of a site that saw runners well (w), bad (b), or not at all (.).
 fn sights(seen: &str) -> Vec<Evidence> {
--- a/crates/shared/tests/nodes.rs
+++ b/crates/dispatcher/shared-state/tests/nodes.rs
@@ -1,8 +1,8 @@
 //! Whole members on frames: what they hand each other as bytes, through loss and splits.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_members::{Life, Pace, Peer, Refused};
-use sagetrail_shared::*;
+use sagetrail_shared_state::*;
+use sagetrail_swim::{Life, Pace, Peer, Refused};
 use std::collections::BTreeMap;
 
 struct Fleet {
--- a/crates/simhost/src/main.rs
+++ b/crates/dispatcher/simulator-adapter/src/main.rs
@@ -28,7 +28,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("sagetrail-simhost: {message}");
+            eprintln!("sagetrail-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/frames.rs
+++ b/crates/dispatcher/simulator-adapter/tests/frames.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn play(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_sagetrail-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sagetrail-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/members/examples/measure.rs
+++ b/crates/dispatcher/swim/examples/measure.rs
@@ -2,7 +2,7 @@
 //! sagetrail-members --example measure`. The figures are in `docs/members.md`.
 #[path = "../tests/sim/mod.rs"]
 mod sim;
-use sagetrail_members::Life;
+use sagetrail_swim::Life;
 use sim::Net;
 use std::time::Instant;
 
--- a/crates/members/tests/sim/mod.rs
+++ b/crates/dispatcher/swim/tests/sim/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_members::*;
+use sagetrail_swim::*;
 use std::collections::BTreeMap;
 
 /// From, to, the birth it was sent to, and the frame.
--- a/crates/members/tests/stories.rs
+++ b/crates/dispatcher/swim/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of members that die, stall, come back, lie or lose contact.
 mod sim;
 use rand::Rng;
-use sagetrail_members::*;
+use sagetrail_swim::*;
 use sim::{roster, Net};
 
 #[test]
--- a/crates/rig/src/main.rs
+++ b/crates/testing/fault-testing/src/main.rs
@@ -1,12 +1,14 @@
 //! The rig's command line.
 use clap::{Parser, Subcommand};
-use sagetrail_rig::{compare, html, play, table, Bad, Compared, Options, Scenario, WHATS};
+use sagetrail_fault_testing::{
+    compare, html, play, table, Bad, Compared, Options, Scenario, WHATS,
+};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// Plays real processes of sagetrail with faults between them, and judges by what runners and clients saw.
 #[derive(Parser)]
-#[command(name = "sagetrail-rig", version)]
+#[command(name = "sagetrail-fault-testing", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -166,7 +168,7 @@
                 .iter()
                 .for_each(|(name, on, what)| println!("  {name:<14} {on:<11} {what}"));
             println!("broken variants:");
-            let all = sagetrail_setup::BROKEN.iter();
+            let all = sagetrail_settings::BROKEN.iter();
             all.for_each(|(name, breaks, how)| println!("  {name:<18} {breaks:<15} {how}"));
             Ok(0)
         }
@@ -177,7 +179,7 @@
     match run(Cli::parse().command) {
         Ok(code) => code.into(),
         Err(Bad(why)) => {
-            eprintln!("sagetrail-rig: {why}");
+            eprintln!("sagetrail-fault-testing: {why}");
             2.into()
         }
     }
--- a/crates/rig/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -158,12 +158,12 @@
         }
     }
     if let Some(broken) = &options.broken {
-        if !sagetrail_setup::BROKEN
+        if !sagetrail_settings::BROKEN
             .iter()
             .any(|(name, ..)| name == broken)
         {
-            let names = sagetrail_setup::BROKEN.iter().map(|(name, ..)| *name);
-            let hint = sagetrail_setup::nearest(broken, names)
+            let names = sagetrail_settings::BROKEN.iter().map(|(name, ..)| *name);
+            let hint = sagetrail_settings::nearest(broken, names)
                 .map(|hint| format!("; did you mean '{hint}'?"));
             return Err(Bad(format!(
                 "'{broken}' is no broken variant{}",
--- a/crates/rig/src/scenario.rs
+++ b/crates/testing/fault-testing/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios, as they are written. Times are text with a unit.
 use crate::names::{Cast, MOST_DISPATCHERS, MOST_RUNNERS};
 use crate::schedule::{schedule, WHATS};
-use sagetrail_setup::{nearest, seconds};
+use sagetrail_settings::{nearest, seconds};
 use serde::{Deserialize, Deserializer};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/rig/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/stories.rs
@@ -1,5 +1,5 @@
 //! The rig itself: scenarios read, schedules drawn, and a referee on records made by hand.
-use sagetrail_rig::*;
+use sagetrail_fault_testing::*;
 
 fn bad(text: &str) -> String {
     Scenario::parse(text).expect_err(text).to_string()
@@ -7,7 +7,7 @@
 
 #[test]
 fn every_example_can_be_read_and_played_at_any_number_of_processes() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig");
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../examples/rig");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -169,7 +169,7 @@
     assert_eq!(rules("", &with(vec![late], ran())), ["rule-1"]);
     // What a killed process held is its client's to repeat; what a cut swallowed never came.
     let mut records = with(vec![none.clone()], ran());
-    records.absences.push(sagetrail_rig::Absence {
+    records.absences.push(sagetrail_fault_testing::Absence {
         dispatcher: 0,
         from: 1.1,
         to: 2.0,
@@ -240,7 +240,7 @@
         vec![wi("a", 2)],
         vec![ho("a", 0, 2.0, Some((2.1, End::Done)))],
     );
-    let word = |at, ready| sagetrail_rig::Word {
+    let word = |at, ready| sagetrail_fault_testing::Word {
         at,
         dispatcher: 0,
         runner: 0,
@@ -270,13 +270,13 @@
             )
         });
         let mut records = with(Vec::new(), hos.collect());
-        records.births.push(sagetrail_rig::Birth {
+        records.births.push(sagetrail_fault_testing::Birth {
             runner: 0,
             process: 0,
             at: 0.9,
             cold: true,
         });
-        records.words.push(sagetrail_rig::Word {
+        records.words.push(sagetrail_fault_testing::Word {
             at: 0.92,
             dispatcher: 0,
             runner: 0,
@@ -414,7 +414,7 @@
         ]
     };
     let killed = |mut records: Records| {
-        records.absences.push(sagetrail_rig::Absence {
+        records.absences.push(sagetrail_fault_testing::Absence {
             dispatcher: 0,
             from: 1.05,
             to: 1.2,
--- a/crates/scale/src/bin/sagetrail-scale.rs
+++ b/crates/testing/scale-testing/src/bin/sagetrail-scale-testing.rs
@@ -1,13 +1,13 @@
 //! A scale run from a scenario file.
-use sagetrail_scale::arguments::Arguments;
+use sagetrail_scale_testing::arguments::Arguments;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    match sagetrail_scale::run::run(&arguments) {
+    match sagetrail_scale_testing::run::run(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("sagetrail-scale: {error:#}");
+            eprintln!("sagetrail-scale-testing: {error:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/scale/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use crate::settings::{write, Machine};
 use nix::sys::signal::Signal;
-use sagetrail_wire::NodeKind;
+use sagetrail_protocol::NodeKind;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/crates/scale/src/hollow/agent.rs
+++ b/crates/testing/scale-testing/src/hollow/agent.rs
@@ -1,13 +1,13 @@
 //! A real agent in this process, driven by the daemon's own loop and transport.
 use crate::board::Board;
 use sagetrail_agent::{AgentNode, AgentSettings};
-use sagetrail_daemon::clocks::Clocks;
-use sagetrail_daemon::input::Inputs;
-use sagetrail_daemon::phase::phases;
-use sagetrail_daemon::process::{Parts, Process};
-use sagetrail_daemon::transport::Transport;
-use sagetrail_wire::node::{Event, Node, Now, Outbox};
-use sagetrail_wire::Time;
+use sagetrail_cluster_node::clocks::Clocks;
+use sagetrail_cluster_node::input::Inputs;
+use sagetrail_cluster_node::phase::phases;
+use sagetrail_cluster_node::process::{Parts, Process};
+use sagetrail_cluster_node::transport::Transport;
+use sagetrail_protocol::node::{Event, Node, Now, Outbox};
+use sagetrail_protocol::Time;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/scale/src/hollow/door.rs
+++ b/crates/testing/scale-testing/src/hollow/door.rs
@@ -1,7 +1,7 @@
 //! The way from a hollow runner to its agent.
 use crate::call::{Call, Caller};
-use sagetrail_daemon::input::{Input, Inputs};
-use sagetrail_wire::node::{Door, HttpRequest, HttpRequestId, Method};
+use sagetrail_cluster_node::input::{Input, Inputs};
+use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId, Method};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/crates/scale/src/hollow/threads.rs
+++ b/crates/testing/scale-testing/src/hollow/threads.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Scenario;
 use anyhow::Context;
 use sagetrail_agent::AgentSettings;
-use sagetrail_wire::bounds::Bounds;
+use sagetrail_protocol::bounds::Bounds;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::thread::JoinHandle;
--- a/crates/scale/src/places.rs
+++ b/crates/testing/scale-testing/src/places.rs
@@ -1,5 +1,5 @@
 //! Addresses of a run, all on loopback: each process and each hollow worker has one of its own.
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// The first port for what processes say to each other, and the last.
--- a/crates/scale/src/settings.rs
+++ b/crates/testing/scale-testing/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files of the real processes.
 use crate::places::{Places, PEER_PORTS};
 use crate::scenario::Scenario;
-use sagetrail_wire::NodeKind;
+use sagetrail_protocol::NodeKind;
 use serde::Serialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
--- a/crates/scale/src/simulated/clients.rs
+++ b/crates/testing/scale-testing/src/simulated/clients.rs
@@ -4,7 +4,7 @@
 use crate::operator::first_configuration;
 use crate::plan::PlannedJob;
 use crate::scenario::Scenario;
-use sagetrail_wire::node::{HttpRequest, Method};
+use sagetrail_protocol::node::{HttpRequest, Method};
 
 /// Clients wait so long, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
--- a/crates/scale/src/simulated/engine.rs
+++ b/crates/testing/scale-testing/src/simulated/engine.rs
@@ -1,6 +1,6 @@
 //! What happens when: simulated time, and all that is to come.
-use sagetrail_wire::node::{DiskWrite, HttpReply, Now, ProbeId};
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::node::{DiskWrite, HttpReply, Now, ProbeId};
+use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
--- a/crates/scale/src/simulated/found.rs
+++ b/crates/testing/scale-testing/src/simulated/found.rs
@@ -5,11 +5,11 @@
 use crate::samples::Role;
 use crate::settings::{render, Machine as SettingsOf};
 use sagetrail_agent::AgentNode;
-use sagetrail_daemon::settings::Settings;
-use sagetrail_daemon::start::{Ground, Maker};
-use sagetrail_daemon::{core_process, frontend_process};
-use sagetrail_wire::node::{DiskImage, Now, Outbox};
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_cluster_node::settings::Settings;
+use sagetrail_cluster_node::start::{Ground, Maker};
+use sagetrail_cluster_node::{core_process, frontend_process};
+use sagetrail_protocol::node::{DiskImage, Now, Outbox};
+use sagetrail_protocol::{NodeId, NodeKind};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 
--- a/crates/scale/src/simulated/machine.rs
+++ b/crates/testing/scale-testing/src/simulated/machine.rs
@@ -1,9 +1,9 @@
 //! A machine with one process: its logic, its meter, its disk.
 use super::meter::{thread_time, Meter};
 use crate::samples::Role;
-use sagetrail_wire::frame;
-use sagetrail_wire::node::{DiskOperation, DiskWrite, Event, Node, Now, Outbox};
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::frame;
+use sagetrail_protocol::node::{DiskOperation, DiskWrite, Event, Node, Now, Outbox};
+use sagetrail_protocol::{Message, NodeId, Time};
 
 /// Wakes of a process are at least so far apart, in milliseconds, as in the daemon.
 const WAKE_INTERVAL_MS: u64 = 1;
--- a/crates/scale/src/simulated/world.rs
+++ b/crates/testing/scale-testing/src/simulated/world.rs
@@ -14,10 +14,10 @@
 use crate::samples::{Role, RoleUsage};
 use crate::scenario::{FaultKind, FaultTarget, Scenario};
 use crate::timings::Timing;
-use sagetrail_wire::node::{
+use sagetrail_protocol::node::{
     Door, Event, HttpReply, HttpRequest, HttpRequestId, Outbox, ProbeResult,
 };
-use sagetrail_wire::{Message, NodeId, Time};
+use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -217,7 +217,7 @@
     fn drive(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Machine, sagetrail_wire::node::Now, &mut Outbox),
+        what: impl FnOnce(&mut Machine, sagetrail_protocol::node::Now, &mut Outbox),
     ) {
         if self.lost[at] {
             return;
@@ -282,7 +282,7 @@
         );
     }
 
-    fn synced(&mut self, at: usize, writes: Vec<sagetrail_wire::node::DiskWrite>) {
+    fn synced(&mut self, at: usize, writes: Vec<sagetrail_protocol::node::DiskWrite>) {
         self.machines[at].syncing = false;
         for write in writes {
             self.send(at, write.then);
--- a/crates/scale/tests/plan.rs
+++ b/crates/testing/scale-testing/tests/plan.rs
@@ -1,16 +1,16 @@
 //! The load as it is drawn.
-use sagetrail_scale::plan::{draw, TaskText};
-use sagetrail_scale::scenario::Scenario;
+use sagetrail_scale_testing::plan::{draw, TaskText};
+use sagetrail_scale_testing::scenario::Scenario;
 use std::path::Path;
 
 fn scenario(name: &str) -> Scenario {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/scale");
     Scenario::load(&folder.join(name)).expect("a sound scenario")
 }
 
 #[test]
 fn all_example_scenarios_are_sound() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/scale");
     let mut files = 0;
     for entry in std::fs::read_dir(folder).expect("the examples") {
         let path = entry.expect("an entry").path();
--- a/crates/scale/tests/readings.rs
+++ b/crates/testing/scale-testing/tests/readings.rs
@@ -1,8 +1,8 @@
 //! What is read from logs, from the kernel and from `ss`.
-use sagetrail_scale::cluster::term_of;
-use sagetrail_scale::sockets::{parse, Traffic};
-use sagetrail_scale::timings::{Timing, Timings};
-use sagetrail_scale::usage;
+use sagetrail_scale_testing::cluster::term_of;
+use sagetrail_scale_testing::sockets::{parse, Traffic};
+use sagetrail_scale_testing::timings::{Timing, Timings};
+use sagetrail_scale_testing::usage;
 use std::time::Duration;
 
 #[test]
--- a/crates/scale/tests/runner.rs
+++ b/crates/testing/scale-testing/tests/runner.rs
@@ -1,6 +1,6 @@
 //! A hollow runner keeps to the protocol, on a clock of the test's own.
-use sagetrail_scale::board::{Board, JobFacts, OverJob};
-use sagetrail_scale::hollow::{HollowRunner, Orders, RunnerProfile};
+use sagetrail_scale_testing::board::{Board, JobFacts, OverJob};
+use sagetrail_scale_testing::hollow::{HollowRunner, Orders, RunnerProfile};
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/scale/tests/takeovers.rs
+++ b/crates/testing/scale-testing/tests/takeovers.rs
@@ -1,7 +1,7 @@
 //! What a fault led to is told from what the next one did.
-use sagetrail_scale::board::Board;
-use sagetrail_scale::faults::{takeovers, Played};
-use sagetrail_scale::scenario::{Fault, FaultKind, FaultTarget};
+use sagetrail_scale_testing::board::Board;
+use sagetrail_scale_testing::faults::{takeovers, Played};
+use sagetrail_scale_testing::scenario::{Fault, FaultKind, FaultTarget};
 use std::time::{Duration, Instant};
 
 fn fault(target: FaultTarget, at: Instant) -> Played {
--- a/crates/cluster-sim/src/actor.rs
+++ b/crates/testing/simulation/src/actor.rs
@@ -3,9 +3,9 @@
 use crate::engine::{Chance, Micros};
 use crate::gang::GangBoard;
 use crate::history::{Answer, History};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::{Door, HttpReply, HttpRequest};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{Door, HttpReply, HttpRequest};
+use sagetrail_protocol::NodeId;
 
 /// Names a call to the actor that made it.
 pub type CallTag = u64;
--- a/crates/cluster-sim/src/bin/sagetrail-sim.rs
+++ b/crates/testing/simulation/src/bin/sagetrail-simulation.rs
@@ -1,7 +1,7 @@
 //! Plays simulated days and prints the rules they break.
 use argh::FromArgs;
-use sagetrail_cluster_sim::report::Report;
-use sagetrail_cluster_sim::scenario::Scenario;
+use sagetrail_simulation::report::Report;
+use sagetrail_simulation::scenario::Scenario;
 
 /// Plays simulated days of a cluster and prints the rules that they break.
 #[derive(FromArgs)]
@@ -98,7 +98,7 @@
 }
 
 /// The jobs that violations name.
-fn named_jobs(report: &Report) -> Vec<&sagetrail_cluster_sim::job::JobDefinition> {
+fn named_jobs(report: &Report) -> Vec<&sagetrail_simulation::job::JobDefinition> {
     let named = |id: &String| {
         report
             .violations
--- a/crates/cluster-sim/src/checker/calm.rs
+++ b/crates/testing/simulation/src/checker/calm.rs
@@ -1,7 +1,7 @@
 //! When no trouble was near, and which machines were in touch.
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{History, Reach, Sight};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 
 struct Span {
     from: Micros,
--- a/crates/cluster-sim/src/checker/facts.rs
+++ b/crates/testing/simulation/src/checker/facts.rs
@@ -3,7 +3,7 @@
 use crate::engine::Micros;
 use crate::history::{Answer, EndSeen, History, RunnerFacts, Sight, StartSeen};
 use crate::job::{StepName, TaskName};
-use sagetrail_wire::agent::RunEnd;
+use sagetrail_protocol::agent::RunEnd;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A run from its start to its end.
--- a/crates/cluster-sim/src/checker/jobs.rs
+++ b/crates/testing/simulation/src/checker/jobs.rs
@@ -5,8 +5,8 @@
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{ShownState, Sight};
 use crate::job::{JobDefinition, StepName};
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Judges all that clients read.
--- a/crates/cluster-sim/src/checker/mod.rs
+++ b/crates/testing/simulation/src/checker/mod.rs
@@ -15,7 +15,7 @@
 use crate::history::History;
 use calm::Calm;
 use facts::{Facts, RunFact};
-use sagetrail_wire::bounds::Bounds;
+use sagetrail_protocol::bounds::Bounds;
 use std::fmt;
 
 /// A rule that can be broken.
--- a/crates/cluster-sim/src/checker/runs.rs
+++ b/crates/testing/simulation/src/checker/runs.rs
@@ -3,7 +3,7 @@
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND, WALL_START_MS};
 use crate::job::{JobDefinition, StepDefinition, StepName, TaskName};
-use sagetrail_wire::agent::RunEnd;
+use sagetrail_protocol::agent::RunEnd;
 use std::collections::BTreeSet;
 
 /// On days on which clocks jump a start may come so much earlier still, in milliseconds.
--- a/crates/cluster-sim/src/checker/stalls.rs
+++ b/crates/testing/simulation/src/checker/stalls.rs
@@ -6,7 +6,7 @@
 use crate::engine::{Micros, MILLISECOND, SECOND, WALL_START_MS};
 use crate::history::{RunnerFacts, ShownState, Sight};
 use crate::job::{JobDefinition, StepDefinition};
-use sagetrail_wire::agent::Resources;
+use sagetrail_protocol::agent::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that stands still for so long once `finish_ms` has passed since the last job was sent is lost.
--- a/crates/cluster-sim/src/checker/starts.rs
+++ b/crates/testing/simulation/src/checker/starts.rs
@@ -4,7 +4,7 @@
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{Sight, StartSeen};
 use crate::job::{JobDefinition, StepDefinition, TaskName};
-use sagetrail_wire::agent::Resources;
+use sagetrail_protocol::agent::Resources;
 
 /// Judges all starts.
 pub fn judge(judge: &mut Judge) {
--- a/crates/cluster-sim/src/client.rs
+++ b/crates/testing/simulation/src/client.rs
@@ -2,8 +2,8 @@
 use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, ShownState, Sight};
-use sagetrail_wire::node::{Door, HttpRequest, Method};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::NodeId;
 use serde_json::Value;
 
 /// How long a client waits for an answer.
--- a/crates/cluster-sim/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -3,8 +3,8 @@
 use crate::actor::{Outcome, OutgoingCall};
 use crate::engine::Micros;
 use crate::process::{Held, ProcessState};
-use sagetrail_wire::node::{Door, Event, HttpRequest, HttpRequestId};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId};
+use sagetrail_protocol::NodeId;
 
 /// One way between a runner and the process beside it.
 const BESIDE: Micros = 100;
--- a/crates/cluster-sim/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/life.rs
@@ -3,8 +3,8 @@
 use crate::actor::Outcome;
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::process::{Birth, Held, ProcessState};
-use sagetrail_wire::node::{DiskWrite, Event, Outbox};
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::node::{DiskWrite, Event, Outbox};
+use sagetrail_protocol::{NodeId, NodeKind};
 
 /// Timers go off at most so late.
 const TIMER_LATENESS: Micros = MILLISECOND;
--- a/crates/cluster-sim/src/cluster/mod.rs
+++ b/crates/testing/simulation/src/cluster/mod.rs
@@ -19,10 +19,12 @@
 use crate::runner::Runner;
 use calls::Call;
 use probes::Look;
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::frame;
-use sagetrail_wire::node::{DiskWrite, Event, HttpReply, HttpRequest, HttpRequestId, ProbeResult};
-use sagetrail_wire::{Message, NodeId, NodeKind};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::frame;
+use sagetrail_protocol::node::{
+    DiskWrite, Event, HttpReply, HttpRequest, HttpRequestId, ProbeResult,
+};
+use sagetrail_protocol::{Message, NodeId, NodeKind};
 use std::collections::BTreeMap;
 
 /// At their start processes come up within so long.
--- a/crates/cluster-sim/src/cluster/probes.rs
+++ b/crates/testing/simulation/src/cluster/probes.rs
@@ -1,8 +1,8 @@
 //! Looks of an agent at the runner beside it.
 use super::{World, WorldEvent};
 use crate::engine::{Micros, MILLISECOND};
-use sagetrail_wire::node::{Event, Probe, ProbeId, ProbeResult};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{Event, Probe, ProbeId, ProbeResult};
+use sagetrail_protocol::NodeId;
 
 /// One way between an agent and the port of its runner.
 const BESIDE: Micros = MILLISECOND / 10;
--- a/crates/cluster-sim/src/cluster/replacement.rs
+++ b/crates/testing/simulation/src/cluster/replacement.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk;
 use crate::engine::{Micros, SECOND};
 use crate::process::{Process, ProcessState};
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::{NodeId, NodeKind};
 
 /// The operator's list, from which seeds are taken as well, lags by so much.
 const LIST_LAG: Micros = 3 * SECOND;
--- a/crates/cluster-sim/src/cluster/trouble.rs
+++ b/crates/testing/simulation/src/cluster/trouble.rs
@@ -5,7 +5,7 @@
 use crate::history::{Reach, Sight};
 use crate::network::Direction;
 use crate::process::ProcessState;
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::{NodeId, NodeKind};
 
 /// A process that is killed is started again no sooner than after this.
 const SHORTEST_ABSENCE: Micros = 50 * MILLISECOND;
--- a/crates/cluster-sim/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a core process: transactions reach it in order, several in one sync, each whole or not at all.
 //! What was asked for and not synced is, at a kill or a loss of power, kept up to some transaction or lost.
 use crate::engine::{Chance, Micros, MILLISECOND};
-use sagetrail_wire::node::{DiskImage, DiskOperation, DiskWrite, Table};
+use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a sync takes.
--- a/crates/cluster-sim/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,7 +1,7 @@
 //! Troubles, and schedules of them drawn from a seed that keep to what a deployment must bear.
 use crate::cluster::PlannedFault;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 
 /// The share of the core's troubles in which a disk is lost while all other machines lose power.
 const WIPE_WITH_POWER_LOSS: f64 = 0.1;
--- a/crates/cluster-sim/src/history.rs
+++ b/crates/testing/simulation/src/history.rs
@@ -2,8 +2,8 @@
 use crate::configuration::Configuration;
 use crate::engine::Micros;
 use crate::job::{JobBook, TaskName};
-use sagetrail_wire::agent::{Resources, RunEnd};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::{Resources, RunEnd};
+use sagetrail_protocol::NodeId;
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/cluster-sim/src/job.rs
+++ b/crates/testing/simulation/src/job.rs
@@ -1,6 +1,6 @@
 //! Jobs as clients hand them in, and the names of their tasks.
 use crate::engine::Micros;
-use sagetrail_wire::agent::Resources;
+use sagetrail_protocol::agent::Resources;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/cluster-sim/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -1,6 +1,6 @@
 //! Whole clusters in one process on a simulated network, clock and disk.
 //!
-//! The logic of the processes is the real one, driven through `sagetrail_wire::node::Node`. Runners, clients and
+//! The logic of the processes is the real one, driven through `sagetrail_protocol::node::Node`. Runners, clients and
 //! the operator are simulated after the protocol; what they saw is written to a `history::History`, and
 //! `checker` judges by that alone. The same seed gives the same result.
 pub mod actor;
--- a/crates/cluster-sim/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -1,7 +1,7 @@
 //! The network between processes: delay by zone, jitter, loss, duplicates, and cuts, also in one direction.
 //! Jitter alone makes messages overtake each other.
 use crate::engine::{Chance, Micros, MILLISECOND};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How messages travel while nothing is cut.
--- a/crates/cluster-sim/src/operator.rs
+++ b/crates/testing/simulation/src/operator.rs
@@ -4,8 +4,8 @@
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, OrderSeen, Sight};
-use sagetrail_wire::node::{Door, HttpRequest, Method};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::NodeId;
 
 /// The operator waits so long for an answer.
 const PATIENCE: Micros = SECOND;
--- a/crates/cluster-sim/src/process.rs
+++ b/crates/testing/simulation/src/process.rs
@@ -1,9 +1,9 @@
 //! One process of the cluster: its logic, its clocks, its disk, and whether it runs.
 use crate::disk::Disk;
 use crate::engine::{Micros, MILLISECOND, WALL_START_MS};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::{DiskImage, DiskWrite, Event, HttpRequestId, Node, Now, Outbox};
-use sagetrail_wire::{Incarnation, NodeId, NodeKind, Time};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{DiskImage, DiskWrite, Event, HttpRequestId, Node, Now, Outbox};
+use sagetrail_protocol::{Incarnation, NodeId, NodeKind, Time};
 use std::collections::BTreeSet;
 
 /// Whether a process runs.
--- a/crates/cluster-sim/src/real.rs
+++ b/crates/testing/simulation/src/real.rs
@@ -2,12 +2,12 @@
 use crate::cluster::Factories;
 use crate::process::{Birth, Factory};
 use sagetrail_agent::{AgentNode, AgentSettings};
-use sagetrail_control::{CoreNode, CoreSettings};
+use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{Node, Now, Outbox};
+use sagetrail_protocol::service::{Restored, Service, ServiceFactory};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::node::{Node, Now, Outbox};
-use sagetrail_wire::service::{Restored, Service, ServiceFactory};
 
 /// The processes as they run in service.
 pub fn factories() -> Factories {
--- a/crates/cluster-sim/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/beat.rs
@@ -4,8 +4,8 @@
 use crate::actor::{CallTag, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::EndSeen;
-use sagetrail_wire::agent::RunEnd;
-use sagetrail_wire::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::node::{Door, HttpRequest, Method};
 use serde_json::{json, Value};
 
 /// So many ends are listed at once.
--- a/crates/cluster-sim/src/runner/mod.rs
+++ b/crates/testing/simulation/src/runner/mod.rs
@@ -10,8 +10,8 @@
 use crate::job::TaskName;
 use drain::Drain;
 use run::Run;
-use sagetrail_wire::agent::{Resources, RunEnd};
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::{Resources, RunEnd};
+use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
 
 /// A heartbeat follows an end after so long.
--- a/crates/cluster-sim/src/runner/orders.rs
+++ b/crates/testing/simulation/src/runner/orders.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{Sight, StartSeen};
 use crate::job::{StepDefinition, TaskName};
-use sagetrail_wire::agent::{Resources, RunEnd};
+use sagetrail_protocol::agent::{Resources, RunEnd};
 use serde_json::Value;
 
 impl Runner {
--- a/crates/cluster-sim/src/runner/run.rs
+++ b/crates/testing/simulation/src/runner/run.rs
@@ -4,7 +4,7 @@
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::gang::{GangPlan, GangRun};
 use crate::job::TaskName;
-use sagetrail_wire::agent::{Resources, RunEnd};
+use sagetrail_protocol::agent::{Resources, RunEnd};
 
 /// A task that nobody sent works so long.
 const UNKNOWN_WORK: Micros = SECOND;
--- a/crates/cluster-sim/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -12,8 +12,8 @@
 use crate::runner::{Runner, RunnerPlan};
 use crate::topology::{capacity, draw_patch, first_configuration, nodes, queues};
 use crate::workload::{draw, Workload, WorkloadPlan, HOST};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::{NodeId, NodeKind};
 
 /// Zones of all machines.
 const ZONES: usize = 4;
--- a/crates/cluster-sim/src/tamper.rs
+++ b/crates/testing/simulation/src/tamper.rs
@@ -1,7 +1,7 @@
 //! Processes that are broken on purpose, to see that the checker notices.
 use crate::process::{Birth, Factory};
-use sagetrail_wire::node::{Event, HttpReply, HttpRequest, Node, Now, Outbox};
-use sagetrail_wire::Time;
+use sagetrail_protocol::node::{Event, HttpReply, HttpRequest, Node, Now, Outbox};
+use sagetrail_protocol::Time;
 
 /// What is done to a process on its way to and from the world.
 #[derive(Clone, Copy)]
--- a/crates/cluster-sim/src/topology.rs
+++ b/crates/testing/simulation/src/topology.rs
@@ -2,8 +2,8 @@
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::Chance;
 use crate::workload::{QueuePlan, HOST};
-use sagetrail_wire::agent::Resources;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::NodeId;
 
 /// The port of all processes.
 const PORT: u16 = 7_380;
--- a/crates/cluster-sim/tests/broken.rs
+++ b/crates/testing/simulation/tests/broken.rs
@@ -1,14 +1,14 @@
 //! Processes broken on purpose: the checker notices each.
-use sagetrail_cluster_sim::checker::Rule;
-use sagetrail_cluster_sim::cluster::{Factories, PlannedFault};
-use sagetrail_cluster_sim::engine::SECOND;
-use sagetrail_cluster_sim::faults::Fault;
-use sagetrail_cluster_sim::process::{Birth, Factory};
-use sagetrail_cluster_sim::real;
-use sagetrail_cluster_sim::scenario::Scenario;
-use sagetrail_cluster_sim::tamper::{tamper, Tampering};
-use sagetrail_wire::node::{DiskImage, HttpReply, HttpRequest};
-use sagetrail_wire::{NodeId, NodeKind};
+use sagetrail_protocol::node::{DiskImage, HttpReply, HttpRequest};
+use sagetrail_protocol::{NodeId, NodeKind};
+use sagetrail_simulation::checker::Rule;
+use sagetrail_simulation::cluster::{Factories, PlannedFault};
+use sagetrail_simulation::engine::SECOND;
+use sagetrail_simulation::faults::Fault;
+use sagetrail_simulation::process::{Birth, Factory};
+use sagetrail_simulation::real;
+use sagetrail_simulation::scenario::Scenario;
+use sagetrail_simulation::tamper::{tamper, Tampering};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
--- a/crates/cluster-sim/tests/checker_histories.rs
+++ b/crates/testing/simulation/tests/checker_histories.rs
@@ -1,14 +1,14 @@
 //! Hand-made days: each rule is seen to be broken, and a day that keeps all is not accused.
-use sagetrail_cluster_sim::checker::{check, Limits, Rule};
-use sagetrail_cluster_sim::configuration::{Configuration, RouteItem};
-use sagetrail_cluster_sim::engine::{Micros, SECOND, WALL_START_MS};
-use sagetrail_cluster_sim::history::{
+use sagetrail_protocol::agent::{Resources, RunEnd};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::NodeId;
+use sagetrail_simulation::checker::{check, Limits, Rule};
+use sagetrail_simulation::configuration::{Configuration, RouteItem};
+use sagetrail_simulation::engine::{Micros, SECOND, WALL_START_MS};
+use sagetrail_simulation::history::{
     Answer, EndSeen, History, OrderSeen, Reach, RunnerFacts, ShownState, Sight, StartSeen,
 };
-use sagetrail_cluster_sim::job::{JobDefinition, StepDefinition, TaskName};
-use sagetrail_wire::agent::{Resources, RunEnd};
-use sagetrail_wire::bounds::Bounds;
-use sagetrail_wire::NodeId;
+use sagetrail_simulation::job::{JobDefinition, StepDefinition, TaskName};
 use std::collections::BTreeSet;
 
 const JOB: &str = "00000000000000aa";
--- a/crates/cluster-sim/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days of the real processes.
-use sagetrail_cluster_sim::cluster::PlannedFault;
-use sagetrail_cluster_sim::engine::{MILLISECOND, SECOND};
-use sagetrail_cluster_sim::faults::Fault;
-use sagetrail_cluster_sim::report::Report;
-use sagetrail_cluster_sim::scenario::Scenario;
-use sagetrail_wire::NodeId;
+use sagetrail_protocol::NodeId;
+use sagetrail_simulation::cluster::PlannedFault;
+use sagetrail_simulation::engine::{MILLISECOND, SECOND};
+use sagetrail_simulation::faults::Fault;
+use sagetrail_simulation::report::Report;
+use sagetrail_simulation::scenario::Scenario;
 use std::ops::RangeInclusive;
 
 /// Names how many troubled days are played.
--- a/crates/cluster-sim/tests/departures.rs
+++ b/crates/testing/simulation/tests/departures.rs
@@ -1,8 +1,8 @@
 //! Runners that deregister first and serve on, in whole days of the real processes.
-use sagetrail_cluster_sim::cluster::PlannedFault;
-use sagetrail_cluster_sim::engine::SECOND;
-use sagetrail_cluster_sim::faults::Fault;
-use sagetrail_cluster_sim::scenario::Scenario;
+use sagetrail_simulation::cluster::PlannedFault;
+use sagetrail_simulation::engine::SECOND;
+use sagetrail_simulation::faults::Fault;
+use sagetrail_simulation::scenario::Scenario;
 
 const SEEDS: u64 = 4;
 /// When one of the first four runners deregisters, in seconds.
--- a/crates/cluster-sim/tests/parts.rs
+++ b/crates/testing/simulation/tests/parts.rs
@@ -1,12 +1,12 @@
 //! The parts of the simulated world by themselves.
-use sagetrail_cluster_sim::disk::{Disk, DiskSpeed};
-use sagetrail_cluster_sim::engine::{Chance, Queue, MILLISECOND, SECOND};
-use sagetrail_cluster_sim::gang::{GangBoard, GangPlan, GangRun};
-use sagetrail_cluster_sim::job::{StepName, TaskName};
-use sagetrail_cluster_sim::network::{Direction, LinkQuality, Network};
-use sagetrail_cluster_sim::process::ProcessClock;
-use sagetrail_wire::node::{DiskOperation, DiskWrite, Table};
-use sagetrail_wire::{NodeId, Time};
+use sagetrail_protocol::node::{DiskOperation, DiskWrite, Table};
+use sagetrail_protocol::{NodeId, Time};
+use sagetrail_simulation::disk::{Disk, DiskSpeed};
+use sagetrail_simulation::engine::{Chance, Queue, MILLISECOND, SECOND};
+use sagetrail_simulation::gang::{GangBoard, GangPlan, GangRun};
+use sagetrail_simulation::job::{StepName, TaskName};
+use sagetrail_simulation::network::{Direction, LinkQuality, Network};
+use sagetrail_simulation::process::ProcessClock;
 
 fn node(number: u32) -> NodeId {
     NodeId {
