--- a/crates/daemon/tests/transport.rs
+++ b/crates/daemon/tests/transport.rs
@@ -5,8 +5,10 @@
 use deku::DekuContainerWrite;
 use sagetrail_daemon::input::Input;
 use sagetrail_daemon::transport::Transport;
+use sagetrail_wire::distribution::{ConfigCurrent, Subscribe};
 use sagetrail_wire::frame::{Preamble, MAGIC, PROTOCOL_VERSION};
 use sagetrail_wire::{Incarnation, Message, NodeId};
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -106,6 +108,73 @@
     .unwrap()
 }
 
+/// A connection as it was when its bytes were written down: the opening of process 10.18.74.7:8007, incarnation 5, then
+/// two messages, each with its length in four bytes, least significant first.
+const OPENING: &str = "65676173 0100 074a120a 471f 0500000000000000";
+const SUBSCRIBE: &str = "11000000 08 0130000000000000 0230000000000000";
+const CONFIG_CURRENT: &str = "19000000 0a 0132000000000000 0232000000000000 0332000000000000";
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits: String = hex.split(' ').collect();
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .collect()
+}
+
+fn subscribe() -> Message {
+    Message::Subscribe(Subscribe {
+        have: 0x3001,
+        asked_at: 0x3002,
+    })
+}
+
+fn config_current() -> Message {
+    Message::ConfigCurrent(ConfigCurrent {
+        version: 0x3201,
+        age_ms: 0x3202,
+        asked_at: 0x3203,
+    })
+}
+
+#[tokio::test]
+async fn a_connection_carries_the_bytes_that_it_always_did() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        panic!("no IPv4 address");
+    };
+    let one = Process::start(free_node(), 5);
+    let (to, sent) = (
+        NodeId::from_address(address),
+        [subscribe(), config_current()],
+    );
+    sent.iter()
+        .for_each(|message| one.transport.send(to, message));
+    let (mut stream, _) = soon(listener.accept()).await.unwrap();
+    let mut opening = bytes_of(OPENING);
+    opening[6..10].copy_from_slice(&one.node.ip.to_le_bytes());
+    opening[10..12].copy_from_slice(&one.node.port.to_le_bytes());
+    let expected = [opening, bytes_of(SUBSCRIBE), bytes_of(CONFIG_CURRENT)].concat();
+    let mut received = vec![0; expected.len()];
+    soon(stream.read_exact(&mut received)).await.unwrap();
+    assert_eq!(received, expected);
+}
+
+#[tokio::test]
+async fn the_bytes_of_a_connection_are_read_as_they_always_were() {
+    let mut one = Process::start(free_node(), 1);
+    let mut stream = TcpStream::connect(one.node.address()).await.unwrap();
+    for part in [OPENING, SUBSCRIBE, CONFIG_CURRENT] {
+        stream.write_all(&bytes_of(part)).await.unwrap();
+    }
+    let sender = NodeId {
+        ip: 0x0a12_4a07,
+        port: 8007,
+    };
+    assert_eq!(one.next().await, (sender, subscribe()));
+    assert_eq!(one.next().await, (sender, config_current()));
+}
+
 #[tokio::test]
 async fn messages_arrive_in_order_with_their_sender() {
     let one = Process::start(free_node(), 1);
