--- a/crates/cluster/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -208,8 +208,8 @@
     }
 
     /// A scheduler that is new to this process is told at once what is.
-    fn note_owner(&mut self, former: Option<NodeId>) {
-        if self.uplink.owner().is_some() && self.uplink.owner() != former {
+    fn note_leader(&mut self, former: Option<NodeId>) {
+        if self.uplink.leader().is_some() && self.uplink.leader() != former {
             self.pace.note_change();
         }
     }
@@ -237,7 +237,7 @@
     }
 
     fn report_due(&self) -> Option<Time> {
-        self.uplink.owner()?;
+        self.uplink.leader()?;
         Some(self.pace.due(self.orders.low_lease_at()))
     }
 
@@ -264,7 +264,7 @@
 impl Node for AgentNode {
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         let steady = now.steady;
-        let owner = self.uplink.owner();
+        let leader = self.uplink.leader();
         match event {
             Event::Message { from, message } => self.message(steady, from, None, message, outbox),
             Event::Http { id, door, request } => {
@@ -276,7 +276,7 @@
             Event::Probe { id, result } => self.probed(steady, id, result),
             Event::HttpAbandoned { .. } | Event::Synced { .. } | Event::Wake => {}
         }
-        self.note_owner(owner);
+        self.note_leader(leader);
         self.poll(steady, outbox);
     }
 
--- a/crates/cluster/agent/src/node/messages.rs
+++ b/crates/cluster/agent/src/node/messages.rs
@@ -18,7 +18,7 @@
     ) {
         match message {
             Message::Directory(directory) => self.uplink.directory(now, directory),
-            Message::NotOwner(refusal) => self.uplink.not_owner(from, &refusal),
+            Message::NotLeader(refusal) => self.uplink.not_leader(from, &refusal),
             Message::RunnerOrders(orders) => self.take_orders(now, from, relay, orders),
             Message::Relayed(relayed) if relay.is_none() => {
                 self.relayed(now, from, relayed, outbox)
@@ -34,9 +34,9 @@
         relay: Option<NodeId>,
         orders: RunnerOrders,
     ) {
-        let (epoch, answer) = (orders.epoch, orders.agent == self.settings.incarnation);
+        let (term, answer) = (orders.term, orders.agent == self.settings.incarnation);
         match self.orders.receive(now, orders) {
-            Adoption::Adopted | Adoption::Known => self.uplink.heard(from, epoch, relay, answer),
+            Adoption::Adopted | Adoption::Known => self.uplink.heard(from, term, relay, answer),
             Adoption::Older => self.counters.older_orders += 1,
         }
     }
--- a/crates/cluster/agent/src/orders.rs
+++ b/crates/cluster/agent/src/orders.rs
@@ -1,6 +1,6 @@
 //! The scheduler's newest orders, the lease under which they are given, and whether they are settled.
 use sagetrail_protocol::agent::{RunnerOrders, StartOrder, StopOrder};
-use sagetrail_protocol::{Epoch, Incarnation, Text, Time};
+use sagetrail_protocol::{Incarnation, Term, Text, Time};
 
 /// Below this share of its lease, in hundredths, an agent presses for more.
 const LOW_LEASE_PERCENT: u64 = 70;
@@ -49,7 +49,7 @@
 
     /// Takes orders.
     pub fn receive(&mut self, now: Time, orders: RunnerOrders) -> Adoption {
-        let order = (orders.epoch, orders.revision).cmp(&(self.epoch(), self.revision()));
+        let order = (orders.term, orders.revision).cmp(&(self.term(), self.revision()));
         if order.is_lt() {
             return Adoption::Older;
         }
@@ -93,8 +93,8 @@
     }
 
     /// The term of the adopted orders, 0 without any.
-    pub fn epoch(&self) -> Epoch {
-        self.adopted.as_ref().map_or(0, |orders| orders.epoch)
+    pub fn term(&self) -> Term {
+        self.adopted.as_ref().map_or(0, |orders| orders.term)
     }
 
     /// The revision of the adopted orders, 0 without any.
@@ -103,8 +103,8 @@
     }
 
     /// The term by which the runner is fenced; `None` without orders.
-    pub fn fence_token(&self) -> Option<Epoch> {
-        self.adopted.as_ref().map(|orders| orders.epoch)
+    pub fn fence_token(&self) -> Option<Term> {
+        self.adopted.as_ref().map(|orders| orders.term)
     }
 
     /// What is left of the lease, in whole milliseconds.
--- a/crates/cluster/agent/src/report.rs
+++ b/crates/cluster/agent/src/report.rs
@@ -28,7 +28,7 @@
         agent: heading.agent,
         sequence: heading.sequence,
         sent_at: heading.now.0,
-        epoch: orders.epoch(),
+        term: orders.term(),
         revision: orders.revision(),
         settled: orders.is_settled(),
         present: false,
--- a/crates/cluster/agent/src/uplink.rs
+++ b/crates/cluster/agent/src/uplink.rs
@@ -1,10 +1,10 @@
 //! The way to the scheduler: who it is, who may know, and who passes messages on while it cannot be reached.
-use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello, HELLO_INTERVAL_MS};
 use sagetrail_protocol::frame;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::Outbox;
-use sagetrail_protocol::{Blob, Epoch, Message, NodeId, Time};
+use sagetrail_protocol::{Blob, Message, NodeId, Term, Time};
 
 /// A scheduler that leaves reports without an answer for longer is looked for, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 700;
@@ -28,8 +28,8 @@
     members: Vec<NodeId>,
     members_version: u64,
     relays: Vec<NodeId>,
-    epoch: Epoch,
-    owner: Option<NodeId>,
+    term: Term,
+    leader: Option<NodeId>,
     last_asked: Option<Time>,
     cursor: usize,
     last_directory: Option<Time>,
@@ -52,8 +52,8 @@
             members: Vec::new(),
             members_version: 0,
             relays: Vec::new(),
-            epoch: 0,
-            owner: None,
+            term: 0,
+            leader: None,
             last_asked: None,
             cursor: seed as usize,
             last_directory: None,
@@ -65,8 +65,8 @@
     }
 
     /// The scheduler, if it is known.
-    pub fn owner(&self) -> Option<NodeId> {
-        self.owner
+    pub fn leader(&self) -> Option<NodeId> {
+        self.leader
     }
 
     /// The settings name other seeds.
@@ -101,24 +101,24 @@
             self.members = known(directory.members.0);
         }
         self.relays = known(directory.relays.0);
-        let told = Some(directory.owner).filter(|owner| *owner != NodeId::default());
-        self.learn(directory.epoch, told);
+        let told = Some(directory.leader).filter(|leader| *leader != NodeId::default());
+        self.learn(directory.term, told);
     }
 
     /// Takes a refusal by a process that is not the scheduler.
-    pub fn not_owner(&mut self, from: NodeId, refusal: &NotOwner) {
-        if refusal.epoch >= self.epoch && self.owner == Some(from) {
-            self.owner = None;
+    pub fn not_leader(&mut self, from: NodeId, refusal: &NotLeader) {
+        if refusal.term >= self.term && self.leader == Some(from) {
+            self.leader = None;
         }
         let told =
-            Some(refusal.owner).filter(|owner| *owner != NodeId::default() && *owner != from);
-        self.learn(refusal.epoch, told);
+            Some(refusal.leader).filter(|leader| *leader != NodeId::default() && *leader != from);
+        self.learn(refusal.term, told);
     }
 
     /// Takes note of orders of a term, and of the way they came; `answer` where they answer a report.
-    pub fn heard(&mut self, from: NodeId, epoch: Epoch, relay: Option<NodeId>, answer: bool) {
-        self.learn(epoch, Some(from));
-        if self.owner != Some(from) || !answer {
+    pub fn heard(&mut self, from: NodeId, term: Term, relay: Option<NodeId>, answer: bool) {
+        self.learn(term, Some(from));
+        if self.leader != Some(from) || !answer {
             return;
         }
         self.unanswered_since = None;
@@ -130,16 +130,16 @@
 
     /// Sends a report to the scheduler; also by another process where the straight way is silent.
     pub fn report(&mut self, now: Time, message: Message, outbox: &mut Outbox) {
-        let Some(owner) = self.owner else { return };
+        let Some(leader) = self.leader else { return };
         let straight_since = *self.unanswered_straight_since.get_or_insert(now);
         let since = *self.unanswered_since.get_or_insert(now);
         if now.millis_since(straight_since) > ANSWER_TIMEOUT_MS {
             if now.millis_since(since) > ANSWER_TIMEOUT_MS {
                 self.relay = None;
             }
-            self.relay_to(owner, &message, outbox);
+            self.relay_to(leader, &message, outbox);
         }
-        outbox.send(owner, message);
+        outbox.send(leader, message);
     }
 
     /// Asks who the scheduler is, and so renews the lease of membership, when that is due.
@@ -166,7 +166,7 @@
             return Time(0);
         };
         let search_due = last_asked.plus_millis(SEARCH_INTERVAL_MS);
-        if self.owner.is_none() {
+        if self.leader.is_none() {
             return search_due;
         }
         let regular_due = last_asked.plus_millis(HELLO_INTERVAL_MS);
@@ -183,19 +183,18 @@
 
     fn is_searching(&self, now: Time) -> bool {
         let silent = |since| now.millis_since(since) > ANSWER_TIMEOUT_MS;
-        self.owner.is_none() || self.unanswered_since.is_some_and(silent)
+        self.leader.is_none() || self.unanswered_since.is_some_and(silent)
     }
 
-    fn learn(&mut self, epoch: Epoch, owner: Option<NodeId>) {
-        if epoch < self.epoch || (epoch == self.epoch && (owner.is_none() || self.owner.is_some()))
-        {
+    fn learn(&mut self, term: Term, leader: Option<NodeId>) {
+        if term < self.term || (term == self.term && (leader.is_none() || self.leader.is_some())) {
             return;
         }
-        self.epoch = epoch;
-        if self.owner == owner {
+        self.term = term;
+        if self.leader == leader {
             return;
         }
-        self.owner = owner;
+        self.leader = leader;
         self.unanswered_since = None;
         self.unanswered_straight_since = None;
         self.relay = None;
--- a/crates/cluster/agent/tests/common/mod.rs
+++ b/crates/cluster/agent/tests/common/mod.rs
@@ -9,12 +9,12 @@
 use sagetrail_protocol::node::{
     Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox, Probe,
 };
-use sagetrail_protocol::{Epoch, Incarnation, List, Message, NodeId, Time};
+use sagetrail_protocol::{Incarnation, List, Message, NodeId, Term, Time};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const AGENT: NodeId = NodeId { ip: 1, port: 1 };
-pub const OWNER: NodeId = NodeId { ip: 10, port: 1 };
+pub const LEADER: NodeId = NodeId { ip: 10, port: 1 };
 pub const OTHER: NodeId = NodeId { ip: 11, port: 1 };
 pub const THIRD: NodeId = NodeId { ip: 12, port: 1 };
 pub const RELAY: NodeId = NodeId { ip: 20, port: 1 };
@@ -43,7 +43,7 @@
     AgentSettings {
         node: AGENT,
         incarnation,
-        seeds: vec![OWNER, OTHER, THIRD],
+        seeds: vec![LEADER, OTHER, THIRD],
         bounds: Bounds::default(),
         heartbeat_ms: 1500,
         runner_address: Some(APP),
@@ -74,7 +74,7 @@
     /// An agent that knows the scheduler, has orders without content, and whose runner has been heard twice.
     pub fn settled() -> Script {
         let mut script = Script::new();
-        script.directory(1, OWNER);
+        script.directory(1, LEADER);
         script.beat(1, json!({}));
         script.orders(orders(1, 1), true);
         script.pass(20);
@@ -152,13 +152,13 @@
         self.event(Event::Message { from, message });
     }
 
-    pub fn directory(&mut self, epoch: Epoch, owner: NodeId) {
+    pub fn directory(&mut self, term: Term, leader: NodeId) {
         let directory = Directory {
             members_version: 1,
-            members: List(vec![OWNER, OTHER, THIRD]),
+            members: List(vec![LEADER, OTHER, THIRD]),
             next_members: List::default(),
-            epoch,
-            owner,
+            term,
+            leader,
             config_version: 1,
             relays: List(vec![RELAY]),
         };
@@ -171,7 +171,7 @@
             orders.agent = INCARNATION;
             orders.sent_at = self.now.0;
         }
-        self.message(OWNER, Message::RunnerOrders(orders));
+        self.message(LEADER, Message::RunnerOrders(orders));
     }
 
     pub fn reports(&self) -> Vec<&RunnerReport> {
@@ -189,9 +189,9 @@
     }
 }
 
-pub fn orders(epoch: Epoch, revision: u64) -> RunnerOrders {
+pub fn orders(term: Term, revision: u64) -> RunnerOrders {
     RunnerOrders {
-        epoch,
+        term,
         revision,
         agent: 0,
         sent_at: 0,
@@ -220,9 +220,9 @@
     }
 }
 
-pub fn orders_with_start(epoch: Epoch, revision: u64) -> RunnerOrders {
+pub fn orders_with_start(term: Term, revision: u64) -> RunnerOrders {
     RunnerOrders {
         start: List(vec![start(TASK, 1)]),
-        ..orders(epoch, revision)
+        ..orders(term, revision)
     }
 }
--- a/crates/cluster/agent/tests/cut_off.rs
+++ b/crates/cluster/agent/tests/cut_off.rs
@@ -2,11 +2,11 @@
 //! answered, when late answers of the scheduler come and when another scheduler follows.
 mod common;
 mod model;
-use common::{orders, start, Script, INCARNATION, OTHER, OWNER, TASK};
+use common::{orders, start, Script, INCARNATION, LEADER, OTHER, TASK};
 use model::chance::Chance;
 use sagetrail_protocol::agent::{RunnerOrders, AGENT_LEASE_MS};
-use sagetrail_protocol::client::NotOwner;
-use sagetrail_protocol::{Epoch, List, Message, NodeId, Time};
+use sagetrail_protocol::client::NotLeader;
+use sagetrail_protocol::{List, Message, NodeId, Term, Time};
 use serde_json::{json, Value};
 
 const SCHEDULES: u64 = 300;
@@ -34,7 +34,7 @@
     script: Script,
     chance: Chance,
     stamp: Stamp,
-    epoch: Epoch,
+    term: Term,
     cut: bool,
     /// Answers of the scheduler on their way; a cut may hold them up.
     coming: Vec<Answer>,
@@ -55,7 +55,7 @@
             script,
             chance: Chance::new(seed),
             stamp,
-            epoch: 1,
+            term: 1,
             cut: false,
             coming: Vec::new(),
             sequence: 10,
@@ -76,7 +76,7 @@
             let Message::RunnerReport(report) = message else {
                 continue;
             };
-            if self.cut || to != self.owner() {
+            if self.cut || to != self.leader() {
                 continue;
             }
             let way_ms = if self.chance.once_in(8) {
@@ -88,9 +88,9 @@
             let given = RunnerOrders {
                 agent: INCARNATION,
                 sent_at: report.sent_at,
-                start: List(vec![start(TASK, self.epoch)]),
+                start: List(vec![start(TASK, self.term)]),
                 observed: revision,
-                ..orders(self.epoch, revision)
+                ..orders(self.term, revision)
             };
             self.coming.push(Answer {
                 at_ms: self.now_ms() + way_ms,
@@ -101,9 +101,9 @@
     }
 
     /// In the first term one process schedules, in the second another.
-    fn owner(&self) -> NodeId {
-        if self.epoch == 1 {
-            OWNER
+    fn leader(&self) -> NodeId {
+        if self.term == 1 {
+            LEADER
         } else {
             OTHER
         }
@@ -197,14 +197,14 @@
         }
         self.cut = false;
         if self.chance.once_in(2) {
-            self.epoch = 2;
+            self.term = 2;
             // The former scheduler tells what it knows; another member of the core names the new one.
-            let refusal = NotOwner {
+            let refusal = NotLeader {
                 request: 0,
-                epoch: 1,
-                owner: NodeId::default(),
+                term: 1,
+                leader: NodeId::default(),
             };
-            self.script.message(OWNER, Message::NotOwner(refusal));
+            self.script.message(LEADER, Message::NotLeader(refusal));
             self.script.directory(2, OTHER);
         }
         self.run(3_000);
--- a/crates/cluster/agent/tests/deregister.rs
+++ b/crates/cluster/agent/tests/deregister.rs
@@ -98,7 +98,7 @@
 #[test]
 fn a_deregistration_at_a_new_agent_ends_nothing_before_the_holds_of_its_forerunner() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.post(DEREGISTER, Vec::new());
     script.pass(2_600);
     assert!(script.last_report().draining && !script.last_report().lapsed);
@@ -109,7 +109,7 @@
 #[test]
 fn a_new_agent_that_hears_nobody_says_so_once_no_hold_can_last() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.pass(2_600);
     assert!(!script.last_report().present && !script.last_report().lapsed);
     script.pass(100);
--- a/crates/cluster/agent/tests/model/scheduler.rs
+++ b/crates/cluster/agent/tests/model/scheduler.rs
@@ -15,7 +15,7 @@
 }
 
 pub struct Scheduler {
-    pub epoch: u64,
+    pub term: u64,
     revision: u64,
     pub assignments: Vec<Assignment>,
     /// Runs that are over for sure: (task, attempt).
@@ -33,7 +33,7 @@
 impl Scheduler {
     pub fn new() -> Scheduler {
         Scheduler {
-            epoch: 1,
+            term: 1,
             revision: 0,
             assignments: Vec::new(),
             over: Vec::new(),
@@ -50,7 +50,7 @@
 
     /// Another process is elected: it knows the assignments and nothing of the agent.
     pub fn elect(&mut self, now_ms: u64) {
-        self.epoch += 1;
+        self.term += 1;
         self.revision = 0;
         self.content = None;
         self.settled = false;
@@ -125,7 +125,7 @@
         }
         let instance = report.instance.to_string();
         let other = !self.instance.is_empty() && instance != self.instance;
-        let current = report.epoch == self.epoch && (report.settled || report.lapsed);
+        let current = report.term == self.term && (report.settled || report.lapsed);
         if other && !current {
             return; // A new agent may have been told by an instance that is no more.
         }
@@ -146,7 +146,7 @@
         if report.lapsed {
             self.give_up(|_| true);
         }
-        self.settled = report.settled && report.epoch == self.epoch;
+        self.settled = report.settled && report.term == self.term;
         if self.settled && report.revision == self.revision {
             let active = self.active.clone();
             let listed = |run: &Assignment| active.contains(&(run.task.clone(), run.attempt));
@@ -181,7 +181,7 @@
             attempt: *attempt,
         });
         let mut orders = RunnerOrders {
-            epoch: self.epoch,
+            term: self.term,
             revision: self.revision,
             agent: 0,
             sent_at: 0,
--- a/crates/cluster/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -2,7 +2,7 @@
 use super::chance::Chance;
 use super::runner::Runner;
 use super::scheduler::Scheduler;
-use crate::common::{now, settings, AGENT, OWNER};
+use crate::common::{now, settings, AGENT, LEADER};
 use sagetrail_agent::AgentNode;
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::node::{
@@ -38,7 +38,7 @@
         message: Message,
     },
     ToScheduler {
-        epoch: u64,
+        term: u64,
         message: Message,
     },
     Probe {
@@ -218,9 +218,9 @@
 
     fn post(&mut self, outbox: Outbox) {
         for (to, message) in outbox.sends {
-            if to == OWNER && self.now_ms >= self.cut_until_ms {
-                let epoch = self.scheduler.epoch;
-                self.send(Letter::ToScheduler { epoch, message });
+            if to == LEADER && self.now_ms >= self.cut_until_ms {
+                let term = self.scheduler.term;
+                self.send(Letter::ToScheduler { term, message });
             }
         }
         for probe in outbox.probes {
@@ -322,11 +322,11 @@
                 }
                 Letter::ToAgent { agent, message } if agent == self.agent_number => {
                     self.agent_event(Event::Message {
-                        from: OWNER,
+                        from: LEADER,
                         message,
                     });
                 }
-                Letter::ToScheduler { epoch, message } if epoch == self.scheduler.epoch => {
+                Letter::ToScheduler { term, message } if term == self.scheduler.term => {
                     self.scheduler_message(message);
                 }
                 Letter::Probe { agent, id } => self.probe(agent, id),
@@ -406,10 +406,10 @@
         let answer = match message {
             Message::Hello(_) => Message::Directory(Directory {
                 members_version: 1,
-                members: List(vec![OWNER]),
+                members: List(vec![LEADER]),
                 next_members: List::default(),
-                epoch: self.scheduler.epoch,
-                owner: OWNER,
+                term: self.scheduler.term,
+                leader: LEADER,
                 config_version: 0,
                 relays: List(vec![AGENT]),
             }),
--- a/crates/cluster/agent/tests/reports.rs
+++ b/crates/cluster/agent/tests/reports.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::*;
 use sagetrail_protocol::agent::RunnerOrders;
-use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{Event, Node};
@@ -14,11 +14,11 @@
     let mut script = Script::new();
     let asked = |script: &Script, node| script.sends.iter().any(|(to, _)| *to == node);
     script.pass(1000);
-    assert!([OWNER, OTHER, THIRD]
+    assert!([LEADER, OTHER, THIRD]
         .iter()
         .all(|seed| asked(&script, *seed)));
     assert!(script.reports().is_empty());
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     assert!(!script.last_report().present);
 }
 
@@ -77,7 +77,7 @@
 #[test]
 fn the_first_heartbeat_of_all_settles_nothing() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.orders(orders(1, 1), true);
     script.pass(20);
     script.beat(1, json!({}));
@@ -112,7 +112,7 @@
 #[test]
 fn only_an_answer_to_this_agent_extends_its_lease() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.beat(1, json!({}));
     script.orders(orders_with_start(1, 1), false);
     let former = RunnerOrders {
@@ -176,7 +176,7 @@
 #[test]
 fn a_new_agent_waits_for_the_hold_of_its_predecessor() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.beat(30, json!({"active":[[TASK, 1, "", 1]]}));
     script.pass(2600);
     assert!(!script.last_report().lapsed);
@@ -217,10 +217,10 @@
     script.orders(orders(1, 1), true);
     script.pass(3000);
     let relayed = |script: &Script| -> Vec<NodeId> {
-        let to_owner = script.sends.iter().filter(
-            |(_, message)| matches!(message, Message::Relayed(r) if r.to == OWNER && r.from == AGENT),
+        let to_leader = script.sends.iter().filter(
+            |(_, message)| matches!(message, Message::Relayed(r) if r.to == LEADER && r.from == AGENT),
         );
-        to_owner.map(|(relay, _)| *relay).collect()
+        to_leader.map(|(relay, _)| *relay).collect()
     };
     let relays = relayed(&script);
     assert!(
@@ -235,7 +235,7 @@
         ..orders(1, 2)
     }));
     let answer = Relayed {
-        from: OWNER,
+        from: LEADER,
         to: AGENT,
         payload: Blob(payload.unwrap()),
     };
@@ -254,15 +254,15 @@
     let mut script = Script::settled();
     let relayed = Relayed {
         from: OTHER,
-        to: OWNER,
+        to: LEADER,
         payload: Blob(vec![1]),
     };
     script.message(OTHER, Message::Relayed(relayed.clone()));
-    assert_eq!(script.sends, [(OWNER, Message::Relayed(relayed.clone()))]);
+    assert_eq!(script.sends, [(LEADER, Message::Relayed(relayed.clone()))]);
     script.message(THIRD, Message::Relayed(relayed));
     assert_eq!(script.sends.len(), 1);
     let nested = Relayed {
-        from: OWNER,
+        from: LEADER,
         to: AGENT,
         payload: Blob(vec![9, 9, 9]),
     };
@@ -273,16 +273,16 @@
 #[test]
 fn a_new_scheduler_is_told_at_once() {
     let mut script = Script::settled();
-    let refusal = NotOwner {
+    let refusal = NotLeader {
         request: 0,
-        epoch: 2,
-        owner: THIRD,
+        term: 2,
+        leader: THIRD,
     };
-    script.message(OWNER, Message::NotOwner(refusal));
+    script.message(LEADER, Message::NotLeader(refusal));
     let (to, message) = script.sends.last().unwrap();
     assert!(*to == THIRD && matches!(message, Message::RunnerReport(_)));
     script.sends.clear();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.pass(500);
     assert!(script
         .sends
@@ -294,11 +294,11 @@
 fn a_refusal_without_a_name_starts_a_search() {
     let mut script = Script::settled();
     script.message(
-        OWNER,
-        Message::NotOwner(NotOwner {
+        LEADER,
+        Message::NotLeader(NotLeader {
             request: 0,
-            epoch: 1,
-            owner: NodeId::default(),
+            term: 1,
+            leader: NodeId::default(),
         }),
     );
     script.pass(260);
@@ -330,7 +330,7 @@
         script.now = wake;
         script.event(Event::Wake);
         script.orders(orders(1, 1), true);
-        script.directory(1, OWNER);
+        script.directory(1, LEADER);
         wakes += 1;
     }
     assert!(wakes <= 45, "{wakes} wakes in 10 s");
--- a/crates/cluster/cluster-node/tests/stored/runner.rs
+++ b/crates/cluster/cluster-node/tests/stored/runner.rs
@@ -91,7 +91,7 @@
         self.sequence += 1;
         let sequence = self.sequence;
         let orders = self.orders.as_ref();
-        let (epoch, revision) = orders.map_or((0, 0), |orders| (orders.epoch, orders.revision));
+        let (term, revision) = orders.map_or((0, 0), |orders| (orders.term, orders.revision));
         let active = self
             .active
             .iter()
@@ -105,9 +105,9 @@
             agent: u64::from(self.node.ip),
             sequence: self.sequence,
             sent_at,
-            epoch,
+            term,
             revision,
-            settled: epoch > 0,
+            settled: term > 0,
             present: true,
             instance: self.instance.as_str().into(),
             service: "s".into(),
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -28,7 +28,7 @@
 /// Long enough for founding, or for the end of a former life's lease, and an election.
 const ELECTION_MS: u64 = 10_000;
 /// A term that the member promises to it, and its life.
-const FOREIGN_EPOCH: u64 = 9;
+const FOREIGN_TERM: u64 = 9;
 const FOREIGN_INCARNATION: u64 = 0x99;
 /// So many batches of records there were in the term of the play.
 const STORED_BATCHES: u64 = 11;
@@ -171,7 +171,7 @@
 
 fn vote(core: &mut LoneCore, from: NodeId, incarnation: u64) -> VoteReply {
     let request = ControlMessage::VoteRequest(VoteRequest {
-        epoch: FOREIGN_EPOCH,
+        term: FOREIGN_TERM,
         incarnation,
         members_version: 1,
         probe: false,
@@ -312,7 +312,7 @@
 fn the_promised_term_and_the_state_of_the_records_are_taken_up() {
     let (mut core, _) = restarted("stored-promise");
     let tag = RecordsTag {
-        epoch: 1,
+        term: 1,
         number: STORED_BATCHES,
     };
     // The lease that a former life may have granted still runs: only who was promised the term is promised it again.
@@ -323,7 +323,7 @@
     ] {
         let reply = vote(&mut core, from, incarnation);
         assert_eq!(reply.granted, granted, "{from} {incarnation:x}");
-        assert_eq!(reply.promised, FOREIGN_EPOCH);
+        assert_eq!(reply.promised, FOREIGN_TERM);
         assert_eq!(reply.members_version, 1);
         assert_eq!(reply.tag, tag);
     }
--- a/crates/cluster/control-plane/src/candidate.rs
+++ b/crates/cluster/control-plane/src/candidate.rs
@@ -1,11 +1,11 @@
 //! Elections: a process whose granted lease is over first asks whether it would be promised a term, then for it.
 use crate::effects::Effects;
 use crate::quorum::MemberList;
-use crate::timing::{ELECTION_JITTER_MS, OWNER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
+use crate::timing::{ELECTION_JITTER_MS, LEADER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::{ControlMessage, RecordsTag, Resign, VoteReply, VoteRequest};
-use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A vote that was given.
@@ -19,7 +19,7 @@
 /// An election that was won.
 #[derive(Debug)]
 pub struct Elected {
-    pub epoch: Epoch,
+    pub term: Term,
     /// The newest records among the voters, and who has them.
     pub base: RecordsTag,
     pub source: NodeId,
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct Candidacy {
-    epoch: Epoch,
+    term: Term,
     probe: bool,
     members_version: u64,
     started: Time,
@@ -57,7 +57,7 @@
     random: Pcg64Mcg,
     jitter_ms: u64,
     not_before: Time,
-    highest: Epoch,
+    highest: Term,
     candidacy: Option<Candidacy>,
 }
 
@@ -89,14 +89,14 @@
         }
     }
 
-    /// The owner gave its lease up: the next election comes soon.
+    /// The leader gave its lease up: the next election comes soon.
     pub fn hasten(&mut self) {
         self.jitter_ms = self.random.random_range(0..RESIGNED_JITTER_MS);
     }
 
     /// Notes a term that was promised somewhere.
-    pub fn note(&mut self, epoch: Epoch) {
-        self.highest = self.highest.max(epoch);
+    pub fn note(&mut self, term: Term) {
+        self.highest = self.highest.max(term);
     }
 
     /// Gives a candidacy up.
@@ -108,14 +108,14 @@
 
     /// Gives a candidacy up and frees those who promised its term.
     fn give_up(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        let term = self
+        let leadership = self
             .candidacy
             .as_ref()
             .filter(|candidacy| !candidacy.probe)
-            .map(|candidacy| candidacy.epoch);
+            .map(|candidacy| candidacy.term);
         self.stand_back(now);
-        if let Some(epoch) = term {
-            effects.broadcast(list.all(), &ControlMessage::Resign(Resign { epoch }));
+        if let Some(term) = leadership {
+            effects.broadcast(list.all(), &ControlMessage::Resign(Resign { term }));
         }
     }
 
@@ -135,14 +135,14 @@
     }
 
     fn stand(&mut self, now: Time, probe: bool, list: &MemberList, effects: &mut Effects) {
-        let epoch = self.highest + 1;
+        let term = self.highest + 1;
         if !probe {
-            self.highest = epoch;
+            self.highest = term;
         }
         let (votes, refusals) = (BTreeMap::new(), BTreeSet::new());
         let members_version = list.version;
         let candidacy = Candidacy {
-            epoch,
+            term,
             probe,
             members_version,
             started: now,
@@ -168,8 +168,7 @@
         if reply.incarnation != self.incarnation {
             return None;
         }
-        let same =
-            reply.probe == candidacy.probe && (reply.probe || reply.epoch == candidacy.epoch);
+        let same = reply.probe == candidacy.probe && (reply.probe || reply.term == candidacy.term);
         if !same || !list.contains(from) {
             return None;
         }
@@ -180,7 +179,7 @@
             }
             return None;
         }
-        if now >= Time(reply.sent_at).plus_millis(OWNER_LEASE_MS) {
+        if now >= Time(reply.sent_at).plus_millis(LEADER_LEASE_MS) {
             return None;
         }
         candidacy.votes.insert(
@@ -209,13 +208,17 @@
 
 impl Candidacy {
     fn ends(&self) -> Time {
-        let span_ms = if self.probe { PROBE_MS } else { OWNER_LEASE_MS };
+        let span_ms = if self.probe {
+            PROBE_MS
+        } else {
+            LEADER_LEASE_MS
+        };
         self.started.plus_millis(span_ms)
     }
 
     fn send(&self, incarnation: Incarnation, list: &MemberList, effects: &mut Effects) {
         let request = VoteRequest {
-            epoch: self.epoch,
+            term: self.term,
             incarnation,
             members_version: self.members_version,
             probe: self.probe,
@@ -238,7 +241,7 @@
             .map(|(voter, vote)| (*voter, vote.tag))
             .unwrap_or_default();
         Elected {
-            epoch: self.epoch,
+            term: self.term,
             base,
             source,
             votes: self.votes,
--- a/crates/cluster/control-plane/src/checksum.rs
+++ b/crates/cluster/control-plane/src/checksum.rs
@@ -21,7 +21,7 @@
     /// The checksum of the piece whose entries were taken last.
     pub fn of_piece(&self, tag: RecordsTag, index: u32, last: bool) -> u32 {
         let mut hasher = self.entries.clone();
-        hasher.update(&tag.epoch.to_be_bytes());
+        hasher.update(&tag.term.to_be_bytes());
         hasher.update(&tag.number.to_be_bytes());
         hasher.update(&index.to_be_bytes());
         hasher.update(&[u8::from(last)]);
--- a/crates/cluster/control-plane/src/collection.rs
+++ b/crates/cluster/control-plane/src/collection.rs
@@ -4,7 +4,7 @@
 use crate::records::Records;
 use crate::timing::{RESEND_MS, SOURCE_SILENT_MS};
 use sagetrail_protocol::control::{ControlMessage, FetchSnapshot, RecordsTag, SnapshotChunk};
-use sagetrail_protocol::{Epoch, NodeId, Time};
+use sagetrail_protocol::{NodeId, Term, Time};
 
 /// The pause between requests doubles so many times: a piece may take longer than the first one on a slow link.
 const MAX_DOUBLINGS: u32 = 2;
@@ -12,7 +12,7 @@
 /// Pieces collected so far.
 #[derive(Debug)]
 pub struct Collection {
-    epoch: Epoch,
+    term: Term,
     pub source: NodeId,
     /// An image of an older state is of no use.
     oldest: RecordsTag,
@@ -31,13 +31,13 @@
     /// Asks for the first piece.
     pub fn start(
         now: Time,
-        epoch: Epoch,
+        term: Term,
         source: NodeId,
         oldest: RecordsTag,
         effects: &mut Effects,
     ) -> Collection {
         let collection = Collection {
-            epoch,
+            term,
             source,
             oldest,
             tag: RecordsTag::default(),
@@ -87,7 +87,7 @@
         chunk: SnapshotChunk,
         effects: &mut Effects,
     ) -> Option<(RecordsTag, Records)> {
-        if from != self.source || chunk.epoch != self.epoch || chunk.tag < self.oldest {
+        if from != self.source || chunk.term != self.term || chunk.tag < self.oldest {
             return None;
         }
         if chunk.index == 0 && chunk.tag > self.tag {
@@ -137,7 +137,7 @@
             self.tag
         };
         let fetch = FetchSnapshot {
-            epoch: self.epoch,
+            term: self.term,
             tag,
             index: self.index,
         };
--- a/crates/cluster/control-plane/src/image.rs
+++ b/crates/cluster/control-plane/src/image.rs
@@ -169,7 +169,7 @@
             self.fetchers.remove(&from);
         }
         Some(SnapshotChunk {
-            epoch: fetch.epoch,
+            term: fetch.term,
             tag: self.tag,
             index,
             last,
--- a/crates/cluster/control-plane/src/term.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -4,14 +4,14 @@
 use crate::learner::Learner;
 use crate::quorum::MemberList;
 use crate::records::to_changes;
-use crate::timing::{OWNER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
+use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
 use crate::window::Window;
 use sagetrail_protocol::control::{
     Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign,
 };
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{Batch, Service};
-use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
 /// So many batches are under way to the quorum at once.
@@ -48,9 +48,9 @@
 }
 
 /// The term.
-pub struct Term {
+pub struct Leadership {
     node: NodeId,
-    pub epoch: Epoch,
+    pub term: Term,
     pub elected_at: Time,
     pub lease_until: Time,
     base: RecordsTag,
@@ -68,9 +68,9 @@
     pub service: Option<Box<dyn Service + Send>>,
 }
 
-impl Term {
+impl Leadership {
     /// Begins with the votes as first grants of the lease.
-    pub fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Term {
+    pub fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Leadership {
         let vote = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
         let progress = list
             .all()
@@ -78,9 +78,9 @@
             .map(|member| (member, Progress::new(now, vote(&member))));
         let progress: BTreeMap<NodeId, Progress> = progress.collect();
         let other_sources = elected.other_sources();
-        let mut term = Term {
+        let mut leadership = Leadership {
             node,
-            epoch: elected.epoch,
+            term: elected.term,
             elected_at: now,
             lease_until: now,
             base: elected.base,
@@ -94,8 +94,8 @@
             renew_at: now,
             service: None,
         };
-        term.extend_lease(list);
-        term
+        leadership.extend_lease(list);
+        leadership
     }
 
     /// Whether the term's base is at a quorum.
@@ -145,7 +145,7 @@
         }
         self.renew_at = now.plus_millis(RENEW_INTERVAL_MS);
         let renew = Renew {
-            epoch: self.epoch,
+            term: self.term,
             sent_at: now.0,
             base: self.base,
             source: self.source,
@@ -165,10 +165,10 @@
         ack: &RenewAck,
         list: &MemberList,
     ) -> bool {
-        if ack.promised > self.epoch {
+        if ack.promised > self.term {
             return false;
         }
-        if ack.epoch != self.epoch || ack.sent_at > now.0 {
+        if ack.term != self.term || ack.sent_at > now.0 {
             return true;
         }
         if self
@@ -197,7 +197,7 @@
         if let Some(sent_at) = list.reached_figure(granted).filter(|sent_at| *sent_at > 0) {
             self.lease_until = self
                 .lease_until
-                .max(Time(sent_at).plus_millis(OWNER_LEASE_MS));
+                .max(Time(sent_at).plus_millis(LEADER_LEASE_MS));
         }
     }
 
@@ -217,7 +217,7 @@
             .entry(from)
             .or_insert_with(|| Progress::new(now, None));
         progress.heard = now;
-        if tag.epoch != self.epoch || Some(tag.number) <= progress.acked {
+        if tag.term != self.term || Some(tag.number) <= progress.acked {
             return;
         }
         progress.acked = Some(tag.number);
@@ -279,7 +279,7 @@
         let missed = self.first_missed(now);
         self.window.push(
             RecordBatch {
-                epoch: self.epoch,
+                term: self.term,
                 number: batch.number,
                 changes,
             },
@@ -318,7 +318,7 @@
 
     /// A learner that holds everything a member holds.
     pub fn ready_learner(&self) -> Option<NodeId> {
-        let is_ready = |learner: &Learner| learner.holds(self.epoch, self.last);
+        let is_ready = |learner: &Learner| learner.holds(self.term, self.last);
         self.learners
             .iter()
             .find(|(_, learner)| is_ready(learner))
@@ -344,7 +344,7 @@
     pub fn resign(self, list: &MemberList, effects: &mut Effects) {
         effects.broadcast(
             list.all(),
-            &ControlMessage::Resign(Resign { epoch: self.epoch }),
+            &ControlMessage::Resign(Resign { term: self.term }),
         );
     }
 
--- a/crates/cluster/control-plane/src/learner.rs
+++ b/crates/cluster/control-plane/src/learner.rs
@@ -1,11 +1,11 @@
 //! A process that holds all that a member holds, and counts in no quorum, until it takes a member's place.
 use sagetrail_protocol::control::{RecordsTag, RenewAck};
-use sagetrail_protocol::{Epoch, Incarnation, Time};
+use sagetrail_protocol::{Incarnation, Term, Time};
 
 /// So many batches a learner may lag behind and still be made a member: they are on their way to it.
 const MAX_LAG: u64 = 64;
 
-/// What the owner of the term knows of a learner.
+/// What the leader of the term knows of a learner.
 #[derive(Debug)]
 pub struct Learner {
     pub incarnation: Incarnation,
@@ -36,8 +36,8 @@
     }
 
     /// Whether it holds the records of this term up to about the newest batch.
-    pub fn holds(&self, epoch: Epoch, newest: u64) -> bool {
+    pub fn holds(&self, term: Term, newest: u64) -> bool {
         self.held
-            .is_some_and(|held| held.epoch == epoch && held.number + MAX_LAG >= newest)
+            .is_some_and(|held| held.term == term && held.number + MAX_LAG >= newest)
     }
 }
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -1,13 +1,13 @@
-//! Changes of the core's members, proposed by the owner of the term.
+//! Changes of the core's members, proposed by the leader of the term.
 //!
 //! A process that asks to join learns first: it follows the term like a member and counts in no quorum. Once it holds
 //! everything, it takes the place of a member that is about to end or has fallen silent. The change has two steps;
 //! between them a majority of both lists is needed for everything, and the second step waits until a majority of both
 //! holds whatever was kept in the term.
 use crate::change::{Job, MemberStep};
+use crate::leadership::Leadership;
 use crate::node::CoreNode;
 use crate::quorum::MemberList;
-use crate::term::Term;
 use crate::timing::{JOINER_MS, MEMBERSHIP_INTERVAL_MS, UNREACHABLE_MS};
 use sagetrail_protocol::{Incarnation, NodeId, Time};
 use std::collections::BTreeMap;
@@ -65,9 +65,9 @@
     /// Whether there are members to be changed, or a change to be brought to its end.
     pub(crate) fn watches_membership(&self) -> bool {
         let serving = self
-            .term
+            .leadership
             .as_ref()
-            .is_some_and(|term| term.service.is_some());
+            .is_some_and(|leadership| leadership.service.is_some());
         serving && (self.knowledge.list.is_changing() || !self.joiners.heard.is_empty())
     }
 
@@ -79,8 +79,10 @@
         self.membership_at = now.plus_millis(MEMBERSHIP_INTERVAL_MS);
         let most = self.settings.tolerated_machines.max(1) as usize + 1;
         let candidates = self.joiners.candidates(now, &self.knowledge.list, most);
-        let Some(term) = &mut self.term else { return };
-        term.set_learners(now, &candidates);
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        leadership.set_learners(now, &candidates);
         if let Some(step) = self.member_step(now) {
             let base = self.knowledge.list.version;
             self.proposer.push(Job::Members { base, step });
@@ -94,23 +96,28 @@
         if under_way || chosen.members_version != list.version {
             return None;
         }
-        let term = self.term.as_ref()?;
+        let leadership = self.leadership.as_ref()?;
         if list.is_changing() {
-            return term.is_kept_by(list).then_some(MemberStep::Complete);
+            return leadership.is_kept_by(list).then_some(MemberStep::Complete);
         }
         let tolerating = 2 * self.settings.tolerated_machines as usize + 1;
         let size = tolerating.max(chosen.founding_size as usize);
-        next_members(now, term, list, size).map(MemberStep::Begin)
+        next_members(now, leadership, list, size).map(MemberStep::Begin)
     }
 }
 
 /// The list that should follow, where one should.
-fn next_members(now: Time, term: &Term, list: &MemberList, size: usize) -> Option<Vec<NodeId>> {
-    let learner = term.ready_learner()?;
+fn next_members(
+    now: Time,
+    leadership: &Leadership,
+    list: &MemberList,
+    size: usize,
+) -> Option<Vec<NodeId>> {
+    let learner = leadership.ready_learner()?;
     let mut members = list.members.clone();
     if members.len() >= size {
         let silent_since = now.0.checked_sub(UNREACHABLE_MS * 1000).map(Time);
-        let replaced = term.replaceable(list, silent_since)?;
+        let replaced = leadership.replaceable(list, silent_since)?;
         members.retain(|member| *member != replaced);
     }
     members.push(learner);
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -2,11 +2,11 @@
 use crate::candidate::Elected;
 use crate::change::{Job, Verdict};
 use crate::door::{asked, Asked};
+use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Outcome;
 use crate::reader::Found;
 use crate::replica::Condition;
-use crate::term::Term;
 use sagetrail_protocol::control::{
     Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
@@ -68,8 +68,8 @@
                 if from == self.settings.node {
                     self.replica.stored(stored.tag);
                 }
-                if let Some(term) = &mut self.term {
-                    term.stored(now, from, stored.tag, &self.knowledge.list);
+                if let Some(leadership) = &mut self.leadership {
+                    leadership.stored(now, from, stored.tag, &self.knowledge.list);
                 }
             }
             ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
@@ -111,7 +111,7 @@
                     .renew(now, from, &renew, condition, &mut self.effects);
                 self.on_rumour(renew.learned);
             }
-            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.epoch) => {
+            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.term) => {
                 self.elections.hasten();
             }
             ControlMessage::RecordBatch(batch) => self.replica.batch(from, batch, effects),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What this process says of itself to the owner of the term.
+    /// What this process says of itself to the leader of the term.
     fn condition(&self, renew: &Renew) -> Condition {
         let caught_up = self.knowledge.ballot() >= renew.learned && self.changes_caught_up();
         Condition {
@@ -166,8 +166,8 @@
         }
         if let Job::Order { number, .. } = outcome.job {
             let now = self.now.steady;
-            let owner = self.replica.live_owner(now);
-            let wait = owner.is_some_and(|owner| owner != self.settings.node);
+            let leader = self.replica.live_leader(now);
+            let wait = leader.is_some_and(|leader| leader != self.settings.node);
             self.operator.outcome(
                 now,
                 number,
@@ -232,20 +232,20 @@
     }
 
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
-        let owner: Option<NodeId> = self.replica.live_owner(self.now.steady);
-        if owner.is_none_or(|owner| owner == from) {
+        let leader: Option<NodeId> = self.replica.live_leader(self.now.steady);
+        if leader.is_none_or(|leader| leader == from) {
             self.operator
-                .owner_learned(learned.ballot, &mut self.effects);
+                .leader_learned(learned.ballot, &mut self.effects);
         }
     }
 
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
         let promised = self.acceptor.ballots.promised;
-        let epoch = self.replica.state.promise.epoch;
+        let term = self.replica.state.promise.term;
         let reply = RecoverReply {
             nonce: recover.nonce,
             promised,
-            epoch,
+            term,
         };
         let reply = ControlMessage::RecoverReply(reply);
         self.effects.write(Vec::new(), vec![(from, reply)]);
@@ -261,7 +261,7 @@
             self.elections
                 .reply(now, from, reply, list, &mut self.effects);
         if let Some(elected) = elected.filter(|_| self.may_lead()) {
-            self.term = Some(Term::new(self.settings.node, now, elected, list));
+            self.leadership = Some(Leadership::new(self.settings.node, now, elected, list));
         }
     }
 
@@ -269,10 +269,12 @@
         let now = self.now.steady;
         self.elections.note(ack.promised);
         if from == self.settings.node {
-            self.replica.owner_kept(ack.epoch);
+            self.replica.leader_kept(ack.term);
         }
-        let Some(term) = &mut self.term else { return };
-        if !term.renew_ack(now, from, ack, &self.knowledge.list) {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        if !leadership.renew_ack(now, from, ack, &self.knowledge.list) {
             self.step_down();
         }
     }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -7,6 +7,7 @@
 use crate::effects::Effects;
 use crate::founding::Founding;
 use crate::knowledge::Knowledge;
+use crate::leadership::Leadership;
 use crate::leases::Leases;
 use crate::membership::Joiners;
 use crate::operator::Operator;
@@ -19,7 +20,6 @@
 use crate::settings::CoreSettings;
 use crate::standing::Standing;
 use crate::subscribers::Subscribers;
-use crate::term::Term;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::Ballot;
@@ -65,7 +65,7 @@
     pub(crate) operator: Operator,
     pub(crate) replica: Replica,
     pub(crate) elections: Elections,
-    pub(crate) term: Option<Term>,
+    pub(crate) leadership: Option<Leadership>,
     /// The term of this process's former life, while it says that it holds it no more.
     pub(crate) renouncing: Option<Renouncing>,
     pub(crate) joiners: Joiners,
@@ -117,7 +117,7 @@
             operator: Operator::new(settings.bounds.ack_ms),
             replica: Replica::new(node, now.steady, ReplicaState::default(), records),
             elections: Elections::new(node, settings.incarnation, random.random()),
-            term: None,
+            leadership: None,
             renouncing: None,
             joiners: Joiners::default(),
             leases: Leases::default(),
@@ -148,7 +148,7 @@
     fn restore(&mut self, state: ControlState) {
         self.acceptor.restore(state.ballots, state.value);
         self.proposer.note(state.ballots.promised);
-        self.elections.note(state.replica.promise.epoch);
+        self.elections.note(state.replica.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
         self.knowledge.adopt_list(state.members.into());
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -144,7 +144,7 @@
     }
 
     /// The scheduler acts by this ballot now.
-    pub fn owner_learned(&mut self, ballot: Ballot, effects: &mut Effects) {
+    pub fn leader_learned(&mut self, ballot: Ballot, effects: &mut Effects) {
         let is_known = |order: &Order| order.taken.is_some_and(|(taken, _)| taken <= ballot);
         self.answer_all(is_known, OK, effects);
     }
--- a/crates/cluster/control-plane/src/outer.rs
+++ b/crates/cluster/control-plane/src/outer.rs
@@ -1,7 +1,7 @@
 //! Between this process and those outside the core: who is who, relayed messages, what goes to the service.
 use crate::node::{CoreNode, Delayed};
 use crate::quorum::MemberList;
-use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello};
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{frame, List, Message, NodeId, NodeKind};
@@ -61,13 +61,13 @@
     /// Tells who is who.
     pub(crate) fn send_directory(&mut self, to: NodeId) {
         let now = self.now.steady;
-        let (epoch, owner) = self.known_owner();
+        let (term, leader) = self.known_leader();
         let directory = Directory {
             members_version: self.knowledge.list.version,
             members: List(self.knowledge.list.members.clone()),
             next_members: List(self.knowledge.list.next_members.clone()),
-            epoch,
-            owner,
+            term,
+            leader,
             config_version: self.knowledge.config_version(),
             relays: List(self.leases.relays(now, self.knowledge.list.members.len())),
         };
@@ -88,22 +88,22 @@
 
     /// The newest term known, and who schedules in it. This process names itself only under its lease: its replica
     /// goes on following the term after the lease is over.
-    fn known_owner(&self) -> (u64, NodeId) {
-        if let Some(term) = &self.term {
-            let owner = if term.service.is_some() {
+    fn known_leader(&self) -> (u64, NodeId) {
+        if let Some(leadership) = &self.leadership {
+            let leader = if leadership.service.is_some() {
                 self.settings.node
             } else {
                 NodeId::default()
             };
-            return (term.epoch, owner);
+            return (leadership.term, leader);
         }
-        let (epoch, owner) = self.replica.term();
+        let (term, leader) = self.replica.promised_term();
         (
-            epoch,
-            if owner == self.settings.node {
+            term,
+            if leader == self.settings.node {
                 NodeId::default()
             } else {
-                owner
+                leader
             },
         )
     }
@@ -111,9 +111,9 @@
     /// Hands a message to the service, at once or once the register was read again.
     pub(crate) fn serve(&mut self, from: NodeId, message: Message) {
         let serving = self
-            .term
+            .leadership
             .as_ref()
-            .is_some_and(|term| term.service.is_some());
+            .is_some_and(|leadership| leadership.service.is_some());
         if !serving || !self.knows_less(&message) {
             return self.deliver(from, message);
         }
@@ -139,24 +139,28 @@
 
     /// Hands a message to the service, or says that it is not here.
     pub(crate) fn deliver(&mut self, from: NodeId, message: Message) {
-        match self.term.as_mut().and_then(|term| term.service.as_mut()) {
+        match self
+            .leadership
+            .as_mut()
+            .and_then(|leadership| leadership.service.as_mut())
+        {
             Some(service) => service.message(self.now, from, message),
-            None => self.not_owner(from, &message),
+            None => self.not_leader(from, &message),
         }
     }
 
-    fn not_owner(&mut self, from: NodeId, message: &Message) {
+    fn not_leader(&mut self, from: NodeId, message: &Message) {
         let request = match message {
             Message::ClientRequest(request) => request.request,
             _ => 0,
         };
-        let (epoch, owner) = self.known_owner();
+        let (term, leader) = self.known_leader();
         self.effects.sends.push((
             from,
-            Message::NotOwner(NotOwner {
+            Message::NotLeader(NotLeader {
                 request,
-                epoch,
-                owner,
+                term,
+                leader,
             }),
         ));
     }
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -4,7 +4,7 @@
 use deku::prelude::*;
 use sagetrail_protocol::control::{Ballot, RecordsTag};
 use sagetrail_protocol::node::{DiskImage, DiskOperation, Table};
-use sagetrail_protocol::{Blob, Epoch, Incarnation, List, NodeId};
+use sagetrail_protocol::{Blob, Incarnation, List, NodeId, Term};
 
 const ACCEPTOR_KEY: &[u8] = b"acceptor";
 const VALUE_KEY: &[u8] = b"value";
@@ -21,7 +21,7 @@
 /// A term that was promised, and to whom.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TermPromise {
-    pub epoch: Epoch,
+    pub term: Term,
     pub node: NodeId,
     pub incarnation: Incarnation,
 }
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -9,7 +9,7 @@
 use sagetrail_protocol::control::{
     Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused,
 };
-use sagetrail_protocol::{Blob, Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
 
 /// What the others know.
@@ -17,7 +17,7 @@
 pub struct Recovered {
     pub ballots: AcceptorBallots,
     pub value: Blob,
-    pub epoch: Epoch,
+    pub term: Term,
     /// The version of the list whose members were asked.
     pub members_version: u64,
 }
@@ -39,7 +39,7 @@
     phase: Phase,
     replies: BTreeSet<NodeId>,
     highest: Ballot,
-    epoch: Epoch,
+    term: Term,
     accepted: Ballot,
     value: Blob,
     started: Time,
@@ -69,7 +69,7 @@
             phase: Phase::Asking,
             replies: BTreeSet::new(),
             highest: Ballot::default(),
-            epoch: 0,
+            term: 0,
             accepted: Ballot::default(),
             value: Blob::default(),
             started: now,
@@ -102,7 +102,7 @@
             return;
         }
         self.highest = self.highest.max(reply.promised);
-        self.epoch = self.epoch.max(reply.epoch);
+        self.term = self.term.max(reply.term);
         self.replies.insert(from);
         if self.list.known_without(self.node, &self.replies) {
             self.phase = Phase::Preparing;
@@ -132,7 +132,7 @@
         Some(Recovered {
             ballots,
             value: self.value.clone(),
-            epoch: self.epoch,
+            term: self.term,
             members_version,
         })
     }
--- a/crates/cluster/control-plane/src/renounce.rs
+++ b/crates/cluster/control-plane/src/renounce.rs
@@ -3,12 +3,12 @@
 use crate::node::CoreNode;
 use crate::timing::{RENOUNCE_INTERVAL_MS, RENOUNCE_MS};
 use sagetrail_protocol::control::{ControlMessage, Resign};
-use sagetrail_protocol::{Epoch, Time};
+use sagetrail_protocol::{Term, Time};
 
 /// A term that is being given up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Renouncing {
-    epoch: Epoch,
+    term: Term,
     until: Time,
     next: Time,
 }
@@ -17,7 +17,7 @@
     /// At the start, with what the disk says: the newest promise may have been made to this very process.
     pub(crate) fn begin_to_renounce(&mut self) {
         let promise = self.replica.state.promise;
-        if promise.epoch == 0 || promise.node != self.settings.node {
+        if promise.term == 0 || promise.node != self.settings.node {
             return;
         }
         // Its own grant was made to the life that has ended.
@@ -25,7 +25,7 @@
         self.elections.hasten();
         let until = self.started.plus_millis(RENOUNCE_MS);
         self.renouncing = Some(Renouncing {
-            epoch: promise.epoch,
+            term: promise.term,
             until,
             next: self.started,
         });
@@ -36,8 +36,8 @@
         let Some(renouncing) = self.renouncing else {
             return;
         };
-        let current = self.replica.state.promise.epoch == renouncing.epoch;
-        if self.term.is_some() || !current || now >= renouncing.until {
+        let current = self.replica.state.promise.term == renouncing.term;
+        if self.leadership.is_some() || !current || now >= renouncing.until {
             self.renouncing = None;
             return;
         }
@@ -45,7 +45,7 @@
             return;
         }
         let resign = ControlMessage::Resign(Resign {
-            epoch: renouncing.epoch,
+            term: renouncing.term,
         });
         self.effects.broadcast(self.knowledge.list.all(), &resign);
         self.renouncing = Some(Renouncing {
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -9,7 +9,7 @@
     ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck,
     SnapshotChunk, Stored,
 };
-use sagetrail_protocol::{Epoch, List, NodeId, Time};
+use sagetrail_protocol::{List, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
 /// So many batches wait for the whole records or for an earlier batch.
@@ -18,8 +18,8 @@
 /// The term that this replica follows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Followed {
-    pub epoch: Epoch,
-    pub owner: NodeId,
+    pub term: Term,
+    pub leader: NodeId,
     base: RecordsTag,
     source: NodeId,
 }
@@ -44,8 +44,8 @@
     /// No term is promised before: a lease may be running.
     pub lease_until: Time,
     pub(crate) followed: Option<Followed>,
-    /// The term whose owner is surely named on disk: only then is a lease granted to it.
-    owner_on_disk: Option<Epoch>,
+    /// The term whose leader is surely named on disk: only then is a lease granted to it.
+    leader_on_disk: Option<Term>,
     buffered: BTreeMap<u64, List<RecordChange>>,
     collection: Option<Collection>,
     behind_since: Option<Time>,
@@ -62,7 +62,7 @@
             records,
             lease_until: now.plus_millis(LEASE_MS),
             followed: None,
-            owner_on_disk: None,
+            leader_on_disk: None,
             buffered: BTreeMap::new(),
             collection: None,
             behind_since: None,
@@ -70,23 +70,23 @@
         }
     }
 
-    /// The highest term known and its owner, if that is known.
-    pub fn term(&self) -> (Epoch, NodeId) {
+    /// The highest term known and its leader, if that is known.
+    pub fn promised_term(&self) -> (Term, NodeId) {
         match &self.followed {
-            Some(followed) if followed.epoch == self.state.promise.epoch => {
-                (followed.epoch, followed.owner)
+            Some(followed) if followed.term == self.state.promise.term => {
+                (followed.term, followed.leader)
             }
-            _ => (self.state.promise.epoch, NodeId::default()),
+            _ => (self.state.promise.term, NodeId::default()),
         }
     }
 
-    /// The owner, while its lease may be running.
-    pub fn live_owner(&self, now: Time) -> Option<NodeId> {
-        let (_, owner) = self.term();
-        (now < self.lease_until && owner != NodeId::default()).then_some(owner)
+    /// The leader, while its lease may be running.
+    pub fn live_leader(&self, now: Time) -> Option<NodeId> {
+        let (_, leader) = self.promised_term();
+        (now < self.lease_until && leader != NodeId::default()).then_some(leader)
     }
 
-    /// The owner renews its lease.
+    /// The leader renews its lease.
     pub fn renew(
         &mut self,
         now: Time,
@@ -95,15 +95,15 @@
         condition: Condition,
         effects: &mut Effects,
     ) {
-        if renew.epoch < self.state.promise.epoch {
+        if renew.term < self.state.promise.term {
             let ack = self.renew_ack(renew, condition);
             return effects.control(from, ack);
         }
         self.lease_until = now.plus_millis(LEASE_MS);
         self.follow(from, renew);
-        self.name_owner(from, renew.epoch);
+        self.name_leader(from, renew.term);
         let ack = self.renew_ack(renew, condition);
-        if self.owner_on_disk == Some(renew.epoch) {
+        if self.leader_on_disk == Some(renew.term) {
             effects.control(from, ack);
         } else {
             let mut then = vec![(self.node, ack.clone())];
@@ -114,19 +114,19 @@
     }
 
     /// After a restart the promise alone tells who may hold a lease. It may have been made to a candidate that lost.
-    fn name_owner(&mut self, owner: NodeId, epoch: Epoch) {
-        if (self.state.promise.epoch, self.state.promise.node) != (epoch, owner) {
+    fn name_leader(&mut self, leader: NodeId, term: Term) {
+        if (self.state.promise.term, self.state.promise.node) != (term, leader) {
             self.state.promise = TermPromise {
-                epoch,
-                node: owner,
+                term,
+                node: leader,
                 incarnation: 0,
             };
         }
     }
 
-    /// The owner of the term has been synced as the holder of the lease.
-    pub fn owner_kept(&mut self, epoch: Epoch) {
-        self.owner_on_disk = self.owner_on_disk.max(Some(epoch));
+    /// The leader of the term has been synced as the holder of the lease.
+    pub fn leader_kept(&mut self, term: Term) {
+        self.leader_on_disk = self.leader_on_disk.max(Some(term));
     }
 
     /// Forgets what was on its way in an earlier term.
@@ -137,9 +137,9 @@
     }
 
     fn renew_ack(&self, renew: &Renew, condition: Condition) -> ControlMessage {
-        let promised = self.state.promise.epoch;
+        let promised = self.state.promise.term;
         ControlMessage::RenewAck(RenewAck {
-            epoch: renew.epoch,
+            term: renew.term,
             sent_at: renew.sent_at,
             promised,
             tag: self.synced,
@@ -148,16 +148,16 @@
         })
     }
 
-    fn follow(&mut self, owner: NodeId, renew: &Renew) {
+    fn follow(&mut self, leader: NodeId, renew: &Renew) {
         if self
             .followed
-            .is_none_or(|followed| followed.epoch != renew.epoch)
+            .is_none_or(|followed| followed.term != renew.term)
         {
             self.forget_transfers();
         }
         self.followed = Some(Followed {
-            epoch: renew.epoch,
-            owner,
+            term: renew.term,
+            leader,
             base: renew.base,
             source: renew.source,
         });
@@ -167,8 +167,8 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.epoch == followed.epoch && self.state.whole {
-            // The owner sends on once it hears what was synced: what waits for the disk is not behind.
+        if self.state.tag.term == followed.term && self.state.whole {
+            // The leader sends on once it hears what was synced: what waits for the disk is not behind.
             let behind = newest > self.state.tag.number && self.synced == self.state.tag;
             self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
             let long = self
@@ -181,7 +181,7 @@
         }
         if self.state.tag == followed.base && self.state.whole {
             self.state.tag = RecordsTag {
-                epoch: followed.epoch,
+                term: followed.term,
                 number: 0,
             };
             self.store(Vec::new(), effects);
@@ -196,12 +196,12 @@
         if source == self.node {
             return;
         }
-        let oldest = self.oldest_useful(followed.epoch, newest);
+        let oldest = self.oldest_useful(followed.term, newest);
         match &mut self.collection {
             None => {
                 self.collection = Some(Collection::start(
                     now,
-                    followed.epoch,
+                    followed.term,
                     source,
                     oldest,
                     effects,
@@ -215,17 +215,17 @@
     }
 
     /// The oldest state of which an image is of use. With its disk a replica may have lost what it acknowledged, which
-    /// is no newer than the owner's newest batch; otherwise its own state holds all of that.
-    fn oldest_useful(&self, epoch: Epoch, newest: u64) -> RecordsTag {
+    /// is no newer than the leader's newest batch; otherwise its own state holds all of that.
+    fn oldest_useful(&self, term: Term, newest: u64) -> RecordsTag {
         if !self.state.whole && newest > 0 {
             return RecordsTag {
-                epoch,
+                term,
                 number: newest,
             };
         }
-        if self.state.whole && self.state.tag.epoch == epoch {
+        if self.state.whole && self.state.tag.term == term {
             return RecordsTag {
-                epoch,
+                term,
                 number: self.state.tag.number + 1,
             };
         }
@@ -244,12 +244,12 @@
         let Some(followed) = self.followed else {
             return;
         };
-        let current = followed.epoch == batch.epoch && followed.owner == from;
-        if !current || self.state.promise.epoch != batch.epoch {
+        let current = followed.term == batch.term && followed.leader == from;
+        if !current || self.state.promise.term != batch.term {
             return;
         }
-        if self.state.tag.epoch == batch.epoch && batch.number <= self.state.tag.number {
-            if batch.number <= self.synced.number && self.synced.epoch == batch.epoch {
+        if self.state.tag.term == batch.term && batch.number <= self.state.tag.number {
+            if batch.number <= self.synced.number && self.synced.term == batch.term {
                 effects.control(from, ControlMessage::Stored(Stored { tag: self.synced }));
             }
             return;
@@ -264,7 +264,7 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.epoch != followed.epoch {
+        if self.state.tag.term != followed.term {
             return;
         }
         let mut operations = Vec::new();
@@ -293,8 +293,11 @@
             tag: self.state.tag,
         });
         let mut then = vec![(self.node, stored.clone())];
-        if let Some(followed) = self.followed.filter(|followed| followed.owner != self.node) {
-            then.push((followed.owner, stored));
+        if let Some(followed) = self
+            .followed
+            .filter(|followed| followed.leader != self.node)
+        {
+            then.push((followed.leader, stored));
         }
         effects.write(operations, then);
     }
@@ -333,14 +336,14 @@
         let Some(followed) = self.followed else {
             return;
         };
-        let epoch = followed.epoch;
+        let term = followed.term;
         let tag = if tag == followed.base {
-            RecordsTag { epoch, number: 0 }
+            RecordsTag { term, number: 0 }
         } else {
             tag
         };
         let newer = tag > self.state.tag || !self.state.whole;
-        if tag.epoch != epoch || !newer || self.state.promise.epoch != epoch {
+        if tag.term != term || !newer || self.state.promise.term != term {
             return;
         }
         self.records = records;
@@ -354,7 +357,7 @@
         self.store(self.records.rewrite(), effects);
     }
 
-    /// Repeats requests and drops what is old. Pieces are kept while no owner is heard: its term may go on.
+    /// Repeats requests and drops what is old. Pieces are kept while no leader is heard: its term may go on.
     pub fn tick(&mut self, now: Time, effects: &mut Effects) {
         if let Some(collection) = self.collection.as_mut().filter(|_| now < self.lease_until) {
             collection.tick(now, effects);
--- a/crates/cluster/control-plane/src/standing.rs
+++ b/crates/cluster/control-plane/src/standing.rs
@@ -336,7 +336,7 @@
         let ballot = recovered.ballots.accepted;
         self.acceptor.adopt(recovered.ballots, recovered.value);
         self.replica.state.promise = TermPromise {
-            epoch: recovered.epoch,
+            term: recovered.term,
             ..TermPromise::default()
         };
         self.settle(ballot, None);
--- a/crates/cluster/control-plane/src/steps.rs
+++ b/crates/cluster/control-plane/src/steps.rs
@@ -20,7 +20,7 @@
         self.step_renouncing(now);
         self.step_elections(now);
         self.step_base(now);
-        self.step_term();
+        self.step_leadership();
         self.step_membership(now);
         self.step_leases(now);
         self.subscribers
@@ -44,11 +44,14 @@
         let elections = self
             .may_stand()
             .then(|| self.elections.next_wake(self.replica.lease_until));
-        let term = self.term.as_ref().map(|term| term.next_wake());
+        let leadership = self
+            .leadership
+            .as_ref()
+            .map(|leadership| leadership.next_wake());
         let service = self
-            .term
+            .leadership
             .as_ref()
-            .and_then(|term| term.service.as_ref()?.next_wake());
+            .and_then(|leadership| leadership.service.as_ref()?.next_wake());
         let membership = self.watches_membership().then_some(self.membership_at);
         let delayed = self
             .delayed
@@ -63,7 +66,7 @@
             self.replica.next_wake(),
             elections,
             self.renouncing_wake(),
-            term,
+            leadership,
             service,
             membership,
             self.leases.next_wake(),
@@ -77,19 +80,19 @@
     pub(crate) fn drop_spent_lease(&mut self) {
         let now = self.now.steady;
         if self
-            .term
+            .leadership
             .as_ref()
-            .is_some_and(|term| now >= term.lease_until)
+            .is_some_and(|leadership| now >= leadership.lease_until)
         {
-            self.term = None;
+            self.leadership = None;
             self.elections.stand_back(now);
         }
     }
 
     /// Gives the term up and lets the others elect at once.
     pub(crate) fn step_down(&mut self) {
-        if let Some(term) = self.term.take() {
-            term.resign(&self.knowledge.list, &mut self.effects);
+        if let Some(leadership) = self.leadership.take() {
+            leadership.resign(&self.knowledge.list, &mut self.effects);
             self.elections.stand_back(self.now.steady);
         }
     }
@@ -100,7 +103,7 @@
 
     fn may_stand(&self) -> bool {
         let able = self.standing.ready && self.takes_part() && self.replica.state.whole;
-        able && self.term.is_none() && self.may_lead()
+        able && self.leadership.is_none() && self.may_lead()
     }
 
     fn step_register(&mut self, now: Time) {
@@ -143,10 +146,10 @@
     /// The moment as of which somebody here needs to know the register.
     fn wanted_freshness(&self) -> Option<Time> {
         let starting = self
-            .term
+            .leadership
             .as_ref()
-            .filter(|term| term.service.is_none())
-            .map(|term| term.elected_at);
+            .filter(|leadership| leadership.service.is_none())
+            .map(|leadership| leadership.elected_at);
         let delayed = self.delayed.back().map(|delayed| delayed.arrived);
         [
             starting,
@@ -206,7 +209,11 @@
         let Some(config) = self.knowledge.config().cloned() else {
             return;
         };
-        if let Some(service) = self.term.as_mut().and_then(|term| term.service.as_mut()) {
+        if let Some(service) = self
+            .leadership
+            .as_mut()
+            .and_then(|leadership| leadership.service.as_mut())
+        {
             service.config(self.now, config);
         }
     }
@@ -233,36 +240,42 @@
         }
     }
 
-    fn step_term(&mut self) {
+    fn step_leadership(&mut self) {
         let now = self.now.steady;
         let holds_base = self.holds_base();
-        let Some(term) = &mut self.term else { return };
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
         if holds_base {
-            term.holds_base(now);
+            leadership.holds_base(now);
         }
-        term.renew(
+        leadership.renew(
             now,
             &self.knowledge.list,
             self.knowledge.ballot(),
             &mut self.effects,
         );
-        let advanced = term.advance(&self.knowledge.list);
-        if let (Some(number), Some(service)) = (advanced, &mut term.service) {
+        let advanced = leadership.advance(&self.knowledge.list);
+        if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
             service.committed(self.now, number);
         }
         self.start_service(holds_base);
-        let Some(term) = &mut self.term else { return };
-        term.wake_service(self.now);
-        term.pump(now, &self.knowledge.list, &mut self.effects);
-        if let Some(service) = &mut term.service {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        leadership.wake_service(self.now);
+        leadership.pump(now, &self.knowledge.list, &mut self.effects);
+        if let Some(service) = &mut leadership.service {
             self.effects.sends.extend(service.take_sends());
         }
     }
 
     fn start_service(&mut self, holds_base: bool) {
-        let Some(term) = &mut self.term else { return };
-        let fresh = self.knowledge.is_fresh(term.elected_at);
-        if term.service.is_some() || !holds_base || !term.base_is_kept() || !fresh {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        let fresh = self.knowledge.is_fresh(leadership.elected_at);
+        if leadership.service.is_some() || !holds_base || !leadership.base_is_kept() || !fresh {
             return;
         }
         let records = self
@@ -272,7 +285,7 @@
             .iter()
             .map(|(key, value)| (key.clone(), value.clone()));
         let restored = Restored {
-            epoch: term.epoch,
+            term: leadership.term,
             node: self.settings.node,
             records: records.collect(),
             config: self.knowledge.config().cloned(),
@@ -280,10 +293,10 @@
         };
         log::info!(
             "term {}: scheduler starts with {} records",
-            term.epoch,
+            leadership.term,
             restored.records.len()
         );
-        term.service = Some((self.factory)(self.now, restored));
+        leadership.service = Some((self.factory)(self.now, restored));
     }
 
     fn step_delayed(&mut self, now: Time) {
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -38,7 +38,7 @@
         if now >= since.plus_millis(TERMINATE_MS) {
             self.operator.close(&mut self.proposer, &mut self.effects);
         }
-        if self.term.is_some() && !self.may_lead() {
+        if self.leadership.is_some() && !self.may_lead() {
             self.step_down();
         }
     }
--- a/crates/cluster/control-plane/src/timing.rs
+++ b/crates/cluster/control-plane/src/timing.rs
@@ -2,9 +2,9 @@
 
 /// A replica grants a lease for so long from the moment at which it is asked.
 pub const LEASE_MS: u64 = 900;
-/// The owner counts on its lease for so long from the moment of asking: less, since clocks differ.
-pub const OWNER_LEASE_MS: u64 = 765;
-/// The owner renews its lease this often.
+/// The leader counts on its lease for so long from the moment of asking: less, since clocks differ.
+pub const LEADER_LEASE_MS: u64 = 765;
+/// The leader renews its lease this often.
 pub const RENEW_INTERVAL_MS: u64 = 150;
 /// Replicas start elections spread over so long.
 pub const ELECTION_JITTER_MS: u64 = 300;
@@ -41,7 +41,7 @@
 pub const FOUNDING_GRACE_MS: u64 = 1_500;
 /// A member that was silent for so long may be replaced by a learner that holds everything.
 pub const UNREACHABLE_MS: u64 = 2_000;
-/// The owner looks this often at who asks to join and whether a change of members may go on.
+/// The leader looks this often at who asks to join and whether a change of members may go on.
 pub const MEMBERSHIP_INTERVAL_MS: u64 = 50;
 /// A process that asks to join counts as there for so long.
 pub const JOINER_MS: u64 = 2_000;
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -4,7 +4,7 @@
 use crate::replica::Replica;
 use crate::timing::LEASE_MS;
 use sagetrail_protocol::control::{ControlMessage, VoteReply, VoteRequest};
-use sagetrail_protocol::{Epoch, NodeId, Time};
+use sagetrail_protocol::{NodeId, Term, Time};
 
 impl Replica {
     /// Answers a candidate. `members_version`: the newest member list that this process has accepted.
@@ -20,7 +20,7 @@
             self.may_promise(now, from, request) && request.members_version >= members_version;
         if granted && !request.probe {
             self.state.promise = TermPromise {
-                epoch: request.epoch,
+                term: request.term,
                 node: from,
                 incarnation: request.incarnation,
             };
@@ -28,12 +28,12 @@
             self.forget_transfers();
         }
         let reply = ControlMessage::VoteReply(VoteReply {
-            epoch: request.epoch,
+            term: request.term,
             incarnation: request.incarnation,
             probe: request.probe,
             granted,
             sent_at: request.sent_at,
-            promised: self.state.promise.epoch,
+            promised: self.state.promise.term,
             members_version,
             tag: self.state.tag,
         });
@@ -49,17 +49,17 @@
         }
         let promise = &self.state.promise;
         let again = promise.node == from && promise.incarnation == request.incarnation;
-        if again && promise.epoch == request.epoch && !request.probe {
+        if again && promise.term == request.term && !request.probe {
             return true;
         }
-        now >= self.lease_until && (request.probe || request.epoch > promise.epoch)
+        now >= self.lease_until && (request.probe || request.term > promise.term)
     }
 
-    /// An owner gave its lease up, or a candidate its candidacy; true where the term was promised to it.
-    pub fn resigned(&mut self, now: Time, from: NodeId, epoch: Epoch) -> bool {
-        let followed = self.followed.filter(|followed| followed.epoch == epoch);
-        let holder = followed.map_or(self.state.promise.node, |followed| followed.owner);
-        if self.state.promise.epoch != epoch || holder != from {
+    /// An leader gave its lease up, or a candidate its candidacy; true where the term was promised to it.
+    pub fn resigned(&mut self, now: Time, from: NodeId, term: Term) -> bool {
+        let followed = self.followed.filter(|followed| followed.term == term);
+        let holder = followed.map_or(self.state.promise.node, |followed| followed.leader);
+        if self.state.promise.term != term || holder != from {
             return false;
         }
         self.lease_until = self.lease_until.min(now);
--- a/crates/cluster/control-plane/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -33,7 +33,7 @@
     history.rate = 2_000;
     history.run(500);
     let late = history.followers()[0];
-    // The image needs two seconds on its way to this disk; the owner makes 2 MiB of batches in one.
+    // The image needs two seconds on its way to this disk; the leader makes 2 MiB of batches in one.
     let slow = Speeds {
         disk_bytes_per_us: 10,
         ..SMALL_SITE
@@ -81,22 +81,26 @@
 }
 
 #[test]
-fn seeds_that_lost_their_disks_together_are_found_by_the_owner() {
+fn seeds_that_lost_their_disks_together_are_found_by_the_leader() {
     let mut history = History::new(9, 6, 1_000, 500, Some(SMALL_SITE));
     history.rate = 500;
     history.run(500);
     let seeds = [0, 1, 2];
-    if let Some(owner) = history.world.owner().filter(|owner| seeds.contains(owner)) {
-        history.world.kill(owner);
+    if let Some(leader) = history
+        .world
+        .leader()
+        .filter(|leader| seeds.contains(leader))
+    {
+        history.world.kill(leader);
         history.run(2_000);
-        history.world.start(owner, false);
+        history.world.start(leader, false);
         history.run(2_000);
     }
     assert!(
         history
             .world
-            .owner()
-            .is_some_and(|owner| !seeds.contains(&owner)),
+            .leader()
+            .is_some_and(|leader| !seeds.contains(&leader)),
         "no owner besides the seeds"
     );
     emptied(&mut history, &seeds, 0);
@@ -126,20 +130,20 @@
     history.finish("cut off");
 }
 
-/// A world in which one follower has batches that no other live member has, and the owner is gone for good.
+/// A world in which one follower has batches that no other live member has, and the leader is gone for good.
 fn newest_at_one(seed: u64) -> (World, usize) {
     let mut world = World::founded(5, seed);
-    let owner = world.owner().unwrap();
-    let holder = (owner + 1) % 5;
+    let leader = world.leader().unwrap();
+    let holder = (leader + 1) % 5;
     let source = id(holder);
     world.tamper = Some(Box::new(move |_, to, message| {
         !matches!(control(message), Some(ControlMessage::RecordBatch(_))) || to == source
     }));
     for request in 1..=20 {
-        world.client(owner, request);
+        world.client(leader, request);
         world.run(5);
     }
-    world.power_off(owner);
+    world.power_off(leader);
     (world, holder)
 }
 
@@ -180,8 +184,8 @@
             world.terms() > terms,
             "seed {seed}: nobody schedules without the source"
         );
-        let (owner, acked) = (world.owner().unwrap(), world.acked());
-        world.client(owner, 1_000);
+        let (leader, acked) = (world.leader().unwrap(), world.acked());
+        world.client(leader, 1_000);
         world.run(500);
         assert_eq!(
             world.acked(),
@@ -195,7 +199,7 @@
 fn a_source_that_dies_in_the_middle_is_followed_by_another_that_has_the_same_state() {
     let mut history = History::new(5, 3, 20_000, 500, None);
     history.world.weather = FAR;
-    let owner = history.world.owner().unwrap();
+    let leader = history.world.leader().unwrap();
     let late = history.followers()[0];
     history.world.power_off(late);
     history.rate = 200;
@@ -205,7 +209,7 @@
     // Everybody but this member has the newest state; it alone may stand, so it has to fetch the term's base.
     history.world.start(late, false);
     history.world.cut_off(late);
-    history.world.power_off(owner);
+    history.world.power_off(leader);
     let candidate = id(late);
     let source = Arc::new(Mutex::new(None));
     let seen = source.clone();
@@ -230,7 +234,7 @@
     history.world.power_off((source.ip - 1) as usize);
     history.run(3_500);
     assert!(history.world.terms() > terms, "nobody schedules");
-    assert_eq!(history.world.owner(), Some(late));
+    assert_eq!(history.world.leader(), Some(late));
 }
 
 #[test]
@@ -279,8 +283,8 @@
     let mut voted = 0;
     for seed in 0..20 {
         let mut world = World::founded(5, 500 + seed);
-        let owner = world.owner().unwrap();
-        let holder = (owner + 1) % 5;
+        let leader = world.leader().unwrap();
+        let holder = (leader + 1) % 5;
         let voter = id(holder);
         world.speeds = Some(SMALL_SITE);
         world.busy.others.insert(
@@ -303,10 +307,10 @@
             _ => true,
         }));
         for request in 1..=50 {
-            world.client(owner, request);
+            world.client(leader, request);
             world.run(10);
         }
-        world.power_off(owner);
+        world.power_off(leader);
         for _ in 0..5_000 {
             world.run(1);
             let Some(tag) = vote.lock().unwrap().take() else {
@@ -316,7 +320,7 @@
             // Batches of the first term put one record each at least; a later term's base holds them all.
             let rows = world.machines[holder].disk.records.len() as u64;
             assert!(
-                tag.epoch > 1 || rows >= tag.number,
+                tag.term > 1 || rows >= tag.number,
                 "seed {seed}: {rows} rows with {tag:?}"
             );
         }
@@ -357,7 +361,7 @@
         world.run(200);
         world.start(holder, false);
         world.run(4_000);
-        assert!(world.owner().is_some(), "seed {seed}: nobody schedules");
+        assert!(world.leader().is_some(), "seed {seed}: nobody schedules");
         let rows = world.journal.lock().unwrap().records_restored;
         assert!(
             rows >= newest.len(),
--- a/crates/cluster/control-plane/tests/catch_up_times.rs
+++ b/crates/cluster/control-plane/tests/catch_up_times.rs
@@ -12,7 +12,7 @@
 /// The load runs for so long before the disks are emptied, and so long until the members start, in milliseconds.
 const BEFORE_MS: u64 = 1_000;
 const DOWN_MS: u64 = 500;
-/// A lease that the emptied process may have granted, its first greetings, the owner's next renewals.
+/// A lease that the emptied process may have granted, its first greetings, the leader's next renewals.
 const RECOVERY_MS: u64 = 1_200;
 /// Members that recover at once take turns at the register.
 const TURN_MS: u64 = 200;
--- a/crates/cluster/control-plane/tests/cut_off.rs
+++ b/crates/cluster/control-plane/tests/cut_off.rs
@@ -26,8 +26,8 @@
 const DRIFT_PPM: u64 = 20_000;
 /// A member may hand out what it made sure of so long ago, in milliseconds.
 const HANDOUT_MS: u64 = 1_000;
-/// The owner's lease by its own clock, in milliseconds.
-const OWNER_LEASE_MS: u64 = 765;
+/// The leader's lease by its own clock, in milliseconds.
+const LEADER_LEASE_MS: u64 = 765;
 /// What is on its way when a cut begins, in milliseconds.
 const ON_THE_WAY_MS: u64 = 60;
 /// The bound on an answer is by the member's clock, and its wakes are late by a little; in milliseconds.
@@ -147,9 +147,9 @@
     /// Knowledge is no older than it is said to be.
     TrueAge,
     /// Only the scheduler calls itself that.
-    OnlyOwnerNamesItself,
+    OnlyLeaderNamesItself,
     /// Only the scheduler answers clients.
-    OnlyOwnerAnswers,
+    OnlyLeaderAnswers,
     /// Clients are answered by the configuration in force.
     AnswersByNewest,
 }
@@ -353,26 +353,26 @@
                     }
                 }
                 Message::Directory(directory)
-                    if directory.owner == *from && !self.schedules(*from, *at) =>
+                    if directory.leader == *from && !self.schedules(*from, *at) =>
                 {
                     found.push((
-                        Rule::OnlyOwnerNamesItself,
+                        Rule::OnlyLeaderNamesItself,
                         format!(
                             "{from} names itself at {} ms in a term that is over",
                             millis(*at)
                         ),
                     ));
                 }
-                Message::NotOwner(refusal) if refusal.owner == *from => {
+                Message::NotLeader(refusal) if refusal.leader == *from => {
                     found.push((
-                        Rule::OnlyOwnerNamesItself,
+                        Rule::OnlyLeaderNamesItself,
                         format!("{from} refuses and names itself"),
                     ));
                 }
                 Message::ClientReply(reply) => {
                     if !self.schedules(*from, *at) {
                         found.push((
-                            Rule::OnlyOwnerAnswers,
+                            Rule::OnlyLeaderAnswers,
                             format!("{from} answers a client in a term that is over"),
                         ));
                     }
@@ -400,10 +400,10 @@
             .find(|(started, _)| *started <= at);
         let cut = self.cut.as_ref().is_some_and(|(members, from, until)| {
             members.clone().any(|member| id(member) == node)
-                && at > from + longest(OWNER_LEASE_MS)
+                && at > from + longest(LEADER_LEASE_MS)
                 && at < *until
         });
-        newest.is_some_and(|(_, owner)| *owner == node) && !cut
+        newest.is_some_and(|(_, leader)| *leader == node) && !cut
     }
 }
 
@@ -436,8 +436,8 @@
         }
         world.weather = if seed.is_multiple_of(3) { ROUGH } else { CALM };
         // Every other time it is the scheduler that is in trouble.
-        let owner = world.owner().unwrap();
-        let member = (owner + if seed.is_multiple_of(2) { 0 } else { 1 }) % count;
+        let leader = world.leader().unwrap();
+        let member = (leader + if seed.is_multiple_of(2) { 0 } else { 1 }) % count;
         let history = History::default();
         Trial {
             world,
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -14,8 +14,8 @@
 
 fn feed(world: &mut World, requests: std::ops::Range<u64>) {
     for request in requests {
-        if let Some(owner) = world.owner() {
-            world.client(owner, request);
+        if let Some(leader) = world.leader() {
+            world.client(leader, request);
         }
         world.run(3);
     }
@@ -118,5 +118,5 @@
     let mut world = World::new(3, 60);
     (0..3).for_each(|index| world.start(index, true));
     world.run(4_000);
-    assert!(world.owner().is_some());
+    assert!(world.leader().is_some());
 }
--- a/crates/cluster/control-plane/tests/doors.rs
+++ b/crates/cluster/control-plane/tests/doors.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_hello_is_answered_with_the_directory() {
     let mut world = World::founded(3, 1);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     let hello = Hello {
         kind: NodeKind::Side,
         incarnation: 5,
@@ -43,19 +43,22 @@
             panic!("no directory")
         };
         assert_eq!(directory.members.0, [id(0), id(1), id(2)]);
-        assert_eq!((directory.members_version, directory.owner), (1, id(owner)));
+        assert_eq!(
+            (directory.members_version, directory.leader),
+            (1, id(leader))
+        );
     }
 }
 
 #[test]
-fn another_process_names_the_owner() {
+fn another_process_names_the_leader() {
     let mut world = World::founded(3, 2);
-    let owner = world.owner().unwrap();
-    send(&mut world, (owner + 1) % 3, CLIENT, request(0));
-    let Some(Message::NotOwner(answer)) = world.client_messages.pop() else {
+    let leader = world.leader().unwrap();
+    send(&mut world, (leader + 1) % 3, CLIENT, request(0));
+    let Some(Message::NotLeader(answer)) = world.client_messages.pop() else {
         panic!("no answer")
     };
-    assert_eq!((answer.request, answer.owner), (77, id(owner)));
+    assert_eq!((answer.request, answer.leader), (77, id(leader)));
 }
 
 #[test]
@@ -81,8 +84,8 @@
 #[test]
 fn a_request_that_knows_more_waits_for_a_read() {
     let mut world = World::founded(3, 4);
-    let owner = world.owner().unwrap();
-    send(&mut world, owner, CLIENT, request(9));
+    let leader = world.leader().unwrap();
+    send(&mut world, leader, CLIENT, request(9));
     assert!(world.client_messages.is_empty());
     world.run(100);
     assert!(matches!(
@@ -94,9 +97,9 @@
 #[test]
 fn a_request_that_knows_more_is_not_served_without_a_majority() {
     let mut world = World::founded(3, 5);
-    let owner = world.owner().unwrap();
-    world.cut_off(owner);
-    send(&mut world, owner, CLIENT, request(9));
+    let leader = world.leader().unwrap();
+    world.cut_off(leader);
+    send(&mut world, leader, CLIENT, request(9));
     world.run(3_000);
     assert_eq!(world.acked(), 0);
 }
@@ -104,20 +107,20 @@
 #[test]
 fn a_relayed_message_is_answered_on_the_same_way() {
     let mut world = World::founded(3, 6);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     let outer = NodeId { ip: 200, port: 9 };
     let payload = Blob(frame::encode(&request(0)).unwrap());
     let relayed = Message::Relayed(Relayed {
         from: outer,
-        to: id(owner),
+        to: id(leader),
         payload,
     });
-    send(&mut world, owner, CLIENT, relayed);
+    send(&mut world, leader, CLIENT, relayed);
     world.run(100);
     let Some(Message::Relayed(answer)) = world.client_messages.pop() else {
         panic!("no relayed answer")
     };
-    assert_eq!((answer.from, answer.to), (id(owner), outer));
+    assert_eq!((answer.from, answer.to), (id(leader), outer));
     assert!(matches!(
         frame::decode(&answer.payload),
         Ok(Message::ClientReply(_))
--- a/crates/cluster/control-plane/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -2,20 +2,20 @@
 mod support;
 use sagetrail_protocol::control::{Ballot, ControlMessage, RecordsTag, Renew, Resign, VoteRequest};
 use sagetrail_protocol::node::Event;
-use sagetrail_protocol::{Epoch, Message, NodeId};
+use sagetrail_protocol::{Message, NodeId, Term};
 use support::world::{Weather, World, CALM, CLIENT};
 
-const TERM: Epoch = 9;
+const TERM: Term = 9;
 
 /// A replica that is cut off from the others, long after any lease.
 fn lonely_replica(seed: u64) -> (World, usize, NodeId) {
     let mut world = World::founded(3, seed);
-    let owner = world.owner().unwrap();
-    let replica = (owner + 1) % 3;
+    let leader = world.leader().unwrap();
+    let replica = (leader + 1) % 3;
     world.cut_off(replica);
     world.run(1_500);
-    let owner = world.machines[owner].id;
-    (world, replica, owner)
+    let leader = world.machines[leader].id;
+    (world, replica, leader)
 }
 
 fn say(world: &mut World, replica: usize, from: NodeId, message: ControlMessage) {
@@ -28,10 +28,10 @@
     );
 }
 
-fn ask_for_vote(world: &mut World, replica: usize, epoch: Epoch, probe: bool) -> bool {
+fn ask_for_vote(world: &mut World, replica: usize, term: Term, probe: bool) -> bool {
     world.client_messages.clear();
     let request = VoteRequest {
-        epoch,
+        term,
         incarnation: 77,
         members_version: 1,
         probe,
@@ -50,7 +50,7 @@
 fn renew(sent_at: u64, source: NodeId) -> ControlMessage {
     let (base, learned) = (RecordsTag::default(), Ballot::default());
     ControlMessage::Renew(Renew {
-        epoch: TERM,
+        term: TERM,
         sent_at,
         base,
         source,
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn a_loser_of_a_term_cannot_give_up_the_lease_of_its_owner() {
-    let (mut world, replica, owner) = lonely_replica(1);
+fn a_loser_of_a_term_cannot_give_up_the_lease_of_its_leader() {
+    let (mut world, replica, leader) = lonely_replica(1);
     // The loser of the term, here the client, had this replica's vote.
     assert!(ask_for_vote(&mut world, replica, TERM, false));
-    say(&mut world, replica, owner, renew(1, owner));
+    say(&mut world, replica, leader, renew(1, leader));
     world.run(50);
     world.kill(replica);
     world.start(replica, false);
@@ -78,7 +78,7 @@
         &mut world,
         replica,
         CLIENT,
-        ControlMessage::Resign(Resign { epoch: TERM }),
+        ControlMessage::Resign(Resign { term: TERM }),
     );
     assert!(
         !ask_for_vote(&mut world, replica, TERM + 1, true),
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -184,10 +184,10 @@
     history.run(100);
     late.iter()
         .for_each(|member| history.world.power_off(*member));
-    let owner = history.world.owner().unwrap();
+    let leader = history.world.leader().unwrap();
     for version in 1..=700 {
         let number = history.world.http(
-            owner,
+            leader,
             Method::Post,
             "/v1/config/replace",
             Some(version - 1),
--- a/crates/cluster/control-plane/tests/members.rs
+++ b/crates/cluster/control-plane/tests/members.rs
@@ -6,8 +6,8 @@
 
 fn feed(world: &mut World, requests: std::ops::Range<u64>) {
     for request in requests {
-        if let Some(owner) = world.owner() {
-            world.client(owner, request);
+        if let Some(leader) = world.leader() {
+            world.client(leader, request);
         }
         world.run(2);
     }
@@ -98,7 +98,7 @@
     let mut world = World::new(5, 2);
     (0..4).for_each(|index| world.start(index, true));
     world.run(6_000);
-    assert!(world.owner().is_some());
+    assert!(world.leader().is_some());
     world.start(4, true);
     world.run(5_000);
     assert!(!world.machines[4].disk.control.is_empty());
@@ -137,7 +137,7 @@
         world.run(1_000);
         world.start(0, true);
         world.run(7_000);
-        assert!(world.owner().is_some(), "seed {seed}");
+        assert!(world.leader().is_some(), "seed {seed}");
         assert_eq!(world.replace(1, 0, 5), 200, "seed {seed}");
     }
 }
--- a/crates/cluster/control-plane/tests/ordinary.rs
+++ b/crates/cluster/control-plane/tests/ordinary.rs
@@ -20,7 +20,7 @@
     let mut world = World::new(1, 3);
     world.start(0, true);
     world.run(9_000);
-    assert!(world.owner().is_some());
+    assert!(world.leader().is_some());
     assert_eq!(world.replace(0, 0, 5), 200);
 }
 
@@ -98,9 +98,9 @@
 #[test]
 fn a_change_reaches_the_scheduler_before_its_acknowledgement() {
     let mut world = World::founded(3, 8);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     let number = world.http(
-        (owner + 1) % 3,
+        (leader + 1) % 3,
         Method::Post,
         "/v1/config/replace",
         Some(0),
@@ -134,9 +134,9 @@
 #[test]
 fn requests_are_acknowledged_once_kept() {
     let mut world = World::founded(3, 10);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     for request in 0..500 {
-        world.client(owner, request);
+        world.client(leader, request);
         world.run(2);
     }
     world.run(500);
@@ -155,10 +155,10 @@
 #[test]
 fn sigterm_hands_over_quickly() {
     let mut world = World::founded(3, 12);
-    let owner = world.owner().unwrap();
-    world.event(owner, Event::Terminate);
+    let leader = world.leader().unwrap();
+    world.event(leader, Event::Terminate);
     world.run(450);
-    assert!(world.machines[owner].finished);
-    assert_ne!(world.owner(), Some(owner));
+    assert!(world.machines[leader].finished);
+    assert_ne!(world.leader(), Some(leader));
     assert_eq!(world.terms(), 2);
 }
--- a/crates/cluster/control-plane/tests/repeats.rs
+++ b/crates/cluster/control-plane/tests/repeats.rs
@@ -130,7 +130,7 @@
 #[test]
 fn at_a_new_machine_in_the_place_of_a_lost_one() {
     let (mut world, mut operators) = with_many_changes(5, &[0, 1, 2]);
-    let gone = (world.owner().unwrap() + 1) % 3;
+    let gone = (world.leader().unwrap() + 1) % 3;
     world.wipe(gone);
     let successor = world.add_machine();
     world.start(successor, false);
--- a/crates/cluster/control-plane/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/replacements.rs
@@ -17,8 +17,8 @@
     let mut world = World::founded(count, seed);
     assert_eq!(world.replace(0, 0, 5), 200);
     for request in 0..100 {
-        let owner = world.owner().unwrap();
-        world.client(owner, request);
+        let leader = world.leader().unwrap();
+        world.client(leader, request);
         world.run(2);
     }
     world.run(100);
@@ -29,9 +29,9 @@
 /// Runs to a moment while clients ask on.
 fn run_busy_until(world: &mut World, moment: u64, request: &mut u64) {
     while world.now < moment {
-        if let Some(owner) = world.owner() {
+        if let Some(leader) = world.leader() {
             *request += 1;
-            world.client(owner, *request);
+            world.client(leader, *request);
         }
         world.run(10.min((moment - world.now).div_ceil(1_000)));
     }
@@ -41,8 +41,8 @@
 fn serves(world: &mut World) -> bool {
     let before = world.acked();
     for number in 0..40 {
-        if let Some(owner) = world.owner() {
-            world.client(owner, FRESH_REQUESTS + before as u64 + number);
+        if let Some(leader) = world.leader() {
+            world.client(leader, FRESH_REQUESTS + before as u64 + number);
         }
         world.run(100);
     }
@@ -314,7 +314,7 @@
     move |from, _, message| match message {
         Message::Control(ControlMessage::RenewAck(ack)) if from == learner => {
             ack.caught_up = true;
-            ack.tag.epoch = ack.epoch;
+            ack.tag.term = ack.term;
             ack.tag.number = 1 << 40;
             true
         }
@@ -333,7 +333,7 @@
     world.run(1_000);
     world.remove(0);
     world.run(4_000);
-    let owner = world.owner().unwrap();
-    world.power_off(owner);
+    let leader = world.leader().unwrap();
+    world.power_off(leader);
     check_after_losses(&mut world, successor, "a learner that boasts");
 }
--- a/crates/cluster/control-plane/tests/schedules.rs
+++ b/crates/cluster/control-plane/tests/schedules.rs
@@ -27,7 +27,7 @@
 
 /// The platform names machines that serve as seeds: members by the word of the scheduler, or of `other` where none is up.
 fn name_members(world: &mut World, other: usize) {
-    let teller = world.owner().unwrap_or(other);
+    let teller = world.leader().unwrap_or(other);
     let members: Vec<NodeId> = world.members(teller).into_iter().take(3).collect();
     if !members.is_empty() {
         world.name_seeds(members);
@@ -227,17 +227,17 @@
     let present = replacements.present(&world);
     check_orders(&mut world, &orders, &present, seed);
     let before = world.acked();
-    let owner = world
-        .owner()
+    let leader = world
+        .leader()
         .unwrap_or_else(|| panic!("seed {seed}: nobody schedules"));
-    world.client(owner, 1_000_000);
+    world.client(leader, 1_000_000);
     world.run(500);
     assert_eq!(
         world.acked(),
         before + 1,
         "seed {seed}: the service stands still"
     );
-    let members = world.members(owner);
+    let members = world.members(leader);
     assert_eq!(members.len(), count, "seed {seed}: {members:?}");
     assert!(
         replacements
--- a/crates/cluster/control-plane/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -138,9 +138,9 @@
         }
         ControlMessage::SnapshotChunk(chunk) if left > 0 => {
             left -= 1;
-            let epoch = chunk.epoch;
+            let term = chunk.term;
             *chunk = SnapshotChunk {
-                epoch,
+                term,
                 ..old[wanted].clone()
             };
         }
@@ -227,13 +227,13 @@
         let mut history = History::new(3, 300 + seed, ROWS, BYTES, None);
         history.rate = 200;
         let old = first_transfer(&mut history);
-        let owner = history.world.owner().unwrap();
-        history.world.kill(owner);
+        let leader = history.world.leader().unwrap();
+        history.world.kill(leader);
         history.run(2_500);
-        history.world.start(owner, false);
+        history.world.start(leader, false);
         history.run(1_000);
         assert!(
-            old[0].tag.epoch
+            old[0].tag.term
                 < history
                     .world
                     .journal
--- a/crates/cluster/control-plane/tests/support/histories.rs
+++ b/crates/cluster/control-plane/tests/support/histories.rs
@@ -26,7 +26,7 @@
 }
 
 impl History {
-    /// `count` members with so many records of so many bytes on their disks, which have elected an owner.
+    /// `count` members with so many records of so many bytes on their disks, which have elected an leader.
     pub fn new(
         count: usize,
         seed: u64,
@@ -53,7 +53,7 @@
         world.weather = CALM;
         world.speeds = speeds;
         world.run(3_000);
-        assert!(world.owner().is_some(), "nobody schedules");
+        assert!(world.leader().is_some(), "nobody schedules");
         History {
             world,
             rate: 0,
@@ -77,8 +77,8 @@
         while self.owed_us >= 1_000_000 {
             self.owed_us -= 1_000_000;
             self.sent += 1;
-            if let Some(owner) = self.world.owner() {
-                self.world.client_with(owner, self.sent, self.bytes);
+            if let Some(leader) = self.world.leader() {
+                self.world.client_with(leader, self.sent, self.bytes);
             }
         }
         self.world.run(STEP_MS);
@@ -115,11 +115,11 @@
     pub fn finish(&mut self, context: &str) {
         self.rate = 0;
         self.world.run(6_000);
-        let owner = self
+        let leader = self
             .world
-            .owner()
+            .leader()
             .unwrap_or_else(|| panic!("{context}: nobody schedules"));
-        let wanted = self.world.machines[owner].disk.records.clone();
+        let wanted = self.world.machines[leader].disk.records.clone();
         assert!(
             wanted.len() >= self.rows + self.world.acked(),
             "{context}: the owner lacks records"
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Members other than the owner, in order.
+    /// Members other than the leader, in order.
     pub fn followers(&self) -> Vec<usize> {
-        let owner = self.world.owner().unwrap();
+        let leader = self.world.leader().unwrap();
         (0..self.world.machines.len())
-            .filter(|index| *index != owner)
+            .filter(|index| *index != leader)
             .collect()
     }
 }
--- a/crates/cluster/control-plane/tests/support/journal.rs
+++ b/crates/cluster/control-plane/tests/support/journal.rs
@@ -4,7 +4,7 @@
 use sagetrail_protocol::service::{
     Batch, ConfigInForce, RecordOperation, Restored, Service, ServiceFactory,
 };
-use sagetrail_protocol::{Blob, Epoch, Message, NodeId, Time};
+use sagetrail_protocol::{Blob, Message, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
@@ -15,7 +15,7 @@
 #[derive(Default, Debug)]
 pub struct Journal {
     /// Terms in which a service started, in order.
-    pub terms: Vec<(Epoch, NodeId)>,
+    pub terms: Vec<(Term, NodeId)>,
     /// Requests that were acknowledged.
     pub acked: BTreeSet<u64>,
     /// The newest configuration that a service was given.
@@ -35,7 +35,7 @@
 
 struct Counter {
     journal: SharedJournal,
-    epoch: Epoch,
+    term: Term,
     number: u64,
     batch: Vec<RecordOperation>,
     /// Replies that wait for a batch.
@@ -71,15 +71,11 @@
             .map(|(key, _)| number_of(key))
             .collect();
         let lost: Vec<&u64> = book.acked.difference(&kept).collect();
-        assert!(lost.is_empty(), "term {} lost {lost:?}", restored.epoch);
-        if let Some((epoch, _)) = book.terms.last() {
-            assert!(
-                restored.epoch > *epoch,
-                "term {} after {epoch}",
-                restored.epoch
-            );
+        assert!(lost.is_empty(), "term {} lost {lost:?}", restored.term);
+        if let Some((term, _)) = book.terms.last() {
+            assert!(restored.term > *term, "term {} after {term}", restored.term);
         }
-        book.terms.push((restored.epoch, restored.node));
+        book.terms.push((restored.term, restored.node));
         book.records_restored = kept.len();
         let config_version = restored.config.map_or(0, |config| config.version);
         assert!(
@@ -91,7 +87,7 @@
         let (batch, ready, waiting) = (Vec::new(), Vec::new(), BTreeMap::new());
         Counter {
             journal,
-            epoch: restored.epoch,
+            term: restored.term,
             number: 0,
             batch,
             waiting,
@@ -170,7 +166,7 @@
         if !sends.is_empty() {
             assert_eq!(
                 book.terms.last().unwrap().0,
-                self.epoch,
+                self.term,
                 "an old term still speaks"
             );
         }
--- a/crates/cluster/control-plane/tests/support/world.rs
+++ b/crates/cluster/control-plane/tests/support/world.rs
@@ -184,7 +184,7 @@
             world.start(index, true);
         }
         world.run(4_000);
-        assert!(world.owner().is_some(), "nobody schedules");
+        assert!(world.leader().is_some(), "nobody schedules");
         world
     }
 
@@ -630,7 +630,7 @@
     }
 
     /// The machine whose service started last, where it still runs.
-    pub fn owner(&self) -> Option<usize> {
+    pub fn leader(&self) -> Option<usize> {
         let book = self.journal.lock().unwrap();
         let (_, node) = book.terms.last()?;
         let index = (node.ip - 1) as usize;
--- a/crates/cluster/control-plane/tests/trouble.rs
+++ b/crates/cluster/control-plane/tests/trouble.rs
@@ -13,48 +13,50 @@
 
 fn feed(world: &mut World, requests: std::ops::Range<u64>) {
     for request in requests {
-        let Some(owner) = world.owner() else { continue };
-        world.client(owner, request);
+        let Some(leader) = world.leader() else {
+            continue;
+        };
+        world.client(leader, request);
         world.run(2);
     }
     world.run(100);
 }
 
 #[test]
-fn a_killed_owner_is_followed() {
+fn a_killed_leader_is_followed() {
     let mut world = busy(3, 1);
-    let owner = world.owner().unwrap();
-    world.kill(owner);
+    let leader = world.leader().unwrap();
+    world.kill(leader);
     world.run(2_500);
-    assert_ne!(world.owner(), Some(owner));
-    world.start(owner, false);
+    assert_ne!(world.leader(), Some(leader));
+    world.start(leader, false);
     world.run(1_000);
     feed(&mut world, 1_000..1_050);
     assert_eq!(world.acked(), 250);
 }
 
 #[test]
-fn a_frozen_owner_is_followed_and_says_nothing_when_thawed() {
+fn a_frozen_leader_is_followed_and_says_nothing_when_thawed() {
     let mut world = busy(3, 2);
-    let owner = world.owner().unwrap();
-    world.client(owner, 900);
-    world.freeze(owner);
+    let leader = world.leader().unwrap();
+    world.client(leader, 900);
+    world.freeze(leader);
     world.run(2_500);
-    assert_ne!(world.owner(), Some(owner));
-    world.thaw(owner);
+    assert_ne!(world.leader(), Some(leader));
+    world.thaw(leader);
     world.run(1_000);
     assert_eq!(world.terms(), 2);
 }
 
 #[test]
-fn an_owner_that_is_cut_off_is_followed() {
+fn an_leader_that_is_cut_off_is_followed() {
     let mut world = busy(5, 3);
-    let owner = world.owner().unwrap();
-    world.cut_off(owner);
+    let leader = world.leader().unwrap();
+    world.cut_off(leader);
     world.run(2_500);
-    assert_ne!(world.owner(), Some(owner));
+    assert_ne!(world.leader(), Some(leader));
     let number = world.http(
-        owner,
+        leader,
         Method::Post,
         "/v1/config/replace",
         Some(5),
@@ -126,7 +128,7 @@
 #[test]
 fn a_replaced_machine_takes_its_place() {
     let mut world = busy(3, 4);
-    let gone = (world.owner().unwrap() + 1) % 3;
+    let gone = (world.leader().unwrap() + 1) % 3;
     world.wipe(gone);
     let successor = world.add_machine();
     world.start(successor, false);
@@ -142,15 +144,15 @@
 #[test]
 fn a_replica_that_missed_much_is_brought_up() {
     let mut world = busy(3, 5);
-    let behind = (world.owner().unwrap() + 1) % 3;
+    let behind = (world.leader().unwrap() + 1) % 3;
     world.cut_off(behind);
     feed(&mut world, 1_000..4_000);
     world.mend();
     world.run(3_000);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     assert_eq!(
         world.machines[behind].disk.records,
-        world.machines[owner].disk.records
+        world.machines[leader].disk.records
     );
 }
 
@@ -183,11 +185,11 @@
 }
 
 #[test]
-fn an_owner_that_comes_back_with_an_empty_disk_holds_nobody_up() {
+fn an_leader_that_comes_back_with_an_empty_disk_holds_nobody_up() {
     let mut world = busy(5, 12);
-    let owner = world.owner().unwrap();
+    let leader = world.leader().unwrap();
     (0..5).for_each(|index| world.power_off(index));
-    world.wipe(owner);
+    world.wipe(leader);
     world.run(500);
     (0..5).for_each(|index| world.start(index, false));
     world.run(450);
@@ -199,10 +201,10 @@
 #[test]
 fn a_scheduler_that_is_not_told_of_a_change_reads_it_in_time() {
     let mut world = busy(5, 13);
-    let owner = world.owner().unwrap();
-    let proposer = (owner + 1) % 5;
-    // Whoever could tell the owner of the change cannot reach it; it reaches them.
-    world.cut.insert((id(proposer), id(owner)));
+    let leader = world.leader().unwrap();
+    let proposer = (leader + 1) % 5;
+    // Whoever could tell the leader of the change cannot reach it; it reaches them.
+    world.cut.insert((id(proposer), id(leader)));
     let number = world.http(
         proposer,
         Method::Post,
@@ -213,6 +215,6 @@
     world.run(600);
     assert_eq!(world.status(number), 200);
     world.run(900);
-    assert_eq!(world.owner(), Some(owner));
+    assert_eq!(world.leader(), Some(leader));
     assert_eq!(world.journal.lock().unwrap().config_version, 9);
 }
--- a/crates/cluster/gateway/src/core_view.rs
+++ b/crates/cluster/gateway/src/core_view.rs
@@ -1,25 +1,25 @@
 //! Who the core processes are, which of them schedules, and whether that one answers.
 use sagetrail_protocol::directory::{Directory, HELLO_INTERVAL_MS};
-use sagetrail_protocol::{Epoch, NodeId, Time};
+use sagetrail_protocol::{NodeId, Term, Time};
 
-/// The owner is sought among all core processes, and reached through relays, once silent for so long.
+/// The leader is sought among all core processes, and reached through relays, once silent for so long.
 const SILENT_MS: u64 = 700;
-/// New jobs are refused once the owner has been silent for so long.
+/// New jobs are refused once the leader has been silent for so long.
 const UNRESPONSIVE_MS: u64 = 1500;
-/// The owner counts as answering, for readiness, for so long after its last word.
+/// The leader counts as answering, for readiness, for so long after its last word.
 const ANSWERED_MS: u64 = 2500;
-/// The owner is sought this often.
+/// The leader is sought this often.
 const SEEK_INTERVAL_MS: u64 = 250;
 /// Greetings asked for out of turn are at least so far apart.
 const LEAST_INTERVAL_MS: u64 = 50;
-/// Each so many greetings another core process is asked as well, for a newer term than the owner knows.
+/// Each so many greetings another core process is asked as well, for a newer term than the leader knows.
 const SECOND_OPINION_EVERY: u64 = 4;
 
 /// A scheduler and its term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Owner {
+pub(crate) struct Leader {
     pub(crate) node: NodeId,
-    pub(crate) epoch: Epoch,
+    pub(crate) term: Term,
 }
 
 /// What is known of the core.
@@ -30,11 +30,11 @@
     members: Vec<NodeId>,
     members_version: u64,
     relays: Vec<NodeId>,
-    /// The newest term of which an owner was named.
-    epoch: Epoch,
-    owner: Option<Owner>,
-    /// Said of itself that it is not the owner; only its own word changes that.
-    disowned: Option<Owner>,
+    /// The newest term of which an leader was named.
+    term: Term,
+    leader: Option<Leader>,
+    /// Said of itself that it is not the leader; only its own word changes that.
+    disowned: Option<Leader>,
     adopted_at: Time,
     heard_at: Option<Time>,
     heard_directly_at: Option<Time>,
@@ -54,8 +54,8 @@
             members: Vec::new(),
             members_version: 0,
             relays: Vec::new(),
-            epoch: 0,
-            owner: None,
+            term: 0,
+            leader: None,
             disowned: None,
             adopted_at: now,
             heard_at: None,
@@ -68,8 +68,8 @@
     }
 
     /// The scheduler as far as known.
-    pub(crate) fn owner(&self) -> Option<NodeId> {
-        self.owner.map(|owner| owner.node)
+    pub(crate) fn leader(&self) -> Option<NodeId> {
+        self.leader.map(|leader| leader.node)
     }
 
     /// The settings name other seeds.
@@ -91,11 +91,11 @@
         &self.relays
     }
 
-    /// Who may pass messages on to the owner.
+    /// Who may pass messages on to the leader.
     pub(crate) fn relays(&self) -> Vec<NodeId> {
         let mut relays = Vec::new();
         for node in self.core().iter().chain(&self.relays) {
-            let third = *node != self.own && Some(*node) != self.owner();
+            let third = *node != self.own && Some(*node) != self.leader();
             if third && !relays.contains(node) {
                 relays.push(*node);
             }
@@ -103,7 +103,7 @@
         relays
     }
 
-    /// Takes a directory that `from` sent. True where another owner is known now.
+    /// Takes a directory that `from` sent. True where another leader is known now.
     pub(crate) fn take_directory(
         &mut self,
         now: Time,
@@ -115,27 +115,27 @@
             self.members_version = directory.members_version;
             self.members = directory.members.0;
         }
-        if directory.epoch >= self.epoch {
+        if directory.term >= self.term {
             self.relays = directory.relays.0;
         }
-        let named = Owner {
-            node: directory.owner,
-            epoch: directory.epoch,
+        let named = Leader {
+            node: directory.leader,
+            term: directory.term,
         };
-        let adopted = self.take_owner(now, from, named);
-        if self.owner() == Some(from) && self.owner != Some(named) {
+        let adopted = self.take_leader(now, from, named);
+        if self.leader() == Some(from) && self.leader != Some(named) {
             self.disown(now, from);
         }
-        if self.owner == Some(named) {
+        if self.leader == Some(named) {
             self.heard_from(now, from, direct);
         }
         adopted
     }
 
-    /// Takes the word of `from` that it is not the scheduler. True where another owner is known now.
-    pub(crate) fn take_not_owner(&mut self, now: Time, from: NodeId, named: Owner) -> bool {
-        let adopted = named.node != from && self.take_owner(now, from, named);
-        if self.owner() == Some(from) {
+    /// Takes the word of `from` that it is not the scheduler. True where another leader is known now.
+    pub(crate) fn take_not_leader(&mut self, now: Time, from: NodeId, named: Leader) -> bool {
+        let adopted = named.node != from && self.take_leader(now, from, named);
+        if self.leader() == Some(from) {
             self.disown(now, from);
         }
         adopted
@@ -148,7 +148,7 @@
 
     /// Something came from `from`.
     pub(crate) fn heard_from(&mut self, now: Time, from: NodeId, direct: bool) {
-        if self.owner() != Some(from) || now < self.distrusted_until {
+        if self.leader() != Some(from) || now < self.distrusted_until {
             return;
         }
         self.heard_at = Some(now);
@@ -157,16 +157,16 @@
         }
     }
 
-    fn take_owner(&mut self, now: Time, from: NodeId, named: Owner) -> bool {
-        let newer = named.epoch > self.epoch;
-        let refound = named.epoch == self.epoch && self.owner.is_none();
+    fn take_leader(&mut self, now: Time, from: NodeId, named: Leader) -> bool {
+        let newer = named.term > self.term;
+        let refound = named.term == self.term && self.leader.is_none();
         let credible = self.disowned != Some(named) || from == named.node;
         if named.node == NodeId::default() || !(newer || refound) || !credible {
             return false;
         }
-        log::info!("scheduler is {} in term {}", named.node, named.epoch);
-        self.epoch = named.epoch;
-        self.owner = Some(named);
+        log::info!("scheduler is {} in term {}", named.node, named.term);
+        self.term = named.term;
+        self.leader = Some(named);
         self.disowned = None;
         self.adopted_at = now;
         self.heard_at = None;
@@ -177,7 +177,7 @@
 
     fn disown(&mut self, now: Time, node: NodeId) {
         log::info!("{node} is no longer the scheduler");
-        self.disowned = self.owner.take();
+        self.disowned = self.leader.take();
         self.heard_at = None;
         self.heard_directly_at = None;
         self.ask_soon(now);
@@ -191,23 +191,23 @@
         self.next_hello = self.next_hello.min(earliest);
     }
 
-    /// True while the owner is known and has not been silent for too long to be given a new job.
-    pub(crate) fn owner_responsive(&self, now: Time) -> bool {
-        self.owner.is_some() && self.silent_ms(now, self.heard_at) <= UNRESPONSIVE_MS
+    /// True while the leader is known and has not been silent for too long to be given a new job.
+    pub(crate) fn leader_responsive(&self, now: Time) -> bool {
+        self.leader.is_some() && self.silent_ms(now, self.heard_at) <= UNRESPONSIVE_MS
     }
 
-    /// True while the owner is known and has answered lately.
-    pub(crate) fn owner_answers(&self, now: Time) -> bool {
+    /// True while the leader is known and has answered lately.
+    pub(crate) fn leader_answers(&self, now: Time) -> bool {
         self.heard_at
             .is_some_and(|heard| now.millis_since(heard) <= ANSWERED_MS)
     }
 
-    /// True where the owner is known and not heard on the straight way.
+    /// True where the leader is known and not heard on the straight way.
     pub(crate) fn wants_relay(&self, now: Time) -> bool {
-        self.owner.is_some() && self.silent_ms(now, self.heard_directly_at) > SILENT_MS
+        self.leader.is_some() && self.silent_ms(now, self.heard_directly_at) > SILENT_MS
     }
 
-    /// When the owner counts as silent unless it is heard before.
+    /// When the leader counts as silent unless it is heard before.
     fn silent_from(&self) -> Time {
         self.heard_directly_at
             .unwrap_or(self.adopted_at)
@@ -230,25 +230,25 @@
         }
         self.hellos += 1;
         self.last_hello = Some(now);
-        let settled = self.owner().filter(|_| !self.wants_relay(now));
+        let settled = self.leader().filter(|_| !self.wants_relay(now));
         self.next_hello = match settled {
             Some(_) => now.plus_millis(HELLO_INTERVAL_MS).min(self.silent_from()),
             None => now.plus_millis(SEEK_INTERVAL_MS),
         };
         match settled {
-            Some(owner) => self.owner_and_second(owner),
+            Some(leader) => self.leader_and_second(leader),
             None => self.everyone(),
         }
     }
 
-    fn owner_and_second(&self, owner: NodeId) -> Vec<NodeId> {
-        let mut targets = vec![owner];
+    fn leader_and_second(&self, leader: NodeId) -> Vec<NodeId> {
+        let mut targets = vec![leader];
         if self.hellos.is_multiple_of(SECOND_OPINION_EVERY) {
             let others: Vec<NodeId> = self
                 .core()
                 .iter()
                 .copied()
-                .filter(|node| *node != owner)
+                .filter(|node| *node != leader)
                 .collect();
             let turn = (self.hellos / SECOND_OPINION_EVERY) as usize;
             targets.extend(others.get(turn % others.len().max(1)));
@@ -258,7 +258,7 @@
 
     fn everyone(&self) -> Vec<NodeId> {
         let mut targets = Vec::new();
-        for node in self.owner().iter().chain(&self.members).chain(&self.seeds) {
+        for node in self.leader().iter().chain(&self.members).chain(&self.seeds) {
             if *node != self.own && !targets.contains(node) {
                 targets.push(*node);
             }
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -55,7 +55,7 @@
 
     /// True where clients may be sent here.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.drain.is_none() && self.subscription.is_current(now) && self.view.owner_answers(now)
+        self.drain.is_none() && self.subscription.is_current(now) && self.view.leader_answers(now)
     }
 
     /// The newest version of the configuration seen, 0 for none.
@@ -82,7 +82,7 @@
                 self.view.heard_from(now, from, direct);
                 self.take_reply(reply, outbox);
             }
-            Message::NotOwner(bounce) => self.take_bounce(now, from, &bounce, outbox),
+            Message::NotLeader(bounce) => self.take_bounce(now, from, &bounce, outbox),
             Message::ConfigUpdate(update) => self.subscription.take_update(now, from, update),
             Message::ConfigCurrent(current) => self.subscription.take_current(now, from, &current),
             Message::Relayed(relayed) => self.take_relayed(now, relayed, outbox),
@@ -137,8 +137,8 @@
                 incarnation: self.settings.incarnation,
                 config_version: self.subscription.held().unwrap_or(0),
             });
-            if self.view.owner() == Some(target) {
-                self.send_to_owner(now, target, hello, outbox);
+            if self.view.leader() == Some(target) {
+                self.send_to_leader(now, target, hello, outbox);
             } else {
                 outbox.send(target, hello);
             }
--- a/crates/cluster/gateway/src/pending.rs
+++ b/crates/cluster/gateway/src/pending.rs
@@ -15,7 +15,7 @@
 const FIRST_REPEAT_MS: u64 = 250;
 /// Repeats are at most so far apart.
 const LONGEST_REPEAT_MS: u64 = 1000;
-/// A request that nobody may have taken waits so long for an owner; a cancel as long as its client does.
+/// A request that nobody may have taken waits so long for an leader; a cancel as long as its client does.
 const OWNERLESS_MS: u64 = 300;
 
 /// What the client asked.
@@ -188,7 +188,7 @@
         self.reschedule(number, due);
     }
 
-    /// Begins again with quick repeats, for another owner.
+    /// Begins again with quick repeats, for another leader.
     pub(crate) fn restart_repeats(&mut self, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.repeat_ms = FIRST_REPEAT_MS;
@@ -205,7 +205,7 @@
         self.due.insert((request.due, number));
     }
 
-    /// Waits for an owner, or until it is given up.
+    /// Waits for an leader, or until it is given up.
     pub(crate) fn park(&mut self, number: u64) {
         self.reschedule(number, Time(u64::MAX));
     }
--- a/crates/cluster/gateway/src/requests.rs
+++ b/crates/cluster/gateway/src/requests.rs
@@ -1,9 +1,9 @@
 //! Clients' requests: taken, sent, sent again, answered.
-use crate::core_view::Owner;
+use crate::core_view::Leader;
 use crate::node::GatewayNode;
 use crate::pending::Question;
 use crate::{relay, response};
-use sagetrail_protocol::client::{ClientMethod, ClientReply, NotOwner};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, NotLeader};
 use sagetrail_protocol::collections::{Blob, Text};
 use sagetrail_protocol::node::{HttpReply, HttpRequest, HttpRequestId, Method, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -14,7 +14,7 @@
 const LONGEST_DEADLINE_MS: u64 = 30_000;
 /// The answer leaves so long before the client's patience ends, in milliseconds.
 const ANSWER_MARGIN_MS: u64 = 150;
-/// A request is sent to the same owner out of turn at most so often, in milliseconds.
+/// A request is sent to the same leader out of turn at most so often, in milliseconds.
 const BOUNCE_PAUSE_MS: u64 = 100;
 
 impl GatewayNode {
@@ -53,7 +53,7 @@
         };
         let (patience_end, answer_by) = (now.plus_millis(patience_ms), now.plus_millis(answer_ms));
         let number = self.pending.insert(now, question, patience_end, answer_by);
-        if self.view.owner().is_none() {
+        if self.view.leader().is_none() {
             self.view.ask_soon(now);
         }
         self.send_request(now, number, outbox);
@@ -70,20 +70,20 @@
         if self.pending.is_full() {
             return Some(response::refused("too many requests under way"));
         }
-        let owner = self.view.owner();
-        if owner.is_none() && self.config_version() == 0 {
+        let leader = self.view.leader();
+        if leader.is_none() && self.config_version() == 0 {
             return Some(response::refused("no configuration yet"));
         }
-        let silent = owner.is_some() && !self.view.owner_responsive(now);
+        let silent = leader.is_some() && !self.view.leader_responsive(now);
         if silent && method == ClientMethod::Submit {
             return Some(response::refused("the scheduler does not answer"));
         }
         None
     }
 
-    /// Sends a request to the owner, through a relay as well if it is silent; parks it where no owner is known.
+    /// Sends a request to the leader, through a relay as well if it is silent; parks it where no leader is known.
     pub(crate) fn send_request(&mut self, now: Time, number: u64, outbox: &mut Outbox) {
-        let Some(owner) = self.view.owner() else {
+        let Some(leader) = self.view.leader() else {
             return self.pending.park(number);
         };
         let config_version = self.config_version();
@@ -91,32 +91,32 @@
             return;
         };
         let message = Message::ClientRequest(request.message(now, number, config_version));
-        let copies = self.send_to_owner(now, owner, message, outbox);
+        let copies = self.send_to_leader(now, leader, message, outbox);
         self.pending.note_sent(now, number, copies);
     }
 
-    /// Sends a message to the owner; gives the number of copies.
-    pub(crate) fn send_to_owner(
+    /// Sends a message to the leader; gives the number of copies.
+    pub(crate) fn send_to_leader(
         &mut self,
         now: Time,
-        owner: NodeId,
+        leader: NodeId,
         message: Message,
         outbox: &mut Outbox,
     ) -> u32 {
         let mut copies = 1;
         if self.view.wants_relay(now) {
             let through = self.relay_turn.take(&self.view.relays());
-            let wrapped = relay::wrap(self.settings.node, owner, &message);
+            let wrapped = relay::wrap(self.settings.node, leader, &message);
             if let (Some(through), Some(wrapped)) = (through, wrapped) {
                 outbox.send(through, wrapped);
                 copies += 1;
             }
         }
-        outbox.send(owner, message);
+        outbox.send(leader, message);
         copies
     }
 
-    /// Sends every waiting request to a new owner.
+    /// Sends every waiting request to a new leader.
     pub(crate) fn send_all(&mut self, now: Time, outbox: &mut Outbox) {
         for number in self.pending.numbers() {
             self.pending.restart_repeats(number);
@@ -166,25 +166,25 @@
         outbox.reply(request.question.id, answer);
     }
 
-    /// Takes the word of `from` that it is not the owner, so that a copy of a request came to nothing there.
+    /// Takes the word of `from` that it is not the leader, so that a copy of a request came to nothing there.
     pub(crate) fn take_bounce(
         &mut self,
         now: Time,
         from: NodeId,
-        bounce: &NotOwner,
+        bounce: &NotLeader,
         outbox: &mut Outbox,
     ) {
-        let sent_there = self.view.owner() == Some(from);
-        let named = Owner {
-            node: bounce.owner,
-            epoch: bounce.epoch,
+        let sent_there = self.view.leader() == Some(from);
+        let named = Leader {
+            node: bounce.leader,
+            term: bounce.term,
         };
-        let adopted = self.view.take_not_owner(now, from, named);
+        let adopted = self.view.take_not_leader(now, from, named);
         self.pending.note_bounced(now, bounce.request);
         if adopted {
             return self.send_all(now, outbox);
         }
-        if self.view.owner().is_none() {
+        if self.view.leader().is_none() {
             return self.pending.park(bounce.request);
         }
         let Some(request) = self.pending.get(bounce.request) else {
--- a/crates/cluster/gateway/tests/any_order.rs
+++ b/crates/cluster/gateway/tests/any_order.rs
@@ -12,7 +12,7 @@
     Pass(u64),
     Request(u8, u64),
     Directory(usize, u64, usize),
-    NotOwner(usize, usize, u64, usize),
+    NotLeader(usize, usize, u64, usize),
     Answer(usize, usize),
     Update(u64),
 }
@@ -22,9 +22,9 @@
         (1..900_u64).prop_map(Step::Pass),
         (0..3_u8, 1..4000_u64).prop_map(|(method, deadline)| Step::Request(method, deadline)),
         (0..3_usize, 0..4_u64, 0..4_usize)
-            .prop_map(|(from, epoch, owner)| Step::Directory(from, epoch, owner)),
+            .prop_map(|(from, term, leader)| Step::Directory(from, term, leader)),
         (0..3_usize, 0..9_usize, 0..4_u64, 0..4_usize)
-            .prop_map(|(from, request, epoch, owner)| Step::NotOwner(from, request, epoch, owner)),
+            .prop_map(|(from, request, term, leader)| Step::NotLeader(from, request, term, leader)),
         (0..3_usize, 0..9_usize).prop_map(|(from, request)| Step::Answer(from, request)),
         (1..9_u64).prop_map(Step::Update),
     ]
@@ -57,13 +57,13 @@
             let method = [Method::Post, Method::Get, Method::Delete][*method as usize];
             asked.push(rig.http(method, Vec::new(), Some(*deadline)));
         }
-        Step::Directory(from, epoch, owner) => rig.directory(core(*from), *epoch, core(*owner)),
-        Step::NotOwner(from, position, epoch, owner) => {
+        Step::Directory(from, term, leader) => rig.directory(core(*from), *term, core(*leader)),
+        Step::NotLeader(from, position, term, leader) => {
             let Some(number) = number(rig, *position) else {
                 return;
             };
             *bounced.entry(number).or_default() += 1;
-            rig.not_owner(core(*from), number, *epoch, core(*owner));
+            rig.not_leader(core(*from), number, *term, core(*leader));
         }
         Step::Answer(from, position) => {
             let Some(number) = number(rig, *position) else {
--- a/crates/cluster/gateway/tests/callers.rs
+++ b/crates/cluster/gateway/tests/callers.rs
@@ -1,5 +1,5 @@
 //! Each answer reaches the client that asked, and a refusal is a promise: over gateways that start anew, clients that
-//! go, owners that change before they have kept what they took, relays, lost and late messages.
+//! go, leaders that change before they have kept what they took, relays, lost and late messages.
 mod common;
 mod model;
 use common::{Rig, CORE, GATEWAY};
@@ -54,7 +54,7 @@
     restarted(&mut rig, 78);
     let client = rig.submit();
     rig.answer(CORE[0], former, 200);
-    rig.not_owner(CORE[0], former, 1, CORE[0]);
+    rig.not_leader(CORE[0], former, 1, CORE[0]);
     assert_eq!(rig.status_of(client), None);
     let own = rig.requests().last().unwrap().1.request;
     assert_ne!(own, former);
@@ -84,7 +84,7 @@
     let client = rig.submit();
     let number = rig.requests()[0].1.request;
     rig.pass(250);
-    rig.not_owner(CORE[0], number, 2, CORE[1]);
+    rig.not_leader(CORE[0], number, 2, CORE[1]);
     rig.answer(CORE[1], number, 429);
     assert_eq!(
         rig.status_of(client),
@@ -100,7 +100,7 @@
     rig.event(Event::Terminate);
     let bounced = rig.submit();
     let number = rig.requests()[1].1.request;
-    rig.not_owner(CORE[0], number, 1, Default::default());
+    rig.not_leader(CORE[0], number, 1, Default::default());
     rig.pass(4_600);
     assert_eq!(
         (rig.status_of(out), rig.status_of(bounced)),
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn a_cancel_waits_for_an_owner_as_long_as_its_client() {
+fn a_cancel_waits_for_an_leader_as_long_as_its_client() {
     let mut rig = Rig::settled();
     let cancel = rig.http(Method::Delete, Vec::new(), Some(3_000));
     let number = rig.requests()[0].1.request;
-    rig.not_owner(CORE[0], number, 1, Default::default());
+    rig.not_leader(CORE[0], number, 1, Default::default());
     rig.pass(2_000);
     assert_eq!(rig.status_of(cancel), None);
     rig.directory(CORE[1], 2, CORE[1]);
@@ -121,7 +121,7 @@
     rig.answer(CORE[1], number, 200);
     assert_eq!(rig.status_of(cancel), Some(200));
     let cancel = rig.http(Method::Delete, Vec::new(), Some(3_000));
-    rig.not_owner(CORE[1], number + 1, 2, Default::default());
+    rig.not_leader(CORE[1], number + 1, 2, Default::default());
     rig.pass(2_850);
     assert_eq!(rig.status_of(cancel), Some(503));
 }
--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
 use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::client::{ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::client::{ClientReply, ClientRequest, NotLeader};
 use sagetrail_protocol::collections::{Blob, List};
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate};
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A gateway that knows the owner (the first of the core, term 1) and a configuration.
+    /// A gateway that knows the leader (the first of the core, term 1) and a configuration.
     pub fn settled() -> Rig {
         let mut rig = Rig::new();
         rig.directory(CORE[0], 1, CORE[0]);
@@ -100,11 +100,11 @@
         self.now_ms = end;
     }
 
-    /// Goes on by `millis` while the owner and the parents answer every 100 ms.
-    pub fn pass_in_touch(&mut self, millis: u64, owner: NodeId, epoch: u64, version: u64) {
+    /// Goes on by `millis` while the leader and the parents answer every 100 ms.
+    pub fn pass_in_touch(&mut self, millis: u64, leader: NodeId, term: u64, version: u64) {
         for _ in 0..millis / 100 {
             self.pass(100);
-            self.directory(owner, epoch, owner);
+            self.directory(leader, term, leader);
             for parent in CORE {
                 self.current(parent, version, 0);
             }
@@ -124,8 +124,8 @@
         );
     }
 
-    pub fn directory(&mut self, from: NodeId, epoch: u64, owner: NodeId) {
-        self.message(from, directory(epoch, owner));
+    pub fn directory(&mut self, from: NodeId, term: u64, leader: NodeId) {
+        self.message(from, directory(term, leader));
     }
 
     pub fn update(&mut self, from: NodeId, version: u64) {
@@ -136,13 +136,13 @@
         );
     }
 
-    pub fn not_owner(&mut self, from: NodeId, request: u64, epoch: u64, owner: NodeId) {
+    pub fn not_leader(&mut self, from: NodeId, request: u64, term: u64, leader: NodeId) {
         self.message(
             from,
-            Message::NotOwner(NotOwner {
+            Message::NotLeader(NotLeader {
                 request,
-                epoch,
-                owner,
+                term,
+                leader,
             }),
         );
     }
@@ -252,13 +252,13 @@
     }
 }
 
-pub fn directory(epoch: u64, owner: NodeId) -> Message {
+pub fn directory(term: u64, leader: NodeId) -> Message {
     Message::Directory(Directory {
         members_version: 1,
         members: List(CORE.to_vec()),
         next_members: List::default(),
-        epoch,
-        owner,
+        term,
+        leader,
         config_version: 5,
         relays: List(Vec::new()),
     })
--- a/crates/cluster/gateway/tests/cut_off.rs
+++ b/crates/cluster/gateway/tests/cut_off.rs
@@ -9,9 +9,9 @@
 use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
 
-/// The gateway is not ready once the owner or its configuration has been out of reach for so long, in milliseconds.
+/// The gateway is not ready once the leader or its configuration has been out of reach for so long, in milliseconds.
 const READY_MS: u64 = 2_500;
-/// New jobs are refused once the owner has been silent for so long, in milliseconds.
+/// New jobs are refused once the leader has been silent for so long, in milliseconds.
 const RESPONSIVE_MS: u64 = 1_500;
 /// One way between processes, in milliseconds.
 const WAY_MS: u64 = 5;
--- a/crates/cluster/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -45,7 +45,7 @@
     add(transcript, name, rig, id);
 }
 
-/// A gateway whose owner answered a request of the client like this; what the client gets.
+/// A gateway whose leader answered a request of the client like this; what the client gets.
 fn add_passed_on(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
     let mut rig = Rig::settled();
     let id = rig.http(method, b"{}".to_vec(), None);
@@ -122,7 +122,7 @@
     let mut rig = Rig::settled();
     let id = rig.submit();
     let number = rig.requests()[0].1.request;
-    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.not_leader(CORE[0], number, 1, NodeId::default());
     rig.pass(300);
     add(
         transcript,
--- a/crates/cluster/gateway/tests/model/core.rs
+++ b/crates/cluster/gateway/tests/model/core.rs
@@ -1,6 +1,6 @@
 //! The core processes: one of them takes requests at a time, keeps them a little later, and may lose its office before.
 use super::chance::Chance;
-use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotLeader};
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::{Blob, List, Message, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,9 +21,9 @@
 
 #[derive(Default)]
 pub struct Core {
-    pub epoch: u64,
-    pub owner: Option<NodeId>,
-    /// The next owner comes then.
+    pub term: u64,
+    pub leader: Option<NodeId>,
+    /// The next leader comes then.
     vacant_until_ms: u64,
     unkept: Vec<Unkept>,
     kept: BTreeSet<String>,
@@ -32,9 +32,9 @@
 }
 
 impl Core {
-    /// The owner loses its office; what it had taken and not kept is kept by chance.
+    /// The leader loses its office; what it had taken and not kept is kept by chance.
     pub fn depose(&mut self, now_ms: u64, chance: &mut Chance) {
-        self.owner = None;
+        self.leader = None;
         self.vacant_until_ms = now_ms + chance.below(900);
         for unkept in std::mem::take(&mut self.unkept) {
             if chance.once_in(2) {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Elects where there is no owner; answers what is kept now.
+    /// Elects where there is no leader; answers what is kept now.
     pub fn tick(&mut self, now_ms: u64, chance: &mut Chance) -> Vec<(NodeId, NodeId, Message)> {
-        if self.owner.is_none() && now_ms >= self.vacant_until_ms {
-            self.epoch += 1;
-            self.owner = Some(CORE[chance.below(3) as usize]);
+        if self.leader.is_none() && now_ms >= self.vacant_until_ms {
+            self.term += 1;
+            self.leader = Some(CORE[chance.below(3) as usize]);
         }
-        let Some(owner) = self.owner else {
+        let Some(leader) = self.leader else {
             return Vec::new();
         };
         let kept: Vec<Unkept> = self
@@ -59,7 +59,7 @@
         kept.into_iter()
             .map(|job| {
                 self.kept.insert(job.path.clone());
-                (owner, job.to, reply(job.request, 200, &job.path))
+                (leader, job.to, reply(job.request, 200, &job.path))
             })
             .collect()
     }
@@ -69,8 +69,8 @@
             members_version: 1,
             members: List(CORE.to_vec()),
             next_members: List::default(),
-            epoch: self.epoch,
-            owner: self.owner.unwrap_or_default(),
+            term: self.term,
+            leader: self.leader.unwrap_or_default(),
             config_version: 1,
             relays: List::default(),
         })
@@ -85,12 +85,12 @@
         request: ClientRequest,
         chance: &mut Chance,
     ) -> Option<Message> {
-        if self.owner != Some(at) {
-            let (epoch, owner) = (self.epoch, self.owner.unwrap_or_default());
-            return Some(Message::NotOwner(NotOwner {
+        if self.leader != Some(at) {
+            let (term, leader) = (self.term, self.leader.unwrap_or_default());
+            return Some(Message::NotLeader(NotLeader {
                 request: request.request,
-                epoch,
-                owner,
+                term,
+                leader,
             }));
         }
         let path = request.path.to_string();
--- a/crates/cluster/gateway/tests/requests.rs
+++ b/crates/cluster/gateway/tests/requests.rs
@@ -8,7 +8,7 @@
 use sagetrail_protocol::{Message, NodeId};
 
 #[test]
-fn a_request_goes_to_the_owner_and_its_answer_back() {
+fn a_request_goes_to_the_leader_and_its_answer_back() {
     let mut rig = Rig::settled();
     let id = rig.submit();
     let (to, request) = rig.requests().remove(0);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_waiting_request_leaves_once_an_owner_is_known() {
+fn a_waiting_request_leaves_once_an_leader_is_known() {
     let mut rig = Rig::new();
     rig.update(CORE[1], 5);
     let id = rig.submit();
@@ -124,14 +124,14 @@
 }
 
 #[test]
-fn without_owner_and_configuration_it_is_refused_at_once() {
+fn without_leader_and_configuration_it_is_refused_at_once() {
     let mut rig = Rig::new();
     let id = rig.submit();
     assert_eq!(rig.status_of(id), Some(503));
 }
 
 #[test]
-fn new_jobs_are_refused_while_the_owner_is_silent() {
+fn new_jobs_are_refused_while_the_leader_is_silent() {
     let mut rig = Rig::settled();
     rig.pass(1501);
     let id = rig.submit();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn another_owner_gets_what_waits_at_once() {
+fn another_leader_gets_what_waits_at_once() {
     let mut rig = Rig::settled();
     let (first, second) = (rig.submit(), rig.submit());
     let numbers: Vec<u64> = rig
@@ -172,7 +172,7 @@
         .map(|(_, request)| request.request)
         .collect();
     rig.clear();
-    rig.not_owner(CORE[0], numbers[0], 2, CORE[2]);
+    rig.not_leader(CORE[0], numbers[0], 2, CORE[2]);
     let requests = rig.requests();
     assert_eq!(
         requests.iter().map(|(to, _)| *to).collect::<Vec<_>>(),
@@ -194,7 +194,7 @@
     let number = rig.requests()[0].1.request;
     rig.clear();
     rig.directory(CORE[1], 4, CORE[1]);
-    rig.not_owner(CORE[1], number, 3, CORE[1]);
+    rig.not_leader(CORE[1], number, 3, CORE[1]);
     assert!(rig.requests().is_empty());
     rig.pass(250);
     assert!(rig.requests().iter().all(|(to, _)| *to == CORE[0]));
@@ -207,13 +207,13 @@
     let number = rig.requests()[0].1.request;
     rig.pass(120);
     rig.clear();
-    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.not_leader(CORE[0], number, 1, NodeId::default());
     assert_eq!(rig.hellos().len(), 3);
     rig.directory(CORE[1], 1, CORE[0]);
     assert!(rig.requests().is_empty());
     rig.directory(CORE[0], 1, CORE[0]);
     assert_eq!(rig.requests().len(), 1);
-    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.not_leader(CORE[0], number, 1, NodeId::default());
     rig.directory(CORE[1], 2, CORE[1]);
     assert_eq!(rig.requests().last().unwrap().0, CORE[1]);
     rig.answer(CORE[1], number, 200);
@@ -226,7 +226,7 @@
     rig.http(Method::Get, Vec::new(), None);
     for _ in 0..100 {
         let number = rig.requests()[0].1.request;
-        rig.not_owner(CORE[0], number, 1, NodeId::default());
+        rig.not_leader(CORE[0], number, 1, NodeId::default());
         rig.directory(CORE[0], 1, CORE[0]);
         rig.pass(10);
     }
@@ -240,7 +240,7 @@
     let bounced = rig.submit();
     let number = rig.requests()[0].1.request;
     let other = rig.submit();
-    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.not_leader(CORE[0], number, 1, NodeId::default());
     rig.pass(300);
     assert_eq!(
         (rig.status_of(bounced), rig.status_of(other)),
--- a/crates/cluster/gateway/tests/standing.rs
+++ b/crates/cluster/gateway/tests/standing.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn readiness_needs_owner_and_configuration() {
+fn readiness_needs_leader_and_configuration() {
     let mut rig = Rig::new();
     assert_eq!(rig.readiness(), 503);
     rig.directory(CORE[1], 1, CORE[0]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_silent_owner_is_reached_through_others_too() {
+fn a_silent_leader_is_reached_through_others_too() {
     let mut rig = Rig::settled();
     rig.pass(701);
     rig.clear();
--- a/crates/cluster/protocol/src/agent.rs
+++ b/crates/cluster/protocol/src/agent.rs
@@ -1,11 +1,11 @@
 //! Between the agent beside a runner and the scheduler.
 //!
 //! The scheduler says what is wanted (`RunnerOrders`, whole each time), the agent what is (`RunnerReport`, whole
-//! each time): a lost message costs time, never truth. Orders are named by (epoch, revision); a later one
+//! each time): a lost message costs time, never truth. Orders are named by (term, revision); a later one
 //! replaces an earlier one. The agent offers all starts and stops of the newest orders in each answer to the
 //! runner, until they are replaced.
 use crate::collections::{List, Text};
-use crate::id::{Epoch, Incarnation};
+use crate::id::{Incarnation, Term};
 use deku::prelude::*;
 
 /// What a runner has, or a task asks for.
@@ -78,7 +78,7 @@
     /// The agent's steady clock at the sending, in microseconds; comes back in the answer.
     pub sent_at: u64,
     /// The newest orders that the agent has adopted.
-    pub epoch: Epoch,
+    pub term: Term,
     pub revision: u64,
     /// True once a heartbeat has come that the runner sent after it took, or dropped, every answer given
     /// under earlier orders: what is then neither active nor finished was not started under them and never
@@ -129,7 +129,7 @@
 /// What the scheduler wants of a runner, whole. Answers a report, or comes unasked after a change.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RunnerOrders {
-    pub epoch: Epoch,
+    pub term: Term,
     /// Rises with each change of what is wanted; unchanged orders keep it.
     pub revision: u64,
     /// The report that this answers: its agent and its `sent_at`; 0 where it answers none. Only then does it
--- a/crates/cluster/protocol/src/client.rs
+++ b/crates/cluster/protocol/src/client.rs
@@ -1,7 +1,7 @@
 //! Between the clients' gateway and the scheduler. Lost messages are sent again by the gateway; a job's ID makes
 //! the repeat harmless.
 use crate::collections::{Blob, Text};
-use crate::id::{Epoch, NodeId};
+use crate::id::{NodeId, Term};
 use deku::prelude::*;
 
 /// What a client asks of a job or a queue.
@@ -54,11 +54,11 @@
 
 /// The process that got a request or a report is not the scheduler. Nothing was done.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct NotOwner {
+pub struct NotLeader {
     /// The request, or zero for a report.
     pub request: u64,
     /// The newest term known.
-    pub epoch: Epoch,
+    pub term: Term,
     /// Who holds it, if that is known; `NodeId::default()` if not.
-    pub owner: NodeId,
+    pub leader: NodeId,
 }
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -1,6 +1,6 @@
 //! Among the core processes: the register, elections, replicated records and the recovery of an emptied disk.
 use crate::collections::{Blob, List};
-use crate::id::{Epoch, Incarnation, NodeId};
+use crate::id::{Incarnation, NodeId, Term};
 use deku::prelude::*;
 
 /// Orders the rounds of the register. The incarnation keeps two lives of one process apart. All zero: none.
@@ -18,7 +18,7 @@
     DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
 )]
 pub struct RecordsTag {
-    pub epoch: Epoch,
+    pub term: Term,
     pub number: u64,
 }
 
@@ -140,13 +140,13 @@
 pub struct RecoverReply {
     pub nonce: u64,
     pub promised: Ballot,
-    pub epoch: Epoch,
+    pub term: Term,
 }
 
 /// Asks for the promise of a term.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct VoteRequest {
-    pub epoch: Epoch,
+    pub term: Term,
     pub incarnation: Incarnation,
     /// The member list by which the candidate counts.
     pub members_version: u64,
@@ -159,23 +159,23 @@
 /// Answers `VoteRequest`.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct VoteReply {
-    pub epoch: Epoch,
+    pub term: Term,
     /// The candidate's own, as in the request.
     pub incarnation: Incarnation,
     pub probe: bool,
     pub granted: bool,
     pub sent_at: u64,
     /// The highest term promised by the answering process.
-    pub promised: Epoch,
+    pub promised: Term,
     pub members_version: u64,
     /// The state of its records.
     pub tag: RecordsTag,
 }
 
-/// The owner of a term renews its lease and says where its records stand.
+/// The leader of a term renews its lease and says where its records stand.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Renew {
-    pub epoch: Epoch,
+    pub term: Term,
     pub sent_at: u64,
     /// The state on which the term builds; equals batch 0 of the term.
     pub base: RecordsTag,
@@ -183,16 +183,16 @@
     pub source: NodeId,
     /// The newest batch of the term.
     pub number: u64,
-    /// The newest value of the register known to the owner.
+    /// The newest value of the register known to the leader.
     pub learned: Ballot,
 }
 
 /// Grants the lease, or tells of a higher term.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RenewAck {
-    pub epoch: Epoch,
+    pub term: Term,
     pub sent_at: u64,
-    pub promised: Epoch,
+    pub promised: Term,
     /// The newest synced state of the records.
     pub tag: RecordsTag,
     /// The sender was asked to end; its place may go to a learner.
@@ -201,10 +201,10 @@
     pub caught_up: bool,
 }
 
-/// The owner has given its lease up.
+/// The leader has given its lease up.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Resign {
-    pub epoch: Epoch,
+    pub term: Term,
 }
 
 /// What becomes of a record.
@@ -220,7 +220,7 @@
 /// A batch of changes of the records.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecordBatch {
-    pub epoch: Epoch,
+    pub term: Term,
     pub number: u64,
     pub changes: List<RecordChange>,
 }
@@ -234,7 +234,7 @@
 /// Asks for a piece of the whole records.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct FetchSnapshot {
-    pub epoch: Epoch,
+    pub term: Term,
     /// The state that the earlier pieces had; with the first the oldest state that is of use to the sender.
     pub tag: RecordsTag,
     pub index: u32,
@@ -250,7 +250,7 @@
 /// A piece of the whole records.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct SnapshotChunk {
-    pub epoch: Epoch,
+    pub term: Term,
     pub tag: RecordsTag,
     pub index: u32,
     pub last: bool,
--- a/crates/cluster/protocol/src/directory.rs
+++ b/crates/cluster/protocol/src/directory.rs
@@ -1,6 +1,6 @@
 //! How processes find the core and the scheduler. A `Hello` renews the sender's lease of membership.
 use crate::collections::List;
-use crate::id::{Epoch, Incarnation, NodeId, NodeKind};
+use crate::id::{Incarnation, NodeId, NodeKind, Term};
 use deku::prelude::*;
 
 /// A lease of membership, in milliseconds.
@@ -19,7 +19,7 @@
     pub config_version: u64,
 }
 
-/// A core process's answer: who is who. The receiver keeps the one of the newest `epoch`, then `members_version`.
+/// A core process's answer: who is who. The receiver keeps the one of the newest `term`, then `members_version`.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Directory {
     pub members_version: u64,
@@ -27,9 +27,9 @@
     pub members: List<NodeId>,
     /// The members that are to follow; empty unless a change is under way.
     pub next_members: List<NodeId>,
-    pub epoch: Epoch,
+    pub term: Term,
     /// The scheduler of that term; `NodeId::default()` where none is known.
-    pub owner: NodeId,
+    pub leader: NodeId,
     /// The newest version of the configuration known to the answering process.
     pub config_version: u64,
     /// Processes that a relay of configurations may be asked of, best first; empty while the core serves all itself.
--- a/crates/cluster/protocol/src/id.rs
+++ b/crates/cluster/protocol/src/id.rs
@@ -66,7 +66,7 @@
 }
 
 /// A term of office of the scheduler; rises with each election.
-pub type Epoch = u64;
+pub type Term = u64;
 
 /// Drawn at random at each start of a process, never zero.
 pub type Incarnation = u64;
--- a/crates/cluster/protocol/src/lib.rs
+++ b/crates/cluster/protocol/src/lib.rs
@@ -15,6 +15,6 @@
 pub mod time;
 
 pub use collections::{Blob, List, Text};
-pub use id::{Epoch, Incarnation, NodeId, NodeKind};
+pub use id::{Incarnation, NodeId, NodeKind, Term};
 pub use message::Message;
 pub use time::Time;
--- a/crates/cluster/protocol/src/message.rs
+++ b/crates/cluster/protocol/src/message.rs
@@ -1,6 +1,6 @@
 //! Every message between processes.
 use crate::agent::{RunnerOrders, RunnerReport};
-use crate::client::{ClientReply, ClientRequest, NotOwner};
+use crate::client::{ClientReply, ClientRequest, NotLeader};
 use crate::control::ControlMessage;
 use crate::directory::{Directory, Hello};
 use crate::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
@@ -20,7 +20,7 @@
     #[deku(id = 4)]
     ClientReply(ClientReply),
     #[deku(id = 5)]
-    NotOwner(NotOwner),
+    NotLeader(NotLeader),
     #[deku(id = 6)]
     RunnerReport(RunnerReport),
     #[deku(id = 7)]
--- a/crates/cluster/protocol/src/service.rs
+++ b/crates/cluster/protocol/src/service.rs
@@ -1,5 +1,5 @@
 //! The seam between the control plane and what runs on the elected core process, on replicated records.
-use crate::id::{Epoch, NodeId};
+use crate::id::{NodeId, Term};
 use crate::message::Message;
 use crate::node::Now;
 use crate::time::Time;
@@ -30,7 +30,7 @@
 
 /// What the elected process starts from.
 pub struct Restored {
-    pub epoch: Epoch,
+    pub term: Term,
     /// This process.
     pub node: NodeId,
     /// Every record that may have been kept, sorted by key.
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -51,7 +51,7 @@
 
 fn tag(mark: u8) -> RecordsTag {
     RecordsTag {
-        epoch: 0x0300 + u64::from(mark),
+        term: 0x0300 + u64::from(mark),
         number: 0x0400 + u64::from(mark),
     }
 }
@@ -166,7 +166,7 @@
         ControlMessage::RecoverReply(RecoverReply {
             nonce: 0x3101,
             promised: ballot(0x31),
-            epoch: 0x3102,
+            term: 0x3102,
         }),
     ]
 }
@@ -174,14 +174,14 @@
 fn election() -> Vec<ControlMessage> {
     vec![
         ControlMessage::VoteRequest(VoteRequest {
-            epoch: 0x4001,
+            term: 0x4001,
             incarnation: 0x4002,
             members_version: 0x4003,
             probe: true,
             sent_at: 0x4004,
         }),
         ControlMessage::VoteReply(VoteReply {
-            epoch: 0x4101,
+            term: 0x4101,
             incarnation: 0x4102,
             probe: false,
             granted: true,
@@ -191,7 +191,7 @@
             tag: tag(0x41),
         }),
         ControlMessage::Renew(Renew {
-            epoch: 0x4201,
+            term: 0x4201,
             sent_at: 0x4202,
             base: tag(0x42),
             source: process(0x43),
@@ -199,32 +199,32 @@
             learned: ballot(0x44),
         }),
         ControlMessage::RenewAck(RenewAck {
-            epoch: 0x4501,
+            term: 0x4501,
             sent_at: 0x4502,
             promised: 0x4503,
             tag: tag(0x45),
             leaving: true,
             caught_up: false,
         }),
-        ControlMessage::Resign(Resign { epoch: 0x4601 }),
+        ControlMessage::Resign(Resign { term: 0x4601 }),
     ]
 }
 
 fn records() -> Vec<ControlMessage> {
     vec![
         ControlMessage::RecordBatch(RecordBatch {
-            epoch: 0x5001,
+            term: 0x5001,
             number: 0x5002,
             changes: List(vec![put(), delete()]),
         }),
         ControlMessage::Stored(Stored { tag: tag(0x51) }),
         ControlMessage::FetchSnapshot(FetchSnapshot {
-            epoch: 0x5201,
+            term: 0x5201,
             tag: tag(0x52),
             index: 0x5202_5203,
         }),
         ControlMessage::SnapshotChunk(SnapshotChunk {
-            epoch: 0x5301,
+            term: 0x5301,
             tag: tag(0x53),
             index: 0x5302_5303,
             last: true,
--- a/crates/cluster/protocol/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -4,7 +4,7 @@
 use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport, StartOrder, StopOrder,
 };
-use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotLeader};
 use sagetrail_protocol::control::{ControlMessage, Learn};
 use sagetrail_protocol::directory::{Directory, Hello};
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
@@ -16,7 +16,7 @@
     Message::Directory(_) => "directory",
     Message::ClientRequest(_) => "client-request",
     Message::ClientReply(_) => "client-reply",
-    Message::NotOwner(_) => "not-owner",
+    Message::NotLeader(_) => "not-owner",
     Message::RunnerReport(_) => "runner-report",
     Message::RunnerOrders(_) => "runner-orders",
     Message::Subscribe(_) => "subscribe",
@@ -32,7 +32,7 @@
         directory(),
         client_request(),
         client_reply(),
-        not_owner(),
+        not_leader(),
         report(),
         report_of_draining_runner(),
         report_without_runner(),
@@ -75,8 +75,8 @@
         members_version: 0x2001,
         members: List(vec![process(1), process(2)]),
         next_members: List(vec![process(3)]),
-        epoch: 0x2002,
-        owner: process(4),
+        term: 0x2002,
+        leader: process(4),
         config_version: 0x2003,
         relays: List(vec![process(5), process(6), process(7)]),
     })
@@ -104,11 +104,11 @@
     })
 }
 
-fn not_owner() -> Message {
-    Message::NotOwner(NotOwner {
+fn not_leader() -> Message {
+    Message::NotLeader(NotLeader {
         request: 0x2301,
-        epoch: 0x2302,
-        owner: process(0x23),
+        term: 0x2302,
+        leader: process(0x23),
     })
 }
 
@@ -117,7 +117,7 @@
         agent: 0x2401,
         sequence: 0x2402,
         sent_at: 0x2403,
-        epoch: 0x2404,
+        term: 0x2404,
         revision: 0x2405,
         settled: true,
         present: true,
@@ -166,7 +166,7 @@
         agent: 0x2701,
         sequence: 0x2702,
         sent_at: 0x2703,
-        epoch: 0x2704,
+        term: 0x2704,
         revision: 0x2705,
         settled: false,
         present: true,
@@ -196,7 +196,7 @@
         agent: 0x2501,
         sequence: 0x2502,
         sent_at: 0x2503,
-        epoch: 0x2504,
+        term: 0x2504,
         revision: 0x2505,
         settled: false,
         present: false,
@@ -222,7 +222,7 @@
 
 fn orders() -> Message {
     Message::RunnerOrders(RunnerOrders {
-        epoch: 0x2601,
+        term: 0x2601,
         revision: 0x2602,
         agent: 0x2603,
         sent_at: 0x2604,
--- a/crates/cluster/scheduler/src/orders.rs
+++ b/crates/cluster/scheduler/src/orders.rs
@@ -86,7 +86,7 @@
         }
         let busy = !runner.assigned.is_empty();
         let orders = RunnerOrders {
-            epoch: self.epoch,
+            term: self.term,
             revision,
             agent: report.map_or(0, |report| report.agent),
             sent_at: report.map_or(0, |report| report.sent_at),
@@ -105,7 +105,7 @@
     pub(crate) fn announce_term(&mut self) {
         for (&node, runner) in &self.runners {
             let orders = RunnerOrders {
-                epoch: self.epoch,
+                term: self.term,
                 revision: 0,
                 agent: 0,
                 sent_at: 0,
--- a/crates/cluster/scheduler/src/reports.rs
+++ b/crates/cluster/scheduler/src/reports.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopOrder};
 use sagetrail_protocol::node::Now;
-use sagetrail_protocol::{Epoch, NodeId};
+use sagetrail_protocol::{NodeId, Term};
 
 /// Incarnations of an agent that are remembered as replaced.
 const REPLACED_KEPT: usize = 16;
@@ -13,15 +13,15 @@
 impl Scheduler {
     /// Takes a report and answers it with orders.
     pub(crate) fn runner_report(&mut self, now: Now, from: NodeId, report: RunnerReport) {
-        if report.epoch > self.epoch {
+        if report.term > self.term {
             return;
         }
-        let (started_at, epoch) = (self.started_at, self.epoch);
+        let (started_at, term) = (self.started_at, self.term);
         let runner = self
             .runners
             .entry(from)
             .or_insert_with(|| Runner::new(started_at));
-        match admit(runner, &report, epoch) {
+        match admit(runner, &report, term) {
             Admission::Newest => {}
             Admission::Unproven => return self.answer_report(now, from, &report),
             Admission::Late => return,
@@ -64,7 +64,7 @@
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
         };
-        runner.known |= report.epoch == self.epoch && report.settled;
+        runner.known |= report.term == self.term && report.settled;
     }
 
     /// True where the report is about the instance that runs now. With another instance on the machine whatever the
@@ -78,7 +78,7 @@
             return true;
         }
         if !runner.instance.is_empty() {
-            let certain = report.epoch == self.epoch && (report.settled || report.lapsed);
+            let certain = report.term == self.term && (report.settled || report.lapsed);
             if !certain {
                 runner.known = false;
                 return false;
@@ -208,7 +208,7 @@
 
     /// What is neither active nor finished, and can no longer start, is over.
     fn note_absent(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
-        let own = report.epoch == self.epoch;
+        let own = report.term == self.term;
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
         };
@@ -277,7 +277,7 @@
     Late,
 }
 
-fn admit(runner: &mut Runner, report: &RunnerReport, epoch: Epoch) -> Admission {
+fn admit(runner: &mut Runner, report: &RunnerReport, term: Term) -> Admission {
     if runner.agent == report.agent {
         let newer = report.sequence > runner.sequence;
         runner.sequence = runner.sequence.max(report.sequence);
@@ -290,7 +290,7 @@
     if runner.replaced.contains(&report.agent) {
         return Admission::Late;
     }
-    if !proves_itself(runner, report, epoch) {
+    if !proves_itself(runner, report, term) {
         return Admission::Unproven;
     }
     let former = std::mem::replace(&mut runner.agent, report.agent);
@@ -306,12 +306,12 @@
 
 /// True where the report was sent under orders that its agent was first answered with. A report that comes late, of an
 /// agent that is no more, cannot have been.
-fn proves_itself(runner: &mut Runner, report: &RunnerReport, epoch: Epoch) -> bool {
+fn proves_itself(runner: &mut Runner, report: &RunnerReport, term: Term) -> bool {
     if let Some(candidate) = runner
         .candidate
         .filter(|candidate| candidate.agent == report.agent)
     {
-        return report.epoch == epoch && report.revision >= candidate.revision;
+        return report.term == term && report.revision >= candidate.revision;
     }
     runner.revision += 1;
     runner.candidate = Some(Candidate {
--- a/crates/cluster/scheduler/src/scheduler.rs
+++ b/crates/cluster/scheduler/src/scheduler.rs
@@ -19,7 +19,7 @@
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{Batch, ConfigInForce, Restored, Service};
-use sagetrail_protocol::{Epoch, Message, NodeId, Time};
+use sagetrail_protocol::{Message, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The timer of the placement, in milliseconds.
@@ -46,7 +46,7 @@
 /// All jobs and runners for one term.
 pub struct Scheduler {
     pub(crate) settings: SchedulerSettings,
-    pub(crate) epoch: Epoch,
+    pub(crate) term: Term,
     pub(crate) started_at: Time,
     pub(crate) day: SteadyDay,
     /// The time of day at the newest event, in milliseconds since 1970.
@@ -86,7 +86,7 @@
     pub fn new(settings: SchedulerSettings, now: Now, restored: Restored) -> Scheduler {
         let mut scheduler = Scheduler {
             settings,
-            epoch: restored.epoch,
+            term: restored.term,
             started_at: now.steady,
             day: SteadyDay::new(now),
             day_ms: now.wall_ms,
--- a/crates/cluster/scheduler/tests/callers.rs
+++ b/crates/cluster/scheduler/tests/callers.rs
@@ -93,7 +93,7 @@
             at,
             RunnerReport {
                 sequence,
-                epoch: 0,
+                term: 0,
                 revision: 0,
                 ..former(report.clone())
             },
--- a/crates/cluster/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -241,7 +241,7 @@
 fn no_configuration(transcript: &mut Transcript) {
     let mut world = World::new(0);
     let restored = Restored {
-        epoch: 2,
+        term: 2,
         node: NodeId { ip: 9, port: 9 },
         records: Vec::new(),
         config: None,
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -224,7 +224,7 @@
     let at = world.running()[0].0;
     world.take_over(config(1, 2, 1));
     world.take_sends();
-    assert_eq!(world.orders[&at].epoch, 2);
+    assert_eq!(world.orders[&at].term, 2);
     assert!(world.orders[&at].start.is_empty());
 }
 
--- a/crates/cluster/scheduler/tests/world/mod.rs
+++ b/crates/cluster/scheduler/tests/world/mod.rs
@@ -43,7 +43,7 @@
 pub struct World {
     pub scheduler: Scheduler,
     pub now: Now,
-    pub epoch: u64,
+    pub term: u64,
     pub runners: BTreeMap<NodeId, FakeRunner>,
     pub orders: BTreeMap<NodeId, RunnerOrders>,
     pub replies: Vec<ClientReply>,
@@ -90,7 +90,7 @@
             wall_ms: DAY_MS,
         };
         let restored = Restored {
-            epoch: 1,
+            term: 1,
             node: NodeId { ip: 9, port: 9 },
             records: Vec::new(),
             config: Some(config),
@@ -102,7 +102,7 @@
         let mut world = World {
             scheduler: Scheduler::new(settings, now, restored),
             now,
-            epoch: 1,
+            term: 1,
             runners: BTreeMap::new(),
             orders: BTreeMap::new(),
             replies: Vec::new(),
@@ -141,10 +141,10 @@
 
     /// A new term takes over from what is kept. `config` is in force.
     pub fn take_over(&mut self, config: ConfigInForce) {
-        self.epoch += 1;
+        self.term += 1;
         let records = self.records.clone().into_iter().collect();
         let restored = Restored {
-            epoch: self.epoch,
+            term: self.term,
             node: NodeId { ip: 9, port: 9 },
             records,
             config: Some(config),
@@ -248,10 +248,10 @@
 
     /// What the runner's agent reports now.
     pub fn next_report(&mut self, node: NodeId) -> Option<RunnerReport> {
-        let (epoch, revision) = self
+        let (term, revision) = self
             .orders
             .get(&node)
-            .map_or((0, 0), |orders| (orders.epoch, orders.revision));
+            .map_or((0, 0), |orders| (orders.term, orders.revision));
         let runner = self.runners.get_mut(&node)?;
         runner.sequence += 1;
         let (percent, saved) = (runner.percent, runner.saved.clone());
@@ -265,9 +265,9 @@
             agent: runner.agent,
             sequence: runner.sequence,
             sent_at: self.now.steady.0,
-            epoch,
+            term,
             revision,
-            settled: runner.settled && epoch > 0,
+            settled: runner.settled && term > 0,
             present: true,
             instance: runner.instance.as_str().into(),
             service: "s".into(),
--- a/crates/testing/simulation/src/checker/starts.rs
+++ b/crates/testing/simulation/src/checker/starts.rs
@@ -76,14 +76,14 @@
 /// A checkpoint names its task or, for a gang, its step after the digits of its progress.
 fn checkpoint_fits(job: &JobDefinition, task: &TaskName, saved: &str) -> bool {
     let gang = job.step_of(task).is_some_and(|step| step.gang);
-    let owner = if gang {
+    let leader = if gang {
         format!("{:?}", task.step_name())
     } else {
         task.to_string()
     };
     saved
         .split_once('-')
-        .is_some_and(|(_, named)| named == owner)
+        .is_some_and(|(_, named)| named == leader)
 }
 
 fn limit(judge: &mut Judge, run: &RunFact) {
--- a/crates/testing/simulation/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -13,14 +13,14 @@
 
 /// A call that is out.
 pub(crate) struct Call {
-    owner: CallOwner,
+    leader: CallOwner,
     node: NodeId,
     door: Door,
 }
 
 impl Call {
     fn latency(&self) -> Micros {
-        match self.owner.actor {
+        match self.leader.actor {
             ActorId::Runner(_) => BESIDE,
             _ => OUTSIDE,
         }
@@ -32,7 +32,7 @@
         let id = HttpRequestId(self.next_call);
         self.next_call += 1;
         let call = Call {
-            owner: CallOwner {
+            leader: CallOwner {
                 actor,
                 tag: outgoing.tag,
             },
@@ -80,7 +80,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (latency, node, actor) = (call.latency(), call.node, call.owner.actor);
+        let (latency, node, actor) = (call.latency(), call.node, call.leader.actor);
         if let Some(process) = self.processes.get_mut(&node) {
             process.requests.remove(&id);
         }
@@ -95,7 +95,7 @@
 
     pub(crate) fn outcome_arrives(&mut self, id: HttpRequestId, outcome: Outcome) {
         if let Some(call) = self.calls.remove(&id) {
-            self.tell_actor(call.owner, outcome);
+            self.tell_actor(call.leader, outcome);
         }
     }
 
@@ -110,6 +110,6 @@
         if waiting {
             self.dispatch(call.node, Event::HttpAbandoned { id });
         }
-        self.tell_actor(call.owner, Outcome::Silence);
+        self.tell_actor(call.leader, Outcome::Silence);
     }
 }
--- a/crates/testing/simulation/src/cluster/outside.rs
+++ b/crates/testing/simulation/src/cluster/outside.rs
@@ -90,8 +90,8 @@
         self.with_actor(id, |actor, now, surroundings| actor.wake(now, surroundings));
     }
 
-    pub(crate) fn tell_actor(&mut self, owner: CallOwner, outcome: Outcome) {
-        let CallOwner { actor, tag } = owner;
+    pub(crate) fn tell_actor(&mut self, leader: CallOwner, outcome: Outcome) {
+        let CallOwner { actor, tag } = leader;
         self.with_actor(actor, |acting, now, surroundings| {
             acting.outcome(now, tag, outcome, surroundings)
         });
--- a/crates/testing/simulation/src/runner/run.rs
+++ b/crates/testing/simulation/src/runner/run.rs
@@ -12,9 +12,9 @@
 const PROGRESS_DIGITS: usize = 10;
 
 /// The checkpoint of a task, or of its gang, after so much work.
-pub fn checkpoint(owner: &str, progress: Micros) -> String {
+pub fn checkpoint(leader: &str, progress: Micros) -> String {
     format!(
-        "{:0width$}-{owner}",
+        "{:0width$}-{leader}",
         progress / MILLISECOND,
         width = PROGRESS_DIGITS
     )
@@ -34,7 +34,7 @@
     pub asked: Resources,
     gang: Option<GangRun>,
     index: u64,
-    owner: String,
+    leader: String,
     checkpoints: bool,
     joined: Micros,
     gang_until: Micros,
@@ -77,7 +77,7 @@
             step: task.step_name(),
             attempt,
         });
-        let owner = if step.gang {
+        let leader = if step.gang {
             format!("{:?}", task.step_name())
         } else {
             task.to_string()
@@ -93,7 +93,7 @@
             asked: step.asked(),
             gang,
             index: task.index,
-            owner,
+            leader,
             checkpoints: step.checkpoints,
             joined: now,
             gang_until: now + surroundings.bounds.gang_ms * MILLISECOND,
@@ -215,14 +215,14 @@
         if !self.checkpoints || full <= self.restored {
             return self.saved.clone();
         }
-        checkpoint(&self.owner, full)
+        checkpoint(&self.leader, full)
     }
 
     /// Its checkpoint after an end.
     pub fn saved_at_end(&self, now: Micros, end: RunEnd, surroundings: &Surroundings) -> String {
         let progress = self.progress(now, surroundings);
         if end == RunEnd::Stopped && self.checkpoints && progress > self.restored {
-            return checkpoint(&self.owner, progress);
+            return checkpoint(&self.leader, progress);
         }
         self.saved(now, surroundings)
     }
