--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -13,7 +13,8 @@
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
 use sagetrail_protocol::control::{
-    Ballot, ChangesRequest, ControlMessage, Prepare, Read, RecordsTag, VoteReply, VoteRequest,
+    ChangesRequest, ControlMessage, Prepare, ProposalNumber, Read, RecordsPosition, VoteReply,
+    VoteRequest,
 };
 use sagetrail_protocol::node::DiskImage;
 use sagetrail_protocol::NodeId;
@@ -32,7 +33,7 @@
 const FOREIGN_INCARNATION: u64 = 0x99;
 /// So many batches of records there were in the term of the play.
 const STORED_BATCHES: u64 = 11;
-const FOREIGN_BALLOT: Ballot = Ballot {
+const FOREIGN_PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 0x0900,
     node: FOREIGN,
     incarnation: 0x77,
@@ -97,7 +98,7 @@
     runners.iter_mut().for_each(|runner| runner.end(task, end));
 }
 
-/// A member is founded alone, takes changes, jobs and reports, and promises a ballot to another process.
+/// A member is founded alone, takes changes, jobs and reports, and promises a proposal number to another process.
 fn play(folder: &Path) {
     let mut core = LoneCore::start(folder, INCARNATION, true);
     core.run(ELECTION_MS);
@@ -148,11 +149,11 @@
     assert_eq!(cancelled.status, 200);
     rounds(&mut core, &mut runners);
     let prepare = Prepare {
-        ballot: FOREIGN_BALLOT,
-        have: Ballot::default(),
+        proposal: FOREIGN_PROPOSAL,
+        have: ProposalNumber::default(),
     };
     let promised = core.ask(FOREIGN, ControlMessage::Prepare(prepare));
-    assert!(matches!(promised, ControlMessage::Promised(_)));
+    assert!(matches!(promised, ControlMessage::Promise(_)));
     drop(core);
     promise_a_term(folder);
 }
@@ -257,17 +258,17 @@
 fn foreign_read() -> ControlMessage {
     ControlMessage::Read(Read {
         nonce: 5,
-        have: Ballot::default(),
+        have: ProposalNumber::default(),
     })
 }
 
 #[test]
-fn the_registers_ballots_and_value_are_taken_up() {
+fn the_registers_proposals_and_value_are_taken_up() {
     let (mut core, _) = restarted("stored-register");
     let ControlMessage::ReadReply(reply) = core.ask(FOREIGN, foreign_read()) else {
         panic!("a read is answered");
     };
-    let accepted = Ballot {
+    let accepted = ProposalNumber {
         counter: VERSIONS + 1,
         node: ME,
         incarnation: INCARNATION,
@@ -275,17 +276,17 @@
     assert_eq!(reply.accepted, accepted);
     check_value(&RegisterValue::decode(&reply.value).unwrap());
     let prepare = Prepare {
-        ballot: Ballot {
-            counter: FOREIGN_BALLOT.counter - 1,
-            ..FOREIGN_BALLOT
+        proposal: ProposalNumber {
+            counter: FOREIGN_PROPOSAL.counter - 1,
+            ..FOREIGN_PROPOSAL
         },
-        have: Ballot::default(),
+        have: ProposalNumber::default(),
     };
     let ControlMessage::Refused(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
     else {
         panic!("a lower ballot is refused");
     };
-    assert_eq!(refused.promised, FOREIGN_BALLOT);
+    assert_eq!(refused.promised, FOREIGN_PROPOSAL);
 }
 
 fn check_value(value: &RegisterValue) {
@@ -311,7 +312,7 @@
 #[test]
 fn the_promised_term_and_the_state_of_the_records_are_taken_up() {
     let (mut core, _) = restarted("stored-promise");
-    let tag = RecordsTag {
+    let position = RecordsPosition {
         term: 1,
         number: STORED_BATCHES,
     };
@@ -325,7 +326,7 @@
         assert_eq!(reply.granted, granted, "{from} {incarnation:x}");
         assert_eq!(reply.promised, FOREIGN_TERM);
         assert_eq!(reply.members_version, 1);
-        assert_eq!(reply.tag, tag);
+        assert_eq!(reply.position, position);
     }
 }
 
--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -1,18 +1,23 @@
 //! The register's second round by the change alone: a member that holds the value before it makes the new one itself.
 //!
 //! The SHA-256 of the proposer's value goes with the change. A member accepts only what has that very digest, so that
-//! under one ballot there still is one value.
+//! under one proposal number there still is one value.
 use crate::change::{Change, Job};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{AcceptChange, Ballot};
+use sagetrail_protocol::control::{AcceptChange, ProposalNumber};
 use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
 /// A change goes alone where the value is at least so many times its size.
 const WORTHWHILE_FACTOR: usize = 4;
 
-/// The change to be sent in the place of the value `bytes`, which `job` made of the value accepted in ballot `on`.
-pub fn compose(job: &Job, ballot: Ballot, on: Ballot, bytes: &Blob) -> Option<AcceptChange> {
+/// The change to be sent in the place of the value `bytes`, which `job` made of the value accepted in proposal number `on`.
+pub fn compose(
+    job: &Job,
+    proposal: ProposalNumber,
+    on: ProposalNumber,
+    bytes: &Blob,
+) -> Option<AcceptChange> {
     let Job::Order { change, .. } = job else {
         return None;
     };
@@ -21,7 +26,7 @@
     }
     let (kind, base, body) = (change.kind, change.base, Blob(change.body.clone()));
     Some(AcceptChange {
-        ballot,
+        proposal,
         on,
         kind,
         base,
--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -1,10 +1,10 @@
 //! The register's acceptor: what it said is on disk before it is said.
 use crate::accept_change;
 use crate::effects::Effects;
-use crate::persisted::{put_ballots, put_value, AcceptorBallots};
+use crate::persisted::{put_proposals, put_value, AcceptorNumbers};
 use sagetrail_protocol::control::{
-    Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Read, ReadReply,
-    Refused, Settled, ValueNeeded,
+    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Read,
+    ReadReply, Refused, StateSynced, ValueNeeded,
 };
 use sagetrail_protocol::node::DiskOperation;
 use sagetrail_protocol::{Blob, NodeId};
@@ -12,59 +12,59 @@
 /// The acceptor of one process.
 #[derive(Debug, Default)]
 pub struct Acceptor {
-    pub ballots: AcceptorBallots,
+    pub proposals: AcceptorNumbers,
     pub value: Blob,
     /// The member list's version in the accepted value.
     pub members_version: u64,
     /// The newest accepted value that is surely on disk.
-    pub synced: Ballot,
+    pub synced: ProposalNumber,
 }
 
 impl Acceptor {
     /// Takes up what was on disk.
-    pub fn restore(&mut self, ballots: AcceptorBallots, value: Blob) {
-        self.synced = ballots.accepted;
-        self.adopt(ballots, value);
+    pub fn restore(&mut self, proposals: AcceptorNumbers, value: Blob) {
+        self.synced = proposals.accepted;
+        self.adopt(proposals, value);
     }
 
     /// Takes up what was told by others and is being written.
-    pub fn adopt(&mut self, ballots: AcceptorBallots, value: Blob) {
+    pub fn adopt(&mut self, proposals: AcceptorNumbers, value: Blob) {
         self.members_version = members_version(&value);
-        self.ballots = ballots;
+        self.proposals = proposals;
         self.value = value;
     }
 
     /// First round.
     pub fn prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
-        if prepare.ballot < self.ballots.promised {
-            return self.refuse(from, prepare.ballot, effects);
+        if prepare.proposal < self.proposals.promised {
+            return self.refuse(from, prepare.proposal, effects);
         }
-        self.ballots.promised = prepare.ballot;
+        self.proposals.promised = prepare.proposal;
         let value = self.value_unless(prepare.have);
-        let promised = Promised {
-            ballot: prepare.ballot,
-            accepted: self.ballots.accepted,
+        let promised = Promise {
+            proposal: prepare.proposal,
+            accepted: self.proposals.accepted,
             value,
         };
-        let then = vec![(from, ControlMessage::Promised(promised))];
-        effects.write(vec![put_ballots(&self.ballots)], then);
+        let then = vec![(from, ControlMessage::Promise(promised))];
+        effects.write(vec![put_proposals(&self.proposals)], then);
     }
 
     /// Second round. `node` is the process itself.
     pub fn accept(&mut self, node: NodeId, from: NodeId, accept: Accept, effects: &mut Effects) {
-        if accept.ballot < self.ballots.promised {
-            return self.refuse(from, accept.ballot, effects);
+        if accept.proposal < self.proposals.promised {
+            return self.refuse(from, accept.proposal, effects);
         }
-        let ballot = accept.ballot;
+        let proposal = accept.proposal;
         self.adopt(
-            AcceptorBallots {
-                promised: ballot,
-                accepted: ballot,
+            AcceptorNumbers {
+                promised: proposal,
+                accepted: proposal,
             },
             accept.value,
         );
-        let settled = (node, ControlMessage::Settled(Settled { ballot }));
-        let accepted = (from, ControlMessage::Accepted(Accepted { ballot }));
+        let settled = (node, ControlMessage::StateSynced(StateSynced { proposal }));
+        let accepted = (from, ControlMessage::Accepted(Accepted { proposal }));
         effects.write(self.operations(), vec![settled, accepted]);
     }
 
@@ -76,18 +76,18 @@
         accept: &AcceptChange,
         effects: &mut Effects,
     ) {
-        let ballot = accept.ballot;
-        if ballot < self.ballots.promised {
-            return self.refuse(from, ballot, effects);
+        let proposal = accept.proposal;
+        if proposal < self.proposals.promised {
+            return self.refuse(from, proposal, effects);
         }
-        let value = match self.ballots.accepted {
-            accepted if accepted == ballot => Some(self.value.clone()),
+        let value = match self.proposals.accepted {
+            accepted if accepted == proposal => Some(self.value.clone()),
             accepted if accepted == accept.on => accept_change::result(accept, &self.value),
             _ => None,
         };
         match value {
-            Some(value) => self.accept(node, from, Accept { ballot, value }, effects),
-            None => effects.control(from, ControlMessage::ValueNeeded(ValueNeeded { ballot })),
+            Some(value) => self.accept(node, from, Accept { proposal, value }, effects),
+            None => effects.control(from, ControlMessage::ValueNeeded(ValueNeeded { proposal })),
         }
     }
 
@@ -96,37 +96,37 @@
         let value = self.value_unless(read.have);
         let reply = ReadReply {
             nonce: read.nonce,
-            accepted: self.ballots.accepted,
+            accepted: self.proposals.accepted,
             value,
         };
         let reply = ControlMessage::ReadReply(reply);
-        if self.synced == self.ballots.accepted {
+        if self.synced == self.proposals.accepted {
             return effects.control(from, reply);
         }
         effects.write(Vec::new(), vec![(from, reply)]);
     }
 
     /// A value has been synced.
-    pub fn settled(&mut self, ballot: Ballot) {
-        self.synced = self.synced.max(ballot);
+    pub fn settled(&mut self, proposal: ProposalNumber) {
+        self.synced = self.synced.max(proposal);
     }
 
     /// Everything, to be written.
     pub fn operations(&self) -> Vec<DiskOperation> {
-        vec![put_ballots(&self.ballots), put_value(&self.value)]
+        vec![put_proposals(&self.proposals), put_value(&self.value)]
     }
 
-    fn value_unless(&self, have: Ballot) -> Blob {
-        if have == self.ballots.accepted {
+    fn value_unless(&self, have: ProposalNumber) -> Blob {
+        if have == self.proposals.accepted {
             return Blob::default();
         }
         self.value.clone()
     }
 
-    fn refuse(&self, from: NodeId, ballot: Ballot, effects: &mut Effects) {
+    fn refuse(&self, from: NodeId, proposal: ProposalNumber, effects: &mut Effects) {
         let refused = Refused {
-            ballot,
-            promised: self.ballots.promised,
+            proposal,
+            promised: self.proposals.promised,
         };
         effects.control(from, ControlMessage::Refused(refused));
     }
--- a/crates/cluster/control-plane/src/candidate.rs
+++ b/crates/cluster/control-plane/src/candidate.rs
@@ -4,14 +4,16 @@
 use crate::timing::{ELECTION_JITTER_MS, LEADER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::{ControlMessage, RecordsTag, Resign, VoteReply, VoteRequest};
+use sagetrail_protocol::control::{
+    ControlMessage, RecordsPosition, Resign, VoteReply, VoteRequest,
+};
 use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A vote that was given.
 #[derive(Clone, Copy, Debug)]
 pub struct Vote {
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     /// When it was asked for, in microseconds of the candidate's steady clock.
     pub sent_at: u64,
 }
@@ -21,7 +23,7 @@
 pub struct Elected {
     pub term: Term,
     /// The newest records among the voters, and who has them.
-    pub base: RecordsTag,
+    pub base: RecordsPosition,
     pub source: NodeId,
     pub votes: BTreeMap<NodeId, Vote>,
 }
@@ -32,7 +34,7 @@
         let holders = self
             .votes
             .iter()
-            .filter(|(voter, vote)| vote.tag == self.base && **voter != self.source);
+            .filter(|(voter, vote)| vote.position == self.base && **voter != self.source);
         holders.map(|(voter, _)| *voter).collect()
     }
 }
@@ -185,7 +187,7 @@
         candidacy.votes.insert(
             from,
             Vote {
-                tag: reply.tag,
+                position: reply.position,
                 sent_at: reply.sent_at,
             },
         );
@@ -236,9 +238,9 @@
         let newest = self
             .votes
             .iter()
-            .max_by_key(|(voter, vote)| (vote.tag, **voter == node));
+            .max_by_key(|(voter, vote)| (vote.position, **voter == node));
         let (source, base) = newest
-            .map(|(voter, vote)| (*voter, vote.tag))
+            .map(|(voter, vote)| (*voter, vote.position))
             .unwrap_or_default();
         Elected {
             term: self.term,
--- a/crates/cluster/control-plane/src/checksum.rs
+++ b/crates/cluster/control-plane/src/checksum.rs
@@ -1,5 +1,5 @@
 //! The checksum of an image's pieces: CRC-32 over all entries so far, the image's state and the piece's place.
-use sagetrail_protocol::control::{RecordEntry, RecordsTag};
+use sagetrail_protocol::control::{RecordEntry, RecordsPosition};
 
 /// The checksum over the entries of an image, up to a piece. That of the last piece covers the whole image.
 #[derive(Clone, Debug, Default)]
@@ -19,10 +19,10 @@
     }
 
     /// The checksum of the piece whose entries were taken last.
-    pub fn of_piece(&self, tag: RecordsTag, index: u32, last: bool) -> u32 {
+    pub fn of_piece(&self, position: RecordsPosition, index: u32, last: bool) -> u32 {
         let mut hasher = self.entries.clone();
-        hasher.update(&tag.term.to_be_bytes());
-        hasher.update(&tag.number.to_be_bytes());
+        hasher.update(&position.term.to_be_bytes());
+        hasher.update(&position.number.to_be_bytes());
         hasher.update(&index.to_be_bytes());
         hasher.update(&[u8::from(last)]);
         hasher.finalize()
--- a/crates/cluster/control-plane/src/collection.rs
+++ b/crates/cluster/control-plane/src/collection.rs
@@ -3,7 +3,7 @@
 use crate::effects::Effects;
 use crate::records::Records;
 use crate::timing::{RESEND_MS, SOURCE_SILENT_MS};
-use sagetrail_protocol::control::{ControlMessage, FetchSnapshot, RecordsTag, SnapshotChunk};
+use sagetrail_protocol::control::{ControlMessage, FetchSnapshot, RecordsPosition, SnapshotChunk};
 use sagetrail_protocol::{NodeId, Term, Time};
 
 /// The pause between requests doubles so many times: a piece may take longer than the first one on a slow link.
@@ -15,8 +15,8 @@
     term: Term,
     pub source: NodeId,
     /// An image of an older state is of no use.
-    oldest: RecordsTag,
-    tag: RecordsTag,
+    oldest: RecordsPosition,
+    position: RecordsPosition,
     index: u32,
     records: Records,
     checksum: ImageChecksum,
@@ -33,14 +33,14 @@
         now: Time,
         term: Term,
         source: NodeId,
-        oldest: RecordsTag,
+        oldest: RecordsPosition,
         effects: &mut Effects,
     ) -> Collection {
         let collection = Collection {
             term,
             source,
             oldest,
-            tag: RecordsTag::default(),
+            position: RecordsPosition::default(),
             index: 0,
             records: Records::default(),
             checksum: ImageChecksum::default(),
@@ -86,39 +86,43 @@
         from: NodeId,
         chunk: SnapshotChunk,
         effects: &mut Effects,
-    ) -> Option<(RecordsTag, Records)> {
-        if from != self.source || chunk.term != self.term || chunk.tag < self.oldest {
+    ) -> Option<(RecordsPosition, Records)> {
+        if from != self.source || chunk.term != self.term || chunk.position < self.oldest {
             return None;
         }
-        if chunk.index == 0 && chunk.tag > self.tag {
-            self.begin(chunk.tag);
+        if chunk.index == 0 && chunk.position > self.position {
+            self.begin(chunk.position);
         }
-        if chunk.tag != self.tag || chunk.index != self.index {
+        if chunk.position != self.position || chunk.index != self.index {
             return None;
         }
         self.checksum.update(&chunk.entries);
-        if chunk.checksum != self.checksum.of_piece(chunk.tag, chunk.index, chunk.last) {
+        if chunk.checksum
+            != self
+                .checksum
+                .of_piece(chunk.position, chunk.index, chunk.last)
+        {
             log::warn!(
                 "piece {} of {:?} from {from} is torn; the transfer begins again",
                 chunk.index,
-                chunk.tag
+                chunk.position
             );
             // The first piece is asked for after the usual pause.
-            self.begin(RecordsTag::default());
+            self.begin(RecordsPosition::default());
             return None;
         }
         self.records.insert_all(chunk.entries);
         self.index += 1;
         self.progressed_at = now;
         if chunk.last {
-            return Some((self.tag, std::mem::take(&mut self.records)));
+            return Some((self.position, std::mem::take(&mut self.records)));
         }
         self.ask(now, effects);
         None
     }
 
-    fn begin(&mut self, tag: RecordsTag) {
-        self.tag = tag;
+    fn begin(&mut self, position: RecordsPosition) {
+        self.position = position;
         self.index = 0;
         self.records = Records::default();
         self.checksum = ImageChecksum::default();
@@ -131,14 +135,14 @@
     }
 
     fn send(&self, effects: &mut Effects) {
-        let tag = if self.index == 0 {
+        let position = if self.index == 0 {
             self.oldest
         } else {
-            self.tag
+            self.position
         };
         let fetch = FetchSnapshot {
             term: self.term,
-            tag,
+            position,
             index: self.index,
         };
         effects.control(self.source, ControlMessage::FetchSnapshot(fetch));
--- a/crates/cluster/control-plane/src/image.rs
+++ b/crates/cluster/control-plane/src/image.rs
@@ -2,7 +2,7 @@
 use crate::checksum::ImageChecksum;
 use crate::records::Records;
 use crate::timing::{SNAPSHOT_MS, SOURCE_SILENT_MS};
-use sagetrail_protocol::control::{FetchSnapshot, RecordEntry, RecordsTag, SnapshotChunk};
+use sagetrail_protocol::control::{FetchSnapshot, RecordEntry, RecordsPosition, SnapshotChunk};
 use sagetrail_protocol::{Blob, List, NodeId, Time};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
 /// The records as they were at one state.
 #[derive(Debug)]
 struct Image {
-    tag: RecordsTag,
+    position: RecordsPosition,
     made: Time,
     used: Time,
     bytes: usize,
@@ -42,23 +42,23 @@
 
 impl Images {
     /// The piece asked for; the first one where the asker holds pieces of an image that is gone. `None` where the
-    /// asker has to wait. `tag` and `records`: the newest state.
+    /// asker has to wait. `position` and `records`: the newest state.
     pub fn chunk(
         &mut self,
         now: Time,
         from: NodeId,
         fetch: &FetchSnapshot,
-        tag: RecordsTag,
+        position: RecordsPosition,
         records: &Records,
     ) -> Option<SnapshotChunk> {
-        if tag < fetch.tag {
+        if position < fetch.position {
             return None;
         }
         if self.begun(fetch).is_none()
-            && self.recent(now, fetch, tag).is_none()
+            && self.recent(now, fetch, position).is_none()
             && self.make_room(now)
         {
-            self.images.push(Image::new(now, tag, records));
+            self.images.push(Image::new(now, position, records));
         }
         let place = self.begun(fetch).or_else(|| self.newest(fetch))?;
         self.images[place].chunk(now, from, fetch)
@@ -78,14 +78,14 @@
     fn begun(&self, fetch: &FetchSnapshot) -> Option<usize> {
         self.images
             .iter()
-            .position(|image| fetch.index > 0 && image.tag == fetch.tag)
+            .position(|image| fetch.index > 0 && image.position == fetch.position)
     }
 
     /// An image that is worth being given to one more.
-    fn recent(&self, now: Time, fetch: &FetchSnapshot, tag: RecordsTag) -> Option<usize> {
+    fn recent(&self, now: Time, fetch: &FetchSnapshot, position: RecordsPosition) -> Option<usize> {
         let place = self.newest(fetch)?;
         let image = &self.images[place];
-        (image.tag == tag || now < image.made.plus_millis(REUSE_MS)).then_some(place)
+        (image.position == position || now < image.made.plus_millis(REUSE_MS)).then_some(place)
     }
 
     /// The newest image, where it is new enough for the asker.
@@ -94,8 +94,8 @@
             .images
             .iter()
             .enumerate()
-            .max_by_key(|(_, image)| image.tag)?;
-        (image.tag >= fetch.tag).then_some(place)
+            .max_by_key(|(_, image)| image.position)?;
+        (image.position >= fetch.position).then_some(place)
     }
 
     /// Drops the oldest images that nobody fetches, as far as needed; false where there is no room.
@@ -116,7 +116,7 @@
 }
 
 impl Image {
-    fn new(now: Time, tag: RecordsTag, records: &Records) -> Image {
+    fn new(now: Time, position: RecordsPosition, records: &Records) -> Image {
         let bytes = records
             .0
             .iter()
@@ -127,7 +127,7 @@
         let last = cut.len() - 1;
         let piece = |(index, entries): (usize, Vec<RecordEntry>)| {
             checksum.update(&entries);
-            let checksum = checksum.of_piece(tag, index as u32, index == last);
+            let checksum = checksum.of_piece(position, index as u32, index == last);
             Piece {
                 entries: List(entries),
                 checksum,
@@ -135,7 +135,7 @@
         };
         let pieces = cut.into_iter().enumerate().map(piece).collect();
         Image {
-            tag,
+            position,
             made: now,
             used: now,
             bytes,
@@ -155,7 +155,7 @@
     }
 
     fn chunk(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot) -> Option<SnapshotChunk> {
-        let index = if fetch.tag == self.tag {
+        let index = if fetch.position == self.position {
             fetch.index
         } else {
             0
@@ -170,7 +170,7 @@
         }
         Some(SnapshotChunk {
             term: fetch.term,
-            tag: self.tag,
+            position: self.position,
             index,
             last,
             checksum,
--- a/crates/cluster/control-plane/src/knowledge.rs
+++ b/crates/cluster/control-plane/src/knowledge.rs
@@ -1,7 +1,7 @@
 //! What this process knows of the register's chosen values.
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::service::ConfigInForce;
 use sagetrail_protocol::Time;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 /// A chosen value.
 #[derive(Clone, Debug)]
 pub struct Chosen {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     pub value: Arc<RegisterValue>,
 }
 
@@ -23,28 +23,28 @@
     pub list: MemberList,
     /// Everything chosen before this moment is known.
     pub fresh_as_of: Option<Time>,
-    /// The newest ballot that others called chosen.
-    pub rumoured: Ballot,
+    /// The newest proposal number that others called chosen.
+    pub rumoured: ProposalNumber,
     config: Option<ConfigInForce>,
 }
 
 impl Knowledge {
-    /// The ballot of the newest chosen value.
-    pub fn ballot(&self) -> Ballot {
+    /// The proposal number of the newest chosen value.
+    pub fn proposal(&self) -> ProposalNumber {
         self.chosen
             .as_ref()
-            .map(|chosen| chosen.ballot)
+            .map(|chosen| chosen.proposal)
             .unwrap_or_default()
     }
 
     /// Takes a chosen value; true where it is newer.
-    pub fn learn(&mut self, ballot: Ballot, value: Arc<RegisterValue>) -> bool {
-        if ballot <= self.ballot() {
+    pub fn learn(&mut self, proposal: ProposalNumber, value: Arc<RegisterValue>) -> bool {
+        if proposal <= self.proposal() {
             return false;
         }
         self.adopt_list(value.member_list());
         self.adopt_config(&value);
-        self.chosen = Some(Chosen { ballot, value });
+        self.chosen = Some(Chosen { proposal, value });
         true
     }
 
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -7,7 +7,7 @@
 use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
 use crate::window::Window;
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign,
+    ControlMessage, ProposalNumber, RecordBatch, RecordsPosition, Renew, RenewAck, Resign,
 };
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{Batch, Service};
@@ -53,7 +53,7 @@
     pub term: Term,
     pub elected_at: Time,
     pub lease_until: Time,
-    base: RecordsTag,
+    base: RecordsPosition,
     source: NodeId,
     /// Other voters with the term's base.
     other_sources: Vec<NodeId>,
@@ -139,7 +139,13 @@
     }
 
     /// Renews the lease where that is due.
-    pub fn renew(&mut self, now: Time, list: &MemberList, learned: Ballot, effects: &mut Effects) {
+    pub fn renew(
+        &mut self,
+        now: Time,
+        list: &MemberList,
+        learned: ProposalNumber,
+        effects: &mut Effects,
+    ) {
         if now < self.renew_at {
             return;
         }
@@ -178,7 +184,7 @@
         {
             return true;
         }
-        self.heard(now, from, ack.tag, list);
+        self.heard(now, from, ack.position, list);
         if let Some(progress) = self.progress.get_mut(&from) {
             progress.lease_sent_at = progress.lease_sent_at.max(Some(ack.sent_at));
             progress.leaving = ack.leaving;
@@ -202,13 +208,19 @@
     }
 
     /// A replica has synced its records up to a state.
-    pub fn stored(&mut self, now: Time, from: NodeId, tag: RecordsTag, list: &MemberList) {
+    pub fn stored(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        position: RecordsPosition,
+        list: &MemberList,
+    ) {
         if list.contains(from) {
-            self.heard(now, from, tag, list);
+            self.heard(now, from, position, list);
         }
     }
 
-    fn heard(&mut self, now: Time, from: NodeId, tag: RecordsTag, list: &MemberList) {
+    fn heard(&mut self, now: Time, from: NodeId, position: RecordsPosition, list: &MemberList) {
         if !list.contains(from) && !self.learners.contains_key(&from) {
             return;
         }
@@ -217,11 +229,11 @@
             .entry(from)
             .or_insert_with(|| Progress::new(now, None));
         progress.heard = now;
-        if tag.term != self.term || Some(tag.number) <= progress.acked {
+        if position.term != self.term || Some(position.number) <= progress.acked {
             return;
         }
-        progress.acked = Some(tag.number);
-        progress.next = progress.next.max(tag.number + 1);
+        progress.acked = Some(position.number);
+        progress.next = progress.next.max(position.number + 1);
         progress.progressed_at = now;
     }
 
--- a/crates/cluster/control-plane/src/learner.rs
+++ b/crates/cluster/control-plane/src/learner.rs
@@ -1,5 +1,5 @@
 //! A process that holds all that a member holds, and counts in no quorum, until it takes a member's place.
-use sagetrail_protocol::control::{RecordsTag, RenewAck};
+use sagetrail_protocol::control::{RecordsPosition, RenewAck};
 use sagetrail_protocol::{Incarnation, Term, Time};
 
 /// So many batches a learner may lag behind and still be made a member: they are on their way to it.
@@ -13,7 +13,7 @@
     since: Time,
     /// The newest state that it said it had synced, together with everything else a member holds; `None` also where it was
     /// asked to end.
-    held: Option<RecordsTag>,
+    held: Option<RecordsPosition>,
 }
 
 impl Learner {
@@ -31,7 +31,7 @@
         if Time(ack.sent_at) < self.since {
             return false;
         }
-        self.held = (ack.caught_up && !ack.leaving).then_some(ack.tag);
+        self.held = (ack.caught_up && !ack.leaving).then_some(ack.position);
         true
     }
 
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -5,16 +5,16 @@
 use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Outcome;
-use crate::reader::Found;
+use crate::reader::ReadOutcome;
 use crate::replica::Condition;
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew,
+    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
 };
 use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId, Time};
 
-/// So many processes wait to be told that a ballot is learnt.
+/// So many processes wait to be told that a proposal number is learnt.
 const MAX_LEARN_ASKERS: usize = 64;
 /// After so many reads in a row whose answers differed, a round of the register settles its value.
 const MOST_UNSETTLED_READS: u32 = 2;
@@ -40,8 +40,8 @@
         self.hear_core(from);
         match message {
             ControlMessage::Found(found) => self.on_found(from, found),
-            ControlMessage::Settled(settled) => self.on_settled(from, &settled),
-            ControlMessage::Promised(promised) => self.on_promised(from, promised),
+            ControlMessage::StateSynced(settled) => self.on_settled(from, &settled),
+            ControlMessage::Promise(promised) => self.on_promised(from, promised),
             ControlMessage::Accepted(accepted) => {
                 let outcome = self.proposer.accepted(from, &accepted);
                 self.on_outcome(outcome);
@@ -55,7 +55,7 @@
                     self.on_read(found);
                 }
             }
-            ControlMessage::Learn(learn) => self.on_learn(from, learn.ballot),
+            ControlMessage::Learn(learn) => self.on_learn(from, learn.proposal),
             ControlMessage::Learned(learned) => self.on_learned(from, &learned),
             ControlMessage::RecoverReply(reply) => {
                 if let Some(recovery) = &mut self.standing.recovery {
@@ -64,12 +64,12 @@
             }
             ControlMessage::VoteReply(reply) => self.on_vote_reply(from, &reply),
             ControlMessage::RenewAck(ack) => self.on_renew_ack(from, &ack),
-            ControlMessage::Stored(stored) => {
+            ControlMessage::RecordsSynced(stored) => {
                 if from == self.settings.node {
-                    self.replica.stored(stored.tag);
+                    self.replica.stored(stored.position);
                 }
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.stored(now, from, stored.tag, &self.knowledge.list);
+                    leadership.stored(now, from, stored.position, &self.knowledge.list);
                 }
             }
             ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
@@ -87,7 +87,7 @@
         let effects = &mut self.effects;
         match message {
             ControlMessage::Prepare(prepare) => {
-                self.proposer.note(prepare.ballot);
+                self.proposer.note(prepare.proposal);
                 self.acceptor.prepare(from, &prepare, effects);
             }
             ControlMessage::Accept(accept) => {
@@ -123,14 +123,14 @@
 
     /// What this process says of itself to the leader of the term.
     fn condition(&self, renew: &Renew) -> Condition {
-        let caught_up = self.knowledge.ballot() >= renew.learned && self.changes_caught_up();
+        let caught_up = self.knowledge.proposal() >= renew.learned && self.changes_caught_up();
         Condition {
             leaving: self.terminating.is_some(),
             caught_up,
         }
     }
 
-    fn on_promised(&mut self, from: NodeId, promised: Promised) {
+    fn on_promised(&mut self, from: NodeId, promised: Promise) {
         if let Some(recovery) = &mut self.standing.recovery {
             if let Some(recovered) = recovery.promised(from, promised) {
                 self.on_recovered(recovered);
@@ -154,14 +154,14 @@
 
     fn on_outcome(&mut self, outcome: Option<Outcome>) {
         let Some(outcome) = outcome else { return };
-        let ballot = outcome.chosen.ballot;
+        let proposal = outcome.chosen.proposal;
         // Who is a member no more is told as well.
         let mut listeners = self.knowledge.list.all();
         self.learn(outcome.chosen);
         self.freshen(outcome.as_of);
         if outcome.verdict == Verdict::Taken {
             listeners.extend(self.knowledge.list.all());
-            let learn = ControlMessage::Learn(Learn { ballot });
+            let learn = ControlMessage::Learn(Learn { proposal });
             self.effects.broadcast(listeners, &learn);
         }
         if let Job::Order { number, .. } = outcome.job {
@@ -172,7 +172,7 @@
                 now,
                 number,
                 &outcome.verdict,
-                ballot,
+                proposal,
                 wait,
                 &mut self.effects,
             );
@@ -180,14 +180,14 @@
     }
 
     /// A read is done.
-    pub(crate) fn on_read(&mut self, found: Found) {
+    pub(crate) fn on_read(&mut self, found: ReadOutcome) {
         match found {
-            Found::Chosen { chosen, as_of } => {
+            ReadOutcome::Chosen { chosen, as_of } => {
                 self.learn(chosen);
                 self.freshen(as_of);
                 self.unsettled_reads = 0;
             }
-            Found::Unsettled => self.on_unsettled_read(),
+            ReadOutcome::Unsettled => self.on_unsettled_read(),
         }
     }
 
@@ -202,31 +202,34 @@
         self.proposer.push(Job::Refresh);
     }
 
-    fn on_learn(&mut self, from: NodeId, ballot: Ballot) {
-        self.on_rumour(ballot);
-        let known = self.knowledge.ballot();
-        if known >= ballot {
+    fn on_learn(&mut self, from: NodeId, proposal: ProposalNumber) {
+        self.on_rumour(proposal);
+        let known = self.knowledge.proposal();
+        if known >= proposal {
             return self
                 .effects
-                .control(from, ControlMessage::Learned(Learned { ballot: known }));
+                .control(from, ControlMessage::Learned(Learned { proposal: known }));
         }
         if self.learn_askers.len() < MAX_LEARN_ASKERS {
-            self.learn_askers.push(LearnAsker { node: from, ballot });
+            self.learn_askers.push(LearnAsker {
+                node: from,
+                proposal,
+            });
         }
     }
 
-    /// Somebody says that the value of this ballot is chosen.
-    fn on_rumour(&mut self, ballot: Ballot) {
-        if ballot <= self.knowledge.ballot() {
+    /// Somebody says that the value of this proposal number is chosen.
+    fn on_rumour(&mut self, proposal: ProposalNumber) {
+        if proposal <= self.knowledge.proposal() {
             return;
         }
-        if self.acceptor.ballots.accepted == ballot {
+        if self.acceptor.proposals.accepted == proposal {
             if let Some(chosen) = self.own_value() {
                 return self.learn(chosen);
             }
         }
-        if ballot > self.knowledge.rumoured {
-            self.knowledge.rumoured = ballot;
+        if proposal > self.knowledge.rumoured {
+            self.knowledge.rumoured = proposal;
             self.rumour_at = Some(self.now.steady);
         }
     }
@@ -235,12 +238,12 @@
         let leader: Option<NodeId> = self.replica.live_leader(self.now.steady);
         if leader.is_none_or(|leader| leader == from) {
             self.operator
-                .leader_learned(learned.ballot, &mut self.effects);
+                .leader_learned(learned.proposal, &mut self.effects);
         }
     }
 
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
-        let promised = self.acceptor.ballots.promised;
+        let promised = self.acceptor.proposals.promised;
         let term = self.replica.state.promise.term;
         let reply = RecoverReply {
             nonce: recover.nonce,
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -22,7 +22,7 @@
 use crate::subscribers::Subscribers;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{DiskImage, Event, Node, Now, Outbox};
 use sagetrail_protocol::service::ServiceFactory;
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -39,11 +39,11 @@
     pub arrived: Time,
 }
 
-/// A process that is to be told once a ballot is learnt.
+/// A process that is to be told once a proposal number is learnt.
 #[derive(Debug)]
 pub(crate) struct LearnAsker {
     pub node: NodeId,
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
 }
 
 /// The logic of one core process.
@@ -146,8 +146,8 @@
     }
 
     fn restore(&mut self, state: ControlState) {
-        self.acceptor.restore(state.ballots, state.value);
-        self.proposer.note(state.ballots.promised);
+        self.acceptor.restore(state.proposals, state.value);
+        self.proposer.note(state.proposals.promised);
         self.elections.note(state.replica.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -4,7 +4,7 @@
 use crate::knowledge::Knowledge;
 use crate::proposer::Proposer;
 use crate::timing::{LEARN_WAIT_MS, ORDER_MARGIN_MS, UNTOUCHED_MS};
-use sagetrail_protocol::control::Ballot;
+use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{HttpReply, HttpRequestId};
 use sagetrail_protocol::Time;
 use std::collections::BTreeMap;
@@ -23,8 +23,8 @@
     change: Arc<Change>,
     waiters: Vec<HttpRequestId>,
     arrived: Time,
-    /// Taken in this ballot; the scheduler is to learn it until the given time.
-    taken: Option<(Ballot, Time)>,
+    /// Taken in this proposal number; the scheduler is to learn it until the given time.
+    taken: Option<(ProposalNumber, Time)>,
 }
 
 #[derive(Debug)]
@@ -123,13 +123,13 @@
         now: Time,
         number: u64,
         verdict: &Verdict,
-        ballot: Ballot,
+        proposal: ProposalNumber,
         wait: bool,
         effects: &mut Effects,
     ) {
         if let (Verdict::Taken, true) = (verdict, wait) {
             if let Some(order) = self.orders.get_mut(&number) {
-                order.taken = Some((ballot, now.plus_millis(LEARN_WAIT_MS)));
+                order.taken = Some((proposal, now.plus_millis(LEARN_WAIT_MS)));
             }
             return;
         }
@@ -143,9 +143,9 @@
         }
     }
 
-    /// The scheduler acts by this ballot now.
-    pub fn leader_learned(&mut self, ballot: Ballot, effects: &mut Effects) {
-        let is_known = |order: &Order| order.taken.is_some_and(|(taken, _)| taken <= ballot);
+    /// The scheduler acts by this proposal number now.
+    pub fn leader_learned(&mut self, proposal: ProposalNumber, effects: &mut Effects) {
+        let is_known = |order: &Order| order.taken.is_some_and(|(taken, _)| taken <= proposal);
         self.answer_all(is_known, OK, effects);
     }
 
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -2,7 +2,7 @@
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
 use deku::prelude::*;
-use sagetrail_protocol::control::{Ballot, RecordsTag};
+use sagetrail_protocol::control::{ProposalNumber, RecordsPosition};
 use sagetrail_protocol::node::{DiskImage, DiskOperation, Table};
 use sagetrail_protocol::{Blob, Incarnation, List, NodeId, Term};
 
@@ -11,11 +11,11 @@
 const REPLICA_KEY: &[u8] = b"replica";
 const MEMBERS_KEY: &[u8] = b"members";
 
-/// The register's ballots on disk.
+/// The register's proposal numbers on disk.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct AcceptorBallots {
-    pub promised: Ballot,
-    pub accepted: Ballot,
+pub struct AcceptorNumbers {
+    pub promised: ProposalNumber,
+    pub accepted: ProposalNumber,
 }
 
 /// A term that was promised, and to whom.
@@ -30,7 +30,7 @@
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct ReplicaState {
     pub promise: TermPromise,
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     /// False after the disk was emptied, until the records have been brought whole.
     pub whole: bool,
 }
@@ -67,7 +67,7 @@
 /// All of it.
 #[derive(Clone, Debug, Default)]
 pub struct ControlState {
-    pub ballots: AcceptorBallots,
+    pub proposals: AcceptorNumbers,
     pub value: Blob,
     pub replica: ReplicaState,
     pub members: StoredMembers,
@@ -102,13 +102,13 @@
                 .find(|row| row.0 == key)
                 .map(|row| row.1.as_slice())
         };
-        let ballots: AcceptorBallots = decode(find(ACCEPTOR_KEY)?)?;
+        let proposals: AcceptorNumbers = decode(find(ACCEPTOR_KEY)?)?;
         let replica = decode(find(REPLICA_KEY)?)?;
         let members = decode(find(MEMBERS_KEY)?)?;
         let value = Blob(find(VALUE_KEY)?.to_vec());
         decode::<RegisterValue>(&value)?;
         Some(ControlState {
-            ballots,
+            proposals,
             value,
             replica,
             members,
@@ -122,9 +122,9 @@
     rest.is_empty().then_some(item)
 }
 
-/// Writes the register's ballots.
-pub fn put_ballots(ballots: &AcceptorBallots) -> DiskOperation {
-    put(ACCEPTOR_KEY, ballots.to_bytes().unwrap_or_default())
+/// Writes the register's proposal numbers.
+pub fn put_proposals(proposals: &AcceptorNumbers) -> DiskOperation {
+    put(ACCEPTOR_KEY, proposals.to_bytes().unwrap_or_default())
 }
 
 /// Writes the accepted value.
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -10,7 +10,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::{
-    Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Refused, ValueNeeded,
+    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Refused,
+    ValueNeeded,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -28,8 +29,8 @@
 
 #[derive(Debug)]
 struct FirstRound {
-    replies: BTreeMap<NodeId, Ballot>,
-    newest: Ballot,
+    replies: BTreeMap<NodeId, ProposalNumber>,
+    newest: ProposalNumber,
     value: Option<Arc<RegisterValue>>,
 }
 
@@ -53,7 +54,7 @@
 
 #[derive(Debug)]
 struct Round {
-    ballot: Ballot,
+    proposal: ProposalNumber,
     list: MemberList,
     known: Option<Chosen>,
     started: Time,
@@ -129,9 +130,9 @@
             && matches!(front, Some(Job::Order { number: other, .. }) if *other == number)
     }
 
-    /// Notes a ballot that others have promised.
-    pub fn note(&mut self, ballot: Ballot) {
-        self.counter = self.counter.max(ballot.counter);
+    /// Notes a proposal number that others have promised.
+    pub fn note(&mut self, proposal: ProposalNumber) {
+        self.counter = self.counter.max(proposal.counter);
     }
 
     /// Notes a member list that was accepted and may not be chosen.
@@ -178,7 +179,7 @@
 
     fn start(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
         self.counter += 1;
-        let ballot = Ballot {
+        let proposal = ProposalNumber {
             counter: self.counter,
             node: self.node,
             incarnation: self.incarnation,
@@ -191,12 +192,12 @@
         };
         let first = FirstRound {
             replies: BTreeMap::new(),
-            newest: Ballot::default(),
+            newest: ProposalNumber::default(),
             value: None,
         };
         let known = knowledge.chosen.clone();
         let round = Round {
-            ballot,
+            proposal,
             list,
             known,
             started: now,
@@ -212,14 +213,14 @@
         &mut self,
         now: Time,
         from: NodeId,
-        promised: Promised,
+        promised: Promise,
         changes: &AcceptedChanges,
         effects: &mut Effects,
     ) -> Option<Outcome> {
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == promised.ballot)?;
+            .filter(|round| round.proposal == promised.proposal)?;
         if !round.take_promise(from, promised) {
             return None;
         }
@@ -248,10 +249,13 @@
         }
         let job = self.queue.front()?;
         let step = job.apply(&value, changes);
-        let settled = first.replies.values().all(|ballot| *ballot == first.newest);
+        let settled = first
+            .replies
+            .values()
+            .all(|proposal| *proposal == first.newest);
         if step.value.is_none() && settled {
             let chosen = Chosen {
-                ballot: first.newest,
+                proposal: first.newest,
                 value,
             };
             return self.finish(chosen, step.verdict);
@@ -269,7 +273,7 @@
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == accepted.ballot)?;
+            .filter(|round| round.proposal == accepted.proposal)?;
         let Phase::Second(second) = &mut round.phase else {
             return None;
         };
@@ -282,7 +286,7 @@
             return None;
         }
         let chosen = Chosen {
-            ballot: round.ballot,
+            proposal: round.proposal,
             value: second.value.clone(),
         };
         let verdict = second.verdict.clone();
@@ -294,7 +298,7 @@
         let Some(round) = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == needed.ballot)
+            .filter(|round| round.proposal == needed.proposal)
         else {
             return;
         };
@@ -302,17 +306,17 @@
             return;
         };
         if second.need_value.insert(from) {
-            effects.control(from, second.message(round.ballot, from));
+            effects.control(from, second.message(round.proposal, from));
         }
     }
 
-    /// A higher ballot is about.
+    /// A higher proposal number is about.
     pub fn refused(&mut self, now: Time, refused: &Refused) {
         self.note(refused.promised);
         if self
             .round
             .as_ref()
-            .is_some_and(|round| round.ballot == refused.ballot)
+            .is_some_and(|round| round.proposal == refused.proposal)
         {
             self.back_off(now);
         }
@@ -347,10 +351,10 @@
                 let have = self
                     .known
                     .as_ref()
-                    .map(|known| known.ballot)
+                    .map(|known| known.proposal)
                     .unwrap_or_default();
                 let prepare = ControlMessage::Prepare(Prepare {
-                    ballot: self.ballot,
+                    proposal: self.proposal,
                     have,
                 });
                 let members = self.list.all().into_iter();
@@ -363,14 +367,14 @@
                 let members: BTreeSet<NodeId> =
                     second.quorums.iter().flat_map(MemberList::all).collect();
                 for member in members.difference(&second.replies) {
-                    effects.control(*member, second.message(self.ballot, *member));
+                    effects.control(*member, second.message(self.proposal, *member));
                 }
             }
         }
     }
 
     /// True once a majority has promised.
-    fn take_promise(&mut self, from: NodeId, promised: Promised) -> bool {
+    fn take_promise(&mut self, from: NodeId, promised: Promise) -> bool {
         let Phase::First(first) = &mut self.phase else {
             return false;
         };
@@ -379,7 +383,7 @@
             let known = self
                 .known
                 .as_ref()
-                .filter(|known| known.ballot == promised.accepted);
+                .filter(|known| known.proposal == promised.accepted);
             let sent = || RegisterValue::decode(&promised.value).ok().map(Arc::new);
             let value = known.map(|known| known.value.clone()).or_else(sent);
             if value.is_none() {
@@ -411,7 +415,7 @@
         }
         let bytes = Blob(value.encode());
         let change =
-            job.and_then(|job| accept_change::compose(job, self.ballot, first.newest, &bytes));
+            job.and_then(|job| accept_change::compose(job, self.proposal, first.newest, &bytes));
         let need_value = first.need_value(node);
         let replies = BTreeSet::new();
         let second = SecondRound {
@@ -441,13 +445,13 @@
 
 impl SecondRound {
     /// The change alone for a member that may hold the value before it, else the whole value.
-    fn message(&self, ballot: Ballot, member: NodeId) -> ControlMessage {
+    fn message(&self, proposal: ProposalNumber, member: NodeId) -> ControlMessage {
         match &self.change {
             Some(change) if !self.need_value.contains(&member) => {
                 ControlMessage::AcceptChange(change.clone())
             }
             _ => ControlMessage::Accept(Accept {
-                ballot,
+                proposal,
                 value: self.bytes.clone(),
             }),
         }
--- a/crates/cluster/control-plane/src/reader.rs
+++ b/crates/cluster/control-plane/src/reader.rs
@@ -1,10 +1,10 @@
-//! Cheap reads of the register: where a majority tells the same ballot, its value is chosen.
+//! Cheap reads of the register: where a majority tells the same proposal number, its value is chosen.
 use crate::effects::Effects;
 use crate::knowledge::{Chosen, Knowledge};
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{Ballot, ControlMessage, Read, ReadReply};
+use sagetrail_protocol::control::{ControlMessage, ProposalNumber, Read, ReadReply};
 use sagetrail_protocol::{Blob, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,13 +16,13 @@
     known: Option<Chosen>,
     started: Time,
     sent_at: Time,
-    replies: BTreeMap<NodeId, Ballot>,
-    values: BTreeMap<Ballot, Blob>,
+    replies: BTreeMap<NodeId, ProposalNumber>,
+    values: BTreeMap<ProposalNumber, Blob>,
 }
 
 /// What a read found.
 #[derive(Debug)]
-pub enum Found {
+pub enum ReadOutcome {
     /// This value is chosen, and nothing newer was before the moment.
     Chosen { chosen: Chosen, as_of: Time },
     /// The answers differ; a round of the register must settle it.
@@ -74,7 +74,7 @@
     }
 
     /// Repeats what had no answer. A read whose answers differ is unsettled, one that lasts too long given up.
-    pub fn tick(&mut self, now: Time, effects: &mut Effects) -> Option<Found> {
+    pub fn tick(&mut self, now: Time, effects: &mut Effects) -> Option<ReadOutcome> {
         let round = self.round.as_mut()?;
         if now < round.sent_at.plus_millis(RESEND_MS) {
             return None;
@@ -84,7 +84,7 @@
             .reached_by(&round.replies.keys().copied().collect());
         if differs || now >= round.started.plus_millis(ROUND_MS) {
             self.round = None;
-            return differs.then_some(Found::Unsettled);
+            return differs.then_some(ReadOutcome::Unsettled);
         }
         round.sent_at = now;
         round.send(effects);
@@ -92,7 +92,7 @@
     }
 
     /// An answer came.
-    pub fn reply(&mut self, from: NodeId, reply: ReadReply) -> Option<Found> {
+    pub fn reply(&mut self, from: NodeId, reply: ReadReply) -> Option<ReadOutcome> {
         let round = self
             .round
             .as_mut()
@@ -104,12 +104,12 @@
         if !reply.value.is_empty() {
             round.values.insert(reply.accepted, reply.value);
         }
-        if let Some(ballot) = round.agreed() {
-            return self.round.take().map(|round| round.finish(ballot));
+        if let Some(proposal) = round.agreed() {
+            return self.round.take().map(|round| round.finish(proposal));
         }
         if round.replies.len() == round.list.all().len() {
             self.round = None;
-            return Some(Found::Unsettled);
+            return Some(ReadOutcome::Unsettled);
         }
         None
     }
@@ -120,7 +120,7 @@
         let have = self
             .known
             .as_ref()
-            .map(|known| known.ballot)
+            .map(|known| known.proposal)
             .unwrap_or_default();
         let read = ControlMessage::Read(Read {
             nonce: self.nonce,
@@ -134,34 +134,37 @@
         effects.broadcast(silent, &read);
     }
 
-    /// The ballot that a majority tells.
-    fn agreed(&self) -> Option<Ballot> {
+    /// The proposal number that a majority tells.
+    fn agreed(&self) -> Option<ProposalNumber> {
         self.replies
             .values()
-            .find(|ballot| self.list.reached_by(&self.tellers(ballot)))
+            .find(|proposal| self.list.reached_by(&self.tellers(proposal)))
             .copied()
     }
 
-    fn tellers(&self, ballot: &Ballot) -> BTreeSet<NodeId> {
-        let tellers = self.replies.iter().filter(|(_, told)| *told == ballot);
+    fn tellers(&self, proposal: &ProposalNumber) -> BTreeSet<NodeId> {
+        let tellers = self.replies.iter().filter(|(_, told)| *told == proposal);
         tellers.map(|(node, _)| *node).collect()
     }
 
-    fn finish(self, ballot: Ballot) -> Found {
-        let known = self.known.as_ref().filter(|known| known.ballot == ballot);
+    fn finish(self, proposal: ProposalNumber) -> ReadOutcome {
+        let known = self
+            .known
+            .as_ref()
+            .filter(|known| known.proposal == proposal);
         let sent = || {
             self.values
-                .get(&ballot)
+                .get(&proposal)
                 .and_then(|bytes| RegisterValue::decode(bytes).ok())
                 .map(Arc::new)
         };
         let value = known.map(|known| known.value.clone()).or_else(sent);
         match value.filter(|value| value.members_version == self.list.version) {
-            Some(value) => Found::Chosen {
-                chosen: Chosen { ballot, value },
+            Some(value) => ReadOutcome::Chosen {
+                chosen: Chosen { proposal, value },
                 as_of: self.started,
             },
-            None => Found::Unsettled,
+            None => ReadOutcome::Unsettled,
         }
     }
 }
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -1,13 +1,13 @@
 //! A member with an emptied disk learns from the others what it may have promised, before it takes part again.
 //!
-//! It first asks for the highest promises, then has a majority of the members promise a higher ballot: an answer
+//! It first asks for the highest promises, then has a majority of the members promise a higher proposal number: an answer
 //! that it gave in its former life can no longer complete a round that the others have not seen.
 use crate::effects::Effects;
-use crate::persisted::AcceptorBallots;
+use crate::persisted::AcceptorNumbers;
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused,
+    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Refused,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 /// What the others know.
 #[derive(Debug)]
 pub struct Recovered {
-    pub ballots: AcceptorBallots,
+    pub proposals: AcceptorNumbers,
     pub value: Blob,
     pub term: Term,
     /// The version of the list whose members were asked.
@@ -38,9 +38,9 @@
     others: Vec<NodeId>,
     phase: Phase,
     replies: BTreeSet<NodeId>,
-    highest: Ballot,
+    highest: ProposalNumber,
     term: Term,
-    accepted: Ballot,
+    accepted: ProposalNumber,
     value: Blob,
     started: Time,
     sent_at: Time,
@@ -68,9 +68,9 @@
             others,
             phase: Phase::Asking,
             replies: BTreeSet::new(),
-            highest: Ballot::default(),
+            highest: ProposalNumber::default(),
             term: 0,
-            accepted: Ballot::default(),
+            accepted: ProposalNumber::default(),
             value: Blob::default(),
             started: now,
             sent_at: now,
@@ -112,8 +112,8 @@
     }
 
     /// A member promised; the result once enough have.
-    pub fn promised(&mut self, from: NodeId, promised: Promised) -> Option<Recovered> {
-        if !matches!(self.phase, Phase::Preparing) || promised.ballot != self.ballot() {
+    pub fn promised(&mut self, from: NodeId, promised: Promise) -> Option<Recovered> {
+        if !matches!(self.phase, Phase::Preparing) || promised.proposal != self.proposal() {
             return None;
         }
         self.replies.insert(from);
@@ -124,29 +124,29 @@
         if !self.list.known_without(self.node, &self.replies) || self.value.is_empty() {
             return None;
         }
-        let ballots = AcceptorBallots {
-            promised: self.ballot(),
+        let proposals = AcceptorNumbers {
+            promised: self.proposal(),
             accepted: self.accepted,
         };
         let members_version = self.list.version;
         Some(Recovered {
-            ballots,
+            proposals,
             value: self.value.clone(),
             term: self.term,
             members_version,
         })
     }
 
-    /// A higher ballot is about: the next one goes above it.
+    /// A higher proposal number is about: the next one goes above it.
     pub fn refused(&mut self, refused: &Refused) {
-        if refused.ballot == self.ballot() {
+        if refused.proposal == self.proposal() {
             self.highest = self.highest.max(refused.promised);
             self.replies.clear();
         }
     }
 
-    fn ballot(&self) -> Ballot {
-        Ballot {
+    fn proposal(&self) -> ProposalNumber {
+        ProposalNumber {
             counter: self.highest.counter + 1,
             node: self.node,
             incarnation: self.incarnation,
@@ -157,8 +157,8 @@
         let message = match self.phase {
             Phase::Asking => ControlMessage::Recover(Recover { nonce: self.nonce }),
             Phase::Preparing => ControlMessage::Prepare(Prepare {
-                ballot: self.ballot(),
-                have: Ballot::default(),
+                proposal: self.proposal(),
+                have: ProposalNumber::default(),
             }),
         };
         let silent = self
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -6,8 +6,8 @@
 use crate::records::Records;
 use crate::timing::{BEHIND_MS, LEASE_MS};
 use sagetrail_protocol::control::{
-    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck,
-    SnapshotChunk, Stored,
+    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsPosition, RecordsSynced,
+    Renew, RenewAck, SnapshotChunk,
 };
 use sagetrail_protocol::{List, NodeId, Term, Time};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 pub(crate) struct Followed {
     pub term: Term,
     pub leader: NodeId,
-    base: RecordsTag,
+    base: RecordsPosition,
     source: NodeId,
 }
 
@@ -39,7 +39,7 @@
     node: NodeId,
     pub state: ReplicaState,
     /// The newest state that is surely on disk.
-    pub synced: RecordsTag,
+    pub synced: RecordsPosition,
     pub records: Records,
     /// No term is promised before: a lease may be running.
     pub lease_until: Time,
@@ -58,7 +58,7 @@
         Replica {
             node,
             state,
-            synced: state.tag,
+            synced: state.position,
             records,
             lease_until: now.plus_millis(LEASE_MS),
             followed: None,
@@ -142,7 +142,7 @@
             term: renew.term,
             sent_at: renew.sent_at,
             promised,
-            tag: self.synced,
+            position: self.synced,
             leaving: condition.leaving,
             caught_up: condition.caught_up,
         })
@@ -167,9 +167,9 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.term == followed.term && self.state.whole {
+        if self.state.position.term == followed.term && self.state.whole {
             // The leader sends on once it hears what was synced: what waits for the disk is not behind.
-            let behind = newest > self.state.tag.number && self.synced == self.state.tag;
+            let behind = newest > self.state.position.number && self.synced == self.state.position;
             self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
             let long = self
                 .behind_since
@@ -179,8 +179,8 @@
             }
             return;
         }
-        if self.state.tag == followed.base && self.state.whole {
-            self.state.tag = RecordsTag {
+        if self.state.position == followed.base && self.state.whole {
+            self.state.position = RecordsPosition {
                 term: followed.term,
                 number: 0,
             };
@@ -216,20 +216,20 @@
 
     /// The oldest state of which an image is of use. With its disk a replica may have lost what it acknowledged, which
     /// is no newer than the leader's newest batch; otherwise its own state holds all of that.
-    fn oldest_useful(&self, term: Term, newest: u64) -> RecordsTag {
+    fn oldest_useful(&self, term: Term, newest: u64) -> RecordsPosition {
         if !self.state.whole && newest > 0 {
-            return RecordsTag {
+            return RecordsPosition {
                 term,
                 number: newest,
             };
         }
-        if self.state.whole && self.state.tag.term == term {
-            return RecordsTag {
+        if self.state.whole && self.state.position.term == term {
+            return RecordsPosition {
                 term,
-                number: self.state.tag.number + 1,
+                number: self.state.position.number + 1,
             };
         }
-        RecordsTag::default()
+        RecordsPosition::default()
     }
 
     /// Whether records are being fetched from a source that gives nothing.
@@ -248,9 +248,14 @@
         if !current || self.state.promise.term != batch.term {
             return;
         }
-        if self.state.tag.term == batch.term && batch.number <= self.state.tag.number {
+        if self.state.position.term == batch.term && batch.number <= self.state.position.number {
             if batch.number <= self.synced.number && self.synced.term == batch.term {
-                effects.control(from, ControlMessage::Stored(Stored { tag: self.synced }));
+                effects.control(
+                    from,
+                    ControlMessage::RecordsSynced(RecordsSynced {
+                        position: self.synced,
+                    }),
+                );
             }
             return;
         }
@@ -264,16 +269,16 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.term != followed.term {
+        if self.state.position.term != followed.term {
             return;
         }
         let mut operations = Vec::new();
-        let before = self.state.tag.number;
-        while let Some(changes) = self.buffered.remove(&(self.state.tag.number + 1)) {
+        let before = self.state.position.number;
+        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
             operations.extend(self.records.apply(&changes));
-            self.state.tag.number += 1;
+            self.state.position.number += 1;
         }
-        let number = self.state.tag.number;
+        let number = self.state.position.number;
         self.buffered.retain(|buffered, _| *buffered > number);
         if number > before {
             // Where batches come on there is no need for an image.
@@ -289,8 +294,8 @@
         effects: &mut Effects,
     ) {
         operations.push(put_replica(&self.state));
-        let stored = ControlMessage::Stored(Stored {
-            tag: self.state.tag,
+        let stored = ControlMessage::RecordsSynced(RecordsSynced {
+            position: self.state.position,
         });
         let mut then = vec![(self.node, stored.clone())];
         if let Some(followed) = self
@@ -303,8 +308,8 @@
     }
 
     /// The records have been synced up to this state.
-    pub fn stored(&mut self, tag: RecordsTag) {
-        self.synced = self.synced.max(tag);
+    pub fn stored(&mut self, position: RecordsPosition) {
+        self.synced = self.synced.max(position);
     }
 
     /// Somebody fetches the whole records.
@@ -314,7 +319,7 @@
         }
         if let Some(chunk) = self
             .images
-            .chunk(now, from, fetch, self.state.tag, &self.records)
+            .chunk(now, from, fetch, self.state.position, &self.records)
         {
             effects.control(from, ControlMessage::SnapshotChunk(chunk));
         }
@@ -325,34 +330,34 @@
         let Some(collection) = &mut self.collection else {
             return;
         };
-        let Some((tag, records)) = collection.take(now, from, chunk, effects) else {
+        let Some((position, records)) = collection.take(now, from, chunk, effects) else {
             return;
         };
         self.collection = None;
-        self.install(tag, records, effects);
+        self.install(position, records, effects);
     }
 
-    fn install(&mut self, tag: RecordsTag, records: Records, effects: &mut Effects) {
+    fn install(&mut self, position: RecordsPosition, records: Records, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
         let term = followed.term;
-        let tag = if tag == followed.base {
-            RecordsTag { term, number: 0 }
+        let position = if position == followed.base {
+            RecordsPosition { term, number: 0 }
         } else {
-            tag
+            position
         };
-        let newer = tag > self.state.tag || !self.state.whole;
-        if tag.term != term || !newer || self.state.promise.term != term {
+        let newer = position > self.state.position || !self.state.whole;
+        if position.term != term || !newer || self.state.promise.term != term {
             return;
         }
         self.records = records;
-        self.state.tag = tag;
+        self.state.position = position;
         self.state.whole = true;
         self.behind_since = None;
-        while let Some(changes) = self.buffered.remove(&(self.state.tag.number + 1)) {
+        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
             self.records.apply(&changes);
-            self.state.tag.number += 1;
+            self.state.position.number += 1;
         }
         self.store(self.records.rewrite(), effects);
     }
--- a/crates/cluster/control-plane/src/standing.rs
+++ b/crates/cluster/control-plane/src/standing.rs
@@ -4,18 +4,18 @@
 use crate::founding::Founding;
 use crate::knowledge::Chosen;
 use crate::node::CoreNode;
-use crate::persisted::{put_members, put_replica, AcceptorBallots, StoredMembers, TermPromise};
+use crate::persisted::{put_members, put_replica, AcceptorNumbers, StoredMembers, TermPromise};
 use crate::quorum::MemberList;
 use crate::recovery::{Recovered, Recovery};
 use crate::timing::{FOUNDING_GRACE_MS, LEASE_MS, OUT_OF_TOUCH_MS, RESEND_MS, UNREADY_HELLO_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{Ballot, ControlMessage, Found, Settled};
+use sagetrail_protocol::control::{ControlMessage, Found, ProposalNumber, StateSynced};
 use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
 use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The founding value's ballot has this counter; every later one a higher one.
+/// The founding value's proposal number has this counter; every later one a higher one.
 const FOUNDING_COUNTER: u64 = 1;
 
 /// So many processes that spoke are remembered.
@@ -153,38 +153,38 @@
         let Some(value) = due else { return };
         self.standing.founding = None;
         let settings = &self.settings;
-        let ballot = Ballot {
+        let proposal = ProposalNumber {
             counter: FOUNDING_COUNTER,
             node: settings.node,
             incarnation: settings.incarnation,
         };
-        self.take_founding(ballot, Blob(value.encode()), None);
+        self.take_founding(proposal, Blob(value.encode()), None);
     }
 
-    fn take_founding(&mut self, ballot: Ballot, bytes: Blob, teller: Option<NodeId>) {
+    fn take_founding(&mut self, proposal: ProposalNumber, bytes: Blob, teller: Option<NodeId>) {
         let Ok(value) = RegisterValue::decode(&bytes) else {
             return;
         };
         self.acceptor.adopt(
-            AcceptorBallots {
-                promised: ballot,
-                accepted: ballot,
+            AcceptorNumbers {
+                promised: proposal,
+                accepted: proposal,
             },
             bytes,
         );
         self.replica.state.whole = true;
         self.knowledge.adopt_list(value.member_list());
-        self.settle(ballot, teller);
+        self.settle(proposal, teller);
     }
 
     /// Writes what the process takes part with. The accepted value may not be chosen, so the list is the known one.
-    fn settle(&mut self, ballot: Ballot, teller: Option<NodeId>) {
+    fn settle(&mut self, proposal: ProposalNumber, teller: Option<NodeId>) {
         self.standing.settling = true;
         let members = StoredMembers::from(&self.knowledge.list);
         let mut operations = self.acceptor.operations();
         operations.push(put_replica(&self.replica.state));
         operations.push(put_members(&members));
-        let settled = ControlMessage::Settled(Settled { ballot });
+        let settled = ControlMessage::StateSynced(StateSynced { proposal });
         let listeners = teller.into_iter().chain([self.settings.node]);
         let then = listeners
             .map(|listener| (listener, settled.clone()))
@@ -195,24 +195,24 @@
     /// The founder tells the cluster's first value.
     pub(crate) fn on_found(&mut self, from: NodeId, found: Found) {
         if self.standing.ready {
-            let settled = ControlMessage::Settled(Settled {
-                ballot: found.ballot,
+            let settled = ControlMessage::StateSynced(StateSynced {
+                proposal: found.proposal,
             });
             return self.effects.control(from, settled);
         }
         let busy = self.standing.settling || self.standing.recovery.is_some();
         if self.settings.bootstrap && !busy {
-            self.take_founding(found.ballot, found.value, Some(from));
+            self.take_founding(found.proposal, found.value, Some(from));
         }
     }
 
     /// A process has synced what it takes part with, or this process a value.
-    pub(crate) fn on_settled(&mut self, from: NodeId, settled: &Settled) {
+    pub(crate) fn on_settled(&mut self, from: NodeId, settled: &StateSynced) {
         if from != self.settings.node {
             self.standing.untold.remove(&from);
             return;
         }
-        self.acceptor.settled(settled.ballot);
+        self.acceptor.settled(settled.proposal);
         if self.standing.settling {
             self.standing.settling = false;
             self.standing.ready = true;
@@ -224,11 +224,11 @@
         let Ok(value) = RegisterValue::decode(&self.acceptor.value) else {
             return;
         };
-        self.proposer.note(self.acceptor.ballots.promised);
-        let ballot = self.acceptor.ballots.accepted;
+        self.proposer.note(self.acceptor.proposals.promised);
+        let proposal = self.acceptor.proposals.accepted;
         if self.founded_by_itself() {
             self.learn(Chosen {
-                ballot,
+                proposal,
                 value: Arc::new(value),
             });
             self.begin_to_tell();
@@ -236,8 +236,8 @@
     }
 
     fn founded_by_itself(&self) -> bool {
-        let ballot = self.acceptor.ballots.accepted;
-        ballot.counter == FOUNDING_COUNTER && ballot.node == self.settings.node
+        let proposal = self.acceptor.proposals.accepted;
+        proposal.counter == FOUNDING_COUNTER && proposal.node == self.settings.node
     }
 
     /// The founder tells all others until each has answered, also after a restart.
@@ -259,7 +259,7 @@
         }
         self.standing.tell_at = now.plus_millis(RESEND_MS);
         let found = Found {
-            ballot: self.acceptor.ballots.accepted,
+            proposal: self.acceptor.proposals.accepted,
             value: self.acceptor.value.clone(),
         };
         let untold = self.standing.untold.clone();
@@ -333,13 +333,13 @@
             self.standing.found_list = value.member_list();
             return;
         }
-        let ballot = recovered.ballots.accepted;
-        self.acceptor.adopt(recovered.ballots, recovered.value);
+        let proposal = recovered.proposals.accepted;
+        self.acceptor.adopt(recovered.proposals, recovered.value);
         self.replica.state.promise = TermPromise {
             term: recovered.term,
             ..TermPromise::default()
         };
-        self.settle(ballot, None);
+        self.settle(proposal, None);
     }
 
     /// Writes a member list that was learnt.
--- a/crates/cluster/control-plane/src/steps.rs
+++ b/crates/cluster/control-plane/src/steps.rs
@@ -186,7 +186,7 @@
         let version = self.knowledge.config_version();
         let list_version = self.knowledge.list.version;
         let value = chosen.value.clone();
-        if !self.knowledge.learn(chosen.ballot, chosen.value) {
+        if !self.knowledge.learn(chosen.proposal, chosen.value) {
             return;
         }
         if self.knowledge.list.version > list_version {
@@ -219,15 +219,15 @@
     }
 
     fn answer_learn_askers(&mut self) {
-        let known = self.knowledge.ballot();
+        let known = self.knowledge.proposal();
         let (answered, waiting) = std::mem::take(&mut self.learn_askers)
             .into_iter()
-            .partition(|asker| asker.ballot <= known);
+            .partition(|asker| asker.proposal <= known);
         self.learn_askers = waiting;
         for asker in answered as Vec<crate::node::LearnAsker> {
             self.effects.control(
                 asker.node,
-                ControlMessage::Learned(Learned { ballot: known }),
+                ControlMessage::Learned(Learned { proposal: known }),
             );
         }
     }
@@ -252,7 +252,7 @@
         leadership.renew(
             now,
             &self.knowledge.list,
-            self.knowledge.ballot(),
+            self.knowledge.proposal(),
             &mut self.effects,
         );
         let advanced = leadership.advance(&self.knowledge.list);
@@ -318,7 +318,7 @@
     pub(crate) fn own_value(&self) -> Option<Chosen> {
         let value = crate::value::RegisterValue::decode(&self.acceptor.value).ok()?;
         Some(Chosen {
-            ballot: self.acceptor.ballots.accepted,
+            proposal: self.acceptor.proposals.accepted,
             value: Arc::new(value),
         })
     }
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -35,7 +35,7 @@
             sent_at: request.sent_at,
             promised: self.state.promise.term,
             members_version,
-            tag: self.state.tag,
+            position: self.state.position,
         });
         if granted && !request.probe {
             return effects.write(vec![put_replica(&self.state)], vec![(from, reply)]);
--- a/crates/cluster/control-plane/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -301,7 +301,7 @@
             Some(ControlMessage::VoteReply(reply))
                 if from == voter && reply.granted && !reply.probe =>
             {
-                *seen.lock().unwrap() = Some(reply.tag);
+                *seen.lock().unwrap() = Some(reply.position);
                 true
             }
             _ => true,
@@ -313,15 +313,15 @@
         world.power_off(leader);
         for _ in 0..5_000 {
             world.run(1);
-            let Some(tag) = vote.lock().unwrap().take() else {
+            let Some(position) = vote.lock().unwrap().take() else {
                 continue;
             };
             voted += 1;
             // Batches of the first term put one record each at least; a later term's base holds them all.
             let rows = world.machines[holder].disk.records.len() as u64;
             assert!(
-                tag.term > 1 || rows >= tag.number,
-                "seed {seed}: {rows} rows with {tag:?}"
+                position.term > 1 || rows >= position.number,
+                "seed {seed}: {rows} rows with {position:?}"
             );
         }
     }
@@ -340,7 +340,7 @@
             Some(ControlMessage::VoteReply(reply))
                 if from == source && reply.granted && !reply.probe =>
             {
-                tell.lock().unwrap().get_or_insert(reply.tag);
+                tell.lock().unwrap().get_or_insert(reply.position);
                 true
             }
             Some(ControlMessage::VoteReply(reply)) => reply.probe || tell.lock().unwrap().is_some(),
--- a/crates/cluster/control-plane/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -1,6 +1,8 @@
 //! What a replica grants a lease to is named on its disk first, so that a restart cannot forget it.
 mod support;
-use sagetrail_protocol::control::{Ballot, ControlMessage, RecordsTag, Renew, Resign, VoteRequest};
+use sagetrail_protocol::control::{
+    ControlMessage, ProposalNumber, RecordsPosition, Renew, Resign, VoteRequest,
+};
 use sagetrail_protocol::node::Event;
 use sagetrail_protocol::{Message, NodeId, Term};
 use support::world::{Weather, World, CALM, CLIENT};
@@ -48,7 +50,7 @@
 }
 
 fn renew(sent_at: u64, source: NodeId) -> ControlMessage {
-    let (base, learned) = (RecordsTag::default(), Ballot::default());
+    let (base, learned) = (RecordsPosition::default(), ProposalNumber::default());
     ControlMessage::Renew(Renew {
         term: TERM,
         sent_at,
--- a/crates/cluster/control-plane/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/replacements.rs
@@ -314,8 +314,8 @@
     move |from, _, message| match message {
         Message::Control(ControlMessage::RenewAck(ack)) if from == learner => {
             ack.caught_up = true;
-            ack.tag.term = ack.term;
-            ack.tag.number = 1 << 40;
+            ack.position.term = ack.term;
+            ack.position.number = 1 << 40;
             true
         }
         Message::Control(ControlMessage::SnapshotChunk(_)) => false,
--- a/crates/cluster/control-plane/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/rounds.rs
@@ -1,6 +1,8 @@
 //! What the rounds of the register carry: the change alone to members that hold the value before it.
 mod support;
-use sagetrail_protocol::control::{AcceptChange, Ballot, ChangeKind, ControlMessage, Prepare};
+use sagetrail_protocol::control::{
+    AcceptChange, ChangeKind, ControlMessage, Prepare, ProposalNumber,
+};
 use sagetrail_protocol::node::{Event, Method};
 use sagetrail_protocol::{Blob, Message};
 use support::operators::{patch, read_back, Answering, Operators};
@@ -107,7 +109,7 @@
     let mut world = with_large_config(3);
     world.kill(1);
     world.kill(2);
-    let ballot = Ballot {
+    let proposal = ProposalNumber {
         counter: 1_000,
         node: CLIENT,
         incarnation: 7,
@@ -115,17 +117,17 @@
     let promised = answers(
         &mut world,
         ControlMessage::Prepare(Prepare {
-            ballot,
-            have: Ballot::default(),
+            proposal,
+            have: ProposalNumber::default(),
         }),
     );
-    let [ControlMessage::Promised(promised)] = &promised[..] else {
+    let [ControlMessage::Promise(promised)] = &promised[..] else {
         panic!("{promised:?}")
     };
     let body = Blob(patch(1, 2, "forged").content.into_bytes());
     let on = promised.accepted;
     let accept = AcceptChange {
-        ballot,
+        proposal,
         on,
         kind: ChangeKind::Patch,
         base: 1,
@@ -133,32 +135,32 @@
         result: [9; 32],
     };
     let other = AcceptChange {
-        on: Ballot {
+        on: ProposalNumber {
             counter: 999,
-            ..ballot
+            ..proposal
         },
         ..accept.clone()
     };
     let late = AcceptChange {
-        ballot: Ballot {
+        proposal: ProposalNumber {
             counter: 1,
-            ..ballot
+            ..proposal
         },
         ..accept.clone()
     };
     for wrong in [accept, other] {
         let answer = answers(&mut world, ControlMessage::AcceptChange(wrong));
         assert!(
-            matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.ballot == ballot)
+            matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.proposal == proposal)
         );
     }
     let answer = answers(&mut world, ControlMessage::AcceptChange(late));
     assert!(
-        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == ballot)
+        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == proposal)
     );
     let kept = answers(
         &mut world,
-        ControlMessage::Prepare(Prepare { ballot, have: on }),
+        ControlMessage::Prepare(Prepare { proposal, have: on }),
     );
-    assert!(matches!(&kept[..], [ControlMessage::Promised(promised)] if promised.accepted == on));
+    assert!(matches!(&kept[..], [ControlMessage::Promise(promised)] if promised.accepted == on));
 }
--- a/crates/cluster/control-plane/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -35,7 +35,7 @@
             .truncate(random.random_range(0..chunk.entries.0.len()))
     },
     |chunk, _| chunk.last = !chunk.last,
-    |chunk, _| chunk.tag.number += 1,
+    |chunk, _| chunk.position.number += 1,
     |chunk, random| {
         // The same bytes, cut elsewhere between key and value.
         let place = random.random_range(0..chunk.entries.0.len());
@@ -130,7 +130,7 @@
     let mut wanted = 0;
     move |message| match message {
         ControlMessage::FetchSnapshot(fetch) => {
-            wanted = if fetch.tag == old[0].tag {
+            wanted = if fetch.position == old[0].position {
                 fetch.index as usize
             } else {
                 0
@@ -233,7 +233,7 @@
         history.world.start(leader, false);
         history.run(1_000);
         assert!(
-            old[0].tag.term
+            old[0].position.term
                 < history
                     .world
                     .journal
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -7,7 +7,7 @@
 #[derive(
     DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
 )]
-pub struct Ballot {
+pub struct ProposalNumber {
     pub counter: u64,
     pub node: NodeId,
     pub incarnation: Incarnation,
@@ -17,24 +17,24 @@
 #[derive(
     DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
 )]
-pub struct RecordsTag {
+pub struct RecordsPosition {
     pub term: Term,
     pub number: u64,
 }
 
-/// First round of the register: take nothing older than `ballot`, and tell what was accepted.
+/// First round of the register: take nothing older than `proposal`, and tell what was accepted.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Prepare {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     /// The value that the asker holds already and that need not be sent.
-    pub have: Ballot,
+    pub have: ProposalNumber,
 }
 
-/// Promises a ballot.
+/// Promises a proposal number.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct Promised {
-    pub ballot: Ballot,
-    pub accepted: Ballot,
+pub struct Promise {
+    pub proposal: ProposalNumber,
+    pub accepted: ProposalNumber,
     /// The accepted value; empty where the asker has it or there is none.
     pub value: Blob,
 }
@@ -42,7 +42,7 @@
 /// Second round of the register.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Accept {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     pub value: Blob,
 }
 
@@ -59,9 +59,9 @@
 /// Second round of the register for a member that holds the value which the change builds on.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct AcceptChange {
-    pub ballot: Ballot,
-    /// The ballot of the accepted value on which the change is put.
-    pub on: Ballot,
+    pub proposal: ProposalNumber,
+    /// The proposal number of the accepted value on which the change is put.
+    pub on: ProposalNumber,
     pub kind: ChangeKind,
     /// The version of the configuration on which the change builds.
     pub base: u64,
@@ -70,63 +70,63 @@
     pub result: [u8; 32],
 }
 
-/// The sender cannot make the value of this ballot from the change: it needs the value whole.
+/// The sender cannot make the value of this proposal number from the change: it needs the value whole.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ValueNeeded {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
 }
 
-/// The value of this ballot was accepted and synced.
+/// The value of this proposal number was accepted and synced.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Accepted {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
 }
 
-/// The ballot came too late: a higher one was promised.
+/// The proposal number came too late: a higher one was promised.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Refused {
-    pub ballot: Ballot,
-    pub promised: Ballot,
+    pub proposal: ProposalNumber,
+    pub promised: ProposalNumber,
 }
 
 /// Asks for the accepted value without a promise.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Read {
     pub nonce: u64,
-    pub have: Ballot,
+    pub have: ProposalNumber,
 }
 
 /// The accepted value, left out where the asker has it.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ReadReply {
     pub nonce: u64,
-    pub accepted: Ballot,
+    pub accepted: ProposalNumber,
     pub value: Blob,
 }
 
-/// The value of this ballot is chosen.
+/// The value of this proposal number is chosen.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Learn {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
 }
 
-/// The sender acts by the value of this ballot, or a newer one.
+/// The sender acts by the value of this proposal number, or a newer one.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Learned {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
 }
 
 /// The cluster's first value, from its founder.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Found {
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     pub value: Blob,
 }
 
 /// The sender has synced what it needs to take part.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct Settled {
-    pub ballot: Ballot,
+pub struct StateSynced {
+    pub proposal: ProposalNumber,
 }
 
 /// A process with an emptied disk asks for the highest promises known.
@@ -139,7 +139,7 @@
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecoverReply {
     pub nonce: u64,
-    pub promised: Ballot,
+    pub promised: ProposalNumber,
     pub term: Term,
 }
 
@@ -169,7 +169,7 @@
     pub promised: Term,
     pub members_version: u64,
     /// The state of its records.
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
 }
 
 /// The leader of a term renews its lease and says where its records stand.
@@ -178,13 +178,13 @@
     pub term: Term,
     pub sent_at: u64,
     /// The state on which the term builds; equals batch 0 of the term.
-    pub base: RecordsTag,
+    pub base: RecordsPosition,
     /// Who has the records whole.
     pub source: NodeId,
     /// The newest batch of the term.
     pub number: u64,
     /// The newest value of the register known to the leader.
-    pub learned: Ballot,
+    pub learned: ProposalNumber,
 }
 
 /// Grants the lease, or tells of a higher term.
@@ -194,7 +194,7 @@
     pub sent_at: u64,
     pub promised: Term,
     /// The newest synced state of the records.
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     /// The sender was asked to end; its place may go to a learner.
     pub leaving: bool,
     /// The sender knows the register's newest chosen value and the accepted changes before it.
@@ -227,8 +227,8 @@
 
 /// The sender has synced the records up to this state.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct Stored {
-    pub tag: RecordsTag,
+pub struct RecordsSynced {
+    pub position: RecordsPosition,
 }
 
 /// Asks for a piece of the whole records.
@@ -236,7 +236,7 @@
 pub struct FetchSnapshot {
     pub term: Term,
     /// The state that the earlier pieces had; with the first the oldest state that is of use to the sender.
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     pub index: u32,
 }
 
@@ -251,7 +251,7 @@
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct SnapshotChunk {
     pub term: Term,
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     pub index: u32,
     pub last: bool,
     /// CRC-32 over tag, index, `last` and all entries of the image up to and including this piece.
@@ -308,7 +308,7 @@
     #[deku(id = 0)]
     Prepare(Prepare),
     #[deku(id = 1)]
-    Promised(Promised),
+    Promise(Promise),
     #[deku(id = 2)]
     Accept(Accept),
     #[deku(id = 3)]
@@ -326,7 +326,7 @@
     #[deku(id = 9)]
     Found(Found),
     #[deku(id = 10)]
-    Settled(Settled),
+    StateSynced(StateSynced),
     #[deku(id = 11)]
     Recover(Recover),
     #[deku(id = 12)]
@@ -344,7 +344,7 @@
     #[deku(id = 18)]
     RecordBatch(RecordBatch),
     #[deku(id = 19)]
-    Stored(Stored),
+    RecordsSynced(RecordsSynced),
     #[deku(id = 20)]
     FetchSnapshot(FetchSnapshot),
     #[deku(id = 21)]
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -6,7 +6,7 @@
 
 variants!(CONTROL_MESSAGES, control_message, ControlMessage, {
     ControlMessage::Prepare(_) => "prepare",
-    ControlMessage::Promised(_) => "promised",
+    ControlMessage::Promise(_) => "promised",
     ControlMessage::Accept(_) => "accept",
     ControlMessage::Accepted(_) => "accepted",
     ControlMessage::Refused(_) => "refused",
@@ -15,7 +15,7 @@
     ControlMessage::Learn(_) => "learn",
     ControlMessage::Learned(_) => "learned",
     ControlMessage::Found(_) => "found",
-    ControlMessage::Settled(_) => "settled",
+    ControlMessage::StateSynced(_) => "settled",
     ControlMessage::Recover(_) => "recover",
     ControlMessage::RecoverReply(_) => "recover-reply",
     ControlMessage::VoteRequest(_) => "vote-request",
@@ -24,7 +24,7 @@
     ControlMessage::RenewAck(_) => "renew-ack",
     ControlMessage::Resign(_) => "resign",
     ControlMessage::RecordBatch(_) => "record-batch",
-    ControlMessage::Stored(_) => "stored",
+    ControlMessage::RecordsSynced(_) => "stored",
     ControlMessage::FetchSnapshot(_) => "fetch-snapshot",
     ControlMessage::SnapshotChunk(_) => "snapshot-chunk",
     ControlMessage::MemberLeases(_) => "member-leases",
@@ -40,17 +40,17 @@
     RecordChange::Delete { .. } => "delete",
 });
 
-/// A ballot with this byte in each of its fields.
-pub fn ballot(mark: u8) -> Ballot {
-    Ballot {
+/// A proposal number with this byte in each of its fields.
+pub fn proposal(mark: u8) -> ProposalNumber {
+    ProposalNumber {
         counter: 0x0100 + u64::from(mark),
         node: process(mark),
         incarnation: 0x0200 + u64::from(mark),
     }
 }
 
-fn tag(mark: u8) -> RecordsTag {
-    RecordsTag {
+fn position(mark: u8) -> RecordsPosition {
+    RecordsPosition {
         term: 0x0300 + u64::from(mark),
         number: 0x0400 + u64::from(mark),
     }
@@ -96,65 +96,65 @@
 fn register() -> Vec<ControlMessage> {
     vec![
         ControlMessage::Prepare(Prepare {
-            ballot: ballot(0x11),
-            have: ballot(0x12),
+            proposal: proposal(0x11),
+            have: proposal(0x12),
         }),
-        ControlMessage::Promised(Promised {
-            ballot: ballot(0x13),
-            accepted: ballot(0x14),
+        ControlMessage::Promise(Promise {
+            proposal: proposal(0x13),
+            accepted: proposal(0x14),
             value: blob("promised"),
         }),
         ControlMessage::Accept(Accept {
-            ballot: ballot(0x15),
+            proposal: proposal(0x15),
             value: blob("accept"),
         }),
         ControlMessage::Accepted(Accepted {
-            ballot: ballot(0x16),
+            proposal: proposal(0x16),
         }),
         ControlMessage::Refused(Refused {
-            ballot: ballot(0x17),
-            promised: ballot(0x18),
+            proposal: proposal(0x17),
+            promised: proposal(0x18),
         }),
         ControlMessage::Read(Read {
             nonce: 0x1901,
-            have: ballot(0x19),
+            have: proposal(0x19),
         }),
         ControlMessage::ReadReply(ReadReply {
             nonce: 0x1a01,
-            accepted: ballot(0x1a),
+            accepted: proposal(0x1a),
             value: blob("read"),
         }),
         ControlMessage::Learn(Learn {
-            ballot: ballot(0x1b),
+            proposal: proposal(0x1b),
         }),
         ControlMessage::Learned(Learned {
-            ballot: ballot(0x1c),
+            proposal: proposal(0x1c),
         }),
         ControlMessage::Found(Found {
-            ballot: ballot(0x1d),
+            proposal: proposal(0x1d),
             value: blob("found"),
         }),
-        ControlMessage::Settled(Settled {
-            ballot: ballot(0x1e),
+        ControlMessage::StateSynced(StateSynced {
+            proposal: proposal(0x1e),
         }),
         ControlMessage::AcceptChange(AcceptChange {
-            ballot: ballot(0x1f),
-            on: ballot(0x20),
+            proposal: proposal(0x1f),
+            on: proposal(0x20),
             kind: ChangeKind::Patch,
             base: 0x2001,
             body: blob("change"),
             result: digest(0x21),
         }),
         ControlMessage::AcceptChange(AcceptChange {
-            ballot: ballot(0x22),
-            on: ballot(0x23),
+            proposal: proposal(0x22),
+            on: proposal(0x23),
             kind: ChangeKind::Replace,
             base: 0x2301,
             body: blob("whole"),
             result: digest(0x24),
         }),
         ControlMessage::ValueNeeded(ValueNeeded {
-            ballot: ballot(0x25),
+            proposal: proposal(0x25),
         }),
         ControlMessage::DirectoryRequest,
     ]
@@ -165,7 +165,7 @@
         ControlMessage::Recover(Recover { nonce: 0x3001 }),
         ControlMessage::RecoverReply(RecoverReply {
             nonce: 0x3101,
-            promised: ballot(0x31),
+            promised: proposal(0x31),
             term: 0x3102,
         }),
     ]
@@ -188,21 +188,21 @@
             sent_at: 0x4103,
             promised: 0x4104,
             members_version: 0x4105,
-            tag: tag(0x41),
+            position: position(0x41),
         }),
         ControlMessage::Renew(Renew {
             term: 0x4201,
             sent_at: 0x4202,
-            base: tag(0x42),
+            base: position(0x42),
             source: process(0x43),
             number: 0x4203,
-            learned: ballot(0x44),
+            learned: proposal(0x44),
         }),
         ControlMessage::RenewAck(RenewAck {
             term: 0x4501,
             sent_at: 0x4502,
             promised: 0x4503,
-            tag: tag(0x45),
+            position: position(0x45),
             leaving: true,
             caught_up: false,
         }),
@@ -217,15 +217,17 @@
             number: 0x5002,
             changes: List(vec![put(), delete()]),
         }),
-        ControlMessage::Stored(Stored { tag: tag(0x51) }),
+        ControlMessage::RecordsSynced(RecordsSynced {
+            position: position(0x51),
+        }),
         ControlMessage::FetchSnapshot(FetchSnapshot {
             term: 0x5201,
-            tag: tag(0x52),
+            position: position(0x52),
             index: 0x5202_5203,
         }),
         ControlMessage::SnapshotChunk(SnapshotChunk {
             term: 0x5301,
-            tag: tag(0x53),
+            position: position(0x53),
             index: 0x5302_5303,
             last: true,
             checksum: 0x5304_5305,
--- a/crates/cluster/protocol/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -51,7 +51,7 @@
             asked_at: 0x3203,
         }),
         Message::Control(ControlMessage::Learn(Learn {
-            ballot: super::control::ballot(0x33),
+            proposal: super::control::proposal(0x33),
         })),
         Message::Relayed(Relayed {
             from: process(0x34),
