--- a/crates/cluster/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -15,7 +15,9 @@
 use crate::watch::RunnerWatch;
 use sagetrail_protocol::agent::RUNNER_HOLD_MS;
 use sagetrail_protocol::directory::Hello;
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
+};
 use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// After the notice of its end the process serves on for so long, in milliseconds, if its grace allows.
@@ -77,8 +79,8 @@
         self.config.version()
     }
 
-    fn http(&mut self, now: Time, door: Door, request: &HttpRequest) -> HttpReply {
-        if door != Door::Control {
+    fn http(&mut self, now: Time, endpoint: HttpEndpoint, request: &HttpRequest) -> HttpReply {
+        if endpoint != HttpEndpoint::Control {
             return bare(404);
         }
         match Call::parse(&request.path) {
@@ -267,13 +269,17 @@
         let leader = self.uplink.leader();
         match event {
             Event::Message { from, message } => self.message(steady, from, None, message, outbox),
-            Event::Http { id, door, request } => {
-                let reply = self.http(steady, door, &request);
+            Event::Http {
+                id,
+                endpoint,
+                request,
+            } => {
+                let reply = self.http(steady, endpoint, &request);
                 outbox.reply(id, reply);
             }
             Event::Seeds(seeds) => self.uplink.set_seeds(seeds),
             Event::Terminate => self.terminate(steady),
-            Event::Probe { id, result } => self.probed(steady, id, result),
+            Event::HealthCheck { id, result } => self.probed(steady, id, result),
             Event::HttpAbandoned { .. } | Event::Synced { .. } | Event::Wake => {}
         }
         self.note_leader(leader);
--- a/crates/cluster/agent/src/node/looks.rs
+++ b/crates/cluster/agent/src/node/looks.rs
@@ -1,11 +1,11 @@
 //! Looks at a runner whose heartbeat is overdue.
 use super::AgentNode;
-use sagetrail_protocol::node::{Outbox, ProbeId, ProbeResult};
+use sagetrail_protocol::node::{HealthCheckId, HealthCheckResult, Outbox};
 use sagetrail_protocol::Time;
 
 impl AgentNode {
     /// A machine that refuses connections is up without its runner: nothing that it ran goes on.
-    pub(super) fn probed(&mut self, now: Time, id: ProbeId, result: ProbeResult) {
+    pub(super) fn probed(&mut self, now: Time, id: HealthCheckId, result: HealthCheckResult) {
         if !self.watch.looked(id, result) {
             return;
         }
@@ -28,7 +28,7 @@
             self.watch.rest();
             return;
         };
-        self.counters.probes += 1;
+        self.counters.health_checks += 1;
         self.watch.look(now, address, outbox);
     }
 }
--- a/crates/cluster/agent/src/settings.rs
+++ b/crates/cluster/agent/src/settings.rs
@@ -34,7 +34,7 @@
     /// Reports sent.
     pub reports: u64,
     /// Looks at the runner.
-    pub probes: u64,
+    pub health_checks: u64,
     /// Looks that found it dead.
     pub deaths: u64,
 }
--- a/crates/cluster/agent/src/watch.rs
+++ b/crates/cluster/agent/src/watch.rs
@@ -1,5 +1,5 @@
 //! Looks at a runner whose heartbeat is overdue: a dead port tells at once that whatever it ran is over.
-use sagetrail_protocol::node::{Outbox, Probe, ProbeId, ProbeResult};
+use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult, Outbox};
 use sagetrail_protocol::Time;
 use std::net::SocketAddrV4;
 
@@ -15,7 +15,7 @@
 pub struct RunnerWatch {
     due: Option<Time>,
     pause_ms: u64,
-    waits_for: Option<ProbeId>,
+    waits_for: Option<HealthCheckId>,
     last_id: u64,
 }
 
@@ -46,9 +46,9 @@
         self.due = Some(now.plus_millis(self.pause_ms));
         self.pause_ms = self.pause_ms.saturating_mul(2);
         self.last_id += 1;
-        let id = ProbeId(self.last_id);
+        let id = HealthCheckId(self.last_id);
         self.waits_for = Some(id);
-        outbox.probe(Probe {
+        outbox.health_check(HealthCheck {
             id,
             address,
             path: HEALTH_PATH.to_owned(),
@@ -56,11 +56,11 @@
     }
 
     /// Takes what came of a look; true where the runner is gone, and was not heard meanwhile.
-    pub fn looked(&mut self, id: ProbeId, result: ProbeResult) -> bool {
+    pub fn looked(&mut self, id: HealthCheckId, result: HealthCheckResult) -> bool {
         if self.waits_for != Some(id) {
             return false;
         }
         self.waits_for = None;
-        result == ProbeResult::Refused
+        result == HealthCheckResult::Refused
     }
 }
--- a/crates/cluster/agent/tests/common/mod.rs
+++ b/crates/cluster/agent/tests/common/mod.rs
@@ -7,7 +7,8 @@
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::node::{
-    Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox, Probe,
+    Event, HealthCheck, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now,
+    Outbox,
 };
 use sagetrail_protocol::{Incarnation, List, Message, NodeId, Term, Time};
 use serde_json::{json, Value};
@@ -27,7 +28,7 @@
     pub agent: AgentNode,
     pub now: Time,
     pub sends: Vec<(NodeId, Message)>,
-    pub probes: Vec<Probe>,
+    pub health_checks: Vec<HealthCheck>,
     pub finished: bool,
     next_request: u64,
 }
@@ -65,7 +66,7 @@
             agent,
             now: time,
             sends,
-            probes: Vec::new(),
+            health_checks: Vec::new(),
             finished: false,
             next_request: 0,
         }
@@ -89,7 +90,7 @@
         let mut outbox = Outbox::default();
         self.agent.handle(now(self.now), event, &mut outbox);
         self.sends.append(&mut outbox.sends);
-        self.probes.append(&mut outbox.probes);
+        self.health_checks.append(&mut outbox.health_checks);
         self.finished |= outbox.finished;
         outbox.replies.pop().map(|(_, reply)| reply)
     }
@@ -121,7 +122,7 @@
         let id = HttpRequestId(self.next_request);
         self.event(Event::Http {
             id,
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
         })
         .expect("answered at once")
--- a/crates/cluster/agent/tests/http_answers.rs
+++ b/crates/cluster/agent/tests/http_answers.rs
@@ -6,7 +6,9 @@
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES, MAX_INSTANCE_BYTES};
 use sagetrail_fixture::transcript::Transcript;
 use sagetrail_protocol::agent::RunnerOrders;
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method,
+};
 use sagetrail_protocol::List;
 use serde_json::json;
 
@@ -35,7 +37,7 @@
 }
 
 /// The answer to a request of any kind.
-fn ask(script: &mut Script, door: Door, method: Method, path: &str) -> HttpReply {
+fn ask(script: &mut Script, endpoint: HttpEndpoint, method: Method, path: &str) -> HttpReply {
     let request = HttpRequest {
         method,
         host: String::new(),
@@ -46,7 +48,11 @@
     };
     let id = OWN_REQUEST;
     script
-        .event(Event::Http { id, door, request })
+        .event(Event::Http {
+            id,
+            endpoint,
+            request,
+        })
         .expect("answered at once")
 }
 
@@ -178,13 +184,18 @@
             _ => "PUT",
         };
         for path in [HEARTBEAT, DEREGISTER, "/v1/other"] {
-            let reply = ask(&mut script, Door::Control, method, path);
+            let reply = ask(&mut script, HttpEndpoint::Control, method, path);
             add(transcript, &format!("{name} {path}"), &reply);
         }
     }
-    let reply = ask(&mut script, Door::Readiness, Method::Get, "/v1/readyz");
+    let reply = ask(
+        &mut script,
+        HttpEndpoint::Readiness,
+        Method::Get,
+        "/v1/readyz",
+    );
     add(transcript, "the readiness address: GET /v1/readyz", &reply);
-    let reply = ask(&mut script, Door::Frontend, Method::Post, HEARTBEAT);
+    let reply = ask(&mut script, HttpEndpoint::Frontend, Method::Post, HEARTBEAT);
     add(
         transcript,
         &format!("the clients' address: POST {HEARTBEAT}"),
--- a/crates/cluster/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -6,7 +6,8 @@
 use sagetrail_agent::AgentNode;
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::node::{
-    Door, Event, HttpRequest, HttpRequestId, Method, Node, Outbox, ProbeId, ProbeResult,
+    Event, HealthCheckId, HealthCheckResult, HttpEndpoint, HttpRequest, HttpRequestId, Method,
+    Node, Outbox,
 };
 use sagetrail_protocol::{List, Message, Time};
 
@@ -41,14 +42,14 @@
         term: u64,
         message: Message,
     },
-    Probe {
+    HealthCheck {
         agent: u64,
-        id: ProbeId,
+        id: HealthCheckId,
     },
     Probed {
         agent: u64,
-        id: ProbeId,
-        result: ProbeResult,
+        id: HealthCheckId,
+        result: HealthCheckResult,
     },
 }
 
@@ -223,25 +224,25 @@
                 self.send(Letter::ToScheduler { term, message });
             }
         }
-        for probe in outbox.probes {
-            self.send(Letter::Probe {
+        for health_check in outbox.health_checks {
+            self.send(Letter::HealthCheck {
                 agent: self.agent_number,
-                id: probe.id,
+                id: health_check.id,
             });
         }
     }
 
     /// A look finds the port as it is when it comes there; what it found may come late.
-    fn probe(&mut self, agent: u64, id: ProbeId) {
+    fn health_check(&mut self, agent: u64, id: HealthCheckId) {
         let result = match self.chance.below(10) {
-            0 => ProbeResult::Silent,
-            _ if self.now_ms < self.runner.up_ms => ProbeResult::Refused,
-            _ => ProbeResult::Status(200),
+            0 => HealthCheckResult::Silent,
+            _ if self.now_ms < self.runner.up_ms => HealthCheckResult::Refused,
+            _ => HealthCheckResult::Status(200),
         };
         self.send(Letter::Probed { agent, id, result });
     }
 
-    fn probed(&mut self, id: ProbeId, result: ProbeResult) {
+    fn probed(&mut self, id: HealthCheckId, result: HealthCheckResult) {
         let deaths = |world: &World| {
             world
                 .agent
@@ -249,7 +250,7 @@
                 .map_or(0, |agent| agent.counters().deaths)
         };
         let before = deaths(self);
-        self.agent_event(Event::Probe { id, result });
+        self.agent_event(Event::HealthCheck { id, result });
         self.deaths_found += deaths(self) - before;
     }
 
@@ -329,7 +330,7 @@
                 Letter::ToScheduler { term, message } if term == self.scheduler.term => {
                     self.scheduler_message(message);
                 }
-                Letter::Probe { agent, id } => self.probe(agent, id),
+                Letter::HealthCheck { agent, id } => self.health_check(agent, id),
                 Letter::Probed { agent, id, result } if agent == self.agent_number => {
                     self.probed(id, result);
                 }
@@ -386,7 +387,7 @@
         };
         self.agent_event(Event::Http {
             id: HttpRequestId(number),
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
         })
     }
--- a/crates/cluster/agent/tests/watch.rs
+++ b/crates/cluster/agent/tests/watch.rs
@@ -3,7 +3,7 @@
 use common::*;
 use sagetrail_agent::AgentNode;
 use sagetrail_protocol::agent::RunnerOrders;
-use sagetrail_protocol::node::{Event, Outbox, ProbeId, ProbeResult};
+use sagetrail_protocol::node::{Event, HealthCheckId, HealthCheckResult, Outbox};
 use sagetrail_protocol::Time;
 use serde_json::json;
 
@@ -16,8 +16,8 @@
     script
 }
 
-fn looked(script: &mut Script, id: ProbeId, result: ProbeResult) {
-    script.event(Event::Probe { id, result });
+fn looked(script: &mut Script, id: HealthCheckId, result: HealthCheckResult) {
+    script.event(Event::HealthCheck { id, result });
 }
 
 #[test]
@@ -27,24 +27,27 @@
         script.pass(100);
         script.beat(sequence, json!({"active":[[TASK, 1, "", 1]]}));
     }
-    assert!(script.probes.is_empty());
+    assert!(script.health_checks.is_empty());
 }
 
 #[test]
 fn a_dead_port_ends_all_runs_at_once() {
     let mut script = with_a_run();
     script.pass(OVERDUE_MS);
-    let probe = script.probes.pop().expect("a look");
-    assert_eq!((probe.address, &*probe.path), (APP, "/healthz"));
+    let health_check = script.health_checks.pop().expect("a look");
+    assert_eq!(
+        (health_check.address, &*health_check.path),
+        (APP, "/healthz")
+    );
     assert!(!script.last_report().lapsed);
-    looked(&mut script, probe.id, ProbeResult::Refused);
+    looked(&mut script, health_check.id, HealthCheckResult::Refused);
     script.pass(10);
     let report = script.last_report();
     assert!(report.lapsed && report.present && report.active.is_empty());
     assert!(report.silent_ms < 400, "{}", report.silent_ms);
     assert_eq!(
         (
-            script.agent.counters().probes,
+            script.agent.counters().health_checks,
             script.agent.counters().deaths
         ),
         (1, 1)
@@ -55,23 +58,23 @@
 fn a_dead_runner_is_not_looked_at_again() {
     let mut script = with_a_run();
     script.pass(OVERDUE_MS);
-    let probe = script.probes.pop().expect("a look");
-    looked(&mut script, probe.id, ProbeResult::Refused);
+    let health_check = script.health_checks.pop().expect("a look");
+    looked(&mut script, health_check.id, HealthCheckResult::Refused);
     script.pass(10_000);
-    assert!(script.probes.is_empty());
+    assert!(script.health_checks.is_empty());
 }
 
 #[test]
 fn an_answer_of_any_kind_and_silence_leave_the_hold() {
     for result in [
-        ProbeResult::Status(200),
-        ProbeResult::Status(503),
-        ProbeResult::Silent,
+        HealthCheckResult::Status(200),
+        HealthCheckResult::Status(503),
+        HealthCheckResult::Silent,
     ] {
         let mut script = with_a_run();
         script.pass(OVERDUE_MS);
-        let probe = script.probes.pop().expect("a look");
-        looked(&mut script, probe.id, result);
+        let health_check = script.health_checks.pop().expect("a look");
+        looked(&mut script, health_check.id, result);
         script.pass(2_200);
         assert!(!script.last_report().lapsed, "{result:?}");
         script.pass(200);
@@ -84,7 +87,7 @@
     let mut script = with_a_run();
     script.pass(20_000);
     assert_eq!(
-        script.probes.len(),
+        script.health_checks.len(),
         3,
         "at 350, 850 and 1850 ms, and none after the hold"
     );
@@ -94,9 +97,9 @@
 fn a_refusal_that_a_heartbeat_overtook_tells_nothing() {
     let mut script = with_a_run();
     script.pass(OVERDUE_MS);
-    let probe = script.probes.pop().expect("a look");
+    let health_check = script.health_checks.pop().expect("a look");
     script.beat(4, json!({"active":[[TASK, 1, "", 1]]}));
-    looked(&mut script, probe.id, ProbeResult::Refused);
+    looked(&mut script, health_check.id, HealthCheckResult::Refused);
     script.pass(20);
     assert!(!script.last_report().lapsed);
 }
@@ -105,15 +108,19 @@
 fn only_the_last_look_counts() {
     let mut script = with_a_run();
     script.pass(OVERDUE_MS + 500);
-    let ids: Vec<ProbeId> = script.probes.iter().map(|probe| probe.id).collect();
+    let ids: Vec<HealthCheckId> = script
+        .health_checks
+        .iter()
+        .map(|health_check| health_check.id)
+        .collect();
     assert_eq!(ids.len(), 2);
-    looked(&mut script, ids[0], ProbeResult::Refused);
+    looked(&mut script, ids[0], HealthCheckResult::Refused);
     script.pass(20);
     assert!(!script.last_report().lapsed);
-    looked(&mut script, ids[1], ProbeResult::Refused);
+    looked(&mut script, ids[1], HealthCheckResult::Refused);
     script.pass(20);
     assert!(script.last_report().lapsed);
-    looked(&mut script, ids[1], ProbeResult::Refused);
+    looked(&mut script, ids[1], HealthCheckResult::Refused);
     assert_eq!(script.agent.counters().deaths, 1);
 }
 
@@ -123,8 +130,8 @@
     script.orders(orders_with_start(1, 2), true);
     let before = script.now.0;
     script.pass(600);
-    let probe = script.probes.pop().expect("a look");
-    looked(&mut script, probe.id, ProbeResult::Refused);
+    let health_check = script.health_checks.pop().expect("a look");
+    looked(&mut script, health_check.id, HealthCheckResult::Refused);
     assert!(script.beat(3, json!({}))["start"].is_null());
     script.orders(
         RunnerOrders {
@@ -152,9 +159,9 @@
     );
     script.beat(3, json!({}));
     script.pass(640);
-    assert!(script.probes.is_empty());
+    assert!(script.health_checks.is_empty());
     script.pass(11);
-    assert_eq!(script.probes.len(), 1);
+    assert_eq!(script.health_checks.len(), 1);
 }
 
 #[test]
@@ -168,9 +175,12 @@
     script.agent = AgentNode::new(settings, now(Time(1_000)), &mut outbox);
     script.beat(1, json!({}));
     script.pass(500);
-    assert_eq!(script.probes[0].address.to_string(), "10.128.0.9:8080");
-    script.probes.clear();
+    assert_eq!(
+        script.health_checks[0].address.to_string(),
+        "10.128.0.9:8080"
+    );
+    script.health_checks.clear();
     script.beat(2, json!({"address": "nowhere"}));
     script.pass(500);
-    assert!(script.probes.is_empty());
+    assert!(script.health_checks.is_empty());
 }
--- a/crates/cluster/cluster-node/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -7,7 +7,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use sagetrail_protocol::node::Door;
+use sagetrail_protocol::node::HttpEndpoint;
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::sync::atomic::AtomicU64;
@@ -37,17 +37,21 @@
 }
 
 /// Listens at an address and serves it until the process closes.
-pub fn serve(address: SocketAddr, door: Door, context: ServeContext) -> std::io::Result<Listening> {
+pub fn serve(
+    address: SocketAddr,
+    endpoint: HttpEndpoint,
+    context: ServeContext,
+) -> std::io::Result<Listening> {
     let listener = bind_listener(address)?;
     let address = listener.local_addr()?;
-    tokio::spawn(accept(listener, door, context));
+    tokio::spawn(accept(listener, endpoint, context));
     Ok(Listening { address })
 }
 
-async fn accept(listener: TcpListener, door: Door, context: ServeContext) {
+async fn accept(listener: TcpListener, endpoint: HttpEndpoint, context: ServeContext) {
     let mut closing = context.phase.clone();
     let service = Arc::new(ServiceContext {
-        door,
+        endpoint,
         inputs: context.inputs,
         phase: context.phase,
         next_id: context.next_id,
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
-use sagetrail_protocol::node::{Door, HttpRequestId};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequestId};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 
 /// What the requests of one listening address share.
 pub struct ServiceContext {
-    pub door: Door,
+    pub endpoint: HttpEndpoint,
     pub inputs: Inputs,
     pub phase: PhaseWatch,
     pub next_id: Arc<AtomicU64>,
@@ -62,7 +62,7 @@
     place.set_busy(true);
     let _busy = Busy(place);
     let (parts, body) = request.into_parts();
-    let body = match read_body(body, limit(context.door)).await {
+    let body = match read_body(body, limit(context.endpoint)).await {
         Ok(body) => body,
         Err(status) => return Ok(refusal(status)),
     };
@@ -72,7 +72,7 @@
     let (reply, replied) = oneshot::channel();
     let input = Input::Request {
         id,
-        door: context.door,
+        endpoint: context.endpoint,
         request,
         reply,
     };
@@ -94,10 +94,10 @@
     ))
 }
 
-fn limit(door: Door) -> usize {
-    match door {
-        Door::Frontend | Door::Readiness => CLIENT_BODY_BYTES,
-        Door::Control => CONTROL_BODY_BYTES,
+fn limit(endpoint: HttpEndpoint) -> usize {
+    match endpoint {
+        HttpEndpoint::Frontend | HttpEndpoint::Readiness => CLIENT_BODY_BYTES,
+        HttpEndpoint::Control => CONTROL_BODY_BYTES,
     }
 }
 
--- a/crates/cluster/cluster-node/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -1,6 +1,8 @@
 //! What reaches the loop that drives the logic, from sockets, disk and signals.
 use crate::disk::DiskError;
-use sagetrail_protocol::node::{Door, HttpReply, HttpRequest, HttpRequestId, ProbeId, ProbeResult};
+use sagetrail_protocol::node::{
+    HealthCheckId, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId,
+};
 use sagetrail_protocol::{Message, NodeId};
 use tokio::sync::{mpsc, oneshot};
 
@@ -11,14 +13,17 @@
     /// A request of HTTP came, read whole.
     Request {
         id: HttpRequestId,
-        door: Door,
+        endpoint: HttpEndpoint,
         request: HttpRequest,
         reply: oneshot::Sender<HttpReply>,
     },
     /// The caller of a request has gone.
     Abandoned { id: HttpRequestId },
     /// What came of a probe.
-    Probed { id: ProbeId, result: ProbeResult },
+    Probed {
+        id: HealthCheckId,
+        result: HealthCheckResult,
+    },
     /// Disk writes are synced: what waited for them.
     Synced {
         then: Vec<(NodeId, Message)>,
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -1,9 +1,9 @@
 //! The loop that drives the logic of a process: takes what happened, performs what the logic wants done.
 use crate::clocks::Clocks;
 use crate::disk::{Disk, DiskError};
+use crate::health_check;
 use crate::input::{Input, Inputs};
 use crate::phase::{Phase, PhaseSetter};
-use crate::probe;
 use crate::transport::Transport;
 use sagetrail_protocol::node::{Event, HttpReply, HttpRequestId, Node, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -38,7 +38,7 @@
     /// Only core processes have one.
     pub disk: Option<Disk>,
     /// Only side processes look at others: where the results go.
-    pub probe_results: Option<Inputs>,
+    pub health_check_results: Option<Inputs>,
     pub phase: PhaseSetter,
     /// From being told to end to the end at the latest.
     pub grace: Duration,
@@ -124,12 +124,16 @@
             Input::Message { from, message } => self.tell(Event::Message { from, message }),
             Input::Request {
                 id,
-                door,
+                endpoint,
                 request,
                 reply,
             } => {
                 self.callers.insert(id, reply);
-                self.tell(Event::Http { id, door, request });
+                self.tell(Event::Http {
+                    id,
+                    endpoint,
+                    request,
+                });
             }
             Input::Abandoned { id } => {
                 if self.callers.remove(&id).is_some() {
@@ -143,7 +147,7 @@
                     .into_iter()
                     .for_each(|token| self.tell(Event::Synced { token }));
             }
-            Input::Probed { id, result } => self.tell(Event::Probe { id, result }),
+            Input::Probed { id, result } => self.tell(Event::HealthCheck { id, result }),
             Input::DiskFailed(error) => return Some(Ended::DiskFailed(error)),
             Input::Seeds(seeds) => self.tell(Event::Seeds(seeds)),
             Input::Terminate => self.terminate(),
@@ -188,9 +192,9 @@
                 None => log::error!("a write to disk by a process without one"),
             }
         }
-        for probe in std::mem::take(&mut self.outbox.probes) {
-            match &self.parts.probe_results {
-                Some(results) => probe::start(probe, results.clone()),
+        for health_check in std::mem::take(&mut self.outbox.health_checks) {
+            match &self.parts.health_check_results {
+                Some(results) => health_check::start(health_check, results.clone()),
                 None => log::error!("a probe by a process that makes none"),
             }
         }
--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -13,7 +13,7 @@
 use crate::transport::Transport;
 use anyhow::Context;
 use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::node::{DiskImage, Door, Node, Now, Outbox};
+use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Node, Now, Outbox};
 use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -145,7 +145,7 @@
     let mut outbox = Outbox::default();
     let logic = maker(ground, clocks.now(), &mut outbox);
     let grace = grace.saturating_sub(GRACE_MARGIN);
-    let probe_results = (kind == NodeKind::Side).then_some(sender);
+    let health_check_results = (kind == NodeKind::Side).then_some(sender);
     let transport_used = transport.clone();
     let parts = Parts {
         node,
@@ -153,7 +153,7 @@
         inputs,
         transport: transport_used,
         disk,
-        probe_results,
+        health_check_results,
         phase,
         grace,
     };
@@ -206,16 +206,16 @@
 
 async fn open_doors(settings: &Settings, context: &ServeContext) -> anyhow::Result<()> {
     let binds = &settings.bind_addrs;
-    let doors = [
-        (binds.frontend, Door::Frontend),
-        (binds.readiness, Door::Readiness),
-        (binds.control, Door::Control),
+    let endpoints = [
+        (binds.frontend, HttpEndpoint::Frontend),
+        (binds.readiness, HttpEndpoint::Readiness),
+        (binds.control, HttpEndpoint::Control),
     ];
-    for (address, door) in doors {
+    for (address, endpoint) in endpoints {
         let Some(address) = address.map(SocketAddr::from) else {
             continue;
         };
-        bind_patiently(|| serve(address, door, context.clone()))
+        bind_patiently(|| serve(address, endpoint, context.clone()))
             .await
             .with_context(|| format!("listening at {address}"))?;
     }
--- a/crates/cluster/cluster-node/src/transport/socket.rs
+++ b/crates/cluster/cluster-node/src/transport/socket.rs
@@ -10,9 +10,9 @@
 /// Bytes sent but not acknowledged for so long end a connection.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
 /// A silent connection is probed after so long, and again so often.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+const HEALTH_CHECKS: u32 = 2;
 
 /// Listens at an address that may have been in use a moment ago. Needs the runtime.
 pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
@@ -32,9 +32,9 @@
 pub fn prepare_peer(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probing = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(HEALTH_CHECK_INTERVAL)
+        .with_interval(HEALTH_CHECK_INTERVAL)
+        .with_retries(HEALTH_CHECKS);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_keepalive(&probing)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
--- a/crates/cluster/cluster-node/tests/callers.rs
+++ b/crates/cluster/cluster-node/tests/callers.rs
@@ -15,7 +15,7 @@
 use sagetrail_protocol::frame::{
     decode, Preamble, LENGTH_BYTES, MAGIC, PREAMBLE_BYTES, PROTOCOL_VERSION,
 };
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequestId, Node, Now, Outbox};
+use sagetrail_protocol::node::{Event, HttpEndpoint, HttpReply, HttpRequestId, Node, Now, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -102,7 +102,7 @@
 }
 
 struct Stage {
-    door: SocketAddr,
+    endpoint: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     _inputs: Inputs,
     _running: tokio::task::JoinHandle<Ended>,
@@ -121,7 +121,7 @@
         next_id,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let door = serve(any, Door::Frontend, context).unwrap().address;
+    let endpoint = serve(any, HttpEndpoint::Frontend, context).unwrap().address;
     let seen = Arc::new(Mutex::new(Seen::default()));
     let random = SmallRng::seed_from_u64(seed);
     let echo = Echo {
@@ -139,7 +139,7 @@
             inputs,
             transport,
             disk: None,
-            probe_results: None,
+            health_check_results: None,
             phase,
             grace,
         };
@@ -148,7 +148,7 @@
             .await
     });
     Stage {
-        door,
+        endpoint,
         seen,
         _inputs: sender,
         _running: running,
@@ -202,9 +202,9 @@
 }
 
 /// Sends requests without waiting, cut into two writes anywhere, and reads some or all of the answers.
-async fn pipeline(door: SocketAddr, name: String, seed: u64) {
+async fn pipeline(endpoint: SocketAddr, name: String, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut stream = TcpStream::connect(door).await.unwrap();
+    let mut stream = TcpStream::connect(endpoint).await.unwrap();
     let way = |random: &mut SmallRng| {
         if random.random_bool(0.6) {
             "wait"
@@ -246,7 +246,13 @@
         for seed in 0..SCHEDULES {
             let stage = start(100, seed);
             let clients: Vec<_> = (0..6)
-                .map(|client| pipeline(stage.door, format!("{seed}-{client}"), seed * 6 + client))
+                .map(|client| {
+                    pipeline(
+                        stage.endpoint,
+                        format!("{seed}-{client}"),
+                        seed * 6 + client,
+                    )
+                })
                 .map(tokio::task::spawn_local)
                 .collect();
             for client in clients {
@@ -264,13 +270,13 @@
         for kind in 0..3 {
             let whole = request("/now/part", kind);
             for length in 1..whole.len() {
-                let mut stream = TcpStream::connect(stage.door).await.unwrap();
+                let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
                 stream.write_all(&whole.as_bytes()[..length]).await.unwrap();
                 break_off(stream, length % 2 == 0);
                 tokio::task::yield_now().await;
             }
         }
-        let mut stream = TcpStream::connect(stage.door).await.unwrap();
+        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
         stream
             .write_all(request("/now/whole", 1).as_bytes())
             .await
@@ -289,12 +295,12 @@
     on_stage(async {
         let stage = start(100, 1);
         for number in 0..100 {
-            let mut gone = TcpStream::connect(stage.door).await.unwrap();
+            let mut gone = TcpStream::connect(stage.endpoint).await.unwrap();
             gone.write_all(request(&format!("/wait/gone-{number}"), number).as_bytes())
                 .await
                 .unwrap();
             break_off(gone, number % 2 == 0);
-            let mut other = TcpStream::connect(stage.door).await.unwrap();
+            let mut other = TcpStream::connect(stage.endpoint).await.unwrap();
             let path = format!("/wait/other-{number}");
             other
                 .write_all(request(&path, number).as_bytes())
@@ -318,7 +324,7 @@
             let stage = start(CONNECTIONS, round as u64);
             let mut resting = Vec::new();
             for number in 0..CONNECTIONS {
-                let mut stream = TcpStream::connect(stage.door).await.unwrap();
+                let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
                 stream
                     .write_all(request(&format!("/now/{number}"), 0).as_bytes())
                     .await
@@ -329,7 +335,7 @@
             // All in one turn of the server: requests on those that rest, and others who want their places.
             let mut others = Vec::new();
             for (number, stream) in resting.iter().enumerate() {
-                others.push(std::net::TcpStream::connect(stage.door).unwrap());
+                others.push(std::net::TcpStream::connect(stage.endpoint).unwrap());
                 stream
                     .try_write(request(&format!("/wait/{number}"), 0).as_bytes())
                     .unwrap();
@@ -367,7 +373,7 @@
 async fn all_is_seen(stage: &Stage) {
     soon(async {
         loop {
-            let mut stream = TcpStream::connect(stage.door).await.unwrap();
+            let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
             let written = stream
                 .write_all(request("/now/last", 0).as_bytes())
                 .await
--- a/crates/cluster/cluster-node/tests/probe.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -2,9 +2,9 @@
 mod common;
 
 use common::soon;
+use sagetrail_cluster_node::health_check;
 use sagetrail_cluster_node::input::Input;
-use sagetrail_cluster_node::probe;
-use sagetrail_protocol::node::{Probe, ProbeId, ProbeResult};
+use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -16,11 +16,11 @@
     (listener, SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-async fn look(address: SocketAddrV4, path: &str) -> ProbeResult {
+async fn look(address: SocketAddrV4, path: &str) -> HealthCheckResult {
     let (sender, mut inputs) = mpsc::unbounded_channel();
-    probe::start(
-        Probe {
-            id: ProbeId(7),
+    health_check::start(
+        HealthCheck {
+            id: HealthCheckId(7),
             address,
             path: path.to_owned(),
         },
@@ -29,7 +29,7 @@
     let Some(Input::Probed { id, result }) = soon(inputs.recv()).await else {
         panic!("no result")
     };
-    assert_eq!(id, ProbeId(7));
+    assert_eq!(id, HealthCheckId(7));
     assert!(inputs.recv().await.is_none(), "told once");
     result
 }
@@ -49,7 +49,7 @@
 async fn a_dead_port_refuses() {
     let (listener, address) = listening().await;
     drop(listener);
-    assert_eq!(look(address, "/healthz").await, ProbeResult::Refused);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Refused);
 }
 
 #[tokio::test]
@@ -64,7 +64,10 @@
     for (bytes, status) in cases {
         let (listener, address) = listening().await;
         let served = tokio::spawn(answer(listener, bytes));
-        assert_eq!(look(address, "/healthz").await, ProbeResult::Status(status));
+        assert_eq!(
+            look(address, "/healthz").await,
+            HealthCheckResult::Status(status)
+        );
         let request = served.await.unwrap();
         assert!(
             request.starts_with("GET /healthz HTTP/1.1\r\n"),
@@ -81,19 +84,19 @@
 async fn a_connection_that_breaks_off_is_no_refusal() {
     let (listener, address) = listening().await;
     let served = tokio::spawn(answer(listener, b""));
-    assert_eq!(look(address, "/healthz").await, ProbeResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
     served.await.unwrap();
 }
 
 #[tokio::test]
 async fn no_answer_in_time_is_silence() {
     let (listener, address) = listening().await;
-    assert_eq!(look(address, "/healthz").await, ProbeResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
     drop(listener);
 }
 
 #[tokio::test]
 async fn a_path_that_makes_no_request_is_silence() {
     let (_listener, address) = listening().await;
-    assert_eq!(look(address, "no path").await, ProbeResult::Silent);
+    assert_eq!(look(address, "no path").await, HealthCheckResult::Silent);
 }
--- a/crates/cluster/cluster-node/tests/http_form.rs
+++ b/crates/cluster/cluster-node/tests/http_form.rs
@@ -3,12 +3,14 @@
 mod common;
 
 use common::soon;
+use sagetrail_cluster_node::health_check;
 use sagetrail_cluster_node::http::{serve, Room, ServeContext};
 use sagetrail_cluster_node::input::Input;
 use sagetrail_cluster_node::phase::{phases, Phase, PhaseSetter};
-use sagetrail_cluster_node::probe;
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_protocol::node::{Door, HttpReply, HttpRequest, Method, Probe, ProbeId};
+use sagetrail_protocol::node::{
+    HealthCheck, HealthCheckId, HttpEndpoint, HttpReply, HttpRequest, Method,
+};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -18,7 +20,7 @@
 
 const ANSWERS: &str = "tests/fixtures/http_answers.txt";
 const REQUESTS: &str = "tests/fixtures/http_requests.txt";
-const PROBE: &str = "tests/fixtures/probe_request.txt";
+const HEALTH_CHECK: &str = "tests/fixtures/probe_request.txt";
 /// One byte over the longest body taken from a client.
 const LONG_BODY: usize = (1 << 20) + 1;
 /// More than a connection reads of a head.
@@ -41,7 +43,7 @@
         next_id: Arc::new(AtomicU64::new(1)),
     };
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let at = serve(any, Door::Frontend, context).unwrap().address;
+    let at = serve(any, HttpEndpoint::Frontend, context).unwrap().address;
     Served { at, phase, inputs }
 }
 
@@ -228,21 +230,21 @@
 }
 
 #[tokio::test]
-async fn a_probe_asks_as_it_is_kept() {
+async fn a_health_check_asks_as_it_is_kept() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
     let (sender, _inputs) = mpsc::unbounded_channel();
-    let looked = Probe {
-        id: ProbeId(7),
+    let looked = HealthCheck {
+        id: HealthCheckId(7),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
         path: "/healthz".to_owned(),
     };
-    probe::start(looked, sender);
+    health_check::start(looked, sender);
     let (mut stream, _) = soon(listener.accept()).await.unwrap();
     let mut asked = Vec::new();
     while !asked.ends_with(b"\r\n\r\n") {
         assert!(soon(stream.read_buf(&mut asked)).await.unwrap() > 0);
     }
     let asked = String::from_utf8(asked).unwrap();
-    sagetrail_fixture::transcript::assert_kept(PROBE, &visible(&without_port(&asked, port)));
+    sagetrail_fixture::transcript::assert_kept(HEALTH_CHECK, &visible(&without_port(&asked, port)));
 }
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -10,8 +10,8 @@
 use sagetrail_cluster_node::process::{Ended, Parts, Process};
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::node::{
-    DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequestId, Node, Now, Outbox, Probe,
-    ProbeId, Table,
+    DiskOperation, DiskWrite, Event, HealthCheck, HealthCheckId, HttpEndpoint, HttpReply,
+    HttpRequestId, Node, Now, Outbox, Table,
 };
 use sagetrail_protocol::{NodeId, Time};
 use std::net::SocketAddr;
@@ -44,9 +44,13 @@
 impl Node for Logic {
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         match event {
-            Event::Http { id, door, request } => {
+            Event::Http {
+                id,
+                endpoint,
+                request,
+            } => {
                 let line = format!(
-                    "{door:?} {:?} {} {} {:?} {:?} {}",
+                    "{endpoint:?} {:?} {} {} {:?} {:?} {}",
                     request.method,
                     request.host,
                     request.path,
@@ -83,8 +87,8 @@
                     "/probe" => {
                         self.waiting.push(id);
                         let address = std::str::from_utf8(&request.body).unwrap().parse().unwrap();
-                        outbox.probe(Probe {
-                            id: ProbeId(3),
+                        outbox.health_check(HealthCheck {
+                            id: HealthCheckId(3),
                             address,
                             path: "/busy".to_owned(),
                         });
@@ -108,8 +112,8 @@
                 assert_eq!(token, 5);
                 self.answer_all(outbox);
             }
-            Event::Probe { id, result } => {
-                assert_eq!(id, ProbeId(3));
+            Event::HealthCheck { id, result } => {
+                assert_eq!(id, HealthCheckId(3));
                 self.seen.lock().unwrap().push(format!("{result:?}"));
                 self.answer_all(outbox);
             }
@@ -134,7 +138,7 @@
 }
 
 struct Stage {
-    door: SocketAddr,
+    endpoint: SocketAddr,
     control: SocketAddr,
     inputs: Inputs,
     seen: Arc<Mutex<Vec<String>>>,
@@ -169,8 +173,10 @@
         next_id,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let door = serve(any, Door::Frontend, context.clone()).unwrap().address;
-    let control = serve(any, Door::Control, context).unwrap().address;
+    let endpoint = serve(any, HttpEndpoint::Frontend, context.clone())
+        .unwrap()
+        .address;
+    let control = serve(any, HttpEndpoint::Control, context).unwrap().address;
     let disk = plan.with_disk.then(|| {
         let store = Store::open(&folder("process")).unwrap().store;
         Disk::start(store, sender.clone()).unwrap()
@@ -192,7 +198,7 @@
             inputs,
             transport,
             disk,
-            probe_results: Some(results),
+            health_check_results: Some(results),
             phase,
             grace,
         };
@@ -202,7 +208,7 @@
         ended
     });
     Stage {
-        door,
+        endpoint,
         control,
         inputs: sender,
         seen,
@@ -261,7 +267,7 @@
 async fn requests_are_read_whole_and_answered_on_one_connection() {
     on_stage(async {
         let stage = start(PLAN);
-        let mut stream = TcpStream::connect(stage.door).await.unwrap();
+        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
         send(
             &mut stream,
             "GET /a/b?c=d HTTP/1.1\r\nHost: jobs.example:80\r\nDeadline-Ms: 900\r\n\r\n",
@@ -297,7 +303,10 @@
         let mut stream = TcpStream::connect(stage.control).await.unwrap();
         let free = free_node();
         let dead = format!("{free}");
-        for (address, result) in [(dead, "Refused"), (stage.door.to_string(), "Status(503)")] {
+        for (address, result) in [
+            (dead, "Refused"),
+            (stage.endpoint.to_string(), "Status(503)"),
+        ] {
             let length = address.len();
             let text = format!("POST /probe HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{address}");
             send(&mut stream, &text).await;
@@ -316,7 +325,7 @@
             "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
             CLIENT_LIMIT + 1
         );
-        let mut stream = TcpStream::connect(stage.door).await.unwrap();
+        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut stream, &head).await;
         assert!(receive(&mut stream).await.starts_with("HTTP/1.1 413 "));
         is_closed(&mut stream).await;
@@ -336,7 +345,7 @@
 async fn a_caller_that_goes_is_told_of() {
     on_stage(async {
         let stage = start(PLAN);
-        let mut stream = TcpStream::connect(stage.door).await.unwrap();
+        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut stream, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
         until_seen(&stage, "Frontend Get x /wait None None 0").await;
         drop(stream);
@@ -352,7 +361,7 @@
             with_disk: true,
             ..PLAN
         });
-        let mut stream = TcpStream::connect(stage.door).await.unwrap();
+        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
         for path in ["/later", "/self", "/keep"] {
             send(
                 &mut stream,
@@ -372,8 +381,8 @@
 async fn at_the_end_requests_under_way_are_answered_and_connections_close() {
     on_stage(async {
         let stage = start(PLAN);
-        let mut busy = TcpStream::connect(stage.door).await.unwrap();
-        let mut idle = TcpStream::connect(stage.door).await.unwrap();
+        let mut busy = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut idle = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut idle, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         receive(&mut idle).await;
         send(&mut busy, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
@@ -413,13 +422,13 @@
 async fn where_there_is_no_room_the_longest_idle_gives_way() {
     on_stage(async {
         let stage = start(Plan { room: 2, ..PLAN });
-        let mut busy = TcpStream::connect(stage.door).await.unwrap();
+        let mut busy = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut busy, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
         until_seen(&stage, "Frontend Get x /wait None None 0").await;
-        let mut idle = TcpStream::connect(stage.door).await.unwrap();
+        let mut idle = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut idle, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         receive(&mut idle).await;
-        let mut next = TcpStream::connect(stage.door).await.unwrap();
+        let mut next = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut next, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         assert!(receive(&mut next).await.starts_with("HTTP/1.1 200 "));
         is_closed(&mut idle).await;
--- a/crates/cluster/cluster-node/tests/stored/lone_core.rs
+++ b/crates/cluster/cluster-node/tests/stored/lone_core.rs
@@ -5,7 +5,8 @@
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::node::{
-    DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+    DiskWrite, Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now,
+    Outbox,
 };
 use sagetrail_protocol::service::{Service, ServiceFactory};
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -179,7 +180,7 @@
         };
         self.event(Event::Http {
             id: HttpRequestId(number),
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
         });
         self.run(200);
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -175,7 +175,7 @@
         term: FOREIGN_TERM,
         incarnation,
         members_version: 1,
-        probe: false,
+        pre_vote: false,
         sent_at: 9,
     });
     match core.ask(from, request) {
--- a/crates/cluster/control-plane/src/candidate.rs
+++ b/crates/cluster/control-plane/src/candidate.rs
@@ -1,7 +1,9 @@
 //! Elections: a process whose granted lease is over first asks whether it would be promised a term, then for it.
 use crate::effects::Effects;
 use crate::quorum::MemberList;
-use crate::timing::{ELECTION_JITTER_MS, LEADER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
+use crate::timing::{
+    ELECTION_JITTER_MS, LEADER_LEASE_MS, PRE_VOTE_MS, RESEND_MS, RESIGNED_JITTER_MS,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::{
@@ -42,7 +44,7 @@
 #[derive(Debug)]
 struct Candidacy {
     term: Term,
-    probe: bool,
+    pre_vote: bool,
     members_version: u64,
     started: Time,
     sent_at: Time,
@@ -113,7 +115,7 @@
         let leadership = self
             .candidacy
             .as_ref()
-            .filter(|candidacy| !candidacy.probe)
+            .filter(|candidacy| !candidacy.pre_vote)
             .map(|candidacy| candidacy.term);
         self.stand_back(now);
         if let Some(term) = leadership {
@@ -136,16 +138,16 @@
         }
     }
 
-    fn stand(&mut self, now: Time, probe: bool, list: &MemberList, effects: &mut Effects) {
+    fn stand(&mut self, now: Time, pre_vote: bool, list: &MemberList, effects: &mut Effects) {
         let term = self.highest + 1;
-        if !probe {
+        if !pre_vote {
             self.highest = term;
         }
         let (votes, refusals) = (BTreeMap::new(), BTreeSet::new());
         let members_version = list.version;
         let candidacy = Candidacy {
             term,
-            probe,
+            pre_vote,
             members_version,
             started: now,
             sent_at: now,
@@ -170,7 +172,8 @@
         if reply.incarnation != self.incarnation {
             return None;
         }
-        let same = reply.probe == candidacy.probe && (reply.probe || reply.term == candidacy.term);
+        let same = reply.pre_vote == candidacy.pre_vote
+            && (reply.pre_vote || reply.term == candidacy.term);
         if !same || !list.contains(from) {
             return None;
         }
@@ -195,7 +198,7 @@
         if !list.reached_by(&voters) {
             return None;
         }
-        if candidacy.probe {
+        if candidacy.pre_vote {
             self.stand(now, false, list, effects);
             return None;
         }
@@ -210,8 +213,8 @@
 
 impl Candidacy {
     fn ends(&self) -> Time {
-        let span_ms = if self.probe {
-            PROBE_MS
+        let span_ms = if self.pre_vote {
+            PRE_VOTE_MS
         } else {
             LEADER_LEASE_MS
         };
@@ -223,7 +226,7 @@
             term: self.term,
             incarnation,
             members_version: self.members_version,
-            probe: self.probe,
+            pre_vote: self.pre_vote,
             sent_at: self.sent_at.0,
         };
         let silent = list
--- a/crates/cluster/control-plane/src/door.rs
+++ b/crates/cluster/control-plane/src/http_api.rs
@@ -1,7 +1,7 @@
 //! Requests of HTTP at a core process: which of them is the operator's.
 use crate::change::{Change, ChangeKind};
 use sagetrail_cluster_config::ConfigDocument;
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 
 const REPLACE_PATH: &str = "/v1/config/replace";
 const PATCH_PATH: &str = "/v1/config/patch";
@@ -26,11 +26,11 @@
 }
 
 /// Reads a request. `founded`: this process knows the core's members.
-pub fn asked(door: Door, request: HttpRequest, founded: bool) -> Asked {
-    match door {
-        Door::Control => at_control(request, founded),
-        Door::Readiness => Asked::Status(if founded { OK } else { UNAVAILABLE }),
-        Door::Frontend => Asked::Status(UNAVAILABLE),
+pub fn asked(endpoint: HttpEndpoint, request: HttpRequest, founded: bool) -> Asked {
+    match endpoint {
+        HttpEndpoint::Control => at_control(request, founded),
+        HttpEndpoint::Readiness => Asked::Status(if founded { OK } else { UNAVAILABLE }),
+        HttpEndpoint::Frontend => Asked::Status(UNAVAILABLE),
     }
 }
 
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -1,7 +1,7 @@
 //! What each message among core processes and each request of HTTP does.
 use crate::candidate::Elected;
 use crate::change::{Job, Verdict};
-use crate::door::{asked, Asked};
+use crate::http_api::{asked, Asked};
 use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Outcome;
@@ -11,7 +11,7 @@
     ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
 };
-use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId, Time};
 
 /// So many processes wait to be told that a proposal number is learnt.
@@ -283,10 +283,15 @@
     }
 
     /// A request of HTTP.
-    pub(crate) fn on_http(&mut self, id: HttpRequestId, door: Door, request: HttpRequest) {
+    pub(crate) fn on_http(
+        &mut self,
+        id: HttpRequestId,
+        endpoint: HttpEndpoint,
+        request: HttpRequest,
+    ) {
         let now = self.now.steady;
         let founded = self.knowledge.list.version > 0;
-        match asked(door, request, founded) {
+        match asked(endpoint, request, founded) {
             Asked::Status(status) => self.effects.status(id, status),
             Asked::ReadBack => self.operator.read_back(now, id, &mut self.effects),
             Asked::Change(change) => {
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -205,10 +205,14 @@
         self.drop_spent_lease();
         match event {
             Event::Message { from, message } => self.on_outer_message(from, message),
-            Event::Http { id, door, request } => self.on_http(id, door, request),
+            Event::Http {
+                id,
+                endpoint,
+                request,
+            } => self.on_http(id, endpoint, request),
             Event::HttpAbandoned { id } => self.operator.abandoned(id),
             Event::Synced { token } => self.courier.synced(token),
-            Event::Probe { .. } | Event::Wake => {}
+            Event::HealthCheck { .. } | Event::Wake => {}
             Event::Seeds(seeds) => self.settings.seeds = seeds,
             Event::Terminate => self.terminate(),
         }
--- a/crates/cluster/control-plane/src/timing.rs
+++ b/crates/cluster/control-plane/src/timing.rs
@@ -11,7 +11,7 @@
 /// After a resignation the election starts sooner.
 pub const RESIGNED_JITTER_MS: u64 = 60;
 /// A probe for votes is given up after so long.
-pub const PROBE_MS: u64 = 300;
+pub const PRE_VOTE_MS: u64 = 300;
 /// A message without an answer is sent again after so long.
 pub const RESEND_MS: u64 = 200;
 /// A round of the register without an outcome is started again after so long.
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -18,7 +18,7 @@
     ) {
         let granted =
             self.may_promise(now, from, request) && request.members_version >= members_version;
-        if granted && !request.probe {
+        if granted && !request.pre_vote {
             self.state.promise = TermPromise {
                 term: request.term,
                 node: from,
@@ -30,14 +30,14 @@
         let reply = ControlMessage::VoteReply(VoteReply {
             term: request.term,
             incarnation: request.incarnation,
-            probe: request.probe,
+            pre_vote: request.pre_vote,
             granted,
             sent_at: request.sent_at,
             promised: self.state.promise.term,
             members_version,
             position: self.state.position,
         });
-        if granted && !request.probe {
+        if granted && !request.pre_vote {
             return effects.write(vec![put_replica(&self.state)], vec![(from, reply)]);
         }
         effects.control(from, reply);
@@ -49,10 +49,10 @@
         }
         let promise = &self.state.promise;
         let again = promise.node == from && promise.incarnation == request.incarnation;
-        if again && promise.term == request.term && !request.probe {
+        if again && promise.term == request.term && !request.pre_vote {
             return true;
         }
-        now >= self.lease_until && (request.probe || request.term > promise.term)
+        now >= self.lease_until && (request.pre_vote || request.term > promise.term)
     }
 
     /// An leader gave its lease up, or a candidate its candidacy; true where the term was promised to it.
--- a/crates/cluster/control-plane/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -161,13 +161,13 @@
                 from != source
             }
             Some(ControlMessage::VoteReply(reply))
-                if from == source && reply.granted && !reply.probe =>
+                if from == source && reply.granted && !reply.pre_vote =>
             {
                 *vote.lock().unwrap() = true;
                 true
             }
             // No majority is complete without the source.
-            Some(ControlMessage::VoteReply(reply)) => reply.probe || *vote.lock().unwrap(),
+            Some(ControlMessage::VoteReply(reply)) => reply.pre_vote || *vote.lock().unwrap(),
             _ => true,
         }));
         for _ in 0..4_000 {
@@ -299,7 +299,7 @@
         world.tamper = Some(Box::new(move |from, _, message| match control(message) {
             Some(ControlMessage::VoteRequest(_)) => from != voter,
             Some(ControlMessage::VoteReply(reply))
-                if from == voter && reply.granted && !reply.probe =>
+                if from == voter && reply.granted && !reply.pre_vote =>
             {
                 *seen.lock().unwrap() = Some(reply.position);
                 true
@@ -338,12 +338,14 @@
         world.tamper = Some(Box::new(move |from, _, message| match control(message) {
             Some(ControlMessage::VoteRequest(_)) => from != source,
             Some(ControlMessage::VoteReply(reply))
-                if from == source && reply.granted && !reply.probe =>
+                if from == source && reply.granted && !reply.pre_vote =>
             {
                 tell.lock().unwrap().get_or_insert(reply.position);
                 true
             }
-            Some(ControlMessage::VoteReply(reply)) => reply.probe || tell.lock().unwrap().is_some(),
+            Some(ControlMessage::VoteReply(reply)) => {
+                reply.pre_vote || tell.lock().unwrap().is_some()
+            }
             _ => true,
         }));
         for _ in 0..4_000 {
--- a/crates/cluster/control-plane/tests/http_answers.rs
+++ b/crates/cluster/control-plane/tests/http_answers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use support::world::{config, World};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
@@ -49,7 +49,13 @@
 }
 
 /// Adds the answer to a request at another address than the operator's, answered at once.
-fn add_at(transcript: &mut Transcript, name: &str, world: &mut World, door: Door, path: &str) {
+fn add_at(
+    transcript: &mut Transcript,
+    name: &str,
+    world: &mut World,
+    endpoint: HttpEndpoint,
+    path: &str,
+) {
     world.replies.remove(&OWN_REQUEST);
     let request = HttpRequest {
         method: Method::Get,
@@ -60,7 +66,14 @@
         body: Vec::new(),
     };
     let id = HttpRequestId(OWN_REQUEST);
-    world.event(0, Event::Http { id, door, request });
+    world.event(
+        0,
+        Event::Http {
+            id,
+            endpoint,
+            request,
+        },
+    );
     add(transcript, name, world, OWN_REQUEST);
 }
 
@@ -79,14 +92,14 @@
         transcript,
         "not founded: readiness",
         &mut world,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         "/v1/readyz",
     );
     add_at(
         transcript,
         "not founded: clients",
         &mut world,
-        Door::Frontend,
+        HttpEndpoint::Frontend,
         "/one/1",
     );
 }
@@ -294,21 +307,21 @@
         transcript,
         "readiness",
         &mut world,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         "/v1/readyz",
     );
     add_at(
         transcript,
         "readiness: any path",
         &mut world,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         "/other",
     );
     add_at(
         transcript,
         "the clients' address",
         &mut world,
-        Door::Frontend,
+        HttpEndpoint::Frontend,
         "/one/1",
     );
     world.terminate(0);
@@ -316,7 +329,7 @@
         transcript,
         "readiness once told to end",
         &mut world,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         "/v1/readyz",
     );
 }
--- a/crates/cluster/control-plane/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -30,13 +30,13 @@
     );
 }
 
-fn ask_for_vote(world: &mut World, replica: usize, term: Term, probe: bool) -> bool {
+fn ask_for_vote(world: &mut World, replica: usize, term: Term, pre_vote: bool) -> bool {
     world.client_messages.clear();
     let request = VoteRequest {
         term,
         incarnation: 77,
         members_version: 1,
-        probe,
+        pre_vote,
         sent_at: 1,
     };
     say(world, replica, CLIENT, ControlMessage::VoteRequest(request));
--- a/crates/cluster/control-plane/tests/support/fleet.rs
+++ b/crates/cluster/control-plane/tests/support/fleet.rs
@@ -6,7 +6,7 @@
 use sagetrail_gateway::GatewayNode;
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::node::{
-    Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+    Event, HttpEndpoint, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
 use sagetrail_protocol::{frame, Message, NodeId, Time};
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
         };
         let event = Event::Http {
             id: HttpRequestId(version),
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
         };
         self.event(names(CORE_NETWORK, 1)[0], event);
--- a/crates/cluster/control-plane/tests/support/world.rs
+++ b/crates/cluster/control-plane/tests/support/world.rs
@@ -8,8 +8,8 @@
 use sagetrail_protocol::client::{ClientMethod, ClientRequest};
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::node::{
-    DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId,
-    Method, Node, Now, Outbox, Table,
+    DiskImage, DiskOperation, DiskWrite, Event, HttpEndpoint, HttpReply, HttpRequest,
+    HttpRequestId, Method, Node, Now, Outbox, Table,
 };
 use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Text, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -529,7 +529,7 @@
             index,
             Event::Http {
                 id: HttpRequestId(number),
-                door: Door::Control,
+                endpoint: HttpEndpoint::Control,
                 request,
             },
         );
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -8,7 +8,9 @@
 use crate::subscription::Subscription;
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::message::Relayed;
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
+};
 use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// The platform's readiness check asks for a path that ends so.
@@ -184,19 +186,19 @@
             }
             Event::Http {
                 id,
-                door: Door::Frontend,
+                endpoint: HttpEndpoint::Frontend,
                 request,
             } => self.take_request(steady, id, request, outbox),
             Event::Http {
                 id,
-                door: Door::Readiness,
+                endpoint: HttpEndpoint::Readiness,
                 request,
             } => {
                 outbox.reply(id, self.readiness(steady, &request));
             }
             Event::Http {
                 id,
-                door: Door::Control,
+                endpoint: HttpEndpoint::Control,
                 ..
             } => outbox.reply(id, response::not_found()),
             Event::HttpAbandoned { id } => self.pending.abandon(id),
@@ -206,7 +208,7 @@
                 self.drain
                     .get_or_insert_with(|| Drain::start(steady, grace_s));
             }
-            Event::Synced { .. } | Event::Probe { .. } | Event::Wake => {}
+            Event::Synced { .. } | Event::HealthCheck { .. } | Event::Wake => {}
         }
         self.run_due(steady, outbox);
     }
--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate};
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{
-    Door, Event, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+    Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
 use sagetrail_protocol::{frame, Message, NodeId, Time};
 
@@ -169,7 +169,7 @@
         };
         self.event(Event::Http {
             id,
-            door: Door::Frontend,
+            endpoint: HttpEndpoint::Frontend,
             request,
         });
         id
@@ -192,7 +192,7 @@
         };
         self.event(Event::Http {
             id,
-            door: Door::Readiness,
+            endpoint: HttpEndpoint::Readiness,
             request,
         });
         self.reply_to(id)
--- a/crates/cluster/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -7,7 +7,7 @@
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::client::ClientReply;
 use sagetrail_protocol::collections::Blob;
-use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use sagetrail_protocol::{Message, NodeId};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
@@ -27,7 +27,7 @@
     transcript: &mut Transcript,
     name: &str,
     rig: &mut Rig,
-    door: Door,
+    endpoint: HttpEndpoint,
     request: (Method, &str),
 ) {
     rig.clear();
@@ -41,7 +41,11 @@
         body: Vec::new(),
     };
     let id = OWN_REQUEST;
-    rig.event(Event::Http { id, door, request });
+    rig.event(Event::Http {
+        id,
+        endpoint,
+        request,
+    });
     add(transcript, name, rig, id);
 }
 
@@ -171,7 +175,7 @@
         transcript,
         "not ready: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
     let mut rig = Rig::settled();
@@ -179,35 +183,35 @@
         transcript,
         "ready: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
     add_at(
         transcript,
         "ready: GET /readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Get, "/readyz"),
     );
     add_at(
         transcript,
         "ready: POST /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Post, "/v1/readyz"),
     );
     add_at(
         transcript,
         "ready: GET /other",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Get, "/other"),
     );
     add_at(
         transcript,
         "the operator's address: GET /v1/config/get",
         &mut rig,
-        Door::Control,
+        HttpEndpoint::Control,
         (Method::Get, "/v1/config/get"),
     );
     rig.event(Event::Terminate);
@@ -215,7 +219,7 @@
         transcript,
         "told to end: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
 }
--- a/crates/cluster/gateway/tests/model/world.rs
+++ b/crates/cluster/gateway/tests/model/world.rs
@@ -7,7 +7,7 @@
 use sagetrail_protocol::distribution::ConfigUpdate;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{
-    Door, Event, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+    Event, HttpEndpoint, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
 use sagetrail_protocol::{frame, Blob, Message, NodeId, Time};
 use std::collections::BTreeMap;
@@ -310,7 +310,7 @@
             number,
             Event::Http {
                 id,
-                door: Door::Frontend,
+                endpoint: HttpEndpoint::Frontend,
                 request,
             },
         );
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -151,7 +151,7 @@
     /// The member list by which the candidate counts.
     pub members_version: u64,
     /// True: only asks whether it would be promised.
-    pub probe: bool,
+    pub pre_vote: bool,
     /// The candidate's steady clock in microseconds; comes back in the answer.
     pub sent_at: u64,
 }
@@ -162,7 +162,7 @@
     pub term: Term,
     /// The candidate's own, as in the request.
     pub incarnation: Incarnation,
-    pub probe: bool,
+    pub pre_vote: bool,
     pub granted: bool,
     pub sent_at: u64,
     /// The highest term promised by the answering process.
--- a/crates/cluster/protocol/src/node.rs
+++ b/crates/cluster/protocol/src/node.rs
@@ -11,7 +11,7 @@
 
 /// The listening address by which a request of HTTP came.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
-pub enum Door {
+pub enum HttpEndpoint {
     /// Clients.
     Frontend,
     /// The platform's readiness check.
@@ -101,22 +101,22 @@
 
 /// Names a probe until its result comes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct ProbeId(pub u64);
+pub struct HealthCheckId(pub u64);
 
 /// A look at another process: one GET by a connection of its own.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Probe {
-    pub id: ProbeId,
+pub struct HealthCheck {
+    pub id: HealthCheckId,
     pub address: SocketAddrV4,
     pub path: String,
 }
 
 /// So long a probe waits for its answer, in milliseconds.
-pub const PROBE_TIMEOUT_MS: u64 = 300;
+pub const HEALTH_CHECK_TIMEOUT_MS: u64 = 300;
 
 /// What came of a probe.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
-pub enum ProbeResult {
+pub enum HealthCheckResult {
     /// The machine is up and nothing listens at the address.
     Refused,
     /// It was answered with this status.
@@ -135,7 +135,7 @@
     /// A request of HTTP; must be answered exactly once with `Outbox::reply`, unless it is abandoned.
     Http {
         id: HttpRequestId,
-        door: Door,
+        endpoint: HttpEndpoint,
         request: HttpRequest,
     },
     /// The caller has gone; no answer is needed.
@@ -147,9 +147,9 @@
         token: u64,
     },
     /// What came of a probe; told once for each.
-    Probe {
-        id: ProbeId,
-        result: ProbeResult,
+    HealthCheck {
+        id: HealthCheckId,
+        result: HealthCheckResult,
     },
     /// The instant asked for by `Node::next_wake` has come.
     Wake,
@@ -166,7 +166,7 @@
     pub sends: Vec<(NodeId, Message)>,
     pub replies: Vec<(HttpRequestId, HttpReply)>,
     pub writes: Vec<DiskWrite>,
-    pub probes: Vec<Probe>,
+    pub health_checks: Vec<HealthCheck>,
     /// True: everything is settled and the process may end (after `Event::Terminate`).
     pub finished: bool,
 }
@@ -182,9 +182,9 @@
         self.replies.push((id, reply));
     }
 
-    /// Looks at another process; `Event::Probe` tells what came of it.
-    pub fn probe(&mut self, probe: Probe) {
-        self.probes.push(probe);
+    /// Looks at another process; `Event::HealthCheck` tells what came of it.
+    pub fn health_check(&mut self, health_check: HealthCheck) {
+        self.health_checks.push(health_check);
     }
 }
 
--- a/crates/testing/scale-testing/src/hollow.rs
+++ b/crates/testing/scale-testing/src/hollow.rs
@@ -3,7 +3,7 @@
 //! `sagetrail-side`.
 mod agent;
 mod document;
-mod door;
+mod endpoint;
 mod runner;
 mod threads;
 mod worker;
--- a/crates/testing/scale-testing/src/hollow/agent.rs
+++ b/crates/testing/scale-testing/src/hollow/agent.rs
@@ -61,7 +61,7 @@
         inputs,
         transport,
         disk: None,
-        probe_results: Some(sender.clone()),
+        health_check_results: Some(sender.clone()),
         phase,
         grace: GRACE,
     };
--- a/crates/testing/scale-testing/src/hollow/door.rs
+++ b/crates/testing/scale-testing/src/hollow/endpoint.rs
@@ -1,7 +1,7 @@
 //! The way from a hollow runner to its agent.
 use crate::call::{Call, Caller};
 use sagetrail_cluster_node::input::{Input, Inputs};
-use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -60,7 +60,7 @@
     inputs
         .send(Input::Request {
             id,
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
             reply,
         })
--- a/crates/testing/scale-testing/src/hollow/threads.rs
+++ b/crates/testing/scale-testing/src/hollow/threads.rs
@@ -1,7 +1,7 @@
 //! The threads that carry hollow workers, and their start and end.
 use super::agent::start;
 use super::document::Capacity;
-use super::door::AgentDoor;
+use super::endpoint::AgentDoor;
 use super::runner::{HollowRunner, RunnerProfile};
 use super::worker::work;
 use crate::board::Board;
@@ -88,14 +88,14 @@
     let scenario = &settings.scenario;
     let caller = Caller::default();
     for number in (thread..scenario.workers).step_by(scenario.hollow_threads as usize) {
-        let door = door(settings, number, &caller)?;
+        let endpoint = endpoint(settings, number, &caller)?;
         tokio::task::spawn_local(answer_looks(listen(settings.places.runner(number)).await?));
         let runner = HollowRunner::new(
             profile(settings, number),
             settings.board.clone(),
             Instant::now(),
         );
-        tokio::task::spawn_local(work(runner, door, settings.board.clone(), over.clone()));
+        tokio::task::spawn_local(work(runner, endpoint, settings.board.clone(), over.clone()));
         tokio::time::sleep(START_GAP).await;
     }
     // An error: the run is over.
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-fn door(settings: &HollowSettings, number: u32, caller: &Caller) -> anyhow::Result<AgentDoor> {
+fn endpoint(settings: &HollowSettings, number: u32, caller: &Caller) -> anyhow::Result<AgentDoor> {
     let ip = settings.places.worker_ip(number);
     if settings.scenario.real_sides {
         return Ok(AgentDoor::Http {
--- a/crates/testing/scale-testing/src/hollow/worker.rs
+++ b/crates/testing/scale-testing/src/hollow/worker.rs
@@ -1,6 +1,6 @@
 //! One hollow worker at work: heartbeats when they are due, until the run is over.
 use super::document::Orders;
-use super::door::AgentDoor;
+use super::endpoint::AgentDoor;
 use super::runner::HollowRunner;
 use crate::board::{Board, Counts};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 /// Sends heartbeats until the run is over.
 pub async fn work(
     mut runner: HollowRunner,
-    mut door: AgentDoor,
+    mut endpoint: AgentDoor,
     board: Arc<Board>,
     mut over: watch::Receiver<bool>,
 ) {
@@ -22,7 +22,7 @@
         }
         let sent = Instant::now();
         let body = runner.heartbeat(sent);
-        let orders = door
+        let orders = endpoint
             .heartbeat(&path, body)
             .await
             .and_then(|body| read(&body));
--- a/crates/testing/scale-testing/src/operator.rs
+++ b/crates/testing/scale-testing/src/operator.rs
@@ -16,9 +16,9 @@
 const PAUSE: Duration = Duration::from_millis(100);
 const FIRST_PATIENCE: Duration = Duration::from_secs(60);
 /// Frontends are asked this often whether a change is in force.
-const PROBE_INTERVAL: Duration = Duration::from_millis(10);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// A change that is not in force after so long is given up.
-const PROBE_PATIENCE: Duration = Duration::from_secs(30);
+const HEALTH_CHECK_PATIENCE: Duration = Duration::from_secs(30);
 
 /// Sends orders to the core.
 pub struct Operator {
@@ -124,7 +124,7 @@
 
     async fn wait_for_route(&self, frontend: SocketAddrV4, name: &str) -> anyhow::Result<()> {
         let started = Instant::now();
-        while started.elapsed() < PROBE_PATIENCE {
+        while started.elapsed() < HEALTH_CHECK_PATIENCE {
             let call = Call {
                 method: "GET",
                 path: format!("/{name}/"),
@@ -138,7 +138,7 @@
             ) {
                 return Ok(());
             }
-            tokio::time::sleep(PROBE_INTERVAL).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
         anyhow::bail!("route {name} is not in force at {frontend}")
     }
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -69,7 +69,7 @@
         places,
         board: board.clone(),
     };
-    let probe = DiskProbe::start(folder.path(), board.clone())?;
+    let health_check = DiskProbe::start(folder.path(), board.clone())?;
     let fleet = HollowFleet::start(&settings);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(LOAD_THREADS)
@@ -84,7 +84,7 @@
     let course = runtime.block_on(stage.play(over));
     runtime.shutdown_background();
     let ended = fleet.end();
-    probe.end()?;
+    health_check.end()?;
     let terms = end_processes(&cluster);
     let mut course = course.map_err(|error| error.context(logs(&cluster)))?;
     ended?;
--- a/crates/testing/scale-testing/src/simulated/engine.rs
+++ b/crates/testing/scale-testing/src/simulated/engine.rs
@@ -1,5 +1,5 @@
 //! What happens when: simulated time, and all that is to come.
-use sagetrail_protocol::node::{DiskWrite, HttpReply, Now, ProbeId};
+use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
 use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
     /// A look at a runner is answered: hollow runners are well.
     Looked {
         machine: usize,
-        id: ProbeId,
+        id: HealthCheckId,
     },
     Configure,
     ConfigureAnswer {
--- a/crates/testing/scale-testing/src/simulated/world.rs
+++ b/crates/testing/scale-testing/src/simulated/world.rs
@@ -15,7 +15,7 @@
 use crate::scenario::{FaultKind, FaultTarget, Scenario};
 use crate::timings::Timing;
 use sagetrail_protocol::node::{
-    Door, Event, HttpReply, HttpRequest, HttpRequestId, Outbox, ProbeResult,
+    Event, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Outbox,
 };
 use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::{BTreeMap, HashMap};
@@ -184,14 +184,14 @@
                 reply,
             } => self.submit_answer(job, attempt, reply.as_ref()),
             Action::Looked { machine, id } => {
-                let result = ProbeResult::Status(WELL);
+                let result = HealthCheckResult::Status(WELL);
                 self.drive(machine, |machine, now, outbox| {
-                    machine.handle(now, Event::Probe { id, result }, outbox);
+                    machine.handle(now, Event::HealthCheck { id, result }, outbox);
                 });
             }
             Action::Configure => {
                 let request = configuration(&self.scenario);
-                self.call(0, Door::Control, request, Waiting::Operator);
+                self.call(0, HttpEndpoint::Control, request, Waiting::Operator);
             }
             Action::ConfigureAnswer { reply } if reply.status != 200 => {
                 self.engine.after(CONFIGURE_PAUSE, Action::Configure);
@@ -245,12 +245,12 @@
         for (id, reply) in outbox.replies {
             self.answer(id, reply);
         }
-        for probe in outbox.probes {
+        for health_check in outbox.health_checks {
             self.engine.after(
                 LOCAL,
                 Action::Looked {
                     machine: at,
-                    id: probe.id,
+                    id: health_check.id,
                 },
             );
         }
@@ -339,12 +339,20 @@
         )
     }
 
-    fn call(&mut self, at: usize, door: Door, request: HttpRequest, waiting: Waiting) {
+    fn call(&mut self, at: usize, endpoint: HttpEndpoint, request: HttpRequest, waiting: Waiting) {
         self.last_call += 1;
         let id = HttpRequestId(self.last_call);
         self.callers.insert(id.0, waiting);
         self.drive(at, |machine, now, outbox| {
-            machine.handle(now, Event::Http { id, door, request }, outbox);
+            machine.handle(
+                now,
+                Event::Http {
+                    id,
+                    endpoint,
+                    request,
+                },
+                outbox,
+            );
         });
     }
 
@@ -376,7 +384,7 @@
             worker,
             sent: self.engine.now,
         };
-        self.call(at, Door::Control, heartbeat(path, body), waiting);
+        self.call(at, HttpEndpoint::Control, heartbeat(path, body), waiting);
     }
 
     fn heartbeat_answer(&mut self, worker: usize, sent: Time, reply: &HttpReply) {
@@ -413,7 +421,7 @@
         let request = submission(&self.scenario, &planned);
         self.call(
             at,
-            Door::Frontend,
+            HttpEndpoint::Frontend,
             request,
             Waiting::Client { job, attempt },
         );
--- a/crates/testing/simulation/src/actor.rs
+++ b/crates/testing/simulation/src/actor.rs
@@ -4,7 +4,7 @@
 use crate::gang::GangBoard;
 use crate::history::{Answer, History};
 use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::node::{Door, HttpReply, HttpRequest};
+use sagetrail_protocol::node::{HttpEndpoint, HttpReply, HttpRequest};
 use sagetrail_protocol::NodeId;
 
 /// Names a call to the actor that made it.
@@ -15,7 +15,7 @@
 pub struct OutgoingCall {
     pub tag: CallTag,
     pub to: NodeId,
-    pub door: Door,
+    pub endpoint: HttpEndpoint,
     pub request: HttpRequest,
     /// The actor waits so long.
     pub patience: Micros,
--- a/crates/testing/simulation/src/client.rs
+++ b/crates/testing/simulation/src/client.rs
@@ -2,7 +2,7 @@
 use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, ShownState, Sight};
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use sagetrail_protocol::NodeId;
 use serde_json::Value;
 
@@ -113,7 +113,7 @@
         surroundings.calls.push(OutgoingCall {
             tag,
             to: gateway,
-            door: Door::Frontend,
+            endpoint: HttpEndpoint::Frontend,
             request,
             patience: DEADLINE,
         });
--- a/crates/testing/simulation/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -3,7 +3,7 @@
 use crate::actor::{Outcome, OutgoingCall};
 use crate::engine::Micros;
 use crate::process::{Held, ProcessState};
-use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId};
+use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::NodeId;
 
 /// One way between a runner and the process beside it.
@@ -15,7 +15,7 @@
 pub(crate) struct Call {
     leader: CallOwner,
     node: NodeId,
-    door: Door,
+    endpoint: HttpEndpoint,
 }
 
 impl Call {
@@ -37,7 +37,7 @@
                 tag: outgoing.tag,
             },
             node: outgoing.to,
-            door: outgoing.door,
+            endpoint: outgoing.endpoint,
         };
         let arrives = self.now() + call.latency();
         let timeout = self.now() + outgoing.patience;
@@ -56,11 +56,15 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (node, door) = (call.node, call.door);
+        let (node, endpoint) = (call.node, call.endpoint);
         let Some(process) = self.processes.get_mut(&node) else {
             return;
         };
-        let event = Event::Http { id, door, request };
+        let event = Event::Http {
+            id,
+            endpoint,
+            request,
+        };
         match process.state {
             ProcessState::PowerOff => (),
             ProcessState::Down => self.answer_call(id, Outcome::Broken),
--- a/crates/testing/simulation/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/life.rs
@@ -79,7 +79,7 @@
             self.reply(id, reply);
         }
         self.writes(node, outbox.writes);
-        self.start_probes(node, outbox.probes);
+        self.start_health_checks(node, outbox.health_checks);
         let terminating = self
             .processes
             .get(&node)
--- a/crates/testing/simulation/src/cluster/mod.rs
+++ b/crates/testing/simulation/src/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! The simulated world: processes, their network and disks, and everyone outside.
 mod calls;
+mod health_checks;
 mod life;
 mod outside;
-mod probes;
 mod replacement;
 mod trouble;
 
@@ -18,11 +18,11 @@
 use crate::process::{Factory, Process};
 use crate::runner::Runner;
 use calls::Call;
-use probes::Look;
+use health_checks::Look;
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::node::{
-    DiskWrite, Event, HttpReply, HttpRequest, HttpRequestId, ProbeResult,
+    DiskWrite, Event, HealthCheckResult, HttpReply, HttpRequest, HttpRequestId,
 };
 use sagetrail_protocol::{Message, NodeId, NodeKind};
 use std::collections::BTreeMap;
@@ -93,10 +93,10 @@
         outcome: Outcome,
     },
     CallTimeout(HttpRequestId),
-    ProbeArrives(Look),
+    HealthCheckArrives(Look),
     Probed {
         look: Look,
-        result: ProbeResult,
+        result: HealthCheckResult,
     },
     ActorWake {
         actor: ActorId,
@@ -255,7 +255,7 @@
             WorldEvent::RequestArrives { id, request } => self.request_arrives(id, request),
             WorldEvent::OutcomeArrives { id, outcome } => self.outcome_arrives(id, outcome),
             WorldEvent::CallTimeout(id) => self.call_timeout(id),
-            WorldEvent::ProbeArrives(look) => self.probe_arrives(look),
+            WorldEvent::HealthCheckArrives(look) => self.health_check_arrives(look),
             WorldEvent::Probed { look, result } => self.probed(look, result),
             WorldEvent::ActorWake { actor, at } => self.wake_actor(actor, at),
             WorldEvent::Fault(fault) => self.apply(fault),
--- a/crates/testing/simulation/src/operator.rs
+++ b/crates/testing/simulation/src/operator.rs
@@ -4,7 +4,7 @@
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, OrderSeen, Sight};
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use sagetrail_protocol::NodeId;
 
 /// The operator waits so long for an answer.
@@ -29,7 +29,7 @@
     /// The configuration is read.
     Read,
     /// A queue's count is asked of a gateway.
-    Probe { host: String, prefix: String },
+    HealthCheck { host: String, prefix: String },
 }
 
 /// One doing of the operator.
@@ -49,7 +49,7 @@
         body: Vec<u8>,
     },
     Learn,
-    Probe {
+    HealthCheck {
         host: String,
         prefix: String,
         gateway: NodeId,
@@ -125,12 +125,12 @@
             ChangeKind::Invalid => self.order_invalid(now, version),
             ChangeKind::Repeat => self.repeat(now),
             ChangeKind::Read => self.errand(now, Task::Learn),
-            ChangeKind::Probe { host, prefix } => {
+            ChangeKind::HealthCheck { host, prefix } => {
                 let gateway =
                     surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
                 self.errand(
                     now,
-                    Task::Probe {
+                    Task::HealthCheck {
                         host,
                         prefix,
                         gateway,
@@ -272,7 +272,7 @@
         }
     }
 
-    fn take_probe(
+    fn take_health_check(
         &mut self,
         now: Micros,
         index: usize,
@@ -281,7 +281,7 @@
     ) {
         let errand = &mut self.errands[index];
         errand.over = true;
-        if let Task::Probe {
+        if let Task::HealthCheck {
             host,
             prefix,
             gateway,
@@ -321,7 +321,7 @@
         let mut call = OutgoingCall {
             tag: index as CallTag,
             to: core,
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request: request.clone(),
             patience: PATIENCE,
         };
@@ -335,7 +335,7 @@
                     .history
                     .note(now, Sight::OrderSent(seen.clone()));
             }
-            Task::Probe {
+            Task::HealthCheck {
                 host,
                 prefix,
                 gateway,
@@ -344,7 +344,7 @@
                 request.path = prefix.clone();
                 request.deadline_ms = Some(PATIENCE / MILLISECOND);
                 call.to = *gateway;
-                call.door = Door::Frontend;
+                call.endpoint = HttpEndpoint::Frontend;
             }
             Task::Learn => (),
         }
@@ -385,7 +385,9 @@
         match errand.task {
             Task::Order { .. } => self.take_order(now, index, outcome.answer(), surroundings),
             Task::Learn => self.take_read(now, index, &outcome, surroundings),
-            Task::Probe { .. } => self.take_probe(now, index, outcome.answer(), surroundings),
+            Task::HealthCheck { .. } => {
+                self.take_health_check(now, index, outcome.answer(), surroundings)
+            }
         }
     }
 
--- a/crates/testing/simulation/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/beat.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::EndSeen;
 use sagetrail_protocol::agent::RunEnd;
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use serde_json::{json, Value};
 
 /// So many ends are listed at once.
@@ -76,7 +76,7 @@
         let call = OutgoingCall {
             tag,
             to: self.plan.agent,
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
             patience: ANSWER_LIMIT,
         };
--- a/crates/testing/simulation/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -289,7 +289,7 @@
                 step: 1,
             });
         }
-        changes.extend(self.probes(chance));
+        changes.extend(self.health_checks(chance));
         let last = self.traffic_end() + TAIL - QUIET / 2;
         changes.push(Change {
             at: last,
@@ -299,10 +299,10 @@
         changes
     }
 
-    fn probes(&self, chance: &mut Chance) -> Vec<Change> {
-        let probe = |_| {
+    fn health_checks(&self, chance: &mut Chance) -> Vec<Change> {
+        let health_check = |_| {
             let prefix = format!("/extra-{}/", chance.between(0, 4));
-            let kind = ChangeKind::Probe {
+            let kind = ChangeKind::HealthCheck {
                 host: HOST.into(),
                 prefix,
             };
@@ -312,7 +312,7 @@
                 step: 1,
             }
         };
-        (0..40).map(probe).collect()
+        (0..40).map(health_check).collect()
     }
 
     fn fault_plan(&self, chance: &mut Chance) -> Vec<PlannedFault> {
