--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -26,7 +26,7 @@
 const LATER_INCARNATION: u64 = 0x5555_6666_7777_8888;
 /// More than travel with the register's value, so that some are in the archive alone.
 const VERSIONS: u64 = 84;
-/// Long enough for founding, or for the end of a former life's lease, and an election.
+/// Long enough for bootstrap, or for the end of a former life's lease, and an election.
 const ELECTION_MS: u64 = 10_000;
 /// A term that the member promises to it, and its life.
 const FOREIGN_TERM: u64 = 9;
@@ -293,7 +293,7 @@
     assert_eq!(value.members_version, 1);
     assert_eq!(value.members.0, [ME]);
     assert_eq!(value.next_members.0, []);
-    assert_eq!(value.founding_size, 1);
+    assert_eq!(value.bootstrap_size, 1);
     assert_eq!(value.config.version, VERSIONS);
     let read: serde_json::Value = serde_json::from_slice(&value.config.document).unwrap();
     let written: serde_json::Value = serde_json::from_str(&document(VERSIONS)).unwrap();
--- a/crates/cluster/control-plane/src/founding.rs
+++ b/crates/cluster/control-plane/src/bootstrap.rs
@@ -1,5 +1,5 @@
 //! The first start of the whole system: the first seed fixes the members.
-use crate::timing::{FOUNDING_ALONE_MS, FOUNDING_PATIENCE_MS, FOUNDING_QUIET_MS};
+use crate::timing::{BOOTSTRAP_ALONE_MS, BOOTSTRAP_PATIENCE_MS, BOOTSTRAP_QUIET_MS};
 use crate::value::RegisterValue;
 use sagetrail_protocol::{List, NodeId, Time};
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 
 /// Collects the core processes that are there.
 #[derive(Debug)]
-pub struct Founding {
+pub struct BootstrapCandidates {
     heard: BTreeSet<NodeId>,
     wanted: usize,
     started: Time,
@@ -16,11 +16,11 @@
     changed: Time,
 }
 
-impl Founding {
-    /// At the start of the founder.
-    pub fn new(node: NodeId, tolerated_machines: u32, now: Time) -> Founding {
+impl BootstrapCandidates {
+    /// At the start of the bootstrapping process.
+    pub fn new(node: NodeId, tolerated_machines: u32, now: Time) -> BootstrapCandidates {
         let wanted = 2 * tolerated_machines as usize + 1;
-        Founding {
+        BootstrapCandidates {
             heard: BTreeSet::from([node]),
             wanted,
             started: now,
@@ -43,13 +43,13 @@
     /// When it is time, as things stand.
     pub fn due_at(&self) -> Time {
         if self.heard.len() >= self.wanted {
-            return self.changed.plus_millis(FOUNDING_QUIET_MS);
+            return self.changed.plus_millis(BOOTSTRAP_QUIET_MS);
         }
         if self.heard.len() >= FEWEST_FOR_PATIENCE {
-            return self.started.plus_millis(FOUNDING_PATIENCE_MS);
+            return self.started.plus_millis(BOOTSTRAP_PATIENCE_MS);
         }
         if self.heard.len() == 1 {
-            return self.started.plus_millis(FOUNDING_ALONE_MS);
+            return self.started.plus_millis(BOOTSTRAP_ALONE_MS);
         }
         Time(u64::MAX)
     }
@@ -58,7 +58,7 @@
         RegisterValue {
             members_version: 1,
             members: List(self.heard.iter().copied().collect()),
-            founding_size: self.heard.len() as u32,
+            bootstrap_size: self.heard.len() as u32,
             ..RegisterValue::default()
         }
     }
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -92,8 +92,9 @@
 
     /// An answer came; it is taken only where it was asked for.
     pub fn reply(&mut self, from: NodeId, reply: &ChangesReply, changes: &mut AcceptedChanges) {
-        let asked = |request: &Request| request.member == from && request.after == reply.after;
-        if !self.request.as_ref().is_some_and(asked) {
+        let parse_request =
+            |request: &Request| request.member == from && request.after == reply.after;
+        if !self.request.as_ref().is_some_and(parse_request) {
             return;
         }
         self.request = None;
@@ -179,18 +180,18 @@
 impl CoreNode {
     /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
     pub fn changes_caught_up(&self) -> bool {
-        self.knowledge.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
+        self.register_view.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
     }
 
     /// Asks for accepted changes that are missing, and writes those that are not on disk yet.
     pub(crate) fn step_changes(&mut self, now: Time) {
-        let (node, list) = (self.settings.node, &self.knowledge.list);
+        let (node, list) = (self.settings.node, &self.register_view.list);
         if list.version > 0 {
             self.changes_fetch
                 .tick(now, node, &self.accepted_changes, list, &mut self.effects);
         }
         // A process that never took part keeps nothing on disk.
-        if self.standing.ready && self.accepted_changes.needs_writing() {
+        if self.membership_state.ready && self.accepted_changes.needs_writing() {
             let operations = self.accepted_changes.take_writes();
             self.effects.write(operations, Vec::new());
         }
@@ -198,7 +199,7 @@
 
     /// When a request is due.
     pub(crate) fn changes_wake(&self) -> Option<Time> {
-        let founded = self.knowledge.list.version > 0;
+        let founded = self.register_view.list.version > 0;
         founded
             .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
             .flatten()
--- a/crates/cluster/control-plane/src/http_api.rs
+++ b/crates/cluster/control-plane/src/http_api.rs
@@ -16,7 +16,7 @@
 
 /// What a request asks for.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ApiRequest {
     /// A change of the configuration.
     Change(Change),
     /// The newest configuration.
@@ -26,46 +26,46 @@
 }
 
 /// Reads a request. `founded`: this process knows the core's members.
-pub fn asked(endpoint: HttpEndpoint, request: HttpRequest, founded: bool) -> Asked {
+pub fn parse_request(endpoint: HttpEndpoint, request: HttpRequest, founded: bool) -> ApiRequest {
     match endpoint {
         HttpEndpoint::Control => at_control(request, founded),
-        HttpEndpoint::Readiness => Asked::Status(if founded { OK } else { UNAVAILABLE }),
-        HttpEndpoint::Frontend => Asked::Status(UNAVAILABLE),
+        HttpEndpoint::Readiness => ApiRequest::Status(if founded { OK } else { UNAVAILABLE }),
+        HttpEndpoint::Frontend => ApiRequest::Status(UNAVAILABLE),
     }
 }
 
-fn at_control(request: HttpRequest, founded: bool) -> Asked {
+fn at_control(request: HttpRequest, founded: bool) -> ApiRequest {
     match (request.method, request.path.as_str()) {
         (Method::Post, REPLACE_PATH) if founded => replace(request),
         (Method::Post, PATCH_PATH) if founded => patch(request),
-        (Method::Get, GET_PATH) if founded => Asked::ReadBack,
+        (Method::Get, GET_PATH) if founded => ApiRequest::ReadBack,
         (Method::Post, REPLACE_PATH | PATCH_PATH) | (Method::Get, GET_PATH) => {
-            Asked::Status(UNAVAILABLE)
+            ApiRequest::Status(UNAVAILABLE)
         }
-        (_, REPLACE_PATH | PATCH_PATH | GET_PATH) => Asked::Status(NOT_ALLOWED),
-        (_, path) if path.starts_with(INSTANCES_PATH) => Asked::Status(UNAVAILABLE),
-        _ => Asked::Status(NOT_FOUND),
+        (_, REPLACE_PATH | PATCH_PATH | GET_PATH) => ApiRequest::Status(NOT_ALLOWED),
+        (_, path) if path.starts_with(INSTANCES_PATH) => ApiRequest::Status(UNAVAILABLE),
+        _ => ApiRequest::Status(NOT_FOUND),
     }
 }
 
 /// A whole configuration that does not keep the rules by itself can never have been taken.
-fn replace(request: HttpRequest) -> Asked {
+fn replace(request: HttpRequest) -> ApiRequest {
     if ConfigDocument::parse(&request.body).is_err() {
-        return Asked::Status(BAD_REQUEST);
+        return ApiRequest::Status(BAD_REQUEST);
     }
     change(ChangeKind::Replace, request)
 }
 
-fn patch(request: HttpRequest) -> Asked {
+fn patch(request: HttpRequest) -> ApiRequest {
     if serde_json::from_slice::<serde::de::IgnoredAny>(&request.body).is_err() {
-        return Asked::Status(BAD_REQUEST);
+        return ApiRequest::Status(BAD_REQUEST);
     }
     change(ChangeKind::Patch, request)
 }
 
-fn change(kind: ChangeKind, request: HttpRequest) -> Asked {
+fn change(kind: ChangeKind, request: HttpRequest) -> ApiRequest {
     match request.base_version {
-        Some(base) => Asked::Change(Change::new(kind, base, request.body)),
-        None => Asked::Status(BAD_REQUEST),
+        Some(base) => ApiRequest::Change(Change::new(kind, base, request.body)),
+        None => ApiRequest::Status(BAD_REQUEST),
     }
 }
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -1,11 +1,11 @@
 //! A term of the elected process: its lease, and the batches on their way to the replicas.
-use crate::candidate::Elected;
+use crate::batch_window::Window;
 use crate::effects::Effects;
+use crate::election::Elected;
 use crate::learner::Learner;
 use crate::quorum::MemberList;
 use crate::records::to_changes;
 use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
-use crate::window::Window;
 use sagetrail_protocol::control::{
     ControlMessage, ProposalNumber, RecordBatch, RecordsPosition, Renew, RenewAck, Resign,
 };
@@ -63,7 +63,7 @@
     window: Window,
     last: u64,
     /// One more than the newest batch kept by a quorum; 0 before the base is.
-    kept: u64,
+    committed: u64,
     renew_at: Time,
     pub service: Option<Box<dyn Service + Send>>,
 }
@@ -90,7 +90,7 @@
             learners: BTreeMap::new(),
             window: Window::default(),
             last: 0,
-            kept: 0,
+            committed: 0,
             renew_at: now,
             service: None,
         };
@@ -99,8 +99,8 @@
     }
 
     /// Whether the term's base is at a quorum.
-    pub fn base_is_kept(&self) -> bool {
-        self.kept > 0
+    pub fn base_is_committed(&self) -> bool {
+        self.committed > 0
     }
 
     /// This process has the records of the term in hand.
@@ -239,25 +239,25 @@
 
     /// The newest batch kept by a quorum, where that has moved.
     pub fn advance(&mut self, list: &MemberList) -> Option<u64> {
-        let kept = self.kept_by_quorum(list);
-        if kept <= self.kept {
+        let committed = self.committed_by_quorum(list);
+        if committed <= self.committed {
             return None;
         }
-        self.kept = kept;
-        Some(kept - 1)
+        self.committed = committed;
+        Some(committed - 1)
     }
 
     /// Whether a quorum of this list holds everything that was ever kept by a quorum in this term.
-    pub fn is_kept_by(&self, list: &MemberList) -> bool {
-        self.base_is_kept() && self.kept_by_quorum(list) >= self.kept
+    pub fn is_committed_by(&self, list: &MemberList) -> bool {
+        self.base_is_committed() && self.committed_by_quorum(list) >= self.committed
     }
 
-    fn kept_by_quorum(&self, list: &MemberList) -> u64 {
-        list.reached_figure(|member| self.kept_by(member))
+    fn committed_by_quorum(&self, list: &MemberList) -> u64 {
+        list.reached_figure(|member| self.synced_by(member))
             .unwrap_or_default()
     }
 
-    fn kept_by(&self, member: &NodeId) -> u64 {
+    fn synced_by(&self, member: &NodeId) -> u64 {
         let acked = self
             .progress
             .get(member)
@@ -267,7 +267,7 @@
 
     /// Takes batches from the service and sends what replicas miss.
     pub fn pump(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        while self.base_is_kept() && self.last + 1 - self.kept < MAX_IN_FLIGHT {
+        while self.base_is_committed() && self.last + 1 - self.committed < MAX_IN_FLIGHT {
             let Some(batch) = self
                 .service
                 .as_mut()
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -150,14 +150,14 @@
             return;
         };
         let message = ControlMessage::MemberLeases(leases);
-        let mut others = self.knowledge.list.all();
+        let mut others = self.register_view.list.all();
         others.remove(&self.settings.node);
         self.effects.broadcast(others, &message);
     }
 
     /// A member of the core told of its leases.
     pub(crate) fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
-        if self.knowledge.list.contains(from) && from != self.settings.node {
+        if self.register_view.list.contains(from) && from != self.settings.node {
             self.leases.take(self.now.steady, from, leases);
         }
     }
--- a/crates/cluster/control-plane/src/standing.rs
+++ b/crates/cluster/control-plane/src/membership_state.rs
@@ -1,39 +1,39 @@
-//! How a process comes to take part: founding, or recovery of what an empty disk may have held. A process that is no
+//! How a process comes to take part: bootstrap, or recovery of what an empty disk may have held. A process that is no
 //! member yet recovers as well, before it is added.
+use crate::bootstrap::BootstrapCandidates;
 use crate::effects::Effects;
-use crate::founding::Founding;
-use crate::knowledge::Chosen;
 use crate::node::CoreNode;
 use crate::persisted::{put_members, put_replica, AcceptorNumbers, StoredMembers, TermPromise};
 use crate::quorum::MemberList;
 use crate::recovery::{Recovered, Recovery};
-use crate::timing::{FOUNDING_GRACE_MS, LEASE_MS, OUT_OF_TOUCH_MS, RESEND_MS, UNREADY_HELLO_MS};
+use crate::register_view::Chosen;
+use crate::timing::{BOOTSTRAP_GRACE_MS, LEASE_MS, OUT_OF_TOUCH_MS, RESEND_MS, UNREADY_HELLO_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{ControlMessage, Found, ProposalNumber, StateSynced};
+use sagetrail_protocol::control::{Bootstrap, ControlMessage, ProposalNumber, StateSynced};
 use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
 use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The founding value's proposal number has this counter; every later one a higher one.
-const FOUNDING_COUNTER: u64 = 1;
+/// The bootstrap value's proposal number has this counter; every later one a higher one.
+const BOOTSTRAP_COUNTER: u64 = 1;
 
 /// So many processes that spoke are remembered.
 const MAX_HEARD: usize = 16;
 
 /// Where a process stands on its way to taking part.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct MembershipState {
     /// True: what it once promised is known, it may promise and accept.
     pub ready: bool,
-    /// At the founder, until it founds.
-    pub founding: Option<Founding>,
+    /// At the bootstrapping process, until it founds.
+    pub bootstrap: Option<BootstrapCandidates>,
     pub recovery: Option<Recovery>,
     /// A member list, newer than the one known, that the recovery found in an accepted value.
     pub found_list: MemberList,
-    /// Members that the founder has yet to tell.
-    pub untold: BTreeSet<NodeId>,
-    pub tell_at: Time,
+    /// Members that the bootstrapping process has yet to tell.
+    pub unacknowledged: BTreeSet<NodeId>,
+    pub send_at: Time,
     pub hello_at: Time,
     /// Not before, a process that is out of touch asks again who the members are.
     pub ask_at: Time,
@@ -45,7 +45,7 @@
     heard: BTreeSet<NodeId>,
 }
 
-impl Standing {
+impl MembershipState {
     /// A core process spoke. Whoever counts this process among the members can tell it who they are.
     pub fn hear(&mut self, node: NodeId) {
         if self.heard.len() >= MAX_HEARD {
@@ -56,50 +56,54 @@
 }
 
 impl CoreNode {
-    /// Hellos, the founding and the recovery, as far as they are due.
-    pub(crate) fn step_standing(&mut self, now: Time) {
+    /// Hellos, the bootstrap and the recovery, as far as they are due.
+    pub(crate) fn step_membership_state(&mut self, now: Time) {
         self.say_hello(now);
         self.ask_for_members(now);
         self.found(now);
-        self.tell_founding(now);
+        self.send_bootstrap(now);
         self.recover(now);
     }
 
     /// When one of them is due.
-    pub(crate) fn standing_wake(&self) -> Option<Time> {
-        let standing = &self.standing;
-        let hello = self.needs_hello().then_some(standing.hello_at);
-        let out_of_touch = standing
+    pub(crate) fn membership_state_wake(&self) -> Option<Time> {
+        let membership_state = &self.membership_state;
+        let hello = self.needs_hello().then_some(membership_state.hello_at);
+        let out_of_touch = membership_state
             .ready
-            .then(|| self.out_of_touch_at().max(standing.ask_at));
-        let founding = standing.founding.as_ref().map(Founding::due_at);
-        let tell = (!standing.untold.is_empty()).then_some(standing.tell_at);
-        let recovery = match &standing.recovery {
+            .then(|| self.out_of_touch_at().max(membership_state.ask_at));
+        let bootstrap = membership_state
+            .bootstrap
+            .as_ref()
+            .map(BootstrapCandidates::due_at);
+        let tell =
+            (!membership_state.unacknowledged.is_empty()).then_some(membership_state.send_at);
+        let recovery = match &membership_state.recovery {
             Some(recovery) => Some(recovery.next_wake()),
             None => self.recovery_due(),
         };
-        [hello, out_of_touch, founding, tell, recovery]
+        [hello, out_of_touch, bootstrap, tell, recovery]
             .into_iter()
             .flatten()
             .min()
     }
 
     fn needs_hello(&self) -> bool {
-        self.terminating.is_none() && (!self.standing.ready || !self.takes_part())
+        self.terminating.is_none() && (!self.membership_state.ready || !self.takes_part())
     }
 
     fn say_hello(&mut self, now: Time) {
-        if !self.needs_hello() || now < self.standing.hello_at {
+        if !self.needs_hello() || now < self.membership_state.hello_at {
             return;
         }
-        let interval_ms = if self.standing.ready {
+        let interval_ms = if self.membership_state.ready {
             HELLO_INTERVAL_MS
         } else {
             UNREADY_HELLO_MS
         };
-        self.standing.hello_at = now.plus_millis(interval_ms);
+        self.membership_state.hello_at = now.plus_millis(interval_ms);
         let incarnation = self.settings.incarnation;
-        let config_version = self.knowledge.config_version();
+        let config_version = self.register_view.config_version();
         let hello = Message::Hello(Hello {
             kind: NodeKind::Core,
             incarnation,
@@ -113,55 +117,55 @@
 
     /// All members that this process knows may have been replaced while it was away.
     fn ask_for_members(&mut self, now: Time) {
-        let due = self.out_of_touch_at().max(self.standing.ask_at);
-        if !self.standing.ready || now < due {
+        let due = self.out_of_touch_at().max(self.membership_state.ask_at);
+        if !self.membership_state.ready || now < due {
             return;
         }
-        self.standing.ask_at = now.plus_millis(HELLO_INTERVAL_MS);
+        self.membership_state.ask_at = now.plus_millis(HELLO_INTERVAL_MS);
         let known = self.known_core();
         self.effects
             .broadcast(known, &ControlMessage::DirectoryRequest);
     }
 
     fn out_of_touch_at(&self) -> Time {
-        let heard = self.knowledge.fresh_as_of.unwrap_or(self.started);
+        let heard = self.register_view.fresh_as_of.unwrap_or(self.started);
         heard.plus_millis(OUT_OF_TOUCH_MS)
     }
 
     /// Another core process spoke to this one. One that is no member as far as this process knows may know newer ones.
     pub(crate) fn hear_core(&mut self, from: NodeId) {
-        if !self.knowledge.list.contains(from) {
-            self.standing.hear(from);
+        if !self.register_view.list.contains(from) {
+            self.membership_state.hear(from);
         }
     }
 
     /// Core processes that this process has been told of, itself apart.
     fn known_core(&self) -> BTreeSet<NodeId> {
         let mut known: BTreeSet<NodeId> = self.settings.seeds.iter().copied().collect();
-        known.extend(self.knowledge.list.all());
-        known.extend(&self.standing.heard);
+        known.extend(self.register_view.list.all());
+        known.extend(&self.membership_state.heard);
         known.remove(&self.settings.node);
         known
     }
 
     fn found(&mut self, now: Time) {
         let due = self
-            .standing
-            .founding
+            .membership_state
+            .bootstrap
             .as_ref()
-            .and_then(|founding| founding.due(now));
+            .and_then(|bootstrap| bootstrap.due(now));
         let Some(value) = due else { return };
-        self.standing.founding = None;
+        self.membership_state.bootstrap = None;
         let settings = &self.settings;
         let proposal = ProposalNumber {
-            counter: FOUNDING_COUNTER,
+            counter: BOOTSTRAP_COUNTER,
             node: settings.node,
             incarnation: settings.incarnation,
         };
-        self.take_founding(proposal, Blob(value.encode()), None);
+        self.adopt_bootstrap(proposal, Blob(value.encode()), None);
     }
 
-    fn take_founding(&mut self, proposal: ProposalNumber, bytes: Blob, teller: Option<NodeId>) {
+    fn adopt_bootstrap(&mut self, proposal: ProposalNumber, bytes: Blob, teller: Option<NodeId>) {
         let Ok(value) = RegisterValue::decode(&bytes) else {
             return;
         };
@@ -172,15 +176,15 @@
             },
             bytes,
         );
-        self.replica.state.whole = true;
-        self.knowledge.adopt_list(value.member_list());
+        self.replica.state.complete = true;
+        self.register_view.adopt_list(value.member_list());
         self.settle(proposal, teller);
     }
 
     /// Writes what the process takes part with. The accepted value may not be chosen, so the list is the known one.
     fn settle(&mut self, proposal: ProposalNumber, teller: Option<NodeId>) {
-        self.standing.settling = true;
-        let members = StoredMembers::from(&self.knowledge.list);
+        self.membership_state.settling = true;
+        let members = StoredMembers::from(&self.register_view.list);
         let mut operations = self.acceptor.operations();
         operations.push(put_replica(&self.replica.state));
         operations.push(put_members(&members));
@@ -192,30 +196,30 @@
         self.effects.write(operations, then);
     }
 
-    /// The founder tells the cluster's first value.
-    pub(crate) fn on_found(&mut self, from: NodeId, found: Found) {
-        if self.standing.ready {
+    /// The bootstrapping process tells the cluster's first value.
+    pub(crate) fn on_bootstrap(&mut self, from: NodeId, found: Bootstrap) {
+        if self.membership_state.ready {
             let settled = ControlMessage::StateSynced(StateSynced {
                 proposal: found.proposal,
             });
             return self.effects.control(from, settled);
         }
-        let busy = self.standing.settling || self.standing.recovery.is_some();
+        let busy = self.membership_state.settling || self.membership_state.recovery.is_some();
         if self.settings.bootstrap && !busy {
-            self.take_founding(found.proposal, found.value, Some(from));
+            self.adopt_bootstrap(found.proposal, found.value, Some(from));
         }
     }
 
     /// A process has synced what it takes part with, or this process a value.
     pub(crate) fn on_settled(&mut self, from: NodeId, settled: &StateSynced) {
         if from != self.settings.node {
-            self.standing.untold.remove(&from);
+            self.membership_state.unacknowledged.remove(&from);
             return;
         }
         self.acceptor.settled(settled.proposal);
-        if self.standing.settling {
-            self.standing.settling = false;
-            self.standing.ready = true;
+        if self.membership_state.settling {
+            self.membership_state.settling = false;
+            self.membership_state.ready = true;
             self.begin_to_take_part();
         }
     }
@@ -226,49 +230,51 @@
         };
         self.proposer.note(self.acceptor.proposals.promised);
         let proposal = self.acceptor.proposals.accepted;
-        if self.founded_by_itself() {
+        if self.bootstrapped_here() {
             self.learn(Chosen {
                 proposal,
                 value: Arc::new(value),
             });
-            self.begin_to_tell();
+            self.begin_sending_bootstrap();
         }
     }
 
-    fn founded_by_itself(&self) -> bool {
+    fn bootstrapped_here(&self) -> bool {
         let proposal = self.acceptor.proposals.accepted;
-        proposal.counter == FOUNDING_COUNTER && proposal.node == self.settings.node
+        proposal.counter == BOOTSTRAP_COUNTER && proposal.node == self.settings.node
     }
 
-    /// The founder tells all others until each has answered, also after a restart.
-    pub(crate) fn begin_to_tell(&mut self) {
-        if !self.founded_by_itself() {
+    /// The bootstrapping process tells all others until each has answered, also after a restart.
+    pub(crate) fn begin_sending_bootstrap(&mut self) {
+        if !self.bootstrapped_here() {
             return;
         }
-        self.standing.untold = self.knowledge.list.all();
-        self.standing.untold.remove(&self.settings.node);
+        self.membership_state.unacknowledged = self.register_view.list.all();
+        self.membership_state
+            .unacknowledged
+            .remove(&self.settings.node);
     }
 
-    fn tell_founding(&mut self, now: Time) {
-        if self.standing.untold.is_empty() || now < self.standing.tell_at {
+    fn send_bootstrap(&mut self, now: Time) {
+        if self.membership_state.unacknowledged.is_empty() || now < self.membership_state.send_at {
             return;
         }
-        if !self.founded_by_itself() {
-            // A later value was accepted, so a majority has the founding; the others recover.
-            return self.standing.untold.clear();
+        if !self.bootstrapped_here() {
+            // A later value was accepted, so a majority has the bootstrap; the others recover.
+            return self.membership_state.unacknowledged.clear();
         }
-        self.standing.tell_at = now.plus_millis(RESEND_MS);
-        let found = Found {
+        self.membership_state.send_at = now.plus_millis(RESEND_MS);
+        let found = Bootstrap {
             proposal: self.acceptor.proposals.accepted,
             value: self.acceptor.value.clone(),
         };
-        let untold = self.standing.untold.clone();
+        let unacknowledged = self.membership_state.unacknowledged.clone();
         self.effects
-            .broadcast(untold, &ControlMessage::Found(found));
+            .broadcast(unacknowledged, &ControlMessage::Bootstrap(found));
     }
 
     fn knows_its_promises(&self) -> bool {
-        self.standing.ready || self.standing.settling
+        self.membership_state.ready || self.membership_state.settling
     }
 
     /// A lease that the process may have granted in its former life is over by then, and so are votes of it.
@@ -276,9 +282,9 @@
         if self.knows_its_promises() {
             return None;
         }
-        let listed_since = self.standing.listed_since?;
+        let listed_since = self.membership_state.listed_since?;
         let grace_ms = if self.settings.bootstrap {
-            FOUNDING_GRACE_MS
+            BOOTSTRAP_GRACE_MS
         } else {
             0
         };
@@ -290,23 +296,23 @@
     }
 
     fn recover(&mut self, now: Time) {
-        if self.knows_its_promises() || self.knowledge.list.version == 0 {
-            self.standing.recovery = None;
-            self.standing.listed_since = None;
+        if self.knows_its_promises() || self.register_view.list.version == 0 {
+            self.membership_state.recovery = None;
+            self.membership_state.listed_since = None;
             return;
         }
-        self.standing.listed_since = self.standing.listed_since.or(Some(now));
+        self.membership_state.listed_since = self.membership_state.listed_since.or(Some(now));
         if self.recovery_due().is_none_or(|due| now < due) {
             return;
         }
-        let recovery = &mut self.standing.recovery;
+        let recovery = &mut self.membership_state.recovery;
         let renew = recovery
             .as_mut()
             .is_none_or(|recovery| recovery.tick(now, &mut self.effects));
         if renew {
             let settings = &self.settings;
-            let known = &self.knowledge.list;
-            let found = &self.standing.found_list;
+            let known = &self.register_view.list;
+            let found = &self.membership_state.found_list;
             let list = if found.version > known.version {
                 found
             } else {
@@ -327,10 +333,10 @@
         let Ok(value) = RegisterValue::decode(&recovered.value) else {
             return;
         };
-        self.standing.recovery = None;
+        self.membership_state.recovery = None;
         if value.members_version > recovered.members_version {
             // Members that are not among those asked may know of later promises.
-            self.standing.found_list = value.member_list();
+            self.membership_state.found_list = value.member_list();
             return;
         }
         let proposal = recovered.proposals.accepted;
@@ -344,7 +350,7 @@
 
     /// Writes a member list that was learnt.
     pub(crate) fn store_members(&self, effects: &mut Effects) {
-        let members = StoredMembers::from(&self.knowledge.list);
+        let members = StoredMembers::from(&self.register_view.list);
         effects.write(vec![put_members(&members)], Vec::new());
     }
 }
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -1,7 +1,7 @@
 //! What each message among core processes and each request of HTTP does.
-use crate::candidate::Elected;
 use crate::change::{Job, Verdict};
-use crate::http_api::{asked, Asked};
+use crate::election::Elected;
+use crate::http_api::{parse_request, ApiRequest};
 use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Outcome;
@@ -39,7 +39,7 @@
         let now = self.now.steady;
         self.hear_core(from);
         match message {
-            ControlMessage::Found(found) => self.on_found(from, found),
+            ControlMessage::Bootstrap(found) => self.on_bootstrap(from, found),
             ControlMessage::StateSynced(settled) => self.on_settled(from, &settled),
             ControlMessage::Promise(promised) => self.on_promised(from, promised),
             ControlMessage::Accepted(accepted) => {
@@ -58,7 +58,7 @@
             ControlMessage::Learn(learn) => self.on_learn(from, learn.proposal),
             ControlMessage::Learned(learned) => self.on_learned(from, &learned),
             ControlMessage::RecoverReply(reply) => {
-                if let Some(recovery) = &mut self.standing.recovery {
+                if let Some(recovery) = &mut self.membership_state.recovery {
                     recovery.reply(from, &reply, &mut self.effects);
                 }
             }
@@ -69,14 +69,14 @@
                     self.replica.stored(stored.position);
                 }
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.stored(now, from, stored.position, &self.knowledge.list);
+                    leadership.stored(now, from, stored.position, &self.register_view.list);
                 }
             }
             ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
             ControlMessage::ChangesReply(reply) => self.on_changes_reply(from, &reply),
             ControlMessage::MemberLeases(leases) => self.on_member_leases(from, &leases),
             ControlMessage::DirectoryRequest => self.send_directory(from),
-            message if self.standing.ready => self.on_request(from, message),
+            message if self.membership_state.ready => self.on_request(from, message),
             _ => {}
         }
     }
@@ -109,7 +109,7 @@
                 let condition = self.condition(&renew);
                 self.replica
                     .renew(now, from, &renew, condition, &mut self.effects);
-                self.on_rumour(renew.learned);
+                self.on_newer_value_hint(renew.learned);
             }
             ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.term) => {
                 self.elections.hasten();
@@ -123,7 +123,7 @@
 
     /// What this process says of itself to the leader of the term.
     fn condition(&self, renew: &Renew) -> Condition {
-        let caught_up = self.knowledge.proposal() >= renew.learned && self.changes_caught_up();
+        let caught_up = self.register_view.proposal() >= renew.learned && self.changes_caught_up();
         Condition {
             leaving: self.terminating.is_some(),
             caught_up,
@@ -131,7 +131,7 @@
     }
 
     fn on_promised(&mut self, from: NodeId, promised: Promise) {
-        if let Some(recovery) = &mut self.standing.recovery {
+        if let Some(recovery) = &mut self.membership_state.recovery {
             if let Some(recovered) = recovery.promised(from, promised) {
                 self.on_recovered(recovered);
             }
@@ -146,7 +146,7 @@
     }
 
     fn on_refused(&mut self, refused: &Refused) {
-        if let Some(recovery) = &mut self.standing.recovery {
+        if let Some(recovery) = &mut self.membership_state.recovery {
             recovery.refused(refused);
         }
         self.proposer.refused(self.now.steady, refused);
@@ -156,11 +156,11 @@
         let Some(outcome) = outcome else { return };
         let proposal = outcome.chosen.proposal;
         // Who is a member no more is told as well.
-        let mut listeners = self.knowledge.list.all();
+        let mut listeners = self.register_view.list.all();
         self.learn(outcome.chosen);
         self.freshen(outcome.as_of);
         if outcome.verdict == Verdict::Taken {
-            listeners.extend(self.knowledge.list.all());
+            listeners.extend(self.register_view.list.all());
             let learn = ControlMessage::Learn(Learn { proposal });
             self.effects.broadcast(listeners, &learn);
         }
@@ -203,8 +203,8 @@
     }
 
     fn on_learn(&mut self, from: NodeId, proposal: ProposalNumber) {
-        self.on_rumour(proposal);
-        let known = self.knowledge.proposal();
+        self.on_newer_value_hint(proposal);
+        let known = self.register_view.proposal();
         if known >= proposal {
             return self
                 .effects
@@ -219,8 +219,8 @@
     }
 
     /// Somebody says that the value of this proposal number is chosen.
-    fn on_rumour(&mut self, proposal: ProposalNumber) {
-        if proposal <= self.knowledge.proposal() {
+    fn on_newer_value_hint(&mut self, proposal: ProposalNumber) {
+        if proposal <= self.register_view.proposal() {
             return;
         }
         if self.acceptor.proposals.accepted == proposal {
@@ -228,9 +228,9 @@
                 return self.learn(chosen);
             }
         }
-        if proposal > self.knowledge.rumoured {
-            self.knowledge.rumoured = proposal;
-            self.rumour_at = Some(self.now.steady);
+        if proposal > self.register_view.hinted {
+            self.register_view.hinted = proposal;
+            self.newer_value_hint_at = Some(self.now.steady);
         }
     }
 
@@ -256,10 +256,10 @@
 
     fn on_vote_reply(&mut self, from: NodeId, reply: &VoteReply) {
         let now: Time = self.now.steady;
-        if reply.members_version > self.knowledge.list.version {
-            self.rumour_at = self.rumour_at.or(Some(now));
+        if reply.members_version > self.register_view.list.version {
+            self.newer_value_hint_at = self.newer_value_hint_at.or(Some(now));
         }
-        let list = &self.knowledge.list;
+        let list = &self.register_view.list;
         let elected: Option<Elected> =
             self.elections
                 .reply(now, from, reply, list, &mut self.effects);
@@ -272,12 +272,12 @@
         let now = self.now.steady;
         self.elections.note(ack.promised);
         if from == self.settings.node {
-            self.replica.leader_kept(ack.term);
+            self.replica.leader_synced(ack.term);
         }
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if !leadership.renew_ack(now, from, ack, &self.knowledge.list) {
+        if !leadership.renew_ack(now, from, ack, &self.register_view.list) {
             self.step_down();
         }
     }
@@ -290,11 +290,11 @@
         request: HttpRequest,
     ) {
         let now = self.now.steady;
-        let founded = self.knowledge.list.version > 0;
-        match asked(endpoint, request, founded) {
-            Asked::Status(status) => self.effects.status(id, status),
-            Asked::ReadBack => self.operator.read_back(now, id, &mut self.effects),
-            Asked::Change(change) => {
+        let founded = self.register_view.list.version > 0;
+        match parse_request(endpoint, request, founded) {
+            ApiRequest::Status(status) => self.effects.status(id, status),
+            ApiRequest::ReadBack => self.operator.read_back(now, id, &mut self.effects),
+            ApiRequest::Change(change) => {
                 self.operator
                     .order(now, id, change, &mut self.proposer, &mut self.effects)
             }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -1,24 +1,24 @@
 //! One core process: its parts, and the order in which they are driven.
 use crate::accepted_changes::AcceptedChanges;
 use crate::acceptor::Acceptor;
-use crate::candidate::Elections;
+use crate::bootstrap::BootstrapCandidates;
 use crate::changes_fetch::ChangesFetch;
-use crate::courier::Courier;
 use crate::effects::Effects;
-use crate::founding::Founding;
-use crate::knowledge::Knowledge;
+use crate::election::Elections;
 use crate::leadership::Leadership;
 use crate::leases::Leases;
-use crate::membership::Joiners;
+use crate::membership_state::MembershipState;
 use crate::operator::Operator;
 use crate::persisted::{ControlState, DiskContent, ReplicaState};
 use crate::proposer::Proposer;
 use crate::reader::Reader;
+use crate::reconfiguration::Joiners;
 use crate::records::Records;
-use crate::renounce::Renouncing;
+use crate::register_view::RegisterView;
 use crate::replica::Replica;
+use crate::resignation::FormerTermResignation;
+use crate::routing::MessageRouter;
 use crate::settings::CoreSettings;
-use crate::standing::Standing;
 use crate::subscribers::Subscribers;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -53,9 +53,9 @@
     pub(crate) now: Now,
     pub(crate) factory: ServiceFactory,
     pub(crate) effects: Effects,
-    pub(crate) courier: Courier,
-    pub(crate) standing: Standing,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) router: MessageRouter,
+    pub(crate) membership_state: MembershipState,
+    pub(crate) register_view: RegisterView,
     /// All changes of the configuration that were taken, as far as this process knows them.
     pub(crate) accepted_changes: AcceptedChanges,
     pub(crate) changes_fetch: ChangesFetch,
@@ -67,14 +67,14 @@
     pub(crate) elections: Elections,
     pub(crate) leadership: Option<Leadership>,
     /// The term of this process's former life, while it says that it holds it no more.
-    pub(crate) renouncing: Option<Renouncing>,
+    pub(crate) former_term_resignation: Option<FormerTermResignation>,
     pub(crate) joiners: Joiners,
     pub(crate) leases: Leases,
     pub(crate) subscribers: Subscribers,
     pub(crate) delayed: VecDeque<Delayed>,
     pub(crate) learn_askers: Vec<LearnAsker>,
     /// When somebody told of a newer chosen value.
-    pub(crate) rumour_at: Option<Time>,
+    pub(crate) newer_value_hint_at: Option<Time>,
     pub(crate) poll_at: Time,
     /// So many reads in a row found answers that differ.
     pub(crate) unsettled_reads: u32,
@@ -106,9 +106,9 @@
             now,
             factory,
             effects: Effects::default(),
-            courier: Courier::new(node),
-            standing: Standing::default(),
-            knowledge: Knowledge::default(),
+            router: MessageRouter::new(node),
+            membership_state: MembershipState::default(),
+            register_view: RegisterView::default(),
             accepted_changes: AcceptedChanges::load(&image.control),
             changes_fetch: ChangesFetch::default(),
             acceptor: Acceptor::default(),
@@ -118,13 +118,13 @@
             replica: Replica::new(node, now.steady, ReplicaState::default(), records),
             elections: Elections::new(node, settings.incarnation, random.random()),
             leadership: None,
-            renouncing: None,
+            former_term_resignation: None,
             joiners: Joiners::default(),
             leases: Leases::default(),
             subscribers: Subscribers::default(),
             delayed: VecDeque::new(),
             learn_askers: Vec::new(),
-            rumour_at: None,
+            newer_value_hint_at: None,
             poll_at: now.steady,
             unsettled_reads: 0,
             membership_at: now.steady,
@@ -142,7 +142,7 @@
 
     /// Whether this process is in the member list.
     pub(crate) fn takes_part(&self) -> bool {
-        self.knowledge.list.contains(self.settings.node)
+        self.register_view.list.contains(self.settings.node)
     }
 
     fn restore(&mut self, state: ControlState) {
@@ -151,10 +151,10 @@
         self.elections.note(state.replica.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
-        self.knowledge.adopt_list(state.members.into());
-        self.standing.ready = true;
-        self.begin_to_tell();
-        self.begin_to_renounce();
+        self.register_view.adopt_list(state.members.into());
+        self.membership_state.ready = true;
+        self.begin_sending_bootstrap();
+        self.begin_resigning_former_term();
     }
 
     fn begin_empty(&mut self, now: Time) {
@@ -165,8 +165,11 @@
             .first()
             .is_none_or(|first| *first == node);
         if self.settings.bootstrap && founder {
-            self.standing.founding =
-                Some(Founding::new(node, self.settings.tolerated_machines, now));
+            self.membership_state.bootstrap = Some(BootstrapCandidates::new(
+                node,
+                self.settings.tolerated_machines,
+                now,
+            ));
         }
     }
 
@@ -174,10 +177,10 @@
     fn settle_all(&mut self, outbox: &mut Outbox) {
         loop {
             self.step();
-            self.courier
+            self.router
                 .flush(self.now.steady, &mut self.effects, outbox);
             let mut heard = false;
-            while let Some(message) = self.courier.next_own() {
+            while let Some(message) = self.router.next_own() {
                 heard = true;
                 self.on_message(self.settings.node, message);
             }
@@ -204,14 +207,14 @@
         self.now = now;
         self.drop_spent_lease();
         match event {
-            Event::Message { from, message } => self.on_outer_message(from, message),
+            Event::Message { from, message } => self.on_remote_message(from, message),
             Event::Http {
                 id,
                 endpoint,
                 request,
             } => self.on_http(id, endpoint, request),
             Event::HttpAbandoned { id } => self.operator.abandoned(id),
-            Event::Synced { token } => self.courier.synced(token),
+            Event::Synced { token } => self.router.synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
             Event::Seeds(seeds) => self.settings.seeds = seeds,
             Event::Terminate => self.terminate(),
--- a/crates/cluster/control-plane/src/outer.rs
+++ b/crates/cluster/control-plane/src/non_members.rs
@@ -11,11 +11,11 @@
 
 impl CoreNode {
     /// A message from another process.
-    pub(crate) fn on_outer_message(&mut self, from: NodeId, message: Message) {
+    pub(crate) fn on_remote_message(&mut self, from: NodeId, message: Message) {
         match message {
             Message::Relayed(relayed) => self.on_relayed(from, relayed),
             message => {
-                self.courier.came_directly(from);
+                self.router.forget_route(from);
                 self.on_message(from, message);
             }
         }
@@ -31,8 +31,8 @@
         match frame::decode(&relayed.payload) {
             Ok(Message::Relayed(_)) | Err(_) => {}
             Ok(message) => {
-                self.courier
-                    .came_by(self.now.steady, relayed.from, forwarder);
+                self.router
+                    .learn_route(self.now.steady, relayed.from, forwarder);
                 self.on_message(relayed.from, message);
             }
         }
@@ -43,13 +43,13 @@
         let now = self.now.steady;
         if hello.kind == NodeKind::Core {
             self.hear_core(from);
-            if let Some(founding) = &mut self.standing.founding {
-                founding.hear(now, from);
+            if let Some(bootstrap) = &mut self.membership_state.bootstrap {
+                bootstrap.hear(now, from);
             }
-            if !self.knowledge.list.contains(from) {
+            if !self.register_view.list.contains(from) {
                 self.joiners.hear(now, from, hello.incarnation);
             }
-            if self.replica.holder_is_back(now, from) {
+            if self.replica.lease_holder_restarted(now, from) {
                 self.elections.hasten();
             }
         } else {
@@ -63,26 +63,29 @@
         let now = self.now.steady;
         let (term, leader) = self.known_leader();
         let directory = Directory {
-            members_version: self.knowledge.list.version,
-            members: List(self.knowledge.list.members.clone()),
-            next_members: List(self.knowledge.list.next_members.clone()),
+            members_version: self.register_view.list.version,
+            members: List(self.register_view.list.members.clone()),
+            next_members: List(self.register_view.list.next_members.clone()),
             term,
             leader,
-            config_version: self.knowledge.config_version(),
-            relays: List(self.leases.relays(now, self.knowledge.list.members.len())),
+            config_version: self.register_view.config_version(),
+            relays: List(
+                self.leases
+                    .relays(now, self.register_view.list.members.len()),
+            ),
         };
         self.effects.sends.push((to, Message::Directory(directory)));
     }
 
     /// Another core process told who is who.
     pub(crate) fn on_directory(&mut self, directory: &Directory) {
-        let newer = self.knowledge.adopt_list(MemberList {
+        let newer = self.register_view.adopt_list(MemberList {
             version: directory.members_version,
             members: directory.members.0.clone(),
             next_members: directory.next_members.0.clone(),
         });
-        if newer && self.knowledge.chosen.is_some() {
-            self.rumour_at = Some(self.now.steady);
+        if newer && self.register_view.chosen.is_some() {
+            self.newer_value_hint_at = Some(self.now.steady);
         }
     }
 
@@ -131,7 +134,7 @@
     fn knows_less(&self, message: &Message) -> bool {
         match message {
             Message::ClientRequest(request) => {
-                request.config_version > self.knowledge.config_version()
+                request.config_version > self.register_view.config_version()
             }
             _ => false,
         }
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's orders and read-backs under way at this process.
 use crate::change::{Change, Job, Verdict};
 use crate::effects::Effects;
-use crate::knowledge::Knowledge;
 use crate::proposer::Proposer;
+use crate::register_view::RegisterView;
 use crate::timing::{LEARN_WAIT_MS, ORDER_MARGIN_MS, UNTOUCHED_MS};
 use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{HttpReply, HttpRequestId};
@@ -153,7 +153,7 @@
     pub fn tick(
         &mut self,
         now: Time,
-        knowledge: &Knowledge,
+        register_view: &RegisterView,
         proposer: &mut Proposer,
         effects: &mut Effects,
     ) {
@@ -163,7 +163,7 @@
             effects,
         );
         self.give_up(now, proposer, effects);
-        self.answer_reads(now, knowledge, effects);
+        self.answer_reads(now, register_view, effects);
     }
 
     /// Answers everything at once: the process ends.
@@ -232,14 +232,14 @@
         }
     }
 
-    fn answer_reads(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
+    fn answer_reads(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         let patience_ms = self.patience_ms;
         self.read_backs.retain(|read| {
-            let reply = match knowledge.config() {
-                Some(config) if knowledge.is_fresh(read.arrived) => {
+            let reply = match register_view.config() {
+                Some(config) if register_view.is_fresh(read.arrived) => {
                     json(OK, config.document.to_vec())
                 }
-                None if knowledge.is_fresh(read.arrived) => json(UNAVAILABLE, Vec::new()),
+                None if register_view.is_fresh(read.arrived) => json(UNAVAILABLE, Vec::new()),
                 _ if now >= read.arrived.plus_millis(patience_ms) => json(UNAVAILABLE, Vec::new()),
                 _ => return true,
             };
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -32,7 +32,7 @@
     pub promise: TermPromise,
     pub position: RecordsPosition,
     /// False after the disk was emptied, until the records have been brought whole.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A member list on disk.
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -3,8 +3,8 @@
 use crate::accepted_changes::AcceptedChanges;
 use crate::change::{Job, Verdict};
 use crate::effects::Effects;
-use crate::knowledge::{Chosen, Knowledge};
 use crate::quorum::MemberList;
+use crate::register_view::{Chosen, RegisterView};
 use crate::timing::{BACKOFF_MAX_MS, BACKOFF_MS, RESEND_MS, ROUND_MS};
 use crate::value::RegisterValue;
 use rand::{Rng, SeedableRng};
@@ -155,13 +155,13 @@
     }
 
     /// Starts, repeats or gives up rounds.
-    pub fn tick(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
-        if self.queue.is_empty() || knowledge.list.version == 0 {
+    pub fn tick(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
+        if self.queue.is_empty() || register_view.list.version == 0 {
             return;
         }
         let Some(round) = &mut self.round else {
             if now >= self.retry_at {
-                self.start(now, knowledge, effects);
+                self.start(now, register_view, effects);
             }
             return;
         };
@@ -177,25 +177,25 @@
         }
     }
 
-    fn start(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
+    fn start(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         self.counter += 1;
         let proposal = ProposalNumber {
             counter: self.counter,
             node: self.node,
             incarnation: self.incarnation,
         };
-        let newer = self.newer_list.version > knowledge.list.version;
+        let newer = self.newer_list.version > register_view.list.version;
         let list = if newer {
             self.newer_list.clone()
         } else {
-            knowledge.list.clone()
+            register_view.list.clone()
         };
         let first = FirstRound {
             replies: BTreeMap::new(),
             newest: ProposalNumber::default(),
             value: None,
         };
-        let known = knowledge.chosen.clone();
+        let known = register_view.chosen.clone();
         let round = Round {
             proposal,
             list,
--- a/crates/cluster/control-plane/src/reader.rs
+++ b/crates/cluster/control-plane/src/reader.rs
@@ -1,7 +1,7 @@
 //! Cheap reads of the register: where a majority tells the same proposal number, its value is chosen.
 use crate::effects::Effects;
-use crate::knowledge::{Chosen, Knowledge};
 use crate::quorum::MemberList;
+use crate::register_view::{Chosen, RegisterView};
 use crate::timing::{RESEND_MS, ROUND_MS};
 use crate::value::RegisterValue;
 use sagetrail_protocol::control::{ControlMessage, ProposalNumber, Read, ReadReply};
@@ -58,12 +58,12 @@
     }
 
     /// Starts a read, in the place of one that is under way.
-    pub fn start(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
+    pub fn start(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         self.nonce = self.nonce.wrapping_add(1);
         let round = ReadRound {
             nonce: self.nonce,
-            list: knowledge.list.clone(),
-            known: knowledge.chosen.clone(),
+            list: register_view.list.clone(),
+            known: register_view.chosen.clone(),
             started: now,
             sent_at: now,
             replies: BTreeMap::new(),
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -68,7 +68,7 @@
             .leadership
             .as_ref()
             .is_some_and(|leadership| leadership.service.is_some());
-        serving && (self.knowledge.list.is_changing() || !self.joiners.heard.is_empty())
+        serving && (self.register_view.list.is_changing() || !self.joiners.heard.is_empty())
     }
 
     /// Names learners, and proposes the next step of a change where one is due.
@@ -78,30 +78,32 @@
         }
         self.membership_at = now.plus_millis(MEMBERSHIP_INTERVAL_MS);
         let most = self.settings.tolerated_machines.max(1) as usize + 1;
-        let candidates = self.joiners.candidates(now, &self.knowledge.list, most);
+        let candidates = self.joiners.candidates(now, &self.register_view.list, most);
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         leadership.set_learners(now, &candidates);
         if let Some(step) = self.member_step(now) {
-            let base = self.knowledge.list.version;
+            let base = self.register_view.list.version;
             self.proposer.push(Job::Members { base, step });
         }
     }
 
     fn member_step(&self, now: Time) -> Option<MemberStep> {
-        let list = &self.knowledge.list;
-        let chosen = &self.knowledge.chosen.as_ref()?.value;
+        let list = &self.register_view.list;
+        let chosen = &self.register_view.chosen.as_ref()?.value;
         let under_way = self.proposer.any(|job| matches!(job, Job::Members { .. }));
         if under_way || chosen.members_version != list.version {
             return None;
         }
         let leadership = self.leadership.as_ref()?;
         if list.is_changing() {
-            return leadership.is_kept_by(list).then_some(MemberStep::Complete);
+            return leadership
+                .is_committed_by(list)
+                .then_some(MemberStep::Complete);
         }
         let tolerating = 2 * self.settings.tolerated_machines as usize + 1;
-        let size = tolerating.max(chosen.founding_size as usize);
+        let size = tolerating.max(chosen.bootstrap_size as usize);
         next_members(now, leadership, list, size).map(MemberStep::Begin)
     }
 }
--- a/crates/cluster/control-plane/src/knowledge.rs
+++ b/crates/cluster/control-plane/src/register_view.rs
@@ -18,17 +18,17 @@
 
 /// The newest chosen value that is known, the member list to count by, and how fresh that is.
 #[derive(Debug, Default)]
-pub struct Knowledge {
+pub struct RegisterView {
     pub chosen: Option<Chosen>,
     pub list: MemberList,
     /// Everything chosen before this moment is known.
     pub fresh_as_of: Option<Time>,
     /// The newest proposal number that others called chosen.
-    pub rumoured: ProposalNumber,
+    pub hinted: ProposalNumber,
     config: Option<ConfigInForce>,
 }
 
-impl Knowledge {
+impl RegisterView {
     /// The proposal number of the newest chosen value.
     pub fn proposal(&self) -> ProposalNumber {
         self.chosen
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -1,9 +1,9 @@
 //! The replica: promises of terms, the lease it granted, and its copy of the records.
-use crate::collection::Collection;
 use crate::effects::Effects;
-use crate::image::Images;
 use crate::persisted::{put_replica, ReplicaState, TermPromise};
 use crate::records::Records;
+use crate::snapshot::Images;
+use crate::snapshot_transfer::Collection;
 use crate::timing::{BEHIND_MS, LEASE_MS};
 use sagetrail_protocol::control::{
     ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsPosition, RecordsSynced,
@@ -125,7 +125,7 @@
     }
 
     /// The leader of the term has been synced as the holder of the lease.
-    pub fn leader_kept(&mut self, term: Term) {
+    pub fn leader_synced(&mut self, term: Term) {
         self.leader_on_disk = self.leader_on_disk.max(Some(term));
     }
 
@@ -167,7 +167,7 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.position.term == followed.term && self.state.whole {
+        if self.state.position.term == followed.term && self.state.complete {
             // The leader sends on once it hears what was synced: what waits for the disk is not behind.
             let behind = newest > self.state.position.number && self.synced == self.state.position;
             self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
@@ -179,7 +179,7 @@
             }
             return;
         }
-        if self.state.position == followed.base && self.state.whole {
+        if self.state.position == followed.base && self.state.complete {
             self.state.position = RecordsPosition {
                 term: followed.term,
                 number: 0,
@@ -217,13 +217,13 @@
     /// The oldest state of which an image is of use. With its disk a replica may have lost what it acknowledged, which
     /// is no newer than the leader's newest batch; otherwise its own state holds all of that.
     fn oldest_useful(&self, term: Term, newest: u64) -> RecordsPosition {
-        if !self.state.whole && newest > 0 {
+        if !self.state.complete && newest > 0 {
             return RecordsPosition {
                 term,
                 number: newest,
             };
         }
-        if self.state.whole && self.state.position.term == term {
+        if self.state.complete && self.state.position.term == term {
             return RecordsPosition {
                 term,
                 number: self.state.position.number + 1,
@@ -314,7 +314,7 @@
 
     /// Somebody fetches the whole records.
     pub fn fetch(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot, effects: &mut Effects) {
-        if !self.state.whole {
+        if !self.state.complete {
             return;
         }
         if let Some(chunk) = self
@@ -347,13 +347,13 @@
         } else {
             position
         };
-        let newer = position > self.state.position || !self.state.whole;
+        let newer = position > self.state.position || !self.state.complete;
         if position.term != term || !newer || self.state.promise.term != term {
             return;
         }
         self.records = records;
         self.state.position = position;
-        self.state.whole = true;
+        self.state.complete = true;
         self.behind_since = None;
         while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
             self.records.apply(&changes);
--- a/crates/cluster/control-plane/src/courier.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -10,16 +10,16 @@
 const MAX_ROUTES: usize = 1024;
 
 #[derive(Debug)]
-struct Way {
+struct Route {
     forwarder: NodeId,
     until: Time,
 }
 
-/// The courier of one process.
+/// The router of one process.
 #[derive(Debug)]
-pub struct Courier {
+pub struct MessageRouter {
     node: NodeId,
-    ways: BTreeMap<NodeId, Way>,
+    routes: BTreeMap<NodeId, Route>,
     /// Messages of this process to itself.
     own: VecDeque<Message>,
     /// The same, waiting for a write.
@@ -27,12 +27,12 @@
     next_token: u64,
 }
 
-impl Courier {
+impl MessageRouter {
     /// Without any ways.
-    pub fn new(node: NodeId) -> Courier {
-        Courier {
+    pub fn new(node: NodeId) -> MessageRouter {
+        MessageRouter {
             node,
-            ways: BTreeMap::new(),
+            routes: BTreeMap::new(),
             own: VecDeque::new(),
             unsynced: BTreeMap::new(),
             next_token: 1,
@@ -51,12 +51,12 @@
     }
 
     /// A message of `from` came by a forwarder.
-    pub fn came_by(&mut self, now: Time, from: NodeId, forwarder: NodeId) {
-        self.ways.retain(|_, way| way.until > now);
-        if self.ways.len() < MAX_ROUTES {
-            self.ways.insert(
+    pub fn learn_route(&mut self, now: Time, from: NodeId, forwarder: NodeId) {
+        self.routes.retain(|_, route| route.until > now);
+        if self.routes.len() < MAX_ROUTES {
+            self.routes.insert(
                 from,
-                Way {
+                Route {
                     forwarder,
                     until: now.plus_millis(RELAY_MS),
                 },
@@ -65,8 +65,8 @@
     }
 
     /// A message of `from` came directly.
-    pub fn came_directly(&mut self, from: NodeId) {
-        self.ways.remove(&from);
+    pub fn forget_route(&mut self, from: NodeId) {
+        self.routes.remove(&from);
     }
 
     /// Hands everything to the world.
@@ -105,12 +105,12 @@
 
     /// `None` where the message cannot be wrapped.
     fn address(&self, now: Time, to: NodeId, message: Message) -> Option<(NodeId, Message)> {
-        let way = self.ways.get(&to).filter(|way| way.until > now);
-        match (way, &message) {
-            (Some(way), message) if !matches!(message, Message::Relayed(_)) => {
+        let route = self.routes.get(&to).filter(|route| route.until > now);
+        match (route, &message) {
+            (Some(route), message) if !matches!(message, Message::Relayed(_)) => {
                 let payload = Blob(frame::encode(message).ok()?);
                 Some((
-                    way.forwarder,
+                    route.forwarder,
                     Message::Relayed(Relayed {
                         from: self.node,
                         to,
--- a/crates/cluster/control-plane/src/image.rs
+++ b/crates/cluster/control-plane/src/snapshot.rs
@@ -151,7 +151,7 @@
     fn is_fetched(&self, now: Time) -> bool {
         self.fetchers
             .values()
-            .any(|asked| now < asked.plus_millis(SOURCE_SILENT_MS))
+            .any(|parse_request| now < parse_request.plus_millis(SOURCE_SILENT_MS))
     }
 
     fn chunk(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot) -> Option<SnapshotChunk> {
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -1,7 +1,7 @@
 //! Who is sent each new configuration. A process hands out only what it has made sure of lately at a majority, and
 //! says how long ago that was: cut off, it says nothing, and subscribers turn elsewhere.
 use crate::effects::Effects;
-use crate::knowledge::Knowledge;
+use crate::register_view::RegisterView;
 use crate::timing::HANDOUT_MS;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe, SUBSCRIPTION_MS};
 use sagetrail_protocol::service::ConfigInForce;
@@ -49,14 +49,17 @@
     }
 
     /// Answers questions and sends a newer configuration, where what is known here is fresh enough.
-    pub fn serve(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
-        let Some(age_ms) = knowledge.age_ms(now).filter(|age_ms| *age_ms <= HANDOUT_MS) else {
+    pub fn serve(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
+        let Some(age_ms) = register_view
+            .age_ms(now)
+            .filter(|age_ms| *age_ms <= HANDOUT_MS)
+        else {
             return;
         };
         for node in std::mem::take(&mut self.unanswered) {
-            self.answer(node, knowledge, age_ms, effects);
+            self.answer(node, register_view, age_ms, effects);
         }
-        if let Some(config) = knowledge
+        if let Some(config) = register_view
             .config()
             .filter(|config| config.version > self.pushed)
         {
@@ -65,13 +68,19 @@
         }
     }
 
-    fn answer(&mut self, node: NodeId, knowledge: &Knowledge, age_ms: u64, effects: &mut Effects) {
+    fn answer(
+        &mut self,
+        node: NodeId,
+        register_view: &RegisterView,
+        age_ms: u64,
+        effects: &mut Effects,
+    ) {
         let Some(subscription) = self.subscriptions.get_mut(&node) else {
             return;
         };
-        let version = knowledge.config_version();
+        let version = register_view.config_version();
         let asked_at = subscription.asked_at;
-        let answer = match knowledge
+        let answer = match register_view
             .config()
             .filter(|config| config.version > subscription.have)
         {
--- a/crates/cluster/control-plane/src/base.rs
+++ b/crates/cluster/control-plane/src/term_base.rs
@@ -6,7 +6,7 @@
     /// Whether this process owns a term and has its base, or more, in hand.
     pub(crate) fn holds_base(&self) -> bool {
         let term = self.leadership.as_ref().map(|leadership| leadership.term);
-        term == Some(self.replica.state.position.term) && self.replica.state.whole
+        term == Some(self.replica.state.position.term) && self.replica.state.complete
     }
 
     /// A source that has fallen silent is left for another voter with the same state. Without one the term ends: the
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -9,7 +9,7 @@
 impl CoreNode {
     /// The platform wants the process to end.
     pub(crate) fn terminate(&mut self) {
-        let waits = self.joiners.any(self.now.steady, &self.knowledge.list);
+        let waits = self.joiners.any(self.now.steady, &self.register_view.list);
         log::info!(
             "asked to end; {}",
             if waits {
@@ -26,7 +26,7 @@
 
     /// Whether the process may schedule: it is not about to end, or nobody else can hand its place over.
     pub(crate) fn may_lead(&self) -> bool {
-        let alone = self.knowledge.list.members == [self.settings.node];
+        let alone = self.register_view.list.members == [self.settings.node];
         self.terminating.is_none() || (alone && self.hands_over())
     }
 
@@ -65,7 +65,7 @@
         let in_time = self
             .terminating
             .is_some_and(|since| now < since.plus_millis(self.handover_ms()));
-        let list = &self.knowledge.list;
+        let list = &self.register_view.list;
         in_time && self.takes_part() && (list.is_changing() || self.joiners.any(now, list))
     }
 
--- a/crates/cluster/control-plane/src/steps.rs
+++ b/crates/cluster/control-plane/src/timers.rs
@@ -1,7 +1,7 @@
 //! What is due by time, and the term's own work.
 use crate::change::Job;
-use crate::knowledge::Chosen;
 use crate::node::CoreNode;
+use crate::register_view::Chosen;
 use crate::timing::{DELAYED_MS, POLL_MS};
 use rand::Rng;
 use sagetrail_protocol::control::{ControlMessage, Learned};
@@ -13,18 +13,18 @@
     /// Everything that is due.
     pub(crate) fn step(&mut self) {
         let now = self.now.steady;
-        self.step_standing(now);
+        self.step_membership_state(now);
         self.step_register(now);
         self.step_changes(now);
         self.replica.tick(now, &mut self.effects);
-        self.step_renouncing(now);
+        self.resign_former_term(now);
         self.step_elections(now);
         self.step_base(now);
         self.step_leadership();
         self.step_membership(now);
         self.step_leases(now);
         self.subscribers
-            .serve(now, &self.knowledge, &mut self.effects);
+            .serve(now, &self.register_view, &mut self.effects);
         self.step_delayed(now);
         self.step_termination(now);
     }
@@ -36,7 +36,7 @@
         } else {
             None
         };
-        let reads = if self.knowledge.list.version == 0 {
+        let reads = if self.register_view.list.version == 0 {
             None
         } else {
             self.reads_wake()
@@ -58,14 +58,14 @@
             .front()
             .map(|delayed| delayed.arrived.plus_millis(DELAYED_MS));
         let wakes = [
-            self.standing_wake(),
+            self.membership_state_wake(),
             proposer,
             reads,
             self.operator.next_wake(&self.proposer),
             self.changes_wake(),
             self.replica.next_wake(),
             elections,
-            self.renouncing_wake(),
+            self.former_term_resignation_wake(),
             leadership,
             service,
             membership,
@@ -92,23 +92,24 @@
     /// Gives the term up and lets the others elect at once.
     pub(crate) fn step_down(&mut self) {
         if let Some(leadership) = self.leadership.take() {
-            leadership.resign(&self.knowledge.list, &mut self.effects);
+            leadership.resign(&self.register_view.list, &mut self.effects);
             self.elections.stand_back(self.now.steady);
         }
     }
 
     fn may_propose(&self) -> bool {
-        self.standing.ready || (self.knowledge.list.version > 0 && !self.takes_part())
+        self.membership_state.ready || (self.register_view.list.version > 0 && !self.takes_part())
     }
 
     fn may_stand(&self) -> bool {
-        let able = self.standing.ready && self.takes_part() && self.replica.state.whole;
+        let able = self.membership_state.ready && self.takes_part() && self.replica.state.complete;
         able && self.leadership.is_none() && self.may_lead()
     }
 
     fn step_register(&mut self, now: Time) {
         if self.may_propose() {
-            self.proposer.tick(now, &self.knowledge, &mut self.effects);
+            self.proposer
+                .tick(now, &self.register_view, &mut self.effects);
         }
         if let Some(found) = self.reader.tick(now, &mut self.effects) {
             self.on_read(found);
@@ -116,31 +117,37 @@
         if self.wants_read(now) {
             self.read_register(now);
         }
-        self.operator
-            .tick(now, &self.knowledge, &mut self.proposer, &mut self.effects);
+        self.operator.tick(
+            now,
+            &self.register_view,
+            &mut self.proposer,
+            &mut self.effects,
+        );
     }
 
     /// Reads the register. Where this process has accepted a newer member list, the members of the list that it knows
     /// may have gone, so a round of the newer list's members settles whether that one is chosen.
     fn read_register(&mut self, now: Time) {
         let newer =
-            self.acceptor.members_version > self.knowledge.list.version && self.may_propose();
+            self.acceptor.members_version > self.register_view.list.version && self.may_propose();
         match newer.then(|| self.own_value()).flatten() {
             Some(own) => {
                 self.proposer.note_list(own.value.member_list());
                 self.proposer.push(Job::Refresh);
             }
-            None => self.reader.start(now, &self.knowledge, &mut self.effects),
+            None => self
+                .reader
+                .start(now, &self.register_view, &mut self.effects),
         }
     }
 
     fn wants_read(&self, now: Time) -> bool {
         let settling = self.proposer.any(|job| *job == Job::Refresh);
-        if self.knowledge.list.version == 0 || settling || !self.reader.is_idle() {
+        if self.register_view.list.version == 0 || settling || !self.reader.is_idle() {
             return false;
         }
         let wanted = self.wanted_freshness();
-        now >= self.poll_at || wanted.is_some_and(|moment| !self.knowledge.is_fresh(moment))
+        now >= self.poll_at || wanted.is_some_and(|moment| !self.register_view.is_fresh(moment))
     }
 
     /// The moment as of which somebody here needs to know the register.
@@ -154,7 +161,7 @@
         [
             starting,
             delayed,
-            self.rumour_at,
+            self.newer_value_hint_at,
             self.operator.wants_fresh(),
         ]
         .into_iter()
@@ -171,42 +178,42 @@
 
     /// Everything chosen before `moment` is known now.
     pub(crate) fn freshen(&mut self, moment: Time) {
-        self.knowledge.freshen(moment);
+        self.register_view.freshen(moment);
         self.poll_at = self.now.steady.plus_millis(POLL_MS);
         if self
-            .rumour_at
-            .is_some_and(|rumour| self.knowledge.is_fresh(rumour))
+            .newer_value_hint_at
+            .is_some_and(|hint_at| self.register_view.is_fresh(hint_at))
         {
-            self.rumour_at = None;
+            self.newer_value_hint_at = None;
         }
     }
 
     /// Takes a chosen value and passes it on.
     pub(crate) fn learn(&mut self, chosen: Chosen) {
-        let version = self.knowledge.config_version();
-        let list_version = self.knowledge.list.version;
+        let version = self.register_view.config_version();
+        let list_version = self.register_view.list.version;
         let value = chosen.value.clone();
-        if !self.knowledge.learn(chosen.proposal, chosen.value) {
+        if !self.register_view.learn(chosen.proposal, chosen.value) {
             return;
         }
-        if self.knowledge.list.version > list_version {
-            log::info!("{}", self.knowledge.list);
-            self.joiners.forget_members(&self.knowledge.list);
+        if self.register_view.list.version > list_version {
+            log::info!("{}", self.register_view.list);
+            self.joiners.forget_members(&self.register_view.list);
         }
         self.accepted_changes.insert_all(&value.recent);
-        if self.knowledge.list.version > list_version && self.standing.ready {
+        if self.register_view.list.version > list_version && self.membership_state.ready {
             let mut effects = std::mem::take(&mut self.effects);
             self.store_members(&mut effects);
             self.effects = effects;
         }
-        if self.knowledge.config_version() > version {
+        if self.register_view.config_version() > version {
             self.put_config_in_force();
         }
         self.answer_learn_askers();
     }
 
     fn put_config_in_force(&mut self) {
-        let Some(config) = self.knowledge.config().cloned() else {
+        let Some(config) = self.register_view.config().cloned() else {
             return;
         };
         if let Some(service) = self
@@ -219,7 +226,7 @@
     }
 
     fn answer_learn_askers(&mut self) {
-        let known = self.knowledge.proposal();
+        let known = self.register_view.proposal();
         let (answered, waiting) = std::mem::take(&mut self.learn_askers)
             .into_iter()
             .partition(|asker| asker.proposal <= known);
@@ -235,8 +242,12 @@
     fn step_elections(&mut self, now: Time) {
         if self.may_stand() {
             let lease_until = self.replica.lease_until;
-            self.elections
-                .tick(now, lease_until, &self.knowledge.list, &mut self.effects);
+            self.elections.tick(
+                now,
+                lease_until,
+                &self.register_view.list,
+                &mut self.effects,
+            );
         }
     }
 
@@ -251,11 +262,11 @@
         }
         leadership.renew(
             now,
-            &self.knowledge.list,
-            self.knowledge.proposal(),
+            &self.register_view.list,
+            self.register_view.proposal(),
             &mut self.effects,
         );
-        let advanced = leadership.advance(&self.knowledge.list);
+        let advanced = leadership.advance(&self.register_view.list);
         if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
             service.committed(self.now, number);
         }
@@ -264,7 +275,7 @@
             return;
         };
         leadership.wake_service(self.now);
-        leadership.pump(now, &self.knowledge.list, &mut self.effects);
+        leadership.pump(now, &self.register_view.list, &mut self.effects);
         if let Some(service) = &mut leadership.service {
             self.effects.sends.extend(service.take_sends());
         }
@@ -274,8 +285,9 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let fresh = self.knowledge.is_fresh(leadership.elected_at);
-        if leadership.service.is_some() || !holds_base || !leadership.base_is_kept() || !fresh {
+        let fresh = self.register_view.is_fresh(leadership.elected_at);
+        if leadership.service.is_some() || !holds_base || !leadership.base_is_committed() || !fresh
+        {
             return;
         }
         let records = self
@@ -288,7 +300,7 @@
             term: leadership.term,
             node: self.settings.node,
             records: records.collect(),
-            config: self.knowledge.config().cloned(),
+            config: self.register_view.config().cloned(),
             seed: self.random.random(),
         };
         log::info!(
@@ -301,7 +313,7 @@
 
     fn step_delayed(&mut self, now: Time) {
         while let Some(front) = self.delayed.front() {
-            let fresh = self.knowledge.is_fresh(front.arrived);
+            let fresh = self.register_view.is_fresh(front.arrived);
             if !fresh && now < front.arrived.plus_millis(DELAYED_MS) {
                 return;
             }
--- a/crates/cluster/control-plane/src/timing.rs
+++ b/crates/cluster/control-plane/src/timing.rs
@@ -31,14 +31,14 @@
 pub const UNREADY_HELLO_MS: u64 = 150;
 /// A process that has known nothing of the register for so long asks the seeds who the members are.
 pub const OUT_OF_TOUCH_MS: u64 = 2_000;
-/// A founder that hears nothing new for so long founds.
-pub const FOUNDING_QUIET_MS: u64 = 700;
-/// A founder waits so long for enough processes.
-pub const FOUNDING_PATIENCE_MS: u64 = 2_500;
-/// A founder that is alone waits so long.
-pub const FOUNDING_ALONE_MS: u64 = 6_000;
-/// A process that finds itself in the member list waits so long for the founding before it recovers.
-pub const FOUNDING_GRACE_MS: u64 = 1_500;
+/// A bootstrapping process that hears nothing new for so long founds.
+pub const BOOTSTRAP_QUIET_MS: u64 = 700;
+/// A bootstrapping process waits so long for enough processes.
+pub const BOOTSTRAP_PATIENCE_MS: u64 = 2_500;
+/// A bootstrapping process that is alone waits so long.
+pub const BOOTSTRAP_ALONE_MS: u64 = 6_000;
+/// A process that finds itself in the member list waits so long for the bootstrap before it recovers.
+pub const BOOTSTRAP_GRACE_MS: u64 = 1_500;
 /// A member that was silent for so long may be replaced by a learner that holds everything.
 pub const UNREACHABLE_MS: u64 = 2_000;
 /// The leader looks this often at who asks to join and whether a change of members may go on.
@@ -68,6 +68,6 @@
 /// An order that surely was accepted nowhere is given back after so long.
 pub const UNTOUCHED_MS: u64 = 1_000;
 /// A process that came back says for so long that it holds its former term no more.
-pub const RENOUNCE_MS: u64 = 2_000;
+pub const RESIGN_FORMER_TERM_MS: u64 = 2_000;
 /// And this often.
-pub const RENOUNCE_INTERVAL_MS: u64 = 100;
+pub const RESIGN_INTERVAL_MS: u64 = 100;
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -25,7 +25,7 @@
     /// The list that is to follow; empty unless a change of members is under way.
     pub next_members: List<NodeId>,
     /// How many members the cluster is to have.
-    pub founding_size: u32,
+    pub bootstrap_size: u32,
     pub config: StoredConfig,
     /// The newest changes, oldest first; the last one led to `config`.
     pub recent: List<AcceptedChange>,
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -44,7 +44,7 @@
     }
 
     fn may_promise(&self, now: Time, from: NodeId, request: &VoteRequest) -> bool {
-        if !self.state.whole {
+        if !self.state.complete {
             return false;
         }
         let promise = &self.state.promise;
@@ -68,7 +68,7 @@
 
     /// A process that does not take part yet said hello. Where this replica has heard nothing of its promised term
     /// since its own start, and that process held it, the term is over; true then.
-    pub fn holder_is_back(&mut self, now: Time, from: NodeId) -> bool {
+    pub fn lease_holder_restarted(&mut self, now: Time, from: NodeId) -> bool {
         if self.followed.is_some() || self.state.promise.node != from {
             return false;
         }
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -30,7 +30,7 @@
     world
 }
 
-/// The founder comes back on what `damage` left, told to found, and is alone for long; then the others come back.
+/// The bootstrapping process comes back on what `damage` left, told to found, and is alone for long; then the others come back.
 fn founder_returns(world: &mut World, damage: impl Fn(&mut Disk), context: &str) {
     let terms = world.terms();
     (0..3).for_each(|index| world.power_off(index));
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -107,10 +107,10 @@
                 self.history.run(pause);
             }
             let history = &self.history;
-            let whole = |member: &usize| {
+            let complete = |member: &usize| {
                 history.world.machines[*member].node.is_none() || !holds_all(history, *member)
             };
-            self.lost.retain(whole);
+            self.lost.retain(complete);
         }
         self.heal();
         let members: Vec<usize> = (0..self.history.world.machines.len()).collect();
--- a/crates/cluster/control-plane/tests/ordinary.rs
+++ b/crates/cluster/control-plane/tests/ordinary.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: founding, the configuration, records.
+//! The ordinary path: bootstrap, the configuration, records.
 mod support;
 use sagetrail_protocol::node::{Event, Method};
 use support::world::{config, World};
--- a/crates/cluster/control-plane/tests/register_value.rs
+++ b/crates/cluster/control-plane/tests/register_value.rs
@@ -24,7 +24,7 @@
         members_version: 0x0102_0304_0506_0708,
         members: List(vec![process(1), process(2)]),
         next_members: List(vec![process(3)]),
-        founding_size: 0x1112_1314,
+        bootstrap_size: 0x1112_1314,
         config: StoredConfig {
             version: 0x2122_2324_2526_2728,
             document: Blob(b"{\"a\":1}".to_vec()),
--- a/crates/cluster/control-plane/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/replacements.rs
@@ -156,9 +156,9 @@
         world.start(successor, false);
         world.run(2_000);
         let gone = seed as usize % 3;
-        let asked = world.now;
+        let parse_request = world.now;
         world.remove(gone);
-        let took_ms = (world.now - asked) / 1000;
+        let took_ms = (world.now - parse_request) / 1000;
         assert!(took_ms < 1_000, "seed {seed}: {took_ms} ms");
         world.run(100);
         assert!(
--- a/crates/cluster/control-plane/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/rounds.rs
@@ -14,16 +14,16 @@
 
 /// A configuration of many routes, with the one that `patch` changes among them.
 fn large_config(version: u64) -> String {
-    let mut whole: serde_json::Value = serde_json::from_str(&config(version)).unwrap();
-    let route = whole["routes"][0].clone();
-    let routes = whole["routes"].as_array_mut().unwrap();
+    let mut complete: serde_json::Value = serde_json::from_str(&config(version)).unwrap();
+    let route = complete["routes"][0].clone();
+    let routes = complete["routes"].as_array_mut().unwrap();
     for number in 0..ROUTES {
         let mut other = route.clone();
         other["name"] = format!("r{number}").into();
         other["path_prefix"] = format!("/other{number}/").into();
         routes.push(other);
     }
-    whole.to_string()
+    complete.to_string()
 }
 
 fn with_large_config(seed: u64) -> World {
@@ -158,9 +158,11 @@
     assert!(
         matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == proposal)
     );
-    let kept = answers(
+    let committed = answers(
         &mut world,
         ControlMessage::Prepare(Prepare { proposal, have: on }),
     );
-    assert!(matches!(&kept[..], [ControlMessage::Promise(promised)] if promised.accepted == on));
+    assert!(
+        matches!(&committed[..], [ControlMessage::Promise(promised)] if promised.accepted == on)
+    );
 }
--- a/crates/cluster/control-plane/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -150,8 +150,8 @@
 
 /// Fills a follower, keeping the pieces that it was sent.
 fn first_transfer(history: &mut History) -> Vec<SnapshotChunk> {
-    let kept: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
-    let sent = kept.clone();
+    let committed: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
+    let sent = committed.clone();
     let late = refill(
         history,
         pieces(move |chunk| sent.lock().unwrap().push(chunk.clone())),
@@ -161,7 +161,7 @@
         "the first transfer"
     );
     history.world.tamper = None;
-    let pieces = kept.lock().unwrap().clone();
+    let pieces = committed.lock().unwrap().clone();
     assert!(pieces.last().is_some_and(|piece| piece.last), "no transfer");
     pieces
 }
--- a/crates/cluster/control-plane/tests/support/journal.rs
+++ b/crates/cluster/control-plane/tests/support/journal.rs
@@ -65,18 +65,18 @@
 
     fn start(journal: SharedJournal, restored: Restored) -> Counter {
         let mut book = journal.lock().unwrap();
-        let kept: BTreeSet<u64> = restored
+        let committed: BTreeSet<u64> = restored
             .records
             .iter()
             .map(|(key, _)| number_of(key))
             .collect();
-        let lost: Vec<&u64> = book.acked.difference(&kept).collect();
+        let lost: Vec<&u64> = book.acked.difference(&committed).collect();
         assert!(lost.is_empty(), "term {} lost {lost:?}", restored.term);
         if let Some((term, _)) = book.terms.last() {
             assert!(restored.term > *term, "term {} after {term}", restored.term);
         }
         book.terms.push((restored.term, restored.node));
-        book.records_restored = kept.len();
+        book.records_restored = committed.len();
         let config_version = restored.config.map_or(0, |config| config.version);
         assert!(
             config_version >= book.config_version,
--- a/crates/cluster/control-plane/tests/support/operators.rs
+++ b/crates/cluster/control-plane/tests/support/operators.rs
@@ -30,10 +30,10 @@
 
 /// A change of the only route, with the same effect as `replacement`.
 pub fn patch(base: u64, version: u64, mark: &str) -> Order {
-    let whole: serde_json::Value =
+    let complete: serde_json::Value =
         serde_json::from_str(&replacement(base, version, mark).content).unwrap();
     let content =
-        serde_json::json!({ "version": version, "upsert": { "routes": whole["routes"] } });
+        serde_json::json!({ "version": version, "upsert": { "routes": complete["routes"] } });
     Order {
         path: "/v1/config/patch",
         base,
--- a/crates/cluster/control-plane/tests/support/world.rs
+++ b/crates/cluster/control-plane/tests/support/world.rs
@@ -254,7 +254,7 @@
 
     /// A machine loses power: of what was not synced a part from the front may be there.
     pub fn power_off(&mut self, index: usize) {
-        let kept = self
+        let committed = self
             .random
             .random_range(0..=self.machines[index].unsynced.len());
         let machine = &mut self.machines[index];
@@ -262,7 +262,7 @@
         machine.node = None;
         machine.held.clear();
         let rest: Vec<DiskWrite> = machine.unsynced.drain(..).collect();
-        for write in rest.into_iter().take(kept) {
+        for write in rest.into_iter().take(committed) {
             apply(&mut machine.disk, write.operations);
         }
     }
@@ -412,11 +412,14 @@
             message
         );
         self.sent_bytes += payload.len() as u64;
-        let kept = self
+        let committed = self
             .tamper
             .as_mut()
             .is_none_or(|tamper| tamper(from, to, &mut message));
-        if !kept || self.cut.contains(&(from, to)) || self.random.random_bool(self.weather.loss) {
+        if !committed
+            || self.cut.contains(&(from, to))
+            || self.random.random_bool(self.weather.loss)
+        {
             return;
         }
         let leaves = match self.speeds {
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -118,7 +118,7 @@
 
 /// The cluster's first value, from its founder.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct Found {
+pub struct Bootstrap {
     pub proposal: ProposalNumber,
     pub value: Blob,
 }
@@ -324,7 +324,7 @@
     #[deku(id = 8)]
     Learned(Learned),
     #[deku(id = 9)]
-    Found(Found),
+    Bootstrap(Bootstrap),
     #[deku(id = 10)]
     StateSynced(StateSynced),
     #[deku(id = 11)]
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -14,7 +14,7 @@
     ControlMessage::ReadReply(_) => "read-reply",
     ControlMessage::Learn(_) => "learn",
     ControlMessage::Learned(_) => "learned",
-    ControlMessage::Found(_) => "found",
+    ControlMessage::Bootstrap(_) => "found",
     ControlMessage::StateSynced(_) => "settled",
     ControlMessage::Recover(_) => "recover",
     ControlMessage::RecoverReply(_) => "recover-reply",
@@ -130,7 +130,7 @@
         ControlMessage::Learned(Learned {
             proposal: proposal(0x1c),
         }),
-        ControlMessage::Found(Found {
+        ControlMessage::Bootstrap(Bootstrap {
             proposal: proposal(0x1d),
             value: blob("found"),
         }),
--- a/crates/testing/simulation/src/operator.rs
+++ b/crates/testing/simulation/src/operator.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeKind {
     /// The first configuration.
-    Found(Configuration),
+    Bootstrap(Configuration),
     /// Named items change, by `patch`.
     Patch(Patch),
     /// The same change as a whole configuration, by `replace`.
@@ -96,7 +96,7 @@
     fn begin(&mut self, now: Micros, change: Change, surroundings: &mut Surroundings) {
         let version = self.current.version + change.step.max(1);
         match change.kind {
-            ChangeKind::Found(configuration) => {
+            ChangeKind::Bootstrap(configuration) => {
                 let body = configuration.to_json().to_string();
                 self.order(now, 0, Some(configuration), "/v1/config/replace", body);
             }
--- a/crates/testing/simulation/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -264,7 +264,7 @@
     fn operator_plan(&self, chance: &mut Chance) -> Vec<Change> {
         let mut changes = vec![Change {
             at: SECOND,
-            kind: ChangeKind::Found(first_configuration()),
+            kind: ChangeKind::Bootstrap(first_configuration()),
             step: 1,
         }];
         for number in 0..self.changes {
