--- a/crates/cluster-sim/src/bin/sagetrail-sim.rs
+++ b/crates/cluster-sim/src/bin/sagetrail-sim.rs
@@ -21,6 +21,9 @@
     /// troubled days that go on after a loss of all power
     #[argh(switch)]
     recovering: bool,
+    /// print a digest of each day: the same day, the same digest
+    #[argh(switch)]
+    digest: bool,
     /// print all that was seen
     #[argh(switch)]
     history: bool,
@@ -37,6 +40,9 @@
         let report = scenario.run();
         print_history(&arguments, &report);
         print_report(seed, &report);
+        if arguments.digest {
+            println!("  digest {}", report.digest);
+        }
         if !report.violations.is_empty() || !report.codec_faults.is_empty() {
             broken += 1;
         }
--- a/crates/cluster-sim/src/cluster/calls.rs
+++ b/crates/cluster-sim/src/cluster/calls.rs
@@ -31,6 +31,7 @@
     pub(crate) fn start_call(&mut self, actor: ActorId, outgoing: OutgoingCall) {
         let id = HttpRequestId(self.next_call);
         self.next_call += 1;
+        self.digest.called(self.queue.now(), id, &outgoing);
         let call = Call {
             owner: CallOwner {
                 actor,
@@ -95,7 +96,7 @@
 
     pub(crate) fn outcome_arrives(&mut self, id: HttpRequestId, outcome: Outcome) {
         if let Some(call) = self.calls.remove(&id) {
-            self.tell_actor(call.owner, outcome);
+            self.end_call(&call, outcome);
         }
     }
 
@@ -110,6 +111,12 @@
         if waiting {
             self.dispatch(call.node, Event::HttpAbandoned { id });
         }
-        self.tell_actor(call.owner, Outcome::Silence);
+        self.end_call(&call, Outcome::Silence);
+    }
+
+    fn end_call(&mut self, call: &Call, outcome: Outcome) {
+        self.digest
+            .call_ended(self.queue.now(), call.node, call.owner.tag, &outcome);
+        self.tell_actor(call.owner, outcome);
     }
 }
--- a/crates/cluster-sim/src/cluster/life.rs
+++ b/crates/cluster-sim/src/cluster/life.rs
@@ -43,6 +43,8 @@
             now: process.clock.read(now),
         };
         process.started_before = true;
+        self.digest
+            .started(now, node, birth.now, seed, &birth.image);
         let mut outbox = Outbox::default();
         let factory = match process.kind {
             NodeKind::Core => &mut self.factories.core,
@@ -67,7 +69,9 @@
             return;
         };
         let mut outbox = Outbox::default();
-        logic.handle(process.clock.read(now), event, &mut outbox);
+        let clocks = process.clock.read(now);
+        self.digest.handed(now, node, clocks, &event);
+        logic.handle(clocks, event, &mut outbox);
         self.empty(node, outbox);
     }
 
@@ -75,7 +79,9 @@
         for (to, message) in &outbox.sends {
             self.send(node, *to, message);
         }
+        let now = self.now();
         for (id, reply) in outbox.replies {
+            self.digest.replied(now, node, id, &reply);
             self.reply(id, reply);
         }
         self.writes(node, outbox.writes);
@@ -138,6 +144,7 @@
             return;
         };
         let synced = disk.end_sync();
+        self.digest.synced(now, node, synced.len());
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
             self.queue
                 .schedule(at, WorldEvent::DiskDone { node, generation });
@@ -192,9 +199,11 @@
 
     /// Ends a process at once. What it had asked of its disk is kept up to some point.
     pub(crate) fn kill(&mut self, node: NodeId, state: ProcessState) {
+        let now = self.now();
         let Some(process) = self.processes.get_mut(&node) else {
             return;
         };
+        self.digest.ended(now, node);
         let unanswered = process.end(state);
         if let Some(disk) = &mut process.disk {
             if state == ProcessState::PowerOff && self.chance.happens(0.3) {
--- a/crates/cluster-sim/src/cluster/mod.rs
+++ b/crates/cluster-sim/src/cluster/mod.rs
@@ -8,6 +8,7 @@
 
 use crate::actor::{CallTag, Outcome, Surroundings};
 use crate::client::Clients;
+use crate::digest::DayDigest;
 use crate::disk::{Disk, DiskSpeed};
 use crate::engine::{Chance, Micros, Queue, MILLISECOND};
 use crate::faults::Fault;
@@ -136,6 +137,7 @@
     pub(crate) calls: BTreeMap<HttpRequestId, Call>,
     pub(crate) next_call: u64,
     pub(crate) actor_wakes: BTreeMap<ActorId, Micros>,
+    pub(crate) digest: DayDigest,
     /// Messages carried, and their bytes.
     pub messages: u64,
     pub message_bytes: u64,
@@ -187,6 +189,7 @@
             calls: BTreeMap::new(),
             next_call: 1,
             actor_wakes: BTreeMap::new(),
+            digest: DayDigest::default(),
             messages: 0,
             message_bytes: 0,
             codec_faults: Vec::new(),
@@ -228,6 +231,11 @@
         &mut self.surroundings.history
     }
 
+    /// The digest of all that was seen so far.
+    pub fn digest(&self) -> String {
+        self.digest.text()
+    }
+
     /// The state of a process, for tests and reports.
     pub fn process_state(&self, node: NodeId) -> Option<crate::process::ProcessState> {
         self.processes.get(&node).map(|process| process.state)
@@ -290,6 +298,7 @@
         self.messages += 1;
         self.message_bytes += payload.len() as u64;
         let now = self.now();
+        self.digest.sent(now, from, to, &payload);
         for at in self
             .network
             .arrivals(now, Direction { from, to }, &mut self.chance)
@@ -327,7 +336,10 @@
         let Some(disk) = &mut process.disk else {
             return;
         };
-        writes.into_iter().for_each(|write| disk.write(write));
+        for write in writes {
+            self.digest.written(now, node, &write);
+            disk.write(write);
+        }
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
             self.queue
                 .schedule(at, WorldEvent::DiskDone { node, generation });
--- a/crates/cluster-sim/src/cluster/probes.rs
+++ b/crates/cluster-sim/src/cluster/probes.rs
@@ -24,6 +24,7 @@
         };
         let at = self.now() + BESIDE;
         for probe in probes {
+            self.digest.probed(self.queue.now(), node, &probe);
             let look = Look {
                 node,
                 generation,
--- a/crates/cluster-sim/src/lib.rs
+++ b/crates/cluster-sim/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod client;
 pub mod cluster;
 pub mod configuration;
+pub mod digest;
 pub mod disk;
 pub mod engine;
 pub mod faults;
--- a/crates/cluster-sim/src/report.rs
+++ b/crates/cluster-sim/src/report.rs
@@ -21,6 +21,8 @@
     pub start_p99_ms: u64,
     pub messages: u64,
     pub message_bytes: u64,
+    /// See `digest`.
+    pub digest: String,
     pub history: History,
 }
 
--- a/crates/cluster-sim/src/scenario.rs
+++ b/crates/cluster-sim/src/scenario.rs
@@ -366,6 +366,7 @@
         report.codec_faults = world.codec_faults.clone();
         report.messages = world.messages;
         report.message_bytes = world.message_bytes;
+        report.digest = world.digest();
         report.history = std::mem::take(world.history());
         report
     }
--- a/crates/cluster-sim/tests/days.rs
+++ b/crates/cluster-sim/tests/days.rs
@@ -45,6 +45,7 @@
     assert_eq!(first.history.seen, second.history.seen);
     assert_eq!(first.messages, second.messages);
     assert_eq!(first.message_bytes, second.message_bytes);
+    assert_eq!(first.digest, second.digest);
 }
 
 /// Plays the days of these seeds, several at once.
