--- a/crates/cluster-sim/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -4,11 +4,11 @@
 //! field leaves the digest as it is, a changed message, instant, order or stored byte does not.
 use crate::actor::{CallTag, Outcome, OutgoingCall};
 use crate::engine::Micros;
-use sagetrail_wire::node::{
+use sagetrail_protocol::node::{
     DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId,
     Method, Now, Probe, ProbeResult, Table,
 };
-use sagetrail_wire::{frame, Message, NodeId};
+use sagetrail_protocol::{frame, Message, NodeId};
 use sha2::{Digest, Sha256};
 
 /// What an entry of the digest tells. The numbers are part of the digest.
--- a/crates/cluster-sim/tests/digests.rs
+++ b/crates/testing/simulation/tests/digests.rs
@@ -1,8 +1,8 @@
 //! Days whose digests are kept: code that means to change no decision leaves each of them as it is.
 //!
 //! A line of the fixture is a kind of day, its seed and its digest. Where a change is meant to show in the days, the
-//! test's output has the new lines; `sagetrail-sim --digest` prints the same for any seed.
-use sagetrail_cluster_sim::scenario::Scenario;
+//! test's output has the new lines; `sagetrail-simulation --digest` prints the same for any seed.
+use sagetrail_simulation::scenario::Scenario;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
