--- a/crates/testing/simulation/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -13,14 +13,14 @@
 
 /// A call that is out.
 pub(crate) struct Call {
-    leader: CallOwner,
+    owner: CallOwner,
     node: NodeId,
     endpoint: HttpEndpoint,
 }
 
 impl Call {
     fn latency(&self) -> Micros {
-        match self.leader.actor {
+        match self.owner.actor {
             ActorId::Runner(_) => BESIDE,
             _ => OUTSIDE,
         }
@@ -31,8 +31,9 @@
     pub(crate) fn start_call(&mut self, actor: ActorId, outgoing: OutgoingCall) {
         let id = HttpRequestId(self.next_call);
         self.next_call += 1;
+        self.digest.called(self.queue.now(), id, &outgoing);
         let call = Call {
-            leader: CallOwner {
+            owner: CallOwner {
                 actor,
                 tag: outgoing.tag,
             },
@@ -84,7 +85,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (latency, node, actor) = (call.latency(), call.node, call.leader.actor);
+        let (latency, node, actor) = (call.latency(), call.node, call.owner.actor);
         if let Some(process) = self.processes.get_mut(&node) {
             process.requests.remove(&id);
         }
@@ -99,7 +100,7 @@
 
     pub(crate) fn outcome_arrives(&mut self, id: HttpRequestId, outcome: Outcome) {
         if let Some(call) = self.calls.remove(&id) {
-            self.tell_actor(call.leader, outcome);
+            self.end_call(&call, outcome);
         }
     }
 
@@ -114,6 +115,12 @@
         if waiting {
             self.dispatch(call.node, Event::HttpAbandoned { id });
         }
-        self.tell_actor(call.leader, Outcome::Silence);
+        self.end_call(&call, Outcome::Silence);
+    }
+
+    fn end_call(&mut self, call: &Call, outcome: Outcome) {
+        self.digest
+            .call_ended(self.queue.now(), call.node, call.owner.tag, &outcome);
+        self.tell_actor(call.owner, outcome);
     }
 }
--- a/crates/testing/simulation/src/cluster/health_checks.rs
+++ b/crates/testing/simulation/src/cluster/health_checks.rs
@@ -24,6 +24,7 @@
         };
         let at = self.now() + BESIDE;
         for health_check in health_checks {
+            self.digest.probed(self.queue.now(), node, &health_check);
             let look = Look {
                 node,
                 generation,
