--- a/crates/dispatcher/simulator-adapter/src/frame.rs
+++ b/crates/dispatcher/simulator-adapter/src/frame.rs
@@ -1,8 +1,9 @@
 //! The simulator's frames: batches in, replies out.
+
 use std::io::{self, Read, Write};
 
-pub const RECORD: usize = 48;
-pub const ENTRY: usize = 24;
+pub(crate) const RECORD: usize = 48;
+pub(crate) const ENTRY: usize = 24;
 const ACTION: usize = 24;
 
 /// The little-endian field of `N` bytes at an offset. Offsets are the wire page's and lie within a record.
@@ -14,32 +15,32 @@
 
 /// One event record or list entry.
 #[derive(Clone, Copy)]
-pub struct Fields<'a>(pub &'a [u8]);
+pub(crate) struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
-    pub fn u8(&self, at: usize) -> u8 {
+    pub(crate) fn u8(&self, at: usize) -> u8 {
         self.0[at]
     }
-    pub fn u16(&self, at: usize) -> u16 {
+    pub(crate) fn u16(&self, at: usize) -> u16 {
         u16::from_le_bytes(bytes(self.0, at))
     }
-    pub fn u32(&self, at: usize) -> u32 {
+    pub(crate) fn u32(&self, at: usize) -> u32 {
         u32::from_le_bytes(bytes(self.0, at))
     }
-    pub fn u64(&self, at: usize) -> u64 {
+    pub(crate) fn u64(&self, at: usize) -> u64 {
         u64::from_le_bytes(bytes(self.0, at))
     }
-    pub fn f32(&self, at: usize) -> f32 {
+    pub(crate) fn f32(&self, at: usize) -> f32 {
         f32::from_le_bytes(bytes(self.0, at))
     }
-    pub fn address(&self, at: usize) -> [u8; 6] {
+    pub(crate) fn address(&self, at: usize) -> [u8; 6] {
         bytes(self.0, at)
     }
 }
 
 /// A batch as read, its buffer used again for the next.
 #[derive(Default)]
-pub struct Batch {
+pub(crate) struct Batch {
     body: Vec<u8>,
     records: usize,
     pub clock_us: u64,
@@ -47,7 +48,7 @@
 
 impl Batch {
     /// Reads the next batch; `false` at the end of input on a frame's boundary.
-    pub fn read(&mut self, from: &mut impl Read) -> Result<bool, String> {
+    pub(crate) fn read(&mut self, from: &mut impl Read) -> Result<bool, String> {
         let mut header = Vec::with_capacity(16);
         from.by_ref()
             .take(16)
@@ -84,14 +85,14 @@
         Ok(true)
     }
 
-    pub fn records(&self) -> impl Iterator<Item = Fields<'_>> {
+    pub(crate) fn records(&self) -> impl Iterator<Item = Fields<'_>> {
         self.body[..self.records * RECORD]
             .chunks_exact(RECORD)
             .map(Fields)
     }
 
     /// What a tail reference at `at` of a record points to, `size` bytes for each one counted.
-    pub fn tail(&self, record: Fields, at: usize, size: usize) -> Result<&[u8], String> {
+    pub(crate) fn tail(&self, record: Fields, at: usize, size: usize) -> Result<&[u8], String> {
         let (offset, count) = (record.u32(at) as usize, record.u32(at + 4) as usize);
         let tail = &self.body[self.records * RECORD..];
         let end = count
@@ -109,14 +110,14 @@
 
 /// A reply in the making.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
 }
 
 impl Reply {
     /// Appends one action: its code, the instance, then its further fields one after another.
-    pub fn act(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
+    pub(crate) fn act(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
         let end = self.records.len() + ACTION;
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_le_bytes());
@@ -127,7 +128,7 @@
     }
 
     /// Puts a text into the tail; the reference to it.
-    pub fn text(&mut self, text: &[u8]) -> [u8; 8] {
+    pub(crate) fn text(&mut self, text: &[u8]) -> [u8; 8] {
         let mut place = [0; 8];
         place[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
         place[4..].copy_from_slice(&(text.len() as u32).to_le_bytes());
@@ -135,7 +136,7 @@
         place
     }
 
-    pub fn write(&mut self, to: &mut impl Write) -> io::Result<()> {
+    pub(crate) fn write(&mut self, to: &mut impl Write) -> io::Result<()> {
         let count = (self.records.len() / ACTION) as u32;
         let length = (self.records.len() + self.tail.len()) as u32;
         to.write_all(&length.to_le_bytes())?;
--- a/crates/dispatcher/simulator-adapter/src/host.rs
+++ b/crates/dispatcher/simulator-adapter/src/host.rs
@@ -1,4 +1,5 @@
 //! The instances of one process: records become calls on their dispatchers, and answers become records.
+
 use crate::frame::{Batch, Fields, Reply, ENTRY};
 use sagetrail_policy::{
     read_terms, Dispatcher, Host, Job, Listed, News, Outcome, Stated, WorkItem,
@@ -113,7 +114,7 @@
 }
 
 #[derive(Default)]
-pub struct Process {
+pub(crate) struct Process {
     instances: Vec<Option<Instance>>,
     touched: Vec<u16>,
     rosters: Vec<Vec<(Address, Option<Listed>)>>,
@@ -122,7 +123,7 @@
 
 impl Process {
     /// Carries one batch to the instances and writes what they answer.
-    pub fn play(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
+    pub(crate) fn play(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
         let now = batch.clock_us as f64 / 1e6;
         for (place, record) in batch.records().enumerate() {
             self.event(batch, record, now, reply)
--- a/crates/dispatcher/simulator-adapter/src/main.rs
+++ b/crates/dispatcher/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
 //! Hosts sagetrail's decisions on the simulator's wire: standard input in, standard output out.
+
 mod frame;
 mod host;
 
--- a/crates/dispatcher/simulator-adapter/tests/frames.rs
+++ b/crates/dispatcher/simulator-adapter/tests/frames.rs
@@ -1,4 +1,5 @@
 //! Frames written by hand, played to the adapter itself.
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/dispatcher/swim/examples/measure.rs
+++ b/crates/dispatcher/swim/examples/measure.rs
@@ -1,5 +1,6 @@
 //! Detection time, false suspicions and traffic by the number of members: `cargo run --release -p
 //! sagetrail-members --example measure`. The figures are in `docs/members.md`.
+
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 use sagetrail_swim::Life;
--- a/crates/dispatcher/swim/src/frame.rs
+++ b/crates/dispatcher/swim/src/frame.rs
@@ -1,4 +1,5 @@
 //! Frames between members: an envelope that says fleet, version and sender, a body, a checksum over all of it.
+
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/crates/dispatcher/swim/src/swim.rs
+++ b/crates/dispatcher/swim/src/swim.rs
@@ -2,6 +2,7 @@
 //! through others, then suspected, then held dead; the accused refutes by a higher incarnation. How long all that
 //! takes grows with how badly this member itself has fared of late (Lifeguard), since a slow accuser is as common
 //! as a dead accused. The roster is fixed: a name that nobody configured is nobody.
+
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/dispatcher/swim/tests/encoding.rs
+++ b/crates/dispatcher/swim/tests/encoding.rs
@@ -1,5 +1,6 @@
 //! The bytes of frames between members. Members of different releases speak to each other: a difference from
 //! `fixtures/frames.txt` is a new version, never a new fixture alone. All fields of an example differ.
+
 use sagetrail_fixture::Fixture;
 use sagetrail_swim::{Codec, Envelope, Life, Message, Update, DATAGRAM_MOST, VERSION, WHOLE_MOST};
 use std::collections::BTreeSet;
--- a/crates/dispatcher/swim/tests/stories.rs
+++ b/crates/dispatcher/swim/tests/stories.rs
@@ -1,4 +1,5 @@
 //! Stories of members that die, stall, come back, lie or lose contact.
+
 mod sim;
 use rand::Rng;
 use sagetrail_swim::*;
--- a/crates/testing/fault-testing/src/clients.rs
+++ b/crates/testing/fault-testing/src/clients.rs
@@ -1,4 +1,5 @@
 //! The stand-in clients: an open loop, so that what is late does not make what follows come later.
+
 use crate::http::Reader;
 use crate::names::Node;
 use crate::play::{Shared, Spec};
@@ -17,12 +18,12 @@
 
 /// Connections that wait for a next request, by dispatcher.
 #[derive(Default)]
-pub struct Pool {
+pub(crate) struct Pool {
     idle: Vec<Mutex<Vec<Connection>>>,
 }
 
 impl Pool {
-    pub fn new(dispatchers: usize) -> Pool {
+    pub(crate) fn new(dispatchers: usize) -> Pool {
         Pool {
             idle: (0..dispatchers).map(|_| Mutex::default()).collect(),
         }
@@ -31,14 +32,14 @@
 
 /// When each request is to be sent, of which category, to whom: drawn before the play begins.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     pub at: f64,
     pub category: usize,
     pub dispatcher: usize,
     pub id: String,
 }
 
-pub fn plan(shared: &Shared, crowd: impl Fn(f64) -> f64) -> Vec<Plan> {
+pub(crate) fn plan(shared: &Shared, crowd: impl Fn(f64) -> f64) -> Vec<Plan> {
     let scenario = &shared.scenario;
     let shares: Vec<f64> = (0..scenario.processes)
         .map(|n| {
@@ -101,7 +102,7 @@
 }
 
 /// Sends all at their times and waits until each has come to its end.
-pub async fn send(shared: Arc<Shared>, plans: Vec<Plan>, begin: f64) {
+pub(crate) async fn send(shared: Arc<Shared>, plans: Vec<Plan>, begin: f64) {
     let mut open = Vec::new();
     for plan in plans {
         let at = begin + plan.at;
--- a/crates/testing/fault-testing/src/compare.rs
+++ b/crates/testing/fault-testing/src/compare.rs
@@ -1,4 +1,5 @@
 //! Two variants on the same days, in pairs, with intervals.
+
 use crate::play::{play, Options};
 use crate::referee::{cold_use, failed_hand_offs, goodput};
 use crate::scenario::{Bad, Scenario};
--- a/crates/testing/fault-testing/src/http.rs
+++ b/crates/testing/fault-testing/src/http.rs
@@ -1,4 +1,5 @@
 //! As much HTTP/1.1 as the stand-ins need.
+
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::tcp::OwnedReadHalf;
@@ -7,7 +8,7 @@
 const MOST: usize = 1 << 20;
 
 #[derive(Debug)]
-pub struct Message {
+pub(crate) struct Message {
     pub first: String,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -16,7 +17,7 @@
 }
 
 impl Message {
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
             .find(|(known, _)| known == name)
@@ -24,7 +25,7 @@
     }
 
     /// Of an answer.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.first
             .split(' ')
             .nth(1)
@@ -33,7 +34,7 @@
     }
 
     /// Of a request: method and target.
-    pub fn call(&self) -> (&str, &str) {
+    pub(crate) fn call(&self) -> (&str, &str) {
         let mut words = self.first.split(' ');
         (
             words.next().unwrap_or_default(),
@@ -42,7 +43,7 @@
     }
 }
 
-pub struct Reader<R> {
+pub(crate) struct Reader<R> {
     from: R,
     buffer: Vec<u8>,
     offset: u64,
@@ -50,14 +51,14 @@
 
 impl Reader<OwnedReadHalf> {
     /// The other side has closed it, or said something unasked.
-    pub fn spent(&self) -> bool {
+    pub(crate) fn spent(&self) -> bool {
         let looked = self.from.try_read(&mut [0; 1]);
         !matches!(looked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    pub fn new(from: R) -> Self {
+    pub(crate) fn new(from: R) -> Self {
         Reader {
             from,
             buffer: Vec::new(),
@@ -66,7 +67,7 @@
     }
 
     /// Whether anything of a message has come.
-    pub fn begun(&self) -> bool {
+    pub(crate) fn begun(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -81,7 +82,7 @@
     }
 
     /// The next message; `None` at the end of the connection between two.
-    pub async fn next(&mut self) -> io::Result<Option<Message>> {
+    pub(crate) async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 64];
             let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -1,5 +1,9 @@
 //! Plays several real processes of the program against stand-in clients, runners and list, with a relay of the rig on
 //! every link and faults by a schedule, and judges by what runners and clients saw. `docs/rig.md` is the reference.
+
+// Not every public item of this crate has a doc comment yet.
+#![allow(missing_docs)]
+
 mod clients;
 mod compare;
 mod http;
--- a/crates/testing/fault-testing/src/list.rs
+++ b/crates/testing/fault-testing/src/list.rs
@@ -1,4 +1,5 @@
 //! The stand-in list: one service for all dispatchers, which each see it through a relay of their own.
+
 use crate::http::Reader;
 use crate::names::Node;
 use crate::play::Shared;
@@ -17,14 +18,14 @@
 const BEAT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Life {
+pub(crate) enum Life {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Clone, Copy)]
-pub struct Entry {
+pub(crate) struct Entry {
     pub life: Life,
     pub started_ms: u64,
     pub process: u32,
@@ -32,20 +33,20 @@
 }
 
 /// What the list has to say; the version wakes its watches.
-pub struct List {
+pub(crate) struct List {
     entries: std::sync::Mutex<(u64, BTreeMap<usize, Entry>)>,
     version: watch::Sender<u64>,
 }
 
 impl List {
-    pub fn new() -> List {
+    pub(crate) fn new() -> List {
         List {
             entries: std::sync::Mutex::new((1, BTreeMap::new())),
             version: watch::Sender::new(1),
         }
     }
 
-    pub fn say(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
+    pub(crate) fn say(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
         let mut entries = self.entries.lock().unwrap();
         entries.0 += 1;
         let version = entries.0;
@@ -74,7 +75,7 @@
     }
 }
 
-pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
+pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     while let Ok((stream, from)) = listener.accept().await {
         let shared = shared.clone();
         tokio::spawn(async move {
--- a/crates/testing/fault-testing/src/main.rs
+++ b/crates/testing/fault-testing/src/main.rs
@@ -1,4 +1,5 @@
 //! The rig's command line.
+
 use clap::{Parser, Subcommand};
 use sagetrail_fault_testing::{
     compare, html, play, table, Bad, Compared, Options, Scenario, WHATS,
--- a/crates/testing/fault-testing/src/names.rs
+++ b/crates/testing/fault-testing/src/names.rs
@@ -12,8 +12,8 @@
 /// The numbers that stand in addresses: dispatchers from 10, runners from 40.
 const DISPATCHERS: usize = 10;
 const RUNNERS: usize = 40;
-pub const MOST_DISPATCHERS: usize = 25;
-pub const MOST_RUNNERS: usize = 200;
+pub(crate) const MOST_DISPATCHERS: usize = 25;
+pub(crate) const MOST_RUNNERS: usize = 200;
 
 impl Node {
     pub fn number(self) -> u8 {
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -1,4 +1,5 @@
 //! One play: sets the stage, lets the clients send and the faults come, and gathers what was seen.
+
 use crate::clients::{self, Pool};
 use crate::list::{self, Life, List};
 use crate::names::{Cast, Node};
@@ -43,14 +44,14 @@
 }
 
 #[derive(Clone, Copy)]
-pub struct Spec {
+pub(crate) struct Spec {
     pub category: usize,
     pub work_s: f64,
     pub key: u64,
 }
 
 /// What all stand-ins share.
-pub struct Shared {
+pub(crate) struct Shared {
     pub scenario: Scenario,
     pub seed: u64,
     pub cast: Cast,
@@ -69,7 +70,7 @@
 }
 
 impl Shared {
-    pub fn spec(&self, id: &str) -> Option<(usize, f64, u64)> {
+    pub(crate) fn spec(&self, id: &str) -> Option<(usize, f64, u64)> {
         self.specs
             .lock()
             .unwrap()
@@ -78,14 +79,14 @@
     }
 
     /// A number from 0 to 1 for a request, the same at every hand-off of it.
-    pub fn draw(&self, id: &str) -> f64 {
+    pub(crate) fn draw(&self, id: &str) -> f64 {
         let hash = id.bytes().fold(self.seed ^ 0x9E37_79B9, |hash, byte| {
             (hash.rotate_left(5) ^ u64::from(byte)).wrapping_mul(0x51_7C_C1_B7_27_22_0A_95)
         });
         (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn fails(&self, category: usize) -> f64 {
+    pub(crate) fn fails(&self, category: usize) -> f64 {
         self.failing
             .lock()
             .unwrap()
@@ -94,7 +95,7 @@
             .unwrap_or(0.0)
     }
 
-    pub fn killed_since(&self, dispatcher: usize, at: f64) -> bool {
+    pub(crate) fn killed_since(&self, dispatcher: usize, at: f64) -> bool {
         self.killed
             .lock()
             .unwrap()
@@ -102,7 +103,7 @@
             .any(|(who, when)| *who == dispatcher && *when >= at)
     }
 
-    pub fn line(&self, runner: usize, dispatcher: usize) -> Arc<Line> {
+    pub(crate) fn line(&self, runner: usize, dispatcher: usize) -> Arc<Line> {
         self.lines
             .lock()
             .unwrap()
@@ -111,7 +112,7 @@
             .clone()
     }
 
-    pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
+    pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.handle.spawn(task);
     }
 }
@@ -140,7 +141,7 @@
 }
 
 /// The scenario as the options change it.
-pub fn adapted(scenario: &Scenario, options: &Options) -> Result<Scenario, Bad> {
+pub(crate) fn adapted(scenario: &Scenario, options: &Options) -> Result<Scenario, Bad> {
     let mut scenario = scenario.clone();
     scenario.processes = options.processes.unwrap_or(scenario.processes);
     for set in &options.set {
--- a/crates/testing/fault-testing/src/records.rs
+++ b/crates/testing/fault-testing/src/records.rs
@@ -1,4 +1,5 @@
 //! What clients, runners and list saw: all that the judge believes.
+
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/testing/fault-testing/src/referee.rs
+++ b/crates/testing/fault-testing/src/referee.rs
@@ -1,5 +1,6 @@
 //! The judge. It goes by what runners, clients and the list's stand-in saw, never by what dispatchers say: the four
 //! rules over the whole fleet, one final answer each, the bounds on what is shared, and what a scenario expects.
+
 use crate::names::{Cast, Node};
 use crate::records::{End, Ho, Records, Wi};
 use crate::scenario::{Category, Scenario};
@@ -363,7 +364,7 @@
 }
 
 /// What was sent to each cold process of a runner, and the most of its limit in any span.
-pub fn cold_use(world: &World, records: &Records) -> Vec<(usize, u32, f64, f64)> {
+pub(crate) fn cold_use(world: &World, records: &Records) -> Vec<(usize, u32, f64, f64)> {
     let rule = &world.scenario.cold;
     let mut used = Vec::new();
     for birth in records.births.iter().filter(|birth| birth.cold) {
@@ -588,7 +589,7 @@
 }
 
 /// What a request earned.
-pub fn earned(world: &World, wi: &Wi) -> f64 {
+pub(crate) fn earned(world: &World, wi: &Wi) -> f64 {
     let terms = world.category(wi.category);
     match &wi.answer {
         Some((at, 200, _)) if *at <= wi.intended + wi.wait_s => {
@@ -606,7 +607,7 @@
 }
 
 /// Of the payoff of all requests with a first try in a span, how much was earned.
-pub fn goodput(world: &World, records: &Records, from: f64, to: f64) -> f64 {
+pub(crate) fn goodput(world: &World, records: &Records, from: f64, to: f64) -> f64 {
     let (mut all, mut got) = (0.0, 0.0);
     let mut firsts: BTreeMap<&str, f64> = BTreeMap::new();
     for wi in &records.wis {
@@ -630,7 +631,7 @@
 }
 
 /// Hand-offs that came to nothing: failed, lost, given up.
-pub fn failed_hand_offs(records: &Records) -> u64 {
+pub(crate) fn failed_hand_offs(records: &Records) -> u64 {
     let bad = |ho: &&Ho| {
         matches!(
             ho.ended,
--- a/crates/testing/fault-testing/src/relay.rs
+++ b/crates/testing/fault-testing/src/relay.rs
@@ -1,4 +1,5 @@
 //! The relay on each link: streams and datagrams, each way by itself, with what the schedule says is wrong with it.
+
 use crate::names::Node;
 use crate::ways::{Told, Way, Ways};
 use rand::{Rng, SeedableRng};
@@ -18,13 +19,13 @@
 
 /// Seconds since the play began; below zero before.
 #[derive(Clone)]
-pub struct Clock {
+pub(crate) struct Clock {
     base: Instant,
     began: Arc<AtomicU64>,
 }
 
 impl Clock {
-    pub fn new(base: Instant) -> Clock {
+    pub(crate) fn new(base: Instant) -> Clock {
         // Far off until then, so that times of before are smaller than all that follow.
         Clock {
             base,
@@ -33,18 +34,18 @@
     }
 
     /// The play begins now.
-    pub fn begin(&self) {
+    pub(crate) fn begin(&self) {
         self.began.store(
             self.base.elapsed().as_secs_f64().to_bits(),
             Ordering::Relaxed,
         );
     }
 
-    pub fn now(&self) -> f64 {
+    pub(crate) fn now(&self) -> f64 {
         self.base.elapsed().as_secs_f64() - f64::from_bits(self.began.load(Ordering::Relaxed))
     }
 
-    pub async fn until(&self, at: f64) {
+    pub(crate) async fn until(&self, at: f64) {
         let left = at - self.now();
         if left > 0.0 {
             sleep(Duration::from_secs_f64(left.min(1e6))).await;
@@ -55,7 +56,7 @@
 /// What a relay saw of one connection: where in its bytes it was when. The judge goes by when bytes left a
 /// dispatcher, so that what a faulty link holds back is not held against it.
 #[derive(Default)]
-pub struct Trace {
+pub(crate) struct Trace {
     /// Bytes taken from who opened it by then, as (offset of the first, when).
     taken: Mutex<Vec<(u64, f64)>>,
     /// Bytes handed back to it by then, as (offset past the last, when).
@@ -65,14 +66,14 @@
 
 impl Trace {
     /// When the byte at this offset was taken.
-    pub fn taken_at(&self, offset: u64) -> Option<f64> {
+    pub(crate) fn taken_at(&self, offset: u64) -> Option<f64> {
         let marks = self.taken.lock().unwrap();
         let after = marks.partition_point(|(at, _)| *at <= offset);
         after.checked_sub(1).map(|place| marks[place].1)
     }
 
     /// When all bytes before this offset had been handed back.
-    pub fn given_by(&self, offset: u64) -> Option<f64> {
+    pub(crate) fn given_by(&self, offset: u64) -> Option<f64> {
         let marks = self.given.lock().unwrap();
         marks
             .get(marks.partition_point(|(at, _)| *at < offset))
@@ -80,14 +81,14 @@
     }
 
     /// When who opened it closed it.
-    pub fn closed_at(&self) -> Option<f64> {
+    pub(crate) fn closed_at(&self) -> Option<f64> {
         *self.closed.lock().unwrap()
     }
 }
 
 /// What all relays share.
 #[derive(Clone)]
-pub struct Relays {
+pub(crate) struct Relays {
     pub ways: Ways,
     pub clock: Clock,
     pub seed: u64,
@@ -111,7 +112,7 @@
 }
 
 impl Relays {
-    pub fn trace(&self, from: SocketAddr) -> Option<Arc<Trace>> {
+    pub(crate) fn trace(&self, from: SocketAddr) -> Option<Arc<Trace>> {
         self.traces.lock().unwrap().get(&from).cloned()
     }
 
@@ -121,7 +122,7 @@
     }
 
     /// Relays what comes to `at` on to `target`, from `from` to `to`, until the runtime ends.
-    pub async fn streams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
+    pub(crate) async fn streams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
         let (mut there, mut back) = (self.ways.way(from, to), self.ways.way(to, from));
         let mut listener = Some(bind(at).await);
         loop {
@@ -324,7 +325,7 @@
     }
 
     /// Datagrams that come to `at` go on to `target`.
-    pub async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
+    pub(crate) async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
         };
--- a/crates/testing/fault-testing/src/report.rs
+++ b/crates/testing/fault-testing/src/report.rs
@@ -1,4 +1,5 @@
 //! What a play came to: tables, a JSON of all of it, one HTML page with charts.
+
 use crate::names::Node;
 use crate::play::Outcome;
 use crate::records::Records;
--- a/crates/testing/fault-testing/src/runners.rs
+++ b/crates/testing/fault-testing/src/runners.rs
@@ -1,4 +1,5 @@
 //! The stand-in runners. Each takes jobs, runs them in its slots, tells news by call-back, and fails as it is told.
+
 use crate::http::{Message, Reader};
 use crate::names::Node;
 use crate::play::Shared;
@@ -19,7 +20,7 @@
 
 /// What is wrong with a runner at this moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ill {
+pub(crate) struct Ill {
     pub hang: bool,
     pub mute: bool,
     pub full: bool,
@@ -51,7 +52,7 @@
     keys: VecDeque<u64>,
 }
 
-pub struct Runner {
+pub(crate) struct Runner {
     pub n: usize,
     pub ill: watch::Sender<Ill>,
     inside: Mutex<Inside>,
@@ -60,7 +61,7 @@
 }
 
 impl Runner {
-    pub fn new(n: usize) -> Runner {
+    pub(crate) fn new(n: usize) -> Runner {
         Runner {
             n,
             ill: watch::Sender::new(Ill::default()),
@@ -70,7 +71,7 @@
     }
 
     /// A process of it begins; the list is told by who calls.
-    pub fn begin(&self, shared: &Shared, cold: bool) -> u32 {
+    pub(crate) fn begin(&self, shared: &Shared, cold: bool) -> u32 {
         let now = shared.clock.now();
         let mut inside = self.inside.lock().unwrap();
         let process = *self.process.borrow();
@@ -92,7 +93,7 @@
     }
 
     /// Its process ends: all that it had is lost, and its machine tells so unless that is gone too.
-    pub fn die(&self, shared: &Arc<Shared>, tells: bool) {
+    pub(crate) fn die(&self, shared: &Arc<Shared>, tells: bool) {
         self.process.send_modify(|process| *process += 1);
         let now = shared.clock.now();
         let mut records = shared.records.lock().unwrap();
@@ -149,7 +150,7 @@
 }
 
 /// Serves what comes to a runner's address.
-pub async fn serve(shared: Arc<Shared>, runner: Arc<Runner>, listener: TcpListener) {
+pub(crate) async fn serve(shared: Arc<Shared>, runner: Arc<Runner>, listener: TcpListener) {
     while let Ok((stream, from)) = listener.accept().await {
         let (shared, runner) = (shared.clone(), runner.clone());
         tokio::spawn(async move {
@@ -421,7 +422,7 @@
 }
 
 /// A connection for call-backs, kept while it is good.
-pub type Line = Lock<
+pub(crate) type Line = Lock<
     Option<(
         Reader<tokio::net::tcp::OwnedReadHalf>,
         tokio::net::tcp::OwnedWriteHalf,
--- a/crates/testing/fault-testing/src/scenario.rs
+++ b/crates/testing/fault-testing/src/scenario.rs
@@ -1,4 +1,5 @@
 //! Scenarios, as they are written. Times are text with a unit.
+
 use crate::names::{Cast, MOST_DISPATCHERS, MOST_RUNNERS};
 use crate::schedule::{schedule, WHATS};
 use sagetrail_settings::{nearest, seconds};
--- a/crates/testing/fault-testing/src/schedule.rs
+++ b/crates/testing/fault-testing/src/schedule.rs
@@ -1,4 +1,5 @@
 //! What happens when, from a scenario and a seed: the same for a seed, whatever the machine does.
+
 use crate::names::Node;
 use crate::scenario::{Bad, Fault, Scenario, When};
 use rand::{Rng, SeedableRng};
--- a/crates/testing/fault-testing/src/stage.rs
+++ b/crates/testing/fault-testing/src/stage.rs
@@ -1,4 +1,5 @@
 //! Addresses and processes: each node on an address of its own under 127/8, each dispatcher a real process.
+
 use crate::names::{Cast, Node};
 use crate::records::Absence;
 use crate::scenario::Scenario;
@@ -21,14 +22,14 @@
 const FLEET: u16 = 7001;
 const DOOR: u16 = 7002;
 
-pub struct Stage {
+pub(crate) struct Stage {
     net: u8,
     /// Held as long as the stage stands, so that no other rig takes its addresses.
     _mine: TcpListener,
 }
 
 impl Stage {
-    pub fn new() -> io::Result<Stage> {
+    pub(crate) fn new() -> io::Result<Stage> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let first = std::process::id().wrapping_mul(37);
         for _ in 0..2000 {
@@ -46,20 +47,20 @@
     }
 
     /// Where a node itself listens.
-    pub fn own(&self, node: Node) -> SocketAddr {
+    pub(crate) fn own(&self, node: Node) -> SocketAddr {
         self.at(0, node.number(), PORT)
     }
 
     /// Where `from` reaches `to`: a relay.
-    pub fn relay(&self, from: Node, to: Node) -> SocketAddr {
+    pub(crate) fn relay(&self, from: Node, to: Node) -> SocketAddr {
         self.at(from.number(), to.number(), PORT)
     }
 
-    pub fn own_links(&self, n: usize) -> SocketAddr {
+    pub(crate) fn own_links(&self, n: usize) -> SocketAddr {
         self.at(0, Node::Dispatcher(n).number(), FLEET)
     }
 
-    pub fn relay_links(&self, from: usize, to: usize) -> SocketAddr {
+    pub(crate) fn relay_links(&self, from: usize, to: usize) -> SocketAddr {
         self.at(
             Node::Dispatcher(from).number(),
             Node::Dispatcher(to).number(),
@@ -67,12 +68,12 @@
         )
     }
 
-    pub fn door(&self, n: usize) -> SocketAddr {
+    pub(crate) fn door(&self, n: usize) -> SocketAddr {
         self.at(0, Node::Dispatcher(n).number(), DOOR)
     }
 
     /// Whose connection it is that comes by a relay.
-    pub fn opener(&self, from: SocketAddr) -> Option<Node> {
+    pub(crate) fn opener(&self, from: SocketAddr) -> Option<Node> {
         match from.ip() {
             IpAddr::V4(ip) => Node::of_number(ip.octets()[2]),
             IpAddr::V6(_) => None,
@@ -81,12 +82,12 @@
 }
 
 /// A call at a node of the rig's own: no link, and no fault on it.
-pub async fn call(at: SocketAddr, method: &str, path: &str) -> io::Result<(u16, String)> {
+pub(crate) async fn call(at: SocketAddr, method: &str, path: &str) -> io::Result<(u16, String)> {
     say(at, method, path, "").await
 }
 
 /// The same with a body.
-pub async fn say(
+pub(crate) async fn say(
     at: SocketAddr,
     method: &str,
     path: &str,
@@ -124,7 +125,7 @@
 }
 
 /// One dispatcher: its process, its folder, what was done to it.
-pub struct Dispatcher {
+pub(crate) struct Dispatcher {
     pub n: usize,
     folder: PathBuf,
     program: PathBuf,
@@ -132,7 +133,7 @@
     pub absences: Mutex<Vec<Absence>>,
 }
 
-pub fn put(table: &mut toml::Table, path: &str, value: toml::Value) {
+pub(crate) fn put(table: &mut toml::Table, path: &str, value: toml::Value) {
     match path.split_once('.') {
         None => _ = table.insert(path.to_string(), value),
         Some((first, rest)) => {
@@ -151,7 +152,7 @@
 }
 
 impl Dispatcher {
-    pub fn new(n: usize, folder: &Path, program: &Path) -> io::Result<Dispatcher> {
+    pub(crate) fn new(n: usize, folder: &Path, program: &Path) -> io::Result<Dispatcher> {
         let folder = folder.join(Node::Dispatcher(n).name());
         fs::create_dir_all(folder.join("disk"))?;
         let (program, state) = (program.to_path_buf(), Mutex::default());
@@ -164,12 +165,17 @@
         })
     }
 
-    pub fn set(&self, set: &BTreeMap<String, toml::Value>) {
+    pub(crate) fn set(&self, set: &BTreeMap<String, toml::Value>) {
         self.state.lock().unwrap().set.extend(set.clone());
     }
 
     /// Writes its configuration anew.
-    pub fn write(&self, stage: &Stage, scenario: &Scenario, cast: &Cast) -> io::Result<bool> {
+    pub(crate) fn write(
+        &self,
+        stage: &Stage,
+        scenario: &Scenario,
+        cast: &Cast,
+    ) -> io::Result<bool> {
         let me = Node::Dispatcher(self.n);
         let site = |node: Node| cast.sites[cast.site_of(node).unwrap_or(0)].clone();
         let mut table = toml::Table::new();
@@ -297,7 +303,7 @@
         Ok(trial)
     }
 
-    pub fn start(&self, stage: &Stage, scenario: &Scenario, cast: &Cast) -> io::Result<()> {
+    pub(crate) fn start(&self, stage: &Stage, scenario: &Scenario, cast: &Cast) -> io::Result<()> {
         let trial = self.write(stage, scenario, cast)?;
         let log = File::options()
             .append(true)
@@ -328,7 +334,7 @@
         Ok(())
     }
 
-    pub async fn ready(&self, stage: &Stage) -> bool {
+    pub(crate) async fn ready(&self, stage: &Stage) -> bool {
         let at = stage.own(Node::Dispatcher(self.n));
         for _ in 0..400 {
             if matches!(call(at, "GET", "/health/ready").await, Ok((200, _))) {
@@ -349,32 +355,32 @@
         }
     }
 
-    pub fn kill(&self) {
+    pub(crate) fn kill(&self) {
         self.state.lock().unwrap().expected = true;
         self.signal(Signal::SIGKILL);
         let child = self.state.lock().unwrap().child.take();
         child.map(|mut child| child.wait());
     }
 
-    pub fn term(&self) {
+    pub(crate) fn term(&self) {
         self.state.lock().unwrap().expected = true;
         self.signal(Signal::SIGTERM);
     }
 
-    pub fn pause(&self) {
+    pub(crate) fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    pub fn reload(&self) {
+    pub(crate) fn reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
     /// How it ended, if it has: by itself, and so crashed, or as the rig wanted.
-    pub fn ended(&self) -> Option<(bool, String)> {
+    pub(crate) fn ended(&self) -> Option<(bool, String)> {
         let mut state = self.state.lock().unwrap();
         let expected = state.expected;
         let status = state.child.as_mut()?.try_wait().ok()??;
@@ -383,7 +389,7 @@
     }
 
     /// What its disk held some time ago, to come back with.
-    pub fn copy_disk(&self) {
+    pub(crate) fn copy_disk(&self) {
         let (from, to) = (self.folder.join("disk"), self.folder.join("old"));
         if to.exists() {
             return;
@@ -391,7 +397,7 @@
         let _ = copy(&from, &to);
     }
 
-    pub fn give_disk(&self, with: &str) {
+    pub(crate) fn give_disk(&self, with: &str) {
         let disk = self.folder.join("disk");
         let log = disk.join("store/log");
         let changed = |change: &dyn Fn(&mut Vec<u8>)| {
@@ -443,7 +449,7 @@
         }
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 }
--- a/crates/testing/fault-testing/src/ways.rs
+++ b/crates/testing/fault-testing/src/ways.rs
@@ -1,4 +1,5 @@
 //! How each way from one node to another is at this moment.
+
 use crate::names::Node;
 use crate::schedule::What;
 use std::collections::HashMap;
@@ -7,7 +8,7 @@
 
 /// What a way does to what passes.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Way {
+pub(crate) struct Way {
     pub drop: f64,
     pub delay_s: f64,
     pub jitter_s: f64,
@@ -24,7 +25,7 @@
 
 impl Way {
     /// Nothing goes on for now.
-    pub fn held(&self) -> bool {
+    pub(crate) fn held(&self) -> bool {
         self.cut || self.stall
     }
 
@@ -54,18 +55,18 @@
     }
 }
 
-pub type Told = watch::Receiver<Way>;
+pub(crate) type Told = watch::Receiver<Way>;
 type Senders = HashMap<(Node, Node), watch::Sender<Way>>;
 
 /// All ways there are, each made when first asked for.
 #[derive(Clone, Default)]
-pub struct Ways {
+pub(crate) struct Ways {
     all: Arc<Mutex<Senders>>,
     active: Arc<Mutex<Vec<(usize, What)>>>,
 }
 
 impl Ways {
-    pub fn way(&self, from: Node, to: Node) -> Told {
+    pub(crate) fn way(&self, from: Node, to: Node) -> Told {
         let mut all = self.all.lock().unwrap();
         all.entry((from, to))
             .or_insert_with(|| watch::Sender::new(Way::default()))
@@ -87,12 +88,12 @@
         }
     }
 
-    pub fn begin(&self, no: usize, what: &What) {
+    pub(crate) fn begin(&self, no: usize, what: &What) {
         self.active.lock().unwrap().push((no, what.clone()));
         self.set(&what.ways);
     }
 
-    pub fn end(&self, no: usize) {
+    pub(crate) fn end(&self, no: usize) {
         let mut active = self.active.lock().unwrap();
         let Some(at) = active.iter().position(|(other, _)| *other == no) else {
             return;
--- a/crates/testing/fault-testing/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/stories.rs
@@ -1,4 +1,5 @@
 //! The rig itself: scenarios read, schedules drawn, and a referee on records made by hand.
+
 use sagetrail_fault_testing::*;
 
 fn bad(text: &str) -> String {
--- a/crates/testing/scale-testing/src/arguments.rs
+++ b/crates/testing/scale-testing/src/arguments.rs
@@ -1,4 +1,5 @@
 //! The command line.
+
 use argh::FromArgs;
 use std::path::PathBuf;
 
--- a/crates/testing/scale-testing/src/bin/sagetrail-scale-testing.rs
+++ b/crates/testing/scale-testing/src/bin/sagetrail-scale-testing.rs
@@ -1,4 +1,5 @@
 //! A scale run from a scenario file.
+
 use sagetrail_scale_testing::arguments::Arguments;
 use std::process::ExitCode;
 
--- a/crates/testing/scale-testing/src/board.rs
+++ b/crates/testing/scale-testing/src/board.rs
@@ -1,4 +1,5 @@
 //! What hollow runners and the load tell each other: when jobs were due, when their tasks began and ended.
+
 use crate::timings::{Timing, Timings};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/testing/scale-testing/src/call.rs
+++ b/crates/testing/scale-testing/src/call.rs
@@ -1,4 +1,5 @@
 //! Calls of HTTP, with kept connections.
+
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/crates/testing/scale-testing/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -1,4 +1,5 @@
 //! The real processes of a run.
+
 use crate::places::Places;
 use crate::program::Program;
 use crate::scenario::Scenario;
--- a/crates/testing/scale-testing/src/disk_probe.rs
+++ b/crates/testing/scale-testing/src/disk_probe.rs
@@ -1,5 +1,6 @@
 //! Writes and syncs a small file again and again beside the processes' disks: how long that takes is the machine's
 //! part of each figure that waits for a disk.
+
 use crate::board::Board;
 use crate::timings::Timing;
 use std::fs::File;
--- a/crates/testing/scale-testing/src/faults.rs
+++ b/crates/testing/scale-testing/src/faults.rs
@@ -1,4 +1,5 @@
 //! Troubles at their times, and how long it took until a scheduler was at work again.
+
 use crate::board::Board;
 use crate::cluster::Cluster;
 use crate::scenario::{Fault, FaultKind, FaultTarget};
--- a/crates/testing/scale-testing/src/hollow.rs
+++ b/crates/testing/scale-testing/src/hollow.rs
@@ -1,6 +1,7 @@
 //! Hollow workers, many to a process: simulated runners beside real agents, which speak to the core by the real
 //! transport. A hollow runner's heartbeats reach its agent by a direct call, or by HTTP where the agent is a real
 //! `sagetrail-side`.
+
 mod agent;
 mod document;
 mod endpoint;
--- a/crates/testing/scale-testing/src/hollow/agent.rs
+++ b/crates/testing/scale-testing/src/hollow/agent.rs
@@ -1,4 +1,5 @@
 //! A real agent in this process, driven by the daemon's own loop and transport.
+
 use crate::board::Board;
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_cluster_node::clocks::Clocks;
@@ -49,7 +50,7 @@
 }
 
 /// Starts an agent on the current thread; where its events go.
-pub fn start(settings: AgentSettings, board: Arc<Board>) -> std::io::Result<Inputs> {
+pub(super) fn start(settings: AgentSettings, board: Arc<Board>) -> std::io::Result<Inputs> {
     let (sender, inputs) = mpsc::unbounded_channel();
     let transport = Transport::start(settings.node, settings.incarnation, sender.clone())?;
     let clocks = Clocks::start();
--- a/crates/testing/scale-testing/src/hollow/document.rs
+++ b/crates/testing/scale-testing/src/hollow/document.rs
@@ -1,4 +1,5 @@
 //! What a runner sends and what it is answered, as JSON on the wire.
+
 use serde::{Deserialize, Serialize};
 
 /// A heartbeat's body.
--- a/crates/testing/scale-testing/src/hollow/endpoint.rs
+++ b/crates/testing/scale-testing/src/hollow/endpoint.rs
@@ -1,4 +1,5 @@
 //! The way from a hollow runner to its agent.
+
 use crate::call::{Call, Caller};
 use sagetrail_cluster_node::input::{Input, Inputs};
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId, Method};
@@ -10,7 +11,7 @@
 const PATIENCE: Duration = Duration::from_secs(1);
 
 /// Where the agent is.
-pub enum AgentDoor {
+pub(super) enum AgentDoor {
     /// In this process.
     Direct { inputs: Inputs, last_request: u64 },
     /// A real process.
@@ -22,7 +23,7 @@
 
 impl AgentDoor {
     /// Hands a heartbeat over; the body of the answer, where it is a good one.
-    pub async fn heartbeat(&mut self, path: &str, body: Vec<u8>) -> Option<Vec<u8>> {
+    pub(super) async fn heartbeat(&mut self, path: &str, body: Vec<u8>) -> Option<Vec<u8>> {
         match self {
             AgentDoor::Direct {
                 inputs,
--- a/crates/testing/scale-testing/src/hollow/runner.rs
+++ b/crates/testing/scale-testing/src/hollow/runner.rs
@@ -1,4 +1,5 @@
 //! A hollow runner: takes starts and stops, lets time pass instead of working, tells of it in heartbeats.
+
 use super::document::{Capacity, Heartbeat, Orders};
 use crate::board::{gang_run, Board};
 use crate::plan::TaskText;
--- a/crates/testing/scale-testing/src/hollow/threads.rs
+++ b/crates/testing/scale-testing/src/hollow/threads.rs
@@ -1,4 +1,5 @@
 //! The threads that carry hollow workers, and their start and end.
+
 use super::agent::start;
 use super::document::Capacity;
 use super::endpoint::AgentDoor;
--- a/crates/testing/scale-testing/src/hollow/worker.rs
+++ b/crates/testing/scale-testing/src/hollow/worker.rs
@@ -1,4 +1,5 @@
 //! One hollow worker at work: heartbeats when they are due, until the run is over.
+
 use super::document::Orders;
 use super::endpoint::AgentDoor;
 use super::runner::HollowRunner;
@@ -8,7 +9,7 @@
 use tokio::sync::watch;
 
 /// Sends heartbeats until the run is over.
-pub async fn work(
+pub(super) async fn work(
     mut runner: HollowRunner,
     mut endpoint: AgentDoor,
     board: Arc<Board>,
--- a/crates/testing/scale-testing/src/lib.rs
+++ b/crates/testing/scale-testing/src/lib.rs
@@ -1,5 +1,9 @@
 //! Scale runs: hollow runners with hollow agents, many to a process, beside real core and frontend processes on
 //! loopback, under a load that is drawn ahead of time. What is real and what is hollow is told apart throughout.
+
+// Not every public item of this crate has a doc comment yet.
+#![allow(missing_docs)]
+
 pub mod arguments;
 pub mod board;
 pub mod call;
--- a/crates/testing/scale-testing/src/load.rs
+++ b/crates/testing/scale-testing/src/load.rs
@@ -1,5 +1,6 @@
 //! Submits the planned jobs when they are due, however long answers take, and asks for the state of those whose
 //! tasks have ended.
+
 use crate::board::{Board, Counts, JobFacts, OverJob};
 use crate::call::{Answer, Call, Caller};
 use crate::plan::{PlannedJob, TaskText};
--- a/crates/testing/scale-testing/src/machine.rs
+++ b/crates/testing/scale-testing/src/machine.rs
@@ -1,4 +1,5 @@
 //! The machine that a run was played on, and the bound on its memory.
+
 use serde::Serialize;
 
 const KB: u64 = 1_024;
--- a/crates/testing/scale-testing/src/operator.rs
+++ b/crates/testing/scale-testing/src/operator.rs
@@ -1,4 +1,5 @@
 //! The operator: the first configuration, changes of it while the load runs, and when each is in force.
+
 use crate::board::Board;
 use crate::call::{Answer, Call, Caller, HOST};
 use crate::places::Places;
--- a/crates/testing/scale-testing/src/page.rs
+++ b/crates/testing/scale-testing/src/page.rs
@@ -1,4 +1,5 @@
 //! One page of HTML with the results and charts drawn in place; nothing is loaded from elsewhere.
+
 use crate::results::{CourseRow, Results};
 use crate::timings::TimingRow;
 use std::fmt::Write;
--- a/crates/testing/scale-testing/src/plan.rs
+++ b/crates/testing/scale-testing/src/plan.rs
@@ -1,4 +1,5 @@
 //! The load, drawn ahead of time: which job is submitted when. Slow answers shift nothing.
+
 use crate::scenario::{JobShape, Scenario};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
--- a/crates/testing/scale-testing/src/program.rs
+++ b/crates/testing/scale-testing/src/program.rs
@@ -1,4 +1,5 @@
 //! A real process: started, killed, frozen, ended by its id; killed where the run ends early.
+
 use anyhow::Context;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
--- a/crates/testing/scale-testing/src/results.rs
+++ b/crates/testing/scale-testing/src/results.rs
@@ -1,4 +1,5 @@
 //! The results of a run: JSON whole, CSV for times, usage and the course.
+
 use crate::faults::Takeover;
 use crate::machine::Machine;
 use crate::samples::RoleUsage;
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -1,4 +1,5 @@
 //! A run from start to end: processes, workers, load, faults, samples, results.
+
 use crate::arguments::Arguments;
 use crate::board::{Board, Counts, OverJob};
 use crate::call::Caller;
--- a/crates/testing/scale-testing/src/samples.rs
+++ b/crates/testing/scale-testing/src/samples.rs
@@ -1,4 +1,5 @@
 //! What each role uses, sample by sample, and in all over the measurement.
+
 use crate::cluster::Cluster;
 use crate::sockets::{self, Traffic};
 use crate::usage::{self, Usage};
--- a/crates/testing/scale-testing/src/scenario.rs
+++ b/crates/testing/scale-testing/src/scenario.rs
@@ -1,4 +1,5 @@
 //! The scenario file: its fields and their checks.
+
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use validator::Validate;
--- a/crates/testing/scale-testing/src/settings.rs
+++ b/crates/testing/scale-testing/src/settings.rs
@@ -1,4 +1,5 @@
 //! Settings files of the real processes.
+
 use crate::places::{Places, PEER_PORTS};
 use crate::scenario::Scenario;
 use sagetrail_protocol::NodeKind;
--- a/crates/testing/scale-testing/src/simulated/clients.rs
+++ b/crates/testing/scale-testing/src/simulated/clients.rs
@@ -1,4 +1,5 @@
 //! Clients' and the operator's requests in simulated time.
+
 use crate::call::HOST;
 use crate::load::document;
 use crate::operator::first_configuration;
@@ -10,7 +11,7 @@
 const DEADLINE_MS: u64 = 3_000;
 
 /// The submission of a job.
-pub fn submission(scenario: &Scenario, job: &PlannedJob) -> HttpRequest {
+pub(super) fn submission(scenario: &Scenario, job: &PlannedJob) -> HttpRequest {
     let shape = &scenario.job[job.shape];
     HttpRequest {
         method: Method::Post,
@@ -23,7 +24,7 @@
 }
 
 /// The first configuration.
-pub fn configuration(scenario: &Scenario) -> HttpRequest {
+pub(super) fn configuration(scenario: &Scenario) -> HttpRequest {
     HttpRequest {
         method: Method::Post,
         host: String::new(),
@@ -35,7 +36,7 @@
 }
 
 /// A runner's heartbeat.
-pub fn heartbeat(path: String, body: Vec<u8>) -> HttpRequest {
+pub(super) fn heartbeat(path: String, body: Vec<u8>) -> HttpRequest {
     HttpRequest {
         method: Method::Post,
         host: String::new(),
--- a/crates/testing/scale-testing/src/simulated/engine.rs
+++ b/crates/testing/scale-testing/src/simulated/engine.rs
@@ -1,4 +1,5 @@
 //! What happens when: simulated time, and all that is to come.
+
 use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
 use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
@@ -8,7 +9,7 @@
 const DAY_MS: i64 = 1_800_000_000_000;
 
 /// Something that happens. Machines, workers and jobs are told by their places.
-pub enum Action {
+pub(super) enum Action {
     Frame {
         to: usize,
         from: NodeId,
@@ -54,7 +55,7 @@
 }
 
 /// Simulated time.
-pub struct Engine {
+pub(super) struct Engine {
     origin: Instant,
     pub now: Time,
     number: u64,
@@ -63,7 +64,7 @@
 
 impl Engine {
     /// Time zero.
-    pub fn new() -> Engine {
+    pub(super) fn new() -> Engine {
         Engine {
             origin: Instant::now(),
             now: Time(1),
@@ -73,19 +74,19 @@
     }
 
     /// Something happens after a while.
-    pub fn after(&mut self, wait: Duration, action: Action) {
+    pub(super) fn after(&mut self, wait: Duration, action: Action) {
         self.at(Time(self.now.0 + wait.as_micros() as u64), action);
     }
 
     /// Something happens at a time, now at the earliest.
-    pub fn at(&mut self, time: Time, action: Action) {
+    pub(super) fn at(&mut self, time: Time, action: Action) {
         self.number += 1;
         self.coming
             .insert((time.max(self.now), self.number), action);
     }
 
     /// The next thing up to `end`; time goes on to it.
-    pub fn next(&mut self, end: Time) -> Option<Action> {
+    pub(super) fn next(&mut self, end: Time) -> Option<Action> {
         let (&(time, number), _) = self.coming.first_key_value()?;
         if time > end {
             return None;
@@ -95,7 +96,7 @@
     }
 
     /// Both clocks of all machines.
-    pub fn clocks(&self) -> Now {
+    pub(super) fn clocks(&self) -> Now {
         Now {
             steady: self.now,
             wall_ms: DAY_MS + (self.now.0 / 1_000) as i64,
@@ -103,12 +104,12 @@
     }
 
     /// A time as hollow runners take it.
-    pub fn instant(&self, time: Time) -> Instant {
+    pub(super) fn instant(&self, time: Time) -> Instant {
         self.origin + Duration::from_micros(time.0)
     }
 
     /// The time of an instant.
-    pub fn time(&self, instant: Instant) -> Time {
+    pub(super) fn time(&self, instant: Instant) -> Time {
         Time(instant.saturating_duration_since(self.origin).as_micros() as u64)
     }
 }
--- a/crates/testing/scale-testing/src/simulated/found.rs
+++ b/crates/testing/scale-testing/src/simulated/found.rs
@@ -1,4 +1,5 @@
 //! The machines of a simulated run, each with the real logic of its process.
+
 use super::machine::Machine;
 use crate::hollow::{agent_settings, counted, HollowSettings};
 use crate::places::Places;
@@ -17,13 +18,13 @@
 const FRONTEND_PORT_OFFSET: u16 = 1;
 
 /// A machine, and what its process wants done at its start.
-pub struct Founded {
+pub(super) struct Founded {
     pub machine: Machine,
     pub outbox: Outbox,
 }
 
 /// Core machines, then frontends, then workers' machines.
-pub fn found(settings: &HollowSettings, now: Now) -> anyhow::Result<Vec<Founded>> {
+pub(super) fn found(settings: &HollowSettings, now: Now) -> anyhow::Result<Vec<Founded>> {
     let scenario = &settings.scenario;
     let mut machines = Vec::new();
     for number in 0..scenario.cores {
--- a/crates/testing/scale-testing/src/simulated/machine.rs
+++ b/crates/testing/scale-testing/src/simulated/machine.rs
@@ -1,4 +1,5 @@
 //! A machine with one process: its logic, its meter, its disk.
+
 use super::meter::{thread_time, Meter};
 use crate::samples::Role;
 use sagetrail_protocol::frame;
@@ -9,7 +10,7 @@
 const WAKE_INTERVAL_MS: u64 = 1;
 
 /// A machine.
-pub struct Machine {
+pub(super) struct Machine {
     pub node: NodeId,
     pub role: Role,
     pub region: u32,
@@ -24,14 +25,14 @@
 }
 
 /// A frame to send.
-pub struct Sending {
+pub(super) struct Sending {
     pub to: NodeId,
     pub frame: Vec<u8>,
 }
 
 impl Machine {
     /// A machine about some logic.
-    pub fn new(node: NodeId, role: Role, region: u32, logic: Box<dyn Node>) -> Machine {
+    pub(super) fn new(node: NodeId, role: Role, region: u32, logic: Box<dyn Node>) -> Machine {
         Machine {
             node,
             role,
@@ -46,7 +47,7 @@
     }
 
     /// Takes an event; its cost goes to the meter.
-    pub fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
+    pub(super) fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         if matches!(event, Event::Wake) {
             self.no_wake_before = now.steady.plus_millis(WAKE_INTERVAL_MS);
         }
@@ -57,7 +58,7 @@
     }
 
     /// Takes a frame; reading it goes to the meter as well.
-    pub fn receive(&mut self, now: Now, from: NodeId, frame: &[u8], outbox: &mut Outbox) {
+    pub(super) fn receive(&mut self, now: Now, from: NodeId, frame: &[u8], outbox: &mut Outbox) {
         self.meter.received_bytes += frame.len() as u64;
         let started = thread_time();
         let message = frame::decode(frame);
@@ -68,7 +69,7 @@
     }
 
     /// Writes messages as frames; its cost goes to the meter.
-    pub fn pack(&mut self, messages: Vec<(NodeId, Message)>) -> Vec<Sending> {
+    pub(super) fn pack(&mut self, messages: Vec<(NodeId, Message)>) -> Vec<Sending> {
         let started = thread_time();
         let pack = |(to, message): (NodeId, Message)| {
             Some(Sending {
@@ -86,7 +87,7 @@
     }
 
     /// Notes writes towards the disk; true where a sync is to begin.
-    pub fn write(&mut self, writes: Vec<DiskWrite>) -> bool {
+    pub(super) fn write(&mut self, writes: Vec<DiskWrite>) -> bool {
         self.meter.written_bytes += writes
             .iter()
             .flat_map(|write| &write.operations)
@@ -97,7 +98,7 @@
     }
 
     /// When the logic wants to be woken.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub(super) fn next_wake(&self) -> Option<Time> {
         self.logic
             .next_wake()
             .map(|due| due.max(self.no_wake_before))
--- a/crates/testing/scale-testing/src/simulated/meter.rs
+++ b/crates/testing/scale-testing/src/simulated/meter.rs
@@ -1,15 +1,16 @@
 //! Processor time of this thread, and what a machine has used by it.
+
 use nix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
 /// Processor time that this thread has used.
-pub fn thread_time() -> Duration {
+pub(super) fn thread_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
 /// What a machine has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Meter {
+pub(super) struct Meter {
     pub cpu: Duration,
     pub events: u64,
     pub sent_bytes: u64,
--- a/crates/testing/scale-testing/src/simulated/world.rs
+++ b/crates/testing/scale-testing/src/simulated/world.rs
@@ -1,4 +1,5 @@
 //! A simulated run from start to end.
+
 use super::clients::{configuration, heartbeat, submission};
 use super::engine::{Action, Engine};
 use super::found::found;
--- a/crates/testing/scale-testing/src/sockets.rs
+++ b/crates/testing/scale-testing/src/sockets.rs
@@ -1,4 +1,5 @@
 //! Bytes on the TCP connections of each process, by the `ss` program of the system, where there is one.
+
 use std::collections::BTreeMap;
 use std::process::Command;
 
--- a/crates/testing/scale-testing/src/summary.rs
+++ b/crates/testing/scale-testing/src/summary.rs
@@ -1,4 +1,5 @@
 //! The main figures on standard output.
+
 use crate::results::Results;
 
 /// Prints them.
--- a/crates/testing/scale-testing/src/timings.rs
+++ b/crates/testing/scale-testing/src/timings.rs
@@ -1,4 +1,5 @@
 //! The times that are taken, as HDR histograms.
+
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/testing/scale-testing/src/usage.rs
+++ b/crates/testing/scale-testing/src/usage.rs
@@ -1,4 +1,5 @@
 //! What a process uses, by the kernel's count.
+
 use std::fs;
 
 /// The kernel's clock ticks in a second, and bytes in a page: fixed for user space on Linux x86-64 and arm64.
--- a/crates/testing/scale-testing/tests/plan.rs
+++ b/crates/testing/scale-testing/tests/plan.rs
@@ -1,4 +1,5 @@
 //! The load as it is drawn.
+
 use sagetrail_scale_testing::plan::{draw, TaskText};
 use sagetrail_scale_testing::scenario::Scenario;
 use std::path::Path;
--- a/crates/testing/scale-testing/tests/readings.rs
+++ b/crates/testing/scale-testing/tests/readings.rs
@@ -1,4 +1,5 @@
 //! What is read from logs, from the kernel and from `ss`.
+
 use sagetrail_scale_testing::cluster::term_of;
 use sagetrail_scale_testing::sockets::{parse, Traffic};
 use sagetrail_scale_testing::timings::{Timing, Timings};
--- a/crates/testing/scale-testing/tests/runner.rs
+++ b/crates/testing/scale-testing/tests/runner.rs
@@ -1,4 +1,5 @@
 //! A hollow runner keeps to the protocol, on a clock of the test's own.
+
 use sagetrail_scale_testing::board::{Board, JobFacts, OverJob};
 use sagetrail_scale_testing::hollow::{HollowRunner, Orders, RunnerProfile};
 use serde_json::{json, Value};
--- a/crates/testing/scale-testing/tests/takeovers.rs
+++ b/crates/testing/scale-testing/tests/takeovers.rs
@@ -1,4 +1,5 @@
 //! What a fault led to is told from what the next one did.
+
 use sagetrail_scale_testing::board::Board;
 use sagetrail_scale_testing::faults::{takeovers, Played};
 use sagetrail_scale_testing::scenario::{Fault, FaultKind, FaultTarget};
--- a/crates/testing/simulation/src/actor.rs
+++ b/crates/testing/simulation/src/actor.rs
@@ -1,5 +1,6 @@
 //! What drives the cluster from outside: runners, clients and the operator. They call processes by HTTP and learn
 //! what became of each call.
+
 use crate::engine::{Chance, Micros};
 use crate::gang::GangBoard;
 use crate::history::{Answer, History};
--- a/crates/testing/simulation/src/bin/sagetrail-simulation.rs
+++ b/crates/testing/simulation/src/bin/sagetrail-simulation.rs
@@ -1,4 +1,5 @@
 //! Plays simulated days and prints the rules they break.
+
 use argh::FromArgs;
 use sagetrail_simulation::report::Report;
 use sagetrail_simulation::scenario::Scenario;
--- a/crates/testing/simulation/src/checker/calm.rs
+++ b/crates/testing/simulation/src/checker/calm.rs
@@ -1,4 +1,5 @@
 //! When no trouble was near, and which machines were in touch.
+
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{History, Reach, Sight};
 use sagetrail_protocol::NodeId;
@@ -24,7 +25,7 @@
 }
 
 /// The troubles of a day.
-pub struct Calm {
+pub(super) struct Calm {
     troubles: Vec<Span>,
     contact: Micros,
     /// True on days on which clocks jump.
@@ -33,7 +34,7 @@
 
 impl Calm {
     /// Reads the troubles of a day.
-    pub fn gather(history: &History, contact_ms: u64) -> Calm {
+    pub(super) fn gather(history: &History, contact_ms: u64) -> Calm {
         let mut calm = Calm {
             troubles: Vec::new(),
             contact: contact_ms * MILLISECOND,
@@ -53,7 +54,7 @@
     }
 
     /// True where no trouble of anyone was near at any instant of a span.
-    pub fn during(&self, from: Micros, until: Micros) -> bool {
+    pub(super) fn during(&self, from: Micros, until: Micros) -> bool {
         // After a loss of most of the core the span of contact is twice as long.
         let near =
             |trouble: &Span| trouble.from <= until && trouble.until + 2 * self.contact >= from;
@@ -61,12 +62,12 @@
     }
 
     /// True where no trouble of anyone was near at an instant.
-    pub fn at(&self, instant: Micros) -> bool {
+    pub(super) fn at(&self, instant: Micros) -> bool {
         self.during(instant, instant)
     }
 
     /// True where a machine outside the core was in touch at an instant, whatever troubled other machines.
-    pub fn in_touch(&self, machine: NodeId, instant: Micros) -> bool {
+    pub(super) fn in_touch(&self, machine: NodeId, instant: Micros) -> bool {
         !self
             .troubles
             .iter()
--- a/crates/testing/simulation/src/checker/cancels.rs
+++ b/crates/testing/simulation/src/checker/cancels.rs
@@ -1,11 +1,12 @@
 //! UNASKED after a cancelling, and starts after a job was shown as completed (TWICE).
+
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{ShownState, Sight};
 use std::collections::BTreeMap;
 
 /// Judges starts and runs of jobs that are over.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let completed = first_completed(judge);
     for run in judge.facts.runs.clone() {
         let shown = completed.get(&run.task.job);
--- a/crates/testing/simulation/src/checker/configs.rs
+++ b/crates/testing/simulation/src/checker/configs.rs
@@ -1,4 +1,5 @@
 //! CONFIG and LOST of configurations: what the operator was told, and what is in force.
+
 use super::{Judge, Rule};
 use crate::configuration::Configuration;
 use crate::engine::{Micros, MILLISECOND};
@@ -14,7 +15,7 @@
 }
 
 /// Judges all orders, reads and counts.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let orders = gather(judge);
     acknowledgements(judge, &orders);
     repeats(judge, &orders);
--- a/crates/testing/simulation/src/checker/jobs.rs
+++ b/crates/testing/simulation/src/checker/jobs.rs
@@ -1,4 +1,5 @@
 //! LOST and MIXED: what clients read of their jobs.
+
 use super::facts::{Facts, RunFact, SubmitFact};
 use super::runs::step_done;
 use super::{Judge, Rule};
@@ -10,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Judges all that clients read.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let history = judge.history;
     let mut last: BTreeMap<String, ShownState> = BTreeMap::new();
     for seen in &history.seen {
@@ -123,7 +124,7 @@
 }
 
 /// True where some task, or gang, has failed as often as its queue allows.
-pub fn has_failed(facts: &Facts, job: &JobDefinition, by: Micros) -> bool {
+pub(super) fn has_failed(facts: &Facts, job: &JobDefinition, by: Micros) -> bool {
     let most = facts.max_attempts(&job.prefix) as usize;
     let failed = |run: &&RunFact| run.end == Some(RunEnd::Failed) && run.over <= by;
     for time in 0..job.times() {
--- a/crates/testing/simulation/src/checker/mod.rs
+++ b/crates/testing/simulation/src/checker/mod.rs
@@ -1,6 +1,7 @@
 //! Judges a day by what clients, runners and the operator saw, and by nothing else. Shares no code with the
 //! system. Rules with a time bound are judged for machines in touch, those of gangs, of work that runs on and of
 //! standstill only while no trouble of anyone is near.
+
 mod calm;
 mod cancels;
 mod configs;
--- a/crates/testing/simulation/src/checker/recover.rs
+++ b/crates/testing/simulation/src/checker/recover.rs
@@ -1,4 +1,5 @@
 //! RECOVER: clients are served again after the final fault.
+
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::Sight;
@@ -22,7 +23,7 @@
 }
 
 /// Judges the jobs that were handed in before the final fault and after the recovery from it.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let Some((struck, back)) = final_fault(judge) else {
         return;
     };
--- a/crates/testing/simulation/src/checker/stalls.rs
+++ b/crates/testing/simulation/src/checker/stalls.rs
@@ -1,4 +1,5 @@
 //! LOST for standstill: a job has nothing running for a while though a task's turn has come and there is room.
+
 use super::facts::RunFact;
 use super::jobs::has_failed;
 use super::runs::step_done;
@@ -22,7 +23,7 @@
 }
 
 /// Judges standstill: for `finish_ms` at any time, for `STANDSTILL` from `finish_ms` after the last job was sent.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let Some(end) = judge.facts.day_end else {
         return;
     };
--- a/crates/testing/simulation/src/checker/starts.rs
+++ b/crates/testing/simulation/src/checker/starts.rs
@@ -1,4 +1,5 @@
 //! LIMIT, ROUTE, UNASKED, REFUSED and DRAIN: what a start says by itself.
+
 use super::facts::RunFact;
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND};
@@ -7,7 +8,7 @@
 use sagetrail_protocol::agent::Resources;
 
 /// Judges all starts.
-pub fn judge(judge: &mut Judge) {
+pub(super) fn judge(judge: &mut Judge) {
     let history = judge.history;
     for seen in &history.seen {
         if let Sight::Started(start) = &seen.sight {
--- a/crates/testing/simulation/src/client.rs
+++ b/crates/testing/simulation/src/client.rs
@@ -1,4 +1,5 @@
 //! Clients: they hand jobs in, try again as the protocol says, ask for states and cancel.
+
 use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, ShownState, Sight};
--- a/crates/testing/simulation/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -1,4 +1,5 @@
 //! Calls by HTTP from outside to a process, and their outcomes.
+
 use super::{ActorId, CallOwner, World, WorldEvent};
 use crate::actor::{Outcome, OutgoingCall};
 use crate::engine::Micros;
--- a/crates/testing/simulation/src/cluster/health_checks.rs
+++ b/crates/testing/simulation/src/cluster/health_checks.rs
@@ -1,4 +1,5 @@
 //! Looks of an agent at the runner beside it.
+
 use super::{World, WorldEvent};
 use crate::engine::{Micros, MILLISECOND};
 use sagetrail_protocol::node::{Event, HealthCheck, HealthCheckId, HealthCheckResult};
--- a/crates/testing/simulation/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/life.rs
@@ -1,4 +1,5 @@
 //! The life of processes: start, events, disk, freeze and end.
+
 use super::{World, WorldEvent};
 use crate::actor::Outcome;
 use crate::engine::{Micros, MILLISECOND, SECOND};
--- a/crates/testing/simulation/src/cluster/mod.rs
+++ b/crates/testing/simulation/src/cluster/mod.rs
@@ -1,4 +1,5 @@
 //! The simulated world: processes, their network and disks, and everyone outside.
+
 mod calls;
 mod health_checks;
 mod life;
--- a/crates/testing/simulation/src/cluster/outside.rs
+++ b/crates/testing/simulation/src/cluster/outside.rs
@@ -1,4 +1,5 @@
 //! Runners, clients and the operator in the world.
+
 use super::{ActorId, CallOwner, World, WorldEvent};
 use crate::actor::{Actor, Outcome, Surroundings};
 use crate::engine::Micros;
--- a/crates/testing/simulation/src/cluster/replacement.rs
+++ b/crates/testing/simulation/src/cluster/replacement.rs
@@ -1,4 +1,5 @@
 //! Core machines that are taken away for good, and the empty ones that come in their places.
+
 use super::{draw_clock_rate, World, WorldEvent};
 use crate::disk::Disk;
 use crate::engine::{Micros, SECOND};
--- a/crates/testing/simulation/src/cluster/trouble.rs
+++ b/crates/testing/simulation/src/cluster/trouble.rs
@@ -1,4 +1,5 @@
 //! Troubles as they strike.
+
 use super::{ActorId, World, WorldEvent};
 use crate::engine::{Micros, MILLISECOND};
 use crate::faults::Fault;
--- a/crates/testing/simulation/src/configuration.rs
+++ b/crates/testing/simulation/src/configuration.rs
@@ -1,4 +1,5 @@
 //! The operator's configurations, as the operator writes and reads them.
+
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -2,6 +2,7 @@
 //!
 //! Everything goes in as encoded bytes, never in the form that is printed for people: a renamed type, variant or
 //! field leaves the digest as it is, a changed message, instant, order or stored byte does not.
+
 use crate::actor::{CallTag, Outcome, OutgoingCall};
 use crate::engine::Micros;
 use sagetrail_protocol::node::{
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -1,5 +1,6 @@
 //! The disk of a core process: transactions reach it in order, several in one sync, each whole or not at all.
 //! What was asked for and not synced is, at a kill or a loss of power, kept up to some transaction or lost.
+
 use crate::engine::{Chance, Micros, MILLISECOND};
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/testing/simulation/src/engine.rs
+++ b/crates/testing/simulation/src/engine.rs
@@ -1,4 +1,5 @@
 //! The queue of what is to happen, by time and then by the order of asking, and the world's chance.
+
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,4 +1,5 @@
 //! Troubles, and schedules of them drawn from a seed that keep to what a deployment must bear.
+
 use crate::cluster::PlannedFault;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND};
 use sagetrail_protocol::NodeId;
--- a/crates/testing/simulation/src/gang.rs
+++ b/crates/testing/simulation/src/gang.rs
@@ -1,4 +1,5 @@
 //! Gangs at work: members start once all of one run are present, and end jointly.
+
 use crate::engine::Micros;
 use crate::job::StepName;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/testing/simulation/src/history.rs
+++ b/crates/testing/simulation/src/history.rs
@@ -1,4 +1,5 @@
 //! What clients, runners and the operator saw. The checker knows nothing else.
+
 use crate::configuration::Configuration;
 use crate::engine::Micros;
 use crate::job::{JobBook, TaskName};
--- a/crates/testing/simulation/src/job.rs
+++ b/crates/testing/simulation/src/job.rs
@@ -1,4 +1,5 @@
 //! Jobs as clients hand them in, and the names of their tasks.
+
 use crate::engine::Micros;
 use sagetrail_protocol::agent::Resources;
 use serde_json::{json, Map, Value};
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -3,6 +3,10 @@
 //! The logic of the processes is the real one, driven through `sagetrail_protocol::node::Node`. Runners, clients and
 //! the operator are simulated after the protocol; what they saw is written to a `history::History`, and
 //! `checker` judges by that alone. The same seed gives the same result.
+
+// Not every public item of this crate has a doc comment yet.
+#![allow(missing_docs)]
+
 pub mod actor;
 pub mod checker;
 pub mod client;
--- a/crates/testing/simulation/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -1,5 +1,6 @@
 //! The network between processes: delay by zone, jitter, loss, duplicates, and cuts, also in one direction.
 //! Jitter alone makes messages overtake each other.
+
 use crate::engine::{Chance, Micros, MILLISECOND};
 use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/testing/simulation/src/operator.rs
+++ b/crates/testing/simulation/src/operator.rs
@@ -1,5 +1,6 @@
 //! The operator: changes of the configuration, races, resends after lost answers, read-backs, and counts asked of
 //! gateways on routes that come and go.
+
 use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::{Micros, MILLISECOND, SECOND};
--- a/crates/testing/simulation/src/process.rs
+++ b/crates/testing/simulation/src/process.rs
@@ -1,4 +1,5 @@
 //! One process of the cluster: its logic, its clocks, its disk, and whether it runs.
+
 use crate::disk::Disk;
 use crate::engine::{Micros, MILLISECOND, WALL_START_MS};
 use sagetrail_protocol::bounds::Bounds;
--- a/crates/testing/simulation/src/real.rs
+++ b/crates/testing/simulation/src/real.rs
@@ -1,4 +1,5 @@
 //! The real processes.
+
 use crate::cluster::Factories;
 use crate::process::{Birth, Factory};
 use sagetrail_agent::{AgentNode, AgentSettings};
--- a/crates/testing/simulation/src/report.rs
+++ b/crates/testing/simulation/src/report.rs
@@ -1,4 +1,5 @@
 //! What a day came to, in figures.
+
 use crate::checker::Violation;
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::{History, ShownState, Sight};
--- a/crates/testing/simulation/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/beat.rs
@@ -1,4 +1,5 @@
 //! A runner's heartbeats and its leave.
+
 use super::drain::Drain;
 use super::{Beat, Runner, ANSWER_LIMIT};
 use crate::actor::{CallTag, OutgoingCall, Surroundings};
@@ -12,7 +13,7 @@
 const ENDS_AT_ONCE: usize = 500;
 
 /// The word for an end.
-pub fn end_word(end: RunEnd) -> &'static str {
+pub(super) fn end_word(end: RunEnd) -> &'static str {
     match end {
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
--- a/crates/testing/simulation/src/runner/drain.rs
+++ b/crates/testing/simulation/src/runner/drain.rs
@@ -1,4 +1,5 @@
 //! A runner's planned end: it says so, serves on, and leaves.
+
 use super::Runner;
 use crate::actor::Surroundings;
 use crate::engine::{Micros, SECOND};
@@ -23,7 +24,7 @@
 
 impl Drain {
     /// A planned end that is said first.
-    pub fn new(began: Micros, left: Micros, serves_on: Micros) -> Drain {
+    pub(super) fn new(began: Micros, left: Micros, serves_on: Micros) -> Drain {
         let (deregisters_first, acknowledged, deregister_sent) = (false, None, None);
         Drain {
             began,
@@ -36,7 +37,7 @@
     }
 
     /// True where it says in its heartbeats that it drains.
-    pub fn is_said(&self) -> bool {
+    pub(super) fn is_said(&self) -> bool {
         !self.deregisters_first
     }
 
--- a/crates/testing/simulation/src/runner/mod.rs
+++ b/crates/testing/simulation/src/runner/mod.rs
@@ -1,4 +1,5 @@
 //! A runner beside its agent, as the protocol describes it.
+
 mod beat;
 mod drain;
 mod orders;
--- a/crates/testing/simulation/src/runner/orders.rs
+++ b/crates/testing/simulation/src/runner/orders.rs
@@ -1,4 +1,5 @@
 //! What a runner does on the answer to a heartbeat.
+
 use super::run::Run;
 use super::{RunKey, Runner};
 use crate::actor::{Outcome, Surroundings};
--- a/crates/testing/simulation/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -1,4 +1,5 @@
 //! A day of a cluster, from its plan to its report.
+
 use crate::checker::{check, Limits};
 use crate::client::Clients;
 use crate::cluster::{Factories, Place, PlannedFault, World, WorldPlan};
--- a/crates/testing/simulation/src/tamper.rs
+++ b/crates/testing/simulation/src/tamper.rs
@@ -1,4 +1,5 @@
 //! Processes that are broken on purpose, to see that the checker notices.
+
 use crate::process::{Birth, Factory};
 use sagetrail_protocol::node::{Event, HttpReply, HttpRequest, Node, Now, Outbox};
 use sagetrail_protocol::Time;
--- a/crates/testing/simulation/src/topology.rs
+++ b/crates/testing/simulation/src/topology.rs
@@ -1,4 +1,5 @@
 //! The usual cluster: addresses, queues, runners' sizes, configurations.
+
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::Chance;
 use crate::workload::{QueuePlan, HOST};
--- a/crates/testing/simulation/src/workload.rs
+++ b/crates/testing/simulation/src/workload.rs
@@ -1,4 +1,5 @@
 //! Jobs of a day, drawn from a seed: all shapes that the protocol knows.
+
 use crate::client::JobPlan;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND, WALL_START_MS};
 use crate::job::{JobBook, JobDefinition, StepDefinition};
--- a/crates/testing/simulation/tests/broken.rs
+++ b/crates/testing/simulation/tests/broken.rs
@@ -1,4 +1,5 @@
 //! Processes broken on purpose: the checker notices each.
+
 use sagetrail_protocol::node::{DiskImage, HttpReply, HttpRequest};
 use sagetrail_protocol::{NodeId, NodeKind};
 use sagetrail_simulation::checker::Rule;
--- a/crates/testing/simulation/tests/checker_histories.rs
+++ b/crates/testing/simulation/tests/checker_histories.rs
@@ -1,4 +1,5 @@
 //! Hand-made days: each rule is seen to be broken, and a day that keeps all is not accused.
+
 use sagetrail_protocol::agent::{Resources, RunEnd};
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::NodeId;
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -1,4 +1,5 @@
 //! Whole days of the real processes.
+
 use sagetrail_protocol::NodeId;
 use sagetrail_simulation::cluster::PlannedFault;
 use sagetrail_simulation::engine::{MILLISECOND, SECOND};
--- a/crates/testing/simulation/tests/departures.rs
+++ b/crates/testing/simulation/tests/departures.rs
@@ -1,4 +1,5 @@
 //! Runners that deregister first and serve on, in whole days of the real processes.
+
 use sagetrail_simulation::cluster::PlannedFault;
 use sagetrail_simulation::engine::SECOND;
 use sagetrail_simulation::faults::Fault;
--- a/crates/testing/simulation/tests/digests.rs
+++ b/crates/testing/simulation/tests/digests.rs
@@ -2,6 +2,7 @@
 //!
 //! A line of the fixture is a kind of day, its seed and its digest. Where a change is meant to show in the days, the
 //! test's output has the new lines; `sagetrail-simulation --digest` prints the same for any seed.
+
 use sagetrail_simulation::scenario::Scenario;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/testing/simulation/tests/parts.rs
+++ b/crates/testing/simulation/tests/parts.rs
@@ -1,4 +1,5 @@
 //! The parts of the simulated world by themselves.
+
 use sagetrail_protocol::node::{DiskOperation, DiskWrite, Table};
 use sagetrail_protocol::{NodeId, Time};
 use sagetrail_simulation::disk::{Disk, DiskSpeed};
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,5 @@
 //! A toy list and two toy runners for trying the dispatcher on one machine: see README.md beside this file.
+
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread::{sleep, spawn};
