--- a/crates/testing/simulation/tests/digests.rs
+++ b/crates/testing/simulation/tests/digests.rs
@@ -57,7 +57,8 @@
     let changed = Mutex::new(BTreeSet::new());
     let play = || {
         while let Some(day) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-            changed.lock().unwrap().extend(day.changed());
+            let line = day.changed();
+            changed.lock().unwrap().extend(line);
         }
     };
     std::thread::scope(|scope| {
