--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -1,5 +1,9 @@
 //! One core process: its parts, and the order in which they are driven.
 
+mod messages;
+mod non_members;
+mod steps;
+
 use crate::accepted_changes::AcceptedChanges;
 use crate::acceptor::Acceptor;
 use crate::bootstrap::BootstrapCandidates;
