--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -2,15 +2,12 @@
 
 use crate::accepted_changes::{AcceptedChanges, Gap};
 use crate::effects::Effects;
-use crate::node::CoreNode;
 use crate::quorum::MemberList;
 use crate::timing::RESEND_MS;
 use sagetrail_protocol::control::{ChangesReply, ChangesRequest, ControlMessage};
-use sagetrail_protocol::{List, NodeId, Time};
+use sagetrail_protocol::{NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many changes are told at once.
-const MAX_CHANGES_TOLD: usize = 1_000;
 /// A member that left so many requests for a gap without an answer counts as asked.
 const MAX_SILENCES: u32 = 3;
 /// The first and the longest pause before a gap that nobody could fill is asked for again, in milliseconds.
@@ -182,52 +179,3 @@
         self.resume_at = now.plus_millis(self.pause_ms);
     }
 }
-
-impl CoreNode {
-    /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
-    pub fn changes_caught_up(&self) -> bool {
-        self.register_view.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
-    }
-
-    /// Asks for accepted changes that are missing, and writes those that are not on disk yet.
-    pub(crate) fn step_changes(&mut self, now: Time) {
-        let (node, list) = (self.settings.node, &self.register_view.list);
-        if list.version > 0 {
-            self.changes_fetch
-                .tick(now, node, &self.accepted_changes, list, &mut self.effects);
-        }
-        // A process that never took part keeps nothing on disk.
-        if self.membership_state.ready && self.accepted_changes.needs_writing() {
-            let operations = self.accepted_changes.take_writes();
-            self.effects.write(operations, Vec::new());
-        }
-    }
-
-    /// When a request is due.
-    pub(crate) fn changes_wake(&self) -> Option<Time> {
-        let founded = self.register_view.list.version > 0;
-        founded
-            .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
-            .flatten()
-    }
-
-    /// Another core process misses accepted changes. They are facts: telling them needs no promise.
-    pub(crate) fn on_changes_request(&mut self, from: NodeId, request: &ChangesRequest) {
-        let (changes, more) = self
-            .accepted_changes
-            .from_base(request.after, MAX_CHANGES_TOLD);
-        let reply = ChangesReply {
-            after: request.after,
-            changes: List(changes),
-            more,
-        };
-        self.effects
-            .control(from, ControlMessage::ChangesReply(reply));
-    }
-
-    /// A member told accepted changes.
-    pub(crate) fn on_changes_reply(&mut self, from: NodeId, reply: &ChangesReply) {
-        self.changes_fetch
-            .reply(from, reply, &mut self.accepted_changes);
-    }
-}
--- a/crates/cluster/control-plane/src/http_api.rs
+++ b/crates/cluster/control-plane/src/http_api.rs
@@ -1,74 +1,82 @@
-//! Requests of HTTP at a core process: which of them is the operator's.
+//! The HTTP interface of a core process: what each request asks for.
 
 use crate::change::{Change, ChangeKind};
 use sagetrail_cluster_config::ConfigDocument;
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
+use serde::de::IgnoredAny;
 
 const REPLACE_PATH: &str = "/v1/config/replace";
 const PATCH_PATH: &str = "/v1/config/patch";
 const GET_PATH: &str = "/v1/config/get";
 const INSTANCES_PATH: &str = "/v1/instances/";
 
-const OK: u16 = 200;
-const BAD_REQUEST: u16 = 400;
+/// 200.
+pub(crate) const OK: u16 = 200;
+/// 400: the request or the change itself is not valid.
+pub(crate) const BAD_REQUEST: u16 = 400;
 const NOT_FOUND: u16 = 404;
-const NOT_ALLOWED: u16 = 405;
-const UNAVAILABLE: u16 = 503;
+const METHOD_NOT_ALLOWED: u16 = 405;
+/// 412: the change's base is not the current version.
+pub(crate) const PRECONDITION_FAILED: u16 = 412;
+/// 503: surely without any effect; to be sent again.
+pub(crate) const SERVICE_UNAVAILABLE: u16 = 503;
+/// 504: the change may or may not be in force.
+pub(crate) const OUTCOME_UNKNOWN: u16 = 504;
 
 /// What a request asks for.
 #[derive(Debug)]
 pub(crate) enum ApiRequest {
-    /// A change of the configuration.
+    /// A configuration change.
     Change(Change),
-    /// The newest configuration.
-    ReadBack,
+    /// A configuration read: the newest one.
+    Read,
     /// Answered at once with this status.
     Status(u16),
 }
 
-/// Reads a request. `founded`: this process knows the core's members.
+/// Reads a request. `has_members`: this process knows the core's members.
 pub(crate) fn parse_request(
     endpoint: HttpEndpoint,
     request: HttpRequest,
-    founded: bool,
+    has_members: bool,
 ) -> ApiRequest {
     match endpoint {
-        HttpEndpoint::Control => at_control(request, founded),
-        HttpEndpoint::Readiness => ApiRequest::Status(if founded { OK } else { UNAVAILABLE }),
-        HttpEndpoint::Frontend => ApiRequest::Status(UNAVAILABLE),
+        HttpEndpoint::Control => parse_control(request, has_members),
+        HttpEndpoint::Readiness if has_members => ApiRequest::Status(OK),
+        HttpEndpoint::Readiness | HttpEndpoint::Frontend => ApiRequest::Status(SERVICE_UNAVAILABLE),
     }
 }
 
-fn at_control(request: HttpRequest, founded: bool) -> ApiRequest {
+fn parse_control(request: HttpRequest, has_members: bool) -> ApiRequest {
     match (request.method, request.path.as_str()) {
-        (Method::Post, REPLACE_PATH) if founded => replace(request),
-        (Method::Post, PATCH_PATH) if founded => patch(request),
-        (Method::Get, GET_PATH) if founded => ApiRequest::ReadBack,
+        (Method::Post, REPLACE_PATH) if has_members => parse_replace(request),
+        (Method::Post, PATCH_PATH) if has_members => parse_patch(request),
+        (Method::Get, GET_PATH) if has_members => ApiRequest::Read,
         (Method::Post, REPLACE_PATH | PATCH_PATH) | (Method::Get, GET_PATH) => {
-            ApiRequest::Status(UNAVAILABLE)
+            ApiRequest::Status(SERVICE_UNAVAILABLE)
         }
-        (_, REPLACE_PATH | PATCH_PATH | GET_PATH) => ApiRequest::Status(NOT_ALLOWED),
-        (_, path) if path.starts_with(INSTANCES_PATH) => ApiRequest::Status(UNAVAILABLE),
+        (_, REPLACE_PATH | PATCH_PATH | GET_PATH) => ApiRequest::Status(METHOD_NOT_ALLOWED),
+        (_, path) if path.starts_with(INSTANCES_PATH) => ApiRequest::Status(SERVICE_UNAVAILABLE),
         _ => ApiRequest::Status(NOT_FOUND),
     }
 }
 
-/// A whole configuration that does not keep the rules by itself can never have been taken.
-fn replace(request: HttpRequest) -> ApiRequest {
+/// A whole configuration that is not valid by itself can never have been accepted.
+fn parse_replace(request: HttpRequest) -> ApiRequest {
     if ConfigDocument::parse(&request.body).is_err() {
         return ApiRequest::Status(BAD_REQUEST);
     }
-    change(ChangeKind::Replace, request)
+    parse_change(ChangeKind::Replace, request)
 }
 
-fn patch(request: HttpRequest) -> ApiRequest {
-    if serde_json::from_slice::<serde::de::IgnoredAny>(&request.body).is_err() {
+fn parse_patch(request: HttpRequest) -> ApiRequest {
+    if serde_json::from_slice::<IgnoredAny>(&request.body).is_err() {
         return ApiRequest::Status(BAD_REQUEST);
     }
-    change(ChangeKind::Patch, request)
+    parse_change(ChangeKind::Patch, request)
 }
 
-fn change(kind: ChangeKind, request: HttpRequest) -> ApiRequest {
+fn parse_change(kind: ChangeKind, request: HttpRequest) -> ApiRequest {
     match request.base_version {
         Some(base) => ApiRequest::Change(Change::new(kind, base, request.body)),
         None => ApiRequest::Status(BAD_REQUEST),
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,10 +1,9 @@
 //! Leases of membership of the processes outside the core. Each of these greets one core process, so core processes
 //! tell each other, in a message whose size does not grow with their number.
 
-use crate::node::CoreNode;
 use crate::timing::SHARE_INTERVAL_MS;
 use sagetrail_config_distribution::best_relays;
-use sagetrail_protocol::control::{ControlMessage, MemberLease, MemberLeases};
+use sagetrail_protocol::control::{MemberLease, MemberLeases};
 use sagetrail_protocol::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
 use sagetrail_protocol::{List, NodeId, NodeKind, Time};
 use std::collections::BTreeMap;
@@ -143,23 +142,3 @@
     let millis = until.0.saturating_sub(now.0) / MICROS_PER_MS;
     u16::try_from(millis).unwrap_or(u16::MAX)
 }
-
-impl CoreNode {
-    /// Tells the other members of the core which leases this process holds.
-    pub(crate) fn step_leases(&mut self, now: Time) {
-        let Some(leases) = self.leases.share(now) else {
-            return;
-        };
-        let message = ControlMessage::MemberLeases(leases);
-        let mut others = self.register_view.list.all();
-        others.remove(&self.settings.node);
-        self.effects.broadcast(others, &message);
-    }
-
-    /// A member of the core told of its leases.
-    pub(crate) fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
-        if self.register_view.list.contains(from) && from != self.settings.node {
-            self.leases.take(self.now.steady, from, leases);
-        }
-    }
-}
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -1,91 +1,60 @@
-//! One core process: its parts, and the order in which they are driven.
+//! One core process: its parts, and the order in which an event goes through them.
+//!
+//! Each part owns its state and reaches the others only by what the methods here pass to it: this file and its submodules
+//! are the only ones that know all parts. A part writes what it wants sent, stored and answered into [`Effects`]; once an
+//! event is done, [`MessageRouter`] addresses these.
 
 mod messages;
 mod non_members;
 mod steps;
 
 use crate::accepted_changes::AcceptedChanges;
-use crate::acceptor::Acceptor;
-use crate::bootstrap::BootstrapCandidates;
-use crate::changes_fetch::ChangesFetch;
 use crate::effects::Effects;
-use crate::election::Elections;
-use crate::leadership::Leadership;
 use crate::leases::Leases;
-use crate::membership_state::MembershipState;
-use crate::operator::Operator;
-use crate::persisted::{ControlState, DiskContent, ReplicaState};
-use crate::proposer::Proposer;
-use crate::reader::Reader;
-use crate::reconfiguration::Joiners;
+use crate::membership::Membership;
+use crate::operator::OperatorRequests;
+use crate::pending_requests::PendingRequests;
+use crate::persisted::{ControlState, DiskContent};
+use crate::reconfiguration::Reconfiguration;
 use crate::records::Records;
-use crate::register_view::RegisterView;
-use crate::replica::Replica;
-use crate::resignation::FormerTermResignation;
+use crate::register::{Register, RegisterStart};
 use crate::routing::MessageRouter;
 use crate::settings::CoreSettings;
 use crate::subscribers::Subscribers;
+use crate::termination::{Succession, Termination};
+use crate::terms::{Terms, TermsStart};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{DiskImage, Event, Node, Now, Outbox};
 use sagetrail_protocol::service::ServiceFactory;
-use sagetrail_protocol::{Message, NodeId, Time};
-use std::collections::VecDeque;
+use sagetrail_protocol::{NodeId, Time};
 
 /// Spreads seeds (the fraction of the golden ratio, odd).
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A message that waits for fresh knowledge of the register.
-#[derive(Debug)]
-pub(crate) struct Delayed {
-    pub from: NodeId,
-    pub message: Message,
-    pub arrived: Time,
-}
-
-/// A process that is to be told once a proposal number is learnt.
-#[derive(Debug)]
-pub(crate) struct LearnAsker {
-    pub node: NodeId,
-    pub proposal: ProposalNumber,
-}
-
 /// The logic of one core process.
 pub struct CoreNode {
-    pub(crate) settings: CoreSettings,
-    pub(crate) started: Time,
-    pub(crate) now: Now,
-    pub(crate) factory: ServiceFactory,
-    pub(crate) effects: Effects,
-    pub(crate) router: MessageRouter,
-    pub(crate) membership_state: MembershipState,
-    pub(crate) register_view: RegisterView,
-    /// All changes of the configuration that were taken, as far as this process knows them.
-    pub(crate) accepted_changes: AcceptedChanges,
-    pub(crate) changes_fetch: ChangesFetch,
-    pub(crate) acceptor: Acceptor,
-    pub(crate) proposer: Proposer,
-    pub(crate) reader: Reader,
-    pub(crate) operator: Operator,
-    pub(crate) replica: Replica,
-    pub(crate) elections: Elections,
-    pub(crate) leadership: Option<Leadership>,
-    /// The term of this process's former life, while it says that it holds it no more.
-    pub(crate) former_term_resignation: Option<FormerTermResignation>,
-    pub(crate) joiners: Joiners,
-    pub(crate) leases: Leases,
-    pub(crate) subscribers: Subscribers,
-    pub(crate) delayed: VecDeque<Delayed>,
-    pub(crate) learn_askers: Vec<LearnAsker>,
-    /// When somebody told of a newer chosen value.
-    pub(crate) newer_value_hint_at: Option<Time>,
-    pub(crate) poll_at: Time,
-    /// So many reads in a row found answers that differ.
-    pub(crate) unsettled_reads: u32,
-    pub(crate) membership_at: Time,
-    pub(crate) terminating: Option<Time>,
-    pub(crate) random: Pcg64Mcg,
+    node: NodeId,
+    now: Now,
+    /// The compare-and-swap register: acceptor, proposer, reader, register view.
+    register: Register,
+    /// Whether the process takes part, and how it comes to.
+    membership: Membership,
+    /// Replica, elections, and the term that this process leads.
+    terms: Terms,
+    /// The changes of members that this process proposes as a leader.
+    reconfiguration: Reconfiguration,
+    /// The operator's requests.
+    operator: OperatorRequests,
+    /// Requests that wait until the register was read again.
+    pending: PendingRequests,
+    /// Leases of membership of the processes outside the core.
+    leases: Leases,
+    /// Who is sent each new configuration.
+    subscribers: Subscribers,
+    termination: Termination,
+    effects: Effects,
+    router: MessageRouter,
 }
 
 impl CoreNode {
@@ -97,120 +66,153 @@
         now: Now,
         outbox: &mut Outbox,
     ) -> CoreNode {
-        let node = settings.node;
-        let mut random = Pcg64Mcg::seed_from_u64(own_seed(&settings));
         let content = ControlState::load(&image);
+        let accepted_changes = AcceptedChanges::load(&image.control);
         let mut records = Records(image.records.into_iter().collect());
         if matches!(content, DiskContent::Damaged) {
-            log::error!("what is on disk cannot be read: it counts as emptied");
+            log::error!(
+                "disk content is damaged and counts as empty: node={}",
+                settings.node
+            );
             settings.bootstrap = false;
             records = Records::default();
         }
-        let mut core = CoreNode {
-            started: now.steady,
-            now,
-            factory,
-            effects: Effects::default(),
-            router: MessageRouter::new(node),
-            membership_state: MembershipState::default(),
-            register_view: RegisterView::default(),
-            accepted_changes: AcceptedChanges::load(&image.control),
-            changes_fetch: ChangesFetch::default(),
-            acceptor: Acceptor::default(),
-            proposer: Proposer::new(node, settings.incarnation, random.random()),
-            reader: Reader::new(random.random()),
-            operator: Operator::new(settings.bounds.ack_ms),
-            replica: Replica::new(node, now.steady, ReplicaState::default(), records),
-            elections: Elections::new(node, settings.incarnation, random.random()),
-            leadership: None,
-            former_term_resignation: None,
-            joiners: Joiners::default(),
-            leases: Leases::default(),
-            subscribers: Subscribers::default(),
-            delayed: VecDeque::new(),
-            learn_askers: Vec::new(),
-            newer_value_hint_at: None,
-            poll_at: now.steady,
-            unsettled_reads: 0,
-            membership_at: now.steady,
-            terminating: None,
-            random,
-            settings,
-        };
+        let mut core = CoreNode::with_parts(&settings, accepted_changes, records, factory, now);
         match content {
-            DiskContent::State(state) => core.restore(*state),
-            DiskContent::Empty | DiskContent::Damaged => core.begin_empty(now.steady),
+            DiskContent::State(state) => core.restore(&state),
+            DiskContent::Empty | DiskContent::Damaged => {
+                core.membership.start_empty(settings.tolerated_machines);
+            }
         }
-        core.settle_all(outbox);
+        core.run_until_idle(outbox);
         core
     }
 
-    /// Whether this process is in the member list.
-    pub(crate) fn takes_part(&self) -> bool {
-        self.register_view.list.contains(self.settings.node)
+    /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
+    pub fn changes_caught_up(&self) -> bool {
+        self.register.is_caught_up()
     }
 
-    fn restore(&mut self, state: ControlState) {
-        self.acceptor.restore(state.proposals, state.value);
-        self.proposer.note(state.proposals.promised);
-        self.elections.note(state.replica.promise.term);
-        let records = std::mem::take(&mut self.replica.records);
-        self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
-        self.register_view.adopt_list(state.members.into());
-        self.membership_state.ready = true;
-        self.begin_sending_bootstrap();
-        self.begin_resigning_former_term();
+    fn with_parts(
+        settings: &CoreSettings,
+        accepted_changes: AcceptedChanges,
+        records: Records,
+        factory: ServiceFactory,
+        now: Now,
+    ) -> CoreNode {
+        let node = settings.node;
+        let incarnation = settings.incarnation;
+        let started = now.steady;
+        let mut random = Pcg64Mcg::seed_from_u64(own_seed(settings));
+        let register = Register::new(RegisterStart {
+            node,
+            incarnation,
+            proposer_seed: random.random(),
+            reader_seed: random.random(),
+            accepted_changes,
+            now: started,
+        });
+        let terms = Terms::new(TermsStart {
+            node,
+            incarnation,
+            started,
+            records,
+            election_seed: random.random(),
+            factory,
+            random,
+        });
+        CoreNode {
+            node,
+            now,
+            register,
+            membership: Membership::new(settings, started),
+            terms,
+            reconfiguration: Reconfiguration::new(settings.tolerated_machines, started),
+            operator: OperatorRequests::new(settings.bounds.ack_ms),
+            pending: PendingRequests::default(),
+            leases: Leases::default(),
+            subscribers: Subscribers::default(),
+            termination: Termination::new(node, settings.bounds.grace_s),
+            effects: Effects::default(),
+            router: MessageRouter::new(node),
+        }
     }
 
-    fn begin_empty(&mut self, now: Time) {
-        let node = self.settings.node;
-        let founder = self
-            .settings
-            .seeds
-            .first()
-            .is_none_or(|first| *first == node);
-        if self.settings.bootstrap && founder {
-            self.membership_state.bootstrap = Some(BootstrapCandidates::new(
-                node,
-                self.settings.tolerated_machines,
-                now,
-            ));
-        }
+    fn restore(&mut self, state: &ControlState) {
+        self.register.restore(state);
+        self.membership.start_restored(&self.register);
+        self.terms.restore(state.replica);
     }
 
-    /// Runs everything that is due until nothing is left to say to itself.
-    fn settle_all(&mut self, outbox: &mut Outbox) {
+    /// Runs everything that is due until no message of this process to itself is left.
+    fn run_until_idle(&mut self, outbox: &mut Outbox) {
         loop {
             self.step();
             self.router
                 .flush(self.now.steady, &mut self.effects, outbox);
-            let mut heard = false;
+            let mut received = false;
             while let Some(message) = self.router.next_own() {
-                heard = true;
-                self.on_message(self.settings.node, message);
+                received = true;
+                self.on_message(self.node, message);
             }
-            if !heard {
+            if !received {
                 break;
             }
         }
         outbox.finished |= self.is_finished();
     }
+
+    /// SIGTERM was received.
+    fn terminate(&mut self) {
+        let now = self.now.steady;
+        let successor_waits = self.succession().has_joiner(now);
+        self.termination.request(now, successor_waits);
+        if !self.may_lead() {
+            self.step_down();
+        }
+    }
+
+    /// On what it depends whether this member may leave.
+    fn succession(&self) -> Succession<'_> {
+        Succession {
+            members: self.register.members(),
+            joiners: self.reconfiguration.joiners(),
+        }
+    }
+
+    fn may_lead(&self) -> bool {
+        self.termination
+            .may_lead(self.now.steady, self.succession())
+    }
+
+    fn is_finished(&self) -> bool {
+        let is_idle = self.operator.is_idle();
+        self.termination
+            .is_finished(self.now.steady, is_idle, self.succession())
+    }
+
+    /// Gives the term up and lets the others elect at once.
+    fn step_down(&mut self) {
+        let members = self.register.members();
+        self.terms
+            .step_down(self.now.steady, members, &mut self.effects);
+    }
 }
 
-/// Differs between processes and between their lives, also where they were given the same seed.
+/// Differs between processes and between their incarnations, also where they were given the same seed.
 fn own_seed(settings: &CoreSettings) -> u64 {
-    let place = (u64::from(settings.node.ip) << 16) | u64::from(settings.node.port);
+    let address = (u64::from(settings.node.ip) << 16) | u64::from(settings.node.port);
     settings
         .seed
         .wrapping_mul(SEED_FACTOR)
         .wrapping_add(settings.incarnation.rotate_left(17))
-        ^ place
+        ^ address
 }
 
 impl Node for CoreNode {
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         self.now = now;
-        self.drop_spent_lease();
+        self.terms.end_expired_term(now.steady);
         match event {
             Event::Message { from, message } => self.on_remote_message(from, message),
             Event::Http {
@@ -221,10 +223,10 @@
             Event::HttpAbandoned { id } => self.operator.abandoned(id),
             Event::Synced { token } => self.router.synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
-            Event::Seeds(seeds) => self.settings.seeds = seeds,
+            Event::Seeds(seeds) => self.membership.set_seeds(seeds),
             Event::Terminate => self.terminate(),
         }
-        self.settle_all(outbox);
+        self.run_until_idle(outbox);
     }
 
     fn next_wake(&self) -> Option<Time> {
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -1,35 +1,26 @@
-//! What each message among core processes and each request of HTTP does.
+//! Dispatch: which part handles each message among core processes and each HTTP request.
 
-use crate::change::{Job, Verdict};
-use crate::election::Elected;
+use super::CoreNode;
 use crate::http_api::{parse_request, ApiRequest};
-use crate::leadership::Leadership;
-use crate::node::{CoreNode, LearnAsker};
-use crate::proposer::Outcome;
-use crate::reader::ReadOutcome;
+use crate::register::RegisterProgress;
 use crate::replica::Condition;
 use sagetrail_protocol::control::{
-    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
-    RenewAck, VoteReply,
+    ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Refused, Renew,
+    VoteReply,
 };
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
-use sagetrail_protocol::{Message, NodeId, Time};
-
-/// So many processes wait to be told that a proposal number is learnt.
-const MAX_LEARN_ASKERS: usize = 64;
-/// After so many reads in a row whose answers differed, a round of the register settles its value.
-const MOST_UNSETTLED_READS: u32 = 2;
-/// After a read whose answers differed the next one comes so soon, in milliseconds.
-const REREAD_MS: u64 = 50;
+use sagetrail_protocol::{Message, NodeId};
 
 impl CoreNode {
-    /// A message, however it came.
-    pub(crate) fn on_message(&mut self, from: NodeId, message: Message) {
+    /// A message, by whatever route it came.
+    pub(super) fn on_message(&mut self, from: NodeId, message: Message) {
         let now = self.now.steady;
         match message {
             Message::Hello(hello) => self.on_hello(from, &hello),
             Message::Directory(directory) => self.on_directory(&directory),
-            Message::ClientRequest(_) | Message::RunnerReport(_) => self.serve(from, message),
+            Message::ClientRequest(_) | Message::RunnerReport(_) => {
+                self.on_scheduler_message(from, message);
+            }
             Message::Subscribe(subscribe) => self.subscribers.subscribe(now, from, &subscribe),
             Message::Control(control) => self.on_control(from, control),
             _ => {}
@@ -37,47 +28,103 @@
     }
 
     fn on_control(&mut self, from: NodeId, message: ControlMessage) {
+        self.membership.on_contact(from, self.register.members());
+        match message {
+            ControlMessage::MemberLeases(leases) => self.on_member_leases(from, &leases),
+            ControlMessage::DirectoryRequest => self.send_directory(from),
+            ControlMessage::Bootstrap(_)
+            | ControlMessage::StateSynced(_)
+            | ControlMessage::RecoverReply(_) => self.on_membership_message(from, message),
+            ControlMessage::Promise(_)
+            | ControlMessage::Accepted(_)
+            | ControlMessage::Refused(_)
+            | ControlMessage::ValueNeeded(_)
+            | ControlMessage::ReadReply(_)
+            | ControlMessage::Learn(_)
+            | ControlMessage::Learned(_)
+            | ControlMessage::ChangesRequest(_)
+            | ControlMessage::ChangesReply(_) => self.on_register_message(from, message),
+            ControlMessage::VoteReply(_)
+            | ControlMessage::RenewAck(_)
+            | ControlMessage::RecordsSynced(_) => self.on_term_reply(from, message),
+            request if self.membership.is_active() => self.on_request(from, request),
+            _ => {}
+        }
+    }
+
+    fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
+        if self.register.members().contains(from) && from != self.node {
+            self.leases.take(self.now.steady, from, leases);
+        }
+    }
+
+    fn on_membership_message(&mut self, from: NodeId, message: ControlMessage) {
+        let effects = &mut self.effects;
+        match message {
+            ControlMessage::Bootstrap(bootstrap) => self.membership.on_bootstrap(
+                from,
+                bootstrap,
+                &mut self.register,
+                &mut self.terms,
+                effects,
+            ),
+            ControlMessage::StateSynced(synced) => {
+                let update =
+                    self.membership
+                        .on_state_synced(from, &synced, &mut self.register, effects);
+                self.on_view_update(update);
+            }
+            ControlMessage::RecoverReply(reply) => {
+                self.membership.on_recover_reply(from, &reply, effects);
+            }
+            _ => {}
+        }
+    }
+
+    /// Messages to the proposer, the reader and the learner of the register.
+    fn on_register_message(&mut self, from: NodeId, message: ControlMessage) {
         let now = self.now.steady;
-        self.hear_core(from);
+        let effects = &mut self.effects;
         match message {
-            ControlMessage::Bootstrap(found) => self.on_bootstrap(from, found),
-            ControlMessage::StateSynced(settled) => self.on_settled(from, &settled),
-            ControlMessage::Promise(promised) => self.on_promised(from, promised),
+            ControlMessage::Promise(promise) => self.on_promise(from, promise),
             ControlMessage::Accepted(accepted) => {
-                let outcome = self.proposer.accepted(from, &accepted);
-                self.on_outcome(outcome);
+                let progress = self.register.on_accepted(now, from, &accepted, effects);
+                self.on_register_progress(progress);
             }
-            ControlMessage::Refused(refused) => self.on_refused(&refused),
+            ControlMessage::Refused(refused) => self.on_rejected(&refused),
             ControlMessage::ValueNeeded(needed) => {
-                self.proposer.value_needed(from, &needed, &mut self.effects);
+                self.register.on_value_needed(from, &needed, effects);
             }
             ControlMessage::ReadReply(reply) => {
-                if let Some(found) = self.reader.reply(from, reply) {
-                    self.on_read(found);
-                }
+                let update = self.register.on_read_reply(now, from, reply, effects);
+                self.on_view_update(update);
+            }
+            ControlMessage::Learn(learn) => {
+                let update = self.register.on_learn(now, from, learn.proposal, effects);
+                self.on_view_update(update);
             }
-            ControlMessage::Learn(learn) => self.on_learn(from, learn.proposal),
             ControlMessage::Learned(learned) => self.on_learned(from, &learned),
-            ControlMessage::RecoverReply(reply) => {
-                if let Some(recovery) = &mut self.membership_state.recovery {
-                    recovery.reply(from, &reply, &mut self.effects);
-                }
+            ControlMessage::ChangesRequest(request) => {
+                self.register.on_changes_request(from, &request, effects);
             }
+            ControlMessage::ChangesReply(reply) => self.register.on_changes_reply(from, &reply),
+            _ => {}
+        }
+    }
+
+    /// Replies to this process as a candidate or a leader.
+    fn on_term_reply(&mut self, from: NodeId, message: ControlMessage) {
+        let now = self.now.steady;
+        let members = self.register.members();
+        match message {
             ControlMessage::VoteReply(reply) => self.on_vote_reply(from, &reply),
-            ControlMessage::RenewAck(ack) => self.on_renew_ack(from, &ack),
-            ControlMessage::RecordsSynced(stored) => {
-                if from == self.settings.node {
-                    self.replica.stored(stored.position);
-                }
-                if let Some(leadership) = &mut self.leadership {
-                    leadership.stored(now, from, stored.position, &self.register_view.list);
-                }
+            ControlMessage::RenewAck(ack) => {
+                self.terms
+                    .on_renew_ack(now, from, &ack, members, &mut self.effects);
+            }
+            ControlMessage::RecordsSynced(synced) => {
+                self.terms.on_records_synced(now, from, &synced, members);
             }
-            ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
-            ControlMessage::ChangesReply(reply) => self.on_changes_reply(from, &reply),
-            ControlMessage::MemberLeases(leases) => self.on_member_leases(from, &leases),
-            ControlMessage::DirectoryRequest => self.send_directory(from),
-            message if self.membership_state.ready => self.on_request(from, message),
             _ => {}
         }
     }
@@ -87,217 +134,123 @@
         let now = self.now.steady;
         let effects = &mut self.effects;
         match message {
-            ControlMessage::Prepare(prepare) => {
-                self.proposer.note(prepare.proposal);
-                self.acceptor.prepare(from, &prepare, effects);
-            }
-            ControlMessage::Accept(accept) => {
-                self.acceptor
-                    .accept(self.settings.node, from, accept, effects)
-            }
+            ControlMessage::Prepare(prepare) => self.register.on_prepare(from, &prepare, effects),
+            ControlMessage::Accept(accept) => self.register.on_accept(from, accept, effects),
             ControlMessage::AcceptChange(accept) => {
-                self.acceptor
-                    .accept_change(self.settings.node, from, &accept, effects);
+                self.register.on_accept_change(from, &accept, effects);
             }
-            ControlMessage::Read(read) => self.acceptor.read(from, &read, effects),
+            ControlMessage::Read(read) => self.register.on_read(from, &read, effects),
             ControlMessage::Recover(recover) => self.on_recover(from, &recover),
             ControlMessage::VoteRequest(request) => {
-                let members_version = self.acceptor.members_version;
-                self.replica
-                    .vote(now, from, &request, members_version, effects);
+                let members_version = self.register.acceptor().members_version;
+                self.terms
+                    .on_vote_request(now, from, &request, members_version, effects);
             }
-            ControlMessage::Renew(renew) => {
-                let condition = self.condition(&renew);
-                self.replica
-                    .renew(now, from, &renew, condition, &mut self.effects);
-                self.on_newer_value_hint(renew.learned);
+            ControlMessage::Renew(renew) => self.on_renew(from, &renew),
+            ControlMessage::Resign(resign) => self.terms.on_resign(now, from, &resign),
+            ControlMessage::RecordBatch(batch) => self.terms.on_batch(from, batch, effects),
+            ControlMessage::FetchSnapshot(fetch) => {
+                self.terms.on_fetch(now, from, &fetch, effects);
             }
-            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.term) => {
-                self.elections.hasten();
+            ControlMessage::SnapshotChunk(chunk) => {
+                self.terms.on_chunk(now, from, chunk, effects);
             }
-            ControlMessage::RecordBatch(batch) => self.replica.batch(from, batch, effects),
-            ControlMessage::FetchSnapshot(fetch) => self.replica.fetch(now, from, &fetch, effects),
-            ControlMessage::SnapshotChunk(chunk) => self.replica.chunk(now, from, chunk, effects),
             _ => {}
         }
     }
 
-    /// What this process says of itself to the leader of the term.
-    fn condition(&self, renew: &Renew) -> Condition {
-        let caught_up = self.register_view.proposal() >= renew.learned && self.changes_caught_up();
-        Condition {
-            leaving: self.terminating.is_some(),
-            caught_up,
-        }
-    }
-
-    fn on_promised(&mut self, from: NodeId, promised: Promise) {
-        if let Some(recovery) = &mut self.membership_state.recovery {
-            if let Some(recovered) = recovery.promised(from, promised) {
-                self.on_recovered(recovered);
-            }
-            return;
-        }
+    fn on_renew(&mut self, from: NodeId, renew: &Renew) {
         let now = self.now.steady;
-        let changes = &self.accepted_changes;
-        let outcome = self
-            .proposer
-            .promised(now, from, promised, changes, &mut self.effects);
-        self.on_outcome(outcome);
-    }
-
-    fn on_refused(&mut self, refused: &Refused) {
-        if let Some(recovery) = &mut self.membership_state.recovery {
-            recovery.refused(refused);
-        }
-        self.proposer.refused(self.now.steady, refused);
-    }
-
-    fn on_outcome(&mut self, outcome: Option<Outcome>) {
-        let Some(outcome) = outcome else { return };
-        let proposal = outcome.chosen.proposal;
-        // Who is a member no more is told as well.
-        let mut listeners = self.register_view.list.all();
-        self.learn(outcome.chosen);
-        self.freshen(outcome.as_of);
-        if outcome.verdict == Verdict::Taken {
-            listeners.extend(self.register_view.list.all());
-            let learn = ControlMessage::Learn(Learn { proposal });
-            self.effects.broadcast(listeners, &learn);
-        }
-        if let Job::Order { number, .. } = outcome.job {
-            let now = self.now.steady;
-            let leader = self.replica.live_leader(now);
-            let wait = leader.is_some_and(|leader| leader != self.settings.node);
-            self.operator.outcome(
-                now,
-                number,
-                &outcome.verdict,
-                proposal,
-                wait,
-                &mut self.effects,
-            );
-        }
+        let condition = self.condition(renew);
+        let effects = &mut self.effects;
+        self.terms.on_renew(now, from, renew, condition, effects);
+        let update = self.register.newer_value_hint(now, renew.learned, effects);
+        self.on_view_update(update);
     }
 
-    /// A read is done.
-    pub(crate) fn on_read(&mut self, found: ReadOutcome) {
-        match found {
-            ReadOutcome::Chosen { chosen, as_of } => {
-                self.learn(chosen);
-                self.freshen(as_of);
-                self.unsettled_reads = 0;
-            }
-            ReadOutcome::Unsettled => self.on_unsettled_read(),
+    /// What this process reports of itself to the leader of the term.
+    fn condition(&self, renew: &Renew) -> Condition {
+        let knows_newest = self.register.view().proposal() >= renew.learned;
+        Condition {
+            leaving: self.termination.is_requested(),
+            caught_up: knows_newest && self.register.is_caught_up(),
         }
     }
 
-    /// Mostly a change is under way, and the next read finds it chosen. A round would compete with it.
-    fn on_unsettled_read(&mut self) {
-        self.unsettled_reads += 1;
-        if self.unsettled_reads < MOST_UNSETTLED_READS {
-            self.poll_at = self.now.steady.plus_millis(REREAD_MS);
-            return;
+    /// While this process recovers it has no rounds of its own.
+    fn on_promise(&mut self, from: NodeId, promise: Promise) {
+        let effects = &mut self.effects;
+        if self.membership.is_recovering() {
+            let (register, terms) = (&mut self.register, &mut self.terms);
+            return self
+                .membership
+                .on_promise(from, promise, register, terms, effects);
         }
-        self.unsettled_reads = 0;
-        self.proposer.push(Job::Refresh);
+        let now = self.now.steady;
+        let progress = self.register.on_promise(now, from, promise, effects);
+        self.on_register_progress(progress);
     }
 
-    fn on_learn(&mut self, from: NodeId, proposal: ProposalNumber) {
-        self.on_newer_value_hint(proposal);
-        let known = self.register_view.proposal();
-        if known >= proposal {
-            return self
-                .effects
-                .control(from, ControlMessage::Learned(Learned { proposal: known }));
-        }
-        if self.learn_askers.len() < MAX_LEARN_ASKERS {
-            self.learn_askers.push(LearnAsker {
-                node: from,
-                proposal,
-            });
-        }
+    fn on_rejected(&mut self, refused: &Refused) {
+        self.membership.on_rejected(refused);
+        self.register.on_rejected(self.now.steady, refused);
     }
 
-    /// Somebody says that the value of this proposal number is chosen.
-    fn on_newer_value_hint(&mut self, proposal: ProposalNumber) {
-        if proposal <= self.register_view.proposal() {
+    fn on_register_progress(&mut self, progress: RegisterProgress) {
+        self.on_view_update(progress.update);
+        let Some(completed) = progress.completed else {
             return;
-        }
-        if self.acceptor.proposals.accepted == proposal {
-            if let Some(chosen) = self.own_value() {
-                return self.learn(chosen);
-            }
-        }
-        if proposal > self.register_view.hinted {
-            self.register_view.hinted = proposal;
-            self.newer_value_hint_at = Some(self.now.steady);
-        }
+        };
+        let now = self.now.steady;
+        let leader = self.terms.live_leader(now);
+        let awaits_leader = leader.is_some_and(|leader| leader != self.node);
+        self.operator
+            .change_completed(now, &completed, awaits_leader, &mut self.effects);
     }
 
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
-        let leader: Option<NodeId> = self.replica.live_leader(self.now.steady);
+        let leader = self.terms.live_leader(self.now.steady);
         if leader.is_none_or(|leader| leader == from) {
             self.operator
                 .leader_learned(learned.proposal, &mut self.effects);
         }
     }
 
+    /// A member recovers. The reply waits until everything that was promised before is on disk.
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
-        let promised = self.acceptor.proposals.promised;
-        let term = self.replica.state.promise.term;
-        let reply = RecoverReply {
+        let reply = ControlMessage::RecoverReply(RecoverReply {
             nonce: recover.nonce,
-            promised,
-            term,
-        };
-        let reply = ControlMessage::RecoverReply(reply);
+            promised: self.register.acceptor().proposals.promised,
+            term: self.terms.replica_state().promise.term,
+        });
         self.effects.write(Vec::new(), vec![(from, reply)]);
     }
 
     fn on_vote_reply(&mut self, from: NodeId, reply: &VoteReply) {
-        let now: Time = self.now.steady;
-        if reply.members_version > self.register_view.list.version {
-            self.newer_value_hint_at = self.newer_value_hint_at.or(Some(now));
-        }
-        let list = &self.register_view.list;
-        let elected: Option<Elected> =
-            self.elections
-                .reply(now, from, reply, list, &mut self.effects);
-        if let Some(elected) = elected.filter(|_| self.may_lead()) {
-            self.leadership = Some(Leadership::new(self.settings.node, now, elected, list));
-        }
-    }
-
-    fn on_renew_ack(&mut self, from: NodeId, ack: &RenewAck) {
         let now = self.now.steady;
-        self.elections.note(ack.promised);
-        if from == self.settings.node {
-            self.replica.leader_synced(ack.term);
-        }
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        if !leadership.renew_ack(now, from, ack, &self.register_view.list) {
-            self.step_down();
-        }
+        self.register
+            .members_version_reported(now, reply.members_version);
+        let may_lead = self.may_lead();
+        let members = self.register.members();
+        self.terms
+            .on_vote_reply(now, from, reply, may_lead, members, &mut self.effects);
     }
 
-    /// A request of HTTP.
-    pub(crate) fn on_http(
+    /// An HTTP request.
+    pub(super) fn on_http(
         &mut self,
         id: HttpRequestId,
         endpoint: HttpEndpoint,
         request: HttpRequest,
     ) {
         let now = self.now.steady;
-        let founded = self.register_view.list.version > 0;
-        match parse_request(endpoint, request, founded) {
-            ApiRequest::Status(status) => self.effects.status(id, status),
-            ApiRequest::ReadBack => self.operator.read_back(now, id, &mut self.effects),
+        let effects = &mut self.effects;
+        match parse_request(endpoint, request, self.register.has_members()) {
+            ApiRequest::Status(status) => effects.status(id, status),
+            ApiRequest::Read => self.operator.read(now, id, effects),
             ApiRequest::Change(change) => {
                 self.operator
-                    .order(now, id, change, &mut self.proposer, &mut self.effects)
+                    .change(now, id, change, &mut self.register, effects);
             }
         }
     }
--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -1,18 +1,16 @@
-//! Between this process and those outside the core: who is who, relayed messages, what goes to the service.
+//! Processes outside the core: directory, relayed messages, requests to the scheduler.
 
-use crate::node::{CoreNode, Delayed};
+use super::CoreNode;
 use crate::quorum::MemberList;
+use crate::terms::KnownLeader;
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello};
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{frame, List, Message, NodeId, NodeKind};
 
-/// So many messages wait for fresh knowledge.
-const MAX_DELAYED: usize = 256;
-
 impl CoreNode {
     /// A message from another process.
-    pub(crate) fn on_remote_message(&mut self, from: NodeId, message: Message) {
+    pub(super) fn on_remote_message(&mut self, from: NodeId, message: Message) {
         match message {
             Message::Relayed(relayed) => self.on_relayed(from, relayed),
             message => {
@@ -23,7 +21,7 @@
     }
 
     fn on_relayed(&mut self, forwarder: NodeId, relayed: Relayed) {
-        if relayed.to != self.settings.node {
+        if relayed.to != self.node {
             self.effects
                 .sends
                 .push((relayed.to, Message::Relayed(relayed)));
@@ -39,133 +37,85 @@
         }
     }
 
-    /// A process renews its lease of membership and is told who is who.
-    pub(crate) fn on_hello(&mut self, from: NodeId, hello: &Hello) {
+    /// A process renews its lease of membership and is sent the directory.
+    pub(super) fn on_hello(&mut self, from: NodeId, hello: &Hello) {
         let now = self.now.steady;
         if hello.kind == NodeKind::Core {
-            self.hear_core(from);
-            if let Some(bootstrap) = &mut self.membership_state.bootstrap {
-                bootstrap.hear(now, from);
-            }
-            if !self.register_view.list.contains(from) {
-                self.joiners.hear(now, from, hello.incarnation);
-            }
-            if self.replica.lease_holder_restarted(now, from) {
-                self.elections.hasten();
-            }
+            let members = self.register.members();
+            self.membership.on_hello(now, from, members);
+            self.reconfiguration
+                .on_hello(now, from, hello.incarnation, members);
+            self.terms.on_hello(now, from);
         } else {
             self.leases.hear(now, from, hello.kind);
         }
         self.send_directory(from);
     }
 
-    /// Tells who is who.
-    pub(crate) fn send_directory(&mut self, to: NodeId) {
+    /// Sends the directory: members, leader, relays.
+    pub(super) fn send_directory(&mut self, to: NodeId) {
         let now = self.now.steady;
-        let (term, leader) = self.known_leader();
+        let KnownLeader { term, leader } = self.terms.known_leader();
+        let view = self.register.view();
+        let relays = self.leases.relays(now, view.list.members.len());
         let directory = Directory {
-            members_version: self.register_view.list.version,
-            members: List(self.register_view.list.members.clone()),
-            next_members: List(self.register_view.list.next_members.clone()),
+            members_version: view.list.version,
+            members: List(view.list.members.clone()),
+            next_members: List(view.list.next_members.clone()),
             term,
             leader,
-            config_version: self.register_view.config_version(),
-            relays: List(
-                self.leases
-                    .relays(now, self.register_view.list.members.len()),
-            ),
+            config_version: view.config_version(),
+            relays: List(relays),
         };
         self.effects.sends.push((to, Message::Directory(directory)));
     }
 
-    /// Another core process told who is who.
-    pub(crate) fn on_directory(&mut self, directory: &Directory) {
-        let newer = self.register_view.adopt_list(MemberList {
+    /// Another core process sent its directory.
+    pub(super) fn on_directory(&mut self, directory: &Directory) {
+        let list = MemberList {
             version: directory.members_version,
             members: directory.members.0.clone(),
             next_members: directory.next_members.0.clone(),
-        });
-        if newer && self.register_view.chosen.is_some() {
-            self.newer_value_hint_at = Some(self.now.steady);
-        }
-    }
-
-    /// The newest term known, and who schedules in it. This process names itself only under its lease: its replica
-    /// goes on following the term after the lease is over.
-    fn known_leader(&self) -> (u64, NodeId) {
-        if let Some(leadership) = &self.leadership {
-            let leader = if leadership.service.is_some() {
-                self.settings.node
-            } else {
-                NodeId::default()
-            };
-            return (leadership.term, leader);
-        }
-        let (term, leader) = self.replica.promised_term();
-        (
-            term,
-            if leader == self.settings.node {
-                NodeId::default()
-            } else {
-                leader
-            },
-        )
+        };
+        self.register.members_reported(self.now.steady, list);
     }
 
-    /// Hands a message to the service, at once or once the register was read again.
-    pub(crate) fn serve(&mut self, from: NodeId, message: Message) {
-        let serving = self
-            .leadership
-            .as_ref()
-            .is_some_and(|leadership| leadership.service.is_some());
-        if !serving || !self.knows_less(&message) {
-            return self.deliver(from, message);
-        }
-        if self.delayed.len() < MAX_DELAYED {
-            let arrived = self.now.steady;
-            self.delayed.push_back(Delayed {
-                from,
-                message,
-                arrived,
-            });
+    /// Hands a message to the scheduler, at once or once the register was read again.
+    pub(super) fn on_scheduler_message(&mut self, from: NodeId, message: Message) {
+        if self.terms.is_serving() && self.names_newer_config(&message) {
+            return self.pending.push(self.now.steady, from, message);
         }
+        self.deliver(from, message);
     }
 
-    /// Whether the sender has seen a newer configuration.
-    fn knows_less(&self, message: &Message) -> bool {
+    /// Whether the sender has seen a newer configuration than this process.
+    fn names_newer_config(&self, message: &Message) -> bool {
         match message {
             Message::ClientRequest(request) => {
-                request.config_version > self.register_view.config_version()
+                request.config_version > self.register.view().config_version()
             }
             _ => false,
         }
     }
 
-    /// Hands a message to the service, or says that it is not here.
-    pub(crate) fn deliver(&mut self, from: NodeId, message: Message) {
-        match self
-            .leadership
-            .as_mut()
-            .and_then(|leadership| leadership.service.as_mut())
-        {
-            Some(service) => service.message(self.now, from, message),
-            None => self.not_leader(from, &message),
+    /// Hands a message to the scheduler, or replies where it runs.
+    pub(super) fn deliver(&mut self, from: NodeId, message: Message) {
+        if let Err(message) = self.terms.deliver(self.now, from, message) {
+            self.send_not_leader(from, &message);
         }
     }
 
-    fn not_leader(&mut self, from: NodeId, message: &Message) {
+    fn send_not_leader(&mut self, to: NodeId, message: &Message) {
         let request = match message {
             Message::ClientRequest(request) => request.request,
             _ => 0,
         };
-        let (term, leader) = self.known_leader();
-        self.effects.sends.push((
-            from,
-            Message::NotLeader(NotLeader {
-                request,
-                term,
-                leader,
-            }),
-        ));
+        let KnownLeader { term, leader } = self.terms.known_leader();
+        let reply = NotLeader {
+            request,
+            term,
+            leader,
+        };
+        self.effects.sends.push((to, Message::NotLeader(reply)));
     }
 }
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -1,338 +1,146 @@
-//! What is due by time, and the term's own work.
+//! What is due by time, in the order in which the parts run.
 
-use crate::change::Job;
-use crate::node::CoreNode;
-use crate::register_view::Chosen;
-use crate::timing::{DELAYED_MS, POLL_MS};
-use rand::Rng;
-use sagetrail_protocol::control::{ControlMessage, Learned};
-use sagetrail_protocol::service::Restored;
+use super::CoreNode;
+use crate::persisted::{put_members, StoredMembers};
+use crate::register::{RegisterDemand, ViewUpdate};
+use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::Time;
-use std::sync::Arc;
 
 impl CoreNode {
     /// Everything that is due.
-    pub(crate) fn step(&mut self) {
+    pub(super) fn step(&mut self) {
         let now = self.now.steady;
-        self.step_membership_state(now);
+        self.membership.step(
+            now,
+            self.termination.is_requested(),
+            &mut self.register,
+            &mut self.terms,
+            &mut self.effects,
+        );
         self.step_register(now);
-        self.step_changes(now);
-        self.replica.tick(now, &mut self.effects);
-        self.resign_former_term(now);
-        self.step_elections(now);
-        self.step_base(now);
-        self.step_leadership();
-        self.step_membership(now);
-        self.step_leases(now);
+        self.register.fetch_changes(now, &mut self.effects);
+        if self.membership.is_active() {
+            // A process that never took part keeps nothing on disk.
+            self.register.write_changes(&mut self.effects);
+        }
+        let may_stand = self.may_stand();
+        let view = self.register.view();
+        self.terms
+            .step(self.now, may_stand, view, &mut self.effects);
+        self.reconfiguration
+            .step(now, &mut self.terms, &mut self.register);
+        self.share_leases(now);
         self.subscribers
-            .serve(now, &self.register_view, &mut self.effects);
-        self.step_delayed(now);
+            .serve(now, self.register.view(), &mut self.effects);
+        self.deliver_pending(now);
         self.step_termination(now);
     }
 
     /// When something is due next.
-    pub(crate) fn earliest_wake(&self) -> Option<Time> {
-        let proposer = if self.may_propose() {
-            self.proposer.next_wake()
-        } else {
-            None
-        };
-        let reads = if self.register_view.list.version == 0 {
-            None
-        } else {
-            self.reads_wake()
-        };
-        let elections = self
-            .may_stand()
-            .then(|| self.elections.next_wake(self.replica.lease_until));
-        let leadership = self
-            .leadership
-            .as_ref()
-            .map(|leadership| leadership.next_wake());
-        let service = self
-            .leadership
-            .as_ref()
-            .and_then(|leadership| leadership.service.as_ref()?.next_wake());
-        let membership = self.watches_membership().then_some(self.membership_at);
-        let delayed = self
-            .delayed
-            .front()
-            .map(|delayed| delayed.arrived.plus_millis(DELAYED_MS));
+    pub(super) fn earliest_wake(&self) -> Option<Time> {
+        let now = self.now.steady;
+        let terminating = self.termination.is_requested();
+        let is_idle = self.operator.is_idle();
         let wakes = [
-            self.membership_state_wake(),
-            proposer,
-            reads,
-            self.operator.next_wake(&self.proposer),
-            self.changes_wake(),
-            self.replica.next_wake(),
-            elections,
-            self.former_term_resignation_wake(),
-            leadership,
-            service,
-            membership,
+            self.membership.next_wake(terminating, &self.register),
+            self.register.next_wake(self.may_propose()),
+            self.register.changes_wake(),
+            self.operator.next_wake(&self.register),
+            self.terms.next_wake(self.may_stand()),
+            self.reconfiguration.next_wake(&self.terms, &self.register),
             self.leases.next_wake(),
-            delayed,
-            self.termination_wake(),
+            self.pending.next_wake(),
+            self.termination.next_wake(now, is_idle, self.succession()),
         ];
         wakes.into_iter().flatten().min()
     }
 
-    /// A term whose lease is over ends before anything else is done.
-    pub(crate) fn drop_spent_lease(&mut self) {
-        let now = self.now.steady;
-        if self
-            .leadership
-            .as_ref()
-            .is_some_and(|leadership| now >= leadership.lease_until)
-        {
-            self.leadership = None;
-            self.elections.stand_back(now);
-        }
-    }
-
-    /// Gives the term up and lets the others elect at once.
-    pub(crate) fn step_down(&mut self) {
-        if let Some(leadership) = self.leadership.take() {
-            leadership.resign(&self.register_view.list, &mut self.effects);
-            self.elections.stand_back(self.now.steady);
-        }
-    }
-
+    /// Whether this process may run rounds of the register: it knows what it promised, or it is no acceptor.
     fn may_propose(&self) -> bool {
-        self.membership_state.ready || (self.register_view.list.version > 0 && !self.takes_part())
+        let is_outsider = self.register.has_members() && !self.is_member();
+        self.membership.is_active() || is_outsider
     }
 
+    /// Whether this process may become a candidate, as far as its membership goes.
     fn may_stand(&self) -> bool {
-        let able = self.membership_state.ready && self.takes_part() && self.replica.state.complete;
-        able && self.leadership.is_none() && self.may_lead()
+        self.membership.is_active() && self.is_member() && self.may_lead()
     }
 
-    fn step_register(&mut self, now: Time) {
-        if self.may_propose() {
-            self.proposer
-                .tick(now, &self.register_view, &mut self.effects);
-        }
-        if let Some(found) = self.reader.tick(now, &mut self.effects) {
-            self.on_read(found);
-        }
-        if self.wants_read(now) {
-            self.read_register(now);
-        }
-        self.operator.tick(
-            now,
-            &self.register_view,
-            &mut self.proposer,
-            &mut self.effects,
-        );
+    /// Whether this process is in the member list.
+    fn is_member(&self) -> bool {
+        self.register.members().contains(self.node)
     }
 
-    /// Reads the register. Where this process has accepted a newer member list, the members of the list that it knows
-    /// may have gone, so a round of the newer list's members settles whether that one is chosen.
-    fn read_register(&mut self, now: Time) {
-        let newer =
-            self.acceptor.members_version > self.register_view.list.version && self.may_propose();
-        match newer.then(|| self.own_value()).flatten() {
-            Some(own) => {
-                self.proposer.note_list(own.value.member_list());
-                self.proposer.push(Job::Refresh);
-            }
-            None => self
-                .reader
-                .start(now, &self.register_view, &mut self.effects),
-        }
+    fn step_register(&mut self, now: Time) {
+        let demand = RegisterDemand {
+            may_propose: self.may_propose(),
+            fresh_as_of: self.required_freshness(),
+        };
+        let update = self.register.step(now, demand, &mut self.effects);
+        self.on_view_update(update);
+        self.operator
+            .tick(now, &mut self.register, &mut self.effects);
+    }
+
+    /// The moment as of which a part of this process needs to know the register.
+    fn required_freshness(&self) -> Option<Time> {
+        let required = [
+            self.terms.fresh_as_of(),
+            self.pending.fresh_as_of(),
+            self.operator.fresh_as_of(),
+        ];
+        required.into_iter().flatten().max()
     }
 
-    fn wants_read(&self, now: Time) -> bool {
-        let settling = self.proposer.any(|job| *job == Job::Refresh);
-        if self.register_view.list.version == 0 || settling || !self.reader.is_idle() {
-            return false;
+    /// Passes on what a newly learned value changed.
+    pub(super) fn on_view_update(&mut self, update: Option<ViewUpdate>) {
+        let Some(update) = update else { return };
+        if update.members {
+            self.on_members_changed();
         }
-        let wanted = self.wanted_freshness();
-        now >= self.poll_at || wanted.is_some_and(|moment| !self.register_view.is_fresh(moment))
-    }
-
-    /// The moment as of which somebody here needs to know the register.
-    fn wanted_freshness(&self) -> Option<Time> {
-        let starting = self
-            .leadership
-            .as_ref()
-            .filter(|leadership| leadership.service.is_none())
-            .map(|leadership| leadership.elected_at);
-        let delayed = self.delayed.back().map(|delayed| delayed.arrived);
-        [
-            starting,
-            delayed,
-            self.newer_value_hint_at,
-            self.operator.wants_fresh(),
-        ]
-        .into_iter()
-        .flatten()
-        .max()
-    }
-
-    fn reads_wake(&self) -> Option<Time> {
-        let settling = self.proposer.any(|job| *job == Job::Refresh);
-        self.reader
-            .next_wake()
-            .or((!settling).then_some(self.poll_at))
-    }
-
-    /// Everything chosen before `moment` is known now.
-    pub(crate) fn freshen(&mut self, moment: Time) {
-        self.register_view.freshen(moment);
-        self.poll_at = self.now.steady.plus_millis(POLL_MS);
-        if self
-            .newer_value_hint_at
-            .is_some_and(|hint_at| self.register_view.is_fresh(hint_at))
-        {
-            self.newer_value_hint_at = None;
+        if update.config {
+            if let Some(config) = self.register.view().config().cloned() {
+                self.terms.config_changed(self.now, config);
+            }
         }
     }
 
-    /// Takes a chosen value and passes it on.
-    pub(crate) fn learn(&mut self, chosen: Chosen) {
-        let version = self.register_view.config_version();
-        let list_version = self.register_view.list.version;
-        let value = chosen.value.clone();
-        if !self.register_view.learn(chosen.proposal, chosen.value) {
-            return;
-        }
-        if self.register_view.list.version > list_version {
-            log::info!("{}", self.register_view.list);
-            self.joiners.forget_members(&self.register_view.list);
-        }
-        self.accepted_changes.insert_all(&value.recent);
-        if self.register_view.list.version > list_version && self.membership_state.ready {
-            let mut effects = std::mem::take(&mut self.effects);
-            self.store_members(&mut effects);
-            self.effects = effects;
+    fn on_members_changed(&mut self) {
+        let members = self.register.members();
+        self.reconfiguration.members_changed(members);
+        if self.membership.is_active() {
+            let operation = put_members(&StoredMembers::from(members));
+            self.effects.write(vec![operation], Vec::new());
         }
-        if self.register_view.config_version() > version {
-            self.put_config_in_force();
-        }
-        self.answer_learn_askers();
     }
 
-    fn put_config_in_force(&mut self) {
-        let Some(config) = self.register_view.config().cloned() else {
+    /// Reports to the other members of the core which leases this process holds.
+    fn share_leases(&mut self, now: Time) {
+        let Some(leases) = self.leases.share(now) else {
             return;
         };
-        if let Some(service) = self
-            .leadership
-            .as_mut()
-            .and_then(|leadership| leadership.service.as_mut())
-        {
-            service.config(self.now, config);
-        }
-    }
-
-    fn answer_learn_askers(&mut self) {
-        let known = self.register_view.proposal();
-        let (answered, waiting) = std::mem::take(&mut self.learn_askers)
-            .into_iter()
-            .partition(|asker| asker.proposal <= known);
-        self.learn_askers = waiting;
-        for asker in answered as Vec<crate::node::LearnAsker> {
-            self.effects.control(
-                asker.node,
-                ControlMessage::Learned(Learned { proposal: known }),
-            );
-        }
+        let mut others = self.register.members().all();
+        others.remove(&self.node);
+        let message = ControlMessage::MemberLeases(leases);
+        self.effects.broadcast(others, &message);
     }
 
-    fn step_elections(&mut self, now: Time) {
-        if self.may_stand() {
-            let lease_until = self.replica.lease_until;
-            self.elections.tick(
-                now,
-                lease_until,
-                &self.register_view.list,
-                &mut self.effects,
-            );
+    fn deliver_pending(&mut self, now: Time) {
+        while let Some(request) = self.pending.next_ready(now, self.register.view()) {
+            self.deliver(request.from, request.message);
         }
     }
 
-    fn step_leadership(&mut self) {
-        let now = self.now.steady;
-        let holds_base = self.holds_base();
-        let Some(leadership) = &mut self.leadership else {
+    /// Answers what is left, and gives the term up at the end.
+    fn step_termination(&mut self, now: Time) {
+        if !self.termination.is_requested() {
             return;
-        };
-        if holds_base {
-            leadership.holds_base(now);
         }
-        leadership.renew(
-            now,
-            &self.register_view.list,
-            self.register_view.proposal(),
-            &mut self.effects,
-        );
-        let advanced = leadership.advance(&self.register_view.list);
-        if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
-            service.committed(self.now, number);
+        if self.termination.is_closing(now) {
+            self.operator.close(&mut self.register, &mut self.effects);
         }
-        self.start_service(holds_base);
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        leadership.wake_service(self.now);
-        leadership.pump(now, &self.register_view.list, &mut self.effects);
-        if let Some(service) = &mut leadership.service {
-            self.effects.sends.extend(service.take_sends());
+        if !self.may_lead() {
+            self.step_down();
         }
     }
-
-    fn start_service(&mut self, holds_base: bool) {
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let fresh = self.register_view.is_fresh(leadership.elected_at);
-        if leadership.service.is_some() || !holds_base || !leadership.base_is_committed() || !fresh
-        {
-            return;
-        }
-        let records = self
-            .replica
-            .records
-            .0
-            .iter()
-            .map(|(key, value)| (key.clone(), value.clone()));
-        let restored = Restored {
-            term: leadership.term,
-            node: self.settings.node,
-            records: records.collect(),
-            config: self.register_view.config().cloned(),
-            seed: self.random.random(),
-        };
-        log::info!(
-            "term {}: scheduler starts with {} records",
-            leadership.term,
-            restored.records.len()
-        );
-        leadership.service = Some((self.factory)(self.now, restored));
-    }
-
-    fn step_delayed(&mut self, now: Time) {
-        while let Some(front) = self.delayed.front() {
-            let fresh = self.register_view.is_fresh(front.arrived);
-            if !fresh && now < front.arrived.plus_millis(DELAYED_MS) {
-                return;
-            }
-            let Some(delayed) = self.delayed.pop_front() else {
-                return;
-            };
-            if fresh {
-                self.deliver(delayed.from, delayed.message);
-            }
-        }
-    }
-
-    /// The accepted value of this process as a chosen one.
-    pub(crate) fn own_value(&self) -> Option<Chosen> {
-        let value = crate::value::RegisterValue::decode(&self.acceptor.value).ok()?;
-        Some(Chosen {
-            proposal: self.acceptor.proposals.accepted,
-            value: Arc::new(value),
-        })
-    }
 }
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,247 +1,244 @@
-//! The operator's orders and read-backs under way at this process.
+//! The operator's configuration changes and configuration reads that are in flight at this process.
 
 use crate::change::{Change, Job, Verdict};
 use crate::effects::Effects;
-use crate::proposer::Proposer;
+use crate::http_api::{BAD_REQUEST, OK, OUTCOME_UNKNOWN, PRECONDITION_FAILED, SERVICE_UNAVAILABLE};
+use crate::register::{CompletedChange, Register};
 use crate::register_view::RegisterView;
 use crate::timing::{LEARN_WAIT_MS, ORDER_MARGIN_MS, UNTOUCHED_MS};
+use sagetrail_cluster_config::ConfigError;
 use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{HttpReply, HttpRequestId};
 use sagetrail_protocol::Time;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const OK: u16 = 200;
-const BAD_REQUEST: u16 = 400;
-const PRECONDITION_FAILED: u16 = 412;
-const UNAVAILABLE: u16 = 503;
-const UNKNOWN: u16 = 504;
-/// So many orders and read-backs wait at once.
-const MAX_WAITING: usize = 64;
+/// The most configuration changes in flight, and the most configuration reads.
+const MAX_IN_FLIGHT: usize = 64;
 
+/// A change that is in the register; the scheduler has not confirmed it yet.
+#[derive(Clone, Copy, Debug)]
+struct AwaitedConfirmation {
+    proposal: ProposalNumber,
+    /// The operator is answered by then, also without a confirmation.
+    until: Time,
+}
+
+/// A configuration change in flight.
 #[derive(Debug)]
-struct Order {
+struct ChangeInFlight {
     change: Arc<Change>,
+    /// The requests that are answered with its outcome: the same change may be sent several times.
     waiters: Vec<HttpRequestId>,
     arrived: Time,
-    /// Taken in this proposal number; the scheduler is to learn it until the given time.
-    taken: Option<(ProposalNumber, Time)>,
+    accepted: Option<AwaitedConfirmation>,
 }
 
+/// A configuration read in flight.
 #[derive(Debug)]
-struct ReadBack {
+struct ReadInFlight {
     id: HttpRequestId,
     arrived: Time,
 }
 
-/// All of them.
+/// All requests of the operator at one process.
 #[derive(Debug)]
-pub(crate) struct Operator {
-    patience_ms: u64,
-    next_number: u64,
-    orders: BTreeMap<u64, Order>,
-    read_backs: Vec<ReadBack>,
+pub(crate) struct OperatorRequests {
+    /// How long a request may take, in milliseconds.
+    timeout_ms: u64,
+    last_number: u64,
+    changes: BTreeMap<u64, ChangeInFlight>,
+    reads: Vec<ReadInFlight>,
 }
 
-impl Operator {
-    /// Without any; `ack_ms` is how long the operator waits.
-    pub(crate) fn new(ack_ms: u64) -> Operator {
-        let patience_ms = ack_ms.saturating_sub(ORDER_MARGIN_MS).max(UNTOUCHED_MS);
-        Operator {
-            patience_ms,
-            next_number: 0,
-            orders: BTreeMap::new(),
-            read_backs: Vec::new(),
+impl OperatorRequests {
+    /// Without any; `ack_ms` is how long the operator waits, in milliseconds.
+    pub(crate) fn new(ack_ms: u64) -> OperatorRequests {
+        OperatorRequests {
+            timeout_ms: ack_ms.saturating_sub(ORDER_MARGIN_MS).max(UNTOUCHED_MS),
+            last_number: 0,
+            changes: BTreeMap::new(),
+            reads: Vec::new(),
         }
     }
 
-    /// Whether nothing is under way.
+    /// Whether nothing is in flight.
     pub(crate) fn is_idle(&self) -> bool {
-        self.orders.is_empty() && self.read_backs.is_empty()
+        self.changes.is_empty() && self.reads.is_empty()
     }
 
-    /// Takes an order; the same order under way gets one more listener.
-    pub(crate) fn order(
+    /// Proposes a change; for one that is in flight already, `id` is answered with its outcome.
+    pub(crate) fn change(
         &mut self,
         now: Time,
         id: HttpRequestId,
         change: Change,
-        proposer: &mut Proposer,
+        register: &mut Register,
         effects: &mut Effects,
     ) {
-        if let Some(order) = self
-            .orders
+        if let Some(same) = self
+            .changes
             .values_mut()
-            .find(|order| *order.change == change)
+            .find(|in_flight| *in_flight.change == change)
         {
-            return order.waiters.push(id);
+            return same.waiters.push(id);
         }
-        if self.orders.len() >= MAX_WAITING {
-            return effects.status(id, UNAVAILABLE);
+        if self.changes.len() >= MAX_IN_FLIGHT {
+            return effects.status(id, SERVICE_UNAVAILABLE);
         }
-        self.next_number += 1;
-        let number = self.next_number;
+        self.last_number += 1;
+        let number = self.last_number;
         let change = Arc::new(change);
-        proposer.push(Job::Order {
+        register.propose(Job::Order {
             number,
             change: change.clone(),
         });
-        self.orders.insert(
-            number,
-            Order {
-                change,
-                waiters: vec![id],
-                arrived: now,
-                taken: None,
-            },
-        );
+        let in_flight = ChangeInFlight {
+            change,
+            waiters: vec![id],
+            arrived: now,
+            accepted: None,
+        };
+        self.changes.insert(number, in_flight);
     }
 
-    /// Takes a read-back.
-    pub(crate) fn read_back(&mut self, now: Time, id: HttpRequestId, effects: &mut Effects) {
-        if self.read_backs.len() >= MAX_WAITING {
-            return effects.status(id, UNAVAILABLE);
+    /// Takes a configuration read. It is answered once the register is known as of now.
+    pub(crate) fn read(&mut self, now: Time, id: HttpRequestId, effects: &mut Effects) {
+        if self.reads.len() >= MAX_IN_FLIGHT {
+            return effects.status(id, SERVICE_UNAVAILABLE);
         }
-        self.read_backs.push(ReadBack { id, arrived: now });
+        self.reads.push(ReadInFlight { id, arrived: now });
     }
 
-    /// The latest moment as of which a read-back needs the register.
-    pub(crate) fn wants_fresh(&self) -> Option<Time> {
-        self.read_backs.iter().map(|read| read.arrived).max()
+    /// The moment as of which a configuration read needs the register.
+    pub(crate) fn fresh_as_of(&self) -> Option<Time> {
+        self.reads.iter().map(|read| read.arrived).max()
     }
 
-    /// The caller has gone. The order stays: it may have been accepted.
+    /// The caller has gone. A change stays in flight: it may have been accepted.
     pub(crate) fn abandoned(&mut self, id: HttpRequestId) {
-        self.read_backs.retain(|read| read.id != id);
-        for order in self.orders.values_mut() {
-            order.waiters.retain(|waiter| *waiter != id);
+        self.reads.retain(|read| read.id != id);
+        for in_flight in self.changes.values_mut() {
+            in_flight.waiters.retain(|waiter| *waiter != id);
         }
     }
 
-    /// The outcome of an order. `wait`: the scheduler has yet to learn it.
-    pub(crate) fn outcome(
+    /// The outcome of a change. `awaits_leader`: the scheduler runs elsewhere and has yet to learn it.
+    pub(crate) fn change_completed(
         &mut self,
         now: Time,
-        number: u64,
-        verdict: &Verdict,
-        proposal: ProposalNumber,
-        wait: bool,
+        completed: &CompletedChange,
+        awaits_leader: bool,
         effects: &mut Effects,
     ) {
-        if let (Verdict::Taken, true) = (verdict, wait) {
-            if let Some(order) = self.orders.get_mut(&number) {
-                order.taken = Some((proposal, now.plus_millis(LEARN_WAIT_MS)));
+        let number = completed.number;
+        match &completed.verdict {
+            Verdict::Taken if awaits_leader => {
+                if let Some(in_flight) = self.changes.get_mut(&number) {
+                    in_flight.accepted = Some(AwaitedConfirmation {
+                        proposal: completed.proposal,
+                        until: now.plus_millis(LEARN_WAIT_MS),
+                    });
+                }
             }
-            return;
-        }
-        match verdict {
             Verdict::Taken | Verdict::Repeated => self.answer(number, OK, Vec::new(), effects),
             Verdict::Stale => self.answer(number, PRECONDITION_FAILED, Vec::new(), effects),
             Verdict::Invalid(error) => self.answer(number, BAD_REQUEST, error_body(error), effects),
             Verdict::Unchanged | Verdict::Unknown => {
-                self.answer(number, UNKNOWN, Vec::new(), effects)
+                self.answer(number, OUTCOME_UNKNOWN, Vec::new(), effects)
             }
         }
     }
 
-    /// The scheduler acts by this proposal number now.
+    /// The leader has learned everything up to this proposal number.
     pub(crate) fn leader_learned(&mut self, proposal: ProposalNumber, effects: &mut Effects) {
-        let is_known = |order: &Order| order.taken.is_some_and(|(taken, _)| taken <= proposal);
-        self.answer_all(is_known, OK, effects);
+        let is_learned = |accepted: AwaitedConfirmation| accepted.proposal <= proposal;
+        self.confirm_accepted(is_learned, effects);
     }
 
     /// Answers what is due.
-    pub(crate) fn tick(
-        &mut self,
-        now: Time,
-        register_view: &RegisterView,
-        proposer: &mut Proposer,
-        effects: &mut Effects,
-    ) {
-        self.answer_all(
-            |order| order.taken.is_some_and(|(_, until)| now >= until),
-            OK,
-            effects,
-        );
-        self.give_up(now, proposer, effects);
-        self.answer_reads(now, register_view, effects);
+    pub(crate) fn tick(&mut self, now: Time, register: &mut Register, effects: &mut Effects) {
+        self.confirm_accepted(|accepted| now >= accepted.until, effects);
+        self.time_out_changes(now, register, effects);
+        self.answer_reads(now, register.view(), effects);
     }
 
     /// Answers everything at once: the process ends.
-    pub(crate) fn close(&mut self, proposer: &mut Proposer, effects: &mut Effects) {
-        for read in std::mem::take(&mut self.read_backs) {
-            effects.status(read.id, UNAVAILABLE);
+    pub(crate) fn close(&mut self, register: &mut Register, effects: &mut Effects) {
+        for read in std::mem::take(&mut self.reads) {
+            effects.status(read.id, SERVICE_UNAVAILABLE);
         }
-        let numbers: Vec<u64> = self.orders.keys().copied().collect();
+        let numbers: Vec<u64> = self.changes.keys().copied().collect();
         for number in numbers {
-            let status = self.status_now(number, proposer);
-            proposer.cancel(number);
-            self.answer(number, status, Vec::new(), effects);
-        }
-    }
-
-    /// What can be said of an order before its outcome.
-    fn status_now(&self, number: u64, proposer: &Proposer) -> u16 {
-        let taken = self
-            .orders
-            .get(&number)
-            .is_some_and(|order| order.taken.is_some());
-        match (taken, proposer.may_be_accepted(number)) {
-            (true, _) => OK,
-            (false, true) => UNKNOWN,
-            (false, false) => UNAVAILABLE,
+            self.give_up(number, register, effects);
         }
     }
 
     /// When something is due.
-    pub(crate) fn next_wake(&self, proposer: &Proposer) -> Option<Time> {
-        let orders = self
-            .orders
+    pub(crate) fn next_wake(&self, register: &Register) -> Option<Time> {
+        let changes = self
+            .changes
             .iter()
-            .map(|(number, order)| self.due(*number, order, proposer));
+            .map(|(number, in_flight)| self.due(*number, in_flight, register));
         let reads = self
-            .read_backs
+            .reads
             .iter()
-            .map(|read| read.arrived.plus_millis(self.patience_ms));
-        orders.chain(reads).min()
+            .map(|read| read.arrived.plus_millis(self.timeout_ms));
+        changes.chain(reads).min()
     }
 
-    fn due(&self, number: u64, order: &Order, proposer: &Proposer) -> Time {
-        if let Some((_, until)) = order.taken {
-            return until;
+    fn due(&self, number: u64, in_flight: &ChangeInFlight, register: &Register) -> Time {
+        if let Some(accepted) = in_flight.accepted {
+            return accepted.until;
         }
-        let patience = if proposer.may_be_accepted(number) {
-            self.patience_ms
+        let timeout_ms = if register.may_be_accepted(number) {
+            self.timeout_ms
         } else {
             UNTOUCHED_MS
         };
-        order.arrived.plus_millis(patience)
+        in_flight.arrived.plus_millis(timeout_ms)
     }
 
-    fn give_up(&mut self, now: Time, proposer: &mut Proposer, effects: &mut Effects) {
-        let is_due = |(number, order): &(&u64, &Order)| now >= self.due(**number, order, proposer);
+    fn time_out_changes(&mut self, now: Time, register: &mut Register, effects: &mut Effects) {
         let due: Vec<u64> = self
-            .orders
+            .changes
             .iter()
-            .filter(is_due)
+            .filter(|(number, in_flight)| now >= self.due(**number, in_flight, register))
             .map(|(number, _)| *number)
             .collect();
         for number in due {
-            let status = self.status_now(number, proposer);
-            proposer.cancel(number);
-            self.answer(number, status, Vec::new(), effects);
+            self.give_up(number, register, effects);
         }
     }
 
-    fn answer_reads(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
-        let patience_ms = self.patience_ms;
-        self.read_backs.retain(|read| {
-            let reply = match register_view.config() {
-                Some(config) if register_view.is_fresh(read.arrived) => {
-                    json(OK, config.document.to_vec())
+    fn give_up(&mut self, number: u64, register: &mut Register, effects: &mut Effects) {
+        let status = self.status_before_outcome(number, register);
+        register.cancel_change(number);
+        self.answer(number, status, Vec::new(), effects);
+    }
+
+    /// What can be reported of a change before its outcome is known.
+    fn status_before_outcome(&self, number: u64, register: &Register) -> u16 {
+        let is_accepted = self
+            .changes
+            .get(&number)
+            .is_some_and(|in_flight| in_flight.accepted.is_some());
+        match (is_accepted, register.may_be_accepted(number)) {
+            (true, _) => OK,
+            (false, true) => OUTCOME_UNKNOWN,
+            (false, false) => SERVICE_UNAVAILABLE,
+        }
+    }
+
+    fn answer_reads(&mut self, now: Time, view: &RegisterView, effects: &mut Effects) {
+        let timeout_ms = self.timeout_ms;
+        self.reads.retain(|read| {
+            let reply = match view.config() {
+                Some(config) if view.is_fresh(read.arrived) => json(OK, config.document.to_vec()),
+                None if view.is_fresh(read.arrived) => json(SERVICE_UNAVAILABLE, Vec::new()),
+                _ if now >= read.arrived.plus_millis(timeout_ms) => {
+                    json(SERVICE_UNAVAILABLE, Vec::new())
                 }
-                None if register_view.is_fresh(read.arrived) => json(UNAVAILABLE, Vec::new()),
-                _ if now >= read.arrived.plus_millis(patience_ms) => json(UNAVAILABLE, Vec::new()),
                 _ => return true,
             };
             effects.replies.push((read.id, reply));
@@ -249,19 +246,26 @@
         });
     }
 
-    fn answer_all(&mut self, wanted: impl Fn(&Order) -> bool, status: u16, effects: &mut Effects) {
-        let chosen = self.orders.iter().filter(|(_, order)| wanted(order));
-        let numbers: Vec<u64> = chosen.map(|(number, _)| *number).collect();
+    fn confirm_accepted(
+        &mut self,
+        is_confirmed: impl Fn(AwaitedConfirmation) -> bool,
+        effects: &mut Effects,
+    ) {
+        let confirmed = self
+            .changes
+            .iter()
+            .filter(|(_, in_flight)| in_flight.accepted.is_some_and(&is_confirmed));
+        let numbers: Vec<u64> = confirmed.map(|(number, _)| *number).collect();
         for number in numbers {
-            self.answer(number, status, Vec::new(), effects);
+            self.answer(number, OK, Vec::new(), effects);
         }
     }
 
     fn answer(&mut self, number: u64, status: u16, body: Vec<u8>, effects: &mut Effects) {
-        let Some(order) = self.orders.remove(&number) else {
+        let Some(in_flight) = self.changes.remove(&number) else {
             return;
         };
-        for waiter in order.waiters {
+        for waiter in in_flight.waiters {
             effects.replies.push((waiter, json(status, body.clone())));
         }
     }
@@ -275,7 +279,7 @@
     }
 }
 
-fn error_body(error: &sagetrail_cluster_config::ConfigError) -> Vec<u8> {
+fn error_body(error: &ConfigError) -> Vec<u8> {
     serde_json::json!({ "error": error.to_string() })
         .to_string()
         .into_bytes()
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -7,8 +7,9 @@
 
 use crate::change::{Job, MemberStep};
 use crate::leadership::Leadership;
-use crate::node::CoreNode;
 use crate::quorum::MemberList;
+use crate::register::Register;
+use crate::terms::Terms;
 use crate::timing::{JOINER_MS, MEMBERSHIP_INTERVAL_MS, UNREACHABLE_MS};
 use sagetrail_protocol::{Incarnation, NodeId, Time};
 use std::collections::BTreeMap;
@@ -62,50 +63,93 @@
     now < heard.plus_millis(JOINER_MS)
 }
 
-impl CoreNode {
-    /// Whether there are members to be changed, or a change to be brought to its end.
-    pub(crate) fn watches_membership(&self) -> bool {
-        let serving = self
-            .leadership
-            .as_ref()
-            .is_some_and(|leadership| leadership.service.is_some());
-        serving && (self.register_view.list.is_changing() || !self.joiners.heard.is_empty())
+/// The changes of members that this process proposes while it leads a term.
+#[derive(Debug)]
+pub(crate) struct Reconfiguration {
+    joiners: Joiners,
+    /// How many core machines may be lost at once.
+    tolerated_machines: usize,
+    /// When the members are checked next.
+    check_at: Time,
+}
+
+impl Reconfiguration {
+    /// Without joiners.
+    pub(crate) fn new(tolerated_machines: u32, now: Time) -> Reconfiguration {
+        Reconfiguration {
+            joiners: Joiners::default(),
+            tolerated_machines: tolerated_machines as usize,
+            check_at: now,
+        }
+    }
+
+    /// Who asks to join.
+    pub(crate) fn joiners(&self) -> &Joiners {
+        &self.joiners
+    }
+
+    /// A core process said hello. One that is no member asks to join.
+    pub(crate) fn on_hello(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        incarnation: Incarnation,
+        members: &MemberList,
+    ) {
+        if !members.contains(from) {
+            self.joiners.hear(now, from, incarnation);
+        }
+    }
+
+    /// A newer member list is known.
+    pub(crate) fn members_changed(&mut self, members: &MemberList) {
+        self.joiners.forget_members(members);
     }
 
     /// Names learners, and proposes the next step of a change where one is due.
-    pub(crate) fn step_membership(&mut self, now: Time) {
-        if !self.watches_membership() || now < self.membership_at {
+    pub(crate) fn step(&mut self, now: Time, terms: &mut Terms, register: &mut Register) {
+        if self.next_wake(terms, register).is_none_or(|due| now < due) {
             return;
         }
-        self.membership_at = now.plus_millis(MEMBERSHIP_INTERVAL_MS);
-        let most = self.settings.tolerated_machines.max(1) as usize + 1;
-        let candidates = self.joiners.candidates(now, &self.register_view.list, most);
-        let Some(leadership) = &mut self.leadership else {
+        self.check_at = now.plus_millis(MEMBERSHIP_INTERVAL_MS);
+        let learners = self.tolerated_machines.max(1) + 1;
+        let candidates = self.joiners.candidates(now, register.members(), learners);
+        let Some(leadership) = terms.leadership_mut() else {
             return;
         };
         leadership.set_learners(now, &candidates);
-        if let Some(step) = self.member_step(now) {
-            let base = self.register_view.list.version;
-            self.proposer.push(Job::Members { base, step });
+        if let Some(step) = self.next_step(now, leadership, register) {
+            let base = register.members().version;
+            register.propose(Job::Members { base, step });
         }
     }
 
-    fn member_step(&self, now: Time) -> Option<MemberStep> {
-        let list = &self.register_view.list;
-        let chosen = &self.register_view.chosen.as_ref()?.value;
-        let under_way = self.proposer.any(|job| matches!(job, Job::Members { .. }));
-        if under_way || chosen.members_version != list.version {
+    /// When the members are to be checked: while the scheduler runs here, and there are joiners or a change of members
+    /// has to be completed.
+    pub(crate) fn next_wake(&self, terms: &Terms, register: &Register) -> Option<Time> {
+        let is_needed = register.members().is_changing() || !self.joiners.heard.is_empty();
+        (terms.is_serving() && is_needed).then_some(self.check_at)
+    }
+
+    fn next_step(
+        &self,
+        now: Time,
+        leadership: &Leadership,
+        register: &Register,
+    ) -> Option<MemberStep> {
+        let members = register.members();
+        let chosen = &register.view().chosen.as_ref()?.value;
+        if register.is_changing_members() || chosen.members_version != members.version {
             return None;
         }
-        let leadership = self.leadership.as_ref()?;
-        if list.is_changing() {
+        if members.is_changing() {
             return leadership
-                .is_committed_by(list)
+                .is_committed_by(members)
                 .then_some(MemberStep::Complete);
         }
-        let tolerating = 2 * self.settings.tolerated_machines as usize + 1;
-        let size = tolerating.max(chosen.bootstrap_size as usize);
-        next_members(now, leadership, list, size).map(MemberStep::Begin)
+        let tolerant_size = 2 * self.tolerated_machines + 1;
+        let size = tolerant_size.max(chosen.bootstrap_size as usize);
+        next_members(now, leadership, members, size).map(MemberStep::Begin)
     }
 }
 
--- a/crates/cluster/control-plane/src/resignation.rs
+++ b/crates/cluster/control-plane/src/resignation.rs
@@ -1,10 +1,10 @@
-//! A process that comes back gives up, in public, the term that its former life held or stood for: nobody has to
-//! wait for that term's lease.
+//! A restarted process gives up the term that its former incarnation led or stood for: nobody has to wait for that term's
+//! lease to expire.
 
-use crate::node::CoreNode;
+use crate::persisted::TermPromise;
 use crate::timing::{RESIGN_FORMER_TERM_MS, RESIGN_INTERVAL_MS};
-use sagetrail_protocol::control::{ControlMessage, Resign};
-use sagetrail_protocol::{Term, Time};
+use sagetrail_protocol::control::Resign;
+use sagetrail_protocol::{NodeId, Term, Time};
 
 /// A term that is being given up.
 #[derive(Clone, Copy, Debug)]
@@ -14,51 +14,36 @@
     next: Time,
 }
 
-impl CoreNode {
-    /// At the start, with what the disk says: the newest promise may have been made to this very process.
-    pub(crate) fn begin_resigning_former_term(&mut self) {
-        let promise = self.replica.state.promise;
-        if promise.term == 0 || promise.node != self.settings.node {
-            return;
-        }
-        // Its own grant was made to the life that has ended.
-        self.replica.lease_until = self.started;
-        self.elections.hasten();
-        let until = self.started.plus_millis(RESIGN_FORMER_TERM_MS);
-        self.former_term_resignation = Some(FormerTermResignation {
+impl FormerTermResignation {
+    /// At the start, with the promise on disk: it may have been made to this very process.
+    pub(crate) fn of(
+        promise: TermPromise,
+        node: NodeId,
+        started: Time,
+    ) -> Option<FormerTermResignation> {
+        (promise.term > 0 && promise.node == node).then(|| FormerTermResignation {
             term: promise.term,
-            until,
-            next: self.started,
-        });
+            until: started.plus_millis(RESIGN_FORMER_TERM_MS),
+            next: started,
+        })
     }
 
-    /// Says it again: others may come back later.
-    pub(crate) fn resign_former_term(&mut self, now: Time) {
-        let Some(former_term_resignation) = self.former_term_resignation else {
-            return;
-        };
-        let current = self.replica.state.promise.term == former_term_resignation.term;
-        if self.leadership.is_some() || !current || now >= former_term_resignation.until {
-            self.former_term_resignation = None;
-            return;
-        }
-        if now < former_term_resignation.next {
-            return;
+    /// Whether there is nothing to give up any more, with `promised` as the highest term known.
+    pub(crate) fn is_over(&self, now: Time, promised: Term) -> bool {
+        promised != self.term || now >= self.until
+    }
+
+    /// The message, where it is due. It is repeated: other processes may restart later.
+    pub(crate) fn due(&mut self, now: Time) -> Option<Resign> {
+        if now < self.next {
+            return None;
         }
-        let resign = ControlMessage::Resign(Resign {
-            term: former_term_resignation.term,
-        });
-        self.effects
-            .broadcast(self.register_view.list.all(), &resign);
-        self.former_term_resignation = Some(FormerTermResignation {
-            next: now.plus_millis(RESIGN_INTERVAL_MS),
-            ..former_term_resignation
-        });
+        self.next = now.plus_millis(RESIGN_INTERVAL_MS);
+        Some(Resign { term: self.term })
     }
 
-    /// When it is due.
-    pub(crate) fn former_term_resignation_wake(&self) -> Option<Time> {
-        self.former_term_resignation
-            .map(|former_term_resignation| former_term_resignation.next)
+    /// When the message is due.
+    pub(crate) fn next_wake(&self) -> Time {
+        self.next
     }
 }
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -1,79 +1,104 @@
-//! The end of a process that the platform asks to end: it answers what it can, and a member whose successor is learning
-//! stays a member until that one has its place.
+//! The end of a process after SIGTERM: it answers what it can, and a member whose successor is learning stays a member
+//! until that one has taken its place.
 
-use crate::node::CoreNode;
+use crate::quorum::MemberList;
+use crate::reconfiguration::Joiners;
 use crate::timing::{HANDOVER_MARGIN_MS, TERMINATE_MS, TERMINATE_QUIET_MS};
-use sagetrail_protocol::Time;
+use sagetrail_protocol::{NodeId, Time};
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-impl CoreNode {
-    /// The platform wants the process to end.
-    pub(crate) fn terminate(&mut self) {
-        let waits = self.joiners.any(self.now.steady, &self.register_view.list);
+/// The member list and those who ask to join it: on these depends whether a terminating member may leave.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Succession<'a> {
+    pub members: &'a MemberList,
+    pub joiners: &'a Joiners,
+}
+
+impl Succession<'_> {
+    /// Whether somebody asks to join.
+    pub(crate) fn has_joiner(&self, now: Time) -> bool {
+        self.joiners.any(now, self.members)
+    }
+}
+
+/// Whether and since when a process is about to end.
+#[derive(Debug)]
+pub(crate) struct Termination {
+    node: NodeId,
+    /// How long after SIGTERM a member waits for its successor.
+    handover_ms: u64,
+    since: Option<Time>,
+}
+
+impl Termination {
+    /// Of a process that is to go on; `grace_s` is the time between SIGTERM and SIGKILL, in seconds.
+    pub(crate) fn new(node: NodeId, grace_s: f64) -> Termination {
+        let grace_ms = (grace_s * MILLIS_PER_SECOND) as u64;
+        let handover_ms = grace_ms
+            .saturating_sub(HANDOVER_MARGIN_MS)
+            .max(TERMINATE_MS);
+        Termination {
+            node,
+            handover_ms,
+            since: None,
+        }
+    }
+
+    /// SIGTERM was received.
+    pub(crate) fn request(&mut self, now: Time, successor_waits: bool) {
         log::info!(
-            "asked to end; {}",
-            if waits {
-                "a successor waits"
-            } else {
-                "no successor waits"
-            }
+            "SIGTERM received: node={} successor_waits={successor_waits}",
+            self.node
         );
-        self.terminating = self.terminating.or(Some(self.now.steady));
-        if !self.may_lead() {
-            self.step_down();
-        }
+        self.since = self.since.or(Some(now));
     }
 
-    /// Whether the process may schedule: it is not about to end, or nobody else can hand its place over.
-    pub(crate) fn may_lead(&self) -> bool {
-        let alone = self.register_view.list.members == [self.settings.node];
-        self.terminating.is_none() || (alone && self.hands_over())
+    /// Whether SIGTERM was received.
+    pub(crate) fn is_requested(&self) -> bool {
+        self.since.is_some()
     }
 
-    /// Answers what is left, and gives the term up at the end.
-    pub(crate) fn step_termination(&mut self, now: Time) {
-        let Some(since) = self.terminating else {
-            return;
-        };
-        if now >= since.plus_millis(TERMINATE_MS) {
-            self.operator.close(&mut self.proposer, &mut self.effects);
-        }
-        if self.leadership.is_some() && !self.may_lead() {
-            self.step_down();
-        }
+    /// Whether requests that still wait have to be answered now.
+    pub(crate) fn is_closing(&self, now: Time) -> bool {
+        self.since
+            .is_some_and(|since| now >= since.plus_millis(TERMINATE_MS))
+    }
+
+    /// Whether the process may schedule: it is not about to end, or nobody else can hand its place over.
+    pub(crate) fn may_lead(&self, now: Time, succession: Succession) -> bool {
+        let alone = succession.members.members == [self.node];
+        self.since.is_none() || (alone && self.awaits_successor(now, succession))
     }
 
-    /// Whether the process may end.
-    pub(crate) fn is_finished(&self) -> bool {
-        let now = self.now.steady;
-        let quiet =
-            |since: Time| now >= since.plus_millis(TERMINATE_QUIET_MS) && self.operator.is_idle();
-        self.terminating.is_some_and(quiet) && !self.hands_over()
+    /// Whether the process may end; `is_idle`: no request of the operator waits.
+    pub(crate) fn is_finished(&self, now: Time, is_idle: bool, succession: Succession) -> bool {
+        let is_quiet = |since: Time| now >= since.plus_millis(TERMINATE_QUIET_MS) && is_idle;
+        self.since.is_some_and(is_quiet) && !self.awaits_successor(now, succession)
     }
 
-    /// When the process has to look again whether it may end.
-    pub(crate) fn termination_wake(&self) -> Option<Time> {
-        let since = self.terminating.filter(|_| !self.is_finished())?;
-        let steps = [TERMINATE_QUIET_MS, TERMINATE_MS].map(|span| since.plus_millis(span));
-        let next = steps.into_iter().find(|step| *step > self.now.steady);
-        Some(next.unwrap_or(self.now.steady.plus_millis(TERMINATE_QUIET_MS)))
+    /// When to check again whether the process may end.
+    pub(crate) fn next_wake(
+        &self,
+        now: Time,
+        is_idle: bool,
+        succession: Succession,
+    ) -> Option<Time> {
+        let since = self
+            .since
+            .filter(|_| !self.is_finished(now, is_idle, succession))?;
+        let checks = [TERMINATE_QUIET_MS, TERMINATE_MS].map(|span_ms| since.plus_millis(span_ms));
+        let next = checks.into_iter().find(|check| *check > now);
+        Some(next.unwrap_or(now.plus_millis(TERMINATE_QUIET_MS)))
     }
 
     /// Whether a successor may still take this member's place in time.
-    fn hands_over(&self) -> bool {
-        let now = self.now.steady;
+    fn awaits_successor(&self, now: Time, succession: Succession) -> bool {
         let in_time = self
-            .terminating
-            .is_some_and(|since| now < since.plus_millis(self.handover_ms()));
-        let list = &self.register_view.list;
-        in_time && self.takes_part() && (list.is_changing() || self.joiners.any(now, list))
-    }
-
-    fn handover_ms(&self) -> u64 {
-        let grace_ms = (self.settings.bounds.grace_s * MILLIS_PER_SECOND) as u64;
-        grace_ms
-            .saturating_sub(HANDOVER_MARGIN_MS)
-            .max(TERMINATE_MS)
+            .since
+            .is_some_and(|since| now < since.plus_millis(self.handover_ms));
+        let members = succession.members;
+        let is_member = members.contains(self.node);
+        in_time && is_member && (members.is_changing() || succession.has_joiner(now))
     }
 }
--- /dev/null
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -0,0 +1,470 @@
+//! The terms as one process takes part in them: its replica, which promises terms and grants leases, its candidacies, and
+//! the term that it leads.
+//!
+//! Elections follow Raft with pre-vote (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 3 and 9.6). A
+//! leader acts only under a lease that a quorum grants (Gray and Cheriton, "Leases", SOSP 1989), so at most one process
+//! schedules at any moment.
+
+use crate::effects::Effects;
+use crate::election::Elections;
+use crate::leadership::Leadership;
+use crate::persisted::{ReplicaState, TermPromise};
+use crate::quorum::MemberList;
+use crate::records::Records;
+use crate::register_view::RegisterView;
+use crate::replica::{Condition, Replica};
+use crate::resignation::FormerTermResignation;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use sagetrail_protocol::control::{
+    ControlMessage, FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign,
+    SnapshotChunk, VoteReply, VoteRequest,
+};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{ConfigInForce, Restored, Service, ServiceFactory};
+use sagetrail_protocol::{Incarnation, Message, NodeId, Term, Time};
+
+/// The newest term that a process knows, and who schedules in it; the default node where that is unknown.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) struct KnownLeader {
+    pub term: Term,
+    pub leader: NodeId,
+}
+
+/// With what a process starts to take part in terms.
+pub(crate) struct TermsStart {
+    pub node: NodeId,
+    pub incarnation: Incarnation,
+    pub started: Time,
+    /// The records as the disk holds them.
+    pub records: Records,
+    /// Seeds the jitter of elections.
+    pub election_seed: u64,
+    /// Makes the scheduler of a term.
+    pub factory: ServiceFactory,
+    /// Seeds the schedulers.
+    pub random: Pcg64Mcg,
+}
+
+/// The terms at one process.
+pub(crate) struct Terms {
+    node: NodeId,
+    started: Time,
+    replica: Replica,
+    elections: Elections,
+    /// The term that this process leads.
+    leadership: Option<Leadership>,
+    /// The term of this process's former incarnation, while it is being given up.
+    former_term: Option<FormerTermResignation>,
+    factory: ServiceFactory,
+    random: Pcg64Mcg,
+}
+
+impl Terms {
+    /// A process that has promised no term.
+    pub(crate) fn new(start: TermsStart) -> Terms {
+        let state = ReplicaState::default();
+        Terms {
+            node: start.node,
+            started: start.started,
+            replica: Replica::new(start.node, start.started, state, start.records),
+            elections: Elections::new(start.node, start.incarnation, start.election_seed),
+            leadership: None,
+            former_term: None,
+            factory: start.factory,
+            random: start.random,
+        }
+    }
+
+    /// Takes up what was on disk, and begins to give up the term of the former incarnation.
+    pub(crate) fn restore(&mut self, state: ReplicaState) {
+        self.elections.note(state.promise.term);
+        let records = std::mem::take(&mut self.replica.records);
+        self.replica = Replica::new(self.node, self.started, state, records);
+        self.former_term = FormerTermResignation::of(state.promise, self.node, self.started);
+        if self.former_term.is_some() {
+            // The process granted this lease to its own incarnation that has ended.
+            self.replica.lease_until = self.started;
+            self.elections.hasten();
+        }
+    }
+
+    /// What the replica has promised and holds.
+    pub(crate) fn replica_state(&self) -> &ReplicaState {
+        &self.replica.state
+    }
+
+    /// The cluster starts: without any records, this process has all of them.
+    pub(crate) fn records_are_complete(&mut self) {
+        self.replica.state.complete = true;
+    }
+
+    /// The members know that this process has promised no higher term.
+    pub(crate) fn adopt_promised_term(&mut self, term: Term) {
+        self.replica.state.promise = TermPromise {
+            term,
+            ..TermPromise::default()
+        };
+    }
+
+    /// The term that this process leads.
+    pub(crate) fn leadership_mut(&mut self) -> Option<&mut Leadership> {
+        self.leadership.as_mut()
+    }
+
+    /// Whether this process leads a term and its scheduler runs.
+    pub(crate) fn is_serving(&self) -> bool {
+        self.service().is_some()
+    }
+
+    fn service(&self) -> Option<&(dyn Service + Send)> {
+        self.leadership.as_ref()?.service.as_deref()
+    }
+
+    fn service_mut(&mut self) -> Option<&mut Box<dyn Service + Send>> {
+        self.leadership.as_mut()?.service.as_mut()
+    }
+
+    /// Hands a message to the scheduler; the message again where it does not run here.
+    pub(crate) fn deliver(
+        &mut self,
+        now: Now,
+        from: NodeId,
+        message: Message,
+    ) -> Result<(), Message> {
+        match self.service_mut() {
+            Some(service) => {
+                service.message(now, from, message);
+                Ok(())
+            }
+            None => Err(message),
+        }
+    }
+
+    /// Hands a newer configuration to the scheduler.
+    pub(crate) fn config_changed(&mut self, now: Now, config: ConfigInForce) {
+        if let Some(service) = self.service_mut() {
+            service.config(now, config);
+        }
+    }
+
+    /// The newest term known, and who schedules in it. This process names itself only under its lease: its replica
+    /// goes on following the term after the lease has expired.
+    pub(crate) fn known_leader(&self) -> KnownLeader {
+        if let Some(leadership) = &self.leadership {
+            let leader = if leadership.service.is_some() {
+                self.node
+            } else {
+                NodeId::default()
+            };
+            let term = leadership.term;
+            return KnownLeader { term, leader };
+        }
+        let (term, leader) = self.replica.promised_term();
+        let leader = if leader == self.node {
+            NodeId::default()
+        } else {
+            leader
+        };
+        KnownLeader { term, leader }
+    }
+
+    /// The leader, while its lease may be running.
+    pub(crate) fn live_leader(&self, now: Time) -> Option<NodeId> {
+        self.replica.live_leader(now)
+    }
+
+    /// The moment as of which the register has to be known before the scheduler of this process's term may start.
+    pub(crate) fn fresh_as_of(&self) -> Option<Time> {
+        self.leadership
+            .as_ref()
+            .filter(|leadership| leadership.service.is_none())
+            .map(|leadership| leadership.elected_at)
+    }
+
+    /// A term whose lease has expired ends before anything else is done.
+    pub(crate) fn end_expired_term(&mut self, now: Time) {
+        if self
+            .leadership
+            .as_ref()
+            .is_some_and(|leadership| now >= leadership.lease_until)
+        {
+            self.leadership = None;
+            self.elections.stand_back(now);
+        }
+    }
+
+    /// Gives the term up and lets the others elect at once.
+    pub(crate) fn step_down(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
+        if let Some(leadership) = self.leadership.take() {
+            leadership.resign(members, effects);
+            self.elections.stand_back(now);
+        }
+    }
+}
+
+/// What is due by time.
+impl Terms {
+    /// Everything that is due. `may_stand`: this process is an active member that may lead.
+    pub(crate) fn step(
+        &mut self,
+        now: Now,
+        may_stand: bool,
+        view: &RegisterView,
+        effects: &mut Effects,
+    ) {
+        let steady = now.steady;
+        self.replica.tick(steady, effects);
+        self.resign_former_term(steady, &view.list, effects);
+        self.step_election(steady, may_stand, &view.list, effects);
+        self.check_base_source(steady, &view.list, effects);
+        self.step_leadership(now, view, effects);
+    }
+
+    /// When something is due.
+    pub(crate) fn next_wake(&self, may_stand: bool) -> Option<Time> {
+        let election = self
+            .is_candidate(may_stand)
+            .then(|| self.elections.next_wake(self.replica.lease_until));
+        let wakes = [
+            self.replica.next_wake(),
+            election,
+            self.former_term
+                .as_ref()
+                .map(FormerTermResignation::next_wake),
+            self.leadership.as_ref().map(Leadership::next_wake),
+            self.service().and_then(Service::next_wake),
+        ];
+        wakes.into_iter().flatten().min()
+    }
+
+    fn resign_former_term(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
+        let promised = self.replica.state.promise.term;
+        let leads = self.leadership.is_some();
+        self.former_term = self
+            .former_term
+            .filter(|former| !leads && !former.is_over(now, promised));
+        if let Some(resign) = self.former_term.as_mut().and_then(|former| former.due(now)) {
+            effects.broadcast(members.all(), &ControlMessage::Resign(resign));
+        }
+    }
+
+    fn is_candidate(&self, may_stand: bool) -> bool {
+        may_stand && self.replica.state.complete && self.leadership.is_none()
+    }
+
+    fn step_election(
+        &mut self,
+        now: Time,
+        may_stand: bool,
+        members: &MemberList,
+        effects: &mut Effects,
+    ) {
+        if self.is_candidate(may_stand) {
+            self.elections
+                .tick(now, self.replica.lease_until, members, effects);
+        }
+    }
+
+    /// Whether this process leads a term and holds its base, or more.
+    fn holds_base(&self) -> bool {
+        let term = self.leadership.as_ref().map(|leadership| leadership.term);
+        term == Some(self.replica.state.position.term) && self.replica.state.complete
+    }
+
+    /// The records on which the term builds come from another voter with the same state where their source is silent.
+    /// Without one the term ends: the next voters may know the newest state without that source.
+    fn check_base_source(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
+        let silent = !self.holds_base() && self.replica.source_is_silent(now);
+        let Some(leadership) = self.leadership.as_mut().filter(|_| silent) else {
+            return;
+        };
+        if !leadership.turn_to_next_source(now) {
+            let (node, term) = (self.node, leadership.term);
+            log::info!("no reachable source of the term's base records: node={node} term={term}");
+            self.step_down(now, members, effects);
+        }
+    }
+
+    fn step_leadership(&mut self, now: Now, view: &RegisterView, effects: &mut Effects) {
+        let holds_base = self.holds_base();
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        if holds_base {
+            leadership.holds_base(now.steady);
+        }
+        leadership.renew(now.steady, &view.list, view.proposal(), effects);
+        let advanced = leadership.advance(&view.list);
+        if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
+            service.committed(now, number);
+        }
+        self.start_service(now, holds_base, view);
+        self.run_service(now, view, effects);
+    }
+
+    /// Starts the scheduler once the term's base is at a quorum and the register is known as of the election.
+    fn start_service(&mut self, now: Now, holds_base: bool, view: &RegisterView) {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        let is_fresh = view.is_fresh(leadership.elected_at);
+        let is_based = holds_base && leadership.base_is_committed();
+        if leadership.service.is_some() || !is_based || !is_fresh {
+            return;
+        }
+        let records = &self.replica.records.0;
+        let restored = Restored {
+            term: leadership.term,
+            node: self.node,
+            records: records
+                .iter()
+                .map(|(key, value)| (key.clone(), value.clone()))
+                .collect(),
+            config: view.config().cloned(),
+            seed: self.random.random(),
+        };
+        log::info!(
+            "term {}: scheduler starts with {} records",
+            leadership.term,
+            restored.records.len()
+        );
+        leadership.service = Some((self.factory)(now, restored));
+    }
+
+    fn run_service(&mut self, now: Now, view: &RegisterView, effects: &mut Effects) {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        leadership.wake_service(now);
+        leadership.pump(now.steady, &view.list, effects);
+        if let Some(service) = &mut leadership.service {
+            effects.sends.extend(service.take_sends());
+        }
+    }
+}
+
+/// Messages to the replica. Only a process that knows what it has promised may answer them.
+impl Terms {
+    /// A candidate requests a vote. `members_version`: the newest member list that this process has accepted.
+    pub(crate) fn on_vote_request(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        request: &VoteRequest,
+        members_version: u64,
+        effects: &mut Effects,
+    ) {
+        self.replica
+            .vote(now, from, request, members_version, effects);
+    }
+
+    /// A leader renews its lease.
+    pub(crate) fn on_renew(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        renew: &Renew,
+        condition: Condition,
+        effects: &mut Effects,
+    ) {
+        self.replica.renew(now, from, renew, condition, effects);
+    }
+
+    /// A leader gave its lease up, or a candidate its candidacy.
+    pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, resign: &Resign) {
+        if self.replica.resigned(now, from, resign.term) {
+            self.elections.hasten();
+        }
+    }
+
+    /// A core process that does not take part yet said hello: the lease of its former incarnation is void.
+    pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
+        if self.replica.lease_holder_restarted(now, from) {
+            self.elections.hasten();
+        }
+    }
+
+    /// The leader sent a batch of changes.
+    pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
+        self.replica.batch(from, batch, effects);
+    }
+
+    /// Another process fetches a snapshot.
+    pub(crate) fn on_fetch(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        fetch: &FetchSnapshot,
+        effects: &mut Effects,
+    ) {
+        self.replica.fetch(now, from, fetch, effects);
+    }
+
+    /// A chunk of a snapshot that this process fetches.
+    pub(crate) fn on_chunk(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        chunk: SnapshotChunk,
+        effects: &mut Effects,
+    ) {
+        self.replica.chunk(now, from, chunk, effects);
+    }
+}
+
+/// Replies to the candidate and to the leader.
+impl Terms {
+    /// A member answered a request for a vote; it may win the election.
+    pub(crate) fn on_vote_reply(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        reply: &VoteReply,
+        may_lead: bool,
+        members: &MemberList,
+        effects: &mut Effects,
+    ) {
+        let elected = self.elections.reply(now, from, reply, members, effects);
+        if let Some(elected) = elected.filter(|_| may_lead) {
+            self.leadership = Some(Leadership::new(self.node, now, elected, members));
+        }
+    }
+
+    /// A replica answered a renewal of the lease.
+    pub(crate) fn on_renew_ack(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        ack: &RenewAck,
+        members: &MemberList,
+        effects: &mut Effects,
+    ) {
+        self.elections.note(ack.promised);
+        if from == self.node {
+            self.replica.leader_synced(ack.term);
+        }
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        if !leadership.renew_ack(now, from, ack, members) {
+            self.step_down(now, members, effects);
+        }
+    }
+
+    /// A replica has synced its records up to a position.
+    pub(crate) fn on_records_synced(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        synced: &RecordsSynced,
+        members: &MemberList,
+    ) {
+        if from == self.node {
+            self.replica.stored(synced.position);
+        }
+        if let Some(leadership) = &mut self.leadership {
+            leadership.stored(now, from, synced.position, members);
+        }
+    }
+}
