--- a/crates/cluster/gateway/src/drain.rs
+++ b/crates/cluster/gateway/src/drain.rs
@@ -1,25 +1,27 @@
-//! The end of the process within its grace.
+//! Graceful shutdown within the process's grace period.
 
 use sagetrail_protocol::Time;
 
-/// So long it serves on after the notice: the platform needs two missed checks, a second apart, to stop sending.
+/// Time for which the process serves on after the notice, in milliseconds: the platform needs two failed readiness
+/// checks, a second apart, to stop sending clients here.
 const SERVE_ON_MS: u64 = 2500;
-/// Everything is answered so long before the grace is over.
+/// Time before the end of the grace period by which everything is answered, in milliseconds.
 const END_MARGIN_MS: u64 = 1500;
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// When a process that was told to end does so.
+/// When a draining process ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Drain {
-    /// Not before this.
+    /// Not before this, even if nothing is pending.
     pub(crate) earliest: Time,
-    /// With everything answered by now.
+    /// All pending requests are answered at this time.
     pub(crate) latest: Time,
 }
 
 impl Drain {
-    /// Told at `now`, with `grace_s` seconds until the kill.
+    /// Begins at `now`, `grace_s` seconds before the process is killed.
     pub(crate) fn start(now: Time, grace_s: f64) -> Drain {
-        let grace_ms = (grace_s * 1000.0) as u64;
+        let grace_ms = (grace_s * MILLIS_PER_SECOND) as u64;
         let usable_ms = grace_ms.saturating_sub(END_MARGIN_MS);
         Drain {
             earliest: now.plus_millis(usable_ms.min(SERVE_ON_MS)),
--- a/crates/cluster/gateway/src/lib.rs
+++ b/crates/cluster/gateway/src/lib.rs
@@ -1,17 +1,53 @@
-//! The clients' gateway: requests passed on to the scheduler, and back.
+//! The clients' gateway: forwards a client's HTTP request to the scheduler, and the scheduler's answer to the client.
 //!
-//! It decides nothing about jobs. It learns who the scheduler is, repeats what may have been lost, and never calls
-//! refused what may have been taken.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! A gateway decides nothing about jobs and stores nothing. It is a state machine without sockets, [`GatewayNode`]: the
+//! host process passes it events (messages, HTTP requests, the passing of time) and carries out what it leaves in an
+//! `Outbox`. Three parts own its state, and `node` joins them:
+//!
+//! - `LeaderLink` finds the leader of the control plane, which is the scheduler (`leader_discovery`), records when it
+//!   was last in contact (`contact`) and sends messages to it, also through a third process (`relay`) while the direct
+//!   connection is silent.
+//! - `Forwarder` keeps the requests that are not answered (`pending`), sends them, retries them after a growing delay
+//!   (`backoff`), and answers each one before the deadline of its client (`deadline`).
+//! - `Subscription` receives configurations through the relay tree, for the limits of requests and for readiness.
+//!
+//! The way of a client's POST to the scheduler and back:
+//!
+//! ```text
+//!  client              gateway                                              core processes
+//!    | POST /queue/key    |                                                       |
+//!    |------------------->| admission: limits, configuration, leader responsive   |
+//!    |  413 or 503        |   rejected: nothing was sent, so 503 is a promise     |
+//!    |<- - - - - - - - - -|                                                       |
+//!    |                    | pending: number, deadline, retry time                 |
+//!    |                    |---- ClientRequest{number, config_version} ----------->| leader
+//!    |                    |---- Relayed{ClientRequest} --> another process ------>|  (if directly silent)
+//!    |                    |         no answer: again after 250, 500, 1000 ms ...  |
+//!    |                    |<--- NotLeader{term, leader}: sent on to that leader --| not the leader
+//!    |                    |<--- ClientReply{number, status, body} ----------------| leader, once committed
+//!    |  status, body      |                                                       |
+//!    |<-------------------|                                                       |
+//!    |  504 at the deadline, if a copy of the request may have been accepted      |
+//!    |<-------------------|                                                       |
+//! ```
+//!
+//! Two invariants hold whatever is lost, late or duplicated: a request is answered exactly once, unless its client has
+//! closed the connection; and a submission is answered with 404, 429 or 503 only if no copy of it has been, or can
+//! still be, accepted. That is why a retry keeps its number, and why a rejection by the scheduler turns into 504 while
+//! another copy is in flight.
 
-mod core_view;
+mod admission;
+mod backoff;
+mod contact;
+mod deadline;
 mod drain;
+mod error;
+mod forwarder;
+mod leader_discovery;
+mod leader_link;
 mod node;
 mod pending;
 mod relay;
-mod requests;
 mod response;
 mod settings;
 mod subscription;
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -1,175 +1,201 @@
-//! The gateway as a node: events in, an outbox out.
+//! The gateway as a node: receives events, and leaves in an outbox what is to be sent and answered.
 
-use crate::core_view::CoreView;
+use crate::contact::Route;
 use crate::drain::Drain;
-use crate::pending::PendingTable;
-use crate::relay::{self, RelayTurn};
+use crate::error::GatewayError;
+use crate::forwarder::Forwarder;
+use crate::leader_discovery::Discovery;
+use crate::leader_link::LeaderLink;
+use crate::relay;
 use crate::response;
 use crate::settings::GatewaySettings;
 use crate::subscription::Subscription;
-use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{
-    Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
+    Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
 };
-use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
+use sagetrail_protocol::{Message, NodeId, Time};
 
-/// The platform's readiness check asks for a path that ends so.
+/// The end of the path of the platform's readiness check.
 const READINESS_PATH_END: &str = "readyz";
-
-/// A gateway greets more often than this, in milliseconds: after a longer pause it had been standing still.
-const STALL_MS: u64 = 1_500;
-/// What waited in its sockets meanwhile is taken within this, in milliseconds, and is no sign of life.
-const BACKLOG_MS: u64 = 100;
-
-/// A gateway.
+/// A process with longer pauses between its events than this was suspended, in milliseconds: hellos alone come more
+/// often.
+const SUSPENDED_MS: u64 = 1_500;
+/// Time in which a process that was suspended has read what waited in its sockets, in milliseconds. Those messages are
+/// no sign of life.
+const SOCKET_BACKLOG_MS: u64 = 100;
+
+/// A gateway: one process that forwards clients' requests.
+///
+/// It spawns nothing and has no clock of its own; the host process calls [`Node::handle`] with each event, and with
+/// `Event::Wake` at [`Node::next_wake`].
 #[derive(Debug)]
 pub struct GatewayNode {
-    pub(crate) settings: GatewaySettings,
-    pub(crate) view: CoreView,
-    pub(crate) subscription: Subscription,
-    pub(crate) pending: PendingTable,
-    pub(crate) relay_turn: RelayTurn,
-    /// The newest version of the configuration that any answer was given by.
-    pub(crate) newest_version: u64,
+    settings: GatewaySettings,
+    link: LeaderLink,
+    subscription: Subscription,
+    forwarder: Forwarder,
+    /// The graceful shutdown, once it has begun.
     drain: Option<Drain>,
+    /// The graceful shutdown is over, and the process may end.
+    is_finished: bool,
     last_event: Time,
-    /// True once the process may end.
-    pub(crate) ended: bool,
 }
 
 impl GatewayNode {
-    /// Starts, and greets the seeds.
+    /// Starts, and sends hellos to the seeds.
     pub fn new(settings: GatewaySettings, now: Now, outbox: &mut Outbox) -> GatewayNode {
         let mut node = GatewayNode {
-            view: CoreView::new(settings.node, settings.seeds.clone(), now.steady),
+            link: LeaderLink::new(&settings, now.steady),
             subscription: Subscription::new(settings.node, settings.seed),
-            pending: PendingTable::new(settings.incarnation),
-            relay_turn: RelayTurn::new(settings.seed),
-            newest_version: 0,
+            forwarder: Forwarder::new(settings.incarnation),
             drain: None,
+            is_finished: false,
             last_event: now.steady,
-            ended: false,
             settings,
         };
         node.run_due(now.steady, outbox);
         node
     }
 
-    /// True where clients may be sent here.
+    /// True while clients may be sent here: the configuration is current, the leader answers, and the process is not
+    /// draining.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.drain.is_none() && self.subscription.is_current(now) && self.view.leader_answers(now)
+        self.drain.is_none()
+            && self.subscription.is_current(now)
+            && self.link.discovery.is_leader_answering(now)
     }
 
-    /// The newest version of the configuration seen, 0 for none.
+    /// The newest configuration version seen, 0 for none.
     pub fn config_version(&self) -> u64 {
-        self.newest_version
-            .max(self.subscription.held().unwrap_or(0))
+        self.forwarder.config_version()
     }
 
-    fn take_message(
+    fn receive_message(
         &mut self,
         now: Time,
         from: NodeId,
-        direct: bool,
+        route: Route,
         message: Message,
         outbox: &mut Outbox,
     ) {
         match message {
             Message::Directory(directory) => {
-                if self.view.take_directory(now, from, direct, directory) {
-                    self.send_all(now, outbox);
+                let discovery = &mut self.link.discovery;
+                let change = discovery.receive_directory(now, from, route, directory);
+                if change == Discovery::NewLeader {
+                    self.forwarder.resend_all(now, &mut self.link, outbox);
                 }
             }
             Message::ClientReply(reply) => {
-                self.view.heard_from(now, from, direct);
-                self.take_reply(reply, outbox);
+                self.link.discovery.record_contact(now, from, route);
+                self.forwarder.receive_reply(reply, outbox);
+            }
+            Message::NotLeader(bounce) => {
+                let link = &mut self.link;
+                self.forwarder
+                    .receive_not_leader(now, link, from, &bounce, outbox);
+            }
+            Message::ConfigUpdate(update) => {
+                self.subscription.receive_update(now, from, update);
+                self.forwarder
+                    .record_config_version(self.subscription.version());
             }
-            Message::NotLeader(bounce) => self.take_bounce(now, from, &bounce, outbox),
-            Message::ConfigUpdate(update) => self.subscription.take_update(now, from, update),
-            Message::ConfigCurrent(current) => self.subscription.take_current(now, from, &current),
-            Message::Relayed(relayed) => self.take_relayed(now, relayed, outbox),
-            other => log::debug!("unexpected from {from}: {other:?}"),
+            Message::ConfigCurrent(current) => {
+                self.subscription.receive_current(now, from, &current);
+            }
+            Message::Relayed(relayed) => self.receive_relayed(now, relayed, outbox),
+            other => log::debug!("unexpected message: node={from} message={other:?}"),
         }
     }
 
-    fn take_relayed(&mut self, now: Time, relayed: Relayed, outbox: &mut Outbox) {
+    /// Opens a relayed message to this process; sends one to another process on, unopened.
+    fn receive_relayed(&mut self, now: Time, relayed: Relayed, outbox: &mut Outbox) {
         if relayed.to != self.settings.node {
             return outbox.send(relayed.to, Message::Relayed(relayed));
         }
         let Some(message) = relay::unwrap(&relayed) else {
-            return log::debug!("no message inside of one relayed from {}", relayed.from);
+            return log::debug!("relayed message cannot be decoded: node={}", relayed.from);
         };
-        self.take_message(now, relayed.from, false, message, outbox);
+        self.receive_message(now, relayed.from, Route::Relayed, message, outbox);
+    }
+
+    fn receive_http(
+        &mut self,
+        now: Time,
+        endpoint: HttpEndpoint,
+        (id, request): (HttpRequestId, HttpRequest),
+        outbox: &mut Outbox,
+    ) {
+        match endpoint {
+            HttpEndpoint::Frontend => {
+                let max_body_bytes = self.subscription.limits().max_body_bytes;
+                let link = &mut self.link;
+                self.forwarder
+                    .receive(now, link, max_body_bytes, (id, request), outbox);
+            }
+            HttpEndpoint::Readiness => outbox.reply(id, self.readiness(now, &request)),
+            HttpEndpoint::Control => outbox.reply(id, HttpReply::from(GatewayError::NotFound)),
+        }
     }
 
     fn readiness(&self, now: Time, request: &HttpRequest) -> HttpReply {
         if request.method != Method::Get || !request.path.ends_with(READINESS_PATH_END) {
-            return response::not_found();
+            return HttpReply::from(GatewayError::NotFound);
         }
         if self.is_ready(now) {
             response::ready()
         } else {
-            response::not_ready()
+            HttpReply::from(GatewayError::NotReady)
         }
     }
 
-    /// After a pause, words that waited are older than they look.
-    fn note_pause(&mut self, now: Time) {
-        if now.millis_since(self.last_event) > STALL_MS {
-            let until = now.plus_millis(BACKLOG_MS);
-            self.view.distrust(until);
-            self.subscription.distrust(until);
+    /// After a suspension, the messages that waited in the sockets are older than they appear.
+    fn detect_suspension(&mut self, now: Time) {
+        if now.millis_since(self.last_event) > SUSPENDED_MS {
+            let until = now.plus_millis(SOCKET_BACKLOG_MS);
+            self.link.discovery.ignore_contact_until(until);
+            self.subscription.ignore_confirmations_until(until);
         }
         self.last_event = now;
     }
 
-    /// Does whatever is due.
+    /// Does everything that is due.
     fn run_due(&mut self, now: Time, outbox: &mut Outbox) {
-        self.greet(now, outbox);
+        let config_version = self.subscription.version();
+        self.link.send_due_hellos(now, config_version, outbox);
         self.renew_subscription(now, outbox);
-        self.run_due_requests(now, outbox);
+        self.forwarder.run_due(now, &mut self.link, outbox);
         self.run_drain(now, outbox);
     }
 
-    fn greet(&mut self, now: Time, outbox: &mut Outbox) {
-        let targets = self.view.hello_targets(now);
-        for target in targets {
-            let hello = Message::Hello(Hello {
-                kind: NodeKind::Frontend,
-                incarnation: self.settings.incarnation,
-                config_version: self.subscription.held().unwrap_or(0),
-            });
-            if self.view.leader() == Some(target) {
-                self.send_to_leader(now, target, hello, outbox);
-            } else {
-                outbox.send(target, hello);
-            }
-        }
-    }
-
     fn renew_subscription(&mut self, now: Time, outbox: &mut Outbox) {
+        let discovery = &self.link.discovery;
         self.subscription
-            .candidates(self.view.core(), self.view.config_relays());
-        let due = self.subscription.wake(now);
-        due.into_iter()
-            .for_each(|(parent, message)| outbox.send(parent, message));
+            .set_candidates(discovery.core(), discovery.config_relays());
+        self.subscription.send_due(now, outbox);
+    }
+
+    fn start_drain(&mut self, now: Time) {
+        let grace_s = self.settings.bounds.grace_s;
+        self.drain.get_or_insert_with(|| Drain::start(now, grace_s));
     }
 
     fn run_drain(&mut self, now: Time, outbox: &mut Outbox) {
         let Some(drain) = self.drain else { return };
         if now >= drain.latest {
-            for number in self.pending.numbers() {
-                self.give_up(number, outbox);
-            }
+            self.forwarder.give_up_all(outbox);
+        }
+        if now >= drain.earliest && self.forwarder.is_idle() {
+            self.is_finished = true;
+            self.forwarder.shut_down();
         }
-        self.ended = self.ended || (now >= drain.earliest && self.pending.is_empty());
-        outbox.finished = self.ended;
+        outbox.finished = self.is_finished;
     }
 
     fn drain_wake(&self) -> Option<Time> {
-        let drain = self.drain.filter(|_| !self.ended)?;
-        Some(if self.pending.is_empty() {
+        let drain = self.drain.filter(|_| !self.is_finished)?;
+        Some(if self.forwarder.is_idle() {
             drain.earliest
         } else {
             drain.latest
@@ -179,49 +205,32 @@
 
 impl Node for GatewayNode {
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
-        let steady = now.steady;
-        self.note_pause(steady);
+        let now = now.steady;
+        self.detect_suspension(now);
         match event {
             Event::Message { from, message } => {
-                self.take_message(steady, from, true, message, outbox)
+                self.receive_message(now, from, Route::Direct, message, outbox);
             }
             Event::Http {
                 id,
-                endpoint: HttpEndpoint::Frontend,
+                endpoint,
                 request,
-            } => self.take_request(steady, id, request, outbox),
-            Event::Http {
-                id,
-                endpoint: HttpEndpoint::Readiness,
-                request,
-            } => {
-                outbox.reply(id, self.readiness(steady, &request));
-            }
-            Event::Http {
-                id,
-                endpoint: HttpEndpoint::Control,
-                ..
-            } => outbox.reply(id, response::not_found()),
-            Event::HttpAbandoned { id } => self.pending.abandon(id),
-            Event::Seeds(seeds) => self.view.set_seeds(seeds),
-            Event::Terminate => {
-                let grace_s = self.settings.bounds.grace_s;
-                self.drain
-                    .get_or_insert_with(|| Drain::start(steady, grace_s));
-            }
+            } => self.receive_http(now, endpoint, (id, request), outbox),
+            Event::HttpAbandoned { id } => self.forwarder.abandon(id),
+            Event::Seeds(seeds) => self.link.discovery.set_seeds(seeds),
+            Event::Terminate => self.start_drain(now),
             Event::Synced { .. } | Event::HealthCheck { .. } | Event::Wake => {}
         }
-        self.run_due(steady, outbox);
+        self.run_due(now, outbox);
     }
 
     fn next_wake(&self) -> Option<Time> {
-        let greeting = self.view.next_hello();
-        let regular = self
-            .subscription
-            .next_wake()
-            .map_or(greeting, |wake| wake.min(greeting));
-        let pending = self.pending.next_wake().unwrap_or(regular);
-        let drain = self.drain_wake().unwrap_or(regular);
-        Some(regular.min(pending).min(drain))
+        let wakes = [
+            Some(self.link.discovery.next_hello()),
+            self.subscription.next_wake(),
+            self.forwarder.next_wake(),
+            self.drain_wake(),
+        ];
+        wakes.into_iter().flatten().min()
     }
 }
--- a/crates/cluster/gateway/src/relay.rs
+++ b/crates/cluster/gateway/src/relay.rs
@@ -1,25 +1,28 @@
-//! Messages passed on by a third process where two cannot reach each other.
+//! Messages through a third process, for two that cannot reach each other.
 
 use sagetrail_protocol::collections::Blob;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{frame, Message, NodeId};
 
-/// Takes the processes that may pass messages on in turn.
+/// Bound of the start of a rotation, so that counting on from it never overflows in practice.
+const START_BOUND: u64 = 1 << 16;
+
+/// Chooses the relays in rotation.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RelayTurn {
+pub(crate) struct RelayRotation {
     next: usize,
 }
 
-impl RelayTurn {
-    /// Starts anywhere, by `seed`.
-    pub(crate) fn new(seed: u64) -> RelayTurn {
-        RelayTurn {
-            next: (seed % (1 << 16)) as usize,
+impl RelayRotation {
+    /// Starts at a position that `seed` determines, so that gateways spread over the relays.
+    pub(crate) fn new(seed: u64) -> RelayRotation {
+        RelayRotation {
+            next: (seed % START_BOUND) as usize,
         }
     }
 
-    /// The one whose turn it is; `None` where there is none.
-    pub(crate) fn take(&mut self, relays: &[NodeId]) -> Option<NodeId> {
+    /// The next relay; `None` where there is none.
+    pub(crate) fn next(&mut self, relays: &[NodeId]) -> Option<NodeId> {
         if relays.is_empty() {
             return None;
         }
@@ -28,7 +31,7 @@
     }
 }
 
-/// `message` on its way from `from` to `to`; `None` where it cannot be written.
+/// Wraps `message` of `from` to `to` for a relay; `None` where it cannot be encoded.
 pub(crate) fn wrap(from: NodeId, to: NodeId, message: &Message) -> Option<Message> {
     let payload = frame::encode(message).ok()?;
     Some(Message::Relayed(Relayed {
@@ -38,10 +41,9 @@
     }))
 }
 
-/// The message inside; `None` where it is none, or relayed twice.
+/// The message inside; `None` where it cannot be decoded, or is itself relayed.
 pub(crate) fn unwrap(relayed: &Relayed) -> Option<Message> {
-    let message = frame::decode(&relayed.payload).ok()?;
-    match message {
+    match frame::decode(&relayed.payload).ok()? {
         Message::Relayed(_) => None,
         message => Some(message),
     }
--- a/crates/cluster/gateway/src/subscription.rs
+++ b/crates/cluster/gateway/src/subscription.rs
@@ -1,41 +1,42 @@
-//! The configuration's way to this process: the relay tree, in which a gateway serves nobody.
+//! The subscription to configurations: this process is a leaf of the relay tree.
 
 use sagetrail_cluster_config::{ConfigDocument, Limits};
 use sagetrail_config_distribution::Relay;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate};
-use sagetrail_protocol::{Message, NodeId, Time};
+use sagetrail_protocol::node::Outbox;
+use sagetrail_protocol::{NodeId, Time};
 
-/// A configuration counts as current for so long after it was last confirmed.
+/// Time after its last confirmation for which a configuration counts as current, in milliseconds.
 const CONFIRMED_MS: u64 = 2500;
 
-/// The configuration held, and the way it comes.
+/// The configuration this process has, and where it comes from.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     relay: Relay,
     core: Vec<NodeId>,
     relays: Vec<NodeId>,
     limits: Limits,
-    /// When a core process last sent the version that is held.
-    told_by_core_at: Option<Time>,
-    /// No configuration that comes confirms what is held before.
-    distrusted_until: Time,
+    /// When a core process last sent the version that this process has, or a newer one.
+    confirmed_by_core_at: Option<Time>,
+    /// A configuration that arrives before this time may have waited in a socket, and confirms nothing.
+    valid_from: Time,
 }
 
 impl Subscription {
-    /// Holds nothing and knows nobody.
+    /// Without a configuration or parents.
     pub(crate) fn new(node: NodeId, seed: u64) -> Subscription {
         Subscription {
             relay: Relay::leaf(node, seed),
             core: Vec::new(),
             relays: Vec::new(),
             limits: Limits::default(),
-            told_by_core_at: None,
-            distrusted_until: Time::default(),
+            confirmed_by_core_at: None,
+            valid_from: Time::default(),
         }
     }
 
-    /// Takes the processes that make up the tree.
-    pub(crate) fn candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
+    /// Sets the processes that make up the relay tree.
+    pub(crate) fn set_candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
         if self.core == core && self.relays == relays {
             return;
         }
@@ -44,54 +45,56 @@
         self.relay.candidates(core, relays);
     }
 
-    /// The version held.
-    pub(crate) fn held(&self) -> Option<u64> {
-        self.relay.newest().map(|(version, _)| version)
+    /// The version of the configuration, 0 for none.
+    pub(crate) fn version(&self) -> u64 {
+        self.relay.newest().map_or(0, |(version, _)| version)
     }
 
-    /// The bounds of clients' requests.
+    /// The limits of clients' requests.
     pub(crate) fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// True while a configuration is held that was the newest not long ago.
+    /// True while there is a configuration that was recently confirmed to be the newest.
     pub(crate) fn is_current(&self, now: Time) -> bool {
-        let told_ms = self.told_by_core_at.map(|at| now.millis_since(at));
-        let age_ms = self.relay.age_ms(now).into_iter().chain(told_ms).min();
-        self.held().is_some() && age_ms.is_some_and(|age_ms| age_ms <= CONFIRMED_MS)
+        let by_core_ms = self.confirmed_by_core_at.map(|at| now.millis_since(at));
+        let age_ms = self.relay.age_ms(now).into_iter().chain(by_core_ms).min();
+        self.relay.newest().is_some() && age_ms.is_some_and(|age_ms| age_ms <= CONFIRMED_MS)
     }
 
-    /// Configurations that come before `until` may have waited for long, and confirm nothing.
-    pub(crate) fn distrust(&mut self, until: Time) {
-        self.distrusted_until = until;
+    /// Takes configurations that arrive before `until` as no confirmation: they may have waited in a socket.
+    pub(crate) fn ignore_confirmations_until(&mut self, until: Time) {
+        self.valid_from = until;
     }
 
-    /// Takes a configuration, unless a newer one is held.
-    pub(crate) fn take_update(&mut self, now: Time, from: NodeId, update: ConfigUpdate) {
-        let held = self.held().unwrap_or(0);
-        if update.version < held {
+    /// Receives a configuration; an older one than that of this process is ignored.
+    pub(crate) fn receive_update(&mut self, now: Time, from: NodeId, update: ConfigUpdate) {
+        let version = self.version();
+        if update.version < version {
             return;
         }
-        if self.core.contains(&from) && now >= self.distrusted_until {
-            self.told_by_core_at = Some(now);
+        if self.core.contains(&from) && now >= self.valid_from {
+            self.confirmed_by_core_at = Some(now);
         }
-        if update.version > held {
+        if update.version > version {
             self.read_limits(&update);
             self.relay.update(from, update, now);
         }
     }
 
-    /// Takes a parent's word of how old its knowledge is.
-    pub(crate) fn take_current(&mut self, now: Time, from: NodeId, current: &ConfigCurrent) {
+    /// Receives a parent's message of how old its own knowledge is.
+    pub(crate) fn receive_current(&mut self, now: Time, from: NodeId, current: &ConfigCurrent) {
         self.relay.current(from, current, now);
     }
 
-    /// What is to be sent now.
-    pub(crate) fn wake(&mut self, now: Time) -> Vec<(NodeId, Message)> {
-        self.relay.wake(now)
+    /// Renews the subscription with the parent where that is due.
+    pub(crate) fn send_due(&mut self, now: Time, outbox: &mut Outbox) {
+        for (parent, message) in self.relay.wake(now) {
+            outbox.send(parent, message);
+        }
     }
 
-    /// When `wake` is due.
+    /// When `send_due` has something to do.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.relay.next_wake()
     }
@@ -99,7 +102,10 @@
     fn read_limits(&mut self, update: &ConfigUpdate) {
         match ConfigDocument::parse(&update.document) {
             Ok(document) => self.limits = document.limits,
-            Err(error) => log::warn!("configuration {} cannot be read: {error}", update.version),
+            Err(error) => log::warn!(
+                "configuration cannot be read: version={} error={error}",
+                update.version
+            ),
         }
     }
 }
