--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway, its clock, and what it sends.
+//! A gateway driven by a script: the test sets its clock and its messages, and reads what it sends.
 
 #![allow(dead_code)]
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
@@ -25,21 +25,21 @@
 pub(crate) const DOCUMENT: &str =
     r#"{"version":5,"routes":[],"services":[],"limits":{"max_body_bytes":100}}"#;
 
-/// A gateway driven by a script.
-pub(crate) struct Rig {
+/// A gateway, its clock, and everything it has sent and answered since the last `clear_outbox`.
+pub(crate) struct TestGateway {
     pub node: GatewayNode,
     pub now_ms: u64,
     pub outbox: Outbox,
     next_id: u64,
 }
 
-impl Rig {
-    /// A gateway that has just started; its first sends are in the outbox.
-    pub(crate) fn new() -> Rig {
-        Rig::with_bounds(Bounds::default())
+impl TestGateway {
+    /// A gateway that has just started; its first messages are in the outbox.
+    pub(crate) fn new() -> TestGateway {
+        TestGateway::with_bounds(Bounds::default())
     }
 
-    pub(crate) fn with_bounds(bounds: Bounds) -> Rig {
+    pub(crate) fn with_bounds(bounds: Bounds) -> TestGateway {
         let settings = GatewaySettings {
             node: GATEWAY,
             incarnation: 77,
@@ -49,7 +49,7 @@
         };
         let mut outbox = Outbox::default();
         let node = GatewayNode::new(settings, clock(0), &mut outbox);
-        Rig {
+        TestGateway {
             node,
             now_ms: 0,
             outbox,
@@ -57,31 +57,31 @@
         }
     }
 
-    /// A gateway that knows the leader (the first of the core, term 1) and a configuration.
-    pub(crate) fn settled() -> Rig {
-        let mut rig = Rig::new();
-        rig.directory(CORE[0], 1, CORE[0]);
-        rig.update(CORE[1], 5);
-        rig.clear();
-        rig
+    /// A gateway in contact with the leader (the first core process, term 1) that has configuration 5.
+    pub(crate) fn connected() -> TestGateway {
+        let mut gateway = TestGateway::new();
+        gateway.receive_directory(CORE[0], 1, CORE[0]);
+        gateway.receive_update(CORE[1], 5);
+        gateway.clear_outbox();
+        gateway
     }
 
-    pub(crate) fn clear(&mut self) {
+    pub(crate) fn clear_outbox(&mut self) {
         self.outbox.sends.clear();
         self.outbox.replies.clear();
     }
 
-    pub(crate) fn event(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         self.node
             .handle(clock(self.now_ms), event, &mut self.outbox);
     }
 
-    pub(crate) fn message(&mut self, from: NodeId, message: Message) {
-        self.event(Event::Message { from, message });
+    pub(crate) fn receive(&mut self, from: NodeId, message: Message) {
+        self.handle(Event::Message { from, message });
     }
 
-    /// Goes on by `millis`, waking the node exactly when it asks for it.
-    pub(crate) fn pass(&mut self, millis: u64) {
+    /// Advances the clock by `millis`, waking the node exactly when it asks for it.
+    pub(crate) fn advance(&mut self, millis: u64) {
         let end = self.now_ms + millis;
         while let Some(wake) = self.node.next_wake() {
             let wake_ms = wake.0.div_ceil(1000);
@@ -89,33 +89,39 @@
                 break;
             }
             assert!(wake_ms >= self.now_ms, "a wake in the past");
-            let last = self.now_ms;
+            let former_ms = self.now_ms;
             self.now_ms = wake_ms;
-            self.event(Event::Wake);
+            self.handle(Event::Wake);
             let next = self.node.next_wake().unwrap();
             assert!(
-                next > Time(wake_ms * 1000) || wake_ms > last,
-                "wakes without an end"
+                next > Time(wake_ms * 1000) || wake_ms > former_ms,
+                "wakes forever at one time"
             );
         }
         self.now_ms = end;
     }
 
-    /// Goes on by `millis` while the leader and the parents answer every 100 ms.
-    pub(crate) fn pass_in_touch(&mut self, millis: u64, leader: NodeId, term: u64, version: u64) {
+    /// Advances the clock by `millis` while the leader and the configuration parents answer every 100 ms.
+    pub(crate) fn advance_in_contact(
+        &mut self,
+        millis: u64,
+        leader: NodeId,
+        term: u64,
+        version: u64,
+    ) {
         for _ in 0..millis / 100 {
-            self.pass(100);
-            self.directory(leader, term, leader);
+            self.advance(100);
+            self.receive_directory(leader, term, leader);
             for parent in CORE {
-                self.current(parent, version, 0);
+                self.receive_current(parent, version, 0);
             }
         }
     }
 
-    /// A parent answers the subscription of this moment.
-    pub(crate) fn current(&mut self, from: NodeId, version: u64, age_ms: u64) {
+    /// A configuration parent answers a subscription of this moment.
+    pub(crate) fn receive_current(&mut self, from: NodeId, version: u64, age_ms: u64) {
         let asked_at = self.now_ms * 1000;
-        self.message(
+        self.receive(
             from,
             Message::ConfigCurrent(ConfigCurrent {
                 version,
@@ -125,20 +131,26 @@
         );
     }
 
-    pub(crate) fn directory(&mut self, from: NodeId, term: u64, leader: NodeId) {
-        self.message(from, directory(term, leader));
+    pub(crate) fn receive_directory(&mut self, from: NodeId, term: u64, leader: NodeId) {
+        self.receive(from, directory(term, leader));
     }
 
-    pub(crate) fn update(&mut self, from: NodeId, version: u64) {
+    pub(crate) fn receive_update(&mut self, from: NodeId, version: u64) {
         let document = Blob(DOCUMENT.replace('5', &version.to_string()).into_bytes());
-        self.message(
+        self.receive(
             from,
             Message::ConfigUpdate(ConfigUpdate { version, document }),
         );
     }
 
-    pub(crate) fn not_leader(&mut self, from: NodeId, request: u64, term: u64, leader: NodeId) {
-        self.message(
+    pub(crate) fn receive_not_leader(
+        &mut self,
+        from: NodeId,
+        request: u64,
+        term: u64,
+        leader: NodeId,
+    ) {
+        self.receive(
             from,
             Message::NotLeader(NotLeader {
                 request,
@@ -148,8 +160,8 @@
         );
     }
 
-    pub(crate) fn answer(&mut self, from: NodeId, request: u64, status: u16) {
-        self.message(from, reply(request, status));
+    pub(crate) fn receive_reply(&mut self, from: NodeId, request: u64, status: u16) {
+        self.receive(from, reply(request, status));
     }
 
     pub(crate) fn http(
@@ -168,7 +180,7 @@
             deadline_ms,
             body,
         };
-        self.event(Event::Http {
+        self.handle(Event::Http {
             id,
             endpoint: HttpEndpoint::Frontend,
             request,
@@ -191,7 +203,7 @@
             deadline_ms: None,
             body: Vec::new(),
         };
-        self.event(Event::Http {
+        self.handle(Event::Http {
             id,
             endpoint: HttpEndpoint::Readiness,
             request,
@@ -212,7 +224,7 @@
         self.reply_to(id).map(|reply| reply.status)
     }
 
-    /// Requests sent straight since the last clearing.
+    /// Requests sent directly since the last `clear_outbox`.
     pub(crate) fn requests(&self) -> Vec<(NodeId, ClientRequest)> {
         let request = |(to, message): &(NodeId, Message)| match message {
             Message::ClientRequest(request) => Some((*to, request.clone())),
@@ -221,7 +233,7 @@
         self.outbox.sends.iter().filter_map(request).collect()
     }
 
-    /// Relayed messages since the last clearing: through whom, and what.
+    /// Relayed messages since the last `clear_outbox`: through whom, and what.
     pub(crate) fn relayed(&self) -> Vec<(NodeId, Relayed)> {
         let relayed = |(to, message): &(NodeId, Message)| match message {
             Message::Relayed(relayed) => Some((*to, relayed.clone())),
@@ -276,8 +288,8 @@
     })
 }
 
-/// `message` as one that a third process passes on to the gateway.
-pub(crate) fn passed_on(from: NodeId, message: &Message) -> Message {
+/// `message` as a third process relays it to the gateway.
+pub(crate) fn relayed_to_gateway(from: NodeId, message: &Message) -> Message {
     Message::Relayed(Relayed {
         from,
         to: GATEWAY,
--- a/crates/cluster/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -3,7 +3,6 @@
 
 mod common;
 
-use common::{Rig, CORE};
 use sagetrail_fixture::transcript::Transcript;
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::client::ClientReply;
@@ -11,13 +10,15 @@
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use sagetrail_protocol::{Message, NodeId};
 
+use common::{TestGateway, CORE};
+
 const KEPT: &str = "tests/fixtures/http_answers.txt";
 /// A request whose number no other has.
 const OWN_REQUEST: HttpRequestId = HttpRequestId(900_000);
 
 /// Adds the answer that a request has got by now.
-fn add(transcript: &mut Transcript, name: &str, rig: &Rig, id: HttpRequestId) {
-    let reply = rig
+fn add(transcript: &mut Transcript, name: &str, gateway: &TestGateway, id: HttpRequestId) {
+    let reply = gateway
         .reply_to(id)
         .unwrap_or_else(|| panic!("no answer: {name}"));
     transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
@@ -27,11 +28,11 @@
 fn add_at(
     transcript: &mut Transcript,
     name: &str,
-    rig: &mut Rig,
+    gateway: &mut TestGateway,
     endpoint: HttpEndpoint,
     request: (Method, &str),
 ) {
-    rig.clear();
+    gateway.clear_outbox();
     let (method, path) = request;
     let request = HttpRequest {
         method,
@@ -42,21 +43,21 @@
         body: Vec::new(),
     };
     let id = OWN_REQUEST;
-    rig.event(Event::Http {
+    gateway.handle(Event::Http {
         id,
         endpoint,
         request,
     });
-    add(transcript, name, rig, id);
+    add(transcript, name, gateway, id);
 }
 
 /// A gateway whose leader answered a request of the client like this; what the client gets.
-fn add_passed_on(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
-    let mut rig = Rig::settled();
-    let id = rig.http(method, b"{}".to_vec(), None);
+fn add_forwarded(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
+    let mut gateway = TestGateway::connected();
+    let id = gateway.http(method, b"{}".to_vec(), None);
     let (status, retry_after_ms, body) = answer;
-    let request = rig.requests()[0].1.request;
-    rig.message(
+    let request = gateway.requests()[0].1.request;
+    gateway.receive(
         CORE[0],
         Message::ClientReply(ClientReply {
             request,
@@ -67,159 +68,164 @@
         }),
     );
     let name = format!("the scheduler says {status}, again after {retry_after_ms} ms: {body}");
-    add(transcript, &name, &rig, id);
+    add(transcript, &name, &gateway, id);
 }
 
-fn refused_before_anything_is_sent(transcript: &mut Transcript) {
-    let mut rig = Rig::new();
-    let id = rig.submit();
-    add(transcript, "no scheduler and no configuration", &rig, id);
-
-    let mut rig = Rig::settled();
-    let id = rig.http(Method::Other, Vec::new(), None);
-    add(transcript, "a method that is none of a job's", &rig, id);
-    let id = rig.http(Method::Post, vec![b' '; 101], None);
-    add(transcript, "a body over the configured limit", &rig, id);
-    rig.pass(1501);
-    let id = rig.submit();
+fn rejected_before_anything_is_sent(transcript: &mut Transcript) {
+    let mut gateway = TestGateway::new();
+    let id = gateway.submit();
+    add(
+        transcript,
+        "no scheduler and no configuration",
+        &gateway,
+        id,
+    );
+
+    let mut gateway = TestGateway::connected();
+    let id = gateway.http(Method::Other, Vec::new(), None);
+    add(transcript, "a method that is none of a job's", &gateway, id);
+    let id = gateway.http(Method::Post, vec![b' '; 101], None);
+    add(transcript, "a body over the configured limit", &gateway, id);
+    gateway.advance(1501);
+    let id = gateway.submit();
     add(
         transcript,
         "a new job while the scheduler is silent",
-        &rig,
+        &gateway,
         id,
     );
 
-    let mut rig = Rig::settled();
+    let mut gateway = TestGateway::connected();
     let last = (0..8193)
-        .map(|_| rig.http(Method::Get, Vec::new(), None))
+        .map(|_| gateway.http(Method::Get, Vec::new(), None))
         .last();
     add(
         transcript,
         "one request over those held at once",
-        &rig,
+        &gateway,
         last.unwrap(),
     );
 }
 
 fn given_up(transcript: &mut Transcript) {
-    let mut rig = Rig::new();
-    rig.update(CORE[1], 5);
-    let id = rig.submit();
-    rig.pass(300);
-    add(transcript, "a job that nobody was sent", &rig, id);
+    let mut gateway = TestGateway::new();
+    gateway.receive_update(CORE[1], 5);
+    let id = gateway.submit();
+    gateway.advance(300);
+    add(transcript, "a job that nobody was sent", &gateway, id);
 
     for (method, name) in [
         (Method::Post, "job"),
         (Method::Get, "read"),
         (Method::Delete, "cancel"),
     ] {
-        let mut rig = Rig::settled();
-        let id = rig.http(method, Vec::new(), Some(2000));
-        rig.pass(1850);
+        let mut gateway = TestGateway::connected();
+        let id = gateway.http(method, Vec::new(), Some(2000));
+        gateway.advance(1850);
         add(
             transcript,
             &format!("a {name} without an answer in time"),
-            &rig,
+            &gateway,
             id,
         );
     }
 
-    let mut rig = Rig::settled();
-    let id = rig.submit();
-    let number = rig.requests()[0].1.request;
-    rig.not_leader(CORE[0], number, 1, NodeId::default());
-    rig.pass(300);
+    let mut gateway = TestGateway::connected();
+    let id = gateway.submit();
+    let number = gateway.requests()[0].1.request;
+    gateway.receive_not_leader(CORE[0], number, 1, NodeId::default());
+    gateway.advance(300);
     add(
         transcript,
         "a job that came back unread from everywhere",
-        &rig,
+        &gateway,
         id,
     );
 
-    let mut rig = Rig::settled();
-    let id = rig.submit();
-    rig.pass(250);
-    let number = rig.requests()[0].1.request;
-    rig.answer(CORE[0], number, 503);
+    let mut gateway = TestGateway::connected();
+    let id = gateway.submit();
+    gateway.advance(250);
+    let number = gateway.requests()[0].1.request;
+    gateway.receive_reply(CORE[0], number, 503);
     add(
         transcript,
         "a job refused while a second copy is out",
-        &rig,
+        &gateway,
         id,
     );
 }
 
-fn while_it_ends(transcript: &mut Transcript) {
-    let mut rig = Rig::with_bounds(Bounds {
+fn while_draining(transcript: &mut Transcript) {
+    let mut gateway = TestGateway::with_bounds(Bounds {
         grace_s: 6.0,
         ..Bounds::default()
     });
-    rig.directory(CORE[0], 1, CORE[0]);
-    rig.update(CORE[1], 5);
-    let waiting = rig.http(Method::Get, Vec::new(), Some(30_000));
-    rig.event(Event::Terminate);
-    rig.pass(4_500);
+    gateway.receive_directory(CORE[0], 1, CORE[0]);
+    gateway.receive_update(CORE[1], 5);
+    let pending = gateway.http(Method::Get, Vec::new(), Some(30_000));
+    gateway.handle(Event::Terminate);
+    gateway.advance(4_500);
     add(
         transcript,
         "a read under way at the end of the grace",
-        &rig,
-        waiting,
+        &gateway,
+        pending,
     );
-    let id = rig.submit();
-    add(transcript, "a job after that", &rig, id);
+    let id = gateway.submit();
+    add(transcript, "a job after that", &gateway, id);
 }
 
 fn readiness(transcript: &mut Transcript) {
     let ready = (Method::Get, "/v1/readyz");
-    let mut rig = Rig::new();
+    let mut gateway = TestGateway::new();
     add_at(
         transcript,
         "not ready: GET /v1/readyz",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         ready,
     );
-    let mut rig = Rig::settled();
+    let mut gateway = TestGateway::connected();
     add_at(
         transcript,
         "ready: GET /v1/readyz",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         ready,
     );
     add_at(
         transcript,
         "ready: GET /readyz",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Get, "/readyz"),
     );
     add_at(
         transcript,
         "ready: POST /v1/readyz",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Post, "/v1/readyz"),
     );
     add_at(
         transcript,
         "ready: GET /other",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Get, "/other"),
     );
     add_at(
         transcript,
         "the operator's address: GET /v1/config/get",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Control,
         (Method::Get, "/v1/config/get"),
     );
-    rig.event(Event::Terminate);
+    gateway.handle(Event::Terminate);
     add_at(
         transcript,
         "told to end: GET /v1/readyz",
-        &mut rig,
+        &mut gateway,
         HttpEndpoint::Readiness,
         ready,
     );
@@ -228,9 +234,9 @@
 #[test]
 fn every_answer_is_the_one_kept() {
     let mut transcript = Transcript::default();
-    refused_before_anything_is_sent(&mut transcript);
+    rejected_before_anything_is_sent(&mut transcript);
     given_up(&mut transcript);
-    while_it_ends(&mut transcript);
+    while_draining(&mut transcript);
     for answer in [
         (200, 0, ""),
         (200, 0, r#"{"state":"queued"}"#),
@@ -241,10 +247,10 @@
         (429, 1001, ""),
         (503, 1, ""),
     ] {
-        add_passed_on(&mut transcript, Method::Post, answer);
+        add_forwarded(&mut transcript, Method::Post, answer);
     }
-    add_passed_on(&mut transcript, Method::Get, (200, 0, r#"{"pending":3}"#));
-    add_passed_on(&mut transcript, Method::Delete, (410, 0, ""));
+    add_forwarded(&mut transcript, Method::Get, (200, 0, r#"{"pending":3}"#));
+    add_forwarded(&mut transcript, Method::Delete, (410, 0, ""));
     readiness(&mut transcript);
     transcript.assert_kept(KEPT);
 }
--- a/crates/cluster/gateway/tests/model/clients.rs
+++ b/crates/cluster/gateway/tests/model/clients.rs
@@ -1,94 +1,85 @@
-//! The clients: each asks one thing on one connection, waits or goes, and tries again where it must.
+//! The clients: each asks one thing on one connection, waits or closes it, and makes another attempt where it must.
 
-use sagetrail_protocol::node::{HttpRequestId, Method};
 use std::collections::BTreeMap;
 
-/// One try of a client.
+use sagetrail_protocol::node::{HttpRequestId, Method};
+
+/// An HTTP request as its gateway names it.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub(crate) struct RequestKey {
+    pub gateway: usize,
+    pub incarnation: u64,
+    pub id: HttpRequestId,
+}
+
+/// One attempt of a client.
 #[derive(Clone, Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub number: u64,
     pub method: Method,
     pub path: String,
-    /// The gateway, its life there, and the request's name in it.
-    pub gateway: usize,
-    pub life: u64,
-    pub id: HttpRequestId,
-    pub gone: bool,
+    pub key: RequestKey,
+    /// The client has closed the connection, or its gateway has ended.
+    pub is_closed: bool,
     pub status: Option<u16>,
 }
 
 #[derive(Default)]
 pub(crate) struct Clients {
-    pub tries: Vec<Try>,
-    /// The tries that wait, by gateway, life and name.
-    waiting: BTreeMap<(usize, u64, HttpRequestId), u64>,
+    pub attempts: Vec<Attempt>,
+    /// The number of each attempt that waits for its answer.
+    waiting: BTreeMap<RequestKey, u64>,
 }
 
 impl Clients {
-    pub(crate) fn begin(
-        &mut self,
-        method: Method,
-        path: String,
-        gateway: usize,
-        life: u64,
-        id: HttpRequestId,
-    ) -> u64 {
-        let number = self.tries.len() as u64;
-        self.tries.push(Try {
+    /// A client asks; the number of its attempt.
+    pub(crate) fn ask(&mut self, method: Method, path: String, key: RequestKey) -> u64 {
+        let number = self.attempts.len() as u64;
+        self.attempts.push(Attempt {
             number,
             method,
             path,
-            gateway,
-            life,
-            id,
-            gone: false,
+            key,
+            is_closed: false,
             status: None,
         });
-        let former = self.waiting.insert((gateway, life, id), number);
-        assert!(former.is_none(), "one name for two requests");
+        let former = self.waiting.insert(key, number);
+        assert!(former.is_none(), "one key for two requests");
         number
     }
 
-    /// A client closes its connection.
-    pub(crate) fn leave(&mut self, number: u64) -> Option<HttpRequestId> {
-        let one = &mut self.tries[number as usize];
-        if one.gone || one.status.is_some() {
+    /// A client closes its connection, if it still waits.
+    pub(crate) fn close(&mut self, number: u64) -> Option<RequestKey> {
+        let attempt = &mut self.attempts[number as usize];
+        if attempt.is_closed || attempt.status.is_some() {
             return None;
         }
-        one.gone = true;
-        self.waiting.remove(&(one.gateway, one.life, one.id));
-        Some(one.id)
+        attempt.is_closed = true;
+        self.waiting.remove(&attempt.key);
+        Some(attempt.key)
     }
 
-    /// The life of a gateway ends, and with it all of its connections.
-    pub(crate) fn cut(&mut self, gateway: usize) {
-        self.waiting.retain(|(at, ..), number| {
-            self.tries[*number as usize].gone |= *at == gateway;
-            *at != gateway
+    /// A gateway ends, and with it all of its connections.
+    pub(crate) fn close_all(&mut self, gateway: usize) {
+        self.waiting.retain(|key, number| {
+            self.attempts[*number as usize].is_closed |= key.gateway == gateway;
+            key.gateway != gateway
         });
     }
 
-    /// An answer reaches whoever waits under its name: it must be about what that one asked.
-    pub(crate) fn answer(
-        &mut self,
-        gateway: usize,
-        life: u64,
-        id: HttpRequestId,
-        status: u16,
-        body: &[u8],
-    ) -> &Try {
-        let number = self.waiting.remove(&(gateway, life, id));
-        let number =
-            number.unwrap_or_else(|| panic!("an answer {status} to nobody at gateway {gateway}"));
-        let one = &mut self.tries[number as usize];
-        one.status = Some(status);
-        let named = std::str::from_utf8(body).expect("a text");
-        let by_the_gateway = named.contains("error");
+    /// An answer reaches whoever waits under its key: it must be about what that one asked.
+    pub(crate) fn answer(&mut self, key: RequestKey, status: u16, body: &[u8]) -> &Attempt {
+        let number = self.waiting.remove(&key);
+        let number = number.unwrap_or_else(|| panic!("an answer {status} to nobody at {key:?}"));
+        let attempt = &mut self.attempts[number as usize];
+        attempt.status = Some(status);
+        let answered_path = std::str::from_utf8(body).expect("a text");
+        let is_by_gateway = answered_path.contains("error");
         assert!(
-            by_the_gateway || named == one.path,
-            "{} was answered by what became of {named}",
-            one.path
+            is_by_gateway || answered_path == attempt.path,
+            "{} was answered by the outcome of {answered_path}",
+            attempt.path
         );
-        one
+        attempt
     }
 }
