--- a/crates/cluster/gateway/src/admission.rs
+++ b/crates/cluster/gateway/src/admission.rs
@@ -1,8 +1,9 @@
 //! Admission: requests that are rejected at once, before anything is sent.
 
-use crate::error::GatewayError;
 use sagetrail_protocol::client::ClientMethod;
 
+use crate::error::GatewayError;
+
 /// What a request is admitted by, at the moment of its arrival.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Admission {
--- a/crates/cluster/gateway/src/forwarder.rs
+++ b/crates/cluster/gateway/src/forwarder.rs
@@ -1,5 +1,10 @@
 //! Forwarding of clients' requests: admitted, sent, retried, answered.
 
+use sagetrail_protocol::client::{ClientMethod, ClientReply, NotLeader};
+use sagetrail_protocol::collections::{Blob, Text};
+use sagetrail_protocol::node::{HttpReply, HttpRequest, HttpRequestId, Method, Outbox};
+use sagetrail_protocol::{Incarnation, Message, NodeId, Time};
+
 use crate::admission::{Admission, LeaderStatus};
 use crate::deadline::Deadlines;
 use crate::error::GatewayError;
@@ -7,10 +12,6 @@
 use crate::leader_link::LeaderLink;
 use crate::pending::{PendingTable, RequestContent};
 use crate::response;
-use sagetrail_protocol::client::{ClientMethod, ClientReply, NotLeader};
-use sagetrail_protocol::collections::{Blob, Text};
-use sagetrail_protocol::node::{HttpReply, HttpRequest, HttpRequestId, Method, Outbox};
-use sagetrail_protocol::{Incarnation, Message, NodeId, Time};
 
 /// The shortest time between two attempts at a leader that answers `NotLeader`, in milliseconds.
 const MIN_BOUNCE_INTERVAL_MS: u64 = 100;
--- a/crates/cluster/gateway/src/leader_discovery.rs
+++ b/crates/cluster/gateway/src/leader_discovery.rs
@@ -4,10 +4,11 @@
 //! while it knows none. Each answers with a `Directory` that names the leader and its term. A newer term always wins; a
 //! term whose leader has resigned is believed again only if that leader itself confirms it.
 
-use crate::contact::{LeaderContact, Route};
 use sagetrail_protocol::directory::{Directory, HELLO_INTERVAL_MS};
 use sagetrail_protocol::{NodeId, Term, Time};
 
+use crate::contact::{LeaderContact, Route};
+
 /// Interval of hellos while the leader is sought, in milliseconds.
 const SEARCH_INTERVAL_MS: u64 = 250;
 /// The shortest interval of hellos, also of those that are brought forward, in milliseconds.
--- a/crates/cluster/gateway/src/leader_link.rs
+++ b/crates/cluster/gateway/src/leader_link.rs
@@ -1,12 +1,13 @@
 //! The connection to the leader: directly, and through a relay while the direct connection is silent.
 
-use crate::leader_discovery::LeaderDiscovery;
-use crate::relay::{self, RelayRotation};
-use crate::settings::GatewaySettings;
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::node::Outbox;
 use sagetrail_protocol::{Incarnation, Message, NodeId, NodeKind, Time};
 
+use crate::leader_discovery::LeaderDiscovery;
+use crate::relay::{self, RelayRotation};
+use crate::settings::GatewaySettings;
+
 /// Finds the leader and sends messages to it.
 #[derive(Debug)]
 pub(crate) struct LeaderLink {
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -1,5 +1,11 @@
 //! The gateway as a node: receives events, and leaves in an outbox what is to be sent and answered.
 
+use sagetrail_protocol::message::Relayed;
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
+};
+use sagetrail_protocol::{Message, NodeId, Time};
+
 use crate::contact::Route;
 use crate::drain::Drain;
 use crate::error::GatewayError;
@@ -10,11 +16,6 @@
 use crate::response;
 use crate::settings::GatewaySettings;
 use crate::subscription::Subscription;
-use sagetrail_protocol::message::Relayed;
-use sagetrail_protocol::node::{
-    Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method, Node, Now, Outbox,
-};
-use sagetrail_protocol::{Message, NodeId, Time};
 
 /// The end of the path of the platform's readiness check.
 const READINESS_PATH_END: &str = "readyz";
--- a/crates/cluster/gateway/src/pending.rs
+++ b/crates/cluster/gateway/src/pending.rs
@@ -1,12 +1,14 @@
 //! The requests that are not answered yet: each with its number, copies in flight, deadline and next retry.
 
-use crate::backoff::RetryBackoff;
-use crate::deadline::Deadlines;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
 use sagetrail_protocol::client::{ClientMethod, ClientRequest};
 use sagetrail_protocol::collections::{Blob, Text};
 use sagetrail_protocol::node::HttpRequestId;
 use sagetrail_protocol::{Incarnation, Time};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use crate::backoff::RetryBackoff;
+use crate::deadline::Deadlines;
 
 /// The most requests that are kept at once.
 const MAX_REQUESTS: usize = 8192;
--- a/crates/cluster/gateway/src/response.rs
+++ b/crates/cluster/gateway/src/response.rs
@@ -1,9 +1,11 @@
 //! HTTP replies: the gateway's own, and the scheduler's as it is forwarded.
 
-use crate::error::GatewayError;
+use serde_json::json;
+
 use sagetrail_protocol::client::ClientReply;
 use sagetrail_protocol::node::HttpReply;
-use serde_json::json;
+
+use crate::error::GatewayError;
 
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
