--- a/crates/cluster/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -1,4 +1,5 @@
 //! The agent's process: heartbeats and orders in, answers and reports out.
+
 mod looks;
 mod messages;
 
@@ -15,7 +16,9 @@
 use crate::watch::RunnerWatch;
 use sagetrail_protocol::agent::RUNNER_HOLD_MS;
 use sagetrail_protocol::directory::Hello;
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
+};
 use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// After the notice of its end the process serves on for so long, in milliseconds, if its grace allows.
@@ -77,8 +80,8 @@
         self.config.version()
     }
 
-    fn http(&mut self, now: Time, door: Door, request: &HttpRequest) -> HttpReply {
-        if door != Door::Control {
+    fn http(&mut self, now: Time, endpoint: HttpEndpoint, request: &HttpRequest) -> HttpReply {
+        if endpoint != HttpEndpoint::Control {
             return bare(404);
         }
         match Call::parse(&request.path) {
@@ -208,8 +211,8 @@
     }
 
     /// A scheduler that is new to this process is told at once what is.
-    fn note_owner(&mut self, former: Option<NodeId>) {
-        if self.uplink.owner().is_some() && self.uplink.owner() != former {
+    fn note_leader(&mut self, former: Option<NodeId>) {
+        if self.uplink.leader().is_some() && self.uplink.leader() != former {
             self.pace.note_change();
         }
     }
@@ -237,7 +240,7 @@
     }
 
     fn report_due(&self) -> Option<Time> {
-        self.uplink.owner()?;
+        self.uplink.leader()?;
         Some(self.pace.due(self.orders.low_lease_at()))
     }
 
@@ -264,19 +267,23 @@
 impl Node for AgentNode {
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         let steady = now.steady;
-        let owner = self.uplink.owner();
+        let leader = self.uplink.leader();
         match event {
             Event::Message { from, message } => self.message(steady, from, None, message, outbox),
-            Event::Http { id, door, request } => {
-                let reply = self.http(steady, door, &request);
+            Event::Http {
+                id,
+                endpoint,
+                request,
+            } => {
+                let reply = self.http(steady, endpoint, &request);
                 outbox.reply(id, reply);
             }
             Event::Seeds(seeds) => self.uplink.set_seeds(seeds),
             Event::Terminate => self.terminate(steady),
-            Event::Probe { id, result } => self.probed(steady, id, result),
+            Event::HealthCheck { id, result } => self.probed(steady, id, result),
             Event::HttpAbandoned { .. } | Event::Synced { .. } | Event::Wake => {}
         }
-        self.note_owner(owner);
+        self.note_leader(leader);
         self.poll(steady, outbox);
     }
 
--- a/crates/cluster/agent/src/settings.rs
+++ b/crates/cluster/agent/src/settings.rs
@@ -1,4 +1,5 @@
 //! What an agent is started with, and what it counts.
+
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::{Incarnation, NodeId};
 use std::net::SocketAddrV4;
@@ -34,7 +35,7 @@
     /// Reports sent.
     pub reports: u64,
     /// Looks at the runner.
-    pub probes: u64,
+    pub health_checks: u64,
     /// Looks that found it dead.
     pub deaths: u64,
 }
--- a/crates/cluster/agent/tests/deregister.rs
+++ b/crates/cluster/agent/tests/deregister.rs
@@ -1,5 +1,6 @@
 //! A runner that deregisters may serve on for seconds: what it runs is not over, nothing starts there any more, and
 //! heartbeats that come late or out of order change neither.
+
 mod common;
 mod model;
 use common::*;
@@ -98,7 +99,7 @@
 #[test]
 fn a_deregistration_at_a_new_agent_ends_nothing_before_the_holds_of_its_forerunner() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.post(DEREGISTER, Vec::new());
     script.pass(2_600);
     assert!(script.last_report().draining && !script.last_report().lapsed);
@@ -109,7 +110,7 @@
 #[test]
 fn a_new_agent_that_hears_nobody_says_so_once_no_hold_can_last() {
     let mut script = Script::new();
-    script.directory(1, OWNER);
+    script.directory(1, LEADER);
     script.pass(2_600);
     assert!(!script.last_report().present && !script.last_report().lapsed);
     script.pass(100);
--- a/crates/cluster/agent/tests/model/scheduler.rs
+++ b/crates/cluster/agent/tests/model/scheduler.rs
@@ -1,4 +1,5 @@
 //! A scheduler by the design note: it gives a run up only when invariant 3 says that it is over for sure.
+
 use sagetrail_protocol::agent::{
     RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
 };
@@ -7,15 +8,15 @@
 /// After so long without an extension an agent's lease is over by any clock, in milliseconds.
 const LEASE_OVER_MS: u64 = AGENT_LEASE_MS * 103 / 100 + 500;
 
-pub struct Assignment {
+pub(crate) struct Assignment {
     pub task: String,
     pub attempt: u64,
     pub instance: String,
     pub wanted: bool,
 }
 
-pub struct Scheduler {
-    pub epoch: u64,
+pub(crate) struct Scheduler {
+    pub term: u64,
     revision: u64,
     pub assignments: Vec<Assignment>,
     /// Runs that are over for sure: (task, attempt).
@@ -31,9 +32,9 @@
 }
 
 impl Scheduler {
-    pub fn new() -> Scheduler {
+    pub(crate) fn new() -> Scheduler {
         Scheduler {
-            epoch: 1,
+            term: 1,
             revision: 0,
             assignments: Vec::new(),
             over: Vec::new(),
@@ -49,8 +50,8 @@
     }
 
     /// Another process is elected: it knows the assignments and nothing of the agent.
-    pub fn elect(&mut self, now_ms: u64) {
-        self.epoch += 1;
+    pub(crate) fn elect(&mut self, now_ms: u64) {
+        self.term += 1;
         self.revision = 0;
         self.content = None;
         self.settled = false;
@@ -59,7 +60,7 @@
         self.observed = 0;
     }
 
-    pub fn assign(&mut self, task: &str) {
+    pub(crate) fn assign(&mut self, task: &str) {
         let taken = self
             .assignments
             .iter()
@@ -79,13 +80,13 @@
     }
 
     /// A run is no longer wanted; orders without it get a revision of their own.
-    pub fn withdraw(&mut self, task: &str) {
+    pub(crate) fn withdraw(&mut self, task: &str) {
         let runs = self.assignments.iter_mut().filter(|run| run.task == task);
         runs.for_each(|run| run.wanted = false);
         self.orders();
     }
 
-    pub fn tick(&mut self, now_ms: u64) {
+    pub(crate) fn tick(&mut self, now_ms: u64) {
         if now_ms > self.last_extension_ms + LEASE_OVER_MS {
             self.give_up(|_| true);
         }
@@ -100,7 +101,7 @@
     }
 
     /// Takes a report; what answers it.
-    pub fn report(&mut self, now_ms: u64, report: &RunnerReport) -> RunnerOrders {
+    pub(crate) fn report(&mut self, now_ms: u64, report: &RunnerReport) -> RunnerOrders {
         let name = (report.agent, report.sequence);
         let newer = name > self.newest;
         if newer {
@@ -125,7 +126,7 @@
         }
         let instance = report.instance.to_string();
         let other = !self.instance.is_empty() && instance != self.instance;
-        let current = report.epoch == self.epoch && (report.settled || report.lapsed);
+        let current = report.term == self.term && (report.settled || report.lapsed);
         if other && !current {
             return; // A new agent may have been told by an instance that is no more.
         }
@@ -146,7 +147,7 @@
         if report.lapsed {
             self.give_up(|_| true);
         }
-        self.settled = report.settled && report.epoch == self.epoch;
+        self.settled = report.settled && report.term == self.term;
         if self.settled && report.revision == self.revision {
             let active = self.active.clone();
             let listed = |run: &Assignment| active.contains(&(run.task.clone(), run.attempt));
@@ -155,7 +156,7 @@
     }
 
     /// The newest orders, unasked.
-    pub fn orders(&mut self) -> RunnerOrders {
+    pub(crate) fn orders(&mut self) -> RunnerOrders {
         let listed = |run: &&Assignment| self.active.contains(&(run.task.clone(), run.attempt));
         let wanted = self
             .assignments
@@ -181,7 +182,7 @@
             attempt: *attempt,
         });
         let mut orders = RunnerOrders {
-            epoch: self.epoch,
+            term: self.term,
             revision: self.revision,
             agent: 0,
             sent_at: 0,
--- a/crates/cluster/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -1,12 +1,14 @@
 //! The three on their network, and what must hold at each millisecond.
+
 use super::chance::Chance;
 use super::runner::Runner;
 use super::scheduler::Scheduler;
-use crate::common::{now, settings, AGENT, OWNER};
+use crate::common::{now, settings, AGENT, LEADER};
 use sagetrail_agent::AgentNode;
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::node::{
-    Door, Event, HttpRequest, HttpRequestId, Method, Node, Outbox, ProbeId, ProbeResult,
+    Event, HealthCheckId, HealthCheckResult, HttpEndpoint, HttpRequest, HttpRequestId, Method,
+    Node, Outbox,
 };
 use sagetrail_protocol::{List, Message, Time};
 
@@ -38,21 +40,21 @@
         message: Message,
     },
     ToScheduler {
-        epoch: u64,
+        term: u64,
         message: Message,
     },
-    Probe {
+    HealthCheck {
         agent: u64,
-        id: ProbeId,
+        id: HealthCheckId,
     },
     Probed {
         agent: u64,
-        id: ProbeId,
-        result: ProbeResult,
+        id: HealthCheckId,
+        result: HealthCheckResult,
     },
 }
 
-pub struct World {
+pub(crate) struct World {
     chance: Chance,
     now_ms: u64,
     letters: Vec<(u64, Letter)>,
@@ -74,7 +76,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64) -> World {
+    pub(crate) fn new(seed: u64) -> World {
         World {
             chance: Chance::new(seed),
             now_ms: 0,
@@ -95,18 +97,18 @@
         }
     }
 
-    pub fn with_departures(seed: u64) -> World {
+    pub(crate) fn with_departures(seed: u64) -> World {
         World {
             departures: true,
             ..World::new(seed)
         }
     }
 
-    pub fn over(&self) -> usize {
+    pub(crate) fn over(&self) -> usize {
         self.scheduler.over.len()
     }
 
-    pub fn play(&mut self, millis: u64) {
+    pub(crate) fn play(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now_ms += 1;
             self.trouble();
@@ -218,30 +220,30 @@
 
     fn post(&mut self, outbox: Outbox) {
         for (to, message) in outbox.sends {
-            if to == OWNER && self.now_ms >= self.cut_until_ms {
-                let epoch = self.scheduler.epoch;
-                self.send(Letter::ToScheduler { epoch, message });
+            if to == LEADER && self.now_ms >= self.cut_until_ms {
+                let term = self.scheduler.term;
+                self.send(Letter::ToScheduler { term, message });
             }
         }
-        for probe in outbox.probes {
-            self.send(Letter::Probe {
+        for health_check in outbox.health_checks {
+            self.send(Letter::HealthCheck {
                 agent: self.agent_number,
-                id: probe.id,
+                id: health_check.id,
             });
         }
     }
 
     /// A look finds the port as it is when it comes there; what it found may come late.
-    fn probe(&mut self, agent: u64, id: ProbeId) {
+    fn health_check(&mut self, agent: u64, id: HealthCheckId) {
         let result = match self.chance.below(10) {
-            0 => ProbeResult::Silent,
-            _ if self.now_ms < self.runner.up_ms => ProbeResult::Refused,
-            _ => ProbeResult::Status(200),
+            0 => HealthCheckResult::Silent,
+            _ if self.now_ms < self.runner.up_ms => HealthCheckResult::Refused,
+            _ => HealthCheckResult::Status(200),
         };
         self.send(Letter::Probed { agent, id, result });
     }
 
-    fn probed(&mut self, id: ProbeId, result: ProbeResult) {
+    fn probed(&mut self, id: HealthCheckId, result: HealthCheckResult) {
         let deaths = |world: &World| {
             world
                 .agent
@@ -249,7 +251,7 @@
                 .map_or(0, |agent| agent.counters().deaths)
         };
         let before = deaths(self);
-        self.agent_event(Event::Probe { id, result });
+        self.agent_event(Event::HealthCheck { id, result });
         self.deaths_found += deaths(self) - before;
     }
 
@@ -322,14 +324,14 @@
                 }
                 Letter::ToAgent { agent, message } if agent == self.agent_number => {
                     self.agent_event(Event::Message {
-                        from: OWNER,
+                        from: LEADER,
                         message,
                     });
                 }
-                Letter::ToScheduler { epoch, message } if epoch == self.scheduler.epoch => {
+                Letter::ToScheduler { term, message } if term == self.scheduler.term => {
                     self.scheduler_message(message);
                 }
-                Letter::Probe { agent, id } => self.probe(agent, id),
+                Letter::HealthCheck { agent, id } => self.health_check(agent, id),
                 Letter::Probed { agent, id, result } if agent == self.agent_number => {
                     self.probed(id, result);
                 }
@@ -386,7 +388,7 @@
         };
         self.agent_event(Event::Http {
             id: HttpRequestId(number),
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
         })
     }
@@ -406,10 +408,10 @@
         let answer = match message {
             Message::Hello(_) => Message::Directory(Directory {
                 members_version: 1,
-                members: List(vec![OWNER]),
+                members: List(vec![LEADER]),
                 next_members: List::default(),
-                epoch: self.scheduler.epoch,
-                owner: OWNER,
+                term: self.scheduler.term,
+                leader: LEADER,
                 config_version: 0,
                 relays: List(vec![AGENT]),
             }),
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -1,4 +1,5 @@
 //! One request: read whole within limits, handed to the logic, answered.
+
 use super::convert::{refusal, to_request, to_response};
 use super::room::Place;
 use crate::input::{Input, Inputs};
@@ -7,7 +8,7 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
-use sagetrail_protocol::node::{Door, HttpRequestId};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequestId};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -22,8 +23,8 @@
 const CONTROL_BODY_BYTES: usize = 4 << 20;
 
 /// What the requests of one listening address share.
-pub struct ServiceContext {
-    pub door: Door,
+pub(super) struct ServiceContext {
+    pub endpoint: HttpEndpoint,
     pub inputs: Inputs,
     pub phase: PhaseWatch,
     pub next_id: Arc<AtomicU64>,
@@ -54,7 +55,7 @@
 }
 
 /// Answers one request.
-pub async fn answer(
+pub(super) async fn answer(
     context: &ServiceContext,
     place: &Place,
     request: Request<Incoming>,
@@ -62,7 +63,7 @@
     place.set_busy(true);
     let _busy = Busy(place);
     let (parts, body) = request.into_parts();
-    let body = match read_body(body, limit(context.door)).await {
+    let body = match read_body(body, limit(context.endpoint)).await {
         Ok(body) => body,
         Err(status) => return Ok(refusal(status)),
     };
@@ -72,7 +73,7 @@
     let (reply, replied) = oneshot::channel();
     let input = Input::Request {
         id,
-        door: context.door,
+        endpoint: context.endpoint,
         request,
         reply,
     };
@@ -94,10 +95,10 @@
     ))
 }
 
-fn limit(door: Door) -> usize {
-    match door {
-        Door::Frontend | Door::Readiness => CLIENT_BODY_BYTES,
-        Door::Control => CONTROL_BODY_BYTES,
+fn limit(endpoint: HttpEndpoint) -> usize {
+    match endpoint {
+        HttpEndpoint::Frontend | HttpEndpoint::Readiness => CLIENT_BODY_BYTES,
+        HttpEndpoint::Control => CONTROL_BODY_BYTES,
     }
 }
 
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -4,6 +4,7 @@
 //! `fixtures/core/rows.txt` holds the rows of both tables in hexadecimal, `fixtures/core/state.redb` the file itself.
 //! Both come from `play`. Where a row has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-cluster-node --test
 //! stored_core` writes both again; what changed then stands in the commit, with how a member reads the older rows.
+
 mod common;
 mod stored;
 
@@ -13,7 +14,8 @@
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
 use sagetrail_protocol::control::{
-    Ballot, ChangesRequest, ControlMessage, Prepare, Read, RecordsTag, VoteReply, VoteRequest,
+    ChangesRequest, ControlMessage, Prepare, ProposalNumber, Read, RecordsPosition, VoteReply,
+    VoteRequest,
 };
 use sagetrail_protocol::node::DiskImage;
 use sagetrail_protocol::NodeId;
@@ -25,14 +27,14 @@
 const LATER_INCARNATION: u64 = 0x5555_6666_7777_8888;
 /// More than travel with the register's value, so that some are in the archive alone.
 const VERSIONS: u64 = 84;
-/// Long enough for founding, or for the end of a former life's lease, and an election.
+/// Long enough for bootstrap, or for the end of a former life's lease, and an election.
 const ELECTION_MS: u64 = 10_000;
 /// A term that the member promises to it, and its life.
-const FOREIGN_EPOCH: u64 = 9;
+const FOREIGN_TERM: u64 = 9;
 const FOREIGN_INCARNATION: u64 = 0x99;
 /// So many batches of records there were in the term of the play.
 const STORED_BATCHES: u64 = 11;
-const FOREIGN_BALLOT: Ballot = Ballot {
+const FOREIGN_PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 0x0900,
     node: FOREIGN,
     incarnation: 0x77,
@@ -97,7 +99,7 @@
     runners.iter_mut().for_each(|runner| runner.end(task, end));
 }
 
-/// A member is founded alone, takes changes, jobs and reports, and promises a ballot to another process.
+/// A member is founded alone, takes changes, jobs and reports, and promises a proposal number to another process.
 fn play(folder: &Path) {
     let mut core = LoneCore::start(folder, INCARNATION, true);
     core.run(ELECTION_MS);
@@ -148,11 +150,11 @@
     assert_eq!(cancelled.status, 200);
     rounds(&mut core, &mut runners);
     let prepare = Prepare {
-        ballot: FOREIGN_BALLOT,
-        have: Ballot::default(),
+        proposal: FOREIGN_PROPOSAL,
+        have: ProposalNumber::default(),
     };
     let promised = core.ask(FOREIGN, ControlMessage::Prepare(prepare));
-    assert!(matches!(promised, ControlMessage::Promised(_)));
+    assert!(matches!(promised, ControlMessage::Promise(_)));
     drop(core);
     promise_a_term(folder);
 }
@@ -171,10 +173,10 @@
 
 fn vote(core: &mut LoneCore, from: NodeId, incarnation: u64) -> VoteReply {
     let request = ControlMessage::VoteRequest(VoteRequest {
-        epoch: FOREIGN_EPOCH,
+        term: FOREIGN_TERM,
         incarnation,
         members_version: 1,
-        probe: false,
+        pre_vote: false,
         sent_at: 9,
     });
     match core.ask(from, request) {
@@ -257,17 +259,17 @@
 fn foreign_read() -> ControlMessage {
     ControlMessage::Read(Read {
         nonce: 5,
-        have: Ballot::default(),
+        have: ProposalNumber::default(),
     })
 }
 
 #[test]
-fn the_registers_ballots_and_value_are_taken_up() {
+fn the_registers_proposals_and_value_are_taken_up() {
     let (mut core, _) = restarted("stored-register");
     let ControlMessage::ReadReply(reply) = core.ask(FOREIGN, foreign_read()) else {
         panic!("a read is answered");
     };
-    let accepted = Ballot {
+    let accepted = ProposalNumber {
         counter: VERSIONS + 1,
         node: ME,
         incarnation: INCARNATION,
@@ -275,24 +277,24 @@
     assert_eq!(reply.accepted, accepted);
     check_value(&RegisterValue::decode(&reply.value).unwrap());
     let prepare = Prepare {
-        ballot: Ballot {
-            counter: FOREIGN_BALLOT.counter - 1,
-            ..FOREIGN_BALLOT
+        proposal: ProposalNumber {
+            counter: FOREIGN_PROPOSAL.counter - 1,
+            ..FOREIGN_PROPOSAL
         },
-        have: Ballot::default(),
+        have: ProposalNumber::default(),
     };
     let ControlMessage::Refused(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
     else {
         panic!("a lower ballot is refused");
     };
-    assert_eq!(refused.promised, FOREIGN_BALLOT);
+    assert_eq!(refused.promised, FOREIGN_PROPOSAL);
 }
 
 fn check_value(value: &RegisterValue) {
     assert_eq!(value.members_version, 1);
     assert_eq!(value.members.0, [ME]);
     assert_eq!(value.next_members.0, []);
-    assert_eq!(value.founding_size, 1);
+    assert_eq!(value.bootstrap_size, 1);
     assert_eq!(value.config.version, VERSIONS);
     let read: serde_json::Value = serde_json::from_slice(&value.config.document).unwrap();
     let written: serde_json::Value = serde_json::from_str(&document(VERSIONS)).unwrap();
@@ -311,8 +313,8 @@
 #[test]
 fn the_promised_term_and_the_state_of_the_records_are_taken_up() {
     let (mut core, _) = restarted("stored-promise");
-    let tag = RecordsTag {
-        epoch: 1,
+    let position = RecordsPosition {
+        term: 1,
         number: STORED_BATCHES,
     };
     // The lease that a former life may have granted still runs: only who was promised the term is promised it again.
@@ -323,9 +325,9 @@
     ] {
         let reply = vote(&mut core, from, incarnation);
         assert_eq!(reply.granted, granted, "{from} {incarnation:x}");
-        assert_eq!(reply.promised, FOREIGN_EPOCH);
+        assert_eq!(reply.promised, FOREIGN_TERM);
         assert_eq!(reply.members_version, 1);
-        assert_eq!(reply.tag, tag);
+        assert_eq!(reply.position, position);
     }
 }
 
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -1,4 +1,5 @@
 //! Fetches accepted changes that this process missed from the other members, one request at a time.
+
 use crate::accepted_changes::{AcceptedChanges, Gap};
 use crate::effects::Effects;
 use crate::node::CoreNode;
@@ -38,7 +39,7 @@
 
 /// The requests of one process.
 #[derive(Debug, Default)]
-pub struct ChangesFetch {
+pub(crate) struct ChangesFetch {
     request: Option<Request>,
     /// By the version after which the gap begins; a gap that is filled in part is another one.
     attempts: BTreeMap<u64, Attempts>,
@@ -48,7 +49,7 @@
 
 impl ChangesFetch {
     /// Sends, repeats or postpones requests for what is missing. `node`: this process, which is not asked.
-    pub fn tick(
+    pub(crate) fn tick(
         &mut self,
         now: Time,
         node: NodeId,
@@ -91,9 +92,15 @@
     }
 
     /// An answer came; it is taken only where it was asked for.
-    pub fn reply(&mut self, from: NodeId, reply: &ChangesReply, changes: &mut AcceptedChanges) {
-        let asked = |request: &Request| request.member == from && request.after == reply.after;
-        if !self.request.as_ref().is_some_and(asked) {
+    pub(crate) fn reply(
+        &mut self,
+        from: NodeId,
+        reply: &ChangesReply,
+        changes: &mut AcceptedChanges,
+    ) {
+        let parse_request =
+            |request: &Request| request.member == from && request.after == reply.after;
+        if !self.request.as_ref().is_some_and(parse_request) {
             return;
         }
         self.request = None;
@@ -109,7 +116,7 @@
     }
 
     /// When something is due.
-    pub fn next_wake(&self, changes: &AcceptedChanges) -> Option<Time> {
+    pub(crate) fn next_wake(&self, changes: &AcceptedChanges) -> Option<Time> {
         if let Some(request) = self.request {
             return Some(request.sent_at.plus_millis(RESEND_MS));
         }
@@ -123,7 +130,7 @@
     }
 
     /// Whether nothing is missing but what every member was asked for in vain.
-    pub fn is_done(&self, changes: &AcceptedChanges) -> bool {
+    pub(crate) fn is_done(&self, changes: &AcceptedChanges) -> bool {
         changes.gaps().all(|gap| {
             self.attempts
                 .get(&gap.after)
@@ -179,18 +186,18 @@
 impl CoreNode {
     /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
     pub fn changes_caught_up(&self) -> bool {
-        self.knowledge.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
+        self.register_view.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
     }
 
     /// Asks for accepted changes that are missing, and writes those that are not on disk yet.
     pub(crate) fn step_changes(&mut self, now: Time) {
-        let (node, list) = (self.settings.node, &self.knowledge.list);
+        let (node, list) = (self.settings.node, &self.register_view.list);
         if list.version > 0 {
             self.changes_fetch
                 .tick(now, node, &self.accepted_changes, list, &mut self.effects);
         }
         // A process that never took part keeps nothing on disk.
-        if self.standing.ready && self.accepted_changes.needs_writing() {
+        if self.membership_state.ready && self.accepted_changes.needs_writing() {
             let operations = self.accepted_changes.take_writes();
             self.effects.write(operations, Vec::new());
         }
@@ -198,7 +205,7 @@
 
     /// When a request is due.
     pub(crate) fn changes_wake(&self) -> Option<Time> {
-        let founded = self.knowledge.list.version > 0;
+        let founded = self.register_view.list.version > 0;
         founded
             .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
             .flatten()
--- a/crates/cluster/control-plane/src/candidate.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -1,46 +1,51 @@
 //! Elections: a process whose granted lease is over first asks whether it would be promised a term, then for it.
+
 use crate::effects::Effects;
 use crate::quorum::MemberList;
-use crate::timing::{ELECTION_JITTER_MS, OWNER_LEASE_MS, PROBE_MS, RESEND_MS, RESIGNED_JITTER_MS};
+use crate::timing::{
+    ELECTION_JITTER_MS, LEADER_LEASE_MS, PRE_VOTE_MS, RESEND_MS, RESIGNED_JITTER_MS,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::{ControlMessage, RecordsTag, Resign, VoteReply, VoteRequest};
-use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::control::{
+    ControlMessage, RecordsPosition, Resign, VoteReply, VoteRequest,
+};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A vote that was given.
 #[derive(Clone, Copy, Debug)]
-pub struct Vote {
-    pub tag: RecordsTag,
+pub(crate) struct Vote {
+    pub position: RecordsPosition,
     /// When it was asked for, in microseconds of the candidate's steady clock.
     pub sent_at: u64,
 }
 
 /// An election that was won.
 #[derive(Debug)]
-pub struct Elected {
-    pub epoch: Epoch,
+pub(crate) struct Elected {
+    pub term: Term,
     /// The newest records among the voters, and who has them.
-    pub base: RecordsTag,
+    pub base: RecordsPosition,
     pub source: NodeId,
     pub votes: BTreeMap<NodeId, Vote>,
 }
 
 impl Elected {
     /// Voters with the newest records besides the source.
-    pub fn other_sources(&self) -> Vec<NodeId> {
+    pub(crate) fn other_sources(&self) -> Vec<NodeId> {
         let holders = self
             .votes
             .iter()
-            .filter(|(voter, vote)| vote.tag == self.base && **voter != self.source);
+            .filter(|(voter, vote)| vote.position == self.base && **voter != self.source);
         holders.map(|(voter, _)| *voter).collect()
     }
 }
 
 #[derive(Debug)]
 struct Candidacy {
-    epoch: Epoch,
-    probe: bool,
+    term: Term,
+    pre_vote: bool,
     members_version: u64,
     started: Time,
     sent_at: Time,
@@ -51,19 +56,19 @@
 
 /// The elections of one process.
 #[derive(Debug)]
-pub struct Elections {
+pub(crate) struct Elections {
     node: NodeId,
     incarnation: Incarnation,
     random: Pcg64Mcg,
     jitter_ms: u64,
     not_before: Time,
-    highest: Epoch,
+    highest: Term,
     candidacy: Option<Candidacy>,
 }
 
 impl Elections {
     /// Without a candidacy.
-    pub fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Elections {
+    pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Elections {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let jitter_ms = random.random_range(0..ELECTION_JITTER_MS);
         let not_before = Time::default();
@@ -79,7 +84,7 @@
     }
 
     /// When an election or its next step is due, with the granted lease running until `lease_until`.
-    pub fn next_wake(&self, lease_until: Time) -> Time {
+    pub(crate) fn next_wake(&self, lease_until: Time) -> Time {
         match &self.candidacy {
             Some(candidacy) => candidacy
                 .sent_at
@@ -89,18 +94,18 @@
         }
     }
 
-    /// The owner gave its lease up: the next election comes soon.
-    pub fn hasten(&mut self) {
+    /// The leader gave its lease up: the next election comes soon.
+    pub(crate) fn hasten(&mut self) {
         self.jitter_ms = self.random.random_range(0..RESIGNED_JITTER_MS);
     }
 
     /// Notes a term that was promised somewhere.
-    pub fn note(&mut self, epoch: Epoch) {
-        self.highest = self.highest.max(epoch);
+    pub(crate) fn note(&mut self, term: Term) {
+        self.highest = self.highest.max(term);
     }
 
     /// Gives a candidacy up.
-    pub fn stand_back(&mut self, now: Time) {
+    pub(crate) fn stand_back(&mut self, now: Time) {
         self.candidacy = None;
         self.jitter_ms = self.random.random_range(0..ELECTION_JITTER_MS);
         self.not_before = now.plus_millis(self.jitter_ms);
@@ -108,19 +113,25 @@
 
     /// Gives a candidacy up and frees those who promised its term.
     fn give_up(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        let term = self
+        let leadership = self
             .candidacy
             .as_ref()
-            .filter(|candidacy| !candidacy.probe)
-            .map(|candidacy| candidacy.epoch);
+            .filter(|candidacy| !candidacy.pre_vote)
+            .map(|candidacy| candidacy.term);
         self.stand_back(now);
-        if let Some(epoch) = term {
-            effects.broadcast(list.all(), &ControlMessage::Resign(Resign { epoch }));
+        if let Some(term) = leadership {
+            effects.broadcast(list.all(), &ControlMessage::Resign(Resign { term }));
         }
     }
 
     /// Starts, repeats or gives up a candidacy.
-    pub fn tick(&mut self, now: Time, lease_until: Time, list: &MemberList, effects: &mut Effects) {
+    pub(crate) fn tick(
+        &mut self,
+        now: Time,
+        lease_until: Time,
+        list: &MemberList,
+        effects: &mut Effects,
+    ) {
         if now < self.next_wake(lease_until) {
             return;
         }
@@ -134,16 +145,16 @@
         }
     }
 
-    fn stand(&mut self, now: Time, probe: bool, list: &MemberList, effects: &mut Effects) {
-        let epoch = self.highest + 1;
-        if !probe {
-            self.highest = epoch;
+    fn stand(&mut self, now: Time, pre_vote: bool, list: &MemberList, effects: &mut Effects) {
+        let term = self.highest + 1;
+        if !pre_vote {
+            self.highest = term;
         }
         let (votes, refusals) = (BTreeMap::new(), BTreeSet::new());
         let members_version = list.version;
         let candidacy = Candidacy {
-            epoch,
-            probe,
+            term,
+            pre_vote,
             members_version,
             started: now,
             sent_at: now,
@@ -155,7 +166,7 @@
     }
 
     /// An answer came.
-    pub fn reply(
+    pub(crate) fn reply(
         &mut self,
         now: Time,
         from: NodeId,
@@ -168,8 +179,8 @@
         if reply.incarnation != self.incarnation {
             return None;
         }
-        let same =
-            reply.probe == candidacy.probe && (reply.probe || reply.epoch == candidacy.epoch);
+        let same = reply.pre_vote == candidacy.pre_vote
+            && (reply.pre_vote || reply.term == candidacy.term);
         if !same || !list.contains(from) {
             return None;
         }
@@ -180,13 +191,13 @@
             }
             return None;
         }
-        if now >= Time(reply.sent_at).plus_millis(OWNER_LEASE_MS) {
+        if now >= Time(reply.sent_at).plus_millis(LEADER_LEASE_MS) {
             return None;
         }
         candidacy.votes.insert(
             from,
             Vote {
-                tag: reply.tag,
+                position: reply.position,
                 sent_at: reply.sent_at,
             },
         );
@@ -194,7 +205,7 @@
         if !list.reached_by(&voters) {
             return None;
         }
-        if candidacy.probe {
+        if candidacy.pre_vote {
             self.stand(now, false, list, effects);
             return None;
         }
@@ -209,16 +220,20 @@
 
 impl Candidacy {
     fn ends(&self) -> Time {
-        let span_ms = if self.probe { PROBE_MS } else { OWNER_LEASE_MS };
+        let span_ms = if self.pre_vote {
+            PRE_VOTE_MS
+        } else {
+            LEADER_LEASE_MS
+        };
         self.started.plus_millis(span_ms)
     }
 
     fn send(&self, incarnation: Incarnation, list: &MemberList, effects: &mut Effects) {
         let request = VoteRequest {
-            epoch: self.epoch,
+            term: self.term,
             incarnation,
             members_version: self.members_version,
-            probe: self.probe,
+            pre_vote: self.pre_vote,
             sent_at: self.sent_at.0,
         };
         let silent = list
@@ -233,12 +248,12 @@
         let newest = self
             .votes
             .iter()
-            .max_by_key(|(voter, vote)| (vote.tag, **voter == node));
+            .max_by_key(|(voter, vote)| (vote.position, **voter == node));
         let (source, base) = newest
-            .map(|(voter, vote)| (*voter, vote.tag))
+            .map(|(voter, vote)| (*voter, vote.position))
             .unwrap_or_default();
         Elected {
-            epoch: self.epoch,
+            term: self.term,
             base,
             source,
             votes: self.votes,
--- a/crates/cluster/control-plane/src/term.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -1,17 +1,18 @@
 //! A term of the elected process: its lease, and the batches on their way to the replicas.
-use crate::candidate::Elected;
+
+use crate::batch_window::Window;
 use crate::effects::Effects;
+use crate::election::Elected;
 use crate::learner::Learner;
 use crate::quorum::MemberList;
 use crate::records::to_changes;
-use crate::timing::{OWNER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
-use crate::window::Window;
+use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, RecordBatch, RecordsTag, Renew, RenewAck, Resign,
+    ControlMessage, ProposalNumber, RecordBatch, RecordsPosition, Renew, RenewAck, Resign,
 };
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{Batch, Service};
-use sagetrail_protocol::{Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
 /// So many batches are under way to the quorum at once.
@@ -48,12 +49,12 @@
 }
 
 /// The term.
-pub struct Term {
+pub(crate) struct Leadership {
     node: NodeId,
-    pub epoch: Epoch,
+    pub term: Term,
     pub elected_at: Time,
     pub lease_until: Time,
-    base: RecordsTag,
+    base: RecordsPosition,
     source: NodeId,
     /// Other voters with the term's base.
     other_sources: Vec<NodeId>,
@@ -63,14 +64,14 @@
     window: Window,
     last: u64,
     /// One more than the newest batch kept by a quorum; 0 before the base is.
-    kept: u64,
+    committed: u64,
     renew_at: Time,
     pub service: Option<Box<dyn Service + Send>>,
 }
 
-impl Term {
+impl Leadership {
     /// Begins with the votes as first grants of the lease.
-    pub fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Term {
+    pub(crate) fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Leadership {
         let vote = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
         let progress = list
             .all()
@@ -78,9 +79,9 @@
             .map(|member| (member, Progress::new(now, vote(&member))));
         let progress: BTreeMap<NodeId, Progress> = progress.collect();
         let other_sources = elected.other_sources();
-        let mut term = Term {
+        let mut leadership = Leadership {
             node,
-            epoch: elected.epoch,
+            term: elected.term,
             elected_at: now,
             lease_until: now,
             base: elected.base,
@@ -90,21 +91,21 @@
             learners: BTreeMap::new(),
             window: Window::default(),
             last: 0,
-            kept: 0,
+            committed: 0,
             renew_at: now,
             service: None,
         };
-        term.extend_lease(list);
-        term
+        leadership.extend_lease(list);
+        leadership
     }
 
     /// Whether the term's base is at a quorum.
-    pub fn base_is_kept(&self) -> bool {
-        self.kept > 0
+    pub(crate) fn base_is_committed(&self) -> bool {
+        self.committed > 0
     }
 
     /// This process has the records of the term in hand.
-    pub fn holds_base(&mut self, now: Time) {
+    pub(crate) fn holds_base(&mut self, now: Time) {
         if self.source != self.node {
             self.source = self.node;
             self.renew_at = now;
@@ -112,7 +113,7 @@
     }
 
     /// The records are to come from another voter that has the base; false where there is none.
-    pub fn turn_to_next_source(&mut self, now: Time) -> bool {
+    pub(crate) fn turn_to_next_source(&mut self, now: Time) -> bool {
         let Some(source) = self.other_sources.pop() else {
             return false;
         };
@@ -122,7 +123,7 @@
     }
 
     /// When something is due, the service's own times apart.
-    pub fn next_wake(&self) -> Time {
+    pub(crate) fn next_wake(&self) -> Time {
         let resends = self
             .progress
             .values()
@@ -139,13 +140,19 @@
     }
 
     /// Renews the lease where that is due.
-    pub fn renew(&mut self, now: Time, list: &MemberList, learned: Ballot, effects: &mut Effects) {
+    pub(crate) fn renew(
+        &mut self,
+        now: Time,
+        list: &MemberList,
+        learned: ProposalNumber,
+        effects: &mut Effects,
+    ) {
         if now < self.renew_at {
             return;
         }
         self.renew_at = now.plus_millis(RENEW_INTERVAL_MS);
         let renew = Renew {
-            epoch: self.epoch,
+            term: self.term,
             sent_at: now.0,
             base: self.base,
             source: self.source,
@@ -158,17 +165,17 @@
     }
 
     /// A replica granted the lease. False: a higher term was promised.
-    pub fn renew_ack(
+    pub(crate) fn renew_ack(
         &mut self,
         now: Time,
         from: NodeId,
         ack: &RenewAck,
         list: &MemberList,
     ) -> bool {
-        if ack.promised > self.epoch {
+        if ack.promised > self.term {
             return false;
         }
-        if ack.epoch != self.epoch || ack.sent_at > now.0 {
+        if ack.term != self.term || ack.sent_at > now.0 {
             return true;
         }
         if self
@@ -178,7 +185,7 @@
         {
             return true;
         }
-        self.heard(now, from, ack.tag, list);
+        self.heard(now, from, ack.position, list);
         if let Some(progress) = self.progress.get_mut(&from) {
             progress.lease_sent_at = progress.lease_sent_at.max(Some(ack.sent_at));
             progress.leaving = ack.leaving;
@@ -197,18 +204,24 @@
         if let Some(sent_at) = list.reached_figure(granted).filter(|sent_at| *sent_at > 0) {
             self.lease_until = self
                 .lease_until
-                .max(Time(sent_at).plus_millis(OWNER_LEASE_MS));
+                .max(Time(sent_at).plus_millis(LEADER_LEASE_MS));
         }
     }
 
     /// A replica has synced its records up to a state.
-    pub fn stored(&mut self, now: Time, from: NodeId, tag: RecordsTag, list: &MemberList) {
+    pub(crate) fn stored(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        position: RecordsPosition,
+        list: &MemberList,
+    ) {
         if list.contains(from) {
-            self.heard(now, from, tag, list);
+            self.heard(now, from, position, list);
         }
     }
 
-    fn heard(&mut self, now: Time, from: NodeId, tag: RecordsTag, list: &MemberList) {
+    fn heard(&mut self, now: Time, from: NodeId, position: RecordsPosition, list: &MemberList) {
         if !list.contains(from) && !self.learners.contains_key(&from) {
             return;
         }
@@ -217,35 +230,35 @@
             .entry(from)
             .or_insert_with(|| Progress::new(now, None));
         progress.heard = now;
-        if tag.epoch != self.epoch || Some(tag.number) <= progress.acked {
+        if position.term != self.term || Some(position.number) <= progress.acked {
             return;
         }
-        progress.acked = Some(tag.number);
-        progress.next = progress.next.max(tag.number + 1);
+        progress.acked = Some(position.number);
+        progress.next = progress.next.max(position.number + 1);
         progress.progressed_at = now;
     }
 
     /// The newest batch kept by a quorum, where that has moved.
-    pub fn advance(&mut self, list: &MemberList) -> Option<u64> {
-        let kept = self.kept_by_quorum(list);
-        if kept <= self.kept {
+    pub(crate) fn advance(&mut self, list: &MemberList) -> Option<u64> {
+        let committed = self.committed_by_quorum(list);
+        if committed <= self.committed {
             return None;
         }
-        self.kept = kept;
-        Some(kept - 1)
+        self.committed = committed;
+        Some(committed - 1)
     }
 
     /// Whether a quorum of this list holds everything that was ever kept by a quorum in this term.
-    pub fn is_kept_by(&self, list: &MemberList) -> bool {
-        self.base_is_kept() && self.kept_by_quorum(list) >= self.kept
+    pub(crate) fn is_committed_by(&self, list: &MemberList) -> bool {
+        self.base_is_committed() && self.committed_by_quorum(list) >= self.committed
     }
 
-    fn kept_by_quorum(&self, list: &MemberList) -> u64 {
-        list.reached_figure(|member| self.kept_by(member))
+    fn committed_by_quorum(&self, list: &MemberList) -> u64 {
+        list.reached_figure(|member| self.synced_by(member))
             .unwrap_or_default()
     }
 
-    fn kept_by(&self, member: &NodeId) -> u64 {
+    fn synced_by(&self, member: &NodeId) -> u64 {
         let acked = self
             .progress
             .get(member)
@@ -254,8 +267,8 @@
     }
 
     /// Takes batches from the service and sends what replicas miss.
-    pub fn pump(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        while self.base_is_kept() && self.last + 1 - self.kept < MAX_IN_FLIGHT {
+    pub(crate) fn pump(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
+        while self.base_is_committed() && self.last + 1 - self.committed < MAX_IN_FLIGHT {
             let Some(batch) = self
                 .service
                 .as_mut()
@@ -279,7 +292,7 @@
         let missed = self.first_missed(now);
         self.window.push(
             RecordBatch {
-                epoch: self.epoch,
+                term: self.term,
                 number: batch.number,
                 changes,
             },
@@ -299,7 +312,7 @@
     }
 
     /// The processes that are to learn. One that has started anew learns from the beginning.
-    pub fn set_learners(&mut self, now: Time, candidates: &BTreeMap<NodeId, Incarnation>) {
+    pub(crate) fn set_learners(&mut self, now: Time, candidates: &BTreeMap<NodeId, Incarnation>) {
         let mut former = std::mem::take(&mut self.learners);
         for (node, incarnation) in candidates {
             let same = former
@@ -317,8 +330,8 @@
     }
 
     /// A learner that holds everything a member holds.
-    pub fn ready_learner(&self) -> Option<NodeId> {
-        let is_ready = |learner: &Learner| learner.holds(self.epoch, self.last);
+    pub(crate) fn ready_learner(&self) -> Option<NodeId> {
+        let is_ready = |learner: &Learner| learner.holds(self.term, self.last);
         self.learners
             .iter()
             .find(|(_, learner)| is_ready(learner))
@@ -327,7 +340,7 @@
 
     /// The member that a learner should replace: one that is about to end, else the one that has been silent for longest,
     /// since before `moment`.
-    pub fn replaceable(&self, list: &MemberList, moment: Option<Time>) -> Option<NodeId> {
+    pub(crate) fn replaceable(&self, list: &MemberList, moment: Option<Time>) -> Option<NodeId> {
         let members = || {
             self.progress
                 .iter()
@@ -341,15 +354,15 @@
     }
 
     /// Gives the lease up and says so.
-    pub fn resign(self, list: &MemberList, effects: &mut Effects) {
+    pub(crate) fn resign(self, list: &MemberList, effects: &mut Effects) {
         effects.broadcast(
             list.all(),
-            &ControlMessage::Resign(Resign { epoch: self.epoch }),
+            &ControlMessage::Resign(Resign { term: self.term }),
         );
     }
 
     /// Wakes the service where that is due.
-    pub fn wake_service(&mut self, now: Now) {
+    pub(crate) fn wake_service(&mut self, now: Now) {
         let Some(service) = &mut self.service else {
             return;
         };
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,5 +1,6 @@
 //! Leases of membership of the processes outside the core. Each of these greets one core process, so core processes
 //! tell each other, in a message whose size does not grow with their number.
+
 use crate::node::CoreNode;
 use crate::timing::SHARE_INTERVAL_MS;
 use sagetrail_config_distribution::best_relays;
@@ -150,14 +151,14 @@
             return;
         };
         let message = ControlMessage::MemberLeases(leases);
-        let mut others = self.knowledge.list.all();
+        let mut others = self.register_view.list.all();
         others.remove(&self.settings.node);
         self.effects.broadcast(others, &message);
     }
 
     /// A member of the core told of its leases.
     pub(crate) fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
-        if self.knowledge.list.contains(from) && from != self.settings.node {
+        if self.register_view.list.contains(from) && from != self.settings.node {
             self.leases.take(self.now.steady, from, leases);
         }
     }
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -1,46 +1,50 @@
 //! The control plane on the core machines: register, members, elections, replicated records.
 //!
 //! `CoreNode` is the logic of one core process, driven through `sagetrail_protocol::node::Node`.
+
+// Not every public item of this crate has a doc comment yet.
+#![allow(missing_docs)]
+
 mod accept_change;
 mod accepted_changes;
 mod acceptor;
-mod base;
-mod candidate;
+mod batch_window;
+mod bootstrap;
 mod change;
 mod changes_fetch;
 mod checksum;
-mod collection;
-mod courier;
-mod door;
 mod effects;
-mod founding;
-mod image;
-mod knowledge;
+mod election;
+mod http_api;
+mod leadership;
 mod learner;
 mod leases;
-mod membership;
+mod membership_state;
 mod messages;
 mod node;
+mod non_members;
 mod operator;
-mod outer;
 mod persisted;
 mod proposer;
 mod quorum;
 mod reader;
+mod reconfiguration;
 mod records;
 mod recovery;
-mod renounce;
+mod register_view;
 mod replica;
+mod resignation;
+mod routing;
 mod settings;
-mod standing;
-mod steps;
+mod snapshot;
+mod snapshot_transfer;
 mod subscribers;
-mod term;
+mod term_base;
 mod termination;
+mod timers;
 mod timing;
 mod value;
 mod voting;
-mod window;
 
 pub use accepted_changes::{AcceptedChanges, Gap};
 pub use node::CoreNode;
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -1,20 +1,21 @@
 //! What each message among core processes and each request of HTTP does.
-use crate::candidate::Elected;
+
 use crate::change::{Job, Verdict};
-use crate::door::{asked, Asked};
+use crate::election::Elected;
+use crate::http_api::{parse_request, ApiRequest};
+use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Outcome;
-use crate::reader::Found;
+use crate::reader::ReadOutcome;
 use crate::replica::Condition;
-use crate::term::Term;
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, Learn, Learned, Promised, Recover, RecoverReply, Refused, Renew,
+    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
 };
-use sagetrail_protocol::node::{Door, HttpRequest, HttpRequestId};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId, Time};
 
-/// So many processes wait to be told that a ballot is learnt.
+/// So many processes wait to be told that a proposal number is learnt.
 const MAX_LEARN_ASKERS: usize = 64;
 /// After so many reads in a row whose answers differed, a round of the register settles its value.
 const MOST_UNSETTLED_READS: u32 = 2;
@@ -39,9 +40,9 @@
         let now = self.now.steady;
         self.hear_core(from);
         match message {
-            ControlMessage::Found(found) => self.on_found(from, found),
-            ControlMessage::Settled(settled) => self.on_settled(from, &settled),
-            ControlMessage::Promised(promised) => self.on_promised(from, promised),
+            ControlMessage::Bootstrap(found) => self.on_bootstrap(from, found),
+            ControlMessage::StateSynced(settled) => self.on_settled(from, &settled),
+            ControlMessage::Promise(promised) => self.on_promised(from, promised),
             ControlMessage::Accepted(accepted) => {
                 let outcome = self.proposer.accepted(from, &accepted);
                 self.on_outcome(outcome);
@@ -55,28 +56,28 @@
                     self.on_read(found);
                 }
             }
-            ControlMessage::Learn(learn) => self.on_learn(from, learn.ballot),
+            ControlMessage::Learn(learn) => self.on_learn(from, learn.proposal),
             ControlMessage::Learned(learned) => self.on_learned(from, &learned),
             ControlMessage::RecoverReply(reply) => {
-                if let Some(recovery) = &mut self.standing.recovery {
+                if let Some(recovery) = &mut self.membership_state.recovery {
                     recovery.reply(from, &reply, &mut self.effects);
                 }
             }
             ControlMessage::VoteReply(reply) => self.on_vote_reply(from, &reply),
             ControlMessage::RenewAck(ack) => self.on_renew_ack(from, &ack),
-            ControlMessage::Stored(stored) => {
+            ControlMessage::RecordsSynced(stored) => {
                 if from == self.settings.node {
-                    self.replica.stored(stored.tag);
+                    self.replica.stored(stored.position);
                 }
-                if let Some(term) = &mut self.term {
-                    term.stored(now, from, stored.tag, &self.knowledge.list);
+                if let Some(leadership) = &mut self.leadership {
+                    leadership.stored(now, from, stored.position, &self.register_view.list);
                 }
             }
             ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
             ControlMessage::ChangesReply(reply) => self.on_changes_reply(from, &reply),
             ControlMessage::MemberLeases(leases) => self.on_member_leases(from, &leases),
             ControlMessage::DirectoryRequest => self.send_directory(from),
-            message if self.standing.ready => self.on_request(from, message),
+            message if self.membership_state.ready => self.on_request(from, message),
             _ => {}
         }
     }
@@ -87,7 +88,7 @@
         let effects = &mut self.effects;
         match message {
             ControlMessage::Prepare(prepare) => {
-                self.proposer.note(prepare.ballot);
+                self.proposer.note(prepare.proposal);
                 self.acceptor.prepare(from, &prepare, effects);
             }
             ControlMessage::Accept(accept) => {
@@ -109,9 +110,9 @@
                 let condition = self.condition(&renew);
                 self.replica
                     .renew(now, from, &renew, condition, &mut self.effects);
-                self.on_rumour(renew.learned);
+                self.on_newer_value_hint(renew.learned);
             }
-            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.epoch) => {
+            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.term) => {
                 self.elections.hasten();
             }
             ControlMessage::RecordBatch(batch) => self.replica.batch(from, batch, effects),
@@ -121,17 +122,17 @@
         }
     }
 
-    /// What this process says of itself to the owner of the term.
+    /// What this process says of itself to the leader of the term.
     fn condition(&self, renew: &Renew) -> Condition {
-        let caught_up = self.knowledge.ballot() >= renew.learned && self.changes_caught_up();
+        let caught_up = self.register_view.proposal() >= renew.learned && self.changes_caught_up();
         Condition {
             leaving: self.terminating.is_some(),
             caught_up,
         }
     }
 
-    fn on_promised(&mut self, from: NodeId, promised: Promised) {
-        if let Some(recovery) = &mut self.standing.recovery {
+    fn on_promised(&mut self, from: NodeId, promised: Promise) {
+        if let Some(recovery) = &mut self.membership_state.recovery {
             if let Some(recovered) = recovery.promised(from, promised) {
                 self.on_recovered(recovered);
             }
@@ -146,7 +147,7 @@
     }
 
     fn on_refused(&mut self, refused: &Refused) {
-        if let Some(recovery) = &mut self.standing.recovery {
+        if let Some(recovery) = &mut self.membership_state.recovery {
             recovery.refused(refused);
         }
         self.proposer.refused(self.now.steady, refused);
@@ -154,25 +155,25 @@
 
     fn on_outcome(&mut self, outcome: Option<Outcome>) {
         let Some(outcome) = outcome else { return };
-        let ballot = outcome.chosen.ballot;
+        let proposal = outcome.chosen.proposal;
         // Who is a member no more is told as well.
-        let mut listeners = self.knowledge.list.all();
+        let mut listeners = self.register_view.list.all();
         self.learn(outcome.chosen);
         self.freshen(outcome.as_of);
         if outcome.verdict == Verdict::Taken {
-            listeners.extend(self.knowledge.list.all());
-            let learn = ControlMessage::Learn(Learn { ballot });
+            listeners.extend(self.register_view.list.all());
+            let learn = ControlMessage::Learn(Learn { proposal });
             self.effects.broadcast(listeners, &learn);
         }
         if let Job::Order { number, .. } = outcome.job {
             let now = self.now.steady;
-            let owner = self.replica.live_owner(now);
-            let wait = owner.is_some_and(|owner| owner != self.settings.node);
+            let leader = self.replica.live_leader(now);
+            let wait = leader.is_some_and(|leader| leader != self.settings.node);
             self.operator.outcome(
                 now,
                 number,
                 &outcome.verdict,
-                ballot,
+                proposal,
                 wait,
                 &mut self.effects,
             );
@@ -180,14 +181,14 @@
     }
 
     /// A read is done.
-    pub(crate) fn on_read(&mut self, found: Found) {
+    pub(crate) fn on_read(&mut self, found: ReadOutcome) {
         match found {
-            Found::Chosen { chosen, as_of } => {
+            ReadOutcome::Chosen { chosen, as_of } => {
                 self.learn(chosen);
                 self.freshen(as_of);
                 self.unsettled_reads = 0;
             }
-            Found::Unsettled => self.on_unsettled_read(),
+            ReadOutcome::Unsettled => self.on_unsettled_read(),
         }
     }
 
@@ -202,50 +203,53 @@
         self.proposer.push(Job::Refresh);
     }
 
-    fn on_learn(&mut self, from: NodeId, ballot: Ballot) {
-        self.on_rumour(ballot);
-        let known = self.knowledge.ballot();
-        if known >= ballot {
+    fn on_learn(&mut self, from: NodeId, proposal: ProposalNumber) {
+        self.on_newer_value_hint(proposal);
+        let known = self.register_view.proposal();
+        if known >= proposal {
             return self
                 .effects
-                .control(from, ControlMessage::Learned(Learned { ballot: known }));
+                .control(from, ControlMessage::Learned(Learned { proposal: known }));
         }
         if self.learn_askers.len() < MAX_LEARN_ASKERS {
-            self.learn_askers.push(LearnAsker { node: from, ballot });
+            self.learn_askers.push(LearnAsker {
+                node: from,
+                proposal,
+            });
         }
     }
 
-    /// Somebody says that the value of this ballot is chosen.
-    fn on_rumour(&mut self, ballot: Ballot) {
-        if ballot <= self.knowledge.ballot() {
+    /// Somebody says that the value of this proposal number is chosen.
+    fn on_newer_value_hint(&mut self, proposal: ProposalNumber) {
+        if proposal <= self.register_view.proposal() {
             return;
         }
-        if self.acceptor.ballots.accepted == ballot {
+        if self.acceptor.proposals.accepted == proposal {
             if let Some(chosen) = self.own_value() {
                 return self.learn(chosen);
             }
         }
-        if ballot > self.knowledge.rumoured {
-            self.knowledge.rumoured = ballot;
-            self.rumour_at = Some(self.now.steady);
+        if proposal > self.register_view.hinted {
+            self.register_view.hinted = proposal;
+            self.newer_value_hint_at = Some(self.now.steady);
         }
     }
 
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
-        let owner: Option<NodeId> = self.replica.live_owner(self.now.steady);
-        if owner.is_none_or(|owner| owner == from) {
+        let leader: Option<NodeId> = self.replica.live_leader(self.now.steady);
+        if leader.is_none_or(|leader| leader == from) {
             self.operator
-                .owner_learned(learned.ballot, &mut self.effects);
+                .leader_learned(learned.proposal, &mut self.effects);
         }
     }
 
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
-        let promised = self.acceptor.ballots.promised;
-        let epoch = self.replica.state.promise.epoch;
+        let promised = self.acceptor.proposals.promised;
+        let term = self.replica.state.promise.term;
         let reply = RecoverReply {
             nonce: recover.nonce,
             promised,
-            epoch,
+            term,
         };
         let reply = ControlMessage::RecoverReply(reply);
         self.effects.write(Vec::new(), vec![(from, reply)]);
@@ -253,15 +257,15 @@
 
     fn on_vote_reply(&mut self, from: NodeId, reply: &VoteReply) {
         let now: Time = self.now.steady;
-        if reply.members_version > self.knowledge.list.version {
-            self.rumour_at = self.rumour_at.or(Some(now));
+        if reply.members_version > self.register_view.list.version {
+            self.newer_value_hint_at = self.newer_value_hint_at.or(Some(now));
         }
-        let list = &self.knowledge.list;
+        let list = &self.register_view.list;
         let elected: Option<Elected> =
             self.elections
                 .reply(now, from, reply, list, &mut self.effects);
         if let Some(elected) = elected.filter(|_| self.may_lead()) {
-            self.term = Some(Term::new(self.settings.node, now, elected, list));
+            self.leadership = Some(Leadership::new(self.settings.node, now, elected, list));
         }
     }
 
@@ -269,22 +273,29 @@
         let now = self.now.steady;
         self.elections.note(ack.promised);
         if from == self.settings.node {
-            self.replica.owner_kept(ack.epoch);
+            self.replica.leader_synced(ack.term);
         }
-        let Some(term) = &mut self.term else { return };
-        if !term.renew_ack(now, from, ack, &self.knowledge.list) {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        if !leadership.renew_ack(now, from, ack, &self.register_view.list) {
             self.step_down();
         }
     }
 
     /// A request of HTTP.
-    pub(crate) fn on_http(&mut self, id: HttpRequestId, door: Door, request: HttpRequest) {
+    pub(crate) fn on_http(
+        &mut self,
+        id: HttpRequestId,
+        endpoint: HttpEndpoint,
+        request: HttpRequest,
+    ) {
         let now = self.now.steady;
-        let founded = self.knowledge.list.version > 0;
-        match asked(door, request, founded) {
-            Asked::Status(status) => self.effects.status(id, status),
-            Asked::ReadBack => self.operator.read_back(now, id, &mut self.effects),
-            Asked::Change(change) => {
+        let founded = self.register_view.list.version > 0;
+        match parse_request(endpoint, request, founded) {
+            ApiRequest::Status(status) => self.effects.status(id, status),
+            ApiRequest::ReadBack => self.operator.read_back(now, id, &mut self.effects),
+            ApiRequest::Change(change) => {
                 self.operator
                     .order(now, id, change, &mut self.proposer, &mut self.effects)
             }
--- a/crates/cluster/control-plane/src/outer.rs
+++ b/crates/cluster/control-plane/src/non_members.rs
@@ -1,7 +1,8 @@
 //! Between this process and those outside the core: who is who, relayed messages, what goes to the service.
+
 use crate::node::{CoreNode, Delayed};
 use crate::quorum::MemberList;
-use sagetrail_protocol::client::NotOwner;
+use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello};
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{frame, List, Message, NodeId, NodeKind};
@@ -11,11 +12,11 @@
 
 impl CoreNode {
     /// A message from another process.
-    pub(crate) fn on_outer_message(&mut self, from: NodeId, message: Message) {
+    pub(crate) fn on_remote_message(&mut self, from: NodeId, message: Message) {
         match message {
             Message::Relayed(relayed) => self.on_relayed(from, relayed),
             message => {
-                self.courier.came_directly(from);
+                self.router.forget_route(from);
                 self.on_message(from, message);
             }
         }
@@ -31,8 +32,8 @@
         match frame::decode(&relayed.payload) {
             Ok(Message::Relayed(_)) | Err(_) => {}
             Ok(message) => {
-                self.courier
-                    .came_by(self.now.steady, relayed.from, forwarder);
+                self.router
+                    .learn_route(self.now.steady, relayed.from, forwarder);
                 self.on_message(relayed.from, message);
             }
         }
@@ -43,13 +44,13 @@
         let now = self.now.steady;
         if hello.kind == NodeKind::Core {
             self.hear_core(from);
-            if let Some(founding) = &mut self.standing.founding {
-                founding.hear(now, from);
+            if let Some(bootstrap) = &mut self.membership_state.bootstrap {
+                bootstrap.hear(now, from);
             }
-            if !self.knowledge.list.contains(from) {
+            if !self.register_view.list.contains(from) {
                 self.joiners.hear(now, from, hello.incarnation);
             }
-            if self.replica.holder_is_back(now, from) {
+            if self.replica.lease_holder_restarted(now, from) {
                 self.elections.hasten();
             }
         } else {
@@ -61,49 +62,52 @@
     /// Tells who is who.
     pub(crate) fn send_directory(&mut self, to: NodeId) {
         let now = self.now.steady;
-        let (epoch, owner) = self.known_owner();
+        let (term, leader) = self.known_leader();
         let directory = Directory {
-            members_version: self.knowledge.list.version,
-            members: List(self.knowledge.list.members.clone()),
-            next_members: List(self.knowledge.list.next_members.clone()),
-            epoch,
-            owner,
-            config_version: self.knowledge.config_version(),
-            relays: List(self.leases.relays(now, self.knowledge.list.members.len())),
+            members_version: self.register_view.list.version,
+            members: List(self.register_view.list.members.clone()),
+            next_members: List(self.register_view.list.next_members.clone()),
+            term,
+            leader,
+            config_version: self.register_view.config_version(),
+            relays: List(
+                self.leases
+                    .relays(now, self.register_view.list.members.len()),
+            ),
         };
         self.effects.sends.push((to, Message::Directory(directory)));
     }
 
     /// Another core process told who is who.
     pub(crate) fn on_directory(&mut self, directory: &Directory) {
-        let newer = self.knowledge.adopt_list(MemberList {
+        let newer = self.register_view.adopt_list(MemberList {
             version: directory.members_version,
             members: directory.members.0.clone(),
             next_members: directory.next_members.0.clone(),
         });
-        if newer && self.knowledge.chosen.is_some() {
-            self.rumour_at = Some(self.now.steady);
+        if newer && self.register_view.chosen.is_some() {
+            self.newer_value_hint_at = Some(self.now.steady);
         }
     }
 
     /// The newest term known, and who schedules in it. This process names itself only under its lease: its replica
     /// goes on following the term after the lease is over.
-    fn known_owner(&self) -> (u64, NodeId) {
-        if let Some(term) = &self.term {
-            let owner = if term.service.is_some() {
+    fn known_leader(&self) -> (u64, NodeId) {
+        if let Some(leadership) = &self.leadership {
+            let leader = if leadership.service.is_some() {
                 self.settings.node
             } else {
                 NodeId::default()
             };
-            return (term.epoch, owner);
+            return (leadership.term, leader);
         }
-        let (epoch, owner) = self.replica.term();
+        let (term, leader) = self.replica.promised_term();
         (
-            epoch,
-            if owner == self.settings.node {
+            term,
+            if leader == self.settings.node {
                 NodeId::default()
             } else {
-                owner
+                leader
             },
         )
     }
@@ -111,9 +115,9 @@
     /// Hands a message to the service, at once or once the register was read again.
     pub(crate) fn serve(&mut self, from: NodeId, message: Message) {
         let serving = self
-            .term
+            .leadership
             .as_ref()
-            .is_some_and(|term| term.service.is_some());
+            .is_some_and(|leadership| leadership.service.is_some());
         if !serving || !self.knows_less(&message) {
             return self.deliver(from, message);
         }
@@ -131,7 +135,7 @@
     fn knows_less(&self, message: &Message) -> bool {
         match message {
             Message::ClientRequest(request) => {
-                request.config_version > self.knowledge.config_version()
+                request.config_version > self.register_view.config_version()
             }
             _ => false,
         }
@@ -139,24 +143,28 @@
 
     /// Hands a message to the service, or says that it is not here.
     pub(crate) fn deliver(&mut self, from: NodeId, message: Message) {
-        match self.term.as_mut().and_then(|term| term.service.as_mut()) {
+        match self
+            .leadership
+            .as_mut()
+            .and_then(|leadership| leadership.service.as_mut())
+        {
             Some(service) => service.message(self.now, from, message),
-            None => self.not_owner(from, &message),
+            None => self.not_leader(from, &message),
         }
     }
 
-    fn not_owner(&mut self, from: NodeId, message: &Message) {
+    fn not_leader(&mut self, from: NodeId, message: &Message) {
         let request = match message {
             Message::ClientRequest(request) => request.request,
             _ => 0,
         };
-        let (epoch, owner) = self.known_owner();
+        let (term, leader) = self.known_leader();
         self.effects.sends.push((
             from,
-            Message::NotOwner(NotOwner {
+            Message::NotLeader(NotLeader {
                 request,
-                epoch,
-                owner,
+                term,
+                leader,
             }),
         ));
     }
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -1,27 +1,28 @@
 //! What a core process keeps in `Table::Control`.
+
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
 use deku::prelude::*;
-use sagetrail_protocol::control::{Ballot, RecordsTag};
+use sagetrail_protocol::control::{ProposalNumber, RecordsPosition};
 use sagetrail_protocol::node::{DiskImage, DiskOperation, Table};
-use sagetrail_protocol::{Blob, Epoch, Incarnation, List, NodeId};
+use sagetrail_protocol::{Blob, Incarnation, List, NodeId, Term};
 
 const ACCEPTOR_KEY: &[u8] = b"acceptor";
 const VALUE_KEY: &[u8] = b"value";
 const REPLICA_KEY: &[u8] = b"replica";
 const MEMBERS_KEY: &[u8] = b"members";
 
-/// The register's ballots on disk.
+/// The register's proposal numbers on disk.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct AcceptorBallots {
-    pub promised: Ballot,
-    pub accepted: Ballot,
+pub struct AcceptorNumbers {
+    pub promised: ProposalNumber,
+    pub accepted: ProposalNumber,
 }
 
 /// A term that was promised, and to whom.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TermPromise {
-    pub epoch: Epoch,
+    pub term: Term,
     pub node: NodeId,
     pub incarnation: Incarnation,
 }
@@ -30,9 +31,9 @@
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct ReplicaState {
     pub promise: TermPromise,
-    pub tag: RecordsTag,
+    pub position: RecordsPosition,
     /// False after the disk was emptied, until the records have been brought whole.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A member list on disk.
@@ -66,8 +67,8 @@
 
 /// All of it.
 #[derive(Clone, Debug, Default)]
-pub struct ControlState {
-    pub ballots: AcceptorBallots,
+pub(crate) struct ControlState {
+    pub proposals: AcceptorNumbers,
     pub value: Blob,
     pub replica: ReplicaState,
     pub members: StoredMembers,
@@ -75,7 +76,7 @@
 
 /// What a process finds on its disk.
 #[derive(Debug)]
-pub enum DiskContent {
+pub(crate) enum DiskContent {
     /// Nothing: the disk is fresh, or was emptied.
     Empty,
     State(Box<ControlState>),
@@ -86,7 +87,7 @@
 
 impl ControlState {
     /// Reads what the disk holds.
-    pub fn load(image: &DiskImage) -> DiskContent {
+    pub(crate) fn load(image: &DiskImage) -> DiskContent {
         if image.control.is_empty() && image.records.is_empty() {
             return DiskContent::Empty;
         }
@@ -102,13 +103,13 @@
                 .find(|row| row.0 == key)
                 .map(|row| row.1.as_slice())
         };
-        let ballots: AcceptorBallots = decode(find(ACCEPTOR_KEY)?)?;
+        let proposals: AcceptorNumbers = decode(find(ACCEPTOR_KEY)?)?;
         let replica = decode(find(REPLICA_KEY)?)?;
         let members = decode(find(MEMBERS_KEY)?)?;
         let value = Blob(find(VALUE_KEY)?.to_vec());
         decode::<RegisterValue>(&value)?;
         Some(ControlState {
-            ballots,
+            proposals,
             value,
             replica,
             members,
@@ -122,23 +123,23 @@
     rest.is_empty().then_some(item)
 }
 
-/// Writes the register's ballots.
-pub fn put_ballots(ballots: &AcceptorBallots) -> DiskOperation {
-    put(ACCEPTOR_KEY, ballots.to_bytes().unwrap_or_default())
+/// Writes the register's proposal numbers.
+pub(crate) fn put_proposals(proposals: &AcceptorNumbers) -> DiskOperation {
+    put(ACCEPTOR_KEY, proposals.to_bytes().unwrap_or_default())
 }
 
 /// Writes the accepted value.
-pub fn put_value(value: &Blob) -> DiskOperation {
+pub(crate) fn put_value(value: &Blob) -> DiskOperation {
     put(VALUE_KEY, value.0.clone())
 }
 
 /// Writes the replica's state.
-pub fn put_replica(state: &ReplicaState) -> DiskOperation {
+pub(crate) fn put_replica(state: &ReplicaState) -> DiskOperation {
     put(REPLICA_KEY, state.to_bytes().unwrap_or_default())
 }
 
 /// Writes the member list.
-pub fn put_members(members: &StoredMembers) -> DiskOperation {
+pub(crate) fn put_members(members: &StoredMembers) -> DiskOperation {
     put(MEMBERS_KEY, members.to_bytes().unwrap_or_default())
 }
 
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -1,16 +1,18 @@
 //! The register's proposer: one job after the other, each in rounds until its outcome is known.
+
 use crate::accept_change;
 use crate::accepted_changes::AcceptedChanges;
 use crate::change::{Job, Verdict};
 use crate::effects::Effects;
-use crate::knowledge::{Chosen, Knowledge};
 use crate::quorum::MemberList;
+use crate::register_view::{Chosen, RegisterView};
 use crate::timing::{BACKOFF_MAX_MS, BACKOFF_MS, RESEND_MS, ROUND_MS};
 use crate::value::RegisterValue;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::{
-    Accept, AcceptChange, Accepted, Ballot, ControlMessage, Prepare, Promised, Refused, ValueNeeded,
+    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Refused,
+    ValueNeeded,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -18,7 +20,7 @@
 
 /// A job that is done.
 #[derive(Debug)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub job: Job,
     pub verdict: Verdict,
     pub chosen: Chosen,
@@ -28,8 +30,8 @@
 
 #[derive(Debug)]
 struct FirstRound {
-    replies: BTreeMap<NodeId, Ballot>,
-    newest: Ballot,
+    replies: BTreeMap<NodeId, ProposalNumber>,
+    newest: ProposalNumber,
     value: Option<Arc<RegisterValue>>,
 }
 
@@ -53,7 +55,7 @@
 
 #[derive(Debug)]
 struct Round {
-    ballot: Ballot,
+    proposal: ProposalNumber,
     list: MemberList,
     known: Option<Chosen>,
     started: Time,
@@ -63,7 +65,7 @@
 
 /// The proposer of one process.
 #[derive(Debug)]
-pub struct Proposer {
+pub(crate) struct Proposer {
     node: NodeId,
     incarnation: Incarnation,
     random: Pcg64Mcg,
@@ -80,7 +82,7 @@
 
 impl Proposer {
     /// A proposer without jobs.
-    pub fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Proposer {
+    pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Proposer {
         Proposer {
             node,
             incarnation,
@@ -96,19 +98,19 @@
     }
 
     /// Takes a job; one that waits already is not taken twice.
-    pub fn push(&mut self, job: Job) {
+    pub(crate) fn push(&mut self, job: Job) {
         if !self.queue.contains(&job) {
             self.queue.push_back(job);
         }
     }
 
     /// Whether a job like this is under way.
-    pub fn any(&self, wanted: impl Fn(&Job) -> bool) -> bool {
+    pub(crate) fn any(&self, wanted: impl Fn(&Job) -> bool) -> bool {
         self.queue.iter().any(wanted)
     }
 
     /// Gives an order up.
-    pub fn cancel(&mut self, number: u64) {
+    pub(crate) fn cancel(&mut self, number: u64) {
         let is_order =
             |job: &Job| matches!(job, Job::Order { number: other, .. } if *other == number);
         let Some(position) = self.queue.iter().position(is_order) else {
@@ -123,26 +125,26 @@
     }
 
     /// Whether this order may have been accepted somewhere.
-    pub fn may_be_accepted(&self, number: u64) -> bool {
+    pub(crate) fn may_be_accepted(&self, number: u64) -> bool {
         let front = self.queue.front();
         self.accept_sent
             && matches!(front, Some(Job::Order { number: other, .. }) if *other == number)
     }
 
-    /// Notes a ballot that others have promised.
-    pub fn note(&mut self, ballot: Ballot) {
-        self.counter = self.counter.max(ballot.counter);
+    /// Notes a proposal number that others have promised.
+    pub(crate) fn note(&mut self, proposal: ProposalNumber) {
+        self.counter = self.counter.max(proposal.counter);
     }
 
     /// Notes a member list that was accepted and may not be chosen.
-    pub fn note_list(&mut self, list: MemberList) {
+    pub(crate) fn note_list(&mut self, list: MemberList) {
         if list.version > self.newer_list.version {
             self.newer_list = list;
         }
     }
 
     /// When something is due.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub(crate) fn next_wake(&self) -> Option<Time> {
         if self.queue.is_empty() {
             return None;
         }
@@ -154,13 +156,13 @@
     }
 
     /// Starts, repeats or gives up rounds.
-    pub fn tick(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
-        if self.queue.is_empty() || knowledge.list.version == 0 {
+    pub(crate) fn tick(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
+        if self.queue.is_empty() || register_view.list.version == 0 {
             return;
         }
         let Some(round) = &mut self.round else {
             if now >= self.retry_at {
-                self.start(now, knowledge, effects);
+                self.start(now, register_view, effects);
             }
             return;
         };
@@ -176,27 +178,27 @@
         }
     }
 
-    fn start(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
+    fn start(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         self.counter += 1;
-        let ballot = Ballot {
+        let proposal = ProposalNumber {
             counter: self.counter,
             node: self.node,
             incarnation: self.incarnation,
         };
-        let newer = self.newer_list.version > knowledge.list.version;
+        let newer = self.newer_list.version > register_view.list.version;
         let list = if newer {
             self.newer_list.clone()
         } else {
-            knowledge.list.clone()
+            register_view.list.clone()
         };
         let first = FirstRound {
             replies: BTreeMap::new(),
-            newest: Ballot::default(),
+            newest: ProposalNumber::default(),
             value: None,
         };
-        let known = knowledge.chosen.clone();
+        let known = register_view.chosen.clone();
         let round = Round {
-            ballot,
+            proposal,
             list,
             known,
             started: now,
@@ -208,18 +210,18 @@
     }
 
     /// A promise came.
-    pub fn promised(
+    pub(crate) fn promised(
         &mut self,
         now: Time,
         from: NodeId,
-        promised: Promised,
+        promised: Promise,
         changes: &AcceptedChanges,
         effects: &mut Effects,
     ) -> Option<Outcome> {
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == promised.ballot)?;
+            .filter(|round| round.proposal == promised.proposal)?;
         if !round.take_promise(from, promised) {
             return None;
         }
@@ -248,10 +250,13 @@
         }
         let job = self.queue.front()?;
         let step = job.apply(&value, changes);
-        let settled = first.replies.values().all(|ballot| *ballot == first.newest);
+        let settled = first
+            .replies
+            .values()
+            .all(|proposal| *proposal == first.newest);
         if step.value.is_none() && settled {
             let chosen = Chosen {
-                ballot: first.newest,
+                proposal: first.newest,
                 value,
             };
             return self.finish(chosen, step.verdict);
@@ -265,11 +270,11 @@
     }
 
     /// A value was accepted.
-    pub fn accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Outcome> {
+    pub(crate) fn accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Outcome> {
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == accepted.ballot)?;
+            .filter(|round| round.proposal == accepted.proposal)?;
         let Phase::Second(second) = &mut round.phase else {
             return None;
         };
@@ -282,7 +287,7 @@
             return None;
         }
         let chosen = Chosen {
-            ballot: round.ballot,
+            proposal: round.proposal,
             value: second.value.clone(),
         };
         let verdict = second.verdict.clone();
@@ -290,11 +295,16 @@
     }
 
     /// A member cannot make the value from the change.
-    pub fn value_needed(&mut self, from: NodeId, needed: &ValueNeeded, effects: &mut Effects) {
+    pub(crate) fn value_needed(
+        &mut self,
+        from: NodeId,
+        needed: &ValueNeeded,
+        effects: &mut Effects,
+    ) {
         let Some(round) = self
             .round
             .as_mut()
-            .filter(|round| round.ballot == needed.ballot)
+            .filter(|round| round.proposal == needed.proposal)
         else {
             return;
         };
@@ -302,17 +312,17 @@
             return;
         };
         if second.need_value.insert(from) {
-            effects.control(from, second.message(round.ballot, from));
+            effects.control(from, second.message(round.proposal, from));
         }
     }
 
-    /// A higher ballot is about.
-    pub fn refused(&mut self, now: Time, refused: &Refused) {
+    /// A higher proposal number is about.
+    pub(crate) fn refused(&mut self, now: Time, refused: &Refused) {
         self.note(refused.promised);
         if self
             .round
             .as_ref()
-            .is_some_and(|round| round.ballot == refused.ballot)
+            .is_some_and(|round| round.proposal == refused.proposal)
         {
             self.back_off(now);
         }
@@ -347,10 +357,10 @@
                 let have = self
                     .known
                     .as_ref()
-                    .map(|known| known.ballot)
+                    .map(|known| known.proposal)
                     .unwrap_or_default();
                 let prepare = ControlMessage::Prepare(Prepare {
-                    ballot: self.ballot,
+                    proposal: self.proposal,
                     have,
                 });
                 let members = self.list.all().into_iter();
@@ -363,14 +373,14 @@
                 let members: BTreeSet<NodeId> =
                     second.quorums.iter().flat_map(MemberList::all).collect();
                 for member in members.difference(&second.replies) {
-                    effects.control(*member, second.message(self.ballot, *member));
+                    effects.control(*member, second.message(self.proposal, *member));
                 }
             }
         }
     }
 
     /// True once a majority has promised.
-    fn take_promise(&mut self, from: NodeId, promised: Promised) -> bool {
+    fn take_promise(&mut self, from: NodeId, promised: Promise) -> bool {
         let Phase::First(first) = &mut self.phase else {
             return false;
         };
@@ -379,7 +389,7 @@
             let known = self
                 .known
                 .as_ref()
-                .filter(|known| known.ballot == promised.accepted);
+                .filter(|known| known.proposal == promised.accepted);
             let sent = || RegisterValue::decode(&promised.value).ok().map(Arc::new);
             let value = known.map(|known| known.value.clone()).or_else(sent);
             if value.is_none() {
@@ -411,7 +421,7 @@
         }
         let bytes = Blob(value.encode());
         let change =
-            job.and_then(|job| accept_change::compose(job, self.ballot, first.newest, &bytes));
+            job.and_then(|job| accept_change::compose(job, self.proposal, first.newest, &bytes));
         let need_value = first.need_value(node);
         let replies = BTreeSet::new();
         let second = SecondRound {
@@ -441,13 +451,13 @@
 
 impl SecondRound {
     /// The change alone for a member that may hold the value before it, else the whole value.
-    fn message(&self, ballot: Ballot, member: NodeId) -> ControlMessage {
+    fn message(&self, proposal: ProposalNumber, member: NodeId) -> ControlMessage {
         match &self.change {
             Some(change) if !self.need_value.contains(&member) => {
                 ControlMessage::AcceptChange(change.clone())
             }
             _ => ControlMessage::Accept(Accept {
-                ballot,
+                proposal,
                 value: self.bytes.clone(),
             }),
         }
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -1,23 +1,24 @@
 //! A member with an emptied disk learns from the others what it may have promised, before it takes part again.
 //!
-//! It first asks for the highest promises, then has a majority of the members promise a higher ballot: an answer
+//! It first asks for the highest promises, then has a majority of the members promise a higher proposal number: an answer
 //! that it gave in its former life can no longer complete a round that the others have not seen.
+
 use crate::effects::Effects;
-use crate::persisted::AcceptorBallots;
+use crate::persisted::AcceptorNumbers;
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use sagetrail_protocol::control::{
-    Ballot, ControlMessage, Prepare, Promised, Recover, RecoverReply, Refused,
+    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Refused,
 };
-use sagetrail_protocol::{Blob, Epoch, Incarnation, NodeId, Time};
+use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
 
 /// What the others know.
 #[derive(Debug)]
-pub struct Recovered {
-    pub ballots: AcceptorBallots,
+pub(crate) struct Recovered {
+    pub proposals: AcceptorNumbers,
     pub value: Blob,
-    pub epoch: Epoch,
+    pub term: Term,
     /// The version of the list whose members were asked.
     pub members_version: u64,
 }
@@ -30,7 +31,7 @@
 
 /// The recovery of one process.
 #[derive(Debug)]
-pub struct Recovery {
+pub(crate) struct Recovery {
     node: NodeId,
     incarnation: Incarnation,
     nonce: u64,
@@ -38,9 +39,9 @@
     others: Vec<NodeId>,
     phase: Phase,
     replies: BTreeSet<NodeId>,
-    highest: Ballot,
-    epoch: Epoch,
-    accepted: Ballot,
+    highest: ProposalNumber,
+    term: Term,
+    accepted: ProposalNumber,
     value: Blob,
     started: Time,
     sent_at: Time,
@@ -48,7 +49,7 @@
 
 impl Recovery {
     /// Begins by asking all other members.
-    pub fn start(
+    pub(crate) fn start(
         node: NodeId,
         incarnation: Incarnation,
         list: &MemberList,
@@ -68,9 +69,9 @@
             others,
             phase: Phase::Asking,
             replies: BTreeSet::new(),
-            highest: Ballot::default(),
-            epoch: 0,
-            accepted: Ballot::default(),
+            highest: ProposalNumber::default(),
+            term: 0,
+            accepted: ProposalNumber::default(),
             value: Blob::default(),
             started: now,
             sent_at: now,
@@ -80,12 +81,12 @@
     }
 
     /// When something is due.
-    pub fn next_wake(&self) -> Time {
+    pub(crate) fn next_wake(&self) -> Time {
         self.sent_at.plus_millis(RESEND_MS)
     }
 
     /// Repeats what had no answer; true where it should start anew.
-    pub fn tick(&mut self, now: Time, effects: &mut Effects) -> bool {
+    pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) -> bool {
         if now >= self.next_wake() {
             self.sent_at = now;
             self.send(effects);
@@ -94,7 +95,7 @@
     }
 
     /// A member told its highest promises.
-    pub fn reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
+    pub(crate) fn reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
         if reply.nonce != self.nonce
             || !self.others.contains(&from)
             || !matches!(self.phase, Phase::Asking)
@@ -102,7 +103,7 @@
             return;
         }
         self.highest = self.highest.max(reply.promised);
-        self.epoch = self.epoch.max(reply.epoch);
+        self.term = self.term.max(reply.term);
         self.replies.insert(from);
         if self.list.known_without(self.node, &self.replies) {
             self.phase = Phase::Preparing;
@@ -112,8 +113,8 @@
     }
 
     /// A member promised; the result once enough have.
-    pub fn promised(&mut self, from: NodeId, promised: Promised) -> Option<Recovered> {
-        if !matches!(self.phase, Phase::Preparing) || promised.ballot != self.ballot() {
+    pub(crate) fn promised(&mut self, from: NodeId, promised: Promise) -> Option<Recovered> {
+        if !matches!(self.phase, Phase::Preparing) || promised.proposal != self.proposal() {
             return None;
         }
         self.replies.insert(from);
@@ -124,29 +125,29 @@
         if !self.list.known_without(self.node, &self.replies) || self.value.is_empty() {
             return None;
         }
-        let ballots = AcceptorBallots {
-            promised: self.ballot(),
+        let proposals = AcceptorNumbers {
+            promised: self.proposal(),
             accepted: self.accepted,
         };
         let members_version = self.list.version;
         Some(Recovered {
-            ballots,
+            proposals,
             value: self.value.clone(),
-            epoch: self.epoch,
+            term: self.term,
             members_version,
         })
     }
 
-    /// A higher ballot is about: the next one goes above it.
-    pub fn refused(&mut self, refused: &Refused) {
-        if refused.ballot == self.ballot() {
+    /// A higher proposal number is about: the next one goes above it.
+    pub(crate) fn refused(&mut self, refused: &Refused) {
+        if refused.proposal == self.proposal() {
             self.highest = self.highest.max(refused.promised);
             self.replies.clear();
         }
     }
 
-    fn ballot(&self) -> Ballot {
-        Ballot {
+    fn proposal(&self) -> ProposalNumber {
+        ProposalNumber {
             counter: self.highest.counter + 1,
             node: self.node,
             incarnation: self.incarnation,
@@ -157,8 +158,8 @@
         let message = match self.phase {
             Phase::Asking => ControlMessage::Recover(Recover { nonce: self.nonce }),
             Phase::Preparing => ControlMessage::Prepare(Prepare {
-                ballot: self.ballot(),
-                have: Ballot::default(),
+                proposal: self.proposal(),
+                have: ProposalNumber::default(),
             }),
         };
         let silent = self
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -1,15 +1,16 @@
 //! The replica: promises of terms, the lease it granted, and its copy of the records.
-use crate::collection::Collection;
+
 use crate::effects::Effects;
-use crate::image::Images;
 use crate::persisted::{put_replica, ReplicaState, TermPromise};
 use crate::records::Records;
+use crate::snapshot::Images;
+use crate::snapshot_transfer::Collection;
 use crate::timing::{BEHIND_MS, LEASE_MS};
 use sagetrail_protocol::control::{
-    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsTag, Renew, RenewAck,
-    SnapshotChunk, Stored,
+    ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsPosition, RecordsSynced,
+    Renew, RenewAck, SnapshotChunk,
 };
-use sagetrail_protocol::{Epoch, List, NodeId, Time};
+use sagetrail_protocol::{List, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
 /// So many batches wait for the whole records or for an earlier batch.
@@ -18,15 +19,15 @@
 /// The term that this replica follows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Followed {
-    pub epoch: Epoch,
-    pub owner: NodeId,
-    base: RecordsTag,
+    pub term: Term,
+    pub leader: NodeId,
+    base: RecordsPosition,
     source: NodeId,
 }
 
 /// What the process says of itself with each acknowledgement of a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Condition {
+pub(crate) struct Condition {
     /// It was asked to end.
     pub leaving: bool,
     /// It knows the register's newest value and all accepted changes.
@@ -35,17 +36,17 @@
 
 /// The replica of one process.
 #[derive(Debug)]
-pub struct Replica {
+pub(crate) struct Replica {
     node: NodeId,
     pub state: ReplicaState,
     /// The newest state that is surely on disk.
-    pub synced: RecordsTag,
+    pub synced: RecordsPosition,
     pub records: Records,
     /// No term is promised before: a lease may be running.
     pub lease_until: Time,
     pub(crate) followed: Option<Followed>,
-    /// The term whose owner is surely named on disk: only then is a lease granted to it.
-    owner_on_disk: Option<Epoch>,
+    /// The term whose leader is surely named on disk: only then is a lease granted to it.
+    leader_on_disk: Option<Term>,
     buffered: BTreeMap<u64, List<RecordChange>>,
     collection: Option<Collection>,
     behind_since: Option<Time>,
@@ -54,15 +55,15 @@
 
 impl Replica {
     /// A replica that has just started and may have granted a lease in its former life.
-    pub fn new(node: NodeId, now: Time, state: ReplicaState, records: Records) -> Replica {
+    pub(crate) fn new(node: NodeId, now: Time, state: ReplicaState, records: Records) -> Replica {
         Replica {
             node,
             state,
-            synced: state.tag,
+            synced: state.position,
             records,
             lease_until: now.plus_millis(LEASE_MS),
             followed: None,
-            owner_on_disk: None,
+            leader_on_disk: None,
             buffered: BTreeMap::new(),
             collection: None,
             behind_since: None,
@@ -70,24 +71,24 @@
         }
     }
 
-    /// The highest term known and its owner, if that is known.
-    pub fn term(&self) -> (Epoch, NodeId) {
+    /// The highest term known and its leader, if that is known.
+    pub(crate) fn promised_term(&self) -> (Term, NodeId) {
         match &self.followed {
-            Some(followed) if followed.epoch == self.state.promise.epoch => {
-                (followed.epoch, followed.owner)
+            Some(followed) if followed.term == self.state.promise.term => {
+                (followed.term, followed.leader)
             }
-            _ => (self.state.promise.epoch, NodeId::default()),
+            _ => (self.state.promise.term, NodeId::default()),
         }
     }
 
-    /// The owner, while its lease may be running.
-    pub fn live_owner(&self, now: Time) -> Option<NodeId> {
-        let (_, owner) = self.term();
-        (now < self.lease_until && owner != NodeId::default()).then_some(owner)
+    /// The leader, while its lease may be running.
+    pub(crate) fn live_leader(&self, now: Time) -> Option<NodeId> {
+        let (_, leader) = self.promised_term();
+        (now < self.lease_until && leader != NodeId::default()).then_some(leader)
     }
 
-    /// The owner renews its lease.
-    pub fn renew(
+    /// The leader renews its lease.
+    pub(crate) fn renew(
         &mut self,
         now: Time,
         from: NodeId,
@@ -95,15 +96,15 @@
         condition: Condition,
         effects: &mut Effects,
     ) {
-        if renew.epoch < self.state.promise.epoch {
+        if renew.term < self.state.promise.term {
             let ack = self.renew_ack(renew, condition);
             return effects.control(from, ack);
         }
         self.lease_until = now.plus_millis(LEASE_MS);
         self.follow(from, renew);
-        self.name_owner(from, renew.epoch);
+        self.name_leader(from, renew.term);
         let ack = self.renew_ack(renew, condition);
-        if self.owner_on_disk == Some(renew.epoch) {
+        if self.leader_on_disk == Some(renew.term) {
             effects.control(from, ack);
         } else {
             let mut then = vec![(self.node, ack.clone())];
@@ -114,19 +115,19 @@
     }
 
     /// After a restart the promise alone tells who may hold a lease. It may have been made to a candidate that lost.
-    fn name_owner(&mut self, owner: NodeId, epoch: Epoch) {
-        if (self.state.promise.epoch, self.state.promise.node) != (epoch, owner) {
+    fn name_leader(&mut self, leader: NodeId, term: Term) {
+        if (self.state.promise.term, self.state.promise.node) != (term, leader) {
             self.state.promise = TermPromise {
-                epoch,
-                node: owner,
+                term,
+                node: leader,
                 incarnation: 0,
             };
         }
     }
 
-    /// The owner of the term has been synced as the holder of the lease.
-    pub fn owner_kept(&mut self, epoch: Epoch) {
-        self.owner_on_disk = self.owner_on_disk.max(Some(epoch));
+    /// The leader of the term has been synced as the holder of the lease.
+    pub(crate) fn leader_synced(&mut self, term: Term) {
+        self.leader_on_disk = self.leader_on_disk.max(Some(term));
     }
 
     /// Forgets what was on its way in an earlier term.
@@ -137,27 +138,27 @@
     }
 
     fn renew_ack(&self, renew: &Renew, condition: Condition) -> ControlMessage {
-        let promised = self.state.promise.epoch;
+        let promised = self.state.promise.term;
         ControlMessage::RenewAck(RenewAck {
-            epoch: renew.epoch,
+            term: renew.term,
             sent_at: renew.sent_at,
             promised,
-            tag: self.synced,
+            position: self.synced,
             leaving: condition.leaving,
             caught_up: condition.caught_up,
         })
     }
 
-    fn follow(&mut self, owner: NodeId, renew: &Renew) {
+    fn follow(&mut self, leader: NodeId, renew: &Renew) {
         if self
             .followed
-            .is_none_or(|followed| followed.epoch != renew.epoch)
+            .is_none_or(|followed| followed.term != renew.term)
         {
             self.forget_transfers();
         }
         self.followed = Some(Followed {
-            epoch: renew.epoch,
-            owner,
+            term: renew.term,
+            leader,
             base: renew.base,
             source: renew.source,
         });
@@ -167,9 +168,9 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.epoch == followed.epoch && self.state.whole {
-            // The owner sends on once it hears what was synced: what waits for the disk is not behind.
-            let behind = newest > self.state.tag.number && self.synced == self.state.tag;
+        if self.state.position.term == followed.term && self.state.complete {
+            // The leader sends on once it hears what was synced: what waits for the disk is not behind.
+            let behind = newest > self.state.position.number && self.synced == self.state.position;
             self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
             let long = self
                 .behind_since
@@ -179,9 +180,9 @@
             }
             return;
         }
-        if self.state.tag == followed.base && self.state.whole {
-            self.state.tag = RecordsTag {
-                epoch: followed.epoch,
+        if self.state.position == followed.base && self.state.complete {
+            self.state.position = RecordsPosition {
+                term: followed.term,
                 number: 0,
             };
             self.store(Vec::new(), effects);
@@ -196,12 +197,12 @@
         if source == self.node {
             return;
         }
-        let oldest = self.oldest_useful(followed.epoch, newest);
+        let oldest = self.oldest_useful(followed.term, newest);
         match &mut self.collection {
             None => {
                 self.collection = Some(Collection::start(
                     now,
-                    followed.epoch,
+                    followed.term,
                     source,
                     oldest,
                     effects,
@@ -215,42 +216,47 @@
     }
 
     /// The oldest state of which an image is of use. With its disk a replica may have lost what it acknowledged, which
-    /// is no newer than the owner's newest batch; otherwise its own state holds all of that.
-    fn oldest_useful(&self, epoch: Epoch, newest: u64) -> RecordsTag {
-        if !self.state.whole && newest > 0 {
-            return RecordsTag {
-                epoch,
+    /// is no newer than the leader's newest batch; otherwise its own state holds all of that.
+    fn oldest_useful(&self, term: Term, newest: u64) -> RecordsPosition {
+        if !self.state.complete && newest > 0 {
+            return RecordsPosition {
+                term,
                 number: newest,
             };
         }
-        if self.state.whole && self.state.tag.epoch == epoch {
-            return RecordsTag {
-                epoch,
-                number: self.state.tag.number + 1,
+        if self.state.complete && self.state.position.term == term {
+            return RecordsPosition {
+                term,
+                number: self.state.position.number + 1,
             };
         }
-        RecordsTag::default()
+        RecordsPosition::default()
     }
 
     /// Whether records are being fetched from a source that gives nothing.
-    pub fn source_is_silent(&self, now: Time) -> bool {
+    pub(crate) fn source_is_silent(&self, now: Time) -> bool {
         self.collection
             .as_ref()
             .is_some_and(|collection| collection.is_silent(now))
     }
 
     /// A batch came.
-    pub fn batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
+    pub(crate) fn batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
-        let current = followed.epoch == batch.epoch && followed.owner == from;
-        if !current || self.state.promise.epoch != batch.epoch {
+        let current = followed.term == batch.term && followed.leader == from;
+        if !current || self.state.promise.term != batch.term {
             return;
         }
-        if self.state.tag.epoch == batch.epoch && batch.number <= self.state.tag.number {
-            if batch.number <= self.synced.number && self.synced.epoch == batch.epoch {
-                effects.control(from, ControlMessage::Stored(Stored { tag: self.synced }));
+        if self.state.position.term == batch.term && batch.number <= self.state.position.number {
+            if batch.number <= self.synced.number && self.synced.term == batch.term {
+                effects.control(
+                    from,
+                    ControlMessage::RecordsSynced(RecordsSynced {
+                        position: self.synced,
+                    }),
+                );
             }
             return;
         }
@@ -264,16 +270,16 @@
         let Some(followed) = self.followed else {
             return;
         };
-        if self.state.tag.epoch != followed.epoch {
+        if self.state.position.term != followed.term {
             return;
         }
         let mut operations = Vec::new();
-        let before = self.state.tag.number;
-        while let Some(changes) = self.buffered.remove(&(self.state.tag.number + 1)) {
+        let before = self.state.position.number;
+        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
             operations.extend(self.records.apply(&changes));
-            self.state.tag.number += 1;
+            self.state.position.number += 1;
         }
-        let number = self.state.tag.number;
+        let number = self.state.position.number;
         self.buffered.retain(|buffered, _| *buffered > number);
         if number > before {
             // Where batches come on there is no need for an image.
@@ -289,73 +295,88 @@
         effects: &mut Effects,
     ) {
         operations.push(put_replica(&self.state));
-        let stored = ControlMessage::Stored(Stored {
-            tag: self.state.tag,
+        let stored = ControlMessage::RecordsSynced(RecordsSynced {
+            position: self.state.position,
         });
         let mut then = vec![(self.node, stored.clone())];
-        if let Some(followed) = self.followed.filter(|followed| followed.owner != self.node) {
-            then.push((followed.owner, stored));
+        if let Some(followed) = self
+            .followed
+            .filter(|followed| followed.leader != self.node)
+        {
+            then.push((followed.leader, stored));
         }
         effects.write(operations, then);
     }
 
     /// The records have been synced up to this state.
-    pub fn stored(&mut self, tag: RecordsTag) {
-        self.synced = self.synced.max(tag);
+    pub(crate) fn stored(&mut self, position: RecordsPosition) {
+        self.synced = self.synced.max(position);
     }
 
     /// Somebody fetches the whole records.
-    pub fn fetch(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot, effects: &mut Effects) {
-        if !self.state.whole {
+    pub(crate) fn fetch(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        fetch: &FetchSnapshot,
+        effects: &mut Effects,
+    ) {
+        if !self.state.complete {
             return;
         }
         if let Some(chunk) = self
             .images
-            .chunk(now, from, fetch, self.state.tag, &self.records)
+            .chunk(now, from, fetch, self.state.position, &self.records)
         {
             effects.control(from, ControlMessage::SnapshotChunk(chunk));
         }
     }
 
     /// A piece of the whole records came.
-    pub fn chunk(&mut self, now: Time, from: NodeId, chunk: SnapshotChunk, effects: &mut Effects) {
+    pub(crate) fn chunk(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        chunk: SnapshotChunk,
+        effects: &mut Effects,
+    ) {
         let Some(collection) = &mut self.collection else {
             return;
         };
-        let Some((tag, records)) = collection.take(now, from, chunk, effects) else {
+        let Some((position, records)) = collection.take(now, from, chunk, effects) else {
             return;
         };
         self.collection = None;
-        self.install(tag, records, effects);
+        self.install(position, records, effects);
     }
 
-    fn install(&mut self, tag: RecordsTag, records: Records, effects: &mut Effects) {
+    fn install(&mut self, position: RecordsPosition, records: Records, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
-        let epoch = followed.epoch;
-        let tag = if tag == followed.base {
-            RecordsTag { epoch, number: 0 }
+        let term = followed.term;
+        let position = if position == followed.base {
+            RecordsPosition { term, number: 0 }
         } else {
-            tag
+            position
         };
-        let newer = tag > self.state.tag || !self.state.whole;
-        if tag.epoch != epoch || !newer || self.state.promise.epoch != epoch {
+        let newer = position > self.state.position || !self.state.complete;
+        if position.term != term || !newer || self.state.promise.term != term {
             return;
         }
         self.records = records;
-        self.state.tag = tag;
-        self.state.whole = true;
+        self.state.position = position;
+        self.state.complete = true;
         self.behind_since = None;
-        while let Some(changes) = self.buffered.remove(&(self.state.tag.number + 1)) {
+        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
             self.records.apply(&changes);
-            self.state.tag.number += 1;
+            self.state.position.number += 1;
         }
         self.store(self.records.rewrite(), effects);
     }
 
-    /// Repeats requests and drops what is old. Pieces are kept while no owner is heard: its term may go on.
-    pub fn tick(&mut self, now: Time, effects: &mut Effects) {
+    /// Repeats requests and drops what is old. Pieces are kept while no leader is heard: its term may go on.
+    pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) {
         if let Some(collection) = self.collection.as_mut().filter(|_| now < self.lease_until) {
             collection.tick(now, effects);
         }
@@ -363,7 +384,7 @@
     }
 
     /// When something is due.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub(crate) fn next_wake(&self) -> Option<Time> {
         let collection = self.collection.as_ref().map(Collection::next_wake);
         let collection = collection.filter(|due| *due < self.lease_until);
         [collection, self.images.next_wake()]
--- a/crates/cluster/control-plane/src/image.rs
+++ b/crates/cluster/control-plane/src/snapshot.rs
@@ -1,8 +1,9 @@
 //! Images of the whole records, cut into pieces, for those who fetch them.
+
 use crate::checksum::ImageChecksum;
 use crate::records::Records;
 use crate::timing::{SNAPSHOT_MS, SOURCE_SILENT_MS};
-use sagetrail_protocol::control::{FetchSnapshot, RecordEntry, RecordsTag, SnapshotChunk};
+use sagetrail_protocol::control::{FetchSnapshot, RecordEntry, RecordsPosition, SnapshotChunk};
 use sagetrail_protocol::{Blob, List, NodeId, Time};
 use std::collections::BTreeMap;
 
@@ -25,7 +26,7 @@
 /// The records as they were at one state.
 #[derive(Debug)]
 struct Image {
-    tag: RecordsTag,
+    position: RecordsPosition,
     made: Time,
     used: Time,
     bytes: usize,
@@ -36,41 +37,41 @@
 
 /// The images of one process. One that somebody fetches is kept, so that nobody makes another begin again.
 #[derive(Debug, Default)]
-pub struct Images {
+pub(crate) struct Images {
     images: Vec<Image>,
 }
 
 impl Images {
     /// The piece asked for; the first one where the asker holds pieces of an image that is gone. `None` where the
-    /// asker has to wait. `tag` and `records`: the newest state.
-    pub fn chunk(
+    /// asker has to wait. `position` and `records`: the newest state.
+    pub(crate) fn chunk(
         &mut self,
         now: Time,
         from: NodeId,
         fetch: &FetchSnapshot,
-        tag: RecordsTag,
+        position: RecordsPosition,
         records: &Records,
     ) -> Option<SnapshotChunk> {
-        if tag < fetch.tag {
+        if position < fetch.position {
             return None;
         }
         if self.begun(fetch).is_none()
-            && self.recent(now, fetch, tag).is_none()
+            && self.recent(now, fetch, position).is_none()
             && self.make_room(now)
         {
-            self.images.push(Image::new(now, tag, records));
+            self.images.push(Image::new(now, position, records));
         }
         let place = self.begun(fetch).or_else(|| self.newest(fetch))?;
         self.images[place].chunk(now, from, fetch)
     }
 
     /// Drops what nobody asked for lately.
-    pub fn tick(&mut self, now: Time) {
+    pub(crate) fn tick(&mut self, now: Time) {
         self.images.retain(|image| now < image.expires());
     }
 
     /// When something is dropped.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub(crate) fn next_wake(&self) -> Option<Time> {
         self.images.iter().map(Image::expires).min()
     }
 
@@ -78,14 +79,14 @@
     fn begun(&self, fetch: &FetchSnapshot) -> Option<usize> {
         self.images
             .iter()
-            .position(|image| fetch.index > 0 && image.tag == fetch.tag)
+            .position(|image| fetch.index > 0 && image.position == fetch.position)
     }
 
     /// An image that is worth being given to one more.
-    fn recent(&self, now: Time, fetch: &FetchSnapshot, tag: RecordsTag) -> Option<usize> {
+    fn recent(&self, now: Time, fetch: &FetchSnapshot, position: RecordsPosition) -> Option<usize> {
         let place = self.newest(fetch)?;
         let image = &self.images[place];
-        (image.tag == tag || now < image.made.plus_millis(REUSE_MS)).then_some(place)
+        (image.position == position || now < image.made.plus_millis(REUSE_MS)).then_some(place)
     }
 
     /// The newest image, where it is new enough for the asker.
@@ -94,8 +95,8 @@
             .images
             .iter()
             .enumerate()
-            .max_by_key(|(_, image)| image.tag)?;
-        (image.tag >= fetch.tag).then_some(place)
+            .max_by_key(|(_, image)| image.position)?;
+        (image.position >= fetch.position).then_some(place)
     }
 
     /// Drops the oldest images that nobody fetches, as far as needed; false where there is no room.
@@ -116,7 +117,7 @@
 }
 
 impl Image {
-    fn new(now: Time, tag: RecordsTag, records: &Records) -> Image {
+    fn new(now: Time, position: RecordsPosition, records: &Records) -> Image {
         let bytes = records
             .0
             .iter()
@@ -127,7 +128,7 @@
         let last = cut.len() - 1;
         let piece = |(index, entries): (usize, Vec<RecordEntry>)| {
             checksum.update(&entries);
-            let checksum = checksum.of_piece(tag, index as u32, index == last);
+            let checksum = checksum.of_piece(position, index as u32, index == last);
             Piece {
                 entries: List(entries),
                 checksum,
@@ -135,7 +136,7 @@
         };
         let pieces = cut.into_iter().enumerate().map(piece).collect();
         Image {
-            tag,
+            position,
             made: now,
             used: now,
             bytes,
@@ -151,11 +152,11 @@
     fn is_fetched(&self, now: Time) -> bool {
         self.fetchers
             .values()
-            .any(|asked| now < asked.plus_millis(SOURCE_SILENT_MS))
+            .any(|parse_request| now < parse_request.plus_millis(SOURCE_SILENT_MS))
     }
 
     fn chunk(&mut self, now: Time, from: NodeId, fetch: &FetchSnapshot) -> Option<SnapshotChunk> {
-        let index = if fetch.tag == self.tag {
+        let index = if fetch.position == self.position {
             fetch.index
         } else {
             0
@@ -169,8 +170,8 @@
             self.fetchers.remove(&from);
         }
         Some(SnapshotChunk {
-            epoch: fetch.epoch,
-            tag: self.tag,
+            term: fetch.term,
+            position: self.position,
             index,
             last,
             checksum,
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -1,7 +1,8 @@
 //! Who is sent each new configuration. A process hands out only what it has made sure of lately at a majority, and
 //! says how long ago that was: cut off, it says nothing, and subscribers turn elsewhere.
+
 use crate::effects::Effects;
-use crate::knowledge::Knowledge;
+use crate::register_view::RegisterView;
 use crate::timing::HANDOUT_MS;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe, SUBSCRIPTION_MS};
 use sagetrail_protocol::service::ConfigInForce;
@@ -20,7 +21,7 @@
 
 /// All subscriptions at this process.
 #[derive(Debug, Default)]
-pub struct Subscribers {
+pub(crate) struct Subscribers {
     subscriptions: BTreeMap<NodeId, Subscription>,
     /// Those whose last question has no answer yet.
     unanswered: BTreeSet<NodeId>,
@@ -30,7 +31,7 @@
 
 impl Subscribers {
     /// A process asks for what is newer than it has.
-    pub fn subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
+    pub(crate) fn subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
         self.subscriptions
             .retain(|_, subscription| subscription.expires > now);
         let expires = now.plus_millis(SUBSCRIPTION_MS);
@@ -49,14 +50,17 @@
     }
 
     /// Answers questions and sends a newer configuration, where what is known here is fresh enough.
-    pub fn serve(&mut self, now: Time, knowledge: &Knowledge, effects: &mut Effects) {
-        let Some(age_ms) = knowledge.age_ms(now).filter(|age_ms| *age_ms <= HANDOUT_MS) else {
+    pub(crate) fn serve(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
+        let Some(age_ms) = register_view
+            .age_ms(now)
+            .filter(|age_ms| *age_ms <= HANDOUT_MS)
+        else {
             return;
         };
         for node in std::mem::take(&mut self.unanswered) {
-            self.answer(node, knowledge, age_ms, effects);
+            self.answer(node, register_view, age_ms, effects);
         }
-        if let Some(config) = knowledge
+        if let Some(config) = register_view
             .config()
             .filter(|config| config.version > self.pushed)
         {
@@ -65,13 +69,19 @@
         }
     }
 
-    fn answer(&mut self, node: NodeId, knowledge: &Knowledge, age_ms: u64, effects: &mut Effects) {
+    fn answer(
+        &mut self,
+        node: NodeId,
+        register_view: &RegisterView,
+        age_ms: u64,
+        effects: &mut Effects,
+    ) {
         let Some(subscription) = self.subscriptions.get_mut(&node) else {
             return;
         };
-        let version = knowledge.config_version();
+        let version = register_view.config_version();
         let asked_at = subscription.asked_at;
-        let answer = match knowledge
+        let answer = match register_view
             .config()
             .filter(|config| config.version > subscription.have)
         {
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -1,4 +1,5 @@
 //! The register's value: the core's members, the configuration, and the changes that led to it.
+
 use crate::quorum::MemberList;
 use deku::prelude::*;
 use sagetrail_protocol::control::AcceptedChange;
@@ -6,7 +7,7 @@
 use std::fmt;
 
 /// So many of the newest changes travel with the value; earlier ones are in each process's `AcceptedChanges`.
-pub const MAX_RECENT_CHANGES: usize = 64;
+pub(crate) const MAX_RECENT_CHANGES: usize = 64;
 
 /// A configuration as the register keeps it.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
@@ -25,7 +26,7 @@
     /// The list that is to follow; empty unless a change of members is under way.
     pub next_members: List<NodeId>,
     /// How many members the cluster is to have.
-    pub founding_size: u32,
+    pub bootstrap_size: u32,
     pub config: StoredConfig,
     /// The newest changes, oldest first; the last one led to `config`.
     pub recent: List<AcceptedChange>,
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -1,14 +1,15 @@
 //! The replica's votes: a term is promised, and synced, only when no lease that was granted may still run.
+
 use crate::effects::Effects;
 use crate::persisted::{put_replica, TermPromise};
 use crate::replica::Replica;
 use crate::timing::LEASE_MS;
 use sagetrail_protocol::control::{ControlMessage, VoteReply, VoteRequest};
-use sagetrail_protocol::{Epoch, NodeId, Time};
+use sagetrail_protocol::{NodeId, Term, Time};
 
 impl Replica {
     /// Answers a candidate. `members_version`: the newest member list that this process has accepted.
-    pub fn vote(
+    pub(crate) fn vote(
         &mut self,
         now: Time,
         from: NodeId,
@@ -18,9 +19,9 @@
     ) {
         let granted =
             self.may_promise(now, from, request) && request.members_version >= members_version;
-        if granted && !request.probe {
+        if granted && !request.pre_vote {
             self.state.promise = TermPromise {
-                epoch: request.epoch,
+                term: request.term,
                 node: from,
                 incarnation: request.incarnation,
             };
@@ -28,38 +29,38 @@
             self.forget_transfers();
         }
         let reply = ControlMessage::VoteReply(VoteReply {
-            epoch: request.epoch,
+            term: request.term,
             incarnation: request.incarnation,
-            probe: request.probe,
+            pre_vote: request.pre_vote,
             granted,
             sent_at: request.sent_at,
-            promised: self.state.promise.epoch,
+            promised: self.state.promise.term,
             members_version,
-            tag: self.state.tag,
+            position: self.state.position,
         });
-        if granted && !request.probe {
+        if granted && !request.pre_vote {
             return effects.write(vec![put_replica(&self.state)], vec![(from, reply)]);
         }
         effects.control(from, reply);
     }
 
     fn may_promise(&self, now: Time, from: NodeId, request: &VoteRequest) -> bool {
-        if !self.state.whole {
+        if !self.state.complete {
             return false;
         }
         let promise = &self.state.promise;
         let again = promise.node == from && promise.incarnation == request.incarnation;
-        if again && promise.epoch == request.epoch && !request.probe {
+        if again && promise.term == request.term && !request.pre_vote {
             return true;
         }
-        now >= self.lease_until && (request.probe || request.epoch > promise.epoch)
+        now >= self.lease_until && (request.pre_vote || request.term > promise.term)
     }
 
-    /// An owner gave its lease up, or a candidate its candidacy; true where the term was promised to it.
-    pub fn resigned(&mut self, now: Time, from: NodeId, epoch: Epoch) -> bool {
-        let followed = self.followed.filter(|followed| followed.epoch == epoch);
-        let holder = followed.map_or(self.state.promise.node, |followed| followed.owner);
-        if self.state.promise.epoch != epoch || holder != from {
+    /// An leader gave its lease up, or a candidate its candidacy; true where the term was promised to it.
+    pub(crate) fn resigned(&mut self, now: Time, from: NodeId, term: Term) -> bool {
+        let followed = self.followed.filter(|followed| followed.term == term);
+        let holder = followed.map_or(self.state.promise.node, |followed| followed.leader);
+        if self.state.promise.term != term || holder != from {
             return false;
         }
         self.lease_until = self.lease_until.min(now);
@@ -68,7 +69,7 @@
 
     /// A process that does not take part yet said hello. Where this replica has heard nothing of its promised term
     /// since its own start, and that process held it, the term is over; true then.
-    pub fn holder_is_back(&mut self, now: Time, from: NodeId) -> bool {
+    pub(crate) fn lease_holder_restarted(&mut self, now: Time, from: NodeId) -> bool {
         if self.followed.is_some() || self.state.promise.node != from {
             return false;
         }
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -1,4 +1,5 @@
 //! A disk that holds something that cannot be read is an emptied disk, never a fresh one: nobody founds on it.
+
 mod support;
 use support::world::{Disk, World};
 
@@ -14,8 +15,8 @@
 
 fn feed(world: &mut World, requests: std::ops::Range<u64>) {
     for request in requests {
-        if let Some(owner) = world.owner() {
-            world.client(owner, request);
+        if let Some(leader) = world.leader() {
+            world.client(leader, request);
         }
         world.run(3);
     }
@@ -30,7 +31,7 @@
     world
 }
 
-/// The founder comes back on what `damage` left, told to found, and is alone for long; then the others come back.
+/// The bootstrapping process comes back on what `damage` left, told to found, and is alone for long; then the others come back.
 fn founder_returns(world: &mut World, damage: impl Fn(&mut Disk), context: &str) {
     let terms = world.terms();
     (0..3).for_each(|index| world.power_off(index));
@@ -118,5 +119,5 @@
     let mut world = World::new(3, 60);
     (0..3).for_each(|index| world.start(index, true));
     world.run(4_000);
-    assert!(world.owner().is_some());
+    assert!(world.leader().is_some());
 }
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -1,5 +1,6 @@
 //! Long histories of records and configurations in mixed trouble, many schedules, each from a seed. In every term that
 //! starts the service of the tests checks that nothing acknowledged is missing and no configuration goes back.
+
 mod support;
 use rand::Rng;
 use sagetrail_protocol::node::Method;
@@ -125,10 +126,10 @@
                 self.history.run(pause);
             }
             let history = &self.history;
-            let whole = |member: &usize| {
+            let complete = |member: &usize| {
                 history.world.machines[*member].node.is_none() || !holds_all(history, *member)
             };
-            self.lost.retain(whole);
+            self.lost.retain(complete);
         }
         self.heal();
         let members: Vec<usize> = (0..self.history.world.machines.len()).collect();
@@ -235,10 +236,10 @@
 
 /// Changes the configuration many times, each order on top of the one before; `within_ms` says how long each may take.
 fn order_many(history: &mut History, within_ms: fn(u64) -> u64) {
-    let owner = history.world.owner().unwrap();
+    let leader = history.world.leader().unwrap();
     for version in 1..=ORDERS {
         let number = history.world.http(
-            owner,
+            leader,
             Method::Post,
             "/v1/config/replace",
             Some(version - 1),
--- a/crates/cluster/control-plane/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/replacements.rs
@@ -1,4 +1,5 @@
 //! Members replaced, planned and not, with further losses at every moment from which they have to be borne.
+
 mod support;
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::{Message, NodeId};
@@ -17,8 +18,8 @@
     let mut world = World::founded(count, seed);
     assert_eq!(world.replace(0, 0, 5), 200);
     for request in 0..100 {
-        let owner = world.owner().unwrap();
-        world.client(owner, request);
+        let leader = world.leader().unwrap();
+        world.client(leader, request);
         world.run(2);
     }
     world.run(100);
@@ -29,9 +30,9 @@
 /// Runs to a moment while clients ask on.
 fn run_busy_until(world: &mut World, moment: u64, request: &mut u64) {
     while world.now < moment {
-        if let Some(owner) = world.owner() {
+        if let Some(leader) = world.leader() {
             *request += 1;
-            world.client(owner, *request);
+            world.client(leader, *request);
         }
         world.run(10.min((moment - world.now).div_ceil(1_000)));
     }
@@ -41,8 +42,8 @@
 fn serves(world: &mut World) -> bool {
     let before = world.acked();
     for number in 0..40 {
-        if let Some(owner) = world.owner() {
-            world.client(owner, FRESH_REQUESTS + before as u64 + number);
+        if let Some(leader) = world.leader() {
+            world.client(leader, FRESH_REQUESTS + before as u64 + number);
         }
         world.run(100);
     }
@@ -156,9 +157,9 @@
         world.start(successor, false);
         world.run(2_000);
         let gone = seed as usize % 3;
-        let asked = world.now;
+        let parse_request = world.now;
         world.remove(gone);
-        let took_ms = (world.now - asked) / 1000;
+        let took_ms = (world.now - parse_request) / 1000;
         assert!(took_ms < 1_000, "seed {seed}: {took_ms} ms");
         world.run(100);
         assert!(
@@ -314,8 +315,8 @@
     move |from, _, message| match message {
         Message::Control(ControlMessage::RenewAck(ack)) if from == learner => {
             ack.caught_up = true;
-            ack.tag.epoch = ack.epoch;
-            ack.tag.number = 1 << 40;
+            ack.position.term = ack.term;
+            ack.position.number = 1 << 40;
             true
         }
         Message::Control(ControlMessage::SnapshotChunk(_)) => false,
@@ -333,7 +334,7 @@
     world.run(1_000);
     world.remove(0);
     world.run(4_000);
-    let owner = world.owner().unwrap();
-    world.power_off(owner);
+    let leader = world.leader().unwrap();
+    world.power_off(leader);
     check_after_losses(&mut world, successor, "a learner that boasts");
 }
--- a/crates/cluster/control-plane/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/rounds.rs
@@ -1,6 +1,9 @@
 //! What the rounds of the register carry: the change alone to members that hold the value before it.
+
 mod support;
-use sagetrail_protocol::control::{AcceptChange, Ballot, ChangeKind, ControlMessage, Prepare};
+use sagetrail_protocol::control::{
+    AcceptChange, ChangeKind, ControlMessage, Prepare, ProposalNumber,
+};
 use sagetrail_protocol::node::{Event, Method};
 use sagetrail_protocol::{Blob, Message};
 use support::operators::{patch, read_back, Answering, Operators};
@@ -12,16 +15,16 @@
 
 /// A configuration of many routes, with the one that `patch` changes among them.
 fn large_config(version: u64) -> String {
-    let mut whole: serde_json::Value = serde_json::from_str(&config(version)).unwrap();
-    let route = whole["routes"][0].clone();
-    let routes = whole["routes"].as_array_mut().unwrap();
+    let mut complete: serde_json::Value = serde_json::from_str(&config(version)).unwrap();
+    let route = complete["routes"][0].clone();
+    let routes = complete["routes"].as_array_mut().unwrap();
     for number in 0..ROUTES {
         let mut other = route.clone();
         other["name"] = format!("r{number}").into();
         other["path_prefix"] = format!("/other{number}/").into();
         routes.push(other);
     }
-    whole.to_string()
+    complete.to_string()
 }
 
 fn with_large_config(seed: u64) -> World {
@@ -107,7 +110,7 @@
     let mut world = with_large_config(3);
     world.kill(1);
     world.kill(2);
-    let ballot = Ballot {
+    let proposal = ProposalNumber {
         counter: 1_000,
         node: CLIENT,
         incarnation: 7,
@@ -115,17 +118,17 @@
     let promised = answers(
         &mut world,
         ControlMessage::Prepare(Prepare {
-            ballot,
-            have: Ballot::default(),
+            proposal,
+            have: ProposalNumber::default(),
         }),
     );
-    let [ControlMessage::Promised(promised)] = &promised[..] else {
+    let [ControlMessage::Promise(promised)] = &promised[..] else {
         panic!("{promised:?}")
     };
     let body = Blob(patch(1, 2, "forged").content.into_bytes());
     let on = promised.accepted;
     let accept = AcceptChange {
-        ballot,
+        proposal,
         on,
         kind: ChangeKind::Patch,
         base: 1,
@@ -133,32 +136,34 @@
         result: [9; 32],
     };
     let other = AcceptChange {
-        on: Ballot {
+        on: ProposalNumber {
             counter: 999,
-            ..ballot
+            ..proposal
         },
         ..accept.clone()
     };
     let late = AcceptChange {
-        ballot: Ballot {
+        proposal: ProposalNumber {
             counter: 1,
-            ..ballot
+            ..proposal
         },
         ..accept.clone()
     };
     for wrong in [accept, other] {
         let answer = answers(&mut world, ControlMessage::AcceptChange(wrong));
         assert!(
-            matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.ballot == ballot)
+            matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.proposal == proposal)
         );
     }
     let answer = answers(&mut world, ControlMessage::AcceptChange(late));
     assert!(
-        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == ballot)
+        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == proposal)
     );
-    let kept = answers(
+    let committed = answers(
         &mut world,
-        ControlMessage::Prepare(Prepare { ballot, have: on }),
+        ControlMessage::Prepare(Prepare { proposal, have: on }),
+    );
+    assert!(
+        matches!(&committed[..], [ControlMessage::Promise(promised)] if promised.accepted == on)
     );
-    assert!(matches!(&kept[..], [ControlMessage::Promised(promised)] if promised.accepted == on));
 }
--- a/crates/cluster/control-plane/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -1,4 +1,5 @@
 //! Pieces of images that are torn, old or of another term are refused; what they were to bring still comes.
+
 mod support;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -35,7 +36,7 @@
             .truncate(random.random_range(0..chunk.entries.0.len()))
     },
     |chunk, _| chunk.last = !chunk.last,
-    |chunk, _| chunk.tag.number += 1,
+    |chunk, _| chunk.position.number += 1,
     |chunk, random| {
         // The same bytes, cut elsewhere between key and value.
         let place = random.random_range(0..chunk.entries.0.len());
@@ -130,7 +131,7 @@
     let mut wanted = 0;
     move |message| match message {
         ControlMessage::FetchSnapshot(fetch) => {
-            wanted = if fetch.tag == old[0].tag {
+            wanted = if fetch.position == old[0].position {
                 fetch.index as usize
             } else {
                 0
@@ -138,9 +139,9 @@
         }
         ControlMessage::SnapshotChunk(chunk) if left > 0 => {
             left -= 1;
-            let epoch = chunk.epoch;
+            let term = chunk.term;
             *chunk = SnapshotChunk {
-                epoch,
+                term,
                 ..old[wanted].clone()
             };
         }
@@ -150,8 +151,8 @@
 
 /// Fills a follower, keeping the pieces that it was sent.
 fn first_transfer(history: &mut History) -> Vec<SnapshotChunk> {
-    let kept: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
-    let sent = kept.clone();
+    let committed: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
+    let sent = committed.clone();
     let late = refill(
         history,
         pieces(move |chunk| sent.lock().unwrap().push(chunk.clone())),
@@ -161,7 +162,7 @@
         "the first transfer"
     );
     history.world.tamper = None;
-    let pieces = kept.lock().unwrap().clone();
+    let pieces = committed.lock().unwrap().clone();
     assert!(pieces.last().is_some_and(|piece| piece.last), "no transfer");
     pieces
 }
@@ -227,13 +228,13 @@
         let mut history = History::new(3, 300 + seed, ROWS, BYTES, None);
         history.rate = 200;
         let old = first_transfer(&mut history);
-        let owner = history.world.owner().unwrap();
-        history.world.kill(owner);
+        let leader = history.world.leader().unwrap();
+        history.world.kill(leader);
         history.run(2_500);
-        history.world.start(owner, false);
+        history.world.start(leader, false);
         history.run(1_000);
         assert!(
-            old[0].tag.epoch
+            old[0].position.term
                 < history
                     .world
                     .journal
--- a/crates/cluster/control-plane/tests/support/journal.rs
+++ b/crates/cluster/control-plane/tests/support/journal.rs
@@ -1,21 +1,22 @@
 //! The service of the tests, and what all its lives have done: a checker of what must hold across them.
+
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{
     Batch, ConfigInForce, RecordOperation, Restored, Service, ServiceFactory,
 };
-use sagetrail_protocol::{Blob, Epoch, Message, NodeId, Time};
+use sagetrail_protocol::{Blob, Message, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
 /// Names reads, which are answered at once under the lease.
-pub const READ: u64 = u64::MAX;
+pub(crate) const READ: u64 = u64::MAX;
 
 /// What all services have done.
 #[derive(Default, Debug)]
-pub struct Journal {
+pub(crate) struct Journal {
     /// Terms in which a service started, in order.
-    pub terms: Vec<(Epoch, NodeId)>,
+    pub terms: Vec<(Term, NodeId)>,
     /// Requests that were acknowledged.
     pub acked: BTreeSet<u64>,
     /// The newest configuration that a service was given.
@@ -31,11 +32,11 @@
     }
 }
 
-pub type SharedJournal = Arc<Mutex<Journal>>;
+pub(crate) type SharedJournal = Arc<Mutex<Journal>>;
 
 struct Counter {
     journal: SharedJournal,
-    epoch: Epoch,
+    term: Term,
     number: u64,
     batch: Vec<RecordOperation>,
     /// Replies that wait for a batch.
@@ -45,7 +46,7 @@
 }
 
 /// Makes services that write into `journal`.
-pub fn factory(journal: SharedJournal) -> ServiceFactory {
+pub(crate) fn factory(journal: SharedJournal) -> ServiceFactory {
     Box::new(move |_, restored| Box::new(Counter::start(journal.clone(), restored)))
 }
 
@@ -65,22 +66,18 @@
 
     fn start(journal: SharedJournal, restored: Restored) -> Counter {
         let mut book = journal.lock().unwrap();
-        let kept: BTreeSet<u64> = restored
+        let committed: BTreeSet<u64> = restored
             .records
             .iter()
             .map(|(key, _)| number_of(key))
             .collect();
-        let lost: Vec<&u64> = book.acked.difference(&kept).collect();
-        assert!(lost.is_empty(), "term {} lost {lost:?}", restored.epoch);
-        if let Some((epoch, _)) = book.terms.last() {
-            assert!(
-                restored.epoch > *epoch,
-                "term {} after {epoch}",
-                restored.epoch
-            );
+        let lost: Vec<&u64> = book.acked.difference(&committed).collect();
+        assert!(lost.is_empty(), "term {} lost {lost:?}", restored.term);
+        if let Some((term, _)) = book.terms.last() {
+            assert!(restored.term > *term, "term {} after {term}", restored.term);
         }
-        book.terms.push((restored.epoch, restored.node));
-        book.records_restored = kept.len();
+        book.terms.push((restored.term, restored.node));
+        book.records_restored = committed.len();
         let config_version = restored.config.map_or(0, |config| config.version);
         assert!(
             config_version >= book.config_version,
@@ -91,7 +88,7 @@
         let (batch, ready, waiting) = (Vec::new(), Vec::new(), BTreeMap::new());
         Counter {
             journal,
-            epoch: restored.epoch,
+            term: restored.term,
             number: 0,
             batch,
             waiting,
@@ -170,7 +167,7 @@
         if !sends.is_empty() {
             assert_eq!(
                 book.terms.last().unwrap().0,
-                self.epoch,
+                self.term,
                 "an old term still speaks"
             );
         }
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -1,4 +1,5 @@
 //! The gateway as a node: events in, an outbox out.
+
 use crate::core_view::CoreView;
 use crate::drain::Drain;
 use crate::pending::PendingTable;
@@ -8,7 +9,9 @@
 use crate::subscription::Subscription;
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::message::Relayed;
-use sagetrail_protocol::node::{Door, Event, HttpReply, HttpRequest, Method, Node, Now, Outbox};
+use sagetrail_protocol::node::{
+    Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
+};
 use sagetrail_protocol::{Message, NodeId, NodeKind, Time};
 
 /// The platform's readiness check asks for a path that ends so.
@@ -55,7 +58,7 @@
 
     /// True where clients may be sent here.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.drain.is_none() && self.subscription.is_current(now) && self.view.owner_answers(now)
+        self.drain.is_none() && self.subscription.is_current(now) && self.view.leader_answers(now)
     }
 
     /// The newest version of the configuration seen, 0 for none.
@@ -82,7 +85,7 @@
                 self.view.heard_from(now, from, direct);
                 self.take_reply(reply, outbox);
             }
-            Message::NotOwner(bounce) => self.take_bounce(now, from, &bounce, outbox),
+            Message::NotLeader(bounce) => self.take_bounce(now, from, &bounce, outbox),
             Message::ConfigUpdate(update) => self.subscription.take_update(now, from, update),
             Message::ConfigCurrent(current) => self.subscription.take_current(now, from, &current),
             Message::Relayed(relayed) => self.take_relayed(now, relayed, outbox),
@@ -137,8 +140,8 @@
                 incarnation: self.settings.incarnation,
                 config_version: self.subscription.held().unwrap_or(0),
             });
-            if self.view.owner() == Some(target) {
-                self.send_to_owner(now, target, hello, outbox);
+            if self.view.leader() == Some(target) {
+                self.send_to_leader(now, target, hello, outbox);
             } else {
                 outbox.send(target, hello);
             }
@@ -184,19 +187,19 @@
             }
             Event::Http {
                 id,
-                door: Door::Frontend,
+                endpoint: HttpEndpoint::Frontend,
                 request,
             } => self.take_request(steady, id, request, outbox),
             Event::Http {
                 id,
-                door: Door::Readiness,
+                endpoint: HttpEndpoint::Readiness,
                 request,
             } => {
                 outbox.reply(id, self.readiness(steady, &request));
             }
             Event::Http {
                 id,
-                door: Door::Control,
+                endpoint: HttpEndpoint::Control,
                 ..
             } => outbox.reply(id, response::not_found()),
             Event::HttpAbandoned { id } => self.pending.abandon(id),
@@ -206,7 +209,7 @@
                 self.drain
                     .get_or_insert_with(|| Drain::start(steady, grace_s));
             }
-            Event::Synced { .. } | Event::Probe { .. } | Event::Wake => {}
+            Event::Synced { .. } | Event::HealthCheck { .. } | Event::Wake => {}
         }
         self.run_due(steady, outbox);
     }
--- a/crates/cluster/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -1,5 +1,6 @@
 //! What the gateway answers to clients and to the platform's readiness check, byte by byte: status, `Retry-After`
 //! and body of each outcome, as kept in `fixtures/http_answers.txt`.
+
 mod common;
 
 use common::{Rig, CORE};
@@ -7,7 +8,7 @@
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::client::ClientReply;
 use sagetrail_protocol::collections::Blob;
-use sagetrail_protocol::node::{Door, Event, HttpRequest, HttpRequestId, Method};
+use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use sagetrail_protocol::{Message, NodeId};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
@@ -27,7 +28,7 @@
     transcript: &mut Transcript,
     name: &str,
     rig: &mut Rig,
-    door: Door,
+    endpoint: HttpEndpoint,
     request: (Method, &str),
 ) {
     rig.clear();
@@ -41,11 +42,15 @@
         body: Vec::new(),
     };
     let id = OWN_REQUEST;
-    rig.event(Event::Http { id, door, request });
+    rig.event(Event::Http {
+        id,
+        endpoint,
+        request,
+    });
     add(transcript, name, rig, id);
 }
 
-/// A gateway whose owner answered a request of the client like this; what the client gets.
+/// A gateway whose leader answered a request of the client like this; what the client gets.
 fn add_passed_on(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
     let mut rig = Rig::settled();
     let id = rig.http(method, b"{}".to_vec(), None);
@@ -122,7 +127,7 @@
     let mut rig = Rig::settled();
     let id = rig.submit();
     let number = rig.requests()[0].1.request;
-    rig.not_owner(CORE[0], number, 1, NodeId::default());
+    rig.not_leader(CORE[0], number, 1, NodeId::default());
     rig.pass(300);
     add(
         transcript,
@@ -171,7 +176,7 @@
         transcript,
         "not ready: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
     let mut rig = Rig::settled();
@@ -179,35 +184,35 @@
         transcript,
         "ready: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
     add_at(
         transcript,
         "ready: GET /readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Get, "/readyz"),
     );
     add_at(
         transcript,
         "ready: POST /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Post, "/v1/readyz"),
     );
     add_at(
         transcript,
         "ready: GET /other",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         (Method::Get, "/other"),
     );
     add_at(
         transcript,
         "the operator's address: GET /v1/config/get",
         &mut rig,
-        Door::Control,
+        HttpEndpoint::Control,
         (Method::Get, "/v1/config/get"),
     );
     rig.event(Event::Terminate);
@@ -215,7 +220,7 @@
         transcript,
         "told to end: GET /v1/readyz",
         &mut rig,
-        Door::Readiness,
+        HttpEndpoint::Readiness,
         ready,
     );
 }
--- a/crates/cluster/gateway/tests/model/core.rs
+++ b/crates/cluster/gateway/tests/model/core.rs
@@ -1,11 +1,12 @@
 //! The core processes: one of them takes requests at a time, keeps them a little later, and may lose its office before.
+
 use super::chance::Chance;
-use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotOwner};
+use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotLeader};
 use sagetrail_protocol::directory::Directory;
 use sagetrail_protocol::{Blob, List, Message, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const CORE: [NodeId; 3] = [
+pub(crate) const CORE: [NodeId; 3] = [
     NodeId { ip: 11, port: 7 },
     NodeId { ip: 12, port: 7 },
     NodeId { ip: 13, port: 7 },
@@ -20,10 +21,10 @@
 }
 
 #[derive(Default)]
-pub struct Core {
-    pub epoch: u64,
-    pub owner: Option<NodeId>,
-    /// The next owner comes then.
+pub(crate) struct Core {
+    pub term: u64,
+    pub leader: Option<NodeId>,
+    /// The next leader comes then.
     vacant_until_ms: u64,
     unkept: Vec<Unkept>,
     kept: BTreeSet<String>,
@@ -32,9 +33,9 @@
 }
 
 impl Core {
-    /// The owner loses its office; what it had taken and not kept is kept by chance.
-    pub fn depose(&mut self, now_ms: u64, chance: &mut Chance) {
-        self.owner = None;
+    /// The leader loses its office; what it had taken and not kept is kept by chance.
+    pub(crate) fn depose(&mut self, now_ms: u64, chance: &mut Chance) {
+        self.leader = None;
         self.vacant_until_ms = now_ms + chance.below(900);
         for unkept in std::mem::take(&mut self.unkept) {
             if chance.once_in(2) {
@@ -43,13 +44,17 @@
         }
     }
 
-    /// Elects where there is no owner; answers what is kept now.
-    pub fn tick(&mut self, now_ms: u64, chance: &mut Chance) -> Vec<(NodeId, NodeId, Message)> {
-        if self.owner.is_none() && now_ms >= self.vacant_until_ms {
-            self.epoch += 1;
-            self.owner = Some(CORE[chance.below(3) as usize]);
+    /// Elects where there is no leader; answers what is kept now.
+    pub(crate) fn tick(
+        &mut self,
+        now_ms: u64,
+        chance: &mut Chance,
+    ) -> Vec<(NodeId, NodeId, Message)> {
+        if self.leader.is_none() && now_ms >= self.vacant_until_ms {
+            self.term += 1;
+            self.leader = Some(CORE[chance.below(3) as usize]);
         }
-        let Some(owner) = self.owner else {
+        let Some(leader) = self.leader else {
             return Vec::new();
         };
         let kept: Vec<Unkept> = self
@@ -59,25 +64,25 @@
         kept.into_iter()
             .map(|job| {
                 self.kept.insert(job.path.clone());
-                (owner, job.to, reply(job.request, 200, &job.path))
+                (leader, job.to, reply(job.request, 200, &job.path))
             })
             .collect()
     }
 
-    pub fn directory(&self) -> Message {
+    pub(crate) fn directory(&self) -> Message {
         Message::Directory(Directory {
             members_version: 1,
             members: List(CORE.to_vec()),
             next_members: List::default(),
-            epoch: self.epoch,
-            owner: self.owner.unwrap_or_default(),
+            term: self.term,
+            leader: self.leader.unwrap_or_default(),
             config_version: 1,
             relays: List::default(),
         })
     }
 
     /// What the process `at` answers at once, if anything.
-    pub fn request(
+    pub(crate) fn request(
         &mut self,
         now_ms: u64,
         at: NodeId,
@@ -85,12 +90,12 @@
         request: ClientRequest,
         chance: &mut Chance,
     ) -> Option<Message> {
-        if self.owner != Some(at) {
-            let (epoch, owner) = (self.epoch, self.owner.unwrap_or_default());
-            return Some(Message::NotOwner(NotOwner {
+        if self.leader != Some(at) {
+            let (term, leader) = (self.term, self.leader.unwrap_or_default());
+            return Some(Message::NotLeader(NotLeader {
                 request: request.request,
-                epoch,
-                owner,
+                term,
+                leader,
             }));
         }
         let path = request.path.to_string();
@@ -138,7 +143,7 @@
     }
 
     /// True where the job is kept for good.
-    pub fn keeps(&self, path: &str) -> bool {
+    pub(crate) fn keeps(&self, path: &str) -> bool {
         self.kept.contains(path)
     }
 }
--- a/crates/cluster/protocol/src/id.rs
+++ b/crates/cluster/protocol/src/id.rs
@@ -1,4 +1,5 @@
 //! What names a process, its incarnation and a term of office.
+
 use deku::prelude::*;
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -66,7 +67,7 @@
 }
 
 /// A term of office of the scheduler; rises with each election.
-pub type Epoch = u64;
+pub type Term = u64;
 
 /// Drawn at random at each start of a process, never zero.
 pub type Incarnation = u64;
--- a/crates/cluster/protocol/src/lib.rs
+++ b/crates/cluster/protocol/src/lib.rs
@@ -1,5 +1,9 @@
 //! Typed messages between the processes of a cluster, their frames, and the seam (`node`) by which the logic of
 //! a process is driven: by sockets and a disk in service, by a simulated network, clock and disk in tests.
+
+// Not every public item of this crate has a doc comment yet.
+#![allow(missing_docs)]
+
 pub mod agent;
 pub mod bounds;
 pub mod client;
@@ -15,6 +19,6 @@
 pub mod time;
 
 pub use collections::{Blob, List, Text};
-pub use id::{Epoch, Incarnation, NodeId, NodeKind};
+pub use id::{Incarnation, NodeId, NodeKind, Term};
 pub use message::Message;
 pub use time::Time;
--- a/crates/cluster/scheduler/src/orders.rs
+++ b/crates/cluster/scheduler/src/orders.rs
@@ -1,4 +1,5 @@
 //! What a runner is told: every run that is wanted and not there, every run that is there and not wanted.
+
 use crate::ids::TaskId;
 use crate::runner::{OrderedSet, Runner};
 use crate::scheduler::Scheduler;
@@ -86,7 +87,7 @@
         }
         let busy = !runner.assigned.is_empty();
         let orders = RunnerOrders {
-            epoch: self.epoch,
+            term: self.term,
             revision,
             agent: report.map_or(0, |report| report.agent),
             sent_at: report.map_or(0, |report| report.sent_at),
@@ -105,7 +106,7 @@
     pub(crate) fn announce_term(&mut self) {
         for (&node, runner) in &self.runners {
             let orders = RunnerOrders {
-                epoch: self.epoch,
+                term: self.term,
                 revision: 0,
                 agent: 0,
                 sent_at: 0,
--- a/crates/cluster/scheduler/tests/callers.rs
+++ b/crates/cluster/scheduler/tests/callers.rs
@@ -1,5 +1,6 @@
 //! Reports of an earlier life of an agent, or of a runner that is no more, come late: they end nothing, start nothing
 //! and take no living agent's place.
+
 mod world;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -93,7 +94,7 @@
             at,
             RunnerReport {
                 sequence,
-                epoch: 0,
+                term: 0,
                 revision: 0,
                 ..former(report.clone())
             },
--- a/crates/cluster/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -1,5 +1,6 @@
 //! What the scheduler answers to clients' requests: status, `Retry-After` in milliseconds and body of each outcome, as
 //! kept in `fixtures/client_answers.txt`. The gateway passes them on.
+
 mod world;
 
 use sagetrail_fixture::transcript::{http_answer, Transcript};
@@ -241,7 +242,7 @@
 fn no_configuration(transcript: &mut Transcript) {
     let mut world = World::new(0);
     let restored = Restored {
-        epoch: 2,
+        term: 2,
         node: NodeId { ip: 9, port: 9 },
         records: Vec::new(),
         config: None,
--- a/crates/dispatcher/policy/tests/drawn/mod.rs
+++ b/crates/dispatcher/policy/tests/drawn/mod.rs
@@ -1,7 +1,7 @@
 //! A drawn history: work arrives, runners serve, fail, fall silent, restart and drain, and the list tells of it late.
 mod carried_out;
 mod handover;
-pub mod recorder;
+pub(crate) mod recorder;
 mod told;
 mod trouble;
 mod work;
@@ -26,7 +26,7 @@
 
 /// How a dispatcher works.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Way {
+pub(crate) enum Way {
     /// Nothing is told of load.
     Unreported,
     /// Load is told to probes.
@@ -38,10 +38,10 @@
 }
 
 impl Way {
-    pub const ALL: [Way; 4] = [Way::Unreported, Way::Probing, Way::ByWork, Way::Shared];
+    pub(crate) const ALL: [Way; 4] = [Way::Unreported, Way::Probing, Way::ByWork, Way::Shared];
 
     /// Its name in the fixture.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Way::Unreported => "unreported",
             Way::Probing => "probing",
@@ -133,10 +133,10 @@
     pace: f64,
 }
 
-pub struct History {
+pub(crate) struct History {
     way: Way,
     dispatcher: Dispatcher,
-    pub host: Recorder,
+    pub(crate) host: Recorder,
     random: Pcg64Mcg,
     machines: Vec<Machine>,
     held: BTreeMap<u32, Held>,
@@ -147,7 +147,7 @@
 }
 
 impl History {
-    pub fn new(way: Way, seed: u64) -> History {
+    pub(crate) fn new(way: Way, seed: u64) -> History {
         let machines: Vec<Machine> = (0..RUNNERS).map(machine).collect();
         let mut history = History {
             way,
@@ -168,7 +168,7 @@
     }
 
     /// Plays it to its end.
-    pub fn play(&mut self) {
+    pub(crate) fn play(&mut self) {
         while self.step < STEPS {
             self.step += 1;
             self.host.now = BEGIN_S + self.step as f64 * STEP_S;
--- a/crates/dispatcher/policy/tests/drawn/recorder.rs
+++ b/crates/dispatcher/policy/tests/drawn/recorder.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 /// What the dispatcher wants carried out.
-pub enum Wanted {
+pub(crate) enum Wanted {
     Attempt {
         work_item: WorkItem,
         runner: usize,
@@ -20,7 +20,7 @@
 
 /// The kinds of decisions; the numbers are part of the digests.
 #[derive(Clone, Copy)]
-pub enum Kind {
+pub(crate) enum Kind {
     Attempt = 1,
     Defer = 2,
     WriteOff = 3,
@@ -34,17 +34,17 @@
     /// A figure that a dispatcher tells when asked.
     Figure = 11,
 }
-pub const KINDS: usize = 12;
+pub(crate) const KINDS: usize = 12;
 
 #[derive(Default)]
-pub struct Recorder {
-    pub now: f64,
+pub(crate) struct Recorder {
+    pub(crate) now: f64,
     /// The earliest wake asked for and not yet come.
-    pub wake_at: Option<f64>,
-    pub wanted: VecDeque<Wanted>,
-    pub decisions: Vec<u8>,
+    pub(crate) wake_at: Option<f64>,
+    pub(crate) wanted: VecDeque<Wanted>,
+    pub(crate) decisions: Vec<u8>,
     /// How many of each kind there were.
-    pub counts: [u64; KINDS],
+    pub(crate) counts: [u64; KINDS],
 }
 
 impl Recorder {
@@ -58,7 +58,7 @@
     }
 
     /// Keeps what the dispatcher said of itself.
-    pub fn figures(&mut self, figures: &[f64]) {
+    pub(crate) fn figures(&mut self, figures: &[f64]) {
         let bits: Vec<u64> = figures.iter().map(|figure| figure.to_bits()).collect();
         self.decision(Kind::Figure, &bits);
     }
--- a/crates/testing/scale-testing/src/hollow.rs
+++ b/crates/testing/scale-testing/src/hollow.rs
@@ -1,9 +1,10 @@
 //! Hollow workers, many to a process: simulated runners beside real agents, which speak to the core by the real
 //! transport. A hollow runner's heartbeats reach its agent by a direct call, or by HTTP where the agent is a real
 //! `sagetrail-side`.
+
 mod agent;
 mod document;
-mod door;
+mod endpoint;
 mod runner;
 mod threads;
 mod worker;
--- a/crates/testing/simulation/src/client.rs
+++ b/crates/testing/simulation/src/client.rs
@@ -1,8 +1,9 @@
 //! Clients: they hand jobs in, try again as the protocol says, ask for states and cancel.
+
 use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::history::{Answer, ShownState, Sight};
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use sagetrail_protocol::NodeId;
 use serde_json::Value;
 
@@ -113,7 +114,7 @@
         surroundings.calls.push(OutgoingCall {
             tag,
             to: gateway,
-            door: Door::Frontend,
+            endpoint: HttpEndpoint::Frontend,
             request,
             patience: DEADLINE,
         });
--- a/crates/testing/simulation/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/life.rs
@@ -1,4 +1,5 @@
 //! The life of processes: start, events, disk, freeze and end.
+
 use super::{World, WorldEvent};
 use crate::actor::Outcome;
 use crate::engine::{Micros, MILLISECOND, SECOND};
@@ -85,7 +86,7 @@
             self.reply(id, reply);
         }
         self.writes(node, outbox.writes);
-        self.start_probes(node, outbox.probes);
+        self.start_health_checks(node, outbox.health_checks);
         let terminating = self
             .processes
             .get(&node)
--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -2,11 +2,12 @@
 //!
 //! Everything goes in as encoded bytes, never in the form that is printed for people: a renamed type, variant or
 //! field leaves the digest as it is, a changed message, instant, order or stored byte does not.
+
 use crate::actor::{CallTag, Outcome, OutgoingCall};
 use crate::engine::Micros;
 use sagetrail_protocol::node::{
-    DiskImage, DiskOperation, DiskWrite, Door, Event, HttpReply, HttpRequest, HttpRequestId,
-    Method, Now, Probe, ProbeResult, Table,
+    DiskImage, DiskOperation, DiskWrite, Event, HealthCheck, HealthCheckResult, HttpEndpoint,
+    HttpReply, HttpRequest, HttpRequestId, Method, Now, Table,
 };
 use sagetrail_protocol::{frame, Message, NodeId};
 use sha2::{Digest, Sha256};
@@ -110,11 +111,11 @@
     }
 
     /// A process looks at another one.
-    pub fn probed(&mut self, at: Micros, node: NodeId, probe: &Probe) {
+    pub fn probed(&mut self, at: Micros, node: NodeId, health_check: &HealthCheck) {
         self.begin(Entry::Probed, at, node);
-        self.number(probe.id.0);
-        self.node(NodeId::from_address(probe.address));
-        self.bytes(probe.path.as_bytes());
+        self.number(health_check.id.0);
+        self.node(NodeId::from_address(health_check.address));
+        self.bytes(health_check.path.as_bytes());
         self.end();
     }
 
@@ -124,7 +125,7 @@
         self.number(id.0);
         self.number(call.tag);
         self.number(call.patience);
-        self.request(call.door, &call.request);
+        self.request(call.endpoint, &call.request);
         self.end();
     }
 
@@ -150,10 +151,14 @@
                 self.node(*from);
                 self.message(message);
             }
-            Event::Http { id, door, request } => {
+            Event::Http {
+                id,
+                endpoint,
+                request,
+            } => {
                 self.tag(2);
                 self.number(id.0);
-                self.request(*door, request);
+                self.request(*endpoint, request);
             }
             Event::HttpAbandoned { id } => {
                 self.tag(3);
@@ -163,7 +168,7 @@
                 self.tag(4);
                 self.number(*token);
             }
-            Event::Probe { id, result } => {
+            Event::HealthCheck { id, result } => {
                 self.tag(5);
                 self.number(id.0);
                 self.probe_result(*result);
@@ -178,11 +183,11 @@
         }
     }
 
-    fn request(&mut self, door: Door, request: &HttpRequest) {
-        self.tag(match door {
-            Door::Frontend => 1,
-            Door::Readiness => 2,
-            Door::Control => 3,
+    fn request(&mut self, endpoint: HttpEndpoint, request: &HttpRequest) {
+        self.tag(match endpoint {
+            HttpEndpoint::Frontend => 1,
+            HttpEndpoint::Readiness => 2,
+            HttpEndpoint::Control => 3,
         });
         self.tag(match request.method {
             Method::Get => 1,
@@ -230,14 +235,14 @@
         });
     }
 
-    fn probe_result(&mut self, result: ProbeResult) {
+    fn probe_result(&mut self, result: HealthCheckResult) {
         match result {
-            ProbeResult::Refused => self.tag(1),
-            ProbeResult::Status(status) => {
+            HealthCheckResult::Refused => self.tag(1),
+            HealthCheckResult::Status(status) => {
                 self.tag(2);
                 self.number(u64::from(status));
             }
-            ProbeResult::Silent => self.tag(3),
+            HealthCheckResult::Silent => self.tag(3),
         }
     }
 
--- a/crates/testing/simulation/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/beat.rs
@@ -1,18 +1,19 @@
 //! A runner's heartbeats and its leave.
+
 use super::drain::Drain;
 use super::{Beat, Runner, ANSWER_LIMIT};
 use crate::actor::{CallTag, OutgoingCall, Surroundings};
 use crate::engine::{Micros, MILLISECOND};
 use crate::history::EndSeen;
 use sagetrail_protocol::agent::RunEnd;
-use sagetrail_protocol::node::{Door, HttpRequest, Method};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use serde_json::{json, Value};
 
 /// So many ends are listed at once.
 const ENDS_AT_ONCE: usize = 500;
 
 /// The word for an end.
-pub fn end_word(end: RunEnd) -> &'static str {
+pub(super) fn end_word(end: RunEnd) -> &'static str {
     match end {
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
@@ -76,7 +77,7 @@
         let call = OutgoingCall {
             tag,
             to: self.plan.agent,
-            door: Door::Control,
+            endpoint: HttpEndpoint::Control,
             request,
             patience: ANSWER_LIMIT,
         };
--- a/crates/testing/simulation/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -1,4 +1,5 @@
 //! A day of a cluster, from its plan to its report.
+
 use crate::checker::{check, Limits};
 use crate::client::Clients;
 use crate::cluster::{Factories, Place, PlannedFault, World, WorldPlan};
@@ -264,7 +265,7 @@
     fn operator_plan(&self, chance: &mut Chance) -> Vec<Change> {
         let mut changes = vec![Change {
             at: SECOND,
-            kind: ChangeKind::Found(first_configuration()),
+            kind: ChangeKind::Bootstrap(first_configuration()),
             step: 1,
         }];
         for number in 0..self.changes {
@@ -289,7 +290,7 @@
                 step: 1,
             });
         }
-        changes.extend(self.probes(chance));
+        changes.extend(self.health_checks(chance));
         let last = self.traffic_end() + TAIL - QUIET / 2;
         changes.push(Change {
             at: last,
@@ -299,10 +300,10 @@
         changes
     }
 
-    fn probes(&self, chance: &mut Chance) -> Vec<Change> {
-        let probe = |_| {
+    fn health_checks(&self, chance: &mut Chance) -> Vec<Change> {
+        let health_check = |_| {
             let prefix = format!("/extra-{}/", chance.between(0, 4));
-            let kind = ChangeKind::Probe {
+            let kind = ChangeKind::HealthCheck {
                 host: HOST.into(),
                 prefix,
             };
@@ -312,7 +313,7 @@
                 step: 1,
             }
         };
-        (0..40).map(probe).collect()
+        (0..40).map(health_check).collect()
     }
 
     fn fault_plan(&self, chance: &mut Chance) -> Vec<PlannedFault> {
