--- a/crates/cluster/gateway/src/backoff.rs
+++ b/crates/cluster/gateway/src/backoff.rs
@@ -5,7 +5,7 @@
 /// The longest delay between two attempts, in milliseconds.
 const MAX_DELAY_MS: u64 = 1000;
 
-/// The delays between the attempts of one request. Without jitter: requests arrive spread over time.
+/// The delays between the attempts of one request: no jitter, so that a retry time follows from the last attempt alone.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct RetryBackoff {
     next_ms: u64,
