--- a/crates/cluster/scheduler/src/clients.rs
+++ b/crates/cluster/scheduler/src/client_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::JobId;
 use crate::job::{Job, JobTerms};
-use crate::record::Outcome;
+use crate::records::Outcome;
 use crate::scheduler::Scheduler;
 use crate::spec::JobSpec;
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
--- a/crates/cluster/scheduler/src/ledger.rs
+++ b/crates/cluster/scheduler/src/commit_queue.rs
@@ -1,6 +1,6 @@
 //! Changes of records on their way to a quorum, and what waits for them.
 
-use crate::record::{JobRecord, Key, TaskRecord};
+use crate::records::{JobRecord, Key, TaskRecord};
 use deku::DekuContainerWrite;
 use sagetrail_protocol::service::{Batch, RecordOperation};
 use sagetrail_protocol::{Message, NodeId};
--- a/crates/cluster/scheduler/src/drain.rs
+++ b/crates/cluster/scheduler/src/drain_reservation.rs
@@ -4,9 +4,9 @@
 //! coming. One step of a service at a time has runners kept for it until they are empty enough; what runs there
 //! ends by itself.
 
+use crate::pending_queue::HeldKey;
 use crate::placement::times_fitting;
-use crate::preempt::Reservation;
-use crate::queue::HeldKey;
+use crate::preemption::Reservation;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
--- a/crates/cluster/scheduler/src/job.rs
+++ b/crates/cluster/scheduler/src/job.rs
@@ -1,7 +1,7 @@
 //! One job: its steps, for each of its times, and the state of every task.
 
 use crate::ids::{JobId, StepId, TaskId};
-use crate::record::{JobRecord, Outcome, TaskRecord};
+use crate::records::{JobRecord, Outcome, TaskRecord};
 use crate::spec::{JobSpec, Stage};
 use sagetrail_protocol::{Blob, NodeId, Time};
 use std::collections::BTreeSet;
--- a/crates/cluster/scheduler/src/lib.rs
+++ b/crates/cluster/scheduler/src/lib.rs
@@ -7,30 +7,30 @@
 // Not every public item of this crate has a doc comment yet.
 #![allow(missing_docs)]
 
-mod awaiting;
-mod clients;
-mod clock;
-mod drain;
-mod ends;
-mod headroom;
-mod health;
+mod client_requests;
+mod commit_queue;
+mod diagnostics;
+mod drain_reservation;
 mod ids;
 mod job;
-mod ledger;
 mod objective;
-mod orders;
-mod pace;
+mod outlier_ejection;
+mod pass_pacing;
+mod pending_queue;
 pub mod placement;
-pub mod preempt;
-mod queue;
-mod record;
-mod reports;
+pub mod preemption;
+mod records;
+mod reserved_capacity;
 mod restore;
+mod run_outcome;
 mod runner;
+mod runner_commands;
+mod runner_reports;
 mod scheduler;
 pub mod spec;
-mod survey;
-mod watch;
+mod stuck_runs;
+mod time_of_day;
+mod uncommitted_runners;
 
 pub use ids::{JobId, StepId, TaskId};
 pub use scheduler::{Scheduler, SchedulerSettings};
--- a/crates/cluster/scheduler/src/placement.rs
+++ b/crates/cluster/scheduler/src/placement.rs
@@ -5,9 +5,9 @@
 //! Below `P_MIN`, or on losing the coin, the runner is skipped for another. What is skipped by all in one pass
 //! takes its cheapest runner with room. Priorities go before all this; gangs are placed whole.
 
-use crate::headroom::URGENT;
 use crate::ids::StepId;
-use crate::preempt::Reservation;
+use crate::preemption::Reservation;
+use crate::reserved_capacity::URGENT;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use sagetrail_policy::start_chance;
--- a/crates/cluster/scheduler/src/preempt.rs
+++ b/crates/cluster/scheduler/src/preemption.rs
@@ -5,9 +5,9 @@
 //! until the step has started, or the reservation's end.
 
 use crate::ids::{StepId, TaskId};
+use crate::pending_queue::HeldKey;
 use crate::placement::{add, fits, times_fitting};
-use crate::queue::HeldKey;
-use crate::record::Outcome;
+use crate::records::Outcome;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
--- a/crates/cluster/scheduler/src/headroom.rs
+++ b/crates/cluster/scheduler/src/reserved_capacity.rs
@@ -3,8 +3,8 @@
 //! Without it a service that lesser work has filled makes urgent tasks wait for a stop, which is longer than they
 //! have.
 
+use crate::pending_queue::HeldKey;
 use crate::placement::add;
-use crate::queue::HeldKey;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::Resources;
--- a/crates/cluster/scheduler/src/restore.rs
+++ b/crates/cluster/scheduler/src/restore.rs
@@ -3,7 +3,7 @@
 use crate::ids::{JobId, TaskId};
 use crate::job::{Job, JobTerms};
 use crate::objective::{DEFAULT_EXTENSION, DEFAULT_TARGET_MS};
-use crate::record::{JobRecord, Key, Outcome, TaskRecord};
+use crate::records::{JobRecord, Key, Outcome, TaskRecord};
 use crate::runner::{Assignment, Runner};
 use crate::scheduler::Scheduler;
 use crate::spec::JobSpec;
--- a/crates/cluster/scheduler/src/ends.rs
+++ b/crates/cluster/scheduler/src/run_outcome.rs
@@ -1,7 +1,7 @@
 //! What becomes of a run that is over: its task done, failed, or waiting again.
 
 use crate::ids::{JobId, StepId, TaskId};
-use crate::record::{Key, Outcome};
+use crate::records::{Key, Outcome};
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::node::Now;
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,7 +1,7 @@
 //! A runner as the scheduler knows it: what its agent reported, what is assigned to it, what it is to be told.
 
-use crate::health::Health;
 use crate::ids::TaskId;
+use crate::outlier_ejection::Health;
 use sagetrail_protocol::agent::{Resources, StopOrder, AGENT_LEASE_MS};
 use sagetrail_protocol::{Incarnation, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/cluster/scheduler/src/reports.rs
+++ b/crates/cluster/scheduler/src/runner_reports.rs
@@ -1,7 +1,7 @@
 //! Agents' reports: what runs, what has ended, what can no longer be running.
 
-use crate::ends::OverRun;
 use crate::ids::TaskId;
+use crate::run_outcome::OverRun;
 use crate::runner::{Candidate, NotedEnd, Runner};
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopOrder};
--- a/crates/cluster/scheduler/src/scheduler.rs
+++ b/crates/cluster/scheduler/src/scheduler.rs
@@ -1,19 +1,19 @@
 //! The service that runs on the elected core process: ties jobs, runners, queue and ledger together.
 
-use crate::awaiting::AwaitingRunners;
-use crate::clock::SteadyDay;
-use crate::headroom::Headroom;
-use crate::health::UsualRate;
+use crate::commit_queue::Ledger;
 use crate::ids::{JobId, StepId, TaskId};
 use crate::job::Job;
-use crate::ledger::Ledger;
 use crate::objective::Objective;
-use crate::pace::PassPace;
+use crate::outlier_ejection::UsualRate;
+use crate::pass_pacing::PassPace;
+use crate::pending_queue::{DueTime, DueTimes, HeldKey, HeldQueue};
 use crate::placement::{fits, HeldStep, OpenRunner, Pass, Placement};
-use crate::preempt::Reservation;
-use crate::queue::{DueTime, DueTimes, HeldKey, HeldQueue};
-use crate::record::{AssignmentRecord, Key, Outcome, TaskRecord};
+use crate::preemption::Reservation;
+use crate::records::{AssignmentRecord, Key, Outcome, TaskRecord};
+use crate::reserved_capacity::Headroom;
 use crate::runner::{Assignment, Runner};
+use crate::time_of_day::SteadyDay;
+use crate::uncommitted_runners::AwaitingRunners;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use sagetrail_cluster_config::ConfigDocument;
--- a/crates/cluster/scheduler/src/watch.rs
+++ b/crates/cluster/scheduler/src/stuck_runs.rs
@@ -1,7 +1,7 @@
 //! Runs that are better ended where they are: on a runner that leaves, or that stand still.
 
 use crate::ids::{JobId, TaskId};
-use crate::record::Outcome;
+use crate::records::Outcome;
 use crate::runner::{Assignment, Runner};
 use crate::scheduler::Scheduler;
 use crate::spec::Stage;
--- a/crates/cluster/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -1,7 +1,7 @@
 //! What the scheduler answers to clients' requests: status, `Retry-After` in milliseconds and body of each outcome, as
 //! kept in `fixtures/client_answers.txt`. The gateway passes them on.
 
-mod world;
+mod test_cluster;
 
 use sagetrail_fixture::transcript::{http_answer, Transcript};
 use sagetrail_protocol::agent::RunEnd;
@@ -11,7 +11,7 @@
 use sagetrail_protocol::service::Restored;
 use sagetrail_protocol::NodeId;
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use world::{config, World, DAY_MS};
+use test_cluster::{config, World, DAY_MS};
 
 const KEPT: &str = "tests/fixtures/client_answers.txt";
 const JOB: &str = "00000000000000aa";
--- a/crates/cluster/scheduler/tests/jobs.rs
+++ b/crates/cluster/scheduler/tests/job_lifecycle.rs
@@ -1,9 +1,9 @@
 //! A job's life, as clients and agents see it.
 
-mod world;
+mod test_cluster;
 use sagetrail_protocol::agent::{Resources, RunEnd};
 use sagetrail_protocol::client::ClientMethod;
-use world::{config, node, World, DAY_MS};
+use test_cluster::{config, node, World, DAY_MS};
 
 const A: &str = "00000000000000aa";
 const B: &str = "00000000000000bb";
--- a/crates/cluster/scheduler/tests/callers.rs
+++ b/crates/cluster/scheduler/tests/late_reports.rs
@@ -1,14 +1,14 @@
 //! Reports of an earlier life of an agent, or of a runner that is no more, come late: they end nothing, start nothing
 //! and take no living agent's place.
 
-mod world;
+mod test_cluster;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::agent::{RunEnd, RunnerReport};
 use sagetrail_protocol::client::ClientMethod;
 use sagetrail_protocol::NodeId;
 use std::collections::BTreeMap;
-use world::{config, node, World};
+use test_cluster::{config, node, World};
 
 const A: &str = "00000000000000aa";
 const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
--- a/crates/cluster/scheduler/tests/health.rs
+++ b/crates/cluster/scheduler/tests/outlier_ejection.rs
@@ -1,9 +1,9 @@
 //! Runners judged by what becomes of work there.
 
-mod world;
+mod test_cluster;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::NodeId;
-use world::{config, node, World};
+use test_cluster::{config, node, World};
 
 /// Submits jobs of one task each.
 fn submit_jobs(world: &mut World, ids: std::ops::Range<u64>) {
--- a/crates/cluster/scheduler/tests/many_runners.rs
+++ b/crates/cluster/scheduler/tests/pass_pacing.rs
@@ -1,9 +1,9 @@
 //! What changes with the number of runners, and what does not.
 
-mod world;
+mod test_cluster;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::service::Service;
-use world::{node, World};
+use test_cluster::{node, World};
 
 const A: &str = "00000000000000aa";
 const B: &str = "00000000000000bb";
--- a/crates/cluster/scheduler/tests/headroom.rs
+++ b/crates/cluster/scheduler/tests/reserved_capacity.rs
@@ -1,8 +1,8 @@
 //! Room kept for urgent work never shuts out lesser work that could run.
 
-mod world;
+mod test_cluster;
 use sagetrail_protocol::client::ClientMethod;
-use world::{node, World};
+use test_cluster::{node, World};
 
 const URGENT: &str = "00000000000000aa";
 const LESSER: &str = "00000000000000bb";
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -1,9 +1,9 @@
 //! Runs across lost messages, silent runners and changes of the scheduler: never two at once, none lost.
 
-mod world;
+mod test_cluster;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
-use world::{config, node, World};
+use test_cluster::{config, node, World};
 
 const A: &str = "00000000000000aa";
 /// Longer than any lease of an agent can last, in milliseconds.
