--- a/crates/cluster/scheduler/benches/placement.rs
+++ b/crates/cluster/scheduler/benches/placement.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::NodeId;
-use sagetrail_scheduler::placement::{HeldStep, OpenRunner, Pass};
+use sagetrail_scheduler::placement::{AvailableRunner, Pass, PendingStep};
 use sagetrail_scheduler::spec::Labels;
 use sagetrail_scheduler::{JobId, StepId};
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 const TASKS_OF_A_STEP: u32 = 8;
 const RUNNERS_OF_A_RACK: u32 = 3;
 
-fn runners(count: u32) -> Vec<OpenRunner> {
-    let runner = |number: u32| OpenRunner {
+fn runners(count: u32) -> Vec<AvailableRunner> {
+    let runner = |number: u32| AvailableRunner {
         node: NodeId {
             ip: number,
             port: 1,
@@ -35,8 +35,8 @@
     (0..count).map(runner).collect()
 }
 
-fn held() -> Vec<HeldStep> {
-    let step = |number: u64| HeldStep {
+fn held() -> Vec<PendingStep> {
+    let step = |number: u64| PendingStep {
         id: StepId {
             job: JobId(number),
             time: 0,
@@ -50,7 +50,7 @@
         },
         waiting: TASKS_OF_A_STEP,
         gang: false,
-        lasting: false,
+        long_running: false,
         rack_local: false,
         held_ms: 0,
         affinity: if number.is_multiple_of(2) {
@@ -60,15 +60,15 @@
         },
         constraints: Labels::default(),
         anti_affinity: 0,
-        carried: BTreeMap::new(),
+        running_at: BTreeMap::new(),
         avoiding: BTreeMap::new(),
     };
-    let mut held: Vec<HeldStep> = (0..HELD_STEPS).map(step).collect();
+    let mut held: Vec<PendingStep> = (0..HELD_STEPS).map(step).collect();
     held.sort_by_key(|step| (step.priority, step.id));
     held
 }
 
-fn passes(criterion: &mut Criterion) {
+fn pass_pacing(criterion: &mut Criterion) {
     for count in [12, 3_100] {
         criterion.bench_function(&format!("a pass at {count} runners"), |bencher| {
             let mut random = Pcg64Mcg::seed_from_u64(1);
@@ -80,5 +80,5 @@
     }
 }
 
-criterion_group!(placement, passes);
+criterion_group!(placement, pass_pacing);
 criterion_main!(placement);
--- a/crates/cluster/scheduler/src/client_requests.rs
+++ b/crates/cluster/scheduler/src/client_requests.rs
@@ -1,7 +1,7 @@
 //! Clients' requests: hand in, read, cancel.
 
 use crate::ids::JobId;
-use crate::job::{Job, JobTerms};
+use crate::job::{Job, JobAttributes};
 use crate::records::Outcome;
 use crate::scheduler::Scheduler;
 use crate::spec::JobSpec;
@@ -51,7 +51,7 @@
         }
     }
 
-    fn refused(status: u16) -> Answer {
+    fn rejected(status: u16) -> Answer {
         Answer {
             retry_after_ms: RETRY_AFTER_MS,
             ..Answer::status(status)
@@ -63,7 +63,7 @@
     /// Answers a client's request, now or once its effect is kept.
     pub(crate) fn client_request(&mut self, now: Now, from: NodeId, request: ClientRequest) {
         let Some(config) = &self.config else {
-            return self.answer(from, request.request, 0, Answer::refused(503));
+            return self.answer(from, request.request, 0, Answer::rejected(503));
         };
         if config.version < request.config_version {
             return; // The gateway knows a newer one; it asks again, and by then so do we.
@@ -119,7 +119,7 @@
             return self.answer(from, request.request, batch, Answer::status(200));
         }
         if self.jobs.len() >= MAX_JOBS {
-            return self.answer(from, request.request, 0, Answer::refused(429));
+            return self.answer(from, request.request, 0, Answer::rejected(429));
         }
         let spec = match JobSpec::parse(&request.body) {
             Ok(spec) => spec,
@@ -128,22 +128,24 @@
                 return self.answer(from, request.request, 0, Answer::json(400, body));
             }
         };
-        let terms = JobTerms {
+        let attributes = JobAttributes {
             queue: target.queue,
             service: target.service,
             max_attempts: target.max_attempts,
             priority: target.priority,
             order: self.next_order,
-            taken_ms: self.day.millis(now),
+            accepted_ms: self.time_of_day.millis(now),
             extension: target.extension,
             target_ms: target.target_ms,
         };
         self.next_order += 1;
-        self.jobs
-            .insert(id, Job::new(id, terms, spec, request.body.0, now.steady));
+        self.jobs.insert(
+            id,
+            Job::new(id, attributes, spec, request.body.0, now.steady),
+        );
         self.active.insert(id);
         self.write_job(id);
-        self.hold_job(now, id);
+        self.enqueue_job(now, id);
         let batch = self.jobs.get(&id).map_or(0, |job| job.batch);
         self.answer(from, request.request, batch, Answer::status(200));
     }
@@ -153,7 +155,7 @@
             return self.answer(from, request, 0, Answer::status(410));
         };
         let state = match job.outcome {
-            Outcome::Active if job.begun => "running",
+            Outcome::Active if job.has_started => "running",
             Outcome::Active => "queued",
             Outcome::Completed => "completed",
             Outcome::Failed => "failed",
@@ -180,7 +182,7 @@
     /// How many jobs of a queue have not ended.
     fn pending(&self, queue: &str) -> usize {
         let jobs = self.active.iter().filter_map(|id| self.jobs.get(id));
-        jobs.filter(|job| job.terms.queue == queue).count()
+        jobs.filter(|job| job.attributes.queue == queue).count()
     }
 
     /// Answers once the batch is kept; at once for batch 0.
@@ -192,7 +194,7 @@
             body: Blob(answer.body),
             config_version: self.config.as_ref().map_or(0, |config| config.version),
         };
-        self.ledger
+        self.commit_queue
             .send_after(batch, to, Message::ClientReply(reply));
     }
 }
--- a/crates/cluster/scheduler/src/commit_queue.rs
+++ b/crates/cluster/scheduler/src/commit_queue.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Collects changes into batches and holds messages back until theirs is kept.
-pub(crate) struct Ledger {
+pub(crate) struct CommitQueue {
     /// The number of the batch that takes the next change.
     open: u64,
     committed: u64,
@@ -16,10 +16,10 @@
     ready: Vec<(NodeId, Message)>,
 }
 
-impl Ledger {
+impl CommitQueue {
     /// An empty ledger at the start of a term.
-    pub(crate) fn new() -> Ledger {
-        Ledger {
+    pub(crate) fn new() -> CommitQueue {
+        CommitQueue {
             open: 1,
             committed: 0,
             changes: BTreeMap::new(),
@@ -51,13 +51,13 @@
     }
 
     /// True once the batch with this number is kept.
-    pub(crate) fn is_kept(&self, number: u64) -> bool {
+    pub(crate) fn is_committed(&self, number: u64) -> bool {
         number <= self.committed
     }
 
     /// Sends a message once the batch with this number is kept.
     pub(crate) fn send_after(&mut self, number: u64, to: NodeId, message: Message) {
-        if self.is_kept(number) {
+        if self.is_committed(number) {
             self.ready.push((to, message));
         } else {
             self.waiting.entry(number).or_default().push((to, message));
@@ -101,7 +101,7 @@
     }
 }
 
-impl Ledger {
+impl CommitQueue {
     /// How many batches are not kept yet.
     pub(crate) fn outstanding(&self) -> u64 {
         self.current() - self.committed.min(self.current())
--- a/crates/cluster/scheduler/src/diagnostics.rs
+++ b/crates/cluster/scheduler/src/diagnostics.rs
@@ -5,20 +5,20 @@
 use sagetrail_protocol::node::Now;
 
 /// A step held for so long is worth a line, in milliseconds.
-const LONG_MS: u64 = 4_000;
+const LONG_WAIT_MS: u64 = 4_000;
 /// Lines on long waits keep this distance, in milliseconds.
-const SURVEY_INTERVAL_MS: u64 = 5_000;
+const LONG_WAIT_LOG_INTERVAL_MS: u64 = 5_000;
 /// Lines on the state of all keep this distance, in milliseconds; only at the level of debugging.
-const STATUS_INTERVAL_MS: u64 = 500;
+const STATUS_LOG_INTERVAL_MS: u64 = 500;
 
 impl Scheduler {
     /// Logs how many steps are held, how many runs are assigned, and which runners are kept out.
     pub(crate) fn status(&mut self, now: Now) {
         let wanted = log::log_enabled!(log::Level::Debug);
-        if !wanted || now.steady.millis_since(self.status_at) < STATUS_INTERVAL_MS {
+        if !wanted || now.steady.millis_since(self.status_logged_at) < STATUS_LOG_INTERVAL_MS {
             return;
         }
-        self.status_at = now.steady;
+        self.status_logged_at = now.steady;
         for service in self.queue.services() {
             let held = self.queue.held(&service, usize::MAX);
             let waits = |priority: u32| {
@@ -41,18 +41,18 @@
                 waits(0),
                 waits(1),
                 waits(2),
-                self.ledger.outstanding(),
+                self.commit_queue.outstanding(),
                 out.join("; ")
             );
         }
     }
 
     /// Logs the state of a service's runners where a step of it has been held for long.
-    pub(crate) fn survey(&mut self, now: Now) {
-        if now.steady.millis_since(self.surveyed_at) < SURVEY_INTERVAL_MS {
+    pub(crate) fn log_long_waits(&mut self, now: Now) {
+        if now.steady.millis_since(self.long_waits_logged_at) < LONG_WAIT_LOG_INTERVAL_MS {
             return;
         }
-        self.surveyed_at = now.steady;
+        self.long_waits_logged_at = now.steady;
         for service in self.queue.services() {
             let Some(key) = self.queue.held(&service, 1).first().copied() else {
                 continue;
@@ -67,7 +67,7 @@
             if now
                 .steady
                 .millis_since(step.waiting_since.max(self.started_at))
-                < LONG_MS
+                < LONG_WAIT_MS
             {
                 continue;
             }
@@ -76,7 +76,7 @@
                 .values()
                 .filter(|runner| runner.service == service);
             let states: Vec<String> = runners.map(|runner| describe(now, runner)).collect();
-            let held = self.held_step(now, key);
+            let held = self.pending_step(now, key);
             log::info!(
                 "held for long at {service}: {held:?}: {}",
                 states.join("; ")
@@ -86,7 +86,7 @@
 }
 
 fn describe(now: Now, runner: &Runner) -> String {
-    let room = runner.room();
+    let room = runner.free_capacity();
     let mut state = format!(
         "{} room {}/{}/{}",
         runner.instance, room.cpu, room.mem_mb, room.gpu
--- a/crates/cluster/scheduler/src/drain_reservation.rs
+++ b/crates/cluster/scheduler/src/drain_reservation.rs
@@ -4,8 +4,8 @@
 //! coming. One step of a service at a time has runners kept for it until they are empty enough; what runs there
 //! ends by itself.
 
-use crate::pending_queue::HeldKey;
-use crate::placement::times_fitting;
+use crate::pending_queue::PendingKey;
+use crate::placement::fit_count;
 use crate::preemption::Reservation;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
@@ -17,22 +17,22 @@
 /// A step waits so long before runners are emptied for it, in milliseconds.
 const PATIENCE_MS: u64 = 1_000;
 /// Runners are kept for so long, in milliseconds; then it is looked again which are nearest to having room.
-const KEPT_MS: u64 = 4_000;
+const DRAIN_RESERVATION_MS: u64 = 4_000;
 
 /// Only for tasks of which at most so many fit into an empty runner: smaller ones find room piece by piece.
-const MOST_SEATS: u32 = 2;
+const MAX_TASKS_PER_RUNNER: u32 = 2;
 
 /// A runner that could carry tasks of the step if it were empty.
 struct Candidate {
     node: NodeId,
-    seats: u32,
+    slots: u32,
     /// Thousandths of a core that are taken there.
     load: u64,
 }
 
 impl Scheduler {
     /// Keeps the least loaded suitable runners for a step that has waited for long.
-    pub(crate) fn drain_for(&mut self, now: Now, service: &str, key: HeldKey) {
+    pub(crate) fn reserve_by_draining(&mut self, now: Now, service: &str, key: PendingKey) {
         let Some(job) = self.jobs.get(&key.step.job) else {
             return;
         };
@@ -41,16 +41,16 @@
         };
         let waited_ms = now
             .steady
-            .millis_since(step.waiting_since.max(job.taken_at));
+            .millis_since(step.waiting_since.max(job.accepted_at));
         let wanted = if stage.gang {
             step.waiting.len() as u32
         } else {
             1
         };
-        if waited_ms < PATIENCE_MS || self.drains(service) {
+        if waited_ms < PATIENCE_MS || self.is_draining_service(service) {
             return;
         }
-        let until = now.steady.plus_millis(KEPT_MS);
+        let until = now.steady.plus_millis(DRAIN_RESERVATION_MS);
         let reservation = Reservation {
             step: key.step,
             priority: key.priority,
@@ -62,13 +62,13 @@
             if left == 0 {
                 break;
             }
-            left = left.saturating_sub(candidate.seats);
+            left = left.saturating_sub(candidate.slots);
             self.reservations.insert(candidate.node, reservation);
         }
     }
 
     /// True where runners of the service are being emptied already.
-    fn drains(&self, service: &str) -> bool {
+    fn is_draining_service(&self, service: &str) -> bool {
         let of_service = |node: &NodeId| {
             self.runners
                 .get(node)
@@ -84,7 +84,7 @@
         &self,
         now: Now,
         service: &str,
-        key: HeldKey,
+        key: PendingKey,
         stage: &Stage,
         wanted: u32,
     ) -> Vec<Candidate> {
@@ -95,8 +95,8 @@
                 .get(&node)
                 .is_none_or(|held| held.priority > key.priority);
             let suits = runner.service == service && stage.constraints.all_in(&runner.labels);
-            let seats = times_fitting(stage.resources(), runner.capacity, u32::MAX);
-            let large = seats > 0 && seats <= MOST_SEATS;
+            let slots = fit_count(stage.resources(), runner.capacity, u32::MAX);
+            let large = slots > 0 && slots <= MAX_TASKS_PER_RUNNER;
             if free && suits && large && runner.usable(now.steady) {
                 let rack = if stage.gang && stage.rack_local {
                     runner.rack()
@@ -107,11 +107,11 @@
                 racks
                     .entry(rack)
                     .or_default()
-                    .push(Candidate { node, seats, load });
+                    .push(Candidate { node, slots, load });
             }
         }
         let enough = |candidates: &Vec<Candidate>| {
-            candidates.iter().map(|of| of.seats).sum::<u32>() >= wanted
+            candidates.iter().map(|of| of.slots).sum::<u32>() >= wanted
         };
         let mut groups: Vec<Vec<Candidate>> = racks.into_values().filter(enough).collect();
         groups
@@ -119,7 +119,7 @@
             .for_each(|group| group.sort_by_key(|candidate| candidate.load));
         let needed_load = |group: &Vec<Candidate>| {
             let needed =
-                wanted.div_ceil(group.iter().map(|of| of.seats).max().unwrap_or(1)) as usize;
+                wanted.div_ceil(group.iter().map(|of| of.slots).max().unwrap_or(1)) as usize;
             group
                 .iter()
                 .take(needed)
--- a/crates/cluster/scheduler/src/job.rs
+++ b/crates/cluster/scheduler/src/job.rs
@@ -18,11 +18,11 @@
     /// For a member of a gang: the newest attempt whose failure was counted here.
     pub failed_attempt: u64,
     /// The newest checkpoint, empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// The agent of the runner that a run is assigned to and may not be over at.
-    pub on: Option<NodeId>,
+    pub runner: Option<NodeId>,
     /// Runners at which it has failed: others are tried first.
-    pub avoid: Vec<NodeId>,
+    pub failed_at: Vec<NodeId>,
 }
 
 /// A step, at one of the job's times.
@@ -61,10 +61,10 @@
     }
 
     /// The checkpoint that all members of a gang resume from: any member's serves.
-    pub(crate) fn gang_saved(&self) -> String {
+    pub(crate) fn gang_checkpoint(&self) -> String {
         self.tasks
             .iter()
-            .map(|task| &task.saved)
+            .map(|task| &task.checkpoint)
             .find(|saved| !saved.is_empty())
             .cloned()
             .unwrap_or_default()
@@ -73,7 +73,7 @@
 
 /// What is fixed when a job is taken.
 #[derive(Clone, Debug)]
-pub(crate) struct JobTerms {
+pub(crate) struct JobAttributes {
     /// The name of its route.
     pub queue: String,
     pub service: String,
@@ -83,7 +83,7 @@
     /// Rises with each job taken.
     pub order: u64,
     /// When it was taken, in milliseconds since 1970.
-    pub taken_ms: i64,
+    pub accepted_ms: i64,
     /// The queue's latency objective is so many times the job's longest chain of work,
     pub extension: f64,
     /// and so many milliseconds more.
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub id: JobId,
-    pub terms: JobTerms,
+    pub attributes: JobAttributes,
     pub outcome: Outcome,
     /// As handed in; `None` once the job has ended.
     pub spec: Option<Arc<JobSpec>>,
@@ -106,17 +106,23 @@
     /// Tasks that are not done.
     pub left: u64,
     /// Whether a task has ever been assigned.
-    pub begun: bool,
+    pub has_started: bool,
     /// The batch that holds the newest change of `outcome`.
     pub batch: u64,
     /// When the job ended, or was taken over ended.
     pub ended_at: Option<Time>,
-    pub taken_at: Time,
+    pub accepted_at: Time,
 }
 
 impl Job {
     /// A job just handed in.
-    pub(crate) fn new(id: JobId, terms: JobTerms, spec: JobSpec, body: Vec<u8>, now: Time) -> Job {
+    pub(crate) fn new(
+        id: JobId,
+        attributes: JobAttributes,
+        spec: JobSpec,
+        body: Vec<u8>,
+        now: Time,
+    ) -> Job {
         let steps = || {
             spec.stages
                 .iter()
@@ -131,35 +137,35 @@
             .sum();
         Job {
             id,
-            terms,
+            attributes,
             outcome: Outcome::Active,
             spec: Some(Arc::new(spec)),
             body,
             times,
             opened: BTreeSet::new(),
             left,
-            begun: false,
+            has_started: false,
             batch: 0,
             ended_at: None,
-            taken_at: now,
+            accepted_at: now,
         }
     }
 
     /// A job that ended in an earlier term.
-    pub(crate) fn ended(id: JobId, terms: JobTerms, outcome: Outcome, now: Time) -> Job {
+    pub(crate) fn ended(id: JobId, attributes: JobAttributes, outcome: Outcome, now: Time) -> Job {
         Job {
             id,
-            terms,
+            attributes,
             outcome,
             spec: None,
             body: Vec::new(),
             times: Vec::new(),
             opened: BTreeSet::new(),
             left: 0,
-            begun: true,
+            has_started: true,
             batch: 0,
             ended_at: Some(now),
-            taken_at: now,
+            accepted_at: now,
         }
     }
 
@@ -167,12 +173,12 @@
     pub(crate) fn record(&self) -> JobRecord {
         JobRecord {
             outcome: self.outcome,
-            queue: self.terms.queue.as_str().into(),
-            service: self.terms.service.as_str().into(),
-            max_attempts: self.terms.max_attempts,
-            priority: self.terms.priority,
-            order: self.terms.order,
-            taken_ms: self.terms.taken_ms,
+            queue: self.attributes.queue.as_str().into(),
+            service: self.attributes.service.as_str().into(),
+            max_attempts: self.attributes.max_attempts,
+            priority: self.attributes.priority,
+            order: self.attributes.order,
+            accepted_ms: self.attributes.accepted_ms,
             body: Blob(self.body.clone()),
         }
     }
@@ -256,7 +262,7 @@
         if record.done != 0 {
             self.mark_done(id);
         }
-        self.begun = true;
+        self.has_started = true;
         let Some(step) = self.step_mut(id.step) else {
             return;
         };
@@ -265,12 +271,12 @@
         };
         task.attempt = record.attempt;
         task.failures = record.failures;
-        task.saved = record.saved.0.clone();
+        task.checkpoint = record.checkpoint.0.clone();
         step.gang_failures += record.failures;
         task.failed_attempt = record.failed_attempt;
         step.failed_attempt = step.failed_attempt.max(record.failed_attempt);
         if record.assigned != 0 {
-            task.on = Some(record.assignment.agent);
+            task.runner = Some(record.assignment.agent);
             step.waiting.remove(&id.index);
         }
     }
--- a/crates/cluster/scheduler/src/objective.rs
+++ b/crates/cluster/scheduler/src/objective.rs
@@ -16,50 +16,53 @@
 
 /// What a job can still earn.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum Hope {
+pub(crate) enum Expectation {
     /// It can end within its objective.
     InTime,
     /// It can end within three times its objective.
     Late,
     /// It can earn nothing.
-    None,
+    Missed,
 }
 
 /// A step's standing against its job's objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Objective {
-    pub hope: Hope,
+    pub expectation: Expectation,
     /// When the job, or this time of it, is to have ended, in milliseconds since 1970.
     pub due_ms: i64,
 }
 
 impl Objective {
     /// The standing of a step at a time of day in milliseconds since 1970.
-    pub(crate) fn of(job: &Job, id: StepId, day_ms: i64) -> Objective {
+    pub(crate) fn of(job: &Job, id: StepId, wall_ms: i64) -> Objective {
         let Some(spec) = &job.spec else {
             return Objective {
-                hope: Hope::None,
-                due_ms: day_ms,
+                expectation: Expectation::Missed,
+                due_ms: wall_ms,
             };
         };
         let begins_ms = spec
             .due_ms(id.time)
-            .unwrap_or(job.terms.taken_ms)
-            .max(job.terms.taken_ms);
+            .unwrap_or(job.attributes.accepted_ms)
+            .max(job.attributes.accepted_ms);
         let chains = chains_ms(spec);
         let longest_ms = chains.iter().copied().fold(0.0, f64::max);
-        let objective_ms = job.terms.extension * longest_ms + job.terms.target_ms;
+        let objective_ms = job.attributes.extension * longest_ms + job.attributes.target_ms;
         let due_ms = begins_ms + objective_ms as i64;
-        let lasting = job.stage(id).is_some_and(|stage| stage.long_running);
-        let ends_ms = day_ms + chains.get(id.step as usize).copied().unwrap_or(0.0) as i64;
-        let hope = if lasting || ends_ms <= due_ms {
-            Hope::InTime
+        let long_running = job.stage(id).is_some_and(|stage| stage.long_running);
+        let ends_ms = wall_ms + chains.get(id.step as usize).copied().unwrap_or(0.0) as i64;
+        let expectation = if long_running || ends_ms <= due_ms {
+            Expectation::InTime
         } else if ends_ms <= begins_ms + (LATE_FACTOR * objective_ms) as i64 {
-            Hope::Late
+            Expectation::Late
         } else {
-            Hope::None
+            Expectation::Missed
         };
-        Objective { hope, due_ms }
+        Objective {
+            expectation,
+            due_ms,
+        }
     }
 }
 
--- a/crates/cluster/scheduler/src/pass_pacing.rs
+++ b/crates/cluster/scheduler/src/pass_pacing.rs
@@ -10,12 +10,12 @@
 
 /// Paces the passes.
 #[derive(Debug, Default)]
-pub(crate) struct PassPace {
+pub(crate) struct PassPacing {
     next: Time,
     delayed: bool,
 }
 
-impl PassPace {
+impl PassPacing {
     /// A pass has been made.
     pub(crate) fn done(&mut self, now: Time, runners: usize) {
         let above = runners.saturating_sub(UNPACED_RUNNERS) as u64;
--- a/crates/cluster/scheduler/src/pending_queue.rs
+++ b/crates/cluster/scheduler/src/pending_queue.rs
@@ -1,16 +1,16 @@
 //! Steps with tasks whose turn has come, by priority and age, and times that are not due yet.
 
 use crate::ids::{JobId, StepId};
-use crate::objective::Hope;
+use crate::objective::Expectation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where a held step stands in its service's queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) struct HeldKey {
+pub(crate) struct PendingKey {
     /// 0 comes first.
     pub priority: u32,
     /// Within a priority, what can still be in time goes first, what can earn nothing last.
-    pub hope: Hope,
+    pub expectation: Expectation,
     /// When the job is to have ended, in milliseconds since 1970.
     pub due_ms: i64,
     pub order: u64,
@@ -19,14 +19,14 @@
 
 /// The held steps of all services.
 #[derive(Default)]
-pub(crate) struct HeldQueue {
-    services: BTreeMap<String, BTreeSet<HeldKey>>,
-    places: BTreeMap<StepId, (String, HeldKey)>,
+pub(crate) struct PendingQueue {
+    services: BTreeMap<String, BTreeSet<PendingKey>>,
+    places: BTreeMap<StepId, (String, PendingKey)>,
 }
 
-impl HeldQueue {
+impl PendingQueue {
     /// Holds a step, or moves it.
-    pub(crate) fn hold(&mut self, service: &str, key: HeldKey) {
+    pub(crate) fn hold(&mut self, service: &str, key: PendingKey) {
         if self
             .places
             .get(&key.step)
@@ -57,7 +57,7 @@
     }
 
     /// True where the step is held.
-    pub(crate) fn is_held(&self, step: StepId) -> bool {
+    pub(crate) fn contains(&self, step: StepId) -> bool {
         self.places.contains_key(&step)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// The first `most` held steps of a service, in order.
-    pub(crate) fn held(&self, service: &str, most: usize) -> Vec<HeldKey> {
+    pub(crate) fn held(&self, service: &str, most: usize) -> Vec<PendingKey> {
         self.services
             .get(service)
             .map(|held| held.iter().take(most).copied().collect())
@@ -100,8 +100,8 @@
     }
 
     /// The first one, where it has come.
-    pub(crate) fn take_due(&mut self, day_ms: i64) -> Option<DueTime> {
-        let first = self.0.first().filter(|due| due.at_ms <= day_ms).copied()?;
+    pub(crate) fn take_due(&mut self, wall_ms: i64) -> Option<DueTime> {
+        let first = self.0.first().filter(|due| due.at_ms <= wall_ms).copied()?;
         self.0.remove(&first);
         Some(first)
     }
--- a/crates/cluster/scheduler/src/placement.rs
+++ b/crates/cluster/scheduler/src/placement.rs
@@ -24,11 +24,11 @@
 /// The mean cost is taken over so many of the runners with room, at random.
 const SAMPLED_RUNNERS: usize = 64;
 /// A gang bound to a rack waits so long for one before it is spread, in milliseconds.
-const RACK_PATIENCE_MS: u64 = 1_500;
+const RACK_WAIT_MS: u64 = 1_500;
 
 /// A runner with room.
 #[derive(Clone, Debug)]
-pub struct OpenRunner {
+pub struct AvailableRunner {
     pub node: NodeId,
     pub room: Resources,
     pub labels: Arc<[String]>,
@@ -38,7 +38,7 @@
     pub starts: u32,
 }
 
-impl OpenRunner {
+impl AvailableRunner {
     /// The rack among its labels: the last one.
     fn rack(&self) -> &str {
         self.labels.last().map_or("", String::as_str)
@@ -47,7 +47,7 @@
 
 /// A step with tasks that wait.
 #[derive(Clone, Debug)]
-pub struct HeldStep {
+pub struct PendingStep {
     pub id: StepId,
     pub priority: u32,
     pub resources: Resources,
@@ -56,7 +56,7 @@
     /// All of them start together, or none.
     pub gang: bool,
     /// The tasks go on until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     pub rack_local: bool,
     /// Since when it is held, in milliseconds.
     pub held_ms: u64,
@@ -67,7 +67,7 @@
     /// At most so many of its tasks at one runner; 0 for any number.
     pub anti_affinity: u32,
     /// How many of its tasks each runner carries.
-    pub carried: BTreeMap<NodeId, u32>,
+    pub running_at: BTreeMap<NodeId, u32>,
     /// How many of its waiting tasks avoid a runner.
     pub avoiding: BTreeMap<NodeId, u32>,
 }
@@ -98,7 +98,7 @@
 }
 
 /// How many times `wanted` fits into `room`, at most `most`.
-pub fn times_fitting(wanted: Resources, room: Resources, most: u32) -> u32 {
+pub fn fit_count(wanted: Resources, room: Resources, most: u32) -> u32 {
     let part = |wanted: u64, room: u64| room.checked_div(wanted).unwrap_or(u64::from(most));
     let times = part(wanted.cpu, room.cpu)
         .min(part(wanted.mem_mb, room.mem_mb))
@@ -109,8 +109,8 @@
 /// One pass over the runners with room and the held steps of a service. `held` is sorted, longest held first
 /// within a priority.
 pub struct Pass<'a, R: Rng> {
-    runners: Vec<OpenRunner>,
-    held: Vec<HeldStep>,
+    runners: Vec<AvailableRunner>,
+    held: Vec<PendingStep>,
     /// Room that work which is not urgent leaves free, over all runners.
     kept: Resources,
     /// Room of all runners together.
@@ -124,8 +124,8 @@
 impl<'a, R: Rng> Pass<'a, R> {
     /// A pass over these; work that is not urgent leaves so much room free.
     pub fn new(
-        mut runners: Vec<OpenRunner>,
-        held: Vec<HeldStep>,
+        mut runners: Vec<AvailableRunner>,
+        held: Vec<PendingStep>,
         kept: Resources,
         random: &'a mut R,
     ) -> Pass<'a, R> {
@@ -224,29 +224,29 @@
             .reserved
             .is_some_and(|r| r.step != held.id && r.priority <= held.priority);
         held.waiting > avoiding
-            && self.leaves_enough(held)
+            && self.leaves_reserved_capacity(held)
             && !kept
             && runner.starts > 0
             && fits(held.resources, runner.room)
-            && self.carries_less(h, r)
+            && self.within_anti_affinity(h, r)
             && held.constraints.all_in(&runner.labels)
     }
 
     /// True where the room kept for urgent work stays free. Lasting work takes of it: it would wait for ever.
-    fn leaves_enough(&self, held: &HeldStep) -> bool {
+    fn leaves_reserved_capacity(&self, held: &PendingStep) -> bool {
         let mut needed = self.kept;
         add(&mut needed, held.resources);
-        held.priority == URGENT || held.lasting || fits(needed, self.free)
+        held.priority == URGENT || held.long_running || fits(needed, self.free)
     }
 
-    fn carries_less(&self, h: usize, r: usize) -> bool {
+    fn within_anti_affinity(&self, h: usize, r: usize) -> bool {
         let held = &self.held[h];
-        let carried = held
-            .carried
+        let running_at = held
+            .running_at
             .get(&self.runners[r].node)
             .copied()
             .unwrap_or(0);
-        held.anti_affinity == 0 || carried < held.anti_affinity
+        held.anti_affinity == 0 || running_at < held.anti_affinity
     }
 
     fn place(&mut self, h: usize, r: usize) {
@@ -256,7 +256,7 @@
         take(&mut self.free, held.resources);
         runner.starts -= 1;
         held.waiting -= 1;
-        *held.carried.entry(runner.node).or_default() += 1;
+        *held.running_at.entry(runner.node).or_default() += 1;
         self.placed.push(Placement {
             step: held.id,
             runner: runner.node,
@@ -282,55 +282,55 @@
         }
         let within = racks
             .into_values()
-            .filter_map(|runners| self.gang_seats(h, runners));
-        let tightest = within.min_by_key(|seats| seats.len());
-        let spread = || self.gang_seats(h, (0..self.runners.len()).collect());
-        let seats = match held.rack_local && held.held_ms < RACK_PATIENCE_MS {
+            .filter_map(|runners| self.gang_slots(h, runners));
+        let tightest = within.min_by_key(|slots| slots.len());
+        let spread = || self.gang_slots(h, (0..self.runners.len()).collect());
+        let slots = match held.rack_local && held.held_ms < RACK_WAIT_MS {
             true => tightest,
             false => tightest.or_else(spread),
         };
-        for seat in seats.unwrap_or_default() {
-            (0..seat.tasks).for_each(|_| self.place(h, seat.runner));
+        for slot in slots.unwrap_or_default() {
+            (0..slot.tasks).for_each(|_| self.place(h, slot.runner));
         }
     }
 
     /// Seats for all tasks of a gang among these runners, on as few of them as can be.
-    fn gang_seats(&self, h: usize, runners: Vec<usize>) -> Option<Vec<Seat>> {
+    fn gang_slots(&self, h: usize, runners: Vec<usize>) -> Option<Vec<GangSlots>> {
         let held = &self.held[h];
-        let mut seats: Vec<Seat> = runners
+        let mut slots: Vec<GangSlots> = runners
             .into_iter()
-            .map(|r| Seat {
+            .map(|r| GangSlots {
                 runner: r,
-                tasks: self.seats_at(h, r),
+                tasks: self.slots_at(h, r),
             })
             .collect();
-        seats.retain(|seat| seat.tasks > 0);
-        seats.sort_by_key(|seat| std::cmp::Reverse(seat.tasks));
+        slots.retain(|slot| slot.tasks > 0);
+        slots.sort_by_key(|slot| std::cmp::Reverse(slot.tasks));
         let mut left = held.waiting;
-        for seat in &mut seats {
-            seat.tasks = seat.tasks.min(left);
-            left -= seat.tasks;
+        for slot in &mut slots {
+            slot.tasks = slot.tasks.min(left);
+            left -= slot.tasks;
         }
-        seats.retain(|seat| seat.tasks > 0);
-        (left == 0).then_some(seats)
+        slots.retain(|slot| slot.tasks > 0);
+        (left == 0).then_some(slots)
     }
 
-    fn seats_at(&self, h: usize, r: usize) -> u32 {
+    fn slots_at(&self, h: usize, r: usize) -> u32 {
         let (held, runner) = (&self.held[h], &self.runners[r]);
         if !self.may_start(h, r) {
             return 0;
         }
-        let seats = times_fitting(held.resources, runner.room, held.waiting.min(runner.starts));
+        let slots = fit_count(held.resources, runner.room, held.waiting.min(runner.starts));
         if held.anti_affinity == 0 {
-            return seats;
+            return slots;
         }
-        let carried = held.carried.get(&runner.node).copied().unwrap_or(0);
-        seats.min(held.anti_affinity.saturating_sub(carried))
+        let running_at = held.running_at.get(&runner.node).copied().unwrap_or(0);
+        slots.min(held.anti_affinity.saturating_sub(running_at))
     }
 }
 
 /// So many tasks of a gang at a runner.
-struct Seat {
+struct GangSlots {
     /// Its place among the runners with room.
     runner: usize,
     tasks: u32,
--- a/crates/cluster/scheduler/src/preemption.rs
+++ b/crates/cluster/scheduler/src/preemption.rs
@@ -5,8 +5,8 @@
 //! until the step has started, or the reservation's end.
 
 use crate::ids::{StepId, TaskId};
-use crate::pending_queue::HeldKey;
-use crate::placement::{add, fits, times_fitting};
+use crate::pending_queue::PendingKey;
+use crate::placement::{add, fit_count, fits};
 use crate::records::Outcome;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
@@ -17,11 +17,11 @@
 use std::collections::BTreeMap;
 
 /// So many held steps are looked at in a round.
-const STEPS_IN_A_ROUND: usize = 8;
+const STEPS_PER_ROUND: usize = 8;
 /// A step waits so long before others make room, in milliseconds; one of priority 0 does not wait.
 const PATIENCE_MS: u64 = 150;
 /// A run is not stopped in its first moments, in milliseconds: it would be put back and forth.
-const YOUNG_MS: u64 = 500;
+const MIN_RUN_MS: u64 = 500;
 /// Beyond the longest stop, for heartbeats and the kept record, in milliseconds.
 const RESERVATION_MARGIN_MS: u64 = 1_500;
 
@@ -52,7 +52,7 @@
     room: Resources,
     victims: Vec<Victim>,
     /// Tasks of the step that fit once all victims are stopped.
-    seats: u32,
+    slots: u32,
 }
 
 impl Scheduler {
@@ -60,29 +60,29 @@
     pub(crate) fn preempt(&mut self, now: Now, service: &str) {
         let queue = &self.queue;
         self.reservations
-            .retain(|_, held| now.steady < held.until && queue.is_held(held.step));
-        for key in self.queue.held(service, STEPS_IN_A_ROUND) {
+            .retain(|_, held| now.steady < held.until && queue.contains(held.step));
+        for key in self.queue.held(service, STEPS_PER_ROUND) {
             let reserved = self
                 .reservations
                 .values()
                 .any(|reservation| reservation.step == key.step);
-            if !reserved && (key.priority == 0 || self.has_waited(now, key.step)) {
-                self.make_room(now, service, key);
+            if !reserved && (key.priority == 0 || self.has_waited_long_enough(now, key.step)) {
+                self.preempt_for(now, service, key);
             }
         }
     }
 
-    fn has_waited(&self, now: Now, id: StepId) -> bool {
+    fn has_waited_long_enough(&self, now: Now, id: StepId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
         };
         let since = job
             .step(id)
-            .map_or(now.steady, |step| step.waiting_since.max(job.taken_at));
+            .map_or(now.steady, |step| step.waiting_since.max(job.accepted_at));
         now.steady.millis_since(since) >= PATIENCE_MS
     }
 
-    fn make_room(&mut self, now: Now, service: &str, key: HeldKey) {
+    fn preempt_for(&mut self, now: Now, service: &str, key: PendingKey) {
         let Some(job) = self.jobs.get(&key.step.job) else {
             return;
         };
@@ -92,7 +92,7 @@
         let wanted = step.waiting.len() as u32;
         let offers = self.offers(now, service, key, &stage);
         let chosen = if stage.gang {
-            whole_gang(offers, &stage, wanted)
+            complete_gang(offers, &stage, wanted)
         } else {
             offers
         };
@@ -106,13 +106,13 @@
             drain: false,
         };
         if chosen.is_empty() {
-            return self.drain_for(now, service, key);
+            return self.reserve_by_draining(now, service, key);
         }
         let mut left = wanted;
         for offer in chosen {
-            let seats = offer.seats.min(left);
-            left -= seats;
-            let victims = needed_victims(&offer, stage.resources(), seats);
+            let slots = offer.slots.min(left);
+            left -= slots;
+            let victims = smallest_victim_set(&offer, stage.resources(), slots);
             if stage.gang || !victims.is_empty() {
                 self.reservations.insert(offer.node, reservation);
             }
@@ -126,7 +126,7 @@
     }
 
     /// Runners at which tasks of the step would fit once runs there are stopped, cheapest first.
-    fn offers(&self, now: Now, service: &str, key: HeldKey, stage: &Stage) -> Vec<Offer> {
+    fn offers(&self, now: Now, service: &str, key: PendingKey, stage: &Stage) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (&node, runner) in &self.runners {
             let free = self
@@ -135,7 +135,7 @@
                 .is_none_or(|held| held.priority > key.priority);
             let suits = runner.service == service
                 && stage.constraints.all_in(&runner.labels)
-                && self.carries_less(node, key, stage);
+                && self.within_anti_affinity(node, key, stage);
             if free
                 && suits
                 && runner.usable(now.steady)
@@ -149,7 +149,7 @@
     }
 
     /// True where anti-affinity lets one more task of the step run at the runner.
-    fn carries_less(&self, node: NodeId, key: HeldKey, stage: &Stage) -> bool {
+    fn within_anti_affinity(&self, node: NodeId, key: PendingKey, stage: &Stage) -> bool {
         if stage.anti_affinity == 0 {
             return true;
         }
@@ -158,8 +158,8 @@
             .get(&key.step.job)
             .and_then(|job| job.step(key.step));
         let tasks = step.iter().flat_map(|step| &step.tasks);
-        let carried = tasks.filter(|task| task.on == Some(node)).count();
-        carried < stage.anti_affinity as usize
+        let running_at = tasks.filter(|task| task.runner == Some(node)).count();
+        running_at < stage.anti_affinity as usize
     }
 
     fn offer(
@@ -171,13 +171,13 @@
         stage: &Stage,
     ) -> Option<Offer> {
         let mut victims = Vec::new();
-        let mut room = runner.room();
+        let mut room = runner.free_capacity();
         for (&task, assignment) in &runner.assigned {
             if assignment.stop {
                 add(&mut room, assignment.resources);
                 continue;
             }
-            let old = now.steady.millis_since(assignment.since) >= YOUNG_MS;
+            let old = now.steady.millis_since(assignment.since) >= MIN_RUN_MS;
             if let Some(loss) = self
                 .loss(now, task, priority)
                 .filter(|_| old && assignment.active)
@@ -195,14 +195,14 @@
         victims
             .iter()
             .for_each(|victim| add(&mut freed, victim.resources));
-        let seats = times_fitting(stage.resources(), freed, stage.count);
+        let slots = fit_count(stage.resources(), freed, stage.count);
         let rack = runner.rack().to_owned();
-        (seats > 0).then_some(Offer {
+        (slots > 0).then_some(Offer {
             node,
             rack,
             room,
             victims,
-            seats,
+            slots,
         })
     }
 
@@ -213,20 +213,20 @@
             .get(&id.step.job)
             .filter(|job| job.outcome == Outcome::Active)?;
         let stage = job.stage(id.step)?;
-        if job.terms.priority <= priority || stage.gang || stage.long_running {
+        if job.attributes.priority <= priority || stage.gang || stage.long_running {
             return None;
         }
         if stage.checkpoints {
             return Some(0);
         }
-        let node = job.step(id.step)?.tasks.get(id.index as usize)?.on?;
+        let node = job.step(id.step)?.tasks.get(id.index as usize)?.runner?;
         let since = self.runners.get(&node)?.assigned.get(&id)?.since;
         (priority == 0).then(|| now.steady.millis_since(since) * stage.cpu / 1000)
     }
 }
 
 /// Runners for all tasks of a gang, of one rack where it asks for that; none where they do not suffice.
-fn whole_gang(offers: Vec<Offer>, stage: &Stage, wanted: u32) -> Vec<Offer> {
+fn complete_gang(offers: Vec<Offer>, stage: &Stage, wanted: u32) -> Vec<Offer> {
     let mut racks: BTreeMap<String, Vec<Offer>> = BTreeMap::new();
     for offer in offers {
         let rack = if stage.rack_local {
@@ -236,7 +236,7 @@
         };
         racks.entry(rack).or_default().push(offer);
     }
-    let seats = |offers: &Vec<Offer>| offers.iter().map(|offer| offer.seats).sum::<u32>();
+    let slots = |offers: &Vec<Offer>| offers.iter().map(|offer| offer.slots).sum::<u32>();
     let loss = |offers: &Vec<Offer>| {
         offers
             .iter()
@@ -244,16 +244,16 @@
             .map(|victim| victim.loss)
             .sum::<u64>()
     };
-    let enough = racks.into_values().filter(|offers| seats(offers) >= wanted);
+    let enough = racks.into_values().filter(|offers| slots(offers) >= wanted);
     enough.min_by_key(loss).unwrap_or_default()
 }
 
 /// The fewest runs to stop so that the seats fit.
-fn needed_victims(offer: &Offer, resources: Resources, seats: u32) -> Vec<Victim> {
+fn smallest_victim_set(offer: &Offer, resources: Resources, slots: u32) -> Vec<Victim> {
     let mut room = offer.room;
     let mut needed = Vec::new();
     for victim in &offer.victims {
-        if times_fitting(resources, room, seats) >= seats {
+        if fit_count(resources, room, slots) >= slots {
             break;
         }
         add(&mut room, victim.resources);
--- a/crates/cluster/scheduler/src/records.rs
+++ b/crates/cluster/scheduler/src/records.rs
@@ -33,7 +33,7 @@
     /// Rises with each job taken.
     pub order: u64,
     /// When it was taken, in milliseconds since 1970.
-    pub taken_ms: i64,
+    pub accepted_ms: i64,
     /// As handed in; empty once the job has ended.
     pub body: Blob,
 }
@@ -58,7 +58,7 @@
     /// For a member of a gang: the newest attempt whose failure was counted here.
     pub failed_attempt: u64,
     /// The newest checkpoint known, empty for none.
-    pub saved: Text,
+    pub checkpoint: Text,
     /// 1 where the assignment below may not be over.
     pub assigned: u8,
     pub assignment: AssignmentRecord,
--- a/crates/cluster/scheduler/src/reserved_capacity.rs
+++ b/crates/cluster/scheduler/src/reserved_capacity.rs
@@ -3,7 +3,7 @@
 //! Without it a service that lesser work has filled makes urgent tasks wait for a stop, which is longer than they
 //! have.
 
-use crate::pending_queue::HeldKey;
+use crate::pending_queue::PendingKey;
 use crate::placement::add;
 use crate::runner::Runner;
 use crate::scheduler::Scheduler;
@@ -19,7 +19,7 @@
 /// It is reckoned anew at most this often, in milliseconds.
 const INTERVAL_MS: u64 = 20;
 /// At most this part of a service's capacity is kept, in hundredths.
-const MOST_KEPT_PERCENT: u64 = 40;
+const MAX_RESERVED_PERCENT: u64 = 40;
 
 /// What urgent work of a service has lately needed at once.
 #[derive(Clone, Copy, Debug, Default)]
@@ -30,13 +30,13 @@
 
 /// The room kept in each service.
 #[derive(Default)]
-pub(crate) struct Headroom {
+pub(crate) struct ReservedCapacity {
     peaks: BTreeMap<String, Peak>,
     kept: BTreeMap<String, Resources>,
     reckoned_at: Time,
 }
 
-impl Headroom {
+impl ReservedCapacity {
     /// The room that lesser work leaves free.
     pub(crate) fn kept(&self, service: &str) -> Resources {
         self.kept.get(service).copied().unwrap_or_default()
@@ -52,7 +52,7 @@
         peak.at = now;
         let missing = map(peak.needed, use_of.running, u64::saturating_sub);
         let most = map(use_of.capacity, Resources::default(), |capacity, _| {
-            capacity * MOST_KEPT_PERCENT / 100
+            capacity * MAX_RESERVED_PERCENT / 100
         });
         self.kept
             .insert(service.to_owned(), map(missing, most, u64::min));
@@ -82,11 +82,11 @@
 
 impl Scheduler {
     /// Reckons anew what is kept for urgent work.
-    pub(crate) fn keep_headroom(&mut self, now: Now) {
-        if now.steady.millis_since(self.headroom.reckoned_at) < INTERVAL_MS {
+    pub(crate) fn update_reserved_capacity(&mut self, now: Now) {
+        if now.steady.millis_since(self.reserved_capacity.reckoned_at) < INTERVAL_MS {
             return;
         }
-        self.headroom.reckoned_at = now.steady;
+        self.reserved_capacity.reckoned_at = now.steady;
         let mut uses: BTreeMap<String, Use> = BTreeMap::new();
         for runner in self.runners.values().filter(|runner| runner.present) {
             let of = uses.entry(runner.service.clone()).or_default();
@@ -98,7 +98,7 @@
                 if self
                     .jobs
                     .get(&task.step.job)
-                    .is_some_and(|job| job.terms.priority == URGENT)
+                    .is_some_and(|job| job.attributes.priority == URGENT)
                 {
                     add(&mut of.running, assignment.resources);
                 }
@@ -117,12 +117,12 @@
             }
         }
         for (service, use_of) in uses {
-            self.headroom.note(now.steady, &service, use_of);
+            self.reserved_capacity.note(now.steady, &service, use_of);
         }
     }
 
     /// Whether any runner that takes new work meets the constraints of a step.
-    fn may_run_somewhere(&self, now: Now, service: &str, key: &HeldKey) -> bool {
+    fn may_run_somewhere(&self, now: Now, service: &str, key: &PendingKey) -> bool {
         let Some(stage) = self
             .jobs
             .get(&key.step.job)
@@ -138,7 +138,7 @@
         self.runners.values().any(meets)
     }
 
-    fn waiting_of(&self, key: &HeldKey) -> Resources {
+    fn waiting_of(&self, key: &PendingKey) -> Resources {
         let Some(job) = self.jobs.get(&key.step.job) else {
             return Resources::default();
         };
--- a/crates/cluster/scheduler/src/restore.rs
+++ b/crates/cluster/scheduler/src/restore.rs
@@ -1,7 +1,7 @@
 //! The state of earlier terms from the records.
 
 use crate::ids::{JobId, TaskId};
-use crate::job::{Job, JobTerms};
+use crate::job::{Job, JobAttributes};
 use crate::objective::{DEFAULT_EXTENSION, DEFAULT_TARGET_MS};
 use crate::records::{JobRecord, Key, Outcome, TaskRecord};
 use crate::runner::{Assignment, Runner};
@@ -27,26 +27,28 @@
             log::error!("the record of job {id} cannot be read");
             return;
         };
-        let terms = JobTerms {
+        let attributes = JobAttributes {
             queue: record.queue.0,
             service: record.service.0,
             max_attempts: record.max_attempts,
             priority: record.priority,
             order: record.order,
-            taken_ms: record.taken_ms,
+            accepted_ms: record.accepted_ms,
             extension: DEFAULT_EXTENSION,
             target_ms: DEFAULT_TARGET_MS,
         };
-        self.next_order = self.next_order.max(terms.order + 1);
+        self.next_order = self.next_order.max(attributes.order + 1);
         if record.outcome != Outcome::Active {
             self.jobs
-                .insert(id, Job::ended(id, terms, record.outcome, now.steady));
+                .insert(id, Job::ended(id, attributes, record.outcome, now.steady));
             return;
         }
         match JobSpec::parse(&record.body) {
             Ok(spec) => {
-                self.jobs
-                    .insert(id, Job::new(id, terms, spec, record.body.0, now.steady));
+                self.jobs.insert(
+                    id,
+                    Job::new(id, attributes, spec, record.body.0, now.steady),
+                );
                 self.active.insert(id);
             }
             Err(error) => log::error!("job {id} as kept cannot be read: {error}"),
@@ -70,7 +72,7 @@
         if record.assigned != 0 {
             self.restore_assignment(now, id, &record, wanted);
         } else if !self.active.contains(&id.step.job) {
-            self.ledger.delete(Key::Task(id));
+            self.commit_queue.delete(Key::Task(id));
         }
     }
 
@@ -87,12 +89,12 @@
             resources: record.assignment.resources,
             batch: 0,
             stop: !wanted,
-            withdrawn: None,
+            withdrawn_in: None,
             active: false,
             seen: false,
             since: now.steady,
             percent: 0,
-            moved_at: now.steady,
+            progressed_at: now.steady,
         };
         runner.assigned.insert(id, assignment);
     }
--- a/crates/cluster/scheduler/src/run_outcome.rs
+++ b/crates/cluster/scheduler/src/run_outcome.rs
@@ -8,55 +8,55 @@
 use sagetrail_protocol::{NodeId, Time};
 
 /// A run that is over for sure.
-pub(crate) struct OverRun {
+pub(crate) struct EndedRun {
     pub node: NodeId,
     pub task: TaskId,
     pub end: RunEnd,
     /// Its last checkpoint, empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 impl Scheduler {
     /// Takes an assignment off its runner and decides what becomes of the task.
-    pub(crate) fn run_over(&mut self, now: Now, over: OverRun) {
+    pub(crate) fn end_run(&mut self, now: Now, over: EndedRun) {
         let Some(runner) = self.runners.get_mut(&over.node) else {
             return;
         };
         let Some(assignment) = runner.assigned.remove(&over.task) else {
             return;
         };
-        runner.health.trial_over();
+        runner.health.trial_ended();
         self.changed.insert(over.node);
-        self.place_again = true;
+        self.placement_due = true;
         let job = self
             .jobs
             .get_mut(&over.task.step.job)
             .filter(|job| job.outcome == Outcome::Active);
         let Some(job) = job else {
-            self.ledger.delete(Key::Task(over.task));
+            self.commit_queue.delete(Key::Task(over.task));
             return;
         };
         let Some(task) = job.task_mut(over.task) else {
             return;
         };
-        task.on = None;
-        if !over.saved.is_empty() {
-            task.saved = over.saved;
+        task.runner = None;
+        if !over.checkpoint.is_empty() {
+            task.checkpoint = over.checkpoint;
         }
         let first_failure = task.failures == 0;
-        let lasting = job
+        let long_running = job
             .stage(over.task.step)
             .is_some_and(|stage| stage.long_running);
         match over.end {
             RunEnd::Done => {
-                self.credit(over.node);
-                if !lasting {
+                self.record_success(over.node);
+                if !long_running {
                     return self.task_done(now, over.task);
                 }
             }
             RunEnd::Failed => {
                 if first_failure {
-                    self.blame(now, over.node, over.task.step.job);
+                    self.record_failure(now, over.node, over.task.step.job);
                 }
                 if self.count_failure(now, over.task, over.node, assignment.attempt) {
                     return;
@@ -64,26 +64,32 @@
             }
             _ => {}
         }
-        self.wait_again(now, over.task);
+        self.requeue(now, over.task);
     }
 
-    fn credit(&mut self, node: NodeId) {
+    fn record_success(&mut self, node: NodeId) {
         let Some(runner) = self.runners.get_mut(&node) else {
             return;
         };
-        let usual = self.usual_rates.entry(runner.service.clone()).or_default();
-        usual.note(false);
-        runner.health.succeeded(*usual);
+        let baseline = self
+            .failure_rates
+            .entry(runner.service.clone())
+            .or_default();
+        baseline.note(false);
+        runner.health.succeeded(*baseline);
     }
 
     /// A run of the job failed at the runner, or stood still there.
-    pub(crate) fn blame(&mut self, now: Now, node: NodeId, job: JobId) {
+    pub(crate) fn record_failure(&mut self, now: Now, node: NodeId, job: JobId) {
         let Some(runner) = self.runners.get_mut(&node) else {
             return;
         };
-        let usual = self.usual_rates.entry(runner.service.clone()).or_default();
-        usual.note(true);
-        runner.health.failed(now.steady, job, *usual);
+        let baseline = self
+            .failure_rates
+            .entry(runner.service.clone())
+            .or_default();
+        baseline.note(true);
+        runner.health.failed(now.steady, job, *baseline);
     }
 
     fn task_done(&mut self, now: Now, id: TaskId) {
@@ -149,11 +155,11 @@
         let Some(job) = self.jobs.get_mut(&id.step.job) else {
             return false;
         };
-        let most = job.terms.max_attempts;
+        let most = job.attributes.max_attempts;
         let Some(stage) = job.stage(id.step) else {
             return false;
         };
-        let (gang, lasting) = (stage.gang, stage.long_running);
+        let (gang, long_running) = (stage.gang, stage.long_running);
         let Some(step) = job.step_mut(id.step) else {
             return false;
         };
@@ -172,8 +178,8 @@
             counted = step.gang_failures;
         }
         task.failures += 1;
-        task.avoid.push(node);
-        if lasting || counted < most {
+        task.failed_at.push(node);
+        if long_running || counted < most {
             return false;
         }
         log::info!(
@@ -185,7 +191,7 @@
         true
     }
 
-    fn wait_again(&mut self, now: Now, id: TaskId) {
+    fn requeue(&mut self, now: Now, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else {
             return;
         };
@@ -214,7 +220,7 @@
 
 fn assigned_members(step: StepId, tasks: &[crate::job::Task]) -> Vec<(TaskId, NodeId)> {
     let member = |(index, task): (usize, &crate::job::Task)| {
-        task.on.map(|node| {
+        task.runner.map(|node| {
             (
                 TaskId {
                     step,
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,24 +1,24 @@
 //! A runner as the scheduler knows it: what its agent reported, what is assigned to it, what it is to be told.
 
 use crate::ids::TaskId;
-use crate::outlier_ejection::Health;
+use crate::outlier_ejection::RunnerHealth;
 use sagetrail_protocol::agent::{Resources, StopOrder, AGENT_LEASE_MS};
 use sagetrail_protocol::{Incarnation, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 /// Steady clocks may differ by this share.
-const CLOCK_RATE: f64 = 0.03;
+const MAX_CLOCK_DRIFT: f64 = 0.03;
 /// Beyond the lease, for messages on their way, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 300;
 /// Without a report for so long a runner gets no new starts, in milliseconds.
-const UNHEARD_MS: u64 = 1_600;
+const REPORT_TIMEOUT_MS: u64 = 1_600;
 /// A runner silent towards its agent for so long gets no new starts, in milliseconds.
-const SILENT_MS: u64 = 900;
+const HEARTBEAT_TIMEOUT_MS: u64 = 900;
 
 /// How long after the last grant of a lease every run of an unreachable runner is over, in milliseconds.
-pub(crate) const OVER_AFTER_MS: u64 =
-    AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * CLOCK_RATE) as u64 + LEASE_MARGIN_MS;
+pub(crate) const LEASE_EXPIRY_MS: u64 =
+    AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * MAX_CLOCK_DRIFT) as u64 + LEASE_MARGIN_MS;
 
 /// A run that may be on the runner.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// It is no longer wanted.
     pub stop: bool,
     /// The first revision of orders without its start.
-    pub withdrawn: Option<u64>,
+    pub withdrawn_in: Option<u64>,
     /// The newest report lists it as active.
     pub active: bool,
     /// A report has listed it as active.
@@ -38,12 +38,12 @@
     pub since: Time,
     /// Its progress, by the runner's word, and when that last moved.
     pub percent: u8,
-    pub moved_at: Time,
+    pub progressed_at: Time,
 }
 
 /// What was last sent as orders; a difference makes a new revision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct OrderedSet {
+pub(crate) struct CommandSet {
     pub start: BTreeSet<(TaskId, u64)>,
     pub stop: Vec<StopOrder>,
     pub observed: u64,
@@ -52,7 +52,7 @@
 
 /// An end that was laid into a batch.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct NotedEnd {
+pub(crate) struct RecordedEnd {
     pub number: u64,
     pub batch: u64,
 }
@@ -86,20 +86,20 @@
     pub remaining_ms: u64,
     /// A settled report has come in this term for this instance: all that may run there is known.
     pub known: bool,
-    pub heard: Time,
+    pub last_report_at: Time,
     pub silent_ms: u64,
     /// When a lease was last granted, or could have been by an earlier scheduler.
     pub granted: Time,
     pub revision: u64,
-    pub ordered: OrderedSet,
+    pub sent_commands: CommandSet,
     pub assigned: BTreeMap<TaskId, Assignment>,
     /// Active runs that nobody assigned.
     pub unknown: Vec<StopOrder>,
     /// Ends up to this number are in batches.
-    pub noted: u64,
-    pub ends: VecDeque<NotedEnd>,
+    pub last_recorded_end: u64,
+    pub ends: VecDeque<RecordedEnd>,
     pub observed: u64,
-    pub health: Health,
+    pub health: RunnerHealth,
 }
 
 impl Runner {
@@ -119,17 +119,17 @@
             lapsed: false,
             remaining_ms: 0,
             known: false,
-            heard: Time::default(),
+            last_report_at: Time::default(),
             silent_ms: 0,
             granted,
             revision: 0,
-            ordered: OrderedSet::default(),
+            sent_commands: CommandSet::default(),
             assigned: BTreeMap::new(),
             unknown: Vec::new(),
-            noted: 0,
+            last_recorded_end: 0,
             ends: VecDeque::new(),
             observed: 0,
-            health: Health::default(),
+            health: RunnerHealth::default(),
         }
     }
 
@@ -140,17 +140,18 @@
 
     /// True where it is present, known, well and heard of.
     pub(crate) fn reachable(&self, now: Time) -> bool {
-        let heard = now.millis_since(self.heard) < UNHEARD_MS && self.silent_ms < SILENT_MS;
+        let recently_reported = now.millis_since(self.last_report_at) < REPORT_TIMEOUT_MS
+            && self.silent_ms < HEARTBEAT_TIMEOUT_MS;
         self.present
             && self.known
-            && heard
+            && recently_reported
             && !self.draining
             && !self.lapsed
             && self.unknown.is_empty()
     }
 
     /// Its capacity less what may be running there.
-    pub(crate) fn room(&self) -> Resources {
+    pub(crate) fn free_capacity(&self) -> Resources {
         let mut room = self.capacity;
         for assignment in self.assigned.values() {
             let used = assignment.resources;
@@ -162,8 +163,8 @@
     }
 
     /// True where nothing can be running there any more, because no lease can still last.
-    pub(crate) fn is_over(&self, now: Time) -> bool {
-        now.millis_since(self.granted) > OVER_AFTER_MS
+    pub(crate) fn lease_expired(&self, now: Time) -> bool {
+        now.millis_since(self.granted) > LEASE_EXPIRY_MS
     }
 
     /// The rack among its labels: the last one.
@@ -185,10 +186,10 @@
         self.known = false;
         self.lapsed = false;
         self.draining = false;
-        self.noted = 0;
+        self.last_recorded_end = 0;
         self.observed = 0;
         self.ends.clear();
         self.unknown.clear();
-        self.health = Health::default();
+        self.health = RunnerHealth::default();
     }
 }
--- a/crates/cluster/scheduler/src/runner_commands.rs
+++ b/crates/cluster/scheduler/src/runner_commands.rs
@@ -1,7 +1,7 @@
 //! What a runner is told: every run that is wanted and not there, every run that is there and not wanted.
 
 use crate::ids::TaskId;
-use crate::runner::{OrderedSet, Runner};
+use crate::runner::{CommandSet, Runner};
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::{
     RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
@@ -16,13 +16,13 @@
 
 impl Scheduler {
     /// Orders to all runners whose orders have changed.
-    pub(crate) fn send_changed_orders(&mut self, now: Now) {
+    pub(crate) fn send_changed_commands(&mut self, now: Now) {
         for node in std::mem::take(&mut self.changed) {
             let Some(runner) = self.runners.get(&node).filter(|runner| runner.agent != 0) else {
                 continue;
             };
-            if self.wanted(runner) != runner.ordered {
-                self.send_orders(now, node, None);
+            if self.wanted(runner) != runner.sent_commands {
+                self.send_commands(now, node, None);
             }
         }
     }
@@ -30,15 +30,15 @@
     /// Orders that answer a report and renew the agent's lease.
     pub(crate) fn answer_report(&mut self, now: Now, node: NodeId, report: &RunnerReport) {
         self.changed.remove(&node);
-        self.send_orders(now, node, Some(report));
+        self.send_commands(now, node, Some(report));
     }
 
-    fn wanted(&self, runner: &Runner) -> OrderedSet {
-        let mut wanted = OrderedSet {
+    fn wanted(&self, runner: &Runner) -> CommandSet {
+        let mut wanted = CommandSet {
             instance: runner.instance.clone(),
             observed: runner.observed,
             stop: runner.unknown.clone(),
-            ..OrderedSet::default()
+            ..CommandSet::default()
         };
         for (&task, assignment) in &runner.assigned {
             let attempt = assignment.attempt;
@@ -49,7 +49,7 @@
                 });
             } else if !assignment.stop
                 && !assignment.active
-                && self.ledger.is_kept(assignment.batch)
+                && self.commit_queue.is_committed(assignment.batch)
             {
                 wanted.start.insert((task, attempt));
             }
@@ -57,7 +57,7 @@
         wanted
     }
 
-    fn send_orders(&mut self, now: Now, node: NodeId, report: Option<&RunnerReport>) {
+    fn send_commands(&mut self, now: Now, node: NodeId, report: Option<&RunnerReport>) {
         let Some(runner) = self.runners.get(&node) else {
             return;
         };
@@ -70,9 +70,9 @@
         let Some(runner) = self.runners.get_mut(&node) else {
             return;
         };
-        if wanted != runner.ordered || runner.revision == 0 {
+        if wanted != runner.sent_commands || runner.revision == 0 {
             runner.revision += 1;
-            runner.ordered = wanted;
+            runner.sent_commands = wanted;
         }
         let revision = runner.revision;
         let unwanted = runner
@@ -80,7 +80,7 @@
             .values_mut()
             .filter(|assignment| assignment.stop && !assignment.active);
         unwanted.for_each(|assignment| {
-            assignment.withdrawn.get_or_insert(revision);
+            assignment.withdrawn_in.get_or_insert(revision);
         });
         if report.is_some() {
             runner.granted = now.steady;
@@ -94,11 +94,11 @@
             lease_ms: AGENT_LEASE_MS,
             instance: runner.instance.as_str().into(),
             start,
-            stop: runner.ordered.stop.clone().into(),
-            observed: runner.ordered.observed,
+            stop: runner.sent_commands.stop.clone().into(),
+            observed: runner.sent_commands.observed,
             retry_after_ms: if busy { BUSY_RETRY_MS } else { IDLE_RETRY_MS },
         };
-        self.ledger.send(node, Message::RunnerOrders(orders));
+        self.commit_queue.send(node, Message::RunnerOrders(orders));
     }
 
     /// At the start of a term: tells every agent that may have runs who schedules now, and withdraws all starts
@@ -117,7 +117,7 @@
                 observed: 0,
                 retry_after_ms: BUSY_RETRY_MS,
             };
-            self.ledger.send(node, Message::RunnerOrders(orders));
+            self.commit_queue.send(node, Message::RunnerOrders(orders));
         }
     }
 
@@ -127,8 +127,8 @@
         let step = job.step(task.step)?;
         let gang = job.stage(task.step)?.gang;
         let saved = match gang {
-            true => step.gang_saved(),
-            false => step.tasks.get(task.index as usize)?.saved.clone(),
+            true => step.gang_checkpoint(),
+            false => step.tasks.get(task.index as usize)?.checkpoint.clone(),
         };
         Some(StartOrder {
             task: task.to_string().into(),
--- a/crates/cluster/scheduler/src/runner_reports.rs
+++ b/crates/cluster/scheduler/src/runner_reports.rs
@@ -1,15 +1,15 @@
 //! Agents' reports: what runs, what has ended, what can no longer be running.
 
 use crate::ids::TaskId;
-use crate::run_outcome::OverRun;
-use crate::runner::{Candidate, NotedEnd, Runner};
+use crate::run_outcome::EndedRun;
+use crate::runner::{Candidate, RecordedEnd, Runner};
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopOrder};
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::{NodeId, Term};
 
 /// Incarnations of an agent that are remembered as replaced.
-const REPLACED_KEPT: usize = 16;
+const MAX_REPLACED_AGENTS: usize = 16;
 
 impl Scheduler {
     /// Takes a report and answers it with orders.
@@ -27,18 +27,18 @@
             Admission::Unproven => return self.answer_report(now, from, &report),
             Admission::Late => return,
         }
-        runner.heard = now.steady;
+        runner.last_report_at = now.steady;
         runner.present = report.present;
         if report.present {
-            self.take_present(now, from, &report);
+            self.update_from_report(now, from, &report);
         } else if report.lapsed {
-            self.all_over(now, from);
+            self.end_all_runs(now, from);
         }
         self.answer_report(now, from, &report);
-        self.place_again = true;
+        self.placement_due = true;
     }
 
-    fn take_present(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+    fn update_from_report(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         if !self.take_instance(now, from, report) {
             return;
         }
@@ -59,9 +59,9 @@
         runner.lapsed = report.lapsed;
         runner.remaining_ms = report.remaining_ms;
         runner.silent_ms = report.silent_ms;
-        self.note_active(now, from, report);
-        self.note_finished(now, from, report);
-        self.note_absent(now, from, report);
+        self.update_active_runs(now, from, report);
+        self.record_finished_runs(now, from, report);
+        self.end_absent_runs(now, from, report);
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
         };
@@ -84,7 +84,7 @@
                 runner.known = false;
                 return false;
             }
-            self.all_over(now, node);
+            self.end_all_runs(now, node);
         }
         if let Some(runner) = self.runners.get_mut(&node) {
             runner.replace_instance(&report.instance);
@@ -93,29 +93,29 @@
     }
 
     /// Everything assigned to the runner is over.
-    pub(crate) fn all_over(&mut self, now: Now, node: NodeId) {
+    pub(crate) fn end_all_runs(&mut self, now: Now, node: NodeId) {
         let Some(runner) = self.runners.get(&node) else {
             return;
         };
         let tasks: Vec<TaskId> = runner.assigned.keys().copied().collect();
         tasks
             .into_iter()
-            .for_each(|task| self.over_without_end(now, node, task));
+            .for_each(|task| self.end_lapsed_run(now, node, task));
     }
 
-    fn over_without_end(&mut self, now: Now, node: NodeId, task: TaskId) {
-        self.run_over(
+    fn end_lapsed_run(&mut self, now: Now, node: NodeId, task: TaskId) {
+        self.end_run(
             now,
-            OverRun {
+            EndedRun {
                 node,
                 task,
                 end: RunEnd::Lapsed,
-                saved: String::new(),
+                checkpoint: String::new(),
             },
         );
     }
 
-    fn note_active(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+    fn update_active_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
         };
@@ -139,7 +139,7 @@
                     assignment.seen = true;
                     if assignment.percent != run.percent {
                         assignment.percent = run.percent;
-                        assignment.moved_at = now.steady;
+                        assignment.progressed_at = now.steady;
                     }
                 }
                 None => runner.unknown.push(StopOrder {
@@ -154,8 +154,8 @@
             });
             let task = task.filter(|task| !run.saved.is_empty() && task.attempt == run.attempt);
             if let (Some(task), Some(id)) = (task, id) {
-                if task.saved != run.saved.0 {
-                    task.saved = run.saved.0.clone();
+                if task.checkpoint != run.saved.0 {
+                    task.checkpoint = run.saved.0.clone();
                     progressed.push(id);
                 }
             }
@@ -169,46 +169,46 @@
         });
     }
 
-    fn note_finished(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+    fn record_finished_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let mut finished: Vec<_> = report.finished.iter().collect();
         finished.sort_by_key(|run| run.number);
         for run in finished {
             let Some(runner) = self.runners.get_mut(&from) else {
                 return;
             };
-            if run.number <= runner.noted {
+            if run.number <= runner.last_recorded_end {
                 continue;
             }
-            runner.noted = run.number;
+            runner.last_recorded_end = run.number;
             let id = TaskId::parse(&run.task);
             let assigned = id.and_then(|id| runner.assigned.get(&id));
             if let Some(task) = id.filter(|_| assigned.is_some_and(|a| a.attempt == run.attempt)) {
                 let saved = run.saved.0.clone();
-                self.run_over(
+                self.end_run(
                     now,
-                    OverRun {
+                    EndedRun {
                         node: from,
                         task,
                         end: run.end,
-                        saved,
+                        checkpoint: saved,
                     },
                 );
             }
-            let batch = self.ledger.current();
+            let batch = self.commit_queue.current();
             if let Some(runner) = self.runners.get_mut(&from) {
-                runner.ends.push_back(NotedEnd {
+                runner.ends.push_back(RecordedEnd {
                     number: run.number,
                     batch,
                 });
             }
-            self.awaiting.wait_for(batch, from);
+            self.uncommitted_runners.wait_for(batch, from);
             self.changed.insert(from);
         }
         self.observe_ends(from);
     }
 
     /// What is neither active nor finished, and can no longer start, is over.
-    fn note_absent(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+    fn end_absent_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let own = report.term == self.term;
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
@@ -219,10 +219,11 @@
             .iter_mut()
             .filter(|(_, assignment)| !assignment.active)
         {
-            let withdrawn = assignment
-                .withdrawn
+            let withdrawn_in = assignment
+                .withdrawn_in
                 .is_some_and(|revision| own && report.revision >= revision);
-            if withdrawn && (report.settled || report.lapsed) || report.lapsed && assignment.seen {
+            if withdrawn_in && (report.settled || report.lapsed) || report.lapsed && assignment.seen
+            {
                 over.push(task);
             } else if report.lapsed {
                 assignment.stop = true;
@@ -230,7 +231,7 @@
             }
         }
         over.into_iter()
-            .for_each(|task| self.over_without_end(now, from, task));
+            .for_each(|task| self.end_lapsed_run(now, from, task));
     }
 
     /// Ends of a runner whose batches are kept may be observed.
@@ -239,16 +240,17 @@
             return;
         };
         let before = runner.observed;
-        let ledger = &self.ledger;
-        runner.observe(|batch| ledger.is_kept(batch));
+        let commit_queue = &self.commit_queue;
+        runner.observe(|batch| commit_queue.is_committed(batch));
         if runner.observed != before {
             self.changed.insert(node);
         }
     }
 
     /// Runs of runners that cannot have been allowed to go on are over.
-    pub(crate) fn give_up_unreachable(&mut self, now: Now) {
-        let over = |runner: &Runner| !runner.assigned.is_empty() && runner.is_over(now.steady);
+    pub(crate) fn expire_unreachable_runners(&mut self, now: Now) {
+        let over =
+            |runner: &Runner| !runner.assigned.is_empty() && runner.lease_expired(now.steady);
         let nodes: Vec<NodeId> = self
             .runners
             .iter()
@@ -259,7 +261,7 @@
             log::warn!(
                 "runner at {node} is out of reach for longer than its lease: its runs are over"
             );
-            self.all_over(now, node);
+            self.end_all_runs(now, node);
             if let Some(runner) = self.runners.get_mut(&node) {
                 runner.known = false;
             }
@@ -291,12 +293,12 @@
     if runner.replaced.contains(&report.agent) {
         return Admission::Late;
     }
-    if !proves_itself(runner, report, term) {
+    if !is_proven_live(runner, report, term) {
         return Admission::Unproven;
     }
     let former = std::mem::replace(&mut runner.agent, report.agent);
     runner.replaced.push(former);
-    if runner.replaced.len() > REPLACED_KEPT {
+    if runner.replaced.len() > MAX_REPLACED_AGENTS {
         runner.replaced.remove(0);
     }
     runner.candidate = None;
@@ -307,7 +309,7 @@
 
 /// True where the report was sent under orders that its agent was first answered with. A report that comes late, of an
 /// agent that is no more, cannot have been.
-fn proves_itself(runner: &mut Runner, report: &RunnerReport, term: Term) -> bool {
+fn is_proven_live(runner: &mut Runner, report: &RunnerReport, term: Term) -> bool {
     if let Some(candidate) = runner
         .candidate
         .filter(|candidate| candidate.agent == report.agent)
--- a/crates/cluster/scheduler/src/scheduler.rs
+++ b/crates/cluster/scheduler/src/scheduler.rs
@@ -1,19 +1,19 @@
 //! The service that runs on the elected core process: ties jobs, runners, queue and ledger together.
 
-use crate::commit_queue::Ledger;
+use crate::commit_queue::CommitQueue;
 use crate::ids::{JobId, StepId, TaskId};
 use crate::job::Job;
 use crate::objective::Objective;
-use crate::outlier_ejection::UsualRate;
-use crate::pass_pacing::PassPace;
-use crate::pending_queue::{DueTime, DueTimes, HeldKey, HeldQueue};
-use crate::placement::{fits, HeldStep, OpenRunner, Pass, Placement};
+use crate::outlier_ejection::FailureRate;
+use crate::pass_pacing::PassPacing;
+use crate::pending_queue::{DueTime, DueTimes, PendingKey, PendingQueue};
+use crate::placement::{fits, AvailableRunner, Pass, PendingStep, Placement};
 use crate::preemption::Reservation;
 use crate::records::{AssignmentRecord, Key, Outcome, TaskRecord};
-use crate::reserved_capacity::Headroom;
+use crate::reserved_capacity::ReservedCapacity;
 use crate::runner::{Assignment, Runner};
-use crate::time_of_day::SteadyDay;
-use crate::uncommitted_runners::AwaitingRunners;
+use crate::time_of_day::TimeOfDay;
+use crate::uncommitted_runners::UncommittedRunners;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use sagetrail_cluster_config::ConfigDocument;
@@ -28,11 +28,11 @@
 /// The timer where nothing is held and nothing runs, in milliseconds.
 const IDLE_TIMER_MS: u64 = 500;
 /// One pass looks at so many held steps of a service.
-const HELD_IN_A_PASS: usize = 256;
+const PENDING_STEPS_PER_PASS: usize = 256;
 /// A task that has waited so long no longer avoids runners at which it failed, in milliseconds.
-const AVOID_MS: u64 = 2_500;
+const FAILED_RUNNER_AVOIDANCE_MS: u64 = 2_500;
 /// At most one in so many runners of a service is shut out by evidence.
-const MOST_SHUT_OUT: usize = 3;
+const MAX_EJECTED_DIVISOR: usize = 3;
 /// The state of an ended job is told for so long beyond the bound, in milliseconds.
 const RETENTION_MARGIN_MS: u64 = 60_000;
 /// Ended jobs are looked through this often, in milliseconds.
@@ -49,35 +49,35 @@
     pub(crate) settings: SchedulerSettings,
     pub(crate) term: Term,
     pub(crate) started_at: Time,
-    pub(crate) day: SteadyDay,
+    pub(crate) time_of_day: TimeOfDay,
     /// The time of day at the newest event, in milliseconds since 1970.
-    pub(crate) day_ms: i64,
+    pub(crate) wall_ms: i64,
     pub(crate) random: Pcg64Mcg,
     pub(crate) config: Option<ConfigDocument>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Jobs that have not ended.
     pub(crate) active: BTreeSet<JobId>,
     pub(crate) runners: BTreeMap<NodeId, Runner>,
-    pub(crate) queue: HeldQueue,
+    pub(crate) queue: PendingQueue,
     pub(crate) due_times: DueTimes,
-    pub(crate) ledger: Ledger,
+    pub(crate) commit_queue: CommitQueue,
     pub(crate) next_order: u64,
     /// Runners that may need new orders.
     pub(crate) changed: BTreeSet<NodeId>,
     /// Runners with assignments or ends in batches that are not kept yet.
-    pub(crate) awaiting: AwaitingRunners,
+    pub(crate) uncommitted_runners: UncommittedRunners,
     /// Room that is kept for a step.
     pub(crate) reservations: BTreeMap<NodeId, Reservation>,
-    pub(crate) headroom: Headroom,
+    pub(crate) reserved_capacity: ReservedCapacity,
     /// How often work fails, by service.
-    pub(crate) usual_rates: BTreeMap<String, UsualRate>,
+    pub(crate) failure_rates: BTreeMap<String, FailureRate>,
     /// Room or held steps have changed since the last pass.
-    pub(crate) place_again: bool,
-    passes: PassPace,
+    pub(crate) placement_due: bool,
+    pass_pacing: PassPacing,
     next_timer: Time,
     next_purge: Time,
-    pub(crate) surveyed_at: Time,
-    pub(crate) status_at: Time,
+    pub(crate) long_waits_logged_at: Time,
+    pub(crate) status_logged_at: Time,
     /// When the next time of a job falls due.
     next_due: Option<Time>,
 }
@@ -89,35 +89,35 @@
             settings,
             term: restored.term,
             started_at: now.steady,
-            day: SteadyDay::new(now),
-            day_ms: now.wall_ms,
+            time_of_day: TimeOfDay::new(now),
+            wall_ms: now.wall_ms,
             random: Pcg64Mcg::seed_from_u64(restored.seed),
             config: None,
             jobs: BTreeMap::new(),
             active: BTreeSet::new(),
             runners: BTreeMap::new(),
-            queue: HeldQueue::default(),
+            queue: PendingQueue::default(),
             due_times: DueTimes::default(),
-            ledger: Ledger::new(),
+            commit_queue: CommitQueue::new(),
             next_order: 1,
             changed: BTreeSet::new(),
-            awaiting: AwaitingRunners::default(),
+            uncommitted_runners: UncommittedRunners::default(),
             reservations: BTreeMap::new(),
-            headroom: Headroom::default(),
-            usual_rates: BTreeMap::new(),
-            place_again: true,
-            passes: PassPace::default(),
+            reserved_capacity: ReservedCapacity::default(),
+            failure_rates: BTreeMap::new(),
+            placement_due: true,
+            pass_pacing: PassPacing::default(),
             next_timer: now.steady.plus_millis(TIMER_MS),
             next_purge: now.steady.plus_millis(PURGE_INTERVAL_MS),
-            surveyed_at: now.steady,
-            status_at: now.steady,
+            long_waits_logged_at: now.steady,
+            status_logged_at: now.steady,
             next_due: None,
         };
         scheduler.restore(now, &restored.records);
         if let Some(config) = restored.config {
             scheduler.adopt_config(&config);
         }
-        scheduler.hold_all(now);
+        scheduler.enqueue_all_jobs(now);
         scheduler.announce_term();
         scheduler
     }
@@ -140,7 +140,7 @@
         }
         let active: Vec<JobId> = self.active.iter().copied().collect();
         active.into_iter().for_each(|id| self.follow_route(id));
-        self.place_again = true;
+        self.placement_due = true;
     }
 
     fn follow_route(&mut self, id: JobId) {
@@ -150,15 +150,15 @@
         let routes = self.config.iter().flat_map(|config| &config.routes);
         let Some(route) = routes
             .into_iter()
-            .find(|route| route.name == job.terms.queue)
+            .find(|route| route.name == job.attributes.queue)
         else {
             return;
         };
-        job.terms.service = route.service.clone();
-        job.terms.max_attempts = route.max_attempts.max(1);
-        job.terms.priority = route.priority;
-        job.terms.extension = route.extension;
-        job.terms.target_ms = route.target_latency_ms;
+        job.attributes.service = route.service.clone();
+        job.attributes.max_attempts = route.max_attempts.max(1);
+        job.attributes.priority = route.priority;
+        job.attributes.extension = route.extension;
+        job.attributes.target_ms = route.target_latency_ms;
         let steps: Vec<StepId> = (0..job.times.len() as u32)
             .flat_map(|time| job.steps_of(time))
             .collect();
@@ -166,21 +166,21 @@
     }
 
     /// Holds every step of every job whose turn has come.
-    fn hold_all(&mut self, now: Now) {
+    fn enqueue_all_jobs(&mut self, now: Now) {
         let active: Vec<JobId> = self.active.iter().copied().collect();
-        active.into_iter().for_each(|id| self.hold_job(now, id));
+        active.into_iter().for_each(|id| self.enqueue_job(now, id));
     }
 
     /// Holds the steps of a job whose turn has come, and waits for times that are not due.
-    pub(crate) fn hold_job(&mut self, now: Now, id: JobId) {
-        let day_ms = self.day.millis(now);
+    pub(crate) fn enqueue_job(&mut self, now: Now, id: JobId) {
+        let wall_ms = self.time_of_day.millis(now);
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let Some(spec) = job.spec.clone() else { return };
         for time in 0..job.times.len() as u32 {
             match spec.due_ms(time) {
-                Some(at_ms) if at_ms > day_ms => self.due_times.add(DueTime {
+                Some(at_ms) if at_ms > wall_ms => self.due_times.add(DueTime {
                     at_ms,
                     job: id,
                     time,
@@ -200,15 +200,15 @@
     }
 
     fn open_due_times(&mut self, now: Now) {
-        let day_ms = self.day.millis(now);
-        self.day_ms = day_ms;
-        while let Some(due) = self.due_times.take_due(day_ms) {
+        let wall_ms = self.time_of_day.millis(now);
+        self.wall_ms = wall_ms;
+        while let Some(due) = self.due_times.take_due(wall_ms) {
             self.open_time(due.job, due.time);
         }
         let wait_ms = self
             .due_times
             .next_ms()
-            .map(|at_ms| (at_ms - day_ms).max(1) as u64);
+            .map(|at_ms| (at_ms - wall_ms).max(1) as u64);
         self.next_due = wait_ms.map(|wait_ms| now.steady.plus_millis(wait_ms));
     }
 
@@ -228,22 +228,22 @@
         if !turn {
             return self.queue.release(id);
         }
-        let objective = Objective::of(job, id, self.day_ms);
-        let key = HeldKey {
-            priority: job.terms.priority,
-            hope: objective.hope,
+        let objective = Objective::of(job, id, self.wall_ms);
+        let key = PendingKey {
+            priority: job.attributes.priority,
+            expectation: objective.expectation,
             due_ms: objective.due_ms,
-            order: job.terms.order,
+            order: job.attributes.order,
             step: id,
         };
-        self.queue.hold(&job.terms.service, key);
-        self.place_again = true;
+        self.queue.hold(&job.attributes.service, key);
+        self.placement_due = true;
     }
 
     /// Held steps move as their time runs out.
-    fn weigh_anew(&mut self) {
+    fn reorder_pending_steps(&mut self) {
         for service in self.queue.services() {
-            for key in self.queue.held(&service, HELD_IN_A_PASS) {
+            for key in self.queue.held(&service, PENDING_STEPS_PER_PASS) {
                 self.refresh_step(key.step);
             }
         }
@@ -251,30 +251,30 @@
 
     /// One pass of the placement for each service with held steps.
     fn place(&mut self, now: Now) {
-        self.place_again = false;
-        self.passes.done(now.steady, self.runners.len());
-        self.keep_headroom(now);
+        self.placement_due = false;
+        self.pass_pacing.done(now.steady, self.runners.len());
+        self.update_reserved_capacity(now);
         for service in self.queue.services() {
-            let runners = self.open_runners(now, &service);
+            let runners = self.available_runners(now, &service);
             if runners.is_empty() {
                 continue;
             }
-            let keys = self.queue.held(&service, HELD_IN_A_PASS);
-            let held: Vec<HeldStep> = keys
+            let keys = self.queue.held(&service, PENDING_STEPS_PER_PASS);
+            let held: Vec<PendingStep> = keys
                 .into_iter()
-                .filter_map(|key| self.held_step(now, key))
+                .filter_map(|key| self.pending_step(now, key))
                 .collect();
             let held = held
                 .into_iter()
                 .filter(|held| runners.iter().any(|r| fits(held.resources, r.room)));
-            let kept = self.headroom.kept(&service);
+            let kept = self.reserved_capacity.kept(&service);
             let placements =
                 Pass::new(runners.clone(), held.collect(), kept, &mut self.random).run();
             self.assign_all(now, &placements);
         }
     }
 
-    fn open_runners(&self, now: Now, service: &str) -> Vec<OpenRunner> {
+    fn available_runners(&self, now: Now, service: &str) -> Vec<AvailableRunner> {
         let reachable =
             |runner: &&Runner| runner.service == service && runner.reachable(now.steady);
         let all: Vec<(&NodeId, &Runner)> = self
@@ -282,25 +282,25 @@
             .iter()
             .filter(|(_, runner)| reachable(runner))
             .collect();
-        let resting = all
+        let ejected = all
             .iter()
-            .filter(|(_, runner)| !runner.health.is_well())
+            .filter(|(_, runner)| !runner.health.is_healthy())
             .count();
         // Where many fail at once the cause lies elsewhere: shutting them out would leave too few.
-        let trusted = resting * MOST_SHUT_OUT > all.len();
+        let ignores_health = ejected * MAX_EJECTED_DIVISOR > all.len();
         let usable = all
             .into_iter()
-            .filter(|(_, runner)| trusted || runner.health.may_start(now.steady));
-        let open = usable.map(|(&node, runner)| OpenRunner {
+            .filter(|(_, runner)| ignores_health || runner.health.may_start(now.steady));
+        let open = usable.map(|(&node, runner)| AvailableRunner {
             node,
-            room: runner.room(),
+            room: runner.free_capacity(),
             labels: runner.labels.clone(),
             reserved: self
                 .reservations
                 .get(&node)
                 .copied()
-                .filter(|held| self.queue.is_held(held.step)),
-            starts: if trusted || runner.health.is_well() {
+                .filter(|held| self.queue.contains(held.step)),
+            starts: if ignores_health || runner.health.is_healthy() {
                 u32::MAX
             } else {
                 1
@@ -309,42 +309,42 @@
         open.filter(|open| open.room.cpu > 0).collect()
     }
 
-    pub(crate) fn held_step(&self, now: Now, key: HeldKey) -> Option<HeldStep> {
+    pub(crate) fn pending_step(&self, now: Now, key: PendingKey) -> Option<PendingStep> {
         let job = self.jobs.get(&key.step.job)?;
         let (stage, step) = (job.stage(key.step)?, job.step(key.step)?);
         let held_ms = now
             .steady
-            .millis_since(step.waiting_since.max(job.taken_at));
+            .millis_since(step.waiting_since.max(job.accepted_at));
         let mut avoiding = BTreeMap::new();
-        if held_ms < AVOID_MS {
+        if held_ms < FAILED_RUNNER_AVOIDANCE_MS {
             let waiting = step
                 .waiting
                 .iter()
                 .filter_map(|&index| step.tasks.get(index as usize));
             waiting
-                .flat_map(|task| &task.avoid)
+                .flat_map(|task| &task.failed_at)
                 .for_each(|&node| *avoiding.entry(node).or_default() += 1);
         }
-        let mut carried = BTreeMap::new();
+        let mut running_at = BTreeMap::new();
         if stage.anti_affinity > 0 {
             step.tasks
                 .iter()
-                .filter_map(|task| task.on)
-                .for_each(|node| *carried.entry(node).or_default() += 1);
+                .filter_map(|task| task.runner)
+                .for_each(|node| *running_at.entry(node).or_default() += 1);
         }
-        Some(HeldStep {
+        Some(PendingStep {
             id: key.step,
             priority: key.priority,
             resources: stage.resources(),
             waiting: step.waiting.len() as u32,
             gang: stage.gang,
-            lasting: stage.long_running,
+            long_running: stage.long_running,
             rack_local: stage.rack_local,
             held_ms,
             affinity: stage.affinity.clone(),
             constraints: stage.constraints.clone(),
             anti_affinity: stage.anti_affinity,
-            carried,
+            running_at,
             avoiding,
         })
     }
@@ -365,7 +365,7 @@
             }
             let avoids = |index: &u32| {
                 step.tasks[*index as usize]
-                    .avoid
+                    .failed_at
                     .contains(&placement.runner)
             };
             let calm = step.waiting.iter().copied().find(|index| !avoids(index));
@@ -392,7 +392,7 @@
         let Some(resources) = job.stage(id.step).map(|stage| stage.resources()) else {
             return;
         };
-        job.begun = true;
+        job.has_started = true;
         let Some(step) = job.step_mut(id.step) else {
             return;
         };
@@ -400,7 +400,7 @@
             return;
         };
         task.attempt = gang_attempt.unwrap_or(task.attempt + 1);
-        task.on = Some(node);
+        task.runner = Some(node);
         let attempt = task.attempt;
         step.waiting.remove(&id.index);
         let Some(runner) = self.runners.get_mut(&node) else {
@@ -412,12 +412,12 @@
             resources,
             batch: 0,
             stop: false,
-            withdrawn: None,
+            withdrawn_in: None,
             active: false,
             seen: false,
             since: now.steady,
             percent: 0,
-            moved_at: now.steady,
+            progressed_at: now.steady,
         };
         runner.assigned.insert(id, assignment);
         let batch = self.write_task(id);
@@ -428,7 +428,7 @@
         {
             assignment.batch = batch;
         }
-        self.awaiting.wait_for(batch, node);
+        self.uncommitted_runners.wait_for(batch, node);
         self.refresh_step(id.step);
     }
 
@@ -439,10 +439,10 @@
             .get_mut(&id.step.job)
             .and_then(|job| job.task_mut(id))
         else {
-            return self.ledger.delete(Key::Task(id));
+            return self.commit_queue.delete(Key::Task(id));
         };
         let runner = task
-            .on
+            .runner
             .and_then(|node| self.runners.get(&node).map(|runner| (node, runner)));
         let assigned =
             runner.and_then(|(node, runner)| runner.assigned.get(&id).map(|a| (node, runner, a)));
@@ -456,11 +456,11 @@
             attempt: task.attempt,
             failures: task.failures,
             failed_attempt: task.failed_attempt,
-            saved: task.saved.as_str().into(),
+            checkpoint: task.checkpoint.as_str().into(),
             assigned: u8::from(assignment.is_some()),
             assignment: assignment.unwrap_or_default(),
         };
-        self.ledger.put_task(Key::Task(id), &record)
+        self.commit_queue.put_task(Key::Task(id), &record)
     }
 
     /// Lays a job's record into the open batch.
@@ -468,16 +468,16 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.batch = self.ledger.put_job(Key::Job(id), &job.record());
+        job.batch = self.commit_queue.put_job(Key::Job(id), &job.record());
     }
 
     /// After each event: due times, placement, orders.
-    fn settle(&mut self, now: Now) {
+    fn after_event(&mut self, now: Now) {
         self.open_due_times(now);
-        if self.place_again && !self.queue.is_empty() && self.passes.may_run(now.steady) {
+        if self.placement_due && !self.queue.is_empty() && self.pass_pacing.may_run(now.steady) {
             self.place(now);
         }
-        self.send_changed_orders(now);
+        self.send_changed_commands(now);
     }
 
     fn purge(&mut self, now: Now) {
@@ -493,7 +493,7 @@
         let old: Vec<JobId> = self.jobs.values().filter(over).map(|job| job.id).collect();
         for id in old {
             self.jobs.remove(&id);
-            self.ledger.delete(Key::Job(id));
+            self.commit_queue.delete(Key::Job(id));
         }
     }
 
@@ -517,7 +517,7 @@
                     step,
                     index: index as u32,
                 };
-                match task.on {
+                match task.runner {
                     Some(node) => assigned.push((task_id, node)),
                     None if task.attempt > 0 => idle.push(task_id),
                     None => {}
@@ -528,7 +528,7 @@
         self.active.remove(&id);
         steps.into_iter().for_each(|step| self.queue.release(step));
         idle.into_iter().for_each(|task| {
-            self.ledger.delete(Key::Task(task));
+            self.commit_queue.delete(Key::Task(task));
         });
         for (task, node) in assigned {
             // The members of a gang that has ended well end by themselves.
@@ -564,21 +564,21 @@
             Message::RunnerReport(report) => self.runner_report(now, from, report),
             _ => {}
         }
-        self.settle(now);
+        self.after_event(now);
     }
 
     fn config(&mut self, now: Now, config: ConfigInForce) {
         self.adopt_config(&config);
-        self.settle(now);
+        self.after_event(now);
     }
 
     fn committed(&mut self, now: Now, number: u64) {
-        self.ledger.commit(number);
-        for node in self.awaiting.take_kept(number) {
+        self.commit_queue.commit(number);
+        for node in self.uncommitted_runners.take_committed(number) {
             self.changed.insert(node);
             self.observe_ends(node);
         }
-        self.settle(now);
+        self.after_event(now);
     }
 
     fn wake(&mut self, now: Now) {
@@ -587,27 +587,27 @@
             self.next_timer = now
                 .steady
                 .plus_millis(if idle { IDLE_TIMER_MS } else { TIMER_MS });
-            self.give_up_unreachable(now);
-            self.watch_runs(now);
-            self.weigh_anew();
+            self.expire_unreachable_runners(now);
+            self.relocate_runs(now);
+            self.reorder_pending_steps();
             self.place(now);
             self.queue
                 .services()
                 .iter()
                 .for_each(|service| self.preempt(now, service));
             self.purge(now);
-            self.survey(now);
+            self.log_long_waits(now);
             self.status(now);
-            self.place_again = true;
+            self.placement_due = true;
         }
-        self.settle(now);
+        self.after_event(now);
     }
 
     fn next_wake(&self) -> Option<Time> {
         let pass_due = self
-            .passes
+            .pass_pacing
             .delayed_until()
-            .filter(|_| self.place_again && !self.queue.is_empty());
+            .filter(|_| self.placement_due && !self.queue.is_empty());
         [self.next_due, pass_due]
             .into_iter()
             .flatten()
@@ -616,10 +616,10 @@
     }
 
     fn take_batch(&mut self) -> Option<Batch> {
-        self.ledger.take_batch()
+        self.commit_queue.take_batch()
     }
 
     fn take_sends(&mut self) -> Vec<(NodeId, Message)> {
-        self.ledger.take_sends()
+        self.commit_queue.take_sends()
     }
 }
--- a/crates/cluster/scheduler/src/stuck_runs.rs
+++ b/crates/cluster/scheduler/src/stuck_runs.rs
@@ -13,13 +13,13 @@
 /// A run may stand still for this part of its estimate.
 const STALL_OF_ESTIMATE: f64 = 0.25;
 /// Beyond the longest stop, so that a stop is over before its runner leaves, in milliseconds.
-const LEAVE_MARGIN_MS: u64 = 700;
+const EVACUATION_MARGIN_MS: u64 = 700;
 /// Progress below this tells nothing of a run's pace, in hundredths.
-const TELLING_PERCENT: u8 = 5;
+const MIN_PACE_PERCENT: u8 = 5;
 
 impl Scheduler {
     /// Stops what is better run elsewhere.
-    pub(crate) fn watch_runs(&mut self, now: Now) {
+    pub(crate) fn relocate_runs(&mut self, now: Now) {
         let mut unwanted: Vec<(NodeId, TaskId)> = Vec::new();
         let mut stalled: Vec<(NodeId, JobId)> = Vec::new();
         for (&node, runner) in &self.runners {
@@ -35,10 +35,9 @@
                 let Some(stage) = self.running_stage(task) else {
                     continue;
                 };
-                if runner.draining && self.must_leave(now, runner, assignment, stage) {
+                if runner.draining && self.must_evacuate(now, runner, assignment, stage) {
                     unwanted.push((node, task));
-                } else if runner.reachable(now.steady) && self.stands_still(now, assignment, stage)
-                {
+                } else if runner.reachable(now.steady) && self.is_stalled(now, assignment, stage) {
                     unwanted.push((node, task));
                     stalled.push((node, task.step.job));
                 }
@@ -46,7 +45,7 @@
         }
         for (node, job) in stalled {
             log::info!("a run at {node} stands still");
-            self.blame(now, node, job);
+            self.record_failure(now, node, job);
         }
         unwanted
             .into_iter()
@@ -61,7 +60,7 @@
         job.stage(id.step)
     }
 
-    fn stands_still(&self, now: Now, assignment: &Assignment, stage: &Stage) -> bool {
+    fn is_stalled(&self, now: Now, assignment: &Assignment, stage: &Stage) -> bool {
         if stage.long_running || assignment.percent >= 100 {
             return false;
         }
@@ -72,11 +71,11 @@
             0
         };
         let limit_ms = STALL_MS.max(estimate_ms) + waits_ms + self.settings.bounds.restore_ms;
-        now.steady.millis_since(assignment.moved_at) > limit_ms
+        now.steady.millis_since(assignment.progressed_at) > limit_ms
     }
 
     /// True where a run on a draining runner should move now.
-    fn must_leave(
+    fn must_evacuate(
         &self,
         now: Now,
         runner: &Runner,
@@ -88,14 +87,14 @@
         }
         let left_ms = runner
             .remaining_ms
-            .saturating_sub(now.steady.millis_since(runner.heard));
-        let stop_ms = self.settings.bounds.stop_ms + LEAVE_MARGIN_MS;
+            .saturating_sub(now.steady.millis_since(runner.last_report_at));
+        let stop_ms = self.settings.bounds.stop_ms + EVACUATION_MARGIN_MS;
         if stage.checkpoints {
             return left_ms <= stop_ms;
         }
         let ran_ms = now.steady.millis_since(assignment.since);
         let percent = u64::from(assignment.percent);
-        let needed_ms = match assignment.percent >= TELLING_PERCENT {
+        let needed_ms = match assignment.percent >= MIN_PACE_PERCENT {
             true => ran_ms * (100 - percent.min(100)) / percent,
             false => (stage.estimate_ms as u64).saturating_sub(ran_ms),
         };
--- a/crates/cluster/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -11,15 +11,15 @@
 use sagetrail_protocol::service::Restored;
 use sagetrail_protocol::NodeId;
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use test_cluster::{config, World, DAY_MS};
+use test_cluster::{config, TestCluster, START_WALL_MS};
 
-const KEPT: &str = "tests/fixtures/client_answers.txt";
+const FIXTURE: &str = "tests/fixtures/client_answers.txt";
 const JOB: &str = "00000000000000aa";
 const OTHER_JOB: &str = "00000000000000bb";
 const UNKNOWN_JOB: &str = "00000000000000cc";
 const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
 /// So many jobs are kept at once.
-const MOST_JOBS: usize = 40_000;
+const MAX_JOBS: usize = 40_000;
 
 /// Bodies that are no job.
 const BAD_JOBS: [&str; 12] = [
@@ -46,14 +46,14 @@
 /// Adds the answer to a request, once what it changes is kept.
 fn add(
     transcript: &mut Transcript,
-    world: &mut World,
+    cluster: &mut TestCluster,
     name: &str,
     request: (ClientMethod, &str, &str),
 ) {
     let (method, path, body) = request;
-    let number = world.request(method, path, body);
-    world.commit();
-    let reply = world
+    let number = cluster.request(method, path, body);
+    cluster.commit();
+    let reply = cluster
         .reply(number)
         .unwrap_or_else(|| panic!("no answer: {name}"));
     add_reply(transcript, name, reply);
@@ -64,52 +64,52 @@
 }
 
 fn life_of_a_job(transcript: &mut Transcript) {
-    let mut world = World::new(1);
+    let mut cluster = TestCluster::new(1);
     let path = job_path(JOB);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "a queue without jobs",
         (Read, "/q/", ""),
     );
-    add(transcript, &mut world, "a job", (Submit, &path, ONE_TASK));
+    add(transcript, &mut cluster, "a job", (Submit, &path, ONE_TASK));
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "the same job again",
         (Submit, &path, ONE_TASK),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "the same job with another body",
         (Submit, &path, "{"),
     );
-    add(transcript, &mut world, "its queue", (Read, "/q/", ""));
-    add(transcript, &mut world, "its state", (Read, &path, ""));
-    world.obey_all();
+    add(transcript, &mut cluster, "its queue", (Read, "/q/", ""));
+    add(transcript, &mut cluster, "its state", (Read, &path, ""));
+    cluster.execute_commands();
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state once it runs",
         (Read, &path, ""),
     );
-    world.end_all(RunEnd::Done);
+    cluster.end_all_runs(RunEnd::Done);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state at its end",
         (Read, &path, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its cancellation after its end",
         (Cancel, &path, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state after that",
         (Read, &path, ""),
     );
@@ -117,108 +117,108 @@
     let path = job_path(OTHER_JOB);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "another job",
         (Submit, &path, ONE_TASK),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its cancellation",
         (Cancel, &path, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its cancellation again",
         (Cancel, &path, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state when cancelled",
         (Read, &path, ""),
     );
 
-    let mut world = World::with_config(1, config(1, 1, 1));
+    let mut cluster = TestCluster::with_config(1, config(1, 1, 1));
     let path = job_path(JOB);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "a job with one attempt",
         (Submit, &path, ONE_TASK),
     );
-    world.obey_all();
-    world.end_all(RunEnd::Failed);
+    cluster.execute_commands();
+    cluster.end_all_runs(RunEnd::Failed);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state when failed",
         (Read, &path, ""),
     );
 }
 
 fn a_job_that_waits(transcript: &mut Transcript) {
-    let mut world = World::new(1);
+    let mut cluster = TestCluster::new(1);
     let path = job_path(JOB);
-    let later = DAY_MS + 60_000;
+    let later = START_WALL_MS + 60_000;
     let body = format!(
         r#"{{"stages":[{{"count":1,"cpu":500}}],"repeat":2,"first_run_ms":{later},"interval_ms":2000}}"#
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "a job for later",
         (Submit, &path, &body),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "its state before",
         (Read, &path, ""),
     );
 }
 
 fn what_is_refused(transcript: &mut Transcript) {
-    let mut world = World::new(1);
+    let mut cluster = TestCluster::new(1);
     let unknown = job_path(UNKNOWN_JOB);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "an unknown job's state",
         (Read, &unknown, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "an unknown job's cancellation",
         (Cancel, &unknown, ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "no such queue",
         (Read, "/none/", ""),
     );
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "no such queue, with a job",
         (Submit, "/none/00000000000000aa", ONE_TASK),
     );
     for path in ["/q/nothex", "/q/00000000000000AA", "/q/0a", "/q/"] {
         add(
             transcript,
-            &mut world,
+            &mut cluster,
             &format!("POST {path}"),
             (Submit, path, ONE_TASK),
         );
     }
-    add(transcript, &mut world, "DELETE /q/", (Cancel, "/q/", ""));
+    add(transcript, &mut cluster, "DELETE /q/", (Cancel, "/q/", ""));
     for body in BAD_JOBS {
         add(
             transcript,
-            &mut world,
+            &mut cluster,
             &format!("no job: {body}"),
             (Submit, &job_path(JOB), body),
         );
@@ -226,21 +226,21 @@
 }
 
 fn no_room(transcript: &mut Transcript) {
-    let mut world = World::new(0);
-    for number in 0..MOST_JOBS {
-        world.submit(&format!("{number:016x}"), ONE_TASK);
+    let mut cluster = TestCluster::new(0);
+    for number in 0..MAX_JOBS {
+        cluster.submit(&format!("{number:016x}"), ONE_TASK);
     }
-    let path = job_path(&format!("{MOST_JOBS:016x}"));
+    let path = job_path(&format!("{MAX_JOBS:016x}"));
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "one job over those kept",
         (Submit, &path, ONE_TASK),
     );
 }
 
 fn no_configuration(transcript: &mut Transcript) {
-    let mut world = World::new(0);
+    let mut cluster = TestCluster::new(0);
     let restored = Restored {
         term: 2,
         node: NodeId { ip: 9, port: 9 },
@@ -251,10 +251,10 @@
     let settings = SchedulerSettings {
         bounds: Bounds::default(),
     };
-    world.scheduler = Scheduler::new(settings, world.now, restored);
+    cluster.scheduler = Scheduler::new(settings, cluster.now, restored);
     add(
         transcript,
-        &mut world,
+        &mut cluster,
         "without a configuration",
         (Submit, &job_path(JOB), ONE_TASK),
     );
@@ -268,5 +268,5 @@
     what_is_refused(&mut transcript);
     no_room(&mut transcript);
     no_configuration(&mut transcript);
-    transcript.assert_kept(KEPT);
+    transcript.assert_kept(FIXTURE);
 }
--- a/crates/cluster/scheduler/tests/test_cluster/mod.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/mod.rs
@@ -16,19 +16,19 @@
 /// The gateway of all clients.
 const GATEWAY: NodeId = NodeId { ip: 1, port: 1 };
 /// The time of day at the start, in milliseconds since 1970.
-pub(crate) const DAY_MS: i64 = 1_000_000;
+pub(crate) const START_WALL_MS: i64 = 1_000_000;
 
 /// A runner with its agent.
 #[derive(Clone, Debug)]
-pub(crate) struct FakeRunner {
+pub(crate) struct SimulatedRunner {
     pub instance: String,
     pub labels: Vec<String>,
     pub capacity: Resources,
     pub active: BTreeMap<String, u64>,
     pub finished: Vec<FinishedRun>,
-    pub numbers: u64,
+    pub last_end_number: u64,
     /// The newest attempt of each task that has ended in this instance.
-    pub over: BTreeMap<String, u64>,
+    pub ended_attempts: BTreeMap<String, u64>,
     pub draining: bool,
     pub remaining_ms: u64,
     pub lapsed: bool,
@@ -41,11 +41,11 @@
 }
 
 /// All of it.
-pub(crate) struct World {
+pub(crate) struct TestCluster {
     pub scheduler: Scheduler,
     pub now: Now,
     pub term: u64,
-    pub runners: BTreeMap<NodeId, FakeRunner>,
+    pub runners: BTreeMap<NodeId, SimulatedRunner>,
     pub orders: BTreeMap<NodeId, RunnerOrders>,
     pub replies: Vec<ClientReply>,
     pub records: BTreeMap<Vec<u8>, Vec<u8>>,
@@ -79,16 +79,16 @@
     }
 }
 
-impl World {
+impl TestCluster {
     /// A world with runners of four cores in two racks, all of them reported.
-    pub(crate) fn new(runners: u32) -> World {
-        World::with_config(runners, config(1, 2, 1))
+    pub(crate) fn new(runners: u32) -> TestCluster {
+        TestCluster::with_config(runners, config(1, 2, 1))
     }
 
-    pub(crate) fn with_config(runners: u32, config: ConfigInForce) -> World {
+    pub(crate) fn with_config(runners: u32, config: ConfigInForce) -> TestCluster {
         let now = Now {
             steady: Time(1_000_000),
-            wall_ms: DAY_MS,
+            wall_ms: START_WALL_MS,
         };
         let restored = Restored {
             term: 1,
@@ -100,7 +100,7 @@
         let settings = SchedulerSettings {
             bounds: Bounds::default(),
         };
-        let mut world = World {
+        let mut cluster = TestCluster {
             scheduler: Scheduler::new(settings, now, restored),
             now,
             term: 1,
@@ -112,7 +112,7 @@
         };
         for number in 0..runners {
             let rack = format!("r1-{}", number / 2);
-            let runner = FakeRunner {
+            let runner = SimulatedRunner {
                 instance: format!("i-{number}"),
                 labels: vec!["a".to_owned(), rack],
                 capacity: Resources {
@@ -122,8 +122,8 @@
                 },
                 active: BTreeMap::new(),
                 finished: Vec::new(),
-                numbers: 0,
-                over: BTreeMap::new(),
+                last_end_number: 0,
+                ended_attempts: BTreeMap::new(),
                 draining: false,
                 remaining_ms: 0,
                 lapsed: false,
@@ -133,15 +133,15 @@
                 sequence: 0,
                 agent: 50 + u64::from(number),
             };
-            world.runners.insert(node(number), runner);
+            cluster.runners.insert(node(number), runner);
         }
-        world.report_all();
-        world.report_all();
-        world
+        cluster.report_all();
+        cluster.report_all();
+        cluster
     }
 
     /// A new term takes over from what is kept. `config` is in force.
-    pub(crate) fn take_over(&mut self, config: ConfigInForce) {
+    pub(crate) fn start_next_term(&mut self, config: ConfigInForce) {
         self.term += 1;
         let records = self.records.clone().into_iter().collect();
         let restored = Restored {
@@ -158,7 +158,7 @@
         self.orders.clear();
     }
 
-    pub(crate) fn pass_ms(&mut self, millis: u64) {
+    pub(crate) fn advance_ms(&mut self, millis: u64) {
         self.now.steady = self.now.steady.plus_millis(millis);
         self.now.wall_ms += millis as i64;
         self.scheduler.wake(self.now);
@@ -307,7 +307,7 @@
     }
 
     /// Every runner carries out its orders and reports.
-    pub(crate) fn obey_all(&mut self) {
+    pub(crate) fn execute_commands(&mut self) {
         for (node, orders) in self.orders.clone() {
             let runner = self.runners.get_mut(&node).expect("a runner with orders");
             if orders.instance.0 != runner.instance {
@@ -325,7 +325,7 @@
     }
 
     /// All active runs end so; the runners report it.
-    pub(crate) fn end_all(&mut self, end: RunEnd) {
+    pub(crate) fn end_all_runs(&mut self, end: RunEnd) {
         for runner in self.runners.values_mut() {
             let tasks: Vec<String> = runner.active.keys().cloned().collect();
             tasks.iter().for_each(|task| runner.end(task, end));
@@ -335,7 +335,7 @@
 
     /// What runs where, over all runners.
     pub(crate) fn running(&self) -> Vec<(NodeId, String, u64)> {
-        let runs = |(&node, runner): (&NodeId, &FakeRunner)| {
+        let runs = |(&node, runner): (&NodeId, &SimulatedRunner)| {
             let of = |(task, &attempt): (&String, &u64)| (node, task.clone(), attempt);
             runner.active.iter().map(of).collect::<Vec<_>>()
         };
@@ -343,19 +343,21 @@
     }
 }
 
-impl FakeRunner {
+impl SimulatedRunner {
     /// True where this run or a later one of the task ended here.
     pub(crate) fn has_ended(&self, task: &str, attempt: u64) -> bool {
-        self.over.get(task).is_some_and(|&over| attempt <= over)
+        self.ended_attempts
+            .get(task)
+            .is_some_and(|&over| attempt <= over)
     }
 
     pub(crate) fn end(&mut self, task: &str, end: RunEnd) {
         let Some(attempt) = self.active.remove(task) else {
             return;
         };
-        self.over.insert(task.to_owned(), attempt);
-        self.numbers += 1;
-        let number = self.numbers;
+        self.ended_attempts.insert(task.to_owned(), attempt);
+        self.last_end_number += 1;
+        let number = self.last_end_number;
         self.finished.push(FinishedRun {
             number,
             task: task.into(),
