--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use sagetrail_dispatch::number;
-use sagetrail_raft::{Fault, Timing};
+use sagetrail_raft::{SnapshotProgress, Timing};
 use sagetrail_replicated_store::{
     begin, About, Answer, Batch, Ended, Name, Node, NodeConfig, Op, Outcome, RetryPolicy, CLAIM_S,
     SETTINGS_MOST,
@@ -90,7 +90,7 @@
                 .iter()
                 .map(|member| number(&member.name))
                 .collect(),
-            founders: said.voters.iter().map(|name| number(name)).collect(),
+            initial_voters: said.voters.iter().map(|name| number(name)).collect(),
             timing: Timing {
                 heartbeat_s: said.beat_s,
                 election_timeout_s: said.patience_s,
@@ -215,7 +215,7 @@
                         return;
                     };
                     self.post(batch.frames);
-                    self.node.borrow_mut().persisted(now, batch.mark);
+                    self.node.borrow_mut().persisted(now, batch.position);
                 }
             }
             Err(why) => {
@@ -285,15 +285,7 @@
         let now = self.clock.now();
         let fault = self.node.borrow().fault();
         if let Some(fault) = fault {
-            let why = match fault {
-                Fault::Differs { index } => format!("it differs from the others' at {index}"),
-                Fault::Old { here, known } => {
-                    format!("it is an old copy: {here} records, others saw {known}")
-                }
-            };
-            tracing::error!(
-                "this copy of what is agreed is put aside: {why}; begins as a new member"
-            );
+            tracing::error!("the replicated log is put aside, joining again blank: {fault}");
             let fresh = rand_pcg::Pcg64Mcg::from_os_rng().random();
             self.writing.borrow_mut().clear();
             self.disk
@@ -304,7 +296,8 @@
         self.tell_claims(true);
         let lends = {
             let node = self.node.borrow();
-            let fresh = node.status(now).silent_s < self.said.stale_s || node.status(now).term == 0;
+            let fresh =
+                node.status(now).since_leader_s < self.said.stale_s || node.status(now).term == 0;
             fresh && !node.behind() && !node.facts.no_loans.contains(&self.me)
         };
         self.fleet.lends(lends);
@@ -637,13 +630,13 @@
         let _ = writeln!(
             lines,
             "{} leader {leader} term {} agreed {} log {} votes {} behind {} silent_s {:.1}",
-            s.role.replace(' ', "-"),
+            s.role.to_string().replace(' ', "-"),
             s.term,
             node.at,
-            s.last,
-            s.votes,
+            s.last_index,
+            s.can_vote,
             node.behind(),
-            s.silent_s.min(99_999.0)
+            s.since_leader_s.min(99_999.0)
         );
         if let Some(sure) = sure {
             let word = if sure {
@@ -653,10 +646,21 @@
             };
             let _ = writeln!(lines, "{word}");
         }
-        if let Some((have, size)) = s.incoming {
-            let _ = writeln!(lines, "a snapshot is coming: {have} of {size} bytes");
+        if let Some(SnapshotProgress {
+            received_bytes,
+            total_bytes,
+        }) = s.incoming_snapshot
+        {
+            let _ = writeln!(
+                lines,
+                "a snapshot is coming: {received_bytes} of {total_bytes} bytes"
+            );
         }
-        let voters: Vec<&str> = s.voters.iter().map(|voter| self.named(voter.who)).collect();
+        let voters: Vec<&str> = s
+            .voters
+            .iter()
+            .map(|voter| self.named(voter.member))
+            .collect();
         let _ = writeln!(lines, "voters {}", voters.join(" "));
         let disk = if node.is_muted() { "failed" } else { "good" };
         let _ = writeln!(
--- /dev/null
+++ b/crates/dispatcher/raft/src/disk_record.rs
@@ -0,0 +1,40 @@
+//! Records that a member writes to its disk.
+
+use serde::{Deserialize, Serialize};
+
+use crate::entry::Entry;
+use crate::snapshot::Snapshot;
+
+/// A record of the log on disk. The order of the variants is part of the disk format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum DiskRecord {
+    /// The current term and this member's vote in it (`currentTerm` and `votedFor` in Raft, figure 2).
+    Term {
+        /// The current term.
+        term: u64,
+        /// The candidate that received this member's vote in the term, if any.
+        vote: Option<u64>,
+    },
+    /// An entry appended to the log.
+    Entry(Entry),
+    /// All entries from an index on were removed.
+    Truncate {
+        /// The first index that was removed.
+        from: u64,
+    },
+    /// The log begins after this snapshot.
+    Snapshot(Snapshot),
+    /// The highest known watermarks of other members' disks.
+    Watermarks(Vec<DiskWatermark>),
+}
+
+/// The number of records that a disk is known to have held, ever.
+///
+/// A disk that comes back with fewer is an older copy of itself: it has lost votes and entries that it acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DiskWatermark {
+    /// The identity of the disk.
+    pub disk: u64,
+    /// Records written since the disk was blank.
+    pub records_written: u64,
+}
--- a/crates/dispatcher/raft/src/lib.rs
+++ b/crates/dispatcher/raft/src/lib.rs
@@ -9,19 +9,27 @@
 #![allow(missing_docs)]
 
 mod config;
+mod disk_record;
 mod entry;
-mod log;
+mod error;
+mod log_position;
 mod message;
 mod output;
 mod raft;
-mod record;
+mod raft_log;
+mod snapshot;
+mod voter;
 
 pub use config::{RaftConfig, Timing};
-pub use entry::{Entry, EntryPayload, Mark, Snapshot, Voter};
-pub use log::{EntryBatch, Log};
+pub use entry::{Entry, EntryPayload};
+pub use error::RaftError;
+pub use log_position::LogPosition;
+
+pub use disk_record::{DiskRecord, DiskWatermark};
 pub use message::{
-    AppendEntries, AppendReply, Message, MessageBody, SnapshotPart, VoteReply, VoteRequest,
+    AppendEntries, AppendReply, Message, MessageBody, SnapshotChunk, VoteReply, VoteRequest,
 };
-pub use output::{Committed, Fault, Output, Status};
+pub use output::{Committed, MemberRole, OutboundMessage, Output, SnapshotProgress, Status};
 pub use raft::Raft;
-pub use record::{DiskRecord, DiskWritten};
+pub use snapshot::Snapshot;
+pub use voter::Voter;
--- /dev/null
+++ b/crates/dispatcher/raft/src/log_position.rs
@@ -0,0 +1,47 @@
+//! Positions in the log.
+
+use std::hash::Hasher;
+
+use serde::{Deserialize, Serialize};
+use siphasher::sip::SipHasher13;
+
+use crate::entry::EntryPayload;
+
+/// Keys of the chained checksum. They are no secret: the checksum finds faults, not forgers.
+const CHAIN_KEYS: (u64, u64) = (0x7361_6765, 0x7472_6169);
+
+/// The position of an entry: index and term as in Raft, and a checksum that covers all entries up to it.
+///
+/// Two logs with the same position at one index hold the same entries up to it. Raft derives this from index and term
+/// alone (the Log Matching Property, 5.3); the checksum verifies it, so a corrupted or diverged log is found.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LogPosition {
+    /// Index in the log, from 1; 0 is the position before the first entry.
+    pub index: u64,
+    /// Term of the leader that proposed the entry.
+    pub term: u64,
+    /// Chained checksum over all entries up to this one.
+    pub chain: u64,
+}
+
+impl LogPosition {
+    /// The position of an entry with this term and payload right after this one.
+    pub(crate) fn next(&self, term: u64, payload: &EntryPayload) -> LogPosition {
+        LogPosition {
+            index: self.index + 1,
+            term,
+            chain: self.next_chain(term, payload),
+        }
+    }
+
+    /// The checksum covers the content of the entries, not their form on disk.
+    fn next_chain(&self, term: u64, payload: &EntryPayload) -> u64 {
+        let mut hasher = SipHasher13::new_with_keys(CHAIN_KEYS.0, CHAIN_KEYS.1);
+        hasher.write_u64(self.chain);
+        hasher.write_u64(self.index + 1);
+        hasher.write_u64(term);
+        // Serializing to a vector fails only for types without a known length, and the payload has none.
+        hasher.write(&postcard::to_allocvec(payload).unwrap_or_default());
+        hasher.finish()
+    }
+}
--- a/crates/dispatcher/raft/src/raft.rs
+++ b/crates/dispatcher/raft/src/raft.rs
@@ -2,31 +2,33 @@
 //! modules below.
 
 mod append;
+mod bootstrap;
 mod commit;
-mod disk_check;
 mod election;
-mod founding;
 mod leader;
+mod membership_change;
 mod persistence;
 mod progress;
 mod read_index;
 mod receive;
-mod reconfigure;
 mod replication;
+mod rollback_check;
 mod snapshot_receiver;
 mod snapshot_sender;
 mod timer;
 
 use crate::config::{RaftConfig, Timing};
-use crate::entry::{Mark, Voter};
-use crate::log::Log;
+use crate::disk_record::DiskRecord;
+use crate::error::RaftError;
+use crate::log_position::LogPosition;
 use crate::message::{Message, MessageBody};
-use crate::output::{Fault, Output, Status};
-use crate::record::DiskRecord;
-use disk_check::{DiskCheck, Peer};
+use crate::output::{MemberRole, OutboundMessage, Output, Status};
+use crate::raft_log::RaftLog;
+use crate::voter::Voter;
 use progress::LeaderState;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use rollback_check::{Peer, RollbackCheck};
 use snapshot_receiver::IncomingSnapshot;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,18 +53,18 @@
 
 /// One member of the replicated log.
 pub struct Raft {
-    me: u64,
+    id: u64,
     disk: u64,
     members: Vec<u64>,
-    founders: Vec<u64>,
+    initial_voters: Vec<u64>,
     timing: Timing,
     random: Pcg64Mcg,
     term: u64,
     vote: Option<u64>,
-    log: Log,
-    commit: u64,
+    log: RaftLog,
+    commit_index: u64,
     /// Up to here `next_committed` has handed out.
-    delivered: u64,
+    applied_index: u64,
     /// The highest commit index that a leader told.
     leader_commit: u64,
     /// The own log is synced up to here.
@@ -72,23 +74,23 @@
     role: Role,
     leader: Option<u64>,
     /// When a leader was last heard.
-    leader_heard: f64,
+    leader_contact_at: f64,
     /// When the next election begins.
-    election_due: f64,
+    election_deadline: f64,
     last_tick: f64,
     /// The disk may be an old copy: others are being asked.
-    disk_check: Option<DiskCheck>,
+    rollback_check: Option<RollbackCheck>,
     /// Tells answers to this process from those to an earlier one.
     nonce: u64,
     /// By disk, the most it was heard to have written.
-    known_written: BTreeMap<u64, u64>,
+    known_watermarks: BTreeMap<u64, u64>,
     /// What of that is not on this one's disk yet.
-    unsaved_written: BTreeMap<u64, u64>,
+    unsaved_watermarks: BTreeMap<u64, u64>,
     peers: BTreeMap<u64, Peer>,
     /// When each member was last heard of with each disk.
-    voter_heard: BTreeMap<Voter, f64>,
-    incoming: Option<IncomingSnapshot>,
-    fault: Option<Fault>,
+    disk_contact_at: BTreeMap<Voter, f64>,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    fault: Option<RaftError>,
     /// The number of the last read asked for here.
     read_number: u64,
     /// Read indexes by number.
@@ -98,59 +100,64 @@
 
 impl Raft {
     /// `records`: what the disk holds, in order; `written`: how many records it holds or ever held.
-    pub fn open(config: RaftConfig, records: Vec<DiskRecord>, written: u64, now: f64) -> Raft {
+    pub fn open(
+        config: RaftConfig,
+        records: Vec<DiskRecord>,
+        records_written: u64,
+        now: f64,
+    ) -> Raft {
         let holds_promises = !records.is_empty();
-        let mut raft = Raft::blank(config, written, now);
+        let mut raft = Raft::blank(config, records_written, now);
         for record in records {
             raft.replay(record);
         }
-        raft.unsaved_written.clear();
-        raft.commit = raft.log.base().index;
-        raft.persisted_index = raft.log.last().index;
+        raft.unsaved_watermarks.clear();
+        raft.commit_index = raft.log.snapshot_position().index;
+        raft.persisted_index = raft.log.last_position().index;
         // A disk that holds something may be an old copy of itself: it promises nothing before others were asked.
-        raft.disk_check = holds_promises.then(|| DiskCheck::new(now));
+        raft.rollback_check = holds_promises.then(|| RollbackCheck::new(now));
         raft.reset_election_timer(now);
         raft
     }
 
-    fn blank(config: RaftConfig, written: u64, now: f64) -> Raft {
+    fn blank(config: RaftConfig, records_written: u64, now: f64) -> Raft {
         let RaftConfig {
-            me,
+            id,
             disk,
             members,
-            founders,
+            initial_voters,
             timing,
             seed,
         } = config;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nonce: u64 = random.random();
         Raft {
-            me,
+            id,
             disk,
             members,
-            founders,
+            initial_voters,
             timing,
             random,
             term: 0,
             vote: None,
-            log: Log::default(),
-            commit: 0,
-            delivered: 0,
+            log: RaftLog::default(),
+            commit_index: 0,
+            applied_index: 0,
             leader_commit: 0,
             persisted_index: 0,
-            records_written: written,
+            records_written,
             role: Role::Follower,
             leader: None,
-            leader_heard: f64::NEG_INFINITY,
-            election_due: f64::INFINITY,
+            leader_contact_at: f64::NEG_INFINITY,
+            election_deadline: f64::INFINITY,
             last_tick: now,
-            disk_check: None,
+            rollback_check: None,
             nonce,
-            known_written: BTreeMap::new(),
-            unsaved_written: BTreeMap::new(),
+            known_watermarks: BTreeMap::new(),
+            unsaved_watermarks: BTreeMap::new(),
             peers: BTreeMap::new(),
-            voter_heard: BTreeMap::new(),
-            incoming: None,
+            disk_contact_at: BTreeMap::new(),
+            incoming_snapshot: None,
             fault: None,
             // Not where a former process began: an answer to it may still be on the way.
             read_number: nonce >> 1,
@@ -165,42 +172,42 @@
             DiskRecord::Entry(entry) => self.log.entries.push_back(entry),
             DiskRecord::Truncate { from } => self.log.truncate(from),
             DiskRecord::Snapshot(snapshot) => self.log.install(snapshot),
-            DiskRecord::Disks(disks) => self.note_disks(disks),
+            DiskRecord::Watermarks(disks) => self.note_watermarks(disks),
         }
     }
 
     fn send(&mut self, to: u64, body: MessageBody) {
         let message = Message {
             disk: self.disk,
-            written: self.records_written,
+            records_written: self.records_written,
             term: self.term,
             body,
         };
-        self.output.messages.push((to, message));
+        self.output.messages.push(OutboundMessage { to, message });
     }
 
     /// The last entry of the log: what `persisted` is told once all records of the outputs taken so far are synced.
-    pub fn last(&self) -> Mark {
-        self.log.last()
+    pub fn last_position(&self) -> LogPosition {
+        self.log.last_position()
     }
 
     /// Why this copy cannot go on, if it cannot.
-    pub fn fault(&self) -> Option<Fault> {
+    pub fn fault(&self) -> Option<RaftError> {
         self.fault
     }
 
     /// An operator vouches for this disk: those that could know better are gone.
-    pub fn trust(&mut self) {
-        self.disk_check = None;
+    pub fn trust_disk(&mut self) {
+        self.rollback_check = None;
     }
 
     fn voters(&self) -> &[Voter] {
         self.log.voters().0
     }
 
-    fn myself(&self) -> Voter {
+    fn own_voter(&self) -> Voter {
         Voter {
-            who: self.me,
+            member: self.id,
             disk: self.disk,
         }
     }
@@ -209,13 +216,15 @@
         self.members
             .iter()
             .copied()
-            .filter(|who| *who != self.me)
+            .filter(|member| *member != self.id)
             .collect()
     }
 
     /// It has a vote, by the log as it stands here.
-    pub fn votes(&self) -> bool {
-        self.voters().contains(&self.myself()) && self.disk_check.is_none() && self.fault.is_none()
+    pub fn can_vote(&self) -> bool {
+        self.voters().contains(&self.own_voter())
+            && self.rollback_check.is_none()
+            && self.fault.is_none()
     }
 
     /// Whether more than half of the voters satisfy a condition.
@@ -233,10 +242,13 @@
     }
 
     /// A leader has said that more is agreed than was delivered here; or none has said anything yet.
-    pub fn behind(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         let no_leader_yet = self.leader_commit == 0 && !self.is_leader();
-        let lacks_entries = self.delivered < self.leader_commit;
-        self.voters().is_empty() || self.incoming.is_some() || no_leader_yet || lacks_entries
+        let lacks_entries = self.applied_index < self.leader_commit;
+        self.voters().is_empty()
+            || self.incoming_snapshot.is_some()
+            || no_leader_yet
+            || lacks_entries
     }
 
     /// This member leads.
@@ -252,30 +264,33 @@
     /// This member's status, for operators.
     pub fn status(&self, now: f64) -> Status {
         Status {
-            role: self.role_name(),
+            role: self.member_role(),
             term: self.term,
             leader: self.leader,
-            last: self.log.last().index,
-            commit: self.commit,
+            last_index: self.log.last_position().index,
+            commit_index: self.commit_index,
             voters: self.voters().to_vec(),
-            votes: self.votes(),
-            silent_s: if self.is_leader() {
+            can_vote: self.can_vote(),
+            since_leader_s: if self.is_leader() {
                 0.0
             } else {
-                now - self.leader_heard
+                now - self.leader_contact_at
             },
-            incoming: self.incoming.as_ref().map(IncomingSnapshot::progress),
+            incoming_snapshot: self
+                .incoming_snapshot
+                .as_ref()
+                .map(IncomingSnapshot::progress),
         }
     }
 
-    fn role_name(&self) -> &'static str {
+    fn member_role(&self) -> MemberRole {
         match self.role {
-            Role::Leader(_) => "leader",
-            Role::Candidate(_) => "asks for votes",
-            Role::Follower if self.voters().is_empty() => "blank",
-            Role::Follower if self.disk_check.is_some() => "asks about its disk",
-            Role::Follower if self.voters().contains(&self.myself()) => "voter",
-            Role::Follower => "follower",
+            Role::Leader(_) => MemberRole::Leader,
+            Role::Candidate(_) => MemberRole::Candidate,
+            Role::Follower if self.voters().is_empty() => MemberRole::Blank,
+            Role::Follower if self.rollback_check.is_some() => MemberRole::CheckingDisk,
+            Role::Follower if self.voters().contains(&self.own_voter()) => MemberRole::Voter,
+            Role::Follower => MemberRole::Follower,
         }
     }
 }
--- a/crates/dispatcher/raft/src/raft/append.rs
+++ b/crates/dispatcher/raft/src/raft/append.rs
@@ -1,43 +1,54 @@
 //! A follower's part of `AppendEntries`.
 
 use super::Raft;
-use crate::entry::{Entry, Mark};
+use crate::disk_record::DiskRecord;
+use crate::entry::Entry;
+use crate::error::RaftError;
+use crate::log_position::LogPosition;
 use crate::message::{AppendEntries, AppendReply, MessageBody};
-use crate::output::Fault;
-use crate::record::DiskRecord;
 
 /// What came of entries that were to be appended.
 enum AppendOutcome {
     /// The logs are the same up to here.
     Matched { index: u64 },
-    /// The place before the entries is not in this log; the leader is to try from here.
+    /// The place previous the entries is not in this log; the leader is to try from here.
     Mismatch { hint: u64 },
 }
 
 impl Raft {
-    /// Takes a leader's entries. False for ones that no leader can have sent.
-    pub(super) fn append_entries(&mut self, from: u64, request: AppendEntries) -> bool {
+    /// Takes a leader's entries.
+    ///
+    /// # Errors
+    ///
+    /// `BrokenChain` for entries that no leader can have sent.
+    pub(super) fn append_entries(
+        &mut self,
+        from: u64,
+        request: AppendEntries,
+    ) -> Result<(), RaftError> {
         let AppendEntries {
-            before,
+            previous,
             entries,
-            commit,
+            leader_commit,
             round,
-            disks,
+            watermarks,
         } = request;
-        self.note_disks(disks);
-        if !is_chain(before, &entries) {
-            return false;
+        self.note_watermarks(watermarks);
+        if !is_chain(previous, &entries) {
+            return Err(RaftError::BrokenChain {
+                previous_index: previous.index,
+            });
         }
-        match self.merge(before, entries, commit) {
+        match self.merge(previous, entries, leader_commit) {
             Ok(outcome) => self.reply_append(from, outcome, round),
             Err(fault) => self.fault = Some(fault),
         }
-        true
+        Ok(())
     }
 
     /// One that is not sure of its disk promises nothing.
     fn reply_append(&mut self, to: u64, outcome: AppendOutcome, round: u64) {
-        if self.disk_check.is_some() {
+        if self.rollback_check.is_some() {
             return;
         }
         let reply = match outcome {
@@ -57,56 +68,66 @@
 
     fn merge(
         &mut self,
-        before: Mark,
+        previous: LogPosition,
         entries: Vec<Entry>,
-        commit: u64,
-    ) -> Result<AppendOutcome, Fault> {
-        let base = self.log.base();
-        let (before, entries) = match before.index < base.index {
-            false => (before, entries),
-            true => match behind_snapshot(base, entries)? {
+        leader_commit: u64,
+    ) -> Result<AppendOutcome, RaftError> {
+        let base = self.log.snapshot_position();
+        let (previous, entries) = match previous.index < base.index {
+            false => (previous, entries),
+            true => match entries_after_snapshot(base, entries)? {
                 Some(rest) => (base, rest),
                 None => return Ok(AppendOutcome::Matched { index: base.index }),
             },
         };
-        if let Some(hint) = self.mismatch(before)? {
+        if let Some(hint) = self.mismatch(previous)? {
             return Ok(AppendOutcome::Mismatch { hint });
         }
         let index = entries
             .last()
-            .map_or(before.index, |entry| entry.mark.index);
+            .map_or(previous.index, |entry| entry.position.index);
         for entry in entries {
             self.merge_entry(entry)?;
         }
-        self.commit = self.commit.max(commit.min(index));
-        self.leader_commit = self.leader_commit.max(commit);
+        self.commit_index = self.commit_index.max(leader_commit.min(index));
+        self.leader_commit = self.leader_commit.max(leader_commit);
         Ok(AppendOutcome::Matched { index })
     }
 
     /// Where the leader is to try next, if this log does not have the place before its entries.
-    fn mismatch(&self, before: Mark) -> Result<Option<u64>, Fault> {
-        match self.log.mark(before.index) {
-            Some(mark) if mark == before => Ok(None),
-            Some(mark) if mark.term == before.term || before.index <= self.commit => {
-                Err(Fault::Differs {
-                    index: before.index,
+    fn mismatch(&self, previous: LogPosition) -> Result<Option<u64>, RaftError> {
+        match self.log.position_at(previous.index) {
+            Some(position) if position == previous => Ok(None),
+            Some(position)
+                if position.term == previous.term || previous.index <= self.commit_index =>
+            {
+                Err(RaftError::LogDiverged {
+                    index: previous.index,
                 })
             }
             _ => {
-                let hint = self.log.last().index.min(before.index.saturating_sub(1));
-                Ok(Some(hint.max(self.commit)))
+                let hint = self
+                    .log
+                    .last_position()
+                    .index
+                    .min(previous.index.saturating_sub(1));
+                Ok(Some(hint.max(self.commit_index)))
             }
         }
     }
 
     /// Appends an entry, in place of one of an earlier term that was never committed.
-    fn merge_entry(&mut self, entry: Entry) -> Result<(), Fault> {
-        match self.log.mark(entry.mark.index) {
-            Some(mark) if mark == entry.mark => return Ok(()),
-            Some(mark) if mark.term == entry.mark.term || mark.index <= self.commit => {
-                return Err(Fault::Differs { index: mark.index });
+    fn merge_entry(&mut self, entry: Entry) -> Result<(), RaftError> {
+        match self.log.position_at(entry.position.index) {
+            Some(position) if position == entry.position => return Ok(()),
+            Some(position)
+                if position.term == entry.position.term || position.index <= self.commit_index =>
+            {
+                return Err(RaftError::LogDiverged {
+                    index: position.index,
+                });
             }
-            Some(mark) => self.truncate(mark.index),
+            Some(position) => self.truncate(position.index),
             None => {}
         }
         self.push(entry);
@@ -121,26 +142,32 @@
 }
 
 /// Each entry follows the one before it.
-fn is_chain(before: Mark, entries: &[Entry]) -> bool {
-    let mut previous = before;
+fn is_chain(previous: LogPosition, entries: &[Entry]) -> bool {
+    let mut previous = previous;
     for entry in entries {
         if !entry.follows(&previous) {
             return false;
         }
-        previous = entry.mark;
+        previous = entry.position;
     }
     true
 }
 
 /// The entries behind the snapshot's place; `None` if they do not reach it. What the snapshot holds was agreed: only
 /// what stands behind it matters.
-fn behind_snapshot(base: Mark, entries: Vec<Entry>) -> Result<Option<Vec<Entry>>, Fault> {
-    match entries.iter().find(|entry| entry.mark.index == base.index) {
-        Some(entry) if entry.mark != base => Err(Fault::Differs { index: base.index }),
+fn entries_after_snapshot(
+    base: LogPosition,
+    entries: Vec<Entry>,
+) -> Result<Option<Vec<Entry>>, RaftError> {
+    match entries
+        .iter()
+        .find(|entry| entry.position.index == base.index)
+    {
+        Some(entry) if entry.position != base => Err(RaftError::LogDiverged { index: base.index }),
         Some(_) => Ok(Some(
             entries
                 .into_iter()
-                .filter(|entry| entry.mark.index > base.index)
+                .filter(|entry| entry.position.index > base.index)
                 .collect(),
         )),
         None => Ok(None),
--- a/crates/dispatcher/raft/src/raft/election.rs
+++ b/crates/dispatcher/raft/src/raft/election.rs
@@ -2,23 +2,25 @@
 
 use super::progress::LeaderState;
 use super::{Candidacy, Raft, Role};
-use crate::entry::{Entry, EntryPayload, Mark, Voter};
+use crate::entry::{Entry, EntryPayload};
+use crate::log_position::LogPosition;
 use crate::message::{MessageBody, VoteReply, VoteRequest};
+use crate::voter::Voter;
 use std::collections::BTreeSet;
 
 impl Raft {
     /// Asks all voters for their votes; with `pre_vote` only whether they would give them.
     pub(super) fn start_election(&mut self, now: f64, pre_vote: bool) {
-        if !self.votes() {
+        if !self.can_vote() {
             return;
         }
         if !pre_vote {
-            (self.term, self.vote) = (self.term + 1, Some(self.me));
+            (self.term, self.vote) = (self.term + 1, Some(self.id));
             self.write_term();
         }
         self.leader = None;
         let term = if pre_vote { self.term + 1 } else { self.term };
-        let granted = BTreeSet::from([self.myself()]);
+        let granted = BTreeSet::from([self.own_voter()]);
         self.role = Role::Candidate(Candidacy {
             pre_vote,
             term,
@@ -27,14 +29,14 @@
         self.request_votes(VoteRequest {
             pre_vote,
             election_term: term,
-            last: self.log.last(),
+            last: self.log.last_position(),
         });
         self.count_votes(now);
     }
 
     fn request_votes(&mut self, request: VoteRequest) {
-        let voters = self.voters().iter().map(|voter| voter.who);
-        let others: Vec<u64> = voters.filter(|who| *who != self.me).collect();
+        let voters = self.voters().iter().map(|voter| voter.member);
+        let others: Vec<u64> = voters.filter(|member| *member != self.id).collect();
         for to in others {
             self.send(to, MessageBody::VoteRequest(request));
         }
@@ -54,8 +56,8 @@
     }
 
     fn become_leader(&mut self, now: f64) {
-        let last = self.log.last();
-        self.leader = Some(self.me);
+        let last = self.log.last_position();
+        self.leader = Some(self.id);
         self.role = Role::Leader(LeaderState::new(now, &self.other_members(), last.index));
         self.push(Entry::after(&last, self.term, EntryPayload::Noop));
         self.tick_leader(now);
@@ -77,14 +79,14 @@
         }
     }
 
-    pub(super) fn answer_vote_request(&mut self, now: f64, from: u64, request: VoteRequest) {
+    pub(super) fn receive_vote_request(&mut self, now: f64, from: u64, request: VoteRequest) {
         let VoteRequest {
             pre_vote,
             election_term,
             last,
         } = request;
         // Guards against one that was cut off, or is being removed, unseating a leader that the others hear.
-        if self.disk_check.is_some() || self.has_live_leader(now) {
+        if self.rollback_check.is_some() || self.has_live_leader(now) {
             return;
         }
         let up_to_date = self.is_up_to_date(last);
@@ -108,19 +110,19 @@
     }
 
     fn has_live_leader(&self, now: f64) -> bool {
-        let heard_lately = now < self.leader_heard + self.timing.election_timeout_s;
-        self.is_leader() || self.leader.is_some() && heard_lately
+        let recent_contact = now < self.leader_contact_at + self.timing.election_timeout_s;
+        self.is_leader() || self.leader.is_some() && recent_contact
     }
 
     /// A log that ends at `last` lacks nothing that this one has (Raft, 5.4.1).
-    fn is_up_to_date(&self, last: Mark) -> bool {
-        let own = self.log.last();
+    fn is_up_to_date(&self, last: LogPosition) -> bool {
+        let own = self.log.last_position();
         (last.term, last.index) >= (own.term, own.index)
     }
 
     /// Votes for a candidate in the current term, unless it has voted for another.
     fn grant_vote(&mut self, now: f64, candidate: u64) -> bool {
-        if self.vote.is_some_and(|who| who != candidate) {
+        if self.vote.is_some_and(|member| member != candidate) {
             return false;
         }
         if self.vote.is_none() {
@@ -131,7 +133,13 @@
         true
     }
 
-    pub(super) fn take_vote(&mut self, now: f64, from: Voter, term: u64, reply: VoteReply) {
+    pub(super) fn receive_vote_reply(
+        &mut self,
+        now: f64,
+        from: Voter,
+        term: u64,
+        reply: VoteReply,
+    ) {
         // Of a later term: this member's own is over. A granted vote says nothing of terms.
         self.raise_term(now, term);
         let Role::Candidate(candidacy) = &mut self.role else {
--- a/crates/dispatcher/raft/src/raft/leader.rs
+++ b/crates/dispatcher/raft/src/raft/leader.rs
@@ -2,7 +2,10 @@
 
 use super::progress::LeaderState;
 use super::{Raft, Role};
-use crate::entry::{Entry, EntryPayload, Mark, Voter};
+use crate::entry::{Entry, EntryPayload};
+use crate::error::RaftError;
+use crate::log_position::LogPosition;
+use crate::voter::Voter;
 
 /// All that is sent again or caught up with in one heartbeat, by all followers together: catching up is load, and it
 /// comes when there is least to spare. 64 KiB in each of ten heartbeats a second.
@@ -19,18 +22,20 @@
     }
 
     /// Puts a command of the host's on the log; where it will stand if it is agreed. `None` if this is no leader.
-    pub fn propose(&mut self, now: f64, command: Vec<u8>) -> Option<Mark> {
-        self.leader_state()?;
-        Some(self.append_own(now, EntryPayload::Command(command)))
+    pub fn propose(&mut self, now: f64, command: Vec<u8>) -> Result<LogPosition, RaftError> {
+        if !self.is_leader() {
+            return Err(RaftError::NotLeader);
+        }
+        Ok(self.append_own(now, EntryPayload::Command(command)))
     }
 
     /// Appends an entry as the leader, and sends it.
-    pub(super) fn append_own(&mut self, now: f64, payload: EntryPayload) -> Mark {
-        let entry = Entry::after(&self.log.last(), self.term, payload);
-        let mark = entry.mark;
+    pub(super) fn append_own(&mut self, now: f64, payload: EntryPayload) -> LogPosition {
+        let entry = Entry::after(&self.log.last_position(), self.term, payload);
+        let position = entry.position;
         self.push(entry);
         self.replicate(now, false);
-        mark
+        position
     }
 
     /// Sends heartbeats when they are due.
@@ -59,8 +64,9 @@
     fn has_quorum_contact(&self, now: f64, state: &LeaderState) -> bool {
         let window_s = CONTACT_TIMEOUTS * self.timing.election_timeout_s;
         let in_contact = |voter: &Voter| {
-            let progress = state.of_voter(voter);
-            voter.who == self.me || progress.is_some_and(|progress| now < progress.heard + window_s)
+            let progress = state.progress_of(voter);
+            voter.member == self.id
+                || progress.is_some_and(|progress| now < progress.last_contact + window_s)
         };
         now < state.began + window_s || self.is_quorum(in_contact)
     }
--- a/crates/dispatcher/raft/src/raft/persistence.rs
+++ b/crates/dispatcher/raft/src/raft/persistence.rs
@@ -1,28 +1,32 @@
 //! What goes to the disk, and what has been committed.
 
 use super::Raft;
-use crate::entry::{Entry, Mark};
+use crate::disk_record::{DiskRecord, DiskWatermark};
+use crate::entry::Entry;
+use crate::log_position::LogPosition;
 use crate::output::{Committed, Output};
-use crate::record::{DiskRecord, DiskWritten};
 
 impl Raft {
     pub(super) fn write(&mut self, record: DiskRecord) {
-        self.write_unsaved_disks();
+        self.write_unsaved_watermarks();
         self.output.records.push(record);
         self.records_written += 1;
     }
 
     /// What is known of others' disks goes along with what is written anyhow.
-    fn write_unsaved_disks(&mut self) {
-        if self.unsaved_written.is_empty() {
+    fn write_unsaved_watermarks(&mut self) {
+        if self.unsaved_watermarks.is_empty() {
             return;
         }
-        let unsaved = std::mem::take(&mut self.unsaved_written);
+        let unsaved = std::mem::take(&mut self.unsaved_watermarks);
         let disks = unsaved
             .into_iter()
-            .map(|(disk, written)| DiskWritten { disk, written })
+            .map(|(disk, records_written)| DiskWatermark {
+                disk,
+                records_written,
+            })
             .collect();
-        self.output.records.push(DiskRecord::Disks(disks));
+        self.output.records.push(DiskRecord::Watermarks(disks));
         self.records_written += 1;
     }
 
@@ -41,12 +45,15 @@
         }];
         records.push(DiskRecord::Snapshot((*self.log.snapshot).clone()));
         records.extend(self.log.entries.iter().cloned().map(DiskRecord::Entry));
-        let known = self.known_written.iter();
+        let known = self.known_watermarks.iter();
         let disks = known
-            .map(|(&disk, &written)| DiskWritten { disk, written })
+            .map(|(&disk, &records_written)| DiskWatermark {
+                disk,
+                records_written,
+            })
             .collect();
-        records.push(DiskRecord::Disks(disks));
-        self.unsaved_written.clear();
+        records.push(DiskRecord::Watermarks(disks));
+        self.unsaved_watermarks.clear();
         self.records_written += records.len() as u64;
         self.output.rewrite = true;
         self.output.records = records;
@@ -60,36 +67,36 @@
 
     /// What the last calls ask for. Messages go out when the records are synced.
     pub fn output(&mut self) -> Output {
-        self.output.written = self.records_written;
+        self.output.records_written = self.records_written;
         std::mem::take(&mut self.output)
     }
 
     /// The records of an `output` are synced; `mark`: the last entry among them.
-    pub fn persisted(&mut self, now: f64, mark: Mark) {
-        if self.log.mark(mark.index) == Some(mark) {
-            self.persisted_index = self.persisted_index.max(mark.index);
+    pub fn persisted(&mut self, now: f64, position: LogPosition) {
+        if self.log.position_at(position.index) == Some(position) {
+            self.persisted_index = self.persisted_index.max(position.index);
         }
         self.advance_commit(now);
     }
 
     /// The next that has been committed, in order.
     pub fn next_committed(&mut self) -> Option<Committed> {
-        if self.delivered >= self.commit {
+        if self.applied_index >= self.commit_index {
             return None;
         }
-        let base = self.log.base().index;
-        if self.delivered < base {
-            self.delivered = base;
+        let base = self.log.snapshot_position().index;
+        if self.applied_index < base {
+            self.applied_index = base;
             return Some(Committed::Snapshot(self.log.snapshot.clone()));
         }
-        let entry = self.log.entry(self.delivered + 1)?.clone();
-        self.delivered += 1;
+        let entry = self.log.entry(self.applied_index + 1)?.clone();
+        self.applied_index += 1;
         Some(Committed::Entry(entry))
     }
 
     /// Puts what the host made of all up to `index`, delivered already, in place of those entries.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
-        if index <= self.delivered && self.log.compact(index, state) {
+        if index <= self.applied_index && self.log.compact(index, state) {
             self.rewrite();
         }
     }
--- a/crates/dispatcher/raft/src/raft/progress.rs
+++ b/crates/dispatcher/raft/src/raft/progress.rs
@@ -1,6 +1,7 @@
 //! A leader's state, and how far each of the others is.
 
-use crate::entry::{Mark, Voter};
+use crate::log_position::LogPosition;
+use crate::voter::Voter;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -10,12 +11,12 @@
     /// The disk it answers from; 0 before it has.
     pub(super) disk: u64,
     /// Up to here its log and this one's are known to be the same.
-    pub(super) matched: u64,
+    pub(super) match_index: u64,
     /// The next index to send.
-    pub(super) next: u64,
+    pub(super) next_index: u64,
     /// The last heartbeat round that it answered.
     pub(super) round: u64,
-    pub(super) heard: f64,
+    pub(super) last_contact: f64,
     /// Something with entries went out then, and nothing has come back since.
     pub(super) pending_since: Option<f64>,
     /// Of the snapshot, how much it has.
@@ -29,8 +30,8 @@
     }
 
     /// Notes that something came from it; whether an answer was awaited.
-    pub(super) fn take_reply(&mut self, now: f64) -> bool {
-        self.heard = now;
+    pub(super) fn record_reply(&mut self, now: f64) -> bool {
+        self.last_contact = now;
         self.pending_since.take().is_some()
     }
 }
@@ -38,7 +39,7 @@
 /// A read that waits for a majority to confirm the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
-    pub(super) who: u64,
+    pub(super) member: u64,
     pub(super) number: u64,
     /// The round that has to be answered.
     pub(super) round: u64,
@@ -48,10 +49,10 @@
 
 /// A snapshot as it is sent.
 #[derive(Clone, Debug)]
-pub(super) struct PackedSnapshot {
-    pub(super) mark: Mark,
+pub(super) struct SerializedSnapshot {
+    pub(super) position: LogPosition,
     pub(super) bytes: Rc<Vec<u8>>,
-    pub(super) sum: u64,
+    pub(super) checksum: u64,
 }
 
 /// A leader's state.
@@ -66,32 +67,35 @@
     pub(super) began: f64,
     /// What may still be sent again or caught up with in this heartbeat, bytes.
     pub(super) catch_up_left: usize,
-    pub(super) packed: Option<PackedSnapshot>,
+    pub(super) serialized: Option<SerializedSnapshot>,
 }
 
 impl LeaderState {
     pub(super) fn new(now: f64, others: &[u64], last: u64) -> LeaderState {
         let progress = Progress {
-            next: last + 1,
-            heard: now,
+            next_index: last + 1,
+            last_contact: now,
             ..Progress::default()
         };
         LeaderState {
-            followers: others.iter().map(|who| (*who, progress.clone())).collect(),
+            followers: others
+                .iter()
+                .map(|member| (*member, progress.clone()))
+                .collect(),
             previous_index: last,
             round: 0,
             reads: Vec::new(),
             next_heartbeat: now,
             began: now,
             catch_up_left: 0,
-            packed: None,
+            serialized: None,
         }
     }
 
     /// The progress of a voter, if its member still answers from the same disk.
-    pub(super) fn of_voter(&self, voter: &Voter) -> Option<&Progress> {
+    pub(super) fn progress_of(&self, voter: &Voter) -> Option<&Progress> {
         self.followers
-            .get(&voter.who)
+            .get(&voter.member)
             .filter(|progress| progress.disk == voter.disk)
     }
 }
--- a/crates/dispatcher/raft/src/raft/read_index.rs
+++ b/crates/dispatcher/raft/src/raft/read_index.rs
@@ -2,8 +2,8 @@
 
 use super::progress::PendingRead;
 use super::{Raft, Role};
-use crate::entry::Voter;
 use crate::message::MessageBody;
+use crate::voter::Voter;
 
 /// Reads waiting at a leader at once.
 const MAX_PENDING_READS: usize = 256;
@@ -17,10 +17,10 @@
         self.read_number += 1;
         let number = self.read_number;
         match self.leader {
-            Some(leader) if leader != self.me => {
+            Some(leader) if leader != self.id => {
                 self.send(leader, MessageBody::ReadIndex { number })
             }
-            _ => self.start_read(now, self.me, number),
+            _ => self.start_read(now, self.id, number),
         }
         number
     }
@@ -31,8 +31,8 @@
     }
 
     /// A leader's part: notes the read and asks all to confirm.
-    pub(super) fn start_read(&mut self, now: f64, who: u64, number: u64) {
-        let index = self.commit;
+    pub(super) fn start_read(&mut self, now: f64, member: u64, number: u64) {
+        let index = self.commit_index;
         // Before this term has agreed on something, a leader does not know what was agreed before.
         let knows_commit = self.is_of_own_term(index);
         let Some(state) = self.leader_state() else {
@@ -44,7 +44,7 @@
         state.round += 1;
         let round = state.round;
         state.reads.push(PendingRead {
-            who,
+            member,
             number,
             round,
             index,
@@ -76,27 +76,32 @@
         if state.reads.is_empty() {
             return None;
         }
-        let myself = self.myself();
-        let answered = |voter: &Voter| match *voter == myself {
+        let own_voter = self.own_voter();
+        let answered = |voter: &Voter| match *voter == own_voter {
             true => u64::MAX,
-            false => state.of_voter(voter).map_or(0, |progress| progress.round),
+            false => state
+                .progress_of(voter)
+                .map_or(0, |progress| progress.round),
         };
         self.quorum_value(answered)
     }
 
     fn answer_read(&mut self, read: PendingRead) {
         let PendingRead {
-            who, number, index, ..
+            member,
+            number,
+            index,
+            ..
         } = read;
-        if who == self.me {
+        if member == self.id {
             self.read_results.insert(number, index);
         } else {
-            self.send(who, MessageBody::ReadIndexReply { number, index });
+            self.send(member, MessageBody::ReadIndexReply { number, index });
         }
     }
 
     /// A leader has answered.
-    pub(super) fn keep_read_index(&mut self, number: u64, index: u64) {
+    pub(super) fn receive_read_index_reply(&mut self, number: u64, index: u64) {
         self.read_results.insert(number, index);
         while self.read_results.len() > MAX_READ_RESULTS {
             self.read_results.pop_first();
--- a/crates/dispatcher/raft/src/raft/receive.rs
+++ b/crates/dispatcher/raft/src/raft/receive.rs
@@ -1,34 +1,39 @@
 //! Dispatch of received messages.
 
-use super::disk_check::Peer;
+use super::rollback_check::Peer;
 use super::{Raft, Role};
-use crate::entry::Voter;
-use crate::message::{AppendEntries, AppendReply, Message, MessageBody, SnapshotPart};
+use crate::error::RaftError;
+use crate::message::{AppendEntries, AppendReply, Message, MessageBody, SnapshotChunk};
+use crate::voter::Voter;
 
 /// A member with one disk is forgotten when it was not heard of for so long, seconds.
 const FORGET_VOTER_S: f64 = 30.0;
 
 impl Raft {
-    /// A message has come from a member. False for one that no member can have written.
-    pub fn receive(&mut self, now: f64, from: u64, message: Message) -> bool {
-        if from == self.me || !self.members.contains(&from) {
-            return false;
+    /// Takes a message from another member.
+    ///
+    /// # Errors
+    ///
+    /// `UnknownSender`, or `BrokenChain` and `InvalidSnapshotChunk` for content that no member can have written.
+    pub fn receive(&mut self, now: f64, from: u64, message: Message) -> Result<(), RaftError> {
+        if from == self.id || !self.members.contains(&from) {
+            return Err(RaftError::UnknownSender { sender: from });
         }
         if self.fault.is_some() {
-            return true;
+            return Ok(());
         }
         let sender = Voter {
-            who: from,
+            member: from,
             disk: message.disk,
         };
-        self.note_written(message.disk, message.written);
+        self.note_watermark(message.disk, message.records_written);
         self.note_sender(now, sender, &message.body);
         self.dispatch(now, sender, message.term, message.body)
     }
 
     fn note_sender(&mut self, now: f64, sender: Voter, body: &MessageBody) {
-        let Voter { who, disk } = sender;
-        let known = self.peers.get(&who).filter(|peer| peer.disk == disk);
+        let Voter { member, disk } = sender;
+        let known = self.peers.get(&member).filter(|peer| peer.disk == disk);
         let blank = match body {
             MessageBody::DiskQuery { blank, .. } => *blank,
             MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) => false,
@@ -36,43 +41,59 @@
             _ => known.is_some_and(|peer| peer.blank),
         };
         self.peers.insert(
-            who,
+            member,
             Peer {
                 disk,
-                heard: now,
+                last_contact: now,
                 blank,
             },
         );
-        self.voter_heard.insert(sender, now);
-        self.voter_heard.retain(|_, at| now < *at + FORGET_VOTER_S);
+        self.disk_contact_at.insert(sender, now);
+        self.disk_contact_at
+            .retain(|_, at| now < *at + FORGET_VOTER_S);
     }
 
-    fn dispatch(&mut self, now: f64, sender: Voter, term: u64, body: MessageBody) -> bool {
-        let from = sender.who;
+    fn dispatch(
+        &mut self,
+        now: f64,
+        sender: Voter,
+        term: u64,
+        body: MessageBody,
+    ) -> Result<(), RaftError> {
+        let from = sender.member;
         match body {
-            MessageBody::DiskQuery { nonce, .. } => self.answer_disk_query(sender, nonce),
-            MessageBody::DiskReport { nonce, written } => {
-                self.take_disk_report(from, nonce, written)
-            }
-            MessageBody::VoteRequest(request) => self.answer_vote_request(now, from, request),
-            MessageBody::VoteReply(reply) => self.take_vote(now, sender, term, reply),
+            MessageBody::DiskQuery { nonce, .. } => self.receive_disk_query(sender, nonce),
+            MessageBody::DiskReport {
+                nonce,
+                records_written,
+            } => self.receive_disk_report(from, nonce, records_written),
+            MessageBody::VoteRequest(request) => self.receive_vote_request(now, from, request),
+            MessageBody::VoteReply(reply) => self.receive_vote_reply(now, sender, term, reply),
             MessageBody::AppendEntries(request) => {
                 return self.receive_append(now, from, term, request)
             }
-            MessageBody::InstallSnapshot(part) => {
-                return self.receive_snapshot_part(now, from, term, part)
+            MessageBody::InstallSnapshot(chunk) => {
+                return self.receive_snapshot_chunk(now, from, term, chunk)
             }
             MessageBody::AppendReply(reply) => self.receive_append_reply(now, sender, term, reply),
-            MessageBody::InstallSnapshotReply { mark, offset } => {
-                self.take_snapshot_reply(now, sender, mark, offset);
+            MessageBody::InstallSnapshotReply { position, offset } => {
+                self.receive_snapshot_reply(now, sender, position, offset);
             }
             MessageBody::ReadIndex { number } => self.start_read(now, from, number),
-            MessageBody::ReadIndexReply { number, index } => self.keep_read_index(number, index),
+            MessageBody::ReadIndexReply { number, index } => {
+                self.receive_read_index_reply(number, index)
+            }
         }
-        true
+        Ok(())
     }
 
-    fn receive_append(&mut self, now: f64, from: u64, term: u64, request: AppendEntries) -> bool {
+    fn receive_append(
+        &mut self,
+        now: f64,
+        from: u64,
+        term: u64,
+        request: AppendEntries,
+    ) -> Result<(), RaftError> {
         if term < self.term {
             let refusal = AppendReply {
                 success: false,
@@ -80,7 +101,7 @@
                 round: 0,
             };
             self.send(from, MessageBody::AppendReply(refusal));
-            return true;
+            return Ok(());
         }
         self.follow(now, from, term);
         self.append_entries(from, request)
@@ -88,21 +109,21 @@
 
     fn receive_append_reply(&mut self, now: f64, from: Voter, term: u64, reply: AppendReply) {
         self.raise_term(now, term);
-        self.take_append_reply(now, from, term, reply);
+        self.apply_append_reply(now, from, term, reply);
     }
 
-    fn receive_snapshot_part(
+    fn receive_snapshot_chunk(
         &mut self,
         now: f64,
         from: u64,
         term: u64,
-        part: SnapshotPart,
-    ) -> bool {
+        chunk: SnapshotChunk,
+    ) -> Result<(), RaftError> {
         if term < self.term {
-            return true;
+            return Ok(());
         }
         self.follow(now, from, term);
-        self.take_snapshot_part(from, part)
+        self.install_snapshot_chunk(from, chunk)
     }
 
     fn follow(&mut self, now: f64, leader: u64, term: u64) {
@@ -110,7 +131,7 @@
         if !matches!(self.role, Role::Follower) || self.leader != Some(leader) {
             self.step_down(now, Some(leader));
         }
-        self.leader_heard = now;
+        self.leader_contact_at = now;
         self.reset_election_timer(now);
     }
 }
--- a/crates/dispatcher/raft/src/raft/replication.rs
+++ b/crates/dispatcher/raft/src/raft/replication.rs
@@ -2,8 +2,10 @@
 
 use super::progress::Progress;
 use super::{Raft, Role};
-use crate::entry::{Entry, Mark, Voter};
+use crate::entry::Entry;
+use crate::log_position::LogPosition;
 use crate::message::{AppendEntries, AppendReply, MessageBody};
+use crate::voter::Voter;
 
 /// Entries of one message, bytes: a link's frame has room for several of these.
 const MAX_MESSAGE_BYTES: usize = 128 << 10;
@@ -21,8 +23,8 @@
     /// The follower lacks entries still.
     lacks: bool,
     /// Up to where the logs were known to be the same before, and are now.
-    matched_before: u64,
-    matched: u64,
+    match_before: u64,
+    match_index: u64,
 }
 
 impl Raft {
@@ -37,78 +39,84 @@
             return;
         };
         let others: Vec<u64> = state.followers.keys().copied().collect();
-        for who in others {
-            self.replicate_to(now, who, heartbeat);
+        for member in others {
+            self.replicate_to(now, member, heartbeat);
         }
     }
 
-    pub(super) fn replicate_to(&mut self, now: f64, who: u64, heartbeat: bool) {
+    pub(super) fn replicate_to(&mut self, now: f64, member: u64, heartbeat: bool) {
         let Role::Leader(state) = &self.role else {
             return;
         };
-        let Some(progress) = state.followers.get(&who) else {
+        let Some(progress) = state.followers.get(&member) else {
             return;
         };
-        let (next, base) = (progress.next, self.log.base());
+        let (next, base) = (progress.next_index, self.log.snapshot_position());
         if next <= base.index {
-            return self.replicate_snapshot(now, who, heartbeat);
+            return self.replicate_snapshot(now, member, heartbeat);
         }
-        let Some(before) = self.log.mark(next - 1) else {
+        let Some(previous) = self.log.position_at(next - 1) else {
             return;
         };
-        let entries = self.entries_for(now, who);
+        let entries = self.entries_for(now, member);
         if heartbeat || !entries.is_empty() {
-            let commit = self.commit;
-            self.send_append(who, before, entries, commit);
+            let leader_commit = self.commit_index;
+            self.send_append(member, previous, entries, leader_commit);
         }
     }
 
     /// What stands in the snapshot alone goes in parts.
-    fn replicate_snapshot(&mut self, now: f64, who: u64, heartbeat: bool) {
-        self.send_snapshot_part(now, who);
+    fn replicate_snapshot(&mut self, now: f64, member: u64, heartbeat: bool) {
+        self.send_snapshot_chunk(now, member);
         if heartbeat {
-            self.send_append(who, self.log.base(), Vec::new(), 0);
+            self.send_append(member, self.log.snapshot_position(), Vec::new(), 0);
         }
     }
 
-    fn send_append(&mut self, to: u64, before: Mark, entries: Vec<Entry>, commit: u64) {
+    fn send_append(
+        &mut self,
+        to: u64,
+        previous: LogPosition,
+        entries: Vec<Entry>,
+        leader_commit: u64,
+    ) {
         let Some(state) = self.leader_state() else {
             return;
         };
         let round = state.round;
-        let disks = self.voters_disks();
+        let watermarks = self.voters_watermarks();
         let request = AppendEntries {
-            before,
+            previous,
             entries,
-            commit,
+            leader_commit,
             round,
-            disks,
+            watermarks,
         };
         self.send(to, MessageBody::AppendEntries(request));
     }
 
     /// The entries to send to one now, within what is left for catching up.
-    fn entries_for(&mut self, now: f64, who: u64) -> Vec<Entry> {
+    fn entries_for(&mut self, now: f64, member: u64) -> Vec<Entry> {
         let retry_s = self.retry_s();
-        let last = self.log.last().index;
+        let last = self.log.last_position().index;
         let Role::Leader(state) = &mut self.role else {
             return Vec::new();
         };
-        let Some(progress) = state.followers.get_mut(&who) else {
+        let Some(progress) = state.followers.get_mut(&member) else {
             return Vec::new();
         };
         // Not known to be there: only asked whether, with nothing to carry.
-        let silent = now > progress.heard + SILENT_RETRIES * retry_s;
-        if progress.next > last || silent || progress.awaits_reply(now, retry_s) {
+        let silent = now > progress.last_contact + SILENT_RETRIES * retry_s;
+        if progress.next_index > last || silent || progress.awaits_reply(now, retry_s) {
             return Vec::new();
         }
-        let catching_up = last - progress.next >= CATCH_UP_ENTRIES;
+        let catching_up = last - progress.next_index >= CATCH_UP_ENTRIES;
         let max_bytes = match catching_up {
             true => MAX_MESSAGE_BYTES.min(state.catch_up_left),
             false => MAX_MESSAGE_BYTES,
         };
         let at_least_one = !catching_up || state.catch_up_left > 0;
-        let batch = self.log.batch(progress.next, max_bytes, at_least_one);
+        let batch = self.log.batch(progress.next_index, max_bytes, at_least_one);
         if catching_up {
             state.catch_up_left = state.catch_up_left.saturating_sub(batch.bytes);
         }
@@ -119,7 +127,7 @@
     }
 
     /// A follower has answered `AppendEntries`.
-    pub(super) fn take_append_reply(
+    pub(super) fn apply_append_reply(
         &mut self,
         now: f64,
         from: Voter,
@@ -132,59 +140,59 @@
         let Some(effect) = self.apply_reply(now, from, reply) else {
             return;
         };
-        let commit = self.commit;
+        let commit = self.commit_index;
         self.advance_commit(now);
         self.answer_reads();
         // What was agreed before this one had it is told at once, not at the next heartbeat.
-        let advanced = effect.matched > effect.matched_before;
-        let commit_is_news = self.commit == commit && commit > effect.matched_before;
+        let advanced = effect.match_index > effect.match_before;
+        let commit_is_news = self.commit_index == commit && commit > effect.match_before;
         if advanced && !effect.lacks && commit_is_news {
-            self.replicate_to(now, from.who, true);
+            self.replicate_to(now, from.member, true);
         }
         if effect.lacks && effect.awaited {
-            self.send_more(now, from.who);
+            self.send_more(now, from.member);
         }
     }
 
     /// More at once while the heartbeat's share lasts; the rest at the next.
-    pub(super) fn send_more(&mut self, now: f64, who: u64) {
+    pub(super) fn send_more(&mut self, now: f64, member: u64) {
         if self
             .leader_state()
             .is_some_and(|state| state.catch_up_left > 0)
         {
-            self.replicate_to(now, who, false);
+            self.replicate_to(now, member, false);
         }
     }
 
     fn apply_reply(&mut self, now: f64, from: Voter, reply: AppendReply) -> Option<ReplyEffect> {
-        let last = self.log.last().index;
-        let progress = self.leader_state()?.followers.get_mut(&from.who)?;
+        let last = self.log.last_position().index;
+        let progress = self.leader_state()?.followers.get_mut(&from.member)?;
         if progress.disk != from.disk {
             // Another disk: nothing that was known of it holds.
             *progress = Progress {
                 disk: from.disk,
-                next: last + 1,
+                next_index: last + 1,
                 ..Progress::default()
             };
         }
         // Guards against messages without end: what comes twice is answered once.
-        let awaited = progress.take_reply(now);
+        let awaited = progress.record_reply(now);
         progress.round = progress.round.max(reply.round);
-        let matched_before = progress.matched;
+        let match_before = progress.match_index;
         if reply.success && reply.index <= last {
-            progress.matched = progress.matched.max(reply.index);
-            progress.next = progress.next.max(progress.matched + 1);
+            progress.match_index = progress.match_index.max(reply.index);
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
         } else if !reply.success {
             // Back by what it says; never before what is known to be the same.
-            let back = (reply.index + 1).min(progress.next.saturating_sub(1));
-            progress.next = back.max(progress.matched + 1);
+            let back = (reply.index + 1).min(progress.next_index.saturating_sub(1));
+            progress.next_index = back.max(progress.match_index + 1);
         }
-        let lacks = progress.next <= last;
+        let lacks = progress.next_index <= last;
         Some(ReplyEffect {
             awaited,
             lacks,
-            matched_before,
-            matched: progress.matched,
+            match_before,
+            match_index: progress.match_index,
         })
     }
 }
--- a/crates/dispatcher/raft/src/raft/timer.rs
+++ b/crates/dispatcher/raft/src/raft/timer.rs
@@ -1,26 +1,26 @@
 //! Timers: the election timeout, and what is due next.
 
-use super::disk_check::QUERY_INTERVAL_S;
+use super::rollback_check::QUERY_INTERVAL_S;
 use super::{Raft, Role};
 use rand::Rng;
 
 impl Raft {
     /// The next election timeout begins now: one to two times the configured one.
     pub(super) fn reset_election_timer(&mut self, now: f64) {
-        let part: f64 = self.random.random();
-        self.election_due = now + self.timing.election_timeout_s * (1.0 + part);
+        let chunk: f64 = self.random.random();
+        self.election_deadline = now + self.timing.election_timeout_s * (1.0 + chunk);
     }
 
     /// When `tick` is to be called next.
-    pub fn due(&self) -> f64 {
+    pub fn deadline(&self) -> f64 {
         let query = self
-            .disk_check
+            .rollback_check
             .as_ref()
             .map_or(f64::INFINITY, |check| check.next_query);
         let protocol = match &self.role {
             Role::Leader(state) => state.next_heartbeat,
             _ if self.voters().is_empty() => self.last_tick + QUERY_INTERVAL_S,
-            _ => self.election_due,
+            _ => self.election_deadline,
         };
         protocol.min(query)
     }
@@ -32,13 +32,13 @@
         if self.fault.is_some() {
             return;
         }
-        self.check_disk(now);
+        self.tick_rollback_check(now);
         if self.voters().is_empty() {
             return self.tick_blank(now);
         }
         match self.role {
             Role::Leader(_) => self.tick_leader(now),
-            _ if now >= self.election_due => {
+            _ if now >= self.election_deadline => {
                 self.reset_election_timer(now);
                 self.start_election(now, true);
             }
@@ -48,7 +48,7 @@
 
     /// Guards against a process that was stopped and calls for votes, or sends as a leader, when it wakes.
     fn recover_from_pause(&mut self, now: f64) {
-        if now <= self.due() + self.timing.election_timeout_s {
+        if now <= self.deadline() + self.timing.election_timeout_s {
             return;
         }
         self.reset_election_timer(now);
@@ -58,8 +58,8 @@
     }
 
     fn tick_blank(&mut self, now: f64) {
-        match self.disk_check {
-            None => self.found(now),
+        match self.rollback_check {
+            None => self.bootstrap(now),
             Some(_) => self.query_disk(true),
         }
     }
--- a/crates/dispatcher/raft/tests/encoding.rs
+++ b/crates/dispatcher/raft/tests/encoding.rs
@@ -4,8 +4,8 @@
 
 use sagetrail_fixture::Fixture;
 use sagetrail_raft::{
-    AppendEntries, AppendReply, DiskRecord, DiskWritten, Entry, EntryPayload, Mark, Message,
-    MessageBody, Snapshot, SnapshotPart, VoteReply, VoteRequest, Voter,
+    AppendEntries, AppendReply, DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition,
+    Message, MessageBody, Snapshot, SnapshotChunk, VoteReply, VoteRequest, Voter,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -60,7 +60,7 @@
         DiskRecord::Entry(_) => "record/entry",
         DiskRecord::Truncate { .. } => "record/truncate",
         DiskRecord::Snapshot(_) => "record/snapshot",
-        DiskRecord::Disks(_) => "record/disks",
+        DiskRecord::Watermarks(_) => "record/disks",
     }
 }
 
@@ -73,8 +73,8 @@
     "record/disks",
 ];
 
-fn mark(at: u64) -> Mark {
-    Mark {
+fn position(at: u64) -> LogPosition {
+    LogPosition {
         index: 0x1000 + at,
         term: 0x2000 + at,
         chain: 0x3132_3334_3536_3700 + at,
@@ -84,25 +84,25 @@
 fn voters() -> Vec<Voter> {
     vec![
         Voter {
-            who: 0x4001,
+            member: 0x4001,
             disk: 0x5001,
         },
         Voter {
-            who: 0x4002,
+            member: 0x4002,
             disk: 0x5002,
         },
     ]
 }
 
-fn disks() -> Vec<DiskWritten> {
+fn disks() -> Vec<DiskWatermark> {
     vec![
-        DiskWritten {
+        DiskWatermark {
             disk: 0x6001,
-            written: 0x7001,
+            records_written: 0x7001,
         },
-        DiskWritten {
+        DiskWatermark {
             disk: 0x6002,
-            written: 0x7002,
+            records_written: 0x7002,
         },
     ]
 }
@@ -114,10 +114,10 @@
         EntryPayload::Voters(voters()),
         EntryPayload::Command(b"command".to_vec()),
     ];
-    let (mut before, mut entries) = (mark(1), Vec::new());
+    let (mut before, mut entries) = (position(1), Vec::new());
     for (term, payload) in (0x2001..).zip(payloads) {
         let entry = Entry::after(&before, term, payload);
-        before = entry.mark;
+        before = entry.position;
         entries.push(entry);
     }
     entries
@@ -131,12 +131,12 @@
         },
         MessageBody::DiskReport {
             nonce: 0x1101,
-            written: 0x1102,
+            records_written: 0x1102,
         },
         MessageBody::VoteRequest(VoteRequest {
             pre_vote: true,
             election_term: 0x1201,
-            last: mark(2),
+            last: position(2),
         }),
         MessageBody::VoteReply(VoteReply {
             pre_vote: false,
@@ -144,26 +144,26 @@
             granted: true,
         }),
         MessageBody::AppendEntries(AppendEntries {
-            before: mark(1),
+            previous: position(1),
             entries: entries(),
-            commit: 0x1401,
+            leader_commit: 0x1401,
             round: 0x1402,
-            disks: disks(),
+            watermarks: disks(),
         }),
         MessageBody::AppendReply(AppendReply {
             success: true,
             index: 0x1501,
             round: 0x1502,
         }),
-        MessageBody::InstallSnapshot(SnapshotPart {
-            mark: mark(3),
-            size: 0x1601,
-            sum: 0x1602,
+        MessageBody::InstallSnapshot(SnapshotChunk {
+            position: position(3),
+            total_bytes: 0x1601,
+            checksum: 0x1602,
             offset: 0x1603,
-            bytes: b"part".to_vec(),
+            data: b"part".to_vec(),
         }),
         MessageBody::InstallSnapshotReply {
-            mark: mark(4),
+            position: position(4),
             offset: 0x1701,
         },
         MessageBody::ReadIndex { number: 0x1801 },
@@ -177,7 +177,7 @@
 fn message(body: MessageBody) -> Message {
     Message {
         disk: 0x2122_2324_2526_2728,
-        written: 0x2201,
+        records_written: 0x2201,
         term: 0x2202,
         body,
     }
@@ -185,7 +185,7 @@
 
 fn snapshot() -> Snapshot {
     Snapshot {
-        mark: mark(5),
+        position: position(5),
         voters: voters(),
         state: b"state".to_vec(),
     }
@@ -204,11 +204,11 @@
         DiskRecord::Entry(entries().remove(2)),
         DiskRecord::Truncate { from: 0x2401 },
         DiskRecord::Snapshot(snapshot()),
-        DiskRecord::Disks(disks()),
+        DiskRecord::Watermarks(disks()),
     ]
 }
 
-fn written(value: &impl Serialize) -> Vec<u8> {
+fn encoded(value: &impl Serialize) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap()
 }
 
@@ -233,18 +233,18 @@
     let mut fixture = Fixture::default();
     for body in bodies() {
         let name = body_name(&body);
-        fixture.add_bytes(name, &written(&message(body)));
+        fixture.add_bytes(name, &encoded(&message(body)));
     }
     for record in records() {
-        fixture.add_bytes(record_name(&record), &written(&record));
+        fixture.add_bytes(record_name(&record), &encoded(&record));
     }
     for entry in entries() {
         let name = format!("entry/{}", payload_name(&entry.payload));
-        fixture.add_bytes(&name, &written(&entry));
+        fixture.add_bytes(&name, &encoded(&entry));
     }
-    fixture.add_bytes("snapshot", &written(&snapshot()));
+    fixture.add_bytes("snapshot", &encoded(&snapshot()));
     // What members compare; never sent by itself.
-    let sum = Snapshot::sum(&written(&snapshot()));
+    let sum = Snapshot::checksum(&encoded(&snapshot()));
     fixture.add_bytes("snapshot-sum", &sum.to_be_bytes());
     Fixture::assert_keeps(FIXTURE, &fixture);
 }
@@ -266,11 +266,11 @@
 #[test]
 fn checksums_of_kept_entries_hold() {
     let fixture = Fixture::read(FIXTURE);
-    let mut before = mark(1);
+    let mut before = position(1);
     for payload in PAYLOADS {
         let bytes = fixture.bytes(&format!("entry/{payload}"));
         let entry: Entry = postcard::from_bytes(&bytes).unwrap();
         assert!(entry.follows(&before), "{payload}");
-        before = entry.mark;
+        before = entry.position;
     }
 }
--- a/crates/dispatcher/raft/tests/sim/mod.rs
+++ b/crates/dispatcher/raft/tests/sim/mod.rs
@@ -3,7 +3,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_raft::{
-    Committed, DiskRecord, Fault, Mark, Message, MessageBody, Output, Raft, RaftConfig, Timing,
+    Committed, DiskRecord, LogPosition, Message, MessageBody, OutboundMessage, Output, Raft,
+    RaftConfig, RaftError, Timing,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,13 +32,13 @@
 struct Disk {
     name: u64,
     recs: Vec<DiskRecord>,
-    written: u64,
+    records_written: u64,
 }
 
 struct Batch {
     out: Output,
     at: f64,
-    mark: Mark,
+    position: LogPosition,
 }
 
 pub(crate) struct Member {
@@ -56,7 +57,7 @@
 pub(crate) struct World {
     pub now: f64,
     pub members: Vec<Member>,
-    founders: Vec<u64>,
+    initial_voters: Vec<u64>,
     wire: BTreeMap<(u64, u64), (usize, usize, Message)>,
     no: u64,
     pub chance: Pcg64Mcg,
@@ -65,7 +66,7 @@
     pub cuts: Vec<(usize, usize)>,
     broken: Broken,
     /// What was given first at each index, and the words up to there.
-    agreed: BTreeMap<u64, (Mark, usize)>,
+    agreed: BTreeMap<u64, (LogPosition, usize)>,
     all: Vec<u64>,
     pub faults: Vec<String>,
     next_word: u64,
@@ -74,7 +75,7 @@
     pub letters: u64,
 }
 
-fn who(n: usize) -> u64 {
+fn member_id(n: usize) -> u64 {
     100 + n as u64
 }
 
@@ -83,7 +84,7 @@
         let mut world = World {
             now: 0.0,
             members: Vec::new(),
-            founders: (0..voters).map(who).collect(),
+            initial_voters: (0..voters).map(member_id).collect(),
             wire: BTreeMap::new(),
             no: 0,
             chance: Pcg64Mcg::seed_from_u64(seed),
@@ -124,10 +125,10 @@
     fn start(&mut self, n: usize, members: usize) {
         let seed = self.chance.random();
         let terms = RaftConfig {
-            me: who(n),
+            id: member_id(n),
             disk: self.members[n].disk.name,
-            members: (0..members).map(who).collect(),
-            founders: self.founders.clone(),
+            members: (0..members).map(member_id).collect(),
+            initial_voters: self.initial_voters.clone(),
             timing: Timing::default(),
             seed,
         };
@@ -135,7 +136,7 @@
         let raft = Raft::open(
             terms,
             member.disk.recs.clone(),
-            member.disk.written,
+            member.disk.records_written,
             self.now,
         );
         (member.raft, member.dead_disk, member.given) = (Some(raft), false, 0);
@@ -152,7 +153,7 @@
         if let Some(batch) = member.pending.pop_front() {
             if !batch.out.rewrite {
                 let there = (torn * (batch.out.records.len() + 1) as f64) as usize;
-                member.disk.written += there as u64;
+                member.disk.records_written += there as u64;
                 member
                     .disk
                     .recs
@@ -216,7 +217,7 @@
         self.members[n]
             .raft
             .as_ref()
-            .is_some_and(|raft| raft.votes())
+            .is_some_and(|raft| raft.can_vote())
     }
 
     pub(crate) fn leader(&self) -> Option<usize> {
@@ -228,8 +229,12 @@
         })
     }
 
-    fn post(&mut self, from: usize, out: Vec<(u64, Message)>) {
-        for (to, letter) in out {
+    fn post(&mut self, from: usize, out: Vec<OutboundMessage>) {
+        for OutboundMessage {
+            to,
+            message: letter,
+        } in out
+        {
             self.letters += 1;
             assert!(self.letters < 2_000_000, "letters without end");
             let to = (to - 100) as usize;
@@ -257,9 +262,9 @@
             return;
         };
         let mut out = raft.output();
-        let mark = raft.last();
+        let position = raft.last_position();
         let fault = raft.fault();
-        if broken == Broken::ForgetsCuts && mark.index % 2 == 0 {
+        if broken == Broken::ForgetsCuts && position.index % 2 == 0 {
             out.records
                 .retain(|record| !matches!(record, DiskRecord::Truncate { .. }));
         }
@@ -267,7 +272,7 @@
         if let Some(fault) = fault {
             // The copy is put aside, and the member begins as a new one.
             self.replaced += 1;
-            if let Fault::Differs { index } = fault {
+            if let RaftError::LogDiverged { index } = fault {
                 if self.broken == Broken::No {
                     self.faults
                         .push(format!("{n} differs at {index} at {now:.3}"));
@@ -303,7 +308,7 @@
         member.pending.push_back(Batch {
             out,
             at: from + lasts_in,
-            mark,
+            position,
         });
     }
 
@@ -317,21 +322,21 @@
             if member.dead_disk {
                 return;
             }
-            let Some(Batch { out, mark, .. }) = member.pending.pop_front() else {
+            let Some(Batch { out, position, .. }) = member.pending.pop_front() else {
                 return;
             };
             let lost = self.broken == Broken::SyncLies && self.no.is_multiple_of(16);
             if out.rewrite {
                 member.disk.recs.clear();
-                member.disk.written = out.written - out.records.len() as u64;
+                member.disk.records_written = out.records_written - out.records.len() as u64;
             }
             if !lost {
-                member.disk.written += out.records.len() as u64;
+                member.disk.records_written += out.records.len() as u64;
                 member.disk.recs.extend(out.records);
             }
             self.post(n, out.messages);
             if let Some(raft) = self.members[n].raft.as_mut() {
-                raft.persisted(self.now, mark);
+                raft.persisted(self.now, position);
             }
             self.after(n);
         }
@@ -339,40 +344,43 @@
 
     fn given(&mut self, n: usize) {
         while let Some(given) = self.members[n].raft.as_mut().and_then(Raft::next_committed) {
-            let mark = match given {
+            let position = match given {
                 Committed::Entry(entry) => {
                     if let sagetrail_raft::EntryPayload::Command(word) = &entry.payload {
                         self.members[n]
                             .words
                             .push(u64::from_le_bytes(word[..8].try_into().unwrap()));
                     }
-                    entry.mark
+                    entry.position
                 }
                 Committed::Snapshot(snapshot) => {
                     let chunks = snapshot.state.chunks_exact(8);
                     self.members[n].words = chunks
                         .map(|word| u64::from_le_bytes(word.try_into().unwrap()))
                         .collect();
-                    snapshot.mark
+                    snapshot.position
                 }
             };
             let member = &mut self.members[n];
-            member.given = mark.index;
+            member.given = position.index;
             let words = member.words.clone();
-            let (first, count) = *self.agreed.entry(mark.index).or_insert((mark, words.len()));
+            let (first, count) = *self
+                .agreed
+                .entry(position.index)
+                .or_insert((position, words.len()));
             if count > self.all.len() {
                 self.all = words.clone();
             }
-            if first != mark
+            if first != position
                 || words[..] != self.all[..words.len().min(self.all.len())]
                 || words.len() != count
             {
                 self.faults.push(format!(
                     "{n} was given another {} at {:.3}",
-                    mark.index, self.now
+                    position.index, self.now
                 ));
             }
-            if mark.index.is_multiple_of(16) {
+            if position.index.is_multiple_of(16) {
                 let short = usize::from(self.broken == Broken::ShortSnapshot);
                 let upto = words.len().saturating_sub(short);
                 let state: Vec<u8> = words[..upto]
@@ -380,7 +388,7 @@
                     .flat_map(|word| word.to_le_bytes())
                     .collect();
                 if let Some(raft) = self.members[n].raft.as_mut() {
-                    raft.compact(mark.index, state);
+                    raft.compact(position.index, state);
                 }
             }
         }
@@ -425,7 +433,8 @@
             return;
         }
         if let Some(raft) = self.members[n].raft.as_mut() {
-            raft.propose(self.now, word.to_le_bytes().to_vec());
+            // Only a leader takes it.
+            let _ = raft.propose(self.now, word.to_le_bytes().to_vec());
         }
         self.after(n);
     }
@@ -444,7 +453,7 @@
                 return;
             };
             self.reads_done += 1;
-            if raft.status(self.now).commit < least {
+            if raft.status(self.now).commit_index < least {
                 self.faults.push(format!("{n} read old"));
             }
             return;
@@ -457,7 +466,7 @@
     }
 
     pub(crate) fn towards(&mut self, n: usize, wanted: &[usize]) {
-        let wanted: Vec<u64> = wanted.iter().map(|n| who(*n)).collect();
+        let wanted: Vec<u64> = wanted.iter().map(|n| member_id(*n)).collect();
         if self.now < self.members[n].awake {
             return;
         }
@@ -476,7 +485,7 @@
             }
             for member in &self.members {
                 if let Some(raft) = &member.raft {
-                    at = at.min(raft.due().max(member.awake));
+                    at = at.min(raft.deadline().max(member.awake));
                     if let (Some(batch), false) = (member.pending.front(), member.dead_disk) {
                         at = at.min(batch.at.max(member.awake));
                     }
@@ -499,13 +508,17 @@
                     self.wire.insert((at, key.1), (from, to, letter));
                     continue;
                 }
-                if let (Broken::TrustsOldCopies, MessageBody::DiskReport { written, .. }) =
-                    (self.broken, &mut letter.body)
+                if let (
+                    Broken::TrustsOldCopies,
+                    MessageBody::DiskReport {
+                        records_written, ..
+                    },
+                ) = (self.broken, &mut letter.body)
                 {
-                    *written = 0;
+                    *records_written = 0;
                 }
                 if let Some(raft) = self.members[to].raft.as_mut() {
-                    if !raft.receive(now, who(from), letter) {
+                    if raft.receive(now, member_id(from), letter).is_err() {
                         self.faults.push(format!("{to} refused a letter of {from}"));
                     }
                 }
@@ -519,7 +532,7 @@
                 if let Some(raft) = self.members[n]
                     .raft
                     .as_mut()
-                    .filter(|raft| raft.due() <= now)
+                    .filter(|raft| raft.deadline() <= now)
                 {
                     raft.tick(now);
                     self.after(n);
--- a/crates/dispatcher/replicated-store/src/node.rs
+++ b/crates/dispatcher/replicated-store/src/node.rs
@@ -19,7 +19,7 @@
 use operator_words::words_out_in;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sagetrail_raft::{Fault, Raft, RaftConfig, Status, Timing};
+use sagetrail_raft::{Raft, RaftConfig, RaftError, Status, Timing};
 use sagetrail_swim::{Codec, Refused};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -45,7 +45,7 @@
     me: u64,
     disk: u64,
     members: Vec<u64>,
-    founders: Vec<u64>,
+    initial_voters: Vec<u64>,
     timing: Timing,
     birth: u64,
     incarnation: u64,
@@ -87,10 +87,10 @@
         // holds meanwhile. Guards against a first hand-off after a restart to one that is out.
         let suspected = words_out_in(&config.records);
         let raft_config = RaftConfig {
-            me: config.me,
+            id: config.me,
             disk: config.disk,
             members: config.members.clone(),
-            founders: config.founders.clone(),
+            initial_voters: config.initial_voters.clone(),
             timing: config.timing,
             seed: config.birth,
         };
@@ -106,7 +106,7 @@
             me: config.me,
             disk: config.disk,
             members: config.members,
-            founders: config.founders,
+            initial_voters: config.initial_voters,
             timing: config.timing,
             birth: config.birth,
             incarnation: config.incarnation,
@@ -155,7 +155,7 @@
     }
 
     /// Why this copy of the log cannot go on, if it cannot.
-    pub fn fault(&self) -> Option<Fault> {
+    pub fn fault(&self) -> Option<RaftError> {
         self.raft.fault()
     }
 
@@ -166,12 +166,12 @@
 
     /// It does not have all that is agreed: nothing is lent and no vote given, while it serves.
     pub fn behind(&self) -> bool {
-        self.raft.behind()
+        self.raft.is_behind()
     }
 
     /// An operator vouches for this disk.
     pub fn trust(&mut self) {
-        self.raft.trust();
+        self.raft.trust_disk();
     }
 
     /// The identity of its disk.
--- a/crates/dispatcher/replicated-store/src/node/config.rs
+++ b/crates/dispatcher/replicated-store/src/node/config.rs
@@ -1,6 +1,6 @@
 //! What a node is started with, and what it hands to its host.
 
-use sagetrail_raft::{DiskRecord, Mark, Timing};
+use sagetrail_raft::{DiskRecord, LogPosition, Timing};
 
 /// What a member is started with.
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
     /// All members, this one included.
     pub members: Vec<u64>,
     /// Who votes until it is agreed otherwise.
-    pub founders: Vec<u64>,
+    pub initial_voters: Vec<u64>,
     /// Heartbeat and election timeout.
     pub timing: Timing,
     /// Grows with each start.
@@ -41,7 +41,7 @@
     /// Frames that rest on it, with their receivers.
     pub frames: Vec<(u64, Vec<u8>)>,
     /// The log's last entry with this batch.
-    pub mark: Mark,
+    pub position: LogPosition,
 }
 
 /// Frames and their bytes.
--- a/crates/dispatcher/replicated-store/src/node/frames.rs
+++ b/crates/dispatcher/replicated-store/src/node/frames.rs
@@ -119,9 +119,9 @@
     }
 
     fn receive_log(&mut self, now: f64, from: u64, message: Message) {
-        let valid = self.raft.receive(now, from, message);
+        let received = self.raft.receive(now, from, message);
         self.process_log();
-        if !valid {
+        if received.is_err() {
             self.refuse(Refused::Figure);
         }
     }
--- a/crates/dispatcher/replicated-store/src/node/journaling.rs
+++ b/crates/dispatcher/replicated-store/src/node/journaling.rs
@@ -5,7 +5,9 @@
 use crate::facts::{Facts, Proposal};
 use crate::journal;
 use rand::Rng;
-use sagetrail_raft::{Committed, Entry, EntryPayload, Mark, Output, Raft, RaftConfig};
+use sagetrail_raft::{
+    Committed, Entry, EntryPayload, LogPosition, OutboundMessage, Output, Raft, RaftConfig,
+};
 
 /// The log is put into a snapshot after so many entries: a restart reads less than that.
 const COMPACT_ENTRIES: u64 = 256;
@@ -31,7 +33,7 @@
             match committed {
                 Committed::Entry(entry) => self.apply_entry(&entry),
                 Committed::Snapshot(snapshot) => {
-                    self.at = snapshot.mark.index;
+                    self.at = snapshot.position.index;
                     self.facts = Facts::read(&snapshot.state).unwrap_or_default();
                 }
             }
@@ -39,7 +41,7 @@
     }
 
     fn apply_entry(&mut self, entry: &Entry) {
-        self.at = entry.mark.index;
+        self.at = entry.position.index;
         if let EntryPayload::Command(command) = &entry.payload {
             if let Ok(proposal) = postcard::from_bytes::<Proposal>(command) {
                 self.facts.take(self.at, proposal);
@@ -54,21 +56,21 @@
     fn batch(&mut self, output: Output) -> Batch {
         let mut bytes = Vec::new();
         if output.rewrite {
-            let written_before = output.written - output.records.len() as u64;
+            let written_before = output.records_written - output.records.len() as u64;
             bytes = journal::begin(self.fleet, self.me, self.disk, written_before);
         }
         for record in &output.records {
             bytes.extend(journal::record(record));
         }
         let mut frames = Vec::new();
-        for (to, message) in output.messages {
+        for OutboundMessage { to, message } in output.messages {
             frames.push((to, self.frame(&Body::Log(message))));
         }
         Batch {
             rewrite: output.rewrite,
             bytes,
             frames,
-            mark: self.raft.last(),
+            position: self.raft.last_position(),
         }
     }
 
@@ -78,8 +80,8 @@
     }
 
     /// A batch is synced.
-    pub fn persisted(&mut self, now: f64, mark: Mark) {
-        self.raft.persisted(now, mark);
+    pub fn persisted(&mut self, now: f64, position: LogPosition) {
+        self.raft.persisted(now, position);
         self.process_log();
     }
 
@@ -93,10 +95,10 @@
     /// more is known.
     pub fn restart_blank(&mut self, now: f64, disk: u64) {
         let config = RaftConfig {
-            me: self.me,
+            id: self.me,
             disk,
             members: self.members.clone(),
-            founders: self.founders.clone(),
+            initial_voters: self.initial_voters.clone(),
             timing: self.timing,
             seed: self.random.random(),
         };
--- a/crates/dispatcher/replicated-store/src/node/proposals.rs
+++ b/crates/dispatcher/replicated-store/src/node/proposals.rs
@@ -20,7 +20,8 @@
             return;
         }
         if let Ok(command) = postcard::to_allocvec(proposal) {
-            self.raft.propose(now, command);
+            // One that does not lead drops it: its proposer sends it again to the leader.
+            let _ = self.raft.propose(now, command);
             self.process_log();
         }
     }
--- a/crates/dispatcher/replicated-store/src/node/timer.rs
+++ b/crates/dispatcher/replicated-store/src/node/timer.rs
@@ -18,12 +18,12 @@
             .min(self.next_voters)
             .min(self.claims.due())
             .min(self.holder_due);
-        self.raft.due().min(propose).min(rest)
+        self.raft.deadline().min(propose).min(rest)
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: f64) {
-        if now >= self.raft.due() {
+        if now >= self.raft.deadline() {
             self.raft.tick(now);
         }
         if now >= self.next_voters {
@@ -50,7 +50,7 @@
     /// Moves the log's voters towards those that are agreed on.
     fn reconfigure(&mut self, now: f64) {
         let wanted = match self.facts.voters.is_empty() {
-            true => &self.founders,
+            true => &self.initial_voters,
             false => &self.facts.voters,
         };
         self.raft.reconfigure(now, wanted);
--- a/crates/dispatcher/replicated-store/tests/disk.rs
+++ b/crates/dispatcher/replicated-store/tests/disk.rs
@@ -1,12 +1,12 @@
 //! What lies on the disk: power lost at any byte, any bit flipped, another's disk.
 
-use sagetrail_raft::{DiskRecord, DiskWritten, Entry, EntryPayload, Mark};
+use sagetrail_raft::{DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition};
 use sagetrail_replicated_store::{begin, open, record, Held};
 
 fn recs() -> Vec<DiskRecord> {
-    let first = Entry::after(&Mark::default(), 1, EntryPayload::Noop);
+    let first = Entry::after(&LogPosition::default(), 1, EntryPayload::Noop);
     let second = Entry::after(
-        &first.mark,
+        &first.position,
         2,
         EntryPayload::Command(b"a word of some length".to_vec()),
     );
@@ -18,14 +18,14 @@
         DiskRecord::Entry(first),
         DiskRecord::Entry(second),
         DiskRecord::Truncate { from: 2 },
-        DiskRecord::Disks(vec![
-            DiskWritten {
+        DiskRecord::Watermarks(vec![
+            DiskWatermark {
                 disk: 1,
-                written: 2,
+                records_written: 2,
             },
-            DiskWritten {
+            DiskWatermark {
                 disk: 3,
-                written: 4,
+                records_written: 4,
             },
         ]),
     ]
--- a/crates/dispatcher/replicated-store/tests/encoding.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding.rs
@@ -8,7 +8,7 @@
 use encoding_support::{body, open_log_question, Body, Pair, BODIES, NAME};
 use sagetrail_fixture::Fixture;
 use sagetrail_raft::{
-    DiskRecord, DiskWritten, Entry, EntryPayload, Mark, MessageBody, Snapshot, Voter,
+    DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition, MessageBody, Snapshot, Voter,
 };
 use sagetrail_replicated_store::{
     begin, open, record, replicas, About, ClaimId, ClaimReply, Digest, Ended, Facts, Held, Item,
@@ -318,11 +318,11 @@
 
 fn disk_records() -> Vec<DiskRecord> {
     let voter = Voter {
-        who: 0xd001,
+        member: 0xd001,
         disk: 0xd002,
     };
     let entry = Entry::after(
-        &Mark::default(),
+        &LogPosition::default(),
         7,
         EntryPayload::Command(postcard::to_allocvec(&proposals()[0]).unwrap()),
     );
@@ -332,15 +332,15 @@
             vote: Some(0xd001),
         },
         DiskRecord::Snapshot(Snapshot {
-            mark: entry.mark,
+            position: entry.position,
             voters: vec![voter],
             state: facts().write(),
         }),
         DiskRecord::Entry(entry),
         DiskRecord::Truncate { from: 9 },
-        DiskRecord::Disks(vec![DiskWritten {
+        DiskRecord::Watermarks(vec![DiskWatermark {
             disk: 0xd003,
-            written: 0xd004,
+            records_written: 0xd004,
         }]),
     ]
 }
--- a/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
@@ -100,7 +100,7 @@
     };
     let message = Message {
         disk: 0x4002,
-        written: 0,
+        records_written: 0,
         term: 0,
         body: MessageBody::DiskQuery {
             nonce: 0x0102_0304_0506_0708,
@@ -115,7 +115,7 @@
         fleet: FLEET.to_string(),
         me,
         members: vec![1, 2],
-        founders: vec![1],
+        initial_voters: vec![1],
         timing: Timing::default(),
         incarnation: 0x2000 + me,
         birth: BIRTH + me,
@@ -132,7 +132,7 @@
     let mut frames = std::mem::take(&mut node.out);
     while let Some(batch) = node.next_batch() {
         frames.extend(batch.frames);
-        node.persisted(now, batch.mark);
+        node.persisted(now, batch.position);
         frames.append(&mut node.out);
     }
     frames.into_iter().map(|(_, frame)| frame).collect()
--- a/crates/dispatcher/replicated-store/tests/stored.rs
+++ b/crates/dispatcher/replicated-store/tests/stored.rs
@@ -6,7 +6,9 @@
 //! on purpose, `WRITE_STORED=1 cargo test -p sagetrail-replicated-store --test stored` writes them again; what changed then
 //! stands in the commit, with how a member reads the older files. The record of hand-offs is not on disk.
 
-use sagetrail_raft::{DiskRecord, DiskWritten, Entry, EntryPayload, Mark, Snapshot, Timing, Voter};
+use sagetrail_raft::{
+    DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition, Snapshot, Timing, Voter,
+};
 use sagetrail_replicated_store::{
     begin, open, record, About, Held, Item, Key, Node, NodeConfig, Op, Said, Stamp, Version,
 };
@@ -52,9 +54,9 @@
 }
 
 fn every_record() -> Vec<DiskRecord> {
-    let voter = |who, disk| Voter { who, disk };
+    let voter = |member, disk| Voter { member, disk };
     let snapshot = Snapshot {
-        mark: Mark {
+        position: LogPosition {
             index: 300,
             term: 4,
             chain: 0x0123_4567_89ab_cdef,
@@ -62,11 +64,11 @@
         voters: vec![voter(ME, DISK), voter(OTHER, 0x4444)],
         state: b"state".to_vec(),
     };
-    let noop = Entry::after(&snapshot.mark, 5, EntryPayload::Noop);
+    let noop = Entry::after(&snapshot.position, 5, EntryPayload::Noop);
     let voters = EntryPayload::Voters(vec![voter(OTHER, 0x5555)]);
-    let voters = Entry::after(&noop.mark, 6, voters);
+    let voters = Entry::after(&noop.position, 6, voters);
     let command = EntryPayload::Command(b"command".to_vec());
-    let command = Entry::after(&voters.mark, 7, command);
+    let command = Entry::after(&voters.position, 7, command);
     vec![
         DiskRecord::Term {
             term: 4,
@@ -81,14 +83,14 @@
         DiskRecord::Entry(voters),
         DiskRecord::Entry(command),
         DiskRecord::Truncate { from: 302 },
-        DiskRecord::Disks(vec![
-            DiskWritten {
+        DiskRecord::Watermarks(vec![
+            DiskWatermark {
                 disk: 0x4444,
-                written: 12,
+                records_written: 12,
             },
-            DiskWritten {
+            DiskWatermark {
                 disk: 0x5555,
-                written: 13,
+                records_written: 13,
             },
         ]),
     ]
@@ -118,7 +120,7 @@
         fleet: FLEET.to_string(),
         me: ME,
         members: vec![ME, OTHER],
-        founders: vec![ME],
+        initial_voters: vec![ME],
         timing: Timing {
             heartbeat_s: 0.05,
             election_timeout_s: 0.5,
@@ -160,7 +162,7 @@
                     self.log.clear();
                 }
                 self.log.extend(&batch.bytes);
-                self.node.persisted(self.now, batch.mark);
+                self.node.persisted(self.now, batch.position);
             }
         }
     }
