--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -400,7 +400,7 @@
         for s in node.standings(now) {
             let told = |age: Option<f64>| age.map_or("-".to_string(), |age| format!("{age:.1}"));
             let heard = Some(s.heard_s).filter(|age| age.is_finite());
-            let life = format!("{:?}", s.life).to_lowercase();
+            let life = s.life.as_str();
             let _ = writeln!(
                 lines,
                 "{} {} {life} {} {:.1} {} {}",
@@ -462,7 +462,7 @@
         let mut lines = format!("sharing {}\n", if self.sharing { "on" } else { "off" });
         lines.push_str("budget of limit right lent borrowed spent usable\n");
         for h in node.budgets.held(now) {
-            let kind = format!("{:?}", h.key.kind).to_lowercase();
+            let kind = h.key.kind.as_str();
             let _ = writeln!(
                 lines,
                 "{kind} {} {} {} {} {} {} {}",
@@ -492,7 +492,7 @@
         {
             let runner = gates.iter().find(|(name, _)| number(name) == of);
             let runner = runner.map_or("?", |(name, _)| name);
-            let _ = writeln!(lines, "{runner} {}", format!("{heard:?}").to_lowercase());
+            let _ = writeln!(lines, "{runner} {}", heard.as_str());
         }
         lines
     }
--- a/crates/dispatcher/shared-state/src/budgets.rs
+++ b/crates/dispatcher/shared-state/src/budgets.rs
@@ -49,6 +49,17 @@
     Category,
 }
 
+impl Kind {
+    /// The spelling on the operators' page of budgets.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Kind::Cold => "cold",
+            Kind::Resends => "resends",
+            Kind::Category => "category",
+        }
+    }
+}
+
 /// One budget: of which runner or category, by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
--- a/crates/dispatcher/shared-state/src/evidence.rs
+++ b/crates/dispatcher/shared-state/src/evidence.rs
@@ -115,6 +115,16 @@
     Well,
 }
 
+impl Heard {
+    /// The spelling on the operators' page of runners.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Heard::Unwell => "unwell",
+            Heard::Well => "well",
+        }
+    }
+}
+
 /// One reporter's sights, and how long ago they were made.
 pub struct Witness<'a> {
     pub site: u16,
--- a/crates/dispatcher/swim/src/swim.rs
+++ b/crates/dispatcher/swim/src/swim.rs
@@ -65,6 +65,18 @@
     Dead,
 }
 
+impl Life {
+    /// The spelling on the operators' page of members.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Life::Unknown => "unknown",
+            Life::Alive => "alive",
+            Life::Suspect => "suspect",
+            Life::Dead => "dead",
+        }
+    }
+}
+
 /// What one says of another; of `by` who suspects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
