--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -7,7 +7,7 @@
 use sagetrail_policy::Dispatcher;
 use sagetrail_settings::Fleet as Said;
 use sagetrail_shared_state::{Heard, Judge, Key, Kind, Lending, Node, Terms};
-use sagetrail_swim::{Pace, Peer};
+use sagetrail_swim::{Peer, SwimConfig};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -138,10 +138,10 @@
             fleet: said.name.clone(),
             roster: said.members.iter().map(peer).collect(),
             me: said.me,
-            pace: Pace {
-                probe_s: said.probe_s,
-                ack_s: said.ack_s,
-                helpers: said.helpers,
+            pace: SwimConfig {
+                probe_interval_s: said.probe_s,
+                ack_timeout_s: said.ack_s,
+                indirect_probes: said.helpers,
             },
             lending: lending.into(),
             judge,
@@ -208,7 +208,7 @@
             return;
         }
         let (node, places) = (self.node.borrow(), self.places.borrow());
-        let me = node.members.roster()[node.members.me()].number;
+        let me = node.members.roster()[node.members.own_index()].number;
         for (report, age_s) in node
             .reports
             .fresh(now, TOLD_S)
@@ -412,17 +412,17 @@
                 told(s.report_s)
             );
         }
-        let tally = node.members.tally;
+        let counters = node.members.counters;
         let _ = writeln!(
             lines,
             "own: health {} of 8, probes {}, suspected {}, refuted {}, died {}, accused {}, stalls {}",
-            node.members.health(),
-            tally.probes,
-            tally.suspected,
-            tally.refuted,
-            tally.died,
-            tally.accused,
-            tally.stalls
+            node.members.local_health(),
+            counters.probes,
+            counters.suspected,
+            counters.refuted,
+            counters.declared_dead,
+            counters.self_suspected,
+            counters.stalls
         );
         let _ = writeln!(
             lines,
@@ -430,7 +430,7 @@
             node.sent.0, node.sent.1, node.taken.0, node.taken.1
         );
         for (why, n) in &node.refused {
-            let _ = writeln!(lines, "passed over: {} {n}", why.name());
+            let _ = writeln!(lines, "passed over: {} {n}", why.as_str());
         }
         lines
     }
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use sagetrail_replicated_store::STORE_VERSION;
-use sagetrail_swim::{Refused, DATAGRAM_MOST, WHOLE_MOST};
+use sagetrail_swim::{FrameError, MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 
 fn framed(stream: TcpStream) -> Stream {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(WHOLE_MOST)
+        .max_frame_length(MAX_SYNC_BYTES)
         .new_codec();
     Framed::new(stream, codec)
 }
@@ -55,8 +55,8 @@
 
     /// Reads, ticks and sends until the process ends.
     pub(crate) async fn keep(self) {
-        let mut buffer = vec![0; DATAGRAM_MOST + 1];
-        let mut told: (f64, BTreeMap<Refused, u64>) = (0.0, BTreeMap::new());
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        let mut told: (f64, BTreeMap<FrameError, u64>) = (0.0, BTreeMap::new());
         loop {
             let due = self.fleet.node.borrow().due();
             tokio::select! {
@@ -92,15 +92,15 @@
         }
     }
 
-    fn tell(&self, now: f64, told: &mut (f64, BTreeMap<Refused, u64>)) {
+    fn tell(&self, now: f64, told: &mut (f64, BTreeMap<FrameError, u64>)) {
         let (next, before) = told;
         let node = self.fleet.node.borrow();
         if now < *next || node.refused == *before {
             return;
         }
-        let more = |(why, n): (&Refused, &u64)| {
+        let more = |(why, n): (&FrameError, &u64)| {
             let new = n - before.get(why).copied().unwrap_or(0);
-            (new > 0).then(|| format!("{} {new}", why.name()))
+            (new > 0).then(|| format!("{} {new}", why.as_str()))
         };
         let reasons: Vec<String> = node.refused.iter().filter_map(more).collect();
         tracing::warn!("frames passed over: {}", reasons.join(", "));
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -729,7 +729,7 @@
             sent.frames, sent.bytes, taken.frames, taken.bytes
         );
         for (why, n) in &node.refused {
-            let _ = writeln!(lines, "passed over: {} {n}", why.name());
+            let _ = writeln!(lines, "passed over: {} {n}", why.as_str());
         }
         lines
     }
--- a/crates/dispatcher/replicated-store/src/node.rs
+++ b/crates/dispatcher/replicated-store/src/node.rs
@@ -20,7 +20,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use sagetrail_raft::{Fault, Raft, RaftConfig, Status, Timing};
-use sagetrail_swim::{Codec, Refused};
+use sagetrail_swim::{Codec, FrameError};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Tells the node's random numbers from the log's.
@@ -71,7 +71,7 @@
     /// Something changed since the host looked.
     pub changed: bool,
     /// Frames passed over, by reason.
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<FrameError, u64>,
     /// What was sent.
     pub sent: Traffic,
     /// What was received.
@@ -101,7 +101,7 @@
             merged: Merged::new(config.me, config.incarnation, config.marks_s, now),
             holder: Holder::new(now, config.records_s),
             claims: Claims::new(config.me),
-            codec: Codec::of(&config.fleet, STORE_VERSION),
+            codec: Codec::with_version(&config.fleet, STORE_VERSION),
             fleet: crc32fast::hash(config.fleet.as_bytes()),
             me: config.me,
             disk: config.disk,
--- a/crates/dispatcher/replicated-store/src/node/frames.rs
+++ b/crates/dispatcher/replicated-store/src/node/frames.rs
@@ -5,7 +5,7 @@
 use crate::merged::{Digest, Item, Key};
 use crate::records::{ClaimReply, Ended, Name, Owner, RecordPage};
 use sagetrail_raft::Message;
-use sagetrail_swim::{Envelope, Refused};
+use sagetrail_swim::{Envelope, FrameError};
 use serde::{Deserialize, Serialize};
 
 /// Frames of this version say so in their first byte, which tells them from the members' own.
@@ -49,12 +49,12 @@
     pub(super) fn frame(&mut self, body: &Body) -> Vec<u8> {
         self.frame_no += 1;
         let envelope = Envelope {
-            from: self.me,
-            birth: self.birth,
+            sender: self.me,
+            process: self.birth,
             incarnation: self.incarnation,
-            no: self.frame_no,
+            sequence: self.frame_no,
         };
-        let frame = self.codec.write(&envelope, body);
+        let frame = self.codec.encode(&envelope, body);
         self.sent.count(&frame);
         frame
     }
@@ -66,20 +66,20 @@
 
     /// A frame has come.
     pub fn receive(&mut self, now: f64, frame: &[u8]) {
-        let (envelope, body) = match self.codec.read::<Body>(frame, FRAME_MOST) {
+        let (envelope, body) = match self.codec.decode::<Body>(frame, FRAME_MOST) {
             Ok(read) => read,
             Err(why) => return self.refuse(why),
         };
-        let from = envelope.from;
+        let from = envelope.sender;
         if from == self.me || !self.members.contains(&from) {
-            return self.refuse(Refused::Stranger);
+            return self.refuse(FrameError::UnknownSender);
         }
         self.received.count(frame);
         self.dispatch(
             now,
             Owner {
                 who: from,
-                birth: envelope.birth,
+                birth: envelope.process,
             },
             body,
         );
@@ -90,7 +90,7 @@
         match body {
             Body::Log(message) => self.receive_log(now, from, message),
             Body::Propose(proposal) if proposal.who == from => self.append_proposal(now, &proposal),
-            Body::Propose(_) => self.refuse(Refused::Figure),
+            Body::Propose(_) => self.refuse(FrameError::InvalidValue),
             Body::MergedDigest(have) => self.answer_digest(now, from, &have),
             Body::MergedItems { have, items } => self.take_items(now, from, &have, items),
             Body::Claim { name, no, epoch } => {
@@ -122,11 +122,11 @@
         let valid = self.raft.receive(now, from, message);
         self.process_log();
         if !valid {
-            self.refuse(Refused::Figure);
+            self.refuse(FrameError::InvalidValue);
         }
     }
 
-    fn refuse(&mut self, why: Refused) {
+    fn refuse(&mut self, why: FrameError) {
         *self.refused.entry(why).or_default() += 1;
     }
 }
--- a/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
@@ -79,11 +79,11 @@
 }
 
 fn codec() -> Codec {
-    Codec::of(FLEET, STORE_VERSION)
+    Codec::with_version(FLEET, STORE_VERSION)
 }
 
 fn opened(frame: &[u8]) -> (Envelope, Body) {
-    codec().read(frame, FRAME_MOST).unwrap()
+    codec().decode(frame, FRAME_MOST).unwrap()
 }
 
 pub(crate) fn body(frame: &[u8]) -> Body {
@@ -93,10 +93,10 @@
 /// What one that starts asks member 1.
 pub(crate) fn open_log_question() -> Vec<u8> {
     let envelope = Envelope {
-        from: 2,
-        birth: BIRTH + 2,
+        sender: 2,
+        process: BIRTH + 2,
         incarnation: 0x2002,
-        no: 0x1001,
+        sequence: 0x1001,
     };
     let message = Message {
         disk: 0x4002,
@@ -107,7 +107,7 @@
             blank: true,
         },
     };
-    codec().write(&envelope, &Body::Log(message))
+    codec().encode(&envelope, &Body::Log(message))
 }
 
 fn config(me: u64) -> NodeConfig {
@@ -180,7 +180,7 @@
             .unwrap_or_else(|| panic!("no frame for {name}"));
         assert_eq!(wanted.next(), None, "several frames for {name}");
         let (envelope, body) = opened(&frame);
-        assert_eq!(codec().write(&envelope, &body), frame, "{name}");
+        assert_eq!(codec().encode(&envelope, &body), frame, "{name}");
         self.written.add_bytes(name, &frame);
         frame
     }
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_swim::{
-    Codec, Envelope, Life, Members, Message, Pace, Peer, Refused, Update, DATAGRAM_MOST, WHOLE_MOST,
+    Codec, Envelope, FrameError, MemberState, Membership, Message, Peer, SwimConfig, Update,
+    MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -56,7 +57,7 @@
     pub fleet: String,
     pub roster: Vec<Peer>,
     pub me: usize,
-    pub pace: Pace,
+    pub pace: SwimConfig,
     pub lending: BTreeMap<Kind, Lending>,
     pub judge: Judge,
     pub categories: usize,
@@ -74,7 +75,7 @@
 pub struct Standing {
     pub name: String,
     pub site: u16,
-    pub life: Life,
+    pub life: MemberState,
     pub incarnation: u64,
     pub since_s: f64,
     pub heard_s: f64,
@@ -82,7 +83,7 @@
 }
 
 pub struct Node {
-    pub members: Members,
+    pub members: Membership,
     pub budgets: Budgets,
     pub sights: Sights,
     pub reports: Reports,
@@ -102,7 +103,7 @@
     next_whole: f64,
     chance: Pcg64Mcg,
     /// Frames passed over, by reason; and sent and taken in all, with their bytes.
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<FrameError, u64>,
     pub sent: (u64, u64),
     pub taken: (u64, u64),
 }
@@ -127,7 +128,7 @@
         let mut chance = Pcg64Mcg::seed_from_u64(birth);
         let spread = chance.random::<f64>();
         Node {
-            members: Members::new(pace, roster, me, incarnation, birth, now),
+            members: Membership::new(pace, roster, me, incarnation, birth, now),
             budgets: Budgets::new(numbers, me, birth, lending, now),
             sights: Sights::default(),
             reports: Reports::default(),
@@ -153,26 +154,26 @@
 
     fn frame(&mut self, body: &Body) -> Vec<u8> {
         self.no += 1;
-        let from = self.members.roster()[self.members.me()].number;
+        let from = self.members.roster()[self.members.own_index()].number;
         let envelope = Envelope {
-            from,
-            birth: self.birth,
+            sender: from,
+            process: self.birth,
             incarnation: self.members.incarnation(),
-            no: self.no,
+            sequence: self.no,
         };
-        self.codec.write(&envelope, body)
+        self.codec.encode(&envelope, body)
     }
 
     fn send(&mut self, to: usize, body: &Body, out: &mut Out) {
         let frame = self.frame(body);
         // What does not fit was cut to fit by who made it; the rest goes by a whole exchange.
-        if frame.len() <= DATAGRAM_MOST {
+        if frame.len() <= MAX_DATAGRAM_BYTES {
             self.sent = (self.sent.0 + 1, self.sent.1 + frame.len() as u64);
             out.push((to, frame));
         }
     }
 
-    fn refuse(&mut self, why: Refused) {
+    fn refuse(&mut self, why: FrameError) {
         *self.refused.entry(why).or_default() += 1;
     }
 
@@ -257,7 +258,7 @@
             running.sort_unstable();
         }
         Report {
-            who: self.members.roster()[self.members.me()].number,
+            who: self.members.roster()[self.members.own_index()].number,
             birth: self.birth,
             incarnation: self.members.incarnation(),
             version: self.version,
@@ -274,7 +275,7 @@
         let mut report = self.report(now, SIGHTS_TOLD, RUNNING_TOLD);
         self.reports.join(now, report.clone());
         // Many categories leave less room: the rest goes by whole exchanges.
-        while self.frame(&Body::Report(report.clone())).len() > DATAGRAM_MOST {
+        while self.frame(&Body::Report(report.clone())).len() > MAX_DATAGRAM_BYTES {
             let (sights, runners) = (report.seen.len() / 2, report.running.len() / 2);
             report.seen.truncate(sights);
             report.running.truncate(runners);
@@ -283,7 +284,7 @@
             }
         }
         let mut others: Vec<usize> = (0..self.members.roster().len())
-            .filter(|who| self.members.reachable(*who))
+            .filter(|who| self.members.is_reachable(*who))
             .collect();
         for at in 0..others.len().min(TELL_TO) {
             let other = self.chance.random_range(at..others.len());
@@ -295,7 +296,7 @@
     // ---- frames ----
 
     fn opened(&mut self, now: f64, frame: &[u8], most: usize) -> Option<(usize, Envelope, Body)> {
-        let (envelope, body) = match self.codec.read::<Body>(frame, most) {
+        let (envelope, body) = match self.codec.decode::<Body>(frame, most) {
             Ok(read) => read,
             Err(why) => {
                 self.refuse(why);
@@ -304,26 +305,26 @@
         };
         let Some(from) = self
             .members
-            .place(envelope.from)
-            .filter(|from| *from != self.members.me())
+            .index_of(envelope.sender)
+            .filter(|from| *from != self.members.own_index())
         else {
-            self.refuse(Refused::Stranger);
+            self.refuse(FrameError::UnknownSender);
             return None;
         };
         self.taken = (self.taken.0 + 1, self.taken.1 + frame.len() as u64);
-        self.members.alive(now, from, envelope.incarnation);
+        self.members.confirm_alive(now, from, envelope.incarnation);
         Some((from, envelope, body))
     }
 
     /// A datagram has come.
     pub fn datagram(&mut self, now: f64, frame: &[u8], out: &mut Out) {
-        let Some((from, envelope, body)) = self.opened(now, frame, DATAGRAM_MOST) else {
+        let Some((from, envelope, body)) = self.opened(now, frame, MAX_DATAGRAM_BYTES) else {
             return;
         };
         let sound = match body {
             Body::Swim(message) => {
                 let mut post = Vec::new();
-                let sound = self.members.heard(now, from, message, &mut post);
+                let sound = self.members.receive(now, from, message, &mut post);
                 post.into_iter()
                     .for_each(|(to, message)| self.send(to, &Body::Swim(message), out));
                 sound
@@ -331,7 +332,7 @@
             Body::Asks(asks) => {
                 let grants: Vec<Grant> = asks
                     .into_iter()
-                    .filter_map(|ask| self.budgets.asked(now, from, envelope.birth, ask))
+                    .filter_map(|ask| self.budgets.asked(now, from, envelope.process, ask))
                     .collect();
                 if !grants.is_empty() {
                     self.send(from, &Body::Grants(grants), out);
@@ -342,11 +343,11 @@
                 .into_iter()
                 .all(|grant| self.budgets.granted(from, grant)),
             // By way of nobody: who made it sends it.
-            Body::Report(report) => report.who == envelope.from && self.reports.join(now, report),
+            Body::Report(report) => report.who == envelope.sender && self.reports.join(now, report),
             Body::Have { .. } | Body::Give { .. } | Body::Rest { .. } => false,
         };
         if !sound {
-            self.refuse(Refused::Figure);
+            self.refuse(FrameError::InvalidValue);
         }
     }
 
@@ -359,7 +360,9 @@
         // The dead too, now and then: two halves of a split find each other again.
         let dead = self.chance.random_range(0..8) == 0;
         let others: Vec<usize> = (0..self.members.roster().len())
-            .filter(|who| *who != self.members.me() && (dead || self.members.reachable(*who)))
+            .filter(|who| {
+                *who != self.members.own_index() && (dead || self.members.is_reachable(*who))
+            })
             .collect();
         if others.is_empty() {
             return None;
@@ -368,36 +371,36 @@
         let whole = self.report(now, usize::MAX, usize::MAX);
         self.reports.join(now, whole);
         let body = Body::Have {
-            updates: self.members.whole(),
+            updates: self.members.full_state(),
             have: self.reports.digest(),
         };
         Some((to, self.frame(&body)))
     }
 
     fn take_up(&mut self, now: f64, updates: &[Update], reports: Vec<Report>, sums: Vec<Sums>) {
-        let mut sound = self.members.told(now, updates);
-        let me = self.members.roster()[self.members.me()].number;
+        let mut sound = self.members.apply_updates(now, updates);
+        let me = self.members.roster()[self.members.own_index()].number;
         for report in reports {
-            if self.members.place(report.who).is_none() || report.who == me {
+            if self.members.index_of(report.who).is_none() || report.who == me {
                 continue;
             }
             sound &= self.reports.join(now, report);
         }
         if !(sound & self.reports.join_sums(sums)) {
-            self.refuse(Refused::Figure);
+            self.refuse(FrameError::InvalidValue);
         }
     }
 
     /// A frame of a whole exchange has come; what is to be answered on the same link, if anything.
     pub fn whole(&mut self, now: f64, frame: &[u8]) -> Option<Vec<u8>> {
-        let (_, _, body) = self.opened(now, frame, WHOLE_MOST)?;
+        let (_, _, body) = self.opened(now, frame, MAX_SYNC_BYTES)?;
         match body {
             Body::Have { updates, have } => {
                 self.take_up(now, &updates, Vec::new(), Vec::new());
                 let whole = self.report(now, usize::MAX, usize::MAX);
                 self.reports.join(now, whole);
                 let body = Body::Give {
-                    updates: self.members.whole(),
+                    updates: self.members.full_state(),
                     have: self.reports.digest(),
                     reports: self.reports.beyond(now, &have),
                     sums: self.reports.sums(),
@@ -422,7 +425,7 @@
                 None
             }
             _ => {
-                self.refuse(Refused::Figure);
+                self.refuse(FrameError::InvalidValue);
                 None
             }
         }
@@ -433,7 +436,7 @@
     /// What is heard of runners, beside the own sights.
     pub fn heard(&mut self, now: f64) -> Vec<(u64, Heard)> {
         let own = self.sights.report(now);
-        let me = self.members.me();
+        let me = self.members.own_index();
         let mut witnesses = vec![Witness {
             site: self.members.roster()[me].site,
             own: true,
@@ -441,7 +444,7 @@
             seen: &own,
         }];
         for (report, age_s) in self.reports.fresh(now, WITNESS_S) {
-            let Some(who) = self.members.place(report.who).filter(|who| *who != me) else {
+            let Some(who) = self.members.index_of(report.who).filter(|who| *who != me) else {
                 continue;
             };
             let site = self.members.roster()[who].site;
@@ -457,7 +460,7 @@
 
     /// The most jobs of all members that run on one runner.
     pub fn most_running(&self, now: f64, within_s: f64) -> u64 {
-        let me = self.members.roster()[self.members.me()].number;
+        let me = self.members.roster()[self.members.own_index()].number;
         let mut at: BTreeMap<u64, u64> = self
             .running
             .iter()
@@ -477,17 +480,17 @@
 
     pub fn standings(&self, now: f64) -> Vec<Standing> {
         let of = |(n, peer): (usize, &Peer)| {
-            let seen = self.members.seen(n);
+            let seen = self.members.view(n);
             Standing {
                 name: peer.name.clone(),
                 site: peer.site,
-                life: seen.life,
+                life: seen.state,
                 incarnation: seen.incarnation,
                 since_s: now - seen.since,
-                heard_s: if n == self.members.me() {
+                heard_s: if n == self.members.own_index() {
                     0.0
                 } else {
-                    now - seen.heard
+                    now - seen.last_received
                 },
                 report_s: self.reports.age(now, peer.number),
             }
--- a/crates/dispatcher/shared-state/tests/encoding.rs
+++ b/crates/dispatcher/shared-state/tests/encoding.rs
@@ -1,12 +1,14 @@
 //! The bytes of what whole members send each other. The frames are those that a pair of members writes in a fixed
-//! story; each is handed to the other one, so that it is read as well. Members of different releases speak to each
+//! story; each is handed to the other one, so that it is read as well. Membership of different releases speak to each
 //! other: a difference from `fixtures/frames.txt` is a new version, never a new fixture alone.
 
 use sagetrail_fixture::Fixture;
 use sagetrail_shared_state::{
     Ask, Digest, Grant, Judge, Key, Kind, Lending, Node, Out, Report, Sums, Terms,
 };
-use sagetrail_swim::{Codec, Envelope, Life, Message, Pace, Peer, Update, WHOLE_MOST};
+use sagetrail_swim::{
+    Codec, Envelope, MemberState, Message, Peer, SwimConfig, Update, MAX_SYNC_BYTES,
+};
 use serde::{Deserialize, Serialize};
 
 const FIXTURE: &str = include_str!("fixtures/frames.txt");
@@ -55,7 +57,7 @@
 const BODIES: [&str; 7] = ["swim", "asks", "grants", "report", "have", "give", "rest"];
 
 fn opened(frame: &[u8]) -> (Envelope, Body) {
-    Codec::new(FLEET).read(frame, WHOLE_MOST).unwrap()
+    Codec::new(FLEET).decode(frame, MAX_SYNC_BYTES).unwrap()
 }
 
 fn terms(me: usize) -> Terms {
@@ -73,7 +75,7 @@
         fleet: FLEET.to_string(),
         roster: vec![peer("a", 0x1001, 1), peer("b", 0x1002, 2)],
         me,
-        pace: Pace::default(),
+        pace: SwimConfig::default(),
         lending: [
             (Kind::Cold, lending(3.0)),
             (Kind::Resends, lending(3.5)),
@@ -107,7 +109,7 @@
     fn note(&mut self, name: &str, variant: &str, frame: &[u8]) {
         let (envelope, body) = opened(frame);
         assert_eq!(body.name(), variant, "{name}");
-        assert_eq!(Codec::new(FLEET).write(&envelope, &body), frame, "{name}");
+        assert_eq!(Codec::new(FLEET).encode(&envelope, &body), frame, "{name}");
         self.written.add_bytes(name, frame);
     }
 
@@ -151,7 +153,7 @@
     let ack = only(&answers, "swim");
     pair.note("ack", "swim", &ack);
     pair.a.datagram(1.23, &ack, &mut Out::new());
-    assert_eq!(pair.a.members.seen(1).life, Life::Alive);
+    assert_eq!(pair.a.members.view(1).state, MemberState::Alive);
     assert_eq!(pair.b.reports.digest().len(), 1);
 }
 
@@ -177,7 +179,7 @@
     Key { kind, of: RUNNER }
 }
 
-/// Members ask for parts of each kind of budget, once with nothing in use and once with something.
+/// Membership ask for parts of each kind of budget, once with nothing in use and once with something.
 fn budgets(pair: &mut Pair) {
     for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
         pair.a.budgets.limit(10.0, key(kind), limit);
--- a/crates/dispatcher/shared-state/tests/nodes.rs
+++ b/crates/dispatcher/shared-state/tests/nodes.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_shared_state::*;
-use sagetrail_swim::{Life, Pace, Peer, Refused};
+use sagetrail_swim::{FrameError, MemberState, Peer, SwimConfig};
 use std::collections::BTreeMap;
 
 struct Fleet {
@@ -32,7 +32,7 @@
         fleet: fleet.to_string(),
         roster,
         me,
-        pace: Pace::default(),
+        pace: SwimConfig::default(),
         lending: [(Kind::Cold, cold)].into(),
         judge: Judge::default(),
         categories: 2,
@@ -97,7 +97,7 @@
         }
     }
 
-    fn refused(&self) -> BTreeMap<Refused, u64> {
+    fn refused(&self) -> BTreeMap<FrameError, u64> {
         let mut all = BTreeMap::new();
         for (why, n) in self.nodes.iter().flat_map(|node| &node.refused) {
             *all.entry(*why).or_default() += n;
@@ -128,7 +128,7 @@
         assert!(node
             .standings(fleet.now)
             .iter()
-            .all(|standing| standing.life == Life::Alive));
+            .all(|standing| standing.life == MemberState::Alive));
         assert!(node.heard(fleet.now).contains(&(3, Heard::Unwell)));
     }
     assert!(fleet.refused().is_empty(), "{:?}", fleet.refused());
@@ -203,11 +203,11 @@
     node.datagram(1.0, &flipped, &mut out);
     assert!(out.is_empty());
     for why in [
-        Refused::Fleet,
-        Refused::Stranger,
-        Refused::CutOff,
-        Refused::TooLong,
-        Refused::Checksum,
+        FrameError::OtherFleet,
+        FrameError::UnknownSender,
+        FrameError::Truncated,
+        FrameError::TooLong,
+        FrameError::ChecksumMismatch,
     ] {
         assert_eq!(node.refused.get(&why), Some(&1), "{why:?}");
     }
@@ -216,5 +216,5 @@
         .standings(1.0)
         .iter()
         .skip(1)
-        .all(|standing| standing.life == Life::Unknown));
+        .all(|standing| standing.life == MemberState::Unknown));
 }
--- a/crates/dispatcher/swim/examples/measure.rs
+++ b/crates/dispatcher/swim/examples/measure.rs
@@ -3,7 +3,7 @@
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
-use sagetrail_swim::Life;
+use sagetrail_swim::MemberState;
 use sim::Net;
 use std::time::Instant;
 
@@ -30,12 +30,12 @@
                 let died = net.now;
                 let says = |net: &Net, life| (1..n).any(|by| net.life(0, by) == life);
                 net.until(died + 200.0, |net| {
-                    says(net, Life::Suspect) || says(net, Life::Dead)
+                    says(net, MemberState::Suspect) || says(net, MemberState::Dead)
                 });
                 suspects.push(net.now - died);
-                net.until(died + 200.0, |net| says(net, Life::Dead));
+                net.until(died + 200.0, |net| says(net, MemberState::Dead));
                 first.push(net.now - died);
-                net.until(died + 200.0, |net| net.all_say(0, Life::Dead));
+                net.until(died + 200.0, |net| net.all_say(0, MemberState::Dead));
                 all.push(net.now - died);
             }
             let runs = all.len() as f64;
--- a/crates/dispatcher/swim/src/frame.rs
+++ b/crates/dispatcher/swim/src/frame.rs
@@ -6,65 +6,50 @@
 /// Frames of another version are passed over, and counted.
 pub const VERSION: u8 = 1;
 /// Under what any link carries unbroken: 1,500 bytes less the headers of IPv6 and UDP, and some for tunnels.
-pub const DATAGRAM_MOST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// A whole exchange: hundreds of members' reports on hundreds of runners.
-pub const WHOLE_MOST: usize = 4 << 20;
+pub const MAX_SYNC_BYTES: usize = 4 << 20;
 
 /// Why a frame is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum FrameError {
     TooLong,
-    CutOff,
-    Checksum,
-    Version,
-    Fleet,
+    Truncated,
+    ChecksumMismatch,
+    UnsupportedVersion,
+    OtherFleet,
     /// From a name that is not in the roster, or from this member's own.
-    Stranger,
-    Unreadable,
+    UnknownSender,
+    Malformed,
     /// A figure that no member can have.
-    Figure,
-    /// More senders than there are places, or sooner than one may come again.
-    TooMany,
+    InvalidValue,
 }
 
-impl Refused {
-    pub const ALL: [Refused; 9] = [
-        Refused::TooLong,
-        Refused::CutOff,
-        Refused::Checksum,
-        Refused::Version,
-        Refused::Fleet,
-        Refused::Stranger,
-        Refused::Unreadable,
-        Refused::Figure,
-        Refused::TooMany,
-    ];
-
-    pub fn name(self) -> &'static str {
+impl FrameError {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Refused::TooLong => "too long",
-            Refused::CutOff => "cut off",
-            Refused::Checksum => "checksum",
-            Refused::Version => "another version",
-            Refused::Fleet => "another fleet",
-            Refused::Stranger => "a stranger",
-            Refused::Unreadable => "unreadable",
-            Refused::Figure => "an impossible figure",
-            Refused::TooMany => "too many",
+            FrameError::TooLong => "too long",
+            FrameError::Truncated => "cut off",
+            FrameError::ChecksumMismatch => "checksum",
+            FrameError::UnsupportedVersion => "another version",
+            FrameError::OtherFleet => "another fleet",
+            FrameError::UnknownSender => "a stranger",
+            FrameError::Malformed => "unreadable",
+            FrameError::InvalidValue => "an impossible figure",
         }
     }
 }
 
-/// Who sends. `birth` is drawn anew by each process: what an earlier process under the same name was lent is not
+/// Who sends. `process` is drawn anew by each process: what an earlier process under the same name was lent is not
 /// this one's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender's number, a hash of its name.
-    pub from: u64,
-    pub birth: u64,
+    pub sender: u64,
+    pub process: u64,
     pub incarnation: u64,
     /// Counts the sender's frames up.
-    pub no: u64,
+    pub sequence: u64,
 }
 
 /// Writes and reads frames of one fleet.
@@ -78,11 +63,11 @@
     /// The fleet goes over the links as a checksum of its name: enough to tell fleets apart that should not meet,
     /// and no secret.
     pub fn new(fleet: &str) -> Codec {
-        Codec::of(fleet, VERSION)
+        Codec::with_version(fleet, VERSION)
     }
 
     /// Frames of another kind on the same links: told apart by their first byte.
-    pub fn of(fleet: &str, version: u8) -> Codec {
+    pub fn with_version(fleet: &str, version: u8) -> Codec {
         Codec {
             fleet: crc32fast::hash(fleet.as_bytes()),
             version,
@@ -90,7 +75,7 @@
     }
 
     /// version, fleet, envelope, body, checksum.
-    pub fn write(&self, envelope: &Envelope, body: &impl Serialize) -> Vec<u8> {
+    pub fn encode(&self, envelope: &Envelope, body: &impl Serialize) -> Vec<u8> {
         let mut frame = vec![self.version];
         frame.extend_from_slice(&self.fleet.to_le_bytes());
         // Writing to a vector fails only on types without a known length, and none is here.
@@ -100,34 +85,34 @@
         frame
     }
 
-    /// `most` is the longest that may come this way. The checksum goes before the fleet and the version, so that
+    /// `max_bytes` is the longest that may come this way. The checksum goes before the fleet and the version, so that
     /// a flipped bit is called that.
-    pub fn read<B: DeserializeOwned>(
+    pub fn decode<B: DeserializeOwned>(
         &self,
         frame: &[u8],
-        most: usize,
-    ) -> Result<(Envelope, B), Refused> {
-        if frame.len() > most {
-            return Err(Refused::TooLong);
+        max_bytes: usize,
+    ) -> Result<(Envelope, B), FrameError> {
+        if frame.len() > max_bytes {
+            return Err(FrameError::TooLong);
         }
         let Some((said, sum)) = frame.split_last_chunk::<4>() else {
-            return Err(Refused::CutOff);
+            return Err(FrameError::Truncated);
         };
         let Some((head, rest)) = said.split_first_chunk::<5>() else {
-            return Err(Refused::CutOff);
+            return Err(FrameError::Truncated);
         };
         if crc32fast::hash(said) != u32::from_le_bytes(*sum) {
-            return Err(Refused::Checksum);
+            return Err(FrameError::ChecksumMismatch);
         }
         if head[0] != self.version {
-            return Err(Refused::Version);
+            return Err(FrameError::UnsupportedVersion);
         }
         if head[1..] != self.fleet.to_le_bytes() {
-            return Err(Refused::Fleet);
+            return Err(FrameError::OtherFleet);
         }
         match postcard::take_from_bytes(rest) {
             Ok((read, [])) => Ok(read),
-            _ => Err(Refused::Unreadable),
+            _ => Err(FrameError::Malformed),
         }
     }
 }
--- a/crates/dispatcher/swim/src/lib.rs
+++ b/crates/dispatcher/swim/src/lib.rs
@@ -8,5 +8,7 @@
 mod frame;
 mod swim;
 
-pub use frame::{Codec, Envelope, Refused, DATAGRAM_MOST, VERSION, WHOLE_MOST};
-pub use swim::{Life, Members, Message, Pace, Peer, Post, Seen, Tally, Update};
+pub use frame::{Codec, Envelope, FrameError, MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES, VERSION};
+pub use swim::{
+    Counters, MemberState, MemberView, Membership, Message, Outbox, Peer, SwimConfig, Update,
+};
--- a/crates/dispatcher/swim/src/swim.rs
+++ b/crates/dispatcher/swim/src/swim.rs
@@ -10,23 +10,23 @@
 
 /// Times in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
+pub struct SwimConfig {
     /// A probe each so often.
-    pub probe_s: f64,
+    pub probe_interval_s: f64,
     /// A probe's answer is waited for this long before others are asked to try.
-    pub ack_s: f64,
+    pub ack_timeout_s: f64,
     /// How many others are asked.
-    pub helpers: usize,
+    pub indirect_probes: usize,
 }
 
-impl Default for Pace {
+impl Default for SwimConfig {
     /// 0.3 s: a dead one of three is suspected within a second; two datagrams a period are nothing. 0.1 s: many
     /// round trips on a private network.
     fn default() -> Self {
-        Pace {
-            probe_s: 0.3,
-            ack_s: 0.1,
-            helpers: 3,
+        SwimConfig {
+            probe_interval_s: 0.3,
+            ack_timeout_s: 0.1,
+            indirect_probes: 3,
         }
     }
 }
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
+pub enum MemberState {
     /// Never heard of.
     Unknown,
     Alive,
@@ -65,69 +65,69 @@
     Dead,
 }
 
-impl Life {
+impl MemberState {
     /// The spelling on the operators' page of members.
     pub fn as_str(self) -> &'static str {
         match self {
-            Life::Unknown => "unknown",
-            Life::Alive => "alive",
-            Life::Suspect => "suspect",
-            Life::Dead => "dead",
+            MemberState::Unknown => "unknown",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
         }
     }
 }
 
-/// What one says of another; of `by` who suspects.
+/// What one says of another; of `reporter` who suspects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    pub who: u64,
+    pub member: u64,
     pub incarnation: u64,
-    pub life: Life,
-    pub by: u64,
+    pub state: MemberState,
+    pub reporter: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    Probe {
-        no: u32,
+    Ping {
+        sequence: u32,
         updates: Vec<Update>,
     },
     Ack {
-        no: u32,
+        sequence: u32,
         updates: Vec<Update>,
     },
-    /// Probe `who` for me.
-    Help {
-        no: u32,
-        who: u64,
+    /// Probe `target` for me.
+    PingReq {
+        sequence: u32,
+        target: u64,
         updates: Vec<Update>,
     },
     /// I could not reach it either: says that I am well myself.
-    Neither {
-        no: u32,
+    Nack {
+        sequence: u32,
     },
 }
 
 /// How one member stands in another's eyes.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub life: Life,
+pub struct MemberView {
+    pub state: MemberState,
     pub incarnation: u64,
     /// Since when, and when it was last heard itself; seconds on the caller's clock.
     pub since: f64,
-    pub heard: f64,
+    pub last_received: f64,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     pub probes: u64,
     pub suspected: u64,
     /// Of those, refuted: nobody had died.
     pub refuted: u64,
-    pub died: u64,
+    pub declared_dead: u64,
     /// This member was suspected by others while it lived.
-    pub accused: u64,
+    pub self_suspected: u64,
     pub stalls: u64,
 }
 
@@ -139,7 +139,7 @@
 
 struct Probe {
     who: usize,
-    no: u32,
+    sequence: u32,
     until: f64,
     /// Others have been asked; how many of them could not reach it but said so.
     asked: usize,
@@ -149,19 +149,19 @@
 
 /// A probe made for another.
 struct Favour {
-    no: u32,
+    sequence: u32,
     theirs: u32,
     asker: usize,
     until: f64,
 }
 
-pub struct Members {
-    pace: Pace,
+pub struct Membership {
+    pace: SwimConfig,
     me: usize,
     incarnation: u64,
     roster: Vec<Peer>,
     numbers: BTreeMap<u64, usize>,
-    seen: Vec<Seen>,
+    seen: Vec<MemberView>,
     suspicions: BTreeMap<usize, Suspicion>,
     /// What is still to be told, and how often.
     news: BTreeMap<usize, (Update, u32)>,
@@ -171,37 +171,37 @@
     favours: Vec<Favour>,
     next: f64,
     last: f64,
-    no: u32,
+    sequence: u32,
     health: u32,
     chance: Pcg64Mcg,
-    pub tally: Tally,
+    pub counters: Counters,
 }
 
-pub type Post = Vec<(usize, Message)>;
+pub type Outbox = Vec<(usize, Message)>;
 
-impl Members {
+impl Membership {
     /// `me` is this member's place in the roster; `incarnation` must not lie under an earlier process's of the
     /// same name: milliseconds of Unix time do, and where a clock was set back, hearing of itself mends it.
     pub fn new(
-        pace: Pace,
+        pace: SwimConfig,
         roster: Vec<Peer>,
         me: usize,
         incarnation: u64,
         seed: u64,
         now: f64,
     ) -> Self {
-        let unknown = Seen {
-            life: Life::Unknown,
+        let unknown = MemberView {
+            state: MemberState::Unknown,
             incarnation: 0,
             since: now,
-            heard: f64::NEG_INFINITY,
+            last_received: f64::NEG_INFINITY,
         };
         let mut seen = vec![unknown; roster.len()];
-        seen[me] = Seen {
-            life: Life::Alive,
+        seen[me] = MemberView {
+            state: MemberState::Alive,
             incarnation,
             since: now,
-            heard: now,
+            last_received: now,
         };
         let numbers = roster
             .iter()
@@ -210,8 +210,8 @@
             .collect();
         let mut chance = Pcg64Mcg::seed_from_u64(seed ^ roster[me].number);
         // Spread, so that a fleet started at once does not probe at once.
-        let next = now + pace.probe_s * chance.random::<f64>();
-        let mut members = Members {
+        let next = now + pace.probe_interval_s * chance.random::<f64>();
+        let mut members = Membership {
             pace,
             me,
             incarnation,
@@ -226,16 +226,16 @@
             favours: Vec::new(),
             next,
             last: now,
-            no: 0,
+            sequence: 0,
             health: 0,
             chance,
-            tally: Tally::default(),
+            counters: Counters::default(),
         };
         members.spread(me);
         members
     }
 
-    pub fn me(&self) -> usize {
+    pub fn own_index(&self) -> usize {
         self.me
     }
 
@@ -247,28 +247,28 @@
         &self.roster
     }
 
-    pub fn place(&self, number: u64) -> Option<usize> {
+    pub fn index_of(&self, number: u64) -> Option<usize> {
         self.numbers.get(&number).copied()
     }
 
-    pub fn seen(&self, who: usize) -> &Seen {
+    pub fn view(&self, who: usize) -> &MemberView {
         &self.seen[who]
     }
 
     /// How badly this member itself fares: 0 well, 8 worst.
-    pub fn health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.health
     }
 
     /// Alive or only suspected: worth sending to. Who was never heard of may be there too.
-    pub fn reachable(&self, who: usize) -> bool {
-        who != self.me && self.seen[who].life != Life::Dead
+    pub fn is_reachable(&self, who: usize) -> bool {
+        who != self.me && self.seen[who].state != MemberState::Dead
     }
 
-    pub fn living(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.seen
             .iter()
-            .filter(|seen| matches!(seen.life, Life::Alive | Life::Suspect))
+            .filter(|seen| matches!(seen.state, MemberState::Alive | MemberState::Suspect))
             .count()
     }
 
@@ -305,8 +305,8 @@
     }
 
     fn spread(&mut self, who: usize) {
-        let Seen {
-            life, incarnation, ..
+        let MemberView {
+            state, incarnation, ..
         } = self.seen[who];
         let (number, by) = (self.roster[who].number, self.roster[self.me].number);
         let times = (TOLD * self.log_n()).ceil() as u32;
@@ -314,10 +314,10 @@
             who,
             (
                 Update {
-                    who: number,
+                    member: number,
                     incarnation,
-                    life,
-                    by,
+                    state,
+                    reporter: by,
                 },
                 times,
             ),
@@ -352,40 +352,40 @@
     }
 
     /// All that is known, for a whole exchange.
-    pub fn whole(&self) -> Vec<Update> {
+    pub fn full_state(&self) -> Vec<Update> {
         let by = self.roster[self.me].number;
         let known = self
             .seen
             .iter()
             .zip(&self.roster)
-            .filter(|(seen, _)| seen.life != Life::Unknown);
+            .filter(|(seen, _)| seen.state != MemberState::Unknown);
         known
             .map(|(seen, peer)| Update {
-                who: peer.number,
+                member: peer.number,
                 incarnation: seen.incarnation,
-                life: seen.life,
-                by,
+                state: seen.state,
+                reporter: by,
             })
             .collect()
     }
 
     /// Some frame of this member has come itself: it lives, whatever is said of it.
-    pub fn alive(&mut self, now: f64, who: usize, incarnation: u64) {
+    pub fn confirm_alive(&mut self, now: f64, who: usize, incarnation: u64) {
         if who != self.me {
-            self.seen[who].heard = now;
-            self.believe(now, who, incarnation, Life::Alive, 0);
+            self.seen[who].last_received = now;
+            self.believe(now, who, incarnation, MemberState::Alive, 0);
         }
     }
 
     /// Takes up what is said, by SWIM's order: a higher incarnation goes before all; at the same one dead goes
     /// before suspect, that before alive. What is said of this member itself is refuted.
-    fn believe(&mut self, now: f64, who: usize, incarnation: u64, life: Life, by: u64) {
+    fn believe(&mut self, now: f64, who: usize, incarnation: u64, state: MemberState, by: u64) {
         if who == self.me {
-            if life != Life::Alive && incarnation >= self.incarnation {
+            if state != MemberState::Alive && incarnation >= self.incarnation {
                 self.incarnation = incarnation + 1;
                 self.seen[who].incarnation = self.incarnation;
                 self.spread(who);
-                self.tally.accused += 1;
+                self.counters.self_suspected += 1;
                 // Guards against a member so slow that it is thought dead blaming others in turn.
                 self.fares(true);
             } else if incarnation > self.incarnation {
@@ -396,34 +396,38 @@
             }
             return;
         }
-        let rank = |life: Life| match life {
-            Life::Unknown => 0,
-            Life::Alive => 1,
-            Life::Suspect => 2,
-            Life::Dead => 3,
+        let rank = |state: MemberState| match state {
+            MemberState::Unknown => 0,
+            MemberState::Alive => 1,
+            MemberState::Suspect => 2,
+            MemberState::Dead => 3,
         };
         let seen = &self.seen[who];
-        if life == Life::Suspect && seen.life == Life::Suspect && incarnation == seen.incarnation {
+        if state == MemberState::Suspect
+            && seen.state == MemberState::Suspect
+            && incarnation == seen.incarnation
+        {
             return self.accuse(who, by);
         }
-        let newer = incarnation > seen.incarnation || seen.life == Life::Unknown;
-        if !newer && (incarnation < seen.incarnation || rank(life) <= rank(seen.life)) {
+        let newer = incarnation > seen.incarnation || seen.state == MemberState::Unknown;
+        if !newer && (incarnation < seen.incarnation || rank(state) <= rank(seen.state)) {
             // Who speaks under an incarnation that is held dead, or an older one, is told so and refutes.
-            if life == Life::Alive && rank(self.seen[who].life) > 1 {
+            if state == MemberState::Alive && rank(self.seen[who].state) > 1 {
                 self.spread(who);
             }
             return;
         }
-        let was = std::mem::replace(&mut self.seen[who].life, life);
+        let was = std::mem::replace(&mut self.seen[who].state, state);
         (self.seen[who].incarnation, self.seen[who].since) = (incarnation, now);
-        if self.suspicions.remove(&who).is_some() && life == Life::Alive {
-            self.tally.refuted += 1;
+        if self.suspicions.remove(&who).is_some() && state == MemberState::Alive {
+            self.counters.refuted += 1;
         }
-        match life {
-            Life::Suspect => {
-                self.tally.suspected += 1;
-                let least =
-                    SUSPICION * (self.roster.len() as f64).log10().max(1.0) * self.pace.probe_s;
+        match state {
+            MemberState::Suspect => {
+                self.counters.suspected += 1;
+                let least = SUSPICION
+                    * (self.roster.len() as f64).log10().max(1.0)
+                    * self.pace.probe_interval_s;
                 let until = now + ALONE * least * self.slower();
                 self.suspicions.insert(
                     who,
@@ -435,7 +439,7 @@
                 );
                 self.accuse(who, by);
             }
-            Life::Dead if was != Life::Dead => self.tally.died += 1,
+            MemberState::Dead if was != MemberState::Dead => self.counters.declared_dead += 1,
             _ => {}
         }
         self.spread(who);
@@ -445,7 +449,7 @@
     fn accuse(&mut self, who: usize, by: u64) {
         let least = SUSPICION
             * (self.roster.len() as f64).log10().max(1.0)
-            * self.pace.probe_s
+            * self.pace.probe_interval_s
             * self.slower();
         let most = ALONE * least;
         let Some(suspicion) = self.suspicions.get_mut(&who) else {
@@ -462,88 +466,104 @@
     }
 
     /// Updates as they came; one that cannot be is passed over.
-    pub fn told(&mut self, now: f64, updates: &[Update]) -> bool {
+    pub fn apply_updates(&mut self, now: f64, updates: &[Update]) -> bool {
         let mut sound = updates.len() <= self.roster.len().max(UPDATES);
         for update in updates.iter().take(self.roster.len().max(UPDATES)) {
-            let Some(who) = self.place(update.who) else {
+            let Some(who) = self.index_of(update.member) else {
                 sound = false;
                 continue;
             };
-            if update.incarnation > LATEST || update.life == Life::Unknown {
+            if update.incarnation > LATEST || update.state == MemberState::Unknown {
                 sound = false;
                 continue;
             }
             // Guards against one that tells of a death it only heard of from nobody: it is suspected first,
             // unless it already was here.
-            let life = match update.life {
-                Life::Dead
-                    if self.seen[who].life == Life::Alive
+            let state = match update.state {
+                MemberState::Dead
+                    if self.seen[who].state == MemberState::Alive
                         && update.incarnation == self.seen[who].incarnation =>
                 {
-                    Life::Suspect
+                    MemberState::Suspect
                 }
-                life => life,
+                state => state,
             };
-            self.believe(now, who, update.incarnation, life, update.by);
+            self.believe(now, who, update.incarnation, state, update.reporter);
         }
         sound
     }
 
     /// A message of `from` has come; what is to be sent for it goes to `post`. False for one that cannot be.
-    pub fn heard(&mut self, now: f64, from: usize, message: Message, post: &mut Post) -> bool {
+    pub fn receive(&mut self, now: f64, from: usize, message: Message, post: &mut Outbox) -> bool {
         match message {
-            Message::Probe { no, updates } => {
-                let sound = self.told(now, &updates);
+            Message::Ping { sequence, updates } => {
+                let sound = self.apply_updates(now, &updates);
                 let updates = self.updates();
-                post.push((from, Message::Ack { no, updates }));
+                post.push((from, Message::Ack { sequence, updates }));
                 sound
             }
-            Message::Ack { no, updates } => {
-                let sound = self.told(now, &updates);
-                if self.probe.as_ref().is_some_and(|probe| probe.no == no) {
+            Message::Ack { sequence, updates } => {
+                let sound = self.apply_updates(now, &updates);
+                if self
+                    .probe
+                    .as_ref()
+                    .is_some_and(|probe| probe.sequence == sequence)
+                {
                     self.probe = None;
                     self.fares(false);
                 }
-                if let Some(at) = self.favours.iter().position(|favour| favour.no == no) {
+                if let Some(at) = self
+                    .favours
+                    .iter()
+                    .position(|favour| favour.sequence == sequence)
+                {
                     let favour = self.favours.swap_remove(at);
                     post.push((
                         favour.asker,
                         Message::Ack {
-                            no: favour.theirs,
+                            sequence: favour.theirs,
                             updates: Vec::new(),
                         },
                     ));
                 }
                 sound
             }
-            Message::Help { no, who, updates } => {
-                let sound = self.told(now, &updates);
-                let Some(who) = self.place(who).filter(|who| *who != self.me) else {
+            Message::PingReq {
+                sequence,
+                target: who,
+                updates,
+            } => {
+                let sound = self.apply_updates(now, &updates);
+                let Some(who) = self.index_of(who).filter(|who| *who != self.me) else {
                     return false;
                 };
                 // Bounded: a few a member at once are more than the protocol asks for.
                 if self.favours.len() < 4 * self.roster.len() {
-                    self.no += 1;
-                    let until = now + self.pace.ack_s;
+                    self.sequence += 1;
+                    let until = now + self.pace.ack_timeout_s;
                     self.favours.push(Favour {
-                        no: self.no,
-                        theirs: no,
+                        sequence: self.sequence,
+                        theirs: sequence,
                         asker: from,
                         until,
                     });
                     let updates = self.updates();
                     post.push((
                         who,
-                        Message::Probe {
-                            no: self.no,
+                        Message::Ping {
+                            sequence: self.sequence,
                             updates,
                         },
                     ));
                 }
                 sound
             }
-            Message::Neither { no } => {
-                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.no == no) {
+            Message::Nack { sequence } => {
+                if let Some(probe) = self
+                    .probe
+                    .as_mut()
+                    .filter(|probe| probe.sequence == sequence)
+                {
                     probe.neither += 1;
                 }
                 true
@@ -552,13 +572,13 @@
     }
 
     /// What time alone brings; call when `due`.
-    pub fn tick(&mut self, now: f64, post: &mut Post) {
+    pub fn tick(&mut self, now: f64, post: &mut Outbox) {
         let late = now - self.due().max(self.last);
         self.last = now;
         // Guards against a process that was paused, or had no core: what it did not hear meanwhile says nothing
         // of others. Everything waits as much longer, and its own health suffers.
-        if late > 2.0 * self.pace.probe_s {
-            self.tally.stalls += 1;
+        if late > 2.0 * self.pace.probe_interval_s {
+            self.counters.stalls += 1;
             self.fares(true);
             self.probe = None;
             self.favours.clear();
@@ -571,7 +591,12 @@
         for at in (0..self.favours.len()).rev() {
             if self.favours[at].until <= now {
                 let favour = self.favours.swap_remove(at);
-                post.push((favour.asker, Message::Neither { no: favour.theirs }));
+                post.push((
+                    favour.asker,
+                    Message::Nack {
+                        sequence: favour.theirs,
+                    },
+                ));
             }
         }
         self.ask_others(now, post);
@@ -588,26 +613,26 @@
                 now,
                 who,
                 incarnation,
-                Life::Dead,
+                MemberState::Dead,
                 self.roster[self.me].number,
             );
         }
         if now >= self.next {
-            self.next = now + self.pace.probe_s * self.slower();
+            self.next = now + self.pace.probe_interval_s * self.slower();
             self.begin(now, post);
         }
     }
 
-    fn begin(&mut self, now: f64, post: &mut Post) {
+    fn begin(&mut self, now: f64, post: &mut Outbox) {
         let Some(who) = self.choose() else { return };
-        self.no += 1;
-        self.tally.probes += 1;
-        let until = now + self.pace.ack_s * self.slower();
+        self.sequence += 1;
+        self.counters.probes += 1;
+        let until = now + self.pace.ack_timeout_s * self.slower();
         // The answer through others has what is left of the period.
-        let end = (now + 0.95 * self.pace.probe_s * self.slower()).max(until);
+        let end = (now + 0.95 * self.pace.probe_interval_s * self.slower()).max(until);
         self.probe = Some(Probe {
             who,
-            no: self.no,
+            sequence: self.sequence,
             until,
             asked: 0,
             neither: 0,
@@ -616,8 +641,8 @@
         let updates = self.updates();
         post.push((
             who,
-            Message::Probe {
-                no: self.no,
+            Message::Ping {
+                sequence: self.sequence,
                 updates,
             },
         ));
@@ -629,8 +654,9 @@
         if self.round.is_empty() {
             self.rounds += 1;
             let dead = self.rounds.is_multiple_of(REVIVE);
-            let asked =
-                |who: &usize| *who != self.me && (dead || self.seen[*who].life != Life::Dead);
+            let asked = |who: &usize| {
+                *who != self.me && (dead || self.seen[*who].state != MemberState::Dead)
+            };
             self.round = (0..self.roster.len()).filter(asked).collect();
             for at in (1..self.round.len()).rev() {
                 let other = self.chance.random_range(0..=at);
@@ -640,28 +666,33 @@
         self.round.pop()
     }
 
-    fn ask_others(&mut self, now: f64, post: &mut Post) {
+    fn ask_others(&mut self, now: f64, post: &mut Outbox) {
         let Some(Probe {
-            who, no, asked: 0, ..
+            who,
+            sequence,
+            asked: 0,
+            ..
         }) = self.probe.as_ref().filter(|probe| probe.until <= now)
         else {
             return;
         };
-        let (who, no) = (*who, *no);
+        let (who, sequence) = (*who, *sequence);
         let mut able: Vec<usize> = (0..self.roster.len())
-            .filter(|&n| n != who && self.reachable(n) && self.seen[n].life == Life::Alive)
+            .filter(|&n| {
+                n != who && self.is_reachable(n) && self.seen[n].state == MemberState::Alive
+            })
             .collect();
         let number = self.roster[who].number;
-        let most = self.pace.helpers.min(able.len());
+        let most = self.pace.indirect_probes.min(able.len());
         for at in 0..most {
             let other = self.chance.random_range(at..able.len());
             able.swap(at, other);
             let updates = self.updates();
             post.push((
                 able[at],
-                Message::Help {
-                    no,
-                    who: number,
+                Message::PingReq {
+                    sequence,
+                    target: number,
                     updates,
                 },
             ));
@@ -677,15 +708,15 @@
             return;
         };
         // Who was asked and said nothing at all, not even that, is a sign of this member's own links.
-        let Seen {
-            life, incarnation, ..
+        let MemberView {
+            state, incarnation, ..
         } = self.seen[probe.who];
-        if life != Life::Dead && (probe.asked == 0 || probe.neither < probe.asked) {
+        if state != MemberState::Dead && (probe.asked == 0 || probe.neither < probe.asked) {
             self.fares(true);
         }
-        if life == Life::Alive {
+        if state == MemberState::Alive {
             let by = self.roster[self.me].number;
-            self.believe(now, probe.who, incarnation, Life::Suspect, by);
+            self.believe(now, probe.who, incarnation, MemberState::Suspect, by);
         }
     }
 }
--- a/crates/dispatcher/swim/tests/encoding.rs
+++ b/crates/dispatcher/swim/tests/encoding.rs
@@ -1,8 +1,10 @@
-//! The bytes of frames between members. Members of different releases speak to each other: a difference from
+//! The bytes of frames between members. Membership of different releases speak to each other: a difference from
 //! `fixtures/frames.txt` is a new version, never a new fixture alone. All fields of an example differ.
 
 use sagetrail_fixture::Fixture;
-use sagetrail_swim::{Codec, Envelope, Life, Message, Update, DATAGRAM_MOST, VERSION, WHOLE_MOST};
+use sagetrail_swim::{
+    Codec, Envelope, MemberState, Message, Update, MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES, VERSION,
+};
 use std::collections::BTreeSet;
 
 const FIXTURE: &str = include_str!("fixtures/frames.txt");
@@ -12,66 +14,66 @@
 /// No wildcard: a variant that is not named here does not compile.
 fn message_name(message: &Message) -> &'static str {
     match message {
-        Message::Probe { .. } => "probe",
+        Message::Ping { .. } => "probe",
         Message::Ack { .. } => "ack",
-        Message::Help { .. } => "help",
-        Message::Neither { .. } => "neither",
+        Message::PingReq { .. } => "help",
+        Message::Nack { .. } => "neither",
     }
 }
 
 const MESSAGES: [&str; 4] = ["probe", "ack", "help", "neither"];
 
-fn life_name(life: Life) -> &'static str {
-    match life {
-        Life::Unknown => "unknown",
-        Life::Alive => "alive",
-        Life::Suspect => "suspect",
-        Life::Dead => "dead",
+fn state_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Unknown => "unknown",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "dead",
     }
 }
 
-const LIVES: [&str; 4] = ["unknown", "alive", "suspect", "dead"];
+const STATES: [&str; 4] = ["unknown", "alive", "suspect", "dead"];
 
 fn envelope() -> Envelope {
     Envelope {
-        from: 0x0102_0304_0506_0708,
-        birth: 0x1112_1314_1516_1718,
+        sender: 0x0102_0304_0506_0708,
+        process: 0x1112_1314_1516_1718,
         incarnation: 1_700_000_000_000,
-        no: 300,
+        sequence: 300,
     }
 }
 
 fn updates() -> Vec<Update> {
-    let update = |mark: u64, life| Update {
-        who: 0x1000 + mark,
+    let update = |mark: u64, state| Update {
+        member: 0x1000 + mark,
         incarnation: 0x2000 + mark,
-        life,
-        by: 0x3000 + mark,
+        state,
+        reporter: 0x3000 + mark,
     };
     vec![
-        update(1, Life::Unknown),
-        update(2, Life::Alive),
-        update(3, Life::Suspect),
-        update(4, Life::Dead),
+        update(1, MemberState::Unknown),
+        update(2, MemberState::Alive),
+        update(3, MemberState::Suspect),
+        update(4, MemberState::Dead),
     ]
 }
 
 fn messages() -> Vec<Message> {
     vec![
-        Message::Probe {
-            no: 0x4001,
+        Message::Ping {
+            sequence: 0x4001,
             updates: updates(),
         },
         Message::Ack {
-            no: 0x4002,
+            sequence: 0x4002,
             updates: updates()[1..2].to_vec(),
         },
-        Message::Help {
-            no: 0x4003,
-            who: 0x5003,
+        Message::PingReq {
+            sequence: 0x4003,
+            target: 0x5003,
             updates: updates()[2..].to_vec(),
         },
-        Message::Neither { no: 0x4004 },
+        Message::Nack { sequence: 0x4004 },
     ]
 }
 
@@ -79,8 +81,8 @@
 fn every_variant_has_an_example() {
     let named: BTreeSet<&str> = messages().iter().map(message_name).collect();
     assert_eq!(named, BTreeSet::from(MESSAGES));
-    let named: BTreeSet<&str> = updates().iter().map(|u| life_name(u.life)).collect();
-    assert_eq!(named, BTreeSet::from(LIVES));
+    let named: BTreeSet<&str> = updates().iter().map(|u| state_name(u.state)).collect();
+    assert_eq!(named, BTreeSet::from(STATES));
 }
 
 #[test]
@@ -88,11 +90,11 @@
     let mut written = Fixture::default();
     let codec = Codec::new("fleet");
     for message in messages() {
-        let frame = codec.write(&envelope(), &message);
+        let frame = codec.encode(&envelope(), &message);
         written.add_bytes(message_name(&message), &frame);
     }
-    let other = Codec::of("another fleet", OTHER_VERSION);
-    let frame = other.write(&envelope(), &messages()[3]);
+    let other = Codec::with_version("another fleet", OTHER_VERSION);
+    let frame = other.encode(&envelope(), &messages()[3]);
     written.add_bytes("neither-of-other-version", &frame);
     Fixture::assert_keeps(FIXTURE, &written);
 }
@@ -102,16 +104,19 @@
     let (fixture, codec) = (Fixture::read(FIXTURE), Codec::new("fleet"));
     for message in messages() {
         let frame = fixture.bytes(message_name(&message));
-        let read = codec.read::<Message>(&frame, DATAGRAM_MOST);
+        let read = codec.decode::<Message>(&frame, MAX_DATAGRAM_BYTES);
         assert_eq!(read, Ok((envelope(), message)));
     }
-    let other = Codec::of("another fleet", OTHER_VERSION);
+    let other = Codec::with_version("another fleet", OTHER_VERSION);
     let frame = fixture.bytes("neither-of-other-version");
-    let read = other.read::<Message>(&frame, DATAGRAM_MOST);
+    let read = other.decode::<Message>(&frame, MAX_DATAGRAM_BYTES);
     assert_eq!(read, Ok((envelope(), messages()[3].clone())));
 }
 
 #[test]
 fn the_limits_of_frames_are_the_same() {
-    assert_eq!((VERSION, DATAGRAM_MOST, WHOLE_MOST), (1, 1400, 4 << 20));
+    assert_eq!(
+        (VERSION, MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES),
+        (1, 1400, 4 << 20)
+    );
 }
--- a/crates/dispatcher/swim/tests/sim/mod.rs
+++ b/crates/dispatcher/swim/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Members on a network of messages that are lost, doubled, late and out of order, by seed.
+//! Membership on a network of messages that are lost, doubled, late and out of order, by seed.
 
 #![allow(dead_code)]
 use rand::{Rng, SeedableRng};
@@ -11,7 +11,7 @@
 
 pub(crate) struct Net {
     pub now: f64,
-    pub members: Vec<Option<Members>>,
+    pub members: Vec<Option<Membership>>,
     roster: Vec<Peer>,
     queue: BTreeMap<(u64, u64), Flying>,
     sent: u64,
@@ -62,8 +62,8 @@
     pub(crate) fn start(&mut self, who: usize, incarnation: u64) {
         self.born[who] += 1;
         let seed = self.chance.random();
-        self.members[who] = Some(Members::new(
-            Pace::default(),
+        self.members[who] = Some(Membership::new(
+            SwimConfig::default(),
             self.roster.clone(),
             who,
             incarnation,
@@ -76,20 +76,20 @@
         self.members[who] = None;
     }
 
-    fn post(&mut self, from: usize, post: Post) {
+    fn post(&mut self, from: usize, post: Outbox) {
         for (to, message) in post {
             let Some(member) = &self.members[from] else {
                 return;
             };
             let (number, incarnation) = (self.roster[from].number, member.incarnation());
             let envelope = Envelope {
-                from: number,
-                birth: self.born[from],
+                sender: number,
+                process: self.born[from],
                 incarnation,
-                no: self.sent,
+                sequence: self.sent,
             };
-            let frame = self.codec.write(&envelope, &message);
-            assert!(frame.len() <= DATAGRAM_MOST);
+            let frame = self.codec.encode(&envelope, &message);
+            assert!(frame.len() <= MAX_DATAGRAM_BYTES);
             self.bytes += frame.len() as u64;
             let copies = 1 + self.chance.random_bool(self.double) as usize;
             for _ in 0..copies {
@@ -128,7 +128,7 @@
                 self.now = end;
                 return test(self);
             }
-            let mut post = Post::new();
+            let mut post = Outbox::new();
             if frame <= next.0 {
                 self.now = frame.max(self.now);
                 let Some((key, (from, to, born, frame))) = self.queue.pop_first() else {
@@ -144,12 +144,12 @@
                     continue;
                 }
                 let (envelope, message): (Envelope, Message) =
-                    self.codec.read(&frame, DATAGRAM_MOST).unwrap();
+                    self.codec.decode(&frame, MAX_DATAGRAM_BYTES).unwrap();
                 let Some(member) = &mut self.members[to] else {
                     continue;
                 };
-                member.alive(self.now, from, envelope.incarnation);
-                assert!(member.heard(self.now, from, message, &mut post));
+                member.confirm_alive(self.now, from, envelope.incarnation);
+                assert!(member.receive(self.now, from, message, &mut post));
                 self.post(to, post);
             } else {
                 self.now = next.0;
@@ -170,26 +170,26 @@
         self.until(end, |_| false);
     }
 
-    pub(crate) fn life(&self, of: usize, by: usize) -> Life {
-        self.members[by].as_ref().unwrap().seen(of).life
+    pub(crate) fn life(&self, of: usize, by: usize) -> MemberState {
+        self.members[by].as_ref().unwrap().view(of).state
     }
 
-    pub(crate) fn all_say(&self, of: usize, life: Life) -> bool {
+    pub(crate) fn all_say(&self, of: usize, state: MemberState) -> bool {
         (0..self.members.len())
-            .all(|by| by == of || self.members[by].is_none() || self.life(of, by) == life)
+            .all(|by| by == of || self.members[by].is_none() || self.life(of, by) == state)
     }
 
     pub(crate) fn all_alive(&self) -> bool {
-        (0..self.members.len()).all(|of| self.all_say(of, Life::Alive))
+        (0..self.members.len()).all(|of| self.all_say(of, MemberState::Alive))
     }
 
-    pub(crate) fn tally(&self) -> Tally {
-        let mut all = Tally::default();
-        for tally in self.members.iter().flatten().map(|member| member.tally) {
+    pub(crate) fn tally(&self) -> Counters {
+        let mut all = Counters::default();
+        for tally in self.members.iter().flatten().map(|member| member.counters) {
             all.suspected += tally.suspected;
             all.refuted += tally.refuted;
-            all.died += tally.died;
-            all.accused += tally.accused;
+            all.declared_dead += tally.declared_dead;
+            all.self_suspected += tally.self_suspected;
             all.probes += tally.probes;
         }
         all
--- a/crates/dispatcher/swim/tests/stories.rs
+++ b/crates/dispatcher/swim/tests/stories.rs
@@ -13,7 +13,7 @@
         net.kill(1);
         let end = net.now + within;
         assert!(
-            net.until(end, |net| net.all_say(1, Life::Dead)),
+            net.until(end, |net| net.all_say(1, MemberState::Dead)),
             "{n}: known by {}",
             net.now
         );
@@ -28,7 +28,7 @@
     net.run(60.0);
     let wrong = (0..12).flat_map(|of| (0..12).map(move |by| (of, by)));
     let wrong = wrong
-        .filter(|(of, by)| of != by && net.life(*of, *by) == Life::Dead)
+        .filter(|(of, by)| of != by && net.life(*of, *by) == MemberState::Dead)
         .count();
     assert!(
         wrong <= 26,
@@ -46,7 +46,7 @@
     net.cut = (0..3)
         .flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)]))
         .collect();
-    let apart = |net: &Net| (0..3).all(|a| (3..6).all(|b| net.life(b, a) == Life::Dead));
+    let apart = |net: &Net| (0..3).all(|a| (3..6).all(|b| net.life(b, a) == MemberState::Dead));
     assert!(net.until(60.0, apart));
     net.cut.clear();
     let end = net.now + 30.0;
@@ -63,10 +63,10 @@
         .flat_map(|of| (1..5).map(move |by| (of, by)))
         .filter(|(of, by)| of != by)
     {
-        assert_ne!(net.life(of, by), Life::Dead, "{by} of {of}");
+        assert_ne!(net.life(of, by), MemberState::Dead, "{by} of {of}");
     }
     assert!(
-        net.members[0].as_ref().unwrap().health() > 2,
+        net.members[0].as_ref().unwrap().local_health() > 2,
         "it knows that it fares badly"
     );
 }
@@ -78,10 +78,10 @@
     net.paused[0] = true;
     net.run(20.0);
     net.paused[0] = false;
-    let before = net.members[0].as_ref().unwrap().tally.suspected;
+    let before = net.members[0].as_ref().unwrap().counters.suspected;
     net.run(1.0);
     let member = net.members[0].as_ref().unwrap();
-    assert!(member.tally.suspected <= before + 1 && member.tally.stalls == 1);
+    assert!(member.counters.suspected <= before + 1 && member.counters.stalls == 1);
     let end = net.now + 20.0;
     assert!(net.until(end, Net::all_alive), "and is held alive again");
 }
@@ -92,7 +92,7 @@
     net.run(3.0);
     net.kill(2);
     net.run(15.0);
-    assert!(net.all_say(2, Life::Dead));
+    assert!(net.all_say(2, MemberState::Dead));
     net.start(2, 3);
     let end = net.now + 15.0;
     assert!(net.until(end, Net::all_alive));
@@ -113,23 +113,27 @@
     let mut net = Net::new(4, 13);
     net.run(3.0);
     let lie = Update {
-        who: 1003,
+        member: 1003,
         incarnation: 1000,
-        life: Life::Dead,
-        by: 1000,
+        state: MemberState::Dead,
+        reporter: 1000,
     };
     let mut post = Vec::new();
     for to in 1..3 {
-        net.members[to].as_mut().unwrap().heard(
+        net.members[to].as_mut().unwrap().receive(
             net.now,
             0,
-            Message::Probe {
-                no: 1,
+            Message::Ping {
+                sequence: 1,
                 updates: vec![lie],
             },
             &mut post,
         );
-        assert_eq!(net.life(3, to), Life::Suspect, "hearsay makes nobody dead");
+        assert_eq!(
+            net.life(3, to),
+            MemberState::Suspect,
+            "hearsay makes nobody dead"
+        );
     }
     net.run(10.0);
     assert!(net.all_alive());
@@ -137,52 +141,52 @@
 
 #[test]
 fn what_cannot_be_is_passed_over() {
-    let mut member = Members::new(Pace::default(), roster(3), 0, 1000, 1, 0.0);
+    let mut member = Membership::new(SwimConfig::default(), roster(3), 0, 1000, 1, 0.0);
     let mut post = Vec::new();
     let strangers: Vec<Update> = (0..100_000)
         .map(|n| Update {
-            who: 50_000 + n,
+            member: 50_000 + n,
             incarnation: 1,
-            life: Life::Alive,
-            by: 1001,
+            state: MemberState::Alive,
+            reporter: 1001,
         })
         .collect();
-    assert!(!member.heard(
+    assert!(!member.receive(
         1.0,
         1,
-        Message::Probe {
-            no: 1,
+        Message::Ping {
+            sequence: 1,
             updates: strangers
         },
         &mut post
     ));
     let late = Update {
-        who: 1002,
+        member: 1002,
         incarnation: u64::MAX,
-        life: Life::Alive,
-        by: 1001,
+        state: MemberState::Alive,
+        reporter: 1001,
     };
-    assert!(!member.heard(
+    assert!(!member.receive(
         1.0,
         1,
         Message::Ack {
-            no: 9,
+            sequence: 9,
             updates: vec![late]
         },
         &mut post
     ));
-    assert!(!member.heard(
+    assert!(!member.receive(
         1.0,
         1,
-        Message::Help {
-            no: 9,
-            who: 77,
+        Message::PingReq {
+            sequence: 9,
+            target: 77,
             updates: vec![]
         },
         &mut post
     ));
-    assert_eq!(member.living(), 1);
-    assert_eq!(member.seen(2).life, Life::Unknown);
+    assert_eq!(member.live_count(), 1);
+    assert_eq!(member.view(2).state, MemberState::Unknown);
 }
 
 #[test]
@@ -190,20 +194,20 @@
     let (codec, envelope) = (
         Codec::new("a"),
         Envelope {
-            from: 1,
-            birth: 2,
+            sender: 1,
+            process: 2,
             incarnation: 3,
-            no: 4,
+            sequence: 4,
         },
     );
-    let body = Message::Probe {
-        no: 7,
+    let body = Message::Ping {
+        sequence: 7,
         updates: vec![],
     };
-    let frame = codec.write(&envelope, &body);
+    let frame = codec.encode(&envelope, &body);
     let read = |frame: &[u8]| {
         codec
-            .read::<Message>(frame, DATAGRAM_MOST)
+            .decode::<Message>(frame, MAX_DATAGRAM_BYTES)
             .map(|(_, body)| body)
     };
     assert_eq!(read(&frame), Ok(body.clone()));
@@ -213,22 +217,32 @@
     for bit in 0..8 * frame.len() {
         let mut flipped = frame.clone();
         flipped[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(read(&flipped), Err(Refused::Checksum), "bit {bit}");
+        assert_eq!(
+            read(&flipped),
+            Err(FrameError::ChecksumMismatch),
+            "bit {bit}"
+        );
     }
     assert_eq!(
-        read(&Codec::new("b").write(&envelope, &body)),
-        Err(Refused::Fleet)
+        read(&Codec::new("b").encode(&envelope, &body)),
+        Err(FrameError::OtherFleet)
     );
-    assert_eq!(read(&[0; DATAGRAM_MOST + 1]), Err(Refused::TooLong));
+    assert_eq!(read(&[0; MAX_DATAGRAM_BYTES + 1]), Err(FrameError::TooLong));
     let resealed = |change: &dyn Fn(&mut Vec<u8>)| {
         let mut said = frame[..frame.len() - 4].to_vec();
         change(&mut said);
         said.extend(crc32fast::hash(&said).to_le_bytes());
         read(&said)
     };
-    assert_eq!(resealed(&|said| said[0] = 9), Err(Refused::Version));
-    assert_eq!(resealed(&|said| said.push(0)), Err(Refused::Unreadable));
-    assert_eq!(resealed(&|said| said.truncate(8)), Err(Refused::Unreadable));
+    assert_eq!(
+        resealed(&|said| said[0] = 9),
+        Err(FrameError::UnsupportedVersion)
+    );
+    assert_eq!(resealed(&|said| said.push(0)), Err(FrameError::Malformed));
+    assert_eq!(
+        resealed(&|said| said.truncate(8)),
+        Err(FrameError::Malformed)
+    );
 }
 
 #[test]
@@ -238,6 +252,6 @@
     for _ in 0..20_000 {
         let length = net.chance.random_range(0..200);
         let bytes: Vec<u8> = (0..length).map(|_| net.chance.random()).collect();
-        assert!(codec.read::<Message>(&bytes, DATAGRAM_MOST).is_err());
+        assert!(codec.decode::<Message>(&bytes, MAX_DATAGRAM_BYTES).is_err());
     }
 }
