--- a/crates/dispatcher/dispatcher/tests/cli_output.rs
+++ b/crates/dispatcher/dispatcher/tests/cli_output.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../..");
 const KEPT: &str = "tests/fixtures/cli";
 const SCHEMA: &str = "deploy/sagetrail.schema.json";
 const REFERENCE: &str = "docs/configuration.md";
