--- /dev/null
+++ b/crates/cluster/scheduler/tests/pass_pacing.rs
@@ -0,0 +1,84 @@
+//! What changes with the number of runners, and what does not.
+
+mod test_cluster;
+use sagetrail_protocol::agent::RunEnd;
+use sagetrail_protocol::service::Service;
+use test_cluster::{node, TestCluster};
+
+const A: &str = "00000000000000aa";
+const B: &str = "00000000000000bb";
+const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
+/// More than passes follow each event with.
+const MANY: u32 = 400;
+
+fn started(cluster: &TestCluster) -> usize {
+    cluster
+        .orders
+        .values()
+        .map(|orders| orders.start.len())
+        .sum()
+}
+
+#[test]
+fn with_few_runners_each_job_is_placed_at_once() {
+    let mut cluster = TestCluster::new(4);
+    for job in [A, B] {
+        cluster.submit(job, ONE_TASK);
+        cluster.commit();
+    }
+    assert_eq!(started(&cluster), 2);
+}
+
+#[test]
+fn with_many_runners_what_comes_soon_after_a_pass_waits_for_the_next() {
+    let mut cluster = TestCluster::new(MANY);
+    cluster.advance_ms(50);
+    cluster.submit(A, ONE_TASK);
+    cluster.commit();
+    cluster.submit(B, ONE_TASK);
+    cluster.commit();
+    assert_eq!(started(&cluster), 1);
+    let due = cluster.scheduler.next_wake().expect("a pass is due");
+    assert!(due > cluster.now.steady);
+    assert!(due.millis_since(cluster.now.steady) < 10, "and soon");
+    cluster.advance_ms(due.millis_since(cluster.now.steady) + 1);
+    cluster.commit();
+    assert_eq!(started(&cluster), 2);
+}
+
+#[test]
+fn with_many_runners_an_idle_queue_asks_for_no_pass() {
+    let mut cluster = TestCluster::new(MANY);
+    cluster.advance_ms(200);
+    cluster.advance_ms(5);
+    cluster.submit(A, ONE_TASK);
+    cluster.commit();
+    assert_eq!(started(&cluster), 1);
+    let due = cluster.scheduler.next_wake().expect("the timer");
+    assert!(
+        due.millis_since(cluster.now.steady) >= 50,
+        "nothing is held, so the timer alone is due"
+    );
+}
+
+#[test]
+fn an_end_is_observed_at_its_runner_once_its_batch_is_kept_and_nowhere_else() {
+    let mut cluster = TestCluster::new(4);
+    cluster.submit(A, ONE_TASK);
+    cluster.commit();
+    cluster.execute_commands();
+    let (at, task, _) = cluster.running()[0].clone();
+    cluster
+        .runners
+        .get_mut(&at)
+        .expect("it runs there")
+        .end(&task, RunEnd::Done);
+    cluster.report(at);
+    assert_eq!(cluster.orders[&at].observed, 0);
+    cluster.commit();
+    assert_eq!(cluster.orders[&at].observed, 1);
+    let others = (0..4).map(node).filter(|other| *other != at);
+    assert!(others
+        .into_iter()
+        .all(|other| cluster.orders[&other].observed == 0));
+}
