--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -3,26 +3,28 @@
 //! The SHA-256 of the proposer's value goes with the change. A member accepts only what has that very digest, so that
 //! under one proposal number there still is one value.
 
-use crate::change::{Change, Job};
+use crate::change::Change;
+use crate::change_function::ChangeFunction;
 use crate::value::RegisterValue;
 use sagetrail_protocol::control::{AcceptChange, ProposalNumber};
 use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
 /// A change goes alone where the value is at least so many times its size.
-const WORTHWHILE_FACTOR: usize = 4;
+const MIN_SIZE_RATIO: usize = 4;
 
-/// The change to be sent in the place of the value `bytes`, which `job` made of the value accepted in proposal number `on`.
+/// The change to be sent in the place of the value `bytes`, which `function` made of the value accepted in proposal number
+/// `on`; `None` where the value itself is to be sent.
 pub(crate) fn compose(
-    job: &Job,
+    function: &ChangeFunction,
     proposal: ProposalNumber,
     on: ProposalNumber,
     bytes: &Blob,
 ) -> Option<AcceptChange> {
-    let Job::Order { change, .. } = job else {
+    let ChangeFunction::Config { change, .. } = function else {
         return None;
     };
-    if change.body.len() * WORTHWHILE_FACTOR > bytes.len() {
+    if change.body.len() * MIN_SIZE_RATIO > bytes.len() {
         return None;
     }
     let (kind, base, body) = (change.kind, change.base, Blob(change.body.clone()));
--- a/crates/cluster/control-plane/src/election.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -186,7 +186,7 @@
         }
         if !reply.granted {
             candidacy.refusals.insert(from);
-            if !list.reachable_without(&candidacy.refusals) {
+            if !list.has_quorum_without(&candidacy.refusals) {
                 self.give_up(now, list, effects);
             }
             return None;
@@ -202,7 +202,7 @@
             },
         );
         let voters: BTreeSet<NodeId> = candidacy.votes.keys().copied().collect();
-        if !list.reached_by(&voters) {
+        if !list.has_quorum(&voters) {
             return None;
         }
         if candidacy.pre_vote {
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -201,7 +201,7 @@
                 .and_then(|progress| progress.lease_sent_at)
                 .unwrap_or_default()
         };
-        if let Some(sent_at) = list.reached_figure(granted).filter(|sent_at| *sent_at > 0) {
+        if let Some(sent_at) = list.quorum_value(granted).filter(|sent_at| *sent_at > 0) {
             self.lease_until = self
                 .lease_until
                 .max(Time(sent_at).plus_millis(LEADER_LEASE_MS));
@@ -254,7 +254,7 @@
     }
 
     fn committed_by_quorum(&self, list: &MemberList) -> u64 {
-        list.reached_figure(|member| self.synced_by(member))
+        list.quorum_value(|member| self.synced_by(member))
             .unwrap_or_default()
     }
 
--- a/crates/cluster/control-plane/src/membership_state.rs
+++ b/crates/cluster/control-plane/src/membership_state.rs
@@ -229,7 +229,8 @@
         let Ok(value) = RegisterValue::decode(&self.acceptor.value) else {
             return;
         };
-        self.proposer.note(self.acceptor.proposals.promised);
+        self.proposer
+            .observe_proposal(self.acceptor.proposals.promised);
         let proposal = self.acceptor.proposals.accepted;
         if self.bootstrapped_here() {
             self.learn(Chosen {
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -1,11 +1,11 @@
 //! What each message among core processes and each request of HTTP does.
 
-use crate::change::{Job, Verdict};
+use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::election::Elected;
 use crate::http_api::{parse_request, ApiRequest};
 use crate::leadership::Leadership;
 use crate::node::{CoreNode, LearnAsker};
-use crate::proposer::Outcome;
+use crate::proposer::Decision;
 use crate::reader::ReadOutcome;
 use crate::replica::Condition;
 use sagetrail_protocol::control::{
@@ -44,12 +44,13 @@
             ControlMessage::StateSynced(settled) => self.on_settled(from, &settled),
             ControlMessage::Promise(promised) => self.on_promised(from, promised),
             ControlMessage::Accepted(accepted) => {
-                let outcome = self.proposer.accepted(from, &accepted);
-                self.on_outcome(outcome);
+                let decision = self.proposer.on_accepted(from, &accepted);
+                self.on_decision(decision);
             }
             ControlMessage::Refused(refused) => self.on_refused(&refused),
             ControlMessage::ValueNeeded(needed) => {
-                self.proposer.value_needed(from, &needed, &mut self.effects);
+                self.proposer
+                    .on_value_needed(from, &needed, &mut self.effects);
             }
             ControlMessage::ReadReply(reply) => {
                 if let Some(found) = self.reader.reply(from, reply) {
@@ -88,7 +89,7 @@
         let effects = &mut self.effects;
         match message {
             ControlMessage::Prepare(prepare) => {
-                self.proposer.note(prepare.proposal);
+                self.proposer.observe_proposal(prepare.proposal);
                 self.acceptor.prepare(from, &prepare, effects);
             }
             ControlMessage::Accept(accept) => {
@@ -140,39 +141,39 @@
         }
         let now = self.now.steady;
         let changes = &self.accepted_changes;
-        let outcome = self
+        let decision = self
             .proposer
-            .promised(now, from, promised, changes, &mut self.effects);
-        self.on_outcome(outcome);
+            .on_promise(now, from, promised, changes, &mut self.effects);
+        self.on_decision(decision);
     }
 
     fn on_refused(&mut self, refused: &Refused) {
         if let Some(recovery) = &mut self.membership_state.recovery {
             recovery.refused(refused);
         }
-        self.proposer.refused(self.now.steady, refused);
+        self.proposer.on_rejected(self.now.steady, refused);
     }
 
-    fn on_outcome(&mut self, outcome: Option<Outcome>) {
-        let Some(outcome) = outcome else { return };
-        let proposal = outcome.chosen.proposal;
+    fn on_decision(&mut self, decision: Option<Decision>) {
+        let Some(decision) = decision else { return };
+        let proposal = decision.chosen.proposal;
         // Who is a member no more is told as well.
         let mut listeners = self.register_view.list.all();
-        self.learn(outcome.chosen);
-        self.freshen(outcome.as_of);
-        if outcome.verdict == Verdict::Taken {
+        self.learn(decision.chosen);
+        self.freshen(decision.as_of);
+        if decision.outcome == ChangeOutcome::Applied {
             listeners.extend(self.register_view.list.all());
             let learn = ControlMessage::Learn(Learn { proposal });
             self.effects.broadcast(listeners, &learn);
         }
-        if let Job::Order { number, .. } = outcome.job {
+        if let ChangeFunction::Config { number, .. } = decision.function {
             let now = self.now.steady;
             let leader = self.replica.live_leader(now);
             let wait = leader.is_some_and(|leader| leader != self.settings.node);
             self.operator.outcome(
                 now,
                 number,
-                &outcome.verdict,
+                &decision.outcome,
                 proposal,
                 wait,
                 &mut self.effects,
@@ -200,7 +201,7 @@
             return;
         }
         self.unsettled_reads = 0;
-        self.proposer.push(Job::Refresh);
+        self.proposer.push(ChangeFunction::Identity);
     }
 
     fn on_learn(&mut self, from: NodeId, proposal: ProposalNumber) {
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -148,7 +148,7 @@
 
     fn restore(&mut self, state: ControlState) {
         self.acceptor.restore(state.proposals, state.value);
-        self.proposer.note(state.proposals.promised);
+        self.proposer.observe_proposal(state.proposals.promised);
         self.elections.note(state.replica.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,6 +1,7 @@
 //! The operator's orders and read-backs under way at this process.
 
-use crate::change::{Change, Job, Verdict};
+use crate::change::Change;
+use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::effects::Effects;
 use crate::proposer::Proposer;
 use crate::register_view::RegisterView;
@@ -82,7 +83,7 @@
         self.next_number += 1;
         let number = self.next_number;
         let change = Arc::new(change);
-        proposer.push(Job::Order {
+        proposer.push(ChangeFunction::Config {
             number,
             change: change.clone(),
         });
@@ -123,22 +124,28 @@
         &mut self,
         now: Time,
         number: u64,
-        verdict: &Verdict,
+        outcome: &ChangeOutcome,
         proposal: ProposalNumber,
         wait: bool,
         effects: &mut Effects,
     ) {
-        if let (Verdict::Taken, true) = (verdict, wait) {
+        if let (ChangeOutcome::Applied, true) = (outcome, wait) {
             if let Some(order) = self.orders.get_mut(&number) {
                 order.taken = Some((proposal, now.plus_millis(LEARN_WAIT_MS)));
             }
             return;
         }
-        match verdict {
-            Verdict::Taken | Verdict::Repeated => self.answer(number, OK, Vec::new(), effects),
-            Verdict::Stale => self.answer(number, PRECONDITION_FAILED, Vec::new(), effects),
-            Verdict::Invalid(error) => self.answer(number, BAD_REQUEST, error_body(error), effects),
-            Verdict::Unchanged | Verdict::Unknown => {
+        match outcome {
+            ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
+                self.answer(number, OK, Vec::new(), effects)
+            }
+            ChangeOutcome::Conflict => {
+                self.answer(number, PRECONDITION_FAILED, Vec::new(), effects)
+            }
+            ChangeOutcome::Invalid(error) => {
+                self.answer(number, BAD_REQUEST, error_body(error), effects)
+            }
+            ChangeOutcome::Unchanged | ChangeOutcome::Unknown => {
                 self.answer(number, UNKNOWN, Vec::new(), effects)
             }
         }
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -1,87 +1,57 @@
-//! The register's proposer: one job after the other, each in rounds until its outcome is known.
+//! The register's proposer (CASPaxos, Rystsov, 2018, section 2.2): one change function after the other, each in rounds
+//! until its outcome is known.
 
-use crate::accept_change;
 use crate::accepted_changes::AcceptedChanges;
-use crate::change::{Job, Verdict};
+use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::effects::Effects;
 use crate::quorum::MemberList;
 use crate::register_view::{Chosen, RegisterView};
+use crate::round::{Phase, Round};
 use crate::timing::{BACKOFF_MAX_MS, BACKOFF_MS, RESEND_MS, ROUND_MS};
-use crate::value::RegisterValue;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::{
-    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Refused,
-    ValueNeeded,
-};
-use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use sagetrail_protocol::control::{Accepted, Promise, ProposalNumber, Refused, ValueNeeded};
+use sagetrail_protocol::{Incarnation, NodeId, Time};
+use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A job that is done.
+/// After so many failures in a row the backoff doubles no more.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+
+/// A change function whose outcome is known.
 #[derive(Debug)]
-pub(crate) struct Outcome {
-    pub job: Job,
-    pub verdict: Verdict,
+pub(crate) struct Decision {
+    pub function: ChangeFunction,
+    pub outcome: ChangeOutcome,
+    /// The value that is chosen now.
     pub chosen: Chosen,
     /// The round began at this moment: everything chosen before is in the value.
     pub as_of: Time,
 }
 
-#[derive(Debug)]
-struct FirstRound {
-    replies: BTreeMap<NodeId, ProposalNumber>,
-    newest: ProposalNumber,
-    value: Option<Arc<RegisterValue>>,
-}
-
-#[derive(Debug)]
-struct SecondRound {
-    value: Arc<RegisterValue>,
-    bytes: Blob,
-    /// Sent in the place of the value, but to the members that need it whole.
-    change: Option<AcceptChange>,
-    need_value: BTreeSet<NodeId>,
-    quorums: Vec<MemberList>,
-    replies: BTreeSet<NodeId>,
-    verdict: Verdict,
-}
-
-#[derive(Debug)]
-enum Phase {
-    First(FirstRound),
-    Second(Box<SecondRound>),
-}
-
-#[derive(Debug)]
-struct Round {
-    proposal: ProposalNumber,
-    list: MemberList,
-    known: Option<Chosen>,
-    started: Time,
-    sent_at: Time,
-    phase: Phase,
-}
-
 /// The proposer of one process.
 #[derive(Debug)]
 pub(crate) struct Proposer {
     node: NodeId,
     incarnation: Incarnation,
     random: Pcg64Mcg,
+    /// The highest counter of a proposal number that this process has used or seen.
     counter: u64,
-    queue: VecDeque<Job>,
+    /// Functions that wait; the one in front is proposed by `round`.
+    queue: VecDeque<ChangeFunction>,
     round: Option<Round>,
+    /// No round starts before.
     retry_at: Time,
+    /// Rounds of the function in front that failed.
     failures: u32,
     /// A newer list seen in a value that is not known to be chosen.
     newer_list: MemberList,
-    /// Whether the job in front has gone into a second round.
+    /// Whether the function in front has gone into an accept phase.
     accept_sent: bool,
 }
 
 impl Proposer {
-    /// A proposer without jobs.
+    /// A proposer with nothing to propose.
     pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Proposer {
         Proposer {
             node,
@@ -97,23 +67,25 @@
         }
     }
 
-    /// Takes a job; one that waits already is not taken twice.
-    pub(crate) fn push(&mut self, job: Job) {
-        if !self.queue.contains(&job) {
-            self.queue.push_back(job);
+    /// Queues a function, unless the same one is queued already.
+    pub(crate) fn push(&mut self, function: ChangeFunction) {
+        if !self.queue.contains(&function) {
+            self.queue.push_back(function);
         }
     }
 
-    /// Whether a job like this is under way.
-    pub(crate) fn any(&self, wanted: impl Fn(&Job) -> bool) -> bool {
+    /// Whether such a function is queued or being proposed.
+    pub(crate) fn has_pending(&self, wanted: impl Fn(&ChangeFunction) -> bool) -> bool {
         self.queue.iter().any(wanted)
     }
 
-    /// Gives an order up.
+    /// Gives up the operator's change of this number.
     pub(crate) fn cancel(&mut self, number: u64) {
-        let is_order =
-            |job: &Job| matches!(job, Job::Order { number: other, .. } if *other == number);
-        let Some(position) = self.queue.iter().position(is_order) else {
+        let position = self
+            .queue
+            .iter()
+            .position(|function| function.is_config_change(number));
+        let Some(position) = position else {
             return;
         };
         self.queue.remove(position);
@@ -124,20 +96,19 @@
         }
     }
 
-    /// Whether this order may have been accepted somewhere.
+    /// Whether the operator's change of this number may have been accepted somewhere.
     pub(crate) fn may_be_accepted(&self, number: u64) -> bool {
         let front = self.queue.front();
-        self.accept_sent
-            && matches!(front, Some(Job::Order { number: other, .. }) if *other == number)
+        self.accept_sent && front.is_some_and(|function| function.is_config_change(number))
     }
 
-    /// Notes a proposal number that others have promised.
-    pub(crate) fn note(&mut self, proposal: ProposalNumber) {
+    /// Later rounds take a higher number than one that others have promised.
+    pub(crate) fn observe_proposal(&mut self, proposal: ProposalNumber) {
         self.counter = self.counter.max(proposal.counter);
     }
 
-    /// Notes a member list that was accepted and may not be chosen.
-    pub(crate) fn note_list(&mut self, list: MemberList) {
+    /// A member list was accepted that may not be chosen: the next round asks its members.
+    pub(crate) fn observe_list(&mut self, list: MemberList) {
         if list.version > self.newer_list.version {
             self.newer_list = list;
         }
@@ -148,14 +119,14 @@
         if self.queue.is_empty() {
             return None;
         }
-        Some(
-            self.round
-                .as_ref()
-                .map_or(self.retry_at, |round| round.sent_at.plus_millis(RESEND_MS)),
-        )
+        let due = match &self.round {
+            Some(round) => round.sent_at.plus_millis(RESEND_MS),
+            None => self.retry_at,
+        };
+        Some(due)
     }
 
-    /// Starts, repeats or gives up rounds.
+    /// Starts rounds, sends again what had no answer, and gives up rounds that last too long.
     pub(crate) fn tick(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         if self.queue.is_empty() || register_view.list.version == 0 {
             return;
@@ -170,11 +141,7 @@
             return self.back_off(now);
         }
         if now >= round.sent_at.plus_millis(RESEND_MS) {
-            round.sent_at = now;
-            if let Phase::Second(second) = &mut round.phase {
-                second.change = None;
-            }
-            round.send(effects);
+            round.resend(now, effects);
         }
     }
 
@@ -185,60 +152,44 @@
             node: self.node,
             incarnation: self.incarnation,
         };
-        let newer = self.newer_list.version > register_view.list.version;
-        let list = if newer {
+        let list = if self.newer_list.version > register_view.list.version {
             self.newer_list.clone()
         } else {
             register_view.list.clone()
         };
-        let first = FirstRound {
-            replies: BTreeMap::new(),
-            newest: ProposalNumber::default(),
-            value: None,
-        };
-        let known = register_view.chosen.clone();
-        let round = Round {
-            proposal,
-            list,
-            known,
-            started: now,
-            sent_at: now,
-            phase: Phase::First(first),
-        };
+        let round = Round::new(now, proposal, list, register_view.chosen.clone());
         round.send(effects);
         self.round = Some(round);
     }
 
-    /// A promise came.
-    pub(crate) fn promised(
+    /// A member has promised. `changes`: accepted changes that are older than the value's recent ones.
+    pub(crate) fn on_promise(
         &mut self,
         now: Time,
         from: NodeId,
-        promised: Promise,
+        promise: Promise,
         changes: &AcceptedChanges,
         effects: &mut Effects,
-    ) -> Option<Outcome> {
-        let round = self
-            .round
-            .as_mut()
-            .filter(|round| round.proposal == promised.proposal)?;
-        if !round.take_promise(from, promised) {
+    ) -> Option<Decision> {
+        let round = self.current_round(promise.proposal)?;
+        if !round.on_promise(from, promise) {
             return None;
         }
-        self.read_done(now, changes, effects)
+        self.on_prepared(now, changes, effects)
     }
 
-    fn read_done(
+    /// A majority has promised: the function is applied to the newest accepted value.
+    fn on_prepared(
         &mut self,
         now: Time,
         changes: &AcceptedChanges,
         effects: &mut Effects,
-    ) -> Option<Outcome> {
+    ) -> Option<Decision> {
         let round = self.round.as_mut()?;
-        let Phase::First(first) = &round.phase else {
+        let Phase::Prepare(prepare) = &round.phase else {
             return None;
         };
-        let Some(value) = first.value.clone() else {
+        let Some(value) = prepare.value.clone() else {
             self.back_off(now);
             return None;
         };
@@ -248,95 +199,79 @@
             self.retry_at = now;
             return None;
         }
-        let job = self.queue.front()?;
-        let step = job.apply(&value, changes);
-        let settled = first
-            .replies
-            .values()
-            .all(|proposal| *proposal == first.newest);
-        if step.value.is_none() && settled {
+        let function = self.queue.front()?;
+        let transition = function.apply(&value, changes);
+        if transition.next.is_none() && prepare.is_unanimous() {
             let chosen = Chosen {
-                proposal: first.newest,
+                proposal: prepare.newest,
                 value,
             };
-            return self.finish(chosen, step.verdict);
+            return self.finish(chosen, transition.outcome);
         }
-        let next = step.value.map_or(value, Arc::new);
+        let next = transition.next.map_or(value, Arc::new);
         self.accept_sent = true;
-        let job = (step.verdict == Verdict::Taken).then_some(job);
-        round.propose(self.node, next, step.verdict, job, effects);
+        let function = (transition.outcome == ChangeOutcome::Applied).then_some(function);
+        round.begin_accept(self.node, next, transition.outcome, function, effects);
         round.sent_at = now;
         None
     }
 
-    /// A value was accepted.
-    pub(crate) fn accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Outcome> {
-        let round = self
-            .round
-            .as_mut()
-            .filter(|round| round.proposal == accepted.proposal)?;
-        let Phase::Second(second) = &mut round.phase else {
+    /// A member has accepted the value and has it on disk.
+    pub(crate) fn on_accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Decision> {
+        let round = self.current_round(accepted.proposal)?;
+        let Phase::Accept(accept) = &mut round.phase else {
             return None;
         };
-        second.replies.insert(from);
-        if !second
-            .quorums
-            .iter()
-            .all(|list| list.reached_by(&second.replies))
-        {
+        if !accept.on_accepted(from) {
             return None;
         }
         let chosen = Chosen {
             proposal: round.proposal,
-            value: second.value.clone(),
+            value: accept.value.clone(),
         };
-        let verdict = second.verdict.clone();
-        self.finish(chosen, verdict)
+        let outcome = accept.outcome.clone();
+        self.finish(chosen, outcome)
     }
 
     /// A member cannot make the value from the change.
-    pub(crate) fn value_needed(
+    pub(crate) fn on_value_needed(
         &mut self,
         from: NodeId,
         needed: &ValueNeeded,
         effects: &mut Effects,
     ) {
-        let Some(round) = self
-            .round
-            .as_mut()
-            .filter(|round| round.proposal == needed.proposal)
-        else {
-            return;
-        };
-        let Phase::Second(second) = &mut round.phase else {
+        let Some(round) = self.current_round(needed.proposal) else {
             return;
         };
-        if second.need_value.insert(from) {
-            effects.control(from, second.message(round.proposal, from));
+        if let Phase::Accept(accept) = &mut round.phase {
+            accept.on_value_needed(from, needed.proposal, effects);
         }
     }
 
-    /// A higher proposal number is about.
-    pub(crate) fn refused(&mut self, now: Time, refused: &Refused) {
-        self.note(refused.promised);
-        if self
-            .round
-            .as_ref()
-            .is_some_and(|round| round.proposal == refused.proposal)
-        {
+    /// A member has promised a higher proposal number to another process.
+    pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Refused) {
+        self.observe_proposal(rejected.promised);
+        if self.current_round(rejected.proposal).is_some() {
             self.back_off(now);
         }
     }
 
-    fn finish(&mut self, chosen: Chosen, verdict: Verdict) -> Option<Outcome> {
+    /// The round under way, if it has this proposal number: answers to earlier rounds count no more.
+    fn current_round(&mut self, proposal: ProposalNumber) -> Option<&mut Round> {
+        self.round
+            .as_mut()
+            .filter(|round| round.proposal == proposal)
+    }
+
+    fn finish(&mut self, chosen: Chosen, outcome: ChangeOutcome) -> Option<Decision> {
         let round = self.round.take()?;
-        let job = self.queue.pop_front()?;
+        let function = self.queue.pop_front()?;
         self.failures = 0;
         self.accept_sent = false;
         self.retry_at = Time::default();
-        Some(Outcome {
-            job,
-            verdict,
+        Some(Decision {
+            function,
+            outcome,
             chosen,
             as_of: round.started,
         })
@@ -344,122 +279,9 @@
 
     fn back_off(&mut self, now: Time) {
         self.round = None;
-        let longest = (BACKOFF_MS << self.failures.min(8)).min(BACKOFF_MAX_MS);
+        let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let longest = (BACKOFF_MS << doublings).min(BACKOFF_MAX_MS);
         self.failures += 1;
         self.retry_at = now.plus_millis(self.random.random_range(longest / 2..=longest));
     }
 }
-
-impl Round {
-    fn send(&self, effects: &mut Effects) {
-        match &self.phase {
-            Phase::First(first) => {
-                let have = self
-                    .known
-                    .as_ref()
-                    .map(|known| known.proposal)
-                    .unwrap_or_default();
-                let prepare = ControlMessage::Prepare(Prepare {
-                    proposal: self.proposal,
-                    have,
-                });
-                let members = self.list.all().into_iter();
-                effects.broadcast(
-                    members.filter(|member| !first.replies.contains_key(member)),
-                    &prepare,
-                );
-            }
-            Phase::Second(second) => {
-                let members: BTreeSet<NodeId> =
-                    second.quorums.iter().flat_map(MemberList::all).collect();
-                for member in members.difference(&second.replies) {
-                    effects.control(*member, second.message(self.proposal, *member));
-                }
-            }
-        }
-    }
-
-    /// True once a majority has promised.
-    fn take_promise(&mut self, from: NodeId, promised: Promise) -> bool {
-        let Phase::First(first) = &mut self.phase else {
-            return false;
-        };
-        first.replies.insert(from, promised.accepted);
-        if promised.accepted > first.newest {
-            let known = self
-                .known
-                .as_ref()
-                .filter(|known| known.proposal == promised.accepted);
-            let sent = || RegisterValue::decode(&promised.value).ok().map(Arc::new);
-            let value = known.map(|known| known.value.clone()).or_else(sent);
-            if value.is_none() {
-                first.replies.remove(&from);
-                return false;
-            }
-            first.newest = promised.accepted;
-            first.value = value;
-        }
-        self.list
-            .reached_by(&first.replies.keys().copied().collect())
-    }
-
-    /// `job`: what made the value of the one that was read; `None` where that is only finished.
-    fn propose(
-        &mut self,
-        node: NodeId,
-        value: Arc<RegisterValue>,
-        verdict: Verdict,
-        job: Option<&Job>,
-        effects: &mut Effects,
-    ) {
-        let Phase::First(first) = &self.phase else {
-            return;
-        };
-        let mut quorums = vec![self.list.clone()];
-        if value.members_version != self.list.version {
-            quorums.push(value.member_list());
-        }
-        let bytes = Blob(value.encode());
-        let change =
-            job.and_then(|job| accept_change::compose(job, self.proposal, first.newest, &bytes));
-        let need_value = first.need_value(node);
-        let replies = BTreeSet::new();
-        let second = SecondRound {
-            value,
-            bytes,
-            change,
-            need_value,
-            quorums,
-            replies,
-            verdict,
-        };
-        self.phase = Phase::Second(Box::new(second));
-        self.send(effects);
-    }
-}
-
-impl FirstRound {
-    /// Members that accepted another value than the one read, and `node` itself, to which nothing travels.
-    fn need_value(&self, node: NodeId) -> BTreeSet<NodeId> {
-        let differs = self
-            .replies
-            .iter()
-            .filter(|(_, accepted)| **accepted != self.newest);
-        differs.map(|(member, _)| *member).chain([node]).collect()
-    }
-}
-
-impl SecondRound {
-    /// The change alone for a member that may hold the value before it, else the whole value.
-    fn message(&self, proposal: ProposalNumber, member: NodeId) -> ControlMessage {
-        match &self.change {
-            Some(change) if !self.need_value.contains(&member) => {
-                ControlMessage::AcceptChange(change.clone())
-            }
-            _ => ControlMessage::Accept(Accept {
-                proposal,
-                value: self.bytes.clone(),
-            }),
-        }
-    }
-}
--- a/crates/cluster/control-plane/src/quorum.rs
+++ b/crates/cluster/control-plane/src/quorum.rs
@@ -1,4 +1,5 @@
-//! Member lists and majorities, also while a change of members is under way.
+//! Member lists and majorities, also of both lists while a change of members is under way (joint consensus, Ongaro's
+//! thesis, 4.3).
 
 use sagetrail_protocol::NodeId;
 use std::collections::BTreeSet;
@@ -6,10 +7,12 @@
 
 /// The processes that take part in agreement, with the list's version; version 0 is no list.
 ///
-/// While a change is under way there are two lists, and whatever needs a majority needs one of each.
+/// While a change is under way there are two groups of voters, and whatever needs a majority needs one of each.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct MemberList {
+    /// Each step of a change of members adds one.
     pub version: u64,
+    /// The members; of a change under way, those before it.
     pub members: Vec<NodeId>,
     /// The list that is to follow; empty unless a change is under way.
     pub next_members: Vec<NodeId>,
@@ -59,37 +62,39 @@
             .collect()
     }
 
-    /// Whether these processes hold a majority.
-    pub fn reached_by(&self, nodes: &BTreeSet<NodeId>) -> bool {
+    /// Whether these processes are a majority of each group.
+    pub fn has_quorum(&self, nodes: &BTreeSet<NodeId>) -> bool {
         !self.members.is_empty()
             && self
                 .groups()
-                .all(|group| present(group, nodes) >= majority(group))
+                .all(|group| count(group, nodes) >= majority(group))
     }
 
-    /// Whether a majority is left without these processes.
-    pub fn reachable_without(&self, nodes: &BTreeSet<NodeId>) -> bool {
+    /// Whether the others are still a majority of each group.
+    pub fn has_quorum_without(&self, nodes: &BTreeSet<NodeId>) -> bool {
         let rest: BTreeSet<NodeId> = self.all().difference(nodes).copied().collect();
-        self.reached_by(&rest)
+        self.has_quorum(&rest)
     }
 
-    /// Whether these others together know every promise that `node` may have made.
-    pub fn known_without(&self, node: NodeId, others: &BTreeSet<NodeId>) -> bool {
-        let enough = |group: &[NodeId]| {
+    /// Whether these others are so many that one of them has seen each round and each term which `node` helped to
+    /// complete: a majority of each group, or all besides `node` where that is less.
+    pub fn has_recovery_quorum(&self, node: NodeId, others: &BTreeSet<NodeId>) -> bool {
+        let suffices = |group: &[NodeId]| {
             let available = group.iter().filter(|member| **member != node).count();
-            present(group, others) >= majority(group).min(available)
+            count(group, others) >= majority(group).min(available)
         };
-        !self.members.is_empty() && self.groups().all(enough)
+        !self.members.is_empty() && self.groups().all(suffices)
     }
 
-    /// The highest figure that a majority has reached.
-    pub fn reached_figure(&self, figure_of: impl Fn(&NodeId) -> u64) -> Option<u64> {
+    /// The highest value that a majority of each group has reached; `None` without members.
+    pub fn quorum_value(&self, value_of: impl Fn(&NodeId) -> u64) -> Option<u64> {
         self.groups()
-            .map(|group| reached_in(group, &figure_of))
+            .map(|group| majority_value(group, &value_of))
             .min()
             .flatten()
     }
 
+    /// The members, and of a change under way those after it.
     fn groups(&self) -> impl Iterator<Item = &[NodeId]> {
         let next = Some(self.next_members.as_slice()).filter(|group| !group.is_empty());
         std::iter::once(self.members.as_slice()).chain(next)
@@ -105,12 +110,12 @@
     group.len() / 2 + 1
 }
 
-fn present(group: &[NodeId], nodes: &BTreeSet<NodeId>) -> usize {
+fn count(group: &[NodeId], nodes: &BTreeSet<NodeId>) -> usize {
     group.iter().filter(|member| nodes.contains(member)).count()
 }
 
-fn reached_in(group: &[NodeId], figure_of: &impl Fn(&NodeId) -> u64) -> Option<u64> {
-    let mut figures: Vec<u64> = group.iter().map(figure_of).collect();
-    figures.sort_unstable_by(|left, right| right.cmp(left));
-    figures.get(majority(group) - 1).copied()
+fn majority_value(group: &[NodeId], value_of: &impl Fn(&NodeId) -> u64) -> Option<u64> {
+    let mut values: Vec<u64> = group.iter().map(value_of).collect();
+    values.sort_unstable_by(|left, right| right.cmp(left));
+    values.get(majority(group) - 1).copied()
 }
--- a/crates/cluster/control-plane/src/reader.rs
+++ b/crates/cluster/control-plane/src/reader.rs
@@ -82,7 +82,7 @@
         }
         let differs = round
             .list
-            .reached_by(&round.replies.keys().copied().collect());
+            .has_quorum(&round.replies.keys().copied().collect());
         if differs || now >= round.started.plus_millis(ROUND_MS) {
             self.round = None;
             return differs.then_some(ReadOutcome::Unsettled);
@@ -139,7 +139,7 @@
     fn agreed(&self) -> Option<ProposalNumber> {
         self.replies
             .values()
-            .find(|proposal| self.list.reached_by(&self.tellers(proposal)))
+            .find(|proposal| self.list.has_quorum(&self.tellers(proposal)))
             .copied()
     }
 
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -5,7 +5,7 @@
 //! between them a majority of both lists is needed for everything, and the second step waits until a majority of both
 //! holds whatever was kept in the term.
 
-use crate::change::{Job, MemberStep};
+use crate::change_function::{ChangeFunction, MemberStep};
 use crate::leadership::Leadership;
 use crate::node::CoreNode;
 use crate::quorum::MemberList;
@@ -86,14 +86,16 @@
         leadership.set_learners(now, &candidates);
         if let Some(step) = self.member_step(now) {
             let base = self.register_view.list.version;
-            self.proposer.push(Job::Members { base, step });
+            self.proposer.push(ChangeFunction::Members { base, step });
         }
     }
 
     fn member_step(&self, now: Time) -> Option<MemberStep> {
         let list = &self.register_view.list;
         let chosen = &self.register_view.chosen.as_ref()?.value;
-        let under_way = self.proposer.any(|job| matches!(job, Job::Members { .. }));
+        let under_way = self
+            .proposer
+            .has_pending(|function| matches!(function, ChangeFunction::Members { .. }));
         if under_way || chosen.members_version != list.version {
             return None;
         }
@@ -101,11 +103,11 @@
         if list.is_changing() {
             return leadership
                 .is_committed_by(list)
-                .then_some(MemberStep::Complete);
+                .then_some(MemberStep::LeaveJoint);
         }
         let tolerating = 2 * self.settings.tolerated_machines as usize + 1;
         let size = tolerating.max(chosen.bootstrap_size as usize);
-        next_members(now, leadership, list, size).map(MemberStep::Begin)
+        next_members(now, leadership, list, size).map(MemberStep::EnterJoint)
     }
 }
 
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -105,7 +105,7 @@
         self.highest = self.highest.max(reply.promised);
         self.term = self.term.max(reply.term);
         self.replies.insert(from);
-        if self.list.known_without(self.node, &self.replies) {
+        if self.list.has_recovery_quorum(self.node, &self.replies) {
             self.phase = Phase::Preparing;
             self.replies.clear();
             self.send(effects);
@@ -122,7 +122,7 @@
             self.accepted = promised.accepted;
             self.value = promised.value;
         }
-        if !self.list.known_without(self.node, &self.replies) || self.value.is_empty() {
+        if !self.list.has_recovery_quorum(self.node, &self.replies) || self.value.is_empty() {
             return None;
         }
         let proposals = AcceptorNumbers {
--- a/crates/cluster/control-plane/src/timers.rs
+++ b/crates/cluster/control-plane/src/timers.rs
@@ -1,6 +1,6 @@
 //! What is due by time, and the term's own work.
 
-use crate::change::Job;
+use crate::change_function::ChangeFunction;
 use crate::node::CoreNode;
 use crate::register_view::Chosen;
 use crate::timing::{DELAYED_MS, POLL_MS};
@@ -133,8 +133,8 @@
             self.acceptor.members_version > self.register_view.list.version && self.may_propose();
         match newer.then(|| self.own_value()).flatten() {
             Some(own) => {
-                self.proposer.note_list(own.value.member_list());
-                self.proposer.push(Job::Refresh);
+                self.proposer.observe_list(own.value.member_list());
+                self.proposer.push(ChangeFunction::Identity);
             }
             None => self
                 .reader
@@ -143,7 +143,9 @@
     }
 
     fn wants_read(&self, now: Time) -> bool {
-        let settling = self.proposer.any(|job| *job == Job::Refresh);
+        let settling = self
+            .proposer
+            .has_pending(|function| *function == ChangeFunction::Identity);
         if self.register_view.list.version == 0 || settling || !self.reader.is_idle() {
             return false;
         }
@@ -171,7 +173,9 @@
     }
 
     fn reads_wake(&self) -> Option<Time> {
-        let settling = self.proposer.any(|job| *job == Job::Refresh);
+        let settling = self
+            .proposer
+            .has_pending(|function| *function == ChangeFunction::Identity);
         self.reader
             .next_wake()
             .or((!settling).then_some(self.poll_at))
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -78,7 +78,7 @@
     }
 
     /// Adds the change that led to the configuration.
-    pub fn remember(&mut self, change: AcceptedChange) {
+    pub fn push_recent(&mut self, change: AcceptedChange) {
         self.recent.0.push(change);
         let surplus = self.recent.len().saturating_sub(MAX_RECENT_CHANGES);
         self.recent.0.drain(..surplus);
