--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,6 +1,7 @@
 //! The operator's configuration changes and configuration reads that are in flight at this process.
 
-use crate::change::{Change, Job, Verdict};
+use crate::change::Change;
+use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::effects::Effects;
 use crate::http_api::{BAD_REQUEST, OK, OUTCOME_UNKNOWN, PRECONDITION_FAILED, SERVICE_UNAVAILABLE};
 use crate::register::{CompletedChange, Register};
@@ -89,7 +90,7 @@
         self.last_number += 1;
         let number = self.last_number;
         let change = Arc::new(change);
-        register.propose(Job::Order {
+        register.propose(ChangeFunction::Config {
             number,
             change: change.clone(),
         });
@@ -132,8 +133,8 @@
         effects: &mut Effects,
     ) {
         let number = completed.number;
-        match &completed.verdict {
-            Verdict::Taken if awaits_leader => {
+        match &completed.outcome {
+            ChangeOutcome::Applied if awaits_leader => {
                 if let Some(in_flight) = self.changes.get_mut(&number) {
                     in_flight.accepted = Some(AwaitedConfirmation {
                         proposal: completed.proposal,
@@ -141,10 +142,16 @@
                     });
                 }
             }
-            Verdict::Taken | Verdict::Repeated => self.answer(number, OK, Vec::new(), effects),
-            Verdict::Stale => self.answer(number, PRECONDITION_FAILED, Vec::new(), effects),
-            Verdict::Invalid(error) => self.answer(number, BAD_REQUEST, error_body(error), effects),
-            Verdict::Unchanged | Verdict::Unknown => {
+            ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
+                self.answer(number, OK, Vec::new(), effects)
+            }
+            ChangeOutcome::Conflict => {
+                self.answer(number, PRECONDITION_FAILED, Vec::new(), effects)
+            }
+            ChangeOutcome::Invalid(error) => {
+                self.answer(number, BAD_REQUEST, error_body(error), effects)
+            }
+            ChangeOutcome::Unchanged | ChangeOutcome::Unknown => {
                 self.answer(number, OUTCOME_UNKNOWN, Vec::new(), effects)
             }
         }
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -5,7 +5,7 @@
 //! between them a majority of both lists is needed for everything, and the second step waits until a majority of both
 //! holds whatever was kept in the term.
 
-use crate::change::{Job, MemberStep};
+use crate::change_function::{ChangeFunction, MemberStep};
 use crate::leadership::Leadership;
 use crate::quorum::MemberList;
 use crate::register::Register;
@@ -120,7 +120,7 @@
         leadership.set_learners(now, &candidates);
         if let Some(step) = self.next_step(now, leadership, register) {
             let base = register.members().version;
-            register.propose(Job::Members { base, step });
+            register.propose(ChangeFunction::Members { base, step });
         }
     }
 
@@ -145,11 +145,11 @@
         if members.is_changing() {
             return leadership
                 .is_committed_by(members)
-                .then_some(MemberStep::Complete);
+                .then_some(MemberStep::LeaveJoint);
         }
         let tolerant_size = 2 * self.tolerated_machines + 1;
         let size = tolerant_size.max(chosen.bootstrap_size as usize);
-        next_members(now, leadership, members, size).map(MemberStep::Begin)
+        next_members(now, leadership, members, size).map(MemberStep::EnterJoint)
     }
 }
 
--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -7,11 +7,11 @@
 
 use crate::accepted_changes::AcceptedChanges;
 use crate::acceptor::Acceptor;
-use crate::change::{Job, Verdict};
+use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::changes_fetch::ChangesFetch;
 use crate::effects::Effects;
 use crate::persisted::{AcceptorNumbers, ControlState};
-use crate::proposer::{Outcome, Proposer};
+use crate::proposer::{Decision, Proposer};
 use crate::quorum::MemberList;
 use crate::reader::{ReadOutcome, Reader};
 use crate::register_view::{Chosen, RegisterView};
@@ -47,7 +47,7 @@
 pub(crate) struct CompletedChange {
     /// Its number at this process.
     pub number: u64,
-    pub verdict: Verdict,
+    pub outcome: ChangeOutcome,
     /// The proposal number of the value that decided it.
     pub proposal: ProposalNumber,
 }
@@ -130,7 +130,7 @@
     /// Takes up what was on disk.
     pub(crate) fn restore(&mut self, state: &ControlState) {
         self.acceptor.restore(state.proposals, state.value.clone());
-        self.proposer.note(state.proposals.promised);
+        self.proposer.observe_proposal(state.proposals.promised);
         self.view.adopt_list(state.members.clone().into());
     }
 
@@ -175,7 +175,8 @@
 
     /// The proposer goes above what the acceptor has promised.
     pub(crate) fn note_own_promise(&mut self) {
-        self.proposer.note(self.acceptor.proposals.promised);
+        self.proposer
+            .observe_proposal(self.acceptor.proposals.promised);
     }
 
     /// Takes a member list that was chosen; true where it is newer.
@@ -198,9 +199,9 @@
         }
     }
 
-    /// Takes a job for the proposer; one that waits already is not taken twice.
-    pub(crate) fn propose(&mut self, job: Job) {
-        self.proposer.push(job);
+    /// Takes a change function for the proposer; one that waits already is not taken twice.
+    pub(crate) fn propose(&mut self, function: ChangeFunction) {
+        self.proposer.push(function);
     }
 
     /// Gives a configuration change up.
@@ -215,7 +216,8 @@
 
     /// Whether a change of members is being proposed.
     pub(crate) fn is_changing_members(&self) -> bool {
-        self.proposer.any(|job| matches!(job, Job::Members { .. }))
+        self.proposer
+            .has_pending(|function| matches!(function, ChangeFunction::Members { .. }))
     }
 
     /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
@@ -262,8 +264,8 @@
         let newer = self.acceptor.members_version > self.view.list.version && may_propose;
         match newer.then(|| self.accepted_value()).flatten() {
             Some(own) => {
-                self.proposer.note_list(own.value.member_list());
-                self.proposer.push(Job::Refresh);
+                self.proposer.observe_list(own.value.member_list());
+                self.proposer.push(ChangeFunction::Identity);
             }
             None => self.reader.start(now, &self.view, effects),
         }
@@ -278,7 +280,8 @@
     }
 
     fn is_refreshing(&self) -> bool {
-        self.proposer.any(|job| *job == Job::Refresh)
+        self.proposer
+            .has_pending(|function| *function == ChangeFunction::Identity)
     }
 
     fn read_wake(&self) -> Option<Time> {
@@ -314,7 +317,7 @@
             return;
         }
         self.differing_reads = 0;
-        self.proposer.push(Job::Refresh);
+        self.proposer.push(ChangeFunction::Identity);
     }
 
     /// Everything chosen before `moment` is known now.
@@ -393,7 +396,7 @@
 impl Register {
     /// A proposer's prepare phase.
     pub(crate) fn on_prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
-        self.proposer.note(prepare.proposal);
+        self.proposer.observe_proposal(prepare.proposal);
         self.acceptor.prepare(from, prepare, effects);
     }
 
@@ -430,8 +433,10 @@
         effects: &mut Effects,
     ) -> RegisterProgress {
         let changes = &self.accepted_changes;
-        let outcome = self.proposer.promised(now, from, promise, changes, effects);
-        self.round_finished(now, outcome, effects)
+        let decision = self
+            .proposer
+            .on_promise(now, from, promise, changes, effects);
+        self.round_finished(now, decision, effects)
     }
 
     /// A member accepted.
@@ -442,13 +447,13 @@
         accepted: &Accepted,
         effects: &mut Effects,
     ) -> RegisterProgress {
-        let outcome = self.proposer.accepted(from, accepted);
-        self.round_finished(now, outcome, effects)
+        let decision = self.proposer.on_accepted(from, accepted);
+        self.round_finished(now, decision, effects)
     }
 
     /// A member has promised a higher proposal number.
     pub(crate) fn on_rejected(&mut self, now: Time, refused: &Refused) {
-        self.proposer.refused(now, refused);
+        self.proposer.on_rejected(now, refused);
     }
 
     /// A member cannot make the value from the change.
@@ -458,7 +463,7 @@
         needed: &ValueNeeded,
         effects: &mut Effects,
     ) {
-        self.proposer.value_needed(from, needed, effects);
+        self.proposer.on_value_needed(from, needed, effects);
     }
 
     /// A member reported what it has accepted.
@@ -476,29 +481,29 @@
     fn round_finished(
         &mut self,
         now: Time,
-        outcome: Option<Outcome>,
+        decision: Option<Decision>,
         effects: &mut Effects,
     ) -> RegisterProgress {
-        let Some(outcome) = outcome else {
+        let Some(decision) = decision else {
             return RegisterProgress::default();
         };
-        let proposal = outcome.chosen.proposal;
+        let proposal = decision.chosen.proposal;
         // Former members are notified as well.
         let mut learners = self.view.list.all();
-        let update = self.learn(outcome.chosen, effects);
-        self.freshen(now, outcome.as_of);
-        if outcome.verdict == Verdict::Taken {
+        let update = self.learn(decision.chosen, effects);
+        self.freshen(now, decision.as_of);
+        if decision.outcome == ChangeOutcome::Applied {
             learners.extend(self.view.list.all());
             let learn = ControlMessage::Learn(Learn { proposal });
             effects.broadcast(learners, &learn);
         }
-        let completed = match outcome.job {
-            Job::Order { number, .. } => Some(CompletedChange {
+        let completed = match decision.function {
+            ChangeFunction::Config { number, .. } => Some(CompletedChange {
                 number,
-                verdict: outcome.verdict,
+                outcome: decision.outcome,
                 proposal,
             }),
-            Job::Refresh | Job::Members { .. } => None,
+            ChangeFunction::Identity | ChangeFunction::Members { .. } => None,
         };
         RegisterProgress { update, completed }
     }
--- a/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding_support/mod.rs
@@ -79,11 +79,11 @@
 }
 
 fn codec() -> Codec {
-    Codec::of(FLEET, STORE_VERSION)
+    Codec::with_version(FLEET, STORE_VERSION)
 }
 
 fn opened(frame: &[u8]) -> (Envelope, Body) {
-    codec().read(frame, FRAME_MOST).unwrap()
+    codec().decode(frame, FRAME_MOST).unwrap()
 }
 
 pub(crate) fn body(frame: &[u8]) -> Body {
@@ -93,21 +93,21 @@
 /// What one that starts asks member 1.
 pub(crate) fn open_log_question() -> Vec<u8> {
     let envelope = Envelope {
-        from: 2,
-        birth: BIRTH + 2,
+        sender: 2,
+        process: BIRTH + 2,
         incarnation: 0x2002,
-        no: 0x1001,
+        sequence: 0x1001,
     };
     let message = Message {
         disk: 0x4002,
-        written: 0,
+        records_written: 0,
         term: 0,
         body: MessageBody::DiskQuery {
             nonce: 0x0102_0304_0506_0708,
             blank: true,
         },
     };
-    codec().write(&envelope, &Body::Log(message))
+    codec().encode(&envelope, &Body::Log(message))
 }
 
 fn config(me: u64) -> NodeConfig {
@@ -115,7 +115,7 @@
         fleet: FLEET.to_string(),
         me,
         members: vec![1, 2],
-        founders: vec![1],
+        initial_voters: vec![1],
         timing: Timing::default(),
         incarnation: 0x2000 + me,
         birth: BIRTH + me,
@@ -132,7 +132,7 @@
     let mut frames = std::mem::take(&mut node.out);
     while let Some(batch) = node.next_batch() {
         frames.extend(batch.frames);
-        node.persisted(now, batch.mark);
+        node.persisted(now, batch.position);
         frames.append(&mut node.out);
     }
     frames.into_iter().map(|(_, frame)| frame).collect()
@@ -180,7 +180,7 @@
             .unwrap_or_else(|| panic!("no frame for {name}"));
         assert_eq!(wanted.next(), None, "several frames for {name}");
         let (envelope, body) = opened(&frame);
-        assert_eq!(codec().write(&envelope, &body), frame, "{name}");
+        assert_eq!(codec().encode(&envelope, &body), frame, "{name}");
         self.written.add_bytes(name, &frame);
         frame
     }
