--- a/crates/cluster/control-plane/src/bootstrap.rs
+++ b/crates/cluster/control-plane/src/bootstrap.rs
@@ -1,55 +1,57 @@
-//! The first start of the whole system: the first seed fixes the members.
+//! The first start of the whole cluster: the first seed fixes the members.
 
 use crate::timing::{BOOTSTRAP_ALONE_MS, BOOTSTRAP_PATIENCE_MS, BOOTSTRAP_QUIET_MS};
 use crate::value::RegisterValue;
 use sagetrail_protocol::{List, NodeId, Time};
 use std::collections::BTreeSet;
 
-const FEWEST_FOR_PATIENCE: usize = 3;
+/// With fewer candidates the bootstrapping process waits without a limit: they could not tolerate the loss of one.
+const MIN_CANDIDATES: usize = 3;
 
 /// Collects the core processes that are there.
 #[derive(Debug)]
 pub(crate) struct BootstrapCandidates {
-    heard: BTreeSet<NodeId>,
-    wanted: usize,
+    candidates: BTreeSet<NodeId>,
+    /// How many members tolerate the losses that the settings name.
+    expected: usize,
     started: Time,
-    /// When a process was heard for the first time.
+    /// When the latest candidate was found.
     changed: Time,
 }
 
 impl BootstrapCandidates {
     /// At the start of the bootstrapping process.
     pub(crate) fn new(node: NodeId, tolerated_machines: u32, now: Time) -> BootstrapCandidates {
-        let wanted = 2 * tolerated_machines as usize + 1;
         BootstrapCandidates {
-            heard: BTreeSet::from([node]),
-            wanted,
+            candidates: BTreeSet::from([node]),
+            expected: 2 * tolerated_machines as usize + 1,
             started: now,
             changed: now,
         }
     }
 
     /// A core process said hello.
-    pub(crate) fn hear(&mut self, now: Time, node: NodeId) {
-        if self.heard.insert(node) {
+    pub(crate) fn on_hello(&mut self, now: Time, node: NodeId) {
+        if self.candidates.insert(node) {
             self.changed = now;
         }
     }
 
-    /// The cluster's first value, once it is time.
+    /// The cluster's first value, once it is due.
     pub(crate) fn due(&self, now: Time) -> Option<RegisterValue> {
         (now >= self.due_at()).then(|| self.value())
     }
 
-    /// When it is time, as things stand.
+    /// When it is due with the candidates found so far.
     pub(crate) fn due_at(&self) -> Time {
-        if self.heard.len() >= self.wanted {
+        let found = self.candidates.len();
+        if found >= self.expected {
             return self.changed.plus_millis(BOOTSTRAP_QUIET_MS);
         }
-        if self.heard.len() >= FEWEST_FOR_PATIENCE {
+        if found >= MIN_CANDIDATES {
             return self.started.plus_millis(BOOTSTRAP_PATIENCE_MS);
         }
-        if self.heard.len() == 1 {
+        if found == 1 {
             return self.started.plus_millis(BOOTSTRAP_ALONE_MS);
         }
         Time(u64::MAX)
@@ -58,8 +60,8 @@
     fn value(&self) -> RegisterValue {
         RegisterValue {
             members_version: 1,
-            members: List(self.heard.iter().copied().collect()),
-            bootstrap_size: self.heard.len() as u32,
+            members: List(self.candidates.iter().copied().collect()),
+            bootstrap_size: self.candidates.len() as u32,
             ..RegisterValue::default()
         }
     }
--- a/crates/cluster/control-plane/src/effects.rs
+++ b/crates/cluster/control-plane/src/effects.rs
@@ -1,21 +1,28 @@
-//! What the parts of a core process want done, before it is addressed.
+//! The effects of an event: what the parts of a core process want sent, stored and answered, before it is addressed.
+//!
+//! Effects of one kind keep their order. A message that depends on a write is sent once that write has been synced.
 
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::node::{DiskOperation, HttpReply, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId};
 
-/// Changes on disk, and what is said once they are synced.
+/// Changes on disk, and the messages that are sent once they are synced.
 #[derive(Debug, Default)]
 pub(crate) struct PlannedWrite {
+    /// Applied together; none where only the sync of earlier writes is awaited.
     pub operations: Vec<DiskOperation>,
+    /// Sent after the sync, in this order.
     pub then: Vec<(NodeId, Message)>,
 }
 
-/// Collects sends, writes and replies. A send to the process itself is heard by it.
+/// Collects sends, writes and replies. A message to the process itself is handled by it before the next event.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
+    /// Messages to be sent at once.
     pub sends: Vec<(NodeId, Message)>,
+    /// Writes, in order.
     pub writes: Vec<PlannedWrite>,
+    /// Replies to HTTP requests.
     pub replies: Vec<(HttpRequestId, HttpReply)>,
 }
 
@@ -36,7 +43,7 @@
         }
     }
 
-    /// Writes, and says something to core processes once that is synced.
+    /// Writes, and sends to core processes once that is synced.
     pub(crate) fn write(
         &mut self,
         operations: Vec<DiskOperation>,
@@ -49,7 +56,7 @@
         self.writes.push(PlannedWrite { operations, then });
     }
 
-    /// Answers a request of HTTP with a status and no body.
+    /// Answers an HTTP request with a status and no body.
     pub(crate) fn status(&mut self, id: HttpRequestId, status: u16) {
         self.replies.push((
             id,
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -181,7 +181,7 @@
         if self
             .learners
             .get_mut(&from)
-            .is_some_and(|learner| !learner.hear(ack))
+            .is_some_and(|learner| !learner.on_renew_ack(ack))
         {
             return true;
         }
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -222,7 +222,7 @@
     pub(crate) fn on_hello(&mut self, now: Time, from: NodeId, members: &MemberList) {
         self.on_contact(from, members);
         if let Some(bootstrap) = &mut self.bootstrap {
-            bootstrap.hear(now, from);
+            bootstrap.on_hello(now, from);
         }
     }
 
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -6,7 +6,7 @@
 use crate::http_api::{BAD_REQUEST, OK, OUTCOME_UNKNOWN, PRECONDITION_FAILED, SERVICE_UNAVAILABLE};
 use crate::register::{CompletedChange, Register};
 use crate::register_view::RegisterView;
-use crate::timing::{LEARN_WAIT_MS, ORDER_MARGIN_MS, UNTOUCHED_MS};
+use crate::timing::{ANSWER_MARGIN_MS, LEARN_WAIT_MS, UNPROPOSED_MS};
 use sagetrail_cluster_config::ConfigError;
 use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::node::{HttpReply, HttpRequestId};
@@ -56,7 +56,7 @@
     /// Without any; `ack_ms` is how long the operator waits, in milliseconds.
     pub(crate) fn new(ack_ms: u64) -> OperatorRequests {
         OperatorRequests {
-            timeout_ms: ack_ms.saturating_sub(ORDER_MARGIN_MS).max(UNTOUCHED_MS),
+            timeout_ms: ack_ms.saturating_sub(ANSWER_MARGIN_MS).max(UNPROPOSED_MS),
             last_number: 0,
             changes: BTreeMap::new(),
             reads: Vec::new(),
@@ -201,7 +201,7 @@
         let timeout_ms = if register.may_be_accepted(number) {
             self.timeout_ms
         } else {
-            UNTOUCHED_MS
+            UNPROPOSED_MS
         };
         in_flight.arrived.plus_millis(timeout_ms)
     }
--- a/crates/cluster/control-plane/src/pending_requests.rs
+++ b/crates/cluster/control-plane/src/pending_requests.rs
@@ -1,7 +1,7 @@
 //! Requests whose senders have seen a newer configuration than this process: they wait until the register was read again.
 
 use crate::register_view::RegisterView;
-use crate::timing::DELAYED_MS;
+use crate::timing::PENDING_MS;
 use sagetrail_protocol::{Message, NodeId, Time};
 use std::collections::VecDeque;
 
@@ -39,7 +39,7 @@
         loop {
             let front = self.queue.front()?;
             let is_ready = view.is_fresh(front.arrived);
-            if !is_ready && now < front.arrived.plus_millis(DELAYED_MS) {
+            if !is_ready && now < front.arrived.plus_millis(PENDING_MS) {
                 return None;
             }
             let request = self.queue.pop_front();
@@ -58,6 +58,6 @@
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.queue
             .front()
-            .map(|request| request.arrived.plus_millis(DELAYED_MS))
+            .map(|request| request.arrived.plus_millis(PENDING_MS))
     }
 }
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -1,9 +1,10 @@
 //! Changes of the core's members, proposed by the leader of the term.
 //!
-//! A process that asks to join learns first: it follows the term like a member and counts in no quorum. Once it holds
-//! everything, it takes the place of a member that is about to end or has fallen silent. The change has two steps;
-//! between them a majority of both lists is needed for everything, and the second step waits until a majority of both
-//! holds whatever was kept in the term.
+//! A process that asks to join learns first: it follows the term like a member and counts in no quorum (a learner, as in
+//! Ongaro's thesis, 4.2.1). Once it holds everything, it takes the place of a member that is about to end or is
+//! unreachable. The change has two steps, as in joint consensus (Ongaro and Ousterhout, "In Search of an Understandable
+//! Consensus Algorithm", 2014, section 6): between them a majority of both lists is needed for everything, and the second
+//! step waits until a majority of both holds whatever was committed in the term.
 
 use crate::change_function::{ChangeFunction, MemberStep};
 use crate::leadership::Leadership;
@@ -14,55 +15,69 @@
 use sagetrail_protocol::{Incarnation, NodeId, Time};
 use std::collections::BTreeMap;
 
-/// So many processes that ask to join are remembered.
+/// The most processes that ask to join and are remembered.
 const MAX_JOINERS: usize = 64;
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: u64 = 1_000;
+
+/// The latest hello of a process that asks to join.
+#[derive(Clone, Copy, Debug)]
+struct JoinRequest {
+    incarnation: Incarnation,
+    received: Time,
+}
+
+impl JoinRequest {
+    fn is_recent(&self, now: Time) -> bool {
+        now < self.received.plus_millis(JOINER_MS)
+    }
+}
 
 /// Core processes that are no members and ask to be.
 #[derive(Debug, Default)]
 pub(crate) struct Joiners {
-    heard: BTreeMap<NodeId, (Incarnation, Time)>,
+    requests: BTreeMap<NodeId, JoinRequest>,
 }
 
 impl Joiners {
-    /// A core process said hello.
-    pub(crate) fn hear(&mut self, now: Time, node: NodeId, incarnation: Incarnation) {
-        self.heard.retain(|_, (_, heard)| is_recent(now, *heard));
-        if self.heard.len() < MAX_JOINERS || self.heard.contains_key(&node) {
-            self.heard.insert(node, (incarnation, now));
+    /// A core process that is no member said hello.
+    pub(crate) fn on_hello(&mut self, now: Time, node: NodeId, incarnation: Incarnation) {
+        self.requests.retain(|_, request| request.is_recent(now));
+        if self.requests.len() < MAX_JOINERS || self.requests.contains_key(&node) {
+            let request = JoinRequest {
+                incarnation,
+                received: now,
+            };
+            self.requests.insert(node, request);
         }
     }
 
     /// Forgets those who have become members: they ask no more, also once they are none again.
-    pub(crate) fn forget_members(&mut self, list: &MemberList) {
-        self.heard.retain(|node, _| !list.contains(*node));
+    pub(crate) fn forget_members(&mut self, members: &MemberList) {
+        self.requests.retain(|node, _| !members.contains(*node));
     }
 
-    /// At most `count` of those that were heard lately and are not in the list.
+    /// At most `count` of those that asked lately and are no members.
     pub(crate) fn candidates(
         &self,
         now: Time,
-        list: &MemberList,
+        members: &MemberList,
         count: usize,
     ) -> BTreeMap<NodeId, Incarnation> {
-        let asks = self
-            .heard
+        self.requests
             .iter()
-            .filter(|(node, (_, heard))| is_recent(now, *heard) && !list.contains(**node));
-        asks.take(count)
-            .map(|(node, (incarnation, _))| (*node, *incarnation))
+            .filter(|(node, request)| request.is_recent(now) && !members.contains(**node))
+            .take(count)
+            .map(|(node, request)| (*node, request.incarnation))
             .collect()
     }
 
     /// Whether anybody may still be waiting.
-    pub(crate) fn any(&self, now: Time, list: &MemberList) -> bool {
-        !self.candidates(now, list, 1).is_empty()
+    pub(crate) fn any(&self, now: Time, members: &MemberList) -> bool {
+        !self.candidates(now, members, 1).is_empty()
     }
 }
 
-fn is_recent(now: Time, heard: Time) -> bool {
-    now < heard.plus_millis(JOINER_MS)
-}
-
 /// The changes of members that this process proposes while it leads a term.
 #[derive(Debug)]
 pub(crate) struct Reconfiguration {
@@ -97,7 +112,7 @@
         members: &MemberList,
     ) {
         if !members.contains(from) {
-            self.joiners.hear(now, from, incarnation);
+            self.joiners.on_hello(now, from, incarnation);
         }
     }
 
@@ -127,7 +142,7 @@
     /// When the members are to be checked: while the scheduler runs here, and there are joiners or a change of members
     /// has to be completed.
     pub(crate) fn next_wake(&self, terms: &Terms, register: &Register) -> Option<Time> {
-        let is_needed = register.members().is_changing() || !self.joiners.heard.is_empty();
+        let is_needed = register.members().is_changing() || !self.joiners.requests.is_empty();
         (terms.is_serving() && is_needed).then_some(self.check_at)
     }
 
@@ -157,17 +172,17 @@
 fn next_members(
     now: Time,
     leadership: &Leadership,
-    list: &MemberList,
+    members: &MemberList,
     size: usize,
 ) -> Option<Vec<NodeId>> {
     let learner = leadership.ready_learner()?;
-    let mut members = list.members.clone();
-    if members.len() >= size {
-        let silent_since = now.0.checked_sub(UNREACHABLE_MS * 1000).map(Time);
-        let replaced = leadership.replaceable(list, silent_since)?;
-        members.retain(|member| *member != replaced);
+    let mut next = members.members.clone();
+    if next.len() >= size {
+        let unreachable_since = now.0.checked_sub(UNREACHABLE_MS * MICROS_PER_MS).map(Time);
+        let replaced = leadership.replaceable(members, unreachable_since)?;
+        next.retain(|member| *member != replaced);
     }
-    members.push(learner);
-    members.sort_unstable();
-    Some(members)
+    next.push(learner);
+    next.sort_unstable();
+    Some(next)
 }
--- a/crates/cluster/control-plane/src/register_view.rs
+++ b/crates/cluster/control-plane/src/register_view.rs
@@ -1,4 +1,4 @@
-//! What this process knows of the register's chosen values.
+//! The register view: what this process knows of the register's chosen values, and as of when.
 
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
@@ -13,18 +13,22 @@
 /// A chosen value.
 #[derive(Clone, Debug)]
 pub(crate) struct Chosen {
+    /// The proposal number under which a majority accepted it.
     pub proposal: ProposalNumber,
+    /// The value itself.
     pub value: Arc<RegisterValue>,
 }
 
-/// The newest chosen value that is known, the member list to count by, and how fresh that is.
+/// What is known of the register's chosen values, and how fresh that is.
 #[derive(Debug, Default)]
 pub(crate) struct RegisterView {
+    /// The newest chosen value that is known.
     pub chosen: Option<Chosen>,
+    /// The member list to count by. It may be newer than `chosen`: lists also come with directories.
     pub list: MemberList,
     /// Everything chosen before this moment is known.
     pub fresh_as_of: Option<Time>,
-    /// The newest proposal number that others called chosen.
+    /// The newest proposal number whose value others reported as chosen.
     pub hinted: ProposalNumber,
     config: Option<ConfigInForce>,
 }
@@ -68,7 +72,7 @@
         self.fresh_as_of >= Some(moment)
     }
 
-    /// How long ago, at most, what is known was the newest, in milliseconds; `None` where that was never made sure of.
+    /// How old the view is at the most, in milliseconds; `None` before the first read of the register.
     pub(crate) fn age_ms(&self, now: Time) -> Option<u64> {
         let fresh_as_of = self.fresh_as_of?;
         Some(now.0.saturating_sub(fresh_as_of.0).div_ceil(MICROS_PER_MS))
--- a/crates/cluster/control-plane/src/routing.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -1,15 +1,18 @@
-//! Addresses what the parts want said: to this process itself, directly, or by the process that forwards.
+//! Addresses the messages of the parts: to this process itself, directly, or by the process that forwards.
+//!
+//! A process that cannot be reached directly is reached by the route over which its latest message came.
 
-use crate::effects::Effects;
-use crate::timing::RELAY_MS;
+use crate::effects::{Effects, PlannedWrite};
+use crate::timing::ROUTE_MS;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{DiskWrite, Outbox};
 use sagetrail_protocol::{frame, Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many ways by a forwarder are remembered.
+/// The most routes that are remembered.
 const MAX_ROUTES: usize = 1024;
 
+/// The forwarder by which a process is reached.
 #[derive(Debug)]
 struct Route {
     forwarder: NodeId,
@@ -23,13 +26,13 @@
     routes: BTreeMap<NodeId, Route>,
     /// Messages of this process to itself.
     own: VecDeque<Message>,
-    /// The same, waiting for a write.
+    /// Messages of this process to itself that wait for a sync of the disk, by its token.
     unsynced: BTreeMap<u64, Vec<Message>>,
     next_token: u64,
 }
 
 impl MessageRouter {
-    /// Without any ways.
+    /// Without any routes.
     pub(crate) fn new(node: NodeId) -> MessageRouter {
         MessageRouter {
             node,
@@ -55,13 +58,8 @@
     pub(crate) fn learn_route(&mut self, now: Time, from: NodeId, forwarder: NodeId) {
         self.routes.retain(|_, route| route.until > now);
         if self.routes.len() < MAX_ROUTES {
-            self.routes.insert(
-                from,
-                Route {
-                    forwarder,
-                    until: now.plus_millis(RELAY_MS),
-                },
-            );
+            let until = now.plus_millis(ROUTE_MS);
+            self.routes.insert(from, Route { forwarder, until });
         }
     }
 
@@ -70,21 +68,11 @@
         self.routes.remove(&from);
     }
 
-    /// Hands everything to the world.
+    /// Moves all effects to the outbox, but for the messages of this process to itself.
     pub(crate) fn flush(&mut self, now: Time, effects: &mut Effects, outbox: &mut Outbox) {
         for write in effects.writes.drain(..) {
-            let (own, others): (Vec<_>, Vec<_>) =
-                write.then.into_iter().partition(|(to, _)| *to == self.node);
-            let then = others
-                .into_iter()
-                .filter_map(|(to, message)| self.address(now, to, message))
-                .collect();
-            let token = (!own.is_empty()).then(|| self.wait(own));
-            outbox.writes.push(DiskWrite {
-                operations: write.operations,
-                then,
-                token,
-            });
+            let write = self.disk_write(now, write);
+            outbox.writes.push(write);
         }
         for (to, message) in effects.sends.drain(..) {
             if to == self.node {
@@ -96,30 +84,40 @@
         outbox.replies.append(&mut effects.replies);
     }
 
-    fn wait(&mut self, own: Vec<(NodeId, Message)>) -> u64 {
+    fn disk_write(&mut self, now: Time, write: PlannedWrite) -> DiskWrite {
+        let (own, others): (Vec<_>, Vec<_>) =
+            write.then.into_iter().partition(|(to, _)| *to == self.node);
+        let then = others
+            .into_iter()
+            .filter_map(|(to, message)| self.address(now, to, message))
+            .collect();
+        let own: Vec<Message> = own.into_iter().map(|(_, message)| message).collect();
+        DiskWrite {
+            operations: write.operations,
+            then,
+            token: (!own.is_empty()).then(|| self.await_sync(own)),
+        }
+    }
+
+    /// The token with whose sync these messages are delivered.
+    fn await_sync(&mut self, own: Vec<Message>) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
-        self.unsynced
-            .insert(token, own.into_iter().map(|(_, message)| message).collect());
+        self.unsynced.insert(token, own);
         token
     }
 
-    /// `None` where the message cannot be wrapped.
+    /// Where a message goes, wrapped for the forwarder where there is one; `None` where it cannot be wrapped.
     fn address(&self, now: Time, to: NodeId, message: Message) -> Option<(NodeId, Message)> {
         let route = self.routes.get(&to).filter(|route| route.until > now);
-        match (route, &message) {
-            (Some(route), message) if !matches!(message, Message::Relayed(_)) => {
-                let payload = Blob(frame::encode(message).ok()?);
-                Some((
-                    route.forwarder,
-                    Message::Relayed(Relayed {
-                        from: self.node,
-                        to,
-                        payload,
-                    }),
-                ))
-            }
-            _ => Some((to, message)),
-        }
+        let Some(route) = route.filter(|_| !matches!(message, Message::Relayed(_))) else {
+            return Some((to, message));
+        };
+        let relayed = Relayed {
+            from: self.node,
+            to,
+            payload: Blob(frame::encode(&message).ok()?),
+        };
+        Some((route.forwarder, Message::Relayed(relayed)))
     }
 }
