--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -4,26 +4,23 @@
 //! A process is *joining* until it knows what it may have promised, *recovering* while it asks the members for that, and
 //! *active* once the state with which it takes part is on disk. Only an active process promises and accepts.
 
+mod bootstrapping;
+mod recovering;
+
 use crate::bootstrap::BootstrapCandidates;
 use crate::effects::Effects;
-use crate::persisted::{put_members, put_replica, AcceptorNumbers, StoredMembers};
+use crate::persisted::{put_members, put_replica, StoredMembers};
 use crate::quorum::MemberList;
-use crate::recovery::{Recovered, Recovery};
+use crate::recovery::Recovery;
 use crate::register::{Register, ViewUpdate};
 use crate::settings::CoreSettings;
 use crate::terms::Terms;
-use crate::timing::{BOOTSTRAP_GRACE_MS, LEASE_MS, OUT_OF_TOUCH_MS, RESEND_MS, UNREADY_HELLO_MS};
-use crate::value::RegisterValue;
-use sagetrail_protocol::control::{
-    Bootstrap, ControlMessage, Promise, ProposalNumber, RecoverReply, Refused, StateSynced,
-};
+use crate::timing::{OUT_OF_TOUCH_MS, UNREADY_HELLO_MS};
+use sagetrail_protocol::control::{ControlMessage, ProposalNumber, StateSynced};
 use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
-use sagetrail_protocol::{Blob, Incarnation, Message, NodeId, NodeKind, Time};
+use sagetrail_protocol::{Incarnation, Message, NodeId, NodeKind, Time};
 use std::collections::BTreeSet;
 
-/// The bootstrap value's proposal number has this counter; every later one a higher one.
-const BOOTSTRAP_COUNTER: u64 = 1;
-
 /// The most core processes outside the member list that are remembered.
 const MAX_UNLISTED_CONTACTS: usize = 16;
 
@@ -293,213 +290,3 @@
         update
     }
 }
-
-/// The bootstrap of the cluster.
-impl Membership {
-    fn bootstrap_cluster(
-        &mut self,
-        now: Time,
-        register: &mut Register,
-        terms: &mut Terms,
-        effects: &mut Effects,
-    ) {
-        let Some(value) = self
-            .bootstrap
-            .as_ref()
-            .and_then(|bootstrap| bootstrap.due(now))
-        else {
-            return;
-        };
-        self.bootstrap = None;
-        let proposal = ProposalNumber {
-            counter: BOOTSTRAP_COUNTER,
-            node: self.node,
-            incarnation: self.incarnation,
-        };
-        let bootstrap = Bootstrap {
-            proposal,
-            value: Blob(value.encode()),
-        };
-        self.adopt_bootstrap(bootstrap, None, register, terms, effects);
-    }
-
-    /// The bootstrapping process sent the cluster's first value.
-    pub(crate) fn on_bootstrap(
-        &mut self,
-        from: NodeId,
-        bootstrap: Bootstrap,
-        register: &mut Register,
-        terms: &mut Terms,
-        effects: &mut Effects,
-    ) {
-        if self.active {
-            let synced = ControlMessage::StateSynced(StateSynced {
-                proposal: bootstrap.proposal,
-            });
-            return effects.control(from, synced);
-        }
-        let busy = self.sync_pending || self.recovery.is_some();
-        if self.may_bootstrap && !busy {
-            self.adopt_bootstrap(bootstrap, Some(from), register, terms, effects);
-        }
-    }
-
-    fn adopt_bootstrap(
-        &mut self,
-        bootstrap: Bootstrap,
-        sender: Option<NodeId>,
-        register: &mut Register,
-        terms: &mut Terms,
-        effects: &mut Effects,
-    ) {
-        let Ok(value) = RegisterValue::decode(&bootstrap.value) else {
-            return;
-        };
-        let proposal = bootstrap.proposal;
-        let proposals = AcceptorNumbers {
-            promised: proposal,
-            accepted: proposal,
-        };
-        register.adopt(proposals, bootstrap.value);
-        terms.records_are_complete();
-        register.adopt_members(value.member_list());
-        self.write_state(proposal, sender, register, terms, effects);
-    }
-
-    fn bootstrapped_here(&self, register: &Register) -> bool {
-        let proposal = register.acceptor().proposals.accepted;
-        proposal.counter == BOOTSTRAP_COUNTER && proposal.node == self.node
-    }
-
-    /// The bootstrapping process sends its value to all others until each has acknowledged it, also after a restart.
-    fn begin_sending_bootstrap(&mut self, register: &Register) {
-        if !self.bootstrapped_here(register) {
-            return;
-        }
-        self.unacknowledged = register.members().all();
-        self.unacknowledged.remove(&self.node);
-    }
-
-    fn send_bootstrap(&mut self, now: Time, register: &Register, effects: &mut Effects) {
-        if self.unacknowledged.is_empty() || now < self.bootstrap_send_at {
-            return;
-        }
-        if !self.bootstrapped_here(register) {
-            // A later value was accepted, so a majority has the bootstrap; the others recover.
-            return self.unacknowledged.clear();
-        }
-        self.bootstrap_send_at = now.plus_millis(RESEND_MS);
-        let bootstrap = ControlMessage::Bootstrap(Bootstrap {
-            proposal: register.acceptor().proposals.accepted,
-            value: register.acceptor().value.clone(),
-        });
-        effects.broadcast(self.unacknowledged.iter().copied(), &bootstrap);
-    }
-}
-
-/// The recovery of what an emptied disk may have held.
-impl Membership {
-    fn knows_its_promises(&self) -> bool {
-        self.active || self.sync_pending
-    }
-
-    /// A lease that the process may have granted in its former incarnation is over by then, and so are votes of it.
-    fn recovery_due(&self) -> Option<Time> {
-        if self.knows_its_promises() {
-            return None;
-        }
-        let grace_ms = if self.may_bootstrap {
-            BOOTSTRAP_GRACE_MS
-        } else {
-            0
-        };
-        let grace_ends = self.listed_since?.plus_millis(grace_ms);
-        Some(grace_ends.max(self.started.plus_millis(LEASE_MS)))
-    }
-
-    fn recover(&mut self, now: Time, register: &Register, effects: &mut Effects) {
-        if self.knows_its_promises() || !register.has_members() {
-            self.recovery = None;
-            self.listed_since = None;
-            return;
-        }
-        self.listed_since = self.listed_since.or(Some(now));
-        if self.recovery_due().is_none_or(|due| now < due) {
-            return;
-        }
-        let starts_anew = self
-            .recovery
-            .as_mut()
-            .is_none_or(|recovery| recovery.tick(now, effects));
-        if starts_anew {
-            let known = register.members();
-            let list = if self.recovered_list.version > known.version {
-                &self.recovered_list
-            } else {
-                known
-            };
-            let recovery = Recovery::start(self.node, self.incarnation, list, now, effects);
-            self.recovery = Some(recovery);
-        }
-    }
-
-    /// A member reported its highest promises.
-    pub(crate) fn on_recover_reply(
-        &mut self,
-        from: NodeId,
-        reply: &RecoverReply,
-        effects: &mut Effects,
-    ) {
-        if let Some(recovery) = &mut self.recovery {
-            recovery.reply(from, reply, effects);
-        }
-    }
-
-    /// A member promised the recovery's proposal number.
-    pub(crate) fn on_promise(
-        &mut self,
-        from: NodeId,
-        promise: Promise,
-        register: &mut Register,
-        terms: &mut Terms,
-        effects: &mut Effects,
-    ) {
-        let recovered = self
-            .recovery
-            .as_mut()
-            .and_then(|recovery| recovery.promised(from, promise));
-        if let Some(recovered) = recovered {
-            self.take_up_recovered(recovered, register, terms, effects);
-        }
-    }
-
-    /// A member has promised a higher proposal number than the recovery's.
-    pub(crate) fn on_rejected(&mut self, refused: &Refused) {
-        if let Some(recovery) = &mut self.recovery {
-            recovery.refused(refused);
-        }
-    }
-
-    /// The others reported what this process may have promised.
-    fn take_up_recovered(
-        &mut self,
-        recovered: Recovered,
-        register: &mut Register,
-        terms: &mut Terms,
-        effects: &mut Effects,
-    ) {
-        let Ok(value) = RegisterValue::decode(&recovered.value) else {
-            return;
-        };
-        self.recovery = None;
-        if value.members_version > recovered.members_version {
-            // Members that are not among those asked may know of later promises.
-            self.recovered_list = value.member_list();
-            return;
-        }
-        let proposal = recovered.proposals.accepted;
-        register.adopt(recovered.proposals, recovered.value);
-        terms.adopt_promised_term(recovered.term);
-        self.write_state(proposal, None, register, terms, effects);
-    }
-}
--- a/crates/cluster/control-plane/src/pending_requests.rs
+++ b/crates/cluster/control-plane/src/pending_requests.rs
@@ -11,7 +11,9 @@
 /// A request that waits for a fresh register view.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
+    /// The gateway.
     pub from: NodeId,
+    /// Its request.
     pub message: Message,
     arrived: Time,
 }
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -11,7 +11,9 @@
 /// The member list and those who ask to join it: on these depends whether a terminating member may leave.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Succession<'a> {
+    /// The newest member list known.
     pub members: &'a MemberList,
+    /// Who asks to join, as far as it said so lately.
     pub joiners: &'a Joiners,
 }
 
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -5,6 +5,8 @@
 //! leader acts only under a lease that a quorum grants (Gray and Cheriton, "Leases", SOSP 1989), so at most one process
 //! schedules at any moment.
 
+mod messages;
+
 use crate::effects::Effects;
 use crate::election::Elections;
 use crate::leadership::Leadership;
@@ -12,14 +14,11 @@
 use crate::quorum::MemberList;
 use crate::records::Records;
 use crate::register_view::RegisterView;
-use crate::replica::{Condition, Replica};
+use crate::replica::Replica;
 use crate::resignation::FormerTermResignation;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::{
-    ControlMessage, FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign,
-    SnapshotChunk, VoteReply, VoteRequest,
-};
+use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{ConfigInForce, Restored, Service, ServiceFactory};
 use sagetrail_protocol::{Incarnation, Message, NodeId, Term, Time};
@@ -27,14 +26,19 @@
 /// The newest term that a process knows, and who schedules in it; the default node where that is unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct KnownLeader {
+    /// 0 before the first term.
     pub term: Term,
+    /// Under whose lease the scheduler runs.
     pub leader: NodeId,
 }
 
 /// With what a process starts to take part in terms.
 pub(crate) struct TermsStart {
+    /// This process.
     pub node: NodeId,
+    /// Its incarnation: votes of a former one do not count.
     pub incarnation: Incarnation,
+    /// When the process started, by its steady clock.
     pub started: Time,
     /// The records as the disk holds them.
     pub records: Records,
@@ -343,128 +347,3 @@
         }
     }
 }
-
-/// Messages to the replica. Only a process that knows what it has promised may answer them.
-impl Terms {
-    /// A candidate requests a vote. `members_version`: the newest member list that this process has accepted.
-    pub(crate) fn on_vote_request(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        request: &VoteRequest,
-        members_version: u64,
-        effects: &mut Effects,
-    ) {
-        self.replica
-            .vote(now, from, request, members_version, effects);
-    }
-
-    /// A leader renews its lease.
-    pub(crate) fn on_renew(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        renew: &Renew,
-        condition: Condition,
-        effects: &mut Effects,
-    ) {
-        self.replica.renew(now, from, renew, condition, effects);
-    }
-
-    /// A leader gave its lease up, or a candidate its candidacy.
-    pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, resign: &Resign) {
-        if self.replica.resigned(now, from, resign.term) {
-            self.elections.hasten();
-        }
-    }
-
-    /// A core process that does not take part yet said hello: the lease of its former incarnation is void.
-    pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
-        if self.replica.lease_holder_restarted(now, from) {
-            self.elections.hasten();
-        }
-    }
-
-    /// The leader sent a batch of changes.
-    pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
-        self.replica.batch(from, batch, effects);
-    }
-
-    /// Another process fetches a snapshot.
-    pub(crate) fn on_fetch(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        fetch: &FetchSnapshot,
-        effects: &mut Effects,
-    ) {
-        self.replica.fetch(now, from, fetch, effects);
-    }
-
-    /// A chunk of a snapshot that this process fetches.
-    pub(crate) fn on_chunk(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        chunk: SnapshotChunk,
-        effects: &mut Effects,
-    ) {
-        self.replica.chunk(now, from, chunk, effects);
-    }
-}
-
-/// Replies to the candidate and to the leader.
-impl Terms {
-    /// A member answered a request for a vote; it may win the election.
-    pub(crate) fn on_vote_reply(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        reply: &VoteReply,
-        may_lead: bool,
-        members: &MemberList,
-        effects: &mut Effects,
-    ) {
-        let elected = self.elections.reply(now, from, reply, members, effects);
-        if let Some(elected) = elected.filter(|_| may_lead) {
-            self.leadership = Some(Leadership::new(self.node, now, elected, members));
-        }
-    }
-
-    /// A replica answered a renewal of the lease.
-    pub(crate) fn on_renew_ack(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        ack: &RenewAck,
-        members: &MemberList,
-        effects: &mut Effects,
-    ) {
-        self.elections.note(ack.promised);
-        if from == self.node {
-            self.replica.leader_synced(ack.term);
-        }
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        if !leadership.renew_ack(now, from, ack, members) {
-            self.step_down(now, members, effects);
-        }
-    }
-
-    /// A replica has synced its records up to a position.
-    pub(crate) fn on_records_synced(
-        &mut self,
-        now: Time,
-        from: NodeId,
-        synced: &RecordsSynced,
-        members: &MemberList,
-    ) {
-        if from == self.node {
-            self.replica.stored(synced.position);
-        }
-        if let Some(leadership) = &mut self.leadership {
-            leadership.stored(now, from, synced.position, members);
-        }
-    }
-}
--- /dev/null
+++ b/crates/cluster/control-plane/src/terms/messages.rs
@@ -0,0 +1,137 @@
+//! The messages of terms: requests to the replica, replies to the candidate and to the leader.
+
+use super::Terms;
+use crate::effects::Effects;
+use crate::leadership::Leadership;
+use crate::quorum::MemberList;
+use crate::replica::Condition;
+use sagetrail_protocol::control::{
+    FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign, SnapshotChunk, VoteReply,
+    VoteRequest,
+};
+use sagetrail_protocol::{NodeId, Time};
+
+/// Messages to the replica. Only a process that knows what it has promised may answer them.
+impl Terms {
+    /// A candidate requests a vote. `members_version`: the newest member list that this process has accepted.
+    pub(crate) fn on_vote_request(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        request: &VoteRequest,
+        members_version: u64,
+        effects: &mut Effects,
+    ) {
+        self.replica
+            .vote(now, from, request, members_version, effects);
+    }
+
+    /// A leader renews its lease.
+    pub(crate) fn on_renew(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        renew: &Renew,
+        condition: Condition,
+        effects: &mut Effects,
+    ) {
+        self.replica.renew(now, from, renew, condition, effects);
+    }
+
+    /// A leader gave its lease up, or a candidate its candidacy.
+    pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, resign: &Resign) {
+        if self.replica.resigned(now, from, resign.term) {
+            self.elections.hasten();
+        }
+    }
+
+    /// A core process that does not take part yet said hello: the lease of its former incarnation is void.
+    pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
+        if self.replica.lease_holder_restarted(now, from) {
+            self.elections.hasten();
+        }
+    }
+
+    /// The leader sent a batch of changes.
+    pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
+        self.replica.batch(from, batch, effects);
+    }
+
+    /// Another process fetches a snapshot.
+    pub(crate) fn on_fetch(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        fetch: &FetchSnapshot,
+        effects: &mut Effects,
+    ) {
+        self.replica.fetch(now, from, fetch, effects);
+    }
+
+    /// A chunk of a snapshot that this process fetches.
+    pub(crate) fn on_chunk(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        chunk: SnapshotChunk,
+        effects: &mut Effects,
+    ) {
+        self.replica.chunk(now, from, chunk, effects);
+    }
+}
+
+/// Replies to the candidate and to the leader.
+impl Terms {
+    /// A member answered a request for a vote; it may win the election.
+    pub(crate) fn on_vote_reply(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        reply: &VoteReply,
+        may_lead: bool,
+        members: &MemberList,
+        effects: &mut Effects,
+    ) {
+        let elected = self.elections.reply(now, from, reply, members, effects);
+        if let Some(elected) = elected.filter(|_| may_lead) {
+            self.leadership = Some(Leadership::new(self.node, now, elected, members));
+        }
+    }
+
+    /// A replica answered a renewal of the lease.
+    pub(crate) fn on_renew_ack(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        ack: &RenewAck,
+        members: &MemberList,
+        effects: &mut Effects,
+    ) {
+        self.elections.note(ack.promised);
+        if from == self.node {
+            self.replica.leader_synced(ack.term);
+        }
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        if !leadership.renew_ack(now, from, ack, members) {
+            self.step_down(now, members, effects);
+        }
+    }
+
+    /// A replica has synced its records up to a position.
+    pub(crate) fn on_records_synced(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        synced: &RecordsSynced,
+        members: &MemberList,
+    ) {
+        if from == self.node {
+            self.replica.stored(synced.position);
+        }
+        if let Some(leadership) = &mut self.leadership {
+            leadership.stored(now, from, synced.position, members);
+        }
+    }
+}
