--- a/crates/cluster/agent/src/heartbeat.rs
+++ b/crates/cluster/agent/src/heartbeat.rs
@@ -181,7 +181,7 @@
     Ok(ActiveRun {
         task: bounded(row.task, MAX_NAME_BYTES, "task")?,
         attempt: row.attempt,
-        saved: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
+        checkpoint: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
         percent: row.percent.clamp(0.0, WHOLE_PERCENT) as u8,
     })
 }
@@ -199,7 +199,7 @@
         task: bounded(row.task, MAX_NAME_BYTES, "task")?,
         attempt: row.attempt,
         end: run_end(&row.how),
-        saved: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
+        checkpoint: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
     })
 }
 
@@ -208,10 +208,10 @@
     match how {
         "done" => RunEnd::Done,
         "failed" => RunEnd::Failed,
-        "lapsed" => RunEnd::Lapsed,
-        "broken" => RunEnd::Broken,
-        "alone" => RunEnd::Alone,
-        "refused" => RunEnd::Refused,
+        "lapsed" => RunEnd::LeaseExpired,
+        "broken" => RunEnd::GangMemberEnded,
+        "alone" => RunEnd::GangTimedOut,
+        "refused" => RunEnd::Rejected,
         _ => RunEnd::Stopped,
     }
 }
--- a/crates/cluster/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -14,7 +14,7 @@
 use crate::settings::{AgentSettings, Counters};
 use crate::uplink::Uplink;
 use crate::watch::RunnerWatch;
-use sagetrail_protocol::agent::RUNNER_HOLD_MS;
+use sagetrail_protocol::agent::RUNNER_LEASE_MS;
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::node::{
     Event, HttpEndpoint, HttpReply, HttpRequest, Method, Node, Now, Outbox,
@@ -162,7 +162,7 @@
     /// The hold that may be granted now; 0 for none.
     fn hold_ms(&self, now: Time) -> u64 {
         let lease_left_ms = self.orders.lease_left_ms(now);
-        RUNNER_HOLD_MS
+        RUNNER_LEASE_MS
             .min(self.settings.bounds.hold_max_ms)
             .min(lease_left_ms)
     }
@@ -193,7 +193,7 @@
             task: &order.task,
             attempt: order.attempt,
             spec: &order.spec,
-            saved: &order.saved,
+            saved: &order.checkpoint,
         })
         .collect()
     }
@@ -278,7 +278,7 @@
                 let reply = self.http(steady, endpoint, &request);
                 outbox.reply(id, reply);
             }
-            Event::Seeds(seeds) => self.uplink.set_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.uplink.set_seeds(seeds),
             Event::Terminate => self.terminate(steady),
             Event::HealthCheck { id, result } => self.probed(steady, id, result),
             Event::HttpAbandoned { .. } | Event::Synced { .. } | Event::Wake => {}
--- a/crates/cluster/agent/src/node/messages.rs
+++ b/crates/cluster/agent/src/node/messages.rs
@@ -2,7 +2,7 @@
 
 use super::AgentNode;
 use crate::orders::Adoption;
-use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::agent::RunnerCommands;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::Outbox;
@@ -20,7 +20,7 @@
         match message {
             Message::Directory(directory) => self.uplink.directory(now, directory),
             Message::NotLeader(refusal) => self.uplink.not_leader(from, &refusal),
-            Message::RunnerOrders(orders) => self.take_orders(now, from, relay, orders),
+            Message::RunnerCommands(orders) => self.take_orders(now, from, relay, orders),
             Message::Relayed(relayed) if relay.is_none() => {
                 self.relayed(now, from, relayed, outbox)
             }
@@ -33,7 +33,7 @@
         now: Time,
         from: NodeId,
         relay: Option<NodeId>,
-        orders: RunnerOrders,
+        orders: RunnerCommands,
     ) {
         let (term, answer) = (orders.term, orders.agent == self.settings.incarnation);
         match self.orders.receive(now, orders) {
--- a/crates/cluster/agent/src/orders.rs
+++ b/crates/cluster/agent/src/orders.rs
@@ -1,6 +1,6 @@
 //! The scheduler's newest orders, the lease under which they are given, and whether they are settled.
 
-use sagetrail_protocol::agent::{RunnerOrders, StartOrder, StopOrder};
+use sagetrail_protocol::agent::{RunnerCommands, StartCommand, StopCommand};
 use sagetrail_protocol::{Incarnation, Term, Text, Time};
 
 /// Below this share of its lease, in hundredths, an agent presses for more.
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct OrderBook {
     agent: Incarnation,
-    adopted: Option<RunnerOrders>,
+    adopted: Option<RunnerCommands>,
     lease_until: Time,
     low_lease_at: Time,
     settled: bool,
@@ -49,7 +49,7 @@
     }
 
     /// Takes orders.
-    pub(crate) fn receive(&mut self, now: Time, orders: RunnerOrders) -> Adoption {
+    pub(crate) fn receive(&mut self, now: Time, orders: RunnerCommands) -> Adoption {
         let order = (orders.term, orders.revision).cmp(&(self.term(), self.revision()));
         if order.is_lt() {
             return Adoption::Older;
@@ -80,7 +80,7 @@
         self.starts_void_since = Some(now);
     }
 
-    fn revive_starts(&mut self, orders: &RunnerOrders) {
+    fn revive_starts(&mut self, orders: &RunnerCommands) {
         let answers_later =
             |since: Time| orders.agent == self.agent && Time(orders.sent_at) > since;
         if self.starts_void_since.is_some_and(answers_later) {
@@ -119,7 +119,7 @@
     }
 
     /// The starts wanted of this instance.
-    pub(crate) fn starts(&self, instance: &str) -> &[StartOrder] {
+    pub(crate) fn starts(&self, instance: &str) -> &[StartCommand] {
         let orders = self
             .orders_of(instance)
             .filter(|_| self.starts_void_since.is_none());
@@ -127,7 +127,7 @@
     }
 
     /// The stops wanted of this instance.
-    pub(crate) fn stops(&self, instance: &str) -> &[StopOrder] {
+    pub(crate) fn stops(&self, instance: &str) -> &[StopCommand] {
         self.orders_of(instance).map_or(&[], |orders| &orders.stop)
     }
 
@@ -144,14 +144,14 @@
             .filter(|wait_ms| *wait_ms > 0)
     }
 
-    fn orders_of(&self, instance: &str) -> Option<&RunnerOrders> {
+    fn orders_of(&self, instance: &str) -> Option<&RunnerCommands> {
         self.adopted
             .as_ref()
             .filter(|orders| &*orders.instance == instance)
     }
 
     /// Only an answer to a report of this very agent extends its lease, counted from the report's sending.
-    fn extend_lease(&mut self, now: Time, orders: &RunnerOrders) {
+    fn extend_lease(&mut self, now: Time, orders: &RunnerCommands) {
         let sent_at = Time(orders.sent_at);
         let answers_us = orders.agent == self.agent && sent_at <= now;
         let until = sent_at.plus_millis(orders.lease_ms);
@@ -166,7 +166,7 @@
     }
 
     /// An end once observed stays so: the highest number of an instance counts.
-    fn note_observed(&mut self, orders: &RunnerOrders) {
+    fn note_observed(&mut self, orders: &RunnerCommands) {
         if self.observed_instance == orders.instance {
             self.observed = self.observed.max(orders.observed);
             return;
--- a/crates/cluster/agent/src/report.rs
+++ b/crates/cluster/agent/src/report.rs
@@ -21,7 +21,7 @@
     register: &RunnerRegister,
 ) -> RunnerReport {
     let mut report = without_runner(heading, orders);
-    report.lapsed = register.is_silent();
+    report.lease_expired = register.is_silent();
     if let Some(runner) = register.current() {
         describe(&mut report, heading.now, runner);
     }
@@ -35,38 +35,38 @@
         sent_at: heading.now.0,
         term: orders.term(),
         revision: orders.revision(),
-        settled: orders.is_settled(),
-        present: false,
+        starts_resolved: orders.is_settled(),
+        has_runner: false,
         instance: Text::default(),
         service: Text::default(),
         address: Text::default(),
         zone: Text::default(),
         draining: false,
         remaining_ms: 0,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         capacity: Resources::default(),
         labels: List::default(),
         active: List::default(),
         finished: List::default(),
-        lapsed: false,
-        silent_ms: 0,
+        lease_expired: false,
+        since_heartbeat_ms: 0,
     }
 }
 
 fn describe(report: &mut RunnerReport, now: Time, runner: &Runner) {
     let silent_ms = now.millis_since(runner.last_heartbeat);
-    report.present = true;
+    report.has_runner = true;
     report.instance = runner.instance.clone();
     report.service = runner.profile.service.clone();
     report.address = runner.profile.address.clone();
     report.zone = runner.profile.zone.clone();
     report.draining = runner.draining;
     report.remaining_ms = runner.remaining_ms.saturating_sub(silent_ms);
-    report.cold_remaining_ms = runner.cold_remaining_ms.saturating_sub(silent_ms);
+    report.slow_start_remaining_ms = runner.cold_remaining_ms.saturating_sub(silent_ms);
     report.capacity = runner.profile.capacity;
     report.labels = List(runner.profile.labels.clone());
     report.active = List(runner.active.clone());
     report.finished = List(runner.finished.clone());
-    report.lapsed = runner.lapsed;
-    report.silent_ms = silent_ms;
+    report.lease_expired = runner.lapsed;
+    report.since_heartbeat_ms = silent_ms;
 }
--- a/crates/cluster/agent/src/runner.rs
+++ b/crates/cluster/agent/src/runner.rs
@@ -1,7 +1,7 @@
 //! What the agent knows of its runner: its newest heartbeat, and until when a hold may last.
 
 use crate::heartbeat::Heartbeat;
-use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RUNNER_HOLD_MS};
+use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RUNNER_LEASE_MS};
 use sagetrail_protocol::{Text, Time};
 use std::collections::VecDeque;
 
@@ -79,14 +79,14 @@
     pub(crate) fn new(now: Time, heartbeat_ms: u64) -> RunnerRegister {
         let silence_ms = heartbeat_ms
             .saturating_add(SILENCE_MARGIN_MS)
-            .min(RUNNER_HOLD_MS);
+            .min(RUNNER_LEASE_MS);
         RunnerRegister {
             current: None,
             retired: VecDeque::new(),
             leaving: VecDeque::new(),
             silence_ms,
             unconfirmed: None,
-            former_hold_end: hold_end(now, RUNNER_HOLD_MS),
+            former_hold_end: hold_end(now, RUNNER_LEASE_MS),
             silent: false,
         }
     }
@@ -252,7 +252,7 @@
             last_heartbeat: now,
             serves_until: None,
             sequence: None,
-            hold_end: hold_end(now, RUNNER_HOLD_MS),
+            hold_end: hold_end(now, RUNNER_LEASE_MS),
         }
     }
 
@@ -358,6 +358,8 @@
 fn same_runs(known: &[ActiveRun], told: &[ActiveRun]) -> bool {
     known.len() == told.len()
         && known.iter().zip(told).all(|(known, told)| {
-            known.attempt == told.attempt && known.task == told.task && known.saved == told.saved
+            known.attempt == told.attempt
+                && known.task == told.task
+                && known.checkpoint == told.checkpoint
         })
 }
--- a/crates/cluster/agent/tests/common/mod.rs
+++ b/crates/cluster/agent/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_protocol::agent::{
-    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+    RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
 };
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::directory::Directory;
@@ -82,7 +82,7 @@
         script.pass(20);
         script.beat(2, json!({}));
         script.pass(20);
-        assert!(script.last_report().settled);
+        assert!(script.last_report().starts_resolved);
         script.sends.clear();
         script
     }
@@ -168,12 +168,12 @@
     }
 
     /// Orders of the scheduler; with `answering` they answer a report sent just now.
-    pub(crate) fn orders(&mut self, mut orders: RunnerOrders, answering: bool) {
+    pub(crate) fn orders(&mut self, mut orders: RunnerCommands, answering: bool) {
         if answering {
             orders.agent = INCARNATION;
             orders.sent_at = self.now.0;
         }
-        self.message(LEADER, Message::RunnerOrders(orders));
+        self.message(LEADER, Message::RunnerCommands(orders));
     }
 
     pub(crate) fn reports(&self) -> Vec<&RunnerReport> {
@@ -191,8 +191,8 @@
     }
 }
 
-pub(crate) fn orders(term: Term, revision: u64) -> RunnerOrders {
-    RunnerOrders {
+pub(crate) fn orders(term: Term, revision: u64) -> RunnerCommands {
+    RunnerCommands {
         term,
         revision,
         agent: 0,
@@ -206,24 +206,24 @@
     }
 }
 
-pub(crate) fn start(task: &str, attempt: u64) -> StartOrder {
-    StartOrder {
+pub(crate) fn start(task: &str, attempt: u64) -> StartCommand {
+    StartCommand {
         task: task.into(),
         attempt,
         spec: "(text)".into(),
-        saved: "".into(),
+        checkpoint: "".into(),
     }
 }
 
-pub(crate) fn stop(task: &str, attempt: u64) -> StopOrder {
-    StopOrder {
+pub(crate) fn stop(task: &str, attempt: u64) -> StopCommand {
+    StopCommand {
         task: task.into(),
         attempt,
     }
 }
 
-pub(crate) fn orders_with_start(term: Term, revision: u64) -> RunnerOrders {
-    RunnerOrders {
+pub(crate) fn orders_with_start(term: Term, revision: u64) -> RunnerCommands {
+    RunnerCommands {
         start: List(vec![start(TASK, 1)]),
         ..orders(term, revision)
     }
--- a/crates/cluster/agent/tests/cut_off.rs
+++ b/crates/cluster/agent/tests/cut_off.rs
@@ -5,7 +5,7 @@
 mod model;
 use common::{orders, start, Script, INCARNATION, LEADER, OTHER, TASK};
 use model::chance::Chance;
-use sagetrail_protocol::agent::{RunnerOrders, AGENT_LEASE_MS};
+use sagetrail_protocol::agent::{RunnerCommands, AGENT_LEASE_MS};
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::{List, Message, NodeId, Term, Time};
 use serde_json::{json, Value};
@@ -27,7 +27,7 @@
 struct Answer {
     at_ms: u64,
     from: NodeId,
-    orders: RunnerOrders,
+    orders: RunnerCommands,
 }
 
 /// An agent, its runner, and the way to the scheduler.
@@ -86,7 +86,7 @@
                 self.chance.below(20)
             };
             let revision = self.now_ms();
-            let given = RunnerOrders {
+            let given = RunnerCommands {
                 agent: INCARNATION,
                 sent_at: report.sent_at,
                 start: List(vec![start(TASK, self.term)]),
@@ -122,7 +122,7 @@
                 answer.orders.sent_at = self.script.now.0;
             }
             self.script
-                .message(answer.from, Message::RunnerOrders(answer.orders));
+                .message(answer.from, Message::RunnerCommands(answer.orders));
         }
     }
 
--- a/crates/cluster/agent/tests/deregister.rs
+++ b/crates/cluster/agent/tests/deregister.rs
@@ -24,7 +24,7 @@
     assert_eq!(script.post(DEREGISTER, Vec::new()).status, 200);
     script.pass(20);
     let report = script.last_report();
-    assert!(report.draining && !report.lapsed);
+    assert!(report.draining && !report.lease_expired);
     assert_eq!(report.active.len(), 1);
     assert!(
         (SERVES_ON_MS - 50..=SERVES_ON_MS).contains(&report.remaining_ms),
@@ -39,10 +39,10 @@
             answer["hold_ms"], 2500,
             "its hold goes on as long as it says that it lives"
         );
-        assert!(!script.last_report().lapsed && script.last_report().active.len() == 1);
+        assert!(!script.last_report().lease_expired && script.last_report().active.len() == 1);
     }
     script.pass(2_650);
-    assert!(script.last_report().lapsed, "silent beyond its hold");
+    assert!(script.last_report().lease_expired, "silent beyond its hold");
 }
 
 #[test]
@@ -63,7 +63,7 @@
     script.pass(600);
     assert!(script.last_report().draining);
     script.pass(5_000);
-    assert!(script.last_report().lapsed);
+    assert!(script.last_report().lease_expired);
     script.orders(orders_with_start(1, 3), true);
     assert!(script.beat(11, json!({}))["start"].is_null(), "it left");
 }
@@ -80,7 +80,7 @@
     script.pass(500);
     assert_eq!(script.last_report().remaining_ms, 0);
     assert!(
-        !script.last_report().lapsed,
+        !script.last_report().lease_expired,
         "its port tells when it is gone, or its hold"
     );
 }
@@ -102,9 +102,9 @@
     script.directory(1, LEADER);
     script.post(DEREGISTER, Vec::new());
     script.pass(2_600);
-    assert!(script.last_report().draining && !script.last_report().lapsed);
+    assert!(script.last_report().draining && !script.last_report().lease_expired);
     script.pass(100);
-    assert!(script.last_report().lapsed);
+    assert!(script.last_report().lease_expired);
 }
 
 #[test]
@@ -112,12 +112,12 @@
     let mut script = Script::new();
     script.directory(1, LEADER);
     script.pass(2_600);
-    assert!(!script.last_report().present && !script.last_report().lapsed);
+    assert!(!script.last_report().has_runner && !script.last_report().lease_expired);
     script.pass(100);
-    assert!(!script.last_report().present && script.last_report().lapsed);
+    assert!(!script.last_report().has_runner && script.last_report().lease_expired);
     script.beat(7, json!({"active":[[TASK, 1, "", 1]]}));
     script.pass(20);
-    assert!(script.last_report().present && !script.last_report().lapsed);
+    assert!(script.last_report().has_runner && !script.last_report().lease_expired);
 }
 
 #[test]
--- a/crates/cluster/agent/tests/heartbeats.rs
+++ b/crates/cluster/agent/tests/heartbeats.rs
@@ -4,7 +4,7 @@
 use common::*;
 use proptest::prelude::*;
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES};
-use sagetrail_protocol::agent::{RunEnd, RunnerOrders};
+use sagetrail_protocol::agent::{RunEnd, RunnerCommands};
 use sagetrail_protocol::List;
 use serde_json::json;
 
@@ -19,7 +19,7 @@
 #[test]
 fn a_leased_agent_holds_starts_stops_and_observes() {
     let mut script = Script::settled();
-    let wanted = RunnerOrders {
+    let wanted = RunnerCommands {
         start: List(vec![
             start("a.0.0.0", 3),
             start("b.0.0.0", 1),
@@ -58,7 +58,7 @@
     let mut script = Script::settled();
     script.orders(orders(1, 1), true);
     script.orders(
-        RunnerOrders {
+        RunnerCommands {
             lease_ms: 3000,
             ..orders_with_start(1, 2)
         },
@@ -97,7 +97,7 @@
     script.orders(orders_with_start(1, 2), true);
     script.beat(2, json!({}));
     script.pass(600);
-    assert!(!script.last_report().settled);
+    assert!(!script.last_report().starts_resolved);
     assert_eq!(script.last_report().revision, 2);
 }
 
@@ -172,7 +172,7 @@
     let report = script.last_report();
     assert_eq!((report.capacity.cpu, &*report.service), (16000, "huvo11a"));
     let ends: Vec<RunEnd> = report.finished.iter().map(|run| run.end).collect();
-    assert_eq!(ends, [RunEnd::Alone, RunEnd::Stopped]);
+    assert_eq!(ends, [RunEnd::GangTimedOut, RunEnd::Stopped]);
 }
 
 #[test]
--- a/crates/cluster/agent/tests/http_answers.rs
+++ b/crates/cluster/agent/tests/http_answers.rs
@@ -6,7 +6,7 @@
 use common::{orders, orders_with_start, start, stop, Script, RUNNER, TASK};
 use sagetrail_agent::{MAX_ACTIVE_RUNS, MAX_HEARTBEAT_BYTES, MAX_INSTANCE_BYTES};
 use sagetrail_fixture::transcript::Transcript;
-use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::agent::RunnerCommands;
 use sagetrail_protocol::node::{
     Event, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Method,
 };
@@ -72,7 +72,7 @@
     let mut script = Script::settled();
     let idle = script.beat_as(RUNNER, 3, json!({}));
     add(transcript, "a lease, nothing runs", &idle);
-    let wanted = RunnerOrders {
+    let wanted = RunnerCommands {
         start: List(vec![start("a.0.0.0", 3), start("b.0.0.0", 1)]),
         stop: List(vec![stop("d.0.0.0", 1), stop("e.0.0.0", 1)]),
         observed: 58,
@@ -93,7 +93,7 @@
 fn heartbeats_as_a_lease_ends(transcript: &mut Transcript) {
     let mut script = Script::settled();
     script.orders(orders(1, 1), true);
-    let short = RunnerOrders {
+    let short = RunnerCommands {
         lease_ms: 3000,
         ..orders_with_start(1, 2)
     };
--- a/crates/cluster/agent/tests/model/scheduler.rs
+++ b/crates/cluster/agent/tests/model/scheduler.rs
@@ -1,7 +1,7 @@
 //! A scheduler by the design note: it gives a run up only when invariant 3 says that it is over for sure.
 
 use sagetrail_protocol::agent::{
-    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+    RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
 };
 use sagetrail_protocol::List;
 
@@ -26,7 +26,7 @@
     active: Vec<(String, u64)>,
     observed: u64,
     last_extension_ms: u64,
-    content: Option<RunnerOrders>,
+    content: Option<RunnerCommands>,
     settled: bool,
     newest: (u64, u64),
 }
@@ -101,7 +101,7 @@
     }
 
     /// Takes a report; what answers it.
-    pub(crate) fn report(&mut self, now_ms: u64, report: &RunnerReport) -> RunnerOrders {
+    pub(crate) fn report(&mut self, now_ms: u64, report: &RunnerReport) -> RunnerCommands {
         let name = (report.agent, report.sequence);
         let newer = name > self.newest;
         if newer {
@@ -118,15 +118,15 @@
     }
 
     fn learn(&mut self, report: &RunnerReport) {
-        if !report.present {
-            if report.lapsed {
+        if !report.has_runner {
+            if report.lease_expired {
                 self.give_up(|_| true);
             }
             return;
         }
         let instance = report.instance.to_string();
         let other = !self.instance.is_empty() && instance != self.instance;
-        let current = report.term == self.term && (report.settled || report.lapsed);
+        let current = report.term == self.term && (report.starts_resolved || report.lease_expired);
         if other && !current {
             return; // A new agent may have been told by an instance that is no more.
         }
@@ -144,10 +144,10 @@
             self.give_up(|run| *run.task == *end.task && run.attempt == end.attempt);
             self.observed = self.observed.max(end.number);
         }
-        if report.lapsed {
+        if report.lease_expired {
             self.give_up(|_| true);
         }
-        self.settled = report.settled && report.term == self.term;
+        self.settled = report.starts_resolved && report.term == self.term;
         if self.settled && report.revision == self.revision {
             let active = self.active.clone();
             let listed = |run: &Assignment| active.contains(&(run.task.clone(), run.attempt));
@@ -156,17 +156,17 @@
     }
 
     /// The newest orders, unasked.
-    pub(crate) fn orders(&mut self) -> RunnerOrders {
+    pub(crate) fn orders(&mut self) -> RunnerCommands {
         let listed = |run: &&Assignment| self.active.contains(&(run.task.clone(), run.attempt));
         let wanted = self
             .assignments
             .iter()
             .filter(|run| run.wanted && run.instance == self.instance);
-        let start = wanted.filter(|run| !listed(run)).map(|run| StartOrder {
+        let start = wanted.filter(|run| !listed(run)).map(|run| StartCommand {
             task: run.task.clone().into(),
             attempt: run.attempt,
             spec: "".into(),
-            saved: "".into(),
+            checkpoint: "".into(),
         });
         let kept = |task: &str, attempt: u64| {
             self.assignments
@@ -177,11 +177,11 @@
             .active
             .iter()
             .filter(|(task, attempt)| !kept(task, *attempt));
-        let stop = stop.map(|(task, attempt)| StopOrder {
+        let stop = stop.map(|(task, attempt)| StopCommand {
             task: task.clone().into(),
             attempt: *attempt,
         });
-        let mut orders = RunnerOrders {
+        let mut orders = RunnerCommands {
             term: self.term,
             revision: self.revision,
             agent: 0,
--- a/crates/cluster/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -236,7 +236,7 @@
     /// A look finds the port as it is when it comes there; what it found may come late.
     fn health_check(&mut self, agent: u64, id: HealthCheckId) {
         let result = match self.chance.below(10) {
-            0 => HealthCheckResult::Silent,
+            0 => HealthCheckResult::NoAnswer,
             _ if self.now_ms < self.runner.up_ms => HealthCheckResult::Refused,
             _ => HealthCheckResult::Status(200),
         };
@@ -416,7 +416,7 @@
                 relays: List(vec![AGENT]),
             }),
             Message::RunnerReport(report) => {
-                Message::RunnerOrders(self.scheduler.report(self.now_ms, &report))
+                Message::RunnerCommands(self.scheduler.report(self.now_ms, &report))
             }
             _ => return,
         };
@@ -438,7 +438,7 @@
             self.runner.end(task, "done");
         }
         if self.chance.once_in(100) && self.now_ms >= self.cut_until_ms {
-            let message = Message::RunnerOrders(self.scheduler.orders());
+            let message = Message::RunnerCommands(self.scheduler.orders());
             let agent = self.agent_number;
             self.send(Letter::ToAgent { agent, message });
         }
--- a/crates/cluster/agent/tests/reports.rs
+++ b/crates/cluster/agent/tests/reports.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::agent::RunnerCommands;
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::message::Relayed;
@@ -20,7 +20,7 @@
         .all(|seed| asked(&script, *seed)));
     assert!(script.reports().is_empty());
     script.directory(1, LEADER);
-    assert!(!script.last_report().present);
+    assert!(!script.last_report().has_runner);
 }
 
 #[test]
@@ -68,11 +68,14 @@
     script.orders(orders_with_start(1, 2), true);
     script.pass(600);
     assert_eq!(
-        (script.last_report().revision, script.last_report().settled),
+        (
+            script.last_report().revision,
+            script.last_report().starts_resolved
+        ),
         (2, false)
     );
     script.beat(3, json!({}));
-    assert!(script.last_report().settled);
+    assert!(script.last_report().starts_resolved);
 }
 
 #[test]
@@ -84,11 +87,14 @@
     script.beat(1, json!({}));
     script.pass(600);
     assert_eq!(
-        (script.last_report().revision, script.last_report().settled),
+        (
+            script.last_report().revision,
+            script.last_report().starts_resolved
+        ),
         (1, false)
     );
     script.beat(2, json!({}));
-    assert!(script.last_report().settled);
+    assert!(script.last_report().starts_resolved);
 }
 
 #[test]
@@ -116,7 +122,7 @@
     script.directory(1, LEADER);
     script.beat(1, json!({}));
     script.orders(orders_with_start(1, 1), false);
-    let former = RunnerOrders {
+    let former = RunnerCommands {
         agent: INCARNATION - 1,
         sent_at: 900,
         ..orders_with_start(1, 1)
@@ -124,7 +130,7 @@
     script.orders(former, false);
     let ahead = script.now.plus_millis(5).0;
     script.orders(
-        RunnerOrders {
+        RunnerCommands {
             agent: INCARNATION,
             sent_at: ahead,
             ..orders_with_start(1, 1)
@@ -142,14 +148,14 @@
     let mut script = Script::settled();
     script.beat(3, json!({"active":[[TASK, 1, "", 1]]}));
     script.pass(2624);
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
     script.pass(2);
     let report = script.last_report();
-    assert!(report.lapsed && report.present && report.active.is_empty());
-    assert_eq!(report.silent_ms, 2625);
+    assert!(report.lease_expired && report.has_runner && report.active.is_empty());
+    assert_eq!(report.since_heartbeat_ms, 2625);
     script.pass(20);
     script.beat(4, json!({}));
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
 }
 
 #[test]
@@ -158,11 +164,11 @@
     script.orders(orders_with_start(1, 2), true);
     let before = script.now.0;
     script.pass(3000);
-    assert!(script.last_report().lapsed);
+    assert!(script.last_report().lease_expired);
     assert!(script.beat(3, json!({}))["start"].is_null());
     script.orders(orders_with_start(1, 2), false);
     script.orders(
-        RunnerOrders {
+        RunnerCommands {
             agent: INCARNATION,
             sent_at: before,
             ..orders_with_start(1, 2)
@@ -180,9 +186,9 @@
     script.directory(1, LEADER);
     script.beat(30, json!({"active":[[TASK, 1, "", 1]]}));
     script.pass(2600);
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
     script.pass(100);
-    assert!(script.last_report().lapsed);
+    assert!(script.last_report().lease_expired);
 }
 
 #[test]
@@ -199,11 +205,11 @@
     script.pass(20);
     let report = script.last_report();
     assert!(
-        report.draining && !report.lapsed && report.active.len() == 1,
+        report.draining && !report.lease_expired && report.active.len() == 1,
         "it may serve on"
     );
     script.pass(2_700);
-    assert!(script.last_report().lapsed && script.last_report().active.is_empty());
+    assert!(script.last_report().lease_expired && script.last_report().active.is_empty());
     assert_eq!(
         script
             .post("/v1/instances/unknown/deregister", Vec::new())
@@ -230,7 +236,7 @@
             .all(|relay| relays.contains(relay)),
         "{relays:?}"
     );
-    let payload = frame::encode(&Message::RunnerOrders(RunnerOrders {
+    let payload = frame::encode(&Message::RunnerCommands(RunnerCommands {
         agent: INCARNATION,
         sent_at: script.now.0,
         ..orders(1, 2)
--- a/crates/cluster/agent/tests/watch.rs
+++ b/crates/cluster/agent/tests/watch.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use sagetrail_agent::AgentNode;
-use sagetrail_protocol::agent::RunnerOrders;
+use sagetrail_protocol::agent::RunnerCommands;
 use sagetrail_protocol::node::{Event, HealthCheckId, HealthCheckResult, Outbox};
 use sagetrail_protocol::Time;
 use serde_json::json;
@@ -40,12 +40,16 @@
         (health_check.address, &*health_check.path),
         (APP, "/healthz")
     );
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
     looked(&mut script, health_check.id, HealthCheckResult::Refused);
     script.pass(10);
     let report = script.last_report();
-    assert!(report.lapsed && report.present && report.active.is_empty());
-    assert!(report.silent_ms < 400, "{}", report.silent_ms);
+    assert!(report.lease_expired && report.has_runner && report.active.is_empty());
+    assert!(
+        report.since_heartbeat_ms < 400,
+        "{}",
+        report.since_heartbeat_ms
+    );
     assert_eq!(
         (
             script.agent.counters().health_checks,
@@ -70,16 +74,16 @@
     for result in [
         HealthCheckResult::Status(200),
         HealthCheckResult::Status(503),
-        HealthCheckResult::Silent,
+        HealthCheckResult::NoAnswer,
     ] {
         let mut script = with_a_run();
         script.pass(OVERDUE_MS);
         let health_check = script.health_checks.pop().expect("a look");
         looked(&mut script, health_check.id, result);
         script.pass(2_200);
-        assert!(!script.last_report().lapsed, "{result:?}");
+        assert!(!script.last_report().lease_expired, "{result:?}");
         script.pass(200);
-        assert!(script.last_report().lapsed, "{result:?}");
+        assert!(script.last_report().lease_expired, "{result:?}");
     }
 }
 
@@ -102,7 +106,7 @@
     script.beat(4, json!({"active":[[TASK, 1, "", 1]]}));
     looked(&mut script, health_check.id, HealthCheckResult::Refused);
     script.pass(20);
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
 }
 
 #[test]
@@ -117,10 +121,10 @@
     assert_eq!(ids.len(), 2);
     looked(&mut script, ids[0], HealthCheckResult::Refused);
     script.pass(20);
-    assert!(!script.last_report().lapsed);
+    assert!(!script.last_report().lease_expired);
     looked(&mut script, ids[1], HealthCheckResult::Refused);
     script.pass(20);
-    assert!(script.last_report().lapsed);
+    assert!(script.last_report().lease_expired);
     looked(&mut script, ids[1], HealthCheckResult::Refused);
     assert_eq!(script.agent.counters().deaths, 1);
 }
@@ -135,7 +139,7 @@
     looked(&mut script, health_check.id, HealthCheckResult::Refused);
     assert!(script.beat(3, json!({}))["start"].is_null());
     script.orders(
-        RunnerOrders {
+        RunnerCommands {
             agent: INCARNATION,
             sent_at: before,
             ..orders_with_start(1, 2)
@@ -152,7 +156,7 @@
 fn an_idle_runner_gets_as_long_as_it_was_told() {
     let mut script = Script::settled();
     script.orders(
-        RunnerOrders {
+        RunnerCommands {
             retry_after_ms: 400,
             ..orders(1, 2)
         },
--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -62,7 +62,7 @@
     let mut then = Vec::new();
     let mut tokens = Vec::new();
     for write in group {
-        then.extend(write.then);
+        then.extend(write.send_when_synced);
         tokens.extend(write.token);
     }
     Input::Synced { then, tokens }
--- a/crates/cluster/cluster-node/src/health_check.rs
+++ b/crates/cluster/cluster-node/src/health_check.rs
@@ -62,10 +62,10 @@
             if error.is_refusal() {
                 HealthCheckResult::Refused
             } else {
-                HealthCheckResult::Silent
+                HealthCheckResult::NoAnswer
             }
         }
-        Err(_) => HealthCheckResult::Silent,
+        Err(_) => HealthCheckResult::NoAnswer,
     }
 }
 
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -150,7 +150,7 @@
             }
             Input::Probed { id, result } => self.tell(Event::HealthCheck { id, result }),
             Input::DiskFailed(error) => return Some(Ended::DiskFailed(error)),
-            Input::Seeds(seeds) => self.tell(Event::Seeds(seeds)),
+            Input::Seeds(seeds) => self.tell(Event::SeedsChanged(seeds)),
             Input::Terminate => self.terminate(),
         }
         None
--- a/crates/cluster/cluster-node/tests/common/mod.rs
+++ b/crates/cluster/cluster-node/tests/common/mod.rs
@@ -45,7 +45,7 @@
 /// A small message that can be told from others.
 pub(crate) fn numbered(number: u64) -> Message {
     Message::Subscribe(Subscribe {
-        have: number,
+        known_version: number,
         asked_at: 0,
     })
 }
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -162,7 +162,7 @@
         let then = vec![(to, numbered(number))];
         disk.submit(DiskWrite {
             operations,
-            then,
+            send_when_synced: then,
             token: Some(number),
         });
     }
--- a/crates/cluster/cluster-node/tests/health_check.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -85,19 +85,19 @@
 async fn a_connection_that_breaks_off_is_no_refusal() {
     let (listener, address) = listening().await;
     let served = tokio::spawn(answer(listener, b""));
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
     served.await.unwrap();
 }
 
 #[tokio::test]
 async fn no_answer_in_time_is_silence() {
     let (listener, address) = listening().await;
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
     drop(listener);
 }
 
 #[tokio::test]
 async fn a_path_that_makes_no_request_is_silence() {
     let (_listener, address) = listening().await;
-    assert_eq!(look(address, "no path").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "no path").await, HealthCheckResult::NoAnswer);
 }
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -81,7 +81,7 @@
                         }];
                         outbox.writes.push(DiskWrite {
                             operations,
-                            then: Vec::new(),
+                            send_when_synced: Vec::new(),
                             token: Some(5),
                         });
                     }
@@ -98,7 +98,7 @@
                 }
             }
             Event::HttpAbandoned { .. } => self.seen.lock().unwrap().push("abandoned".to_owned()),
-            Event::Seeds(_) => {}
+            Event::SeedsChanged(_) => {}
             Event::Terminate => {
                 self.seen.lock().unwrap().push("terminate".to_owned());
                 self.answer_all(outbox);
--- a/crates/cluster/cluster-node/tests/stored/lone_core.rs
+++ b/crates/cluster/cluster-node/tests/stored/lone_core.rs
@@ -110,7 +110,7 @@
                 ..DiskWrite::default()
             };
             self.store.write(&[write_alone]).unwrap();
-            for (to, message) in write.then {
+            for (to, message) in write.send_when_synced {
                 self.post(to, message, events);
             }
             events.extend(write.token.map(|token| Event::Synced { token }));
--- a/crates/cluster/cluster-node/tests/stored/runner.rs
+++ b/crates/cluster/cluster-node/tests/stored/runner.rs
@@ -2,7 +2,7 @@
 
 use super::LoneCore;
 use sagetrail_protocol::agent::{
-    ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport,
+    ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport,
 };
 use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     ends: u64,
     sequence: u64,
     /// The newest orders.
-    pub orders: Option<RunnerOrders>,
+    pub orders: Option<RunnerCommands>,
 }
 
 impl PlayedRunner {
@@ -52,7 +52,7 @@
         });
         core.run(200);
         for (to, message) in &core.sent {
-            if let (true, Message::RunnerOrders(orders)) = (*to == self.node, message) {
+            if let (true, Message::RunnerCommands(orders)) = (*to == self.node, message) {
                 self.orders = Some(orders.clone());
             }
         }
@@ -64,8 +64,10 @@
             return;
         };
         for start in orders.start.iter() {
-            self.active
-                .insert(start.task.0.clone(), (start.attempt, start.saved.0.clone()));
+            self.active.insert(
+                start.task.0.clone(),
+                (start.attempt, start.checkpoint.0.clone()),
+            );
         }
         for stop in orders.stop.iter() {
             self.end(&stop.task, RunEnd::Stopped);
@@ -84,7 +86,7 @@
             task: task.into(),
             attempt,
             end,
-            saved: saved.into(),
+            checkpoint: saved.into(),
         });
     }
 
@@ -99,7 +101,7 @@
             .map(|(task, (attempt, saved))| ActiveRun {
                 task: task.as_str().into(),
                 attempt: *attempt,
-                saved: saved.as_str().into(),
+                checkpoint: saved.as_str().into(),
                 percent: (sequence % 100) as u8,
             });
         RunnerReport {
@@ -108,21 +110,21 @@
             sent_at,
             term,
             revision,
-            settled: term > 0,
-            present: true,
+            starts_resolved: term > 0,
+            has_runner: true,
             instance: self.instance.as_str().into(),
             service: "s".into(),
             address: "10.0.0.9:80".into(),
             zone: "z".into(),
             draining: false,
             remaining_ms: 0,
-            cold_remaining_ms: 0,
+            slow_start_remaining_ms: 0,
             capacity: CAPACITY,
             labels: vec!["a".into(), "r1-1".into()].into(),
             active: active.collect(),
             finished: self.finished.clone().into(),
-            lapsed: false,
-            silent_ms: 0,
+            lease_expired: false,
+            since_heartbeat_ms: 0,
         }
     }
 }
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -151,7 +151,7 @@
     rounds(&mut core, &mut runners);
     let prepare = Prepare {
         proposal: FOREIGN_PROPOSAL,
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     };
     let promised = core.ask(FOREIGN, ControlMessage::Prepare(prepare));
     assert!(matches!(promised, ControlMessage::Promise(_)));
@@ -259,7 +259,7 @@
 fn foreign_read() -> ControlMessage {
     ControlMessage::Read(Read {
         nonce: 5,
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     })
 }
 
@@ -281,9 +281,9 @@
             counter: FOREIGN_PROPOSAL.counter - 1,
             ..FOREIGN_PROPOSAL
         },
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     };
-    let ControlMessage::Refused(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
+    let ControlMessage::Rejected(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
     else {
         panic!("a lower ballot is refused");
     };
@@ -462,7 +462,7 @@
                 start.task.0.clone(),
                 start.attempt,
                 start.spec.0.clone(),
-                start.saved.0.clone(),
+                start.checkpoint.0.clone(),
             )
         })
         .collect();
--- a/crates/cluster/cluster-node/tests/transport.rs
+++ b/crates/cluster/cluster-node/tests/transport.rs
@@ -125,7 +125,7 @@
 
 fn subscribe() -> Message {
     Message::Subscribe(Subscribe {
-        have: 0x3001,
+        known_version: 0x3001,
         asked_at: 0x3002,
     })
 }
--- a/crates/cluster/config-distribution/src/relay.rs
+++ b/crates/cluster/config-distribution/src/relay.rs
@@ -97,7 +97,7 @@
         let missed = self
             .newest
             .as_ref()
-            .filter(|newest| newest.version > subscribe.have);
+            .filter(|newest| newest.version > subscribe.known_version);
         let update = missed.map(|newest| (from, Message::ConfigUpdate(newest.clone())));
         let age_ms = self.age_ms(now).unwrap_or(AGE_UNKNOWN);
         let current = ConfigCurrent {
@@ -152,7 +152,7 @@
                 (
                     parent,
                     Message::Subscribe(Subscribe {
-                        have,
+                        known_version: have,
                         asked_at: now.0,
                     }),
                 )
--- a/crates/cluster/config-distribution/tests/cut_off.rs
+++ b/crates/cluster/config-distribution/tests/cut_off.rs
@@ -60,7 +60,7 @@
     fn serve(&mut self, core: NodeId, subscribe: &Subscribe) {
         let age_ms = self.random.random_range(0..HANDOUT_MS);
         let version = self.newest_at(Time(self.now.0.saturating_sub(age_ms * 1_000)));
-        let answer = if version > subscribe.have {
+        let answer = if version > subscribe.known_version {
             Message::ConfigUpdate(ConfigUpdate {
                 version,
                 document: Blob(vec![1]),
@@ -104,7 +104,7 @@
         let answers = self.relay.subscribe(
             node(20),
             Subscribe {
-                have: u64::MAX,
+                known_version: u64::MAX,
                 asked_at: 0,
             },
             self.now,
--- a/crates/cluster/config-distribution/tests/delivery.rs
+++ b/crates/cluster/config-distribution/tests/delivery.rs
@@ -155,7 +155,7 @@
     relay.subscribe(
         node(7),
         Subscribe {
-            have: 0,
+            known_version: 0,
             asked_at: now.0,
         },
         now,
@@ -191,7 +191,7 @@
     let answer = relay.subscribe(
         node(8),
         Subscribe {
-            have: 9,
+            known_version: 9,
             asked_at: now.0,
         },
         now,
@@ -212,7 +212,7 @@
             .subscribe(
                 node(8),
                 Subscribe {
-                    have: 3,
+                    known_version: 3,
                     asked_at: now.0
                 },
                 now
--- a/crates/cluster/config-distribution/tests/leaves.rs
+++ b/crates/cluster/config-distribution/tests/leaves.rs
@@ -57,7 +57,7 @@
         leaf.subscribe(
             node(7),
             Subscribe {
-                have: 0,
+                known_version: 0,
                 asked_at: 0
             },
             Time(5_000)
--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -28,9 +28,9 @@
     let (kind, base, body) = (change.kind, change.base, Blob(change.body.clone()));
     Some(AcceptChange {
         proposal,
-        on,
+        base_proposal: on,
         kind,
-        base,
+        base_version: base,
         body,
         result: digest(bytes),
     })
@@ -38,7 +38,7 @@
 
 /// The value that the change makes of `value`, if it is the one that the proposer made.
 pub(crate) fn result(accept: &AcceptChange, value: &Blob) -> Option<Blob> {
-    let change = Change::new(accept.kind, accept.base, accept.body.0.clone());
+    let change = Change::new(accept.kind, accept.base_version, accept.body.0.clone());
     let value = RegisterValue::decode(value).ok()?;
     let bytes = change.applied_to(&value).ok()?.encode();
     (digest(&bytes) == accept.result).then_some(Blob(bytes))
--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -5,7 +5,7 @@
 use crate::persisted::{put_proposals, put_value, AcceptorNumbers};
 use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Read,
-    ReadReply, Refused, StateSynced, ValueNeeded,
+    ReadReply, Rejected, StateSynced, ValueNeeded,
 };
 use sagetrail_protocol::node::DiskOperation;
 use sagetrail_protocol::{Blob, NodeId};
@@ -41,7 +41,7 @@
             return self.refuse(from, prepare.proposal, effects);
         }
         self.proposals.promised = prepare.proposal;
-        let value = self.value_unless(prepare.have);
+        let value = self.value_unless(prepare.known);
         let promised = Promise {
             proposal: prepare.proposal,
             accepted: self.proposals.accepted,
@@ -89,7 +89,9 @@
         }
         let value = match self.proposals.accepted {
             accepted if accepted == proposal => Some(self.value.clone()),
-            accepted if accepted == accept.on => accept_change::result(accept, &self.value),
+            accepted if accepted == accept.base_proposal => {
+                accept_change::result(accept, &self.value)
+            }
             _ => None,
         };
         match value {
@@ -100,7 +102,7 @@
 
     /// A read promises nothing. The answer waits for the sync of what it tells.
     pub(crate) fn read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
-        let value = self.value_unless(read.have);
+        let value = self.value_unless(read.known);
         let reply = ReadReply {
             nonce: read.nonce,
             accepted: self.proposals.accepted,
@@ -131,11 +133,11 @@
     }
 
     fn refuse(&self, from: NodeId, proposal: ProposalNumber, effects: &mut Effects) {
-        let refused = Refused {
+        let refused = Rejected {
             proposal,
             promised: self.proposals.promised,
         };
-        effects.control(from, ControlMessage::Refused(refused));
+        effects.control(from, ControlMessage::Rejected(refused));
     }
 }
 
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -9,8 +9,8 @@
 use crate::reader::ReadOutcome;
 use crate::replica::Condition;
 use sagetrail_protocol::control::{
-    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
-    RenewAck, VoteReply,
+    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Rejected,
+    Renew, RenewAck, VoteReply,
 };
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -47,7 +47,7 @@
                 let outcome = self.proposer.accepted(from, &accepted);
                 self.on_outcome(outcome);
             }
-            ControlMessage::Refused(refused) => self.on_refused(&refused),
+            ControlMessage::Rejected(refused) => self.on_refused(&refused),
             ControlMessage::ValueNeeded(needed) => {
                 self.proposer.value_needed(from, &needed, &mut self.effects);
             }
@@ -146,7 +146,7 @@
         self.on_outcome(outcome);
     }
 
-    fn on_refused(&mut self, refused: &Refused) {
+    fn on_refused(&mut self, refused: &Rejected) {
         if let Some(recovery) = &mut self.membership_state.recovery {
             recovery.refused(refused);
         }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -217,7 +217,7 @@
             Event::HttpAbandoned { id } => self.operator.abandoned(id),
             Event::Synced { token } => self.router.synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
-            Event::Seeds(seeds) => self.settings.seeds = seeds,
+            Event::SeedsChanged(seeds) => self.settings.seeds = seeds,
             Event::Terminate => self.terminate(),
         }
         self.settle_all(outbox);
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::control::{
-    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Refused,
+    Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Rejected,
     ValueNeeded,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
@@ -317,7 +317,7 @@
     }
 
     /// A higher proposal number is about.
-    pub(crate) fn refused(&mut self, now: Time, refused: &Refused) {
+    pub(crate) fn refused(&mut self, now: Time, refused: &Rejected) {
         self.note(refused.promised);
         if self
             .round
@@ -361,7 +361,7 @@
                     .unwrap_or_default();
                 let prepare = ControlMessage::Prepare(Prepare {
                     proposal: self.proposal,
-                    have,
+                    known: have,
                 });
                 let members = self.list.all().into_iter();
                 effects.broadcast(
--- a/crates/cluster/control-plane/src/reader.rs
+++ b/crates/cluster/control-plane/src/reader.rs
@@ -125,7 +125,7 @@
             .unwrap_or_default();
         let read = ControlMessage::Read(Read {
             nonce: self.nonce,
-            have,
+            known: have,
         });
         let silent = self
             .list
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -8,7 +8,7 @@
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use sagetrail_protocol::control::{
-    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Refused,
+    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Rejected,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
@@ -139,7 +139,7 @@
     }
 
     /// A higher proposal number is about: the next one goes above it.
-    pub(crate) fn refused(&mut self, refused: &Refused) {
+    pub(crate) fn refused(&mut self, refused: &Rejected) {
         if refused.proposal == self.proposal() {
             self.highest = self.highest.max(refused.promised);
             self.replies.clear();
@@ -159,7 +159,7 @@
             Phase::Asking => ControlMessage::Recover(Recover { nonce: self.nonce }),
             Phase::Preparing => ControlMessage::Prepare(Prepare {
                 proposal: self.proposal(),
-                have: ProposalNumber::default(),
+                known: ProposalNumber::default(),
             }),
         };
         let silent = self
--- a/crates/cluster/control-plane/src/routing.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -82,7 +82,7 @@
             let token = (!own.is_empty()).then(|| self.wait(own));
             outbox.writes.push(DiskWrite {
                 operations: write.operations,
-                then,
+                send_when_synced: then,
                 token,
             });
         }
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -40,7 +40,7 @@
             self.subscriptions.insert(
                 from,
                 Subscription {
-                    have: subscribe.have,
+                    have: subscribe.known_version,
                     expires,
                     asked_at: subscribe.asked_at,
                 },
--- a/crates/cluster/control-plane/tests/cut_off.rs
+++ b/crates/cluster/control-plane/tests/cut_off.rs
@@ -595,7 +595,7 @@
             config_version: have,
         };
         let subscribe = Subscribe {
-            have,
+            known_version: have,
             asked_at: self.world.now,
         };
         let by_a_third = self.world.random.random_bool(0.25);
--- a/crates/cluster/control-plane/tests/http_endpoints.rs
+++ b/crates/cluster/control-plane/tests/http_endpoints.rs
@@ -26,7 +26,10 @@
 }
 
 fn subscribe(have: u64) -> Message {
-    Message::Subscribe(Subscribe { have, asked_at: 7 })
+    Message::Subscribe(Subscribe {
+        known_version: have,
+        asked_at: 7,
+    })
 }
 
 #[test]
--- a/crates/cluster/control-plane/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/rounds.rs
@@ -119,7 +119,7 @@
         &mut world,
         ControlMessage::Prepare(Prepare {
             proposal,
-            have: ProposalNumber::default(),
+            known: ProposalNumber::default(),
         }),
     );
     let [ControlMessage::Promise(promised)] = &promised[..] else {
@@ -129,14 +129,14 @@
     let on = promised.accepted;
     let accept = AcceptChange {
         proposal,
-        on,
+        base_proposal: on,
         kind: ChangeKind::Patch,
-        base: 1,
+        base_version: 1,
         body,
         result: [9; 32],
     };
     let other = AcceptChange {
-        on: ProposalNumber {
+        base_proposal: ProposalNumber {
             counter: 999,
             ..proposal
         },
@@ -157,11 +157,14 @@
     }
     let answer = answers(&mut world, ControlMessage::AcceptChange(late));
     assert!(
-        matches!(&answer[..], [ControlMessage::Refused(refused)] if refused.promised == proposal)
+        matches!(&answer[..], [ControlMessage::Rejected(refused)] if refused.promised == proposal)
     );
     let committed = answers(
         &mut world,
-        ControlMessage::Prepare(Prepare { proposal, have: on }),
+        ControlMessage::Prepare(Prepare {
+            proposal,
+            known: on,
+        }),
     );
     assert!(
         matches!(&committed[..], [ControlMessage::Promise(promised)] if promised.accepted == on)
--- a/crates/cluster/control-plane/tests/support/fleet.rs
+++ b/crates/cluster/control-plane/tests/support/fleet.rs
@@ -288,7 +288,7 @@
         for write in outbox.writes {
             let synced_at = self.now + SYNC_US;
             let token = write.token.map(|token| Action::Synced { node, token });
-            let then = write.then.into_iter();
+            let then = write.send_when_synced.into_iter();
             let sends = then.map(|(to, message)| Action::Message {
                 from: node,
                 to,
--- a/crates/cluster/control-plane/tests/support/world.rs
+++ b/crates/cluster/control-plane/tests/support/world.rs
@@ -293,7 +293,7 @@
     pub(crate) fn name_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
         for index in 0..self.machines.len() {
-            self.event(index, Event::Seeds(self.seeds.clone()));
+            self.event(index, Event::SeedsChanged(self.seeds.clone()));
         }
     }
 
@@ -503,7 +503,7 @@
         };
         apply(&mut self.machines[machine].disk, write.operations);
         let from = self.machines[machine].id;
-        for (to, message) in write.then {
+        for (to, message) in write.send_when_synced {
             self.post(from, to, message);
         }
         if let Some(token) = write.token {
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -203,7 +203,7 @@
                 ..
             } => outbox.reply(id, response::not_found()),
             Event::HttpAbandoned { id } => self.pending.abandon(id),
-            Event::Seeds(seeds) => self.view.set_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.view.set_seeds(seeds),
             Event::Terminate => {
                 let grace_s = self.settings.bounds.grace_s;
                 self.drain
--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -238,7 +238,7 @@
 
     pub(crate) fn subscriptions(&self) -> Vec<(NodeId, u64)> {
         let subscription = |(to, message): &(NodeId, Message)| match message {
-            Message::Subscribe(subscribe) => Some((*to, subscribe.have)),
+            Message::Subscribe(subscribe) => Some((*to, subscribe.known_version)),
             _ => None,
         };
         self.outbox.sends.iter().filter_map(subscription).collect()
--- a/crates/cluster/gateway/tests/cut_off.rs
+++ b/crates/cluster/gateway/tests/cut_off.rs
@@ -125,7 +125,7 @@
             }
             let answer = match message {
                 Message::Hello(_) => directory(1, CORE[0]),
-                Message::Subscribe(subscribe) if subscribe.have < 5 => {
+                Message::Subscribe(subscribe) if subscribe.known_version < 5 => {
                     self.rig.update(to, 5);
                     continue;
                 }
--- a/crates/cluster/protocol/src/agent.rs
+++ b/crates/cluster/protocol/src/agent.rs
@@ -1,6 +1,6 @@
 //! Between the agent beside a runner and the scheduler.
 //!
-//! The scheduler says what is wanted (`RunnerOrders`, whole each time), the agent what is (`RunnerReport`, whole
+//! The scheduler says what is wanted (`RunnerCommands`, whole each time), the agent what is (`RunnerReport`, whole
 //! each time): a lost message costs time, never truth. Orders are named by (term, revision); a later one
 //! replaces an earlier one. The agent offers all starts and stops of the newest orders in each answer to the
 //! runner, until they are replaced.
@@ -33,16 +33,16 @@
     Stopped,
     /// The runner's hold was over.
     #[deku(id = 3)]
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
     #[deku(id = 4)]
-    Broken,
+    GangMemberEnded,
     /// It waited in vain for the other members of its gang.
     #[deku(id = 5)]
-    Alone,
+    GangTimedOut,
     /// It was not started.
     #[deku(id = 6)]
-    Refused,
+    Rejected,
 }
 
 /// A run that the runner lists as active.
@@ -52,7 +52,7 @@
     pub task: Text,
     pub attempt: u64,
     /// The newest checkpoint, empty for none.
-    pub saved: Text,
+    pub checkpoint: Text,
     /// Hundredths of its work that are done, by the runner's word.
     pub percent: u8,
 }
@@ -65,7 +65,7 @@
     pub task: Text,
     pub attempt: u64,
     pub end: RunEnd,
-    pub saved: Text,
+    pub checkpoint: Text,
 }
 
 /// What an agent knows of its runner. Sent when anything but `percent` has changed, and at least every
@@ -84,9 +84,9 @@
     /// True once a heartbeat has come that the runner sent after it took, or dropped, every answer given
     /// under earlier orders: what is then neither active nor finished was not started under them and never
     /// will be.
-    pub settled: bool,
-    /// True where a runner is known. The fields below are empty otherwise, but for `lapsed`.
-    pub present: bool,
+    pub starts_resolved: bool,
+    /// True where a runner is known. The fields below are empty otherwise, but for `lease_expired`.
+    pub has_runner: bool,
     /// The runner's id; a new one after each crash.
     pub instance: Text,
     pub service: Text,
@@ -96,7 +96,7 @@
     /// While it drains: the time that is left at least, in milliseconds.
     pub remaining_ms: u64,
     /// How much longer it is slow from its start, in milliseconds.
-    pub cold_remaining_ms: u64,
+    pub slow_start_remaining_ms: u64,
     pub capacity: Resources,
     pub labels: List<Text>,
     pub active: List<ActiveRun>,
@@ -104,32 +104,32 @@
     /// True where the runner has been silent beyond every hold granted to it, or was found dead: whatever it ran
     /// is over. `active` is empty then. A runner that has deregistered may serve on: it is `draining`, no more.
     /// Where no runner is known: none was heard until every hold of an earlier agent was over.
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// Milliseconds since the runner's last heartbeat.
-    pub silent_ms: u64,
+    pub since_heartbeat_ms: u64,
 }
 
 /// A start that is wanted.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct StartOrder {
+pub struct StartCommand {
     pub task: Text,
     pub attempt: u64,
     /// The job's specification, word for word.
     pub spec: Text,
     /// The checkpoint to resume from, empty for none.
-    pub saved: Text,
+    pub checkpoint: Text,
 }
 
 /// A stop that is wanted.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct StopOrder {
+pub struct StopCommand {
     pub task: Text,
     pub attempt: u64,
 }
 
 /// What the scheduler wants of a runner, whole. Answers a report, or comes unasked after a change.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct RunnerOrders {
+pub struct RunnerCommands {
     pub term: Term,
     /// Rises with each change of what is wanted; unchanged orders keep it.
     pub revision: u64,
@@ -142,9 +142,9 @@
     /// Whose orders these are; a runner with another id gets none of them.
     pub instance: Text,
     /// Every run that is wanted and is neither active nor finished by the newest report.
-    pub start: List<StartOrder>,
+    pub start: List<StartCommand>,
     /// Every run that is active and not wanted.
-    pub stop: List<StopOrder>,
+    pub stop: List<StopCommand>,
     /// Ends up to this number are kept by a quorum.
     pub observed: u64,
     /// The runner's next heartbeat comes after so many milliseconds.
@@ -156,4 +156,4 @@
 /// The lease of an agent, in milliseconds: so long its runner runs on without the scheduler.
 pub const AGENT_LEASE_MS: u64 = 12_000;
 /// The hold that an agent grants with each heartbeat, in milliseconds, cut to what is left of its lease.
-pub const RUNNER_HOLD_MS: u64 = 2_500;
+pub const RUNNER_LEASE_MS: u64 = 2_500;
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -28,7 +28,7 @@
 pub struct Prepare {
     pub proposal: ProposalNumber,
     /// The value that the asker holds already and that need not be sent.
-    pub have: ProposalNumber,
+    pub known: ProposalNumber,
 }
 
 /// Promises a proposal number.
@@ -62,10 +62,10 @@
 pub struct AcceptChange {
     pub proposal: ProposalNumber,
     /// The proposal number of the accepted value on which the change is put.
-    pub on: ProposalNumber,
+    pub base_proposal: ProposalNumber,
     pub kind: ChangeKind,
     /// The version of the configuration on which the change builds.
-    pub base: u64,
+    pub base_version: u64,
     pub body: Blob,
     /// SHA-256 of the value that results.
     pub result: [u8; 32],
@@ -85,7 +85,7 @@
 
 /// The proposal number came too late: a higher one was promised.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct Refused {
+pub struct Rejected {
     pub proposal: ProposalNumber,
     pub promised: ProposalNumber,
 }
@@ -94,7 +94,7 @@
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Read {
     pub nonce: u64,
-    pub have: ProposalNumber,
+    pub known: ProposalNumber,
 }
 
 /// The accepted value, left out where the asker has it.
@@ -315,7 +315,7 @@
     #[deku(id = 3)]
     Accepted(Accepted),
     #[deku(id = 4)]
-    Refused(Refused),
+    Rejected(Rejected),
     #[deku(id = 5)]
     Read(Read),
     #[deku(id = 6)]
--- a/crates/cluster/protocol/src/distribution.rs
+++ b/crates/cluster/protocol/src/distribution.rs
@@ -3,10 +3,10 @@
 use crate::collections::Blob;
 use deku::prelude::*;
 
-/// Asks a parent to send what is newer than `have`, now and from now on for `SUBSCRIPTION_MS`.
+/// Asks a parent to send what is newer than `known_version`, now and from now on for `SUBSCRIPTION_MS`.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Subscribe {
-    pub have: u64,
+    pub known_version: u64,
     /// The child's steady clock at the sending, in microseconds; comes back in the answer.
     pub asked_at: u64,
 }
--- a/crates/cluster/protocol/src/message.rs
+++ b/crates/cluster/protocol/src/message.rs
@@ -1,6 +1,6 @@
 //! Every message between processes.
 
-use crate::agent::{RunnerOrders, RunnerReport};
+use crate::agent::{RunnerCommands, RunnerReport};
 use crate::client::{ClientReply, ClientRequest, NotLeader};
 use crate::control::ControlMessage;
 use crate::directory::{Directory, Hello};
@@ -25,7 +25,7 @@
     #[deku(id = 6)]
     RunnerReport(RunnerReport),
     #[deku(id = 7)]
-    RunnerOrders(RunnerOrders),
+    RunnerCommands(RunnerCommands),
     #[deku(id = 8)]
     Subscribe(Subscribe),
     #[deku(id = 9)]
--- a/crates/cluster/protocol/src/node.rs
+++ b/crates/cluster/protocol/src/node.rs
@@ -88,7 +88,7 @@
 pub struct DiskWrite {
     pub operations: Vec<DiskOperation>,
     /// Sent once the changes are synced.
-    pub then: Vec<(NodeId, Message)>,
+    pub send_when_synced: Vec<(NodeId, Message)>,
     /// Told back as `Event::Synced` once the changes are synced.
     pub token: Option<u64>,
 }
@@ -123,7 +123,7 @@
     /// It was answered with this status.
     Status(u16),
     /// No answer in time, or a connection that broke off.
-    Silent,
+    NoAnswer,
 }
 
 /// What happens to a process.
@@ -155,7 +155,7 @@
     /// The instant asked for by `Node::next_wake` has come.
     Wake,
     /// The settings name other core processes to start from.
-    Seeds(Vec<NodeId>),
+    SeedsChanged(Vec<NodeId>),
     /// The platform wants the process to end within its grace.
     Terminate,
 }
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -10,7 +10,7 @@
     ControlMessage::Promise(_) => "promised",
     ControlMessage::Accept(_) => "accept",
     ControlMessage::Accepted(_) => "accepted",
-    ControlMessage::Refused(_) => "refused",
+    ControlMessage::Rejected(_) => "refused",
     ControlMessage::Read(_) => "read",
     ControlMessage::ReadReply(_) => "read-reply",
     ControlMessage::Learn(_) => "learn",
@@ -98,7 +98,7 @@
     vec![
         ControlMessage::Prepare(Prepare {
             proposal: proposal(0x11),
-            have: proposal(0x12),
+            known: proposal(0x12),
         }),
         ControlMessage::Promise(Promise {
             proposal: proposal(0x13),
@@ -112,13 +112,13 @@
         ControlMessage::Accepted(Accepted {
             proposal: proposal(0x16),
         }),
-        ControlMessage::Refused(Refused {
+        ControlMessage::Rejected(Rejected {
             proposal: proposal(0x17),
             promised: proposal(0x18),
         }),
         ControlMessage::Read(Read {
             nonce: 0x1901,
-            have: proposal(0x19),
+            known: proposal(0x19),
         }),
         ControlMessage::ReadReply(ReadReply {
             nonce: 0x1a01,
@@ -140,17 +140,17 @@
         }),
         ControlMessage::AcceptChange(AcceptChange {
             proposal: proposal(0x1f),
-            on: proposal(0x20),
+            base_proposal: proposal(0x20),
             kind: ChangeKind::Patch,
-            base: 0x2001,
+            base_version: 0x2001,
             body: blob("change"),
             result: digest(0x21),
         }),
         ControlMessage::AcceptChange(AcceptChange {
             proposal: proposal(0x22),
-            on: proposal(0x23),
+            base_proposal: proposal(0x23),
             kind: ChangeKind::Replace,
-            base: 0x2301,
+            base_version: 0x2301,
             body: blob("whole"),
             result: digest(0x24),
         }),
--- a/crates/cluster/protocol/tests/examples/members.rs
+++ b/crates/cluster/protocol/tests/examples/members.rs
@@ -23,10 +23,10 @@
     RunEnd::Done => "done",
     RunEnd::Failed => "failed",
     RunEnd::Stopped => "stopped",
-    RunEnd::Lapsed => "lapsed",
-    RunEnd::Broken => "broken",
-    RunEnd::Alone => "alone",
-    RunEnd::Refused => "refused",
+    RunEnd::LeaseExpired => "lapsed",
+    RunEnd::GangMemberEnded => "broken",
+    RunEnd::GangTimedOut => "alone",
+    RunEnd::Rejected => "refused",
 });
 
 variants!(CHANGE_KINDS, change_kind, ChangeKind, {
@@ -77,10 +77,10 @@
             RunEnd::Done,
             RunEnd::Failed,
             RunEnd::Stopped,
-            RunEnd::Lapsed,
-            RunEnd::Broken,
-            RunEnd::Alone,
-            RunEnd::Refused,
+            RunEnd::LeaseExpired,
+            RunEnd::GangMemberEnded,
+            RunEnd::GangTimedOut,
+            RunEnd::Rejected,
         ],
     ));
     examples.extend(complete(
--- a/crates/cluster/protocol/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -3,7 +3,8 @@
 use super::members::process;
 use super::{complete, variants, Example};
 use sagetrail_protocol::agent::{
-    ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport, StartOrder, StopOrder,
+    ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport, StartCommand,
+    StopCommand,
 };
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest, NotLeader};
 use sagetrail_protocol::control::{ControlMessage, Learn};
@@ -19,7 +20,7 @@
     Message::ClientReply(_) => "client-reply",
     Message::NotLeader(_) => "not-owner",
     Message::RunnerReport(_) => "runner-report",
-    Message::RunnerOrders(_) => "runner-orders",
+    Message::RunnerCommands(_) => "runner-orders",
     Message::Subscribe(_) => "subscribe",
     Message::ConfigUpdate(_) => "config-update",
     Message::ConfigCurrent(_) => "config-current",
@@ -39,7 +40,7 @@
         report_without_runner(),
         orders(),
         Message::Subscribe(Subscribe {
-            have: 0x3001,
+            known_version: 0x3001,
             asked_at: 0x3002,
         }),
         Message::ConfigUpdate(ConfigUpdate {
@@ -120,15 +121,15 @@
         sent_at: 0x2403,
         term: 0x2404,
         revision: 0x2405,
-        settled: true,
-        present: true,
+        starts_resolved: true,
+        has_runner: true,
         instance: Text::from("instance"),
         service: Text::from("service"),
         address: Text::from("10.0.0.1:80"),
         zone: Text::from("zone"),
         draining: false,
         remaining_ms: 0x2406,
-        cold_remaining_ms: 0x2407,
+        slow_start_remaining_ms: 0x2407,
         capacity: Resources {
             cpu: 0x2408,
             mem_mb: 0x2409,
@@ -139,13 +140,13 @@
             ActiveRun {
                 task: Text::from("a.1.2.3"),
                 attempt: 0x240b,
-                saved: Text::from("kept"),
+                checkpoint: Text::from("kept"),
                 percent: 0x2c,
             },
             ActiveRun {
                 task: Text::from("b"),
                 attempt: 0x240c,
-                saved: Text::default(),
+                checkpoint: Text::default(),
                 percent: 0x2d,
             },
         ]),
@@ -153,11 +154,11 @@
             number: 0x240d,
             task: Text::from("c.1"),
             attempt: 0x240e,
-            end: RunEnd::Broken,
-            saved: Text::from("last"),
+            end: RunEnd::GangMemberEnded,
+            checkpoint: Text::from("last"),
         }]),
-        lapsed: false,
-        silent_ms: 0x240f,
+        lease_expired: false,
+        since_heartbeat_ms: 0x240f,
     })
 }
 
@@ -169,15 +170,15 @@
         sent_at: 0x2703,
         term: 0x2704,
         revision: 0x2705,
-        settled: false,
-        present: true,
+        starts_resolved: false,
+        has_runner: true,
         instance: Text::default(),
         service: Text::default(),
         address: Text::default(),
         zone: Text::default(),
         draining: true,
         remaining_ms: 0,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         capacity: Resources {
             cpu: 0,
             mem_mb: 0,
@@ -186,8 +187,8 @@
         labels: List(Vec::new()),
         active: List(Vec::new()),
         finished: List(Vec::new()),
-        lapsed: false,
-        silent_ms: 0x2706,
+        lease_expired: false,
+        since_heartbeat_ms: 0x2706,
     })
 }
 
@@ -199,15 +200,15 @@
         sent_at: 0x2503,
         term: 0x2504,
         revision: 0x2505,
-        settled: false,
-        present: false,
+        starts_resolved: false,
+        has_runner: false,
         instance: Text::default(),
         service: Text::default(),
         address: Text::default(),
         zone: Text::default(),
         draining: false,
         remaining_ms: 0,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         capacity: Resources {
             cpu: 0,
             mem_mb: 0,
@@ -216,31 +217,31 @@
         labels: List(Vec::new()),
         active: List(Vec::new()),
         finished: List(Vec::new()),
-        lapsed: true,
-        silent_ms: 0x2506,
+        lease_expired: true,
+        since_heartbeat_ms: 0x2506,
     })
 }
 
 fn orders() -> Message {
-    Message::RunnerOrders(RunnerOrders {
+    Message::RunnerCommands(RunnerCommands {
         term: 0x2601,
         revision: 0x2602,
         agent: 0x2603,
         sent_at: 0x2604,
         lease_ms: 0x2605,
         instance: Text::from("instance"),
-        start: List(vec![StartOrder {
+        start: List(vec![StartCommand {
             task: Text::from("a.1.2.3"),
             attempt: 0x2606,
             spec: Text::from("{\"id\":\"a\"}"),
-            saved: Text::from("kept"),
+            checkpoint: Text::from("kept"),
         }]),
         stop: List(vec![
-            StopOrder {
+            StopCommand {
                 task: Text::from("b"),
                 attempt: 0x2607,
             },
-            StopOrder {
+            StopCommand {
                 task: Text::from("c"),
                 attempt: 0x2608,
             },
--- a/crates/cluster/scheduler/src/orders.rs
+++ b/crates/cluster/scheduler/src/orders.rs
@@ -4,7 +4,7 @@
 use crate::runner::{OrderedSet, Runner};
 use crate::scheduler::Scheduler;
 use sagetrail_protocol::agent::{
-    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+    RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
 };
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::{List, Message, NodeId};
@@ -43,7 +43,7 @@
         for (&task, assignment) in &runner.assigned {
             let attempt = assignment.attempt;
             if assignment.stop && assignment.active {
-                wanted.stop.push(StopOrder {
+                wanted.stop.push(StopCommand {
                     task: task.to_string().into(),
                     attempt,
                 });
@@ -86,7 +86,7 @@
             runner.granted = now.steady;
         }
         let busy = !runner.assigned.is_empty();
-        let orders = RunnerOrders {
+        let orders = RunnerCommands {
             term: self.term,
             revision,
             agent: report.map_or(0, |report| report.agent),
@@ -98,14 +98,14 @@
             observed: runner.ordered.observed,
             retry_after_ms: if busy { BUSY_RETRY_MS } else { IDLE_RETRY_MS },
         };
-        self.ledger.send(node, Message::RunnerOrders(orders));
+        self.ledger.send(node, Message::RunnerCommands(orders));
     }
 
     /// At the start of a term: tells every agent that may have runs who schedules now, and withdraws all starts
     /// of earlier terms.
     pub(crate) fn announce_term(&mut self) {
         for (&node, runner) in &self.runners {
-            let orders = RunnerOrders {
+            let orders = RunnerCommands {
                 term: self.term,
                 revision: 0,
                 agent: 0,
@@ -117,11 +117,11 @@
                 observed: 0,
                 retry_after_ms: BUSY_RETRY_MS,
             };
-            self.ledger.send(node, Message::RunnerOrders(orders));
+            self.ledger.send(node, Message::RunnerCommands(orders));
         }
     }
 
-    fn start_order(&self, task: TaskId, attempt: u64) -> Option<StartOrder> {
+    fn start_order(&self, task: TaskId, attempt: u64) -> Option<StartCommand> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.spec.as_ref()?;
         let step = job.step(task.step)?;
@@ -130,11 +130,11 @@
             true => step.gang_saved(),
             false => step.tasks.get(task.index as usize)?.saved.clone(),
         };
-        Some(StartOrder {
+        Some(StartCommand {
             task: task.to_string().into(),
             attempt,
             spec: spec.spec.as_str().into(),
-            saved: saved.into(),
+            checkpoint: saved.into(),
         })
     }
 }
--- a/crates/cluster/scheduler/src/reports.rs
+++ b/crates/cluster/scheduler/src/reports.rs
@@ -4,7 +4,7 @@
 use crate::ids::TaskId;
 use crate::runner::{Candidate, NotedEnd, Runner};
 use crate::scheduler::Scheduler;
-use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopOrder};
+use sagetrail_protocol::agent::{RunEnd, RunnerReport, StopCommand};
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::{NodeId, Term};
 
@@ -28,10 +28,10 @@
             Admission::Late => return,
         }
         runner.heard = now.steady;
-        runner.present = report.present;
-        if report.present {
+        runner.present = report.has_runner;
+        if report.has_runner {
             self.take_present(now, from, &report);
-        } else if report.lapsed {
+        } else if report.lease_expired {
             self.all_over(now, from);
         }
         self.answer_report(now, from, &report);
@@ -56,16 +56,16 @@
         runner.capacity = report.capacity;
         // Once it drains, an instance drains until its end; an agent that started anew may not know.
         runner.draining |= report.draining;
-        runner.lapsed = report.lapsed;
+        runner.lapsed = report.lease_expired;
         runner.remaining_ms = report.remaining_ms;
-        runner.silent_ms = report.silent_ms;
+        runner.silent_ms = report.since_heartbeat_ms;
         self.note_active(now, from, report);
         self.note_finished(now, from, report);
         self.note_absent(now, from, report);
         let Some(runner) = self.runners.get_mut(&from) else {
             return;
         };
-        runner.known |= report.term == self.term && report.settled;
+        runner.known |= report.term == self.term && report.starts_resolved;
     }
 
     /// True where the report is about the instance that runs now. With another instance on the machine whatever the
@@ -79,7 +79,8 @@
             return true;
         }
         if !runner.instance.is_empty() {
-            let certain = report.term == self.term && (report.settled || report.lapsed);
+            let certain =
+                report.term == self.term && (report.starts_resolved || report.lease_expired);
             if !certain {
                 runner.known = false;
                 return false;
@@ -109,7 +110,7 @@
             OverRun {
                 node,
                 task,
-                end: RunEnd::Lapsed,
+                end: RunEnd::LeaseExpired,
                 saved: String::new(),
             },
         );
@@ -125,7 +126,7 @@
             .for_each(|assignment| assignment.active = false);
         runner.unknown.clear();
         let mut progressed = Vec::new();
-        let listed = if report.lapsed {
+        let listed = if report.lease_expired {
             &[][..]
         } else {
             &report.active[..]
@@ -142,7 +143,7 @@
                         assignment.moved_at = now.steady;
                     }
                 }
-                None => runner.unknown.push(StopOrder {
+                None => runner.unknown.push(StopCommand {
                     task: run.task.clone(),
                     attempt: run.attempt,
                 }),
@@ -152,10 +153,11 @@
                     .get_mut(&id.step.job)
                     .and_then(|job| job.task_mut(id))
             });
-            let task = task.filter(|task| !run.saved.is_empty() && task.attempt == run.attempt);
+            let task =
+                task.filter(|task| !run.checkpoint.is_empty() && task.attempt == run.attempt);
             if let (Some(task), Some(id)) = (task, id) {
-                if task.saved != run.saved.0 {
-                    task.saved = run.saved.0.clone();
+                if task.saved != run.checkpoint.0 {
+                    task.saved = run.checkpoint.0.clone();
                     progressed.push(id);
                 }
             }
@@ -183,7 +185,7 @@
             let id = TaskId::parse(&run.task);
             let assigned = id.and_then(|id| runner.assigned.get(&id));
             if let Some(task) = id.filter(|_| assigned.is_some_and(|a| a.attempt == run.attempt)) {
-                let saved = run.saved.0.clone();
+                let saved = run.checkpoint.0.clone();
                 self.run_over(
                     now,
                     OverRun {
@@ -222,9 +224,11 @@
             let withdrawn = assignment
                 .withdrawn
                 .is_some_and(|revision| own && report.revision >= revision);
-            if withdrawn && (report.settled || report.lapsed) || report.lapsed && assignment.seen {
+            if withdrawn && (report.starts_resolved || report.lease_expired)
+                || report.lease_expired && assignment.seen
+            {
                 over.push(task);
-            } else if report.lapsed {
+            } else if report.lease_expired {
                 assignment.stop = true;
                 self.changed.insert(from);
             }
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::health::Health;
 use crate::ids::TaskId;
-use sagetrail_protocol::agent::{Resources, StopOrder, AGENT_LEASE_MS};
+use sagetrail_protocol::agent::{Resources, StopCommand, AGENT_LEASE_MS};
 use sagetrail_protocol::{Incarnation, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct OrderedSet {
     pub start: BTreeSet<(TaskId, u64)>,
-    pub stop: Vec<StopOrder>,
+    pub stop: Vec<StopCommand>,
     pub observed: u64,
     pub instance: String,
 }
@@ -94,7 +94,7 @@
     pub ordered: OrderedSet,
     pub assigned: BTreeMap<TaskId, Assignment>,
     /// Active runs that nobody assigned.
-    pub unknown: Vec<StopOrder>,
+    pub unknown: Vec<StopCommand>,
     /// Ends up to this number are in batches.
     pub noted: u64,
     pub ends: VecDeque<NotedEnd>,
--- a/crates/cluster/scheduler/tests/callers.rs
+++ b/crates/cluster/scheduler/tests/callers.rs
@@ -78,7 +78,7 @@
     world.deliver(
         at,
         RunnerReport {
-            lapsed: true,
+            lease_expired: true,
             ..former(report)
         },
     );
@@ -103,7 +103,7 @@
             at,
             RunnerReport {
                 sequence,
-                lapsed: true,
+                lease_expired: true,
                 ..former(report.clone())
             },
         );
@@ -161,9 +161,9 @@
             world.deliver(
                 at,
                 RunnerReport {
-                    present: false,
+                    has_runner: false,
                     instance: "".into(),
-                    lapsed,
+                    lease_expired: lapsed,
                     ..report
                 },
             );
--- a/crates/cluster/scheduler/tests/jobs.rs
+++ b/crates/cluster/scheduler/tests/jobs.rs
@@ -109,11 +109,11 @@
     world.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     world.commit();
     for end in [
-        RunEnd::Lapsed,
+        RunEnd::LeaseExpired,
         RunEnd::Stopped,
-        RunEnd::Refused,
-        RunEnd::Alone,
-        RunEnd::Broken,
+        RunEnd::Rejected,
+        RunEnd::GangTimedOut,
+        RunEnd::GangMemberEnded,
     ] {
         world.obey_all();
         assert_eq!(world.running().len(), 1, "before {end:?}");
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -247,5 +247,5 @@
     runner.active.clear();
     world.report_all();
     world.report_all();
-    assert_eq!(world.orders[&node(0)].start[0].saved.0, "half");
+    assert_eq!(world.orders[&node(0)].start[0].checkpoint.0, "half");
 }
--- a/crates/cluster/scheduler/tests/world/mod.rs
+++ b/crates/cluster/scheduler/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 use sagetrail_protocol::agent::{
-    ActiveRun, FinishedRun, Resources, RunEnd, RunnerOrders, RunnerReport,
+    ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport,
 };
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
@@ -46,7 +46,7 @@
     pub now: Now,
     pub term: u64,
     pub runners: BTreeMap<NodeId, FakeRunner>,
-    pub orders: BTreeMap<NodeId, RunnerOrders>,
+    pub orders: BTreeMap<NodeId, RunnerCommands>,
     pub replies: Vec<ClientReply>,
     pub records: BTreeMap<Vec<u8>, Vec<u8>>,
     request: u64,
@@ -168,7 +168,7 @@
     pub(crate) fn take_sends(&mut self) {
         for (to, message) in self.scheduler.take_sends() {
             match message {
-                Message::RunnerOrders(orders) => {
+                Message::RunnerCommands(orders) => {
                     self.orders.insert(to, orders);
                 }
                 Message::ClientReply(reply) => self.replies.push(reply),
@@ -259,7 +259,7 @@
         let active = runner.active.iter().map(|(task, &attempt)| ActiveRun {
             task: task.as_str().into(),
             attempt,
-            saved: saved.as_str().into(),
+            checkpoint: saved.as_str().into(),
             percent,
         });
         Some(RunnerReport {
@@ -268,15 +268,15 @@
             sent_at: self.now.steady.0,
             term,
             revision,
-            settled: runner.settled && term > 0,
-            present: true,
+            starts_resolved: runner.settled && term > 0,
+            has_runner: true,
             instance: runner.instance.as_str().into(),
             service: "s".into(),
             address: "10.0.0.1:1".into(),
             zone: "z".into(),
             draining: runner.draining,
             remaining_ms: runner.remaining_ms,
-            cold_remaining_ms: 0,
+            slow_start_remaining_ms: 0,
             capacity: runner.capacity,
             labels: runner
                 .labels
@@ -285,8 +285,8 @@
                 .collect(),
             active: active.collect(),
             finished: runner.finished.clone().into(),
-            lapsed: runner.lapsed,
-            silent_ms: 0,
+            lease_expired: runner.lapsed,
+            since_heartbeat_ms: 0,
         })
     }
 
@@ -361,7 +361,7 @@
             task: task.into(),
             attempt,
             end,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
     }
 }
--- a/crates/testing/scale-testing/src/simulated/world.rs
+++ b/crates/testing/scale-testing/src/simulated/world.rs
@@ -286,7 +286,7 @@
     fn synced(&mut self, at: usize, writes: Vec<sagetrail_protocol::node::DiskWrite>) {
         self.machines[at].syncing = false;
         for write in writes {
-            self.send(at, write.then);
+            self.send(at, write.send_when_synced);
             if let Some(token) = write.token {
                 self.drive(at, |machine, now, outbox| {
                     machine.handle(now, Event::Synced { token }, outbox)
@@ -304,7 +304,7 @@
         }
         if messages
             .iter()
-            .any(|(_, message)| matches!(message, Message::RunnerOrders(_)))
+            .any(|(_, message)| matches!(message, Message::RunnerCommands(_)))
         {
             self.scheduler = Some(at);
         }
--- a/crates/testing/simulation/src/checker/facts.rs
+++ b/crates/testing/simulation/src/checker/facts.rs
@@ -156,7 +156,7 @@
         for index in indices {
             let run = &mut self.runs[*index];
             let same = run.instance == end.instance && run.attempt == end.attempt;
-            if same && run.over == Micros::MAX && end.end != RunEnd::Refused {
+            if same && run.over == Micros::MAX && end.end != RunEnd::Rejected {
                 run.over = at;
                 run.end = Some(end.end);
                 run.number = end.number;
--- a/crates/testing/simulation/src/checker/runs.rs
+++ b/crates/testing/simulation/src/checker/runs.rs
@@ -168,7 +168,7 @@
 }
 
 fn alone(judge: &mut Judge, run: &RunFact) {
-    if run.end != Some(RunEnd::Alone) {
+    if run.end != Some(RunEnd::GangTimedOut) {
         return;
     }
     let cancelled = judge
--- a/crates/testing/simulation/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/life.rs
@@ -159,7 +159,7 @@
 
     fn tell_synced(&mut self, node: NodeId, synced: Vec<DiskWrite>) {
         for write in synced {
-            for (to, message) in &write.then {
+            for (to, message) in &write.send_when_synced {
                 self.send(node, *to, message);
             }
             if let Some(token) = write.token {
--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -94,8 +94,8 @@
         for operation in &write.operations {
             self.operation(operation);
         }
-        self.count(write.then.len());
-        for (to, message) in &write.then {
+        self.count(write.send_when_synced.len());
+        for (to, message) in &write.send_when_synced {
             self.node(*to);
             self.message(message);
         }
@@ -174,7 +174,7 @@
                 self.probe_result(*result);
             }
             Event::Wake => self.tag(6),
-            Event::Seeds(seeds) => {
+            Event::SeedsChanged(seeds) => {
                 self.tag(7);
                 self.count(seeds.len());
                 seeds.iter().for_each(|seed| self.node(*seed));
@@ -242,7 +242,7 @@
                 self.tag(2);
                 self.number(u64::from(status));
             }
-            HealthCheckResult::Silent => self.tag(3),
+            HealthCheckResult::NoAnswer => self.tag(3),
         }
     }
 
--- a/crates/testing/simulation/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/beat.rs
@@ -18,10 +18,10 @@
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
         RunEnd::Stopped => "stopped",
-        RunEnd::Lapsed => "lapsed",
-        RunEnd::Broken => "broken",
-        RunEnd::Alone => "alone",
-        RunEnd::Refused => "refused",
+        RunEnd::LeaseExpired => "lapsed",
+        RunEnd::GangMemberEnded => "broken",
+        RunEnd::GangTimedOut => "alone",
+        RunEnd::Rejected => "refused",
     }
 }
 
--- a/crates/testing/simulation/src/runner/mod.rs
+++ b/crates/testing/simulation/src/runner/mod.rs
@@ -208,7 +208,7 @@
         );
         let keys: Vec<RunKey> = self.active.keys().cloned().collect();
         for key in keys {
-            self.end_run(now, &key, RunEnd::Lapsed, surroundings);
+            self.end_run(now, &key, RunEnd::LeaseExpired, surroundings);
         }
     }
 
--- a/crates/testing/simulation/src/runner/orders.rs
+++ b/crates/testing/simulation/src/runner/orders.rs
@@ -137,7 +137,7 @@
             .map(StepDefinition::asked)
             .unwrap_or_default();
         if stale || (self.plan.guards && !self.fits(asked)) {
-            self.list_end(now, &key, RunEnd::Refused, saved, surroundings);
+            self.list_end(now, &key, RunEnd::Rejected, saved, surroundings);
             return;
         }
         let run = Run::start(
--- a/crates/testing/simulation/src/runner/run.rs
+++ b/crates/testing/simulation/src/runner/run.rs
@@ -152,15 +152,15 @@
                 let failed = if self.index == 0 {
                     RunEnd::Failed
                 } else {
-                    RunEnd::Broken
+                    RunEnd::GangMemberEnded
                 };
                 return Some(if course.fails { failed } else { RunEnd::Done });
             }
             if surroundings.gangs.is_broken(gang) {
-                return Some(RunEnd::Broken);
+                return Some(RunEnd::GangMemberEnded);
             }
             if course.is_none() && self.gang_until <= now {
-                return Some(RunEnd::Alone);
+                return Some(RunEnd::GangTimedOut);
             }
         }
         if self.stop_at.is_some_and(|at| at <= now) {
--- a/crates/testing/simulation/tests/checker_histories.rs
+++ b/crates/testing/simulation/tests/checker_histories.rs
@@ -551,7 +551,7 @@
         ..step(2)
     }]));
     day.start(11.0, "a", "0.0.0", 1);
-    day.end(14.0, "a", "0.0.0", 1, 1, RunEnd::Alone);
+    day.end(14.0, "a", "0.0.0", 1, 1, RunEnd::GangTimedOut);
     day.breaks(Rule::Gang);
 }
 
--- a/crates/testing/simulation/tests/parts.rs
+++ b/crates/testing/simulation/tests/parts.rs
@@ -24,7 +24,7 @@
     };
     DiskWrite {
         operations: vec![operation],
-        then: Vec::new(),
+        send_when_synced: Vec::new(),
         token: Some(u64::from(number)),
     }
 }
