--- a/crates/dispatcher/raft/src/lib.rs
+++ b/crates/dispatcher/raft/src/lib.rs
@@ -1,12 +1,71 @@
-//! A replicated log: Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, 2014, for pre-vote, changes of
-//! voters one at a time and reads), without I/O. How to call it: `Raft::open` with what the disk holds; then `tick`
-//! when `due`, `receive` with each message, `propose` and `read` as wanted. After each call take `output`: write its
-//! records, sync them, call `persisted`, and only then send its messages; messages of later calls wait behind those.
-//! Then take what has been committed with `next_committed` until there is none. `docs/replication.md` says what
-//! departs from the papers and why.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! A replicated log by Raft, as a state machine without I/O, threads or clock.
+//!
+//! Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 ("Raft" in the
+//! comments); Ongaro, "Consensus: Bridging Theory and Practice", 2014 ("thesis"), for pre-vote (9.6), changes of one
+//! voter at a time (4.1) and reads by ReadIndex (6.4). Two departures, reasons in `docs/replication.md`: a voter is a
+//! member together with its disk, and a disk that was rolled back to an older copy of itself is detected; positions
+//! carry a checksum over all entries up to them.
+//!
+//! # How to drive a member
+//!
+//! ```text
+//!            tick, receive, propose, read, reconfigure
+//!   host ────────────────────────────────────────────────▶ Raft
+//!     ▲                                                      │
+//!     │  output: 1. records: write and sync, then persisted  │
+//!     │          2. messages: send, after the sync           │
+//!     ├──────────────────────────────────────────────────────┤
+//!     │  next_committed: entries and snapshots, in order     │
+//!     └──────────────────────────────────────────────────────┘
+//! ```
+//!
+//! [`Raft::open`] takes the records that the disk holds. The host calls [`Raft::tick`] at [`Raft::deadline`],
+//! [`Raft::receive`] with each message, [`Raft::propose`] and [`Raft::read`] as it likes. After each call it takes
+//! [`Raft::output`], writes and syncs its records, reports that by [`Raft::persisted`], and only then sends its
+//! messages; the messages of later outputs wait behind them. Then it takes what is committed from
+//! [`Raft::next_committed`] until there is none, and may hand back a snapshot of its state by [`Raft::compact`].
+//!
+//! # Example
+//!
+//! A single member elects itself and commits a command; the "disk" is a vector.
+//!
+//! ```
+//! use sagetrail_raft::{Committed, EntryPayload, Raft, RaftConfig, Timing};
+//!
+//! let config = RaftConfig {
+//!     id: 1,
+//!     disk: 77,
+//!     members: vec![1],
+//!     initial_voters: vec![1],
+//!     timing: Timing::default(),
+//!     seed: 5,
+//! };
+//! let mut disk = Vec::new();
+//! let mut raft = Raft::open(config, Vec::new(), 0, 0.0);
+//!
+//! let mut now = 0.0;
+//! while !raft.is_leader() {
+//!     now = raft.deadline().max(now);
+//!     raft.tick(now);
+//! }
+//! raft.propose(now, b"set x 1".to_vec())?;
+//!
+//! let output = raft.output();
+//! disk.extend(output.records); // a real host syncs them here
+//! raft.persisted(now, raft.last_position());
+//! assert!(output.messages.is_empty(), "nobody else to tell");
+//!
+//! let mut commands = Vec::new();
+//! while let Some(committed) = raft.next_committed() {
+//!     if let Committed::Entry(entry) = committed {
+//!         if let EntryPayload::Command(command) = entry.payload {
+//!             commands.push(command);
+//!         }
+//!     }
+//! }
+//! assert_eq!(commands, [b"set x 1".to_vec()]);
+//! # Ok::<(), sagetrail_raft::RaftError>(())
+//! ```
 
 mod config;
 mod disk_record;
@@ -21,11 +80,10 @@
 mod voter;
 
 pub use config::{RaftConfig, Timing};
+pub use disk_record::{DiskRecord, DiskWatermark};
 pub use entry::{Entry, EntryPayload};
 pub use error::RaftError;
 pub use log_position::LogPosition;
-
-pub use disk_record::{DiskRecord, DiskWatermark};
 pub use message::{
     AppendEntries, AppendReply, Message, MessageBody, SnapshotChunk, VoteReply, VoteRequest,
 };
--- a/crates/dispatcher/raft/src/raft.rs
+++ b/crates/dispatcher/raft/src/raft.rs
@@ -1,12 +1,15 @@
-//! One member of the replicated log: its state and what can be asked about it. The parts of the protocol are in the
-//! modules below.
+//! One member of the replicated log: its state, and what can be asked about it. The parts of the protocol are `impl`
+//! blocks in the modules below, one for each section of the papers.
 
 mod append;
 mod bootstrap;
 mod commit;
+mod disk_watermarks;
 mod election;
 mod leader;
+mod leader_state;
 mod membership_change;
+mod peers;
 mod persistence;
 mod progress;
 mod read_index;
@@ -17,6 +20,9 @@
 mod snapshot_sender;
 mod timer;
 
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
 use crate::config::{RaftConfig, Timing};
 use crate::disk_record::DiskRecord;
 use crate::error::RaftError;
@@ -25,14 +31,15 @@
 use crate::output::{MemberRole, OutboundMessage, Output, Status};
 use crate::raft_log::RaftLog;
 use crate::voter::Voter;
-use progress::LeaderState;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use rollback_check::{Peer, RollbackCheck};
+use disk_watermarks::DiskWatermarks;
+use election::Candidacy;
+use leader_state::LeaderState;
+use peers::Peers;
+use read_index::ReadResults;
+use rollback_check::RollbackCheck;
 use snapshot_receiver::IncomingSnapshot;
-use std::collections::{BTreeMap, BTreeSet};
 
-/// A member's role.
+/// A member's role (Raft, 5.1), with the state that lasts as long as the role.
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
@@ -40,112 +47,111 @@
     Leader(LeaderState),
 }
 
-/// A candidate's election.
-#[derive(Clone, Debug)]
-struct Candidacy {
-    /// Only asks whether votes would be given.
-    pre_vote: bool,
-    /// The term that the votes are for.
-    term: u64,
-    /// Who gave its vote.
-    granted: BTreeSet<Voter>,
-}
-
-/// One member of the replicated log.
+/// One member of the replicated log, as a state machine without I/O.
+///
+/// All times are seconds on the host's clock, which must not go back.
 pub struct Raft {
+    /// This member.
     id: u64,
+    /// The identity of its disk.
     disk: u64,
+    /// All members, voting or not, this one included.
     members: Vec<u64>,
+    /// The voters of a new log.
     initial_voters: Vec<u64>,
     timing: Timing,
+    /// Source of the election timeouts.
     random: Pcg64Mcg,
+
+    // Persistent state (Raft, figure 2).
+    /// The latest term that this member has seen (`currentTerm`). Never decreases.
     term: u64,
+    /// The candidate that received this member's vote in `term` (`votedFor`).
     vote: Option<u64>,
     log: RaftLog,
+    /// Records that the disk has ever held, those of outputs not yet synced included.
+    records_written: u64,
+
+    // Volatile state (Raft, figure 2).
+    /// The highest index known to be committed (`commitIndex`). Never decreases.
     commit_index: u64,
-    /// Up to here `next_committed` has handed out.
+    /// The index up to which `next_committed` has delivered (`lastApplied`); at most `commit_index`.
     applied_index: u64,
-    /// The highest commit index that a leader told.
+    /// The highest commit index that a leader has reported; may be beyond the end of this log.
     leader_commit: u64,
-    /// The own log is synced up to here.
+    /// The index up to which the log is synced to the own disk; at most the last index.
     persisted_index: u64,
-    /// Records that the disk ever had.
-    records_written: u64,
     role: Role,
+    /// The leader of `term`, if it is known.
     leader: Option<u64>,
-    /// When a leader was last heard.
+    /// When a leader's last message came.
     leader_contact_at: f64,
     /// When the next election begins.
     election_deadline: f64,
+    /// When `tick` was last called.
     last_tick: f64,
-    /// The disk may be an old copy: others are being asked.
+
+    // Detection of rolled-back disks.
+    /// The running check of the own disk; without one the disk is known to be complete.
     rollback_check: Option<RollbackCheck>,
-    /// Tells answers to this process from those to an earlier one.
+    /// Identifies this process in queries: answers to an earlier process are ignored.
     nonce: u64,
-    /// By disk, the most it was heard to have written.
-    known_watermarks: BTreeMap<u64, u64>,
-    /// What of that is not on this one's disk yet.
-    unsaved_watermarks: BTreeMap<u64, u64>,
-    peers: BTreeMap<u64, Peer>,
-    /// When each member was last heard of with each disk.
-    disk_contact_at: BTreeMap<Voter, f64>,
+    watermarks: DiskWatermarks,
+    peers: Peers,
+
+    /// The snapshot that is being received.
     incoming_snapshot: Option<IncomingSnapshot>,
+    /// Why this member cannot go on with its disk. It stays silent from then on.
     fault: Option<RaftError>,
-    /// The number of the last read asked for here.
-    read_number: u64,
-    /// Read indexes by number.
-    read_results: BTreeMap<u64, u64>,
+    /// Reads that this member asked for.
+    reads: ReadResults,
+    /// What the host has to write and send.
     output: Output,
 }
 
 impl Raft {
-    /// `records`: what the disk holds, in order; `written`: how many records it holds or ever held.
+    /// Starts a member at the time `now`, in seconds.
+    ///
+    /// `records` are those that the disk holds, in order; `records_written` is how many it has ever held. Both are
+    /// empty and 0 for a blank disk.
     pub fn open(
         config: RaftConfig,
         records: Vec<DiskRecord>,
         records_written: u64,
         now: f64,
     ) -> Raft {
-        let holds_promises = !records.is_empty();
+        let is_blank = records.is_empty();
         let mut raft = Raft::blank(config, records_written, now);
         for record in records {
             raft.replay(record);
         }
-        raft.unsaved_watermarks.clear();
+        raft.watermarks.mark_saved();
         raft.commit_index = raft.log.snapshot_position().index;
         raft.persisted_index = raft.log.last_position().index;
-        // A disk that holds something may be an old copy of itself: it promises nothing before others were asked.
-        raft.rollback_check = holds_promises.then(|| RollbackCheck::new(now));
+        // A disk that holds records may have been rolled back: no vote or acknowledgement before the others answer.
+        raft.rollback_check = (!is_blank).then(|| RollbackCheck::new(now));
         raft.reset_election_timer(now);
         raft
     }
 
     fn blank(config: RaftConfig, records_written: u64, now: f64) -> Raft {
-        let RaftConfig {
-            id,
-            disk,
-            members,
-            initial_voters,
-            timing,
-            seed,
-        } = config;
-        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let mut random = Pcg64Mcg::seed_from_u64(config.seed);
         let nonce: u64 = random.random();
         Raft {
-            id,
-            disk,
-            members,
-            initial_voters,
-            timing,
+            id: config.id,
+            disk: config.disk,
+            members: config.members,
+            initial_voters: config.initial_voters,
+            timing: config.timing,
             random,
             term: 0,
             vote: None,
             log: RaftLog::default(),
+            records_written,
             commit_index: 0,
             applied_index: 0,
             leader_commit: 0,
             persisted_index: 0,
-            records_written,
             role: Role::Follower,
             leader: None,
             leader_contact_at: f64::NEG_INFINITY,
@@ -153,15 +159,11 @@
             last_tick: now,
             rollback_check: None,
             nonce,
-            known_watermarks: BTreeMap::new(),
-            unsaved_watermarks: BTreeMap::new(),
-            peers: BTreeMap::new(),
-            disk_contact_at: BTreeMap::new(),
+            watermarks: DiskWatermarks::default(),
+            peers: Peers::default(),
             incoming_snapshot: None,
             fault: None,
-            // Not where a former process began: an answer to it may still be on the way.
-            read_number: nonce >> 1,
-            read_results: BTreeMap::new(),
+            reads: ReadResults::new(nonce >> 1),
             output: Output::default(),
         }
     }
@@ -172,7 +174,7 @@
             DiskRecord::Entry(entry) => self.log.entries.push_back(entry),
             DiskRecord::Truncate { from } => self.log.truncate(from),
             DiskRecord::Snapshot(snapshot) => self.log.install(snapshot),
-            DiskRecord::Watermarks(disks) => self.note_watermarks(disks),
+            DiskRecord::Watermarks(watermarks) => self.watermarks.raise_all(watermarks),
         }
     }
 
@@ -186,23 +188,26 @@
         self.output.messages.push(OutboundMessage { to, message });
     }
 
-    /// The last entry of the log: what `persisted` is told once all records of the outputs taken so far are synced.
+    /// The position of the last entry: the argument for [`persisted`](Raft::persisted) once all records of the
+    /// outputs taken so far are synced.
     pub fn last_position(&self) -> LogPosition {
         self.log.last_position()
     }
 
-    /// Why this copy cannot go on, if it cannot.
+    /// Why this member cannot go on with its disk: [`RaftError::LogDiverged`] or [`RaftError::DiskRolledBack`]. The
+    /// host puts the disk's content aside and opens a new member with a blank disk.
     pub fn fault(&self) -> Option<RaftError> {
         self.fault
     }
 
-    /// An operator vouches for this disk: those that could know better are gone.
+    /// Ends the check of the disk without answers, on an operator's word: for the case that the members that could
+    /// answer are lost for good.
     pub fn trust_disk(&mut self) {
         self.rollback_check = None;
     }
 
     fn voters(&self) -> &[Voter] {
-        self.log.voters().0
+        self.log.voters().voters
     }
 
     fn own_voter(&self) -> Voter {
@@ -220,7 +225,7 @@
             .collect()
     }
 
-    /// It has a vote, by the log as it stands here.
+    /// Whether this member votes: it is a voter by its log, its disk is known to be complete, and it has no fault.
     pub fn can_vote(&self) -> bool {
         self.voters().contains(&self.own_voter())
             && self.rollback_check.is_none()
@@ -234,35 +239,38 @@
         2 * count > voters.len()
     }
 
-    /// The highest value that a majority of the voters has reached.
+    /// The highest value that more than half of the voters have reached.
     fn quorum_value(&self, value: impl Fn(&Voter) -> u64) -> Option<u64> {
         let mut values: Vec<u64> = self.voters().iter().map(value).collect();
-        values.sort_unstable_by(|a, b| b.cmp(a));
+        values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(values.len() / 2).copied()
     }
 
-    /// A leader has said that more is agreed than was delivered here; or none has said anything yet.
+    /// Whether the host may lack committed entries: a leader has reported more than was delivered here, or none has
+    /// reported anything yet.
     pub fn is_behind(&self) -> bool {
         let no_leader_yet = self.leader_commit == 0 && !self.is_leader();
         let lacks_entries = self.applied_index < self.leader_commit;
-        self.voters().is_empty()
-            || self.incoming_snapshot.is_some()
-            || no_leader_yet
-            || lacks_entries
+        let lacks_snapshot = self.incoming_snapshot.is_some();
+        self.voters().is_empty() || lacks_snapshot || no_leader_yet || lacks_entries
     }
 
-    /// This member leads.
+    /// Whether this member leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Who leads, as far as this member knows.
+    /// The leader, as far as this member knows.
     pub fn leader(&self) -> Option<u64> {
         self.leader
     }
 
     /// This member's status, for operators.
     pub fn status(&self, now: f64) -> Status {
+        let since_leader_s = match self.is_leader() {
+            true => 0.0,
+            false => now - self.leader_contact_at,
+        };
         Status {
             role: self.member_role(),
             term: self.term,
@@ -271,11 +279,7 @@
             commit_index: self.commit_index,
             voters: self.voters().to_vec(),
             can_vote: self.can_vote(),
-            since_leader_s: if self.is_leader() {
-                0.0
-            } else {
-                now - self.leader_contact_at
-            },
+            since_leader_s,
             incoming_snapshot: self
                 .incoming_snapshot
                 .as_ref()
--- a/crates/dispatcher/raft/src/raft/append.rs
+++ b/crates/dispatcher/raft/src/raft/append.rs
@@ -1,4 +1,4 @@
-//! A follower's part of `AppendEntries`.
+//! The follower's side of `AppendEntries` (Raft, 5.3).
 
 use super::Raft;
 use crate::disk_record::DiskRecord;
@@ -7,20 +7,20 @@
 use crate::log_position::LogPosition;
 use crate::message::{AppendEntries, AppendReply, MessageBody};
 
-/// What came of entries that were to be appended.
+/// The result of appending a leader's entries.
 enum AppendOutcome {
-    /// The logs are the same up to here.
+    /// Both logs are equal up to this index.
     Matched { index: u64 },
-    /// The place previous the entries is not in this log; the leader is to try from here.
+    /// This log does not have the position before the entries; the leader should try after the hint.
     Mismatch { hint: u64 },
 }
 
 impl Raft {
-    /// Takes a leader's entries.
+    /// Takes a leader's entries. A divergence from the leader's log becomes this member's fault.
     ///
     /// # Errors
     ///
-    /// `BrokenChain` for entries that no leader can have sent.
+    /// [`RaftError::BrokenChain`] for entries that do not follow one another.
     pub(super) fn append_entries(
         &mut self,
         from: u64,
@@ -33,7 +33,7 @@
             round,
             watermarks,
         } = request;
-        self.note_watermarks(watermarks);
+        self.watermarks.raise_all(watermarks);
         if !is_chain(previous, &entries) {
             return Err(RaftError::BrokenChain {
                 previous_index: previous.index,
@@ -46,41 +46,47 @@
         Ok(())
     }
 
-    /// One that is not sure of its disk promises nothing.
+    /// A member whose disk may have been rolled back acknowledges nothing.
     fn reply_append(&mut self, to: u64, outcome: AppendOutcome, round: u64) {
         if self.rollback_check.is_some() {
             return;
         }
-        let reply = match outcome {
-            AppendOutcome::Matched { index } => AppendReply {
-                success: true,
-                index,
-                round,
-            },
-            AppendOutcome::Mismatch { hint } => AppendReply {
-                success: false,
-                index: hint,
-                round,
-            },
+        let (success, index) = match outcome {
+            AppendOutcome::Matched { index } => (true, index),
+            AppendOutcome::Mismatch { hint } => (false, hint),
+        };
+        let reply = AppendReply {
+            success,
+            index,
+            round,
         };
         self.send(to, MessageBody::AppendReply(reply));
     }
 
+    /// Brings the log in line with the leader's.
+    ///
+    /// # Errors
+    ///
+    /// [`RaftError::LogDiverged`] if that would change a committed entry, or one of the same index and term.
     fn merge(
         &mut self,
         previous: LogPosition,
         entries: Vec<Entry>,
         leader_commit: u64,
     ) -> Result<AppendOutcome, RaftError> {
-        let base = self.log.snapshot_position();
-        let (previous, entries) = match previous.index < base.index {
+        let snapshot = self.log.snapshot_position();
+        let (previous, entries) = match previous.index < snapshot.index {
             false => (previous, entries),
-            true => match entries_after_snapshot(base, entries)? {
-                Some(rest) => (base, rest),
-                None => return Ok(AppendOutcome::Matched { index: base.index }),
+            true => match entries_after_snapshot(snapshot, entries)? {
+                Some(rest) => (snapshot, rest),
+                None => {
+                    return Ok(AppendOutcome::Matched {
+                        index: snapshot.index,
+                    })
+                }
             },
         };
-        if let Some(hint) = self.mismatch(previous)? {
+        if let Some(hint) = self.mismatch_hint(previous)? {
             return Ok(AppendOutcome::Mismatch { hint });
         }
         let index = entries
@@ -94,43 +100,34 @@
         Ok(AppendOutcome::Matched { index })
     }
 
-    /// Where the leader is to try next, if this log does not have the place before its entries.
-    fn mismatch(&self, previous: LogPosition) -> Result<Option<u64>, RaftError> {
-        match self.log.position_at(previous.index) {
-            Some(position) if position == previous => Ok(None),
-            Some(position)
-                if position.term == previous.term || previous.index <= self.commit_index =>
-            {
-                Err(RaftError::LogDiverged {
-                    index: previous.index,
-                })
+    /// Where the leader should try next; `None` if this log has the position before its entries.
+    fn mismatch_hint(&self, previous: LogPosition) -> Result<Option<u64>, RaftError> {
+        let index = previous.index;
+        match self.log.position_at(index) {
+            Some(own) if own == previous => Ok(None),
+            Some(own) if own.term == previous.term || index <= self.commit_index => {
+                Err(RaftError::LogDiverged { index })
             }
             _ => {
-                let hint = self
-                    .log
-                    .last_position()
-                    .index
-                    .min(previous.index.saturating_sub(1));
+                let last_index = self.log.last_position().index;
+                let hint = last_index.min(index.saturating_sub(1));
                 Ok(Some(hint.max(self.commit_index)))
             }
         }
     }
 
-    /// Appends an entry, in place of one of an earlier term that was never committed.
+    /// Appends an entry, in place of an uncommitted one of an earlier term.
     fn merge_entry(&mut self, entry: Entry) -> Result<(), RaftError> {
-        match self.log.position_at(entry.position.index) {
-            Some(position) if position == entry.position => return Ok(()),
-            Some(position)
-                if position.term == entry.position.term || position.index <= self.commit_index =>
-            {
-                return Err(RaftError::LogDiverged {
-                    index: position.index,
-                });
+        let index = entry.position.index;
+        match self.log.position_at(index) {
+            Some(own) if own == entry.position => return Ok(()),
+            Some(own) if own.term == entry.position.term || index <= self.commit_index => {
+                return Err(RaftError::LogDiverged { index });
             }
-            Some(position) => self.truncate(position.index),
+            Some(_) => self.truncate(index),
             None => {}
         }
-        self.push(entry);
+        self.append(entry);
         Ok(())
     }
 
@@ -141,7 +138,7 @@
     }
 }
 
-/// Each entry follows the one before it.
+/// Whether each entry follows the one before it.
 fn is_chain(previous: LogPosition, entries: &[Entry]) -> bool {
     let mut previous = previous;
     for entry in entries {
@@ -153,21 +150,23 @@
     true
 }
 
-/// The entries behind the snapshot's place; `None` if they do not reach it. What the snapshot holds was agreed: only
-/// what stands behind it matters.
+/// The entries after the snapshot's position; `None` if they do not reach it. Everything that the snapshot covers is
+/// committed, so only the entry at its position is compared.
 fn entries_after_snapshot(
-    base: LogPosition,
+    snapshot: LogPosition,
     entries: Vec<Entry>,
 ) -> Result<Option<Vec<Entry>>, RaftError> {
-    match entries
+    let at_snapshot = entries
         .iter()
-        .find(|entry| entry.position.index == base.index)
-    {
-        Some(entry) if entry.position != base => Err(RaftError::LogDiverged { index: base.index }),
+        .find(|entry| entry.position.index == snapshot.index);
+    match at_snapshot {
+        Some(entry) if entry.position != snapshot => Err(RaftError::LogDiverged {
+            index: snapshot.index,
+        }),
         Some(_) => Ok(Some(
             entries
                 .into_iter()
-                .filter(|entry| entry.position.index > base.index)
+                .filter(|entry| entry.position.index > snapshot.index)
                 .collect(),
         )),
         None => Ok(None),
--- a/crates/dispatcher/raft/src/raft/bootstrap.rs
+++ b/crates/dispatcher/raft/src/raft/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first entry of a new log.
+//! Bootstrap: the first entry of a new log.
 
 use super::Raft;
 use crate::disk_record::DiskRecord;
@@ -6,12 +6,14 @@
 use crate::log_position::LogPosition;
 use crate::voter::Voter;
 
-/// A founder's blank disk counts as heard of for so long, seconds.
-const PEER_FRESH_S: f64 = 3.0;
+/// An initial voter counts as reachable for this long after its last message, seconds.
+const REACHABLE_S: f64 = 3.0;
+/// The term of the first entry.
 const FIRST_TERM: u64 = 1;
 
 impl Raft {
-    /// The first founder begins the log once all founders are there with blank disks.
+    /// Announces the blank disk. The first initial voter writes the first entry, once all initial voters are
+    /// reachable with blank disks and no member anywhere belongs to a log: a second log would be a second history.
     pub(super) fn bootstrap(&mut self, now: f64) {
         self.query_disk(true);
         if self.initial_voters.first() != Some(&self.id) {
@@ -20,26 +22,22 @@
         let Some(mut voters) = self.blank_initial_voters(now) else {
             return;
         };
-        // Nobody anywhere may belong to a log already.
-        if self.peers.values().any(|peer| !peer.blank) {
+        if !self.peers.are_all_blank() {
             return;
         }
         voters.sort_unstable();
-        let entry = Entry::after(
-            &LogPosition::default(),
-            FIRST_TERM,
-            EntryPayload::Voters(voters),
-        );
+        let payload = EntryPayload::Voters(voters);
+        let entry = Entry::after(&LogPosition::default(), FIRST_TERM, payload);
         self.term = FIRST_TERM;
         self.write(DiskRecord::Term {
             term: FIRST_TERM,
             vote: None,
         });
-        self.push(entry);
-        self.start_election(now, true);
+        self.append(entry);
+        self.start_pre_vote(now);
     }
 
-    /// All founders with their disks; `None` while one is not there with a blank one.
+    /// All initial voters with their disks; `None` while one is unreachable or belongs to a log.
     fn blank_initial_voters(&self, now: f64) -> Option<Vec<Voter>> {
         self.initial_voters
             .iter()
@@ -51,9 +49,9 @@
         if member == self.id {
             return Some(self.own_voter());
         }
-        let peer = self.peers.get(&member)?;
-        let fresh = peer.blank && now < peer.last_contact + PEER_FRESH_S;
-        fresh.then_some(Voter {
+        let peer = self.peers.get(member)?;
+        let is_reachable = now < peer.last_contact + REACHABLE_S;
+        (peer.is_blank && is_reachable).then_some(Voter {
             member,
             disk: peer.disk,
         })
--- a/crates/dispatcher/raft/src/raft/commit.rs
+++ b/crates/dispatcher/raft/src/raft/commit.rs
@@ -1,34 +1,35 @@
-//! Advance of the commit index.
+//! Advance of the commit index (Raft, 5.3 and 5.4.2).
 
+use super::replication::Occasion;
 use super::{Raft, Role};
 use crate::voter::Voter;
 
 impl Raft {
-    /// Moves on what is agreed: synced at a majority, and of this term (Raft, 5.4.2).
+    /// Commits what is synced at a majority, if the last of it is of the current term (Raft, 5.4.2).
     pub(super) fn advance_commit(&mut self, now: f64) {
         let Some(index) = self.quorum_index() else {
             return;
         };
-        if index <= self.commit_index || !self.is_of_own_term(index) {
+        if index <= self.commit_index || !self.is_of_current_term(index) {
             return;
         }
         self.commit_index = index;
-        self.replicate(now, true);
+        self.replicate(now, Occasion::Heartbeat);
         if self.is_removed() {
-            // Out by its own word: it led until that was agreed.
+            // A leader that is removed leads until its removal is committed (thesis, 4.2.2).
             return self.step_down(now, None);
         }
         self.answer_reads();
     }
 
-    /// The entry at an index is of the current term.
-    pub(super) fn is_of_own_term(&self, index: u64) -> bool {
+    /// Whether the entry at an index is of the current term.
+    pub(super) fn is_of_current_term(&self, index: u64) -> bool {
         self.log
             .position_at(index)
             .is_some_and(|position| position.term == self.term)
     }
 
-    /// The highest index that is synced at a majority. `None` if this is no leader.
+    /// The highest index that is synced at a majority. `None` unless this member leads.
     fn quorum_index(&self) -> Option<u64> {
         let Role::Leader(state) = &self.role else {
             return None;
@@ -43,9 +44,9 @@
         self.quorum_value(synced)
     }
 
-    /// It is agreed that this member does not vote.
+    /// Whether a committed change of the voters has removed this member.
     fn is_removed(&self) -> bool {
-        let (voters, changed_at) = self.log.voters();
-        !voters.contains(&self.own_voter()) && changed_at <= self.commit_index
+        let current = self.log.voters();
+        !current.voters.contains(&self.own_voter()) && current.since_index <= self.commit_index
     }
 }
--- a/crates/dispatcher/raft/src/raft/election.rs
+++ b/crates/dispatcher/raft/src/raft/election.rs
@@ -1,34 +1,53 @@
-//! Elections: pre-vote, votes, terms.
+//! Elections: pre-vote, votes and terms (Raft, 5.2 and 5.4.1; thesis, 9.6).
 
-use super::progress::LeaderState;
-use super::{Candidacy, Raft, Role};
+use std::collections::BTreeSet;
+
+use super::leader_state::LeaderState;
+use super::{Raft, Role};
 use crate::entry::{Entry, EntryPayload};
 use crate::log_position::LogPosition;
 use crate::message::{MessageBody, VoteReply, VoteRequest};
 use crate::voter::Voter;
-use std::collections::BTreeSet;
+
+/// A candidate's election.
+#[derive(Clone, Debug)]
+pub(super) struct Candidacy {
+    /// A pre-vote: asks whether votes would be granted, before the term is raised.
+    pre_vote: bool,
+    /// The term of the election.
+    term: u64,
+    /// The voters that granted their votes.
+    granted: BTreeSet<Voter>,
+}
 
 impl Raft {
-    /// Asks all voters for their votes; with `pre_vote` only whether they would give them.
-    pub(super) fn start_election(&mut self, now: f64, pre_vote: bool) {
+    /// Asks all voters whether they would grant their votes.
+    pub(super) fn start_pre_vote(&mut self, now: f64) {
+        if self.can_vote() {
+            self.campaign(now, true, self.term + 1);
+        }
+    }
+
+    /// Raises the term and asks all voters for their votes.
+    fn start_election(&mut self, now: f64) {
         if !self.can_vote() {
             return;
         }
-        if !pre_vote {
-            (self.term, self.vote) = (self.term + 1, Some(self.id));
-            self.write_term();
-        }
+        (self.term, self.vote) = (self.term + 1, Some(self.id));
+        self.write_term();
+        self.campaign(now, false, self.term);
+    }
+
+    fn campaign(&mut self, now: f64, pre_vote: bool, election_term: u64) {
         self.leader = None;
-        let term = if pre_vote { self.term + 1 } else { self.term };
-        let granted = BTreeSet::from([self.own_voter()]);
         self.role = Role::Candidate(Candidacy {
             pre_vote,
-            term,
-            granted,
+            term: election_term,
+            granted: BTreeSet::from([self.own_voter()]),
         });
         self.request_votes(VoteRequest {
             pre_vote,
-            election_term: term,
+            election_term,
             last: self.log.last_position(),
         });
         self.count_votes(now);
@@ -50,7 +69,7 @@
             return;
         }
         match candidacy.pre_vote {
-            true => self.start_election(now, false),
+            true => self.start_election(now),
             false => self.become_leader(now),
         }
     }
@@ -59,18 +78,18 @@
         let last = self.log.last_position();
         self.leader = Some(self.id);
         self.role = Role::Leader(LeaderState::new(now, &self.other_members(), last.index));
-        self.push(Entry::after(&last, self.term, EntryPayload::Noop));
+        self.append(Entry::after(&last, self.term, EntryPayload::Noop));
         self.tick_leader(now);
     }
 
-    /// Follows `leader` from now on, if it is known.
+    /// Becomes a follower, of `leader` if it is known.
     pub(super) fn step_down(&mut self, now: f64, leader: Option<u64>) {
         self.role = Role::Follower;
         self.leader = leader;
         self.reset_election_timer(now);
     }
 
-    /// Takes up a later term.
+    /// Adopts a higher term and steps down (Raft, 5.1).
     pub(super) fn raise_term(&mut self, now: f64, term: u64) {
         if term > self.term {
             (self.term, self.vote) = (term, None);
@@ -79,34 +98,33 @@
         }
     }
 
+    /// Answers a candidate.
     pub(super) fn receive_vote_request(&mut self, now: f64, from: u64, request: VoteRequest) {
         let VoteRequest {
             pre_vote,
             election_term,
             last,
         } = request;
-        // Guards against one that was cut off, or is being removed, unseating a leader that the others hear.
+        // A partitioned or removed member must not depose a leader that the others are in contact with (thesis, 4.2.3).
         if self.rollback_check.is_some() || self.has_live_leader(now) {
             return;
         }
-        let up_to_date = self.is_up_to_date(last);
+        let is_up_to_date = self.is_up_to_date(last);
         let granted = if election_term < self.term {
-            // So that it learns of the term: nobody else may be able to win.
+            // Still answered, so that the candidate learns of the term: no other member may be able to win.
             false
         } else if pre_vote {
-            election_term > self.term && up_to_date
+            election_term > self.term && is_up_to_date
         } else {
             self.raise_term(now, election_term);
-            up_to_date && self.grant_vote(now, from)
+            is_up_to_date && self.grant_vote(now, from)
+        };
+        let reply = VoteReply {
+            pre_vote,
+            election_term,
+            granted,
         };
-        self.send(
-            from,
-            MessageBody::VoteReply(VoteReply {
-                pre_vote,
-                election_term,
-                granted,
-            }),
-        );
+        self.send(from, MessageBody::VoteReply(reply));
     }
 
     fn has_live_leader(&self, now: f64) -> bool {
@@ -114,13 +132,13 @@
         self.is_leader() || self.leader.is_some() && recent_contact
     }
 
-    /// A log that ends at `last` lacks nothing that this one has (Raft, 5.4.1).
+    /// Whether a log that ends at `last` holds everything that this one may have committed (Raft, 5.4.1).
     fn is_up_to_date(&self, last: LogPosition) -> bool {
         let own = self.log.last_position();
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// Votes for a candidate in the current term, unless it has voted for another.
+    /// Votes for a candidate in the current term; false if this member has voted for another.
     fn grant_vote(&mut self, now: f64, candidate: u64) -> bool {
         if self.vote.is_some_and(|member| member != candidate) {
             return false;
@@ -133,6 +151,7 @@
         true
     }
 
+    /// Counts a vote.
     pub(super) fn receive_vote_reply(
         &mut self,
         now: f64,
@@ -140,13 +159,14 @@
         term: u64,
         reply: VoteReply,
     ) {
-        // Of a later term: this member's own is over. A granted vote says nothing of terms.
+        // A higher term ends this member's election; a granted vote never carries one.
         self.raise_term(now, term);
         let Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
-        let current = (reply.pre_vote, reply.election_term) == (candidacy.pre_vote, candidacy.term);
-        if reply.granted && current {
+        let is_current =
+            (reply.pre_vote, reply.election_term) == (candidacy.pre_vote, candidacy.term);
+        if reply.granted && is_current {
             candidacy.granted.insert(from);
             self.count_votes(now);
         }
--- a/crates/dispatcher/raft/src/raft/leader.rs
+++ b/crates/dispatcher/raft/src/raft/leader.rs
@@ -1,19 +1,21 @@
-//! A leader's turn: heartbeats, proposals, and stepping down when it is cut off.
+//! The leader: proposals, heartbeats, and stepping down without a majority.
 
-use super::progress::LeaderState;
+use super::leader_state::LeaderState;
+use super::replication::Occasion;
 use super::{Raft, Role};
 use crate::entry::{Entry, EntryPayload};
 use crate::error::RaftError;
 use crate::log_position::LogPosition;
 use crate::voter::Voter;
 
-/// All that is sent again or caught up with in one heartbeat, by all followers together: catching up is load, and it
-/// comes when there is least to spare. 64 KiB in each of ten heartbeats a second.
+/// Bytes that are resent or sent to lagging followers in one heartbeat interval, all followers together: catching up
+/// is load, and comes when there is least to spare. 640 KiB/s at ten heartbeats a second.
 const MAX_CATCH_UP_BYTES: usize = 64 << 10;
-/// A leader that a majority has not answered for so many election timeouts steps down.
+/// A leader without answers of a majority for this many election timeouts steps down (thesis, 6.2).
 const CONTACT_TIMEOUTS: f64 = 2.0;
 
 impl Raft {
+    /// The leader's state; `None` unless this member leads.
     pub(super) fn leader_state(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
             Role::Leader(state) => Some(state),
@@ -21,20 +23,25 @@
         }
     }
 
-    /// Puts a command of the host's on the log; where it will stand if it is agreed. `None` if this is no leader.
+    /// Appends a command of the host to the log and replicates it. Returns the position at which it stands if it is
+    /// committed; another leader may replace it before.
+    ///
+    /// # Errors
+    ///
+    /// [`RaftError::NotLeader`] unless this member leads.
     pub fn propose(&mut self, now: f64, command: Vec<u8>) -> Result<LogPosition, RaftError> {
         if !self.is_leader() {
             return Err(RaftError::NotLeader);
         }
-        Ok(self.append_own(now, EntryPayload::Command(command)))
+        Ok(self.append_and_replicate(now, EntryPayload::Command(command)))
     }
 
-    /// Appends an entry as the leader, and sends it.
-    pub(super) fn append_own(&mut self, now: f64, payload: EntryPayload) -> LogPosition {
+    /// Appends an entry of the current term, and replicates it.
+    pub(super) fn append_and_replicate(&mut self, now: f64, payload: EntryPayload) -> LogPosition {
         let entry = Entry::after(&self.log.last_position(), self.term, payload);
         let position = entry.position;
-        self.push(entry);
-        self.replicate(now, false);
+        self.append(entry);
+        self.replicate(now, Occasion::NewEntries);
         position
     }
 
@@ -46,7 +53,7 @@
         if now < state.next_heartbeat {
             return;
         }
-        // Guards against a leader that was cut off and believes on: it stops, and says so to who asks it.
+        // A partitioned leader must not go on: its clients would wait for it in vain.
         if !self.has_quorum_contact(now, state) {
             return self.step_down(now, None);
         }
@@ -56,11 +63,11 @@
         };
         state.next_heartbeat = now + heartbeat_s;
         state.round += 1;
-        state.catch_up_left = MAX_CATCH_UP_BYTES;
-        self.replicate(now, true);
+        state.catch_up_bytes_left = MAX_CATCH_UP_BYTES;
+        self.replicate(now, Occasion::Heartbeat);
     }
 
-    /// A majority has answered lately, or the term is too young to tell.
+    /// Whether a majority has answered lately, or the term is too young to tell.
     fn has_quorum_contact(&self, now: f64, state: &LeaderState) -> bool {
         let window_s = CONTACT_TIMEOUTS * self.timing.election_timeout_s;
         let in_contact = |voter: &Voter| {
@@ -68,6 +75,6 @@
             voter.member == self.id
                 || progress.is_some_and(|progress| now < progress.last_contact + window_s)
         };
-        now < state.began + window_s || self.is_quorum(in_contact)
+        now < state.since + window_s || self.is_quorum(in_contact)
     }
 }
--- a/crates/dispatcher/raft/src/raft/read_index.rs
+++ b/crates/dispatcher/raft/src/raft/read_index.rs
@@ -1,59 +1,95 @@
-//! Linearizable reads: the commit index, once a majority has confirmed that the leader still is one.
+//! Linearizable reads by ReadIndex (thesis, 6.4): the commit index at the time of the read, once a majority has
+//! confirmed that the leader still leads.
 
-use super::progress::PendingRead;
+use std::collections::BTreeMap;
+
+use super::replication::Occasion;
 use super::{Raft, Role};
 use crate::message::MessageBody;
 use crate::voter::Voter;
 
-/// Reads waiting at a leader at once.
+/// Reads that may wait at a leader at once; further ones are dropped, and their callers ask again.
 const MAX_PENDING_READS: usize = 256;
-/// Answers of a leader that are kept.
+/// Read indexes received from a leader that are kept.
 const MAX_READ_RESULTS: usize = 64;
 
+/// A read that waits for a majority to confirm the leader.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PendingRead {
+    /// The member that asked.
+    member: u64,
+    /// The asker's number of the read.
+    number: u64,
+    /// The heartbeat round that a majority has to confirm.
+    round: u64,
+    /// The commit index when the read was asked.
+    index: u64,
+}
+
+/// The reads that this member asked for.
+#[derive(Clone, Debug)]
+pub(super) struct ReadResults {
+    last_number: u64,
+    /// Read indexes by number.
+    index_by_number: BTreeMap<u64, u64>,
+}
+
+impl ReadResults {
+    /// No reads yet; numbers go on from `last_number`. It should differ between processes of one member: an answer
+    /// to an earlier process may still arrive.
+    pub(super) fn new(last_number: u64) -> ReadResults {
+        ReadResults {
+            last_number,
+            index_by_number: BTreeMap::new(),
+        }
+    }
+}
+
 impl Raft {
-    /// Asks up to where all was agreed when it is asked; `read_index` has the answer once a majority has confirmed
-    /// that the leader still is one.
+    /// Starts a linearizable read and returns its number. [`read_index`](Raft::read_index) has the result once a
+    /// majority has confirmed the leader. There is none if this member knows no leader or a message is lost: the host
+    /// asks again after a time-out of its own.
     pub fn read(&mut self, now: f64) -> u64 {
-        self.read_number += 1;
-        let number = self.read_number;
+        self.reads.last_number += 1;
+        let number = self.reads.last_number;
         match self.leader {
             Some(leader) if leader != self.id => {
-                self.send(leader, MessageBody::ReadIndex { number })
+                self.send(leader, MessageBody::ReadIndex { number });
             }
             _ => self.start_read(now, self.id, number),
         }
         number
     }
 
-    /// The answer to a read, if it has come.
+    /// The index that the host must have applied before it answers a read; `None` until it is known.
     pub fn read_index(&self, number: u64) -> Option<u64> {
-        self.read_results.get(&number).copied()
+        self.reads.index_by_number.get(&number).copied()
     }
 
-    /// A leader's part: notes the read and asks all to confirm.
+    /// Registers a read at the leader, and starts the round that confirms it.
     pub(super) fn start_read(&mut self, now: f64, member: u64, number: u64) {
         let index = self.commit_index;
-        // Before this term has agreed on something, a leader does not know what was agreed before.
-        let knows_commit = self.is_of_own_term(index);
+        // Before a leader has committed an entry of its term, it does not know what was committed before.
+        let knows_commit_index = self.is_of_current_term(index);
         let Some(state) = self.leader_state() else {
             return;
         };
-        if !knows_commit || state.reads.len() >= MAX_PENDING_READS {
+        if !knows_commit_index || state.pending_reads.len() >= MAX_PENDING_READS {
             return;
         }
         state.round += 1;
         let round = state.round;
-        state.reads.push(PendingRead {
+        state.pending_reads.push(PendingRead {
             member,
             number,
             round,
             index,
         });
-        self.replicate(now, true);
+        self.replicate(now, Occasion::Heartbeat);
         self.answer_reads();
     }
 
-    /// Answers the reads that a majority has confirmed this leader after.
+    /// Answers the reads whose round a majority has confirmed.
     pub(super) fn answer_reads(&mut self) {
         let Some(confirmed) = self.confirmed_round() else {
             return;
@@ -61,29 +97,31 @@
         let Some(state) = self.leader_state() else {
             return;
         };
-        let reads = std::mem::take(&mut state.reads);
-        let (done, waiting): (Vec<PendingRead>, Vec<PendingRead>) =
+        let reads = std::mem::take(&mut state.pending_reads);
+        let (done, pending): (Vec<PendingRead>, Vec<PendingRead>) =
             reads.into_iter().partition(|read| read.round <= confirmed);
-        state.reads = waiting;
-        done.into_iter().for_each(|read| self.answer_read(read));
+        state.pending_reads = pending;
+        for read in done {
+            self.answer_read(read);
+        }
     }
 
-    /// The highest round that a majority has answered. `None` if no read waits.
+    /// The highest round that a majority has confirmed. `None` if no read waits.
     fn confirmed_round(&self) -> Option<u64> {
         let Role::Leader(state) = &self.role else {
             return None;
         };
-        if state.reads.is_empty() {
+        if state.pending_reads.is_empty() {
             return None;
         }
         let own_voter = self.own_voter();
-        let answered = |voter: &Voter| match *voter == own_voter {
+        let confirmed = |voter: &Voter| match *voter == own_voter {
             true => u64::MAX,
             false => state
                 .progress_of(voter)
                 .map_or(0, |progress| progress.round),
         };
-        self.quorum_value(answered)
+        self.quorum_value(confirmed)
     }
 
     fn answer_read(&mut self, read: PendingRead) {
@@ -94,17 +132,18 @@
             ..
         } = read;
         if member == self.id {
-            self.read_results.insert(number, index);
+            self.reads.index_by_number.insert(number, index);
         } else {
             self.send(member, MessageBody::ReadIndexReply { number, index });
         }
     }
 
-    /// A leader has answered.
+    /// Keeps a leader's answer.
     pub(super) fn receive_read_index_reply(&mut self, number: u64, index: u64) {
-        self.read_results.insert(number, index);
-        while self.read_results.len() > MAX_READ_RESULTS {
-            self.read_results.pop_first();
+        let results = &mut self.reads.index_by_number;
+        results.insert(number, index);
+        while results.len() > MAX_READ_RESULTS {
+            results.pop_first();
         }
     }
 }
--- a/crates/dispatcher/raft/src/raft/receive.rs
+++ b/crates/dispatcher/raft/src/raft/receive.rs
@@ -1,20 +1,18 @@
 //! Dispatch of received messages.
 
-use super::rollback_check::Peer;
 use super::{Raft, Role};
+use crate::disk_record::DiskWatermark;
 use crate::error::RaftError;
 use crate::message::{AppendEntries, AppendReply, Message, MessageBody, SnapshotChunk};
 use crate::voter::Voter;
 
-/// A member with one disk is forgotten when it was not heard of for so long, seconds.
-const FORGET_VOTER_S: f64 = 30.0;
-
 impl Raft {
-    /// Takes a message from another member.
+    /// Takes a message from another member. A member with a fault ignores it.
     ///
     /// # Errors
     ///
-    /// `UnknownSender`, or `BrokenChain` and `InvalidSnapshotChunk` for content that no member can have written.
+    /// [`RaftError::UnknownSender`]; [`RaftError::BrokenChain`] and [`RaftError::InvalidSnapshotChunk`] for content
+    /// that no member can have sent unaltered. The message has no further effect then.
     pub fn receive(&mut self, now: f64, from: u64, message: Message) -> Result<(), RaftError> {
         if from == self.id || !self.members.contains(&from) {
             return Err(RaftError::UnknownSender { sender: from });
@@ -26,33 +24,14 @@
             member: from,
             disk: message.disk,
         };
-        self.note_watermark(message.disk, message.records_written);
-        self.note_sender(now, sender, &message.body);
+        self.watermarks.raise(DiskWatermark {
+            disk: message.disk,
+            records_written: message.records_written,
+        });
+        self.peers.record_message(now, sender, &message.body);
         self.dispatch(now, sender, message.term, message.body)
     }
 
-    fn note_sender(&mut self, now: f64, sender: Voter, body: &MessageBody) {
-        let Voter { member, disk } = sender;
-        let known = self.peers.get(&member).filter(|peer| peer.disk == disk);
-        let blank = match body {
-            MessageBody::DiskQuery { blank, .. } => *blank,
-            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) => false,
-            MessageBody::VoteRequest(_) => false,
-            _ => known.is_some_and(|peer| peer.blank),
-        };
-        self.peers.insert(
-            member,
-            Peer {
-                disk,
-                last_contact: now,
-                blank,
-            },
-        );
-        self.disk_contact_at.insert(sender, now);
-        self.disk_contact_at
-            .retain(|_, at| now < *at + FORGET_VOTER_S);
-    }
-
     fn dispatch(
         &mut self,
         now: f64,
@@ -75,13 +54,16 @@
             MessageBody::InstallSnapshot(chunk) => {
                 return self.receive_snapshot_chunk(now, from, term, chunk)
             }
-            MessageBody::AppendReply(reply) => self.receive_append_reply(now, sender, term, reply),
+            MessageBody::AppendReply(reply) => {
+                self.raise_term(now, term);
+                self.receive_append_reply(now, sender, term, reply);
+            }
             MessageBody::InstallSnapshotReply { position, offset } => {
                 self.receive_snapshot_reply(now, sender, position, offset);
             }
             MessageBody::ReadIndex { number } => self.start_read(now, from, number),
             MessageBody::ReadIndexReply { number, index } => {
-                self.receive_read_index_reply(number, index)
+                self.receive_read_index_reply(number, index);
             }
         }
         Ok(())
@@ -95,23 +77,18 @@
         request: AppendEntries,
     ) -> Result<(), RaftError> {
         if term < self.term {
-            let refusal = AppendReply {
+            let rejection = AppendReply {
                 success: false,
                 index: 0,
                 round: 0,
             };
-            self.send(from, MessageBody::AppendReply(refusal));
+            self.send(from, MessageBody::AppendReply(rejection));
             return Ok(());
         }
         self.follow(now, from, term);
         self.append_entries(from, request)
     }
 
-    fn receive_append_reply(&mut self, now: f64, from: Voter, term: u64, reply: AppendReply) {
-        self.raise_term(now, term);
-        self.apply_append_reply(now, from, term, reply);
-    }
-
     fn receive_snapshot_chunk(
         &mut self,
         now: f64,
@@ -126,6 +103,7 @@
         self.install_snapshot_chunk(from, chunk)
     }
 
+    /// Acknowledges the sender as the leader of its term (Raft, 5.2).
     fn follow(&mut self, now: f64, leader: u64, term: u64) {
         self.raise_term(now, term);
         if !matches!(self.role, Role::Follower) || self.leader != Some(leader) {
--- a/crates/dispatcher/raft/src/raft/rollback_check.rs
+++ b/crates/dispatcher/raft/src/raft/rollback_check.rs
@@ -1,29 +1,37 @@
-//! What members remember of each other's disks, and the check of the own disk after a start. Guards against an old
-//! copy of a disk: what it promised since is not on it, and others may know.
+//! Detection of a disk that was rolled back to an older copy of itself.
+//!
+//! Raft assumes that stable storage never forgets. A restored backup or a reverted virtual disk does: the votes and
+//! entries acknowledged since are gone, and a second leader or a lost entry can follow. Other members know how many
+//! records the disk has held ([`DiskWatermark`](crate::DiskWatermark)), so a member that starts with a disk that is not
+//! blank asks them first, and neither votes nor acknowledges until enough have answered. The same danger and cure as in
+//! rollback protection of trusted storage (Matetic et al., ROTE, USENIX Security 2017).
+
+use std::collections::BTreeSet;
 
 use super::Raft;
 use crate::disk_record::DiskWatermark;
 use crate::error::RaftError;
 use crate::message::MessageBody;
 use crate::voter::Voter;
-use std::collections::BTreeSet;
 
-/// A check that not all voters have answered takes at least so long, seconds.
+/// Shortest duration of a check that not all voters have answered, seconds.
 const MIN_CHECK_S: f64 = 1.0;
 /// Interval of queries, seconds.
 pub(super) const QUERY_INTERVAL_S: f64 = 0.2;
-/// A voter's disk that was not heard of for so long, while its member is there with another, is gone; seconds.
-const DISK_LOST_S: f64 = 1.0;
 
-/// A check of the own disk under way.
+/// A running check of this member's disk.
 #[derive(Clone, Debug)]
 pub(super) struct RollbackCheck {
+    /// When the check began, seconds.
     since: f64,
+    /// When the next query is due, seconds.
     pub(super) next_query: f64,
+    /// The members that answered this process.
     answered: BTreeSet<u64>,
 }
 
 impl RollbackCheck {
+    /// A check that begins now.
     pub(super) fn new(now: f64) -> RollbackCheck {
         RollbackCheck {
             since: now,
@@ -33,63 +41,15 @@
     }
 }
 
-/// What is known of another member.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Peer {
-    pub(super) disk: u64,
-    pub(super) last_contact: f64,
-    /// Its disk belongs to no log yet.
-    pub(super) blank: bool,
-}
-
 impl Raft {
-    pub(super) fn note_watermarks(&mut self, disks: Vec<DiskWatermark>) {
-        disks
-            .into_iter()
-            .for_each(|known| self.note_watermark(known.disk, known.records_written));
-    }
-
-    pub(super) fn note_watermark(&mut self, disk: u64, records_written: u64) {
-        let most = self.known_watermarks.entry(disk).or_default();
-        if records_written > *most {
-            *most = records_written;
-            self.unsaved_watermarks.insert(disk, records_written);
-        }
-    }
-
-    /// What is known of the voters' disks; the others promise nothing.
+    /// The known watermarks of the voters' disks; other disks hold no votes or acknowledged entries.
     pub(super) fn voters_watermarks(&self) -> Vec<DiskWatermark> {
         let voters = self.voters();
-        let is_voter = |disk: &u64| voters.iter().any(|voter| voter.disk == *disk);
-        let known = self
-            .known_watermarks
-            .iter()
-            .filter(|(disk, _)| is_voter(disk));
-        known
-            .map(|(&disk, &records_written)| DiskWatermark {
-                disk,
-                records_written,
-            })
-            .collect()
+        self.watermarks
+            .filter(|disk| voters.iter().any(|voter| voter.disk == disk))
     }
 
-    /// A voter's disk is gone: the member comes with another, and this one is not heard of any more. Guards against
-    /// a message of a former disk that comes late.
-    pub(super) fn is_disk_lost(&self, now: f64, voter: &Voter) -> bool {
-        let last_contact = self
-            .disk_contact_at
-            .get(voter)
-            .copied()
-            .unwrap_or(f64::NEG_INFINITY);
-        let same_member = |other: &Voter| other.member == voter.member && other.disk != voter.disk;
-        let mut replacements = self
-            .disk_contact_at
-            .iter()
-            .filter(|(other, _)| same_member(other));
-        now > last_contact + DISK_LOST_S && replacements.any(|(_, at)| now < at + 0.5 * DISK_LOST_S)
-    }
-
-    /// Ends the check once enough have answered; asks again otherwise.
+    /// Ends the check once enough members have answered; queries again otherwise.
     pub(super) fn tick_rollback_check(&mut self, now: f64) {
         let Some(check) = &self.rollback_check else {
             return;
@@ -104,8 +64,8 @@
         }
     }
 
-    /// All voters have answered; or a majority with a leader that leads now: what was promised to earlier ones is in
-    /// its log. One alone may not know what another that is cut off does.
+    /// All other voters have answered; or a majority, the current leader among them: everything acknowledged to
+    /// earlier leaders is in its log. A minority may lack what a partitioned member knows.
     fn is_rollback_check_complete(&self, now: f64, check: &RollbackCheck) -> bool {
         let others = self.other_voters_or_initial();
         let answered = others
@@ -118,14 +78,14 @@
         let leader_answered = self
             .leader
             .is_some_and(|leader| check.answered.contains(&leader));
-        let led = leader_answered && self.leader_contact_at >= check.since;
-        let majority = 2 * (answered + 1) > others.len() + 1;
-        led && majority && now >= check.since + MIN_CHECK_S
+        let has_current_leader = leader_answered && self.leader_contact_at >= check.since;
+        let has_majority = 2 * (answered + 1) > others.len() + 1;
+        has_current_leader && has_majority && now >= check.since + MIN_CHECK_S
     }
 
+    /// The initial voters count for a member without a log: with a term on its disk it may have voted.
     fn other_voters_or_initial(&self) -> Vec<u64> {
         let mut voters: Vec<u64> = self.voters().iter().map(|voter| voter.member).collect();
-        // One that holds a term and no log may have voted all the same.
         if voters.is_empty() {
             voters = self.initial_voters.clone();
         }
@@ -133,7 +93,7 @@
         voters
     }
 
-    /// Asks all others what they know of this disk.
+    /// Asks all other members for the watermark of this disk.
     pub(super) fn query_disk(&mut self, blank: bool) {
         let query = MessageBody::DiskQuery {
             nonce: self.nonce,
@@ -144,26 +104,25 @@
         }
     }
 
+    /// Answers another member's query.
     pub(super) fn receive_disk_query(&mut self, from: Voter, nonce: u64) {
-        let records_written = self.known_watermarks.get(&from.disk).copied().unwrap_or(0);
-        self.send(
-            from.member,
-            MessageBody::DiskReport {
-                nonce,
-                records_written,
-            },
-        );
+        let report = MessageBody::DiskReport {
+            nonce,
+            records_written: self.watermarks.of(from.disk),
+        };
+        self.send(from.member, report);
     }
 
-    pub(super) fn receive_disk_report(&mut self, from: u64, nonce: u64, records_written: u64) {
+    /// Compares another member's watermark of this disk with what the disk holds.
+    pub(super) fn receive_disk_report(&mut self, from: u64, nonce: u64, records_known: u64) {
         if nonce != self.nonce {
             return;
         }
-        // What it has written since its start went on from what the disk held then.
-        if records_written > self.records_written {
+        // Records written since the start come on top of what the disk held then, so the comparison stays valid.
+        if records_known > self.records_written {
             self.fault = Some(RaftError::DiskRolledBack {
                 records_here: self.records_written,
-                records_known: records_written,
+                records_known,
             });
         }
         if let Some(check) = &mut self.rollback_check {
--- a/crates/dispatcher/raft/src/raft/snapshot_receiver.rs
+++ b/crates/dispatcher/raft/src/raft/snapshot_receiver.rs
@@ -1,4 +1,4 @@
-//! A follower's part of the transfer of a snapshot.
+//! The follower's side of the transfer of a snapshot (Raft, 7).
 
 use super::Raft;
 use crate::error::RaftError;
@@ -7,15 +7,16 @@
 use crate::output::SnapshotProgress;
 use crate::snapshot::Snapshot;
 
-/// A larger snapshot is refused: it holds settings and operators' words, not work.
+/// Largest snapshot that is accepted, bytes: a snapshot holds settings and operators' commands, not work items.
 const MAX_SNAPSHOT_BYTES: u64 = 8 << 20;
 
-/// A snapshot on its way here.
+/// A snapshot that is being received.
 #[derive(Clone, Debug)]
 pub(super) struct IncomingSnapshot {
     position: LogPosition,
     total_bytes: u64,
     checksum: u64,
+    /// The serialized snapshot from its start, as far as it has arrived.
     bytes: Vec<u8>,
 }
 
@@ -29,24 +30,24 @@
         }
     }
 
-    fn is_of(&self, chunk: &SnapshotChunk) -> bool {
+    fn includes(&self, chunk: &SnapshotChunk) -> bool {
         (self.position, self.total_bytes, self.checksum)
             == (chunk.position, chunk.total_bytes, chunk.checksum)
     }
 
-    fn received(&self) -> u64 {
+    fn received_bytes(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// How much has come, and of how much.
+    /// How much has arrived.
     pub(super) fn progress(&self) -> SnapshotProgress {
         SnapshotProgress {
-            received_bytes: self.received(),
+            received_bytes: self.received_bytes(),
             total_bytes: self.total_bytes,
         }
     }
 
-    /// The whole, if it arrived unaltered.
+    /// The complete snapshot, if it arrived unaltered.
     fn decode(&self) -> Option<Snapshot> {
         if Snapshot::checksum(&self.bytes) != self.checksum {
             return None;
@@ -57,17 +58,19 @@
 }
 
 impl Raft {
-    /// Takes a part of a leader's snapshot. False for one that no leader can have sent.
+    /// Takes a chunk, and installs the snapshot once it is complete.
+    ///
+    /// # Errors
+    ///
+    /// [`RaftError::InvalidSnapshotChunk`] for a chunk out of bounds, or when the complete snapshot does not match its
+    /// checksum; the transfer then starts again.
     pub(super) fn install_snapshot_chunk(
         &mut self,
         from: u64,
         chunk: SnapshotChunk,
     ) -> Result<(), RaftError> {
-        let SnapshotChunk {
-            position,
-            total_bytes,
-            ..
-        } = chunk;
+        let position = chunk.position;
+        let total_bytes = chunk.total_bytes;
         let invalid = RaftError::InvalidSnapshotChunk {
             index: position.index,
         };
@@ -80,37 +83,36 @@
             self.acknowledge_snapshot(from, position, total_bytes);
             return Ok(());
         }
-        let incoming_snapshot = self.extend_incoming(chunk);
-        let received = incoming_snapshot.received();
-        if received < total_bytes {
-            self.incoming_snapshot = Some(incoming_snapshot);
-            self.acknowledge_snapshot(from, position, received);
+        let incoming = self.extend_incoming(chunk);
+        let received_bytes = incoming.received_bytes();
+        if received_bytes < total_bytes {
+            self.incoming_snapshot = Some(incoming);
+            self.acknowledge_snapshot(from, position, received_bytes);
             return Ok(());
         }
-        let Some(snapshot) = incoming_snapshot.decode() else {
-            // Altered on the way: from the start.
+        let Some(snapshot) = incoming.decode() else {
             self.acknowledge_snapshot(from, position, 0);
             return Err(invalid);
         };
-        self.install(snapshot);
+        self.install_snapshot(snapshot);
         self.acknowledge_snapshot(from, position, total_bytes);
         Ok(())
     }
 
-    /// The same bytes from another sender go on where the last one stopped.
+    /// The received part with this chunk. A new leader that sends the same bytes continues where the former stopped.
     fn extend_incoming(&mut self, chunk: SnapshotChunk) -> IncomingSnapshot {
         let current = self
             .incoming_snapshot
             .take()
-            .filter(|incoming_snapshot| incoming_snapshot.is_of(&chunk));
-        let mut incoming_snapshot = current.unwrap_or_else(|| IncomingSnapshot::new(&chunk));
-        if incoming_snapshot.received() == chunk.offset {
-            incoming_snapshot.bytes.extend(chunk.data);
+            .filter(|incoming| incoming.includes(&chunk));
+        let mut incoming = current.unwrap_or_else(|| IncomingSnapshot::new(&chunk));
+        if incoming.received_bytes() == chunk.offset {
+            incoming.bytes.extend(chunk.data);
         }
-        incoming_snapshot
+        incoming
     }
 
-    fn install(&mut self, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         self.commit_index = snapshot.position.index;
         self.log.install(snapshot);
         self.persisted_index = self.persisted_index.min(self.log.last_position().index);
--- a/crates/dispatcher/raft/src/raft/snapshot_sender.rs
+++ b/crates/dispatcher/raft/src/raft/snapshot_sender.rs
@@ -1,79 +1,97 @@
-//! A leader's part of the transfer of a snapshot.
+//! The leader's side of the transfer of a snapshot (Raft, 7).
 
-use super::progress::{Progress, SerializedSnapshot};
+use std::rc::Rc;
+
+use super::progress::Progress;
 use super::Raft;
 use crate::log_position::LogPosition;
 use crate::message::{MessageBody, SnapshotChunk};
 use crate::snapshot::Snapshot;
 use crate::voter::Voter;
-use std::rc::Rc;
 
-/// Bytes of one part.
+/// Size of one chunk, bytes.
 const CHUNK_BYTES: usize = 32 << 10;
 
+/// A snapshot as it is sent; serialized once for all followers.
+#[derive(Clone, Debug)]
+pub(super) struct SerializedSnapshot {
+    position: LogPosition,
+    bytes: Rc<Vec<u8>>,
+    checksum: u64,
+}
+
+impl SerializedSnapshot {
+    fn new(snapshot: &Snapshot) -> SerializedSnapshot {
+        // Serializing to a vector fails only for types without a known length, and a snapshot has none.
+        let bytes = postcard::to_allocvec(snapshot).unwrap_or_default();
+        SerializedSnapshot {
+            position: snapshot.position,
+            checksum: Snapshot::checksum(&bytes),
+            bytes: Rc::new(bytes),
+        }
+    }
+
+    fn total_bytes(&self) -> u64 {
+        self.bytes.len() as u64
+    }
+
+    fn chunk(&self, offset: u64) -> SnapshotChunk {
+        let offset = offset.min(self.total_bytes());
+        let rest = &self.bytes[offset as usize..];
+        SnapshotChunk {
+            position: self.position,
+            total_bytes: self.total_bytes(),
+            checksum: self.checksum,
+            offset,
+            data: rest[..rest.len().min(CHUNK_BYTES)].to_vec(),
+        }
+    }
+}
+
 impl Raft {
-    /// Sends the next part, unless an answer is awaited or nothing is left for catching up.
+    /// Sends a follower its next chunk, unless an answer is awaited or the catch-up budget is used up.
     pub(super) fn send_snapshot_chunk(&mut self, now: f64, member: u64) {
         let retry_s = self.retry_s();
         let Some(state) = self.leader_state() else {
             return;
         };
-        let budget_left = state.catch_up_left > 0;
+        let has_budget = state.catch_up_bytes_left > 0;
         let Some(progress) = state.followers.get_mut(&member) else {
             return;
         };
-        if progress.awaits_reply(now, retry_s) || !budget_left || progress.disk == 0 {
+        let has_answered = progress.disk != 0;
+        if progress.awaits_reply(now, retry_s) || !has_budget || !has_answered {
             return;
         }
         progress.pending_since = Some(now);
         let offset = progress.snapshot_offset;
-        if let Some(chunk) = self.snapshot_chunk(offset) {
+        if let Some(chunk) = self.next_chunk(offset) {
             self.send(member, MessageBody::InstallSnapshot(chunk));
         }
     }
 
-    fn snapshot_chunk(&mut self, offset: u64) -> Option<SnapshotChunk> {
-        let SerializedSnapshot {
-            position,
-            bytes,
-            checksum,
-        } = self.serialized_snapshot()?;
-        let size = bytes.len() as u64;
-        let offset = offset.min(size);
-        let rest = &bytes[offset as usize..];
-        let chunk = rest[..rest.len().min(CHUNK_BYTES)].to_vec();
+    fn next_chunk(&mut self, offset: u64) -> Option<SnapshotChunk> {
+        let chunk = self.serialized_snapshot()?.chunk(offset);
         let state = self.leader_state()?;
-        state.catch_up_left = state.catch_up_left.saturating_sub(chunk.len());
-        Some(SnapshotChunk {
-            position,
-            total_bytes: size,
-            checksum,
-            offset,
-            data: chunk,
-        })
+        state.catch_up_bytes_left = state.catch_up_bytes_left.saturating_sub(chunk.data.len());
+        Some(chunk)
     }
 
-    /// The current snapshot, serialized once.
+    /// The current snapshot, serialized when it is first sent.
     fn serialized_snapshot(&mut self) -> Option<SerializedSnapshot> {
         let snapshot = self.log.snapshot.clone();
         let state = self.leader_state()?;
-        if state
-            .serialized
+        let is_current = state
+            .serialized_snapshot
             .as_ref()
-            .is_none_or(|serialized| serialized.position != snapshot.position)
-        {
-            let bytes = postcard::to_allocvec(&*snapshot).unwrap_or_default();
-            let checksum = Snapshot::checksum(&bytes);
-            state.serialized = Some(SerializedSnapshot {
-                position: snapshot.position,
-                bytes: Rc::new(bytes),
-                checksum,
-            });
+            .is_some_and(|serialized| serialized.position == snapshot.position);
+        if !is_current {
+            state.serialized_snapshot = Some(SerializedSnapshot::new(&snapshot));
         }
-        state.serialized.clone()
+        state.serialized_snapshot.clone()
     }
 
-    /// A follower says how much of a snapshot it has.
+    /// Takes a follower's acknowledgement of a chunk.
     pub(super) fn receive_snapshot_reply(
         &mut self,
         now: f64,
@@ -85,31 +103,32 @@
             return;
         };
         let current = state
-            .serialized
+            .serialized_snapshot
             .as_ref()
             .filter(|serialized| serialized.position == position);
-        let size = current.map(|serialized| serialized.bytes.len() as u64);
+        let total_bytes = current.map(SerializedSnapshot::total_bytes);
         let progress = state.followers.get_mut(&from.member);
         let Some(progress) = progress.filter(|progress| progress.disk == from.disk) else {
             return;
         };
-        let awaited = progress.record_reply(now);
-        note_snapshot_progress(progress, position, offset, size);
-        if awaited {
-            self.send_more(now, from.member);
+        let was_awaited = progress.record_reply(now);
+        record_offset(progress, position, offset, total_bytes);
+        if was_awaited {
+            self.continue_catch_up(now, from.member);
         }
     }
 }
 
-/// `size`: of the snapshot that is being sent, if it is this one still.
-fn note_snapshot_progress(
+/// `total_bytes`: the size of the snapshot; `None` if it is no longer the one that is sent, and the follower starts
+/// again with the current one.
+fn record_offset(
     progress: &mut Progress,
     position: LogPosition,
     offset: u64,
-    size: Option<u64>,
+    total_bytes: Option<u64>,
 ) {
-    match size {
-        Some(size) if offset >= size => {
+    match total_bytes {
+        Some(total_bytes) if offset >= total_bytes => {
             progress.snapshot_offset = 0;
             progress.match_index = progress.match_index.max(position.index);
             progress.next_index = progress.next_index.max(position.index + 1);
--- a/crates/dispatcher/raft/src/raft/timer.rs
+++ b/crates/dispatcher/raft/src/raft/timer.rs
@@ -1,17 +1,18 @@
-//! Timers: the election timeout, and what is due next.
+//! Timers: heartbeats, election timeouts, queries about the disk.
+
+use rand::Rng;
 
 use super::rollback_check::QUERY_INTERVAL_S;
 use super::{Raft, Role};
-use rand::Rng;
 
 impl Raft {
-    /// The next election timeout begins now: one to two times the configured one.
+    /// Draws the next election timeout: one to two times the configured one (Raft, 5.2).
     pub(super) fn reset_election_timer(&mut self, now: f64) {
-        let chunk: f64 = self.random.random();
-        self.election_deadline = now + self.timing.election_timeout_s * (1.0 + chunk);
+        let fraction: f64 = self.random.random();
+        self.election_deadline = now + self.timing.election_timeout_s * (1.0 + fraction);
     }
 
-    /// When `tick` is to be called next.
+    /// When [`tick`](Raft::tick) is to be called next, seconds. Any other call may change it.
     pub fn deadline(&self) -> f64 {
         let query = self
             .rollback_check
@@ -25,7 +26,7 @@
         protocol.min(query)
     }
 
-    /// Does what is due.
+    /// Does everything that is due: heartbeats, elections, queries about the disk. Harmless before the deadline.
     pub fn tick(&mut self, now: f64) {
         self.recover_from_pause(now);
         self.last_tick = now;
@@ -40,13 +41,14 @@
             Role::Leader(_) => self.tick_leader(now),
             _ if now >= self.election_deadline => {
                 self.reset_election_timer(now);
-                self.start_election(now, true);
+                self.start_pre_vote(now);
             }
             _ => {}
         }
     }
 
-    /// Guards against a process that was stopped and calls for votes, or sends as a leader, when it wakes.
+    /// A process that was stopped must neither start an election nor go on as leader when it continues: others have
+    /// moved on, and their messages wait in its sockets.
     fn recover_from_pause(&mut self, now: f64) {
         if now <= self.deadline() + self.timing.election_timeout_s {
             return;
--- a/crates/dispatcher/raft/src/raft_log.rs
+++ b/crates/dispatcher/raft/src/raft_log.rs
@@ -1,55 +1,70 @@
-//! The log as one member holds it: a snapshot, and the entries behind it.
+//! The log as one member holds it: a snapshot and the entries after it.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
 
 use crate::entry::{Entry, EntryPayload};
 use crate::log_position::LogPosition;
 use crate::snapshot::Snapshot;
 use crate::voter::Voter;
-use std::collections::VecDeque;
-use std::rc::Rc;
 
 /// The entries of one message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryBatch {
     /// The entries, in order.
     pub(crate) entries: Vec<Entry>,
-    /// Their size; the first one that did not fit is counted too.
+    /// Their size in bytes; the first one that did not fit is counted too.
     pub(crate) bytes: usize,
 }
 
-/// A snapshot and the entries behind it.
+/// The voters as of an index.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CurrentVoters<'a> {
+    /// The voters.
+    pub(crate) voters: &'a [Voter],
+    /// The index of the entry or snapshot that set them.
+    pub(crate) since_index: u64,
+}
+
+/// A snapshot and the entries after it.
+///
+/// Invariant: the entries follow the snapshot and one another without gaps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RaftLog {
-    /// All up to its place.
+    /// Covers everything up to its position.
     pub(crate) snapshot: Rc<Snapshot>,
-    /// What stands behind the snapshot, in order.
+    /// The entries after the snapshot, in order.
     pub(crate) entries: VecDeque<Entry>,
 }
 
 impl RaftLog {
-    /// The place of the snapshot.
+    /// The position of the last entry that the snapshot covers.
     pub(crate) fn snapshot_position(&self) -> LogPosition {
         self.snapshot.position
     }
 
-    /// The place of the last entry.
+    /// The position of the last entry.
     pub(crate) fn last_position(&self) -> LogPosition {
         self.entries
             .back()
             .map_or(self.snapshot_position(), |entry| entry.position)
     }
 
-    /// The mark at an index that is held.
+    /// The position at an index; `None` if the log has not reached it, or the snapshot has passed it.
     pub(crate) fn position_at(&self, index: u64) -> Option<LogPosition> {
         match index.checked_sub(self.snapshot_position().index)? {
             0 => Some(self.snapshot_position()),
-            n => self.entries.get(n as usize - 1).map(|entry| entry.position),
+            offset => self
+                .entries
+                .get(offset as usize - 1)
+                .map(|entry| entry.position),
         }
     }
 
-    /// The entry at an index, if it stands behind the snapshot.
+    /// The entry at an index, if it stands after the snapshot.
     pub(crate) fn entry(&self, index: u64) -> Option<&Entry> {
-        let n = index.checked_sub(self.snapshot_position().index + 1)?;
-        self.entries.get(n as usize)
+        let offset = index.checked_sub(self.snapshot_position().index + 1)?;
+        self.entries.get(offset as usize)
     }
 
     /// Entries from an index on, as many as fit `max_bytes`; with `at_least_one`, the first even if it does not.
@@ -58,8 +73,8 @@
         let mut index = from;
         while let Some(entry) = self.entry(index) {
             batch.bytes += entry.size_bytes();
-            let forced = at_least_one && batch.entries.is_empty();
-            if batch.bytes > max_bytes && !forced {
+            let is_forced = at_least_one && batch.entries.is_empty();
+            if batch.bytes > max_bytes && !is_forced {
                 break;
             }
             batch.entries.push(entry.clone());
@@ -68,34 +83,38 @@
         batch
     }
 
-    /// Drops everything from this index on.
+    /// Removes all entries from this index on.
     pub(crate) fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.snapshot_position().index + 1);
         self.entries.truncate(keep as usize);
     }
 
-    /// The voters as of the end of the log, agreed or not yet, and the index where that was said.
-    pub(crate) fn voters(&self) -> (&[Voter], u64) {
+    /// The voters as of the end of the log: a change counts from the entry on, committed or not (Raft, 6).
+    pub(crate) fn voters(&self) -> CurrentVoters<'_> {
         self.voters_at(self.last_position().index)
     }
 
-    /// The voters as of an index, and the index where that was said.
-    fn voters_at(&self, index: u64) -> (&[Voter], u64) {
+    fn voters_at(&self, index: u64) -> CurrentVoters<'_> {
         let earlier = self
             .entries
             .iter()
             .rev()
             .filter(|entry| entry.position.index <= index);
         let mut changes = earlier.filter_map(|entry| match &entry.payload {
-            EntryPayload::Voters(voters) => Some((voters.as_slice(), entry.position.index)),
+            EntryPayload::Voters(voters) => Some(CurrentVoters {
+                voters,
+                since_index: entry.position.index,
+            }),
             _ => None,
         });
-        changes
-            .next()
-            .unwrap_or((&self.snapshot.voters, self.snapshot_position().index))
+        changes.next().unwrap_or(CurrentVoters {
+            voters: &self.snapshot.voters,
+            since_index: self.snapshot_position().index,
+        })
     }
 
-    /// Puts a snapshot in place of all up to an index that is held.
+    /// Replaces everything up to an index by a snapshot. False if the index is not in the log, or in the snapshot
+    /// already.
     pub(crate) fn compact(&mut self, index: u64, state: Vec<u8>) -> bool {
         let Some(position) = self
             .position_at(index)
@@ -103,8 +122,8 @@
         else {
             return false;
         };
-        let voters = self.voters_at(index).0.to_vec();
-        self.drop_up_to(index);
+        let voters = self.voters_at(index).voters.to_vec();
+        self.remove_up_to(index);
         self.snapshot = Rc::new(Snapshot {
             position,
             voters,
@@ -113,17 +132,17 @@
         true
     }
 
-    /// Takes a snapshot from elsewhere; keeps what stands behind it, if that is the same log.
+    /// Takes a leader's snapshot. The entries after it stay if this log agrees with it (Raft, figure 13, step 6).
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         if self.position_at(snapshot.position.index) == Some(snapshot.position) {
-            self.drop_up_to(snapshot.position.index);
+            self.remove_up_to(snapshot.position.index);
         } else {
             self.entries.clear();
         }
         self.snapshot = Rc::new(snapshot);
     }
 
-    fn drop_up_to(&mut self, index: u64) {
+    fn remove_up_to(&mut self, index: u64) {
         let count = (index - self.snapshot_position().index) as usize;
         self.entries.drain(..count);
     }
