--- a/crates/cluster/control-plane/src/membership/recovering.rs
+++ b/crates/cluster/control-plane/src/membership/recovering.rs
@@ -7,7 +7,7 @@
 use crate::terms::Terms;
 use crate::timing::{BOOTSTRAP_GRACE_MS, LEASE_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{Promise, RecoverReply, Refused};
+use sagetrail_protocol::control::{Promise, RecoverReply, Rejected};
 use sagetrail_protocol::{NodeId, Time};
 
 impl Membership {
@@ -88,9 +88,9 @@
     }
 
     /// A member has promised a higher proposal number than the recovery's.
-    pub(crate) fn on_rejected(&mut self, refused: &Refused) {
+    pub(crate) fn on_rejected(&mut self, rejected: &Rejected) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.refused(refused);
+            recovery.refused(rejected);
         }
     }
 
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -223,7 +223,7 @@
             Event::HttpAbandoned { id } => self.operator.abandoned(id),
             Event::Synced { token } => self.router.synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
-            Event::Seeds(seeds) => self.membership.set_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.membership.set_seeds(seeds),
             Event::Terminate => self.terminate(),
         }
         self.run_until_idle(outbox);
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -5,7 +5,7 @@
 use crate::register::RegisterProgress;
 use crate::replica::Condition;
 use sagetrail_protocol::control::{
-    ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Refused, Renew,
+    ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Rejected, Renew,
     VoteReply,
 };
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
@@ -37,7 +37,7 @@
             | ControlMessage::RecoverReply(_) => self.on_membership_message(from, message),
             ControlMessage::Promise(_)
             | ControlMessage::Accepted(_)
-            | ControlMessage::Refused(_)
+            | ControlMessage::Rejected(_)
             | ControlMessage::ValueNeeded(_)
             | ControlMessage::ReadReply(_)
             | ControlMessage::Learn(_)
@@ -91,7 +91,7 @@
                 let progress = self.register.on_accepted(now, from, &accepted, effects);
                 self.on_register_progress(progress);
             }
-            ControlMessage::Refused(refused) => self.on_rejected(&refused),
+            ControlMessage::Rejected(rejected) => self.on_rejected(&rejected),
             ControlMessage::ValueNeeded(needed) => {
                 self.register.on_value_needed(from, &needed, effects);
             }
@@ -191,9 +191,9 @@
         self.on_register_progress(progress);
     }
 
-    fn on_rejected(&mut self, refused: &Refused) {
-        self.membership.on_rejected(refused);
-        self.register.on_rejected(self.now.steady, refused);
+    fn on_rejected(&mut self, rejected: &Rejected) {
+        self.membership.on_rejected(rejected);
+        self.register.on_rejected(self.now.steady, rejected);
     }
 
     fn on_register_progress(&mut self, progress: RegisterProgress) {
--- a/crates/cluster/control-plane/src/register/messages.rs
+++ b/crates/cluster/control-plane/src/register/messages.rs
@@ -7,7 +7,7 @@
 use crate::proposer::Decision;
 use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, ChangesReply, ChangesRequest, ControlMessage, Learn, Learned,
-    Prepare, Promise, ProposalNumber, Read, ReadReply, Refused, ValueNeeded,
+    Prepare, Promise, ProposalNumber, Read, ReadReply, Rejected, ValueNeeded,
 };
 use sagetrail_protocol::{List, NodeId, Time};
 
@@ -71,8 +71,8 @@
     }
 
     /// A member has promised a higher proposal number.
-    pub(crate) fn on_rejected(&mut self, now: Time, refused: &Refused) {
-        self.proposer.on_rejected(now, refused);
+    pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Rejected) {
+        self.proposer.on_rejected(now, rejected);
     }
 
     /// A member cannot make the value from the change.
--- a/crates/cluster/control-plane/src/routing.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -94,7 +94,7 @@
         let own: Vec<Message> = own.into_iter().map(|(_, message)| message).collect();
         DiskWrite {
             operations: write.operations,
-            then,
+            send_when_synced: then,
             token: (!own.is_empty()).then(|| self.await_sync(own)),
         }
     }
--- a/crates/cluster/gateway/tests/partition.rs
+++ b/crates/cluster/gateway/tests/partition.rs
@@ -139,7 +139,7 @@
             }
             let answer = match message {
                 Message::Hello(_) => directory(1, CORE[0]),
-                Message::Subscribe(subscribe) if subscribe.have < 5 => {
+                Message::Subscribe(subscribe) if subscribe.known_version < 5 => {
                     self.gateway.receive_update(to, 5);
                     continue;
                 }
