--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -100,8 +100,9 @@
 
     /// Hands a message to the scheduler, or replies where it runs.
     pub(super) fn deliver(&mut self, from: NodeId, message: Message) {
-        if let Err(message) = self.terms.deliver(self.now, from, message) {
-            self.send_not_leader(from, &message);
+        match self.terms.service_mut() {
+            Some(service) => service.message(self.now, from, message),
+            None => self.send_not_leader(from, &message),
         }
     }
 
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -21,7 +21,7 @@
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::service::{ConfigInForce, Restored, Service, ServiceFactory};
-use sagetrail_protocol::{Incarnation, Message, NodeId, Term, Time};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 
 /// The newest term that a process knows, and who schedules in it; the default node where that is unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -125,26 +125,11 @@
         self.leadership.as_ref()?.service.as_deref()
     }
 
-    fn service_mut(&mut self) -> Option<&mut Box<dyn Service + Send>> {
+    /// The scheduler, while it runs here.
+    pub(crate) fn service_mut(&mut self) -> Option<&mut Box<dyn Service + Send>> {
         self.leadership.as_mut()?.service.as_mut()
     }
 
-    /// Hands a message to the scheduler; the message again where it does not run here.
-    pub(crate) fn deliver(
-        &mut self,
-        now: Now,
-        from: NodeId,
-        message: Message,
-    ) -> Result<(), Message> {
-        match self.service_mut() {
-            Some(service) => {
-                service.message(now, from, message);
-                Ok(())
-            }
-            None => Err(message),
-        }
-    }
-
     /// Hands a newer configuration to the scheduler.
     pub(crate) fn config_changed(&mut self, now: Now, config: ConfigInForce) {
         if let Some(service) = self.service_mut() {
