--- a/crates/cluster/agent/src/distribution.rs
+++ b/crates/cluster/agent/src/config_relay.rs
@@ -1,14 +1,13 @@
-//! The agent's place in the relay tree: it takes configurations and passes them on to the processes below it.
+//! The agent's place in the relay tree: it receives configurations and relays them to the processes below it.
 
-use crate::uplink::Uplink;
 use sagetrail_config_distribution::Relay;
 use sagetrail_protocol::node::Outbox;
 use sagetrail_protocol::{Message, NodeId, Time};
 
-/// What is due waits so long for another reason to wake: an idle agent wakes for nothing else, in milliseconds.
-const PATIENCE_MS: u64 = 300;
+/// Time that a due renewal waits for another reason to wake, in milliseconds: an idle agent wakes for nothing else.
+const WAKE_SLACK_MS: u64 = 300;
 
-/// A process of the relay tree, and the candidates it was last given.
+/// A process of the relay tree, and the candidates for its parent that it was last given.
 #[derive(Debug)]
 pub(crate) struct ConfigRelay {
     relay: Relay,
@@ -17,7 +16,7 @@
 }
 
 impl ConfigRelay {
-    /// Holds nothing and knows nobody.
+    /// Without a configuration or a parent.
     pub(crate) fn new(node: NodeId, seed: u64) -> ConfigRelay {
         ConfigRelay {
             relay: Relay::new(node, seed),
@@ -26,13 +25,13 @@
         }
     }
 
-    /// The version held, 0 for none.
+    /// The version of the configuration, 0 for none.
     pub(crate) fn version(&self) -> u64 {
         self.relay.newest().map_or(0, |(version, _)| version)
     }
 
-    /// Takes a message of the tree; any other is none of its business.
-    pub(crate) fn message(
+    /// Receives a message of the relay tree; ignores any other.
+    pub(crate) fn receive(
         &mut self,
         now: Time,
         from: NodeId,
@@ -48,35 +47,34 @@
             }
             _ => Vec::new(),
         };
-        send(answers, outbox);
+        send_all(answers, outbox);
     }
 
-    /// Does what is due, among the processes that the uplink knows.
-    pub(crate) fn poll(&mut self, now: Time, uplink: &mut Uplink, outbox: &mut Outbox) {
-        self.take_candidates(uplink);
-        uplink.holds(self.version());
-        send(self.relay.wake(now), outbox);
+    /// Sets the processes that make up the tree.
+    pub(crate) fn set_candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
+        if self.core == core && self.relays == relays {
+            return;
+        }
+        self.core = core.to_vec();
+        self.relays = relays.to_vec();
+        self.relay.candidates(&self.core, &self.relays);
     }
 
-    /// When `poll` is due at the latest.
+    /// Renews the subscription with the parent where that is due.
+    pub(crate) fn send_due(&mut self, now: Time, outbox: &mut Outbox) {
+        send_all(self.relay.wake(now), outbox);
+    }
+
+    /// When `send_due` is due at the latest.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.relay
             .next_wake()
-            .map(|due| due.plus_millis(PATIENCE_MS))
-    }
-
-    fn take_candidates(&mut self, uplink: &Uplink) {
-        if self.core == uplink.core() && self.relays == uplink.config_relays() {
-            return;
-        }
-        self.core = uplink.core().to_vec();
-        self.relays = uplink.config_relays().to_vec();
-        self.relay.candidates(&self.core, &self.relays);
+            .map(|due| due.plus_millis(WAKE_SLACK_MS))
     }
 }
 
-fn send(messages: Vec<(NodeId, Message)>, outbox: &mut Outbox) {
-    messages
-        .into_iter()
-        .for_each(|(to, message)| outbox.send(to, message));
+fn send_all(messages: Vec<(NodeId, Message)>, outbox: &mut Outbox) {
+    for (to, message) in messages {
+        outbox.send(to, message);
+    }
 }
--- a/crates/cluster/agent/src/heartbeat.rs
+++ b/crates/cluster/agent/src/heartbeat.rs
@@ -1,67 +1,75 @@
-//! A runner's heartbeat, read from JSON. Unknown fields are passed over, missing ones left out, and every length
-//! is bounded.
+//! A runner's heartbeat, read from JSON. Unknown fields are ignored, missing ones left out, and every length is bounded.
+
+use serde::Deserialize;
+use thiserror::Error;
 
-use crate::lists::{ActiveRow, FinishedRow};
 use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RunEnd};
 use sagetrail_protocol::Text;
-use serde::Deserialize;
-use std::fmt;
+
+use crate::heartbeat_rows::{ActiveRow, FinishedRow};
 
 /// The longest body of a heartbeat, in bytes.
 pub const MAX_HEARTBEAT_BYTES: usize = 4 << 20;
 /// The most runs that a heartbeat may list as active.
 pub const MAX_ACTIVE_RUNS: usize = 16_384;
-/// The most ends that a heartbeat may list.
+/// The most ended runs that a heartbeat may list.
 pub const MAX_FINISHED_RUNS: usize = 16_384;
 /// The most labels of a runner.
 const MAX_LABELS: usize = 1_024;
 /// The longest name in a heartbeat (task, service, address, zone, label), in bytes.
 const MAX_NAME_BYTES: usize = 1_024;
 /// The longest checkpoint, in bytes.
-const MAX_SAVED_BYTES: usize = 64 << 10;
-/// All of the work.
-const WHOLE_PERCENT: f64 = 100.0;
-/// The state of a runner that is about to leave.
+const MAX_CHECKPOINT_BYTES: usize = 64 << 10;
+/// The progress of a run whose work is done, in hundredths.
+const MAX_PERCENT: f64 = 100.0;
+/// The state of a runner that shuts down.
 const DRAINING: &str = "draining";
 
-/// Why a heartbeat was not taken.
-#[derive(Debug)]
+/// Why a heartbeat is rejected.
+#[derive(Debug, Error)]
 pub enum HeartbeatError {
-    /// The body is over `MAX_HEARTBEAT_BYTES`.
-    TooLong(usize),
+    /// The body is over [`MAX_HEARTBEAT_BYTES`].
+    #[error("heartbeat too long: {bytes} bytes")]
+    TooLong {
+        /// The length of the body.
+        bytes: usize,
+    },
     /// The body is not the JSON of a heartbeat.
-    Malformed(serde_json::Error),
-    /// A list is longer, or a text is, than is taken.
-    OverLimit(&'static str),
-}
-
-impl fmt::Display for HeartbeatError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            HeartbeatError::TooLong(bytes) => write!(formatter, "a heartbeat of {bytes} bytes"),
-            HeartbeatError::Malformed(error) => write!(formatter, "no heartbeat: {error}"),
-            HeartbeatError::OverLimit(field) => write!(formatter, "over the limit: {field}"),
-        }
-    }
+    #[error("not a heartbeat: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// A list or a text is longer than its limit.
+    #[error("over the limit: {field}")]
+    OverLimit {
+        /// The field, as in the JSON.
+        field: &'static str,
+    },
 }
 
-impl std::error::Error for HeartbeatError {}
-
-/// What a heartbeat says. What a runner is may be left out once said, what it does may not.
+/// The content of a heartbeat. What a runner is may be left out once it was named, what it does may not.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub(crate) struct Heartbeat {
-    pub service: Option<Text>,
-    pub address: Option<Text>,
-    pub zone: Option<Text>,
-    pub capacity: Option<Resources>,
-    pub labels: Option<Vec<Text>>,
-    pub draining: bool,
-    pub cold_remaining_ms: u64,
-    pub remaining_ms: u64,
-    /// Rises with each heartbeat of an instance.
-    pub sequence: Option<u64>,
-    pub active: Vec<ActiveRun>,
-    pub finished: Vec<FinishedRun>,
+    /// The service whose runner it is.
+    pub(crate) service: Option<Text>,
+    /// The address on which it accepts calls, `ip:port`.
+    pub(crate) address: Option<Text>,
+    /// Its failure domain.
+    pub(crate) zone: Option<Text>,
+    /// All of its resources, used or free.
+    pub(crate) capacity: Option<Resources>,
+    /// What placements may ask for.
+    pub(crate) labels: Option<Vec<Text>>,
+    /// It shuts down and starts nothing any more.
+    pub(crate) is_draining: bool,
+    /// The rest of its slow start, in milliseconds.
+    pub(crate) slow_start_remaining_ms: u64,
+    /// While it drains: the time it has left, in milliseconds.
+    pub(crate) remaining_ms: u64,
+    /// Its number, which rises with each heartbeat of an instance.
+    pub(crate) sequence: Option<u64>,
+    /// The runs that are active.
+    pub(crate) active: Vec<ActiveRun>,
+    /// The ends that the scheduler has not observed.
+    pub(crate) finished: Vec<FinishedRun>,
 }
 
 #[derive(Deserialize, Default)]
@@ -90,29 +98,16 @@
 
 impl Heartbeat {
     /// Reads the body of a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// For a body that is too long or is not the JSON of a heartbeat, and for a list or text over its limit.
     pub(crate) fn parse(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
         if body.len() > MAX_HEARTBEAT_BYTES {
-            return Err(HeartbeatError::TooLong(body.len()));
+            return Err(HeartbeatError::TooLong { bytes: body.len() });
         }
-        let document: HeartbeatDocument =
-            serde_json::from_slice(body).map_err(HeartbeatError::Malformed)?;
-        Heartbeat::from_document(document)
-    }
-
-    fn from_document(document: HeartbeatDocument) -> Result<Heartbeat, HeartbeatError> {
-        Ok(Heartbeat {
-            service: optional_name(document.service, "service")?,
-            address: optional_name(document.address, "address")?,
-            zone: optional_name(document.zone, "zone")?,
-            capacity: document.capacity.map(resources),
-            labels: document.labels.map(labels).transpose()?,
-            draining: document.state.as_deref() == Some(DRAINING),
-            cold_remaining_ms: milliseconds(document.cold_remaining_ms),
-            remaining_ms: milliseconds(document.remaining_ms),
-            sequence: document.seq,
-            active: active_runs(document.active.unwrap_or_default())?,
-            finished: finished_runs(document.finished.unwrap_or_default())?,
-        })
+        let document: HeartbeatDocument = serde_json::from_slice(body)?;
+        Heartbeat::try_from(document)
     }
 
     /// Whether this run is listed, as active or as finished.
@@ -132,6 +127,26 @@
     }
 }
 
+impl TryFrom<HeartbeatDocument> for Heartbeat {
+    type Error = HeartbeatError;
+
+    fn try_from(document: HeartbeatDocument) -> Result<Heartbeat, HeartbeatError> {
+        Ok(Heartbeat {
+            service: optional_name(document.service, "service")?,
+            address: optional_name(document.address, "address")?,
+            zone: optional_name(document.zone, "zone")?,
+            capacity: document.capacity.map(resources),
+            labels: document.labels.map(labels).transpose()?,
+            is_draining: document.state.as_deref() == Some(DRAINING),
+            slow_start_remaining_ms: milliseconds(document.cold_remaining_ms),
+            remaining_ms: milliseconds(document.remaining_ms),
+            sequence: document.seq,
+            active: active_runs(document.active.unwrap_or_default())?,
+            finished: finished_runs(document.finished.unwrap_or_default())?,
+        })
+    }
+}
+
 fn resources(document: CapacityDocument) -> Resources {
     Resources {
         cpu: document.cpu as u64,
@@ -140,14 +155,14 @@
     }
 }
 
-/// Whole milliseconds; zero where the number is missing, negative or none.
+/// Whole milliseconds; 0 where the number is missing, negative or not a number.
 fn milliseconds(number: Option<f64>) -> u64 {
     number.unwrap_or_default() as u64
 }
 
-fn bounded(text: String, most: usize, field: &'static str) -> Result<Text, HeartbeatError> {
-    if text.len() > most {
-        return Err(HeartbeatError::OverLimit(field));
+fn bounded(text: String, max_bytes: usize, field: &'static str) -> Result<Text, HeartbeatError> {
+    if text.len() > max_bytes {
+        return Err(HeartbeatError::OverLimit { field });
     }
     Ok(Text(text))
 }
@@ -162,7 +177,7 @@
 
 fn labels(labels: Vec<String>) -> Result<Vec<Text>, HeartbeatError> {
     if labels.len() > MAX_LABELS {
-        return Err(HeartbeatError::OverLimit("labels"));
+        return Err(HeartbeatError::OverLimit { field: "labels" });
     }
     labels
         .into_iter()
@@ -172,7 +187,7 @@
 
 fn active_runs(rows: Vec<ActiveRow>) -> Result<Vec<ActiveRun>, HeartbeatError> {
     if rows.len() > MAX_ACTIVE_RUNS {
-        return Err(HeartbeatError::OverLimit("active"));
+        return Err(HeartbeatError::OverLimit { field: "active" });
     }
     rows.into_iter().map(active_run).collect()
 }
@@ -181,14 +196,14 @@
     Ok(ActiveRun {
         task: bounded(row.task, MAX_NAME_BYTES, "task")?,
         attempt: row.attempt,
-        checkpoint: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
-        percent: row.percent.clamp(0.0, WHOLE_PERCENT) as u8,
+        checkpoint: bounded(row.checkpoint, MAX_CHECKPOINT_BYTES, "saved")?,
+        percent: row.percent.clamp(0.0, MAX_PERCENT) as u8,
     })
 }
 
 fn finished_runs(rows: Vec<FinishedRow>) -> Result<Vec<FinishedRun>, HeartbeatError> {
     if rows.len() > MAX_FINISHED_RUNS {
-        return Err(HeartbeatError::OverLimit("finished"));
+        return Err(HeartbeatError::OverLimit { field: "finished" });
     }
     rows.into_iter().map(finished_run).collect()
 }
@@ -198,12 +213,12 @@
         number: row.number,
         task: bounded(row.task, MAX_NAME_BYTES, "task")?,
         attempt: row.attempt,
-        end: run_end(&row.how),
-        checkpoint: bounded(row.saved, MAX_SAVED_BYTES, "saved")?,
+        end: run_end(&row.end),
+        checkpoint: bounded(row.checkpoint, MAX_CHECKPOINT_BYTES, "saved")?,
     })
 }
 
-/// How a run ended. A word of a later protocol counts as `Stopped`: over, and no attempt lost.
+/// How a run ended. A value of a later protocol counts as `Stopped`: over, and no attempt lost.
 fn run_end(how: &str) -> RunEnd {
     match how {
         "done" => RunEnd::Done,
--- /dev/null
+++ b/crates/cluster/agent/src/heartbeat_reply.rs
@@ -0,0 +1,96 @@
+//! The reply to a heartbeat, as JSON. What is empty or unknown is left out.
+
+use serde::ser::{SerializeTuple, Serializer};
+use serde::Serialize;
+
+use sagetrail_protocol::node::HttpReply;
+
+const OK: u16 = 200;
+/// A JSON document without content.
+const EMPTY_DOCUMENT: &[u8] = b"{}";
+const START_FIELDS: usize = 4;
+const STOP_FIELDS: usize = 2;
+
+/// The reply to a heartbeat that was accepted.
+#[derive(Serialize, Default)]
+pub(crate) struct HeartbeatReply<'a> {
+    /// The runner's lease in milliseconds, from the sending of its heartbeat. Without it nothing is extended or started.
+    #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
+    pub(crate) lease_ms: Option<u64>,
+    /// The runner may forget its ends up to this number.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub(crate) observed: Option<u64>,
+    /// The term of the adopted commands; the runner ignores replies with a lower one.
+    #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
+    pub(crate) fencing_token: Option<u64>,
+    /// Runs to start.
+    #[serde(skip_serializing_if = "Vec::is_empty")]
+    pub(crate) start: Vec<StartRow<'a>>,
+    /// Runs to stop.
+    #[serde(skip_serializing_if = "Vec::is_empty")]
+    pub(crate) stop: Vec<StopRow<'a>>,
+    /// The next heartbeat is wanted after this time, in milliseconds.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub(crate) retry_after_ms: Option<u64>,
+}
+
+/// A run to start: `[task, run, spec, saved]`.
+pub(crate) struct StartRow<'a> {
+    /// ID.K.STEP.INDEX.
+    pub(crate) task: &'a str,
+    /// The attempt, `run` on the wire.
+    pub(crate) attempt: u64,
+    /// The job's specification, word for word.
+    pub(crate) spec: &'a str,
+    /// The checkpoint to resume from, `saved` on the wire; empty for none.
+    pub(crate) checkpoint: &'a str,
+}
+
+/// A run to stop: `[task, run]`.
+pub(crate) struct StopRow<'a> {
+    /// ID.K.STEP.INDEX.
+    pub(crate) task: &'a str,
+    /// The attempt, `run` on the wire.
+    pub(crate) attempt: u64,
+}
+
+impl Serialize for StartRow<'_> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut fields = serializer.serialize_tuple(START_FIELDS)?;
+        fields.serialize_element(self.task)?;
+        fields.serialize_element(&self.attempt)?;
+        fields.serialize_element(self.spec)?;
+        fields.serialize_element(self.checkpoint)?;
+        fields.end()
+    }
+}
+
+impl Serialize for StopRow<'_> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut fields = serializer.serialize_tuple(STOP_FIELDS)?;
+        fields.serialize_element(self.task)?;
+        fields.serialize_element(&self.attempt)?;
+        fields.end()
+    }
+}
+
+impl From<HeartbeatReply<'_>> for HttpReply {
+    fn from(reply: HeartbeatReply<'_>) -> HttpReply {
+        // Numbers, texts and lists of them always serialize.
+        let body = serde_json::to_vec(&reply).unwrap_or_else(|_| EMPTY_DOCUMENT.to_vec());
+        HttpReply {
+            status: OK,
+            retry_after_s: None,
+            body,
+        }
+    }
+}
+
+/// A reply with a status and an empty document.
+pub(crate) fn empty(status: u16) -> HttpReply {
+    HttpReply {
+        status,
+        retry_after_s: None,
+        body: EMPTY_DOCUMENT.to_vec(),
+    }
+}
--- a/crates/cluster/agent/src/lists.rs
+++ b/crates/cluster/agent/src/heartbeat_rows.rs
@@ -1,23 +1,34 @@
-//! The rows of a heartbeat's lists, read from JSON arrays. What is added behind the known fields is passed over.
+//! The rows of a heartbeat's lists, read from JSON arrays. Elements behind the known ones are ignored, so that a later
+//! protocol can add some.
 
-use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
 use std::fmt;
 
-/// `[task, run, saved, percent]`.
+use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
+
+/// An active run: `[task, run, saved, percent]`.
 pub(crate) struct ActiveRow {
-    pub task: String,
-    pub attempt: u64,
-    pub saved: String,
-    pub percent: f64,
+    /// ID.K.STEP.INDEX.
+    pub(crate) task: String,
+    /// The attempt, `run` on the wire.
+    pub(crate) attempt: u64,
+    /// The newest checkpoint, `saved` on the wire; empty for none.
+    pub(crate) checkpoint: String,
+    /// Progress in hundredths, any number.
+    pub(crate) percent: f64,
 }
 
-/// `[number, task, run, how, saved]`.
+/// An ended run: `[number, task, run, how, saved]`.
 pub(crate) struct FinishedRow {
-    pub number: u64,
-    pub task: String,
-    pub attempt: u64,
-    pub how: String,
-    pub saved: String,
+    /// The runner's number of the end.
+    pub(crate) number: u64,
+    /// ID.K.STEP.INDEX.
+    pub(crate) task: String,
+    /// The attempt, `run` on the wire.
+    pub(crate) attempt: u64,
+    /// How it ended, `how` on the wire.
+    pub(crate) end: String,
+    /// The newest checkpoint, `saved` on the wire; empty for none.
+    pub(crate) checkpoint: String,
 }
 
 struct ActiveVisitor;
@@ -46,10 +57,10 @@
         let row = ActiveRow {
             task: required(&mut fields, "a task")?,
             attempt: required(&mut fields, "a run")?,
-            saved: fields.next_element()?.unwrap_or_default(),
+            checkpoint: fields.next_element()?.unwrap_or_default(),
             percent: fields.next_element()?.unwrap_or_default(),
         };
-        pass_over_rest(fields)?;
+        ignore_rest(fields)?;
         Ok(row)
     }
 }
@@ -66,10 +77,10 @@
             number: required(&mut fields, "a number")?,
             task: required(&mut fields, "a task")?,
             attempt: required(&mut fields, "a run")?,
-            how: required(&mut fields, "how it ended")?,
-            saved: fields.next_element()?.unwrap_or_default(),
+            end: required(&mut fields, "how it ended")?,
+            checkpoint: fields.next_element()?.unwrap_or_default(),
         };
-        pass_over_rest(fields)?;
+        ignore_rest(fields)?;
         Ok(row)
     }
 }
@@ -83,7 +94,7 @@
         .ok_or_else(|| A::Error::missing_field(what))
 }
 
-fn pass_over_rest<'de, A: SeqAccess<'de>>(mut fields: A) -> Result<(), A::Error> {
+fn ignore_rest<'de, A: SeqAccess<'de>>(mut fields: A) -> Result<(), A::Error> {
     while fields.next_element::<IgnoredAny>()?.is_some() {}
     Ok(())
 }
--- a/crates/cluster/agent/src/report.rs
+++ b/crates/cluster/agent/src/report.rs
@@ -1,41 +1,45 @@
-//! The report to the scheduler: all that the agent knows of its runner.
+//! The report to the scheduler: everything that the agent knows of its runner.
 
-use crate::orders::OrderBook;
-use crate::runner::{Runner, RunnerRegister};
 use sagetrail_protocol::agent::{Resources, RunnerReport};
 use sagetrail_protocol::{Incarnation, List, Text, Time};
 
-/// What names a report.
+use crate::commands::AdoptedCommands;
+use crate::runner::Runner;
+use crate::runner_registry::RunnerRegistry;
+
+/// What identifies a report.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Heading {
-    pub agent: Incarnation,
-    pub sequence: u64,
-    /// When it leaves.
-    pub now: Time,
+pub(crate) struct ReportHeader {
+    /// The agent that sends it.
+    pub(crate) agent: Incarnation,
+    /// Its number; rises by one with each report of the agent.
+    pub(crate) sequence: u64,
+    /// When it is sent; the answer counts the agent's lease from here.
+    pub(crate) sent_at: Time,
 }
 
 /// The report of what is known at its sending.
 pub(crate) fn build(
-    heading: Heading,
-    orders: &OrderBook,
-    register: &RunnerRegister,
+    header: ReportHeader,
+    commands: &AdoptedCommands,
+    registry: &RunnerRegistry,
 ) -> RunnerReport {
-    let mut report = without_runner(heading, orders);
-    report.lease_expired = register.is_silent();
-    if let Some(runner) = register.current() {
-        describe(&mut report, heading.now, runner);
+    let mut report = without_runner(header, commands);
+    report.lease_expired = registry.has_no_runner();
+    if let Some(runner) = registry.current() {
+        describe(&mut report, header.sent_at, runner);
     }
     report
 }
 
-fn without_runner(heading: Heading, orders: &OrderBook) -> RunnerReport {
+fn without_runner(header: ReportHeader, commands: &AdoptedCommands) -> RunnerReport {
     RunnerReport {
-        agent: heading.agent,
-        sequence: heading.sequence,
-        sent_at: heading.now.0,
-        term: orders.term(),
-        revision: orders.revision(),
-        starts_resolved: orders.is_settled(),
+        agent: header.agent,
+        sequence: header.sequence,
+        sent_at: header.sent_at.0,
+        term: commands.term(),
+        revision: commands.revision(),
+        starts_resolved: commands.is_resolved(),
         has_runner: false,
         instance: Text::default(),
         service: Text::default(),
@@ -54,19 +58,21 @@
 }
 
 fn describe(report: &mut RunnerReport, now: Time, runner: &Runner) {
-    let silent_ms = now.millis_since(runner.last_heartbeat);
+    let since_heartbeat_ms = now.millis_since(runner.last_heartbeat);
     report.has_runner = true;
     report.instance = runner.instance.clone();
     report.service = runner.profile.service.clone();
     report.address = runner.profile.address.clone();
     report.zone = runner.profile.zone.clone();
-    report.draining = runner.draining;
-    report.remaining_ms = runner.remaining_ms.saturating_sub(silent_ms);
-    report.slow_start_remaining_ms = runner.cold_remaining_ms.saturating_sub(silent_ms);
+    report.draining = runner.is_draining;
+    report.remaining_ms = runner.remaining_ms.saturating_sub(since_heartbeat_ms);
+    report.slow_start_remaining_ms = runner
+        .slow_start_remaining_ms
+        .saturating_sub(since_heartbeat_ms);
     report.capacity = runner.profile.capacity;
     report.labels = List(runner.profile.labels.clone());
     report.active = List(runner.active.clone());
     report.finished = List(runner.finished.clone());
-    report.lease_expired = runner.lapsed;
-    report.since_heartbeat_ms = silent_ms;
+    report.lease_expired = runner.lease_expired;
+    report.since_heartbeat_ms = since_heartbeat_ms;
 }
--- /dev/null
+++ b/crates/cluster/agent/src/runner_service.rs
@@ -0,0 +1,305 @@
+//! What the agent does for its runner: answers its calls, grants its lease, hands it commands, checks its health, and
+//! reports on it.
+
+use std::net::SocketAddrV4;
+
+use sagetrail_protocol::agent::{RunnerCommands, RunnerReport, RUNNER_LEASE_MS};
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{
+    HealthCheckId, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, Method, Outbox,
+};
+use sagetrail_protocol::{Incarnation, Time};
+
+use crate::commands::{AdoptedCommands, Adoption};
+use crate::health_check::{HealthMonitor, Verdict};
+use crate::heartbeat::{Heartbeat, HeartbeatError};
+use crate::heartbeat_reply::{empty, HeartbeatReply, StartRow, StopRow};
+use crate::report::{build, ReportHeader};
+use crate::report_schedule::ReportSchedule;
+use crate::runner_call::RunnerCall;
+use crate::runner_registry::{Admission, RunnerRegistry};
+use crate::settings::{AgentSettings, Counters};
+
+/// A lease that is shorter starts nothing, because the run would be over at once; in milliseconds.
+const MIN_START_LEASE_MS: u64 = 500;
+/// Delay until the next heartbeat while anything runs or is to be started, in milliseconds.
+const BUSY_RETRY_MS: u64 = 100;
+/// Delay until the next heartbeat while nothing runs, in milliseconds.
+const IDLE_RETRY_MS: u64 = 200;
+const OK: u16 = 200;
+const BAD_REQUEST: u16 = 400;
+const NOT_FOUND: u16 = 404;
+const METHOD_NOT_ALLOWED: u16 = 405;
+const CONFLICT: u16 = 409;
+const PAYLOAD_TOO_LARGE: u16 = 413;
+
+/// The runner's side of an agent.
+#[derive(Debug)]
+pub(crate) struct RunnerService {
+    agent: Incarnation,
+    bounds: Bounds,
+    runner_address: Option<SocketAddrV4>,
+    registry: RunnerRegistry,
+    commands: AdoptedCommands,
+    reports: ReportSchedule,
+    health: HealthMonitor,
+    counters: Counters,
+}
+
+impl RunnerService {
+    /// Without a runner, commands or a lease.
+    pub(crate) fn new(settings: &AgentSettings, now: Time) -> RunnerService {
+        RunnerService {
+            agent: settings.incarnation,
+            bounds: settings.bounds,
+            runner_address: settings.runner_address,
+            registry: RunnerRegistry::new(now, settings.heartbeat_ms),
+            commands: AdoptedCommands::new(settings.incarnation),
+            reports: ReportSchedule::default(),
+            health: HealthMonitor::default(),
+            counters: Counters::default(),
+        }
+    }
+
+    /// What has been counted so far.
+    pub(crate) fn counters(&self) -> Counters {
+        self.counters
+    }
+
+    /// Answers a call.
+    pub(crate) fn answer(
+        &mut self,
+        now: Time,
+        endpoint: HttpEndpoint,
+        request: &HttpRequest,
+    ) -> HttpReply {
+        if endpoint != HttpEndpoint::Control {
+            return empty(NOT_FOUND);
+        }
+        match RunnerCall::parse(&request.path) {
+            None => empty(NOT_FOUND),
+            Some(_) if request.method != Method::Post => empty(METHOD_NOT_ALLOWED),
+            Some(RunnerCall::Heartbeat { instance }) => {
+                self.answer_heartbeat(now, instance, &request.body)
+            }
+            Some(RunnerCall::Deregister { instance }) => self.deregister(now, instance),
+        }
+    }
+
+    fn deregister(&mut self, now: Time, instance: &str) -> HttpReply {
+        let serves_ms = self.bounds.drain_ms;
+        if self.registry.deregister(now, instance, serves_ms) {
+            self.reports.record_change();
+        }
+        empty(OK)
+    }
+
+    fn answer_heartbeat(&mut self, now: Time, instance: &str, body: &[u8]) -> HttpReply {
+        let mut heartbeat = match Heartbeat::parse(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return self.reject(instance, &error),
+        };
+        match self.registry.receive(now, instance, &mut heartbeat) {
+            Admission::Replaced => {
+                self.counters.replaced_heartbeats += 1;
+                empty(CONFLICT)
+            }
+            Admission::Unconfirmed => HttpReply::from(HeartbeatReply {
+                retry_after_ms: Some(BUSY_RETRY_MS),
+                ..HeartbeatReply::default()
+            }),
+            Admission::Stale => {
+                self.counters.stale_heartbeats += 1;
+                empty(OK)
+            }
+            Admission::Accepted { has_change } => {
+                self.accept(now, instance, &heartbeat, has_change)
+            }
+        }
+    }
+
+    fn reject(&mut self, instance: &str, error: &HeartbeatError) -> HttpReply {
+        self.counters.malformed_heartbeats += 1;
+        log::debug!("heartbeat rejected: runner={instance} error={error}");
+        match error {
+            HeartbeatError::TooLong { .. } => empty(PAYLOAD_TOO_LARGE),
+            HeartbeatError::Malformed(_) | HeartbeatError::OverLimit { .. } => empty(BAD_REQUEST),
+        }
+    }
+
+    fn accept(
+        &mut self,
+        now: Time,
+        instance: &str,
+        heartbeat: &Heartbeat,
+        has_change: bool,
+    ) -> HttpReply {
+        // The first heartbeat may be one that an earlier agent has answered already: it resolves nothing.
+        let has_resolved = self.counters.heartbeats > 0 && self.commands.resolve();
+        self.counters.heartbeats += 1;
+        if has_change || has_resolved {
+            self.reports.record_change();
+        }
+        let lease_ms = self.grantable_lease_ms(now);
+        if lease_ms > 0 {
+            self.registry.grant_lease(now, lease_ms);
+        }
+        let reply = self.heartbeat_reply(instance, heartbeat, lease_ms);
+        let retry_after_ms = reply.retry_after_ms.unwrap_or(IDLE_RETRY_MS);
+        let reply = HttpReply::from(reply);
+        self.health.record_heartbeat(now, retry_after_ms);
+        reply
+    }
+
+    /// The lease that may be granted now, within the agent's own, in milliseconds; 0 for none.
+    fn grantable_lease_ms(&self, now: Time) -> u64 {
+        let agent_lease_ms = self.commands.lease().remaining_ms(now);
+        RUNNER_LEASE_MS
+            .min(self.bounds.hold_max_ms)
+            .min(agent_lease_ms)
+    }
+
+    fn heartbeat_reply(
+        &self,
+        instance: &str,
+        heartbeat: &Heartbeat,
+        lease_ms: u64,
+    ) -> HeartbeatReply<'_> {
+        let start = self.starts(instance, heartbeat, lease_ms);
+        let is_busy = !start.is_empty() || !heartbeat.active.is_empty();
+        let default_retry_ms = if is_busy {
+            BUSY_RETRY_MS
+        } else {
+            IDLE_RETRY_MS
+        };
+        let retry_after_ms = self.commands.retry_after_ms();
+        HeartbeatReply {
+            lease_ms: (lease_ms > 0).then_some(lease_ms),
+            observed: self.commands.observed(instance),
+            fencing_token: self.commands.fencing_token(),
+            start,
+            stop: self.stops(instance, heartbeat),
+            retry_after_ms: Some(retry_after_ms.unwrap_or(default_retry_ms)),
+        }
+    }
+
+    /// The commanded starts that this heartbeat does not list; none for a runner that drains, or with a short lease.
+    fn starts(&self, instance: &str, heartbeat: &Heartbeat, lease_ms: u64) -> Vec<StartRow<'_>> {
+        let is_draining = self
+            .registry
+            .current()
+            .is_none_or(|runner| runner.is_draining);
+        if is_draining || lease_ms < MIN_START_LEASE_MS.min(self.bounds.hold_max_ms) {
+            return Vec::new();
+        }
+        let commanded = self.commands.starts(instance).iter();
+        commanded
+            .filter(|command| !heartbeat.lists(&command.task, command.attempt))
+            .map(|command| StartRow {
+                task: &command.task,
+                attempt: command.attempt,
+                spec: &command.spec,
+                checkpoint: &command.checkpoint,
+            })
+            .collect()
+    }
+
+    /// The commanded stops of what this heartbeat lists as active.
+    fn stops(&self, instance: &str, heartbeat: &Heartbeat) -> Vec<StopRow<'_>> {
+        let commanded = self.commands.stops(instance).iter();
+        commanded
+            .filter(|command| heartbeat.lists_active(&command.task, command.attempt))
+            .map(|command| StopRow {
+                task: &command.task,
+                attempt: command.attempt,
+            })
+            .collect()
+    }
+
+    /// Receives commands of a scheduler.
+    pub(crate) fn receive_commands(&mut self, now: Time, commands: RunnerCommands) -> Adoption {
+        let adoption = self.commands.receive(now, commands);
+        if adoption == Adoption::Older {
+            self.counters.older_commands += 1;
+        }
+        adoption
+    }
+
+    /// Lets the runner's lease expire where that is due.
+    pub(crate) fn expire_lease(&mut self, now: Time) {
+        if self.registry.expire_due(now) {
+            self.record_expiry(now);
+        }
+    }
+
+    fn record_expiry(&mut self, now: Time) {
+        self.health.pause();
+        self.commands.void_starts(now);
+        self.reports.record_change();
+    }
+
+    /// Checks the health of a runner whose heartbeat is overdue.
+    pub(crate) fn send_due_health_check(&mut self, now: Time, outbox: &mut Outbox) {
+        if !self.health.is_due(now) {
+            return;
+        }
+        let Some(address) = self.health_check_address() else {
+            return self.health.pause();
+        };
+        self.counters.health_checks += 1;
+        self.health.send(now, address, outbox);
+    }
+
+    /// The address by the settings, or else by the heartbeats.
+    fn health_check_address(&self) -> Option<SocketAddrV4> {
+        let reported = self
+            .registry
+            .current()
+            .and_then(|runner| runner.profile.address.parse().ok());
+        self.runner_address.or(reported)
+    }
+
+    /// Receives the result of a health check. A machine that refuses connections is up without its runner: nothing that
+    /// it ran goes on.
+    pub(crate) fn receive_health_check(
+        &mut self,
+        now: Time,
+        id: HealthCheckId,
+        result: HealthCheckResult,
+    ) {
+        if self.health.receive(id, result) == Verdict::Unknown {
+            return;
+        }
+        self.counters.dead_runners += 1;
+        if self.registry.record_death() {
+            self.record_expiry(now);
+        }
+    }
+
+    /// Makes a report due at once, for a leader that is new to this agent.
+    pub(crate) fn expedite_report(&mut self) {
+        self.reports.record_change();
+    }
+
+    /// When the next report is due.
+    pub(crate) fn report_due(&self) -> Time {
+        self.reports.due(self.commands.lease().renewal_due())
+    }
+
+    /// The report that is sent now.
+    pub(crate) fn report(&mut self, now: Time) -> RunnerReport {
+        let header = ReportHeader {
+            agent: self.agent,
+            sequence: self.reports.record_sent(now),
+            sent_at: now,
+        };
+        self.counters.reports += 1;
+        build(header, &self.commands, &self.registry)
+    }
+
+    /// When the runner's lease expires, or a health check is due.
+    pub(crate) fn next_wake(&self) -> Option<Time> {
+        let wakes = [self.registry.expiry_due(), self.health.due()];
+        wakes.into_iter().flatten().min()
+    }
+}
--- a/crates/cluster/agent/tests/model/world.rs
+++ b/crates/cluster/agent/tests/model/world.rs
@@ -248,7 +248,7 @@
             world
                 .agent
                 .as_ref()
-                .map_or(0, |agent| agent.counters().deaths)
+                .map_or(0, |agent| agent.counters().dead_runners)
         };
         let before = deaths(self);
         self.agent_event(Event::HealthCheck { id, result });
--- a/crates/cluster/agent/tests/reports.rs
+++ b/crates/cluster/agent/tests/reports.rs
@@ -108,7 +108,7 @@
     let answer = script.beat(4, json!({}));
     assert!(answer["start"].is_null());
     assert_eq!(answer["fence_token"], 3);
-    assert_eq!(script.agent.counters().older_orders, 2);
+    assert_eq!(script.agent.counters().older_commands, 2);
     script.now = script.now.plus_millis(6000);
     assert!(
         script.beat(5, json!({}))["hold_ms"].is_null(),
--- a/crates/cluster/agent/tests/watch.rs
+++ b/crates/cluster/agent/tests/watch.rs
@@ -53,7 +53,7 @@
     assert_eq!(
         (
             script.agent.counters().health_checks,
-            script.agent.counters().deaths
+            script.agent.counters().dead_runners
         ),
         (1, 1)
     );
@@ -126,7 +126,7 @@
     script.pass(20);
     assert!(script.last_report().lease_expired);
     looked(&mut script, ids[1], HealthCheckResult::Refused);
-    assert_eq!(script.agent.counters().deaths, 1);
+    assert_eq!(script.agent.counters().dead_runners, 1);
 }
 
 #[test]
