--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -67,6 +67,14 @@
 /// Queues of frames, by member, for the links to send.
 pub(crate) type Queues = Vec<(SocketAddr, mpsc::Receiver<Bytes>)>;
 
+/// A store and what its tasks need.
+pub(crate) struct OpenStore {
+    pub store: Rc<Store>,
+    /// Batches that the disk has written.
+    pub done: mpsc::UnboundedReceiver<Done>,
+    pub queues: Queues,
+}
+
 impl Store {
     pub(crate) fn open(
         said: Said,
@@ -76,7 +84,7 @@
         source: Source,
         discovery_at: watch::Sender<SocketAddr>,
         trial: (disk::Ill, Option<Broken>),
-    ) -> Result<(Rc<Store>, mpsc::UnboundedReceiver<Done>, Queues), String> {
+    ) -> Result<OpenStore, String> {
         let (ill, broken) = trial;
         let mut chance = rand_pcg::Pcg64Mcg::from_os_rng();
         let me = number(&members.members[members.me].name);
@@ -156,7 +164,11 @@
             broken,
             discovery_at,
         };
-        Ok((Rc::new(store), done, receivers))
+        Ok(OpenStore {
+            store: Rc::new(store),
+            done,
+            queues: receivers,
+        })
     }
 
     /// The settings that are agreed on, as far as they can be used here.
--- a/crates/dispatcher/dispatcher/tests/crossings/shutdown.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/shutdown.rs
@@ -64,7 +64,11 @@
     drop(client);
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
-    assert_eq!(log.matches("told to end").count(), 1, "{log}");
+    assert_eq!(
+        log.matches("SIGTERM or SIGINT received").count(),
+        1,
+        "{log}"
+    );
 }
 
 #[test]
--- a/crates/dispatcher/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/dispatcher/tests/sockets.rs
@@ -891,7 +891,7 @@
         .replacen(&format!(r#""learnt":{kept:?},"#), "", 1);
     // The same again; with another process of the runner; the way back to the page without it.
     let same = ("of 1 categories and 1 runners", stage.page.clone());
-    let mut says = "what was learnt is not taken up";
+    let mut says = "learned state is not taken up";
     for (next, page) in [
         same,
         ("of 1 categories and 0 runners", restarted),
@@ -901,7 +901,7 @@
         let (code, log) = stage.ended();
         assert_eq!(code, Some(0), "{log}");
         let kept =
-            log.contains("what was learnt is kept") && log.contains("ends with 0 unanswered");
+            log.contains("learned state is kept") && log.contains("ends with 0 unanswered");
         assert!(kept && log.contains(says), "{log}");
         (stage.child, says) = (launch(&file(), &page), next);
         serves(stage.at);
@@ -909,7 +909,7 @@
     }
     stage.term();
     let (_, log) = stage.ended();
-    assert!(log.contains(says) && !log.contains("learnt"), "{log}");
+    assert!(log.contains(says) && !log.contains("learned"), "{log}");
 }
 
 #[test]
@@ -1010,7 +1010,7 @@
     assert_eq!(client.answer().body, "a", "room is the cap's, as it was");
     stage.term();
     let (_, log) = stage.ended();
-    assert_eq!(log.matches("nobody is probed").count(), 1, "{log}");
+    assert_eq!(log.matches("no runner is probed").count(), 1, "{log}");
 }
 
 /// The inodes of a process's sockets.
--- a/crates/dispatcher/dispatcher/tests/stored.rs
+++ b/crates/dispatcher/dispatcher/tests/stored.rs
@@ -77,7 +77,7 @@
     stage.term();
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
-    let taken_up = "took up what was learnt of 2 categories and 1 runners";
+    let taken_up = "took up learned state of 2 categories and 1 runners";
     assert!(log.contains(taken_up), "{log}");
     let address = stage.runners[0].at.to_string();
     assert_eq!(stored_form(&kept, &address), stored);
