--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -10,7 +10,7 @@
 use crate::timing::{BACKOFF_MAX_MS, BACKOFF_MS, RESEND_MS, ROUND_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::{Accepted, Promise, ProposalNumber, Refused, ValueNeeded};
+use sagetrail_protocol::control::{Accepted, Promise, ProposalNumber, Rejected, ValueNeeded};
 use sagetrail_protocol::{Incarnation, NodeId, Time};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -249,7 +249,7 @@
     }
 
     /// A member has promised a higher proposal number to another process.
-    pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Refused) {
+    pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Rejected) {
         self.observe_proposal(rejected.promised);
         if self.current_round(rejected.proposal).is_some() {
             self.back_off(now);
--- a/crates/cluster/control-plane/src/round.rs
+++ b/crates/cluster/control-plane/src/round.rs
@@ -110,7 +110,7 @@
             .unwrap_or_default();
         let prepare = ControlMessage::Prepare(Prepare {
             proposal: self.proposal,
-            have,
+            known: have,
         });
         let members = self.list.all().into_iter();
         let unanswered = members.filter(|member| !phase.accepted.contains_key(member));
