--- a/crates/cluster/protocol/src/bounds.rs
+++ b/crates/cluster/protocol/src/bounds.rs
@@ -1,37 +1,37 @@
-//! The deployment's figures that the logic needs, as the settings file gives them.
+//! The deployment's bounds that the logic needs. Fields are named as the keys of the settings file.
 
-/// Bounds of the deployment. Milliseconds unless the name says otherwise.
+/// Bounds of the deployment. A key that the settings file leaves out has the value of [`Bounds::default`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// A machine counts as in touch after so long without trouble.
+    /// A machine counts as connected once it has been without a fault for this time, in milliseconds.
     pub contact_ms: u64,
-    /// The operator waits so long for an acknowledgement.
+    /// The longest time until a configuration change is acknowledged to the operator, in milliseconds.
     pub ack_ms: u64,
-    /// An acknowledged configuration is in force everywhere after so long.
+    /// The longest time from the acknowledgement of a configuration until it is in force everywhere, in milliseconds.
     pub config_apply_ms: u64,
-    /// A draining runner gets no start so long after the acknowledgement of its notice.
+    /// The time from the acknowledgement of a runner's drain notice after which it gets no start, in milliseconds.
     pub drain_ms: u64,
     /// From SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
-    /// The longest hold a runner grants.
+    /// The longest lease that a runner takes, in milliseconds.
     pub hold_max_ms: u64,
-    /// A stop takes at most so long.
+    /// The longest time that a stop takes, in milliseconds.
     pub stop_ms: u64,
-    /// A member of a gang waits so long for the others.
+    /// The time for which a gang member waits for the others, in milliseconds.
     pub gang_ms: u64,
-    /// No start so long after a cancelling was acknowledged.
+    /// The time from the acknowledgement of a cancellation after which the job gets no start, in milliseconds.
     pub cancel_ms: u64,
-    /// A scheduled run may start so much before its time.
+    /// How far ahead of its time a scheduled run may start, in milliseconds.
     pub early_ms: u64,
-    /// A job's state is told for so long after its end, in seconds.
+    /// The time for which a job's state can be read after its end, in seconds.
     pub status_s: f64,
-    /// Away from its data a task takes so many times as long.
+    /// The factor by which a task takes longer away from its data.
     pub far_x: f64,
-    /// Progress is saved with every so much work, in seconds.
+    /// The work between two checkpoints of a run, in seconds.
     pub save_s: f64,
-    /// A start from a checkpoint takes so long before it resumes.
+    /// The time that a start from a checkpoint takes before it resumes, in milliseconds.
     pub restore_ms: u64,
-    /// So long after its return a machine counts as lost, in seconds.
+    /// The time after its return for which a machine still counts as lost, in seconds.
     pub catch_up_s: f64,
 }
 
--- a/crates/cluster/protocol/src/client.rs
+++ b/crates/cluster/protocol/src/client.rs
@@ -1,18 +1,19 @@
-//! Between the clients' gateway and the scheduler. Lost messages are sent again by the gateway; a job's ID makes
-//! the repeat harmless.
+//! Between the clients' gateway and the scheduler. The gateway retries lost messages; the job's id makes a retry
+//! idempotent.
+
+use deku::prelude::*;
 
 use crate::collections::{Blob, Text};
 use crate::id::{NodeId, Term};
-use deku::prelude::*;
 
-/// What a client asks of a job or a queue.
+/// What a client requests of a job or a queue.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum ClientMethod {
-    /// Hand a job in (POST).
+    /// Submit a job (POST).
     #[deku(id = 0)]
     Submit,
-    /// Ask for a job's state, or a queue's count (GET).
+    /// Read a job's state, or a queue's count (GET).
     #[deku(id = 1)]
     Read,
     /// Cancel a job (DELETE).
@@ -20,11 +21,13 @@
     Cancel,
 }
 
-/// A client's request, passed on whole: the scheduler routes it, so that one configuration decides.
+/// A client's request. Sent by a gateway to the scheduler, which routes it, so that one configuration decides;
+/// answered by [`ClientReply`] or [`NotLeader`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ClientRequest {
     /// Names the request at the gateway that sent it; the same in each repeat.
     pub request: u64,
+    /// The request's kind.
     pub method: ClientMethod,
     /// The `Host` header without a port.
     pub host: Text,
@@ -32,20 +35,21 @@
     pub path: Text,
     /// The body as received (JSON); empty for `Read` and `Cancel`.
     pub body: Blob,
-    /// The newest version of the configuration that the gateway has seen: the scheduler must know it, or a
-    /// newer one, before it answers.
+    /// The newest version of the configuration that the gateway has seen: the scheduler must know
+    /// it, or a newer one, before it answers.
     pub config_version: u64,
-    /// What is left of the client's patience, in milliseconds.
+    /// The time until the client's deadline, in milliseconds.
     pub remaining_ms: u32,
 }
 
-/// The scheduler's answer.
+/// The scheduler's answer to a [`ClientRequest`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ClientReply {
+    /// As in the request.
     pub request: u64,
     /// The HTTP status.
     pub status: u16,
-    /// The client may try again after so many milliseconds; 0: nothing is said of it.
+    /// The client may retry after this time, in milliseconds; 0: no `Retry-After`.
     pub retry_after_ms: u32,
     /// JSON, or empty.
     pub body: Blob,
@@ -53,13 +57,14 @@
     pub config_version: u64,
 }
 
-/// The process that got a request or a report is not the scheduler. Nothing was done.
+/// The receiver of a [`ClientRequest`] or a [`RunnerReport`](crate::agent::RunnerReport) leads no term and did
+/// nothing. The sender tries the leader that is named, or another core process.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct NotLeader {
-    /// The request, or zero for a report.
+    /// The request; zero for a report.
     pub request: u64,
     /// The newest term known.
     pub term: Term,
-    /// Who holds it, if that is known; `NodeId::default()` if not.
+    /// Its leader; `NodeId::default()` where none is known.
     pub leader: NodeId,
 }
--- a/crates/cluster/protocol/src/collections.rs
+++ b/crates/cluster/protocol/src/collections.rs
@@ -1,30 +1,41 @@
-//! Texts, byte strings and lists with their length in front, bounded when read.
+//! Texts, byte strings and lists. On the wire the length comes first, as a `u32`; it is checked against a limit
+//! before anything is allocated.
+
+use std::fmt;
+use std::ops::Deref;
 
 use deku::no_std_io::{Read, Seek, Write};
 use deku::prelude::*;
 use deku::reader::Reader;
 use deku::writer::Writer;
-use std::fmt;
-use std::ops::Deref;
 
 /// The longest byte string taken from a frame, in bytes.
 pub const MAX_BLOB_BYTES: usize = 16 << 20;
 /// The longest list taken from a frame, in items.
 pub const MAX_LIST_ITEMS: usize = 1 << 20;
-/// At most so many items are allocated ahead of their being read.
+/// Items (or bytes) allocated before they are read: a false length in a frame costs no memory.
 const ALLOCATED_AHEAD: usize = 1024;
 
 /// A byte string.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Blob(pub Vec<u8>);
+pub struct Blob(
+    /// The bytes; at most [`MAX_BLOB_BYTES`] in a frame.
+    pub Vec<u8>,
+);
 
 /// A text in UTF-8.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Text(pub String);
+pub struct Text(
+    /// The text; at most [`MAX_BLOB_BYTES`] in a frame.
+    pub String,
+);
 
 /// A list of items of one type.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct List<T>(pub Vec<T>);
+pub struct List<T>(
+    /// The items; at most [`MAX_LIST_ITEMS`] in a frame.
+    pub Vec<T>,
+);
 
 impl<T> Default for List<T> {
     fn default() -> List<T> {
@@ -98,9 +109,9 @@
     }
 }
 
-fn read_length<R: Read + Seek>(reader: &mut Reader<R>, most: usize) -> Result<usize, DekuError> {
+fn read_length<R: Read + Seek>(reader: &mut Reader<R>, limit: usize) -> Result<usize, DekuError> {
     let length = u32::from_reader_with_ctx(reader, ())? as usize;
-    if length > most {
+    if length > limit {
         return Err(DekuError::Assertion("a length over the limit"));
     }
     Ok(length)
@@ -113,11 +124,11 @@
     ) -> Result<Self, DekuError> {
         let length = read_length(reader, MAX_BLOB_BYTES)?;
         let mut bytes = Vec::with_capacity(length.min(ALLOCATED_AHEAD));
-        let mut piece = [0; ALLOCATED_AHEAD];
+        let mut chunk = [0; ALLOCATED_AHEAD];
         while bytes.len() < length {
             let wanted = (length - bytes.len()).min(ALLOCATED_AHEAD);
-            reader.read_bytes(wanted, &mut piece[..wanted], deku::ctx::Order::Msb0)?;
-            bytes.extend_from_slice(&piece[..wanted]);
+            reader.read_bytes(wanted, &mut chunk[..wanted], deku::ctx::Order::Msb0)?;
+            bytes.extend_from_slice(&chunk[..wanted]);
         }
         Ok(Blob(bytes))
     }
--- a/crates/cluster/protocol/src/id.rs
+++ b/crates/cluster/protocol/src/id.rs
@@ -1,10 +1,11 @@
-//! What names a process, its incarnation and a term of office.
+//! Names of a process, its incarnation and a term.
 
-use deku::prelude::*;
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A process of the cluster, named by the address on which it hears other processes.
+use deku::prelude::*;
+
+/// A process of the cluster, named by the address at which it listens for other processes.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct NodeId {
     /// The IPv4 address as a number, most significant byte first.
@@ -15,6 +16,7 @@
 
 impl NodeId {
     /// The process that listens at `address`.
+    #[must_use]
     pub fn from_address(address: SocketAddrV4) -> NodeId {
         NodeId {
             ip: u32::from(*address.ip()),
@@ -23,6 +25,7 @@
     }
 
     /// Where the process listens.
+    #[must_use]
     pub fn address(self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.ip), self.port)
     }
@@ -47,17 +50,18 @@
     /// Takes clients' requests.
     #[deku(id = 0)]
     Frontend,
-    /// Stands beside one runner.
+    /// The agent beside one runner.
     #[deku(id = 1)]
     Side,
-    /// Has a disk and takes part in agreement.
+    /// Has a disk and takes part in the control plane's quorums.
     #[deku(id = 2)]
     Core,
 }
 
 impl NodeKind {
-    /// How much a process of this kind may carry for others outside the core; 0: nothing. A frontend's link is thin,
-    /// and core processes are where everything comes from.
+    /// The weight with which a process of this kind is chosen as a relay; 0: never. A frontend's link is narrow, and
+    /// core processes are the source.
+    #[must_use]
     pub fn relay_weight(self) -> u32 {
         match self {
             NodeKind::Side => 1,
@@ -66,8 +70,8 @@
     }
 }
 
-/// A term of office of the scheduler; rises with each election.
+/// A term of the leader, as in Raft; rises with each election.
 pub type Term = u64;
 
-/// Drawn at random at each start of a process, never zero.
+/// Tells apart the starts of one process: drawn at random at each start, never zero.
 pub type Incarnation = u64;
--- a/crates/cluster/protocol/src/node/disk.rs
+++ b/crates/cluster/protocol/src/node/disk.rs
@@ -12,38 +12,49 @@
     Records,
 }
 
-/// A change of what is on disk.
+/// A change of one table on disk.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum DiskOperation {
+    /// Sets a row, whether it was there or not.
     Put {
+        /// The row's table.
         table: Table,
+        /// The row's key.
         key: Vec<u8>,
+        /// Its new value.
         value: Vec<u8>,
     },
+    /// Removes a row; no error where there is none.
     Delete {
+        /// The row's table.
         table: Table,
+        /// The row's key.
         key: Vec<u8>,
     },
-    /// Empties a table.
+    /// Removes all rows of a table.
     Clear {
+        /// The table.
         table: Table,
     },
 }
 
-/// Changes that reach the disk together or not at all, and what waits for that. Writes of one process reach the
-/// disk in the order in which they were asked for; the world may sync several at once.
+/// An atomic write, and what waits until it is synced. Writes of one process reach the disk in the order of the
+/// outboxes; the driver may sync several at once.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct DiskWrite {
+    /// The changes, applied in this order.
     pub operations: Vec<DiskOperation>,
-    /// Sent once the changes are synced.
+    /// Messages that are sent once the changes are synced: promises that must survive a crash.
     pub send_when_synced: Vec<(NodeId, Message)>,
-    /// Told back as `Event::Synced` once the changes are synced.
+    /// Comes back in [`Event::Synced`](super::Event::Synced) once the changes are synced.
     pub token: Option<u64>,
 }
 
 /// What was on disk when the process started.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct DiskImage {
+    /// The rows of [`Table::Control`] as (key, value), sorted by key.
     pub control: Vec<(Vec<u8>, Vec<u8>)>,
+    /// The rows of [`Table::Records`] as (key, value), sorted by key.
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
 }
--- a/crates/cluster/protocol/src/node/health_check.rs
+++ b/crates/cluster/protocol/src/node/health_check.rs
@@ -2,22 +2,28 @@
 
 use std::net::SocketAddrV4;
 
-/// Names a probe until its result comes.
+/// Names a health check until its result comes; chosen by the logic.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct HealthCheckId(pub u64);
+pub struct HealthCheckId(
+    /// Unique in one run of a process.
+    pub u64,
+);
 
-/// A look at another process: one GET by a connection of its own.
+/// A health check of another process: one GET on a connection of its own.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HealthCheck {
+    /// Comes back with the result.
     pub id: HealthCheckId,
+    /// Where the other process listens.
     pub address: SocketAddrV4,
+    /// The path of the GET.
     pub path: String,
 }
 
-/// So long a probe waits for its answer, in milliseconds.
+/// The time-out of a health check, in milliseconds.
 pub const HEALTH_CHECK_TIMEOUT_MS: u64 = 300;
 
-/// What came of a probe.
+/// The result of a health check.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum HealthCheckResult {
     /// The machine is up and nothing listens at the address.
--- a/crates/cluster/protocol/src/node/http.rs
+++ b/crates/cluster/protocol/src/node/http.rs
@@ -1,50 +1,60 @@
 //! HTTP requests and replies as the logic sees them.
 
-/// Names a request of HTTP until it is answered.
+/// Names an HTTP request until it is answered; unique in one run of a process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct HttpRequestId(pub u64);
+pub struct HttpRequestId(
+    /// Chosen by the driver.
+    pub u64,
+);
 
-/// The listening address by which a request of HTTP came.
+/// The listening address at which an HTTP request arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum HttpEndpoint {
-    /// Clients.
+    /// For clients.
     Frontend,
-    /// The platform's readiness check.
+    /// For the platform's readiness check.
     Readiness,
-    /// The operator on core machines, the runner on side machines.
+    /// For the operator on core machines, for the runner on side machines.
     Control,
 }
 
-/// A method of HTTP.
+/// An HTTP method.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum Method {
+    /// GET.
     Get,
+    /// POST.
     Post,
+    /// DELETE.
     Delete,
     /// Any other.
     Other,
 }
 
-/// A request of HTTP, read whole.
+/// An HTTP request with its full body.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HttpRequest {
+    /// The method.
     pub method: Method,
     /// The `Host` header without a port; empty where there is none.
     pub host: String,
     /// The path without a query.
     pub path: String,
-    /// The `Base-Version` header; `None` where it is missing or no number.
+    /// The `Base-Version` header, a version of the configuration; `None` where it is missing or no number.
     pub base_version: Option<u64>,
-    /// The `Deadline-Ms` header.
+    /// The `Deadline-Ms` header, in milliseconds; `None` where it is missing or no number.
     pub deadline_ms: Option<u64>,
+    /// The body; empty where there is none.
     pub body: Vec<u8>,
 }
 
-/// An answer of HTTP. A body, where there is one, is JSON.
+/// An HTTP reply.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HttpReply {
+    /// The status code.
     pub status: u16,
     /// The `Retry-After` header, in whole seconds, rounded up by whoever sets it.
     pub retry_after_s: Option<u32>,
+    /// JSON; empty for no body.
     pub body: Vec<u8>,
 }
--- a/crates/cluster/protocol/tests/encoding.rs
+++ b/crates/cluster/protocol/tests/encoding.rs
@@ -5,6 +5,7 @@
 mod examples;
 
 use deku::DekuContainerRead;
+
 use sagetrail_fixture::Fixture;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
@@ -17,7 +18,7 @@
 const FIXTURE: &str = include_str!("fixtures/wire.txt");
 
 /// The fixture's bytes of an example.
-fn kept(name: &str) -> Vec<u8> {
+fn fixture_bytes(name: &str) -> Vec<u8> {
     Fixture::read(FIXTURE).bytes(name)
 }
 
@@ -33,7 +34,7 @@
 #[test]
 fn all_types_are_read_from_the_bytes_of_the_fixture() {
     for example in examples::all() {
-        (example.reads_back)(&kept(&example.name));
+        (example.reads_back)(&fixture_bytes(&example.name));
     }
 }
 
@@ -53,7 +54,7 @@
         .into_iter()
         .filter(|example| example.name.starts_with("message/"));
     for example in messages {
-        let payload = kept(&example.name);
+        let payload = fixture_bytes(&example.name);
         let message = frame::decode(&payload).unwrap();
         assert_eq!(
             frame::encode(&message).unwrap(),
@@ -68,10 +69,10 @@
 }
 
 #[test]
-fn messages_that_are_cut_off_are_refused() {
+fn truncated_messages_are_malformed() {
     for example in examples::all() {
         if example.name.starts_with("message/") {
-            let payload = kept(&example.name);
+            let payload = fixture_bytes(&example.name);
             for length in 0..payload.len() {
                 let read = frame::decode(&payload[..length]);
                 assert!(
@@ -113,10 +114,10 @@
 }
 
 #[test]
-fn a_connection_begins_with_the_same_figures() {
+fn preamble_and_frame_limits_are_pinned() {
     assert_eq!(MAGIC, 0x7361_6765);
     assert_eq!(PROTOCOL_VERSION, 1);
-    assert_eq!(PREAMBLE_BYTES, kept("preamble").len());
+    assert_eq!(PREAMBLE_BYTES, fixture_bytes("preamble").len());
     assert_eq!(LENGTH_BYTES, 4);
     assert_eq!(MAX_FRAME_BYTES, 32 << 20);
 }
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -1,10 +1,11 @@
 //! Messages among core processes.
 
-use super::members::process;
-use super::{complete, variants, Example};
 use sagetrail_protocol::control::*;
 use sagetrail_protocol::{Blob, List};
 
+use super::members::process;
+use super::{complete, variants, Example};
+
 variants!(CONTROL_MESSAGES, control_message, ControlMessage, {
     ControlMessage::Prepare(_) => "prepare",
     ControlMessage::Promise(_) => "promised",
--- a/crates/cluster/protocol/tests/examples/members.rs
+++ b/crates/cluster/protocol/tests/examples/members.rs
@@ -1,12 +1,13 @@
 //! What names a process, the opening of a connection, and the enums without fields.
 
-use super::{complete, variants, Example};
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
 use sagetrail_protocol::control::ChangeKind;
 use sagetrail_protocol::frame::Preamble;
 use sagetrail_protocol::{NodeId, NodeKind};
 
+use super::{complete, variants, Example};
+
 variants!(NODE_KINDS, node_kind, NodeKind, {
     NodeKind::Frontend => "frontend",
     NodeKind::Side => "side",
--- a/crates/cluster/protocol/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -1,7 +1,5 @@
 //! Messages between processes, other than those among core processes.
 
-use super::members::process;
-use super::{complete, variants, Example};
 use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport, StartCommand,
     StopCommand,
@@ -13,6 +11,9 @@
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{Blob, List, Message, NodeKind, Text};
 
+use super::members::process;
+use super::{complete, variants, Example};
+
 variants!(MESSAGES, message, Message, {
     Message::Hello(_) => "hello",
     Message::Directory(_) => "directory",
--- a/crates/cluster/protocol/tests/examples/mod.rs
+++ b/crates/cluster/protocol/tests/examples/mod.rs
@@ -5,10 +5,11 @@
 mod members;
 mod messages;
 
-use deku::{DekuContainerRead, DekuContainerWrite};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
+use deku::{DekuContainerRead, DekuContainerWrite};
+
 /// Panics unless bytes are read as the value that it knows.
 type ReadsBack = Box<dyn Fn(&[u8])>;
 
