--- a/crates/cluster/cluster-config/src/change.rs
+++ b/crates/cluster/cluster-config/src/change.rs
@@ -1,9 +1,10 @@
 //! Changes of a configuration: the whole of it, or named items.
 
+use serde_json::Value;
+
 use crate::document::ConfigDocument;
 use crate::error::ConfigError;
 use crate::read::{self, Object};
-use serde_json::Value;
 
 impl ConfigDocument {
     /// The whole configuration in `body`, to take the place of `current`.
--- a/crates/cluster/cluster-config/src/document.rs
+++ b/crates/cluster/cluster-config/src/document.rs
@@ -1,11 +1,13 @@
 //! A whole configuration.
 
+use std::collections::HashMap;
+
+use serde_json::Value;
+
 use crate::error::ConfigError;
 use crate::index::{RouteIndex, RouteMatch};
 use crate::item::{Limits, Route, ServiceEntry};
 use crate::read::{self, Object};
-use serde_json::Value;
-use std::collections::HashMap;
 
 /// A configuration that keeps the rules for configurations.
 #[derive(Clone, PartialEq, Debug)]
--- a/crates/cluster/cluster-config/src/index.rs
+++ b/crates/cluster/cluster-config/src/index.rs
@@ -1,10 +1,11 @@
 //! Finds the route of a request: host first, then the longest prefix.
 
-use crate::error::ConfigError;
-use crate::item::Route;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
+use crate::error::ConfigError;
+use crate::item::Route;
+
 /// The route of a request, and what is left of its path.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RouteMatch<'a> {
--- a/crates/cluster/cluster-config/src/read.rs
+++ b/crates/cluster/cluster-config/src/read.rs
@@ -1,12 +1,14 @@
 //! Reads typed items out of a document's JSON, and says where it fails.
 
-use crate::error::ConfigError;
-use crate::item::Limits;
+use std::collections::HashSet;
+
 use serde::Deserialize;
 use serde_json::{Map, Value};
-use std::collections::HashSet;
 use validator::{Validate, ValidationErrors};
 
+use crate::error::ConfigError;
+use crate::item::Limits;
+
 /// An object of JSON.
 pub(crate) type Object = Map<String, Value>;
 
--- a/crates/cluster/cluster-config/tests/change.rs
+++ b/crates/cluster/cluster-config/tests/change.rs
@@ -2,11 +2,14 @@
 
 mod common;
 
-use common::{body, document, route};
+use std::collections::BTreeMap;
+
 use proptest::prelude::*;
-use sagetrail_cluster_config::{ConfigDocument, ConfigError};
 use serde_json::{json, Value};
-use std::collections::BTreeMap;
+
+use sagetrail_cluster_config::{ConfigDocument, ConfigError};
+
+use common::{body, document, route};
 
 fn current() -> ConfigDocument {
     ConfigDocument::replace(None, &body(&document(5))).unwrap()
--- a/crates/cluster/cluster-config/tests/document.rs
+++ b/crates/cluster/cluster-config/tests/document.rs
@@ -2,10 +2,12 @@
 
 mod common;
 
-use common::{body, document, route, service};
-use sagetrail_cluster_config::{ConfigDocument, ConfigError};
 use serde_json::{json, Value};
 
+use sagetrail_cluster_config::{ConfigDocument, ConfigError};
+
+use common::{body, document, route, service};
+
 fn error_of(value: &Value) -> String {
     ConfigDocument::parse(&body(value))
         .expect_err("must be refused")
--- a/crates/cluster/cluster-node/src/arguments.rs
+++ b/crates/cluster/cluster-node/src/arguments.rs
@@ -1,8 +1,9 @@
 //! The command line, the same for all three programs.
 
+use std::path::PathBuf;
+
 use argh::FromArgs;
 use log::LevelFilter;
-use std::path::PathBuf;
 
 /// Names the settings file where no flag does.
 pub const SETTINGS_VARIABLE: &str = "SAGETRAIL_CONFIG";
--- a/crates/cluster/cluster-node/src/clocks.rs
+++ b/crates/cluster/cluster-node/src/clocks.rs
@@ -1,8 +1,9 @@
 //! The clocks as the logic sees them.
 
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::Time;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The steady clock, counted from the start of the process, and the time of day.
 #[derive(Clone, Copy, Debug)]
--- a/crates/cluster/cluster-node/src/core_process.rs
+++ b/crates/cluster/cluster-node/src/core_process.rs
@@ -1,12 +1,13 @@
 //! A core process: register, elections, records on disk, and the scheduler where it is elected.
 
-use crate::start::Ground;
 use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::node::{Node, Now, Outbox};
 use sagetrail_protocol::service::{Service, ServiceFactory};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 
+use crate::start::Ground;
+
 /// Makes the logic of a core process.
 pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = CoreSettings {
--- a/crates/cluster/cluster-node/src/disk/file.rs
+++ b/crates/cluster/cluster-node/src/disk/file.rs
@@ -1,12 +1,13 @@
 //! The file as `redb` uses it: plain reads and writes at a place, no locks on ranges of it, which not every
 //! system has. One lock on the whole keeps a second process away.
 
-use redb::StorageBackend;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
+use redb::StorageBackend;
+
 /// An open file.
 #[derive(Debug)]
 pub(super) struct LockedFile {
--- a/crates/cluster/cluster-node/src/disk/store.rs
+++ b/crates/cluster/cluster-node/src/disk/store.rs
@@ -1,13 +1,16 @@
 //! The file: opening it, reading it whole, writing many changes at once.
 
-use super::file::LockedFile;
-use super::DiskError;
+use std::fs::File;
+use std::path::Path;
+
 use redb::{
     Database, Durability, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
 };
+
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
-use std::fs::File;
-use std::path::Path;
+
+use super::file::LockedFile;
+use super::DiskError;
 
 const FILE_NAME: &str = "state.redb";
 /// A file on its way into the place of a torn one.
--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -1,9 +1,11 @@
 //! The thread that writes: takes all writes that wait, syncs them as one, reports what waited for them.
 
+use std::sync::mpsc::{channel, Receiver, Sender};
+
+use sagetrail_protocol::node::DiskWrite;
+
 use super::{DiskError, Store};
 use crate::input::{Input, Inputs};
-use sagetrail_protocol::node::DiskWrite;
-use std::sync::mpsc::{channel, Receiver, Sender};
 
 /// Operations that are synced as one at most; a longer sync holds up what waits first.
 const MOST_OPERATIONS: usize = 8192;
--- a/crates/cluster/cluster-node/src/frontend_process.rs
+++ b/crates/cluster/cluster-node/src/frontend_process.rs
@@ -1,9 +1,10 @@
 //! A frontend process: the clients' gateway.
 
-use crate::start::Ground;
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
+use crate::start::Ground;
+
 /// Makes the logic of a frontend process.
 pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = GatewaySettings {
--- a/crates/cluster/cluster-node/src/health_check.rs
+++ b/crates/cluster/cluster-node/src/health_check.rs
@@ -1,18 +1,21 @@
 //! Looks at another process: one GET by a connection of its own, within the time of a probe.
 
-use crate::input::{Input, Inputs};
+use std::fmt;
+use std::io::ErrorKind;
+use std::time::Duration;
+
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1;
 use hyper::header::{CONNECTION, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use sagetrail_protocol::node::{HealthCheck, HealthCheckResult, HEALTH_CHECK_TIMEOUT_MS};
-use std::fmt;
-use std::io::ErrorKind;
-use std::time::Duration;
 use tokio::net::TcpStream;
 
+use sagetrail_protocol::node::{HealthCheck, HealthCheckResult, HEALTH_CHECK_TIMEOUT_MS};
+
+use crate::input::{Input, Inputs};
+
 /// Why a probe got no status.
 #[derive(Debug)]
 enum HealthCheckError {
--- a/crates/cluster/cluster-node/src/http/convert.rs
+++ b/crates/cluster/cluster-node/src/http/convert.rs
@@ -5,6 +5,7 @@
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode};
+
 use sagetrail_protocol::node::{HttpReply, HttpRequest, Method};
 
 const BASE_VERSION: &str = "base-version";
--- a/crates/cluster/cluster-node/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -1,21 +1,24 @@
 //! Listening addresses and their connections.
 
-use super::room::{Place, Room};
-use super::service::{answer, ServiceContext};
-use crate::input::Inputs;
-use crate::phase::{reached, Phase, PhaseWatch};
-use crate::transport::bind_listener;
-use hyper::server::conn::http1;
-use hyper::service::service_fn;
-use hyper_util::rt::TokioIo;
-use sagetrail_protocol::node::HttpEndpoint;
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 use std::time::Duration;
+
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 
+use sagetrail_protocol::node::HttpEndpoint;
+
+use super::room::{Place, Room};
+use super::service::{answer, ServiceContext};
+use crate::input::Inputs;
+use crate::phase::{reached, Phase, PhaseWatch};
+use crate::transport::bind_listener;
+
 /// After a failed accept (no descriptor, for instance) so long nothing is accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// The most that a connection buffers of a request's head.
--- a/crates/cluster/cluster-node/src/http/room.rs
+++ b/crates/cluster/cluster-node/src/http/room.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+
 use tokio::sync::Notify;
 
 /// Descriptors kept back for files and for other processes.
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -1,20 +1,23 @@
 //! One request: read whole within limits, handed to the logic, answered.
 
-use super::convert::{refusal, to_request, to_response};
-use super::room::Place;
-use crate::input::{Input, Inputs};
-use crate::phase::{Phase, PhaseWatch};
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
-use hyper::body::{Body, Incoming};
-use hyper::{Request, Response, StatusCode};
-use sagetrail_protocol::node::{HttpEndpoint, HttpRequestId};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::{Request, Response, StatusCode};
 use tokio::sync::oneshot;
 
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequestId};
+
+use super::convert::{refusal, to_request, to_response};
+use super::room::Place;
+use crate::input::{Input, Inputs};
+use crate::phase::{Phase, PhaseWatch};
+
 /// A body that has not come whole after so long is given up.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest body of a client's request, in bytes.
--- a/crates/cluster/cluster-node/src/identity.rs
+++ b/crates/cluster/cluster-node/src/identity.rs
@@ -1,10 +1,12 @@
 //! What names this process, and what it draws at random.
 
-use crate::settings::Settings;
 use rand::rngs::OsRng;
 use rand::TryRngCore;
+
 use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
 
+use crate::settings::Settings;
+
 /// Ports of a machine that are ours, counted from the first of `port_range`: one for each kind of process, so
 /// that two on one machine do not meet.
 pub const PORTS_USED: u16 = 3;
--- a/crates/cluster/cluster-node/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -1,11 +1,13 @@
 //! What reaches the loop that drives the logic, from sockets, disk and signals.
 
-use crate::disk::DiskError;
+use tokio::sync::{mpsc, oneshot};
+
 use sagetrail_protocol::node::{
     HealthCheckId, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId,
 };
 use sagetrail_protocol::{Message, NodeId};
-use tokio::sync::{mpsc, oneshot};
+
+use crate::disk::DiskError;
 
 /// One thing that happened.
 pub enum Input {
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -1,18 +1,21 @@
 //! The loop that drives the logic of a process: takes what happened, performs what the logic wants done.
 
+use std::collections::{HashMap, VecDeque};
+use std::pin::Pin;
+use std::time::Duration;
+
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::Sleep;
+
+use sagetrail_protocol::node::{Event, HttpReply, HttpRequestId, Node, Outbox};
+use sagetrail_protocol::{Message, NodeId, Time};
+
 use crate::clocks::Clocks;
 use crate::disk::{Disk, DiskError};
 use crate::health_check;
 use crate::input::{Input, Inputs};
 use crate::phase::{Phase, PhaseSetter};
 use crate::transport::Transport;
-use sagetrail_protocol::node::{Event, HttpReply, HttpRequestId, Node, Outbox};
-use sagetrail_protocol::{Message, NodeId, Time};
-use std::collections::{HashMap, VecDeque};
-use std::pin::Pin;
-use std::time::Duration;
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::Sleep;
 
 /// Inputs taken together before what they led to is performed.
 const BATCH: usize = 64;
--- a/crates/cluster/cluster-node/src/settings.rs
+++ b/crates/cluster/cluster-node/src/settings.rs
@@ -6,14 +6,17 @@
 
 pub use error::SettingsError;
 
-use number::Number;
-use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::NodeKind;
-use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
+
+use serde::Deserialize;
 use validator::Validate;
 
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::NodeKind;
+
+use number::Number;
+
 /// What the platform tells a process.
 #[derive(Deserialize, Validate, Clone, Debug)]
 pub struct Settings {
--- a/crates/cluster/cluster-node/src/settings/check.rs
+++ b/crates/cluster/cluster-node/src/settings/check.rs
@@ -1,11 +1,14 @@
 //! Checks of single fields, and of what a kind of process needs.
 
+use std::net::Ipv4Addr;
+
+use validator::ValidationError;
+
+use sagetrail_protocol::NodeKind;
+
 use super::number::Number;
 use super::{Settings, SettingsError};
 use crate::identity::PORTS_USED;
-use sagetrail_protocol::NodeKind;
-use std::net::Ipv4Addr;
-use validator::ValidationError;
 
 /// The address is a machine's own.
 pub(super) fn is_specified(ip: &Ipv4Addr) -> Result<(), ValidationError> {
--- a/crates/cluster/cluster-node/src/settings/error.rs
+++ b/crates/cluster/cluster-node/src/settings/error.rs
@@ -2,6 +2,7 @@
 
 use std::fmt;
 use std::path::PathBuf;
+
 use validator::{ValidationErrors, ValidationErrorsKind};
 
 /// Why settings were refused.
--- a/crates/cluster/cluster-node/src/settings/number.rs
+++ b/crates/cluster/cluster-node/src/settings/number.rs
@@ -1,8 +1,9 @@
 //! A figure that the settings may give as a whole number or as a fraction.
 
+use std::fmt;
+
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
-use std::fmt;
 
 /// A finite figure.
 #[derive(Serialize, Clone, Copy, PartialEq, Debug)]
--- a/crates/cluster/cluster-node/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -1,9 +1,10 @@
 //! A side process: the agent of the runner on its machine.
 
-use crate::start::Ground;
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
+use crate::start::Ground;
+
 /// Makes the logic of a side process.
 pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = AgentSettings {
--- a/crates/cluster/cluster-node/src/signals.rs
+++ b/crates/cluster/cluster-node/src/signals.rs
@@ -1,11 +1,14 @@
 //! What the platform says by signals.
 
+use std::path::{Path, PathBuf};
+
+use tokio::signal::unix::{signal, SignalKind};
+
+use sagetrail_protocol::NodeKind;
+
 use crate::identity::seed_nodes;
 use crate::input::{Input, Inputs};
 use crate::settings::Settings;
-use sagetrail_protocol::NodeKind;
-use std::path::{Path, PathBuf};
-use tokio::signal::unix::{signal, SignalKind};
 
 /// Hears signals from now on: SIGTERM and SIGINT ask the process to end, SIGHUP to read its seeds anew.
 pub(crate) fn listen(
--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -1,5 +1,19 @@
 //! From the command line to the running process, the same for all three programs.
 
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use anyhow::Context;
+use tokio::sync::mpsc;
+
+use sagetrail_protocol::bounds::Bounds;
+use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Node, Now, Outbox};
+use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
+
 use crate::arguments::Arguments;
 use crate::clocks::Clocks;
 use crate::disk::{Disk, DiskError, Opened, Store};
@@ -12,17 +26,6 @@
 use crate::settings::Settings;
 use crate::signals;
 use crate::transport::Transport;
-use anyhow::Context;
-use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Node, Now, Outbox};
-use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
-use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
-use std::process::ExitCode;
-use std::sync::atomic::AtomicU64;
-use std::sync::Arc;
-use std::time::{Duration, Instant};
-use tokio::sync::mpsc;
 
 /// The settings were refused, or the command line.
 const BAD_SETTINGS: u8 = 2;
--- a/crates/cluster/cluster-node/src/transport/dial.rs
+++ b/crates/cluster/cluster-node/src/transport/dial.rs
@@ -1,16 +1,18 @@
 //! Opening a connection to another process for what waits to be sent to it.
 
-use super::link::run;
-use super::peer::Peer;
-use super::shared::Transport;
-use super::socket::prepare_peer;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
+use super::link::run;
+use super::peer::Peer;
+use super::shared::Transport;
+use super::socket::prepare_peer;
+
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
--- a/crates/cluster/cluster-node/src/transport/frames.rs
+++ b/crates/cluster/cluster-node/src/transport/frames.rs
@@ -2,6 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use deku::DekuContainerRead;
+
 use sagetrail_protocol::frame::{
     decode, encode, FrameError, Preamble, LENGTH_BYTES, MAGIC, MAX_FRAME_BYTES, PROTOCOL_VERSION,
 };
--- a/crates/cluster/cluster-node/src/transport/link.rs
+++ b/crates/cluster/cluster-node/src/transport/link.rs
@@ -1,18 +1,20 @@
 //! One connection with another process, in both directions, from its preamble to its end.
 
-use super::dial::dial;
-use super::frames::{missing, unpack};
-use super::peer::{Link, Peer};
-use super::shared::Transport;
-use bytes::BytesMut;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::time::Duration;
+
+use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 
+use super::dial::dial;
+use super::frames::{missing, unpack};
+use super::peer::{Link, Peer};
+use super::shared::Transport;
+
 /// A peer that takes nothing for so long is given up.
 const STALLED: Duration = Duration::from_millis(1500);
 /// Room for what is read at once.
--- a/crates/cluster/cluster-node/src/transport/listener.rs
+++ b/crates/cluster/cluster-node/src/transport/listener.rs
@@ -1,13 +1,16 @@
 //! Connections that other processes open.
 
+use std::time::Duration;
+
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpListener, TcpStream};
+
+use sagetrail_protocol::frame::PREAMBLE_BYTES;
+
 use super::frames::read_preamble;
 use super::link::run;
 use super::shared::Transport;
 use super::socket::prepare_peer;
-use sagetrail_protocol::frame::PREAMBLE_BYTES;
-use std::time::Duration;
-use tokio::io::AsyncReadExt;
-use tokio::net::{TcpListener, TcpStream};
 
 /// After a failed accept so long nothing is accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/cluster/cluster-node/src/transport/peer.rs
+++ b/crates/cluster/cluster-node/src/transport/peer.rs
@@ -1,11 +1,13 @@
 //! Another process: what waits to be sent to it, and the connections that reach it.
 
-use sagetrail_protocol::{Incarnation, NodeId};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
+
 use tokio::sync::Notify;
 
+use sagetrail_protocol::{Incarnation, NodeId};
+
 /// The most that waits for one process, in bytes. A single longer frame may wait alone.
 const QUEUE_BYTES: usize = 4 << 20;
 /// What has waited so long for a process that cannot be reached is dropped; the logic asks again.
--- a/crates/cluster/cluster-node/src/transport/shared.rs
+++ b/crates/cluster/cluster-node/src/transport/shared.rs
@@ -1,19 +1,22 @@
 //! What all connections to other processes share.
 
+use std::collections::HashMap;
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use deku::DekuContainerWrite;
+
+use sagetrail_protocol::frame::{FrameError, Preamble, MAGIC, PROTOCOL_VERSION};
+use sagetrail_protocol::{Incarnation, Message, NodeId};
+
 use super::dial::dial;
 use super::frames::pack;
 use super::listener::accept;
 use super::peer::{Peer, Pushed};
 use super::socket::bind_listener;
 use crate::input::{Input, Inputs};
-use deku::DekuContainerWrite;
-use sagetrail_protocol::frame::{FrameError, Preamble, MAGIC, PROTOCOL_VERSION};
-use sagetrail_protocol::{Incarnation, Message, NodeId};
-use std::collections::HashMap;
-use std::io;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
 
 /// Of connections closed for what came on them one line is logged in so long.
 const COMPLAINT_INTERVAL: Duration = Duration::from_secs(60);
--- a/crates/cluster/cluster-node/src/transport/socket.rs
+++ b/crates/cluster/cluster-node/src/transport/socket.rs
@@ -1,9 +1,10 @@
 //! Options of sockets.
 
-use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+
+use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 
 /// Connections that wait to be accepted.
--- a/crates/cluster/cluster-node/tests/callers.rs
+++ b/crates/cluster/cluster-node/tests/callers.rs
@@ -3,10 +3,20 @@
 
 mod common;
 
-use common::{free_node, long, numbered, soon};
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::net::SocketAddr;
+use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
 use deku::DekuContainerWrite;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::http::{serve, Room, ServeContext};
 use sagetrail_cluster_node::input::{Input, Inputs};
@@ -18,15 +28,8 @@
 };
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpReply, HttpRequestId, Node, Now, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
-use std::collections::BTreeMap;
-use std::io::{Read, Write};
-use std::net::SocketAddr;
-use std::sync::atomic::AtomicU64;
-use std::sync::{Arc, Mutex};
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc;
+
+use common::{free_node, long, numbered, soon};
 
 const SCHEDULES: u64 = 150;
 const RESETS: usize = 30;
--- a/crates/cluster/cluster-node/tests/cluster.rs
+++ b/crates/cluster/cluster-node/tests/cluster.rs
@@ -2,10 +2,11 @@
 
 mod common;
 
+use serde_json::{json, Value};
+
 use common::client::{call, Call};
 use common::cluster::{until, Cluster};
 use common::runner::Runner;
-use serde_json::{json, Value};
 
 const HOST: &str = "jobs.example";
 const SERVICE: &str = "svc";
--- a/crates/cluster/cluster-node/tests/common/client.rs
+++ b/crates/cluster/cluster-node/tests/common/client.rs
@@ -1,10 +1,11 @@
 //! A plain client of HTTP: a connection for each call.
 
-use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+use serde_json::Value;
+
 const PATIENCE: Duration = Duration::from_secs(3);
 
 /// A call.
--- a/crates/cluster/cluster-node/tests/common/cluster.rs
+++ b/crates/cluster/cluster-node/tests/common/cluster.rs
@@ -1,11 +1,12 @@
 //! A cluster of real processes on addresses of loopback.
 
-use super::folder;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus};
 use std::time::{Duration, Instant};
 
+use super::folder;
+
 const CORE: &str = env!("CARGO_BIN_EXE_sagetrail-core");
 const FRONTEND: &str = env!("CARGO_BIN_EXE_sagetrail-frontend");
 const SIDE: &str = env!("CARGO_BIN_EXE_sagetrail-side");
--- a/crates/cluster/cluster-node/tests/common/mod.rs
+++ b/crates/cluster/cluster-node/tests/common/mod.rs
@@ -5,14 +5,15 @@
 pub(crate) mod cluster;
 pub(crate) mod runner;
 
-use sagetrail_protocol::distribution::{ConfigUpdate, Subscribe};
-use sagetrail_protocol::{Blob, Message, NodeId};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
+use sagetrail_protocol::distribution::{ConfigUpdate, Subscribe};
+use sagetrail_protocol::{Blob, Message, NodeId};
+
 /// Nothing that is waited for takes longer.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
 
--- a/crates/cluster/cluster-node/tests/common/runner.rs
+++ b/crates/cluster/cluster-node/tests/common/runner.rs
@@ -1,13 +1,15 @@
 //! A runner: sends heartbeats to its agent, starts what it is told to, ends it at the next heartbeat but one.
 
-use super::client::{call, Call};
-use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+use serde_json::{json, Value};
+
+use super::client::{call, Call};
+
 const HEARTBEAT: Duration = Duration::from_millis(100);
 
 /// A run, and the heartbeats that have told of it.
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -2,13 +2,16 @@
 
 mod common;
 
-use common::{folder, numbered, soon};
+use std::path::Path;
+
+use tokio::sync::mpsc;
+
 use sagetrail_cluster_node::disk::{Disk, DiskError, Store};
 use sagetrail_cluster_node::input::Input;
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use sagetrail_protocol::NodeId;
-use std::path::Path;
-use tokio::sync::mpsc;
+
+use common::{folder, numbered, soon};
 
 fn put(table: Table, key: &[u8], value: &[u8]) -> DiskOperation {
     DiskOperation::Put {
--- a/crates/cluster/cluster-node/tests/health_check.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -2,15 +2,18 @@
 
 mod common;
 
-use common::soon;
-use sagetrail_cluster_node::health_check;
-use sagetrail_cluster_node::input::Input;
-use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
 use std::net::{Ipv4Addr, SocketAddrV4};
+
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
+use sagetrail_cluster_node::health_check;
+use sagetrail_cluster_node::input::Input;
+use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
+
+use common::soon;
+
 async fn listening() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
--- a/crates/cluster/cluster-node/tests/http_form.rs
+++ b/crates/cluster/cluster-node/tests/http_form.rs
@@ -3,7 +3,14 @@
 
 mod common;
 
-use common::soon;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{self, UnboundedReceiver};
+
 use sagetrail_cluster_node::health_check;
 use sagetrail_cluster_node::http::{serve, Room, ServeContext};
 use sagetrail_cluster_node::input::Input;
@@ -12,12 +19,8 @@
 use sagetrail_protocol::node::{
     HealthCheck, HealthCheckId, HttpEndpoint, HttpReply, HttpRequest, Method,
 };
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
-use std::sync::atomic::AtomicU64;
-use std::sync::Arc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc::{self, UnboundedReceiver};
+
+use common::soon;
 
 const ANSWERS: &str = "tests/fixtures/http_answers.txt";
 const REQUESTS: &str = "tests/fixtures/http_requests.txt";
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -2,7 +2,15 @@
 
 mod common;
 
-use common::{folder, free_node, numbered, soon};
+use std::net::SocketAddr;
+use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::disk::{Disk, Store};
 use sagetrail_cluster_node::http::{serve, Room, ServeContext};
@@ -15,13 +23,8 @@
     HttpRequestId, Node, Now, Outbox, Table,
 };
 use sagetrail_protocol::{NodeId, Time};
-use std::net::SocketAddr;
-use std::sync::atomic::AtomicU64;
-use std::sync::{Arc, Mutex};
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
-use tokio::sync::mpsc;
+
+use common::{folder, free_node, numbered, soon};
 
 const CLIENT_LIMIT: usize = 1 << 20;
 
--- a/crates/cluster/cluster-node/tests/programs.rs
+++ b/crates/cluster/cluster-node/tests/programs.rs
@@ -2,10 +2,11 @@
 
 mod common;
 
-use common::folder;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+use common::folder;
+
 const CORE: &str = env!("CARGO_BIN_EXE_sagetrail-core");
 const FRONTEND: &str = env!("CARGO_BIN_EXE_sagetrail-frontend");
 const SIDE: &str = env!("CARGO_BIN_EXE_sagetrail-side");
--- a/crates/cluster/cluster-node/tests/scale.rs
+++ b/crates/cluster/cluster-node/tests/scale.rs
@@ -1,8 +1,9 @@
 //! Hollow workers beside the real processes: everything that was accepted runs, and nothing runs twice at once.
 
+use std::path::Path;
+
 use sagetrail_scale_testing::run::play_scenario;
 use sagetrail_scale_testing::scenario::Scenario;
-use std::path::Path;
 
 #[test]
 fn hollow_workers_carry_a_small_load_to_its_end() {
--- a/crates/cluster/cluster-node/tests/stored/lone_core.rs
+++ b/crates/cluster/cluster-node/tests/stored/lone_core.rs
@@ -1,5 +1,8 @@
 //! The process: events go in with the test's time, writes reach the file at once.
 
+use std::collections::{BTreeMap, VecDeque};
+use std::path::Path;
+
 use sagetrail_cluster_node::disk::Store;
 use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_protocol::bounds::Bounds;
@@ -12,8 +15,6 @@
 use sagetrail_protocol::service::{Service, ServiceFactory};
 use sagetrail_protocol::{Message, NodeId, Time};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
-use std::collections::{BTreeMap, VecDeque};
-use std::path::Path;
 
 /// The member.
 pub(crate) const ME: NodeId = NodeId {
--- a/crates/cluster/cluster-node/tests/stored/runner.rs
+++ b/crates/cluster/cluster-node/tests/stored/runner.rs
@@ -1,11 +1,13 @@
 //! A runner with its agent, as the scheduler hears of it.
 
-use super::LoneCore;
+use std::collections::BTreeMap;
+
 use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport,
 };
 use sagetrail_protocol::{Message, NodeId};
-use std::collections::BTreeMap;
+
+use super::LoneCore;
 
 const CAPACITY: Resources = Resources {
     cpu: 4_000,
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -8,7 +8,9 @@
 mod common;
 mod stored;
 
-use common::folder;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+
 use sagetrail_cluster_node::disk::Store;
 use sagetrail_control_plane::{AcceptedChanges, RegisterValue};
 use sagetrail_protocol::agent::RunEnd;
@@ -19,8 +21,8 @@
 };
 use sagetrail_protocol::node::DiskImage;
 use sagetrail_protocol::NodeId;
-use std::fmt::Write;
-use std::path::{Path, PathBuf};
+
+use common::folder;
 use stored::{LoneCore, PlayedRunner, FOREIGN, GATEWAY, ME};
 
 const INCARNATION: u64 = 0x1111_2222_3333_4444;
--- a/crates/cluster/cluster-node/tests/torn_files.rs
+++ b/crates/cluster/cluster-node/tests/torn_files.rs
@@ -2,11 +2,14 @@
 
 mod common;
 
-use common::folder;
+use std::path::{Path, PathBuf};
+
 use redb::{Database, TableDefinition};
+
 use sagetrail_cluster_node::disk::Store;
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
-use std::path::{Path, PathBuf};
+
+use common::folder;
 
 const FILE_NAME: &str = "state.redb";
 const NEW_FILE_NAME: &str = "state.redb.new";
--- a/crates/cluster/cluster-node/tests/transport.rs
+++ b/crates/cluster/cluster-node/tests/transport.rs
@@ -2,18 +2,21 @@
 
 mod common;
 
-use common::{free_node, long, numbered, soon};
+use std::net::SocketAddr;
+use std::time::Duration;
+
 use deku::DekuContainerWrite;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, oneshot};
+
 use sagetrail_cluster_node::input::Input;
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::distribution::{ConfigCurrent, Subscribe};
 use sagetrail_protocol::frame::{Preamble, MAGIC, PROTOCOL_VERSION};
 use sagetrail_protocol::{Incarnation, Message, NodeId};
-use std::net::SocketAddr;
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, oneshot};
+
+use common::{free_node, long, numbered, soon};
 
 struct Process {
     node: NodeId,
