--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -430,7 +430,7 @@
             node.sent.0, node.sent.1, node.taken.0, node.taken.1
         );
         for (why, n) in &node.refused {
-            let _ = writeln!(lines, "passed over: {} {n}", why.as_str());
+            let _ = writeln!(lines, "passed over: {why} {n}");
         }
         lines
     }
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -100,7 +100,7 @@
         }
         let more = |(why, n): (&FrameError, &u64)| {
             let new = n - before.get(why).copied().unwrap_or(0);
-            (new > 0).then(|| format!("{} {new}", why.as_str()))
+            (new > 0).then(|| format!("{why} {new}"))
         };
         let reasons: Vec<String> = node.refused.iter().filter_map(more).collect();
         tracing::warn!("frames passed over: {}", reasons.join(", "));
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -733,7 +733,7 @@
             sent.frames, sent.bytes, taken.frames, taken.bytes
         );
         for (why, n) in &node.refused {
-            let _ = writeln!(lines, "passed over: {} {n}", why.as_str());
+            let _ = writeln!(lines, "passed over: {why} {n}");
         }
         lines
     }
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -324,7 +324,7 @@
         let sound = match body {
             Body::Swim(message) => {
                 let mut post = Vec::new();
-                let sound = self.members.receive(now, from, message, &mut post);
+                let sound = self.members.receive(now, from, message, &mut post).is_ok();
                 post.into_iter()
                     .for_each(|(to, message)| self.send(to, &Body::Swim(message), out));
                 sound
@@ -378,7 +378,7 @@
     }
 
     fn take_up(&mut self, now: f64, updates: &[Update], reports: Vec<Report>, sums: Vec<Sums>) {
-        let mut sound = self.members.apply_updates(now, updates);
+        let mut sound = self.members.apply_updates(now, updates).is_ok();
         let me = self.members.roster()[self.members.own_index()].number;
         for report in reports {
             if self.members.index_of(report.who).is_none() || report.who == me {
--- a/crates/dispatcher/swim/tests/sim/mod.rs
+++ b/crates/dispatcher/swim/tests/network/mod.rs
@@ -1,29 +1,38 @@
 //! Membership on a network of messages that are lost, doubled, late and out of order, by seed.
 
 #![allow(dead_code)]
+use std::collections::BTreeMap;
+
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sagetrail_swim::*;
-use std::collections::BTreeMap;
+use sagetrail_swim::{
+    Codec, Counters, Envelope, MemberState, Membership, Message, Outbox, Peer, SwimConfig,
+    MAX_DATAGRAM_BYTES,
+};
 
-/// From, to, the birth it was sent to, and the frame.
-type Flying = (usize, usize, u64, Vec<u8>);
+struct InFlight {
+    from: usize,
+    to: usize,
+    /// The process of the receiver that it was sent to.
+    process: u64,
+    frame: Vec<u8>,
+}
 
-pub(crate) struct Net {
+pub(crate) struct Network {
     pub now: f64,
     pub members: Vec<Option<Membership>>,
     roster: Vec<Peer>,
-    queue: BTreeMap<(u64, u64), Flying>,
+    queue: BTreeMap<(u64, u64), InFlight>,
     sent: u64,
     pub bytes: u64,
-    pub chance: Pcg64Mcg,
+    pub random: Pcg64Mcg,
     pub loss: f64,
-    pub double: f64,
+    pub duplication: f64,
     pub delay_s: (f64, f64),
-    /// (from, to) that nothing passes.
-    pub cut: Vec<(usize, usize)>,
+    /// Links, from and to, that nothing passes.
+    pub blocked: Vec<(usize, usize)>,
     pub paused: Vec<bool>,
-    born: Vec<u64>,
+    processes: Vec<u64>,
     codec: Codec,
 }
 
@@ -37,31 +46,31 @@
         .collect()
 }
 
-impl Net {
-    pub(crate) fn new(n: usize, seed: u64) -> Net {
-        let mut net = Net {
+impl Network {
+    pub(crate) fn new(n: usize, seed: u64) -> Network {
+        let mut network = Network {
             now: 0.0,
             members: (0..n).map(|_| None).collect(),
             roster: roster(n),
             queue: BTreeMap::new(),
             sent: 0,
             bytes: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            random: Pcg64Mcg::seed_from_u64(seed),
             loss: 0.0,
-            double: 0.0,
+            duplication: 0.0,
             delay_s: (0.0005, 0.002),
-            cut: Vec::new(),
+            blocked: Vec::new(),
             paused: vec![false; n],
-            born: vec![0; n],
+            processes: vec![0; n],
             codec: Codec::new("test"),
         };
-        (0..n).for_each(|who| net.start(who, 1000));
-        net
+        (0..n).for_each(|who| network.start(who, 1000));
+        network
     }
 
     pub(crate) fn start(&mut self, who: usize, incarnation: u64) {
-        self.born[who] += 1;
-        let seed = self.chance.random();
+        self.processes[who] += 1;
+        let seed = self.random.random();
         self.members[who] = Some(Membership::new(
             SwimConfig::default(),
             self.roster.clone(),
@@ -72,41 +81,48 @@
         ));
     }
 
-    pub(crate) fn kill(&mut self, who: usize) {
+    pub(crate) fn stop(&mut self, who: usize) {
         self.members[who] = None;
     }
 
-    fn post(&mut self, from: usize, post: Outbox) {
-        for (to, message) in post {
+    fn send(&mut self, from: usize, outbox: Outbox) {
+        for (to, message) in outbox {
             let Some(member) = &self.members[from] else {
                 return;
             };
             let (number, incarnation) = (self.roster[from].number, member.incarnation());
             let envelope = Envelope {
                 sender: number,
-                process: self.born[from],
+                process: self.processes[from],
                 incarnation,
                 sequence: self.sent,
             };
             let frame = self.codec.encode(&envelope, &message);
             assert!(frame.len() <= MAX_DATAGRAM_BYTES);
             self.bytes += frame.len() as u64;
-            let copies = 1 + self.chance.random_bool(self.double) as usize;
+            let copies = 1 + self.random.random_bool(self.duplication) as usize;
             for _ in 0..copies {
-                if self.chance.random_bool(self.loss) {
+                if self.random.random_bool(self.loss) {
                     continue;
                 }
-                let late = self.chance.random_range(self.delay_s.0..=self.delay_s.1);
+                let late = self.random.random_range(self.delay_s.0..=self.delay_s.1);
                 self.sent += 1;
                 let at = ((self.now + late) * 1e6) as u64;
-                self.queue
-                    .insert((at, self.sent), (from, to, self.born[to], frame.clone()));
+                self.queue.insert(
+                    (at, self.sent),
+                    InFlight {
+                        from,
+                        to,
+                        process: self.processes[to],
+                        frame: frame.clone(),
+                    },
+                );
             }
         }
     }
 
-    /// Runs until the time, or until the test says so; true if it did.
-    pub(crate) fn until(&mut self, end: f64, mut test: impl FnMut(&Net) -> bool) -> bool {
+    /// Runs until the time, or until the test holds; true if it did.
+    pub(crate) fn run_until(&mut self, end: f64, mut test: impl FnMut(&Network) -> bool) -> bool {
         loop {
             let awake = |who: &usize| !self.paused[*who] && self.members[*who].is_some();
             let due = |who: usize| {
@@ -128,19 +144,35 @@
                 self.now = end;
                 return test(self);
             }
-            let mut post = Outbox::new();
+            let mut outbox = Outbox::new();
             if frame <= next.0 {
                 self.now = frame.max(self.now);
-                let Some((key, (from, to, born, frame))) = self.queue.pop_first() else {
+                let Some((
+                    key,
+                    InFlight {
+                        from,
+                        to,
+                        process,
+                        frame,
+                    },
+                )) = self.queue.pop_first()
+                else {
                     return false;
                 };
-                if self.cut.contains(&(from, to)) || born != self.born[to] {
+                if self.blocked.contains(&(from, to)) || process != self.processes[to] {
                     continue;
                 }
                 if self.paused[to] {
                     // The socket's buffer keeps it: it is read at the end of the pause.
-                    self.queue
-                        .insert((key.0 + 50_000, key.1), (from, to, born, frame));
+                    self.queue.insert(
+                        (key.0 + 50_000, key.1),
+                        InFlight {
+                            from,
+                            to,
+                            process,
+                            frame,
+                        },
+                    );
                     continue;
                 }
                 let (envelope, message): (Envelope, Message) =
@@ -149,15 +181,17 @@
                     continue;
                 };
                 member.confirm_alive(self.now, from, envelope.incarnation);
-                assert!(member.receive(self.now, from, message, &mut post));
-                self.post(to, post);
+                member
+                    .receive(self.now, from, message, &mut outbox)
+                    .unwrap();
+                self.send(to, outbox);
             } else {
                 self.now = next.0;
                 self.members[next.1]
                     .as_mut()
                     .unwrap()
-                    .tick(self.now, &mut post);
-                self.post(next.1, post);
+                    .tick(self.now, &mut outbox);
+                self.send(next.1, outbox);
             }
             if test(self) {
                 return true;
@@ -167,30 +201,30 @@
 
     pub(crate) fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
-        self.until(end, |_| false);
+        self.run_until(end, |_| false);
     }
 
-    pub(crate) fn life(&self, of: usize, by: usize) -> MemberState {
+    pub(crate) fn state(&self, of: usize, by: usize) -> MemberState {
         self.members[by].as_ref().unwrap().view(of).state
     }
 
-    pub(crate) fn all_say(&self, of: usize, state: MemberState) -> bool {
+    pub(crate) fn all_hold(&self, of: usize, state: MemberState) -> bool {
         (0..self.members.len())
-            .all(|by| by == of || self.members[by].is_none() || self.life(of, by) == state)
+            .all(|by| by == of || self.members[by].is_none() || self.state(of, by) == state)
     }
 
     pub(crate) fn all_alive(&self) -> bool {
-        (0..self.members.len()).all(|of| self.all_say(of, MemberState::Alive))
+        (0..self.members.len()).all(|of| self.all_hold(of, MemberState::Alive))
     }
 
-    pub(crate) fn tally(&self) -> Counters {
+    pub(crate) fn counters(&self) -> Counters {
         let mut all = Counters::default();
-        for tally in self.members.iter().flatten().map(|member| member.counters) {
-            all.suspected += tally.suspected;
-            all.refuted += tally.refuted;
-            all.declared_dead += tally.declared_dead;
-            all.self_suspected += tally.self_suspected;
-            all.probes += tally.probes;
+        for counters in self.members.iter().flatten().map(|member| member.counters) {
+            all.suspected += counters.suspected;
+            all.refuted += counters.refuted;
+            all.declared_dead += counters.declared_dead;
+            all.self_suspected += counters.self_suspected;
+            all.probes += counters.probes;
         }
         all
     }
