--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -6,7 +6,9 @@
 use sagetrail_dispatch::{number, Gate, Load, Saw};
 use sagetrail_policy::Dispatcher;
 use sagetrail_settings::Fleet as Said;
-use sagetrail_shared_state::{Heard, Judge, Key, Kind, Lending, Node, Terms};
+use sagetrail_shared_state::{
+    BudgetKey, BudgetKind, EvidenceRules, LendingTerms, Node, NodeConfig, RunnerVerdict,
+};
 use sagetrail_swim::{Peer, SwimConfig};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -33,11 +35,11 @@
     pub listen: SocketAddr,
     sites: Vec<String>,
     sharing: bool,
-    caps: RefCell<Vec<Option<(Key, u64)>>>,
+    caps: RefCell<Vec<Option<(BudgetKey, u64)>>>,
     resends: Cell<Option<u64>>,
     resent: RefCell<VecDeque<f64>>,
     /// The budget of each cold runner in use.
-    cold: RefCell<BTreeMap<usize, Key>>,
+    cold: RefCell<BTreeMap<usize, BudgetKey>>,
     places: RefCell<BTreeMap<u64, usize>>,
     /// Jobs of ours that run at each runner, in the mean.
     runs: RefCell<Vec<f64>>,
@@ -46,13 +48,13 @@
     broken: Option<Broken>,
 }
 
-fn caps(said: &Said, categories: &[String]) -> Vec<Option<(Key, u64)>> {
+fn caps(said: &Said, categories: &[String]) -> Vec<Option<(BudgetKey, u64)>> {
     let cap = |name: &String| {
         said.caps.get(name).map(|most| {
             (
-                Key {
-                    kind: Kind::Category,
-                    of: number(name),
+                BudgetKey {
+                    kind: BudgetKind::Category,
+                    subject: number(name),
                 },
                 *most,
             )
@@ -61,9 +63,9 @@
     categories.iter().map(cap).collect()
 }
 
-const RESENDS: Key = Key {
-    kind: Kind::Resends,
-    of: 0,
+const RESENDS: BudgetKey = BudgetKey {
+    kind: BudgetKind::Resubmissions,
+    subject: 0,
 };
 
 impl Fleet {
@@ -98,32 +100,32 @@
         };
         let lending = [
             (
-                Kind::Cold,
-                Lending {
+                BudgetKind::SlowStart,
+                LendingTerms {
                     lease_s: said.lease_s,
-                    hold_s: span_s,
-                    owners: said.owners,
+                    spend_s: span_s,
+                    owner_count: said.owners,
                 },
             ),
             (
-                Kind::Resends,
-                Lending {
+                BudgetKind::Resubmissions,
+                LendingTerms {
                     lease_s: said.lease_s,
-                    hold_s: RESENDS_S,
-                    owners: all,
+                    spend_s: RESENDS_S,
+                    owner_count: all,
                 },
             ),
             (
-                Kind::Category,
-                Lending {
+                BudgetKind::Category,
+                LendingTerms {
                     lease_s: said.lease_s,
-                    hold_s,
-                    owners: all,
+                    spend_s: hold_s,
+                    owner_count: all,
                 },
             ),
         ];
         let judge = match broken {
-            Some(Broken::BelievesOne) => Judge {
+            Some(Broken::BelievesOne) => EvidenceRules {
                 reporters: 1,
                 sites: 1,
                 most_out: 1.0,
@@ -132,22 +134,22 @@
                 least_bad: 1,
                 own_first: false,
             },
-            _ => Judge::default(),
+            _ => EvidenceRules::default(),
         };
-        let terms = Terms {
+        let terms = NodeConfig {
             fleet: said.name.clone(),
             roster: said.members.iter().map(peer).collect(),
-            me: said.me,
-            pace: SwimConfig {
+            own_index: said.me,
+            swim: SwimConfig {
                 probe_interval_s: said.probe_s,
                 ack_timeout_s: said.ack_s,
                 indirect_probes: said.helpers,
             },
             lending: lending.into(),
-            judge,
-            categories: categories.len(),
+            evidence_rules: judge,
+            category_count: categories.len(),
             incarnation: (unix * 1e3) as u64,
-            birth: rand_pcg::Pcg64Mcg::from_os_rng().random(),
+            process: rand_pcg::Pcg64Mcg::from_os_rng().random(),
         };
         // Long ago, to a process that forgets when it started.
         let began = if broken == Some(Broken::ForgetsItsStart) {
@@ -156,7 +158,7 @@
             now
         };
         let mut node = Node::new(terms, now);
-        node.budgets.began(began);
+        node.budgets.set_started_at(began);
         Rc::new(Fleet {
             node: RefCell::new(node),
             kick: Notify::new(),
@@ -187,7 +189,7 @@
     }
 
     pub(crate) fn took(&self, now: f64, category: usize) {
-        self.node.borrow_mut().arrived(now, category);
+        self.node.borrow_mut().record_arrival(now, category);
     }
 
     pub(crate) fn saw(&self, now: f64, gate: &Gate, what: Saw) {
@@ -198,8 +200,8 @@
         };
         self.node
             .borrow_mut()
-            .sights
-            .saw(now, number(&gate.name), good);
+            .observations
+            .record(now, number(&gate.name), good);
     }
 
     /// What others saw of runners in the last seconds: when, at which place, whether good.
@@ -208,22 +210,22 @@
             return;
         }
         let (node, places) = (self.node.borrow(), self.places.borrow());
-        let me = node.members.roster()[node.members.own_index()].number;
+        let me = node.membership.roster()[node.membership.own_index()].number;
         for (report, age_s) in node
             .reports
             .fresh(now, TOLD_S)
-            .filter(|(report, _)| report.who != me)
+            .filter(|(report, _)| report.member != me)
         {
-            for seen in &report.seen {
-                let Some(&place) = places.get(&seen.of) else {
+            for seen in &report.evidence {
+                let Some(&place) = places.get(&seen.runner) else {
                     continue;
                 };
                 let at = |ago: u16| now - age_s - f64::from(ago) / 100.0;
-                if seen.good_ago < u16::MAX {
-                    tell(at(seen.good_ago), place, true);
+                if seen.last_success_ago < u16::MAX {
+                    tell(at(seen.last_success_ago), place, true);
                 }
-                if seen.bad_ago < u16::MAX {
-                    tell(at(seen.bad_ago), place, false);
+                if seen.last_failure_ago < u16::MAX {
+                    tell(at(seen.last_failure_ago), place, false);
                 }
             }
         }
@@ -279,7 +281,7 @@
             d.part(r, Some(usable as f64 / WHOLE as f64));
         }
         let out = |category: usize| f64::from(load.out.get(category).copied().unwrap_or(0));
-        let left = |(category, cap): (usize, &Option<(Key, u64)>)| match cap {
+        let left = |(category, cap): (usize, &Option<(BudgetKey, u64)>)| match cap {
             Some((_, most)) if self.broken == Some(Broken::CapForEach) => {
                 *most as f64 - out(category)
             }
@@ -303,14 +305,14 @@
             places.insert(number(&load.gates[place].name), place);
         }
         let mut believed = self.believed.borrow_mut();
-        for (of, heard) in node.heard(now) {
+        for (of, heard) in node.verdicts(now) {
             let Some(&place) = places.get(&of) else {
                 continue;
             };
             match self.broken == Some(Broken::BelievesOne) {
-                true if heard == Heard::Unwell => _ = believed.insert(place, now + 10.0),
+                true if heard == RunnerVerdict::Unhealthy => _ = believed.insert(place, now + 10.0),
                 true => {}
-                false => d.heard(now, place, heard == Heard::Well),
+                false => d.heard(now, place, heard == RunnerVerdict::Healthy),
             }
         }
         // Only in the broken variant: a verdict that outlasts its evidence.
@@ -332,9 +334,9 @@
             (sixteenths > 0).then_some((*of, sixteenths))
         };
         let running: Vec<(u64, u16)> = places.iter().filter_map(told).collect();
-        node.runs(running);
+        node.set_running(running);
         if !self.cold.borrow().is_empty() {
-            d.all_running(node.most_running(now, TOLD_S) as f64 / 16.0);
+            d.all_running(node.max_running(now, TOLD_S) as f64 / 16.0);
         }
     }
 
@@ -351,17 +353,17 @@
             let Some(gate) = load.gates.get(r) else {
                 continue;
             };
-            let key = Key {
-                kind: Kind::Cold,
-                of: number(&format!("{} {}", gate.name, gate.started.get())),
+            let key = BudgetKey {
+                kind: BudgetKind::SlowStart,
+                subject: number(&format!("{} {}", gate.name, gate.started.get())),
             };
-            if !node.budgets.limit(now, key, WHOLE) {
+            if !node.budgets.set_limit(now, key, WHOLE) {
                 continue;
             }
             let occupied = (spent * WHOLE as f64).ceil() as u64;
             short |= wants && node.budgets.usable(now, key) < WHOLE / 2;
             node.budgets
-                .told(now, key, occupied, if wants { WHOLE } else { 0 });
+                .record_use(now, key, occupied, if wants { WHOLE } else { 0 });
             cold.insert(r, key);
         }
         let count = |counts: &[u32], n: usize| u64::from(counts.get(n).copied().unwrap_or(0));
@@ -372,20 +374,21 @@
             .enumerate()
             .filter_map(|(n, cap)| Some((n, (*cap)?)))
         {
-            node.budgets.limit(now, key, most);
+            node.budgets.set_limit(now, key, most);
             let (out, taken) = (count(&load.out, n), count(&load.taken, n));
             short |= taken > node.budgets.usable(now, key);
-            node.budgets.told(now, key, out, taken.max(out));
+            node.budgets.record_use(now, key, out, taken.max(out));
         }
         if let Some(most) = self.resends.get() {
-            node.budgets.limit(now, RESENDS, most);
+            node.budgets.set_limit(now, RESENDS, most);
             let mut resent = self.resent.borrow_mut();
             while resent.front().is_some_and(|at| now >= at + RESENDS_S) {
                 resent.pop_front();
             }
             let busy = load.out.iter().any(|n| *n > 0);
             let want = if busy { 2 * resent.len() as u64 + 2 } else { 0 };
-            node.budgets.told(now, RESENDS, resent.len() as u64, want);
+            node.budgets
+                .record_use(now, RESENDS, resent.len() as u64, want);
         }
         if short {
             self.kick.notify_one();
@@ -397,10 +400,10 @@
     pub(crate) fn members(&self, now: f64) -> String {
         let node = self.node.borrow();
         let mut lines = String::from("member site life incarnation since_s heard_s report_s\n");
-        for s in node.standings(now) {
+        for s in node.member_statuses(now) {
             let told = |age: Option<f64>| age.map_or("-".to_string(), |age| format!("{age:.1}"));
-            let heard = Some(s.heard_s).filter(|age| age.is_finite());
-            let life = s.life.as_str();
+            let heard = Some(s.received_s).filter(|age| age.is_finite());
+            let life = s.state.as_str();
             let _ = writeln!(
                 lines,
                 "{} {} {life} {} {:.1} {} {}",
@@ -412,11 +415,11 @@
                 told(s.report_s)
             );
         }
-        let counters = node.members.counters;
+        let counters = node.membership.counters;
         let _ = writeln!(
             lines,
             "own: health {} of 8, probes {}, suspected {}, refuted {}, died {}, accused {}, stalls {}",
-            node.members.local_health(),
+            node.membership.local_health(),
             counters.probes,
             counters.suspected,
             counters.refuted,
@@ -427,9 +430,9 @@
         let _ = writeln!(
             lines,
             "links: sent {} frames {} bytes, taken {} frames {} bytes",
-            node.sent.0, node.sent.1, node.taken.0, node.taken.1
+            node.sent.0, node.sent.1, node.received.0, node.received.1
         );
-        for (why, n) in &node.refused {
+        for (why, n) in &node.rejected {
             let _ = writeln!(lines, "passed over: {why} {n}");
         }
         lines
@@ -442,16 +445,16 @@
         gates: &[(String, f64)],
     ) -> String {
         let mut node = self.node.borrow_mut();
-        let name = |key: Key| match key.kind {
-            Kind::Resends => "resends".to_string(),
-            Kind::Category => categories
+        let name = |key: BudgetKey| match key.kind {
+            BudgetKind::Resubmissions => "resends".to_string(),
+            BudgetKind::Category => categories
                 .iter()
-                .find(|name| number(name) == key.of)
+                .find(|name| number(name) == key.subject)
                 .cloned()
                 .unwrap_or_default(),
-            Kind::Cold => {
+            BudgetKind::SlowStart => {
                 let of = |(name, started): &&(String, f64)| {
-                    number(&format!("{name} {started}")) == key.of
+                    number(&format!("{name} {started}")) == key.subject
                 };
                 gates
                     .iter()
@@ -461,7 +464,7 @@
         };
         let mut lines = format!("sharing {}\n", if self.sharing { "on" } else { "off" });
         lines.push_str("budget of limit right lent borrowed spent usable\n");
-        for h in node.budgets.held(now) {
+        for h in node.budgets.status(now) {
             let kind = h.key.kind.as_str();
             let _ = writeln!(
                 lines,
@@ -471,7 +474,7 @@
                 h.right,
                 h.lent,
                 h.borrowed,
-                h.occupied,
+                h.in_use,
                 h.usable
             );
         }
@@ -481,14 +484,14 @@
             let _ = writeln!(
                 lines,
                 "{category} {} {} {:.1} {}",
-                t.sum, t.off, t.oldest_s, t.members
+                t.sum, t.max_error, t.oldest_s, t.members
             );
         }
         lines.push_str("runner heard\n");
         for (of, heard) in node
-            .heard(now)
+            .verdicts(now)
             .into_iter()
-            .filter(|(_, heard)| *heard == Heard::Unwell)
+            .filter(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
         {
             let runner = gates.iter().find(|(name, _)| number(name) == of);
             let runner = runner.map_or("?", |(name, _)| name);
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -64,7 +64,7 @@
                     for _ in 0..TURN {
                         let Ok((length, _)) = self.datagrams.try_recv_from(&mut buffer) else { break };
                         let mut out = Vec::new();
-                        self.fleet.node.borrow_mut().datagram(self.clock.now(), &buffer[..length], &mut out);
+                        self.fleet.node.borrow_mut().receive_datagram(self.clock.now(), &buffer[..length], &mut out);
                         self.send(out).await;
                     }
                     // Guards against a flood of them keeping all else from its turn.
@@ -73,7 +73,7 @@
                 () = self.clock.sleep_until(due) => {}
                 () = self.fleet.kick.notified() => {
                     let mut out = Vec::new();
-                    self.fleet.node.borrow_mut().look(self.clock.now(), &mut out);
+                    self.fleet.node.borrow_mut().request_leases(self.clock.now(), &mut out);
                     self.send(out).await;
                 }
             }
@@ -82,7 +82,7 @@
             let exchange = {
                 let mut node = self.fleet.node.borrow_mut();
                 node.tick(now, &mut out);
-                node.exchange(now)
+                node.start_exchange(now)
             };
             self.send(out).await;
             if let Some((to, have)) = exchange {
@@ -95,16 +95,16 @@
     fn tell(&self, now: f64, told: &mut (f64, BTreeMap<FrameError, u64>)) {
         let (next, before) = told;
         let node = self.fleet.node.borrow();
-        if now < *next || node.refused == *before {
+        if now < *next || node.rejected == *before {
             return;
         }
         let more = |(why, n): (&FrameError, &u64)| {
             let new = n - before.get(why).copied().unwrap_or(0);
             (new > 0).then(|| format!("{why} {new}"))
         };
-        let reasons: Vec<String> = node.refused.iter().filter_map(more).collect();
+        let reasons: Vec<String> = node.rejected.iter().filter_map(more).collect();
         tracing::warn!("frames passed over: {}", reasons.join(", "));
-        (*next, *before) = (now + TELL_S, node.refused.clone());
+        (*next, *before) = (now + TELL_S, node.rejected.clone());
     }
 }
 
@@ -114,7 +114,10 @@
         let mut stream = framed(TcpStream::connect(fleet.at[to]).await.ok()?);
         stream.send(Bytes::from(have)).await.ok()?;
         let give = stream.next().await?.ok()?;
-        let rest = fleet.node.borrow_mut().whole(clock.now(), &give)?;
+        let rest = fleet
+            .node
+            .borrow_mut()
+            .receive_exchange(clock.now(), &give)?;
         stream.send(Bytes::from(rest)).await.ok()
     };
     let _ = timeout(Duration::from_secs_f64(WHOLE_S), exchange).await;
@@ -189,10 +192,16 @@
                 return;
             }
             let exchange = async {
-                let answer = fleet.node.borrow_mut().whole(clock.now(), &first);
+                let answer = fleet
+                    .node
+                    .borrow_mut()
+                    .receive_exchange(clock.now(), &first);
                 stream.send(Bytes::from(answer?)).await.ok()?;
                 while let Some(Ok(frame)) = stream.next().await {
-                    let answer = fleet.node.borrow_mut().whole(clock.now(), &frame);
+                    let answer = fleet
+                        .node
+                        .borrow_mut()
+                        .receive_exchange(clock.now(), &frame);
                     stream.send(Bytes::from(answer?)).await.ok()?;
                 }
                 Some(())
--- a/crates/dispatcher/shared-state/src/budgets.rs
+++ b/crates/dispatcher/shared-state/src/budgets.rs
@@ -40,59 +40,59 @@
 const MOST_BIRTHS: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Kind {
+pub enum BudgetKind {
     /// What a runner that has just started may be sent, in millionths of its whole.
-    Cold,
+    SlowStart,
     /// Hand-offs of work that was handed off before, each second.
-    Resends,
+    Resubmissions,
     /// Work items of a category that are out at runners.
     Category,
 }
 
-impl Kind {
+impl BudgetKind {
     /// The spelling on the operators' page of budgets.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Cold => "cold",
-            Kind::Resends => "resends",
-            Kind::Category => "category",
+            BudgetKind::SlowStart => "cold",
+            BudgetKind::Resubmissions => "resends",
+            BudgetKind::Category => "category",
         }
     }
 }
 
 /// One budget: of which runner or category, by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Key {
-    pub kind: Kind,
-    pub of: u64,
+pub struct BudgetKey {
+    pub kind: BudgetKind,
+    pub subject: u64,
 }
 
 /// How a kind of budget is lent; seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lending {
+pub struct LendingTerms {
     pub lease_s: f64,
     /// How long a spend counts at the most: the span of a rate, the longest run of a work item.
-    pub hold_s: f64,
+    pub spend_s: f64,
     /// By how many members the whole is owned: few, where a part must hold a whole work item.
-    pub owners: usize,
+    pub owner_count: usize,
 }
 
 /// "Of your units I use at most `uses` until you answer this; I could use `want`."
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    pub key: Key,
-    pub no: u32,
-    pub uses: u64,
-    pub want: u64,
+pub struct LeaseRequest {
+    pub key: BudgetKey,
+    pub sequence: u32,
+    pub max_in_use: u64,
+    pub wanted: u64,
 }
 
 /// "Use `amount` of them for `lease_ms` from when you asked `no`; the limit that I know is `limit`."
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The process that asked: one that starts anew under its name numbers its questions alike.
-    pub to: u64,
-    pub key: Key,
-    pub no: u32,
+    pub process: u64,
+    pub key: BudgetKey,
+    pub sequence: u32,
     pub amount: u64,
     pub lease_ms: u32,
     pub limit: u64,
@@ -100,8 +100,8 @@
 
 /// What is lent to one process of another member.
 struct Owed {
-    birth: u64,
-    no: u32,
+    process: u64,
+    sequence: u32,
     /// Amount, and until when it may be in use.
     steps: Vec<(u64, f64)>,
     wanted: f64,
@@ -125,7 +125,7 @@
     end: f64,
     /// What spends may still rest on of it, and until when: they outlast the lease.
     rests: Vec<(u64, f64)>,
-    no: u32,
+    sequence: u32,
     /// When the question now out was asked.
     asked: Option<f64>,
     last: f64,
@@ -138,7 +138,7 @@
             amount: 0,
             end: long_ago,
             rests: Vec::new(),
-            no: 0,
+            sequence: 0,
             asked: None,
             last: long_ago,
         }
@@ -158,7 +158,7 @@
     limit: u64,
     /// Who owns a right, in rank order.
     owners: Vec<usize>,
-    occupied: u64,
+    in_use: u64,
     want: u64,
     owed: BTreeMap<usize, Vec<Owed>>,
     loans: BTreeMap<usize, Loan>,
@@ -167,41 +167,41 @@
 
 /// How one budget stands here, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    pub key: Key,
+pub struct BudgetStatus {
+    pub key: BudgetKey,
     pub limit: u64,
     pub right: u64,
     pub lent: u64,
     pub borrowed: u64,
-    pub occupied: u64,
+    pub in_use: u64,
     pub usable: u64,
 }
 
 pub struct Budgets {
     /// Whether anything is lent from here: not by a member that does not know all that was agreed.
     pub lends: bool,
-    me: usize,
+    own_index: usize,
     numbers: Vec<u64>,
-    lending: BTreeMap<Kind, Lending>,
-    budgets: BTreeMap<Key, Budget>,
+    lending: BTreeMap<BudgetKind, LendingTerms>,
+    budgets: BTreeMap<BudgetKey, Budget>,
     start: f64,
-    birth: u64,
-    no: u32,
+    process: u64,
+    sequence: u32,
 }
 
 /// A rank of a member at a budget, the same wherever it is drawn.
-fn rank(member: u64, key: Key) -> u64 {
+fn rank(member: u64, key: BudgetKey) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(member);
-    hasher.write_u64(key.of);
+    hasher.write_u64(key.subject);
     hasher.write_u8(key.kind as u8);
     hasher.finish()
 }
 
 impl Budget {
-    fn right(&self, me: usize) -> u64 {
+    fn right(&self, own_index: usize) -> u64 {
         let owners = self.owners.len().max(1) as u64;
-        match self.owners.iter().position(|owner| *owner == me) {
+        match self.owners.iter().position(|owner| *owner == own_index) {
             Some(place) => self.limit / owners + u64::from((place as u64) < self.limit % owners),
             None => 0,
         }
@@ -225,38 +225,38 @@
 }
 
 impl Budgets {
-    /// `numbers`: the whole roster's, the same at all; `me`: this member's place in it; `birth`: this process's.
+    /// `numbers`: the whole roster's, the same at all; `own_index`: this member's place in it; `process`: this process's.
     pub fn new(
         numbers: Vec<u64>,
-        me: usize,
-        birth: u64,
-        lending: BTreeMap<Kind, Lending>,
+        own_index: usize,
+        process: u64,
+        lending: BTreeMap<BudgetKind, LendingTerms>,
         now: f64,
     ) -> Budgets {
         Budgets {
             lends: true,
-            me,
+            own_index,
             numbers,
             lending,
             budgets: BTreeMap::new(),
             start: now,
-            birth,
-            no: 0,
+            process,
+            sequence: 0,
         }
     }
 
     /// When this process began, if that was not at the making.
-    pub fn began(&mut self, at: f64) {
+    pub fn set_started_at(&mut self, at: f64) {
         self.start = at;
     }
 
-    fn of(&self, kind: Kind) -> Option<Lending> {
+    fn of(&self, kind: BudgetKind) -> Option<LendingTerms> {
         self.lending.get(&kind).copied()
     }
 
     /// Names a budget's limit in whole units. One that was lowered binds here at once; at those that have not
     /// heard of it, when they do, and what they lent, when its leases end.
-    pub fn limit(&mut self, now: f64, key: Key, limit: u64) -> bool {
+    pub fn set_limit(&mut self, now: f64, key: BudgetKey, limit: u64) -> bool {
         let Some(lending) = self.of(key.kind) else {
             return false;
         };
@@ -269,16 +269,16 @@
         }
         let mut owners: Vec<usize> = (0..self.numbers.len()).collect();
         owners.sort_unstable_by_key(|n| (std::cmp::Reverse(rank(self.numbers[*n], key)), *n));
-        owners.truncate(lending.owners.max(1));
+        owners.truncate(lending.owner_count.max(1));
         let loans = owners
             .iter()
-            .filter(|n| **n != self.me)
+            .filter(|n| **n != self.own_index)
             .map(|n| (*n, Loan::none()))
             .collect();
         let budget = Budget {
             limit,
             owners,
-            occupied: 0,
+            in_use: 0,
             want: 0,
             owed: BTreeMap::new(),
             loans,
@@ -289,19 +289,19 @@
     }
 
     /// Of the own right, what this process may use or lend by now, and what of that is never lent.
-    fn own(&self, budget: &Budget, lending: Lending, now: f64) -> (u64, u64) {
-        let right = budget.right(self.me);
+    fn own(&self, budget: &Budget, lending: LendingTerms, now: f64) -> (u64, u64) {
+        let right = budget.right(self.own_index);
         let reserve = right / RESERVE;
         let waits = |length: f64| self.start + length * (1.0 + 2.0 * DRIFT) + GRAIN_S;
         match now {
-            now if now < waits(lending.hold_s) => (0, 0),
-            now if now < waits(lending.lease_s + lending.hold_s) => (reserve, reserve),
+            now if now < waits(lending.spend_s) => (0, 0),
+            now if now < waits(lending.lease_s + lending.spend_s) => (reserve, reserve),
             _ => (right, reserve),
         }
     }
 
     /// What all that is out here may come to at this moment. Look where it is spent, not before.
-    pub fn usable(&self, now: f64, key: Key) -> u64 {
+    pub fn usable(&self, now: f64, key: BudgetKey) -> u64 {
         let (Some(budget), Some(lending)) = (self.budgets.get(&key), self.of(key.kind)) else {
             return 0;
         };
@@ -310,7 +310,7 @@
     }
 
     /// Until when what is usable now stays so: the first end of a loan in use.
-    pub fn usable_until(&self, now: f64, key: Key) -> f64 {
+    pub fn usable_until(&self, now: f64, key: BudgetKey) -> f64 {
         let loans = self
             .budgets
             .get(&key)
@@ -324,28 +324,28 @@
 
     /// What is out here now, and what could be used. Must be told after each spend, before another member is
     /// answered.
-    pub fn told(&mut self, now: f64, key: Key, occupied: u64, want: u64) {
+    pub fn record_use(&mut self, now: f64, key: BudgetKey, in_use: u64, want: u64) {
         if let Some(budget) = self.budgets.get_mut(&key) {
-            (budget.occupied, budget.want, budget.touched) = (occupied, want.max(occupied), now);
+            (budget.in_use, budget.want, budget.touched) = (in_use, want.max(in_use), now);
         }
     }
 
     /// Drops what nobody has named for a while and nothing hangs on.
-    pub fn forget(&mut self, now: f64, after_s: f64) {
+    pub fn remove_unused(&mut self, now: f64, after_s: f64) {
         self.budgets.retain(|_, budget| {
             now < budget.touched + after_s || budget.lent(now) > 0 || budget.borrowed(now) > 0
         });
     }
 
-    /// Questions that are due, each with the member to ask.
-    pub fn tick(&mut self, now: f64, post: &mut Vec<(usize, Ask)>) {
-        let keys: Vec<Key> = self.budgets.keys().copied().collect();
+    /// Questions that are due, each with the member to request.
+    pub fn request_leases(&mut self, now: f64, post: &mut Vec<(usize, LeaseRequest)>) {
+        let keys: Vec<BudgetKey> = self.budgets.keys().copied().collect();
         for key in keys {
             self.ask(now, key, post);
         }
     }
 
-    fn ask(&mut self, now: f64, key: Key, post: &mut Vec<(usize, Ask)>) {
+    fn ask(&mut self, now: f64, key: BudgetKey, post: &mut Vec<(usize, LeaseRequest)>) {
         let Some(lending) = self.of(key.kind) else {
             return;
         };
@@ -364,7 +364,7 @@
         let own = own.saturating_sub(budget.lent(now));
         let beyond = budget.want.saturating_sub(own);
         let borrowed = budget.borrowed(now);
-        let must = budget.occupied.saturating_sub(own);
+        let must = budget.in_use.saturating_sub(own);
         let Some(budget) = self.budgets.get_mut(&key) else {
             return;
         };
@@ -393,63 +393,73 @@
             // What is out may rest on this loan, also on a larger or ended one before: no less is promised.
             let rest = loan.rest(now);
             let others = rests - rest;
-            let uses = rest.min(want.max(must.saturating_sub(others)));
-            rests = others + uses;
+            let max_in_use = rest.min(want.max(must.saturating_sub(others)));
+            rests = others + max_in_use;
             loan.rests
                 .iter_mut()
-                .for_each(|(amount, _)| *amount = (*amount).min(uses));
-            self.no = self.no.wrapping_add(1).max(1);
-            (loan.no, loan.amount) = (self.no, loan.amount.min(uses));
+                .for_each(|(amount, _)| *amount = (*amount).min(max_in_use));
+            self.sequence = self.sequence.wrapping_add(1).max(1);
+            (loan.sequence, loan.amount) = (self.sequence, loan.amount.min(max_in_use));
             (loan.asked, loan.last) = (Some(now), now);
             post.push((
                 *lender,
-                Ask {
+                LeaseRequest {
                     key,
-                    no: self.no,
-                    uses,
-                    want,
+                    sequence: self.sequence,
+                    max_in_use,
+                    wanted: want,
                 },
             ));
         }
     }
 
     /// A question of another member's process; the answer, if there is one.
-    pub fn asked(&mut self, now: f64, from: usize, birth: u64, ask: Ask) -> Option<Grant> {
-        let lending = self.of(ask.key.kind)?;
-        let budget = self.budgets.get(&ask.key)?;
-        if !self.lends || from == self.me || from >= self.numbers.len() {
+    pub fn receive_request(
+        &mut self,
+        now: f64,
+        from: usize,
+        process: u64,
+        request: LeaseRequest,
+    ) -> Option<LeaseGrant> {
+        let lending = self.of(request.key.kind)?;
+        let budget = self.budgets.get(&request.key)?;
+        if !self.lends || from == self.own_index || from >= self.numbers.len() {
             return None;
         }
         let (own, reserve) = self.own(budget, lending, now);
         // Guards against a process that has just started granting what the one before it lent to another.
-        if own < budget.right(self.me) {
+        if own < budget.right(self.own_index) {
             return None;
         }
-        let budget = self.budgets.get_mut(&ask.key)?;
+        let budget = self.budgets.get_mut(&request.key)?;
         let all = budget.owed.entry(from).or_default();
-        all.retain(|owed| owed.birth == birth || owed.amount(now) > 0);
-        if !all.iter().any(|owed| owed.birth == birth) {
+        all.retain(|owed| owed.process == process || owed.amount(now) > 0);
+        if !all.iter().any(|owed| owed.process == process) {
             if all.len() >= MOST_BIRTHS {
                 return None;
             }
             all.push(Owed {
-                birth,
-                no: 0,
+                process,
+                sequence: 0,
                 steps: Vec::new(),
                 wanted: f64::NEG_INFINITY,
             });
         }
-        let owed = all.iter_mut().find(|owed| owed.birth == birth)?;
+        let owed = all.iter_mut().find(|owed| owed.process == process)?;
         // Guards against a question that comes twice, or after a later one: its promise is stale.
-        if ask.no <= owed.no {
+        if request.sequence <= owed.sequence {
             return None;
         }
-        owed.no = ask.no;
+        owed.sequence = request.sequence;
         owed.steps.retain(|(_, until)| now < *until);
         owed.steps
             .iter_mut()
-            .for_each(|(amount, _)| *amount = (*amount).min(ask.uses));
-        owed.wanted = if ask.want > 0 { now } else { f64::NEG_INFINITY };
+            .for_each(|(amount, _)| *amount = (*amount).min(request.max_in_use));
+        owed.wanted = if request.wanted > 0 {
+            now
+        } else {
+            f64::NEG_INFINITY
+        };
         let current = owed.amount(now);
         let asking = budget
             .owed
@@ -457,37 +467,37 @@
             .flatten()
             .filter(|owed| now < owed.wanted + ASKING_S)
             .count();
-        let keep = budget.occupied.max(budget.want);
+        let keep = budget.in_use.max(budget.want);
         let shared = own.saturating_sub(reserve);
         // Who asks shares with the owner as one of several: each as much as the others, none below what it keeps.
         let each = shared / (asking as u64 + u64::from(keep > 0)).max(1);
         let spare = shared
             .saturating_sub(budget.lent(now) - current)
-            .saturating_sub(budget.occupied);
+            .saturating_sub(budget.in_use);
         let most = if keep == 0 {
             spare
         } else {
             spare.min(each.max(shared.saturating_sub(keep)))
         };
-        let amount = ask
-            .want
+        let amount = request
+            .wanted
             .min(most)
             .min(if asking > 1 { each.max(1) } else { u64::MAX });
         // Twice: the asker's clock may be slow and this one fast.
-        let until = now + (lending.lease_s + lending.hold_s) * (1.0 + 2.0 * DRIFT) + GRAIN_S;
+        let until = now + (lending.lease_s + lending.spend_s) * (1.0 + 2.0 * DRIFT) + GRAIN_S;
         let limit = budget.limit;
         let owed = budget
             .owed
             .get_mut(&from)?
             .iter_mut()
-            .find(|owed| owed.birth == birth)?;
+            .find(|owed| owed.process == process)?;
         if amount > 0 {
             owed.steps.push((amount, until));
         }
-        Some(Grant {
-            to: birth,
-            key: ask.key,
-            no: ask.no,
+        Some(LeaseGrant {
+            process,
+            key: request.key,
+            sequence: request.sequence,
             amount,
             lease_ms: (lending.lease_s * 1e3) as u32,
             limit,
@@ -496,11 +506,11 @@
 
     /// The answer to a question; one to an earlier question than the last is passed over. False for a figure that
     /// no member can have.
-    pub fn granted(&mut self, from: usize, grant: Grant) -> bool {
+    pub fn receive_grant(&mut self, from: usize, grant: LeaseGrant) -> bool {
         let Some(lending) = self.of(grant.key.kind) else {
             return false;
         };
-        if grant.to != self.birth {
+        if grant.process != self.process {
             return true;
         }
         let Some(budget) = self.budgets.get_mut(&grant.key) else {
@@ -514,7 +524,7 @@
         let Some(loan) = budget.loans.get_mut(&from) else {
             return false;
         };
-        let Some(asked) = loan.asked.filter(|_| loan.no == grant.no) else {
+        let Some(asked) = loan.asked.filter(|_| loan.sequence == grant.sequence) else {
             return true;
         };
         loan.asked = None;
@@ -524,21 +534,21 @@
             false => grant.amount,
         };
         (loan.amount, loan.end) = (amount, asked + lease_s * (1.0 - DRIFT));
-        loan.rests.push((amount, loan.end + lending.hold_s));
+        loan.rests.push((amount, loan.end + lending.spend_s));
         true
     }
 
-    pub fn held(&self, now: f64) -> Vec<Held> {
-        let held = |(key, budget): (&Key, &Budget)| Held {
+    pub fn status(&self, now: f64) -> Vec<BudgetStatus> {
+        let status = |(key, budget): (&BudgetKey, &Budget)| BudgetStatus {
             key: *key,
             limit: budget.limit,
-            right: budget.right(self.me),
+            right: budget.right(self.own_index),
             lent: budget.lent(now),
             borrowed: budget.borrowed(now),
-            occupied: budget.occupied,
+            in_use: budget.in_use,
             usable: self.usable(now, *key),
         };
-        self.budgets.iter().map(held).collect()
+        self.budgets.iter().map(status).collect()
     }
 
     /// Something may have to be asked soon.
--- a/crates/dispatcher/shared-state/src/evidence.rs
+++ b/crates/dispatcher/shared-state/src/evidence.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Sights are kept so long: several runs and probes of a runner, and less than troubles last.
+/// Observations are kept so long: several runs and probes of a runner, and less than troubles last.
 const KEPT_S: f64 = 3.0;
 /// In buckets of this length.
 const BUCKET_S: f64 = 0.5;
@@ -16,12 +16,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The runner's number.
-    pub of: u64,
-    pub good: u16,
-    pub bad: u16,
+    pub runner: u64,
+    pub successes: u16,
+    pub failures: u16,
     /// How long ago the last of each was, in hundredths of a second, at the report's making; the largest for never.
-    pub good_ago: u16,
-    pub bad_ago: u16,
+    pub last_success_ago: u16,
+    pub last_failure_ago: u16,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -46,7 +46,7 @@
 
 /// What this member saw itself.
 #[derive(Default)]
-pub struct Sights {
+pub struct Observations {
     seen: BTreeMap<u64, Sight>,
 }
 
@@ -54,15 +54,15 @@
     (now.max(0.0) / BUCKET_S) as u64
 }
 
-impl Sights {
+impl Observations {
     /// Runners kept at once: more than any list here names.
     const MOST: usize = 8192;
 
-    pub fn saw(&mut self, now: f64, of: u64, good: bool) {
-        if self.seen.len() >= Sights::MOST && !self.seen.contains_key(&of) {
+    pub fn record(&mut self, now: f64, of: u64, good: bool) {
+        if self.seen.len() >= Observations::MOST && !self.seen.contains_key(&of) {
             self.seen
                 .retain(|_, sight| sight.at + BUCKETS as u64 > bucket(now));
-            if self.seen.len() >= Sights::MOST {
+            if self.seen.len() >= Observations::MOST {
                 return;
             }
         }
@@ -78,7 +78,7 @@
     }
 
     /// What there is to tell, the latest trouble first.
-    pub fn report(&mut self, now: f64) -> Vec<Evidence> {
+    pub fn evidence(&mut self, now: f64) -> Vec<Evidence> {
         self.seen.retain(|_, sight| {
             sight.turn(bucket(now));
             sight.good.iter().chain(&sight.bad).any(|n| *n > 0)
@@ -89,38 +89,44 @@
             })
         };
         let tell = |(of, sight): (&u64, &Sight)| Evidence {
-            of: *of,
-            good: sight
+            runner: *of,
+            successes: sight
                 .good
                 .iter()
                 .fold(0, |all, n| u16::saturating_add(all, *n)),
-            bad: sight
+            failures: sight
                 .bad
                 .iter()
                 .fold(0, |all, n| u16::saturating_add(all, *n)),
-            good_ago: ago(sight.last_good),
-            bad_ago: ago(sight.last_bad),
+            last_success_ago: ago(sight.last_good),
+            last_failure_ago: ago(sight.last_bad),
         };
         let mut told: Vec<Evidence> = self.seen.iter().map(tell).collect();
-        told.sort_by_key(|evidence| (evidence.bad_ago, evidence.good_ago, evidence.of));
+        told.sort_by_key(|evidence| {
+            (
+                evidence.last_failure_ago,
+                evidence.last_success_ago,
+                evidence.runner,
+            )
+        });
         told
     }
 }
 
 /// What is heard of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    Unwell,
+pub enum RunnerVerdict {
+    Unhealthy,
     /// It works for others again.
-    Well,
+    Healthy,
 }
 
-impl Heard {
+impl RunnerVerdict {
     /// The spelling on the operators' page of runners.
     pub fn as_str(self) -> &'static str {
         match self {
-            Heard::Unwell => "unwell",
-            Heard::Well => "well",
+            RunnerVerdict::Unhealthy => "unwell",
+            RunnerVerdict::Healthy => "well",
         }
     }
 }
@@ -129,14 +135,14 @@
 pub struct Witness<'a> {
     pub site: u16,
     /// This member itself.
-    pub own: bool,
+    pub is_own: bool,
     pub age_s: f64,
-    pub seen: &'a [Evidence],
+    pub evidence: &'a [Evidence],
 }
 
 /// How much it takes. A broken variant differs here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judge {
+pub struct EvidenceRules {
     /// So many reporters, of so many sites where there are as many.
     pub reporters: usize,
     pub sites: usize,
@@ -145,7 +151,7 @@
     /// A reporter to whom more than this part of its runners looks bad speaks of itself, its links, or of work
     /// that fails anywhere.
     pub own_fault: f64,
-    /// Sights older than this say nothing.
+    /// Observations older than this say nothing.
     pub fresh_s: f64,
     /// Bad sights of one reporter that count as trouble.
     pub least_bad: u16,
@@ -153,11 +159,11 @@
     pub own_first: bool,
 }
 
-impl Default for Judge {
+impl Default for EvidenceRules {
     /// Two of two sites: one cut link, one site, one liar are never enough. A quarter: what remains bears the
     /// rest at three in four full. A third: of a reporter's few runners two may be bad by chance.
     fn default() -> Self {
-        Judge {
+        EvidenceRules {
             reporters: 2,
             sites: 2,
             most_out: 0.25,
@@ -183,29 +189,31 @@
     bad_ago: f64,
 }
 
-impl Judge {
+impl EvidenceRules {
     /// Bad sights count as trouble from some number on, when they outnumber the good, and the last good was before.
     fn bad(&self, evidence: &Evidence, age_s: f64) -> bool {
         let ago = |hundredths: u16| age_s + f64::from(hundredths) / 100.0;
-        evidence.bad >= self.least_bad
-            && evidence.bad > 2 * evidence.good
-            && evidence.bad_ago < evidence.good_ago
-            && ago(evidence.bad_ago) < self.fresh_s
+        evidence.failures >= self.least_bad
+            && evidence.failures > 2 * evidence.successes
+            && evidence.last_failure_ago < evidence.last_success_ago
+            && ago(evidence.last_failure_ago) < self.fresh_s
     }
 
     fn good(&self, evidence: &Evidence, age_s: f64) -> bool {
-        let ago = age_s + f64::from(evidence.good_ago) / 100.0;
-        evidence.good > 0 && evidence.good_ago < evidence.bad_ago && ago < self.fresh_s
+        let ago = age_s + f64::from(evidence.last_success_ago) / 100.0;
+        evidence.successes > 0
+            && evidence.last_success_ago < evidence.last_failure_ago
+            && ago < self.fresh_s
     }
 
     /// What the witnesses together say of each runner; `sites` is how many the roster has.
-    pub fn weigh(&self, witnesses: &[Witness], sites: usize) -> Vec<(u64, Heard)> {
+    pub fn evaluate(&self, witnesses: &[Witness], sites: usize) -> Vec<(u64, RunnerVerdict)> {
         let mut cases: BTreeMap<u64, Case> = BTreeMap::new();
         let mut used = 0usize;
         for witness in witnesses {
             let fresh = |e: &&Evidence| self.good(e, witness.age_s) || self.bad(e, witness.age_s);
             let (all, bad) = witness
-                .seen
+                .evidence
                 .iter()
                 .filter(fresh)
                 .fold((0, 0), |(all, bad), e| {
@@ -215,9 +223,9 @@
             // most runners bad, or all of two or more, is believed of none of them. Good sights of its count.
             let believed = bad as f64 <= (self.own_fault * all as f64).max(1.0);
             used = used.max(all);
-            for evidence in witness.seen {
+            for evidence in witness.evidence {
                 let age = |hundredths: u16| witness.age_s + f64::from(hundredths) / 100.0;
-                let case = cases.entry(evidence.of).or_insert(Case {
+                let case = cases.entry(evidence.runner).or_insert(Case {
                     own_good_ago: f64::INFINITY,
                     own_bad_ago: f64::INFINITY,
                     good_ago: f64::INFINITY,
@@ -225,20 +233,22 @@
                     ..Case::default()
                 });
                 let site = 1u64 << (witness.site % 64);
-                if witness.own {
-                    (case.own_good_ago, case.own_bad_ago) =
-                        (age(evidence.good_ago), age(evidence.bad_ago));
+                if witness.is_own {
+                    (case.own_good_ago, case.own_bad_ago) = (
+                        age(evidence.last_success_ago),
+                        age(evidence.last_failure_ago),
+                    );
                 }
                 if self.bad(evidence, witness.age_s) && believed {
                     case.against += 1;
-                    case.by_others += usize::from(!witness.own);
+                    case.by_others += usize::from(!witness.is_own);
                     case.sites |= site;
-                    case.weight += f64::from(evidence.bad.min(10));
-                    case.bad_ago = case.bad_ago.min(age(evidence.bad_ago));
+                    case.weight += f64::from(evidence.failures.min(10));
+                    case.bad_ago = case.bad_ago.min(age(evidence.last_failure_ago));
                 } else if self.good(evidence, witness.age_s) {
-                    case.good_by_others += usize::from(!witness.own);
+                    case.good_by_others += usize::from(!witness.is_own);
                     case.good_sites |= site;
-                    case.good_ago = case.good_ago.min(age(evidence.good_ago));
+                    case.good_ago = case.good_ago.min(age(evidence.last_success_ago));
                 }
             }
         }
@@ -269,13 +279,16 @@
         }
         out.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         out.truncate((self.most_out * known as f64) as usize);
-        let mut heard: Vec<(u64, Heard)> = out.iter().map(|(_, of)| (*of, Heard::Unwell)).collect();
+        let mut heard: Vec<(u64, RunnerVerdict)> = out
+            .iter()
+            .map(|(_, of)| (*of, RunnerVerdict::Unhealthy))
+            .collect();
         let well = |case: &Case| case.good_by_others > 0 && case.good_ago < case.bad_ago;
         heard.extend(
             cases
                 .iter()
                 .filter(|(of, case)| well(case) && !out.iter().any(|(_, bad)| bad == *of))
-                .map(|(of, _)| (*of, Heard::Well)),
+                .map(|(of, _)| (*of, RunnerVerdict::Healthy)),
         );
         heard.sort_by_key(|(of, _)| *of);
         heard
--- a/crates/dispatcher/shared-state/src/lib.rs
+++ b/crates/dispatcher/shared-state/src/lib.rs
@@ -10,7 +10,9 @@
 mod node;
 mod reports;
 
-pub use budgets::{Ask, Budgets, Grant, Held, Key, Kind, Lending};
-pub use evidence::{Evidence, Heard, Judge, Sights, Witness};
-pub use node::{Node, Out, Standing, Terms};
-pub use reports::{Digest, Report, Reports, Sums, Told};
+pub use budgets::{
+    BudgetKey, BudgetKind, BudgetStatus, Budgets, LeaseGrant, LeaseRequest, LendingTerms,
+};
+pub use evidence::{Evidence, EvidenceRules, Observations, RunnerVerdict, Witness};
+pub use node::{Datagrams, MemberStatus, Node, NodeConfig};
+pub use reports::{ArrivalCounts, ArrivalEstimate, Digest, Report, ReportTable};
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -1,9 +1,9 @@
 //! One member of a fleet: membership, budgets, evidence and counts on the same frames. The host hands in bytes with
 //! the time, tells what it saw and spent, and sends what lies in `out`.
 
-use crate::budgets::{Ask, Budgets, Grant, Kind, Lending};
-use crate::evidence::{Heard, Judge, Sights, Witness};
-use crate::reports::{Digest, Report, Reports, Sums};
+use crate::budgets::{BudgetKind, Budgets, LeaseGrant, LeaseRequest, LendingTerms};
+use crate::evidence::{EvidenceRules, Observations, RunnerVerdict, Witness};
+use crate::reports::{ArrivalCounts, Digest, Report, ReportTable};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_swim::{
@@ -25,14 +25,14 @@
 const SIGHTS_TOLD: usize = 50;
 /// Runners whose running jobs go into a datagram.
 const RUNNING_TOLD: usize = 40;
-/// Reports older than this are no evidence.
+/// ReportTable older than this are no evidence.
 const WITNESS_S: f64 = 2.0;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Body {
     Swim(Message),
-    Asks(Vec<Ask>),
-    Grants(Vec<Grant>),
+    Asks(Vec<LeaseRequest>),
+    Grants(Vec<LeaseGrant>),
     Report(Report),
     /// A whole exchange's question, its answer, and what the asker has beyond that.
     Have {
@@ -43,58 +43,58 @@
         updates: Vec<Update>,
         have: Vec<Digest>,
         reports: Vec<Report>,
-        sums: Vec<Sums>,
+        sums: Vec<ArrivalCounts>,
     },
     Rest {
         reports: Vec<Report>,
-        sums: Vec<Sums>,
+        sums: Vec<ArrivalCounts>,
     },
 }
 
 /// What a member is started with.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct NodeConfig {
     pub fleet: String,
     pub roster: Vec<Peer>,
-    pub me: usize,
-    pub pace: SwimConfig,
-    pub lending: BTreeMap<Kind, Lending>,
-    pub judge: Judge,
-    pub categories: usize,
+    pub own_index: usize,
+    pub swim: SwimConfig,
+    pub lending: BTreeMap<BudgetKind, LendingTerms>,
+    pub evidence_rules: EvidenceRules,
+    pub category_count: usize,
     /// Not under any earlier process's of this name, as far as clocks go: milliseconds of Unix time.
     pub incarnation: u64,
     /// Drawn anew by each process.
-    pub birth: u64,
+    pub process: u64,
 }
 
 /// Where frames go: a datagram to a member.
-pub type Out = Vec<(usize, Vec<u8>)>;
+pub type Datagrams = Vec<(usize, Vec<u8>)>;
 
 /// How a member stands, for operators.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct MemberStatus {
     pub name: String,
     pub site: u16,
-    pub life: MemberState,
+    pub state: MemberState,
     pub incarnation: u64,
     pub since_s: f64,
-    pub heard_s: f64,
+    pub received_s: f64,
     pub report_s: Option<f64>,
 }
 
 pub struct Node {
-    pub members: Membership,
+    pub membership: Membership,
     pub budgets: Budgets,
-    pub sights: Sights,
-    pub reports: Reports,
-    judge: Judge,
+    pub observations: Observations,
+    pub reports: ReportTable,
+    evidence_rules: EvidenceRules,
     codec: Codec,
-    birth: u64,
+    process: u64,
     sites: usize,
     no: u64,
     version: u64,
     arrivals: Vec<u64>,
-    /// Work items taken in this second by category, and the most in any.
+    /// Work items received in this second by category, and the most in any.
     second: (u64, Vec<u32>, Vec<u32>),
     running: Vec<(u64, u16)>,
     running_all: u32,
@@ -102,69 +102,69 @@
     next_look: f64,
     next_whole: f64,
     chance: Pcg64Mcg,
-    /// Frames passed over, by reason; and sent and taken in all, with their bytes.
-    pub refused: BTreeMap<FrameError, u64>,
+    /// Frames passed over, by reason; and sent and received in all, with their bytes.
+    pub rejected: BTreeMap<FrameError, u64>,
     pub sent: (u64, u64),
-    pub taken: (u64, u64),
+    pub received: (u64, u64),
 }
 
 impl Node {
-    pub fn new(terms: Terms, now: f64) -> Node {
-        let Terms {
+    pub fn new(terms: NodeConfig, now: f64) -> Node {
+        let NodeConfig {
             fleet,
             roster,
-            me,
-            pace,
+            own_index,
+            swim,
             lending,
-            judge,
-            categories,
+            evidence_rules,
+            category_count,
             incarnation,
-            birth,
+            process,
         } = terms;
         let numbers: Vec<u64> = roster.iter().map(|peer| peer.number).collect();
         let mut sites: Vec<u16> = roster.iter().map(|peer| peer.site).collect();
         sites.sort_unstable();
         sites.dedup();
-        let mut chance = Pcg64Mcg::seed_from_u64(birth);
+        let mut chance = Pcg64Mcg::seed_from_u64(process);
         let spread = chance.random::<f64>();
         Node {
-            members: Membership::new(pace, roster, me, incarnation, birth, now),
-            budgets: Budgets::new(numbers, me, birth, lending, now),
-            sights: Sights::default(),
-            reports: Reports::default(),
-            judge,
+            membership: Membership::new(swim, roster, own_index, incarnation, process, now),
+            budgets: Budgets::new(numbers, own_index, process, lending, now),
+            observations: Observations::default(),
+            reports: ReportTable::default(),
+            evidence_rules,
             codec: Codec::new(&fleet),
-            birth,
+            process,
             sites: sites.len(),
             no: 0,
             version: 0,
-            arrivals: vec![0; categories],
-            second: (0, vec![0; categories], vec![0; categories]),
+            arrivals: vec![0; category_count],
+            second: (0, vec![0; category_count], vec![0; category_count]),
             running: Vec::new(),
             running_all: 0,
             next_tell: now + TELL_S * spread,
             next_look: now,
             next_whole: now + WHOLE_S * spread,
             chance,
-            refused: BTreeMap::new(),
+            rejected: BTreeMap::new(),
             sent: (0, 0),
-            taken: (0, 0),
+            received: (0, 0),
         }
     }
 
     fn frame(&mut self, body: &Body) -> Vec<u8> {
         self.no += 1;
-        let from = self.members.roster()[self.members.own_index()].number;
+        let from = self.membership.roster()[self.membership.own_index()].number;
         let envelope = Envelope {
             sender: from,
-            process: self.birth,
-            incarnation: self.members.incarnation(),
+            process: self.process,
+            incarnation: self.membership.incarnation(),
             sequence: self.no,
         };
         self.codec.encode(&envelope, body)
     }
 
-    fn send(&mut self, to: usize, body: &Body, out: &mut Out) {
+    fn send(&mut self, to: usize, body: &Body, out: &mut Datagrams) {
         let frame = self.frame(body);
         // What does not fit was cut to fit by who made it; the rest goes by a whole exchange.
         if frame.len() <= MAX_DATAGRAM_BYTES {
@@ -173,14 +173,14 @@
         }
     }
 
-    fn refuse(&mut self, why: FrameError) {
-        *self.refused.entry(why).or_default() += 1;
+    fn reject(&mut self, why: FrameError) {
+        *self.rejected.entry(why).or_default() += 1;
     }
 
     // ---- what the host tells ----
 
-    /// A work item has been taken.
-    pub fn arrived(&mut self, now: f64, category: usize) {
+    /// A work item has been received.
+    pub fn record_arrival(&mut self, now: f64, category: usize) {
         let Some(sum) = self.arrivals.get_mut(category) else {
             return;
         };
@@ -195,7 +195,7 @@
     }
 
     /// Jobs of this member that run, by runner in ascending order.
-    pub fn runs(&mut self, running: Vec<(u64, u16)>) {
+    pub fn set_running(&mut self, running: Vec<(u64, u16)>) {
         self.running_all = running.iter().map(|(_, n)| u32::from(*n)).sum();
         self.running = running;
     }
@@ -203,7 +203,7 @@
     // ---- time ----
 
     pub fn due(&self) -> f64 {
-        self.members
+        self.membership
             .due()
             .min(self.next_tell)
             .min(self.next_look)
@@ -211,10 +211,10 @@
     }
 
     /// Looks at what has become due.
-    pub fn tick(&mut self, now: f64, out: &mut Out) {
+    pub fn tick(&mut self, now: f64, out: &mut Datagrams) {
         let mut post = Vec::new();
-        if now >= self.members.due() {
-            self.members.tick(now, &mut post);
+        if now >= self.membership.due() {
+            self.membership.tick(now, &mut post);
         }
         for (to, message) in post {
             self.send(to, &Body::Swim(message), out);
@@ -225,17 +225,17 @@
         }
         if now >= self.next_look {
             self.next_look = now + LOOK_S;
-            self.reports.fade(now);
-            self.budgets.forget(now, 60.0);
-            self.look(now, out);
+            self.reports.expire(now);
+            self.budgets.remove_unused(now, 60.0);
+            self.request_leases(now, out);
         }
     }
 
     /// Asks for parts that are short. Also called by the host when work has come that needs one.
-    pub fn look(&mut self, now: f64, out: &mut Out) {
+    pub fn request_leases(&mut self, now: f64, out: &mut Datagrams) {
         let mut asks = Vec::new();
-        self.budgets.tick(now, &mut asks);
-        let mut by: BTreeMap<usize, Vec<Ask>> = BTreeMap::new();
+        self.budgets.request_leases(now, &mut asks);
+        let mut by: BTreeMap<usize, Vec<LeaseRequest>> = BTreeMap::new();
         asks.into_iter()
             .for_each(|(to, ask)| by.entry(to).or_default().push(ask));
         for (to, asks) in by {
@@ -246,11 +246,11 @@
         }
     }
 
-    /// This member's own report, as far as it fits `sights` and `runners`.
-    fn report(&mut self, now: f64, sights: usize, runners: usize) -> Report {
+    /// This member's own report, as far as it fits `observations` and `runners`.
+    fn report(&mut self, now: f64, observations: usize, runners: usize) -> Report {
         self.version += 1;
-        let mut seen = self.sights.report(now);
-        seen.truncate(sights);
+        let mut seen = self.observations.evidence(now);
+        seen.truncate(observations);
         let mut running = self.running.clone();
         if running.len() > runners {
             running.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
@@ -258,33 +258,33 @@
             running.sort_unstable();
         }
         Report {
-            who: self.members.roster()[self.members.own_index()].number,
-            birth: self.birth,
-            incarnation: self.members.incarnation(),
+            member: self.membership.roster()[self.membership.own_index()].number,
+            process: self.process,
+            incarnation: self.membership.incarnation(),
             version: self.version,
             age_ms: 0,
             arrivals: self.arrivals.clone(),
             peaks: self.second.2.clone(),
             running,
             running_all: self.running_all,
-            seen,
+            evidence: seen,
         }
     }
 
-    fn tell(&mut self, now: f64, out: &mut Out) {
+    fn tell(&mut self, now: f64, out: &mut Datagrams) {
         let mut report = self.report(now, SIGHTS_TOLD, RUNNING_TOLD);
         self.reports.join(now, report.clone());
-        // Many categories leave less room: the rest goes by whole exchanges.
+        // Many category_count leave less room: the rest goes by whole exchanges.
         while self.frame(&Body::Report(report.clone())).len() > MAX_DATAGRAM_BYTES {
-            let (sights, runners) = (report.seen.len() / 2, report.running.len() / 2);
-            report.seen.truncate(sights);
+            let (observations, runners) = (report.evidence.len() / 2, report.running.len() / 2);
+            report.evidence.truncate(observations);
             report.running.truncate(runners);
-            if sights + runners == 0 {
+            if observations + runners == 0 {
                 return;
             }
         }
-        let mut others: Vec<usize> = (0..self.members.roster().len())
-            .filter(|who| self.members.is_reachable(*who))
+        let mut others: Vec<usize> = (0..self.membership.roster().len())
+            .filter(|who| self.membership.is_reachable(*who))
             .collect();
         for at in 0..others.len().min(TELL_TO) {
             let other = self.chance.random_range(at..others.len());
@@ -299,40 +299,47 @@
         let (envelope, body) = match self.codec.decode::<Body>(frame, most) {
             Ok(read) => read,
             Err(why) => {
-                self.refuse(why);
+                self.reject(why);
                 return None;
             }
         };
         let Some(from) = self
-            .members
+            .membership
             .index_of(envelope.sender)
-            .filter(|from| *from != self.members.own_index())
+            .filter(|from| *from != self.membership.own_index())
         else {
-            self.refuse(FrameError::UnknownSender);
+            self.reject(FrameError::UnknownSender);
             return None;
         };
-        self.taken = (self.taken.0 + 1, self.taken.1 + frame.len() as u64);
-        self.members.confirm_alive(now, from, envelope.incarnation);
+        self.received = (self.received.0 + 1, self.received.1 + frame.len() as u64);
+        self.membership
+            .confirm_alive(now, from, envelope.incarnation);
         Some((from, envelope, body))
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, now: f64, frame: &[u8], out: &mut Out) {
+    pub fn receive_datagram(&mut self, now: f64, frame: &[u8], out: &mut Datagrams) {
         let Some((from, envelope, body)) = self.opened(now, frame, MAX_DATAGRAM_BYTES) else {
             return;
         };
         let sound = match body {
             Body::Swim(message) => {
                 let mut post = Vec::new();
-                let sound = self.members.receive(now, from, message, &mut post).is_ok();
+                let sound = self
+                    .membership
+                    .receive(now, from, message, &mut post)
+                    .is_ok();
                 post.into_iter()
                     .for_each(|(to, message)| self.send(to, &Body::Swim(message), out));
                 sound
             }
             Body::Asks(asks) => {
-                let grants: Vec<Grant> = asks
+                let grants: Vec<LeaseGrant> = asks
                     .into_iter()
-                    .filter_map(|ask| self.budgets.asked(now, from, envelope.process, ask))
+                    .filter_map(|ask| {
+                        self.budgets
+                            .receive_request(now, from, envelope.process, ask)
+                    })
                     .collect();
                 if !grants.is_empty() {
                     self.send(from, &Body::Grants(grants), out);
@@ -341,27 +348,29 @@
             }
             Body::Grants(grants) => grants
                 .into_iter()
-                .all(|grant| self.budgets.granted(from, grant)),
+                .all(|grant| self.budgets.receive_grant(from, grant)),
             // By way of nobody: who made it sends it.
-            Body::Report(report) => report.who == envelope.sender && self.reports.join(now, report),
+            Body::Report(report) => {
+                report.member == envelope.sender && self.reports.join(now, report)
+            }
             Body::Have { .. } | Body::Give { .. } | Body::Rest { .. } => false,
         };
         if !sound {
-            self.refuse(FrameError::InvalidValue);
+            self.reject(FrameError::InvalidValue);
         }
     }
 
     /// The question of a whole exchange, when one is due: with whom, and the frame.
-    pub fn exchange(&mut self, now: f64) -> Option<(usize, Vec<u8>)> {
+    pub fn start_exchange(&mut self, now: f64) -> Option<(usize, Vec<u8>)> {
         if now < self.next_whole {
             return None;
         }
         self.next_whole = now + WHOLE_S * (0.5 + self.chance.random::<f64>());
         // The dead too, now and then: two halves of a split find each other again.
         let dead = self.chance.random_range(0..8) == 0;
-        let others: Vec<usize> = (0..self.members.roster().len())
+        let others: Vec<usize> = (0..self.membership.roster().len())
             .filter(|who| {
-                *who != self.members.own_index() && (dead || self.members.is_reachable(*who))
+                *who != self.membership.own_index() && (dead || self.membership.is_reachable(*who))
             })
             .collect();
         if others.is_empty() {
@@ -371,28 +380,34 @@
         let whole = self.report(now, usize::MAX, usize::MAX);
         self.reports.join(now, whole);
         let body = Body::Have {
-            updates: self.members.full_state(),
+            updates: self.membership.full_state(),
             have: self.reports.digest(),
         };
         Some((to, self.frame(&body)))
     }
 
-    fn take_up(&mut self, now: f64, updates: &[Update], reports: Vec<Report>, sums: Vec<Sums>) {
-        let mut sound = self.members.apply_updates(now, updates).is_ok();
-        let me = self.members.roster()[self.members.own_index()].number;
+    fn take_up(
+        &mut self,
+        now: f64,
+        updates: &[Update],
+        reports: Vec<Report>,
+        sums: Vec<ArrivalCounts>,
+    ) {
+        let mut sound = self.membership.apply_updates(now, updates).is_ok();
+        let me = self.membership.roster()[self.membership.own_index()].number;
         for report in reports {
-            if self.members.index_of(report.who).is_none() || report.who == me {
+            if self.membership.index_of(report.member).is_none() || report.member == me {
                 continue;
             }
             sound &= self.reports.join(now, report);
         }
-        if !(sound & self.reports.join_sums(sums)) {
-            self.refuse(FrameError::InvalidValue);
+        if !(sound & self.reports.join_counts(sums)) {
+            self.reject(FrameError::InvalidValue);
         }
     }
 
     /// A frame of a whole exchange has come; what is to be answered on the same link, if anything.
-    pub fn whole(&mut self, now: f64, frame: &[u8]) -> Option<Vec<u8>> {
+    pub fn receive_exchange(&mut self, now: f64, frame: &[u8]) -> Option<Vec<u8>> {
         let (_, _, body) = self.opened(now, frame, MAX_SYNC_BYTES)?;
         match body {
             Body::Have { updates, have } => {
@@ -400,10 +415,10 @@
                 let whole = self.report(now, usize::MAX, usize::MAX);
                 self.reports.join(now, whole);
                 let body = Body::Give {
-                    updates: self.members.full_state(),
+                    updates: self.membership.full_state(),
                     have: self.reports.digest(),
-                    reports: self.reports.beyond(now, &have),
-                    sums: self.reports.sums(),
+                    reports: self.reports.missing_from(now, &have),
+                    sums: self.reports.counts(),
                 };
                 Some(self.frame(&body))
             }
@@ -415,8 +430,8 @@
             } => {
                 self.take_up(now, &updates, reports, sums);
                 let body = Body::Rest {
-                    reports: self.reports.beyond(now, &have),
-                    sums: self.reports.sums(),
+                    reports: self.reports.missing_from(now, &have),
+                    sums: self.reports.counts(),
                 };
                 Some(self.frame(&body))
             }
@@ -425,7 +440,7 @@
                 None
             }
             _ => {
-                self.refuse(FrameError::InvalidValue);
+                self.reject(FrameError::InvalidValue);
                 None
             }
         }
@@ -433,34 +448,38 @@
 
     // ---- what the host asks ----
 
-    /// What is heard of runners, beside the own sights.
-    pub fn heard(&mut self, now: f64) -> Vec<(u64, Heard)> {
-        let own = self.sights.report(now);
-        let me = self.members.own_index();
+    /// What is heard of runners, beside the own observations.
+    pub fn verdicts(&mut self, now: f64) -> Vec<(u64, RunnerVerdict)> {
+        let own = self.observations.evidence(now);
+        let me = self.membership.own_index();
         let mut witnesses = vec![Witness {
-            site: self.members.roster()[me].site,
-            own: true,
+            site: self.membership.roster()[me].site,
+            is_own: true,
             age_s: 0.0,
-            seen: &own,
+            evidence: &own,
         }];
         for (report, age_s) in self.reports.fresh(now, WITNESS_S) {
-            let Some(who) = self.members.index_of(report.who).filter(|who| *who != me) else {
+            let Some(who) = self
+                .membership
+                .index_of(report.member)
+                .filter(|who| *who != me)
+            else {
                 continue;
             };
-            let site = self.members.roster()[who].site;
+            let site = self.membership.roster()[who].site;
             witnesses.push(Witness {
                 site,
-                own: false,
+                is_own: false,
                 age_s,
-                seen: &report.seen,
+                evidence: &report.evidence,
             });
         }
-        self.judge.weigh(&witnesses, self.sites)
+        self.evidence_rules.evaluate(&witnesses, self.sites)
     }
 
     /// The most jobs of all members that run on one runner.
-    pub fn most_running(&self, now: f64, within_s: f64) -> u64 {
-        let me = self.members.roster()[self.members.own_index()].number;
+    pub fn max_running(&self, now: f64, within_s: f64) -> u64 {
+        let me = self.membership.roster()[self.membership.own_index()].number;
         let mut at: BTreeMap<u64, u64> = self
             .running
             .iter()
@@ -469,7 +488,7 @@
         for (report, _) in self
             .reports
             .fresh(now, within_s)
-            .filter(|(report, _)| report.who != me)
+            .filter(|(report, _)| report.member != me)
         {
             for (of, n) in &report.running {
                 *at.entry(*of).or_default() += u64::from(*n);
@@ -478,16 +497,16 @@
         at.into_values().max().unwrap_or(0)
     }
 
-    pub fn standings(&self, now: f64) -> Vec<Standing> {
+    pub fn member_statuses(&self, now: f64) -> Vec<MemberStatus> {
         let of = |(n, peer): (usize, &Peer)| {
-            let seen = self.members.view(n);
-            Standing {
+            let seen = self.membership.view(n);
+            MemberStatus {
                 name: peer.name.clone(),
                 site: peer.site,
-                life: seen.state,
+                state: seen.state,
                 incarnation: seen.incarnation,
                 since_s: now - seen.since,
-                heard_s: if n == self.members.own_index() {
+                received_s: if n == self.membership.own_index() {
                     0.0
                 } else {
                     now - seen.last_received
@@ -495,6 +514,11 @@
                 report_s: self.reports.age(now, peer.number),
             }
         };
-        self.members.roster().iter().enumerate().map(of).collect()
+        self.membership
+            .roster()
+            .iter()
+            .enumerate()
+            .map(of)
+            .collect()
     }
 }
--- a/crates/dispatcher/shared-state/src/reports.rs
+++ b/crates/dispatcher/shared-state/src/reports.rs
@@ -1,5 +1,5 @@
 //! What each member last said of itself. The join keeps, by member, the report of the higher incarnation, then
-//! version: associative, commutative, idempotent, so that loss, doubling and reordering do nothing. Reports may come
+//! version: associative, commutative, idempotent, so that loss, doubling and reordering do nothing. ReportTable may come
 //! by way of others, under their maker's name and age.
 
 use crate::evidence::Evidence;
@@ -14,11 +14,11 @@
 /// No member counts more than this.
 const MOST_COUNT: u64 = 1 << 48;
 
-/// One member of itself, cumulative since the birth of its process where it is a sum.
+/// One member of itself, cumulative since the process of its process where it is a sum.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    pub who: u64,
-    pub birth: u64,
+    pub member: u64,
+    pub process: u64,
     pub incarnation: u64,
     pub version: u64,
     /// How long ago it was made, in milliseconds.
@@ -29,23 +29,23 @@
     /// Jobs running at runners in the mean of the last second, in sixteenths, by runner and in all.
     pub running: Vec<(u64, u16)>,
     pub running_all: u32,
-    pub seen: Vec<Evidence>,
+    pub evidence: Vec<Evidence>,
 }
 
 /// Which versions one has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    pub who: u64,
+    pub member: u64,
     pub incarnation: u64,
     pub version: u64,
 }
 
 /// A figure over all members, and how far off it may be: what may have come since each was last heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct ArrivalEstimate {
     pub sum: u64,
-    /// The true figure is between `sum` and `sum + off`, as long as nobody exceeds twice its busiest second.
-    pub off: u64,
+    /// The true figure is between `sum` and `sum + max_error`, as long as nobody exceeds twice its busiest second.
+    pub max_error: u64,
     /// How long ago the member heard of least was heard of, of those heard of at all; seconds.
     pub oldest_s: f64,
     pub members: usize,
@@ -53,9 +53,9 @@
 
 /// The sums of one process of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sums {
-    pub who: u64,
-    pub birth: u64,
+pub struct ArrivalCounts {
+    pub member: u64,
+    pub process: u64,
     pub incarnation: u64,
     pub arrivals: Vec<u64>,
 }
@@ -63,16 +63,16 @@
 struct Kept {
     report: Report,
     made: f64,
-    /// Sums by process under this name, the largest of each ever told: an old one's stay what they were.
-    sums: BTreeMap<u64, Sums>,
+    /// ArrivalCounts by process under this name, the largest of each ever told: an old one's stay what they were.
+    sums: BTreeMap<u64, ArrivalCounts>,
 }
 
 /// Processes under one name whose sums are told apart; of more, those of the lowest incarnation are left out.
 const MOST_BIRTHS: usize = 16;
 
-fn raise(sums: &mut BTreeMap<u64, Sums>, told: Sums) {
+fn raise(sums: &mut BTreeMap<u64, ArrivalCounts>, told: ArrivalCounts) {
     let most = told.arrivals.len();
-    let kept = sums.entry(told.birth).or_insert_with(|| Sums {
+    let kept = sums.entry(told.process).or_insert_with(|| ArrivalCounts {
         arrivals: vec![0; most],
         ..told.clone()
     });
@@ -83,15 +83,15 @@
         .for_each(|(kept, told)| *kept = (*kept).max(*told));
     kept.incarnation = kept.incarnation.max(told.incarnation);
     if sums.len() > MOST_BIRTHS {
-        let oldest = sums.values().map(|s| (s.incarnation, s.birth)).min();
+        let oldest = sums.values().map(|s| (s.incarnation, s.process)).min();
         oldest
             .into_iter()
-            .for_each(|(_, birth)| drop(sums.remove(&birth)));
+            .for_each(|(_, process)| drop(sums.remove(&process)));
     }
 }
 
 #[derive(Default)]
-pub struct Reports {
+pub struct ReportTable {
     kept: BTreeMap<u64, Kept>,
 }
 
@@ -103,12 +103,12 @@
             && self.peaks.len() == self.arrivals.len()
             && self.arrivals.iter().all(|n| *n < MOST_COUNT)
             && self.running.len() <= MOST_RUNNERS
-            && self.seen.len() <= MOST_RUNNERS
+            && self.evidence.len() <= MOST_RUNNERS
             && ordered
     }
 }
 
-impl Reports {
+impl ReportTable {
     /// Takes up a report; false for one that cannot be: a sum that runs backwards in one process.
     pub fn join(&mut self, now: f64, report: Report) -> bool {
         if !report.sound() {
@@ -116,31 +116,31 @@
         }
         let made = now - f64::from(report.age_ms) / 1e3;
         let Report {
-            who,
-            birth,
+            member,
+            process,
             incarnation,
             ..
         } = report;
-        let sums = Sums {
-            who,
-            birth,
+        let sums = ArrivalCounts {
+            member,
+            process,
             incarnation,
             arrivals: report.arrivals.clone(),
         };
-        let Some(kept) = self.kept.get_mut(&who) else {
-            let sums = [(birth, sums)].into();
-            self.kept.insert(who, Kept { report, made, sums });
+        let Some(kept) = self.kept.get_mut(&member) else {
+            let sums = [(process, sums)].into();
+            self.kept.insert(member, Kept { report, made, sums });
             return true;
         };
         let order = |report: &Report| (report.incarnation, report.version);
         let newer = order(&report) > order(&kept.report);
         // Guards against a sum that runs backwards in one process: no join can make that, only a fault or a lie.
-        let had = kept.sums.get(&birth).map_or(&[][..], |had| &had.arrivals);
+        let had = kept.sums.get(&process).map_or(&[][..], |had| &had.arrivals);
         let back = had
             .iter()
             .enumerate()
             .any(|(n, had)| report.arrivals.get(n).is_none_or(|told| told < had));
-        if newer && birth == kept.report.birth && back {
+        if newer && process == kept.report.process && back {
             return false;
         }
         raise(&mut kept.sums, sums);
@@ -151,7 +151,7 @@
     }
 
     /// All sums, by process: a report carries only its own process's.
-    pub fn sums(&self) -> Vec<Sums> {
+    pub fn counts(&self) -> Vec<ArrivalCounts> {
         self.kept
             .values()
             .flat_map(|kept| kept.sums.values().cloned())
@@ -159,14 +159,14 @@
     }
 
     /// Takes up such sums of members that are known.
-    pub fn join_sums(&mut self, sums: Vec<Sums>) -> bool {
+    pub fn join_counts(&mut self, sums: Vec<ArrivalCounts>) -> bool {
         let mut sound = true;
         for sums in sums {
             if sums.arrivals.len() > MOST_CATEGORIES
                 || sums.arrivals.iter().any(|n| *n >= MOST_COUNT)
             {
                 sound = false;
-            } else if let Some(kept) = self.kept.get_mut(&sums.who) {
+            } else if let Some(kept) = self.kept.get_mut(&sums.member) {
                 raise(&mut kept.sums, sums);
             }
         }
@@ -175,7 +175,7 @@
 
     pub fn digest(&self) -> Vec<Digest> {
         let digest = |r: &Report| Digest {
-            who: r.who,
+            member: r.member,
             incarnation: r.incarnation,
             version: r.version,
         };
@@ -186,14 +186,14 @@
     }
 
     /// What another lacks that has this digest; ages as of now.
-    pub fn beyond(&self, now: f64, digest: &[Digest]) -> Vec<Report> {
+    pub fn missing_from(&self, now: f64, digest: &[Digest]) -> Vec<Report> {
         let has: BTreeMap<u64, (u64, u64)> = digest
             .iter()
-            .map(|d| (d.who, (d.incarnation, d.version)))
+            .map(|d| (d.member, (d.incarnation, d.version)))
             .collect();
         let lacks = |kept: &&Kept| {
             let order = (kept.report.incarnation, kept.report.version);
-            has.get(&kept.report.who).is_none_or(|had| *had < order)
+            has.get(&kept.report.member).is_none_or(|had| *had < order)
         };
         let aged = |kept: &Kept| {
             let age_ms = ((now - kept.made).max(0.0) * 1e3).min(f64::from(u32::MAX)) as u32;
@@ -205,7 +205,7 @@
         self.kept.values().filter(lacks).map(aged).collect()
     }
 
-    /// Reports made lately, with the age of each.
+    /// ReportTable made lately, with the age of each.
     pub fn fresh(&self, now: f64, within_s: f64) -> impl Iterator<Item = (&Report, f64)> {
         self.kept
             .values()
@@ -218,14 +218,14 @@
     }
 
     /// Work items that all members took of a category, since each began.
-    pub fn arrivals(&self, now: f64, category: usize) -> Told {
-        let mut told = Told::default();
+    pub fn arrivals(&self, now: f64, category: usize) -> ArrivalEstimate {
+        let mut told = ArrivalEstimate::default();
         for kept in self.kept.values() {
             let age_s = (now - kept.made).max(0.0);
-            let of = |sums: &Sums| sums.arrivals.get(category).copied().unwrap_or(0);
+            let of = |sums: &ArrivalCounts| sums.arrivals.get(category).copied().unwrap_or(0);
             told.sum += kept.sums.values().map(of).sum::<u64>();
             let peak = kept.report.peaks.get(category).copied().unwrap_or(0);
-            told.off += (2.0 * f64::from(peak.max(1)) * age_s).ceil() as u64;
+            told.max_error += (2.0 * f64::from(peak.max(1)) * age_s).ceil() as u64;
             told.oldest_s = told.oldest_s.max(age_s);
             told.members += 1;
         }
@@ -253,14 +253,14 @@
             .sum()
     }
 
-    /// Sights and gauges of the long unheard say nothing any more; the sums are kept.
-    pub fn fade(&mut self, now: f64) {
+    /// Observations and gauges of the long unheard say nothing any more; the sums are kept.
+    pub fn expire(&mut self, now: f64) {
         for kept in self
             .kept
             .values_mut()
             .filter(|kept| now > kept.made + MOST_AGE_S)
         {
-            kept.report.seen.clear();
+            kept.report.evidence.clear();
             kept.report.running.clear();
             kept.report.running_all = 0;
         }
--- a/crates/dispatcher/shared-state/tests/budgets.rs
+++ b/crates/dispatcher/shared-state/tests/budgets.rs
@@ -6,9 +6,9 @@
 use sagetrail_shared_state::*;
 use std::collections::BTreeMap;
 
-const KEY: Key = Key {
-    kind: Kind::Cold,
-    of: 77,
+const KEY: BudgetKey = BudgetKey {
+    kind: BudgetKind::SlowStart,
+    subject: 77,
 };
 const LIMIT: u64 = 1000;
 const HOLD_S: f64 = 1.0;
@@ -38,8 +38,8 @@
 }
 
 enum Wire {
-    Ask(u64, Ask),
-    Grant(Grant),
+    Ask(u64, LeaseRequest),
+    Grant(LeaseGrant),
 }
 
 struct Member {
@@ -58,18 +58,18 @@
     spends: Vec<(u64, f64)>,
 }
 
-fn lending(broken: Broken) -> BTreeMap<Kind, Lending> {
+fn lending(broken: Broken) -> BTreeMap<BudgetKind, LendingTerms> {
     let hold_s = if broken == Broken::NoHold {
         0.0
     } else {
         HOLD_S
     };
     [(
-        Kind::Cold,
-        Lending {
+        BudgetKind::SlowStart,
+        LendingTerms {
             lease_s: LEASE_S,
-            hold_s,
-            owners: 3,
+            spend_s: hold_s,
+            owner_count: 3,
         },
     )]
     .into()
@@ -109,7 +109,7 @@
                 let mine = numbers.iter().position(|k| *k as usize == me).unwrap();
                 let mut budgets =
                     Budgets::new(numbers, mine, me as u64, lending(broken), off - 100.0);
-                budgets.limit(off, KEY, LIMIT);
+                budgets.set_limit(off, KEY, LIMIT);
                 Member {
                     budgets,
                     birth: me as u64,
@@ -175,7 +175,7 @@
             self.chance.random()
         };
         let mut budgets = Budgets::new((0..n).collect(), who, birth, lending(self.broken), started);
-        budgets.limit(local, KEY, self.limit);
+        budgets.set_limit(local, KEY, self.limit);
         let member = &mut self.members[who];
         (member.budgets, member.birth, member.paused_until) = (budgets, birth, 0.0);
         member.spends.clear();
@@ -194,7 +194,7 @@
         } else {
             out
         };
-        member.budgets.told(local, KEY, told, member.demand);
+        member.budgets.record_use(local, KEY, told, member.demand);
         out
     }
 
@@ -218,15 +218,16 @@
             let local = self.local(who);
             match wire {
                 Wire::Ask(birth, mut ask) => {
-                    let no = ask.no;
+                    let no = ask.sequence;
                     if self.broken == Broken::TakesStale {
                         // As if the last were the newest: numbers that never go back.
-                        ask.no = (self.now * 1e4) as u32 + 1;
+                        ask.sequence = (self.now * 1e4) as u32 + 1;
                     }
-                    if let Some(mut grant) =
-                        self.members[who].budgets.asked(local, from, birth, ask)
+                    if let Some(mut grant) = self.members[who]
+                        .budgets
+                        .receive_request(local, from, birth, ask)
                     {
-                        grant.no = no;
+                        grant.sequence = no;
                         if self.broken == Broken::LongerLease {
                             grant.lease_ms *= 2;
                         }
@@ -234,8 +235,8 @@
                     }
                 }
                 Wire::Grant(mut grant) => {
-                    grant.no = grant.no.wrapping_sub(self.members[who].first);
-                    self.members[who].budgets.granted(from, grant);
+                    grant.sequence = grant.sequence.wrapping_sub(self.members[who].first);
+                    self.members[who].budgets.receive_grant(from, grant);
                 }
             }
         }
@@ -256,10 +257,10 @@
             self.tell(who);
         }
         let mut asks = Vec::new();
-        self.members[who].budgets.tick(local, &mut asks);
+        self.members[who].budgets.request_leases(local, &mut asks);
         let birth = self.members[who].birth;
         for (to, mut ask) in asks {
-            ask.no += self.members[who].first;
+            ask.sequence += self.members[who].first;
             self.post(who, to, || Wire::Ask(birth, ask));
         }
     }
@@ -465,14 +466,14 @@
     world.split = Some(1);
     for who in [1, 2] {
         let local = world.local(who);
-        world.members[who].budgets.limit(local, KEY, 300);
+        world.members[who].budgets.set_limit(local, KEY, 300);
         world.members[who].demand = LIMIT;
     }
     while world.now < 2.0 + 2.0 * (LEASE_S + HOLD_S) {
         assert!(world.step(), "never over the old one");
     }
     let local = world.local(0);
-    world.members[0].budgets.limit(local, KEY, 300);
+    world.members[0].budgets.set_limit(local, KEY, 300);
     let told = world.now;
     while world.now < told + HOLD_S + 0.2 {
         world.step();
@@ -491,7 +492,7 @@
     let mut world = calm(3, 8);
     for who in 0..3 {
         let local = world.local(who);
-        world.members[who].budgets.limit(local, KEY, 0);
+        world.members[who].budgets.set_limit(local, KEY, 0);
         world.members[who].demand = LIMIT;
     }
     world.limit = 0;
@@ -503,39 +504,39 @@
 #[test]
 fn grants_that_no_member_can_have_given_are_refused() {
     let mut budgets = Budgets::new(vec![1, 2, 3], 0, 9, lending(Broken::No), 0.0);
-    budgets.limit(10.0, KEY, LIMIT);
-    let grant = Grant {
-        to: 9,
+    budgets.set_limit(10.0, KEY, LIMIT);
+    let grant = LeaseGrant {
+        process: 9,
         key: KEY,
-        no: 1,
+        sequence: 1,
         amount: LIMIT + 1,
         lease_ms: 3000,
         limit: LIMIT,
     };
-    assert!(!budgets.granted(1, grant));
-    assert!(!budgets.granted(
+    assert!(!budgets.receive_grant(1, grant));
+    assert!(!budgets.receive_grant(
         1,
-        Grant {
+        LeaseGrant {
             amount: 1,
             lease_ms: u32::MAX,
             ..grant
         }
     ));
-    assert!(!budgets.granted(9, Grant { amount: 1, ..grant }));
+    assert!(!budgets.receive_grant(9, LeaseGrant { amount: 1, ..grant }));
     assert!(
-        budgets.granted(1, Grant { amount: 1, ..grant }),
+        budgets.receive_grant(1, LeaseGrant { amount: 1, ..grant }),
         "late, and passed over"
     );
     assert!(budgets.usable(10.0, KEY) <= LIMIT / 3 + 1);
     for of in 0..100_000 {
-        budgets.limit(
+        budgets.set_limit(
             10.0,
-            Key {
-                kind: Kind::Cold,
-                of,
+            BudgetKey {
+                kind: BudgetKind::SlowStart,
+                subject: of,
             },
             1,
         );
     }
-    assert!(budgets.held(10.0).len() <= 8192, "bounded");
+    assert!(budgets.status(10.0).len() <= 8192, "bounded");
 }
--- a/crates/dispatcher/shared-state/tests/encoding.rs
+++ b/crates/dispatcher/shared-state/tests/encoding.rs
@@ -4,7 +4,8 @@
 
 use sagetrail_fixture::Fixture;
 use sagetrail_shared_state::{
-    Ask, Digest, Grant, Judge, Key, Kind, Lending, Node, Out, Report, Sums, Terms,
+    ArrivalCounts, BudgetKey, BudgetKind, Datagrams, Digest, EvidenceRules, LeaseGrant,
+    LeaseRequest, LendingTerms, Node, NodeConfig, Report,
 };
 use sagetrail_swim::{
     Codec, Envelope, MemberState, Message, Peer, SwimConfig, Update, MAX_SYNC_BYTES,
@@ -21,8 +22,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Body {
     Swim(Message),
-    Asks(Vec<Ask>),
-    Grants(Vec<Grant>),
+    Asks(Vec<LeaseRequest>),
+    Grants(Vec<LeaseGrant>),
     Report(Report),
     Have {
         updates: Vec<Update>,
@@ -32,11 +33,11 @@
         updates: Vec<Update>,
         have: Vec<Digest>,
         reports: Vec<Report>,
-        sums: Vec<Sums>,
+        sums: Vec<ArrivalCounts>,
     },
     Rest {
         reports: Vec<Report>,
-        sums: Vec<Sums>,
+        sums: Vec<ArrivalCounts>,
     },
 }
 
@@ -60,32 +61,32 @@
     Codec::new(FLEET).decode(frame, MAX_SYNC_BYTES).unwrap()
 }
 
-fn terms(me: usize) -> Terms {
+fn terms(me: usize) -> NodeConfig {
     let peer = |name: &str, number, site| Peer {
         name: name.to_string(),
         number,
         site,
     };
-    let lending = |lease_s| Lending {
+    let lending = |lease_s| LendingTerms {
         lease_s,
-        hold_s: 1.0,
-        owners: 2,
+        spend_s: 1.0,
+        owner_count: 2,
     };
-    Terms {
+    NodeConfig {
         fleet: FLEET.to_string(),
         roster: vec![peer("a", 0x1001, 1), peer("b", 0x1002, 2)],
-        me,
-        pace: SwimConfig::default(),
+        own_index: me,
+        swim: SwimConfig::default(),
         lending: [
-            (Kind::Cold, lending(3.0)),
-            (Kind::Resends, lending(3.5)),
-            (Kind::Category, lending(4.0)),
+            (BudgetKind::SlowStart, lending(3.0)),
+            (BudgetKind::Resubmissions, lending(3.5)),
+            (BudgetKind::Category, lending(4.0)),
         ]
         .into(),
-        judge: Judge::default(),
-        categories: 3,
+        evidence_rules: EvidenceRules::default(),
+        category_count: 3,
         incarnation: 0x2001 + me as u64,
-        birth: 0x3001 + me as u64,
+        process: 0x3001 + me as u64,
     }
 }
 
@@ -114,13 +115,13 @@
     }
 
     fn nobody_refused(&self) {
-        assert!(self.a.refused.is_empty(), "{:?}", self.a.refused);
-        assert!(self.b.refused.is_empty(), "{:?}", self.b.refused);
+        assert!(self.a.rejected.is_empty(), "{:?}", self.a.rejected);
+        assert!(self.b.rejected.is_empty(), "{:?}", self.b.rejected);
     }
 }
 
 /// The frames' order among those due at once is no part of the format.
-fn only(out: &Out, variant: &str) -> Vec<u8> {
+fn only(out: &Datagrams, variant: &str) -> Vec<u8> {
     let mut frames = out
         .iter()
         .filter(|(_, frame)| opened(frame).1.name() == variant);
@@ -130,42 +131,42 @@
 }
 
 fn see_something(node: &mut Node) {
-    node.sights.saw(0.95, RUNNER, true);
-    node.sights.saw(1.0, RUNNER, true);
-    node.sights.saw(1.05, RUNNER, false);
+    node.observations.record(0.95, RUNNER, true);
+    node.observations.record(1.0, RUNNER, true);
+    node.observations.record(1.05, RUNNER, false);
     for (at, category) in [(0.95, 0), (0.95, 2), (1.1, 2), (1.1, 2)] {
-        node.arrived(at, category);
+        node.record_arrival(at, category);
     }
-    node.runs(vec![(0x4001, 0x501), (0x4002, 0x502)]);
+    node.set_running(vec![(0x4001, 0x501), (0x4002, 0x502)]);
 }
 
 /// Probes, their answers, and a member's own report.
 fn gossip(pair: &mut Pair) {
     see_something(&mut pair.a);
-    let mut out = Out::new();
+    let mut out = Datagrams::new();
     pair.a.tick(1.2, &mut out);
     let (probe, report) = (only(&out, "swim"), only(&out, "report"));
     pair.note("probe", "swim", &probe);
     pair.note("report", "report", &report);
-    let mut answers = Out::new();
-    pair.b.datagram(1.21, &probe, &mut answers);
-    pair.b.datagram(1.22, &report, &mut answers);
+    let mut answers = Datagrams::new();
+    pair.b.receive_datagram(1.21, &probe, &mut answers);
+    pair.b.receive_datagram(1.22, &report, &mut answers);
     let ack = only(&answers, "swim");
     pair.note("ack", "swim", &ack);
-    pair.a.datagram(1.23, &ack, &mut Out::new());
-    assert_eq!(pair.a.members.view(1).state, MemberState::Alive);
+    pair.a.receive_datagram(1.23, &ack, &mut Datagrams::new());
+    assert_eq!(pair.a.membership.view(1).state, MemberState::Alive);
     assert_eq!(pair.b.reports.digest().len(), 1);
 }
 
 fn exchange(pair: &mut Pair) {
-    pair.b.arrived(2.0, 1);
-    let (_, have) = pair.a.exchange(3.5).unwrap();
+    pair.b.record_arrival(2.0, 1);
+    let (_, have) = pair.a.start_exchange(3.5).unwrap();
     pair.note("have", "have", &have);
-    let give = pair.b.whole(3.51, &have).unwrap();
+    let give = pair.b.receive_exchange(3.51, &have).unwrap();
     pair.note("give", "give", &give);
-    let rest = pair.a.whole(3.53, &give).unwrap();
+    let rest = pair.a.receive_exchange(3.53, &give).unwrap();
     pair.note("rest", "rest", &rest);
-    assert_eq!(pair.b.whole(3.56, &rest), None);
+    assert_eq!(pair.b.receive_exchange(3.56, &rest), None);
     let heard = (
         pair.a.reports.arrivals(3.6, 1).sum,
         pair.b.reports.arrivals(3.6, 2).sum,
@@ -173,37 +174,47 @@
     assert_eq!(heard, (1, 3));
 }
 
-const KINDS: [Kind; 3] = [Kind::Cold, Kind::Resends, Kind::Category];
+const KINDS: [BudgetKind; 3] = [
+    BudgetKind::SlowStart,
+    BudgetKind::Resubmissions,
+    BudgetKind::Category,
+];
 
-fn key(kind: Kind) -> Key {
-    Key { kind, of: RUNNER }
+fn key(kind: BudgetKind) -> BudgetKey {
+    BudgetKey {
+        kind,
+        subject: RUNNER,
+    }
 }
 
 /// Membership ask for parts of each kind of budget, once with nothing in use and once with something.
 fn budgets(pair: &mut Pair) {
     for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
-        pair.a.budgets.limit(10.0, key(kind), limit);
-        pair.b.budgets.limit(10.0, key(kind), limit);
-        pair.a.budgets.told(10.0, key(kind), 0, limit);
+        pair.a.budgets.set_limit(10.0, key(kind), limit);
+        pair.b.budgets.set_limit(10.0, key(kind), limit);
+        pair.a.budgets.record_use(10.0, key(kind), 0, limit);
     }
     ask(pair, 10.0, "asks", "grants");
     for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
         let usable = pair.a.budgets.usable(10.1, key(kind));
         assert!(usable > limit / 2, "{kind:?}: {usable} of {limit}");
-        pair.a.budgets.told(10.1, key(kind), usable - 7, limit);
+        pair.a
+            .budgets
+            .record_use(10.1, key(kind), usable - 7, limit);
     }
     ask(pair, 12.0, "asks-in-use", "grants-in-use");
 }
 
 fn ask(pair: &mut Pair, at: f64, asks: &str, grants: &str) {
-    let (mut out, mut answers) = (Out::new(), Out::new());
-    pair.a.look(at, &mut out);
+    let (mut out, mut answers) = (Datagrams::new(), Datagrams::new());
+    pair.a.request_leases(at, &mut out);
     let frame = only(&out, "asks");
     pair.note(asks, "asks", &frame);
-    pair.b.datagram(at + 0.01, &frame, &mut answers);
+    pair.b.receive_datagram(at + 0.01, &frame, &mut answers);
     let frame = only(&answers, "grants");
     pair.note(grants, "grants", &frame);
-    pair.a.datagram(at + 0.02, &frame, &mut Out::new());
+    pair.a
+        .receive_datagram(at + 0.02, &frame, &mut Datagrams::new());
 }
 
 #[test]
@@ -246,10 +257,10 @@
         .zip(asks.iter().zip(&grants))
     {
         assert_eq!((ask.key, grant.key), (key(kind), key(kind)));
-        assert_eq!((grant.to, grant.limit), (0x3001, limit));
-        assert_eq!(grant.no, ask.no);
-        assert!(ask.uses > 0 && ask.uses < ask.want, "{ask:?}");
-        assert!(grant.amount >= ask.uses, "{grant:?}");
+        assert_eq!((grant.process, grant.limit), (0x3001, limit));
+        assert_eq!(grant.sequence, ask.sequence);
+        assert!(ask.max_in_use > 0 && ask.max_in_use < ask.wanted, "{ask:?}");
+        assert!(grant.amount >= ask.max_in_use, "{grant:?}");
     }
     let leases: Vec<u32> = grants.iter().map(|grant| grant.lease_ms).collect();
     assert_eq!(leases, [3000, 3500, 4000]);
--- a/crates/dispatcher/shared-state/tests/evidence.rs
+++ b/crates/dispatcher/shared-state/tests/evidence.rs
@@ -9,47 +9,47 @@
 fn sights(seen: &str) -> Vec<Evidence> {
     let told = |(of, what)| match what {
         'w' => Some(Evidence {
-            of,
-            good: 5,
-            bad: 0,
-            good_ago: 5,
-            bad_ago: u16::MAX,
+            runner: of,
+            successes: 5,
+            failures: 0,
+            last_success_ago: 5,
+            last_failure_ago: u16::MAX,
         }),
         'b' => Some(Evidence {
-            of,
-            good: 1,
-            bad: 4,
-            good_ago: 150,
-            bad_ago: 10,
+            runner: of,
+            successes: 1,
+            failures: 4,
+            last_success_ago: 150,
+            last_failure_ago: 10,
         }),
         _ => None,
     };
     (0u64..).zip(seen.chars()).filter_map(told).collect()
 }
 
-fn weigh(judge: &Judge, all: &[(u16, &str)]) -> Vec<(u64, Heard)> {
+fn evaluate(rules: &EvidenceRules, all: &[(u16, &str)]) -> Vec<(u64, RunnerVerdict)> {
     let told: Vec<Vec<Evidence>> = all.iter().map(|(_, seen)| sights(seen)).collect();
     let witnesses: Vec<Witness> = told
         .iter()
         .enumerate()
         .map(|(n, seen)| Witness {
             site: all[n].0,
-            own: n == 0,
+            is_own: n == 0,
             age_s: 0.2,
-            seen,
+            evidence: seen,
         })
         .collect();
     let mut sites: Vec<u16> = all.iter().map(|(site, _)| *site).collect();
     sites.sort_unstable();
     sites.dedup();
-    judge.weigh(&witnesses, sites.len())
+    rules.evaluate(&witnesses, sites.len())
 }
 
 fn unwell(all: &[(u16, &str)]) -> Vec<u64> {
-    let heard = weigh(&Judge::default(), all);
+    let heard = evaluate(&EvidenceRules::default(), all);
     heard
         .iter()
-        .filter(|(_, heard)| *heard == Heard::Unwell)
+        .filter(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
         .map(|(of, _)| *of)
         .collect()
 }
@@ -150,11 +150,11 @@
 
 #[test]
 fn back_in_service_is_heard_as_soon_as_one_served() {
-    let heard = weigh(
-        &Judge::default(),
+    let heard = evaluate(
+        &EvidenceRules::default(),
         &[(0, "wwwbwwww"), (1, "wwwwwwww"), (2, "www.wwww")],
     );
-    assert!(heard.contains(&(3, Heard::Well)));
+    assert!(heard.contains(&(3, RunnerVerdict::Healthy)));
 }
 
 #[test]
@@ -162,13 +162,15 @@
     let seen = sights("wwwbwwww");
     let witness = |age_s, site| Witness {
         site,
-        own: false,
+        is_own: false,
         age_s,
-        seen: &seen,
+        evidence: &seen,
     };
     let bad = |age_s: f64| {
-        let heard = Judge::default().weigh(&[witness(age_s, 1), witness(age_s, 2)], 3);
-        heard.iter().any(|(_, heard)| *heard == Heard::Unwell)
+        let heard = EvidenceRules::default().evaluate(&[witness(age_s, 1), witness(age_s, 2)], 3);
+        heard
+            .iter()
+            .any(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
     };
     assert!(bad(0.5));
     assert!(!bad(2.0));
@@ -176,25 +178,28 @@
 
 #[test]
 fn sights_fade_and_the_latest_trouble_is_told_first() {
-    let mut sights = Sights::default();
-    sights.saw(10.0, 1, true);
-    sights.saw(10.1, 2, false);
-    sights.saw(10.2, 2, false);
-    let told = sights.report(10.3);
-    assert_eq!((told[0].of, told[0].bad, told[0].bad_ago), (2, 2, 10));
+    let mut observations = Observations::default();
+    observations.record(10.0, 1, true);
+    observations.record(10.1, 2, false);
+    observations.record(10.2, 2, false);
+    let told = observations.evidence(10.3);
+    assert_eq!(
+        (told[0].runner, told[0].failures, told[0].last_failure_ago),
+        (2, 2, 10)
+    );
     assert_eq!(
-        (told[1].of, told[1].good, told[1].bad_ago),
+        (told[1].runner, told[1].successes, told[1].last_failure_ago),
         (1, 1, u16::MAX)
     );
-    assert!(sights.report(13.6).is_empty());
+    assert!(observations.evidence(13.6).is_empty());
     for of in 0..100_000 {
-        sights.saw(20.0, of, false);
+        observations.record(20.0, of, false);
     }
-    assert!(sights.report(20.0).len() <= 8192, "bounded");
+    assert!(observations.evidence(20.0).len() <= 8192, "bounded");
 }
 
 /// A fleet of which one member lies, is cut one way or is starved, in any way it likes.
-fn with_a_liar(seed: u64, judge: &Judge) -> bool {
+fn with_a_liar(seed: u64, rules: &EvidenceRules) -> bool {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let (members, runners) = (
         chance.random_range(3..9usize),
@@ -216,25 +221,25 @@
         .iter()
         .map(|(site, seen)| (*site, seen.as_str()))
         .collect();
-    weigh(judge, &all)
+    evaluate(rules, &all)
         .iter()
-        .all(|(_, heard)| *heard != Heard::Unwell)
+        .all(|(_, heard)| *heard != RunnerVerdict::Unhealthy)
 }
 
 #[test]
 fn ten_thousand_liars_shut_nobody_out() {
     for seed in 0..10_000 {
-        assert!(with_a_liar(seed, &Judge::default()), "seed {seed}");
+        assert!(with_a_liar(seed, &EvidenceRules::default()), "seed {seed}");
     }
-    let gullible = Judge {
+    let gullible = EvidenceRules {
         reporters: 1,
         sites: 1,
         own_fault: 1.0,
-        ..Judge::default()
+        ..EvidenceRules::default()
     };
     assert!(
         (0..1000).any(|seed| !with_a_liar(seed, &gullible)),
-        "a broken judge is caught"
+        "a broken rules is caught"
     );
 }
 
@@ -278,8 +283,8 @@
 
 fn report(who: u64, incarnation: u64, version: u64, arrivals: u64) -> Report {
     Report {
-        who,
-        birth: incarnation,
+        member: who,
+        process: incarnation,
         incarnation,
         version,
         age_ms: 0,
@@ -287,18 +292,18 @@
         peaks: vec![3],
         running: vec![(5, 2)],
         running_all: 2,
-        seen: Vec::new(),
+        evidence: Vec::new(),
     }
 }
 
-/// Reports that can be: sums grow with the version within one incarnation.
+/// ReportTable that can be: sums grow with the version within one incarnation.
 fn any_report() -> impl Strategy<Value = Report> {
     (1u64..4, 1u64..4, 1u64..6)
         .prop_map(|(who, inc, version)| report(who, inc, version, 10 * inc + version))
 }
 
-fn joined(reports: &[Report]) -> (Vec<Digest>, Told) {
-    let mut all = Reports::default();
+fn joined(reports: &[Report]) -> (Vec<Digest>, ArrivalEstimate) {
+    let mut all = ReportTable::default();
     reports
         .iter()
         .for_each(|report| assert!(all.join(0.0, report.clone())));
@@ -323,14 +328,14 @@
         a in proptest::collection::vec(any_report(), 0..12),
         b in proptest::collection::vec(any_report(), 0..12),
     ) {
-        let (mut left, mut right) = (Reports::default(), Reports::default());
+        let (mut left, mut right) = (ReportTable::default(), ReportTable::default());
         a.into_iter().for_each(|report| assert!(left.join(0.0, report)));
         b.into_iter().for_each(|report| assert!(right.join(0.0, report)));
-        let (to_right, to_left) = (left.beyond(0.0, &right.digest()), right.beyond(0.0, &left.digest()));
-        let (from_left, from_right) = (left.sums(), right.sums());
+        let (to_right, to_left) = (left.missing_from(0.0, &right.digest()), right.missing_from(0.0, &left.digest()));
+        let (from_left, from_right) = (left.counts(), right.counts());
         to_right.into_iter().for_each(|report| assert!(right.join(0.0, report)));
         to_left.into_iter().for_each(|report| assert!(left.join(0.0, report)));
-        assert!(right.join_sums(from_left) && left.join_sums(from_right));
+        assert!(right.join_counts(from_left) && left.join_counts(from_right));
         prop_assert_eq!(left.digest(), right.digest());
         prop_assert_eq!(left.arrivals(0.0, 0), right.arrivals(0.0, 0));
     }
@@ -338,13 +343,13 @@
 
 #[test]
 fn a_count_says_how_far_off_it_may_be() {
-    let mut all = Reports::default();
+    let mut all = ReportTable::default();
     all.join(10.0, report(1, 1, 1, 100));
     all.join(12.0, report(2, 1, 1, 50));
     let told = all.arrivals(14.0, 0);
     assert_eq!((told.sum, told.members), (150, 2));
     assert_eq!(
-        told.off,
+        told.max_error,
         2 * 3 * 4 + 2 * 3 * 2,
         "twice its busiest second, since it was heard"
     );
@@ -355,7 +360,7 @@
 
 #[test]
 fn a_sum_that_runs_backwards_or_a_figure_that_cannot_be_is_refused() {
-    let mut all = Reports::default();
+    let mut all = ReportTable::default();
     assert!(all.join(0.0, report(1, 1, 5, 100)));
     assert!(!all.join(0.0, report(1, 1, 6, 99)));
     assert!(
--- a/crates/dispatcher/shared-state/tests/nodes.rs
+++ b/crates/dispatcher/shared-state/tests/nodes.rs
@@ -15,7 +15,7 @@
     chance: Pcg64Mcg,
 }
 
-fn terms(n: usize, me: usize, fleet: &str) -> Terms {
+fn terms(n: usize, me: usize, fleet: &str) -> NodeConfig {
     let roster = (0..n)
         .map(|m| Peer {
             name: format!("m{m}"),
@@ -23,21 +23,21 @@
             site: (m % 3) as u16,
         })
         .collect();
-    let cold = Lending {
+    let cold = LendingTerms {
         lease_s: 3.0,
-        hold_s: 1.0,
-        owners: 3,
+        spend_s: 1.0,
+        owner_count: 3,
     };
-    Terms {
+    NodeConfig {
         fleet: fleet.to_string(),
         roster,
-        me,
-        pace: SwimConfig::default(),
-        lending: [(Kind::Cold, cold)].into(),
-        judge: Judge::default(),
-        categories: 2,
+        own_index: me,
+        swim: SwimConfig::default(),
+        lending: [(BudgetKind::SlowStart, cold)].into(),
+        evidence_rules: EvidenceRules::default(),
+        category_count: 2,
         incarnation: 1000,
-        birth: 7 + me as u64,
+        process: 7 + me as u64,
     }
 }
 
@@ -58,16 +58,20 @@
         while self.now < end {
             self.now += 0.01;
             for me in 0..self.nodes.len() {
-                let mut out = Out::new();
+                let mut out = Datagrams::new();
                 if self.nodes[me].due() <= self.now {
                     self.nodes[me].tick(self.now, &mut out);
                 }
-                if let Some((to, have)) = self.nodes[me].exchange(self.now) {
+                if let Some((to, have)) = self.nodes[me].start_exchange(self.now) {
                     // A whole exchange is a stream: it comes through whole, or not at all.
                     if !self.cut.contains(&(me, to)) && !self.cut.contains(&(to, me)) {
-                        let give = self.nodes[to].whole(self.now, &have).expect("an answer");
-                        let rest = self.nodes[me].whole(self.now, &give).expect("the rest");
-                        assert!(self.nodes[to].whole(self.now, &rest).is_none());
+                        let give = self.nodes[to]
+                            .receive_exchange(self.now, &have)
+                            .expect("an answer");
+                        let rest = self.nodes[me]
+                            .receive_exchange(self.now, &give)
+                            .expect("the rest");
+                        assert!(self.nodes[to].receive_exchange(self.now, &rest).is_none());
                     }
                 }
                 self.post(me, out);
@@ -76,15 +80,15 @@
                     .extract_if(.., |(at, _, to, _)| *to == me && *at <= self.now)
                     .collect();
                 for (_, _, _, frame) in due {
-                    let mut out = Out::new();
-                    self.nodes[me].datagram(self.now, &frame, &mut out);
+                    let mut out = Datagrams::new();
+                    self.nodes[me].receive_datagram(self.now, &frame, &mut out);
                     self.post(me, out);
                 }
             }
         }
     }
 
-    fn post(&mut self, from: usize, out: Out) {
+    fn post(&mut self, from: usize, out: Datagrams) {
         for (to, frame) in out {
             if !self.cut.contains(&(from, to)) && !self.chance.random_bool(self.loss) {
                 self.wire.push((
@@ -99,7 +103,7 @@
 
     fn refused(&self) -> BTreeMap<FrameError, u64> {
         let mut all = BTreeMap::new();
-        for (why, n) in self.nodes.iter().flat_map(|node| &node.refused) {
+        for (why, n) in self.nodes.iter().flat_map(|node| &node.rejected) {
             *all.entry(*why).or_default() += n;
         }
         all
@@ -113,9 +117,9 @@
     fleet.run(3.0);
     for round in 0..40 {
         for node in &mut fleet.nodes {
-            node.arrived(fleet.now, 0);
-            (0..8).for_each(|of| node.sights.saw(fleet.now, of, of != 3));
-            node.runs(vec![(1, 2)]);
+            node.record_arrival(fleet.now, 0);
+            (0..8).for_each(|of| node.observations.record(fleet.now, of, of != 3));
+            node.set_running(vec![(1, 2)]);
         }
         fleet.run(0.05);
         let _ = round;
@@ -126,10 +130,12 @@
         assert_eq!((told.sum, told.members), (200, 5));
         assert_eq!(node.reports.running_at(fleet.now, 2.0, 1), 10);
         assert!(node
-            .standings(fleet.now)
+            .member_statuses(fleet.now)
             .iter()
-            .all(|standing| standing.life == MemberState::Alive));
-        assert!(node.heard(fleet.now).contains(&(3, Heard::Unwell)));
+            .all(|standing| standing.state == MemberState::Alive));
+        assert!(node
+            .verdicts(fleet.now)
+            .contains(&(3, RunnerVerdict::Unhealthy)));
     }
     assert!(fleet.refused().is_empty(), "{:?}", fleet.refused());
 }
@@ -142,11 +148,13 @@
         for (n, node) in fleet.nodes.iter_mut().enumerate() {
             (0..8)
                 .filter(|of| *of != 3 || n == 1)
-                .for_each(|of| node.sights.saw(fleet.now, of, of != 3));
+                .for_each(|of| node.observations.record(fleet.now, of, of != 3));
         }
         fleet.run(0.1);
         for node in &mut fleet.nodes {
-            assert!(!node.heard(fleet.now).contains(&(3, Heard::Unwell)));
+            assert!(!node
+                .verdicts(fleet.now)
+                .contains(&(3, RunnerVerdict::Unhealthy)));
         }
     }
 }
@@ -154,16 +162,20 @@
 #[test]
 fn parts_are_lent_over_frames_and_end_in_a_split() {
     let mut fleet = Fleet::new(3);
-    let key = Key {
-        kind: Kind::Cold,
-        of: 9,
+    let key = BudgetKey {
+        kind: BudgetKind::SlowStart,
+        subject: 9,
     };
     fleet.run(5.0);
     fleet
         .nodes
         .iter_mut()
-        .for_each(|node| assert!(node.budgets.limit(fleet.now, key, 1_000_000)));
-    let want = |fleet: &mut Fleet| fleet.nodes[1].budgets.told(fleet.now, key, 0, 1_000_000);
+        .for_each(|node| assert!(node.budgets.set_limit(fleet.now, key, 1_000_000)));
+    let want = |fleet: &mut Fleet| {
+        fleet.nodes[1]
+            .budgets
+            .record_use(fleet.now, key, 0, 1_000_000)
+    };
     for _ in 0..20 {
         want(&mut fleet);
         fleet.run(0.1);
@@ -188,19 +200,19 @@
     let mut fleet = Fleet::new(3);
     let mut other = Node::new(terms(3, 1, "b"), 0.0);
     let mut stranger = Node::new(terms(5, 4, "a"), 0.0);
-    let (mut of_other, mut of_stranger) = (Out::new(), Out::new());
+    let (mut of_other, mut of_stranger) = (Datagrams::new(), Datagrams::new());
     other.tick(1.0, &mut of_other);
     stranger.tick(1.0, &mut of_stranger);
     let node = &mut fleet.nodes[0];
-    let mut out = Out::new();
+    let mut out = Datagrams::new();
     let good = of_other[0].1.clone();
-    node.datagram(1.0, &good, &mut out);
-    node.datagram(1.0, &of_stranger[0].1, &mut out);
-    node.datagram(1.0, &good[..7], &mut out);
-    node.datagram(1.0, &vec![0; 9000], &mut out);
+    node.receive_datagram(1.0, &good, &mut out);
+    node.receive_datagram(1.0, &of_stranger[0].1, &mut out);
+    node.receive_datagram(1.0, &good[..7], &mut out);
+    node.receive_datagram(1.0, &vec![0; 9000], &mut out);
     let mut flipped = good.clone();
     flipped[9] ^= 1;
-    node.datagram(1.0, &flipped, &mut out);
+    node.receive_datagram(1.0, &flipped, &mut out);
     assert!(out.is_empty());
     for why in [
         FrameError::OtherFleet,
@@ -209,12 +221,12 @@
         FrameError::TooLong,
         FrameError::ChecksumMismatch,
     ] {
-        assert_eq!(node.refused.get(&why), Some(&1), "{why:?}");
+        assert_eq!(node.rejected.get(&why), Some(&1), "{why:?}");
     }
-    assert!(node.whole(1.0, &good).is_none());
+    assert!(node.receive_exchange(1.0, &good).is_none());
     assert!(node
-        .standings(1.0)
+        .member_statuses(1.0)
         .iter()
         .skip(1)
-        .all(|standing| standing.life == MemberState::Unknown));
+        .all(|standing| standing.state == MemberState::Unknown));
 }
