--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -8,7 +8,7 @@
 use futures_util::{SinkExt, Stream};
 use sagetrail_dispatch::{number, Callback, Open, Order, Reply};
 use sagetrail_policy::Job;
-use sagetrail_replicated_store::{Answer, Ended};
+use sagetrail_replicated_store::{Completion, RetryAnswer};
 use std::cell::Cell;
 use std::future::{poll_fn, ready};
 use std::io::ErrorKind;
@@ -481,18 +481,25 @@
         } else {
             status
         };
-        self.store.ended(self.no, Ended { status, ran, body });
+        self.store.complete_claim(
+            self.no,
+            Completion {
+                status,
+                may_have_run: ran,
+                body,
+            },
+        );
     }
 }
 
 impl Drop for Claim<'_> {
     fn drop(&mut self) {
         if !self.told {
-            self.store.ended(
+            self.store.complete_claim(
                 self.no,
-                Ended {
+                Completion {
                     status: 502,
-                    ran: true,
+                    may_have_run: true,
                     body: None,
                 },
             );
@@ -539,9 +546,11 @@
             exclusive,
             told: false,
         })),
-        Err(Answer::Say { status, body }) => Err(Reply::new(status, body)),
-        Err(Answer::WriteOff) => Err(Reply::new(502, "written off: another dispatcher had it\n")),
-        Err(Answer::Later) => {
+        Err(RetryAnswer::Repeat { status, body }) => Err(Reply::new(status, body)),
+        Err(RetryAnswer::WriteOff) => {
+            Err(Reply::new(502, "written off: another dispatcher had it\n"))
+        }
+        Err(RetryAnswer::RetryLater) => {
             let retry_after_s = door.retry_after_s;
             Err(Reply {
                 retry_after_s,
--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -9,7 +9,7 @@
 use futures_util::SinkExt;
 use percent_encoding::percent_decode_str;
 use sagetrail_dispatch::Reply;
-use sagetrail_replicated_store::About;
+use sagetrail_replicated_store::OverrideTarget;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -136,17 +136,17 @@
 }
 
 /// A word by hand that all dispatchers are to know: held here at once, and agreed where there is a store.
-async fn for_all(store: &Store, about: About, out: bool, door: &Door) -> Reply {
+async fn for_all(store: &Store, about: OverrideTarget, out: bool, door: &Door) -> Reply {
     let agreed = store.word(about.clone(), out).await;
     if out {
         match &about {
-            About::Runner(id) => {
+            OverrideTarget::Runner(id) => {
                 let id = id.clone();
                 door.mailbox
                     .ask(move |exchange| exchange.by_hand(&id, true))
                     .await;
             }
-            About::Dispatcher(_) => {}
+            OverrideTarget::Dispatcher(_) => {}
         }
     }
     match (agreed, out) {
@@ -185,7 +185,13 @@
                 if on {
                     door.drain(true);
                 }
-                return for_all(store, About::Dispatcher(store.name().to_string()), on, door).await;
+                return for_all(
+                    store,
+                    OverrideTarget::Dispatcher(store.name().to_string()),
+                    on,
+                    door,
+                )
+                .await;
             }
             door.drain(on);
             both(true, Ask::Drain(on), door).await
@@ -235,7 +241,7 @@
         _ => match runner(path) {
             Some(_) if !says => Reply::new(405, "not with this method\n"),
             Some((id, out)) if door.store.is_some() => match &door.store {
-                Some(store) => for_all(store, About::Runner(id), out, door).await,
+                Some(store) => for_all(store, OverrideTarget::Runner(id), out, door).await,
                 None => Reply::new(404, "no store is configured\n"),
             },
             Some((id, out)) => {
--- a/crates/dispatcher/dispatcher/src/disk.rs
+++ b/crates/dispatcher/dispatcher/src/disk.rs
@@ -1,6 +1,6 @@
 //! The store's folder. One thread writes what it is handed, in order, and makes it last; the loop never waits for it.
 
-use sagetrail_replicated_store::{begin, open, Held};
+use sagetrail_replicated_store::{decode_journal, encode_header, Journal, StoreError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -83,8 +83,8 @@
 /// What was found in a folder.
 pub(crate) struct Found {
     pub disk: u64,
-    pub recs: Vec<sagetrail_raft::DiskRecord>,
-    pub written: u64,
+    pub records: Vec<sagetrail_raft::DiskRecord>,
+    pub records_written: u64,
     /// Merged state, and how old it is in seconds.
     pub merged: Option<(Vec<u8>, f64)>,
 }
@@ -113,7 +113,7 @@
     let age_s = age
         .and_then(|at| SystemTime::now().duration_since(at).ok())
         .map_or(0.0, |age| age.as_secs_f64());
-    let begun = |why: Option<String>| -> Result<Found, String> {
+    let begun = |why: Option<StoreError>| -> Result<Found, String> {
         if let Some(why) = why {
             tracing::warn!(
                 "the log in {} is put aside: {why}; begins as a new member",
@@ -122,38 +122,37 @@
             aside(&path).map_err(said)?;
             aside(&folder.join("merged")).map_err(said)?;
         }
-        replace(&path, &begin(fleet, me, fresh, 0)).map_err(said)?;
+        replace(&path, &encode_header(fleet, me, fresh, 0)).map_err(said)?;
         Ok(Found {
             disk: fresh,
-            recs: Vec::new(),
-            written: 0,
+            records: Vec::new(),
+            records_written: 0,
             merged: None,
         })
     };
-    match open(&bytes, fleet, me) {
-        Held::Blank => begun(None),
-        Held::Foreign(why) => begun(Some(why.to_string())),
-        Held::Damaged(why) => begun(Some(why)),
-        Held::Whole {
+    match decode_journal(&bytes, fleet, me) {
+        Ok(None) => begun(None),
+        Err(why) => begun(Some(why)),
+        Ok(Some(Journal {
             disk,
-            recs,
-            written,
-            upto,
-        } => {
-            if upto < bytes.len() {
+            records,
+            records_written,
+            valid_bytes,
+        })) => {
+            if valid_bytes < bytes.len() {
                 tracing::warn!(
                     "the log in {} ends with what was never promised: cut",
                     folder.display()
                 );
                 let file = OpenOptions::new().write(true).open(&path).map_err(said)?;
-                file.set_len(upto as u64)
+                file.set_len(valid_bytes as u64)
                     .and_then(|()| file.sync_all())
                     .map_err(said)?;
             }
             Ok(Found {
                 disk,
-                recs,
-                written,
+                records,
+                records_written,
                 merged: merged.map(|bytes| (bytes, age_s)),
             })
         }
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -13,8 +13,9 @@
 use sagetrail_dispatch::number;
 use sagetrail_raft::{SnapshotProgress, Timing};
 use sagetrail_replicated_store::{
-    begin, About, Answer, Batch, Ended, Name, Node, NodeConfig, Op, Outcome, RetryPolicy, CLAIM_S,
-    SETTINGS_MOST,
+    encode_header, ActiveOverride, Batch, ClaimOutcome, Command, Completion, Node, NodeConfig,
+    OutboundFrame, OverrideTarget, RetryAnswer, RetryPolicy, WorkItemName, CLAIM_TIMEOUT_S,
+    MAX_SETTINGS_BYTES,
 };
 use sagetrail_settings::{Fleet as Members, Recorded, Store as Said};
 use std::cell::{Cell, RefCell};
@@ -49,7 +50,7 @@
     queues: BTreeMap<u64, mpsc::Sender<Bytes>>,
     disk: Disk,
     writing: RefCell<VecDeque<Batch>>,
-    claims: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
+    claims: RefCell<BTreeMap<u64, oneshot::Sender<ClaimOutcome>>>,
     /// Moves on whenever something was agreed or joined.
     progress: watch::Sender<u64>,
     source: Source,
@@ -84,7 +85,7 @@
         let found = disk::find(&said.folder, fleet_sum, me, chance.random())?;
         let config = NodeConfig {
             fleet: members.name.clone(),
-            me,
+            member: me,
             members: members
                 .members
                 .iter()
@@ -96,23 +97,24 @@
                 election_timeout_s: said.patience_s,
             },
             incarnation: (clock.unix * 1e3) as u64,
-            birth: chance.random(),
+            process: chance.random(),
             disk: found.disk,
             records: if broken == Some(Broken::ForgetsWords) {
                 Vec::new()
             } else {
-                found.recs
+                found.records
             },
-            written: found.written,
-            marks_s: said.marks_s,
-            records_s: said.records_s,
+            records_written: found.records_written,
+            tombstone_retention_s: said.marks_s,
+            record_retention_s: said.records_s,
         };
         let mut node = Node::new(config, clock.now());
         if broken == Some(Broken::TakesClaimsEarly) {
-            node.holder.forget_start();
+            node.record_replica.skip_recovery();
         }
         if let Some((bytes, age_s)) = found.merged {
-            node.merged.take_up(clock.now(), &bytes, age_s);
+            // A damaged copy is fetched from others.
+            let _ = node.merged.restore(clock.now(), &bytes, age_s);
         }
         let (disk, done) = Disk::start(said.folder.clone(), ill)
             .map_err(|error| format!("the store's thread: {error}"))?;
@@ -164,10 +166,15 @@
         let node = self.node.borrow();
         match self.unusable.borrow().as_ref() {
             Some((version, _)) => {
-                let usable = node.facts.versions.iter().rev().find(|v| v.no < *version);
+                let usable = node
+                    .committed
+                    .versions
+                    .iter()
+                    .rev()
+                    .find(|v| v.number < *version);
                 usable.map_or(String::new(), |version| version.text.clone())
             }
-            None => node.facts.settings().to_string(),
+            None => node.committed.settings().to_string(),
         }
     }
 
@@ -181,7 +188,7 @@
     ) {
         self.flush(&mailbox, &door);
         loop {
-            let due = self.node.borrow().due();
+            let due = self.node.borrow().deadline();
             let said = tokio::select! {
                 said = done.recv() => said,
                 () = self.clock.sleep_until(due) => None,
@@ -191,7 +198,7 @@
                 self.lasts(said);
             }
             let now = self.clock.now();
-            if self.node.borrow().due() <= now {
+            if self.node.borrow().deadline() <= now {
                 self.node.borrow_mut().tick(now);
             }
             self.flush(&mailbox, &door);
@@ -223,22 +230,22 @@
                     "the store's disk failed, nothing is promised from here any more: {why}"
                 );
                 self.writing.borrow_mut().clear();
-                self.node.borrow_mut().disk_failed();
+                self.node.borrow_mut().fail_disk();
             }
         }
     }
 
-    fn post(&self, frames: Vec<(u64, Vec<u8>)>) {
-        for (to, frame) in frames {
+    fn post(&self, frames: Vec<OutboundFrame>) {
+        for OutboundFrame { to, bytes } in frames {
             // Lost is lost: what matters is sent again.
             self.queues
                 .get(&to)
-                .map(|queue| queue.try_send(Bytes::from(frame)));
+                .map(|queue| queue.try_send(Bytes::from(bytes)));
         }
     }
 
     fn hand_out(&self) {
-        let out = std::mem::take(&mut self.node.borrow_mut().out);
+        let out = std::mem::take(&mut self.node.borrow_mut().outbound);
         self.post(out);
         loop {
             let Some(batch) = self.node.borrow_mut().next_batch() else {
@@ -267,14 +274,14 @@
     fn tell_claims(&self, all: bool) {
         let now = self.clock.now();
         let mut claims = self.claims.borrow_mut();
-        let answered = std::mem::take(&mut self.node.borrow_mut().answered);
+        let answered = std::mem::take(&mut self.node.borrow_mut().answered_claims);
         let look: Vec<u64> = if all {
             claims.keys().copied().collect()
         } else {
             answered
         };
         for no in look {
-            let outcome = self.node.borrow_mut().outcome(now, no);
+            let outcome = self.node.borrow_mut().claim_outcome(now, no);
             if let Some(outcome) = outcome {
                 claims.remove(&no).map(|claim| claim.send(outcome));
             }
@@ -289,7 +296,7 @@
             let fresh = rand_pcg::Pcg64Mcg::from_os_rng().random();
             self.writing.borrow_mut().clear();
             self.disk
-                .put(Job::Aside(begin(self.fleet_sum, self.me, fresh, 0)));
+                .put(Job::Aside(encode_header(self.fleet_sum, self.me, fresh, 0)));
             self.node.borrow_mut().restart_blank(now, fresh);
         }
         self.hand_out();
@@ -298,12 +305,12 @@
             let node = self.node.borrow();
             let fresh =
                 node.status(now).since_leader_s < self.said.stale_s || node.status(now).term == 0;
-            fresh && !node.behind() && !node.facts.no_loans.contains(&self.me)
+            fresh && !node.is_behind() && !node.committed.lending_disabled.contains(&self.me)
         };
         self.fleet.lends(lends);
         let (changed, behind) = {
             let mut node = self.node.borrow_mut();
-            (std::mem::take(&mut node.changed), node.behind())
+            (std::mem::take(&mut node.changed), node.is_behind())
         };
         if changed {
             self.take_up(behind, mailbox, door);
@@ -314,17 +321,17 @@
             self.dirty.set(false);
             self.next_keep.set(now + KEEP_S);
             self.disk
-                .put(Job::Merged(self.node.borrow().merged.write()));
+                .put(Job::Merged(self.node.borrow().merged.encode()));
         }
     }
 
     /// What is agreed now goes where it is used. One that is behind takes nothing back: it may not know why it was said.
     fn take_up(&self, behind: bool, mailbox: &Mailbox, door: &Rc<Door>) {
         let (mut runners, mut drained) = (BTreeSet::new(), false);
-        for (about, _) in self.node.borrow().all_out() {
-            match about {
-                About::Runner(name) => _ = runners.insert(name),
-                About::Dispatcher(name) => drained |= name == self.name,
+        for ActiveOverride { target, .. } in self.node.borrow().active_overrides() {
+            match target {
+                OverrideTarget::Runner(name) => _ = runners.insert(name),
+                OverrideTarget::Dispatcher(name) => drained |= name == self.name,
             }
         }
         let mut out = self.out.borrow_mut();
@@ -341,7 +348,10 @@
         }
         let (version, text) = {
             let node = self.node.borrow();
-            (node.facts.version(), node.facts.settings().to_string())
+            (
+                node.committed.version(),
+                node.committed.settings().to_string(),
+            )
         };
         let tried = self
             .unusable
@@ -389,11 +399,11 @@
         category: &str,
         called: &str,
         recorded: &Recorded,
-    ) -> Result<Option<u64>, Answer> {
+    ) -> Result<Option<u64>, RetryAnswer> {
         if self.broken == Some(Broken::RecordsNothing) {
             return Ok(None);
         }
-        let name = Name::of(category, called);
+        let name = WorkItemName::new(category, called);
         let (tell, told) = oneshot::channel();
         let no = self
             .node
@@ -403,7 +413,7 @@
         self.hand_out();
         self.tell_claims(true);
         self.kick.notify_one();
-        let outcome = timeout(Duration::from_secs_f64(CLAIM_S), told)
+        let outcome = timeout(Duration::from_secs_f64(CLAIM_TIMEOUT_S), told)
             .await
             .ok()
             .and_then(Result::ok);
@@ -411,11 +421,11 @@
         // Guards against a claim that is granted when nobody waits for it any more.
         let outcome = outcome.unwrap_or_else(|| {
             self.node.borrow_mut().abandon_claim(self.clock.now(), no);
-            Outcome::TooFew
+            ClaimOutcome::NoQuorum
         });
         match outcome {
-            Outcome::Own { .. } => Ok(Some(no)),
-            Outcome::TooFew if recorded.send => Ok(None),
+            ClaimOutcome::Owned { .. } => Ok(Some(no)),
+            ClaimOutcome::NoQuorum if recorded.send => Ok(None),
             outcome => Err(RetryPolicy {
                 window_s: recorded.window_s,
             }
@@ -424,8 +434,10 @@
     }
 
     /// A recorded work item has been answered.
-    pub(crate) fn ended(&self, no: u64, ended: Ended) {
-        self.node.borrow_mut().ended(self.clock.now(), no, ended);
+    pub(crate) fn complete_claim(&self, no: u64, completion: Completion) {
+        self.node
+            .borrow_mut()
+            .complete_claim(self.clock.now(), no, completion);
         self.hand_out();
         self.kick.notify_one();
     }
@@ -447,19 +459,23 @@
     }
 
     /// Has something agreed: whether it was taken; `None` if that is not known yet.
-    async fn agree(&self, op: Op) -> Option<bool> {
-        let no = self.node.borrow_mut().propose(self.clock.now(), op)?;
+    async fn agree(&self, command: Command) -> Option<bool> {
+        let no = self
+            .node
+            .borrow_mut()
+            .propose(self.clock.now(), command)
+            .ok()?;
         self.hand_out();
         self.kick.notify_one();
-        let done = self.until(|node| node.done(no)).await;
+        let done = self.until(|node| node.proposal_outcome(no)).await;
         if done.is_none() {
-            self.node.borrow_mut().give_up(no);
+            self.node.borrow_mut().abandon_proposal(no);
         }
         done
     }
 
     /// Says one out, or back in service, for all; whether that is agreed. Out holds at once, agreed or not.
-    pub(crate) async fn word(&self, about: About, out: bool) -> bool {
+    pub(crate) async fn word(&self, target: OverrideTarget, out: bool) -> bool {
         if self.broken == Some(Broken::WordsStayHere) {
             return true;
         }
@@ -467,20 +483,23 @@
             && self
                 .node
                 .borrow()
-                .all_out()
+                .active_overrides()
                 .iter()
-                .all(|(other, _)| *other != about)
+                .all(|active| active.target != target)
         {
             return true;
         }
-        let no = self.node.borrow_mut().word(self.clock.now(), about, out);
+        let no = self
+            .node
+            .borrow_mut()
+            .set_out_of_service(self.clock.now(), target, out);
         self.hand_out();
         self.kick.notify_one();
-        let Some(no) = no else { return false };
-        let done = self.until(|node| node.done(no)).await;
+        let Ok(no) = no else { return false };
+        let done = self.until(|node| node.proposal_outcome(no)).await;
         if done.is_none() && !out {
             // Nobody waits for it: later it could put back what was taken out anew.
-            self.node.borrow_mut().give_up(no);
+            self.node.borrow_mut().abandon_proposal(no);
         }
         done == Some(true)
     }
@@ -506,7 +525,7 @@
         let text = || {
             String::from_utf8(body.to_vec())
                 .ok()
-                .filter(|text| text.len() <= SETTINGS_MOST)
+                .filter(|text| text.len() <= MAX_SETTINGS_BYTES)
         };
         let said = |done: Option<bool>| match done {
             Some(true) => (200, "agreed\n".to_string()),
@@ -522,7 +541,7 @@
             (false, ["store", "diff"]) => (200, self.diff()),
             (false, ["store", "backup"]) => (200, self.backup()),
             (true, ["store", "trust"]) => {
-                self.node.borrow_mut().trust();
+                self.node.borrow_mut().trust_disk();
                 (200, "this disk is trusted\n".to_string())
             }
             (true, ["store", "propose"]) => match text() {
@@ -532,7 +551,7 @@
             (true, ["store", "back"]) => {
                 let before = {
                     let node = self.node.borrow();
-                    let versions = &node.facts.versions;
+                    let versions = &node.committed.versions;
                     // Before the first there were none.
                     let before = versions
                         .len()
@@ -540,7 +559,7 @@
                         .map(|n| versions[n].text.clone());
                     before.or(versions
                         .first()
-                        .filter(|first| first.no == 1)
+                        .filter(|first| first.number == 1)
                         .map(|_| String::new()))
                 };
                 match before {
@@ -558,9 +577,9 @@
                 };
                 let mut voters = {
                     let node = self.node.borrow();
-                    match node.facts.voters.is_empty() {
+                    match node.committed.voters.is_empty() {
                         true => self.said.voters.iter().map(|name| number(name)).collect(),
-                        false => node.facts.voters.clone(),
+                        false => node.committed.voters.clone(),
                     }
                 };
                 voters.retain(|voter| *voter != who);
@@ -568,7 +587,7 @@
                     voters.push(who);
                 }
                 let even = voters.len().is_multiple_of(2);
-                let (status, mut text) = said(self.agree(Op::Voters(voters)).await);
+                let (status, mut text) = said(self.agree(Command::Voters(voters)).await);
                 if status == 200 && even {
                     text.push_str("an even number of voters bears no more losses than one less\n");
                 }
@@ -578,15 +597,15 @@
                 let voters: Option<Vec<u64>> =
                     names.split(',').map(|name| self.member(name)).collect();
                 match voters {
-                    Some(voters) => said(self.agree(Op::Voters(voters)).await),
+                    Some(voters) => said(self.agree(Command::Voters(voters)).await),
                     None => (404, "no such member\n".to_string()),
                 }
             }
             (true, ["store", "lend", name, on @ ("on" | "off")]) => match self.member(name) {
                 Some(who) => said(
-                    self.agree(Op::Lends {
-                        who,
-                        yes: *on == "on",
+                    self.agree(Command::Lending {
+                        member: who,
+                        enabled: *on == "on",
                     })
                     .await,
                 ),
@@ -601,8 +620,14 @@
         if let Err(why) = self.source.open_on(&text) {
             return (400, format!("{why}\n"));
         }
-        let on = self.node.borrow().facts.version();
-        match self.agree(Op::Settings { text, on }).await {
+        let on = self.node.borrow().committed.version();
+        match self
+            .agree(Command::Settings {
+                text,
+                base_version: on,
+            })
+            .await
+        {
             Some(true) => (200, format!("version {} is agreed\n", on + 1)),
             Some(false) => (409, "another version came first\n".to_string()),
             None => (503, "not agreed in time; it may still be\n".to_string()),
@@ -615,7 +640,7 @@
                 let no = self.node.borrow_mut().read(self.clock.now());
                 self.hand_out();
                 Some(
-                    self.until(|node| node.read_done(no).then_some(()))
+                    self.until(|node| node.is_read_done(no).then_some(()))
                         .await
                         .is_some(),
                 )
@@ -632,10 +657,10 @@
             "{} leader {leader} term {} agreed {} log {} votes {} behind {} silent_s {:.1}",
             s.role.to_string().replace(' ', "-"),
             s.term,
-            node.at,
+            node.applied_index,
             s.last_index,
             s.can_vote,
-            node.behind(),
+            node.is_behind(),
             s.since_leader_s.min(99_999.0)
         );
         if let Some(sure) = sure {
@@ -662,7 +687,11 @@
             .map(|voter| self.named(voter.member))
             .collect();
         let _ = writeln!(lines, "voters {}", voters.join(" "));
-        let disk = if node.is_muted() { "failed" } else { "good" };
+        let disk = if node.has_disk_failed() {
+            "failed"
+        } else {
+            "good"
+        };
         let _ = writeln!(
             lines,
             "disk {:016x} {disk}, {} batches wait",
@@ -672,59 +701,68 @@
         let _ = writeln!(
             lines,
             "settings {} in force {}",
-            node.facts.version(),
+            node.committed.version(),
             self.version.get()
         );
         if let Some((version, why)) = self.unusable.borrow().as_ref() {
             let _ = writeln!(lines, "version {version} cannot be used here: {why}");
         }
-        let about = |about: &About| match about {
-            About::Runner(name) => format!("runner {name}"),
-            About::Dispatcher(name) => format!("dispatcher {name}"),
+        let describe = |target: &OverrideTarget| match target {
+            OverrideTarget::Runner(name) => format!("runner {name}"),
+            OverrideTarget::Dispatcher(name) => format!("dispatcher {name}"),
         };
-        for (whom, agreed) in node.all_out() {
-            let how = if agreed {
+        for active in node.active_overrides() {
+            let how = if active.is_committed {
                 "agreed"
             } else {
                 "said, not agreed yet"
             };
-            let _ = writeln!(lines, "out {} {how}", about(&whom));
+            let _ = writeln!(lines, "out {} {how}", describe(&active.target));
         }
-        for (whom, all) in node.facts.words.iter().filter(|(_, all)| all.len() > 1) {
+        for (whom, all) in node
+            .committed
+            .overrides
+            .iter()
+            .filter(|(_, all)| all.len() > 1)
+        {
             let words: Vec<String> = all
                 .iter()
                 .map(|said| {
                     format!(
                         "{} by {}",
-                        if said.out { "out" } else { "back" },
-                        self.named(said.by)
+                        if said.out_of_service { "out" } else { "back" },
+                        self.named(said.member)
                     )
                 })
                 .collect();
             let _ = writeln!(
                 lines,
                 "words differ on {}: {}; out holds until one decides",
-                about(whom),
+                describe(whom),
                 words.join(", ")
             );
         }
         let no_loans: Vec<&str> = node
-            .facts
-            .no_loans
+            .committed
+            .lending_disabled
             .iter()
             .map(|who| self.named(*who))
             .collect();
         if !no_loans.is_empty() {
             let _ = writeln!(lines, "lends nothing: {}", no_loans.join(" "));
         }
-        let (values, marks) = node.merged.count();
-        let _ = writeln!(lines, "merged {values} of which marks {marks}");
-        let from = (node.holder.ready_at() - now).max(0.0);
+        let counts = node.merged.count();
+        let _ = writeln!(
+            lines,
+            "merged {} of which marks {}",
+            counts.items, counts.tombstones
+        );
+        let from = (node.record_replica.ready_at() - now).max(0.0);
         let _ = writeln!(
             lines,
             "records kept {} own out {}, takes claims in {from:.1} s",
-            node.holder.count(),
-            node.claims.open()
+            node.record_replica.count(),
+            node.claims.owned_count()
         );
         let (sent, taken) = (node.sent, node.received);
         let _ = writeln!(
@@ -732,7 +770,7 @@
             "links sent {} frames {} bytes, taken {} frames {} bytes",
             sent.frames, sent.bytes, taken.frames, taken.bytes
         );
-        for (why, n) in &node.refused {
+        for (why, n) in &node.rejected {
             let _ = writeln!(lines, "passed over: {} {n}", why.as_str());
         }
         lines
@@ -741,7 +779,7 @@
     /// The version in force against the one before it, line by line.
     fn diff(&self) -> String {
         let node = self.node.borrow();
-        let versions = &node.facts.versions;
+        let versions = &node.committed.versions;
         let Some(last) = versions.last() else {
             return "nothing was agreed yet\n".to_string();
         };
@@ -750,8 +788,8 @@
         let new: Vec<&str> = last.text.lines().collect();
         let mut lines = format!(
             "version {} against {}\n",
-            last.no,
-            before.map_or(0, |version| version.no)
+            last.number,
+            before.map_or(0, |version| version.number)
         );
         old.iter()
             .filter(|line| !new.contains(line))
@@ -765,16 +803,17 @@
     fn backup(&self) -> String {
         let node = self.node.borrow();
         let out: Vec<(&str, &str)> = node
-            .facts
-            .words
+            .committed
+            .overrides
             .keys()
-            .filter(|about| node.facts.out(about))
-            .map(|about| match about {
-                About::Runner(name) => ("runner", name.as_str()),
-                About::Dispatcher(name) => ("dispatcher", name.as_str()),
+            .filter(|target| node.committed.is_out_of_service(target))
+            .map(|target| match target {
+                OverrideTarget::Runner(name) => ("runner", name.as_str()),
+                OverrideTarget::Dispatcher(name) => ("dispatcher", name.as_str()),
             })
             .collect();
-        let body = serde_json::json!({ "settings": node.facts.settings(), "out": out }).to_string();
+        let body =
+            serde_json::json!({ "settings": node.committed.settings(), "out": out }).to_string();
         format!(
             "sagetrail backup 1 {:08x} {:08x}\n{body}\n",
             self.fleet_sum,
@@ -808,7 +847,7 @@
         if let Err(why) = self.source.open_on(&settings) {
             return bad(&why.replace('\n', "; "));
         }
-        let same = self.node.borrow().facts.settings() == settings;
+        let same = self.node.borrow().committed.settings() == settings;
         if !same {
             let (status, why) = self.propose(settings).await;
             if status != 200 {
@@ -818,12 +857,12 @@
         let mut all = true;
         for item in body["out"].as_array().into_iter().flatten() {
             let name = item[1].as_str().unwrap_or_default().to_string();
-            let about = if item[0] == "runner" {
-                About::Runner(name)
+            let target = if item[0] == "runner" {
+                OverrideTarget::Runner(name)
             } else {
-                About::Dispatcher(name)
+                OverrideTarget::Dispatcher(name)
             };
-            all &= self.word(about, true).await;
+            all &= self.word(target, true).await;
         }
         match all {
             true => (200, "restored\n".to_string()),
--- a/crates/dispatcher/replicated-store/src/journal.rs
+++ b/crates/dispatcher/replicated-store/src/journal.rs
@@ -1,123 +1,183 @@
-//! How what was promised lies on the disk: a head, then records, each with its length twice, a checksum and an end
-//! mark. A record without its end mark was never promised and is cut; one with it and a wrong sum is a fault of the
-//! disk, and the copy promises nothing any more. No I/O here: the host writes these bytes and makes them last.
+//! The form of the log on disk: a header, then records, each with its length twice, a checksum and an end mark.
+//!
+//! ```text
+//!   header: magic 8 | fleet 4 | member 8 | disk 8 | records before 8 | crc32 4
+//!   record: length 4 | !length 4 | crc32 4 | body | end mark 4         (little endian, sizes in bytes)
+//! ```
+//!
+//! A record without its end mark was never acknowledged and is cut off. A complete record with a wrong checksum means
+//! that the disk has altered it: the journal must not be used to vote. There is no I/O here: the host writes and syncs.
 
 use sagetrail_raft::DiskRecord;
 
+use crate::error::{RecordDamage, StoreError};
+
 const MAGIC: &[u8; 8] = b"SGTRJ\x00\x01\n";
-const HEAD: usize = 8 + 4 + 8 + 8 + 8 + 4;
-const END: [u8; 4] = [0xA5, b'E', b'N', b'D'];
-/// Before and after a record's body.
-const BEFORE: usize = 12;
+const HEADER_BYTES: usize = 8 + 4 + 8 + 8 + 8 + 4;
+const CHECKSUM_BYTES: usize = 4;
+const END_MARK: [u8; 4] = [0xA5, b'E', b'N', b'D'];
+/// Length, its complement, and the checksum.
+const PREFIX_BYTES: usize = 12;
+
+/// Offsets in the header, bytes.
+const FLEET_OFFSET: usize = 8;
+const MEMBER_OFFSET: usize = 12;
+const DISK_OFFSET: usize = 20;
+const WRITTEN_OFFSET: usize = 28;
 
-/// What a disk holds.
+/// The content of a journal.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Held {
-    /// Nothing, or less than a head: nothing was promised on it.
-    Blank,
-    /// Another fleet's, or another member's.
-    Foreign(&'static str),
-    /// A fault inside: kept for study, and never voted with.
-    Damaged(String),
-    Whole {
-        disk: u64,
-        recs: Vec<DiskRecord>,
-        /// All records ever, these included.
-        written: u64,
-        /// Up to here the bytes are good; what stands behind was never promised.
-        upto: usize,
-    },
+pub struct Journal {
+    /// The identity of the disk.
+    pub disk: u64,
+    /// The records, in order.
+    pub records: Vec<DiskRecord>,
+    /// Number of records that the disk has ever held, these included.
+    pub records_written: u64,
+    /// Length of the valid part, bytes. What follows was never acknowledged, and is to be cut off.
+    pub valid_bytes: usize,
 }
 
-/// The head of a file of this fleet (a checksum of its name) and member; `written`: records ever before it.
-pub fn begin(fleet: u32, me: u64, disk: u64, written: u64) -> Vec<u8> {
-    let mut head = MAGIC.to_vec();
-    head.extend(fleet.to_le_bytes());
-    [me, disk, written]
-        .iter()
-        .for_each(|number| head.extend(number.to_le_bytes()));
-    let sum = crc32fast::hash(&head);
-    head.extend(sum.to_le_bytes());
-    head
+/// The header of a journal. `fleet` is a checksum of the fleet's name; `records_written` is the number of records that
+/// the disk held before this file.
+pub fn encode_header(fleet: u32, member: u64, disk: u64, records_written: u64) -> Vec<u8> {
+    let mut header = MAGIC.to_vec();
+    header.extend(fleet.to_le_bytes());
+    header.extend(member.to_le_bytes());
+    header.extend(disk.to_le_bytes());
+    header.extend(records_written.to_le_bytes());
+    let checksum = crc32fast::hash(&header);
+    header.extend(checksum.to_le_bytes());
+    header
 }
 
-pub fn record(rec: &DiskRecord) -> Vec<u8> {
-    // Writing to a vector fails only on types without a known length, and none is here.
-    let body = postcard::to_allocvec(rec).unwrap_or_default();
+/// A record as the journal holds it.
+pub fn encode_record(record: &DiskRecord) -> Vec<u8> {
+    // Serializing to a vector fails only for types without a known length, and there is none here.
+    let body = postcard::to_allocvec(record).unwrap_or_default();
     let length = body.len() as u32;
-    let mut bytes = Vec::with_capacity(BEFORE + body.len() + END.len());
+    let mut bytes = Vec::with_capacity(PREFIX_BYTES + body.len() + END_MARK.len());
     bytes.extend(length.to_le_bytes());
     bytes.extend((!length).to_le_bytes());
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
     bytes.extend(body);
-    bytes.extend(END);
+    bytes.extend(END_MARK);
     bytes
 }
 
-fn number<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
-    bytes[at..at + N].try_into().unwrap_or([0; N])
+/// Reads a journal of this fleet and member. `None` if the disk is blank: it holds less than a header, which is synced
+/// before anything else is written.
+///
+/// # Errors
+///
+/// [`StoreError::OtherFleet`] or [`StoreError::OtherMember`] for a journal that is not this member's;
+/// [`StoreError::DamagedHeader`] or [`StoreError::DamagedRecord`] if it was altered after it was written.
+pub fn decode_journal(
+    bytes: &[u8],
+    fleet: u32,
+    member: u64,
+) -> Result<Option<Journal>, StoreError> {
+    if bytes.len() < HEADER_BYTES {
+        return Ok(None);
+    }
+    check_header(bytes, fleet, member)?;
+    let mut records = Vec::new();
+    let mut offset = HEADER_BYTES;
+    while let Some(frame) = next_frame(&bytes[offset..], offset)? {
+        records.push(frame.decode(offset)?);
+        offset += frame.total_bytes();
+    }
+    Ok(Some(Journal {
+        disk: read_u64(bytes, DISK_OFFSET),
+        records_written: read_u64(bytes, WRITTEN_OFFSET) + records.len() as u64,
+        records,
+        valid_bytes: offset,
+    }))
 }
 
-pub fn open(bytes: &[u8], fleet: u32, me: u64) -> Held {
-    // The head is made to last before anything else is written: less of it is the same as none.
-    if bytes.len() < HEAD {
-        return Held::Blank;
+fn check_header(bytes: &[u8], fleet: u32, member: u64) -> Result<(), StoreError> {
+    let content = &bytes[..HEADER_BYTES - CHECKSUM_BYTES];
+    let checksum = read_u32(bytes, HEADER_BYTES - CHECKSUM_BYTES);
+    if !content.starts_with(MAGIC) || crc32fast::hash(content) != checksum {
+        return Err(StoreError::DamagedHeader);
     }
-    let sum = u32::from_le_bytes(number(bytes, HEAD - 4));
-    if &bytes[..8] != MAGIC || crc32fast::hash(&bytes[..HEAD - 4]) != sum {
-        return Held::Damaged("its head is not whole".to_string());
+    if read_u32(bytes, FLEET_OFFSET) != fleet {
+        return Err(StoreError::OtherFleet);
     }
-    if u32::from_le_bytes(number(bytes, 8)) != fleet {
-        return Held::Foreign("it is of another fleet");
+    if read_u64(bytes, MEMBER_OFFSET) != member {
+        return Err(StoreError::OtherMember);
     }
-    if u64::from_le_bytes(number(bytes, 12)) != me {
-        return Held::Foreign("it is another member's");
+    Ok(())
+}
+
+/// A complete record, not decoded yet.
+struct RecordFrame<'a> {
+    body: &'a [u8],
+    checksum: u32,
+}
+
+impl RecordFrame<'_> {
+    fn total_bytes(&self) -> usize {
+        PREFIX_BYTES + self.body.len() + END_MARK.len()
     }
-    let (disk, before) = (
-        u64::from_le_bytes(number(bytes, 20)),
-        u64::from_le_bytes(number(bytes, 28)),
-    );
-    let (mut recs, mut at) = (Vec::new(), HEAD);
-    let damaged = |at: usize, why: &str| Held::Damaged(format!("at byte {at}: {why}"));
-    let zeros = |bytes: &[u8]| bytes.iter().all(|byte| *byte == 0);
-    loop {
-        let rest = &bytes[at..];
-        if rest.len() < BEFORE {
-            break;
-        }
-        let length = u32::from_le_bytes(number(rest, 0));
-        if length != !u32::from_le_bytes(number(rest, 4)) {
-            if zeros(rest) {
-                break;
-            }
-            return damaged(at, "a length that was never written");
-        }
-        let (from, to) = (BEFORE, BEFORE + length as usize);
-        if rest.len() < to + END.len() {
-            break;
-        }
-        let end: [u8; 4] = number(rest, to);
-        if end != END {
-            // A write that was cut short leaves holes of zeros; anything else was changed since.
-            if end == [0; 4] && rest.len() == to + END.len() {
-                break;
-            }
-            return damaged(at, "a record without its end");
-        }
-        let body = &rest[from..to];
-        if crc32fast::hash(body) != u32::from_le_bytes(number(rest, 8)) {
-            return damaged(at, "a record's sum is wrong");
+
+    fn decode(&self, offset: usize) -> Result<DiskRecord, StoreError> {
+        if crc32fast::hash(self.body) != self.checksum {
+            return Err(damaged(offset, RecordDamage::Checksum));
         }
-        match postcard::take_from_bytes(body) {
-            Ok((rec, [])) => recs.push(rec),
-            _ => return damaged(at, "a record that cannot be read"),
+        match postcard::take_from_bytes(self.body) {
+            Ok((record, [])) => Ok(record),
+            _ => Err(damaged(offset, RecordDamage::Content)),
         }
-        at += to + END.len();
     }
-    Held::Whole {
-        disk,
-        written: before + recs.len() as u64,
-        recs,
-        upto: at,
+}
+
+/// The record at the start of `rest`; `None` if only an incomplete write follows.
+fn next_frame(rest: &[u8], offset: usize) -> Result<Option<RecordFrame<'_>>, StoreError> {
+    if rest.len() < PREFIX_BYTES {
+        return Ok(None);
+    }
+    let length = read_u32(rest, 0);
+    if length != !read_u32(rest, 4) {
+        // A file that grew before its bytes were written ends with zeros.
+        let is_unwritten = rest.iter().all(|byte| *byte == 0);
+        return match is_unwritten {
+            true => Ok(None),
+            false => Err(damaged(offset, RecordDamage::Length)),
+        };
+    }
+    let body_end = PREFIX_BYTES + length as usize;
+    let record_end = body_end + END_MARK.len();
+    if rest.len() < record_end {
+        return Ok(None);
     }
+    let end: [u8; 4] = read_bytes(rest, body_end);
+    if end != END_MARK {
+        // An interrupted write leaves zeros at the end of the file; anything else was altered later.
+        let is_interrupted = end == [0; 4] && rest.len() == record_end;
+        return match is_interrupted {
+            true => Ok(None),
+            false => Err(damaged(offset, RecordDamage::EndMark)),
+        };
+    }
+    Ok(Some(RecordFrame {
+        body: &rest[PREFIX_BYTES..body_end],
+        checksum: read_u32(rest, 8),
+    }))
+}
+
+fn damaged(offset: usize, damage: RecordDamage) -> StoreError {
+    StoreError::DamagedRecord { offset, damage }
+}
+
+fn read_bytes<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    bytes[offset..offset + N].try_into().unwrap_or([0; N])
+}
+
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(read_bytes(bytes, offset))
+}
+
+fn read_u64(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(read_bytes(bytes, offset))
 }
--- a/crates/dispatcher/replicated-store/src/node.rs
+++ b/crates/dispatcher/replicated-store/src/node.rs
@@ -1,133 +1,154 @@
-//! One member's part of the store: the agreed log, merged state and the record of hand-offs on the same frames. The
-//! host hands in bytes with the time, writes what `next_batch` says to the disk, and sends what lies in `out`.
+//! One member's part of the store: the replicated log, the merged state and the records of work items, on the same
+//! frames.
 
+mod claims;
 mod config;
 mod frames;
 mod gossip;
-mod handoffs;
-mod journaling;
-mod operator_words;
+mod operator_overrides;
 mod proposals;
+mod raft_output;
 mod timer;
 
-pub use config::{Batch, NodeConfig, Traffic};
-pub use frames::{FRAME_MOST, STORE_VERSION};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::facts::{About, Facts, Proposal};
-use crate::merged::Merged;
-use crate::records::{Claims, Holder, Owner};
-use operator_words::words_out_in;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+
 use sagetrail_raft::{Raft, RaftConfig, RaftError, Status, Timing};
 use sagetrail_swim::{Codec, FrameError};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Tells the node's random numbers from the log's.
+use crate::committed_state::{CommittedState, OverrideTarget, Proposal};
+use crate::merged_state::MergedState;
+use crate::records::{Claims, Owner, RecordReplica};
+use operator_overrides::targets_out_in;
+
+pub use config::{Batch, NodeConfig, OutboundFrame, Traffic};
+pub use frames::{MAX_FRAME_BYTES, STORE_VERSION};
+pub use operator_overrides::ActiveOverride;
+
+/// Separates the node's random stream from the log's.
 const RANDOM_STREAM: u64 = 1;
 
-/// One member's part of the store.
+/// One member's part of the store, as a state machine without I/O.
+///
+/// After each call the host sends [`outbound`](Node::outbound), writes what [`next_batch`](Node::next_batch) returns,
+/// and looks at [`changed`](Node::changed) and [`answered_claims`](Node::answered_claims). All times are seconds on the
+/// host's clock, which must not go back.
 pub struct Node {
     raft: Raft,
-    /// What the agreed log says.
-    pub facts: Facts,
-    /// The place of the log up to which the facts are.
-    pub at: u64,
-    /// Merged state.
-    pub merged: Merged,
-    /// Records kept for others.
-    pub holder: Holder,
-    /// What this member claims.
+    /// The state after the committed entries of the log.
+    pub committed: CommittedState,
+    /// Index of the last entry that `committed` includes.
+    pub applied_index: u64,
+    /// This member's replica of the merged state.
+    pub merged: MergedState,
+    /// The records that this member keeps as a replica.
+    pub record_replica: RecordReplica,
+    /// The claims of this member.
     pub claims: Claims,
     codec: Codec,
-    /// Checksum of the fleet's name.
-    fleet: u32,
-    me: u64,
+    /// CRC-32 of the fleet's name; stands in the journal's header.
+    fleet_checksum: u32,
+    member: u64,
+    /// The identity of the disk.
     disk: u64,
     members: Vec<u64>,
     initial_voters: Vec<u64>,
     timing: Timing,
-    birth: u64,
+    /// Random number of this process.
+    process: u64,
     incarnation: u64,
-    /// The number of the last frame.
-    frame_no: u64,
-    /// Proposals of this member, the first of them under way.
+    /// Number of the last frame.
+    frame_sequence: u64,
+    /// Proposals of this member in order; only the first one is submitted.
     proposals: VecDeque<Proposal>,
-    proposal_no: u64,
-    next_propose: f64,
-    next_merge: f64,
-    next_voters: f64,
+    /// Number of the last proposal.
+    last_proposal: u64,
+    /// When the first proposal is submitted (again).
+    next_submit: f64,
+    next_gossip: f64,
+    next_maintenance: f64,
+    /// When others are asked for their records; infinite once this replica is ready.
+    recovery_deadline: f64,
     random: Pcg64Mcg,
+    /// Batches that the host has not taken.
     batches: VecDeque<Batch>,
-    /// Frames to send at once, with their receivers.
-    pub out: Vec<(u64, Vec<u8>)>,
-    /// The disk failed: nothing is promised any more. Reading goes on.
+    /// Frames to send at once; the host takes them.
+    pub outbound: Vec<OutboundFrame>,
+    /// The disk failed: nothing is acknowledged any more.
     disk_failed: bool,
-    /// What stands in `facts` is of a copy that was put aside.
-    facts_outdated: bool,
-    /// Who is out by words at the end of the own log that may not be agreed.
-    suspected: BTreeSet<About>,
-    holder_due: f64,
-    /// Something changed since the host looked.
+    /// `committed` is that of a log that was put aside, until the new log delivers.
+    is_state_outdated: bool,
+    /// Targets taken out of service by entries at the end of the own log that may not be committed.
+    possibly_out: BTreeSet<OverrideTarget>,
+    /// Committed or merged state has changed; the host resets it.
     pub changed: bool,
-    /// Frames passed over, by reason.
-    pub refused: BTreeMap<FrameError, u64>,
-    /// What was sent.
+    /// Frames that were rejected, by reason.
+    pub rejected: BTreeMap<FrameError, u64>,
+    /// Frames that were sent.
     pub sent: Traffic,
-    /// What was received.
+    /// Frames that were received and accepted.
     pub received: Traffic,
-    /// Claims that were answered since the host looked.
-    pub answered: Vec<u64>,
+    /// Claims that have got a reply; the host takes them.
+    pub answered_claims: Vec<u64>,
 }
 
 impl Node {
-    /// Starts a member.
+    /// Starts a member at the time `now`, in seconds.
     pub fn new(config: NodeConfig, now: f64) -> Node {
-        // What stands at the end of the log may be agreed, and nobody has said so yet: a word that takes one out
-        // holds meanwhile. Guards against a first hand-off after a restart to one that is out.
-        let suspected = words_out_in(&config.records);
+        // The end of the log may be committed without this member knowing. What it takes out of service is taken out
+        // meanwhile: the first work item after a restart must not go to such a runner.
+        let possibly_out = targets_out_in(&config.records);
         let raft_config = RaftConfig {
-            id: config.me,
+            id: config.member,
             disk: config.disk,
             members: config.members.clone(),
             initial_voters: config.initial_voters.clone(),
             timing: config.timing,
-            seed: config.birth,
+            seed: config.process,
         };
+        let tombstone_retention_s = config.tombstone_retention_s;
+        let merged = MergedState::new(
+            config.member,
+            config.incarnation,
+            tombstone_retention_s,
+            now,
+        );
         let mut node = Node {
-            raft: Raft::open(raft_config, config.records, config.written, now),
-            facts: Facts::default(),
-            at: 0,
-            merged: Merged::new(config.me, config.incarnation, config.marks_s, now),
-            holder: Holder::new(now, config.records_s),
-            claims: Claims::new(config.me),
+            raft: Raft::open(raft_config, config.records, config.records_written, now),
+            committed: CommittedState::default(),
+            applied_index: 0,
+            merged,
+            record_replica: RecordReplica::new(now, config.record_retention_s),
+            claims: Claims::new(config.member),
             codec: Codec::with_version(&config.fleet, STORE_VERSION),
-            fleet: crc32fast::hash(config.fleet.as_bytes()),
-            me: config.me,
+            fleet_checksum: crc32fast::hash(config.fleet.as_bytes()),
+            member: config.member,
             disk: config.disk,
             members: config.members,
             initial_voters: config.initial_voters,
             timing: config.timing,
-            birth: config.birth,
+            process: config.process,
             incarnation: config.incarnation,
-            frame_no: 0,
+            frame_sequence: 0,
             proposals: VecDeque::new(),
-            proposal_no: 0,
-            next_propose: now,
-            next_merge: now,
-            next_voters: now,
-            random: Pcg64Mcg::seed_from_u64(config.birth ^ RANDOM_STREAM),
+            last_proposal: 0,
+            next_submit: now,
+            next_gossip: now,
+            next_maintenance: now,
+            recovery_deadline: now,
+            random: Pcg64Mcg::seed_from_u64(config.process ^ RANDOM_STREAM),
             batches: VecDeque::new(),
-            out: Vec::new(),
+            outbound: Vec::new(),
             disk_failed: false,
-            facts_outdated: false,
-            suspected,
-            holder_due: now,
+            is_state_outdated: false,
+            possibly_out,
             changed: false,
-            refused: BTreeMap::new(),
+            rejected: BTreeMap::new(),
             sent: Traffic::default(),
             received: Traffic::default(),
-            answered: Vec::new(),
+            answered_claims: Vec::new(),
         };
         node.process_log();
         node.changed = true;
@@ -138,23 +159,24 @@
         self.members
             .iter()
             .copied()
-            .filter(|who| *who != self.me)
+            .filter(|member| *member != self.member)
             .collect()
     }
 
-    fn owner(&self) -> Owner {
+    fn as_owner(&self) -> Owner {
         Owner {
-            who: self.me,
-            birth: self.birth,
+            member: self.member,
+            process: self.process,
         }
     }
 
-    /// The disk failed, and nothing is promised any more.
-    pub fn is_muted(&self) -> bool {
+    /// Whether the disk failed; nothing is acknowledged any more then.
+    pub fn has_disk_failed(&self) -> bool {
         self.disk_failed
     }
 
-    /// Why this copy of the log cannot go on, if it cannot.
+    /// Why the log cannot go on with this disk. The host puts the journal aside and calls
+    /// [`restart_blank`](Node::restart_blank).
     pub fn fault(&self) -> Option<RaftError> {
         self.raft.fault()
     }
@@ -164,17 +186,17 @@
         self.raft.status(now)
     }
 
-    /// It does not have all that is agreed: nothing is lent and no vote given, while it serves.
-    pub fn behind(&self) -> bool {
+    /// Whether this member may lack committed entries. It serves meanwhile, but lends nothing and does not vote.
+    pub fn is_behind(&self) -> bool {
         self.raft.is_behind()
     }
 
-    /// An operator vouches for this disk.
-    pub fn trust(&mut self) {
+    /// Accepts this disk without the answers of others, on an operator's word.
+    pub fn trust_disk(&mut self) {
         self.raft.trust_disk();
     }
 
-    /// The identity of its disk.
+    /// The identity of the disk.
     pub fn disk(&self) -> u64 {
         self.disk
     }
--- a/crates/dispatcher/replicated-store/src/node/config.rs
+++ b/crates/dispatcher/replicated-store/src/node/config.rs
@@ -2,54 +2,63 @@
 
 use sagetrail_raft::{DiskRecord, LogPosition, Timing};
 
-/// What a member is started with.
+/// The settings of one member, and what its disk holds.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The fleet's name.
     pub fleet: String,
     /// This member.
-    pub me: u64,
+    pub member: u64,
     /// All members, this one included.
     pub members: Vec<u64>,
-    /// Who votes until it is agreed otherwise.
+    /// The members that vote until the log says otherwise.
     pub initial_voters: Vec<u64>,
-    /// Heartbeat and election timeout.
+    /// Heartbeat interval and election timeout of the log.
     pub timing: Timing,
-    /// Grows with each start.
+    /// Number of this process that grows with each start, as in SWIM.
     pub incarnation: u64,
-    /// Drawn at each start.
-    pub birth: u64,
-    /// The disk's identity.
+    /// Random number of this process, drawn at the start.
+    pub process: u64,
+    /// The identity of the disk.
     pub disk: u64,
-    /// What the disk holds.
+    /// The records that the disk holds.
     pub records: Vec<DiskRecord>,
-    /// Its records ever.
-    pub written: u64,
-    /// Marks of what was dropped from merged state are kept for so long, seconds.
-    pub marks_s: f64,
-    /// Records of hand-offs are kept for so long, seconds.
-    pub records_s: f64,
+    /// Number of records that the disk has ever held.
+    pub records_written: u64,
+    /// Longest time for which tombstones of the merged state are kept, seconds.
+    pub tombstone_retention_s: f64,
+    /// Time for which records of work items are kept, seconds.
+    pub record_retention_s: f64,
 }
 
-/// What goes to the disk, and what may only be sent once it is synced.
+/// A frame with its receiver.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutboundFrame {
+    /// The member that receives the frame.
+    pub to: u64,
+    /// The encoded frame.
+    pub bytes: Vec<u8>,
+}
+
+/// Bytes for the disk, and the frames that may be sent only once these are synced.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// In place of all that the file holds.
+    /// The bytes replace the journal; otherwise they are appended.
     pub rewrite: bool,
-    /// What is to be written.
+    /// The bytes to write.
     pub bytes: Vec<u8>,
-    /// Frames that rest on it, with their receivers.
-    pub frames: Vec<(u64, Vec<u8>)>,
-    /// The log's last entry with this batch.
+    /// Frames that acknowledge what is written.
+    pub frames: Vec<OutboundFrame>,
+    /// The log's last entry with this batch; the argument of [`Node::persisted`](crate::Node::persisted).
     pub position: LogPosition,
 }
 
-/// Frames and their bytes.
+/// Number of frames and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many.
+    /// Frames.
     pub frames: u64,
-    /// Their bytes.
+    /// Their size, bytes.
     pub bytes: u64,
 }
 
--- a/crates/dispatcher/replicated-store/src/node/frames.rs
+++ b/crates/dispatcher/replicated-store/src/node/frames.rs
@@ -1,132 +1,170 @@
-//! Frames between members: how they are written, and dispatch of those received.
+//! Frames between members: encoding, and dispatch of those received.
+
+use serde::{Deserialize, Serialize};
 
-use super::Node;
-use crate::facts::Proposal;
-use crate::merged::{Digest, Item, Key};
-use crate::records::{ClaimReply, Ended, Name, Owner, RecordPage};
 use sagetrail_raft::Message;
 use sagetrail_swim::{Envelope, FrameError};
-use serde::{Deserialize, Serialize};
 
-/// Frames of this version say so in their first byte, which tells them from the members' own.
+use super::{Node, OutboundFrame};
+use crate::committed_state::Proposal;
+use crate::merged_state::{Digest, Item, Key};
+use crate::records::{ClaimReply, Completion, Owner, RecordPage, WorkItemName};
+
+/// Version of the store's frames: their first byte, which tells them from those of the membership protocol.
 pub const STORE_VERSION: u8 = 0x51;
-/// A snapshot's part or a message of entries, with room; bytes.
-pub const FRAME_MOST: usize = 512 << 10;
+/// Largest frame, bytes: a chunk of a snapshot or a message of entries fits several times.
+pub const MAX_FRAME_BYTES: usize = 512 << 10;
 
-/// What a frame says. The order of the variants is part of the wire format.
+/// The content of a frame. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) enum Body {
-    /// A message of the agreed log.
+pub(super) enum FrameBody {
+    /// A message of the replicated log.
     Log(Message),
-    /// To the leader: put this on the log.
+    /// Asks the leader to append a proposal of the sender.
     Propose(Proposal),
-    /// What the sender has of merged state.
+    /// The sender's digest of the merged state.
     MergedDigest(Vec<Digest>),
-    /// What the receiver lacks of it; `have`: what the sender has, empty in an answer to an answer.
+    /// The items that the receiver lacks.
     MergedItems {
-        have: Vec<Digest>,
+        /// The sender's digest; empty in the reply to `MergedItems`, which ends the exchange.
+        digest: Vec<Digest>,
         items: Vec<(Key, Item)>,
     },
-    /// A claim of a name.
-    Claim { name: Name, no: u64, epoch: u32 },
-    /// The answer to that.
+    /// A claim of a work item's name.
+    Claim {
+        name: WorkItemName,
+        number: u64,
+        epoch: u32,
+    },
+    /// The reply to `Claim`.
     ClaimReply {
-        no: u64,
+        number: u64,
         epoch: u32,
         reply: ClaimReply,
     },
-    /// The end of a claim.
-    End { name: Name, no: u64, ended: Ended },
-    /// Confirms that.
-    EndConfirmed { no: u64 },
-    /// What one that has just started asks all others: the records that they hold, from behind a name on.
-    RecordsRequest { after: Option<Name> },
-    /// The answer to that.
+    /// The end of a claimed work item.
+    End {
+        name: WorkItemName,
+        number: u64,
+        completion: Completion,
+    },
+    /// The reply to `End`.
+    EndConfirmed { number: u64 },
+    /// A member that has just started asks for the receiver's records after a name.
+    RecordsRequest { after: Option<WorkItemName> },
+    /// The reply to `RecordsRequest`.
     Records(RecordPage),
 }
 
 impl Node {
-    pub(super) fn frame(&mut self, body: &Body) -> Vec<u8> {
-        self.frame_no += 1;
+    pub(super) fn encode_frame(&mut self, body: &FrameBody) -> Vec<u8> {
+        self.frame_sequence += 1;
         let envelope = Envelope {
-            sender: self.me,
-            process: self.birth,
+            sender: self.member,
+            process: self.process,
             incarnation: self.incarnation,
-            sequence: self.frame_no,
+            sequence: self.frame_sequence,
         };
         let frame = self.codec.encode(&envelope, body);
         self.sent.count(&frame);
         frame
     }
 
-    pub(super) fn send(&mut self, to: u64, body: &Body) {
-        let frame = self.frame(body);
-        self.out.push((to, frame));
+    pub(super) fn send(&mut self, to: u64, body: &FrameBody) {
+        let bytes = self.encode_frame(body);
+        self.outbound.push(OutboundFrame { to, bytes });
     }
 
-    /// A frame has come.
+    /// Takes a frame from the links. One that is not valid is counted in [`Node::rejected`] and has no effect.
     pub fn receive(&mut self, now: f64, frame: &[u8]) {
-        let (envelope, body) = match self.codec.decode::<Body>(frame, FRAME_MOST) {
-            Ok(read) => read,
-            Err(why) => return self.refuse(why),
+        let (envelope, body) = match self.codec.decode::<FrameBody>(frame, MAX_FRAME_BYTES) {
+            Ok(decoded) => decoded,
+            Err(error) => return self.reject(error),
         };
-        let from = envelope.sender;
-        if from == self.me || !self.members.contains(&from) {
-            return self.refuse(FrameError::UnknownSender);
+        if envelope.sender == self.member || !self.members.contains(&envelope.sender) {
+            return self.reject(FrameError::UnknownSender);
         }
         self.received.count(frame);
-        self.dispatch(
-            now,
-            Owner {
-                who: from,
-                birth: envelope.process,
-            },
-            body,
-        );
+        let sender = Owner {
+            member: envelope.sender,
+            process: envelope.process,
+        };
+        self.dispatch(now, sender, body);
     }
 
-    fn dispatch(&mut self, now: f64, sender: Owner, body: Body) {
-        let from = sender.who;
+    fn dispatch(&mut self, now: f64, sender: Owner, body: FrameBody) {
+        let from = sender.member;
         match body {
-            Body::Log(message) => self.receive_log(now, from, message),
-            Body::Propose(proposal) if proposal.who == from => self.append_proposal(now, &proposal),
-            Body::Propose(_) => self.refuse(FrameError::InvalidValue),
-            Body::MergedDigest(have) => self.answer_digest(now, from, &have),
-            Body::MergedItems { have, items } => self.take_items(now, from, &have, items),
-            Body::Claim { name, no, epoch } => {
-                let reply = self.holder.claim(now, sender, no, name, epoch);
-                self.send(from, &Body::ClaimReply { no, epoch, reply });
+            FrameBody::Log(message) => self.receive_log_message(now, from, message),
+            FrameBody::Propose(proposal) if proposal.member == from => {
+                self.append_proposal(now, &proposal);
+            }
+            FrameBody::Propose(_) => self.reject(FrameError::InvalidValue),
+            FrameBody::MergedDigest(digest) => self.answer_digest(now, from, &digest),
+            FrameBody::MergedItems { digest, items } => {
+                self.receive_items(now, from, &digest, items);
             }
-            Body::ClaimReply { no, epoch, reply } => {
-                self.claims.answered(from, no, epoch, reply);
-                self.answered.push(no);
+            FrameBody::Claim {
+                name,
+                number,
+                epoch,
+            } => self.answer_claim(now, sender, number, name, epoch),
+            FrameBody::ClaimReply {
+                number,
+                epoch,
+                reply,
+            } => {
+                self.claims.receive_reply(from, number, epoch, reply);
+                self.answered_claims.push(number);
             }
-            Body::End { name, no, ended } => {
-                self.holder.ended(sender, no, name, ended);
-                self.send(from, &Body::EndConfirmed { no });
+            FrameBody::End {
+                name,
+                number,
+                completion,
+            } => {
+                self.record_replica
+                    .complete(sender, number, name, completion);
+                self.send(from, &FrameBody::EndConfirmed { number });
             }
-            Body::EndConfirmed { no } => self.claims.confirmed(from, no),
-            Body::RecordsRequest { after } => {
-                if let Some(page) = self.holder.page(now, after) {
-                    self.send(from, &Body::Records(page));
+            FrameBody::EndConfirmed { number } => self.claims.receive_confirmation(from, number),
+            FrameBody::RecordsRequest { after } => {
+                if let Some(page) = self.record_replica.page(now, after) {
+                    self.send(from, &FrameBody::Records(page));
                 }
             }
-            Body::Records(page) => {
+            FrameBody::Records(page) => {
                 let others = self.others();
-                self.holder.take_page(now, from, page, &others);
+                self.record_replica.receive_page(now, from, page, &others);
             }
         }
     }
 
-    fn receive_log(&mut self, now: f64, from: u64, message: Message) {
+    fn receive_log_message(&mut self, now: f64, from: u64, message: Message) {
         let received = self.raft.receive(now, from, message);
         self.process_log();
         if received.is_err() {
-            self.refuse(FrameError::InvalidValue);
+            self.reject(FrameError::InvalidValue);
         }
     }
 
-    fn refuse(&mut self, why: FrameError) {
-        *self.refused.entry(why).or_default() += 1;
+    fn answer_claim(
+        &mut self,
+        now: f64,
+        sender: Owner,
+        number: u64,
+        name: WorkItemName,
+        epoch: u32,
+    ) {
+        let reply = self.record_replica.claim(now, sender, number, name, epoch);
+        let body = FrameBody::ClaimReply {
+            number,
+            epoch,
+            reply,
+        };
+        self.send(sender.member, &body);
+    }
+
+    fn reject(&mut self, error: FrameError) {
+        *self.rejected.entry(error).or_default() += 1;
     }
 }
--- a/crates/dispatcher/replicated-store/src/node/proposals.rs
+++ b/crates/dispatcher/replicated-store/src/node/proposals.rs
@@ -1,97 +1,105 @@
-//! Proposals of this member, one at a time, and reads.
+//! Proposals of this member, one at a time, and linearizable reads.
 
-use super::frames::Body;
+use super::frames::FrameBody;
 use super::Node;
-use crate::facts::{Op, Proposal};
+use crate::committed_state::{Command, Proposal};
+use crate::error::StoreError;
 
-/// A proposal that is not agreed is handed in again so often, seconds, as long as the host waits for it.
+/// Interval at which a proposal that is not committed is submitted again, seconds, as long as the host waits for it.
 const RETRY_INTERVAL_S: f64 = 0.2;
-/// Proposals that wait for agreement, at one member.
+/// Proposals of one member that may wait.
 const MAX_PROPOSALS: usize = 256;
 
 impl Node {
-    /// Puts a proposal on the log, if this member leads and it is new.
+    /// Appends a proposal to the log, if this member leads and the proposal is not committed yet.
     pub(super) fn append_proposal(&mut self, now: f64, proposal: &Proposal) {
-        let known = self
-            .facts
-            .done(proposal.who, proposal.birth, proposal.no)
+        let is_committed = self
+            .committed
+            .outcome(proposal.member, proposal.process, proposal.sequence)
             .is_some();
-        if known || self.disk_failed {
+        if is_committed || self.disk_failed {
             return;
         }
         if let Ok(command) = postcard::to_allocvec(proposal) {
-            // One that does not lead drops it: its proposer sends it again to the leader.
+            // A member that does not lead drops it: the proposer submits it again, to the leader.
             let _ = self.raft.propose(now, command);
             self.process_log();
         }
     }
 
-    /// Asks for something to be agreed; its number. `done` says whether it was taken.
-    pub fn propose(&mut self, now: f64, op: Op) -> Option<u64> {
+    /// Proposes a command, and returns the proposal's number. [`proposal_outcome`](Node::proposal_outcome) says what
+    /// came of it.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::TooManyProposals`] if too many wait already.
+    pub fn propose(&mut self, now: f64, command: Command) -> Result<u64, StoreError> {
         if self.proposals.len() >= MAX_PROPOSALS {
-            return None;
+            return Err(StoreError::TooManyProposals {
+                limit: MAX_PROPOSALS,
+            });
         }
-        self.proposal_no += 1;
-        let proposal = Proposal {
-            who: self.me,
-            birth: self.birth,
-            no: self.proposal_no,
-            op,
-        };
-        self.proposals.push_back(proposal);
-        self.next_propose = self.next_propose.min(now);
-        self.hand_in(now);
-        Some(self.proposal_no)
+        self.last_proposal += 1;
+        self.proposals.push_back(Proposal {
+            member: self.member,
+            process: self.process,
+            sequence: self.last_proposal,
+            command,
+        });
+        self.next_submit = self.next_submit.min(now);
+        self.submit_next(now);
+        Ok(self.last_proposal)
     }
 
-    /// Whether a proposal was taken or refused; `None` while it is not agreed.
-    pub fn done(&self, no: u64) -> Option<bool> {
-        self.facts.done(self.me, self.birth, no)
+    /// Whether a proposal was accepted or rejected; `None` while it is not committed.
+    pub fn proposal_outcome(&self, sequence: u64) -> Option<bool> {
+        self.committed.outcome(self.member, self.process, sequence)
     }
 
-    /// No longer waited for. What is on its way may still be agreed.
-    pub fn give_up(&mut self, no: u64) {
-        self.proposals.retain(|proposal| proposal.no != no);
+    /// Stops submitting a proposal. It may still be committed if it was submitted before.
+    pub fn abandon_proposal(&mut self, sequence: u64) {
+        self.proposals
+            .retain(|proposal| proposal.sequence != sequence);
     }
 
-    /// Hands the first proposal in, when it is due.
-    pub(super) fn hand_in(&mut self, now: f64) {
-        self.drop_done_proposals(now);
-        if now < self.next_propose {
+    /// Submits the first proposal to the leader, when it is due.
+    pub(super) fn submit_next(&mut self, now: f64) {
+        self.drop_committed_proposals(now);
+        if now < self.next_submit {
             return;
         }
         let Some(first) = self.proposals.front().cloned() else {
             return;
         };
-        self.next_propose = now + RETRY_INTERVAL_S;
+        self.next_submit = now + RETRY_INTERVAL_S;
         if self.raft.is_leader() {
             self.append_proposal(now, &first);
         } else if let Some(leader) = self.raft.leader() {
-            self.send(leader, &Body::Propose(first));
+            self.send(leader, &FrameBody::Propose(first));
         }
     }
 
-    fn drop_done_proposals(&mut self, now: f64) {
+    fn drop_committed_proposals(&mut self, now: f64) {
         while let Some(first) = self.proposals.front() {
-            if self.done(first.no).is_none() {
+            if self.proposal_outcome(first.sequence).is_none() {
                 return;
             }
             self.proposals.pop_front();
-            self.next_propose = now;
+            self.next_submit = now;
         }
     }
 
-    /// Asks up to where all is agreed now.
+    /// Starts a linearizable read, and returns its number.
     pub fn read(&mut self, now: f64) -> u64 {
-        let no = self.raft.read(now);
+        let number = self.raft.read(now);
         self.process_log();
-        no
+        number
     }
 
-    /// All that was agreed when it was asked is here.
-    pub fn read_done(&mut self, no: u64) -> bool {
+    /// Whether the committed state holds everything that was committed when the read was started.
+    pub fn is_read_done(&self, number: u64) -> bool {
         self.raft
-            .read_index(no)
-            .is_some_and(|index| self.at >= index)
+            .read_index(number)
+            .is_some_and(|index| self.applied_index >= index)
     }
 }
--- a/crates/dispatcher/replicated-store/src/node/timer.rs
+++ b/crates/dispatcher/replicated-store/src/node/timer.rs
@@ -2,36 +2,36 @@
 
 use super::Node;
 
-/// The voters are looked at this often, seconds.
-const VOTERS_INTERVAL_S: f64 = 0.2;
+/// Interval of maintenance (voters, tombstones, pending overrides), seconds.
+const MAINTENANCE_INTERVAL_S: f64 = 0.2;
 
 impl Node {
-    /// When `tick` is to be called next.
-    pub fn due(&self) -> f64 {
-        let propose = if self.proposals.is_empty() {
-            f64::INFINITY
-        } else {
-            self.next_propose
+    /// When [`tick`](Node::tick) is to be called next, seconds. Any other call may change it.
+    pub fn deadline(&self) -> f64 {
+        let submit = match self.proposals.is_empty() {
+            true => f64::INFINITY,
+            false => self.next_submit,
         };
-        let rest = self
-            .next_merge
-            .min(self.next_voters)
-            .min(self.claims.due())
-            .min(self.holder_due);
-        self.raft.deadline().min(propose).min(rest)
+        self.raft
+            .deadline()
+            .min(submit)
+            .min(self.next_gossip)
+            .min(self.next_maintenance)
+            .min(self.claims.deadline())
+            .min(self.recovery_deadline)
     }
 
-    /// Does what is due.
+    /// Does everything that is due.
     pub fn tick(&mut self, now: f64) {
         if now >= self.raft.deadline() {
             self.raft.tick(now);
         }
-        if now >= self.next_voters {
-            self.next_voters = now + VOTERS_INTERVAL_S;
+        if now >= self.next_maintenance {
+            self.next_maintenance = now + MAINTENANCE_INTERVAL_S;
             self.maintain(now);
         }
         self.process_log();
-        self.hand_in(now);
+        self.submit_next(now);
         self.gossip(now);
         self.request_records(now);
         self.send_claims(now);
@@ -39,19 +39,19 @@
 
     fn maintain(&mut self, now: f64) {
         self.reconfigure(now);
-        self.merged.sweep(now, &self.others());
-        self.settle_words(now);
-        if !self.suspected.is_empty() && !self.behind() {
-            self.suspected.clear();
+        self.merged.collect_tombstones(now, &self.others());
+        self.settle_pending_overrides(now);
+        if !self.possibly_out.is_empty() && !self.is_behind() {
+            self.possibly_out.clear();
             self.changed = true;
         }
     }
 
-    /// Moves the log's voters towards those that are agreed on.
+    /// Moves the log's voters towards the committed ones.
     fn reconfigure(&mut self, now: f64) {
-        let wanted = match self.facts.voters.is_empty() {
+        let wanted = match self.committed.voters.is_empty() {
             true => &self.initial_voters,
-            false => &self.facts.voters,
+            false => &self.committed.voters,
         };
         self.raft.reconfigure(now, wanted);
     }
--- a/crates/dispatcher/replicated-store/src/records/claim.rs
+++ b/crates/dispatcher/replicated-store/src/records/claim.rs
@@ -1,74 +1,77 @@
-//! One claim under way, and what comes of it.
+//! A claim of a name, until its outcome is known.
 
-use super::record::{ClaimReply, Ended, Refusal};
-use super::{Name, CLAIM_S};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval at which a claim is sent again, seconds, and how often it is sent.
+use super::record::{ClaimReply, Completion, Refusal};
+use super::{WorkItemName, CLAIM_TIMEOUT_S};
+
+/// Interval at which a claim is sent to the replicas that have not replied, seconds.
 const RETRY_INTERVAL_S: f64 = 0.06;
+/// How often it is sent, at most.
 const MAX_SENDS: u32 = 5;
-/// How often what was provably never sent is claimed anew, a step higher.
+/// Highest epoch at which a name is claimed again after a claim under which nothing was sent.
 const MAX_EPOCH: u32 = 3;
-/// The first step of a claim.
+/// The epoch of a new claim.
 const FIRST_EPOCH: u32 = 1;
 
-/// What came of a claim.
+/// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// The name is this member's.
-    Own {
-        /// The step of the claim.
+pub enum ClaimOutcome {
+    /// This member owns the name, and may send the work item.
+    Owned {
+        /// The epoch of the claim.
         epoch: u32,
     },
-    /// Another had it, and it ended.
-    Known {
+    /// Another claim owned the name, and its work item has ended.
+    Completed {
         /// How it ended.
-        ended: Ended,
-        /// How long ago it was claimed, milliseconds.
+        completion: Completion,
+        /// Time since that claim was granted, milliseconds.
         age_ms: u32,
     },
-    /// Somebody may have it out.
-    InHand {
-        /// Since so long at the least, milliseconds.
+    /// Another claim may own the name, and its work item may be in flight.
+    InFlight {
+        /// Longest known time since such a claim was granted, milliseconds.
         age_ms: u32,
     },
-    /// Too few replicas could be asked.
-    TooFew,
+    /// Too few replicas replied.
+    NoQuorum,
 }
 
-/// A claim under way.
+/// A claim whose outcome is not known.
 pub(super) struct Claim {
-    pub(super) name: Name,
+    pub(super) name: WorkItemName,
     pub(super) epoch: u32,
     pub(super) replicas: Vec<u64>,
-    /// So many grants make it this member's.
+    /// Grants needed to own the name.
     quorum: usize,
     granted: BTreeSet<u64>,
-    refused: BTreeMap<u64, Refusal>,
+    refusals: BTreeMap<u64, Refusal>,
     unavailable: BTreeSet<u64>,
     sends: u32,
     pub(super) next_send: f64,
-    began: f64,
+    claimed_at: f64,
 }
 
 impl Claim {
-    pub(super) fn new(now: f64, name: Name, replicas: Vec<u64>, quorum: usize) -> Claim {
+    /// A claim that is sent at once.
+    pub(super) fn new(now: f64, name: WorkItemName, replicas: Vec<u64>, quorum: usize) -> Claim {
         Claim {
             name,
             epoch: FIRST_EPOCH,
             replicas,
             quorum,
             granted: BTreeSet::new(),
-            refused: BTreeMap::new(),
+            refusals: BTreeMap::new(),
             unavailable: BTreeSet::new(),
             sends: 0,
             next_send: now,
-            began: now,
+            claimed_at: now,
         }
     }
 
-    /// The replicas to send it to now.
-    pub(super) fn send_to(&mut self, now: f64) -> Vec<u64> {
+    /// The replicas to send it to now; counts as sent.
+    pub(super) fn receivers(&mut self, now: f64) -> Vec<u64> {
         if now < self.next_send || self.sends > MAX_SENDS {
             return Vec::new();
         }
@@ -77,84 +80,86 @@
         self.replicas
             .iter()
             .copied()
-            .filter(|who| !self.has_answered(*who))
+            .filter(|member| !self.has_replied(*member))
             .collect()
     }
 
-    fn has_answered(&self, who: u64) -> bool {
-        self.granted.contains(&who)
-            || self.refused.contains_key(&who)
-            || self.unavailable.contains(&who)
+    fn has_replied(&self, member: u64) -> bool {
+        self.granted.contains(&member)
+            || self.refusals.contains_key(&member)
+            || self.unavailable.contains(&member)
     }
 
-    /// A replica has answered. A grant outlives what the same one says later.
-    pub(super) fn take_reply(&mut self, from: u64, reply: ClaimReply) {
+    /// Takes a replica's reply. A grant stands, whatever the same replica replies to a duplicate later.
+    pub(super) fn receive_reply(&mut self, from: u64, reply: ClaimReply) {
         if !self.replicas.contains(&from) {
             return;
         }
         match reply {
             ClaimReply::Granted => {
                 self.granted.insert(from);
-                self.refused.remove(&from);
+                self.refusals.remove(&from);
                 self.unavailable.remove(&from);
             }
             ClaimReply::Refused(refusal) if !self.granted.contains(&from) => {
-                self.refused.insert(from, refusal);
+                self.refusals.insert(from, refusal);
                 self.unavailable.remove(&from);
             }
-            ClaimReply::Unavailable if !self.has_answered(from) => {
+            ClaimReply::Unavailable if !self.has_replied(from) => {
                 self.unavailable.insert(from);
             }
             ClaimReply::Refused(_) | ClaimReply::Unavailable => {}
         }
     }
 
-    /// What came of it, once that is known. What was provably never sent is claimed anew, a step higher.
-    pub(super) fn decide(&mut self, now: f64) -> Option<Outcome> {
-        // Guards against one that was stopped in between counting a grant that its giver has forgotten since.
-        let late = now > self.began + CLAIM_S;
-        if self.granted.len() >= self.quorum && !late {
-            return Some(Outcome::Own { epoch: self.epoch });
+    /// The outcome, once it is known. A name under which certainly nothing was sent is claimed again at a higher epoch.
+    pub(super) fn decide(&mut self, now: f64) -> Option<ClaimOutcome> {
+        // A process that was paused must not use grants that their replicas may have lost in the meantime.
+        let is_late = now > self.claimed_at + CLAIM_TIMEOUT_S;
+        if self.granted.len() >= self.quorum && !is_late {
+            return Some(ClaimOutcome::Owned { epoch: self.epoch });
         }
-        if self.can_succeed() && !late && !self.is_exhausted(now) {
+        if self.can_succeed() && !is_late && !self.is_exhausted(now) {
             return None;
         }
         let Some(latest) = self.latest_refusal() else {
-            return Some(Outcome::TooFew);
+            return Some(ClaimOutcome::NoQuorum);
         };
-        match latest.ended {
-            Some(ended) if !ended.ran && latest.epoch < MAX_EPOCH && !late => {
+        match latest.completion {
+            Some(completion)
+                if !completion.may_have_run && latest.epoch < MAX_EPOCH && !is_late =>
+            {
                 self.restart(now, latest.epoch + 1);
                 None
             }
-            Some(ended) => Some(Outcome::Known {
-                ended,
+            Some(completion) => Some(ClaimOutcome::Completed {
+                completion,
                 age_ms: latest.age_ms,
             }),
-            None => Some(Outcome::InHand {
+            None => Some(ClaimOutcome::InFlight {
                 age_ms: self.longest_age_ms(),
             }),
         }
     }
 
-    /// Enough replicas may still grant it.
+    /// Whether enough replicas may still grant it.
     fn can_succeed(&self) -> bool {
-        self.replicas.len() - self.refused.len() - self.unavailable.len() >= self.quorum
+        self.replicas.len() - self.refusals.len() - self.unavailable.len() >= self.quorum
     }
 
-    /// All have answered, or it was sent as often as it may be.
+    /// Whether all replicas have replied, or it was sent as often as it may be.
     fn is_exhausted(&self, now: f64) -> bool {
-        let answers = self.granted.len() + self.refused.len() + self.unavailable.len();
-        answers == self.replicas.len() || self.sends >= MAX_SENDS && now >= self.next_send
+        let replies = self.granted.len() + self.refusals.len() + self.unavailable.len();
+        replies == self.replicas.len() || self.sends >= MAX_SENDS && now >= self.next_send
     }
 
     fn latest_refusal(&self) -> Option<Refusal> {
-        let by_epoch = |refusal: &&Refusal| (refusal.epoch, refusal.ended.is_some());
-        self.refused.values().max_by_key(by_epoch).cloned()
+        let by_epoch = |refusal: &&Refusal| (refusal.epoch, refusal.completion.is_some());
+        self.refusals.values().max_by_key(by_epoch).cloned()
     }
 
     fn longest_age_ms(&self) -> u32 {
-        self.refused
+        self.refusals
             .values()
             .map(|refusal| refusal.age_ms)
             .max()
@@ -164,7 +169,7 @@
     fn restart(&mut self, now: f64, epoch: u32) {
         self.epoch = epoch;
         self.granted.clear();
-        self.refused.clear();
+        self.refusals.clear();
         self.sends = 0;
         self.next_send = now;
     }
--- a/crates/dispatcher/replicated-store/src/records/claims.rs
+++ b/crates/dispatcher/replicated-store/src/records/claims.rs
@@ -1,97 +1,108 @@
-//! What this member claims, owns, and has to report the end of.
+//! The claims of this member: pending, owned, and ended but not confirmed.
 
-use super::claim::{Claim, Outcome};
-use super::name::replicas;
-use super::record::{ClaimReply, Ended, BODY_MOST};
-use super::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An end that nobody confirms is reported so often, at this interval in seconds.
+use super::claim::{Claim, ClaimOutcome};
+use super::record::{ClaimReply, Completion, MAX_BODY_BYTES};
+use super::work_item_name::{replicas, WorkItemName};
+
+/// How often an end is reported to a replica that does not confirm it.
 const MAX_END_REPORTS: u32 = 20;
+/// Interval of these reports, seconds.
 const END_REPORT_INTERVAL_S: f64 = 0.25;
 
-/// A claim or an end on its way to a replica.
+/// A message to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimMessage {
     /// A claim of a name.
     Claim {
         /// The name.
-        name: Name,
+        name: WorkItemName,
         /// The claim's number.
-        no: u64,
-        /// Its step.
+        number: u64,
+        /// Its epoch.
         epoch: u32,
     },
-    /// The end of a claim.
+    /// The end of a claim's work item.
     End {
         /// The name.
-        name: Name,
+        name: WorkItemName,
         /// The claim's number.
-        no: u64,
+        number: u64,
         /// How it ended.
-        ended: Ended,
+        completion: Completion,
     },
 }
 
-/// A name that is this member's.
+/// A message to a replica, with its receiver.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutboundClaim {
+    /// The member that receives the message.
+    pub to: u64,
+    /// The message.
+    pub message: ClaimMessage,
+}
+
+/// A name that this member owns.
 struct OwnedName {
-    name: Name,
+    name: WorkItemName,
     replicas: Vec<u64>,
 }
 
 /// An end that not all replicas have confirmed.
 struct EndReport {
-    name: Name,
-    ended: Ended,
+    name: WorkItemName,
+    completion: Completion,
     unconfirmed: BTreeSet<u64>,
     sends: u32,
 }
 
-/// What this member claims.
+/// The claims of this member.
 #[derive(Default)]
 pub struct Claims {
-    me: u64,
-    /// Claims under way, by number.
+    member: u64,
+    /// Claims whose outcome is not known, by number.
     pending: BTreeMap<u64, Claim>,
-    /// Names owned, by the number of the claim.
+    /// Owned names, by the number of the claim.
     owned: BTreeMap<u64, OwnedName>,
-    /// Ends to report, by the number of the claim.
+    /// Ends that not all replicas have confirmed, by the number of the claim.
     reports: BTreeMap<u64, EndReport>,
-    /// Of those, what was not sent yet.
+    /// Those among them that were not sent yet.
     unsent_reports: Vec<u64>,
-    /// When all reports are sent again.
+    /// When all reports are sent again, seconds.
     next_report: f64,
-    last_no: u64,
+    last_number: u64,
 }
 
 impl Claims {
-    /// Nothing is claimed yet.
-    pub fn new(me: u64) -> Claims {
+    /// No claims yet.
+    pub fn new(member: u64) -> Claims {
         Claims {
-            me,
+            member,
             ..Claims::default()
         }
     }
 
-    /// How many names are owned.
-    pub fn open(&self) -> usize {
+    /// The number of owned names.
+    pub fn owned_count(&self) -> usize {
         self.owned.len()
     }
 
-    /// Asks for a name; its number here. `outcome` says what came of it.
-    pub fn ask(&mut self, now: f64, name: Name, members: &[u64], copies: usize) -> u64 {
-        self.last_no += 1;
+    /// Claims a name at its replicas among the `members`, and returns the claim's number. It needs a majority of the
+    /// replicas, and grants of `copies` other members.
+    pub fn claim(&mut self, now: f64, name: WorkItemName, members: &[u64], copies: usize) -> u64 {
+        self.last_number += 1;
         let replicas = replicas(name, members, copies);
-        let own_copy = usize::from(replicas.contains(&self.me));
+        let own_copy = usize::from(replicas.contains(&self.member));
         let majority = replicas.len() / 2 + 1;
         let quorum = majority.max(copies + own_copy);
         self.pending
-            .insert(self.last_no, Claim::new(now, name, replicas, quorum));
-        self.last_no
+            .insert(self.last_number, Claim::new(now, name, replicas, quorum));
+        self.last_number
     }
 
-    /// When `tick` is to be called next.
-    pub fn due(&self) -> f64 {
+    /// When [`tick`](Claims::tick) is to be called next, seconds.
+    pub fn deadline(&self) -> f64 {
         if !self.unsent_reports.is_empty() {
             return 0.0;
         }
@@ -106,8 +117,8 @@
         }
     }
 
-    /// What is to be sent now, with its receivers.
-    pub fn tick(&mut self, now: f64, messages: &mut Vec<(u64, ClaimMessage)>) {
+    /// Adds the messages that are due.
+    pub fn tick(&mut self, now: f64, messages: &mut Vec<OutboundClaim>) {
         self.send_claims(now, messages);
         let mut reports = std::mem::take(&mut self.unsent_reports);
         if now >= self.next_report {
@@ -117,100 +128,110 @@
             });
             reports = self.reports.keys().copied().collect();
         }
-        for no in reports {
-            self.send_report(no, messages);
+        for number in reports {
+            self.send_report(number, messages);
         }
     }
 
-    fn send_claims(&mut self, now: f64, messages: &mut Vec<(u64, ClaimMessage)>) {
-        for (&no, claim) in &mut self.pending {
-            let receivers = claim.send_to(now);
+    fn send_claims(&mut self, now: f64, messages: &mut Vec<OutboundClaim>) {
+        for (&number, claim) in &mut self.pending {
+            let receivers = claim.receivers(now);
             let message = ClaimMessage::Claim {
                 name: claim.name,
-                no,
+                number,
                 epoch: claim.epoch,
             };
-            messages.extend(receivers.into_iter().map(|to| (to, message.clone())));
+            messages.extend(receivers.into_iter().map(|to| OutboundClaim {
+                to,
+                message: message.clone(),
+            }));
         }
     }
 
-    fn send_report(&mut self, no: u64, messages: &mut Vec<(u64, ClaimMessage)>) {
-        let Some(report) = self.reports.get_mut(&no) else {
+    fn send_report(&mut self, number: u64, messages: &mut Vec<OutboundClaim>) {
+        let Some(report) = self.reports.get_mut(&number) else {
             return;
         };
         report.sends += 1;
         let message = ClaimMessage::End {
             name: report.name,
-            no,
-            ended: report.ended.clone(),
+            number,
+            completion: report.completion.clone(),
         };
-        messages.extend(report.unconfirmed.iter().map(|to| (*to, message.clone())));
+        messages.extend(report.unconfirmed.iter().map(|to| OutboundClaim {
+            to: *to,
+            message: message.clone(),
+        }));
     }
 
-    /// A replica has answered a claim.
-    pub fn answered(&mut self, from: u64, no: u64, epoch: u32, reply: ClaimReply) {
+    /// Takes a replica's reply to a claim; one to another epoch is ignored.
+    pub fn receive_reply(&mut self, from: u64, number: u64, epoch: u32, reply: ClaimReply) {
         let claim = self
             .pending
-            .get_mut(&no)
+            .get_mut(&number)
             .filter(|claim| claim.epoch == epoch);
         if let Some(claim) = claim {
-            claim.take_reply(from, reply);
+            claim.receive_reply(from, reply);
         }
     }
 
-    /// What came of a claim, once that is known; it is forgotten here then, unless it is owned.
-    pub fn outcome(&mut self, now: f64, no: u64) -> Option<Outcome> {
-        let outcome = self.pending.get_mut(&no)?.decide(now)?;
-        let Claim { name, replicas, .. } = self.pending.remove(&no)?;
+    /// The outcome of a claim, once it is known. It is returned once.
+    pub fn outcome(&mut self, now: f64, number: u64) -> Option<ClaimOutcome> {
+        let outcome = self.pending.get_mut(&number)?.decide(now)?;
+        let Claim { name, replicas, .. } = self.pending.remove(&number)?;
         let owned = OwnedName { name, replicas };
         match outcome {
-            Outcome::Own { .. } => _ = self.owned.insert(no, owned),
-            // Whoever granted it is told that nothing was sent under it.
-            _ => self.report_end(no, owned, Ended::never_sent()),
+            ClaimOutcome::Owned { .. } => _ = self.owned.insert(number, owned),
+            // The replicas that granted it learn that nothing was sent under it.
+            _ => self.report_end(number, owned, Completion::never_sent()),
         }
         Some(outcome)
     }
 
-    fn report_end(&mut self, no: u64, owned: OwnedName, ended: Ended) {
+    fn report_end(&mut self, number: u64, owned: OwnedName, completion: Completion) {
         let unconfirmed = owned.replicas.into_iter().collect();
         self.reports.insert(
-            no,
+            number,
             EndReport {
                 name: owned.name,
-                ended,
+                completion,
                 unconfirmed,
                 sends: 0,
             },
         );
-        self.unsent_reports.push(no);
+        self.unsent_reports.push(number);
     }
 
-    /// Nobody waits for this claim any more, and nothing was sent under it, whatever came of it.
-    pub fn give_up(&mut self, no: u64) {
-        match self.pending.remove(&no) {
+    /// Withdraws a claim: nothing was sent under it, whatever its outcome.
+    pub fn abandon(&mut self, number: u64) {
+        match self.pending.remove(&number) {
             Some(Claim { name, replicas, .. }) => {
-                self.report_end(no, OwnedName { name, replicas }, Ended::never_sent());
+                self.report_end(
+                    number,
+                    OwnedName { name, replicas },
+                    Completion::never_sent(),
+                );
             }
-            None => self.ended(no, Ended::never_sent()),
+            None => self.complete(number, Completion::never_sent()),
         }
     }
 
-    /// An owned work item has been answered.
-    pub fn ended(&mut self, no: u64, mut ended: Ended) {
-        ended.body = ended.body.filter(|body| body.len() <= BODY_MOST);
-        if let Some(owned) = self.owned.remove(&no) {
-            self.report_end(no, owned, ended);
+    /// Reports the end of a work item that this member owns.
+    pub fn complete(&mut self, number: u64, mut completion: Completion) {
+        completion.body = completion.body.filter(|body| body.len() <= MAX_BODY_BYTES);
+        if let Some(owned) = self.owned.remove(&number) {
+            self.report_end(number, owned, completion);
         }
     }
 
     /// A replica has confirmed an end.
-    pub fn confirmed(&mut self, from: u64, no: u64) {
-        let Some(report) = self.reports.get_mut(&no) else {
+    pub fn receive_confirmation(&mut self, from: u64, number: u64) {
+        let Some(report) = self.reports.get_mut(&number) else {
             return;
         };
         report.unconfirmed.remove(&from);
         if report.unconfirmed.is_empty() {
-            self.reports.remove(&no);
+            self.reports.remove(&number);
         }
     }
 }
--- a/crates/dispatcher/replicated-store/src/records/record.rs
+++ b/crates/dispatcher/replicated-store/src/records/record.rs
@@ -1,72 +1,73 @@
-//! One record, as a replica keeps it, and what is said about it.
+//! A record of a work item, as a replica keeps it and as it is sent.
 
-use super::Name;
 use serde::{Deserialize, Serialize};
 
-/// Of what a client was given, so much is kept for its retry, bytes.
-pub const BODY_MOST: usize = 1024;
-/// Status of a work item that was never sent.
+use super::WorkItemName;
+
+/// Longest answer that is kept for a retry, bytes.
+pub const MAX_BODY_BYTES: usize = 1024;
+/// HTTP status in the completion of a work item that was never sent.
 pub(super) const NEVER_SENT_STATUS: u16 = 503;
 
-/// A process of a member: one that was restarted is another owner.
+/// A process of a member. A member that was restarted is another owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
     /// The member.
-    pub who: u64,
-    /// Drawn when its process started.
-    pub birth: u64,
+    pub member: u64,
+    /// Random number of its process, drawn at the start.
+    pub process: u64,
 }
 
-/// A claim, by its owner and its number there.
+/// The identity of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Who made it.
+    /// The process that made it.
     pub owner: Owner,
-    /// Its number there.
-    pub no: u64,
+    /// Its number in that process.
+    pub number: u64,
 }
 
 /// How a recorded work item ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
-    /// The status its client was given.
+pub struct Completion {
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// It may have run.
-    pub ran: bool,
-    /// What its client was given, where that is short enough to keep.
+    /// Whether it may have run.
+    pub may_have_run: bool,
+    /// The body of the answer, if it is at most [`MAX_BODY_BYTES`] long.
     pub body: Option<Vec<u8>>,
 }
 
-impl Ended {
-    /// The end of a work item that was provably never sent.
-    pub(super) fn never_sent() -> Ended {
-        Ended {
+impl Completion {
+    /// The completion of a work item that was certainly never sent.
+    pub(super) fn never_sent() -> Completion {
+        Completion {
             status: NEVER_SENT_STATUS,
-            ran: false,
+            may_have_run: false,
             body: None,
         }
     }
 }
 
-/// Why a claim is refused: another has the name.
+/// Why a claim is refused: the replica has granted the name to another claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The step of the claim that has it.
+    /// The epoch of that claim.
     pub epoch: u32,
-    /// How that one ended, if it has.
-    pub ended: Option<Ended>,
-    /// How long it has had it, milliseconds.
+    /// How that claim's work item ended, if it has.
+    pub completion: Option<Completion>,
+    /// Time since that claim was granted, milliseconds.
     pub age_ms: u32,
 }
 
-/// A replica's answer to a claim. The order of the variants is part of the wire format.
+/// A replica's reply to a claim. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The name is this claim's here.
+    /// The replica grants the name to this claim.
     Granted,
-    /// Another has the name.
+    /// The replica has granted the name to another claim.
     Refused(Refusal),
-    /// The replica has just started, and does not know what it has forgotten; or it has no room.
+    /// The replica does not know yet what its former process granted, or holds too many records.
     Unavailable,
 }
 
@@ -74,17 +75,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordCopy {
     /// The name.
-    pub name: Name,
-    /// The claim that has it.
+    pub name: WorkItemName,
+    /// The claim that the name is granted to.
     pub claim: ClaimId,
-    /// That claim's step.
+    /// The epoch of that claim.
     pub epoch: u32,
-    /// How long it has had it, milliseconds.
+    /// Time since that claim was granted, milliseconds.
     pub age_ms: u32,
-    /// How it ended, if it has.
-    pub ended: Option<Ended>,
-    /// Further claims, not ended, that may be the owning one.
-    pub also: Vec<ClaimId>,
+    /// How its work item ended, if it has.
+    pub completion: Option<Completion>,
+    /// Other claims without an end that may own the name.
+    pub other_claims: Vec<ClaimId>,
 }
 
 /// A record, as a replica keeps it.
@@ -92,11 +93,13 @@
 pub(super) struct Record {
     pub(super) claim: ClaimId,
     pub(super) epoch: u32,
+    /// When the claim was granted, seconds on the replica's clock.
     pub(super) since: f64,
+    /// Until when the record is kept, seconds.
     pub(super) until: f64,
-    pub(super) ended: Option<Ended>,
-    /// Further claims that others told of, not ended: any of them may be the one that was owned.
-    pub(super) also: Vec<ClaimId>,
+    pub(super) completion: Option<Completion>,
+    /// Other claims without an end, from other replicas: any of them may own the name.
+    pub(super) other_claims: Vec<ClaimId>,
 }
 
 impl Record {
@@ -107,19 +110,19 @@
             epoch,
             since: now,
             until,
-            ended: None,
-            also: Vec::new(),
+            completion: None,
+            other_claims: Vec::new(),
         }
     }
 
-    /// A record that another sent, kept for `retention_s` from its beginning.
+    /// A record that another replica sent, kept for `retention_s` from the grant on.
     pub(super) fn from_copy(copy: RecordCopy, now: f64, retention_s: f64) -> Record {
         let since = now - f64::from(copy.age_ms) / 1e3;
         let RecordCopy {
             claim,
             epoch,
-            ended,
-            also,
+            completion,
+            other_claims,
             ..
         } = copy;
         Record {
@@ -127,19 +130,20 @@
             epoch,
             since,
             until: since + retention_s,
-            ended,
-            also,
+            completion,
+            other_claims,
         }
     }
 
-    pub(super) fn to_copy(&self, name: Name, now: f64) -> RecordCopy {
+    /// The record as it is sent.
+    pub(super) fn to_copy(&self, name: WorkItemName, now: f64) -> RecordCopy {
         RecordCopy {
             name,
             claim: self.claim,
             epoch: self.epoch,
             age_ms: self.age_ms(now),
-            ended: self.ended.clone(),
-            also: self.also.clone(),
+            completion: self.completion.clone(),
+            other_claims: self.other_claims.clone(),
         }
     }
 
@@ -147,61 +151,64 @@
         ((now - self.since).max(0.0) * 1e3) as u32
     }
 
-    /// The answer to a claim of this name. `None`: it takes the record's place.
+    /// The reply to a claim of this name. `None` if the claim replaces the record: the name was granted at a lower
+    /// epoch, and nothing was sent under it.
     pub(super) fn reply_to(&self, claim: ClaimId, epoch: u32, now: f64) -> Option<ClaimReply> {
         let same = self.claim == claim;
-        let replaceable = epoch > self.epoch && self.also.is_empty();
-        match &self.ended {
+        let replaceable = epoch > self.epoch && self.other_claims.is_empty();
+        match &self.completion {
             None if same && epoch == self.epoch => Some(ClaimReply::Granted),
-            // It goes on a step higher itself.
+            // The claim continues at a higher epoch.
             None if same && replaceable => None,
-            Some(ended) if !ended.ran && replaceable => None,
+            Some(completion) if !completion.may_have_run && replaceable => None,
             _ => Some(ClaimReply::Refused(self.refusal(now))),
         }
     }
 
     fn refusal(&self, now: f64) -> Refusal {
-        let ended = self
-            .ended
+        let completion = self
+            .completion
             .clone()
-            .filter(|ended| ended.ran || self.also.is_empty());
+            .filter(|completion| completion.may_have_run || self.other_claims.is_empty());
         Refusal {
             epoch: self.epoch,
-            ended,
+            completion,
             age_ms: self.age_ms(now),
         }
     }
 
-    /// Notes the end of a claim. Another's, or an earlier one's, is passed over.
-    pub(super) fn end(&mut self, claim: ClaimId, ended: Ended) {
-        if self.also.contains(&claim) {
-            self.also.retain(|other| *other != claim);
-            if ended.ran && !self.ran() {
+    /// Records the end of a claim's work item. The end of a claim that is not in this record is ignored.
+    pub(super) fn complete(&mut self, claim: ClaimId, completion: Completion) {
+        if self.other_claims.contains(&claim) {
+            self.other_claims.retain(|other| *other != claim);
+            if completion.may_have_run && !self.may_have_run() {
                 self.claim = claim;
-                self.ended = Some(ended);
+                self.completion = Some(completion);
             }
         } else if self.claim == claim && self.is_open() {
-            self.ended = Some(ended);
+            self.completion = Some(completion);
         }
     }
 
-    fn ran(&self) -> bool {
-        self.ended.as_ref().is_some_and(|ended| ended.ran)
+    fn may_have_run(&self) -> bool {
+        self.completion
+            .as_ref()
+            .is_some_and(|completion| completion.may_have_run)
     }
 
     fn is_open(&self) -> bool {
-        self.ended.is_none()
+        self.completion.is_none()
     }
 
-    /// Merges what another holds of the same name: what ran stays, and whatever may yet run blocks until its own end
-    /// is known, of whatever step it is.
+    /// Merges another replica's record of the same name: a claim whose work item may have run wins, and every claim
+    /// that may still run blocks the name until its end is known, whatever its epoch.
     pub(super) fn merge(self, other: Record) -> Record {
         let epoch = self.epoch.max(other.epoch);
         let since = self.since.min(other.since);
         let until = self.until.max(other.until);
-        let merged = if self.ran() {
+        let merged = if self.may_have_run() {
             self
-        } else if other.ran() {
+        } else if other.may_have_run() {
             other
         } else if other.is_open() && (!self.is_open() || other.epoch > self.epoch) {
             other.with_claims_of(self)
@@ -216,18 +223,18 @@
         }
     }
 
-    /// Adds the claims of another record that may yet run.
+    /// Adds the claims of another record whose work items may still run.
     fn with_claims_of(mut self, other: Record) -> Record {
         let open = other.is_open().then_some(other.claim);
         let main = self.claim;
         let further = other
-            .also
+            .other_claims
             .into_iter()
             .chain(open)
             .filter(|claim| *claim != main);
-        self.also.extend(further);
-        self.also.sort_unstable();
-        self.also.dedup();
+        self.other_claims.extend(further);
+        self.other_claims.sort_unstable();
+        self.other_claims.dedup();
         self
     }
 }
--- a/crates/dispatcher/replicated-store/src/records/recovery.rs
+++ b/crates/dispatcher/replicated-store/src/records/recovery.rs
@@ -1,36 +1,49 @@
-//! How a member that has just started learns what it may have granted: all others send it their records, in pages.
+//! Recovery of a replica that has just started: all other members send it their records, in pages, so that it learns
+//! what its former process may have granted.
 
-use super::record::{Record, RecordCopy};
-use super::{Holder, Name, CLAIM_S};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
+use serde::{Deserialize, Serialize};
+
+use super::record::{Record, RecordCopy};
+use super::{RecordReplica, WorkItemName, CLAIM_TIMEOUT_S};
+
 /// Records in one page.
 const PAGE_RECORDS: usize = 1000;
 /// Interval of requests, seconds.
 const REQUEST_INTERVAL_S: f64 = 0.25;
-/// What a former process granted is over after so many times `CLAIM_S`: clocks differ in rate by little.
+/// Claims that a former process granted have ended after this many times `CLAIM_TIMEOUT_S`: the rates of clocks
+/// differ little.
 const FORMER_CLAIMS_FACTOR: f64 = 1.5;
 
-/// A part of another's records, in the order of their names.
+/// A page of a member's records, in the order of their names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordPage {
-    /// The name behind which the page begins.
-    pub after: Option<Name>,
+    /// The name after which the page begins.
+    pub after: Option<WorkItemName>,
     /// The records.
     pub records: Vec<RecordCopy>,
-    /// There are no more behind it.
+    /// Whether no records follow.
     pub is_last: bool,
 }
 
-/// Whose records have been received.
+/// A request for the records of another member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecordsRequest {
+    /// The member that is asked.
+    pub to: u64,
+    /// The name after which the page begins; `None` for the first page.
+    pub after: Option<WorkItemName>,
+}
+
+/// Progress of the recovery.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// From whom all are here.
+    /// The members that have sent all records.
     complete: BTreeSet<u64>,
-    /// Of the others, up to which name they are.
-    received_up_to: BTreeMap<u64, Option<Name>>,
+    /// The last name received from each of the others.
+    received_up_to: BTreeMap<u64, Option<WorkItemName>>,
     next_request: f64,
 }
 
@@ -39,31 +52,31 @@
         Recovery {
             complete: BTreeSet::new(),
             received_up_to: BTreeMap::new(),
-            next_request: now + FORMER_CLAIMS_FACTOR * CLAIM_S,
+            next_request: now + FORMER_CLAIMS_FACTOR * CLAIM_TIMEOUT_S,
         }
     }
 
-    fn position(&self, who: u64) -> Option<Name> {
-        self.received_up_to.get(&who).copied().flatten()
+    fn position(&self, member: u64) -> Option<WorkItemName> {
+        self.received_up_to.get(&member).copied().flatten()
     }
 
-    /// A page from one is the next that is missing.
+    /// Whether a page is the next one missing from a member.
     fn expects(&self, from: u64, page: &RecordPage) -> bool {
         self.position(from) == page.after && !self.complete.contains(&from)
     }
 }
 
-impl Holder {
-    /// When records are to be asked for next.
-    pub fn due(&self, now: f64) -> f64 {
+impl RecordReplica {
+    /// When records are to be requested next, seconds; infinite once the replica is ready.
+    pub fn deadline(&self, now: f64) -> f64 {
         match self.is_ready(now) {
             true => f64::INFINITY,
             false => self.recovery.next_request,
         }
     }
 
-    /// Whom to ask now for their records, and from behind which name on.
-    pub fn recovery_requests(&mut self, now: f64, others: &[u64]) -> Vec<(u64, Option<Name>)> {
+    /// The requests that are due.
+    pub fn recovery_requests(&mut self, now: f64, others: &[u64]) -> Vec<RecordsRequest> {
         if self.is_ready(now) || now < self.recovery.next_request {
             return Vec::new();
         }
@@ -72,13 +85,18 @@
         let missing = others
             .iter()
             .copied()
-            .filter(|who| !recovery.complete.contains(who));
-        missing.map(|who| (who, recovery.position(who))).collect()
+            .filter(|member| !recovery.complete.contains(member));
+        missing
+            .map(|to| RecordsRequest {
+                to,
+                after: recovery.position(to),
+            })
+            .collect()
     }
 
-    /// The page of records behind a name. `None` from one that may have forgotten something.
-    pub fn page(&mut self, now: f64, after: Option<Name>) -> Option<RecordPage> {
-        self.sweep(now);
+    /// The page of records after a name. `None` unless this replica is ready: it may lack records.
+    pub fn page(&mut self, now: f64, after: Option<WorkItemName>) -> Option<RecordPage> {
+        self.remove_expired(now);
         if !self.is_ready(now) {
             return None;
         }
@@ -95,8 +113,8 @@
         })
     }
 
-    /// Takes another's page; once all others have sent all, claims are granted.
-    pub fn take_page(&mut self, now: f64, from: u64, page: RecordPage, others: &[u64]) {
+    /// Takes a member's page. Once all `others` have sent all their records, this replica is ready.
+    pub fn receive_page(&mut self, now: f64, from: u64, page: RecordPage, others: &[u64]) {
         if self.is_ready(now) || !self.recovery.expects(from, &page) {
             return;
         }
@@ -110,7 +128,7 @@
         }
         if others
             .iter()
-            .all(|who| self.recovery.complete.contains(who))
+            .all(|member| self.recovery.complete.contains(member))
         {
             self.ready_at = now;
         }
--- a/crates/dispatcher/replicated-store/src/records/retry.rs
+++ b/crates/dispatcher/replicated-store/src/records/retry.rs
@@ -1,69 +1,77 @@
-//! Rule 2 for a retry: what is answered, by what its category is and what is known.
+//! The answer to a retry, by the kind of its category and what is known about the earlier attempt (rule 2 of the
+//! dispatcher's contract).
 
-use super::{Ended, Outcome};
+use super::{ClaimOutcome, Completion};
 
 const STATUS_OK: u16 = 200;
 const STATUS_WRITTEN_OFF: u16 = 502;
 
-/// What is answered to a client whose work item somebody else has had.
+/// The answer to a client whose work item another dispatcher has, or had.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// What was answered before.
-    Say {
-        /// The status.
+pub enum RetryAnswer {
+    /// The answer of the earlier attempt.
+    Repeat {
+        /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// Harmless to try again later.
-    Later,
-    /// No promise either way.
+    /// A later retry is harmless.
+    RetryLater,
+    /// The work item is written off: it may or may not have run, and a retry could run it again.
     WriteOff,
 }
 
 /// How retries of a category are answered.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Ticketed, with a group of all runners: may be deferred within this many seconds.
+    /// For categories whose work items may be deferred: a retry is harmless within this time of the claim, seconds.
     pub window_s: Option<f64>,
 }
 
 impl RetryPolicy {
-    /// The answer to a retry, by what came of the claim.
-    pub fn answer(self, outcome: &Outcome) -> Answer {
+    /// The answer to a retry, by the outcome of its claim.
+    pub fn answer(self, outcome: &ClaimOutcome) -> RetryAnswer {
         match outcome {
-            Outcome::Own { .. } | Outcome::TooFew => Answer::Later,
-            Outcome::Known { ended, age_ms } => self.answer_ended(ended, *age_ms),
-            Outcome::InHand { age_ms } => self.answer_uncertain(*age_ms),
+            ClaimOutcome::Owned { .. } | ClaimOutcome::NoQuorum => RetryAnswer::RetryLater,
+            ClaimOutcome::Completed { completion, age_ms } => {
+                self.answer_completed(completion, *age_ms)
+            }
+            ClaimOutcome::InFlight { age_ms } => self.answer_uncertain(*age_ms),
         }
     }
 
-    fn answer_ended(self, ended: &Ended, age_ms: u32) -> Answer {
-        match ended {
-            Ended {
+    fn answer_completed(self, completion: &Completion, age_ms: u32) -> RetryAnswer {
+        match completion {
+            Completion {
                 status: STATUS_OK,
                 body: Some(body),
                 ..
-            } => Answer::Say {
+            } => RetryAnswer::Repeat {
                 status: STATUS_OK,
                 body: body.clone(),
             },
-            // Done, but what it gave is not here; or given up already: no promise either way.
-            Ended {
+            // Done, but the body was too long to keep; or written off already.
+            Completion {
                 status: STATUS_OK | STATUS_WRITTEN_OFF,
                 ..
-            } => Answer::WriteOff,
-            Ended { ran: false, .. } => Answer::Later,
-            Ended { ran: true, .. } => self.answer_uncertain(age_ms),
+            } => RetryAnswer::WriteOff,
+            Completion {
+                may_have_run: false,
+                ..
+            } => RetryAnswer::RetryLater,
+            Completion {
+                may_have_run: true, ..
+            } => self.answer_uncertain(age_ms),
         }
     }
 
-    /// It may have run: harmless to try again only within the window.
-    fn answer_uncertain(self, age_ms: u32) -> Answer {
+    /// The earlier attempt may have run: a retry is harmless only within the window.
+    fn answer_uncertain(self, age_ms: u32) -> RetryAnswer {
         let age_s = f64::from(age_ms) / 1e3;
         match self.window_s {
-            Some(window_s) if age_s < window_s => Answer::Later,
-            _ => Answer::WriteOff,
+            Some(window_s) if age_s < window_s => RetryAnswer::RetryLater,
+            _ => RetryAnswer::WriteOff,
         }
     }
 }
