--- a/crates/dispatcher/replicated-store/tests/encoding.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding.rs
@@ -3,17 +3,18 @@
 //! journal and saved copies has examples of its own, with all fields distinct. Both outlive a release: a difference
 //! from a fixture needs a way from the one form to the other, never a new fixture alone.
 
-mod encoding_support;
+mod recorded_pair;
 
-use encoding_support::{body, open_log_question, Body, Pair, BODIES, NAME};
+use recorded_pair::{body, disk_query_frame, FrameBody, Pair, FRAME_BODIES, NAME};
 use sagetrail_fixture::Fixture;
 use sagetrail_raft::{
     DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition, MessageBody, Snapshot, Voter,
 };
 use sagetrail_replicated_store::{
-    begin, open, record, replicas, About, ClaimId, ClaimReply, Digest, Ended, Facts, Held, Item,
-    Key, Merged, Name, Op, Outcome, Owner, Proposal, RecordCopy, RecordPage, Refusal, Stamp,
-    FRAME_MOST, STORE_VERSION,
+    decode_journal, encode_header, encode_record, replicas, ClaimId, ClaimOutcome, ClaimReply,
+    Command, CommittedState, Completion, Digest, Item, ItemCounts, Journal, Key, MergedState,
+    OverrideTarget, Owner, Proposal, RecordCopy, RecordPage, Refusal, Stamp, WorkItemName,
+    MAX_FRAME_BYTES, STORE_VERSION,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -32,10 +33,10 @@
     pair.b.merged.put(0.0, "key", Some(b"b's value".to_vec()));
     pair.a.tick(0.0);
     let digest = pair.sent_by_a("merged-digest", |body| {
-        matches!(body, Body::MergedDigest(_))
+        matches!(body, FrameBody::MergedDigest(_))
     });
     pair.b.receive(0.1, &digest);
-    let is_items = |body: &Body| matches!(body, Body::MergedItems { .. });
+    let is_items = |body: &FrameBody| matches!(body, FrameBody::MergedItems { .. });
     let items = pair.sent_by_b("merged-items", is_items);
     pair.a.receive(0.2, &items);
     let answer = pair.sent_by_a("merged-items-answer", is_items);
@@ -48,33 +49,36 @@
 /// A question about a disk, its answer, and a proposal of who doesn't lead. The messages of the log have a fixture of
 /// their own.
 fn log(pair: &mut Pair) {
-    let question = open_log_question();
-    pair.written.add_bytes("log-disk-query", &question);
+    let question = disk_query_frame();
+    pair.recorded.add_bytes("log-disk-query", &question);
     pair.a.receive(0.5, &question);
-    let is_report = |body: &Body| match body {
-        Body::Log(message) => matches!(message.body, MessageBody::DiskReport { .. }),
+    let is_report = |body: &FrameBody| match body {
+        FrameBody::Log(message) => matches!(message.body, MessageBody::DiskReport { .. }),
         _ => false,
     };
     pair.sent_by_a("log-disk-report", is_report);
     pair.a.tick(0.7);
-    pair.hand_log_to_b(0.8);
-    let op = Op::Settings {
+    pair.deliver_frames_to_b(0.8);
+    let op = Command::Settings {
         text: "settings".to_string(),
-        on: 0,
+        base_version: 0,
     };
     let no = pair.b.propose(0.9, op).unwrap();
-    let propose = pair.sent_by_b("propose", |body| matches!(body, Body::Propose(_)));
+    let propose = pair.sent_by_b("propose", |body| matches!(body, FrameBody::Propose(_)));
     pair.a.receive(1.0, &propose);
     pair.sync();
-    assert_eq!(pair.a.facts.settings(), "settings");
-    assert_eq!(pair.a.facts.done(2, pair.birth_of_b(), no), Some(true));
+    assert_eq!(pair.a.committed.settings(), "settings");
+    assert_eq!(
+        pair.a.committed.outcome(2, pair.process_of_b(), no),
+        Some(true)
+    );
 }
 
 /// A claim that comes too early, one that is granted, its end, and one of the same name after that.
 fn claims(pair: &mut Pair) {
-    let is_claim = |body: &Body| matches!(body, Body::Claim { .. });
-    let is_reply = |body: &Body| matches!(body, Body::ClaimReply { .. });
-    pair.b.claim_name(2.0, Name(0x99), 1);
+    let is_claim = |body: &FrameBody| matches!(body, FrameBody::Claim { .. });
+    let is_reply = |body: &FrameBody| matches!(body, FrameBody::ClaimReply { .. });
+    pair.b.claim_name(2.0, WorkItemName(0x99), 1);
     let claim = pair.sent_by_b("claim", is_claim);
     pair.a.receive(2.1, &claim);
     pair.sent_by_a("claim-reply-unavailable", is_reply);
@@ -82,32 +86,35 @@
     let no = pair.b.claim_name(20.0, NAME, 1);
     let claim = pair.sent_by_b(
         "claim-2",
-        |body| matches!(body, Body::Claim { name, .. } if *name == NAME),
+        |body| matches!(body, FrameBody::Claim { name, .. } if *name == NAME),
     );
     pair.a.receive(20.1, &claim);
     let granted = pair.sent_by_a("claim-reply-granted", is_reply);
     pair.b.receive(20.2, &granted);
-    assert_eq!(pair.b.outcome(20.2, no), Some(Outcome::Own { epoch: 1 }));
+    assert_eq!(
+        pair.b.claim_outcome(20.2, no),
+        Some(ClaimOutcome::Owned { epoch: 1 })
+    );
 
-    pair.b.ended(20.3, no, ended());
+    pair.b.complete_claim(20.3, no, completion());
     let end = pair.sent_by_b(
         "end",
-        |body| matches!(body, Body::End { name, .. } if *name == NAME),
+        |body| matches!(body, FrameBody::End { name, .. } if *name == NAME),
     );
     pair.a.receive(20.4, &end);
     let confirmed = pair.sent_by_a("end-confirmed", |body| {
-        matches!(body, Body::EndConfirmed { .. })
+        matches!(body, FrameBody::EndConfirmed { .. })
     });
     pair.b.receive(20.5, &confirmed);
 
     let no = pair.a.claim_name(21.0, NAME, 1);
     let claim = pair.sent_by_a("claim-3", is_claim);
     pair.b.receive(21.1, &claim);
-    let refused = pair.sent_by_b("claim-reply-refused", is_reply);
-    pair.a.receive(21.2, &refused);
-    let outcome = pair.a.outcome(21.2, no);
+    let rejected = pair.sent_by_b("claim-reply-refused", is_reply);
+    pair.a.receive(21.2, &rejected);
+    let outcome = pair.a.claim_outcome(21.2, no);
     assert!(
-        matches!(&outcome, Some(Outcome::Known { ended: known, .. }) if *known == ended()),
+        matches!(&outcome, Some(ClaimOutcome::Completed { completion: known, .. }) if *known == completion()),
         "{outcome:?}"
     );
 }
@@ -116,102 +123,102 @@
     pair.restart_b(22.0);
     pair.b.tick(23.0);
     let request = pair.sent_by_b("records-request", |body| {
-        matches!(body, Body::RecordsRequest { .. })
+        matches!(body, FrameBody::RecordsRequest { .. })
     });
     pair.a.receive(23.1, &request);
-    let page = pair.sent_by_a("records", |body| matches!(body, Body::Records(_)));
+    let page = pair.sent_by_a("records", |body| matches!(body, FrameBody::Records(_)));
     pair.b.receive(23.2, &page);
-    assert!(pair.b.holder.is_ready(23.2));
-    assert_eq!(pair.b.holder.count(), 1);
+    assert!(pair.b.record_replica.is_ready(23.2));
+    assert_eq!(pair.b.record_replica.count(), 1);
 }
 
 #[test]
-fn frames_are_written_and_read_as_the_fixture_says() {
+fn frames_encode_to_and_decode_from_the_fixture() {
     let mut pair = Pair::new();
     merged_state(&mut pair);
     log(&mut pair);
     claims(&mut pair);
     records(&mut pair);
-    pair.nobody_refused();
-    Fixture::assert_keeps(FRAMES, &pair.written);
+    pair.assert_nothing_rejected();
+    Fixture::assert_keeps(FRAMES, &pair.recorded);
 }
 
 #[test]
-fn every_kind_of_frame_is_in_the_fixture() {
+fn every_frame_body_is_in_the_fixture() {
     let fixture = Fixture::read(FRAMES);
     let found: BTreeSet<&str> = fixture
         .names()
         .map(|name| body(&fixture.bytes(name)).name())
         .collect();
-    assert_eq!(found, BTreeSet::from(BODIES));
+    assert_eq!(found, BTreeSet::from(FRAME_BODIES));
 }
 
 #[test]
-fn the_limits_of_frames_are_the_same() {
-    assert_eq!((STORE_VERSION, FRAME_MOST), (0x51, 512 << 10));
+fn frame_version_and_size_limit_are_unchanged() {
+    assert_eq!((STORE_VERSION, MAX_FRAME_BYTES), (0x51, 512 << 10));
 }
 
 // ---- values ----
 
-fn ended() -> Ended {
-    Ended {
+fn completion() -> Completion {
+    Completion {
         status: 0x0107,
-        ran: true,
+        may_have_run: true,
         body: Some(b"body".to_vec()),
     }
 }
 
 fn proposals() -> Vec<Proposal> {
-    let ops = vec![
-        Op::Settings {
+    let commands = vec![
+        Command::Settings {
             text: "settings".to_string(),
-            on: 0,
+            base_version: 0,
         },
-        Op::Word {
-            about: About::Runner("runner".to_string()),
-            out: true,
-            seen: 0x1002,
+        Command::Override {
+            target: OverrideTarget::Runner("runner".to_string()),
+            out_of_service: true,
+            seen_index: 0x1002,
         },
-        Op::Word {
-            about: About::Dispatcher("dispatcher".to_string()),
-            out: true,
-            seen: 0x1003,
+        Command::Override {
+            target: OverrideTarget::Dispatcher("dispatcher".to_string()),
+            out_of_service: true,
+            seen_index: 0x1003,
         },
-        Op::Voters(vec![0x1101, 0x1102, 0x1103]),
-        Op::Lends {
-            who: 0x1104,
-            yes: false,
+        Command::Voters(vec![0x1101, 0x1102, 0x1103]),
+        Command::Lending {
+            member: 0x1104,
+            enabled: false,
         },
     ];
-    let proposal = |(no, op)| Proposal {
-        who: 0x2001,
-        birth: 0x3001,
-        no,
-        op,
+    let proposal = |(sequence, command)| Proposal {
+        member: 0x2001,
+        process: 0x3001,
+        sequence,
+        command,
     };
-    (0x4001..).zip(ops).map(proposal).collect()
+    (0x4001..).zip(commands).map(proposal).collect()
 }
 
 /// No wildcard: a variant that is not named here does not compile.
 fn proposal_name(proposal: &Proposal) -> &'static str {
-    match &proposal.op {
-        Op::Settings { .. } => "proposal/settings",
-        Op::Word { about, .. } => match about {
-            About::Runner(_) => "proposal/word-runner",
-            About::Dispatcher(_) => "proposal/word-dispatcher",
+    match &proposal.command {
+        Command::Settings { .. } => "proposal/settings",
+        Command::Override { target, .. } => match target {
+            OverrideTarget::Runner(_) => "proposal/word-runner",
+            OverrideTarget::Dispatcher(_) => "proposal/word-dispatcher",
         },
-        Op::Voters(_) => "proposal/voters",
-        Op::Lends { .. } => "proposal/lends",
+        Command::Voters(_) => "proposal/voters",
+        Command::Lending { .. } => "proposal/lends",
     }
 }
 
-fn claim(mark: u64) -> ClaimId {
+fn claim(offset: u64) -> ClaimId {
     ClaimId {
         owner: Owner {
-            who: 0x5000 + mark,
-            birth: 0x6000 + mark,
+            member: 0x5000 + offset,
+            process: 0x6000 + offset,
         },
-        no: 0x7000 + mark,
+        number: 0x7000 + offset,
     }
 }
 
@@ -220,7 +227,7 @@
         ClaimReply::Granted,
         ClaimReply::Refused(Refusal {
             epoch: 2,
-            ended: Some(ended()),
+            completion: Some(completion()),
             age_ms: 0x8001,
         }),
         ClaimReply::Unavailable,
@@ -241,32 +248,32 @@
         claim: claim(1),
         epoch: 3,
         age_ms: 0x8101,
-        ended: None,
-        also: vec![claim(2), claim(3)],
+        completion: None,
+        other_claims: vec![claim(2), claim(3)],
     };
     let over = RecordCopy {
-        name: Name(u128::MAX),
+        name: WorkItemName(u128::MAX),
         claim: claim(4),
         epoch: 1,
         age_ms: 0x8102,
-        ended: Some(Ended {
+        completion: Some(Completion {
             status: 503,
-            ran: false,
+            may_have_run: false,
             body: None,
         }),
-        also: Vec::new(),
+        other_claims: Vec::new(),
     };
     RecordPage {
-        after: Some(Name(0x0102)),
+        after: Some(WorkItemName(0x0102)),
         records: vec![open, over],
         is_last: true,
     }
 }
 
-fn stamp(mark: u64) -> Stamp {
+fn stamp(offset: u64) -> Stamp {
     Stamp {
-        incarnation: 0x9000 + mark,
-        version: 0xa000 + mark,
+        incarnation: 0x9000 + offset,
+        version: 0xa000 + offset,
     }
 }
 
@@ -275,8 +282,8 @@
         owner,
         name: name.to_string(),
     };
-    let item = |mark, value| Item {
-        stamp: stamp(mark),
+    let item = |offset, value| Item {
+        stamp: stamp(offset),
         value,
     };
     vec![
@@ -288,22 +295,22 @@
 fn digest() -> Digest {
     Digest {
         owner: 0xc001,
-        last: stamp(3),
-        sum: 0x0102_0304_0506_0708,
+        latest: stamp(3),
+        checksum: 0x0102_0304_0506_0708,
     }
 }
 
 /// What is agreed after all proposals, from place 11 on.
-fn facts() -> Facts {
-    let mut facts = Facts::default();
+fn committed() -> CommittedState {
+    let mut committed = CommittedState::default();
     for (at, proposal) in (11..).zip(proposals()) {
-        assert!(facts.take(at, proposal));
+        assert!(committed.apply(at, proposal));
     }
-    facts
+    committed
 }
 
-fn merged() -> Merged {
-    let mut merged = Merged::new(0xb003, 0x9003, 600.0, 0.0);
+fn merged() -> MergedState {
+    let mut merged = MergedState::new(0xb003, 0x9003, 600.0, 0.0);
     for (key, item) in items() {
         assert!(merged.join(0.0, key, item));
     }
@@ -334,7 +341,7 @@
         DiskRecord::Snapshot(Snapshot {
             position: entry.position,
             voters: vec![voter],
-            state: facts().write(),
+            state: committed().encode(),
         }),
         DiskRecord::Entry(entry),
         DiskRecord::Truncate { from: 9 },
@@ -346,14 +353,14 @@
 }
 
 fn journal() -> Vec<u8> {
-    let mut file = begin(FLEET, ME, DISK, WRITTEN_BEFORE);
+    let mut file = encode_header(FLEET, ME, DISK, WRITTEN_BEFORE);
     for each in disk_records() {
-        file.extend(record(&each));
+        file.extend(encode_record(&each));
     }
     file
 }
 
-fn written(value: &impl Serialize) -> Vec<u8> {
+fn encoded(value: &impl Serialize) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap()
 }
 
@@ -384,27 +391,30 @@
 }
 
 #[test]
-fn values_are_written_as_the_fixture_says() {
+fn values_encode_to_the_fixture() {
     let mut fixture = Fixture::default();
     for proposal in proposals() {
-        fixture.add_bytes(proposal_name(&proposal), &written(&proposal));
+        fixture.add_bytes(proposal_name(&proposal), &encoded(&proposal));
     }
     for reply in replies() {
-        fixture.add_bytes(reply_name(&reply), &written(&reply));
+        fixture.add_bytes(reply_name(&reply), &encoded(&reply));
     }
-    fixture.add_bytes("record-page", &written(&page()));
-    fixture.add_bytes("items", &written(&items()));
-    fixture.add_bytes("digest", &written(&digest()));
-    fixture.add_bytes("facts", &facts().write());
-    fixture.add_bytes("merged", &merged().write());
-    fixture.add_bytes("merged-digest", &written(&merged().digest()));
+    fixture.add_bytes("record-page", &encoded(&page()));
+    fixture.add_bytes("items", &encoded(&items()));
+    fixture.add_bytes("digest", &encoded(&digest()));
+    fixture.add_bytes("facts", &committed().encode());
+    fixture.add_bytes("merged", &merged().encode());
+    fixture.add_bytes("merged-digest", &encoded(&merged().digest()));
     fixture.add_bytes("journal", &journal());
-    fixture.add_bytes("name", &Name::of("category", "called").0.to_be_bytes());
+    fixture.add_bytes(
+        "name",
+        &WorkItemName::new("category", "called").0.to_be_bytes(),
+    );
     Fixture::assert_keeps(VALUES, &fixture);
 }
 
 #[test]
-fn values_are_read_from_the_bytes_of_the_fixture() {
+fn values_decode_from_the_fixture() {
     for proposal in proposals() {
         reads_back(proposal_name(&proposal), &proposal);
     }
@@ -414,58 +424,65 @@
     reads_back("record-page", &page());
     reads_back("items", &items());
     reads_back("digest", &digest());
-    reads_back("facts", &facts());
+    reads_back("facts", &committed());
     let fixture = Fixture::read(VALUES);
-    assert_eq!(Facts::read(&fixture.bytes("facts")), Some(facts()));
-    assert_eq!(facts().done(0x2001, 0x3001, 0x4005), Some(true));
+    assert_eq!(
+        CommittedState::decode(&fixture.bytes("facts")),
+        Ok(committed())
+    );
+    assert_eq!(committed().outcome(0x2001, 0x3001, 0x4005), Some(true));
 }
 
 #[test]
-fn a_saved_copy_of_merged_state_is_taken_up() {
+fn saved_merged_state_is_restored() {
     let bytes = Fixture::read(VALUES).bytes("merged");
-    let mut again = Merged::new(0xb003, 0x9004, 600.0, 0.0);
-    assert!(again.take_up(0.0, &bytes, 1.0));
+    let mut again = MergedState::new(0xb003, 0x9004, 600.0, 0.0);
+    again.restore(0.0, &bytes, 1.0).unwrap();
     assert_eq!(again.get(0xb001, "name"), Some(&b"value"[..]));
     assert_eq!(again.get(0xb003, "own"), Some(&b"own value"[..]));
     assert_eq!(again.get(0xb002, "dropped"), None);
-    assert_eq!(again.count(), (3, 1));
+    let counts = ItemCounts {
+        items: 3,
+        tombstones: 1,
+    };
+    assert_eq!(again.count(), counts);
 }
 
 #[test]
-fn a_journal_is_opened() {
+fn a_stored_journal_is_decoded() {
     let bytes = Fixture::read(VALUES).bytes("journal");
     let records = disk_records();
-    let whole = Held::Whole {
+    let journal = Journal {
         disk: DISK,
-        written: WRITTEN_BEFORE + records.len() as u64,
-        recs: records,
-        upto: bytes.len(),
+        records_written: WRITTEN_BEFORE + records.len() as u64,
+        records,
+        valid_bytes: bytes.len(),
     };
-    assert_eq!(open(&bytes, FLEET, ME), whole);
+    assert_eq!(decode_journal(&bytes, FLEET, ME), Ok(Some(journal)));
 }
 
 /// A name's record is kept where all members look for it.
 #[test]
-fn names_are_kept_by_the_same_members() {
-    let members: Vec<u64> = (1..=9).map(|mark| 0xe000 + mark).collect();
-    let name = Name::of("category", "called");
+fn names_have_the_same_replicas() {
+    let members: Vec<u64> = (1..=9).map(|offset| 0xe000 + offset).collect();
+    let name = WorkItemName::new("category", "called");
     assert_eq!(replicas(name, &members, 1), [0xe003, 0xe008, 0xe005]);
 }
 
 /// A word that waits for its agreement lies in merged state, under a name that says about whom it is.
 #[test]
-fn waiting_words_lie_in_merged_state_as_before() {
+fn pending_overrides_have_the_same_form_in_merged_state() {
     let mut pair = Pair::new();
-    for about in [
-        About::Runner("one".to_string()),
-        About::Dispatcher("two".to_string()),
+    for target in [
+        OverrideTarget::Runner("one".to_string()),
+        OverrideTarget::Dispatcher("two".to_string()),
     ] {
-        pair.b.word(0.0, about, true).unwrap();
+        pair.b.set_out_of_service(0.0, target, true).unwrap();
     }
     let words: Vec<(String, String)> = pair
         .b
         .merged
-        .under("word/")
+        .with_prefix("word/")
         .map(|(key, value)| (key.name.clone(), sagetrail_fixture::hex(value)))
         .collect();
     // The place that was seen (none), the process, the proposal's number.
--- a/crates/dispatcher/replicated-store/tests/stored.rs
+++ b/crates/dispatcher/replicated-store/tests/stored.rs
@@ -1,7 +1,7 @@
 //! What a store keeps in its folder: files that an earlier build wrote are read as they were meant, and a build writes
 //! the same bytes today.
 //!
-//! `fixtures/every-record` is a log with each kind of record; `fixtures/log` and `fixtures/merged` come from `play`,
+//! `fixtures/every-record` is a log with each kind of record; `fixtures/log` and `fixtures/merged` come from `run_scenario`,
 //! a member that agrees with itself on everything that can be agreed, across a snapshot. Where a format has to change
 //! on purpose, `WRITE_STORED=1 cargo test -p sagetrail-replicated-store --test stored` writes them again; what changed then
 //! stands in the commit, with how a member reads the older files. The record of hand-offs is not on disk.
@@ -10,7 +10,8 @@
     DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition, Snapshot, Timing, Voter,
 };
 use sagetrail_replicated_store::{
-    begin, open, record, About, Held, Item, Key, Node, NodeConfig, Op, Said, Stamp, Version,
+    decode_journal, encode_header, encode_record, ActiveOverride, Command, Item, ItemCounts,
+    Journal, Key, Node, NodeConfig, OperatorOverride, OverrideTarget, SettingsVersion, Stamp,
 };
 use std::path::PathBuf;
 
@@ -18,8 +19,8 @@
 const ME: u64 = 0x11;
 const OTHER: u64 = 0x22;
 const DISK: u64 = 0x3333;
-const BIRTH: u64 = 0x77;
-const LATER_BIRTH: u64 = 0x88;
+const PROCESS: u64 = 0x77;
+const LATER_PROCESS: u64 = 0x88;
 /// More than are kept to go back to.
 const SETTINGS: u64 = 10;
 /// Enough proposals for a snapshot; more follow it in the log.
@@ -42,7 +43,7 @@
 }
 
 /// What is written today is what is stored.
-fn check_written(name: &str, bytes: &[u8]) {
+fn check_stored(name: &str, bytes: &[u8]) {
     if std::env::var_os("WRITE_STORED").is_some() {
         std::fs::create_dir_all(fixture("")).unwrap();
         std::fs::write(fixture(name), bytes).unwrap();
@@ -97,41 +98,41 @@
 }
 
 #[test]
-fn every_kind_of_record_is_written_and_read_as_stored() {
-    let mut bytes = begin(fleet(), ME, DISK, 1_000);
+fn every_kind_of_record_encodes_to_and_decodes_from_the_stored_journal() {
+    let mut bytes = encode_header(fleet(), ME, DISK, 1_000);
     every_record()
         .iter()
-        .for_each(|rec| bytes.extend(record(rec)));
-    check_written("every-record", &bytes);
+        .for_each(|record| bytes.extend(encode_record(record)));
+    check_stored("every-record", &bytes);
     let stored = stored("every-record");
     let records = every_record();
-    let held = Held::Whole {
+    let journal = Journal {
         disk: DISK,
-        written: 1_000 + records.len() as u64,
-        recs: records,
-        upto: stored.len(),
+        records_written: 1_000 + records.len() as u64,
+        records,
+        valid_bytes: stored.len(),
     };
-    assert_eq!(open(&stored, fleet(), ME), held);
+    assert_eq!(decode_journal(&stored, fleet(), ME), Ok(Some(journal)));
 }
 
 /// The member with what a log holds.
-fn member(records: Vec<DiskRecord>, disk: u64, written: u64, birth: u64) -> Node {
+fn member(records: Vec<DiskRecord>, disk: u64, records_written: u64, process: u64) -> Node {
     let config = NodeConfig {
         fleet: FLEET.to_string(),
-        me: ME,
+        member: ME,
         members: vec![ME, OTHER],
         initial_voters: vec![ME],
         timing: Timing {
             heartbeat_s: 0.05,
             election_timeout_s: 0.5,
         },
-        incarnation: birth,
-        birth,
+        incarnation: process,
+        process,
         disk,
         records,
-        written,
-        marks_s: MARKS_S,
-        records_s: 6.0,
+        records_written,
+        tombstone_retention_s: MARKS_S,
+        record_retention_s: 6.0,
     };
     Node::new(config, NOW)
 }
@@ -168,10 +169,10 @@
     }
 
     /// Whether it was taken.
-    fn agree(&mut self, op: Op) -> bool {
-        let no = self.node.propose(self.now, op).unwrap();
+    fn agree(&mut self, op: Command) -> bool {
+        let sequence = self.node.propose(self.now, op).unwrap();
         for _ in 0..500 {
-            if let Some(taken) = self.node.done(no) {
+            if let Some(taken) = self.node.proposal_outcome(sequence) {
                 return taken;
             }
             self.run(0.01);
@@ -198,51 +199,54 @@
     }
 }
 
-fn waiting() -> [About; 2] {
+fn waiting() -> [OverrideTarget; 2] {
     [
-        About::Runner("waits".to_string()),
-        About::Dispatcher("waits".to_string()),
+        OverrideTarget::Runner("waits".to_string()),
+        OverrideTarget::Dispatcher("waits".to_string()),
     ]
 }
 
 /// Settings, words, loans and voters are agreed; merged state has values and marks of its own and of another.
-fn play() -> Host {
+fn run_scenario() -> Host {
     let mut host = Host::new(
-        member(Vec::new(), DISK, 0, BIRTH),
-        begin(fleet(), ME, DISK, 0),
+        member(Vec::new(), DISK, 0, PROCESS),
+        encode_header(fleet(), ME, DISK, 0),
     );
     host.run(3.0);
-    for on in 0..SETTINGS {
-        let text = settings(on + 1);
-        assert!(host.agree(Op::Settings { text, on }));
+    for base_version in 0..SETTINGS {
+        let text = settings(base_version + 1);
+        assert!(host.agree(Command::Settings { text, base_version }));
     }
-    let word = |about: About, out: bool| Op::Word {
-        about,
-        out,
-        seen: 0,
+    let set_override = |target: OverrideTarget, out_of_service: bool| Command::Override {
+        target,
+        out_of_service,
+        seen_index: 0,
     };
     // These are in the snapshot.
-    let about = About::Runner("held-out".to_string());
-    assert!(host.agree(word(about, true)));
-    assert!(host.agree(Op::Lends {
-        who: OTHER,
-        yes: false
+    let target = OverrideTarget::Runner("held-out".to_string());
+    assert!(host.agree(set_override(target, true)));
+    assert!(host.agree(Command::Lending {
+        member: OTHER,
+        enabled: false
     }));
-    assert!(host.agree(Op::Voters(vec![ME])));
+    assert!(host.agree(Command::Voters(vec![ME])));
     for number in 0..WORDS {
-        let about = About::Runner("runner".to_string());
-        assert!(host.agree(word(about, number % 2 == 0)));
+        let target = OverrideTarget::Runner("runner".to_string());
+        assert!(host.agree(set_override(target, number % 2 == 0)));
     }
     // Behind the snapshot.
-    let about = About::Dispatcher("dispatcher".to_string());
-    assert!(host.agree(word(about, true)));
-    assert!(host.agree(Op::Lends {
-        who: 0x33,
-        yes: false
+    let target = OverrideTarget::Dispatcher("dispatcher".to_string());
+    assert!(host.agree(set_override(target, true)));
+    assert!(host.agree(Command::Lending {
+        member: 0x33,
+        enabled: false
     }));
-    assert!(host.agree(Op::Voters(vec![ME])));
+    assert!(host.agree(Command::Voters(vec![ME])));
     let text = "of a version that is gone".to_string();
-    assert!(!host.agree(Op::Settings { text, on: 3 }));
+    assert!(!host.agree(Command::Settings {
+        text,
+        base_version: 3
+    }));
     let merged = &mut host.node.merged;
     assert!(merged.put(host.now, "kept", Some(b"value".to_vec())));
     assert!(merged.put(host.now, "dropped", Some(b"gone".to_vec())));
@@ -255,142 +259,152 @@
         merged.join(host.now, other_key(name), Item { stamp, value });
     }
     // Said and not agreed yet.
-    for about in waiting() {
-        host.node.word(host.now, about, true).unwrap();
+    for target in waiting() {
+        host.node
+            .set_out_of_service(host.now, target, true)
+            .unwrap();
     }
     host
 }
 
 #[test]
-fn the_same_play_writes_the_same_files() {
-    let host = play();
-    check_written("log", &host.log);
-    check_written("merged", &host.node.merged.write());
+fn the_same_scenario_writes_the_same_files() {
+    let host = run_scenario();
+    check_stored("log", &host.log);
+    check_stored("merged", &host.node.merged.encode());
 }
 
 /// The member on the stored log.
 fn restarted() -> Host {
     let log = stored("log");
-    let Held::Whole {
-        disk,
-        recs,
-        written,
-        upto,
-    } = open(&log, fleet(), ME)
-    else {
-        panic!("the stored log is whole");
-    };
-    assert_eq!((disk, upto), (DISK, log.len()));
-    assert!(recs
+    let journal = decode_journal(&log, fleet(), ME).unwrap().unwrap();
+    assert_eq!((journal.disk, journal.valid_bytes), (DISK, log.len()));
+    let records = journal.records;
+    assert!(records
         .iter()
         .any(|record| matches!(record, DiskRecord::Snapshot(_))));
-    assert!(recs
+    assert!(records
         .iter()
         .any(|record| matches!(record, DiskRecord::Entry(_))));
-    Host::new(member(recs, disk, written, LATER_BIRTH), log)
+    Host::new(
+        member(
+            records,
+            journal.disk,
+            journal.records_written,
+            LATER_PROCESS,
+        ),
+        log,
+    )
 }
 
-fn check_facts(node: &Node) {
-    let facts = &node.facts;
-    let versions: Vec<Version> = (SETTINGS - 7..=SETTINGS)
-        .map(|no| Version {
-            no,
-            text: settings(no),
-            by: ME,
+fn check_committed(node: &Node) {
+    let committed = &node.committed;
+    let versions: Vec<SettingsVersion> = (SETTINGS - 7..=SETTINGS)
+        .map(|number| SettingsVersion {
+            number,
+            text: settings(number),
+            member: ME,
         })
         .collect();
-    assert_eq!(facts.versions, versions);
-    assert_eq!(facts.settings(), settings(SETTINGS));
-    let words: Vec<(&About, &Vec<Said>)> = facts.words.iter().collect();
+    assert_eq!(committed.versions, versions);
+    assert_eq!(committed.settings(), settings(SETTINGS));
+    let overrides: Vec<(&OverrideTarget, &Vec<OperatorOverride>)> =
+        committed.overrides.iter().collect();
     let (runner, dispatcher) = (
-        About::Runner("held-out".to_string()),
-        About::Dispatcher("dispatcher".to_string()),
+        OverrideTarget::Runner("held-out".to_string()),
+        OverrideTarget::Dispatcher("dispatcher".to_string()),
     );
-    let said = |at| {
-        vec![Said {
-            out: true,
-            at,
-            by: ME,
+    let one_override = |index| {
+        vec![OperatorOverride {
+            out_of_service: true,
+            index,
+            member: ME,
         }]
     };
     let first_word = FIRST_PROPOSAL + SETTINGS;
     assert_eq!(
-        words,
+        overrides,
         [
-            (&runner, &said(first_word)),
-            (&dispatcher, &said(first_word + 3 + WORDS))
+            (&runner, &one_override(first_word)),
+            (&dispatcher, &one_override(first_word + 3 + WORDS))
         ]
     );
-    assert_eq!(facts.voters, [ME]);
-    let no_loans: Vec<u64> = facts.no_loans.iter().copied().collect();
-    assert_eq!(no_loans, [OTHER, 0x33]);
+    assert_eq!(committed.voters, [ME]);
+    let lending_disabled: Vec<u64> = committed.lending_disabled.iter().copied().collect();
+    assert_eq!(lending_disabled, [OTHER, 0x33]);
     let last = SETTINGS + WORDS + 7;
-    assert_eq!(facts.done(ME, BIRTH, last), Some(false));
-    assert_eq!(facts.done(ME, BIRTH, last - 1), None);
-    assert!(facts.agreed_from(ME, BIRTH, last));
+    assert_eq!(committed.outcome(ME, PROCESS, last), Some(false));
+    assert_eq!(committed.outcome(ME, PROCESS, last - 1), None);
+    assert!(committed.has_committed(ME, PROCESS, last));
 }
 
 /// The place of the first proposal in the log, behind the voters and the leader's own entries.
 const FIRST_PROPOSAL: u64 = 3;
 
 #[test]
-fn what_was_agreed_is_taken_up_and_the_next_is_agreed() {
+fn a_restart_on_the_stored_log_keeps_committed_state_and_commits_more() {
     let mut host = restarted();
     // Before it leads again it holds out whoever may be out.
-    let out = |node: &Node| -> Vec<About> {
-        node.all_out().into_iter().map(|(about, _)| about).collect()
+    let out = |node: &Node| -> Vec<OverrideTarget> {
+        node.active_overrides()
+            .into_iter()
+            .map(|active| active.target)
+            .collect()
     };
     let held_out = [
-        About::Runner("held-out".to_string()),
-        About::Dispatcher("dispatcher".to_string()),
+        OverrideTarget::Runner("held-out".to_string()),
+        OverrideTarget::Dispatcher("dispatcher".to_string()),
     ];
-    for about in &held_out {
-        assert!(out(&host.node).contains(about), "{about:?}");
+    for target in &held_out {
+        assert!(out(&host.node).contains(target), "{target:?}");
     }
     host.run(3.0);
     assert_eq!(host.node.disk(), DISK);
     assert_eq!(host.node.fault(), None);
-    check_facts(&host.node);
+    check_committed(&host.node);
     assert_eq!(out(&host.node), held_out);
     let text = settings(SETTINGS + 1);
-    assert!(host.agree(Op::Settings {
+    assert!(host.agree(Command::Settings {
         text: text.clone(),
-        on: SETTINGS,
+        base_version: SETTINGS,
     }));
-    let Held::Whole {
+    let journal = decode_journal(&host.log, fleet(), ME).unwrap().unwrap();
+    let Journal {
         disk,
-        recs,
-        written,
+        records,
+        records_written,
         ..
-    } = open(&host.log, fleet(), ME)
-    else {
-        panic!("the log is whole");
-    };
-    let mut again = Host::new(member(recs, disk, written, LATER_BIRTH + 1), host.log);
+    } = journal;
+    let restarted = member(records, disk, records_written, LATER_PROCESS + 1);
+    let mut again = Host::new(restarted, host.log);
     again.run(3.0);
-    assert_eq!(again.node.facts.settings(), text);
+    assert_eq!(again.node.committed.settings(), text);
 }
 
 #[test]
-fn merged_state_is_taken_up_and_goes_on() {
+fn stored_merged_state_is_restored_and_continues() {
     let mut host = restarted();
     let merged = &mut host.node.merged;
-    assert!(merged.take_up(NOW, &stored("merged"), 1.0));
+    merged.restore(NOW, &stored("merged"), 1.0).unwrap();
     assert_eq!(merged.get(ME, "kept"), Some(&b"value"[..]));
     assert_eq!(merged.get(OTHER, "theirs"), Some(&b"their value"[..]));
     assert_eq!(merged.get(ME, "dropped"), None);
     // Its own goes on under this process's stamps, without a mark of what it had dropped.
-    assert_eq!(merged.count(), (5, 1));
-    let lasts: Vec<(u64, Stamp)> = merged
+    let counts = ItemCounts {
+        items: 5,
+        tombstones: 1,
+    };
+    assert_eq!(merged.count(), counts);
+    let latest: Vec<(u64, Stamp)> = merged
         .digest()
         .iter()
-        .map(|digest| (digest.owner, digest.last))
+        .map(|digest| (digest.owner, digest.latest))
         .collect();
     let mine = Stamp {
-        incarnation: LATER_BIRTH,
+        incarnation: LATER_PROCESS,
         version: 3,
     };
-    assert_eq!(lasts, [(ME, mine), (OTHER, stamp(8))]);
+    assert_eq!(latest, [(ME, mine), (OTHER, stamp(8))]);
     // What is older than the stored mark does not come back; what is newer is taken.
     let older = Item {
         stamp: stamp(6),
@@ -405,22 +419,32 @@
     merged.join(NOW, other_key("theirs"), newer);
     assert_eq!(merged.get(OTHER, "theirs"), Some(&b"newer"[..]));
     assert!(merged.put(NOW, "kept", Some(b"next".to_vec())));
-    let copy = merged.write();
-    assert!(merged.take_up(NOW, &copy, 1.0));
+    let copy = merged.encode();
+    merged.restore(NOW, &copy, 1.0).unwrap();
     assert_eq!(merged.get(ME, "kept"), Some(&b"next"[..]));
 }
 
+fn active(target: &OverrideTarget, is_committed: bool) -> ActiveOverride {
+    ActiveOverride {
+        target: target.clone(),
+        is_committed,
+    }
+}
+
 #[test]
-fn words_that_wait_in_merged_state_hold_and_are_agreed() {
+fn pending_overrides_hold_after_a_restart_and_are_committed() {
     let mut host = restarted();
-    assert!(host.node.merged.take_up(NOW, &stored("merged"), 1.0));
-    let out = host.node.all_out();
-    for about in waiting() {
-        assert!(out.contains(&(about.clone(), false)), "{about:?}");
+    host.node
+        .merged
+        .restore(NOW, &stored("merged"), 1.0)
+        .unwrap();
+    let out = host.node.active_overrides();
+    for target in waiting() {
+        assert!(out.contains(&active(&target, false)), "{target:?}");
     }
     host.run(5.0);
-    let out = host.node.all_out();
-    for about in waiting() {
-        assert!(out.contains(&(about.clone(), true)), "{about:?}");
+    let out = host.node.active_overrides();
+    for target in waiting() {
+        assert!(out.contains(&active(&target, true)), "{target:?}");
     }
 }
