--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -1,9 +1,11 @@
 //! The thread that writes: takes all writes that wait, syncs them as one, reports what waited for them.
 
+use std::sync::mpsc::{channel, Receiver, Sender};
+
+use sagetrail_protocol::node::DiskWrite;
+
 use super::{DiskError, Store};
 use crate::input::{Input, Inputs};
-use sagetrail_protocol::node::DiskWrite;
-use std::sync::mpsc::{channel, Receiver, Sender};
 
 /// Operations that are synced as one at most; a longer sync holds up what waits first.
 const MOST_OPERATIONS: usize = 8192;
@@ -62,7 +64,7 @@
     let mut then = Vec::new();
     let mut tokens = Vec::new();
     for write in group {
-        then.extend(write.then);
+        then.extend(write.send_when_synced);
         tokens.extend(write.token);
     }
     Input::Synced { then, tokens }
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -2,13 +2,16 @@
 
 mod common;
 
-use common::{folder, numbered, soon};
+use std::path::Path;
+
+use tokio::sync::mpsc;
+
 use sagetrail_cluster_node::disk::{Disk, DiskError, Store};
 use sagetrail_cluster_node::input::Input;
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use sagetrail_protocol::NodeId;
-use std::path::Path;
-use tokio::sync::mpsc;
+
+use common::{folder, numbered, soon};
 
 fn put(table: Table, key: &[u8], value: &[u8]) -> DiskOperation {
     DiskOperation::Put {
@@ -162,7 +165,7 @@
         let then = vec![(to, numbered(number))];
         disk.submit(DiskWrite {
             operations,
-            then,
+            send_when_synced: then,
             token: Some(number),
         });
     }
--- a/crates/cluster/cluster-node/tests/health_check.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -2,15 +2,18 @@
 
 mod common;
 
-use common::soon;
-use sagetrail_cluster_node::health_check;
-use sagetrail_cluster_node::input::Input;
-use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
 use std::net::{Ipv4Addr, SocketAddrV4};
+
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
+use sagetrail_cluster_node::health_check;
+use sagetrail_cluster_node::input::Input;
+use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
+
+use common::soon;
+
 async fn listening() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -85,19 +88,19 @@
 async fn a_connection_that_breaks_off_is_no_refusal() {
     let (listener, address) = listening().await;
     let served = tokio::spawn(answer(listener, b""));
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
     served.await.unwrap();
 }
 
 #[tokio::test]
 async fn no_answer_in_time_is_silence() {
     let (listener, address) = listening().await;
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
     drop(listener);
 }
 
 #[tokio::test]
 async fn a_path_that_makes_no_request_is_silence() {
     let (_listener, address) = listening().await;
-    assert_eq!(look(address, "no path").await, HealthCheckResult::Silent);
+    assert_eq!(look(address, "no path").await, HealthCheckResult::NoAnswer);
 }
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -8,7 +8,9 @@
 mod common;
 mod stored;
 
-use common::folder;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+
 use sagetrail_cluster_node::disk::Store;
 use sagetrail_control_plane::{AcceptedChanges, RegisterValue};
 use sagetrail_protocol::agent::RunEnd;
@@ -19,8 +21,8 @@
 };
 use sagetrail_protocol::node::DiskImage;
 use sagetrail_protocol::NodeId;
-use std::fmt::Write;
-use std::path::{Path, PathBuf};
+
+use common::folder;
 use stored::{LoneCore, PlayedRunner, FOREIGN, GATEWAY, ME};
 
 const INCARNATION: u64 = 0x1111_2222_3333_4444;
@@ -151,7 +153,7 @@
     rounds(&mut core, &mut runners);
     let prepare = Prepare {
         proposal: FOREIGN_PROPOSAL,
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     };
     let promised = core.ask(FOREIGN, ControlMessage::Prepare(prepare));
     assert!(matches!(promised, ControlMessage::Promise(_)));
@@ -259,7 +261,7 @@
 fn foreign_read() -> ControlMessage {
     ControlMessage::Read(Read {
         nonce: 5,
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     })
 }
 
@@ -281,9 +283,9 @@
             counter: FOREIGN_PROPOSAL.counter - 1,
             ..FOREIGN_PROPOSAL
         },
-        have: ProposalNumber::default(),
+        known: ProposalNumber::default(),
     };
-    let ControlMessage::Refused(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
+    let ControlMessage::Rejected(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
     else {
         panic!("a lower ballot is refused");
     };
@@ -462,7 +464,7 @@
                 start.task.0.clone(),
                 start.attempt,
                 start.spec.0.clone(),
-                start.saved.0.clone(),
+                start.checkpoint.0.clone(),
             )
         })
         .collect();
--- a/crates/cluster/protocol/tests/examples/members.rs
+++ b/crates/cluster/protocol/tests/examples/members.rs
@@ -1,12 +1,13 @@
 //! What names a process, the opening of a connection, and the enums without fields.
 
-use super::{complete, variants, Example};
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
 use sagetrail_protocol::control::ChangeKind;
 use sagetrail_protocol::frame::Preamble;
 use sagetrail_protocol::{NodeId, NodeKind};
 
+use super::{complete, variants, Example};
+
 variants!(NODE_KINDS, node_kind, NodeKind, {
     NodeKind::Frontend => "frontend",
     NodeKind::Side => "side",
@@ -23,10 +24,10 @@
     RunEnd::Done => "done",
     RunEnd::Failed => "failed",
     RunEnd::Stopped => "stopped",
-    RunEnd::Lapsed => "lapsed",
-    RunEnd::Broken => "broken",
-    RunEnd::Alone => "alone",
-    RunEnd::Refused => "refused",
+    RunEnd::LeaseExpired => "lapsed",
+    RunEnd::GangMemberEnded => "broken",
+    RunEnd::GangTimedOut => "alone",
+    RunEnd::Rejected => "refused",
 });
 
 variants!(CHANGE_KINDS, change_kind, ChangeKind, {
@@ -77,10 +78,10 @@
             RunEnd::Done,
             RunEnd::Failed,
             RunEnd::Stopped,
-            RunEnd::Lapsed,
-            RunEnd::Broken,
-            RunEnd::Alone,
-            RunEnd::Refused,
+            RunEnd::LeaseExpired,
+            RunEnd::GangMemberEnded,
+            RunEnd::GangTimedOut,
+            RunEnd::Rejected,
         ],
     ));
     examples.extend(complete(
