--- a/crates/dispatcher/dispatcher/src/door.rs
+++ b/crates/dispatcher/dispatcher/src/client_context.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 /// What all client connections share.
-pub(crate) struct Door {
+pub(crate) struct ClientContext {
     pub mailbox: Mailbox,
     /// What outlives the process, where there is a store.
     pub store: Option<Rc<Store>>,
@@ -52,7 +52,7 @@
     pub stamps: Cell<u64>,
 }
 
-impl Door {
+impl ClientContext {
     /// Closes the connection that has been idle longest; false if none is.
     pub(crate) fn spare_one(&self) -> bool {
         let longest = self.idle.borrow_mut().pop_first();
@@ -96,12 +96,12 @@
             self.closing.send_replace(self.shutting_down.get());
             return;
         }
-        let (door, this) = (self.clone(), self.drains.get());
+        let (client_context, this) = (self.clone(), self.drains.get());
         spawn_local(async move {
             sleep(Duration::from_secs_f64(LOOKED_S)).await;
             // Guards against an end of the drain, or an end and another drain, in between.
-            if door.drained.get() && door.drains.get() == this {
-                door.closing.send_replace(true);
+            if client_context.drained.get() && client_context.drains.get() == this {
+                client_context.closing.send_replace(true);
             }
         });
     }
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients' side, and the runners' call-backs, which come to the same address.
 
-use crate::door::Door;
+use crate::client_context::ClientContext;
 use crate::handover::{Ask, Heard};
 use crate::http::{next, wire, Fault, Method, Request, Serving, BODY_MOST, HEAD_MOST};
 use crate::sockets::Mailbox;
@@ -57,8 +57,8 @@
     }
 }
 
-pub(crate) async fn listen(listener: TcpListener, door: Rc<Door>) {
-    let places = Arc::new(Semaphore::new(door.most + door.more));
+pub(crate) async fn listen(listener: TcpListener, client_context: Rc<ClientContext>) {
+    let places = Arc::new(Semaphore::new(client_context.most + client_context.more));
     loop {
         // Guards against clients that keep many connections: the longest idle makes room.
         let place = loop {
@@ -66,24 +66,25 @@
                 Ok(Ok(place)) => break place,
                 Ok(Err(_)) => return,
                 Err(_) => {
-                    door.spare_one();
+                    client_context.spare_one();
                 }
             }
         };
         match listener.accept().await {
             Ok((stream, _)) => {
-                if door.open.get() >= door.most {
-                    door.spare_one();
+                if client_context.open.get() >= client_context.most {
+                    client_context.spare_one();
                 }
-                let door = door.clone();
+                let client_context = client_context.clone();
                 spawn_local(async move {
-                    let (_place, _placed) = (place, Counted::new(&door.placed));
-                    let open = Counted::new(&door.open);
-                    let Ok(Some((wire, within_s))) = connection(stream, &door).await else {
+                    let (_place, _placed) = (place, Counted::new(&client_context.placed));
+                    let open = Counted::new(&client_context.open);
+                    let Ok(Some((wire, within_s))) = connection(stream, &client_context).await
+                    else {
                         return;
                     };
                     // It keeps its place, but takes nobody's: no work is turned away for one that is on its way out.
-                    let _unsettled = Counted::new(&door.unsettled);
+                    let _unsettled = Counted::new(&client_context.unsettled);
                     drop(open);
                     let _ = linger(wire, within_s).await;
                 });
@@ -118,7 +119,10 @@
 }
 
 /// A connection's life up to its close: what is left to be read to its end and for how long, if anybody is there.
-async fn connection(stream: TcpStream, door: &Door) -> Result<Option<(Wire, f64)>, Fault> {
+async fn connection(
+    stream: TcpStream,
+    client_context: &ClientContext,
+) -> Result<Option<(Wire, f64)>, Fault> {
     let mut wire = wire(stream, Serving::default());
     let mut fresh = Some(Instant::now());
     let mut ahead = Ahead::default();
@@ -126,16 +130,16 @@
     loop {
         let come = match ahead.read.take() {
             Some(read) => Come::read(Some(read)),
-            None => request(&mut wire, fresh.take(), callback, door).await,
+            None => request(&mut wire, fresh.take(), callback, client_context).await,
         };
-        let unsettled = Counted::new(&door.unsettled);
+        let unsettled = Counted::new(&client_context.unsettled);
         let overrun = std::mem::take(&mut ahead.overrun);
         let (mut reply, open, keep) = match come {
             Come::Gone => return Ok(None),
             // Guards against a reset over a request that crosses the close: it is read and left, and its client, who
             // sees a plain end, sends it once more elsewhere.
             Come::Close => {
-                let within_s = if door.short_of_places() {
+                let within_s = if client_context.short_of_places() {
                     0.0
                 } else {
                     LINGER_S
@@ -143,11 +147,13 @@
                 return Ok(Some((wire, within_s)));
             }
             Come::Request(request) => {
-                let _busy = Counted::new(&door.busy);
+                let _busy = Counted::new(&client_context.busy);
                 let keep = request.keep && !overrun;
                 callback = request.target == CALLBACKS;
                 let bare = request.method == Method::Head;
-                let Some((reply, open)) = answer(request, &mut wire, &mut ahead, door).await else {
+                let Some((reply, open)) =
+                    answer(request, &mut wire, &mut ahead, client_context).await
+                else {
                     return Ok(None);
                 };
                 (Reply { bare, ..reply }, open, keep)
@@ -159,8 +165,10 @@
                 (Reply::new(status, format!("{fault}\n")), None, false)
             }
         };
-        let busy = Counted::new(&door.busy);
-        reply.close = !keep || door.lets_go(callback) || door.open.get() > door.most;
+        let busy = Counted::new(&client_context.busy);
+        reply.close = !keep
+            || client_context.lets_go(callback)
+            || client_context.open.get() > client_context.most;
         let (close, status) = (reply.close, reply.status);
         let sent = timeout(Duration::from_secs_f64(SLOW_S), wire.send(reply)).await;
         sent.map_err(|_| Fault::Unfinished)??;
@@ -174,27 +182,32 @@
 }
 
 /// Waits for the next request.
-async fn request(wire: &mut Wire, fresh: Option<Instant>, callback: bool, door: &Door) -> Come {
+async fn request(
+    wire: &mut Wire,
+    fresh: Option<Instant>,
+    callback: bool,
+    client_context: &ClientContext,
+) -> Come {
     // Guards against shutting a new connection whose first request is under way: its client takes that for a
     // request lost, and sends nothing again, unlike on a connection that has served.
     let until = fresh.map(|opened| opened + Duration::from_secs_f64(FRESH_S));
     let come = match until {
         Some(until) => {
-            let _unsettled = Counted::new(&door.unsettled);
+            let _unsettled = Counted::new(&client_context.unsettled);
             timeout_at(until, begun(wire)).await.ok()
         }
         None => None,
     };
     let come = match come {
         Some(come) => Some(come),
-        None => idle(wire, callback, door).await,
+        None => idle(wire, callback, client_context).await,
     };
     match come {
         None => Come::Close,
         Some(Some(read)) => Come::read(read),
         Some(None) => {
             // Guards against an end of the process in the middle of a request.
-            let _unsettled = Counted::new(&door.unsettled);
+            let _unsettled = Counted::new(&client_context.unsettled);
             let read = timeout(Duration::from_secs_f64(SLOW_S), next(wire)).await;
             Come::read(read.unwrap_or(Some(Err(Fault::Unfinished))))
         }
@@ -202,18 +215,21 @@
 }
 
 /// Waits as one of the idle connections; `None` if it is this one's turn to be closed.
-async fn idle(wire: &mut Wire, callback: bool, door: &Door) -> Option<Begun> {
-    let (stamp, close) = (door.stamp(), Rc::new(Notify::new()));
-    door.idle.borrow_mut().insert(stamp, close.clone());
-    let mut closing = door.closing.subscribe();
+async fn idle(wire: &mut Wire, callback: bool, client_context: &ClientContext) -> Option<Begun> {
+    let (stamp, close) = (client_context.stamp(), Rc::new(Notify::new()));
+    client_context
+        .idle
+        .borrow_mut()
+        .insert(stamp, close.clone());
+    let mut closing = client_context.closing.subscribe();
     let come = tokio::select! {
         biased;
         come = begun(wire) => Some(come),
         () = close.notified() => None,
-        _ = closing.wait_for(|closing| *closing && door.sends_away(callback)) => None,
+        _ = closing.wait_for(|closing| *closing && client_context.sends_away(callback)) => None,
         () = sleep(Duration::from_secs_f64(IDLE_S)) => None,
     };
-    door.idle.borrow_mut().remove(&stamp);
+    client_context.idle.borrow_mut().remove(&stamp);
     if come.is_some() {
         return come;
     }
@@ -301,37 +317,45 @@
     request: Request,
     wire: &mut Wire,
     ahead: &mut Ahead,
-    door: &Door,
+    client_context: &ClientContext,
 ) -> Option<(Reply, Option<Open>)> {
     let path = request.target.split('?').next().unwrap_or_default();
     let looks = matches!(request.method, Method::Get | Method::Head);
     let reply = match path {
-        "/health/ready" if looks && door.shutting_down.get() && !door.handing_over.get() => {
+        "/health/ready"
+            if looks
+                && client_context.shutting_down.get()
+                && !client_context.handing_over.get() =>
+        {
             Reply::new(503, "ending\n")
         }
-        "/health/ready" if looks && door.drained.get() => Reply::new(503, "drained by hand\n"),
-        "/health/ready" if looks && !door.listed.get() => Reply::new(503, "no list yet\n"),
+        "/health/ready" if looks && client_context.drained.get() => {
+            Reply::new(503, "drained by hand\n")
+        }
+        "/health/ready" if looks && !client_context.listed.get() => {
+            Reply::new(503, "no list yet\n")
+        }
         "/health/ready" | "/health/live" if looks => Reply::new(200, "ok\n"),
         CALLBACKS if request.method == Method::Post => {
             match serde_json::from_slice::<Callback>(&request.body) {
-                Ok(told) => callback(told, door).await,
+                Ok(told) => callback(told, client_context).await,
                 Err(error) => Reply::new(400, format!("{error}\n")),
             }
         }
         "/health/ready" | "/health/live" | CALLBACKS => Reply::new(405, "not with this method\n"),
         _ if request.method != Method::Post => Reply::new(405, "jobs come by POST\n"),
-        _ => match job(&request, door) {
+        _ => match job(&request, client_context) {
             Ok((job, wait_s)) => {
-                let open = Open::new(&door.figures, job.category);
-                let reply = match door.crowded() {
+                let open = Open::new(&client_context.figures, job.category);
+                let reply = match client_context.crowded() {
                     true => {
-                        let retry_after_s = door.retry_after_s;
+                        let retry_after_s = client_context.retry_after_s;
                         Reply {
                             retry_after_s,
                             ..Reply::new(503, "too many connections\n")
                         }
                     }
-                    false => work(request, job, wait_s, wire, ahead, door).await?,
+                    false => work(request, job, wait_s, wire, ahead, client_context).await?,
                 };
                 return Some((reply, Some(open)));
             }
@@ -343,20 +367,21 @@
 
 /// What a runner tells. Guards against news that come to the other process at this address: they go to the one
 /// that holds the work item, and the runner tells again what that did not hear.
-async fn callback(callback: Callback, door: &Door) -> Reply {
-    if !door.handover.linked() {
-        door.mailbox
+async fn callback(callback: Callback, client_context: &ClientContext) -> Reply {
+    if !client_context.handover.linked() {
+        client_context
+            .mailbox
             .call(move |exchange| _ = exchange.callback(callback))
             .await;
         return Reply::new(204, "");
     }
     let again = callback.clone();
-    if door
+    if client_context
         .mailbox
         .ask(move |exchange| exchange.callback(callback))
         .await
         != Some(true)
-        && door.handover.tell(Ask::News(again)).await == Heard::Silent
+        && client_context.handover.tell(Ask::News(again)).await == Heard::Silent
     {
         return Reply::new(503, "not heard\n");
     }
@@ -378,7 +403,10 @@
 }
 
 /// The work item that a request asks for, and how long its client waits.
-fn job(request: &Request, door: &Door) -> Result<(Job, f64), (u16, &'static str)> {
+fn job(
+    request: &Request,
+    client_context: &ClientContext,
+) -> Result<(Job, f64), (u16, &'static str)> {
     let id = request.id.as_deref().ok_or((400, "no Req-Id"))?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
     if id.is_empty() || id.len() > 128 || !id.bytes().all(plain) {
@@ -397,14 +425,14 @@
     if name != first {
         return Err((400, "Req-Kind and the path name different categories"));
     }
-    let category = door
+    let category = client_context
         .categories
         .iter()
         .position(|c| c == name)
         .ok_or((404, "unknown category"))?;
     let wait_s = match &request.waits {
         Some(text) => seconds(text).ok_or((400, "Req-Deadline cannot be read"))?,
-        None => door.expiries[category],
+        None => client_context.expiries[category],
     };
     let key = query
         .split('&')
@@ -505,9 +533,9 @@
 async fn record<'a>(
     request: &Request,
     job: &Job,
-    door: &'a Door,
+    client_context: &'a ClientContext,
 ) -> Result<Option<Claim<'a>>, Reply> {
-    let Some(store) = &door.store else {
+    let Some(store) = &client_context.store else {
         return Ok(None);
     };
     let Some(recorded) = store
@@ -530,7 +558,7 @@
     let called = called.or(request.id.as_deref()).unwrap_or_default();
     let exclusive = recorded.window_s.is_none();
     match store
-        .claim(&door.categories[job.category], called, recorded)
+        .claim(&client_context.categories[job.category], called, recorded)
         .await
     {
         Ok(no) => Ok(no.map(|no| Claim {
@@ -542,7 +570,7 @@
         Err(Answer::Say { status, body }) => Err(Reply::new(status, body)),
         Err(Answer::WriteOff) => Err(Reply::new(502, "written off: another dispatcher had it\n")),
         Err(Answer::Later) => {
-            let retry_after_s = door.retry_after_s;
+            let retry_after_s = client_context.retry_after_s;
             Err(Reply {
                 retry_after_s,
                 ..Reply::new(503, "not now: its record cannot be made or is not ended\n")
@@ -558,9 +586,9 @@
     wait_s: f64,
     wire: &mut Wire,
     ahead: &mut Ahead,
-    door: &Door,
+    client_context: &ClientContext,
 ) -> Option<Reply> {
-    let claimed = match record(&request, &job, door).await {
+    let claimed = match record(&request, &job, client_context).await {
         Ok(claimed) => claimed,
         Err(reply) => return Some(reply),
     };
@@ -580,12 +608,13 @@
         gone: gone.clone(),
     };
     let mut waiting = Waiting {
-        mailbox: &door.mailbox,
+        mailbox: &client_context.mailbox,
         id: Some(id),
         gone,
     };
     let (tell, mut told) = oneshot::channel();
-    door.mailbox
+    client_context
+        .mailbox
         .call(move |exchange| exchange.take(order, job, wait_s, tell))
         .await;
     tokio::select! {
--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -1,7 +1,7 @@
 //! The operators' door: a second address, one call to a connection.
 
+use crate::client_context::ClientContext;
 use crate::clients::{linger, Wire, LINGER_S};
-use crate::door::Door;
 use crate::fleet::Fleet;
 use crate::handover::{Ask, Heard};
 use crate::http::{next, wire, Fault, Method, Request, Serving};
@@ -28,7 +28,7 @@
 const CALL_S: f64 = 1.0;
 
 pub(crate) struct Console {
-    door: Rc<Door>,
+    client_context: Rc<ClientContext>,
     fleet: Option<Rc<Fleet>>,
     trial: bool,
     /// Callers whose call is not whole, the longest waiting first; ringing one shuts it out.
@@ -36,9 +36,13 @@
 }
 
 impl Console {
-    pub(crate) fn new(door: Rc<Door>, fleet: Option<Rc<Fleet>>, trial: bool) -> Self {
+    pub(crate) fn new(
+        client_context: Rc<ClientContext>,
+        fleet: Option<Rc<Fleet>>,
+        trial: bool,
+    ) -> Self {
         Console {
-            door,
+            client_context,
             fleet,
             trial,
             unheard: RefCell::default(),
@@ -116,8 +120,8 @@
 }
 
 /// The answer once the other process has heard it too, if there is one.
-async fn both(known: bool, ask: Ask, door: &Door) -> Reply {
-    match door.handover.tell(ask).await {
+async fn both(known: bool, ask: Ask, client_context: &ClientContext) -> Reply {
+    match client_context.handover.tell(ask).await {
         Heard::Silent => Reply::new(503, "the other process does not answer\n"),
         heard if known || heard == Heard::Yes => Reply::new(200, "ok\n"),
         _ => Reply::new(404, "no list ever named this runner\n"),
@@ -136,13 +140,14 @@
 }
 
 /// A word by hand that all dispatchers are to know: held here at once, and agreed where there is a store.
-async fn for_all(store: &Store, about: About, out: bool, door: &Door) -> Reply {
+async fn for_all(store: &Store, about: About, out: bool, client_context: &ClientContext) -> Reply {
     let agreed = store.word(about.clone(), out).await;
     if out {
         match &about {
             About::Runner(id) => {
                 let id = id.clone();
-                door.mailbox
+                client_context
+                    .mailbox
                     .ask(move |exchange| exchange.by_hand(&id, true))
                     .await;
             }
@@ -157,47 +162,61 @@
 }
 
 async fn answer(request: Request, console: &Console) -> Reply {
-    let door = &console.door;
+    let client_context = &console.client_context;
     let path = request.target.split('?').next().unwrap_or_default();
     let looks = matches!(request.method, Method::Get | Method::Head);
     let says = request.method == Method::Post;
     match path {
-        "/healthcheck" if looks && door.shutting_down.get() => Reply::new(503, "ending\n"),
-        "/healthcheck" if looks && !(door.lets_in.get() && door.listed.get()) => {
+        "/healthcheck" if looks && client_context.shutting_down.get() => {
+            Reply::new(503, "ending\n")
+        }
+        "/healthcheck"
+            if looks && !(client_context.lets_in.get() && client_context.listed.get()) =>
+        {
             Reply::new(503, "not yet\n")
         }
         // Asked of the exchange itself: guards against a yes from a process whose decisions stand still.
-        "/healthcheck" if looks => match door.mailbox.ask(|_| ()).await {
+        "/healthcheck" if looks => match client_context.mailbox.ask(|_| ()).await {
             Some(()) => Reply::new(200, "ok\n"),
             None => Reply::new(503, "it decides nothing\n"),
         },
-        "/stats" if looks => match door
+        "/stats" if looks => match client_context
             .mailbox
             .ask(|exchange| exchange.listed_and_avoided())
             .await
         {
-            Some((listed, avoided)) => Reply::new(200, door.figures.lines(listed, avoided)),
+            Some((listed, avoided)) => {
+                Reply::new(200, client_context.figures.lines(listed, avoided))
+            }
             None => Reply::new(503, "the list cannot be asked\n"),
         },
         "/healthcheck/fail" | "/healthcheck/ok" if says => {
             let on = path == "/healthcheck/fail";
-            if let Some(store) = &door.store {
+            if let Some(store) = &client_context.store {
                 if on {
-                    door.drain(true);
+                    client_context.drain(true);
                 }
-                return for_all(store, About::Dispatcher(store.name().to_string()), on, door).await;
+                return for_all(
+                    store,
+                    About::Dispatcher(store.name().to_string()),
+                    on,
+                    client_context,
+                )
+                .await;
             }
-            door.drain(on);
-            both(true, Ask::Drain(on), door).await
+            client_context.drain(on);
+            both(true, Ask::Drain(on), client_context).await
         }
         "/members" | "/shared" if looks => match &console.fleet {
-            Some(fleet) => match door
+            Some(fleet) => match client_context
                 .mailbox
                 .ask(|exchange| (exchange.now(), exchange.named()))
                 .await
             {
                 Some((now, _)) if path == "/members" => Reply::new(200, fleet.members(now)),
-                Some((now, named)) => Reply::new(200, fleet.shared(now, &door.categories, &named)),
+                Some((now, named)) => {
+                    Reply::new(200, fleet.shared(now, &client_context.categories, &named))
+                }
                 None => Reply::new(503, "it decides nothing\n"),
             },
             None => Reply::new(404, "no fleet is configured\n"),
@@ -209,7 +228,7 @@
                 .ok()
                 .filter(|by| by.is_finite())
             {
-                Some(by) => match door
+                Some(by) => match client_context
                     .mailbox
                     .ask(move |exchange| exchange.clock_jumped(by))
                     .await
@@ -220,7 +239,7 @@
                 None => Reply::new(400, "not a number of seconds\n"),
             }
         }
-        _ if path == "/store" || path.starts_with("/store/") => match &door.store {
+        _ if path == "/store" || path.starts_with("/store/") => match &client_context.store {
             Some(store) if looks || says => {
                 let (status, text) = store.call(path, says, &request.body).await;
                 Reply::new(status, text)
@@ -234,8 +253,8 @@
         }
         _ => match runner(path) {
             Some(_) if !says => Reply::new(405, "not with this method\n"),
-            Some((id, out)) if door.store.is_some() => match &door.store {
-                Some(store) => for_all(store, About::Runner(id), out, door).await,
+            Some((id, out)) if client_context.store.is_some() => match &client_context.store {
+                Some(store) => for_all(store, About::Runner(id), out, client_context).await,
                 None => Reply::new(404, "no store is configured\n"),
             },
             Some((id, out)) => {
@@ -243,12 +262,12 @@
                     id: id.clone(),
                     out,
                 };
-                match door
+                match client_context
                     .mailbox
                     .ask(move |exchange| exchange.by_hand(&id, out))
                     .await
                 {
-                    Some(known) => both(known, ask, door).await,
+                    Some(known) => both(known, ask, client_context).await,
                     None => Reply::new(503, "it decides nothing\n"),
                 }
             }
--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -140,7 +140,7 @@
         let mut told = self.at.clone();
         let at = *told.borrow_and_update();
         let mut place = Place::new(at, self.after);
-        let (mut open, mut former): (Option<Open>, Option<Open>) = (None, None);
+        let (mut open, mut predecessor): (Option<Open>, Option<Open>) = (None, None);
         let mut mend_at = None;
         loop {
             tokio::select! {
@@ -148,7 +148,7 @@
                 Ok(()) = told.changed() => {
                     // Guards against a gap between two lists: the one that spoke last is read on until the
                     // new one has spoken. Asked from the beginning, since their versions are not alike.
-                    former = former.or(open);
+                    predecessor = predecessor.or(open);
                     let at = *told.borrow_and_update();
                     (place, mend_at) = (Place::new(at, 0), None);
                     open = Some(self.open(place.clone()));
@@ -172,8 +172,8 @@
                     };
                     self.mailbox.call(failed).await;
                 }
-                () = place.spoke.notified() => former = None,
-                _ = ended(&mut former) => {}
+                () = place.spoke.notified() => predecessor = None,
+                _ = ended(&mut predecessor) => {}
                 // Guards against what a flaw kept from us until the watch happens to end. It is read on meanwhile.
                 () = place.flawed.notified() => {
                     let pause_s = (MEND_S * 2f64.powi(place.flaws.get())).min(MEND_MOST_S);
@@ -182,7 +182,7 @@
                 }
                 () = due(mend_at) => {
                     mend_at = None;
-                    former = open.take().or(former);
+                    predecessor = open.take().or(predecessor);
                     open = Some(self.open(place.clone()));
                 }
                 // A call that waits for its answer goes on: given up, it would lose its turn.
--- a/crates/dispatcher/dispatcher/src/meeting.rs
+++ b/crates/dispatcher/dispatcher/src/handover_socket.rs
@@ -1,6 +1,6 @@
 //! Where the old and the new process of one address meet, and the link between them.
 
-use crate::door::Door;
+use crate::client_context::ClientContext;
 use crate::handover::{
     frames, receive, send, Ask, Frame, Peer, Read, Write, FRAMES, LINKS, STATE_S, VERSION,
 };
@@ -17,23 +17,23 @@
 use tokio::time::{sleep, timeout};
 
 /// Where the processes of one address meet.
-pub(crate) struct Meeting {
+pub(crate) struct HandoverSocket {
     common: PathBuf,
     own: PathBuf,
 }
 
 /// A predecessor's link.
-pub(crate) struct Former {
+pub(crate) struct Predecessor {
     read: Read,
     write: Write,
     path: Option<PathBuf>,
 }
 
-impl Meeting {
-    pub(crate) fn new(listen: SocketAddr) -> Meeting {
+impl HandoverSocket {
+    pub(crate) fn new(listen: SocketAddr) -> HandoverSocket {
         let name = format!("sagetrail-{listen}");
         let folder = std::env::temp_dir();
-        Meeting {
+        HandoverSocket {
             common: folder.join(&name),
             own: folder.join(format!("{name}-{}.socket", std::process::id())),
         }
@@ -41,7 +41,7 @@
 
     /// What the process before this one has to tell. Guards against one that is gone or does not answer: that
     /// is a fresh start.
-    pub(crate) async fn find(&self) -> Option<(Passed, Former)> {
+    pub(crate) async fn find(&self) -> Option<(Passed, Predecessor)> {
         let path = std::fs::read_link(&self.common).ok();
         let told = async {
             let stream = UnixStream::connect(&self.common).await.ok()?;
@@ -50,7 +50,7 @@
                 .await
                 .ok()?;
             match receive(&mut read).await? {
-                Frame::State(state) => Some((*state, Former { read, write, path })),
+                Frame::State(state) => Some((*state, Predecessor { read, write, path })),
                 _ => None,
             }
         };
@@ -83,7 +83,12 @@
     }
 
     /// Answers those that come after this process.
-    pub(crate) async fn keep(self: Rc<Self>, door: Rc<Door>, deployment: u64, terms: Rc<Vec<u64>>) {
+    pub(crate) async fn keep(
+        self: Rc<Self>,
+        client_context: Rc<ClientContext>,
+        deployment: u64,
+        terms: Rc<Vec<u64>>,
+    ) {
         let _ = std::fs::remove_file(&self.own);
         let listener = match UnixListener::bind(&self.own)
             .and_then(|listener| self.claim().map(|()| listener))
@@ -105,7 +110,8 @@
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let (meeting, door, terms) = (self.clone(), door.clone(), terms.clone());
+            let (handover_socket, client_context, terms) =
+                (self.clone(), client_context.clone(), terms.clone());
             spawn_local(async move {
                 let _place = place;
                 let (mut read, write) = frames(stream);
@@ -114,8 +120,8 @@
                     return;
                 };
                 // Linked before it is told: a call in between goes after, and misses neither.
-                let linked = Linked::new(true, &door);
-                let state = door
+                let linked = Linked::new(true, &client_context);
+                let state = client_context
                     .mailbox
                     .ask(move |exchange| exchange.hand_over(&terms))
                     .await;
@@ -123,29 +129,30 @@
                     return;
                 };
                 let state = Passed {
-                    drained: door.drained.get(),
+                    drained: client_context.drained.get(),
                     deployment,
                     learnt,
                     runners,
                 };
                 tracing::info!("a new process takes over");
                 linked.serve(Some(state), read, write).await;
-                if !door.shutting_down.get() {
+                if !client_context.shutting_down.get() {
                     tracing::warn!("the new process has ended; this one goes on");
-                    door.mailbox
+                    client_context
+                        .mailbox
                         .ask(|exchange| exchange.hand_over_failed())
                         .await;
-                    let _ = meeting.claim();
+                    let _ = handover_socket.claim();
                 }
             });
         }
     }
 }
 
-impl Former {
+impl Predecessor {
     /// Keeps up the link until the process before has ended.
-    pub(crate) async fn keep(self, door: Rc<Door>) {
-        Linked::new(false, &door)
+    pub(crate) async fn keep(self, client_context: Rc<ClientContext>) {
+        Linked::new(false, &client_context)
             .serve(None, self.read, self.write)
             .await;
         // One that was killed leaves its name.
@@ -158,14 +165,14 @@
 
 /// A link, as long as it lasts: whoever waits for the other process then hears that nobody is there.
 struct Linked {
-    door: Rc<Door>,
+    client_context: Rc<ClientContext>,
     peer: Rc<Peer>,
     frames: mpsc::Receiver<Frame>,
 }
 
 impl Drop for Linked {
     fn drop(&mut self) {
-        let mut linked = self.door.handover.peer.borrow_mut();
+        let mut linked = self.client_context.handover.peer.borrow_mut();
         if linked
             .as_ref()
             .is_some_and(|other| Rc::ptr_eq(other, &self.peer))
@@ -177,16 +184,16 @@
 }
 
 impl Linked {
-    fn new(newer: bool, door: &Rc<Door>) -> Linked {
+    fn new(newer: bool, client_context: &Rc<ClientContext>) -> Linked {
         let (out, frames) = mpsc::channel(FRAMES);
         let peer = Rc::new(Peer {
             newer,
             frames: out,
             waiting: RefCell::default(),
         });
-        door.handover.peer.replace(Some(peer.clone()));
+        client_context.handover.peer.replace(Some(peer.clone()));
         Linked {
-            door: door.clone(),
+            client_context: client_context.clone(),
             peer,
             frames,
         }
@@ -194,7 +201,7 @@
 
     /// Serves the other process until one of the two ends; `first` goes before all that is laid on the link.
     async fn serve(mut self, first: Option<Passed>, mut read: Read, mut write: Write) {
-        let (door, peer) = (self.door.clone(), self.peer.clone());
+        let (client_context, peer) = (self.client_context.clone(), self.peer.clone());
         let writes = async {
             if let Some(state) = first {
                 send(&mut write, &Frame::State(Box::new(state))).await?;
@@ -208,7 +215,7 @@
             while let Some(frame) = receive(&mut read).await {
                 match frame {
                     Frame::Asks { no, ask } => {
-                        let yes = carry_out(ask, &door).await;
+                        let yes = carry_out(ask, &client_context).await;
                         let _ = peer.frames.send(Frame::Did { no, yes }).await;
                     }
                     Frame::Did { no, yes } => {
@@ -228,20 +235,20 @@
 }
 
 /// Does what the other process asks; whether it concerned anything here.
-async fn carry_out(ask: Ask, door: &Rc<Door>) -> bool {
+async fn carry_out(ask: Ask, client_context: &Rc<ClientContext>) -> bool {
     match ask {
-        Ask::News(word) => door
+        Ask::News(word) => client_context
             .mailbox
             .ask(move |exchange| exchange.callback(word))
             .await
             .unwrap_or(false),
-        Ask::ByHand { id, out } => door
+        Ask::ByHand { id, out } => client_context
             .mailbox
             .ask(move |exchange| exchange.by_hand(&id, out))
             .await
             .unwrap_or(false),
         Ask::Drain(on) => {
-            door.drain(on);
+            client_context.drain(on);
             true
         }
     }
--- a/crates/dispatcher/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/dispatcher/src/mailbox.rs
@@ -48,7 +48,7 @@
     /// More than there are connections: each lays down one call at a time.
     const MOST: usize = 4096;
 
-    /// More than an operators' door has places.
+    /// More than an admin API has places.
     const FIRST: usize = 64;
 
     pub(crate) fn new() -> (Mailbox<X>, Calls<X>) {
--- a/crates/dispatcher/dispatcher/src/main.rs
+++ b/crates/dispatcher/dispatcher/src/main.rs
@@ -1,21 +1,21 @@
 //! The real dispatcher: reads what it is told, binds its address and starts the parts.
 
 mod cli;
+mod client_context;
 mod clients;
 mod clock;
 mod console;
 mod descriptors;
 mod discovery;
 mod disk;
-mod door;
 mod fleet;
 mod handover;
+mod handover_socket;
 mod http;
 mod learnt;
 mod links;
 mod logger;
 mod mailbox;
-mod meeting;
 mod runners;
 mod serve;
 mod shutdown;
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -1,17 +1,17 @@
 //! Starts the parts of the dispatcher in order, and ends them.
 
+use crate::client_context::ClientContext;
 use crate::clients;
 use crate::clock::Clock;
 use crate::console;
 use crate::descriptors::DescriptorBudget;
 use crate::discovery;
 use crate::disk;
-use crate::door::Door;
 use crate::fleet::Fleet;
 use crate::handover::Handover;
+use crate::handover_socket::HandoverSocket;
 use crate::learnt;
 use crate::links::{self, Links};
-use crate::meeting::Meeting;
 use crate::runners;
 use crate::shutdown::Shutdown;
 use crate::siting::Siting;
@@ -98,19 +98,19 @@
 /// are its predecessor's.
 async fn accept_clients(
     listener: TcpListener,
-    door: Rc<Door>,
-    meeting: Option<Rc<Meeting>>,
+    client_context: Rc<ClientContext>,
+    handover_socket: Option<Rc<HandoverSocket>>,
     deployment: u64,
     terms: Rc<Vec<u64>>,
 ) {
-    if let Some(meeting) = meeting {
-        while !door.listed.get() {
+    if let Some(handover_socket) = handover_socket {
+        while !client_context.listed.get() {
             sleep(ACCEPT_CHECK_INTERVAL).await;
         }
-        spawn_local(meeting.keep(door.clone(), deployment, terms));
+        spawn_local(handover_socket.keep(client_context.clone(), deployment, terms));
     }
-    door.lets_in.set(true);
-    clients::listen(listener, door).await
+    client_context.lets_in.set(true);
+    clients::listen(listener, client_context).await
 }
 
 /// The signals that the program listens to. Until it does, each of them ends the process on the spot.
@@ -136,7 +136,7 @@
     clients: TcpListener,
     operators: Option<TcpListener>,
     /// Where an upgrade's two processes meet; only where the platform holds the clients' socket.
-    meeting: Option<Rc<Meeting>>,
+    handover_socket: Option<Rc<HandoverSocket>>,
 }
 
 impl Listeners {
@@ -145,9 +145,9 @@
         inherited: Option<std::net::TcpListener>,
         clock: Clock,
     ) -> Result<Listeners, String> {
-        let meeting = inherited
+        let handover_socket = inherited
             .as_ref()
-            .map(|_| Rc::new(Meeting::new(start.listen)));
+            .map(|_| Rc::new(HandoverSocket::new(start.listen)));
         let clients = match inherited {
             Some(listener) => TcpListener::from_std(listener).map_err(|error| error.to_string())?,
             None => listen_at(start.listen, clock).await?,
@@ -159,7 +159,7 @@
         Ok(Listeners {
             clients,
             operators,
-            meeting,
+            handover_socket,
         })
     }
 }
@@ -228,7 +228,7 @@
         test_settings,
     )?;
     let store = open_store.as_ref().map(|open| open.store.clone());
-    let door = client_context(
+    let client_context = client_context(
         &mut start,
         budget,
         mailbox.clone(),
@@ -239,7 +239,10 @@
     if start.probes_allowed {
         tracing::warn!("load probes are allowed, this protocol has none: no runner is probed");
     }
-    let (terms, deployment) = (Rc::new(term_numbers(&door, &start)), start.deployment);
+    let (terms, deployment) = (
+        Rc::new(term_numbers(&client_context, &start)),
+        start.deployment,
+    );
     if let Some(fleet) = &fleet {
         open_links(fleet, clock, store.clone()).await?;
     }
@@ -249,22 +252,22 @@
         ask_discovery,
         has_list,
         fleet: fleet.clone(),
-        siting: failover(&mut start, &door, fleet.as_ref(), broken),
+        siting: failover(&mut start, &client_context, fleet.as_ref(), broken),
         broken,
         answered: 0,
     };
     let alone = start.terms.replicas <= 1;
-    let mut exchange = new_exchange(&mut start, outside, door.retry_after_s, clock);
+    let mut exchange = new_exchange(&mut start, outside, client_context.retry_after_s, clock);
     take_up_former_state(
         &mut exchange,
         &mut start,
-        listeners.meeting.as_deref(),
-        &door,
+        listeners.handover_socket.as_deref(),
+        &client_context,
         &terms,
     )
     .await;
     if let Some(open) = open_store {
-        run_store(open, &mailbox, &door);
+        run_store(open, &mailbox, &client_context);
     }
     tracing::info!("{} serves on {}", start.name, start.listen);
     spawn_local(discovery.keep());
@@ -278,13 +281,13 @@
     ));
     let accept_task = spawn_local(accept_clients(
         listeners.clients,
-        door.clone(),
-        listeners.meeting.clone(),
+        client_context.clone(),
+        listeners.handover_socket.clone(),
         deployment,
         terms.clone(),
     ));
     if let Some(listener) = listeners.operators {
-        serve_operators(listener, &door, fleet, trial.is_some());
+        serve_operators(listener, &client_context, fleet, trial.is_some());
     }
     spawn_local(sockets::run(exchange, calls, clock));
     tokio::select! {
@@ -294,7 +297,7 @@
     tracing::info!("SIGTERM or SIGINT received: shutting down");
     let shutdown = Shutdown {
         clock,
-        door,
+        client_context,
         mailbox,
         alone,
         longest_expiry_s,
@@ -304,8 +307,8 @@
     if let Some(path) = &start.learnt {
         shutdown.keep_learned_state(path, deployment, terms).await;
     }
-    if let Some(meeting) = listeners.meeting {
-        meeting.leave();
+    if let Some(handover_socket) = listeners.handover_socket {
+        handover_socket.leave();
     }
     shutdown.finish().await;
     Ok(())
@@ -410,8 +413,8 @@
     store: Option<Rc<Store>>,
     figures: Rc<Figures>,
     has_list: Rc<Cell<bool>>,
-) -> Rc<Door> {
-    Rc::new(Door {
+) -> Rc<ClientContext> {
+    Rc::new(ClientContext {
         mailbox,
         store,
         categories: std::mem::take(&mut start.categories),
@@ -438,8 +441,9 @@
 }
 
 /// A number for each category's terms, by which figures learned under other terms are told apart.
-fn term_numbers(door: &Door, start: &Start) -> Vec<u64> {
-    door.categories
+fn term_numbers(client_context: &ClientContext, start: &Start) -> Vec<u64> {
+    client_context
+        .categories
         .iter()
         .zip(&start.terms.categories)
         .map(|(name, category)| terms(name, category))
@@ -470,7 +474,7 @@
 /// The host of the failover logic, where there are several zones and the configuration asks for it.
 fn failover(
     start: &mut Start,
-    door: &Door,
+    client_context: &ClientContext,
     fleet: Option<&Rc<Fleet>>,
     broken: Option<Broken>,
 ) -> Option<Siting> {
@@ -480,7 +484,7 @@
             (number(&start.name), start.terms.zone),
             std::mem::take(&mut start.plan),
             std::mem::take(&mut start.zones),
-            door.categories.clone(),
+            client_context.categories.clone(),
             fleet.cloned(),
             broken,
         )
@@ -506,19 +510,19 @@
 async fn take_up_former_state(
     exchange: &mut Exchange,
     start: &mut Start,
-    meeting: Option<&Meeting>,
-    door: &Rc<Door>,
+    handover_socket: Option<&HandoverSocket>,
+    client_context: &Rc<ClientContext>,
     terms: &[u64],
 ) {
-    let predecessor = match meeting {
-        Some(meeting) => meeting.find().await,
+    let predecessor = match handover_socket {
+        Some(handover_socket) => handover_socket.find().await,
         None => None,
     };
-    if let Some((state, former)) = predecessor {
-        door.drain(state.drained);
+    if let Some((state, predecessor)) = predecessor {
+        client_context.drain(state.drained);
         exchange.inherit(state, start.deployment, terms);
         start.known = Default::default();
-        spawn_local(former.keep(door.clone()));
+        spawn_local(predecessor.keep(client_context.clone()));
     } else if let Some(path) = start.learnt.clone() {
         match learnt::read(&path, start.deployment) {
             Ok(learned) => {
@@ -540,19 +544,22 @@
 }
 
 /// Starts the store's tasks; they last as long as the process.
-fn run_store(open: OpenStore, mailbox: &Mailbox, door: &Rc<Door>) {
+fn run_store(open: OpenStore, mailbox: &Mailbox, client_context: &Rc<ClientContext>) {
     for (at, frames) in open.queues {
         spawn_local(links::send(at, frames));
     }
-    spawn_local(open.store.keep(open.done, mailbox.clone(), door.clone()));
+    spawn_local(
+        open.store
+            .keep(open.done, mailbox.clone(), client_context.clone()),
+    );
 }
 
 fn serve_operators(
     listener: TcpListener,
-    door: &Rc<Door>,
+    client_context: &Rc<ClientContext>,
     fleet: Option<Rc<Fleet>>,
     trial: bool,
 ) -> JoinHandle<()> {
-    let console = console::Console::new(door.clone(), fleet, trial);
+    let console = console::Console::new(client_context.clone(), fleet, trial);
     spawn_local(console::listen(listener, Rc::new(console)))
 }
--- a/crates/dispatcher/dispatcher/src/shutdown.rs
+++ b/crates/dispatcher/dispatcher/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! The graceful shutdown: clients are sent elsewhere, what has been taken is answered, what was learned is kept.
 
+use crate::client_context::ClientContext;
 use crate::clock::Clock;
-use crate::door::Door;
 use crate::learnt;
 use crate::sockets::Mailbox;
 use std::path::Path;
@@ -33,7 +33,7 @@
 /// The shutdown of one process, from SIGTERM or SIGINT on.
 pub(crate) struct Shutdown {
     pub clock: Clock,
-    pub door: Rc<Door>,
+    pub client_context: Rc<ClientContext>,
     pub mailbox: Mailbox,
     /// No other dispatcher serves these clients.
     pub alone: bool,
@@ -48,22 +48,24 @@
     /// time for that is over.
     pub(crate) async fn settle(&self) {
         let since = self.clock.now();
-        self.door.shutting_down.set(true);
+        self.client_context.shutting_down.set(true);
         let end_at = since + self.longest_expiry_s.min(LONGEST_EXPIRY_S) + ANSWERED_AFTER_S;
         self.mailbox
             .call(move |exchange| exchange.end_by(end_at))
             .await;
         self.hand_over();
         self.wait_for_clients(since, end_at).await;
-        self.door.closing.send_replace(true);
+        self.client_context.closing.send_replace(true);
         self.wait_for_unsettled(since, end_at).await;
     }
 
     /// A newer process accepts clients at the same socket, which stays open and keeps its queue.
     fn hand_over(&self) {
-        let door = &self.door;
-        door.handing_over.set(door.handover.succeeded());
-        if door.handing_over.get() {
+        let client_context = &self.client_context;
+        client_context
+            .handing_over
+            .set(client_context.handover.succeeded());
+        if client_context.handing_over.get() {
             self.accept_task.abort();
         }
     }
@@ -71,13 +73,15 @@
     /// Guards against rejecting clients whom nobody else serves: they go on with the connections that they have as long
     /// as these stay open. Clients that have others to go to are sent there while nearly any job still ends here.
     async fn wait_for_clients(&self, since: f64, end_at: f64) {
-        let last_call = if self.alone && !self.door.handing_over.get() {
+        let last_call = if self.alone && !self.client_context.handing_over.get() {
             end_at - CLOSE_ALONE_S
         } else {
             end_at - CLOSE_WITH_PEERS_S
         };
         let connections_may_come = || self.clock.now() < since + LATE_CONNECTIONS_S;
-        while self.clock.now() < last_call && (connections_may_come() || self.door.open.get() > 0) {
+        while self.clock.now() < last_call
+            && (connections_may_come() || self.client_context.open.get() > 0)
+        {
             sleep(CHECK_INTERVAL).await;
         }
     }
@@ -85,7 +89,8 @@
     /// Guards against a restart in the middle of an upgrade: to the platform both processes are one dispatcher, which has
     /// ended when this process has, and what the one before it has in flight would be lost.
     async fn wait_for_unsettled(&self, since: f64, end_at: f64) {
-        let unsettled = || self.door.unsettled.get() > 0 || self.door.handover.preceded();
+        let unsettled =
+            || self.client_context.unsettled.get() > 0 || self.client_context.handover.preceded();
         while self.clock.now() < since + LATE_CONNECTIONS_S
             || unsettled() && self.clock.now() < end_at + UNSETTLED_GRACE_S
         {
@@ -119,7 +124,10 @@
 
     /// The end, once all else is done.
     pub(crate) async fn finish(&self) {
-        tracing::info!("ends with {} unanswered requests", self.door.busy.get());
+        tracing::info!(
+            "ends with {} unanswered requests",
+            self.client_context.busy.get()
+        );
         sleep(LAST_BYTES).await;
     }
 }
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -34,7 +34,7 @@
     pub name: String,
     pub listen: SocketAddr,
     pub discovery_at: SocketAddr,
-    /// Where the operators' door is, if there is one.
+    /// Where the admin API is, if there is one.
     pub console: Option<SocketAddr>,
     pub seed: u64,
     pub descriptors: usize,
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -1,9 +1,9 @@
 //! Between the store's node and the rest: frames go out on the links, records to the disk, what is agreed to the
-//! exchange, the fleet and the operators' door. No decision here.
+//! exchange, the fleet and the admin API. No decision here.
 
+use crate::client_context::ClientContext;
 use crate::clock::Clock;
 use crate::disk::{self, Disk, Done, Job};
-use crate::door::Door;
 use crate::fleet::Fleet;
 use crate::sockets::Mailbox;
 use crate::start::Source;
@@ -189,9 +189,9 @@
         self: Rc<Self>,
         mut done: mpsc::UnboundedReceiver<Done>,
         mailbox: Mailbox,
-        door: Rc<Door>,
+        client_context: Rc<ClientContext>,
     ) {
-        self.flush(&mailbox, &door);
+        self.flush(&mailbox, &client_context);
         loop {
             let due = self.node.borrow().due();
             let said = tokio::select! {
@@ -206,7 +206,7 @@
             if self.node.borrow().due() <= now {
                 self.node.borrow_mut().tick(now);
             }
-            self.flush(&mailbox, &door);
+            self.flush(&mailbox, &client_context);
         }
     }
 
@@ -293,7 +293,7 @@
         }
     }
 
-    fn flush(&self, mailbox: &Mailbox, door: &Rc<Door>) {
+    fn flush(&self, mailbox: &Mailbox, client_context: &Rc<ClientContext>) {
         let now = self.clock.now();
         let fault = self.node.borrow().fault();
         if let Some(fault) = fault {
@@ -318,7 +318,7 @@
             (std::mem::take(&mut node.changed), node.behind())
         };
         if changed {
-            self.take_up(behind, mailbox, door);
+            self.take_up(behind, mailbox, client_context);
             self.dirty.set(true);
             self.progress.send_modify(|n| *n += 1);
         }
@@ -331,7 +331,7 @@
     }
 
     /// What is agreed now goes where it is used. One that is behind takes nothing back: it may not know why it was said.
-    fn take_up(&self, behind: bool, mailbox: &Mailbox, door: &Rc<Door>) {
+    fn take_up(&self, behind: bool, mailbox: &Mailbox, client_context: &Rc<ClientContext>) {
         let (mut runners, mut drained) = (BTreeSet::new(), false);
         for (about, _) in self.node.borrow().all_out() {
             match about {
@@ -349,7 +349,7 @@
             mailbox.put(move |exchange| exchange.held_out(runners));
         }
         if self.drained.replace(drained) != drained {
-            door.drain(drained);
+            client_context.drain(drained);
         }
         let (version, text) = {
             let node = self.node.borrow();
--- a/crates/dispatcher/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/dispatcher/tests/sockets.rs
@@ -900,8 +900,7 @@
         stage.term();
         let (code, log) = stage.ended();
         assert_eq!(code, Some(0), "{log}");
-        let kept =
-            log.contains("learned state is kept") && log.contains("ends with 0 unanswered");
+        let kept = log.contains("learned state is kept") && log.contains("ends with 0 unanswered");
         assert!(kept && log.contains(says), "{log}");
         (stage.child, says) = (launch(&file(), &page), next);
         serves(stage.at);
