--- a/crates/dispatcher/dispatcher/src/client_context.rs
+++ b/crates/dispatcher/dispatcher/src/client_context.rs
@@ -1,5 +1,6 @@
-//! What all client connections share.
+//! What all client connections share: limits on connections, the state of a drain or shutdown, idle connections.
 
+use crate::descriptors::DescriptorBudget;
 use crate::handover::Handover;
 use crate::sockets::Mailbox;
 use crate::store::Store;
@@ -12,106 +13,150 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What all client connections share.
+/// So long after the begin of a drain the platform's health check has seen it and sends nobody new: it asks every 0.1 s and
+/// goes on for 0.2 s, and as much again for a slow check. A client that is sent away sooner comes straight back.
+const DRAIN_SEEN_AFTER: Duration = Duration::from_millis(500);
+
+/// What all client connections share. One task each reads and writes it, on one thread.
 pub(crate) struct ClientContext {
+    /// Where calls to the dispatch state are put.
     pub mailbox: Mailbox,
-    /// What outlives the process, where there is a store.
+    /// State that outlives the process, where there is a store.
     pub store: Option<Rc<Store>>,
+    /// Names of the categories, in the order of the configuration.
     pub categories: Vec<String>,
+    /// Counters.
     pub figures: Rc<Figures>,
     /// The other process at this address, during an upgrade.
     pub handover: Handover,
+    /// How long a client of each category waits at the most where it does not say, in seconds.
     pub expiries: Vec<f64>,
-    /// The dispatcher has been told to end.
+    /// SIGTERM or SIGINT was received.
     pub shutting_down: Cell<bool>,
-    /// A newer process serves here: clients go there with their next answer.
+    /// A newer process serves here: clients move there with their next answer.
     pub handing_over: Cell<bool>,
-    /// The operators empty it; and which time that was.
+    /// The operators drain this dispatcher.
     pub drained: Cell<bool>,
-    pub drains: Cell<u64>,
-    /// It lets its connections go.
+    /// Rises with each begin and end of a drain.
+    drain_changes: Cell<u64>,
+    /// Connections are being closed.
     pub closing: watch::Sender<bool>,
-    /// It lets clients in.
-    pub lets_in: Cell<bool>,
-    /// There has been a list, be it an old one.
-    pub listed: Rc<Cell<bool>>,
-    /// When to come back, for who is turned away at the door; 0 where that is not passed on.
+    /// Clients are accepted.
+    pub accepts_clients: Cell<bool>,
+    /// Discovery has named endpoints, be it in an old list.
+    pub has_endpoints: Rc<Cell<bool>>,
+    /// When a rejected client should come back, in seconds; 0 where clients are not told.
     pub retry_after_s: f64,
-    /// How many connections there may be, and how many more to turn work away on.
-    pub most: usize,
-    pub more: usize,
+    /// Numbers of connections that may be open.
+    pub budget: DescriptorBudget,
+    /// Connections on which clients are served.
     pub open: Cell<usize>,
-    /// Those that have a place, the closing ones too.
+    /// Connections that count against the budget, closing ones too.
     pub placed: Cell<usize>,
-    /// Connections with a request in hand.
+    /// Connections with a request in flight.
     pub busy: Cell<usize>,
-    /// Those that a process that ends has to wait for: with a request under way, in hand, or answered and not closed yet.
+    /// Connections that a shutdown waits for: with a request under way or in flight, or answered and not closed yet.
     pub unsettled: Cell<usize>,
-    /// The idle ones, longest idle first; ringing one closes it.
+    /// Idle connections, longest idle first; notifying one closes it.
     pub idle: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    pub stamps: Cell<u64>,
+    /// The key of the connection that turned idle last.
+    last_idle_key: Cell<u64>,
+}
+
+/// What a client context is made of; the rest begins empty.
+pub(crate) struct ClientContextParts {
+    pub mailbox: Mailbox,
+    pub store: Option<Rc<Store>>,
+    pub categories: Vec<String>,
+    pub figures: Rc<Figures>,
+    pub expiries: Vec<f64>,
+    pub has_endpoints: Rc<Cell<bool>>,
+    pub retry_after_s: f64,
+    pub budget: DescriptorBudget,
 }
 
 impl ClientContext {
-    /// Closes the connection that has been idle longest; false if none is.
-    pub(crate) fn spare_one(&self) -> bool {
+    /// Without any connection, not accepting clients yet.
+    pub(crate) fn new(parts: ClientContextParts) -> Rc<ClientContext> {
+        Rc::new(ClientContext {
+            mailbox: parts.mailbox,
+            store: parts.store,
+            categories: parts.categories,
+            figures: parts.figures,
+            handover: Handover::default(),
+            expiries: parts.expiries,
+            shutting_down: Cell::new(false),
+            handing_over: Cell::new(false),
+            drained: Cell::new(false),
+            drain_changes: Cell::new(0),
+            closing: watch::Sender::new(false),
+            accepts_clients: Cell::new(false),
+            has_endpoints: parts.has_endpoints,
+            retry_after_s: parts.retry_after_s,
+            budget: parts.budget,
+            open: Cell::new(0),
+            placed: Cell::new(0),
+            busy: Cell::new(0),
+            unsettled: Cell::new(0),
+            idle: RefCell::default(),
+            last_idle_key: Cell::new(0),
+        })
+    }
+
+    /// Closes the connection that has been idle longest; false if none is idle.
+    pub(crate) fn close_longest_idle(&self) -> bool {
         let longest = self.idle.borrow_mut().pop_first();
         longest.map(|(_, close)| close.notify_one()).is_some()
     }
 
-    /// Another connection waits for a place, or soon will.
-    pub(crate) fn short_of_places(&self) -> bool {
-        self.placed.get() >= self.most
+    /// Whether another connection waits for capacity, or soon will.
+    pub(crate) fn is_full(&self) -> bool {
+        self.placed.get() >= self.budget.clients
     }
 
-    /// Whether a connection is one of those to let go; one that brings runners' news only at the end.
-    pub(crate) fn sends_away(&self, callback: bool) -> bool {
+    /// Whether a drain or handover concerns a connection; one that brings runners' callbacks (`callback`) only at the end.
+    pub(crate) fn may_close(&self, callback: bool) -> bool {
         !callback || self.shutting_down.get()
     }
 
-    pub(crate) fn lets_go(&self, callback: bool) -> bool {
-        (self.handing_over.get() || *self.closing.borrow()) && self.sends_away(callback)
+    /// Whether a connection is to be closed with its next answer.
+    pub(crate) fn closes_after_answer(&self, callback: bool) -> bool {
+        (self.handing_over.get() || *self.closing.borrow()) && self.may_close(callback)
     }
 
-    /// There is no place for one more work item: all connections are busy.
-    pub(crate) fn crowded(&self) -> bool {
-        self.open.get() > self.most && !self.spare_one()
+    /// Whether there is no capacity for one more work item: all connections are busy.
+    pub(crate) fn is_overloaded(&self) -> bool {
+        self.open.get() > self.budget.clients && !self.close_longest_idle()
     }
 
-    /// The operators empty the dispatcher, or end that; a word said twice is one word.
+    /// The operators begin a drain (`on`) or end it. A command that is repeated has no second effect.
     pub(crate) fn drain(self: &Rc<Self>, on: bool) {
         if self.drained.replace(on) == on {
             return;
         }
-        tracing::info!(
-            "{}",
-            if on {
-                "drained by hand: clients are sent away"
-            } else {
-                "the drain is over"
-            }
-        );
-        self.drains.set(self.drains.get() + 1);
+        let change = self.drain_changes.get() + 1;
+        self.drain_changes.set(change);
         if !on {
+            tracing::info!("drain by an operator is over");
             self.closing.send_replace(self.shutting_down.get());
             return;
         }
-        let (client_context, this) = (self.clone(), self.drains.get());
-        spawn_local(async move {
-            sleep(Duration::from_secs_f64(LOOKED_S)).await;
-            // Guards against an end of the drain, or an end and another drain, in between.
-            if client_context.drained.get() && client_context.drains.get() == this {
-                client_context.closing.send_replace(true);
-            }
-        });
+        tracing::info!("drain by an operator: clients are sent elsewhere");
+        spawn_local(self.clone().close_once_seen(change));
     }
 
-    pub(crate) fn stamp(&self) -> u64 {
-        self.stamps.set(self.stamps.get() + 1);
-        self.stamps.get()
+    /// Closes connections once the platform has seen the drain. Guards against an end of the drain, or an end and another
+    /// drain, in between: `change` is the drain's number.
+    async fn close_once_seen(self: Rc<Self>, change: u64) {
+        sleep(DRAIN_SEEN_AFTER).await;
+        if self.drained.get() && self.drain_changes.get() == change {
+            self.closing.send_replace(true);
+        }
     }
-}
 
-/// So long after a drain's begin the front has looked and sends nobody new: it asks every 0.1 s and goes on
-/// for 0.2 s, and as much again for a slow look. Who is sent away sooner comes straight back.
-const LOOKED_S: f64 = 0.5;
+    /// A key for a connection that turns idle, higher than all before.
+    pub(crate) fn next_idle_key(&self) -> u64 {
+        self.last_idle_key.set(self.last_idle_key.get() + 1);
+        self.last_idle_key.get()
+    }
+}
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -58,7 +58,9 @@
 }
 
 pub(crate) async fn listen(listener: TcpListener, client_context: Rc<ClientContext>) {
-    let places = Arc::new(Semaphore::new(client_context.most + client_context.more));
+    let places = Arc::new(Semaphore::new(
+        client_context.budget.clients + client_context.budget.rejected_clients,
+    ));
     loop {
         // Guards against clients that keep many connections: the longest idle makes room.
         let place = loop {
@@ -66,14 +68,14 @@
                 Ok(Ok(place)) => break place,
                 Ok(Err(_)) => return,
                 Err(_) => {
-                    client_context.spare_one();
+                    client_context.close_longest_idle();
                 }
             }
         };
         match listener.accept().await {
             Ok((stream, _)) => {
-                if client_context.open.get() >= client_context.most {
-                    client_context.spare_one();
+                if client_context.open.get() >= client_context.budget.clients {
+                    client_context.close_longest_idle();
                 }
                 let client_context = client_context.clone();
                 spawn_local(async move {
@@ -139,7 +141,7 @@
             // Guards against a reset over a request that crosses the close: it is read and left, and its client, who
             // sees a plain end, sends it once more elsewhere.
             Come::Close => {
-                let within_s = if client_context.short_of_places() {
+                let within_s = if client_context.is_full() {
                     0.0
                 } else {
                     LINGER_S
@@ -167,8 +169,8 @@
         };
         let busy = Counted::new(&client_context.busy);
         reply.close = !keep
-            || client_context.lets_go(callback)
-            || client_context.open.get() > client_context.most;
+            || client_context.closes_after_answer(callback)
+            || client_context.open.get() > client_context.budget.clients;
         let (close, status) = (reply.close, reply.status);
         let sent = timeout(Duration::from_secs_f64(SLOW_S), wire.send(reply)).await;
         sent.map_err(|_| Fault::Unfinished)??;
@@ -216,20 +218,20 @@
 
 /// Waits as one of the idle connections; `None` if it is this one's turn to be closed.
 async fn idle(wire: &mut Wire, callback: bool, client_context: &ClientContext) -> Option<Begun> {
-    let (stamp, close) = (client_context.stamp(), Rc::new(Notify::new()));
+    let (idle_key, close) = (client_context.next_idle_key(), Rc::new(Notify::new()));
     client_context
         .idle
         .borrow_mut()
-        .insert(stamp, close.clone());
+        .insert(idle_key, close.clone());
     let mut closing = client_context.closing.subscribe();
     let come = tokio::select! {
         biased;
         come = begun(wire) => Some(come),
         () = close.notified() => None,
-        _ = closing.wait_for(|closing| *closing && client_context.sends_away(callback)) => None,
+        _ = closing.wait_for(|closing| *closing && client_context.may_close(callback)) => None,
         () = sleep(Duration::from_secs_f64(IDLE_S)) => None,
     };
-    client_context.idle.borrow_mut().remove(&stamp);
+    client_context.idle.borrow_mut().remove(&idle_key);
     if come.is_some() {
         return come;
     }
@@ -332,7 +334,7 @@
         "/health/ready" if looks && client_context.drained.get() => {
             Reply::new(503, "drained by hand\n")
         }
-        "/health/ready" if looks && !client_context.listed.get() => {
+        "/health/ready" if looks && !client_context.has_endpoints.get() => {
             Reply::new(503, "no list yet\n")
         }
         "/health/ready" | "/health/live" if looks => Reply::new(200, "ok\n"),
@@ -347,7 +349,7 @@
         _ => match job(&request, client_context) {
             Ok((job, wait_s)) => {
                 let open = Open::new(&client_context.figures, job.category);
-                let reply = match client_context.crowded() {
+                let reply = match client_context.is_overloaded() {
                     true => {
                         let retry_after_s = client_context.retry_after_s;
                         Reply {
--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -171,7 +171,9 @@
             Reply::new(503, "ending\n")
         }
         "/healthcheck"
-            if looks && !(client_context.lets_in.get() && client_context.listed.get()) =>
+            if looks
+                && !(client_context.accepts_clients.get()
+                    && client_context.has_endpoints.get()) =>
         {
             Reply::new(503, "not yet\n")
         }
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -1,6 +1,6 @@
 //! Starts the parts of the dispatcher in order, and ends them.
 
-use crate::client_context::ClientContext;
+use crate::client_context::{ClientContext, ClientContextParts};
 use crate::clients;
 use crate::clock::Clock;
 use crate::console;
@@ -8,7 +8,6 @@
 use crate::discovery;
 use crate::disk;
 use crate::fleet::Fleet;
-use crate::handover::Handover;
 use crate::handover_socket::HandoverSocket;
 use crate::learnt;
 use crate::links::{self, Links};
@@ -104,12 +103,12 @@
     terms: Rc<Vec<u64>>,
 ) {
     if let Some(handover_socket) = handover_socket {
-        while !client_context.listed.get() {
+        while !client_context.has_endpoints.get() {
             sleep(ACCEPT_CHECK_INTERVAL).await;
         }
         spawn_local(handover_socket.keep(client_context.clone(), deployment, terms));
     }
-    client_context.lets_in.set(true);
+    client_context.accepts_clients.set(true);
     clients::listen(listener, client_context).await
 }
 
@@ -412,31 +411,17 @@
     mailbox: Mailbox,
     store: Option<Rc<Store>>,
     figures: Rc<Figures>,
-    has_list: Rc<Cell<bool>>,
+    has_endpoints: Rc<Cell<bool>>,
 ) -> Rc<ClientContext> {
-    Rc::new(ClientContext {
+    ClientContext::new(ClientContextParts {
         mailbox,
         store,
         categories: std::mem::take(&mut start.categories),
         figures,
-        handover: Handover::default(),
         expiries: std::mem::take(&mut start.expiries),
-        closing: watch::Sender::new(false),
-        handing_over: Cell::new(false),
-        lets_in: Cell::new(false),
-        shutting_down: Cell::new(false),
-        drained: Cell::new(false),
-        drains: Cell::new(0),
-        listed: has_list,
+        has_endpoints,
         retry_after_s: start.terms.max_retry_after_s.min(LONGEST_RETRY_AFTER_S),
-        most: budget.clients,
-        more: budget.rejected_clients,
-        open: Cell::new(0),
-        placed: Cell::new(0),
-        busy: Cell::new(0),
-        unsettled: Cell::new(0),
-        idle: RefCell::default(),
-        stamps: Cell::new(0),
+        budget,
     })
 }
 
