--- a/crates/cluster/scheduler/benches/placement.rs
+++ b/crates/cluster/scheduler/benches/placement.rs
@@ -1,4 +1,4 @@
-//! One pass of the placement: 64 held steps of eight tasks at 12 and at 3,100 runners.
+//! One placement pass: 64 pending steps of eight tasks at 12 and at 3,100 runners.
 
 // `criterion_group!` makes a public function without a doc comment.
 #![allow(missing_docs)]
@@ -8,14 +8,12 @@
 use rand_pcg::Pcg64Mcg;
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::NodeId;
-use sagetrail_scheduler::placement::{AvailableRunner, Pass, PendingStep};
-use sagetrail_scheduler::spec::Labels;
-use sagetrail_scheduler::{JobId, StepId};
+use sagetrail_scheduler::{AvailableRunner, JobId, Labels, Pass, PendingStep, StepId};
 use std::collections::BTreeMap;
 
-const HELD_STEPS: u64 = 64;
-const TASKS_OF_A_STEP: u32 = 8;
-const RUNNERS_OF_A_RACK: u32 = 3;
+const PENDING_STEPS: u64 = 64;
+const TASKS_PER_STEP: u32 = 8;
+const RUNNERS_PER_RACK: u32 = 3;
 
 fn runners(count: u32) -> Vec<AvailableRunner> {
     let runner = |number: u32| AvailableRunner {
@@ -23,23 +21,23 @@
             ip: number,
             port: 1,
         },
-        room: Resources {
+        free: Resources {
             cpu: 16_000,
             mem_mb: 32_768,
             gpu: 0,
         },
-        labels: vec!["a".to_owned(), format!("r1-{}", number / RUNNERS_OF_A_RACK)].into(),
-        reserved: None,
-        starts: u32::MAX,
+        labels: vec!["a".to_owned(), format!("r1-{}", number / RUNNERS_PER_RACK)].into(),
+        reservation: None,
+        max_starts: u32::MAX,
     };
     (0..count).map(runner).collect()
 }
 
-fn held() -> Vec<PendingStep> {
+fn pending_steps() -> Vec<PendingStep> {
     let step = |number: u64| PendingStep {
         id: StepId {
             job: JobId(number),
-            time: 0,
+            occurrence: 0,
             step: 0,
         },
         priority: (number % 3) as u32,
@@ -48,11 +46,11 @@
             mem_mb: 250,
             gpu: 0,
         },
-        waiting: TASKS_OF_A_STEP,
+        waiting: TASKS_PER_STEP,
         gang: false,
         long_running: false,
         rack_local: false,
-        held_ms: 0,
+        pending_ms: 0,
         affinity: if number.is_multiple_of(2) {
             format!("r1-{}", number % 4)
         } else {
@@ -60,25 +58,26 @@
         },
         constraints: Labels::default(),
         anti_affinity: 0,
-        running_at: BTreeMap::new(),
+        assigned_at: BTreeMap::new(),
         avoiding: BTreeMap::new(),
     };
-    let mut held: Vec<PendingStep> = (0..HELD_STEPS).map(step).collect();
-    held.sort_by_key(|step| (step.priority, step.id));
-    held
+    let mut steps: Vec<PendingStep> = (0..PENDING_STEPS).map(step).collect();
+    steps.sort_by_key(|step| (step.priority, step.id));
+    steps
 }
 
-fn pass_pacing(criterion: &mut Criterion) {
+fn placement_pass(criterion: &mut Criterion) {
     for count in [12, 3_100] {
         criterion.bench_function(&format!("a pass at {count} runners"), |bencher| {
             let mut random = Pcg64Mcg::seed_from_u64(1);
-            let input = || (runners(count), held());
-            let run =
-                |(runners, held)| Pass::new(runners, held, Resources::default(), &mut random).run();
+            let input = || (runners(count), pending_steps());
+            let run = |(runners, steps)| {
+                Pass::new(runners, steps, Resources::default(), &mut random).run()
+            };
             bencher.iter_batched(input, run, BatchSize::LargeInput);
         });
     }
 }
 
-criterion_group!(placement, pass_pacing);
+criterion_group!(placement, placement_pass);
 criterion_main!(placement);
--- a/crates/cluster/scheduler/src/commit_queue.rs
+++ b/crates/cluster/scheduler/src/commit_queue.rs
@@ -1,23 +1,31 @@
-//! Changes of records on their way to a quorum, and what waits for them.
+//! Changes of records on their way to a quorum, and the messages that wait for them.
 
-use crate::records::{JobRecord, Key, TaskRecord};
 use deku::DekuContainerWrite;
 use sagetrail_protocol::service::{Batch, RecordOperation};
 use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeMap;
 
-/// Collects changes into batches and holds messages back until theirs is kept.
+use crate::records::{JobRecord, Key, TaskRecord};
+
+/// A message with its receiver.
+type Envelope = (NodeId, Message);
+
+/// Collects changes of records into numbered batches and holds messages back until theirs is committed.
 pub(crate) struct CommitQueue {
-    /// The number of the batch that takes the next change.
+    /// The number of the batch that takes the next change; the first of a term is 1.
     open: u64,
+    /// All batches up to this number are committed.
     committed: u64,
+    /// The open batch by key; `None` deletes the record.
     changes: BTreeMap<Vec<u8>, Option<Vec<u8>>>,
-    waiting: BTreeMap<u64, Vec<(NodeId, Message)>>,
-    ready: Vec<(NodeId, Message)>,
+    /// Messages by the batch that they wait for.
+    waiting: BTreeMap<u64, Vec<Envelope>>,
+    /// Messages that may leave.
+    ready: Vec<Envelope>,
 }
 
 impl CommitQueue {
-    /// An empty ledger at the start of a term.
+    /// An empty queue at the start of a term.
     pub(crate) fn new() -> CommitQueue {
         CommitQueue {
             open: 1,
@@ -28,19 +36,19 @@
         }
     }
 
-    /// Lays a job's record into the open batch and tells its number.
+    /// Puts a job's record into the open batch. Returns the batch's number.
     pub(crate) fn put_job(&mut self, key: Key, record: &JobRecord) -> u64 {
         let value = record.to_bytes().unwrap_or_default();
         self.change(key, Some(value))
     }
 
-    /// Lays a task's record into the open batch and tells its number.
+    /// Puts a task's record into the open batch. Returns the batch's number.
     pub(crate) fn put_task(&mut self, key: Key, record: &TaskRecord) -> u64 {
         let value = record.to_bytes().unwrap_or_default();
         self.change(key, Some(value))
     }
 
-    /// Removes a record with the open batch and tells its number.
+    /// Deletes a record with the open batch. Returns the batch's number.
     pub(crate) fn delete(&mut self, key: Key) -> u64 {
         self.change(key, None)
     }
@@ -50,17 +58,17 @@
         self.open
     }
 
-    /// True once the batch with this number is kept.
-    pub(crate) fn is_committed(&self, number: u64) -> bool {
-        number <= self.committed
+    /// True once the batch with this number is committed. There is no batch 0: what needs none is committed at once.
+    pub(crate) fn is_committed(&self, batch: u64) -> bool {
+        batch <= self.committed
     }
 
-    /// Sends a message once the batch with this number is kept.
-    pub(crate) fn send_after(&mut self, number: u64, to: NodeId, message: Message) {
-        if self.is_committed(number) {
+    /// Sends a message once the batch with this number is committed.
+    pub(crate) fn send_after(&mut self, batch: u64, to: NodeId, message: Message) {
+        if self.is_committed(batch) {
             self.ready.push((to, message));
         } else {
-            self.waiting.entry(number).or_default().push((to, message));
+            self.waiting.entry(batch).or_default().push((to, message));
         }
     }
 
@@ -69,15 +77,15 @@
         self.ready.push((to, message));
     }
 
-    /// All batches up to this number are kept.
-    pub(crate) fn commit(&mut self, number: u64) {
-        self.committed = self.committed.max(number);
+    /// All batches up to this number are committed: what waited for them may leave, in the order of the batches.
+    pub(crate) fn commit(&mut self, batch: u64) {
+        self.committed = self.committed.max(batch);
         let later = self.waiting.split_off(&(self.committed + 1));
         let released = std::mem::replace(&mut self.waiting, later);
         self.ready.extend(released.into_values().flatten());
     }
 
-    /// The open batch, where it holds anything.
+    /// Closes and takes the open batch; `None` where it is empty.
     pub(crate) fn take_batch(&mut self) -> Option<Batch> {
         if self.changes.is_empty() {
             return None;
@@ -95,20 +103,18 @@
         })
     }
 
-    /// The messages that may leave.
-    pub(crate) fn take_sends(&mut self) -> Vec<(NodeId, Message)> {
+    /// Takes the messages that may leave.
+    pub(crate) fn take_sends(&mut self) -> Vec<Envelope> {
         std::mem::take(&mut self.ready)
     }
-}
 
-impl CommitQueue {
-    /// How many batches are not kept yet.
-    pub(crate) fn outstanding(&self) -> u64 {
-        self.current() - self.committed.min(self.current())
+    /// How many batches are not committed yet, the open one included if it holds a change.
+    pub(crate) fn uncommitted_batches(&self) -> u64 {
+        self.newest().saturating_sub(self.committed)
     }
 
     /// The number of the newest batch that holds a change, be it open or taken.
-    pub(crate) fn current(&self) -> u64 {
+    pub(crate) fn newest(&self) -> u64 {
         if self.changes.is_empty() {
             self.open - 1
         } else {
--- a/crates/cluster/scheduler/src/ids.rs
+++ b/crates/cluster/scheduler/src/ids.rs
@@ -1,19 +1,19 @@
-//! Names of jobs and tasks.
+//! Names of jobs, steps and tasks.
 
 use std::fmt;
 
-/// A job's ID: 16 hex digits chosen by the client.
+/// Hexadecimal digits of a job's ID.
+const ID_DIGITS: usize = 16;
+
+/// A job's ID: 16 lower-case hexadecimal digits chosen by the client.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
-/// Digits of a job's ID.
-const ID_DIGITS: usize = 16;
-
 impl JobId {
-    /// The ID that a text holds; `None` where it is not 16 lower-case hex digits.
+    /// Parses an ID; `None` unless the text is 16 lower-case hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
-        let digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-        if text.len() != ID_DIGITS || !text.bytes().all(digit) {
+        let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+        if text.len() != ID_DIGITS || !text.bytes().all(is_digit) {
             return None;
         }
         u64::from_str_radix(text, 16).ok().map(JobId)
@@ -26,35 +26,43 @@
     }
 }
 
-/// A step of a job, of one of its times.
+/// One step of a job, in one of the job's occurrences.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StepId {
+    /// The job that the step is part of.
     pub job: JobId,
-    /// Which time of a job that runs several times; 0 otherwise.
-    pub time: u32,
+    /// Which occurrence of a repeated job, from 0; 0 for a job that runs once.
+    pub occurrence: u32,
+    /// The step's index in the job's `stages`.
     pub step: u32,
 }
 
-/// A task: `ID.K.STEP.INDEX` on the wire.
+/// One task of a step. Its text, also on the wire, is `JOB.OCCURRENCE.STEP.INDEX`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
+    /// The step that the task is part of.
     pub step: StepId,
+    /// The task's index within the step.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The task that a text names.
+    /// Parses the text of a task's ID; `None` where it is malformed.
     pub fn parse(text: &str) -> Option<TaskId> {
         let mut parts = text.split('.');
         let job = JobId::parse(parts.next()?)?;
-        let time = parts.next()?.parse().ok()?;
+        let occurrence = parts.next()?.parse().ok()?;
         let step = parts.next()?.parse().ok()?;
         let index = parts.next()?.parse().ok()?;
         if parts.next().is_some() {
             return None;
         }
         Some(TaskId {
-            step: StepId { job, time, step },
+            step: StepId {
+                job,
+                occurrence,
+                step,
+            },
             index,
         })
     }
@@ -62,7 +70,11 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        let StepId { job, time, step } = self.step;
-        write!(formatter, "{job}.{time}.{step}.{}", self.index)
+        let StepId {
+            job,
+            occurrence,
+            step,
+        } = self.step;
+        write!(formatter, "{job}.{occurrence}.{step}.{}", self.index)
     }
 }
--- a/crates/cluster/scheduler/src/job.rs
+++ b/crates/cluster/scheduler/src/job.rs
@@ -1,121 +1,87 @@
-//! One job: its steps, for each of its times, and the state of every task.
+//! One job: its attributes, and the state of its steps in each of its occurrences.
 
-use crate::ids::{JobId, StepId, TaskId};
-use crate::records::{JobRecord, Outcome, TaskRecord};
-use crate::spec::{JobSpec, Stage};
-use sagetrail_protocol::{Blob, NodeId, Time};
+use sagetrail_cluster_config::Route;
+use sagetrail_protocol::{Blob, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A task.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Task {
-    pub done: bool,
-    /// The highest attempt used; 0 before the first.
-    pub attempt: u64,
-    /// How many of its runs have ended `failed`.
-    pub failures: u32,
-    /// For a member of a gang: the newest attempt whose failure was counted here.
-    pub failed_attempt: u64,
-    /// The newest checkpoint, empty for none.
-    pub checkpoint: String,
-    /// The agent of the runner that a run is assigned to and may not be over at.
-    pub runner: Option<NodeId>,
-    /// Runners at which it has failed: others are tried first.
-    pub failed_at: Vec<NodeId>,
-}
+use crate::ids::{JobId, StepId, TaskId};
+use crate::records::{JobRecord, Outcome, TaskRecord};
+use crate::spec::{JobSpec, Stage};
+use crate::step_run::{StepRun, Task};
 
-/// A step, at one of the job's times.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct StepRun {
-    pub tasks: Vec<Task>,
-    /// Tasks that are not done.
-    pub left: u32,
-    /// Tasks that are neither done nor assigned.
-    pub waiting: BTreeSet<u32>,
-    /// Since when a task has waited.
-    pub waiting_since: Time,
-    /// For a gang: the newest attempt that counted as failed, and how many did.
-    pub failed_attempt: u64,
-    pub gang_failures: u32,
+/// What a queue's route in the configuration says of the queue's jobs.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct QueueAttributes {
+    /// The name of the route.
+    pub name: String,
+    /// The service whose runners run the jobs.
+    pub service: String,
+    /// A job fails with so many failed runs of one task, or of one gang; at least 1.
+    pub max_attempts: u32,
+    /// 0 is the most urgent.
+    pub priority: u32,
+    /// The objective's multiple of the job's longest chain of work; see `objective`.
+    pub extension: f64,
+    /// The objective's constant part, in milliseconds.
+    pub target_ms: f64,
 }
 
-impl StepRun {
-    fn new(count: u32) -> StepRun {
-        StepRun {
-            tasks: vec![Task::default(); count as usize],
-            left: count,
-            waiting: (0..count).collect(),
-            ..StepRun::default()
+impl From<&Route> for QueueAttributes {
+    fn from(route: &Route) -> QueueAttributes {
+        QueueAttributes {
+            name: route.name.clone(),
+            service: route.service.clone(),
+            max_attempts: route.max_attempts.max(1),
+            priority: route.priority,
+            extension: route.extension,
+            target_ms: route.target_latency_ms,
         }
     }
-
-    /// The attempt that the next run of a gang has.
-    pub(crate) fn next_gang_attempt(&self) -> u64 {
-        self.tasks
-            .iter()
-            .map(|task| task.attempt)
-            .max()
-            .unwrap_or(0)
-            + 1
-    }
-
-    /// The checkpoint that all members of a gang resume from: any member's serves.
-    pub(crate) fn gang_checkpoint(&self) -> String {
-        self.tasks
-            .iter()
-            .map(|task| &task.checkpoint)
-            .find(|saved| !saved.is_empty())
-            .cloned()
-            .unwrap_or_default()
-    }
 }
 
-/// What is fixed when a job is taken.
+/// What is known of a job beside its specification.
 #[derive(Clone, Debug)]
 pub(crate) struct JobAttributes {
-    /// The name of its route.
-    pub queue: String,
-    pub service: String,
-    pub max_attempts: u32,
-    /// 0 comes first.
-    pub priority: u32,
-    /// Rises with each job taken.
+    /// Its queue; follows the configuration.
+    pub queue: QueueAttributes,
+    /// Rises with each accepted job.
     pub order: u64,
-    /// When it was taken, in milliseconds since 1970.
+    /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: i64,
-    /// The queue's latency objective is so many times the job's longest chain of work,
-    pub extension: f64,
-    /// and so many milliseconds more.
-    pub target_ms: f64,
 }
 
-/// A job.
+/// One job. Once it has ended, only its attributes and its outcome are kept.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
+    /// Its ID.
     pub id: JobId,
+    /// Its queue, and when it was accepted.
     pub attributes: JobAttributes,
+    /// How it ended, or that it has not.
     pub outcome: Outcome,
-    /// As handed in; `None` once the job has ended.
+    /// As submitted; `None` once the job has ended.
     pub spec: Option<Arc<JobSpec>>,
+    /// The submitted body, byte for byte; empty once the job has ended.
     body: Vec<u8>,
-    /// The steps of each time.
-    pub times: Vec<Vec<StepRun>>,
-    /// The times that have fallen due.
-    pub opened: BTreeSet<u32>,
-    /// Tasks that are not done.
-    pub left: u64,
-    /// Whether a task has ever been assigned.
+    /// The steps of each occurrence.
+    pub occurrences: Vec<Vec<StepRun>>,
+    /// The occurrences that have fallen due.
+    pub due_occurrences: BTreeSet<u32>,
+    /// How many tasks are not done, over all steps and occurrences.
+    pub remaining: u64,
+    /// True once a task has been assigned.
     pub has_started: bool,
     /// The batch that holds the newest change of `outcome`.
     pub batch: u64,
-    /// When the job ended, or was taken over ended.
+    /// When the job ended; for one that ended in an earlier term, when this term began.
     pub ended_at: Option<Time>,
+    /// When it was accepted; for one of an earlier term, when this term began.
     pub accepted_at: Time,
 }
 
 impl Job {
-    /// A job just handed in.
+    /// A job just submitted, or restored unended.
     pub(crate) fn new(
         id: JobId,
         attributes: JobAttributes,
@@ -129,11 +95,11 @@
                 .map(|stage| StepRun::new(stage.count))
                 .collect()
         };
-        let times: Vec<Vec<StepRun>> = (0..spec.times()).map(|_| steps()).collect();
-        let left = times
+        let occurrences: Vec<Vec<StepRun>> = (0..spec.occurrences()).map(|_| steps()).collect();
+        let remaining = occurrences
             .iter()
             .flatten()
-            .map(|step| u64::from(step.left))
+            .map(|step| u64::from(step.remaining))
             .sum();
         Job {
             id,
@@ -141,9 +107,9 @@
             outcome: Outcome::Active,
             spec: Some(Arc::new(spec)),
             body,
-            times,
-            opened: BTreeSet::new(),
-            left,
+            occurrences,
+            due_occurrences: BTreeSet::new(),
+            remaining,
             has_started: false,
             batch: 0,
             ended_at: None,
@@ -159,9 +125,9 @@
             outcome,
             spec: None,
             body: Vec::new(),
-            times: Vec::new(),
-            opened: BTreeSet::new(),
-            left: 0,
+            occurrences: Vec::new(),
+            due_occurrences: BTreeSet::new(),
+            remaining: 0,
             has_started: true,
             batch: 0,
             ended_at: Some(now),
@@ -171,14 +137,19 @@
 
     /// The job's record.
     pub(crate) fn record(&self) -> JobRecord {
+        let JobAttributes {
+            queue,
+            order,
+            accepted_ms,
+        } = &self.attributes;
         JobRecord {
             outcome: self.outcome,
-            queue: self.attributes.queue.as_str().into(),
-            service: self.attributes.service.as_str().into(),
-            max_attempts: self.attributes.max_attempts,
-            priority: self.attributes.priority,
-            order: self.attributes.order,
-            accepted_ms: self.attributes.accepted_ms,
+            queue: queue.name.as_str().into(),
+            service: queue.service.as_str().into(),
+            max_attempts: queue.max_attempts,
+            priority: queue.priority,
+            order: *order,
+            accepted_ms: *accepted_ms,
             body: Blob(self.body.clone()),
         }
     }
@@ -189,24 +160,31 @@
         self.ended_at = Some(now);
         self.spec = None;
         self.body = Vec::new();
-        self.times = Vec::new();
-        self.left = 0;
+        self.occurrences = Vec::new();
+        self.remaining = 0;
+    }
+
+    /// The job's priority, 0 first.
+    pub(crate) fn priority(&self) -> u32 {
+        self.attributes.queue.priority
     }
 
-    /// A step as handed in.
+    /// A step as submitted.
     pub(crate) fn stage(&self, id: StepId) -> Option<&Stage> {
         self.spec.as_ref()?.stages.get(id.step as usize)
     }
 
     /// A step's state.
     pub(crate) fn step(&self, id: StepId) -> Option<&StepRun> {
-        self.times.get(id.time as usize)?.get(id.step as usize)
+        self.occurrences
+            .get(id.occurrence as usize)?
+            .get(id.step as usize)
     }
 
     /// A step's state, to change it.
     pub(crate) fn step_mut(&mut self, id: StepId) -> Option<&mut StepRun> {
-        self.times
-            .get_mut(id.time as usize)?
+        self.occurrences
+            .get_mut(id.occurrence as usize)?
             .get_mut(id.step as usize)
     }
 
@@ -215,31 +193,53 @@
         self.step_mut(id.step)?.tasks.get_mut(id.index as usize)
     }
 
-    /// All steps of one time.
-    pub(crate) fn steps_of(&self, time: u32) -> Vec<StepId> {
-        let count = self.times.get(time as usize).map_or(0, Vec::len);
+    /// All steps of one occurrence.
+    pub(crate) fn steps_of(&self, occurrence: u32) -> Vec<StepId> {
+        let count = self
+            .occurrences
+            .get(occurrence as usize)
+            .map_or(0, Vec::len);
         (0..count as u32)
             .map(|step| StepId {
                 job: self.id,
-                time,
+                occurrence,
                 step,
             })
             .collect()
     }
 
     /// True where all steps that this one depends on have ended.
-    pub(crate) fn dependencies_met(&self, id: StepId) -> bool {
+    fn dependencies_met(&self, id: StepId) -> bool {
         let Some(stage) = self.stage(id) else {
             return false;
         };
         let ended = |&on: &u32| {
             self.step(StepId { step: on, ..id })
-                .is_some_and(|step| step.left == 0)
+                .is_some_and(StepRun::has_ended)
         };
         stage.depends_on.iter().all(ended)
     }
 
-    /// Marks a task done; true where it was not.
+    /// All steps of all occurrences.
+    pub(crate) fn all_steps(&self) -> Vec<StepId> {
+        (0..self.occurrences.len() as u32)
+            .flat_map(|occurrence| self.steps_of(occurrence))
+            .collect()
+    }
+
+    /// True where a step's tasks may start: some wait (all of a gang), its occurrence is due, and what it depends on
+    /// has ended.
+    pub(crate) fn is_ready(&self, id: StepId) -> bool {
+        let (Some(stage), Some(step)) = (self.stage(id), self.step(id)) else {
+            return false;
+        };
+        !step.waiting.is_empty()
+            && (!stage.gang || step.is_complete_gang_waiting())
+            && self.dependencies_met(id)
+            && self.due_occurrences.contains(&id.occurrence)
+    }
+
+    /// Marks a task done. Returns false where it was done already, or is unknown.
     pub(crate) fn mark_done(&mut self, id: TaskId) -> bool {
         let Some(step) = self.step_mut(id.step) else {
             return false;
@@ -251,13 +251,13 @@
             return false;
         }
         task.done = true;
-        step.left -= 1;
+        step.remaining -= 1;
         step.waiting.remove(&id.index);
-        self.left -= 1;
+        self.remaining -= 1;
         true
     }
 
-    /// Takes a task's record from an earlier term.
+    /// Restores a task from its record.
     pub(crate) fn restore_task(&mut self, id: TaskId, record: &TaskRecord) {
         if record.done != 0 {
             self.mark_done(id);
--- a/crates/cluster/scheduler/src/objective.rs
+++ b/crates/cluster/scheduler/src/objective.rs
@@ -1,40 +1,41 @@
-//! When a job is to have ended, and whether it still can.
+//! When a job is due, and whether it can still end by then.
 //!
 //! A queue's objective is `extension` times the job's longest chain of work, plus `target_latency_ms`; up to three
-//! times that a job still earns a part. Chains are reckoned from the steps' estimates.
+//! times that a job still has some value. Chains are computed from the steps' estimates.
 
 use crate::ids::StepId;
 use crate::job::Job;
 use crate::spec::JobSpec;
 
-/// The extension of a queue that says none.
+/// The extension of a queue that gives none.
 pub(crate) const DEFAULT_EXTENSION: f64 = 2.0;
-/// The target of a queue that says none, in milliseconds.
+/// The target of a queue that gives none, in milliseconds.
 pub(crate) const DEFAULT_TARGET_MS: f64 = 1_500.0;
-/// Beyond so many times its objective a job earns nothing.
+/// Beyond this multiple of its objective a job has no value.
 const LATE_FACTOR: f64 = 3.0;
 
-/// What a job can still earn.
+/// Whether work can still meet its objective. Sorts by the order in which work is placed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Expectation {
     /// It can end within its objective.
     InTime,
     /// It can end within three times its objective.
     Late,
-    /// It can earn nothing.
+    /// It cannot end while it has any value.
     Missed,
 }
 
-/// A step's standing against its job's objective.
+/// The objective of one step's job, and what to expect of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Objective {
+    /// Whether it can still be met.
     pub expectation: Expectation,
-    /// When the job, or this time of it, is to have ended, in milliseconds since 1970.
+    /// When the job, or this occurrence of it, is due to end, in milliseconds since 1970.
     pub due_ms: i64,
 }
 
 impl Objective {
-    /// The standing of a step at a time of day in milliseconds since 1970.
+    /// The objective of a step at a time of day, in milliseconds since 1970.
     pub(crate) fn of(job: &Job, id: StepId, wall_ms: i64) -> Objective {
         let Some(spec) = &job.spec else {
             return Objective {
@@ -43,12 +44,13 @@
             };
         };
         let begins_ms = spec
-            .due_ms(id.time)
+            .due_ms(id.occurrence)
             .unwrap_or(job.attributes.accepted_ms)
             .max(job.attributes.accepted_ms);
         let chains = chains_ms(spec);
         let longest_ms = chains.iter().copied().fold(0.0, f64::max);
-        let objective_ms = job.attributes.extension * longest_ms + job.attributes.target_ms;
+        let queue = &job.attributes.queue;
+        let objective_ms = queue.extension * longest_ms + queue.target_ms;
         let due_ms = begins_ms + objective_ms as i64;
         let long_running = job.stage(id).is_some_and(|stage| stage.long_running);
         let ends_ms = wall_ms + chains.get(id.step as usize).copied().unwrap_or(0.0) as i64;
--- a/crates/cluster/scheduler/src/outlier_ejection.rs
+++ b/crates/cluster/scheduler/src/outlier_ejection.rs
@@ -1,42 +1,49 @@
-//! Evidence about a runner: ends of work there, weighed against how often work fails anywhere in its service.
+//! Outlier ejection: runners at which runs fail or stall while others do well get no new starts for a while.
 //!
-//! A cumulative sum of log likelihood ratios (CUSUM): each end speaks for the hypothesis that the runner fails
-//! `UNWELL_RATE` of what it starts, or against it. Over `SUSPECT_SCORE` the runner rests, then is tried with one run.
+//! Evidence is a cumulative sum of log likelihood ratios (CUSUM; Page, "Continuous Inspection Schemes", Biometrika 41,
+//! 1954): each end of a run speaks for the hypothesis that the runner fails `UNHEALTHY_FAILURE_RATE` of what it starts,
+//! or against it, compared with the failure rate of its service. Over `SUSPECT_SCORE` the runner is ejected, then
+//! tried with a single run.
 
-use crate::ids::JobId;
 use sagetrail_protocol::Time;
+use std::collections::BTreeMap;
+
+use crate::ids::JobId;
 
-/// The share of its runs that an unwell runner fails.
+/// The part of its runs that an unhealthy runner fails.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.4;
-/// The bounds of the usual share of failed runs.
+/// The lower bound of a service's failure rate.
 const MIN_BASELINE_RATE: f64 = 0.05;
+/// The upper bound of a service's failure rate.
 const MAX_BASELINE_RATE: f64 = 0.25;
 /// Evidence over this makes a runner suspect: three failures in a row where work hardly ever fails.
 const SUSPECT_SCORE: f64 = 5.0;
-/// A suspect runner is tried again after this, doubled with each time that it is found unwell, in milliseconds.
+/// The first ejection's length in milliseconds; each further one is twice as long.
 const FIRST_EJECTION_MS: u64 = 1_000;
-/// The longest rest, in milliseconds.
+/// The longest ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 8_000;
-/// After so long without suspicion rests begin with the shortest again, in milliseconds.
+/// After so long without an ejection the next one is short again, in milliseconds.
 const EJECTION_RESET_MS: u64 = 20_000;
-/// The usual rate begins as if so many ends had been seen: one runner's failures alone do not make it.
+/// A service's rate begins as if so many runs had ended at the lower bound: one runner's failures do not make it.
 const PRIOR_RUNS: f64 = 100.0;
-/// Ends weigh half in the usual rate after so many further ones.
+/// An end weighs half in a service's rate after so many further ones.
 const BASELINE_HALF_LIFE_RUNS: f64 = 200.0;
 
-/// How often work fails in a service.
+/// How often runs fail in a service, over its recent past.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
+    /// Ended runs, decayed.
     ends: f64,
+    /// Failed ones among them, decayed alike.
     failures: f64,
 }
 
 impl FailureRate {
-    /// Notes an end.
-    pub(crate) fn note(&mut self, failed: bool) {
-        let part = 0.5f64.powf(1.0 / BASELINE_HALF_LIFE_RUNS);
-        self.ends = self.ends * part + 1.0;
-        self.failures = self.failures * part + f64::from(u8::from(failed));
+    /// Counts an end.
+    fn count(&mut self, failed: bool) {
+        let decay = 0.5f64.powf(1.0 / BASELINE_HALF_LIFE_RUNS);
+        self.ends = self.ends * decay + 1.0;
+        self.failures = self.failures * decay + f64::from(u8::from(failed));
     }
 
     fn rate(self) -> f64 {
@@ -45,31 +52,47 @@
     }
 }
 
-/// What is known of a runner's work.
+/// The failure rates of all services, by name.
+#[derive(Debug, Default)]
+pub(crate) struct FailureRates(BTreeMap<String, FailureRate>);
+
+impl FailureRates {
+    /// Counts an end in a service. Returns the rate with this end.
+    pub(crate) fn count(&mut self, service: &str, failed: bool) -> FailureRate {
+        let rate = self.0.entry(service.to_owned()).or_default();
+        rate.count(failed);
+        *rate
+    }
+}
+
+/// The evidence about one runner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerHealth {
+    /// The cumulative sum; suspect from `SUSPECT_SCORE`.
     score: f64,
-    /// The job that failed here last: its further tasks tell nothing new.
+    /// The job that failed here last: failures of its other tasks are no new evidence.
     last_failed_job: Option<JobId>,
+    /// The length of the newest ejection, in milliseconds; 0 for none.
     ejection_ms: u64,
+    /// When it ends, or ended.
     ejected_until: Time,
-    /// A single run tries a suspect runner.
+    /// A run is out that tries a suspect runner.
     on_trial: bool,
 }
 
 impl RunnerHealth {
-    /// A run ended well: of a suspect runner, suspicion is over.
+    /// A run ended well. A suspect runner is cleared by it.
     pub(crate) fn succeeded(&mut self, baseline: FailureRate) {
         self.last_failed_job = None;
         if !self.is_healthy() {
             self.score = 0.0;
             return;
         }
-        let against = ((1.0 - UNHEALTHY_FAILURE_RATE) / (1.0 - baseline.rate())).ln();
-        self.score = (self.score + against).max(0.0);
+        let log_ratio = ((1.0 - UNHEALTHY_FAILURE_RATE) / (1.0 - baseline.rate())).ln();
+        self.score = (self.score + log_ratio).max(0.0);
     }
 
-    /// A run failed here, or stood still, whose task had not failed elsewhere before.
+    /// A run failed or stalled here whose task had not failed elsewhere before.
     pub(crate) fn failed(&mut self, now: Time, job: JobId, baseline: FailureRate) {
         self.on_trial = false;
         if self.last_failed_job == Some(job) && self.is_healthy() {
@@ -77,7 +100,7 @@
         }
         self.last_failed_job = Some(job);
         self.score += (UNHEALTHY_FAILURE_RATE / baseline.rate()).ln();
-        // Runs that were under way when the rest began end it no later.
+        // Runs that were in flight when the ejection began do not prolong it.
         if self.is_healthy() || now < self.ejected_until {
             return;
         }
@@ -88,7 +111,7 @@
         self.ejected_until = now.plus_millis(self.ejection_ms);
     }
 
-    /// True where nothing speaks against the runner.
+    /// True where the runner is not suspect.
     pub(crate) fn is_healthy(&self) -> bool {
         self.score < SUSPECT_SCORE
     }
@@ -98,12 +121,12 @@
         self.is_healthy() || (now >= self.ejected_until && !self.on_trial)
     }
 
-    /// A start is tried: a suspect runner gets no further one before this one's end.
+    /// A run was assigned: a suspect runner gets no other before this one's end.
     pub(crate) fn started(&mut self) {
         self.on_trial = !self.is_healthy();
     }
 
-    /// A run is over, however it ended: another may be tried.
+    /// A run is over, however it ended: a suspect runner may be tried again.
     pub(crate) fn trial_ended(&mut self) {
         self.on_trial = false;
     }
--- a/crates/cluster/scheduler/src/pending_queue.rs
+++ b/crates/cluster/scheduler/src/pending_queue.rs
@@ -1,113 +1,91 @@
-//! Steps with tasks whose turn has come, by priority and age, and times that are not due yet.
+//! The backlog: steps with tasks that wait for a runner, by service, in the order in which they are placed.
 
-use crate::ids::{JobId, StepId};
-use crate::objective::Expectation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a held step stands in its service's queue.
+use crate::ids::StepId;
+use crate::objective::Expectation;
+
+/// A pending step with what decides its position; sorts by the order in which steps are placed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct PendingKey {
     /// 0 comes first.
     pub priority: u32,
-    /// Within a priority, what can still be in time goes first, what can earn nothing last.
+    /// Within a priority, work that can be in time comes first, work without value last.
     pub expectation: Expectation,
-    /// When the job is to have ended, in milliseconds since 1970.
+    /// When the job is due to end, in milliseconds since 1970.
     pub due_ms: i64,
+    /// The job's order of acceptance.
     pub order: u64,
+    /// The step.
     pub step: StepId,
 }
 
-/// The held steps of all services.
+/// Where a step stands in the queue.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Position {
+    service: String,
+    key: PendingKey,
+}
+
+/// The pending steps of all services. Invariant: both maps hold the same steps, and no set is empty.
 #[derive(Default)]
 pub(crate) struct PendingQueue {
     services: BTreeMap<String, BTreeSet<PendingKey>>,
-    places: BTreeMap<StepId, (String, PendingKey)>,
+    positions: BTreeMap<StepId, Position>,
 }
 
 impl PendingQueue {
-    /// Holds a step, or moves it.
-    pub(crate) fn hold(&mut self, service: &str, key: PendingKey) {
-        if self
-            .places
-            .get(&key.step)
-            .is_some_and(|(held, at)| held == service && *at == key)
-        {
+    /// Adds a step, or moves it to another position.
+    pub(crate) fn insert(&mut self, service: &str, key: PendingKey) {
+        let unchanged = |at: &Position| at.service == service && at.key == key;
+        if self.positions.get(&key.step).is_some_and(unchanged) {
             return;
         }
-        self.release(key.step);
-        self.services
-            .entry(service.to_owned())
-            .or_default()
-            .insert(key);
-        self.places.insert(key.step, (service.to_owned(), key));
+        self.remove(key.step);
+        let service = service.to_owned();
+        let keys = self.services.entry(service.clone()).or_default();
+        keys.insert(key);
+        self.positions.insert(key.step, Position { service, key });
     }
 
-    /// Holds a step no longer.
-    pub(crate) fn release(&mut self, step: StepId) {
-        let Some((service, key)) = self.places.remove(&step) else {
+    /// Removes a step, if it is there.
+    pub(crate) fn remove(&mut self, step: StepId) {
+        let Some(Position { service, key }) = self.positions.remove(&step) else {
             return;
         };
-        let Some(held) = self.services.get_mut(&service) else {
+        let Some(keys) = self.services.get_mut(&service) else {
             return;
         };
-        held.remove(&key);
-        if held.is_empty() {
+        keys.remove(&key);
+        if keys.is_empty() {
             self.services.remove(&service);
         }
     }
 
-    /// True where the step is held.
+    /// True where the step is pending.
     pub(crate) fn contains(&self, step: StepId) -> bool {
-        self.places.contains_key(&step)
+        self.positions.contains_key(&step)
     }
 
-    /// Services with held steps.
+    /// The services with pending steps, by name.
     pub(crate) fn services(&self) -> Vec<String> {
         self.services.keys().cloned().collect()
     }
 
-    /// The first `most` held steps of a service, in order.
-    pub(crate) fn held(&self, service: &str, most: usize) -> Vec<PendingKey> {
-        self.services
-            .get(service)
-            .map(|held| held.iter().take(most).copied().collect())
+    /// The first `limit` pending steps of a service, in order.
+    pub(crate) fn first(&self, service: &str, limit: usize) -> Vec<PendingKey> {
+        let keys = self.services.get(service);
+        keys.map(|keys| keys.iter().take(limit).copied().collect())
             .unwrap_or_default()
     }
 
-    /// True where nothing is held.
-    pub(crate) fn is_empty(&self) -> bool {
-        self.services.is_empty()
+    /// All pending steps of a service, in order.
+    pub(crate) fn all(&self, service: &str) -> Vec<PendingKey> {
+        self.first(service, usize::MAX)
     }
-}
 
-/// A time of a job that is not due yet.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) struct DueTime {
-    /// In milliseconds since 1970.
-    pub at_ms: i64,
-    pub job: JobId,
-    pub time: u32,
-}
-
-/// The times that are not due yet.
-#[derive(Default)]
-pub(crate) struct DueTimes(BTreeSet<DueTime>);
-
-impl DueTimes {
-    /// Waits for a time.
-    pub(crate) fn add(&mut self, due: DueTime) {
-        self.0.insert(due);
-    }
-
-    /// The first one, where it has come.
-    pub(crate) fn take_due(&mut self, wall_ms: i64) -> Option<DueTime> {
-        let first = self.0.first().filter(|due| due.at_ms <= wall_ms).copied()?;
-        self.0.remove(&first);
-        Some(first)
-    }
-
-    /// When the first one comes.
-    pub(crate) fn next_ms(&self) -> Option<i64> {
-        self.0.first().map(|due| due.at_ms)
+    /// True where nothing is pending.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.services.is_empty()
     }
 }
--- a/crates/cluster/scheduler/src/records.rs
+++ b/crates/cluster/scheduler/src/records.rs
@@ -1,54 +1,67 @@
-//! How jobs and tasks lie in the replicated records.
+//! The stored form of jobs and tasks in the replicated records.
+//!
+//! The order and types of fields, the numbers of variants and the layout of keys are on disk: they must not change.
 
-use crate::ids::{JobId, StepId, TaskId};
 use deku::prelude::*;
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::{Blob, NodeId, Text};
 
-/// Where a job stands.
+use crate::error::SchedulerError;
+use crate::ids::{JobId, StepId, TaskId};
+
+/// How a job ended, or that it has not.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
-pub enum Outcome {
+pub(crate) enum Outcome {
     /// It has tasks to run, or running.
     #[deku(id = 0)]
     Active,
+    /// All its tasks are done.
     #[deku(id = 1)]
     Completed,
+    /// One of its tasks, or a gang, failed as often as its queue allows.
     #[deku(id = 2)]
     Failed,
+    /// Its client cancelled it.
     #[deku(id = 3)]
     Cancelled,
 }
 
 /// A job's record.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Debug)]
-pub struct JobRecord {
+pub(crate) struct JobRecord {
+    /// How it ended, or that it has not.
     pub outcome: Outcome,
     /// The name of its route.
     pub queue: Text,
-    /// The service that ran the queue when the job was taken.
+    /// The service that ran the queue when the job was accepted.
     pub service: Text,
+    /// How many failed runs of a task fail the job.
     pub max_attempts: u32,
+    /// 0 is the most urgent.
     pub priority: u32,
-    /// Rises with each job taken.
+    /// Rises with each accepted job.
     pub order: u64,
-    /// When it was taken, in milliseconds since 1970.
+    /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: i64,
-    /// As handed in; empty once the job has ended.
+    /// As submitted; empty once the job has ended.
     pub body: Blob,
 }
 
 /// An assignment of a run to a runner that may not be over.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
-pub struct AssignmentRecord {
+pub(crate) struct AssignmentRecord {
+    /// The agent of the runner.
     pub agent: NodeId,
+    /// The instance of the runner.
     pub instance: Text,
+    /// What the run uses.
     pub resources: Resources,
 }
 
-/// A task's record; none is kept for a task that has never been assigned.
+/// A task's record; there is none for a task that has never been assigned.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
-pub struct TaskRecord {
+pub(crate) struct TaskRecord {
     /// 1 where the task has ended well.
     pub done: u8,
     /// The highest attempt used.
@@ -61,31 +74,42 @@
     pub checkpoint: Text,
     /// 1 where the assignment below may not be over.
     pub assigned: u8,
+    /// The newest assignment; empty where `assigned` is 0.
     pub assignment: AssignmentRecord,
 }
 
-/// What a key names.
+/// The key of a record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Key {
+    /// Of a job's record.
     Job(JobId),
+    /// Of a task's record.
     Task(TaskId),
 }
 
+/// The first byte of a job's key.
 const JOB_KEY: u8 = b'j';
+/// The first byte of a task's key.
 const TASK_KEY: u8 = b't';
 
 impl Key {
-    /// The key's bytes; they sort by job, time, step, index.
+    /// The key's bytes: the kind, then job, occurrence, step and index, big-endian, so that they sort in this order.
+    /// All jobs sort before all tasks.
     pub(crate) fn to_bytes(self) -> Vec<u8> {
         match self {
             Key::Job(id) => [&[JOB_KEY][..], &id.0.to_be_bytes()].concat(),
             Key::Task(TaskId {
-                step: StepId { job, time, step },
+                step:
+                    StepId {
+                        job,
+                        occurrence,
+                        step,
+                    },
                 index,
             }) => [
                 &[TASK_KEY][..],
                 &job.0.to_be_bytes(),
-                &time.to_be_bytes(),
+                &occurrence.to_be_bytes(),
                 &step.to_be_bytes(),
                 &index.to_be_bytes(),
             ]
@@ -93,20 +117,28 @@
         }
     }
 
-    /// The key that bytes hold.
-    pub(crate) fn parse(bytes: &[u8]) -> Option<Key> {
+    /// Parses a key.
+    ///
+    /// # Errors
+    ///
+    /// `UnknownKey` where the bytes are no key of this version.
+    pub(crate) fn parse(bytes: &[u8]) -> Result<Key, SchedulerError> {
+        Key::from_bytes(bytes).ok_or(SchedulerError::UnknownKey(bytes.len()))
+    }
+
+    fn from_bytes(bytes: &[u8]) -> Option<Key> {
         let (&kind, rest) = bytes.split_first()?;
         let (job, rest) = rest.split_first_chunk::<8>()?;
         let job = JobId(u64::from_be_bytes(*job));
         if kind == JOB_KEY && rest.is_empty() {
             return Some(Key::Job(job));
         }
-        let (time, rest) = rest.split_first_chunk::<4>()?;
+        let (occurrence, rest) = rest.split_first_chunk::<4>()?;
         let (step, rest) = rest.split_first_chunk::<4>()?;
         let (index, rest) = rest.split_first_chunk::<4>()?;
         let step = StepId {
             job,
-            time: u32::from_be_bytes(*time),
+            occurrence: u32::from_be_bytes(*occurrence),
             step: u32::from_be_bytes(*step),
         };
         let task = TaskId {
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,115 +1,164 @@
-//! A runner as the scheduler knows it: what its agent reported, what is assigned to it, what it is to be told.
+//! A runner as the scheduler sees it: what its agent reported, what is assigned to it, what was commanded last.
 
-use crate::ids::TaskId;
-use crate::outlier_ejection::RunnerHealth;
 use sagetrail_protocol::agent::{Resources, StopOrder, AGENT_LEASE_MS};
-use sagetrail_protocol::{Incarnation, Time};
+use sagetrail_protocol::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Steady clocks may differ by this share.
+use crate::agent_session::AgentSession;
+use crate::capacity;
+use crate::ids::TaskId;
+use crate::outlier_ejection::RunnerHealth;
+
+/// How much faster one steady clock may run than another, as a part of the time measured.
 const MAX_CLOCK_DRIFT: f64 = 0.03;
 /// Beyond the lease, for messages on their way, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 300;
-/// Without a report for so long a runner gets no new starts, in milliseconds.
+/// Without a report of its agent for so long a runner gets no new starts, in milliseconds.
 const REPORT_TIMEOUT_MS: u64 = 1_600;
-/// A runner silent towards its agent for so long gets no new starts, in milliseconds.
+/// Without a heartbeat to its agent for so long a runner gets no new starts, in milliseconds.
 const HEARTBEAT_TIMEOUT_MS: u64 = 900;
 
 /// How long after the last grant of a lease every run of an unreachable runner is over, in milliseconds.
 pub(crate) const LEASE_EXPIRY_MS: u64 =
     AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * MAX_CLOCK_DRIFT) as u64 + LEASE_MARGIN_MS;
 
-/// A run that may be on the runner.
+/// A run that is, or may be, on a runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
+    /// The run's attempt number.
     pub attempt: u64,
+    /// What it uses while it may be there.
     pub resources: Resources,
-    /// The batch that keeps it; it is ordered only then.
+    /// The batch with its record; its start is commanded once that is committed.
     pub batch: u64,
-    /// It is no longer wanted.
-    pub stop: bool,
-    /// The first revision of orders without its start.
+    /// It is no longer wanted: it is stopped, or its start withdrawn.
+    pub unwanted: bool,
+    /// The first revision of commands without its start.
     pub withdrawn_in: Option<u64>,
     /// The newest report lists it as active.
     pub active: bool,
-    /// A report has listed it as active.
-    pub seen: bool,
-    pub since: Time,
-    /// Its progress, by the runner's word, and when that last moved.
+    /// Some report has listed it as active.
+    pub seen_active: bool,
+    /// When it was assigned, or restored in this term.
+    pub assigned_at: Time,
+    /// Its progress as reported by the runner, in hundredths.
     pub percent: u8,
+    /// When its progress last changed.
     pub progressed_at: Time,
 }
 
-/// What was last sent as orders; a difference makes a new revision.
+impl Assignment {
+    /// An assignment made now, with no batch yet.
+    pub(crate) fn new(attempt: u64, resources: Resources, now: Time) -> Assignment {
+        Assignment {
+            attempt,
+            resources,
+            batch: 0,
+            unwanted: false,
+            withdrawn_in: None,
+            active: false,
+            seen_active: false,
+            assigned_at: now,
+            percent: 0,
+            progressed_at: now,
+        }
+    }
+
+    /// Takes over that a report lists the run as active.
+    pub(crate) fn set_active(&mut self, percent: u8, now: Time) {
+        self.active = true;
+        self.seen_active = true;
+        if self.percent != percent {
+            self.percent = percent;
+            self.progressed_at = now;
+        }
+    }
+}
+
+/// A start that was commanded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct CommandedStart {
+    /// The task.
+    pub task: TaskId,
+    /// The run's attempt number.
+    pub attempt: u64,
+}
+
+/// The commands to a runner, complete; a difference makes a new revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct CommandSet {
-    pub start: BTreeSet<(TaskId, u64)>,
+    /// Runs to start.
+    pub start: BTreeSet<CommandedStart>,
+    /// Runs to stop.
     pub stop: Vec<StopOrder>,
+    /// Ends up to this number are committed.
     pub observed: u64,
+    /// The runner's instance that is meant.
     pub instance: String,
 }
 
-/// An end that was laid into a batch.
+/// An end of a run that was put into a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordedEnd {
+    /// The runner's number of the end.
     pub number: u64,
+    /// The batch with its record.
     pub batch: u64,
 }
 
-/// An agent that has reported and may be one that is no more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Candidate {
-    pub agent: Incarnation,
-    /// The revision of the orders that its first report was answered with: only a living agent can report under it.
-    pub revision: u64,
-}
-
-/// A runner, named by its agent.
+/// One runner; its name is its agent's address.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
-    /// The agent that is believed; 0 before any was in this term.
-    pub agent: Incarnation,
-    /// Another one that is not believed yet.
-    pub candidate: Option<Candidate>,
-    /// Incarnations of the agent that have been replaced.
-    pub replaced: Vec<Incarnation>,
-    pub sequence: u64,
+    /// Which incarnation of its agent is believed.
+    pub session: AgentSession,
+    /// The newest report knows a runner.
     pub present: bool,
+    /// The runner's id, a new one after each of its crashes; empty before the first.
     pub instance: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// Its labels; the last one is its rack.
     pub labels: Arc<[String]>,
+    /// All that it has, in use or free.
     pub capacity: Resources,
+    /// It shuts down gracefully, and gets no new starts.
     pub draining: bool,
+    /// By the newest report, whatever it ran is over.
     pub lapsed: bool,
     /// While it drains: the time that is left at least, in milliseconds.
     pub remaining_ms: u64,
     /// A settled report has come in this term for this instance: all that may run there is known.
-    pub known: bool,
+    pub state_known: bool,
+    /// When the newest report came.
     pub last_report_at: Time,
+    /// Time since its last heartbeat, by the newest report, in milliseconds.
     pub silent_ms: u64,
-    /// When a lease was last granted, or could have been by an earlier scheduler.
-    pub granted: Time,
+    /// When a lease was last granted, or may have been by an earlier scheduler.
+    pub lease_granted_at: Time,
+    /// The revision of `sent_commands`; 0 before the first.
     pub revision: u64,
+    /// The commands sent last.
     pub sent_commands: CommandSet,
+    /// The runs that are, or may be, there.
     pub assigned: BTreeMap<TaskId, Assignment>,
     /// Active runs that nobody assigned.
-    pub unknown: Vec<StopOrder>,
+    pub unknown_runs: Vec<StopOrder>,
     /// Ends up to this number are in batches.
-    pub last_recorded_end: u64,
-    pub ends: VecDeque<RecordedEnd>,
+    pub recorded_to: u64,
+    /// Ends in batches that are not committed yet, by number.
+    pub uncommitted_ends: VecDeque<RecordedEnd>,
+    /// Ends up to this number are committed: the runner may forget them.
     pub observed: u64,
+    /// Evidence for or against it.
     pub health: RunnerHealth,
 }
 
 impl Runner {
-    /// A runner of which only the name is known. `granted`: when a lease may last have been granted.
-    pub(crate) fn new(granted: Time) -> Runner {
+    /// A runner of which only the name is known, and when a lease may last have been granted to its agent.
+    pub(crate) fn new(lease_granted_at: Time) -> Runner {
         Runner {
-            agent: 0,
-            candidate: None,
-            replaced: Vec::new(),
-            sequence: 0,
+            session: AgentSession::default(),
             present: false,
             instance: String::new(),
             service: String::new(),
@@ -118,78 +167,85 @@
             draining: false,
             lapsed: false,
             remaining_ms: 0,
-            known: false,
+            state_known: false,
             last_report_at: Time::default(),
             silent_ms: 0,
-            granted,
+            lease_granted_at,
             revision: 0,
             sent_commands: CommandSet::default(),
             assigned: BTreeMap::new(),
-            unknown: Vec::new(),
-            last_recorded_end: 0,
-            ends: VecDeque::new(),
+            unknown_runs: Vec::new(),
+            recorded_to: 0,
+            uncommitted_ends: VecDeque::new(),
             observed: 0,
             health: RunnerHealth::default(),
         }
     }
 
-    /// True where runs may be started there, room aside.
-    pub(crate) fn usable(&self, now: Time) -> bool {
-        self.reachable(now) && self.health.may_start(now)
+    /// True where runs may be started there, free capacity aside.
+    pub(crate) fn is_usable(&self, now: Time) -> bool {
+        self.is_reachable(now) && self.health.may_start(now)
     }
 
-    /// True where it is present, known, well and heard of.
-    pub(crate) fn reachable(&self, now: Time) -> bool {
+    /// True where its state is known and fresh and it neither drains nor has lapsed; its health is left aside.
+    pub(crate) fn is_reachable(&self, now: Time) -> bool {
         let recently_reported = now.millis_since(self.last_report_at) < REPORT_TIMEOUT_MS
             && self.silent_ms < HEARTBEAT_TIMEOUT_MS;
         self.present
-            && self.known
+            && self.state_known
             && recently_reported
             && !self.draining
             && !self.lapsed
-            && self.unknown.is_empty()
+            && self.unknown_runs.is_empty()
     }
 
     /// Its capacity less what may be running there.
     pub(crate) fn free_capacity(&self) -> Resources {
-        let mut room = self.capacity;
-        for assignment in self.assigned.values() {
-            let used = assignment.resources;
-            room.cpu = room.cpu.saturating_sub(used.cpu);
-            room.mem_mb = room.mem_mb.saturating_sub(used.mem_mb);
-            room.gpu = room.gpu.saturating_sub(used.gpu);
-        }
-        room
+        let mut free = self.capacity;
+        self.assigned
+            .values()
+            .for_each(|assignment| capacity::subtract(&mut free, assignment.resources));
+        free
+    }
+
+    /// Thousandths of a core that are assigned.
+    pub(crate) fn assigned_cpu(&self) -> u64 {
+        let assigned = self.assigned.values();
+        assigned.map(|assignment| assignment.resources.cpu).sum()
     }
 
     /// True where nothing can be running there any more, because no lease can still last.
     pub(crate) fn lease_expired(&self, now: Time) -> bool {
-        now.millis_since(self.granted) > LEASE_EXPIRY_MS
+        now.millis_since(self.lease_granted_at) > LEASE_EXPIRY_MS
     }
 
-    /// The rack among its labels: the last one.
+    /// The rack among its labels: the last one; empty without labels.
     pub(crate) fn rack(&self) -> &str {
         self.labels.last().map_or("", String::as_str)
     }
 
-    /// Notes that batches up to `committed` are kept: ends in them are observed.
-    pub(crate) fn observe(&mut self, kept: impl Fn(u64) -> bool) {
-        while let Some(end) = self.ends.front().filter(|end| kept(end.batch)) {
+    /// Ends in committed batches are observed.
+    pub(crate) fn observe_ends(&mut self, is_committed: impl Fn(u64) -> bool) {
+        while let Some(end) = self
+            .uncommitted_ends
+            .front()
+            .filter(|end| is_committed(end.batch))
+        {
             self.observed = self.observed.max(end.number);
-            self.ends.pop_front();
+            self.uncommitted_ends.pop_front();
         }
     }
 
-    /// Forgets what belongs to one instance.
+    /// Another instance runs there now: what belonged to the former one is forgotten.
     pub(crate) fn replace_instance(&mut self, instance: &str) {
         self.instance = instance.to_owned();
-        self.known = false;
+        self.state_known = false;
         self.lapsed = false;
         self.draining = false;
-        self.last_recorded_end = 0;
+        self.recorded_to = 0;
         self.observed = 0;
-        self.ends.clear();
-        self.unknown.clear();
+        self.uncommitted_ends.clear();
+        self.unknown_runs.clear();
         self.health = RunnerHealth::default();
     }
 }
--- /dev/null
+++ b/crates/cluster/scheduler/src/scheduler/configuration.rs
@@ -0,0 +1,48 @@
+//! The configuration in force: jobs follow their queue's route.
+
+use sagetrail_cluster_config::ConfigDocument;
+use sagetrail_protocol::service::ConfigInForce;
+
+use super::Scheduler;
+use crate::ids::JobId;
+use crate::job::QueueAttributes;
+
+impl Scheduler {
+    /// Adopts a newer configuration; one that is not newer, or does not parse, changes nothing.
+    pub(super) fn adopt_config(&mut self, config: &ConfigInForce) {
+        let current = self.config.as_ref().map(|current| current.version);
+        if current.is_some_and(|version| version >= config.version) {
+            return;
+        }
+        match ConfigDocument::parse(&config.document) {
+            Ok(document) => self.config = Some(document),
+            Err(error) => {
+                log::error!(
+                    "configuration does not parse: term={} version={} error={error}",
+                    self.term,
+                    config.version
+                );
+                return;
+            }
+        }
+        for id in self.jobs.active_ids() {
+            self.follow_route(id);
+        }
+        self.placement_due = true;
+    }
+
+    /// A job takes over what its queue's route says now; without a route it keeps what it has.
+    fn follow_route(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let mut routes = self.config.iter().flat_map(|config| &config.routes);
+        let Some(route) = routes.find(|route| route.name == job.attributes.queue.name) else {
+            return;
+        };
+        job.attributes.queue = QueueAttributes::from(route);
+        for step in job.all_steps() {
+            self.refresh_step(step);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -0,0 +1,213 @@
+//! One placement round: a pass for each service with pending steps, and the assignments it decides on.
+
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::NodeId;
+use std::collections::BTreeMap;
+
+use super::{Scheduler, PENDING_STEPS_PER_PASS};
+use crate::capacity::fits;
+use crate::ids::{StepId, TaskId};
+use crate::pending_queue::PendingKey;
+use crate::placement::{AvailableRunner, Pass, PendingStep, Placement};
+use crate::runner::{Assignment, Runner};
+use crate::spec::Stage;
+use crate::step_run::{AssignedRun, StepRun, Task};
+
+/// A step that has been pending for so long no longer avoids runners at which its tasks failed, in milliseconds.
+const FAILED_RUNNER_AVOIDANCE_MS: u64 = 2_500;
+/// Outlier ejection is off while more than one in so many reachable runners of a service is suspect.
+const MAX_EJECTED_DIVISOR: usize = 3;
+
+impl Scheduler {
+    /// Decides and records assignments in all services.
+    pub(super) fn place(&mut self, now: Now) {
+        self.placement_due = false;
+        self.pass_pacing
+            .pass_started(now.steady, self.runners.len());
+        self.update_reserved_capacity(now);
+        for service in self.pending.services() {
+            self.place_in_service(now, &service);
+        }
+    }
+
+    fn place_in_service(&mut self, now: Now, service: &str) {
+        let runners = self.available_runners(now, service);
+        if runners.is_empty() {
+            return;
+        }
+        let fits_somewhere = |step: &PendingStep| {
+            runners
+                .iter()
+                .any(|runner| fits(step.resources, runner.free))
+        };
+        let steps: Vec<PendingStep> = self
+            .pending
+            .first(service, PENDING_STEPS_PER_PASS)
+            .into_iter()
+            .filter_map(|key| self.pending_step(now, key))
+            .filter(fits_somewhere)
+            .collect();
+        let reserved = self.reserved_capacity.of_service(service);
+        let placements = Pass::new(runners, steps, reserved, &mut self.random).run();
+        self.assign_all(now, &placements);
+    }
+
+    /// The runners of a service at which work may start, by address.
+    fn available_runners(&self, now: Now, service: &str) -> Vec<AvailableRunner> {
+        let reachable: Vec<(NodeId, &Runner)> = self
+            .runners
+            .of_service(service)
+            .filter(|(_, runner)| runner.is_reachable(now.steady))
+            .collect();
+        let suspects = reachable
+            .iter()
+            .filter(|(_, runner)| !runner.health.is_healthy())
+            .count();
+        // Where many fail at once the cause lies elsewhere: ejecting them would leave too few.
+        let ejection_off = suspects * MAX_EJECTED_DIVISOR > reachable.len();
+        reachable
+            .into_iter()
+            .filter(|(_, runner)| ejection_off || runner.health.may_start(now.steady))
+            .map(|(node, runner)| AvailableRunner {
+                node,
+                free: runner.free_capacity(),
+                labels: runner.labels.clone(),
+                reservation: self
+                    .reservations
+                    .get(node)
+                    .filter(|reservation| self.pending.contains(reservation.step)),
+                max_starts: if ejection_off || runner.health.is_healthy() {
+                    u32::MAX
+                } else {
+                    1
+                },
+            })
+            .filter(|available| available.free.cpu > 0)
+            .collect()
+    }
+
+    /// A pending step as a placement pass needs it.
+    pub(super) fn pending_step(&self, now: Now, key: PendingKey) -> Option<PendingStep> {
+        let job = self.jobs.get(key.step.job)?;
+        let (stage, step) = (job.stage(key.step)?, job.step(key.step)?);
+        let pending_since = step.waiting_since.max(job.accepted_at);
+        let pending_ms = now.steady.millis_since(pending_since);
+        let avoiding = if pending_ms < FAILED_RUNNER_AVOIDANCE_MS {
+            count_avoiding(step)
+        } else {
+            BTreeMap::new()
+        };
+        Some(PendingStep {
+            id: key.step,
+            priority: key.priority,
+            resources: stage.resources(),
+            waiting: step.waiting.len() as u32,
+            gang: stage.gang,
+            long_running: stage.long_running,
+            rack_local: stage.rack_local,
+            pending_ms,
+            affinity: stage.affinity.clone(),
+            constraints: stage.constraints.clone(),
+            anti_affinity: stage.anti_affinity,
+            assigned_at: count_assigned(stage, step),
+            avoiding,
+        })
+    }
+
+    /// Assigns what a pass decided. All members of a gang get one attempt number.
+    fn assign_all(&mut self, now: Now, placements: &[Placement]) {
+        let mut gang_attempts: BTreeMap<StepId, u64> = BTreeMap::new();
+        for placement in placements {
+            let Some(job) = self.jobs.get(placement.step.job) else {
+                continue;
+            };
+            let Some(step) = job.step(placement.step) else {
+                continue;
+            };
+            if job.stage(placement.step).is_some_and(|stage| stage.gang) {
+                gang_attempts
+                    .entry(placement.step)
+                    .or_insert_with(|| step.next_gang_attempt());
+            }
+            let Some(index) = task_to_start(step, placement.runner) else {
+                continue;
+            };
+            let task = TaskId {
+                step: placement.step,
+                index,
+            };
+            let run = AssignedRun {
+                task,
+                node: placement.runner,
+            };
+            self.assign(now, run, gang_attempts.get(&placement.step).copied());
+        }
+    }
+
+    /// Assigns a task to a runner; its start is commanded once the record is committed. Tasks that are no members of
+    /// a gang take their own next attempt number.
+    fn assign(&mut self, now: Now, run: AssignedRun, gang_attempt: Option<u64>) {
+        let AssignedRun { task: id, node } = run;
+        let Some(job) = self.jobs.get_mut(id.step.job) else {
+            return;
+        };
+        let Some(resources) = job.stage(id.step).map(Stage::resources) else {
+            return;
+        };
+        job.has_started = true;
+        let Some(step) = job.step_mut(id.step) else {
+            return;
+        };
+        let Some(task) = step.tasks.get_mut(id.index as usize) else {
+            return;
+        };
+        task.attempt = gang_attempt.unwrap_or(task.attempt + 1);
+        task.runner = Some(node);
+        let attempt = task.attempt;
+        step.waiting.remove(&id.index);
+        let Some(runner) = self.runners.get_mut(node) else {
+            return;
+        };
+        runner.health.started();
+        let assignment = Assignment::new(attempt, resources, now.steady);
+        runner.assigned.insert(id, assignment);
+        let batch = self.write_task(id);
+        if let Some(assignment) = self.runners.assignment_mut(run) {
+            assignment.batch = batch;
+        }
+        self.runners.wait_for_commit(batch, node);
+        self.refresh_step(id.step);
+    }
+}
+
+/// The waiting task to start at a runner: the first that has not failed there, else the first.
+fn task_to_start(step: &StepRun, node: NodeId) -> Option<u32> {
+    let avoids = |index: &u32| step.tasks[*index as usize].failed_at.contains(&node);
+    let mut waiting = step.waiting.iter().copied();
+    waiting
+        .find(|index| !avoids(index))
+        .or(step.waiting.first().copied())
+}
+
+/// How many waiting tasks of a step have failed at each runner.
+fn count_avoiding(step: &StepRun) -> BTreeMap<NodeId, u32> {
+    let waiting = step
+        .waiting
+        .iter()
+        .filter_map(|&index| step.tasks.get(index as usize));
+    count(waiting.flat_map(|task| task.failed_at.iter().copied()))
+}
+
+/// How many tasks of a step are assigned to each runner; counted only where anti-affinity asks for it.
+fn count_assigned(stage: &Stage, step: &StepRun) -> BTreeMap<NodeId, u32> {
+    if stage.anti_affinity == 0 {
+        return BTreeMap::new();
+    }
+    count(step.tasks.iter().filter_map(|task: &Task| task.runner))
+}
+
+fn count(nodes: impl Iterator<Item = NodeId>) -> BTreeMap<NodeId, u32> {
+    let mut counts = BTreeMap::new();
+    nodes.for_each(|node| *counts.entry(node).or_default() += 1);
+    counts
+}
--- /dev/null
+++ b/crates/cluster/scheduler/src/scheduler/runner_commands.rs
@@ -0,0 +1,151 @@
+//! Commands to runners: every run that is wanted and not there, every run that is there and not wanted.
+
+use sagetrail_protocol::agent::{
+    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::{List, Message, NodeId};
+
+use super::Scheduler;
+use crate::runner::{CommandSet, CommandedStart, Runner};
+
+/// A runner with work sends its next heartbeat after so long, in milliseconds.
+const BUSY_HEARTBEAT_MS: u64 = 25;
+/// A runner without work sends its next heartbeat after so long, in milliseconds.
+const IDLE_HEARTBEAT_MS: u64 = 60;
+
+impl Scheduler {
+    /// Sends commands to all runners whose commands have changed.
+    pub(super) fn send_changed_commands(&mut self, now: Now) {
+        for node in self.runners.take_changed() {
+            let Some(runner) = self.runners.get(node) else {
+                continue;
+            };
+            let is_known = runner.session.is_established();
+            if is_known && self.wanted_commands(runner) != runner.sent_commands {
+                self.send_commands(now, node, None);
+            }
+        }
+    }
+
+    /// Answers a report with commands, which renews the agent's lease.
+    pub(super) fn answer_report(&mut self, now: Now, node: NodeId, report: &RunnerReport) {
+        self.runners.clear_changed(node);
+        self.send_commands(now, node, Some(report));
+    }
+
+    fn wanted_commands(&self, runner: &Runner) -> CommandSet {
+        let mut wanted = CommandSet {
+            instance: runner.instance.clone(),
+            observed: runner.observed,
+            stop: runner.unknown_runs.clone(),
+            ..CommandSet::default()
+        };
+        for (&task, assignment) in &runner.assigned {
+            let attempt = assignment.attempt;
+            match (assignment.unwanted, assignment.active) {
+                (true, true) => wanted.stop.push(StopOrder {
+                    task: task.to_string().into(),
+                    attempt,
+                }),
+                (false, false) if self.commits.is_committed(assignment.batch) => {
+                    wanted.start.insert(CommandedStart { task, attempt });
+                }
+                _ => {}
+            }
+        }
+        wanted
+    }
+
+    /// Sends a runner's commands, complete. Only an answer to a report renews the lease.
+    fn send_commands(&mut self, now: Now, node: NodeId, report: Option<&RunnerReport>) {
+        let Some(runner) = self.runners.get(node) else {
+            return;
+        };
+        let wanted = self.wanted_commands(runner);
+        let start = wanted
+            .start
+            .iter()
+            .filter_map(|&start| self.start_command(start))
+            .collect();
+        let Some(runner) = self.runners.get_mut(node) else {
+            return;
+        };
+        let revision = adopt_commands(runner, wanted);
+        if report.is_some() {
+            runner.lease_granted_at = now.steady;
+        }
+        let commands = RunnerOrders {
+            term: self.term,
+            revision,
+            agent: report.map_or(0, |report| report.agent),
+            sent_at: report.map_or(0, |report| report.sent_at),
+            lease_ms: AGENT_LEASE_MS,
+            instance: runner.instance.as_str().into(),
+            start,
+            stop: runner.sent_commands.stop.clone().into(),
+            observed: runner.sent_commands.observed,
+            retry_after_ms: if runner.assigned.is_empty() {
+                IDLE_HEARTBEAT_MS
+            } else {
+                BUSY_HEARTBEAT_MS
+            },
+        };
+        self.commits.send(node, Message::RunnerOrders(commands));
+    }
+
+    /// At the start of a term: tells every agent that may have runs which process schedules now, and withdraws all
+    /// starts of earlier terms.
+    pub(super) fn announce_term(&mut self) {
+        for (node, runner) in self.runners.iter() {
+            let commands = RunnerOrders {
+                term: self.term,
+                revision: 0,
+                agent: 0,
+                sent_at: 0,
+                lease_ms: 0,
+                instance: runner.instance.as_str().into(),
+                start: List::default(),
+                stop: List::default(),
+                observed: 0,
+                retry_after_ms: BUSY_HEARTBEAT_MS,
+            };
+            self.commits.send(node, Message::RunnerOrders(commands));
+        }
+    }
+
+    /// A start with what the run needs; `None` where its job has ended.
+    fn start_command(&self, start: CommandedStart) -> Option<StartOrder> {
+        let CommandedStart { task, attempt } = start;
+        let job = self.jobs.get(task.step.job)?;
+        let spec = job.spec.as_ref()?;
+        let step = job.step(task.step)?;
+        let checkpoint = if job.stage(task.step)?.gang {
+            step.gang_checkpoint()
+        } else {
+            step.tasks.get(task.index as usize)?.checkpoint.clone()
+        };
+        Some(StartOrder {
+            task: task.to_string().into(),
+            attempt,
+            spec: spec.spec.as_str().into(),
+            saved: checkpoint.into(),
+        })
+    }
+}
+
+/// Makes the commands the runner's newest; returns their revision. From then on unwanted runs that are not active
+/// count as withdrawn.
+fn adopt_commands(runner: &mut Runner, wanted: CommandSet) -> u64 {
+    if wanted != runner.sent_commands || runner.revision == 0 {
+        runner.revision += 1;
+        runner.sent_commands = wanted;
+    }
+    let revision = runner.revision;
+    for assignment in runner.assigned.values_mut() {
+        if assignment.unwanted && !assignment.active {
+            assignment.withdrawn_in.get_or_insert(revision);
+        }
+    }
+    revision
+}
--- /dev/null
+++ b/crates/cluster/scheduler/src/scheduler/runner_reports.rs
@@ -0,0 +1,265 @@
+//! Agents' reports: which runs are active, which have ended, which can no longer be running.
+
+use sagetrail_protocol::agent::{FinishedRun, RunnerReport, StopOrder};
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::NodeId;
+
+use super::run_outcome::EndedRun;
+use super::Scheduler;
+use crate::agent_session::Admission;
+use crate::ids::TaskId;
+use crate::runner::{RecordedEnd, Runner};
+use crate::step_run::AssignedRun;
+
+impl Scheduler {
+    /// Takes in a report and answers it with commands.
+    pub(super) fn runner_report(&mut self, now: Now, from: NodeId, report: RunnerReport) {
+        if report.term > self.term {
+            return;
+        }
+        let runner = self.runners.get_or_add(from, self.started_at);
+        let admission = runner
+            .session
+            .admit(&report, self.term, &mut runner.revision);
+        match admission {
+            Admission::Newest => {}
+            Admission::NewAgent => runner.state_known = false,
+            Admission::Unproven => return self.answer_report(now, from, &report),
+            Admission::Late => return,
+        }
+        runner.last_report_at = now.steady;
+        runner.present = report.present;
+        if report.present {
+            self.update_runner(now, from, &report);
+        } else if report.lapsed {
+            self.end_all_runs(now, from);
+        }
+        self.answer_report(now, from, &report);
+        self.placement_due = true;
+    }
+
+    /// Takes over what a report says of the runner and its runs.
+    fn update_runner(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+        if !self.update_instance(now, from, report) {
+            return;
+        }
+        let Some(runner) = self.runners.get_mut(from) else {
+            return;
+        };
+        update_attributes(runner, report);
+        self.update_active_runs(now, from, report);
+        self.update_checkpoints(report);
+        self.record_finished_runs(now, from, report);
+        self.end_absent_runs(now, from, report);
+        if let Some(runner) = self.runners.get_mut(from) {
+            runner.state_known |= report.term == self.term && report.settled;
+        }
+    }
+
+    /// Returns true where the report is about the instance that runs now. With another instance on the machine
+    /// whatever the former one ran is over. An agent that started anew may have a late heartbeat of a dead instance:
+    /// its report counts once it is settled, or no lease lasts.
+    fn update_instance(&mut self, now: Now, node: NodeId, report: &RunnerReport) -> bool {
+        let Some(runner) = self.runners.get_mut(node) else {
+            return false;
+        };
+        if runner.instance == *report.instance {
+            return true;
+        }
+        if !runner.instance.is_empty() {
+            let is_certain = report.term == self.term && (report.settled || report.lapsed);
+            if !is_certain {
+                runner.state_known = false;
+                return false;
+            }
+            self.end_all_runs(now, node);
+        }
+        if let Some(runner) = self.runners.get_mut(node) {
+            runner.replace_instance(&report.instance);
+        }
+        true
+    }
+
+    /// Everything assigned to the runner is over.
+    pub(super) fn end_all_runs(&mut self, now: Now, node: NodeId) {
+        for task in self.runners.assigned_tasks(node) {
+            self.end_run(now, EndedRun::lapsed(AssignedRun { task, node }));
+        }
+    }
+
+    /// Marks the assignments that the report lists as active, and collects active runs that nobody assigned.
+    fn update_active_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+        let Some(runner) = self.runners.get_mut(from) else {
+            return;
+        };
+        runner
+            .assigned
+            .values_mut()
+            .for_each(|assignment| assignment.active = false);
+        runner.unknown_runs.clear();
+        if report.lapsed {
+            return;
+        }
+        for run in report.active.iter() {
+            let id = TaskId::parse(&run.task);
+            let assignment = id.and_then(|id| runner.assigned.get_mut(&id));
+            match assignment.filter(|assignment| assignment.attempt == run.attempt) {
+                Some(assignment) => assignment.set_active(run.percent, now.steady),
+                None => runner.unknown_runs.push(StopOrder {
+                    task: run.task.clone(),
+                    attempt: run.attempt,
+                }),
+            }
+        }
+        if !runner.unknown_runs.is_empty() {
+            self.runners.set_changed(from);
+        }
+    }
+
+    /// Records new checkpoints of active runs: one that only this process knows would be lost with it.
+    fn update_checkpoints(&mut self, report: &RunnerReport) {
+        if report.lapsed {
+            return;
+        }
+        let mut updated = Vec::new();
+        for run in report.active.iter().filter(|run| !run.saved.is_empty()) {
+            let Some(id) = TaskId::parse(&run.task) else {
+                continue;
+            };
+            let Some(task) = self.jobs.task_mut(id) else {
+                continue;
+            };
+            if task.attempt == run.attempt && task.checkpoint != run.saved.0 {
+                task.checkpoint = run.saved.0.clone();
+                updated.push(id);
+            }
+        }
+        for id in updated {
+            self.write_task(id);
+        }
+    }
+
+    /// Takes in ends that are not in a batch yet, in the order of the runner's numbers.
+    fn record_finished_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+        let mut finished: Vec<&FinishedRun> = report.finished.iter().collect();
+        finished.sort_by_key(|run| run.number);
+        for run in finished {
+            let Some(runner) = self.runners.get_mut(from) else {
+                return;
+            };
+            if run.number <= runner.recorded_to {
+                continue;
+            }
+            runner.recorded_to = run.number;
+            self.end_finished_run(now, from, run);
+            let batch = self.commits.newest();
+            if let Some(runner) = self.runners.get_mut(from) {
+                runner.uncommitted_ends.push_back(RecordedEnd {
+                    number: run.number,
+                    batch,
+                });
+            }
+            self.runners.wait_for_commit(batch, from);
+            self.runners.set_changed(from);
+        }
+        self.observe_ends(from);
+    }
+
+    /// Ends an assigned run as reported; an end of any other attempt changes nothing.
+    fn end_finished_run(&mut self, now: Now, node: NodeId, finished: &FinishedRun) {
+        let Some(task) = TaskId::parse(&finished.task) else {
+            return;
+        };
+        let run = AssignedRun { task, node };
+        let assignment = self.runners.assignment(run);
+        if assignment.is_some_and(|assignment| assignment.attempt == finished.attempt) {
+            let ended = EndedRun {
+                run,
+                end: finished.end,
+                checkpoint: finished.saved.0.clone(),
+            };
+            self.end_run(now, ended);
+        }
+    }
+
+    /// Ends what is neither active nor finished and can no longer start.
+    fn end_absent_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
+        let is_of_term = report.term == self.term;
+        let Some(runner) = self.runners.get_mut(from) else {
+            return;
+        };
+        let mut over = Vec::new();
+        let mut has_unwanted = false;
+        let absent = runner.assigned.iter_mut().filter(|(_, run)| !run.active);
+        for (&task, assignment) in absent {
+            let is_withdrawn = assignment
+                .withdrawn_in
+                .is_some_and(|revision| is_of_term && report.revision >= revision);
+            let cannot_start = is_withdrawn && (report.settled || report.lapsed);
+            let ran_and_lapsed = report.lapsed && assignment.seen_active;
+            if cannot_start || ran_and_lapsed {
+                over.push(task);
+            } else if report.lapsed {
+                assignment.unwanted = true;
+                has_unwanted = true;
+            }
+        }
+        if has_unwanted {
+            self.runners.set_changed(from);
+        }
+        for task in over {
+            let run = AssignedRun { task, node: from };
+            self.end_run(now, EndedRun::lapsed(run));
+        }
+    }
+
+    /// Ends of a runner whose batches are committed may be observed.
+    pub(super) fn observe_ends(&mut self, node: NodeId) {
+        let Some(runner) = self.runners.get_mut(node) else {
+            return;
+        };
+        let before = runner.observed;
+        let commits = &self.commits;
+        runner.observe_ends(|batch| commits.is_committed(batch));
+        if runner.observed != before {
+            self.runners.set_changed(node);
+        }
+    }
+
+    /// Ends the runs of runners that have been unreachable for longer than any lease of theirs.
+    pub(super) fn expire_unreachable_runners(&mut self, now: Now) {
+        let has_expired =
+            |runner: &Runner| !runner.assigned.is_empty() && runner.lease_expired(now.steady);
+        let expired: Vec<NodeId> = self
+            .runners
+            .iter()
+            .filter(|(_, runner)| has_expired(runner))
+            .map(|(node, _)| node)
+            .collect();
+        for node in expired {
+            log::warn!(
+                "runner unreachable beyond its lease, its runs are over: term={} runner={node}",
+                self.term
+            );
+            self.end_all_runs(now, node);
+            if let Some(runner) = self.runners.get_mut(node) {
+                runner.state_known = false;
+            }
+        }
+    }
+}
+
+/// Takes over what a report says of the runner itself.
+fn update_attributes(runner: &mut Runner, report: &RunnerReport) {
+    let labels = || report.labels.iter().map(|label| &label.0);
+    runner.service = report.service.0.clone();
+    if !runner.labels.iter().eq(labels()) {
+        runner.labels = labels().cloned().collect();
+    }
+    runner.capacity = report.capacity;
+    // Once it drains, an instance drains until its end; an agent that started anew may not know.
+    runner.draining |= report.draining;
+    runner.lapsed = report.lapsed;
+    runner.remaining_ms = report.remaining_ms;
+    runner.silent_ms = report.silent_ms;
+}
--- /dev/null
+++ b/crates/cluster/scheduler/src/scheduler/urgent_demand.rs
@@ -0,0 +1,80 @@
+//! Measures what urgent work uses and waits for, by service, for the capacity that is reserved for it.
+
+use sagetrail_protocol::agent::Resources;
+use sagetrail_protocol::node::Now;
+use std::collections::BTreeMap;
+
+use super::Scheduler;
+use crate::capacity::{add, combine};
+use crate::pending_queue::PendingKey;
+use crate::reserved_capacity::{UrgentDemand, URGENT};
+use crate::runner::Runner;
+
+impl Scheduler {
+    /// Computes anew what is reserved for urgent work, at most as often as `ReservedCapacity` wants it.
+    pub(super) fn update_reserved_capacity(&mut self, now: Now) {
+        if !self.reserved_capacity.start_update(now.steady) {
+            return;
+        }
+        let mut demands: BTreeMap<String, UrgentDemand> = BTreeMap::new();
+        for (_, runner) in self.runners.iter().filter(|(_, runner)| runner.present) {
+            let demand = demands.entry(runner.service.clone()).or_default();
+            self.add_usage(now, demand, runner);
+        }
+        for (service, demand) in &mut demands {
+            self.add_waiting(now, demand, service);
+        }
+        for (service, demand) in demands {
+            self.reserved_capacity.update(now.steady, &service, demand);
+        }
+    }
+
+    /// Adds a runner's capacity and the urgent runs there.
+    fn add_usage(&self, now: Now, demand: &mut UrgentDemand, runner: &Runner) {
+        // What takes no new work has no capacity to reserve either.
+        if runner.is_reachable(now.steady) {
+            add(&mut demand.capacity, runner.capacity);
+        }
+        for (task, assignment) in &runner.assigned {
+            let job = self.jobs.get(task.step.job);
+            if job.is_some_and(|job| job.priority() == URGENT) {
+                add(&mut demand.running, assignment.resources);
+            }
+        }
+    }
+
+    /// Adds what pending urgent steps of a service ask for.
+    fn add_waiting(&self, now: Now, demand: &mut UrgentDemand, service: &str) {
+        let pending = self.pending.all(service);
+        for key in pending.iter().take_while(|key| key.priority == URGENT) {
+            if self.may_run_somewhere(now, service, key) {
+                add(&mut demand.waiting, self.resources_waited_for(key));
+            }
+        }
+    }
+
+    /// True where any runner that takes new work meets the constraints of a step.
+    fn may_run_somewhere(&self, now: Now, service: &str, key: &PendingKey) -> bool {
+        let Some(stage) = self.jobs.stage(key.step) else {
+            return false;
+        };
+        let is_suitable = |runner: &Runner| {
+            runner.is_reachable(now.steady) && stage.constraints.all_in(&runner.labels)
+        };
+        self.runners
+            .of_service(service)
+            .any(|(_, runner)| is_suitable(runner))
+    }
+
+    /// What all waiting tasks of a step ask for.
+    fn resources_waited_for(&self, key: &PendingKey) -> Resources {
+        let (Some(stage), Some(step)) = (self.jobs.stage(key.step), self.jobs.step(key.step))
+        else {
+            return Resources::default();
+        };
+        let tasks = step.waiting.len() as u64;
+        combine(stage.resources(), Resources::default(), |wanted, _| {
+            wanted.saturating_mul(tasks)
+        })
+    }
+}
--- a/crates/cluster/scheduler/src/spec.rs
+++ b/crates/cluster/scheduler/src/spec.rs
@@ -1,17 +1,14 @@
-//! What a client hands in: a job's steps and what their tasks ask for, read and checked.
+//! What a client submits: a job's steps and what their tasks ask for, parsed and validated.
+//!
+//! Field names are those of the JSON body. The names of the types reach clients in the parser's messages.
 
 use sagetrail_protocol::agent::Resources;
 use serde::Deserialize;
-use std::fmt;
 
-/// The longest `spec`, in bytes.
-pub const MAX_SPEC_BYTES: usize = 4_000;
-/// The most steps a job may have.
-pub const MAX_STAGES: usize = 256;
-/// The most tasks a job may have, over all its steps and times.
-pub const MAX_TASKS: u64 = 20_000;
+use crate::error::SchedulerError;
+use crate::limits::{MAX_SPEC_BYTES, MAX_STAGES, MAX_TASKS, MAX_TIME_MS};
 
-/// A step: tasks that are alike.
+/// A step: tasks that are alike. Missing fields are zero, empty or false.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Stage {
     /// How many tasks.
@@ -20,35 +17,37 @@
     /// Thousandths of a core for each task.
     #[serde(default)]
     pub cpu: u64,
+    /// Megabytes of memory for each task.
     #[serde(default)]
     pub mem_mb: u64,
+    /// Graphics processors for each task.
     #[serde(default)]
     pub gpu: u64,
-    /// A rough guess of how long a task takes, in milliseconds.
+    /// An estimate of how long a task takes, in milliseconds.
     #[serde(default)]
     pub estimate_ms: f64,
-    /// Earlier steps that must have ended.
+    /// Indexes of earlier steps that must have ended.
     #[serde(default)]
     pub depends_on: Vec<u32>,
-    /// The tasks save their progress.
+    /// The tasks save a checkpoint when they are stopped.
     #[serde(default)]
     pub checkpoints: bool,
-    /// The tasks run only together.
+    /// The tasks start together, with one attempt number, and one end counts for all.
     #[serde(default)]
     pub gang: bool,
-    /// Spread over more than one rack, the tasks of a gang are slower.
+    /// The gang is slower when it is spread over racks.
     #[serde(default)]
     pub rack_local: bool,
-    /// Labels that the runner must have.
+    /// Labels that a runner must have.
     #[serde(default)]
     pub constraints: Labels,
     /// The rack that holds the data; empty for none.
     #[serde(default)]
     pub affinity: String,
-    /// One runner carries at most so many tasks of the step; 0 for any number.
+    /// The most tasks of the step at one runner; 0 for any number.
     #[serde(default)]
     pub anti_affinity: u32,
-    /// Copies may run in parallel.
+    /// Copies may run in parallel. Accepted, and not used.
     #[serde(default)]
     pub speculative: bool,
     /// The tasks go on until the job is cancelled.
@@ -71,7 +70,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Labels {
+    /// A single label; an empty one is no label.
     One(String),
+    /// A list of labels.
     Several(Vec<String>),
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl Labels {
-    /// True where `labels` has all of these.
+    /// True where `labels` holds all of these.
     pub fn all_in(&self, labels: &[String]) -> bool {
         let has = |wanted: &String| wanted.is_empty() || labels.contains(wanted);
         match self {
@@ -92,85 +93,36 @@
     }
 }
 
-/// A job as handed in.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct JobSpec {
+    /// Handed to each run as it is, at most `MAX_SPEC_BYTES` long.
     #[serde(default)]
     pub spec: String,
+    /// The steps, 1 to `MAX_STAGES`.
     pub stages: Vec<Stage>,
-    /// How many times the steps run; 0 for once, at once.
+    /// How many occurrences the job has; 0 for one, at once.
     #[serde(default)]
     pub repeat: u32,
-    /// When the first time falls due, in milliseconds since 1970.
+    /// When the first occurrence falls due, in milliseconds since 1970.
     #[serde(default)]
     pub first_run_ms: f64,
-    /// From one time to the next, in milliseconds.
+    /// From one occurrence to the next, in milliseconds.
     #[serde(default)]
     pub interval_ms: f64,
-    /// The same as in each step.
+    /// True for all steps at once.
     #[serde(default)]
     long_running: bool,
 }
 
-/// Why a job is not taken.
-#[derive(Clone, Debug, PartialEq)]
-pub enum SpecError {
-    /// The body is not JSON of the right shape.
-    Unreadable(String),
-    /// `spec` is longer than `MAX_SPEC_BYTES`.
-    SpecTooLong(usize),
-    NoStages,
-    TooManyStages(usize),
-    /// A step without tasks.
-    EmptyStage(usize),
-    TooManyTasks(u64),
-    /// A step waits for itself, a later one or none at all.
-    BadDependency {
-        stage: usize,
-        on: u32,
-    },
-    /// A time that is no number within range.
-    BadTime,
-}
-
-impl fmt::Display for SpecError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            SpecError::Unreadable(why) => write!(formatter, "unreadable: {why}"),
-            SpecError::SpecTooLong(bytes) => {
-                write!(formatter, "spec: {bytes} bytes, at most {MAX_SPEC_BYTES}")
-            }
-            SpecError::NoStages => write!(formatter, "stages: none"),
-            SpecError::TooManyStages(count) => {
-                write!(formatter, "stages: {count}, at most {MAX_STAGES}")
-            }
-            SpecError::EmptyStage(stage) => {
-                write!(formatter, "stages[{stage}].count: must be above 0")
-            }
-            SpecError::TooManyTasks(count) => {
-                write!(formatter, "{count} tasks, at most {MAX_TASKS}")
-            }
-            SpecError::BadDependency { stage, on } => {
-                write!(
-                    formatter,
-                    "stages[{stage}].depends_on: {on} is no earlier step"
-                )
-            }
-            SpecError::BadTime => write!(formatter, "first_run_ms or interval_ms: out of range"),
-        }
-    }
-}
-
-impl std::error::Error for SpecError {}
-
-/// The latest time of day taken, in milliseconds since 1970.
-const MAX_TIME_MS: f64 = 1e14;
-
 impl JobSpec {
-    /// Reads and checks a body.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, SpecError> {
-        let mut spec: JobSpec = serde_json::from_slice(body)
-            .map_err(|error| SpecError::Unreadable(error.to_string()))?;
+    /// Parses and validates a body.
+    ///
+    /// # Errors
+    ///
+    /// Says what is wrong with the body; the text is for the client.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, SchedulerError> {
+        let mut spec: JobSpec = serde_json::from_slice(body)?;
         spec.check()?;
         if spec.long_running {
             spec.stages
@@ -180,42 +132,47 @@
         Ok(spec)
     }
 
-    /// How many times the steps run.
-    pub fn times(&self) -> u32 {
+    /// How many occurrences the job has, at least 1.
+    pub fn occurrences(&self) -> u32 {
         self.repeat.max(1)
     }
 
-    /// When a time falls due, in milliseconds since 1970; `None` for at once.
-    pub fn due_ms(&self, time: u32) -> Option<i64> {
-        (self.repeat > 0).then(|| (self.first_run_ms + f64::from(time) * self.interval_ms) as i64)
+    /// When an occurrence falls due, in milliseconds since 1970; `None` for at once.
+    pub fn due_ms(&self, occurrence: u32) -> Option<i64> {
+        (self.repeat > 0)
+            .then(|| (self.first_run_ms + f64::from(occurrence) * self.interval_ms) as i64)
     }
 
-    fn check(&self) -> Result<(), SpecError> {
+    fn check(&self) -> Result<(), SchedulerError> {
         if self.spec.len() > MAX_SPEC_BYTES {
-            return Err(SpecError::SpecTooLong(self.spec.len()));
+            return Err(SchedulerError::SpecTooLong(self.spec.len()));
         }
         if self.stages.is_empty() {
-            return Err(SpecError::NoStages);
+            return Err(SchedulerError::NoStages);
         }
         if self.stages.len() > MAX_STAGES {
-            return Err(SpecError::TooManyStages(self.stages.len()));
+            return Err(SchedulerError::TooManyStages(self.stages.len()));
         }
         let in_range = |value: f64| (0.0..=MAX_TIME_MS).contains(&value);
         if !in_range(self.first_run_ms) || !in_range(self.interval_ms) {
-            return Err(SpecError::BadTime);
+            return Err(SchedulerError::BadTime);
         }
+        self.check_stages()
+    }
+
+    fn check_stages(&self) -> Result<(), SchedulerError> {
         let mut tasks = 0;
-        for (number, stage) in self.stages.iter().enumerate() {
+        for (index, stage) in self.stages.iter().enumerate() {
             if stage.count == 0 {
-                return Err(SpecError::EmptyStage(number));
+                return Err(SchedulerError::EmptyStage(index));
             }
-            if let Some(&on) = stage.depends_on.iter().find(|&&on| on as usize >= number) {
-                return Err(SpecError::BadDependency { stage: number, on });
+            if let Some(&on) = stage.depends_on.iter().find(|&&on| on as usize >= index) {
+                return Err(SchedulerError::BadDependency { stage: index, on });
             }
-            tasks += u64::from(stage.count) * u64::from(self.times());
+            tasks += u64::from(stage.count) * u64::from(self.occurrences());
         }
         if tasks > MAX_TASKS {
-            return Err(SpecError::TooManyTasks(tasks));
+            return Err(SchedulerError::TooManyTasks(tasks));
         }
         Ok(())
     }
