--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -218,7 +218,7 @@
                 request,
             } => self.receive_http(now, endpoint, (id, request), outbox),
             Event::HttpAbandoned { id } => self.forwarder.abandon(id),
-            Event::Seeds(seeds) => self.link.discovery.set_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.link.discovery.set_seeds(seeds),
             Event::Terminate => self.start_drain(now),
             Event::Synced { .. } | Event::HealthCheck { .. } | Event::Wake => {}
         }
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,6 +1,6 @@
 //! A runner as the scheduler sees it: what its agent reported, what is assigned to it, what was commanded last.
 
-use sagetrail_protocol::agent::{Resources, StopOrder, AGENT_LEASE_MS};
+use sagetrail_protocol::agent::{Resources, StopCommand, AGENT_LEASE_MS};
 use sagetrail_protocol::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -91,7 +91,7 @@
     /// Runs to start.
     pub start: BTreeSet<CommandedStart>,
     /// Runs to stop.
-    pub stop: Vec<StopOrder>,
+    pub stop: Vec<StopCommand>,
     /// Ends up to this number are committed.
     pub observed: u64,
     /// The runner's instance that is meant.
@@ -113,7 +113,7 @@
     /// Which incarnation of its agent is believed.
     pub session: AgentSession,
     /// The newest report knows a runner.
-    pub present: bool,
+    pub has_runner: bool,
     /// The runner's id, a new one after each of its crashes; empty before the first.
     pub instance: String,
     /// The service that it belongs to.
@@ -125,15 +125,15 @@
     /// It shuts down gracefully, and gets no new starts.
     pub draining: bool,
     /// By the newest report, whatever it ran is over.
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// While it drains: the time that is left at least, in milliseconds.
     pub remaining_ms: u64,
-    /// A settled report has come in this term for this instance: all that may run there is known.
+    /// A report with all starts resolved has come in this term for this instance: all that may run there is known.
     pub state_known: bool,
     /// When the newest report came.
     pub last_report_at: Time,
     /// Time since its last heartbeat, by the newest report, in milliseconds.
-    pub silent_ms: u64,
+    pub since_heartbeat_ms: u64,
     /// When a lease was last granted, or may have been by an earlier scheduler.
     pub lease_granted_at: Time,
     /// The revision of `sent_commands`; 0 before the first.
@@ -143,7 +143,7 @@
     /// The runs that are, or may be, there.
     pub assigned: BTreeMap<TaskId, Assignment>,
     /// Active runs that nobody assigned.
-    pub unknown_runs: Vec<StopOrder>,
+    pub unknown_runs: Vec<StopCommand>,
     /// Ends up to this number are in batches.
     pub recorded_to: u64,
     /// Ends in batches that are not committed yet, by number.
@@ -159,17 +159,17 @@
     pub(crate) fn new(lease_granted_at: Time) -> Runner {
         Runner {
             session: AgentSession::default(),
-            present: false,
+            has_runner: false,
             instance: String::new(),
             service: String::new(),
             labels: Arc::from([]),
             capacity: Resources::default(),
             draining: false,
-            lapsed: false,
+            lease_expired: false,
             remaining_ms: 0,
             state_known: false,
             last_report_at: Time::default(),
-            silent_ms: 0,
+            since_heartbeat_ms: 0,
             lease_granted_at,
             revision: 0,
             sent_commands: CommandSet::default(),
@@ -187,15 +187,15 @@
         self.is_reachable(now) && self.health.may_start(now)
     }
 
-    /// True where its state is known and fresh and it neither drains nor has lapsed; its health is left aside.
+    /// True where its state is known and fresh and it neither drains nor has an expired lease; its health is left aside.
     pub(crate) fn is_reachable(&self, now: Time) -> bool {
         let recently_reported = now.millis_since(self.last_report_at) < REPORT_TIMEOUT_MS
-            && self.silent_ms < HEARTBEAT_TIMEOUT_MS;
-        self.present
+            && self.since_heartbeat_ms < HEARTBEAT_TIMEOUT_MS;
+        self.has_runner
             && self.state_known
             && recently_reported
             && !self.draining
-            && !self.lapsed
+            && !self.lease_expired
             && self.unknown_runs.is_empty()
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// True where nothing can be running there any more, because no lease can still last.
-    pub(crate) fn lease_expired(&self, now: Time) -> bool {
+    pub(crate) fn is_beyond_lease(&self, now: Time) -> bool {
         now.millis_since(self.lease_granted_at) > LEASE_EXPIRY_MS
     }
 
@@ -240,7 +240,7 @@
     pub(crate) fn replace_instance(&mut self, instance: &str) {
         self.instance = instance.to_owned();
         self.state_known = false;
-        self.lapsed = false;
+        self.lease_expired = false;
         self.draining = false;
         self.recorded_to = 0;
         self.observed = 0;
--- a/crates/cluster/scheduler/src/scheduler/diagnostics.rs
+++ b/crates/cluster/scheduler/src/scheduler/diagnostics.rs
@@ -76,10 +76,10 @@
 fn describe(now: Now, runner: &Runner) -> String {
     let free = runner.free_capacity();
     let conditions = [
-        (!runner.present, "absent"),
+        (!runner.has_runner, "absent"),
         (!runner.state_known, "unknown"),
         (runner.draining, "draining"),
-        (runner.lapsed, "lapsed"),
+        (runner.lease_expired, "lease expired"),
         (!runner.unknown_runs.is_empty(), "unassigned runs"),
         (!runner.health.may_start(now.steady), "ejected"),
         (!runner.is_reachable(now.steady), "unreachable"),
--- a/crates/cluster/scheduler/src/scheduler/run_outcome.rs
+++ b/crates/cluster/scheduler/src/scheduler/run_outcome.rs
@@ -21,10 +21,10 @@
 
 impl EndedRun {
     /// A run that is over without a reported end.
-    pub(super) fn lapsed(run: AssignedRun) -> EndedRun {
+    pub(super) fn lease_expired(run: AssignedRun) -> EndedRun {
         EndedRun {
             run,
-            end: RunEnd::Lapsed,
+            end: RunEnd::LeaseExpired,
             checkpoint: String::new(),
         }
     }
--- a/crates/cluster/scheduler/src/scheduler/runner_commands.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_commands.rs
@@ -1,7 +1,7 @@
 //! Commands to runners: every run that is wanted and not there, every run that is there and not wanted.
 
 use sagetrail_protocol::agent::{
-    RunnerOrders, RunnerReport, StartOrder, StopOrder, AGENT_LEASE_MS,
+    RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
 };
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::{List, Message, NodeId};
@@ -44,7 +44,7 @@
         for (&task, assignment) in &runner.assigned {
             let attempt = assignment.attempt;
             match (assignment.unwanted, assignment.active) {
-                (true, true) => wanted.stop.push(StopOrder {
+                (true, true) => wanted.stop.push(StopCommand {
                     task: task.to_string().into(),
                     attempt,
                 }),
@@ -75,7 +75,7 @@
         if report.is_some() {
             runner.lease_granted_at = now.steady;
         }
-        let commands = RunnerOrders {
+        let commands = RunnerCommands {
             term: self.term,
             revision,
             agent: report.map_or(0, |report| report.agent),
@@ -91,14 +91,14 @@
                 BUSY_HEARTBEAT_MS
             },
         };
-        self.commits.send(node, Message::RunnerOrders(commands));
+        self.commits.send(node, Message::RunnerCommands(commands));
     }
 
     /// At the start of a term: tells every agent that may have runs which process schedules now, and withdraws all
     /// starts of earlier terms.
     pub(super) fn announce_term(&mut self) {
         for (node, runner) in self.runners.iter() {
-            let commands = RunnerOrders {
+            let commands = RunnerCommands {
                 term: self.term,
                 revision: 0,
                 agent: 0,
@@ -110,12 +110,12 @@
                 observed: 0,
                 retry_after_ms: BUSY_HEARTBEAT_MS,
             };
-            self.commits.send(node, Message::RunnerOrders(commands));
+            self.commits.send(node, Message::RunnerCommands(commands));
         }
     }
 
     /// A start with what the run needs; `None` where its job has ended.
-    fn start_command(&self, start: CommandedStart) -> Option<StartOrder> {
+    fn start_command(&self, start: CommandedStart) -> Option<StartCommand> {
         let CommandedStart { task, attempt } = start;
         let job = self.jobs.get(task.step.job)?;
         let spec = job.spec.as_ref()?;
@@ -125,11 +125,11 @@
         } else {
             step.tasks.get(task.index as usize)?.checkpoint.clone()
         };
-        Some(StartOrder {
+        Some(StartCommand {
             task: task.to_string().into(),
             attempt,
             spec: spec.spec.as_str().into(),
-            saved: checkpoint.into(),
+            checkpoint: checkpoint.into(),
         })
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/runner_reports.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_reports.rs
@@ -1,6 +1,6 @@
 //! Agents' reports: which runs are active, which have ended, which can no longer be running.
 
-use sagetrail_protocol::agent::{FinishedRun, RunnerReport, StopOrder};
+use sagetrail_protocol::agent::{FinishedRun, RunnerReport, StopCommand};
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::NodeId;
 
@@ -28,10 +28,10 @@
             Admission::Late => return,
         }
         runner.last_report_at = now.steady;
-        runner.present = report.present;
-        if report.present {
+        runner.has_runner = report.has_runner;
+        if report.has_runner {
             self.update_runner(now, from, &report);
-        } else if report.lapsed {
+        } else if report.lease_expired {
             self.end_all_runs(now, from);
         }
         self.answer_report(now, from, &report);
@@ -52,13 +52,13 @@
         self.record_finished_runs(now, from, report);
         self.end_absent_runs(now, from, report);
         if let Some(runner) = self.runners.get_mut(from) {
-            runner.state_known |= report.term == self.term && report.settled;
+            runner.state_known |= report.term == self.term && report.starts_resolved;
         }
     }
 
     /// Returns true where the report is about the instance that runs now. With another instance on the machine
     /// whatever the former one ran is over. An agent that started anew may have a late heartbeat of a dead instance:
-    /// its report counts once it is settled, or no lease lasts.
+    /// its report counts once all starts are resolved, or no lease lasts.
     fn update_instance(&mut self, now: Now, node: NodeId, report: &RunnerReport) -> bool {
         let Some(runner) = self.runners.get_mut(node) else {
             return false;
@@ -67,7 +67,8 @@
             return true;
         }
         if !runner.instance.is_empty() {
-            let is_certain = report.term == self.term && (report.settled || report.lapsed);
+            let is_certain =
+                report.term == self.term && (report.starts_resolved || report.lease_expired);
             if !is_certain {
                 runner.state_known = false;
                 return false;
@@ -83,7 +84,7 @@
     /// Everything assigned to the runner is over.
     pub(super) fn end_all_runs(&mut self, now: Now, node: NodeId) {
         for task in self.runners.assigned_tasks(node) {
-            self.end_run(now, EndedRun::lapsed(AssignedRun { task, node }));
+            self.end_run(now, EndedRun::lease_expired(AssignedRun { task, node }));
         }
     }
 
@@ -97,7 +98,7 @@
             .values_mut()
             .for_each(|assignment| assignment.active = false);
         runner.unknown_runs.clear();
-        if report.lapsed {
+        if report.lease_expired {
             return;
         }
         for run in report.active.iter() {
@@ -105,7 +106,7 @@
             let assignment = id.and_then(|id| runner.assigned.get_mut(&id));
             match assignment.filter(|assignment| assignment.attempt == run.attempt) {
                 Some(assignment) => assignment.set_active(run.percent, now.steady),
-                None => runner.unknown_runs.push(StopOrder {
+                None => runner.unknown_runs.push(StopCommand {
                     task: run.task.clone(),
                     attempt: run.attempt,
                 }),
@@ -118,19 +119,23 @@
 
     /// Records new checkpoints of active runs: one that only this process knows would be lost with it.
     fn update_checkpoints(&mut self, report: &RunnerReport) {
-        if report.lapsed {
+        if report.lease_expired {
             return;
         }
         let mut updated = Vec::new();
-        for run in report.active.iter().filter(|run| !run.saved.is_empty()) {
+        for run in report
+            .active
+            .iter()
+            .filter(|run| !run.checkpoint.is_empty())
+        {
             let Some(id) = TaskId::parse(&run.task) else {
                 continue;
             };
             let Some(task) = self.jobs.task_mut(id) else {
                 continue;
             };
-            if task.attempt == run.attempt && task.checkpoint != run.saved.0 {
-                task.checkpoint = run.saved.0.clone();
+            if task.attempt == run.attempt && task.checkpoint != run.checkpoint.0 {
+                task.checkpoint = run.checkpoint.0.clone();
                 updated.push(id);
             }
         }
@@ -176,7 +181,7 @@
             let ended = EndedRun {
                 run,
                 end: finished.end,
-                checkpoint: finished.saved.0.clone(),
+                checkpoint: finished.checkpoint.0.clone(),
             };
             self.end_run(now, ended);
         }
@@ -195,11 +200,11 @@
             let is_withdrawn = assignment
                 .withdrawn_in
                 .is_some_and(|revision| is_of_term && report.revision >= revision);
-            let cannot_start = is_withdrawn && (report.settled || report.lapsed);
-            let ran_and_lapsed = report.lapsed && assignment.seen_active;
-            if cannot_start || ran_and_lapsed {
+            let cannot_start = is_withdrawn && (report.starts_resolved || report.lease_expired);
+            let ran_and_expired = report.lease_expired && assignment.seen_active;
+            if cannot_start || ran_and_expired {
                 over.push(task);
-            } else if report.lapsed {
+            } else if report.lease_expired {
                 assignment.unwanted = true;
                 has_unwanted = true;
             }
@@ -209,7 +214,7 @@
         }
         for task in over {
             let run = AssignedRun { task, node: from };
-            self.end_run(now, EndedRun::lapsed(run));
+            self.end_run(now, EndedRun::lease_expired(run));
         }
     }
 
@@ -229,7 +234,7 @@
     /// Ends the runs of runners that have been unreachable for longer than any lease of theirs.
     pub(super) fn expire_unreachable_runners(&mut self, now: Now) {
         let has_expired =
-            |runner: &Runner| !runner.assigned.is_empty() && runner.lease_expired(now.steady);
+            |runner: &Runner| !runner.assigned.is_empty() && runner.is_beyond_lease(now.steady);
         let expired: Vec<NodeId> = self
             .runners
             .iter()
@@ -259,7 +264,7 @@
     runner.capacity = report.capacity;
     // Once it drains, an instance drains until its end; an agent that started anew may not know.
     runner.draining |= report.draining;
-    runner.lapsed = report.lapsed;
+    runner.lease_expired = report.lease_expired;
     runner.remaining_ms = report.remaining_ms;
-    runner.silent_ms = report.silent_ms;
+    runner.since_heartbeat_ms = report.since_heartbeat_ms;
 }
--- a/crates/cluster/scheduler/src/scheduler/urgent_demand.rs
+++ b/crates/cluster/scheduler/src/scheduler/urgent_demand.rs
@@ -17,7 +17,7 @@
             return;
         }
         let mut demands: BTreeMap<String, UrgentDemand> = BTreeMap::new();
-        for (_, runner) in self.runners.iter().filter(|(_, runner)| runner.present) {
+        for (_, runner) in self.runners.iter().filter(|(_, runner)| runner.has_runner) {
             let demand = demands.entry(runner.service.clone()).or_default();
             self.add_usage(now, demand, runner);
         }
--- a/crates/cluster/scheduler/tests/job_lifecycle.rs
+++ b/crates/cluster/scheduler/tests/job_lifecycle.rs
@@ -110,11 +110,11 @@
     cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     for end in [
-        RunEnd::Lapsed,
+        RunEnd::LeaseExpired,
         RunEnd::Stopped,
-        RunEnd::Refused,
-        RunEnd::Alone,
-        RunEnd::Broken,
+        RunEnd::Rejected,
+        RunEnd::GangTimedOut,
+        RunEnd::GangMemberEnded,
     ] {
         cluster.execute_commands();
         assert_eq!(cluster.running().len(), 1, "before {end:?}");
--- a/crates/cluster/scheduler/tests/late_reports.rs
+++ b/crates/cluster/scheduler/tests/late_reports.rs
@@ -79,7 +79,7 @@
     cluster.deliver(
         at,
         RunnerReport {
-            lapsed: true,
+            lease_expired: true,
             ..former(report)
         },
     );
@@ -104,7 +104,7 @@
             at,
             RunnerReport {
                 sequence,
-                lapsed: true,
+                lease_expired: true,
                 ..former(report.clone())
             },
         );
@@ -119,14 +119,14 @@
     let active = cluster.runners[&at].active.clone();
     cluster.restart_agent(at, 60);
     let runner = cluster.runners.get_mut(&at).expect("a runner");
-    (runner.instance, runner.settled) = ("i-former".to_owned(), false);
+    (runner.instance, runner.starts_resolved) = ("i-former".to_owned(), false);
     runner.active.clear();
     for _ in 0..3 {
         cluster.report_all();
         cluster.advance_ms(100);
     }
     let runner = cluster.runners.get_mut(&at).expect("a runner");
-    (runner.instance, runner.settled, runner.active) = (instance, true, active);
+    (runner.instance, runner.starts_resolved, runner.active) = (instance, true, active);
     nothing_starts_again(&mut cluster);
 }
 
@@ -136,7 +136,11 @@
         let (mut cluster, at) = one_running();
         cluster.restart_agent(at, 60);
         let runner = cluster.runners.get_mut(&at).expect("a runner");
-        (runner.instance, runner.lapsed, runner.settled) = ("i-new".to_owned(), lapsed, !lapsed);
+        (
+            runner.instance,
+            runner.lease_expired,
+            runner.starts_resolved,
+        ) = ("i-new".to_owned(), lapsed, !lapsed);
         runner.active.clear();
         cluster.report_all();
         cluster.report_all();
@@ -162,9 +166,9 @@
             cluster.deliver(
                 at,
                 RunnerReport {
-                    present: false,
+                    has_runner: false,
                     instance: "".into(),
-                    lapsed,
+                    lease_expired: lapsed,
                     ..report
                 },
             );
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -40,7 +40,11 @@
     cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     cluster.start_next_term(config(1, 2, 1));
-    cluster.runners.get_mut(&node(0)).expect("a runner").settled = false;
+    cluster
+        .runners
+        .get_mut(&node(0))
+        .expect("a runner")
+        .starts_resolved = false;
     cluster.report_all();
     cluster.advance_ms(300);
     cluster.report_all();
@@ -118,7 +122,7 @@
     let mut cluster = one_running();
     let at = cluster.running()[0].node;
     let runner = cluster.runners.get_mut(&at).expect("a runner");
-    runner.lapsed = true;
+    runner.lease_expired = true;
     runner.active.clear();
     cluster.report_all();
     cluster.advance_ms(100);
@@ -137,11 +141,11 @@
         attempt,
     } = cluster.running()[0].clone();
     let runner = cluster.runners.get_mut(&at).expect("a runner");
-    runner.lapsed = true;
+    runner.lease_expired = true;
     cluster.report(at);
     cluster.commit();
     let runner = cluster.runners.get_mut(&at).expect("a runner");
-    runner.lapsed = false;
+    runner.lease_expired = false;
     runner.active.insert(task.clone(), attempt);
     runner.end(&task, RunEnd::Done);
     cluster.report_all();
@@ -157,10 +161,18 @@
     cluster.commit();
     cluster.submit("00000000000000bb", r#"{"stages":[{"count":1,"cpu":4000}]}"#);
     cluster.commit();
-    cluster.runners.get_mut(&node(0)).expect("a runner").settled = false;
+    cluster
+        .runners
+        .get_mut(&node(0))
+        .expect("a runner")
+        .starts_resolved = false;
     cluster.report_all();
     assert!(cluster.commands[&node(0)].start.is_empty());
-    cluster.runners.get_mut(&node(0)).expect("a runner").settled = true;
+    cluster
+        .runners
+        .get_mut(&node(0))
+        .expect("a runner")
+        .starts_resolved = true;
     cluster.report_all();
     assert_eq!(cluster.commands[&node(0)].start.len(), 1);
 }
@@ -247,14 +259,18 @@
     );
     cluster.commit();
     cluster.execute_commands();
-    cluster.runners.get_mut(&node(0)).expect("a runner").saved = "half".to_owned();
+    cluster
+        .runners
+        .get_mut(&node(0))
+        .expect("a runner")
+        .checkpoint = "half".to_owned();
     cluster.report_all();
     cluster.start_next_term(config(1, 2, 1));
     let runner = cluster.runners.get_mut(&node(0)).expect("a runner");
     runner.instance = "i-new".to_owned();
-    runner.saved.clear();
+    runner.checkpoint.clear();
     runner.active.clear();
     cluster.report_all();
     cluster.report_all();
-    assert_eq!(cluster.commands[&node(0)].start[0].saved.0, "half");
+    assert_eq!(cluster.commands[&node(0)].start[0].checkpoint.0, "half");
 }
--- a/crates/cluster/scheduler/tests/test_cluster/mod.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/mod.rs
@@ -7,7 +7,7 @@
 mod config;
 mod runner;
 
-use sagetrail_protocol::agent::{ActiveRun, RunEnd, RunnerOrders, RunnerReport};
+use sagetrail_protocol::agent::{ActiveRun, RunEnd, RunnerCommands, RunnerReport};
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_protocol::node::Now;
@@ -58,7 +58,7 @@
     /// The runners by the address of their agent.
     pub runners: BTreeMap<NodeId, SimulatedRunner>,
     /// The newest commands of the present term, by agent.
-    pub commands: BTreeMap<NodeId, RunnerOrders>,
+    pub commands: BTreeMap<NodeId, RunnerCommands>,
     /// All answers to clients.
     pub replies: Vec<ClientReply>,
     /// The committed records.
@@ -156,7 +156,7 @@
     pub(crate) fn take_sends(&mut self) {
         for (to, message) in self.scheduler.take_sends() {
             match message {
-                Message::RunnerOrders(commands) => {
+                Message::RunnerCommands(commands) => {
                     self.commands.insert(to, commands);
                 }
                 Message::ClientReply(reply) => self.replies.push(reply),
@@ -243,11 +243,11 @@
             .map_or((0, 0), |commands| (commands.term, commands.revision));
         let runner = self.runners.get_mut(&node)?;
         runner.sequence += 1;
-        let (percent, saved) = (runner.percent, runner.saved.clone());
+        let (percent, checkpoint) = (runner.percent, runner.checkpoint.clone());
         let active = runner.active.iter().map(|(task, &attempt)| ActiveRun {
             task: task.as_str().into(),
             attempt,
-            saved: saved.as_str().into(),
+            checkpoint: checkpoint.as_str().into(),
             percent,
         });
         Some(RunnerReport {
@@ -256,15 +256,15 @@
             sent_at: self.now.steady.0,
             term,
             revision,
-            settled: runner.settled && term > 0,
-            present: true,
+            starts_resolved: runner.starts_resolved && term > 0,
+            has_runner: true,
             instance: runner.instance.as_str().into(),
             service: "s".into(),
             address: "10.0.0.1:1".into(),
             zone: "z".into(),
             draining: runner.draining,
             remaining_ms: runner.remaining_ms,
-            cold_remaining_ms: 0,
+            slow_start_remaining_ms: 0,
             capacity: runner.capacity,
             labels: runner
                 .labels
@@ -273,8 +273,8 @@
                 .collect(),
             active: active.collect(),
             finished: runner.finished.clone().into(),
-            lapsed: runner.lapsed,
-            silent_ms: 0,
+            lease_expired: runner.lease_expired,
+            since_heartbeat_ms: 0,
         })
     }
 
--- a/crates/cluster/scheduler/tests/test_cluster/runner.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/runner.rs
@@ -25,13 +25,13 @@
     /// While it drains: the time that is left, in milliseconds.
     pub remaining_ms: u64,
     /// Its agent reports that whatever it ran is over.
-    pub lapsed: bool,
-    /// Its agent's reports are settled once they are under commands of a term.
-    pub settled: bool,
+    pub lease_expired: bool,
+    /// Its agent's reports resolve all starts once they are under commands of a term.
+    pub starts_resolved: bool,
     /// The progress of all its runs, in hundredths.
     pub percent: u8,
     /// The checkpoint of all its active runs.
-    pub saved: String,
+    pub checkpoint: String,
     /// The sequence number of its agent's newest report.
     pub sequence: u64,
     /// The incarnation of its agent.
@@ -55,10 +55,10 @@
             ended_attempts: BTreeMap::new(),
             draining: false,
             remaining_ms: 0,
-            lapsed: false,
-            settled: true,
+            lease_expired: false,
+            starts_resolved: true,
             percent: 0,
-            saved: String::new(),
+            checkpoint: String::new(),
             sequence: 0,
             agent: 50 + u64::from(number),
         }
@@ -83,7 +83,7 @@
             task: task.into(),
             attempt,
             end,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
     }
 }
