--- a/crates/cluster/control-plane/src/quorum.rs
+++ b/crates/cluster/control-plane/src/quorum.rs
@@ -22,12 +22,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         write!(
             formatter,
-            "members, version {}: {}",
+            "version={} members=[{}]",
             self.version,
             names(&self.members)
         )?;
         if self.is_changing() {
-            write!(formatter, "; next: {}", names(&self.next_members))?;
+            write!(formatter, " next_members=[{}]", names(&self.next_members))?;
         }
         Ok(())
     }
--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -350,7 +350,7 @@
             config: self.view.config_version() > config_version,
         };
         if update.members {
-            log::info!("{}", self.view.list);
+            log::info!("members changed: node={} {}", self.node, self.view.list);
         }
         self.accepted_changes.insert_all(&value.recent);
         self.notify_learn_waiters(effects);
