--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -348,7 +348,7 @@
             }
             Body::Grants(grants) => grants
                 .into_iter()
-                .all(|grant| self.budgets.receive_grant(from, grant)),
+                .all(|grant| self.budgets.receive_grant(from, grant).is_ok()),
             // By way of nobody: who made it sends it.
             Body::Report(report) => {
                 report.member == envelope.sender && self.reports.join(now, report)
--- a/crates/dispatcher/shared-state/tests/budgets.rs
+++ b/crates/dispatcher/shared-state/tests/budgets.rs
@@ -4,6 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_shared_state::*;
+use sagetrail_swim::FrameError;
 use std::collections::BTreeMap;
 
 const KEY: BudgetKey = BudgetKey {
@@ -236,7 +237,7 @@
                 }
                 Wire::Grant(mut grant) => {
                     grant.sequence = grant.sequence.wrapping_sub(self.members[who].first);
-                    self.members[who].budgets.receive_grant(from, grant);
+                    let _ = self.members[who].budgets.receive_grant(from, grant);
                 }
             }
         }
@@ -513,18 +514,28 @@
         lease_ms: 3000,
         limit: LIMIT,
     };
-    assert!(!budgets.receive_grant(1, grant));
-    assert!(!budgets.receive_grant(
-        1,
-        LeaseGrant {
-            amount: 1,
-            lease_ms: u32::MAX,
-            ..grant
-        }
-    ));
-    assert!(!budgets.receive_grant(9, LeaseGrant { amount: 1, ..grant }));
-    assert!(
+    assert_eq!(
+        budgets.receive_grant(1, grant),
+        Err(FrameError::InvalidValue)
+    );
+    assert_eq!(
+        budgets.receive_grant(
+            1,
+            LeaseGrant {
+                amount: 1,
+                lease_ms: u32::MAX,
+                ..grant
+            }
+        ),
+        Err(FrameError::InvalidValue)
+    );
+    assert_eq!(
+        budgets.receive_grant(9, LeaseGrant { amount: 1, ..grant }),
+        Err(FrameError::InvalidValue)
+    );
+    assert_eq!(
         budgets.receive_grant(1, LeaseGrant { amount: 1, ..grant }),
+        Ok(()),
         "late, and passed over"
     );
     assert!(budgets.usable(10.0, KEY) <= LIMIT / 3 + 1);
