--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -430,7 +430,7 @@
         let _ = writeln!(
             lines,
             "links: sent {} frames {} bytes, taken {} frames {} bytes",
-            node.sent.0, node.sent.1, node.received.0, node.received.1
+            node.sent.frames, node.sent.bytes, node.received.frames, node.received.bytes
         );
         for (why, n) in &node.rejected {
             let _ = writeln!(lines, "passed over: {why} {n}");
--- a/crates/dispatcher/shared-state/src/evidence.rs
+++ b/crates/dispatcher/shared-state/src/evidence.rs
@@ -1,121 +1,21 @@
-//! What members see of runners, told as counts and weighed by each for itself. Evidence is shared, not verdicts: a
-//! verdict shared makes all wrong at once. Each member tells only what it saw itself, so that one report does not
-//! become a hundred; what is heard counts beside own sights, needs several reporters of different sites, ages, and
-//! never takes more than a stated part of the runners out.
+//! Evaluates the members' evidence on runners. Evidence is shared, not verdicts: a shared verdict makes all members
+//! wrong at once. Each member reports only what it observed itself, so that one report does not become a hundred. What
+//! others report counts beside own observations, needs several reporters of different sites, ages, and never excludes
+//! more than a stated part of the runners.
 
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Observations are kept so long: several runs and probes of a runner, and less than troubles last.
-const KEPT_S: f64 = 3.0;
-/// In buckets of this length.
-const BUCKET_S: f64 = 0.5;
-const BUCKETS: usize = (KEPT_S / BUCKET_S) as usize;
+use crate::observations::Evidence;
 
-/// One member's sights of one runner within the last 3 s.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evidence {
-    /// The runner's number.
-    pub runner: u64,
-    pub successes: u16,
-    pub failures: u16,
-    /// How long ago the last of each was, in hundredths of a second, at the report's making; the largest for never.
-    pub last_success_ago: u16,
-    pub last_failure_ago: u16,
-}
-
-#[derive(Clone, Copy, Default)]
-struct Sight {
-    good: [u16; BUCKETS],
-    bad: [u16; BUCKETS],
-    at: u64,
-    last_good: Option<f64>,
-    last_bad: Option<f64>,
-}
-
-impl Sight {
-    fn turn(&mut self, bucket: u64) {
-        let passed = bucket.saturating_sub(self.at).min(BUCKETS as u64);
-        for n in 1..=passed {
-            let place = ((self.at + n) % BUCKETS as u64) as usize;
-            (self.good[place], self.bad[place]) = (0, 0);
-        }
-        self.at = self.at.max(bucket);
-    }
-}
+/// Failures of one reporter beyond this weigh no more.
+const MAX_FAILURE_WEIGHT: u16 = 10;
+/// Sites are told apart by the bits of a word.
+const SITE_BITS: u16 = 64;
 
-/// What this member saw itself.
-#[derive(Default)]
-pub struct Observations {
-    seen: BTreeMap<u64, Sight>,
-}
-
-fn bucket(now: f64) -> u64 {
-    (now.max(0.0) / BUCKET_S) as u64
-}
-
-impl Observations {
-    /// Runners kept at once: more than any list here names.
-    const MOST: usize = 8192;
-
-    pub fn record(&mut self, now: f64, of: u64, good: bool) {
-        if self.seen.len() >= Observations::MOST && !self.seen.contains_key(&of) {
-            self.seen
-                .retain(|_, sight| sight.at + BUCKETS as u64 > bucket(now));
-            if self.seen.len() >= Observations::MOST {
-                return;
-            }
-        }
-        let sight = self.seen.entry(of).or_default();
-        sight.turn(bucket(now));
-        let place = (sight.at % BUCKETS as u64) as usize;
-        let (counts, last) = match good {
-            true => (&mut sight.good, &mut sight.last_good),
-            false => (&mut sight.bad, &mut sight.last_bad),
-        };
-        counts[place] = counts[place].saturating_add(1);
-        *last = Some(now);
-    }
-
-    /// What there is to tell, the latest trouble first.
-    pub fn evidence(&mut self, now: f64) -> Vec<Evidence> {
-        self.seen.retain(|_, sight| {
-            sight.turn(bucket(now));
-            sight.good.iter().chain(&sight.bad).any(|n| *n > 0)
-        });
-        let ago = |at: Option<f64>| {
-            at.map_or(u16::MAX, |at| {
-                ((now - at).max(0.0) * 100.0).min(65_534.0) as u16
-            })
-        };
-        let tell = |(of, sight): (&u64, &Sight)| Evidence {
-            runner: *of,
-            successes: sight
-                .good
-                .iter()
-                .fold(0, |all, n| u16::saturating_add(all, *n)),
-            failures: sight
-                .bad
-                .iter()
-                .fold(0, |all, n| u16::saturating_add(all, *n)),
-            last_success_ago: ago(sight.last_good),
-            last_failure_ago: ago(sight.last_bad),
-        };
-        let mut told: Vec<Evidence> = self.seen.iter().map(tell).collect();
-        told.sort_by_key(|evidence| {
-            (
-                evidence.last_failure_ago,
-                evidence.last_success_ago,
-                evidence.runner,
-            )
-        });
-        told
-    }
-}
-
-/// What is heard of a runner.
+/// What evidence says of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunnerVerdict {
+    /// It fails at several members.
     Unhealthy,
     /// It works for others again.
     Healthy,
@@ -123,6 +23,7 @@
 
 impl RunnerVerdict {
     /// The spelling on the operators' page of runners.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             RunnerVerdict::Unhealthy => "unwell",
@@ -131,37 +32,48 @@
     }
 }
 
-/// One reporter's sights, and how long ago they were made.
+/// One reporter's evidence.
 pub struct Witness<'a> {
+    /// The index of its site.
     pub site: u16,
-    /// This member itself.
+    /// Whether it is this member itself.
     pub is_own: bool,
+    /// How long ago the report was made, in seconds.
     pub age_s: f64,
+    /// By runner.
     pub evidence: &'a [Evidence],
 }
 
-/// How much it takes. A broken variant differs here.
+impl Witness<'_> {
+    /// How long ago something was, in seconds, which was so many hundredths of a second before the report.
+    fn ago_s(&self, hundredths: u16) -> f64 {
+        self.age_s + f64::from(hundredths) / 100.0
+    }
+}
+
+/// How much evidence a verdict takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvidenceRules {
-    /// So many reporters, of so many sites where there are as many.
+    /// How many reporters must agree.
     pub reporters: usize,
+    /// Of how many sites, where there are as many.
     pub sites: usize,
-    /// Of the runners that any reporter used, at most this part is out by what is heard.
+    /// Of the runners that any reporter used, at most this part is unhealthy by evidence.
     pub most_out: f64,
-    /// A reporter to whom more than this part of its runners looks bad speaks of itself, its links, or of work
-    /// that fails anywhere.
+    /// A reporter that finds more than this part of its runners bad speaks of itself, its links, or of work that fails
+    /// anywhere.
     pub own_fault: f64,
-    /// Observations older than this say nothing.
+    /// Older observations are ignored, in seconds.
     pub fresh_s: f64,
-    /// Bad sights of one reporter that count as trouble.
+    /// From how many failures on a reporter finds a runner bad.
     pub least_bad: u16,
-    /// Own sights go before what is heard.
+    /// Whether own observations override what others report.
     pub own_first: bool,
 }
 
 impl Default for EvidenceRules {
-    /// Two of two sites: one cut link, one site, one liar are never enough. A quarter: what remains bears the
-    /// rest at three in four full. A third: of a reporter's few runners two may be bad by chance.
+    /// Two reporters of two sites: one cut link, one site, one false reporter never suffice. A quarter: the remaining
+    /// runners bear the load at three quarters full. A third: of a reporter's few runners two may be bad by chance.
     fn default() -> Self {
         EvidenceRules {
             reporters: 2,
@@ -175,122 +87,174 @@
     }
 }
 
-#[derive(Default, Clone, Copy)]
+/// All evidence on one runner. Times are ages in seconds, infinity for never.
+#[derive(Clone, Copy)]
 struct Case {
-    against: usize,
-    by_others: usize,
-    sites: u64,
-    good_by_others: usize,
-    good_sites: u64,
-    own_good_ago: f64,
-    own_bad_ago: f64,
-    weight: f64,
-    good_ago: f64,
-    bad_ago: f64,
+    reporters_against: usize,
+    others_against: usize,
+    sites_against: u64,
+    others_for: usize,
+    sites_for: u64,
+    own_success_ago_s: f64,
+    own_failure_ago_s: f64,
+    failure_weight: f64,
+    success_ago_s: f64,
+    failure_ago_s: f64,
+}
+
+impl Case {
+    fn new() -> Self {
+        Case {
+            reporters_against: 0,
+            others_against: 0,
+            sites_against: 0,
+            others_for: 0,
+            sites_for: 0,
+            own_success_ago_s: f64::INFINITY,
+            own_failure_ago_s: f64::INFINITY,
+            failure_weight: 0.0,
+            success_ago_s: f64::INFINITY,
+            failure_ago_s: f64::INFINITY,
+        }
+    }
+
+    fn add_against(&mut self, witness: &Witness, evidence: &Evidence, site: u64) {
+        self.reporters_against += 1;
+        self.others_against += usize::from(!witness.is_own);
+        self.sites_against |= site;
+        self.failure_weight += f64::from(evidence.failures.min(MAX_FAILURE_WEIGHT));
+        let ago_s = witness.ago_s(evidence.last_failure_ago);
+        self.failure_ago_s = self.failure_ago_s.min(ago_s);
+    }
+
+    fn add_for(&mut self, witness: &Witness, evidence: &Evidence, site: u64) {
+        self.others_for += usize::from(!witness.is_own);
+        self.sites_for |= site;
+        let ago_s = witness.ago_s(evidence.last_success_ago);
+        self.success_ago_s = self.success_ago_s.min(ago_s);
+    }
+
+    /// Whether it works for others again.
+    fn is_healthy(&self) -> bool {
+        self.others_for > 0 && self.success_ago_s < self.failure_ago_s
+    }
+}
+
+/// Cases by the runner's number, and how many runners the reporter with the most used.
+struct Cases {
+    by_runner: BTreeMap<u64, Case>,
+    most_used: usize,
 }
 
 impl EvidenceRules {
-    /// Bad sights count as trouble from some number on, when they outnumber the good, and the last good was before.
-    fn bad(&self, evidence: &Evidence, age_s: f64) -> bool {
-        let ago = |hundredths: u16| age_s + f64::from(hundredths) / 100.0;
+    /// Whether a reporter finds a runner bad: enough failures, which outnumber the successes and are newer.
+    fn is_bad(&self, witness: &Witness, evidence: &Evidence) -> bool {
         evidence.failures >= self.least_bad
             && evidence.failures > 2 * evidence.successes
             && evidence.last_failure_ago < evidence.last_success_ago
-            && ago(evidence.last_failure_ago) < self.fresh_s
+            && witness.ago_s(evidence.last_failure_ago) < self.fresh_s
     }
 
-    fn good(&self, evidence: &Evidence, age_s: f64) -> bool {
-        let ago = age_s + f64::from(evidence.last_success_ago) / 100.0;
+    fn is_good(&self, witness: &Witness, evidence: &Evidence) -> bool {
         evidence.successes > 0
             && evidence.last_success_ago < evidence.last_failure_ago
-            && ago < self.fresh_s
+            && witness.ago_s(evidence.last_success_ago) < self.fresh_s
     }
 
-    /// What the witnesses together say of each runner; `sites` is how many the roster has.
-    pub fn evaluate(&self, witnesses: &[Witness], sites: usize) -> Vec<(u64, RunnerVerdict)> {
-        let mut cases: BTreeMap<u64, Case> = BTreeMap::new();
-        let mut used = 0usize;
+    /// What the witnesses together say of each runner, by its number in ascending order; `site_count` is that of the
+    /// roster.
+    #[must_use]
+    pub fn evaluate(&self, witnesses: &[Witness], site_count: usize) -> Vec<(u64, RunnerVerdict)> {
+        let cases = self.cases(witnesses);
+        let unhealthy = self.unhealthy(&cases, site_count);
+        let healthy = cases
+            .by_runner
+            .iter()
+            .filter(|(runner, case)| case.is_healthy() && !unhealthy.contains(runner))
+            .map(|(runner, _)| (*runner, RunnerVerdict::Healthy));
+        let mut verdicts: Vec<(u64, RunnerVerdict)> = unhealthy
+            .iter()
+            .map(|runner| (*runner, RunnerVerdict::Unhealthy))
+            .chain(healthy)
+            .collect();
+        verdicts.sort_by_key(|(runner, _)| *runner);
+        verdicts
+    }
+
+    fn cases(&self, witnesses: &[Witness]) -> Cases {
+        let mut cases = Cases {
+            by_runner: BTreeMap::new(),
+            most_used: 0,
+        };
         for witness in witnesses {
-            let fresh = |e: &&Evidence| self.good(e, witness.age_s) || self.bad(e, witness.age_s);
-            let (all, bad) = witness
-                .evidence
-                .iter()
-                .filter(fresh)
-                .fold((0, 0), |(all, bad), e| {
-                    (all + 1, bad + usize::from(self.bad(e, witness.age_s)))
-                });
-            // Guards against a cut link, a starved or lying member, and work that fails everywhere: who finds
-            // most runners bad, or all of two or more, is believed of none of them. Good sights of its count.
-            let believed = bad as f64 <= (self.own_fault * all as f64).max(1.0);
-            used = used.max(all);
+            let used = self.used(witness);
+            cases.most_used = cases.most_used.max(used);
+            let is_believed = self.is_believed(witness, used);
+            let site = 1u64 << (witness.site % SITE_BITS);
             for evidence in witness.evidence {
-                let age = |hundredths: u16| witness.age_s + f64::from(hundredths) / 100.0;
-                let case = cases.entry(evidence.runner).or_insert(Case {
-                    own_good_ago: f64::INFINITY,
-                    own_bad_ago: f64::INFINITY,
-                    good_ago: f64::INFINITY,
-                    bad_ago: f64::INFINITY,
-                    ..Case::default()
-                });
-                let site = 1u64 << (witness.site % 64);
+                let case = cases
+                    .by_runner
+                    .entry(evidence.runner)
+                    .or_insert_with(Case::new);
                 if witness.is_own {
-                    (case.own_good_ago, case.own_bad_ago) = (
-                        age(evidence.last_success_ago),
-                        age(evidence.last_failure_ago),
-                    );
+                    case.own_success_ago_s = witness.ago_s(evidence.last_success_ago);
+                    case.own_failure_ago_s = witness.ago_s(evidence.last_failure_ago);
                 }
-                if self.bad(evidence, witness.age_s) && believed {
-                    case.against += 1;
-                    case.by_others += usize::from(!witness.is_own);
-                    case.sites |= site;
-                    case.weight += f64::from(evidence.failures.min(10));
-                    case.bad_ago = case.bad_ago.min(age(evidence.last_failure_ago));
-                } else if self.good(evidence, witness.age_s) {
-                    case.good_by_others += usize::from(!witness.is_own);
-                    case.good_sites |= site;
-                    case.good_ago = case.good_ago.min(age(evidence.last_success_ago));
+                if is_believed && self.is_bad(witness, evidence) {
+                    case.add_against(witness, evidence, site);
+                } else if self.is_good(witness, evidence) {
+                    case.add_for(witness, evidence, site);
                 }
             }
         }
-        let needed = self.sites.min(sites.max(1)) as u32;
-        let unwell = |case: &Case| {
-            // Own evidence goes before what is heard.
-            let own_good = self.own_first
-                && case.own_good_ago < case.own_bad_ago
-                && case.own_good_ago < self.fresh_s;
-            !own_good
-                && case.by_others > 0
-                && case.against >= self.reporters
-                && case.sites.count_ones() >= needed
-                // Guards against one cut from a part of the fleet: elsewhere it works as ever.
-                && (!self.own_first
-                    || case.against > 2 * case.good_by_others
-                        && case.sites.count_ones() > case.good_sites.count_ones())
-        };
-        let mut out: Vec<(f64, u64)> = cases
+        cases
+    }
+
+    /// How many runners a reporter has fresh observations of.
+    fn used(&self, witness: &Witness) -> usize {
+        let is_fresh = |one: &&Evidence| self.is_good(witness, one) || self.is_bad(witness, one);
+        witness.evidence.iter().filter(is_fresh).count()
+    }
+
+    /// Guards against a cut link, a starved or false reporter, and work that fails everywhere: a reporter that finds
+    /// most of its runners bad, or all of two or more, is believed of none of them. Its successes count.
+    fn is_believed(&self, witness: &Witness, used: usize) -> bool {
+        let is_bad = |one: &&Evidence| self.is_bad(witness, one);
+        let bad = witness.evidence.iter().filter(is_bad).count();
+        bad as f64 <= (self.own_fault * used as f64).max(1.0)
+    }
+
+    /// The numbers of the runners found unhealthy, the one with the most failures first.
+    fn unhealthy(&self, cases: &Cases, site_count: usize) -> Vec<u64> {
+        let needed_sites = self.sites.min(site_count.max(1)) as u32;
+        let mut unhealthy: Vec<(f64, u64)> = cases
+            .by_runner
             .iter()
-            .filter(|(_, case)| unwell(case))
-            .map(|(of, case)| (-case.weight, *of))
+            .filter(|(_, case)| self.is_unhealthy(case, needed_sites))
+            .map(|(runner, case)| (-case.failure_weight, *runner))
             .collect();
-        let known = cases.len().max(used);
-        // Guards against a trouble of all being taken for that of each: then nothing is blamed.
-        if out.len() as f64 > self.own_fault * known as f64 {
-            out.clear();
+        let known = cases.by_runner.len().max(cases.most_used);
+        // Guards against a fault of all being taken for that of each: then none is blamed.
+        if unhealthy.len() as f64 > self.own_fault * known as f64 {
+            unhealthy.clear();
         }
-        out.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        out.truncate((self.most_out * known as f64) as usize);
-        let mut heard: Vec<(u64, RunnerVerdict)> = out
-            .iter()
-            .map(|(_, of)| (*of, RunnerVerdict::Unhealthy))
-            .collect();
-        let well = |case: &Case| case.good_by_others > 0 && case.good_ago < case.bad_ago;
-        heard.extend(
-            cases
-                .iter()
-                .filter(|(of, case)| well(case) && !out.iter().any(|(_, bad)| bad == *of))
-                .map(|(of, _)| (*of, RunnerVerdict::Healthy)),
-        );
-        heard.sort_by_key(|(of, _)| *of);
-        heard
+        unhealthy.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        unhealthy.truncate((self.most_out * known as f64) as usize);
+        unhealthy.into_iter().map(|(_, runner)| runner).collect()
+    }
+
+    fn is_unhealthy(&self, case: &Case, needed_sites: u32) -> bool {
+        let works_here = self.own_first
+            && case.own_success_ago_s < case.own_failure_ago_s
+            && case.own_success_ago_s < self.fresh_s;
+        // Guards against a runner cut off from a part of the fleet: elsewhere it works as ever.
+        let outvoted = self.own_first
+            && (case.reporters_against <= 2 * case.others_for
+                || case.sites_against.count_ones() <= case.sites_for.count_ones());
+        !works_here
+            && case.others_against > 0
+            && case.reporters_against >= self.reporters
+            && case.sites_against.count_ones() >= needed_sites
+            && !outvoted
     }
 }
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -1,115 +1,125 @@
-//! One member of a fleet: membership, budgets, evidence and counts on the same frames. The host hands in bytes with
-//! the time, tells what it saw and spent, and sends what lies in `out`.
+//! One member: membership, leases, evidence and counts on the same frames.
+
+mod arrivals;
+mod config;
+mod exchange;
+mod frames;
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
 
-use crate::budgets::{BudgetKind, Budgets, LeaseGrant, LeaseRequest, LendingTerms};
-use crate::evidence::{EvidenceRules, Observations, RunnerVerdict, Witness};
-use crate::reports::{ArrivalCounts, Digest, Report, ReportTable};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_swim::{
-    Codec, Envelope, FrameError, MemberState, Membership, Message, Peer, SwimConfig, Update,
-    MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES,
+    Codec, Envelope, FrameError, MemberState, Membership, Message, Peer, MAX_DATAGRAM_BYTES,
 };
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 
-/// What is seen is told this often: a runner's trouble is known to all within a few of these.
-const TELL_S: f64 = 0.2;
-/// To so many at a time; in small fleets to all.
-const TELL_TO: usize = 6;
-/// Budgets are looked at this often while there is work.
-const LOOK_S: f64 = 0.1;
-/// A whole exchange with one other, so often on average: what datagrams lost is made good within a few.
-const WHOLE_S: f64 = 2.0;
-/// Evidence in a datagram: 14 bytes each at the most, with room for the rest.
-const SIGHTS_TOLD: usize = 50;
-/// Runners whose running jobs go into a datagram.
-const RUNNING_TOLD: usize = 40;
-/// ReportTable older than this are no evidence.
-const WITNESS_S: f64 = 2.0;
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-enum Body {
-    Swim(Message),
-    Asks(Vec<LeaseRequest>),
-    Grants(Vec<LeaseGrant>),
-    Report(Report),
-    /// A whole exchange's question, its answer, and what the asker has beyond that.
-    Have {
-        updates: Vec<Update>,
-        have: Vec<Digest>,
-    },
-    Give {
-        updates: Vec<Update>,
-        have: Vec<Digest>,
-        reports: Vec<Report>,
-        sums: Vec<ArrivalCounts>,
-    },
-    Rest {
-        reports: Vec<Report>,
-        sums: Vec<ArrivalCounts>,
-    },
-}
+use crate::budgets::{Budgets, LeaseGrant, LeaseRequest};
+use crate::evidence::{EvidenceRules, RunnerVerdict, Witness};
+use crate::observations::Observations;
+use crate::reports::{Report, ReportTable};
+use arrivals::ArrivalCounter;
+use frames::Body;
 
-/// What a member is started with.
-#[derive(Clone, Debug)]
-pub struct NodeConfig {
-    pub fleet: String,
-    pub roster: Vec<Peer>,
-    pub own_index: usize,
-    pub swim: SwimConfig,
-    pub lending: BTreeMap<BudgetKind, LendingTerms>,
-    pub evidence_rules: EvidenceRules,
-    pub category_count: usize,
-    /// Not under any earlier process's of this name, as far as clocks go: milliseconds of Unix time.
-    pub incarnation: u64,
-    /// Drawn anew by each process.
-    pub process: u64,
+pub use config::NodeConfig;
+pub use frames::{Datagrams, Traffic};
+
+/// How often a member sends its report, in seconds: a runner's fault is known to all within a few of these.
+const REPORT_INTERVAL_S: f64 = 0.2;
+/// To how many members it goes at a time; in small fleets to all.
+const REPORT_RECEIVERS: usize = 6;
+/// How often leases are requested while there is work, in seconds.
+const LEASE_INTERVAL_S: f64 = 0.1;
+/// After this time a budget that nobody names is removed, in seconds.
+const BUDGET_RETENTION_S: f64 = 60.0;
+/// Requests in one datagram, of at most 32 bytes each.
+const REQUESTS_PER_DATAGRAM: usize = 40;
+/// How often a member starts an exchange on average, in seconds: what datagrams lost is repaired within a few.
+const EXCHANGE_INTERVAL_S: f64 = 2.0;
+/// Older reports are no evidence, in seconds.
+const MAX_EVIDENCE_AGE_S: f64 = 2.0;
+
+/// How much of a report is sent.
+#[derive(Clone, Copy)]
+struct ReportSize {
+    evidence: usize,
+    running: usize,
 }
 
-/// Where frames go: a datagram to a member.
-pub type Datagrams = Vec<(usize, Vec<u8>)>;
+impl ReportSize {
+    /// For a datagram: evidence of at most 14 bytes each, with space for the rest.
+    const DATAGRAM: ReportSize = ReportSize {
+        evidence: 50,
+        running: 40,
+    };
+    /// For an exchange.
+    const FULL: ReportSize = ReportSize {
+        evidence: usize::MAX,
+        running: usize::MAX,
+    };
+}
 
-/// How a member stands, for operators.
+/// How a member stands as seen from here, for operators.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
+    /// Its configured name.
     pub name: String,
+    /// The index of its site.
     pub site: u16,
+    /// Its state by the membership protocol.
     pub state: MemberState,
+    /// Its highest known incarnation.
     pub incarnation: u64,
+    /// How long it has been in this state, in seconds.
     pub since_s: f64,
+    /// How long ago a frame of its own was received, in seconds; 0 for this member, infinity for never.
     pub received_s: f64,
+    /// The age of its last report in seconds, if there is one.
     pub report_s: Option<f64>,
 }
 
+/// One member. It does no I/O: the caller gives the time in seconds, hands in received frames, records what it
+/// observed and used, and sends what is put into the datagrams.
 pub struct Node {
+    /// The membership protocol.
     pub membership: Membership,
+    /// The shared limits.
     pub budgets: Budgets,
+    /// What this member observed of runners itself.
     pub observations: Observations,
+    /// The last report of each member.
     pub reports: ReportTable,
     evidence_rules: EvidenceRules,
     codec: Codec,
     process: u64,
-    sites: usize,
-    no: u64,
-    version: u64,
-    arrivals: Vec<u64>,
-    /// Work items received in this second by category, and the most in any.
-    second: (u64, Vec<u32>, Vec<u32>),
+    site_count: usize,
+    /// Numbers this member's frames.
+    frame_sequence: u64,
+    /// Numbers this member's reports.
+    report_version: u64,
+    arrivals: ArrivalCounter,
+    /// Jobs running at runners in sixteenths, by the runner's number in ascending order.
     running: Vec<(u64, u16)>,
-    running_all: u32,
-    next_tell: f64,
-    next_look: f64,
-    next_whole: f64,
-    chance: Pcg64Mcg,
-    /// Frames passed over, by reason; and sent and received in all, with their bytes.
+    next_report_at: f64,
+    next_lease_request_at: f64,
+    next_exchange_at: f64,
+    random: Pcg64Mcg,
+    /// Rejected frames by reason.
     pub rejected: BTreeMap<FrameError, u64>,
-    pub sent: (u64, u64),
-    pub received: (u64, u64),
+    /// Datagrams sent.
+    pub sent: Traffic,
+    /// Frames received and not rejected.
+    pub received: Traffic,
 }
 
 impl Node {
-    pub fn new(terms: NodeConfig, now: f64) -> Node {
+    /// A member of which nobody knows yet.
+    ///
+    /// # Panics
+    ///
+    /// When `own_index` is not in the roster.
+    #[must_use]
+    pub fn new(config: NodeConfig, now: f64) -> Node {
         let NodeConfig {
             fleet,
             roster,
@@ -120,13 +130,13 @@
             category_count,
             incarnation,
             process,
-        } = terms;
+        } = config;
         let numbers: Vec<u64> = roster.iter().map(|peer| peer.number).collect();
         let mut sites: Vec<u16> = roster.iter().map(|peer| peer.site).collect();
         sites.sort_unstable();
         sites.dedup();
-        let mut chance = Pcg64Mcg::seed_from_u64(process);
-        let spread = chance.random::<f64>();
+        let mut random = Pcg64Mcg::seed_from_u64(process);
+        let spread = random.random::<f64>();
         Node {
             membership: Membership::new(swim, roster, own_index, incarnation, process, now),
             budgets: Budgets::new(numbers, own_index, process, lending, now),
@@ -135,390 +145,309 @@
             evidence_rules,
             codec: Codec::new(&fleet),
             process,
-            sites: sites.len(),
-            no: 0,
-            version: 0,
-            arrivals: vec![0; category_count],
-            second: (0, vec![0; category_count], vec![0; category_count]),
+            site_count: sites.len(),
+            frame_sequence: 0,
+            report_version: 0,
+            arrivals: ArrivalCounter::new(category_count),
             running: Vec::new(),
-            running_all: 0,
-            next_tell: now + TELL_S * spread,
-            next_look: now,
-            next_whole: now + WHOLE_S * spread,
-            chance,
+            next_report_at: now + REPORT_INTERVAL_S * spread,
+            next_lease_request_at: now,
+            next_exchange_at: now + EXCHANGE_INTERVAL_S * spread,
+            random,
             rejected: BTreeMap::new(),
-            sent: (0, 0),
-            received: (0, 0),
-        }
-    }
-
-    fn frame(&mut self, body: &Body) -> Vec<u8> {
-        self.no += 1;
-        let from = self.membership.roster()[self.membership.own_index()].number;
-        let envelope = Envelope {
-            sender: from,
-            process: self.process,
-            incarnation: self.membership.incarnation(),
-            sequence: self.no,
-        };
-        self.codec.encode(&envelope, body)
-    }
-
-    fn send(&mut self, to: usize, body: &Body, out: &mut Datagrams) {
-        let frame = self.frame(body);
-        // What does not fit was cut to fit by who made it; the rest goes by a whole exchange.
-        if frame.len() <= MAX_DATAGRAM_BYTES {
-            self.sent = (self.sent.0 + 1, self.sent.1 + frame.len() as u64);
-            out.push((to, frame));
+            sent: Traffic::default(),
+            received: Traffic::default(),
         }
     }
 
-    fn reject(&mut self, why: FrameError) {
-        *self.rejected.entry(why).or_default() += 1;
+    fn own_number(&self) -> u64 {
+        self.membership.roster()[self.membership.own_index()].number
     }
 
-    // ---- what the host tells ----
-
-    /// A work item has been received.
+    /// Counts a work item that this member took.
     pub fn record_arrival(&mut self, now: f64, category: usize) {
-        let Some(sum) = self.arrivals.get_mut(category) else {
-            return;
-        };
-        *sum += 1;
-        let (second, counts, peaks) = &mut self.second;
-        if now as u64 != *second {
-            *second = now as u64;
-            counts.iter_mut().for_each(|n| *n = 0);
-        }
-        counts[category] += 1;
-        peaks[category] = peaks[category].max(counts[category]);
+        self.arrivals.record(now, category);
     }
 
-    /// Jobs of this member that run, by runner in ascending order.
+    /// Sets how many jobs of this member run, in sixteenths, by the runner's number in ascending order.
     pub fn set_running(&mut self, running: Vec<(u64, u16)>) {
-        self.running_all = running.iter().map(|(_, n)| u32::from(*n)).sum();
         self.running = running;
     }
 
-    // ---- time ----
-
+    /// When [`Node::tick`] is to be called next, in seconds of the caller's clock.
+    #[must_use]
     pub fn due(&self) -> f64 {
         self.membership
             .due()
-            .min(self.next_tell)
-            .min(self.next_look)
-            .min(self.next_whole)
+            .min(self.next_report_at)
+            .min(self.next_lease_request_at)
+            .min(self.next_exchange_at)
     }
 
-    /// Looks at what has become due.
-    pub fn tick(&mut self, now: f64, out: &mut Datagrams) {
-        let mut post = Vec::new();
+    /// Does what is due by now, but for exchanges, which [`Node::start_exchange`] starts.
+    pub fn tick(&mut self, now: f64, datagrams: &mut Datagrams) {
         if now >= self.membership.due() {
-            self.membership.tick(now, &mut post);
+            let mut outbox = Vec::new();
+            self.membership.tick(now, &mut outbox);
+            self.send_membership(outbox, datagrams);
         }
-        for (to, message) in post {
-            self.send(to, &Body::Swim(message), out);
+        if now >= self.next_report_at {
+            self.next_report_at = now + REPORT_INTERVAL_S;
+            self.send_report(now, datagrams);
         }
-        if now >= self.next_tell {
-            self.next_tell = now + TELL_S;
-            self.tell(now, out);
-        }
-        if now >= self.next_look {
-            self.next_look = now + LOOK_S;
+        if now >= self.next_lease_request_at {
+            self.next_lease_request_at = now + LEASE_INTERVAL_S;
             self.reports.expire(now);
-            self.budgets.remove_unused(now, 60.0);
-            self.request_leases(now, out);
-        }
-    }
-
-    /// Asks for parts that are short. Also called by the host when work has come that needs one.
-    pub fn request_leases(&mut self, now: f64, out: &mut Datagrams) {
-        let mut asks = Vec::new();
-        self.budgets.request_leases(now, &mut asks);
-        let mut by: BTreeMap<usize, Vec<LeaseRequest>> = BTreeMap::new();
-        asks.into_iter()
-            .for_each(|(to, ask)| by.entry(to).or_default().push(ask));
-        for (to, asks) in by {
-            // 40: under a datagram at 32 bytes each.
-            for part in asks.chunks(40) {
-                self.send(to, &Body::Asks(part.to_vec()), out);
-            }
+            self.budgets.remove_unused(now, BUDGET_RETENTION_S);
+            self.request_leases(now, datagrams);
         }
     }
 
-    /// This member's own report, as far as it fits `observations` and `runners`.
-    fn report(&mut self, now: f64, observations: usize, runners: usize) -> Report {
-        self.version += 1;
-        let mut seen = self.observations.evidence(now);
-        seen.truncate(observations);
-        let mut running = self.running.clone();
-        if running.len() > runners {
-            running.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
-            running.truncate(runners);
-            running.sort_unstable();
-        }
-        Report {
-            member: self.membership.roster()[self.membership.own_index()].number,
-            process: self.process,
-            incarnation: self.membership.incarnation(),
-            version: self.version,
-            age_ms: 0,
-            arrivals: self.arrivals.clone(),
-            peaks: self.second.2.clone(),
-            running,
-            running_all: self.running_all,
-            evidence: seen,
+    /// Requests leases for what is short. Also to be called when work has come that needs one.
+    pub fn request_leases(&mut self, now: f64, datagrams: &mut Datagrams) {
+        let mut requests = Vec::new();
+        self.budgets.request_leases(now, &mut requests);
+        let mut by_lender: BTreeMap<usize, Vec<LeaseRequest>> = BTreeMap::new();
+        for (lender, request) in requests {
+            by_lender.entry(lender).or_default().push(request);
         }
-    }
-
-    fn tell(&mut self, now: f64, out: &mut Datagrams) {
-        let mut report = self.report(now, SIGHTS_TOLD, RUNNING_TOLD);
-        self.reports.join(now, report.clone());
-        // Many category_count leave less room: the rest goes by whole exchanges.
-        while self.frame(&Body::Report(report.clone())).len() > MAX_DATAGRAM_BYTES {
-            let (observations, runners) = (report.evidence.len() / 2, report.running.len() / 2);
-            report.evidence.truncate(observations);
-            report.running.truncate(runners);
-            if observations + runners == 0 {
-                return;
+        for (lender, requests) in by_lender {
+            for part in requests.chunks(REQUESTS_PER_DATAGRAM) {
+                self.send(lender, &Body::LeaseRequests(part.to_vec()), datagrams);
             }
         }
-        let mut others: Vec<usize> = (0..self.membership.roster().len())
-            .filter(|who| self.membership.is_reachable(*who))
-            .collect();
-        for at in 0..others.len().min(TELL_TO) {
-            let other = self.chance.random_range(at..others.len());
-            others.swap(at, other);
-            self.send(others[at], &Body::Report(report.clone()), out);
-        }
-    }
-
-    // ---- frames ----
-
-    fn opened(&mut self, now: f64, frame: &[u8], most: usize) -> Option<(usize, Envelope, Body)> {
-        let (envelope, body) = match self.codec.decode::<Body>(frame, most) {
-            Ok(read) => read,
-            Err(why) => {
-                self.reject(why);
-                return None;
-            }
-        };
-        let Some(from) = self
-            .membership
-            .index_of(envelope.sender)
-            .filter(|from| *from != self.membership.own_index())
-        else {
-            self.reject(FrameError::UnknownSender);
-            return None;
-        };
-        self.received = (self.received.0 + 1, self.received.1 + frame.len() as u64);
-        self.membership
-            .confirm_alive(now, from, envelope.incarnation);
-        Some((from, envelope, body))
     }
 
-    /// A datagram has come.
-    pub fn receive_datagram(&mut self, now: f64, frame: &[u8], out: &mut Datagrams) {
-        let Some((from, envelope, body)) = self.opened(now, frame, MAX_DATAGRAM_BYTES) else {
-            return;
-        };
-        let sound = match body {
-            Body::Swim(message) => {
-                let mut post = Vec::new();
-                let sound = self
-                    .membership
-                    .receive(now, from, message, &mut post)
-                    .is_ok();
-                post.into_iter()
-                    .for_each(|(to, message)| self.send(to, &Body::Swim(message), out));
-                sound
-            }
-            Body::Asks(asks) => {
-                let grants: Vec<LeaseGrant> = asks
-                    .into_iter()
-                    .filter_map(|ask| {
-                        self.budgets
-                            .receive_request(now, from, envelope.process, ask)
-                    })
-                    .collect();
-                if !grants.is_empty() {
-                    self.send(from, &Body::Grants(grants), out);
-                }
-                true
-            }
-            Body::Grants(grants) => grants
-                .into_iter()
-                .all(|grant| self.budgets.receive_grant(from, grant).is_ok()),
-            // By way of nobody: who made it sends it.
-            Body::Report(report) => {
-                report.member == envelope.sender && self.reports.join(now, report)
-            }
-            Body::Have { .. } | Body::Give { .. } | Body::Rest { .. } => false,
-        };
-        if !sound {
-            self.reject(FrameError::InvalidValue);
-        }
+    /// Takes a datagram; replies are put into `datagrams`. An invalid one is counted in [`Node::rejected`].
+    pub fn receive_datagram(&mut self, now: f64, frame: &[u8], datagrams: &mut Datagrams) {
+        let handled = self
+            .open(now, frame, MAX_DATAGRAM_BYTES)
+            .and_then(|opened| self.handle(now, opened, datagrams));
+        self.count_rejected(handled);
     }
 
-    /// The question of a whole exchange, when one is due: with whom, and the frame.
-    pub fn start_exchange(&mut self, now: f64) -> Option<(usize, Vec<u8>)> {
-        if now < self.next_whole {
-            return None;
-        }
-        self.next_whole = now + WHOLE_S * (0.5 + self.chance.random::<f64>());
-        // The dead too, now and then: two halves of a split find each other again.
-        let dead = self.chance.random_range(0..8) == 0;
-        let others: Vec<usize> = (0..self.membership.roster().len())
-            .filter(|who| {
-                *who != self.membership.own_index() && (dead || self.membership.is_reachable(*who))
-            })
-            .collect();
-        if others.is_empty() {
-            return None;
-        }
-        let to = others[self.chance.random_range(0..others.len())];
-        let whole = self.report(now, usize::MAX, usize::MAX);
-        self.reports.join(now, whole);
-        let body = Body::Have {
-            updates: self.membership.full_state(),
-            have: self.reports.digest(),
-        };
-        Some((to, self.frame(&body)))
-    }
-
-    fn take_up(
+    fn handle(
         &mut self,
         now: f64,
-        updates: &[Update],
-        reports: Vec<Report>,
-        sums: Vec<ArrivalCounts>,
-    ) {
-        let mut sound = self.membership.apply_updates(now, updates).is_ok();
-        let me = self.membership.roster()[self.membership.own_index()].number;
-        for report in reports {
-            if self.membership.index_of(report.member).is_none() || report.member == me {
-                continue;
-            }
-            sound &= self.reports.join(now, report);
-        }
-        if !(sound & self.reports.join_counts(sums)) {
-            self.reject(FrameError::InvalidValue);
-        }
-    }
-
-    /// A frame of a whole exchange has come; what is to be answered on the same link, if anything.
-    pub fn receive_exchange(&mut self, now: f64, frame: &[u8]) -> Option<Vec<u8>> {
-        let (_, _, body) = self.opened(now, frame, MAX_SYNC_BYTES)?;
+        opened: Opened,
+        datagrams: &mut Datagrams,
+    ) -> Result<(), FrameError> {
+        let Opened {
+            from,
+            envelope,
+            body,
+        } = opened;
         match body {
-            Body::Have { updates, have } => {
-                self.take_up(now, &updates, Vec::new(), Vec::new());
-                let whole = self.report(now, usize::MAX, usize::MAX);
-                self.reports.join(now, whole);
-                let body = Body::Give {
-                    updates: self.membership.full_state(),
-                    have: self.reports.digest(),
-                    reports: self.reports.missing_from(now, &have),
-                    sums: self.reports.counts(),
-                };
-                Some(self.frame(&body))
+            Body::Swim(message) => {
+                let mut outbox = Vec::new();
+                let received = self.membership.receive(now, from, message, &mut outbox);
+                self.send_membership(outbox, datagrams);
+                received
             }
-            Body::Give {
-                updates,
-                have,
-                reports,
-                sums,
-            } => {
-                self.take_up(now, &updates, reports, sums);
-                let body = Body::Rest {
-                    reports: self.reports.missing_from(now, &have),
-                    sums: self.reports.counts(),
+            Body::LeaseRequests(requests) => {
+                let grant = |request| {
+                    self.budgets
+                        .receive_request(now, from, envelope.process, request)
                 };
-                Some(self.frame(&body))
-            }
-            Body::Rest { reports, sums } => {
-                self.take_up(now, &[], reports, sums);
-                None
+                let grants: Vec<LeaseGrant> = requests.into_iter().filter_map(grant).collect();
+                if !grants.is_empty() {
+                    self.send(from, &Body::LeaseGrants(grants), datagrams);
+                }
+                Ok(())
             }
-            _ => {
-                self.reject(FrameError::InvalidValue);
-                None
+            Body::LeaseGrants(grants) => grants
+                .into_iter()
+                .try_for_each(|grant| self.budgets.receive_grant(from, grant)),
+            // In datagrams a member sends only its own report.
+            Body::Report(report) if report.member == envelope.sender => {
+                self.reports.join(now, report)
             }
+            Body::Report(_)
+            | Body::ExchangeRequest { .. }
+            | Body::ExchangeReply { .. }
+            | Body::ExchangeEnd { .. } => Err(FrameError::InvalidValue),
         }
     }
 
-    // ---- what the host asks ----
-
-    /// What is heard of runners, beside the own observations.
+    /// What the members' evidence, that of this one among it, says of runners, by the runner's number.
     pub fn verdicts(&mut self, now: f64) -> Vec<(u64, RunnerVerdict)> {
-        let own = self.observations.evidence(now);
-        let me = self.membership.own_index();
+        let own_evidence = self.observations.evidence(now);
+        let own_index = self.membership.own_index();
+        let roster = self.membership.roster();
         let mut witnesses = vec![Witness {
-            site: self.membership.roster()[me].site,
+            site: roster[own_index].site,
             is_own: true,
             age_s: 0.0,
-            evidence: &own,
+            evidence: &own_evidence,
         }];
-        for (report, age_s) in self.reports.fresh(now, WITNESS_S) {
-            let Some(who) = self
-                .membership
-                .index_of(report.member)
-                .filter(|who| *who != me)
-            else {
+        for (report, age_s) in self.reports.fresh(now, MAX_EVIDENCE_AGE_S) {
+            let member = self.membership.index_of(report.member);
+            let Some(member) = member.filter(|member| *member != own_index) else {
                 continue;
             };
-            let site = self.membership.roster()[who].site;
             witnesses.push(Witness {
-                site,
+                site: roster[member].site,
                 is_own: false,
                 age_s,
                 evidence: &report.evidence,
             });
         }
-        self.evidence_rules.evaluate(&witnesses, self.sites)
+        self.evidence_rules.evaluate(&witnesses, self.site_count)
     }
 
-    /// The most jobs of all members that run on one runner.
+    /// The most jobs of all members that run on one runner, in sixteenths, by reports of the last `within_s` seconds.
+    #[must_use]
     pub fn max_running(&self, now: f64, within_s: f64) -> u64 {
-        let me = self.membership.roster()[self.membership.own_index()].number;
-        let mut at: BTreeMap<u64, u64> = self
+        let own_number = self.own_number();
+        let mut by_runner: BTreeMap<u64, u64> = self
             .running
             .iter()
-            .map(|(of, n)| (*of, u64::from(*n)))
+            .map(|(runner, jobs)| (*runner, u64::from(*jobs)))
             .collect();
-        for (report, _) in self
-            .reports
-            .fresh(now, within_s)
-            .filter(|(report, _)| report.member != me)
-        {
-            for (of, n) in &report.running {
-                *at.entry(*of).or_default() += u64::from(*n);
+        for (report, _) in self.reports.fresh(now, within_s) {
+            if report.member == own_number {
+                continue;
+            }
+            for (runner, jobs) in &report.running {
+                *by_runner.entry(*runner).or_default() += u64::from(*jobs);
             }
         }
-        at.into_values().max().unwrap_or(0)
+        by_runner.into_values().max().unwrap_or(0)
     }
 
+    /// How all members stand as seen from here, in the order of the roster.
+    #[must_use]
     pub fn member_statuses(&self, now: f64) -> Vec<MemberStatus> {
-        let of = |(n, peer): (usize, &Peer)| {
-            let seen = self.membership.view(n);
-            MemberStatus {
-                name: peer.name.clone(),
-                site: peer.site,
-                state: seen.state,
-                incarnation: seen.incarnation,
-                since_s: now - seen.since,
-                received_s: if n == self.membership.own_index() {
-                    0.0
-                } else {
-                    now - seen.last_received
-                },
-                report_s: self.reports.age(now, peer.number),
+        let roster = self.membership.roster().iter().enumerate();
+        roster
+            .map(|(member, peer)| self.member_status(now, member, peer))
+            .collect()
+    }
+
+    fn member_status(&self, now: f64, member: usize, peer: &Peer) -> MemberStatus {
+        let view = self.membership.view(member);
+        let received_s = if member == self.membership.own_index() {
+            0.0
+        } else {
+            now - view.last_received
+        };
+        MemberStatus {
+            name: peer.name.clone(),
+            site: peer.site,
+            state: view.state,
+            incarnation: view.incarnation,
+            since_s: now - view.since,
+            received_s,
+            report_s: self.reports.age(now, peer.number),
+        }
+    }
+
+    /// This member's own report.
+    fn own_report(&mut self, now: f64, size: ReportSize) -> Report {
+        self.report_version += 1;
+        let mut evidence = self.observations.evidence(now);
+        evidence.truncate(size.evidence);
+        let mut running = self.running.clone();
+        if running.len() > size.running {
+            running.sort_by_key(|(_, jobs)| Reverse(*jobs));
+            running.truncate(size.running);
+            running.sort_unstable();
+        }
+        Report {
+            member: self.own_number(),
+            process: self.process,
+            incarnation: self.membership.incarnation(),
+            version: self.report_version,
+            age_ms: 0,
+            arrivals: self.arrivals.totals().to_vec(),
+            peaks: self.arrivals.peaks().to_vec(),
+            running,
+            running_all: self.running.iter().map(|(_, jobs)| u32::from(*jobs)).sum(),
+            evidence,
+        }
+    }
+
+    /// Joins the own report to the others. One of too many categories is not joined, as at the receivers.
+    fn join_own_report(&mut self, now: f64, report: Report) {
+        let _ = self.reports.join(now, report);
+    }
+
+    fn send_report(&mut self, now: f64, datagrams: &mut Datagrams) {
+        let mut report = self.own_report(now, ReportSize::DATAGRAM);
+        self.join_own_report(now, report.clone());
+        // Many categories leave less space: the rest goes by exchanges.
+        while self.frame(&Body::Report(report.clone())).len() > MAX_DATAGRAM_BYTES {
+            let (evidence, running) = (report.evidence.len() / 2, report.running.len() / 2);
+            report.evidence.truncate(evidence);
+            report.running.truncate(running);
+            if evidence + running == 0 {
+                return;
             }
+        }
+        let mut others: Vec<usize> = (0..self.membership.roster().len())
+            .filter(|member| self.membership.is_reachable(*member))
+            .collect();
+        for place in 0..others.len().min(REPORT_RECEIVERS) {
+            let other = self.random.random_range(place..others.len());
+            others.swap(place, other);
+            self.send(others[place], &Body::Report(report.clone()), datagrams);
+        }
+    }
+
+    fn send_membership(&mut self, outbox: Vec<(usize, Message)>, datagrams: &mut Datagrams) {
+        for (to, message) in outbox {
+            self.send(to, &Body::Swim(message), datagrams);
+        }
+    }
+
+    fn send(&mut self, to: usize, body: &Body, datagrams: &mut Datagrams) {
+        let frame = self.frame(body);
+        // A body is cut to fit where it is made; the rest goes by an exchange.
+        if frame.len() <= MAX_DATAGRAM_BYTES {
+            self.sent.count(&frame);
+            datagrams.push((to, frame));
+        }
+    }
+
+    fn frame(&mut self, body: &Body) -> Vec<u8> {
+        self.frame_sequence += 1;
+        let envelope = Envelope {
+            sender: self.own_number(),
+            process: self.process,
+            incarnation: self.membership.incarnation(),
+            sequence: self.frame_sequence,
         };
+        self.codec.encode(&envelope, body)
+    }
+
+    fn open(&mut self, now: f64, frame: &[u8], max_bytes: usize) -> Result<Opened, FrameError> {
+        let (envelope, body) = self.codec.decode::<Body>(frame, max_bytes)?;
+        let from = self
+            .membership
+            .index_of(envelope.sender)
+            .filter(|from| *from != self.membership.own_index())
+            .ok_or(FrameError::UnknownSender)?;
+        self.received.count(frame);
         self.membership
-            .roster()
-            .iter()
-            .enumerate()
-            .map(of)
-            .collect()
+            .confirm_alive(now, from, envelope.incarnation);
+        Ok(Opened {
+            from,
+            envelope,
+            body,
+        })
+    }
+
+    fn count_rejected(&mut self, handled: Result<(), FrameError>) {
+        if let Err(error) = handled {
+            *self.rejected.entry(error).or_default() += 1;
+        }
     }
 }
+
+/// A decoded frame of a known member.
+struct Opened {
+    /// The sender's index in the roster.
+    from: usize,
+    envelope: Envelope,
+    body: Body,
+}
--- a/crates/dispatcher/shared-state/src/reports.rs
+++ b/crates/dispatcher/shared-state/src/reports.rs
@@ -1,268 +1,369 @@
-//! What each member last said of itself. The join keeps, by member, the report of the higher incarnation, then
-//! version: associative, commutative, idempotent, so that loss, doubling and reordering do nothing. ReportTable may come
-//! by way of others, under their maker's name and age.
+//! The last report of each member. The join keeps, by member, the report of the higher incarnation, then version: it is
+//! associative, commutative and idempotent (state-based CRDTs; Shapiro et al., 2011), so that loss, duplication and
+//! reordering do no harm. Reports may come by way of other members, under their maker's name and age.
 
-use crate::evidence::Evidence;
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Categories, runners and sights in one report.
-const MOST_CATEGORIES: usize = 256;
-const MOST_RUNNERS: usize = 8192;
-/// What is older says nothing and is dropped; its sums stay.
-const MOST_AGE_S: f64 = 60.0;
+use sagetrail_swim::FrameError;
+use serde::{Deserialize, Serialize};
+
+use crate::observations::Evidence;
+
+/// Categories in one report.
+const MAX_CATEGORIES: usize = 256;
+/// Runners in one report.
+const MAX_RUNNERS: usize = 8192;
+/// Evidence and running jobs of an older report are dropped, in seconds; its counts stay.
+const MAX_AGE_S: f64 = 60.0;
 /// No member counts more than this.
-const MOST_COUNT: u64 = 1 << 48;
+const MAX_COUNT: u64 = 1 << 48;
+/// Processes of one name whose counts are told apart; of more, those of the lowest incarnation are left out.
+const MAX_PROCESSES_PER_MEMBER: usize = 16;
+/// The true count of arrivals stays within the estimate as long as no member exceeds this many times its busiest
+/// second.
+const PEAK_FACTOR: f64 = 2.0;
 
-/// One member of itself, cumulative since the process of its process where it is a sum.
+/// What one member says of itself; counts are since its process started. The order of the fields is part of the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// The member's number.
     pub member: u64,
+    /// The number that its process drew.
     pub process: u64,
+    /// Its incarnation.
     pub incarnation: u64,
+    /// Counts its reports.
     pub version: u64,
     /// How long ago it was made, in milliseconds.
     pub age_ms: u32,
-    /// Work items taken, by category; and the most in any second.
+    /// Work items taken, by category.
     pub arrivals: Vec<u64>,
+    /// The most work items within a second, by category.
     pub peaks: Vec<u32>,
-    /// Jobs running at runners in the mean of the last second, in sixteenths, by runner and in all.
+    /// Jobs running in the mean of the last second, in sixteenths, by the runner's number in ascending order.
     pub running: Vec<(u64, u16)>,
+    /// The same at all runners together.
     pub running_all: u32,
+    /// What it observed of runners itself.
     pub evidence: Vec<Evidence>,
 }
 
-/// Which versions one has.
+impl Report {
+    /// Whether all values are possible.
+    #[must_use]
+    pub fn is_valid(&self) -> bool {
+        let is_ascending = self.running.windows(2).all(|two| two[0].0 < two[1].0);
+        are_valid_counts(&self.arrivals)
+            && self.peaks.len() == self.arrivals.len()
+            && self.running.len() <= MAX_RUNNERS
+            && self.evidence.len() <= MAX_RUNNERS
+            && is_ascending
+    }
+
+    /// The order of one member's reports.
+    fn order(&self) -> (u64, u64) {
+        (self.incarnation, self.version)
+    }
+
+    fn arrival_counts(&self) -> ArrivalCounts {
+        ArrivalCounts {
+            member: self.member,
+            process: self.process,
+            incarnation: self.incarnation,
+            arrivals: self.arrivals.clone(),
+        }
+    }
+}
+
+fn are_valid_counts(counts: &[u64]) -> bool {
+    counts.len() <= MAX_CATEGORIES && counts.iter().all(|count| *count < MAX_COUNT)
+}
+
+/// Which report of a member is at hand. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
+    /// The member's number.
     pub member: u64,
+    /// Of the report.
     pub incarnation: u64,
+    /// Of the report.
     pub version: u64,
 }
 
-/// A figure over all members, and how far off it may be: what may have come since each was last heard.
+/// A count over all members, and how far off it may be by what came since each was last received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ArrivalEstimate {
+    /// The sum of all reported counts.
     pub sum: u64,
-    /// The true figure is between `sum` and `sum + max_error`, as long as nobody exceeds twice its busiest second.
+    /// The true count is between `sum` and `sum + max_error`, as long as no member exceeds twice its busiest second.
     pub max_error: u64,
-    /// How long ago the member heard of least was heard of, of those heard of at all; seconds.
+    /// The age of the oldest report, in seconds.
     pub oldest_s: f64,
+    /// Members with a report.
     pub members: usize,
 }
 
-/// The sums of one process of a member.
+/// The counts of one process of a member. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ArrivalCounts {
+    /// The member's number.
     pub member: u64,
+    /// The number that the process drew.
     pub process: u64,
+    /// The highest incarnation that it reported under.
     pub incarnation: u64,
+    /// Work items taken, by category.
     pub arrivals: Vec<u64>,
 }
 
-struct Kept {
-    report: Report,
-    made: f64,
-    /// ArrivalCounts by process under this name, the largest of each ever told: an old one's stay what they were.
-    sums: BTreeMap<u64, ArrivalCounts>,
+impl ArrivalCounts {
+    /// Raises each count to the larger of both: counts only grow.
+    fn raise(&mut self, other: &ArrivalCounts) {
+        let category_count = self.arrivals.len().max(other.arrivals.len());
+        self.arrivals.resize(category_count, 0);
+        for (count, reported) in self.arrivals.iter_mut().zip(&other.arrivals) {
+            *count = (*count).max(*reported);
+        }
+        self.incarnation = self.incarnation.max(other.incarnation);
+    }
+}
+
+/// Counts of one member by process (a grow-only counter; Shapiro et al., 2011): those of a former process stay what they
+/// were.
+#[derive(Default)]
+struct CountsByProcess {
+    by_process: BTreeMap<u64, ArrivalCounts>,
 }
 
-/// Processes under one name whose sums are told apart; of more, those of the lowest incarnation are left out.
-const MOST_BIRTHS: usize = 16;
-
-fn raise(sums: &mut BTreeMap<u64, ArrivalCounts>, told: ArrivalCounts) {
-    let most = told.arrivals.len();
-    let kept = sums.entry(told.process).or_insert_with(|| ArrivalCounts {
-        arrivals: vec![0; most],
-        ..told.clone()
-    });
-    kept.arrivals.resize(most.max(kept.arrivals.len()), 0);
-    kept.arrivals
-        .iter_mut()
-        .zip(&told.arrivals)
-        .for_each(|(kept, told)| *kept = (*kept).max(*told));
-    kept.incarnation = kept.incarnation.max(told.incarnation);
-    if sums.len() > MOST_BIRTHS {
-        let oldest = sums.values().map(|s| (s.incarnation, s.process)).min();
-        oldest
-            .into_iter()
-            .for_each(|(_, process)| drop(sums.remove(&process)));
+impl CountsByProcess {
+    fn join(&mut self, reported: ArrivalCounts) {
+        self.by_process
+            .entry(reported.process)
+            .and_modify(|counts| counts.raise(&reported))
+            .or_insert(reported);
+        if self.by_process.len() > MAX_PROCESSES_PER_MEMBER {
+            self.remove_oldest();
+        }
+    }
+
+    fn remove_oldest(&mut self) {
+        let oldest = self
+            .by_process
+            .values()
+            .map(|counts| (counts.incarnation, counts.process))
+            .min();
+        if let Some((_, process)) = oldest {
+            self.by_process.remove(&process);
+        }
+    }
+
+    /// Whether a report of this process counts less than an earlier one did.
+    fn would_go_back(&self, report: &Report) -> bool {
+        let Some(known) = self.by_process.get(&report.process) else {
+            return false;
+        };
+        let mut counts = known.arrivals.iter().enumerate();
+        counts.any(|(category, count)| {
+            report
+                .arrivals
+                .get(category)
+                .is_none_or(|reported| reported < count)
+        })
+    }
+
+    fn sum(&self, category: usize) -> u64 {
+        let of = |counts: &ArrivalCounts| counts.arrivals.get(category).copied().unwrap_or(0);
+        self.by_process.values().map(of).sum()
     }
 }
 
-#[derive(Default)]
-pub struct ReportTable {
-    kept: BTreeMap<u64, Kept>,
+/// What is at hand of one member.
+struct MemberReport {
+    report: Report,
+    /// When the report was made, in seconds of this member's clock.
+    made_at: f64,
+    counts: CountsByProcess,
 }
 
-impl Report {
-    /// Figures that a member can have.
-    pub fn sound(&self) -> bool {
-        let ordered = self.running.windows(2).all(|two| two[0].0 < two[1].0);
-        self.arrivals.len() <= MOST_CATEGORIES
-            && self.peaks.len() == self.arrivals.len()
-            && self.arrivals.iter().all(|n| *n < MOST_COUNT)
-            && self.running.len() <= MOST_RUNNERS
-            && self.evidence.len() <= MOST_RUNNERS
-            && ordered
+impl MemberReport {
+    fn new(report: Report, made_at: f64) -> Self {
+        let mut counts = CountsByProcess::default();
+        counts.join(report.arrival_counts());
+        MemberReport {
+            report,
+            made_at,
+            counts,
+        }
+    }
+
+    fn age_s(&self, now: f64) -> f64 {
+        (now - self.made_at).max(0.0)
+    }
+
+    /// The report with its age as of now.
+    fn aged(&self, now: f64) -> Report {
+        let age_ms = (self.age_s(now) * 1e3).min(f64::from(u32::MAX)) as u32;
+        Report {
+            age_ms,
+            ..self.report.clone()
+        }
     }
 }
 
+/// The last report of each member, by its number.
+#[derive(Default)]
+pub struct ReportTable {
+    by_member: BTreeMap<u64, MemberReport>,
+}
+
 impl ReportTable {
-    /// Takes up a report; false for one that cannot be: a sum that runs backwards in one process.
-    pub fn join(&mut self, now: f64, report: Report) -> bool {
-        if !report.sound() {
-            return false;
+    /// Joins a report.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::InvalidValue`] for an impossible value, or a count that goes back within one process: no join makes
+    /// that, only a fault or a false report. Nothing is changed then.
+    pub fn join(&mut self, now: f64, report: Report) -> Result<(), FrameError> {
+        if !report.is_valid() {
+            return Err(FrameError::InvalidValue);
         }
-        let made = now - f64::from(report.age_ms) / 1e3;
-        let Report {
-            member,
-            process,
-            incarnation,
-            ..
-        } = report;
-        let sums = ArrivalCounts {
-            member,
-            process,
-            incarnation,
-            arrivals: report.arrivals.clone(),
-        };
-        let Some(kept) = self.kept.get_mut(&member) else {
-            let sums = [(process, sums)].into();
-            self.kept.insert(member, Kept { report, made, sums });
-            return true;
+        let made_at = now - f64::from(report.age_ms) / 1e3;
+        let Some(known) = self.by_member.get_mut(&report.member) else {
+            self.by_member
+                .insert(report.member, MemberReport::new(report, made_at));
+            return Ok(());
         };
-        let order = |report: &Report| (report.incarnation, report.version);
-        let newer = order(&report) > order(&kept.report);
-        // Guards against a sum that runs backwards in one process: no join can make that, only a fault or a lie.
-        let had = kept.sums.get(&process).map_or(&[][..], |had| &had.arrivals);
-        let back = had
-            .iter()
-            .enumerate()
-            .any(|(n, had)| report.arrivals.get(n).is_none_or(|told| told < had));
-        if newer && process == kept.report.process && back {
-            return false;
+        let is_newer = report.order() > known.report.order();
+        let is_same_process = report.process == known.report.process;
+        if is_newer && is_same_process && known.counts.would_go_back(&report) {
+            return Err(FrameError::InvalidValue);
         }
-        raise(&mut kept.sums, sums);
-        if newer {
-            (kept.report, kept.made) = (report, made);
+        known.counts.join(report.arrival_counts());
+        if is_newer {
+            known.report = report;
+            known.made_at = made_at;
         }
-        true
+        Ok(())
     }
 
-    /// All sums, by process: a report carries only its own process's.
+    /// All counts by process: a report carries only those of its own process.
+    #[must_use]
     pub fn counts(&self) -> Vec<ArrivalCounts> {
-        self.kept
+        self.by_member
             .values()
-            .flat_map(|kept| kept.sums.values().cloned())
+            .flat_map(|known| known.counts.by_process.values().cloned())
             .collect()
     }
 
-    /// Takes up such sums of members that are known.
-    pub fn join_counts(&mut self, sums: Vec<ArrivalCounts>) -> bool {
-        let mut sound = true;
-        for sums in sums {
-            if sums.arrivals.len() > MOST_CATEGORIES
-                || sums.arrivals.iter().any(|n| *n >= MOST_COUNT)
-            {
-                sound = false;
-            } else if let Some(kept) = self.kept.get_mut(&sums.member) {
-                raise(&mut kept.sums, sums);
+    /// Joins the counts of members that have a report here.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::InvalidValue`] for impossible counts; the others are joined nevertheless.
+    pub fn join_counts(&mut self, counts: Vec<ArrivalCounts>) -> Result<(), FrameError> {
+        let mut joined = Ok(());
+        for reported in counts {
+            if !are_valid_counts(&reported.arrivals) {
+                joined = Err(FrameError::InvalidValue);
+            } else if let Some(known) = self.by_member.get_mut(&reported.member) {
+                known.counts.join(reported);
             }
         }
-        sound
+        joined
     }
 
+    /// Which reports are at hand.
+    #[must_use]
     pub fn digest(&self) -> Vec<Digest> {
-        let digest = |r: &Report| Digest {
-            member: r.member,
-            incarnation: r.incarnation,
-            version: r.version,
+        let digest = |known: &MemberReport| Digest {
+            member: known.report.member,
+            incarnation: known.report.incarnation,
+            version: known.report.version,
         };
-        self.kept
-            .values()
-            .map(|kept| digest(&kept.report))
-            .collect()
+        self.by_member.values().map(digest).collect()
     }
 
-    /// What another lacks that has this digest; ages as of now.
+    /// The reports that another member lacks which has these; their ages are as of now.
+    #[must_use]
     pub fn missing_from(&self, now: f64, digest: &[Digest]) -> Vec<Report> {
-        let has: BTreeMap<u64, (u64, u64)> = digest
+        let known_there: BTreeMap<u64, (u64, u64)> = digest
             .iter()
-            .map(|d| (d.member, (d.incarnation, d.version)))
+            .map(|digest| (digest.member, (digest.incarnation, digest.version)))
             .collect();
-        let lacks = |kept: &&Kept| {
-            let order = (kept.report.incarnation, kept.report.version);
-            has.get(&kept.report.member).is_none_or(|had| *had < order)
+        let is_missing = |known: &&MemberReport| {
+            known_there
+                .get(&known.report.member)
+                .is_none_or(|order| *order < known.report.order())
         };
-        let aged = |kept: &Kept| {
-            let age_ms = ((now - kept.made).max(0.0) * 1e3).min(f64::from(u32::MAX)) as u32;
-            Report {
-                age_ms,
-                ..kept.report.clone()
-            }
-        };
-        self.kept.values().filter(lacks).map(aged).collect()
+        self.by_member
+            .values()
+            .filter(is_missing)
+            .map(|known| known.aged(now))
+            .collect()
     }
 
-    /// ReportTable made lately, with the age of each.
+    /// Reports made within the last `within_s` seconds, each with its age in seconds.
     pub fn fresh(&self, now: f64, within_s: f64) -> impl Iterator<Item = (&Report, f64)> {
-        self.kept
+        self.by_member
             .values()
-            .map(move |kept| (&kept.report, (now - kept.made).max(0.0)))
+            .map(move |known| (&known.report, known.age_s(now)))
             .filter(move |(_, age_s)| *age_s < within_s)
     }
 
-    pub fn age(&self, now: f64, who: u64) -> Option<f64> {
-        self.kept.get(&who).map(|kept| (now - kept.made).max(0.0))
+    /// The age of a member's report in seconds, if there is one.
+    #[must_use]
+    pub fn age(&self, now: f64, member: u64) -> Option<f64> {
+        self.by_member.get(&member).map(|known| known.age_s(now))
     }
 
-    /// Work items that all members took of a category, since each began.
+    /// Work items of a category that all members took since each started.
+    #[must_use]
     pub fn arrivals(&self, now: f64, category: usize) -> ArrivalEstimate {
-        let mut told = ArrivalEstimate::default();
-        for kept in self.kept.values() {
-            let age_s = (now - kept.made).max(0.0);
-            let of = |sums: &ArrivalCounts| sums.arrivals.get(category).copied().unwrap_or(0);
-            told.sum += kept.sums.values().map(of).sum::<u64>();
-            let peak = kept.report.peaks.get(category).copied().unwrap_or(0);
-            told.max_error += (2.0 * f64::from(peak.max(1)) * age_s).ceil() as u64;
-            told.oldest_s = told.oldest_s.max(age_s);
-            told.members += 1;
+        let mut estimate = ArrivalEstimate::default();
+        for known in self.by_member.values() {
+            let age_s = known.age_s(now);
+            let peak = known.report.peaks.get(category).copied().unwrap_or(0);
+            estimate.sum += known.counts.sum(category);
+            estimate.max_error += (PEAK_FACTOR * f64::from(peak.max(1)) * age_s).ceil() as u64;
+            estimate.oldest_s = estimate.oldest_s.max(age_s);
+            estimate.members += 1;
         }
-        told
+        estimate
     }
 
-    /// Jobs of all members that run, as far as each was heard of within the last seconds.
+    /// Jobs that run of all members with a report of the last `within_s` seconds, in sixteenths, and how many members
+    /// those are.
+    #[must_use]
     pub fn running(&self, now: f64, within_s: f64) -> (u64, usize) {
-        let of = self
-            .fresh(now, within_s)
-            .map(|(report, _)| u64::from(report.running_all));
-        of.fold((0, 0), |(sum, members), running| {
-            (sum + running, members + 1)
-        })
+        self.fresh(now, within_s)
+            .fold((0, 0), |(jobs, members), (report, _)| {
+                (jobs + u64::from(report.running_all), members + 1)
+            })
     }
 
     /// The same at one runner.
+    #[must_use]
     pub fn running_at(&self, now: f64, within_s: f64, runner: u64) -> u64 {
-        let at = |report: &Report| {
-            let place = report.running.binary_search_by_key(&runner, |(of, _)| *of);
-            place.map_or(0, |place| u64::from(report.running[place].1))
+        let at_runner = |report: &Report| {
+            report
+                .running
+                .binary_search_by_key(&runner, |(number, _)| *number)
+                .map_or(0, |place| u64::from(report.running[place].1))
         };
         self.fresh(now, within_s)
-            .map(|(report, _)| at(report))
+            .map(|(report, _)| at_runner(report))
             .sum()
     }
 
-    /// Observations and gauges of the long unheard say nothing any more; the sums are kept.
+    /// Drops evidence and running jobs of old reports; the counts stay.
     pub fn expire(&mut self, now: f64) {
-        for kept in self
-            .kept
-            .values_mut()
-            .filter(|kept| now > kept.made + MOST_AGE_S)
-        {
-            kept.report.evidence.clear();
-            kept.report.running.clear();
-            kept.report.running_all = 0;
+        for known in self.by_member.values_mut() {
+            if now > known.made_at + MAX_AGE_S {
+                known.report.evidence.clear();
+                known.report.running.clear();
+                known.report.running_all = 0;
+            }
         }
     }
 }
--- a/crates/dispatcher/shared-state/tests/evidence.rs
+++ b/crates/dispatcher/shared-state/tests/evidence.rs
@@ -4,6 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_shared_state::*;
+use sagetrail_swim::FrameError;
 
 /// A reporter of a site that saw runners well (w), bad (b), or not at all (.).
 fn sights(seen: &str) -> Vec<Evidence> {
@@ -306,7 +307,7 @@
     let mut all = ReportTable::default();
     reports
         .iter()
-        .for_each(|report| assert!(all.join(0.0, report.clone())));
+        .for_each(|report| all.join(0.0, report.clone()).unwrap());
     (all.digest(), all.arrivals(0.0, 0))
 }
 
@@ -329,13 +330,14 @@
         b in proptest::collection::vec(any_report(), 0..12),
     ) {
         let (mut left, mut right) = (ReportTable::default(), ReportTable::default());
-        a.into_iter().for_each(|report| assert!(left.join(0.0, report)));
-        b.into_iter().for_each(|report| assert!(right.join(0.0, report)));
+        a.into_iter().for_each(|report| left.join(0.0, report).unwrap());
+        b.into_iter().for_each(|report| right.join(0.0, report).unwrap());
         let (to_right, to_left) = (left.missing_from(0.0, &right.digest()), right.missing_from(0.0, &left.digest()));
         let (from_left, from_right) = (left.counts(), right.counts());
-        to_right.into_iter().for_each(|report| assert!(right.join(0.0, report)));
-        to_left.into_iter().for_each(|report| assert!(left.join(0.0, report)));
-        assert!(right.join_counts(from_left) && left.join_counts(from_right));
+        to_right.into_iter().for_each(|report| right.join(0.0, report).unwrap());
+        to_left.into_iter().for_each(|report| left.join(0.0, report).unwrap());
+        assert_eq!(right.join_counts(from_left), Ok(()));
+        assert_eq!(left.join_counts(from_right), Ok(()));
         prop_assert_eq!(left.digest(), right.digest());
         prop_assert_eq!(left.arrivals(0.0, 0), right.arrivals(0.0, 0));
     }
@@ -344,8 +346,8 @@
 #[test]
 fn a_count_says_how_far_off_it_may_be() {
     let mut all = ReportTable::default();
-    all.join(10.0, report(1, 1, 1, 100));
-    all.join(12.0, report(2, 1, 1, 50));
+    all.join(10.0, report(1, 1, 1, 100)).unwrap();
+    all.join(12.0, report(2, 1, 1, 50)).unwrap();
     let told = all.arrivals(14.0, 0);
     assert_eq!((told.sum, told.members), (150, 2));
     assert_eq!(
@@ -361,23 +363,30 @@
 #[test]
 fn a_sum_that_runs_backwards_or_a_figure_that_cannot_be_is_refused() {
     let mut all = ReportTable::default();
-    assert!(all.join(0.0, report(1, 1, 5, 100)));
-    assert!(!all.join(0.0, report(1, 1, 6, 99)));
-    assert!(
+    assert_eq!(all.join(0.0, report(1, 1, 5, 100)), Ok(()));
+    assert_eq!(
+        all.join(0.0, report(1, 1, 6, 99)),
+        Err(FrameError::InvalidValue)
+    );
+    assert_eq!(
         all.join(0.0, report(1, 1, 4, 99)),
+        Ok(()),
         "an older one is only late"
     );
-    assert!(!all.join(0.0, report(2, 1, 1, u64::MAX)));
+    assert_eq!(
+        all.join(0.0, report(2, 1, 1, u64::MAX)),
+        Err(FrameError::InvalidValue)
+    );
     let unordered = Report {
         running: vec![(5, 1), (5, 2)],
         ..report(2, 1, 1, 1)
     };
-    assert!(!all.join(0.0, unordered));
+    assert_eq!(all.join(0.0, unordered), Err(FrameError::InvalidValue));
     let long = Report {
         arrivals: vec![0; 100_000],
         peaks: vec![0; 100_000],
         ..report(2, 1, 1, 1)
     };
-    assert!(!all.join(0.0, long));
+    assert_eq!(all.join(0.0, long), Err(FrameError::InvalidValue));
     assert_eq!(all.digest().len(), 1);
 }
