--- a/crates/cluster/control-plane/src/bootstrap.rs
+++ b/crates/cluster/control-plane/src/bootstrap.rs
@@ -1,9 +1,11 @@
 //! The first start of the whole cluster: the first seed fixes the members.
 
+use std::collections::BTreeSet;
+
+use sagetrail_protocol::{List, NodeId, Time};
+
 use crate::timing::{BOOTSTRAP_ALONE_MS, BOOTSTRAP_PATIENCE_MS, BOOTSTRAP_QUIET_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::{List, NodeId, Time};
-use std::collections::BTreeSet;
 
 /// With fewer candidates the bootstrapping process waits without a limit: they could not tolerate the loss of one.
 const MIN_CANDIDATES: usize = 3;
--- a/crates/cluster/control-plane/src/http_api.rs
+++ b/crates/cluster/control-plane/src/http_api.rs
@@ -1,9 +1,11 @@
 //! The HTTP interface of a core process: what each request asks for.
 
-use crate::change::{Change, ChangeKind};
+use serde::de::IgnoredAny;
+
 use sagetrail_cluster_config::ConfigDocument;
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
-use serde::de::IgnoredAny;
+
+use crate::change::{Change, ChangeKind};
 
 const REPLACE_PATH: &str = "/v1/config/replace";
 const PATCH_PATH: &str = "/v1/config/patch";
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -7,6 +7,12 @@
 mod bootstrapping;
 mod recovering;
 
+use std::collections::BTreeSet;
+
+use sagetrail_protocol::control::{ControlMessage, ProposalNumber, StateSynced};
+use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
+use sagetrail_protocol::{Incarnation, Message, NodeId, NodeKind, Time};
+
 use crate::bootstrap::BootstrapCandidates;
 use crate::effects::Effects;
 use crate::persisted::{put_members, put_replica, StoredMembers};
@@ -16,10 +22,6 @@
 use crate::settings::CoreSettings;
 use crate::terms::Terms;
 use crate::timing::{OUT_OF_TOUCH_MS, UNREADY_HELLO_MS};
-use sagetrail_protocol::control::{ControlMessage, ProposalNumber, StateSynced};
-use sagetrail_protocol::directory::{Hello, HELLO_INTERVAL_MS};
-use sagetrail_protocol::{Incarnation, Message, NodeId, NodeKind, Time};
-use std::collections::BTreeSet;
 
 /// The most core processes outside the member list that are remembered.
 const MAX_UNLISTED_CONTACTS: usize = 16;
--- a/crates/cluster/control-plane/src/membership/bootstrapping.rs
+++ b/crates/cluster/control-plane/src/membership/bootstrapping.rs
@@ -1,5 +1,8 @@
 //! The bootstrap of the cluster: one process fixes the members, the others take its value over.
 
+use sagetrail_protocol::control::{Bootstrap, ControlMessage, ProposalNumber, StateSynced};
+use sagetrail_protocol::{Blob, NodeId, Time};
+
 use super::Membership;
 use crate::effects::Effects;
 use crate::persisted::AcceptorNumbers;
@@ -7,8 +10,6 @@
 use crate::terms::Terms;
 use crate::timing::RESEND_MS;
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{Bootstrap, ControlMessage, ProposalNumber, StateSynced};
-use sagetrail_protocol::{Blob, NodeId, Time};
 
 /// The bootstrap value's proposal number has this counter; every later one a higher one.
 const BOOTSTRAP_COUNTER: u64 = 1;
--- a/crates/cluster/control-plane/src/membership/recovering.rs
+++ b/crates/cluster/control-plane/src/membership/recovering.rs
@@ -1,5 +1,8 @@
 //! The recovery of what an emptied disk may have held, before the process takes part again.
 
+use sagetrail_protocol::control::{Promise, RecoverReply, Rejected};
+use sagetrail_protocol::{NodeId, Time};
+
 use super::Membership;
 use crate::effects::Effects;
 use crate::recovery::{Recovered, Recovery};
@@ -7,8 +10,6 @@
 use crate::terms::Terms;
 use crate::timing::{BOOTSTRAP_GRACE_MS, LEASE_MS};
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{Promise, RecoverReply, Rejected};
-use sagetrail_protocol::{NodeId, Time};
 
 impl Membership {
     fn knows_its_promises(&self) -> bool {
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -8,6 +8,13 @@
 mod non_members;
 mod steps;
 
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use sagetrail_protocol::node::{DiskImage, Event, Node, Now, Outbox};
+use sagetrail_protocol::service::ServiceFactory;
+use sagetrail_protocol::{NodeId, Time};
+
 use crate::accepted_changes::AcceptedChanges;
 use crate::effects::Effects;
 use crate::leases::Leases;
@@ -23,11 +30,6 @@
 use crate::subscribers::Subscribers;
 use crate::termination::{Succession, Termination};
 use crate::terms::{Terms, TermsStart};
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::node::{DiskImage, Event, Node, Now, Outbox};
-use sagetrail_protocol::service::ServiceFactory;
-use sagetrail_protocol::{NodeId, Time};
 
 /// Spreads seeds (the fraction of the golden ratio, odd).
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -1,9 +1,5 @@
 //! Dispatch: which part handles each message among core processes and each HTTP request.
 
-use super::CoreNode;
-use crate::http_api::{parse_request, ApiRequest};
-use crate::register::RegisterProgress;
-use crate::replica::Condition;
 use sagetrail_protocol::control::{
     ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Rejected, Renew,
     VoteReply,
@@ -11,6 +7,11 @@
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId};
 
+use super::CoreNode;
+use crate::http_api::{parse_request, ApiRequest};
+use crate::register::RegisterProgress;
+use crate::replica::Condition;
+
 impl CoreNode {
     /// A message, by whatever route it came.
     pub(super) fn on_message(&mut self, from: NodeId, message: Message) {
--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -1,13 +1,14 @@
 //! Processes outside the core: directory, relayed messages, requests to the scheduler.
 
-use super::CoreNode;
-use crate::quorum::MemberList;
-use crate::terms::KnownLeader;
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello};
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::{frame, List, Message, NodeId, NodeKind};
 
+use super::CoreNode;
+use crate::quorum::MemberList;
+use crate::terms::KnownLeader;
+
 impl CoreNode {
     /// A message from another process.
     pub(super) fn on_remote_message(&mut self, from: NodeId, message: Message) {
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -1,10 +1,11 @@
 //! What is due by time, in the order in which the parts run.
 
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::Time;
+
 use super::CoreNode;
 use crate::persisted::{put_members, StoredMembers};
 use crate::register::{RegisterDemand, ViewUpdate};
-use sagetrail_protocol::control::ControlMessage;
-use sagetrail_protocol::Time;
 
 impl CoreNode {
     /// Everything that is due.
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,5 +1,13 @@
 //! The operator's configuration changes and configuration reads that are in flight at this process.
 
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use sagetrail_cluster_config::ConfigError;
+use sagetrail_protocol::control::ProposalNumber;
+use sagetrail_protocol::node::{HttpReply, HttpRequestId};
+use sagetrail_protocol::Time;
+
 use crate::change::Change;
 use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::effects::Effects;
@@ -7,12 +15,6 @@
 use crate::register::{CompletedChange, Register};
 use crate::register_view::RegisterView;
 use crate::timing::{ANSWER_MARGIN_MS, LEARN_WAIT_MS, UNPROPOSED_MS};
-use sagetrail_cluster_config::ConfigError;
-use sagetrail_protocol::control::ProposalNumber;
-use sagetrail_protocol::node::{HttpReply, HttpRequestId};
-use sagetrail_protocol::Time;
-use std::collections::BTreeMap;
-use std::sync::Arc;
 
 /// The most configuration changes in flight, and the most configuration reads.
 const MAX_IN_FLIGHT: usize = 64;
--- a/crates/cluster/control-plane/src/pending_requests.rs
+++ b/crates/cluster/control-plane/src/pending_requests.rs
@@ -1,9 +1,11 @@
 //! Requests whose senders have seen a newer configuration than this process: they wait until the register was read again.
 
+use std::collections::VecDeque;
+
+use sagetrail_protocol::{Message, NodeId, Time};
+
 use crate::register_view::RegisterView;
 use crate::timing::PENDING_MS;
-use sagetrail_protocol::{Message, NodeId, Time};
-use std::collections::VecDeque;
 
 /// The most requests that wait; further ones are dropped.
 const MAX_PENDING: usize = 256;
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -6,14 +6,16 @@
 //! Consensus Algorithm", 2014, section 6): between them a majority of both lists is needed for everything, and the second
 //! step waits until a majority of both holds whatever was committed in the term.
 
+use std::collections::BTreeMap;
+
+use sagetrail_protocol::{Incarnation, NodeId, Time};
+
 use crate::change_function::{ChangeFunction, MemberStep};
 use crate::leadership::Leadership;
 use crate::quorum::MemberList;
 use crate::register::Register;
 use crate::terms::Terms;
 use crate::timing::{JOINER_MS, MEMBERSHIP_INTERVAL_MS, UNREACHABLE_MS};
-use sagetrail_protocol::{Incarnation, NodeId, Time};
-use std::collections::BTreeMap;
 
 /// The most processes that ask to join and are remembered.
 const MAX_JOINERS: usize = 64;
--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -7,6 +7,11 @@
 
 mod messages;
 
+use std::sync::Arc;
+
+use sagetrail_protocol::control::{ControlMessage, Learned, ProposalNumber};
+use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
+
 use crate::accepted_changes::AcceptedChanges;
 use crate::acceptor::Acceptor;
 use crate::change_function::{ChangeFunction, ChangeOutcome};
@@ -19,9 +24,6 @@
 use crate::register_view::{Chosen, RegisterView};
 use crate::timing::POLL_MS;
 use crate::value::RegisterValue;
-use sagetrail_protocol::control::{ControlMessage, Learned, ProposalNumber};
-use sagetrail_protocol::{Blob, Incarnation, NodeId, Time};
-use std::sync::Arc;
 
 /// The most processes that wait for a notice that a proposal number is learned.
 const MAX_LEARN_WAITERS: usize = 64;
--- a/crates/cluster/control-plane/src/register/messages.rs
+++ b/crates/cluster/control-plane/src/register/messages.rs
@@ -1,16 +1,17 @@
 //! The messages of the register: requests to the acceptor, replies to the proposer and the reader, notices to the learner.
 
-use super::{CompletedChange, LearnWaiter, Register, RegisterProgress, ViewUpdate};
-use super::{MAX_CHANGES_IN_REPLY, MAX_LEARN_WAITERS};
-use crate::change_function::{ChangeFunction, ChangeOutcome};
-use crate::effects::Effects;
-use crate::proposer::Decision;
 use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, ChangesReply, ChangesRequest, ControlMessage, Learn, Learned,
     Prepare, Promise, ProposalNumber, Read, ReadReply, Rejected, ValueNeeded,
 };
 use sagetrail_protocol::{List, NodeId, Time};
 
+use super::{CompletedChange, LearnWaiter, Register, RegisterProgress, ViewUpdate};
+use super::{MAX_CHANGES_IN_REPLY, MAX_LEARN_WAITERS};
+use crate::change_function::{ChangeFunction, ChangeOutcome};
+use crate::effects::Effects;
+use crate::proposer::Decision;
+
 /// Messages to the acceptor. Only a process that knows what it has promised may answer them.
 impl Register {
     /// A proposer's prepare phase.
--- a/crates/cluster/control-plane/src/register_view.rs
+++ b/crates/cluster/control-plane/src/register_view.rs
@@ -1,11 +1,13 @@
 //! The register view: what this process knows of the register's chosen values, and as of when.
 
-use crate::quorum::MemberList;
-use crate::value::RegisterValue;
+use std::sync::Arc;
+
 use sagetrail_protocol::control::ProposalNumber;
 use sagetrail_protocol::service::ConfigInForce;
 use sagetrail_protocol::Time;
-use std::sync::Arc;
+
+use crate::quorum::MemberList;
+use crate::value::RegisterValue;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
--- a/crates/cluster/control-plane/src/resignation.rs
+++ b/crates/cluster/control-plane/src/resignation.rs
@@ -1,11 +1,12 @@
 //! A restarted process gives up the term that its former incarnation led or stood for: nobody has to wait for that term's
 //! lease to expire.
 
-use crate::persisted::TermPromise;
-use crate::timing::{RESIGN_FORMER_TERM_MS, RESIGN_INTERVAL_MS};
 use sagetrail_protocol::control::Resign;
 use sagetrail_protocol::{NodeId, Term, Time};
 
+use crate::persisted::TermPromise;
+use crate::timing::{RESIGN_FORMER_TERM_MS, RESIGN_INTERVAL_MS};
+
 /// A term that is being given up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FormerTermResignation {
--- a/crates/cluster/control-plane/src/routing.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -2,12 +2,14 @@
 //!
 //! A process that cannot be reached directly is reached by the route over which its latest message came.
 
-use crate::effects::{Effects, PlannedWrite};
-use crate::timing::ROUTE_MS;
+use std::collections::{BTreeMap, VecDeque};
+
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{DiskWrite, Outbox};
 use sagetrail_protocol::{frame, Blob, Message, NodeId, Time};
-use std::collections::{BTreeMap, VecDeque};
+
+use crate::effects::{Effects, PlannedWrite};
+use crate::timing::ROUTE_MS;
 
 /// The most routes that are remembered.
 const MAX_ROUTES: usize = 1024;
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -1,10 +1,11 @@
 //! The end of a process after SIGTERM: it answers what it can, and a member whose successor is learning stays a member
 //! until that one has taken its place.
 
+use sagetrail_protocol::{NodeId, Time};
+
 use crate::quorum::MemberList;
 use crate::reconfiguration::Joiners;
 use crate::timing::{HANDOVER_MARGIN_MS, TERMINATE_MS, TERMINATE_QUIET_MS};
-use sagetrail_protocol::{NodeId, Time};
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -7,6 +7,14 @@
 
 mod messages;
 
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::node::Now;
+use sagetrail_protocol::service::{ConfigInForce, Restored, Service, ServiceFactory};
+use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
+
 use crate::effects::Effects;
 use crate::election::Elections;
 use crate::leadership::Leadership;
@@ -16,12 +24,6 @@
 use crate::register_view::RegisterView;
 use crate::replica::Replica;
 use crate::resignation::FormerTermResignation;
-use rand::Rng;
-use rand_pcg::Pcg64Mcg;
-use sagetrail_protocol::control::ControlMessage;
-use sagetrail_protocol::node::Now;
-use sagetrail_protocol::service::{ConfigInForce, Restored, Service, ServiceFactory};
-use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 
 /// The newest term that a process knows, and who schedules in it; the default node where that is unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
--- a/crates/cluster/control-plane/src/terms/messages.rs
+++ b/crates/cluster/control-plane/src/terms/messages.rs
@@ -1,16 +1,17 @@
 //! The messages of terms: requests to the replica, replies to the candidate and to the leader.
 
-use super::Terms;
-use crate::effects::Effects;
-use crate::leadership::Leadership;
-use crate::quorum::MemberList;
-use crate::replica::Condition;
 use sagetrail_protocol::control::{
     FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign, SnapshotChunk, VoteReply,
     VoteRequest,
 };
 use sagetrail_protocol::{NodeId, Time};
 
+use super::Terms;
+use crate::effects::Effects;
+use crate::leadership::Leadership;
+use crate::quorum::MemberList;
+use crate::replica::Condition;
+
 /// Messages to the replica. Only a process that knows what it has promised may answer them.
 impl Terms {
     /// A candidate requests a vote. `members_version`: the newest member list that this process has accepted.
