--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -1,7 +1,7 @@
 //! The clients' side, and the runners' call-backs, which come to the same address.
 
 use crate::client_context::ClientContext;
-use crate::handover::{Ask, Heard};
+use crate::handover::{PeerReply, PeerRequest};
 use crate::http::{next, wire, Fault, Method, Request, Serving, BODY_MOST, HEAD_MOST};
 use crate::sockets::Mailbox;
 use crate::store::Store;
@@ -383,7 +383,11 @@
         .ask(move |exchange| exchange.callback(callback))
         .await
         != Some(true)
-        && client_context.handover.tell(Ask::News(again)).await == Heard::Silent
+        && client_context
+            .handover
+            .request(PeerRequest::Callback(again))
+            .await
+            == PeerReply::TimedOut
     {
         return Reply::new(503, "not heard\n");
     }
--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -3,7 +3,7 @@
 use crate::client_context::ClientContext;
 use crate::clients::{linger, Wire, LINGER_S};
 use crate::fleet::Fleet;
-use crate::handover::{Ask, Heard};
+use crate::handover::{PeerReply, PeerRequest};
 use crate::http::{next, wire, Fault, Method, Request, Serving};
 use crate::store::Store;
 use futures_util::SinkExt;
@@ -120,10 +120,10 @@
 }
 
 /// The answer once the other process has heard it too, if there is one.
-async fn both(known: bool, ask: Ask, client_context: &ClientContext) -> Reply {
-    match client_context.handover.tell(ask).await {
-        Heard::Silent => Reply::new(503, "the other process does not answer\n"),
-        heard if known || heard == Heard::Yes => Reply::new(200, "ok\n"),
+async fn both(known: bool, ask: PeerRequest, client_context: &ClientContext) -> Reply {
+    match client_context.handover.request(ask).await {
+        PeerReply::TimedOut => Reply::new(503, "the other process does not answer\n"),
+        heard if known || heard == PeerReply::Yes => Reply::new(200, "ok\n"),
         _ => Reply::new(404, "no list ever named this runner\n"),
     }
 }
@@ -207,7 +207,7 @@
                 .await;
             }
             client_context.drain(on);
-            both(true, Ask::Drain(on), client_context).await
+            both(true, PeerRequest::Drain(on), client_context).await
         }
         "/members" | "/shared" if looks => match &console.fleet {
             Some(fleet) => match client_context
@@ -260,7 +260,7 @@
                 None => Reply::new(404, "no store is configured\n"),
             },
             Some((id, out)) => {
-                let ask = Ask::ByHand {
+                let ask = PeerRequest::SetMaintenance {
                     id: id.clone(),
                     out,
                 };
--- a/crates/dispatcher/dispatcher/src/handover.rs
+++ b/crates/dispatcher/dispatcher/src/handover.rs
@@ -1,4 +1,5 @@
-//! Upgrades: what the old and the new process of one dispatcher tell each other over a Unix socket.
+//! The protocol of an upgrade: what the old and the new process of one dispatcher say to each other over a Unix socket, as
+//! JSON in frames with their length in front. `handover_socket` finds the other process and serves the link.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -18,102 +19,153 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
+/// The protocol's version; processes of different versions do not hand over.
 pub(crate) const VERSION: u32 = 1;
-/// Thousands of runners; what is longer ends the link.
-const FRAME_MOST: usize = 4 << 20;
-/// A predecessor that is well tells all it has in milliseconds; the platform wants a yes within 6 s.
-pub(crate) const STATE_S: f64 = 1.5;
-/// Half of what an operator's call may take, and less than runners wait for a word about their news.
-const ANSWER_S: f64 = 0.5;
-/// So many may be at the meeting place at once: a new process, one that has just died, and one in between. They
-/// are within the program's own descriptors.
-pub(crate) const LINKS: usize = 3;
-/// Each connection has one question out at the most, so this is never full.
-pub(crate) const FRAMES: usize = 1024;
-
-/// What one process asks of the other.
+/// The longest frame, in bytes: the state of thousands of runners. A longer one ends the link.
+const MAX_FRAME_BYTES: usize = 4 << 20;
+/// How long a process waits for its predecessor's state. A healthy one sends all it has in milliseconds; the platform
+/// wants the new process ready within 6 s.
+pub(crate) const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a request to the other process may take: half of what an operator's call may take, and less than runners wait
+/// for an answer to a callback.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// So many processes may be linked at once: a new one, one that has just died, and one in between. They are within the
+/// program's own descriptors.
+pub(crate) const MAX_LINKS: usize = 3;
+/// Frames that wait to be written to a link. Each connection has one request out at the most, so this is never full.
+pub(crate) const MAX_QUEUED_FRAMES: usize = 1024;
+
+/// A request of one process to the other. The names in JSON are those of the first version.
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Ask {
-    News(Callback),
-    ByHand { id: String, out: bool },
+pub(crate) enum PeerRequest {
+    /// A runner's callback for a work item that the other process may have.
+    #[serde(rename = "News")]
+    Callback(Callback),
+    /// An operator takes a runner out of service or puts it back.
+    #[serde(rename = "ByHand")]
+    SetMaintenance {
+        /// The runner.
+        id: String,
+        /// True: out of service.
+        out: bool,
+    },
+    /// An operator begins or ends a drain.
     Drain(bool),
 }
 
+/// What goes over the link. The names in JSON are those of the first version.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Frame {
-    Hello { version: u32 },
+    /// First, from the new process.
+    Hello {
+        /// See [`VERSION`].
+        version: u32,
+    },
+    /// The old process's state, in answer to `Hello`.
     State(Box<Passed>),
-    Asks { no: u64, ask: Ask },
-    Did { no: u64, yes: bool },
+    /// A request, either way.
+    #[serde(rename = "Asks")]
+    Request {
+        /// Names the request until it is answered.
+        no: u64,
+        /// What is asked for.
+        ask: PeerRequest,
+    },
+    /// The answer to a request.
+    #[serde(rename = "Did")]
+    Response {
+        /// As in the request.
+        no: u64,
+        /// Whether it concerned anything at the answering process.
+        yes: bool,
+    },
 }
 
-/// What became of a question to the other process.
+/// The outcome of a request to the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum PeerReply {
     /// There is no other process, or it has ended.
-    Nobody,
+    NoPeer,
     /// It did not answer in time.
-    Silent,
+    TimedOut,
+    /// The request concerned something there.
     Yes,
+    /// It concerned nothing there.
     No,
 }
 
-pub(crate) type Read = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
-pub(crate) type Write = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
+/// The reading half of a link.
+pub(crate) type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
+/// The writing half of a link.
+pub(crate) type FrameWriter = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
+/// The other process, as long as the link to it lasts.
 pub(crate) struct Peer {
     /// It took over from this process, not this one from it.
     pub newer: bool,
+    /// Frames to be written to the link.
     pub frames: mpsc::Sender<Frame>,
-    pub waiting: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
+    /// Requests without an answer yet, by their number.
+    pub unanswered: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
 }
 
-/// The other process, if there is one.
+/// The link to the other process of this address, if there is one.
 #[derive(Default)]
 pub(crate) struct Handover {
+    /// The other process.
     pub peer: RefCell<Option<Rc<Peer>>>,
-    asked: Cell<u64>,
+    next_request: Cell<u64>,
 }
 
 impl Handover {
+    /// Whether there is another process.
     pub(crate) fn linked(&self) -> bool {
         self.peer.borrow().is_some()
     }
 
-    /// The process before has not ended yet.
+    /// Whether the predecessor has not ended yet.
     pub(crate) fn preceded(&self) -> bool {
         self.peer.borrow().as_ref().is_some_and(|peer| !peer.newer)
     }
 
-    /// A newer process serves at the same address.
+    /// Whether a newer process serves at the same address.
     pub(crate) fn succeeded(&self) -> bool {
         self.peer.borrow().as_ref().is_some_and(|peer| peer.newer)
     }
 
-    pub(crate) async fn tell(&self, ask: Ask) -> Heard {
+    /// Sends a request to the other process and waits for its answer, at most [`REQUEST_TIMEOUT`].
+    ///
+    /// # Cancel safety
+    ///
+    /// A dropped call may have been carried out; its answer is then ignored.
+    pub(crate) async fn request(&self, ask: PeerRequest) -> PeerReply {
         let Some(peer) = self.peer.borrow().clone() else {
-            return Heard::Nobody;
+            return PeerReply::NoPeer;
         };
-        let no = self.asked.get();
-        self.asked.set(no + 1);
+        let no = self.next_request.get();
+        self.next_request.set(no + 1);
         let (give, got) = oneshot::channel();
-        peer.waiting.borrow_mut().insert(no, give);
-        let told = async {
-            peer.frames.send(Frame::Asks { no, ask }).await.ok()?;
+        peer.unanswered.borrow_mut().insert(no, give);
+        let answer = async {
+            peer.frames.send(Frame::Request { no, ask }).await.ok()?;
             got.await.ok()
         };
-        let heard = match timeout(Duration::from_secs_f64(ANSWER_S), told).await {
-            Ok(Some(true)) => Heard::Yes,
-            Ok(Some(false)) => Heard::No,
-            Ok(None) => Heard::Nobody,
-            Err(_) => Heard::Silent,
+        let reply = match timeout(REQUEST_TIMEOUT, answer).await {
+            Ok(Some(true)) => PeerReply::Yes,
+            Ok(Some(false)) => PeerReply::No,
+            Ok(None) => PeerReply::NoPeer,
+            Err(_) => PeerReply::TimedOut,
         };
-        peer.waiting.borrow_mut().remove(&no);
-        heard
+        peer.unanswered.borrow_mut().remove(&no);
+        reply
     }
 }
 
-/// The clients' listening socket, where the platform holds it. Guards against a descriptor that is none.
+/// The clients' listening socket, where the platform holds it and names its descriptor in `RELAY_FD`.
+///
+/// # Errors
+///
+/// Where the variable names no open descriptor of a listening TCP socket.
 pub(crate) fn inherited() -> Result<Option<TcpListener>, String> {
     let Ok(text) = std::env::var("RELAY_FD") else {
         return Ok(None);
@@ -143,10 +195,11 @@
     }
 }
 
-pub(crate) fn frames(stream: UnixStream) -> (Read, Write) {
+/// Both halves of a link.
+pub(crate) fn frames(stream: UnixStream) -> (FrameReader, FrameWriter) {
     let codec = || {
         LengthDelimitedCodec::builder()
-            .max_frame_length(FRAME_MOST)
+            .max_frame_length(MAX_FRAME_BYTES)
             .new_codec()
     };
     let (read, write) = stream.into_split();
@@ -156,11 +209,12 @@
     )
 }
 
-pub(crate) async fn send(write: &mut Write, frame: &Frame) -> std::io::Result<()> {
+/// Writes one frame.
+pub(crate) async fn send(write: &mut FrameWriter, frame: &Frame) -> std::io::Result<()> {
     write.send(Bytes::from(serde_json::to_vec(frame)?)).await
 }
 
 /// The next frame; `None` when the link has ended or says what cannot be read.
-pub(crate) async fn receive(read: &mut Read) -> Option<Frame> {
+pub(crate) async fn receive(read: &mut FrameReader) -> Option<Frame> {
     serde_json::from_slice(&read.next().await?.ok()?).ok()
 }
--- a/crates/dispatcher/dispatcher/src/handover_socket.rs
+++ b/crates/dispatcher/dispatcher/src/handover_socket.rs
@@ -1,8 +1,9 @@
-//! Where the old and the new process of one address meet, and the link between them.
+//! Where the old and the new process of one address find each other during an upgrade, and the link between them.
 
 use crate::client_context::ClientContext;
 use crate::handover::{
-    frames, receive, send, Ask, Frame, Peer, Read, Write, FRAMES, LINKS, STATE_S, VERSION,
+    frames, receive, send, Frame, FrameReader, FrameWriter, Peer, PeerRequest, MAX_LINKS,
+    MAX_QUEUED_FRAMES, STATE_TIMEOUT, VERSION,
 };
 use sagetrail_dispatch::Passed;
 use std::cell::RefCell;
@@ -16,16 +17,18 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Where the processes of one address meet.
+/// The socket by which a new process finds its predecessor: a common name that points to the newest process's own.
 pub(crate) struct HandoverSocket {
+    /// A link in the folder for temporary files; points to the newest process's socket.
     common: PathBuf,
+    /// This process's socket.
     own: PathBuf,
 }
 
 /// A predecessor's link.
 pub(crate) struct Predecessor {
-    read: Read,
-    write: Write,
+    read: FrameReader,
+    write: FrameWriter,
     path: Option<PathBuf>,
 }
 
@@ -39,11 +42,11 @@
         }
     }
 
-    /// What the process before this one has to tell. Guards against one that is gone or does not answer: that
-    /// is a fresh start.
+    /// The predecessor's state and the link to it. `None`, a fresh start, where it is gone or does not answer within
+    /// [`STATE_TIMEOUT`].
     pub(crate) async fn find(&self) -> Option<(Passed, Predecessor)> {
         let path = std::fs::read_link(&self.common).ok();
-        let told = async {
+        let state = async {
             let stream = UnixStream::connect(&self.common).await.ok()?;
             let (mut read, mut write) = frames(stream);
             send(&mut write, &Frame::Hello { version: VERSION })
@@ -54,18 +57,15 @@
                 _ => None,
             }
         };
-        let found = timeout(Duration::from_secs_f64(STATE_S), told)
-            .await
-            .ok()
-            .flatten();
+        let found = timeout(STATE_TIMEOUT, state).await.ok().flatten();
         match &found {
             Some((state, _)) => {
                 tracing::info!(
-                    "takes over from the process before: {} runners",
+                    "takes over from the predecessor: {} runners",
                     state.runners.len()
                 );
             }
-            None => tracing::info!("no process before this one answers; starts afresh"),
+            None => tracing::info!("no predecessor answers; starts afresh"),
         }
         found
     }
@@ -101,7 +101,7 @@
                 );
             }
         };
-        let places = Arc::new(Semaphore::new(LINKS));
+        let places = Arc::new(Semaphore::new(MAX_LINKS));
         loop {
             let Ok(place) = places.clone().acquire_owned().await else {
                 return;
@@ -115,7 +115,7 @@
             spawn_local(async move {
                 let _place = place;
                 let (mut read, write) = frames(stream);
-                let hello = timeout(Duration::from_secs_f64(STATE_S), receive(&mut read)).await;
+                let hello = timeout(STATE_TIMEOUT, receive(&mut read)).await;
                 let Ok(Some(Frame::Hello { version: VERSION })) = hello else {
                     return;
                 };
@@ -150,7 +150,7 @@
 }
 
 impl Predecessor {
-    /// Keeps up the link until the process before has ended.
+    /// Keeps up the link until the predecessor has ended.
     pub(crate) async fn keep(self, client_context: Rc<ClientContext>) {
         Linked::new(false, &client_context)
             .serve(None, self.read, self.write)
@@ -159,7 +159,7 @@
         self.path
             .into_iter()
             .for_each(|path| drop(std::fs::remove_file(path)));
-        tracing::info!("the process before has ended");
+        tracing::info!("the predecessor has ended");
     }
 }
 
@@ -179,17 +179,17 @@
         {
             *linked = None;
         }
-        self.peer.waiting.borrow_mut().clear();
+        self.peer.unanswered.borrow_mut().clear();
     }
 }
 
 impl Linked {
     fn new(newer: bool, client_context: &Rc<ClientContext>) -> Linked {
-        let (out, frames) = mpsc::channel(FRAMES);
+        let (out, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let peer = Rc::new(Peer {
             newer,
             frames: out,
-            waiting: RefCell::default(),
+            unanswered: RefCell::default(),
         });
         client_context.handover.peer.replace(Some(peer.clone()));
         Linked {
@@ -200,7 +200,7 @@
     }
 
     /// Serves the other process until one of the two ends; `first` goes before all that is laid on the link.
-    async fn serve(mut self, first: Option<Passed>, mut read: Read, mut write: Write) {
+    async fn serve(mut self, first: Option<Passed>, mut read: FrameReader, mut write: FrameWriter) {
         let (client_context, peer) = (self.client_context.clone(), self.peer.clone());
         let writes = async {
             if let Some(state) = first {
@@ -214,12 +214,12 @@
         let reads = async {
             while let Some(frame) = receive(&mut read).await {
                 match frame {
-                    Frame::Asks { no, ask } => {
-                        let yes = carry_out(ask, &client_context).await;
-                        let _ = peer.frames.send(Frame::Did { no, yes }).await;
+                    Frame::Request { no, ask } => {
+                        let yes = perform(ask, &client_context).await;
+                        let _ = peer.frames.send(Frame::Response { no, yes }).await;
                     }
-                    Frame::Did { no, yes } => {
-                        let asked = peer.waiting.borrow_mut().remove(&no);
+                    Frame::Response { no, yes } => {
+                        let asked = peer.unanswered.borrow_mut().remove(&no);
                         asked.into_iter().for_each(|asked| _ = asked.send(yes));
                     }
                     Frame::Hello { .. } | Frame::State(_) => return,
@@ -234,20 +234,20 @@
     }
 }
 
-/// Does what the other process asks; whether it concerned anything here.
-async fn carry_out(ask: Ask, client_context: &Rc<ClientContext>) -> bool {
+/// Performs a request of the other process. Whether it concerned anything here.
+async fn perform(ask: PeerRequest, client_context: &Rc<ClientContext>) -> bool {
     match ask {
-        Ask::News(word) => client_context
+        PeerRequest::Callback(callback) => client_context
             .mailbox
-            .ask(move |exchange| exchange.callback(word))
+            .ask(move |exchange| exchange.callback(callback))
             .await
             .unwrap_or(false),
-        Ask::ByHand { id, out } => client_context
+        PeerRequest::SetMaintenance { id, out } => client_context
             .mailbox
             .ask(move |exchange| exchange.by_hand(&id, out))
             .await
             .unwrap_or(false),
-        Ask::Drain(on) => {
+        PeerRequest::Drain(on) => {
             client_context.drain(on);
             true
         }
