--- a/crates/testing/scale-testing/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -13,8 +13,8 @@
 /// In a core process's log: it has become the scheduler of a term.
 const TERM_MARK: &str = "term ";
 /// A process gets so long to start.
-const START_PATIENCE: Duration = Duration::from_secs(10);
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Core, frontend and, where wanted, side processes.
 pub struct Cluster {
@@ -23,14 +23,14 @@
     pub sides: Vec<Program>,
 }
 
-struct Founder<'a> {
+struct ProcessStarter<'a> {
     scenario: &'a Scenario,
     places: Places,
     programs: &'a Path,
     folder: &'a Path,
 }
 
-impl Founder<'_> {
+impl ProcessStarter<'_> {
     fn start(&self, kind: NodeKind, number: u32, ip: Ipv4Addr) -> anyhow::Result<Program> {
         let settings = self.write(kind, number, ip, true)?;
         Program::start(
@@ -44,11 +44,11 @@
         let started = Instant::now();
         while std::fs::metadata(program.log())?.len() == 0 {
             anyhow::ensure!(
-                started.elapsed() < START_PATIENCE,
+                started.elapsed() < START_TIMEOUT,
                 "no start: {}",
                 program.log().display()
             );
-            std::thread::sleep(LOOK_AGAIN);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -88,7 +88,7 @@
         programs: &Path,
         folder: &Path,
     ) -> anyhow::Result<Cluster> {
-        let founder = Founder {
+        let founder = ProcessStarter {
             scenario,
             places,
             programs,
--- a/crates/testing/scale-testing/src/disk_probe.rs
+++ b/crates/testing/scale-testing/src/disk_probe.rs
@@ -1,7 +1,7 @@
 //! Writes and syncs a small file again and again beside the processes' disks: how long that takes is the machine's
 //! part of each figure that waits for a disk.
 
-use crate::board::Board;
+use crate::run_statistics::RunStatistics;
 use crate::timings::Timing;
 use std::fs::File;
 use std::io::{Seek, Write};
@@ -23,7 +23,7 @@
 
 impl DiskProbe {
     /// Starts on a thread of its own.
-    pub fn start(folder: &Path, board: Arc<Board>) -> std::io::Result<DiskProbe> {
+    pub fn start(folder: &Path, statistics: Arc<RunStatistics>) -> std::io::Result<DiskProbe> {
         let mut file = File::create(folder.join(FILE))?;
         let (over, ended) = channel::<()>();
         let thread = std::thread::spawn(move || {
@@ -32,7 +32,7 @@
                 file.rewind()?;
                 file.write_all(&BYTES)?;
                 file.sync_data()?;
-                board
+                statistics
                     .timings
                     .record(Timing::DiskSync, "all", started.elapsed());
             }
--- a/crates/testing/scale-testing/src/faults.rs
+++ b/crates/testing/scale-testing/src/faults.rs
@@ -1,7 +1,7 @@
 //! Troubles at their times, and how long it took until a scheduler was at work again.
 
-use crate::board::Board;
 use crate::cluster::Cluster;
+use crate::run_statistics::RunStatistics;
 use crate::scenario::{Fault, FaultKind, FaultTarget};
 use nix::sys::signal::Signal;
 use serde::Serialize;
@@ -82,18 +82,18 @@
 }
 
 /// What the played faults led to, by what runners saw, each up to the next one.
-pub fn takeovers(played: &[Played], board: &Board) -> Vec<Takeover> {
+pub fn takeovers(played: &[Played], statistics: &RunStatistics) -> Vec<Takeover> {
     let next = |place: usize| played.get(place + 1).map(|next| next.at);
     played
         .iter()
         .enumerate()
-        .map(|(place, fault)| takeover(fault, next(place), board))
+        .map(|(place, fault)| takeover(fault, next(place), statistics))
         .collect()
 }
 
-fn takeover(played: &Played, next: Option<Instant>, board: &Board) -> Takeover {
+fn takeover(played: &Played, next: Option<Instant>, statistics: &RunStatistics) -> Takeover {
     let since = |instant: Instant| (instant - played.at).as_secs_f64() * 1_000.0;
-    let term = board.term_between(played.at, next);
+    let term = statistics.term_between(played.at, next);
     let seen = term.map(|(_, seen)| seen);
     Takeover {
         kind: played.fault.kind,
@@ -103,7 +103,7 @@
         last_runner_ms: seen.map(|seen| since(seen.last)),
         runners: seen.map_or(0, |seen| seen.runners),
         first_start_ms: term
-            .and_then(|(term, _)| board.first_start_of(term))
+            .and_then(|(term, _)| statistics.first_start_of(term))
             .map(since),
     }
 }
--- a/crates/testing/scale-testing/src/load.rs
+++ b/crates/testing/scale-testing/src/load.rs
@@ -1,9 +1,9 @@
 //! Submits the planned jobs when they are due, however long answers take, and asks for the state of those whose
 //! tasks have ended.
 
-use crate::board::{Board, Counts, JobFacts, OverJob};
 use crate::call::{Answer, Call, Caller};
 use crate::plan::{PlannedJob, TaskText};
+use crate::run_statistics::{CompletedJob, Counts, ExpectedJob, RunStatistics};
 use crate::scenario::{JobShape, Scenario};
 use crate::timings::Timing;
 use serde_json::{json, Value};
@@ -13,8 +13,8 @@
 use tokio::sync::mpsc;
 
 /// A client waits so long for an answer, and tries so often.
-const PATIENCE: Duration = Duration::from_secs(3);
-const TRIES: usize = 5;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_ATTEMPTS: usize = 5;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Of so many jobs one is asked about.
 const ASKED_OF: u64 = 8;
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub struct Load {
     pub scenario: Arc<Scenario>,
-    pub board: Arc<Board>,
+    pub statistics: Arc<RunStatistics>,
     pub caller: Caller,
     pub frontends: Arc<Vec<SocketAddrV4>>,
     pub started: Instant,
@@ -48,9 +48,9 @@
         let due = self.started + job.at;
         let measured = job.at.as_secs_f64() >= self.scenario.warm_up_s;
         let (name, left) = (shape.name.clone(), shape.steps * shape.tasks);
-        self.board.expect(
+        self.statistics.expect(
             job.id,
-            JobFacts {
+            ExpectedJob {
                 due,
                 shape: name.clone(),
                 measured,
@@ -60,7 +60,7 @@
         );
         self.record(measured, Timing::SendDelay, ALL, due.elapsed());
         let body = document(shape, job.work_ms).to_string().into_bytes();
-        for attempt in 0..TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let frontend =
                 self.frontends[(job.id as usize).wrapping_add(attempt) % self.frontends.len()];
             let path = format!("/{name}/{:016x}", job.id);
@@ -69,23 +69,23 @@
                 path,
                 base_version: None,
                 body: body.clone(),
-                patience: PATIENCE,
+                patience: ANSWER_TIMEOUT,
             };
             match self.caller.call(frontend, call).await {
                 Ok(Answer {
                     status: 200..=299, ..
                 }) => {
-                    Counts::add(&self.board.counts.accepted);
+                    Counts::add(&self.statistics.counts.accepted);
                     return self.record(measured, Timing::SubmitToAccept, &name, due.elapsed());
                 }
                 _ => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
-        Counts::add(&self.board.counts.refused);
+        Counts::add(&self.statistics.counts.refused);
     }
 
     /// Asks about some of the jobs whose tasks have all ended until they are told to be completed.
-    pub async fn ask_all(self, mut over: mpsc::UnboundedReceiver<OverJob>) {
+    pub async fn ask_all(self, mut over: mpsc::UnboundedReceiver<CompletedJob>) {
         while let Some(job) = over.recv().await {
             if job.id % ASKED_OF == 0 && job.measured {
                 tokio::spawn(self.clone().ask(job));
@@ -93,7 +93,7 @@
         }
     }
 
-    async fn ask(self, job: OverJob) {
+    async fn ask(self, job: CompletedJob) {
         let frontend = self.frontends[job.id as usize % self.frontends.len()];
         while job.at.elapsed() < ASK_PATIENCE {
             let path = format!("/{}/{:016x}", job.shape, job.id);
@@ -102,7 +102,7 @@
                 path,
                 base_version: None,
                 body: Vec::new(),
-                patience: PATIENCE,
+                patience: ANSWER_TIMEOUT,
             };
             if let Ok(answer) = self.caller.call(frontend, call).await {
                 if is_completed(&answer) {
@@ -115,7 +115,7 @@
 
     fn record(&self, measured: bool, timing: Timing, of: &str, time: Duration) {
         if measured {
-            self.board.timings.record(timing, of, time);
+            self.statistics.timings.record(timing, of, time);
         }
     }
 }
--- a/crates/testing/scale-testing/src/operator.rs
+++ b/crates/testing/scale-testing/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator: the first configuration, changes of it while the load runs, and when each is in force.
 
-use crate::board::Board;
 use crate::call::{Answer, Call, Caller, HOST};
 use crate::places::Places;
+use crate::run_statistics::RunStatistics;
 use crate::scenario::{JobShape, Scenario};
 use crate::timings::Timing;
 use serde_json::{json, Value};
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The service that all hollow runners belong to.
+/// The service that all simulated runners belong to.
 pub const SERVICE: &str = "hollow";
 /// Time-outs and pauses of the operator.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const PAUSE: Duration = Duration::from_millis(100);
 const FIRST_PATIENCE: Duration = Duration::from_secs(60);
 /// Frontends are asked this often whether a change is in force.
@@ -26,13 +26,13 @@
     caller: Caller,
     cores: Vec<SocketAddrV4>,
     frontends: Vec<SocketAddrV4>,
-    board: Arc<Board>,
+    statistics: Arc<RunStatistics>,
     version: u64,
 }
 
 impl Operator {
     /// An operator of this run's cluster.
-    pub fn new(scenario: &Scenario, places: Places, board: Arc<Board>) -> Operator {
+    pub fn new(scenario: &Scenario, places: Places, statistics: Arc<RunStatistics>) -> Operator {
         let cores = (0..scenario.cores)
             .map(|number| Places::control(places.core_ip(number)))
             .collect();
@@ -41,7 +41,7 @@
             caller: Caller::default(),
             cores,
             frontends,
-            board,
+            statistics,
             version: 0,
         }
     }
@@ -92,7 +92,7 @@
         for frontend in self.frontends.clone() {
             self.wait_for_route(frontend, &name(version)).await?;
         }
-        self.board
+        self.statistics
             .timings
             .record(Timing::ChangeToInForce, "all", taken.elapsed());
         Ok(())
@@ -108,7 +108,7 @@
                 path: path.to_owned(),
                 base_version: Some(base),
                 body: body.to_string().into_bytes(),
-                patience: PATIENCE,
+                patience: ANSWER_TIMEOUT,
             };
             match self.caller.call(*core, call).await {
                 Ok(Answer { status: 200, .. }) => return Ok(()),
@@ -131,7 +131,7 @@
                 path: format!("/{name}/"),
                 base_version: None,
                 body: Vec::new(),
-                patience: PATIENCE,
+                patience: ANSWER_TIMEOUT,
             };
             if matches!(
                 self.caller.call(frontend, call).await,
--- a/crates/testing/scale-testing/src/places.rs
+++ b/crates/testing/scale-testing/src/places.rs
@@ -1,4 +1,4 @@
-//! Addresses of a run, all on loopback: each process and each hollow worker has one of its own.
+//! Addresses of a run, all on loopback: each process and each simulated worker has one of its own.
 
 use sagetrail_protocol::NodeId;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/testing/scale-testing/src/plan.rs
+++ b/crates/testing/scale-testing/src/plan.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// The text that tells a hollow runner what a task is.
+/// The text that tells a simulated runner what a task is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TaskText {
     pub work_ms: u64,
--- a/crates/testing/scale-testing/src/program.rs
+++ b/crates/testing/scale-testing/src/program.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 /// A process gets so long to end by itself.
-const PATIENCE: Duration = Duration::from_secs(6);
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A process that runs, or does not for now.
 pub struct Program {
@@ -80,9 +80,9 @@
     /// Waits for its end after SIGTERM, and kills it where that does not come.
     pub fn wait(&mut self) {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < ANSWER_TIMEOUT {
             match self.child.as_mut().map(Child::try_wait) {
-                Some(Ok(None)) => std::thread::sleep(LOOK_AGAIN),
+                Some(Ok(None)) => std::thread::sleep(POLL_INTERVAL),
                 _ => break,
             }
         }
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -1,21 +1,21 @@
 //! A run from start to end: processes, workers, load, faults, samples, results.
 
 use crate::arguments::Arguments;
-use crate::board::{Board, Counts, OverJob};
 use crate::call::Caller;
 use crate::cluster::{own_folder, Cluster};
 use crate::disk_probe::DiskProbe;
 use crate::faults::{play, takeovers, Played};
-use crate::hollow::{HollowFleet, HollowSettings};
 use crate::load::Load;
 use crate::machine;
 use crate::operator::{frontends, Operator};
 use crate::places::Places;
 use crate::plan;
 use crate::results::{CountRow, CourseRow, Results};
+use crate::run_statistics::{CompletedJob, Counts, RunStatistics};
 use crate::samples::{between, look, Mark, Role, RoleUsage, Sample};
 use crate::scenario::Scenario;
-use crate::simulated;
+use crate::simulated_time;
+use crate::simulated_worker::{WorkerFleet, WorkerSettings};
 use crate::summary;
 use anyhow::Context;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -29,7 +29,7 @@
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// All workers must have been heard of by the scheduler within this.
 const GATHER_PATIENCE: Duration = Duration::from_secs(60);
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const LOAD_THREADS: usize = 2;
 
 /// Plays a run and writes its results.
@@ -39,7 +39,7 @@
     scenario.workers = arguments.workers.unwrap_or(scenario.workers);
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     if arguments.simulated {
-        let results = simulated::play(scenario)?;
+        let results = simulated_time::play(scenario)?;
         results.write(&arguments.results)?;
         summary::print(&results);
         return Ok(());
@@ -56,8 +56,8 @@
     let machine = machine::look();
     let folder = tempfile::tempdir_in(disks)?;
     let places = Places::of_process();
-    let (board, over) = Board::new();
-    let board = Arc::new(board);
+    let (statistics, over) = RunStatistics::new();
+    let statistics = Arc::new(statistics);
     let scenario = Arc::new(scenario);
     let cluster = Arc::new(Mutex::new(Cluster::start(
         &scenario,
@@ -65,13 +65,13 @@
         programs,
         folder.path(),
     )?));
-    let settings = HollowSettings {
+    let settings = WorkerSettings {
         scenario: scenario.clone(),
         places,
-        board: board.clone(),
+        statistics: statistics.clone(),
     };
-    let health_check = DiskProbe::start(folder.path(), board.clone())?;
-    let fleet = HollowFleet::start(&settings);
+    let health_check = DiskProbe::start(folder.path(), statistics.clone())?;
+    let fleet = WorkerFleet::start(&settings);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(LOAD_THREADS)
         .enable_all()
@@ -79,7 +79,7 @@
     let stage = Stage {
         scenario: scenario.clone(),
         places,
-        board: board.clone(),
+        statistics: statistics.clone(),
         cluster: cluster.clone(),
     };
     let course = runtime.block_on(stage.play(over));
@@ -96,9 +96,9 @@
         planned_starts_s: scenario.starts_a_second(),
         scenario: Scenario::clone(&scenario),
         counts: course.counts,
-        timings: board.timings.rows(),
+        timings: statistics.timings.rows(),
         usage: course.usage,
-        takeovers: takeovers(&course.played, &board),
+        takeovers: takeovers(&course.played, &statistics),
         course: course.rows,
     })
 }
@@ -124,7 +124,7 @@
 struct Stage {
     scenario: Arc<Scenario>,
     places: Places,
-    board: Arc<Board>,
+    statistics: Arc<RunStatistics>,
     cluster: Arc<Mutex<Cluster>>,
 }
 
@@ -136,9 +136,9 @@
 }
 
 impl Stage {
-    async fn play(&self, over: mpsc::UnboundedReceiver<OverJob>) -> anyhow::Result<Course> {
+    async fn play(&self, over: mpsc::UnboundedReceiver<CompletedJob>) -> anyhow::Result<Course> {
         let scenario = &self.scenario;
-        let mut operator = Operator::new(scenario, self.places, self.board.clone());
+        let mut operator = Operator::new(scenario, self.places, self.statistics.clone());
         operator.configure(scenario).await?;
         self.gather().await?;
         let started = Instant::now();
@@ -146,7 +146,7 @@
         let end = measured_from + Duration::from_secs_f64(scenario.measured_s);
         let load = Load {
             scenario: scenario.clone(),
-            board: self.board.clone(),
+            statistics: self.statistics.clone(),
             caller: Caller::default(),
             frontends: Arc::new(frontends(scenario, self.places)),
             started,
@@ -171,7 +171,12 @@
         changes.await??;
         Ok(Course {
             rows,
-            counts: difference(&before.1, &after.1, seconds, self.board.open_jobs() as u64),
+            counts: difference(
+                &before.1,
+                &after.1,
+                seconds,
+                self.statistics.open_jobs() as u64,
+            ),
             usage: between(&before.0, &after.0, seconds),
             played,
         })
@@ -181,13 +186,13 @@
     async fn gather(&self) -> anyhow::Result<()> {
         let started = Instant::now();
         let wanted = u64::from(self.scenario.workers);
-        while self.board.newest_term_runners() < wanted {
-            let heard = self.board.newest_term_runners();
+        while self.statistics.newest_term_runners() < wanted {
+            let heard = self.statistics.newest_term_runners();
             anyhow::ensure!(
                 started.elapsed() < GATHER_PATIENCE,
                 "{heard} of {wanted} workers are served"
             );
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -195,8 +200,8 @@
     /// Waits for the end of all jobs, but not for ever.
     async fn drain(&self) {
         let end = Instant::now() + Duration::from_secs_f64(self.scenario.drain_s);
-        while Instant::now() < end && self.board.open_jobs() > 0 {
-            tokio::time::sleep(LOOK_AGAIN).await;
+        while Instant::now() < end && self.statistics.open_jobs() > 0 {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -245,7 +250,7 @@
     }
 
     fn totals(&self) -> CountRow {
-        let counts: &Counts = &self.board.counts;
+        let counts: &Counts = &self.statistics.counts;
         let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         CountRow {
             seconds: 0.0,
--- a/crates/testing/scale-testing/src/board.rs
+++ b/crates/testing/scale-testing/src/run_statistics.rs
@@ -1,4 +1,4 @@
-//! What hollow runners and the load tell each other: when jobs were due, when their tasks began and ended.
+//! What simulated runners and the load tell each other: when jobs were due, when their tasks began and ended.
 
 use crate::timings::{Timing, Timings};
 use std::collections::{BTreeMap, HashMap};
@@ -31,7 +31,7 @@
 }
 
 /// A job as the load knows it.
-pub struct JobFacts {
+pub struct ExpectedJob {
     /// When it was to be submitted, by the plan.
     pub due: Instant,
     pub shape: String,
@@ -43,14 +43,14 @@
 
 /// A gang's run: how many members are there, and since when all are.
 #[derive(Clone, Copy, Default)]
-struct Gathering {
+struct GangMembers {
     present: u32,
-    whole_since: Option<Instant>,
+    complete_since: Option<Instant>,
 }
 
 /// When a term was heard of by runners.
 #[derive(Clone, Copy, Debug)]
-pub struct TermSeen {
+pub struct ObservedTerm {
     pub first: Instant,
     pub last: Instant,
     pub runners: u64,
@@ -58,40 +58,40 @@
 
 #[derive(Default)]
 struct State {
-    jobs: HashMap<u64, JobFacts>,
+    jobs: HashMap<u64, ExpectedJob>,
     running: HashMap<String, u64>,
-    gangs: HashMap<String, Gathering>,
-    terms: BTreeMap<u64, TermSeen>,
+    gangs: HashMap<String, GangMembers>,
+    terms: BTreeMap<u64, ObservedTerm>,
     first_starts: BTreeMap<u64, Instant>,
 }
 
 /// The shared board.
-pub struct Board {
+pub struct RunStatistics {
     pub counts: Counts,
     pub timings: Timings,
     state: Mutex<State>,
-    over: mpsc::UnboundedSender<OverJob>,
+    over: mpsc::UnboundedSender<CompletedJob>,
 }
 
 /// All tasks of a job have ended.
-pub struct OverJob {
+pub struct CompletedJob {
     pub id: u64,
     pub at: Instant,
     pub shape: String,
     pub measured: bool,
 }
 
-impl Board {
+impl RunStatistics {
     /// An empty board; jobs whose tasks have all ended come by the channel.
-    pub fn new() -> (Board, mpsc::UnboundedReceiver<OverJob>) {
+    pub fn new() -> (RunStatistics, mpsc::UnboundedReceiver<CompletedJob>) {
         let (over, receiver) = mpsc::unbounded_channel();
-        let board = Board {
+        let statistics = RunStatistics {
             counts: Counts::default(),
             timings: Timings::default(),
             state: Mutex::default(),
             over,
         };
-        (board, receiver)
+        (statistics, receiver)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -99,12 +99,12 @@
     }
 
     /// A job is about to be submitted.
-    pub fn expect(&self, id: u64, facts: JobFacts) {
+    pub fn expect(&self, id: u64, facts: ExpectedJob) {
         self.lock().jobs.insert(id, facts);
     }
 
     /// A runner has started a task.
-    pub fn started(&self, task: &str, attempt: u64, term: u64, now: Instant) {
+    pub fn record_start(&self, task: &str, attempt: u64, term: u64, now: Instant) {
         Counts::add(&self.counts.starts);
         Counts::add(&self.counts.running);
         let mut state = self.lock();
@@ -122,7 +122,7 @@
     }
 
     /// A run has ended; `done` where its work was done.
-    pub fn ended(&self, task: &str, attempt: u64, done: bool, now: Instant) {
+    pub fn record_end(&self, task: &str, attempt: u64, done: bool, now: Instant) {
         self.counts.running.fetch_sub(1, Ordering::Relaxed);
         Counts::add(if done {
             &self.counts.ends
@@ -143,7 +143,7 @@
         job.left = job.left.saturating_sub(1);
         if job.left == 0 {
             let job = state.jobs.remove(&id).expect("looked at");
-            let over = OverJob {
+            let over = CompletedJob {
                 id,
                 at: now,
                 shape: job.shape,
@@ -155,27 +155,27 @@
     }
 
     /// A member of a gang is there.
-    pub fn joined(&self, run: &str, members: u32, now: Instant) {
+    pub fn record_gang_member(&self, run: &str, members: u32, now: Instant) {
         let mut state = self.lock();
-        let gathering = state.gangs.entry(run.to_owned()).or_default();
-        gathering.present += 1;
-        if gathering.present >= members {
-            gathering.whole_since = Some(now);
+        let members_present = state.gangs.entry(run.to_owned()).or_default();
+        members_present.present += 1;
+        if members_present.present >= members {
+            members_present.complete_since = Some(now);
         }
     }
 
     /// Since when all members are there.
-    pub fn whole_since(&self, run: &str) -> Option<Instant> {
+    pub fn complete_since(&self, run: &str) -> Option<Instant> {
         self.lock()
             .gangs
             .get(run)
-            .and_then(|gathering| gathering.whole_since)
+            .and_then(|members_present| members_present.complete_since)
     }
 
     /// A runner hears of a term for the first time.
-    pub fn heard_of_term(&self, term: u64, now: Instant) {
+    pub fn record_term(&self, term: u64, now: Instant) {
         let mut state = self.lock();
-        let seen = state.terms.entry(term).or_insert(TermSeen {
+        let seen = state.terms.entry(term).or_insert(ObservedTerm {
             first: now,
             last: now,
             runners: 0,
@@ -199,9 +199,9 @@
     }
 
     /// The first term that runners heard of after an instant and before another.
-    pub fn term_between(&self, from: Instant, to: Option<Instant>) -> Option<(u64, TermSeen)> {
+    pub fn term_between(&self, from: Instant, to: Option<Instant>) -> Option<(u64, ObservedTerm)> {
         let state = self.lock();
-        let within = |seen: &TermSeen| seen.first > from && to.is_none_or(|to| seen.first < to);
+        let within = |seen: &ObservedTerm| seen.first > from && to.is_none_or(|to| seen.first < to);
         state
             .terms
             .iter()
--- a/crates/testing/scale-testing/src/samples.rs
+++ b/crates/testing/scale-testing/src/samples.rs
@@ -8,7 +8,7 @@
 
 const MB: f64 = 1_048_576.0;
 
-/// Whose usage it is; real and hollow apart.
+/// Whose usage it is; real and simulated apart.
 #[derive(Serialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -20,7 +20,7 @@
     Frontend,
     /// Real side processes.
     Side,
-    /// This process: hollow workers, load and operator together.
+    /// This process: simulated workers, load and operator together.
     Hollow,
     /// In simulated time: the logic of an agent.
     Agent,
--- a/crates/testing/scale-testing/src/scenario.rs
+++ b/crates/testing/scale-testing/src/scenario.rs
@@ -29,7 +29,7 @@
     pub cores: u32,
     #[validate(range(min = 1, max = 20))]
     pub frontends: u32,
-    /// Threads that carry the hollow workers.
+    /// Threads that carry the simulated workers.
     #[validate(range(min = 1, max = 64))]
     pub hollow_threads: u32,
     /// Played, not measured, in seconds.
--- a/crates/testing/scale-testing/src/simulated.rs
+++ b/crates/testing/scale-testing/src/simulated_time.rs
@@ -1,12 +1,12 @@
 //! All in one process on simulated time: the logic of real core and frontend processes and of real agents, with
-//! hollow runners, simulated network and disk. What is metered is the processor time of the logic, with the
+//! simulated runners, simulated network and disk. What is metered is the processor time of the logic, with the
 //! encoding and decoding of frames, and the bytes of the frames; sockets and system calls are not in it.
 
 mod clients;
 mod engine;
-mod found;
 mod machine;
 mod meter;
-mod world;
+mod simulation;
+mod startup;
 
-pub use world::play;
+pub use simulation::play;
--- a/crates/testing/scale-testing/src/simulated/engine.rs
+++ b/crates/testing/scale-testing/src/simulated_time/engine.rs
@@ -39,7 +39,7 @@
         attempt: u32,
         reply: Option<HttpReply>,
     },
-    /// A look at a runner is answered: hollow runners are well.
+    /// A look at a runner is answered: simulated runners are well.
     Looked {
         machine: usize,
         id: HealthCheckId,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A time as hollow runners take it.
+    /// A time as simulated runners take it.
     pub(super) fn instant(&self, time: Time) -> Instant {
         self.origin + Duration::from_micros(time.0)
     }
--- a/crates/testing/scale-testing/src/simulated/world.rs
+++ b/crates/testing/scale-testing/src/simulated_time/simulation.rs
@@ -2,18 +2,18 @@
 
 use super::clients::{configuration, heartbeat, submission};
 use super::engine::{Action, Engine};
-use super::found::found;
 use super::machine::Machine;
 use super::meter::Meter;
-use crate::board::{Board, JobFacts};
+use super::startup::start_machines;
 use crate::faults::{takeovers, Played};
-use crate::hollow::{profile, HollowRunner, HollowSettings, Orders};
 use crate::machine::look;
 use crate::places::Places;
 use crate::plan::{draw, PlannedJob};
 use crate::results::{CountRow, Results};
+use crate::run_statistics::{ExpectedJob, RunStatistics};
 use crate::samples::{Role, RoleUsage};
 use crate::scenario::{FaultKind, FaultTarget, Scenario};
+use crate::simulated_worker::{profile, HeartbeatAnswer, SimulatedRunner, WorkerSettings};
 use crate::timings::Timing;
 use sagetrail_protocol::node::{
     Event, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Outbox,
@@ -27,10 +27,10 @@
 /// From a runner or a client to its process, one way.
 const LOCAL: Duration = Duration::from_micros(100);
 /// Processes and workers get so long to find each other before the load begins.
-const GATHER: Duration = Duration::from_secs(8);
+const STARTUP_TIME: Duration = Duration::from_secs(8);
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 const CONFIGURE_PAUSE: Duration = Duration::from_millis(200);
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 /// The status of a runner that is well.
 const WELL: u16 = 200;
 const KB: f64 = 1_000.0;
@@ -43,14 +43,14 @@
     Operator,
 }
 
-struct World {
+struct Simulation {
     scenario: Arc<Scenario>,
     engine: Engine,
     machines: Vec<Machine>,
     lost: Vec<bool>,
     places: HashMap<NodeId, usize>,
-    runners: Vec<HollowRunner>,
-    board: Arc<Board>,
+    runners: Vec<SimulatedRunner>,
+    statistics: Arc<RunStatistics>,
     plan: Vec<PlannedJob>,
     load_from: Time,
     callers: BTreeMap<u64, Waiting>,
@@ -63,22 +63,22 @@
 pub fn play(scenario: Scenario) -> anyhow::Result<Results> {
     let machine = look();
     let scenario = Arc::new(scenario);
-    let (board, _over) = Board::new();
-    let settings = HollowSettings {
+    let (statistics, _over) = RunStatistics::new();
+    let settings = WorkerSettings {
         scenario: scenario.clone(),
         places: Places::of_process(),
-        board: Arc::new(board),
+        statistics: Arc::new(statistics),
     };
-    let mut world = World::new(&settings)?;
-    let measured_from = Time(world.load_from.0 + micros(scenario.warm_up_s));
+    let mut simulation = Simulation::new(&settings)?;
+    let measured_from = Time(simulation.load_from.0 + micros(scenario.warm_up_s));
     let end = Time(measured_from.0 + micros(scenario.measured_s));
-    world.run_until(measured_from);
-    let before = (world.meters(), world.totals());
-    world.run_until(end);
-    let after = (world.meters(), world.totals());
+    simulation.run_until(measured_from);
+    let before = (simulation.meters(), simulation.totals());
+    simulation.run_until(end);
+    let after = (simulation.meters(), simulation.totals());
     let counts = CountRow {
         seconds: scenario.measured_s,
-        open_jobs_at_end: world.board.open_jobs() as u64,
+        open_jobs_at_end: simulation.statistics.open_jobs() as u64,
         ..subtract(&after.1, &before.1)
     };
     Ok(Results {
@@ -87,9 +87,9 @@
         planned_starts_s: scenario.starts_a_second(),
         scenario: Scenario::clone(&scenario),
         counts,
-        timings: world.board.timings.rows(),
-        usage: world.usage(&before.0, &after.0),
-        takeovers: takeovers(&world.played, &world.board),
+        timings: simulation.statistics.timings.rows(),
+        usage: simulation.usage(&before.0, &after.0),
+        takeovers: takeovers(&simulation.played, &simulation.statistics),
         course: Vec::new(),
     })
 }
@@ -98,24 +98,29 @@
     Duration::from_secs_f64(seconds).as_micros() as u64
 }
 
-impl World {
-    fn new(settings: &HollowSettings) -> anyhow::Result<World> {
+impl Simulation {
+    fn new(settings: &WorkerSettings) -> anyhow::Result<Simulation> {
         let scenario = settings.scenario.clone();
         let engine = Engine::new();
-        let founded = found(settings, engine.clocks())?;
+        let started_machines = start_machines(settings, engine.clocks())?;
         let started = engine.instant(engine.now);
-        let runner =
-            |number| HollowRunner::new(profile(settings, number), settings.board.clone(), started);
-        let mut world = World {
-            load_from: Time(engine.now.0 + GATHER.as_micros() as u64),
-            lost: vec![false; founded.len()],
-            places: founded
+        let runner = |number| {
+            SimulatedRunner::new(
+                profile(settings, number),
+                settings.statistics.clone(),
+                started,
+            )
+        };
+        let mut simulation = Simulation {
+            load_from: Time(engine.now.0 + STARTUP_TIME.as_micros() as u64),
+            lost: vec![false; started_machines.len()],
+            places: started_machines
                 .iter()
                 .enumerate()
                 .map(|(at, one)| (one.machine.node, at))
                 .collect(),
             runners: (0..scenario.workers).map(runner).collect(),
-            board: settings.board.clone(),
+            statistics: settings.statistics.clone(),
             plan: draw(&scenario),
             callers: BTreeMap::new(),
             last_call: 0,
@@ -126,15 +131,15 @@
             engine,
         };
         let mut outboxes = Vec::new();
-        for one in founded {
-            world.machines.push(one.machine);
+        for one in started_machines {
+            simulation.machines.push(one.machine);
             outboxes.push(one.outbox);
         }
         for (at, outbox) in outboxes.into_iter().enumerate() {
-            world.perform(at, outbox);
+            simulation.perform(at, outbox);
         }
-        world.schedule();
-        Ok(world)
+        simulation.schedule();
+        Ok(simulation)
     }
 
     fn schedule(&mut self) {
@@ -379,7 +384,10 @@
         let now = self.engine.instant(self.engine.now);
         let runner = &mut self.runners[worker];
         let (path, body) = (runner.path(), runner.heartbeat(now));
-        self.board.counts.heartbeats.fetch_add(1, Ordering::Relaxed);
+        self.statistics
+            .counts
+            .heartbeats
+            .fetch_add(1, Ordering::Relaxed);
         let at = self.machines.len() - self.runners.len() + worker;
         let waiting = Waiting::Worker {
             worker,
@@ -393,8 +401,8 @@
             self.engine.instant(sent),
             self.engine.instant(self.engine.now),
         );
-        if let Ok(orders) = serde_json::from_slice::<Orders>(&reply.body) {
-            self.runners[worker].obey(sent, now, orders);
+        if let Ok(orders) = serde_json::from_slice::<HeartbeatAnswer>(&reply.body) {
+            self.runners[worker].carry_out(sent, now, orders);
         }
         let due = self.engine.time(self.runners[worker].due());
         self.engine.at(
@@ -407,14 +415,14 @@
         let planned = self.plan[job].clone();
         let shape = self.scenario.job[planned.shape].clone();
         if attempt == 0 {
-            let facts = JobFacts {
+            let facts = ExpectedJob {
                 due: self.engine.instant(self.engine.now),
                 shape: shape.name.clone(),
                 measured: self.measured(&planned),
                 left: shape.steps * shape.tasks,
                 started: false,
             };
-            self.board.expect(planned.id, facts);
+            self.statistics.expect(planned.id, facts);
         }
         let frontends = self.scenario.frontends as usize;
         let at = self.scenario.cores as usize
@@ -435,16 +443,19 @@
     fn submit_answer(&mut self, job: usize, attempt: u32, reply: Option<&HttpReply>) {
         let planned = self.plan[job].clone();
         if reply.is_some_and(|reply| reply.status / 100 == 2) {
-            self.board.counts.accepted.fetch_add(1, Ordering::Relaxed);
+            self.statistics
+                .counts
+                .accepted
+                .fetch_add(1, Ordering::Relaxed);
             if self.measured(&planned) {
                 let due = self.load_from.0 + planned.at.as_micros() as u64;
                 let took = Duration::from_micros(self.engine.now.0 - due);
                 let name = &self.scenario.job[planned.shape].name;
-                self.board
+                self.statistics
                     .timings
                     .record(Timing::SubmitToAccept, name, took);
             }
-        } else if attempt + 1 < TRIES {
+        } else if attempt + 1 < MAX_ATTEMPTS {
             self.engine.after(
                 RETRY_PAUSE,
                 Action::Submit {
@@ -453,7 +464,10 @@
                 },
             );
         } else {
-            self.board.counts.refused.fetch_add(1, Ordering::Relaxed);
+            self.statistics
+                .counts
+                .refused
+                .fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -462,7 +476,7 @@
     }
 
     fn totals(&self) -> CountRow {
-        let counts = &self.board.counts;
+        let counts = &self.statistics.counts;
         let of = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
         CountRow {
             accepted: of(&counts.accepted),
@@ -474,7 +488,7 @@
             heartbeats: of(&counts.heartbeats),
             reports: of(&counts.reports),
             running_at_end: of(&counts.running),
-            terms: self.board.terms(),
+            terms: self.statistics.terms(),
             ..CountRow::default()
         }
     }
--- a/crates/testing/scale-testing/src/simulated/found.rs
+++ b/crates/testing/scale-testing/src/simulated_time/startup.rs
@@ -1,10 +1,10 @@
 //! The machines of a simulated run, each with the real logic of its process.
 
 use super::machine::Machine;
-use crate::hollow::{agent_settings, counted, HollowSettings};
 use crate::places::Places;
 use crate::samples::Role;
 use crate::settings::{render, Machine as SettingsOf};
+use crate::simulated_worker::{agent_settings, counted, WorkerSettings};
 use sagetrail_agent::AgentNode;
 use sagetrail_cluster_node::settings::Settings;
 use sagetrail_cluster_node::start::{Ground, Maker};
@@ -18,13 +18,16 @@
 const FRONTEND_PORT_OFFSET: u16 = 1;
 
 /// A machine, and what its process wants done at its start.
-pub(super) struct Founded {
+pub(super) struct StartedMachine {
     pub machine: Machine,
     pub outbox: Outbox,
 }
 
 /// Core machines, then frontends, then workers' machines.
-pub(super) fn found(settings: &HollowSettings, now: Now) -> anyhow::Result<Vec<Founded>> {
+pub(super) fn start_machines(
+    settings: &WorkerSettings,
+    now: Now,
+) -> anyhow::Result<Vec<StartedMachine>> {
     let scenario = &settings.scenario;
     let mut machines = Vec::new();
     for number in 0..scenario.cores {
@@ -42,12 +45,12 @@
 }
 
 fn process(
-    settings: &HollowSettings,
+    settings: &WorkerSettings,
     now: Now,
     kind: NodeKind,
     number: u32,
     node: NodeId,
-) -> anyhow::Result<Founded> {
+) -> anyhow::Result<StartedMachine> {
     let scenario = &settings.scenario;
     let (maker, role, name): (Maker, Role, &str) = match kind {
         NodeKind::Core => (core_process::make, Role::Replica, "core"),
@@ -74,23 +77,23 @@
     let mut outbox = Outbox::default();
     let logic = maker(ground, now, &mut outbox);
     let region = number % scenario.network.regions;
-    Ok(Founded {
+    Ok(StartedMachine {
         machine: Machine::new(node, role, region, logic),
         outbox,
     })
 }
 
-fn agent(settings: &HollowSettings, now: Now, number: u32) -> Founded {
+fn agent(settings: &WorkerSettings, now: Now, number: u32) -> StartedMachine {
     let mut outbox = Outbox::default();
     let agent = AgentNode::new(agent_settings(settings, number), now, &mut outbox);
     let region = number % settings.scenario.network.regions;
     let node = settings.places.agent_node(number);
-    Founded {
+    StartedMachine {
         machine: Machine::new(
             node,
             Role::Agent,
             region,
-            counted(agent, settings.board.clone()),
+            counted(agent, settings.statistics.clone()),
         ),
         outbox,
     }
--- a/crates/testing/scale-testing/src/hollow/agent.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent.rs
@@ -1,6 +1,6 @@
 //! A real agent in this process, driven by the daemon's own loop and transport.
 
-use crate::board::Board;
+use crate::run_statistics::RunStatistics;
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::input::Inputs;
@@ -20,7 +20,7 @@
 /// An agent whose reports are counted for all.
 struct CountedAgent {
     agent: AgentNode,
-    board: Arc<Board>,
+    statistics: Arc<RunStatistics>,
     reports: u64,
 }
 
@@ -28,7 +28,7 @@
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox) {
         self.agent.handle(now, event, outbox);
         let reports = self.agent.counters().reports;
-        self.board
+        self.statistics
             .counts
             .reports
             .fetch_add(reports - self.reports, Ordering::Relaxed);
@@ -41,16 +41,19 @@
 }
 
 /// An agent's logic, with its reports counted on the board.
-pub fn counted(agent: AgentNode, board: Arc<Board>) -> Box<dyn Node> {
+pub fn counted(agent: AgentNode, statistics: Arc<RunStatistics>) -> Box<dyn Node> {
     Box::new(CountedAgent {
         agent,
-        board,
+        statistics,
         reports: 0,
     })
 }
 
 /// Starts an agent on the current thread; where its events go.
-pub(super) fn start(settings: AgentSettings, board: Arc<Board>) -> std::io::Result<Inputs> {
+pub(super) fn start(
+    settings: AgentSettings,
+    statistics: Arc<RunStatistics>,
+) -> std::io::Result<Inputs> {
     let (sender, inputs) = mpsc::unbounded_channel();
     let transport = Transport::start(settings.node, settings.incarnation, sender.clone())?;
     let clocks = Clocks::start();
@@ -68,7 +71,7 @@
     };
     let mut outbox = Outbox::default();
     let agent = AgentNode::new(settings, clocks.now(), &mut outbox);
-    let mut process = Process::new(counted(agent, board), outbox, parts);
+    let mut process = Process::new(counted(agent, statistics), outbox, parts);
     tokio::task::spawn_local(async move { process.run().await });
     Ok(sender)
 }
--- a/crates/testing/scale-testing/src/hollow/endpoint.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
@@ -1,4 +1,4 @@
-//! The way from a hollow runner to its agent.
+//! The way from a simulated runner to its agent.
 
 use crate::call::{Call, Caller};
 use sagetrail_cluster_node::input::{Input, Inputs};
@@ -8,10 +8,10 @@
 use tokio::sync::oneshot;
 
 /// An answer that comes later is dropped.
-const PATIENCE: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where the agent is.
-pub(super) enum AgentDoor {
+pub(super) enum AgentConnection {
     /// In this process.
     Direct { inputs: Inputs, last_request: u64 },
     /// A real process.
@@ -21,25 +21,25 @@
     },
 }
 
-impl AgentDoor {
+impl AgentConnection {
     /// Hands a heartbeat over; the body of the answer, where it is a good one.
     pub(super) async fn heartbeat(&mut self, path: &str, body: Vec<u8>) -> Option<Vec<u8>> {
         match self {
-            AgentDoor::Direct {
+            AgentConnection::Direct {
                 inputs,
                 last_request,
             } => {
                 *last_request += 1;
                 direct(inputs, HttpRequestId(*last_request), path, body).await
             }
-            AgentDoor::Http { caller, address } => {
+            AgentConnection::Http { caller, address } => {
                 let path = path.to_owned();
                 let call = Call {
                     method: "POST",
                     path,
                     base_version: None,
                     body,
-                    patience: PATIENCE,
+                    patience: ANSWER_TIMEOUT,
                 };
                 let answer = caller.call(*address, call).await.ok()?;
                 (answer.status == 200).then(|| answer.body.to_vec())
@@ -66,6 +66,9 @@
             reply,
         })
         .ok()?;
-    let answer = tokio::time::timeout(PATIENCE, answer).await.ok()?.ok()?;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, answer)
+        .await
+        .ok()?
+        .ok()?;
     (answer.status == 200).then_some(answer.body)
 }
--- a/crates/testing/scale-testing/src/hollow/document.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/messages.rs
@@ -33,7 +33,7 @@
 /// The answer to a heartbeat.
 #[derive(Deserialize, Default, Debug)]
 #[serde(default)]
-pub struct Orders {
+pub struct HeartbeatAnswer {
     pub hold_ms: Option<u64>,
     pub observed: u64,
     pub fence_token: u64,
--- a/crates/testing/scale-testing/src/hollow/runner.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/runner.rs
@@ -1,8 +1,8 @@
-//! A hollow runner: takes starts and stops, lets time pass instead of working, tells of it in heartbeats.
+//! A simulated runner: takes starts and stops, lets time pass instead of working, tells of it in heartbeats.
 
-use super::document::{Capacity, Heartbeat, Orders};
-use crate::board::{gang_run, Board};
+use super::messages::{Capacity, Heartbeat, HeartbeatAnswer};
 use crate::plan::TaskText;
+use crate::run_statistics::{gang_run, RunStatistics};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 /// After an end the next heartbeat goes out so soon.
 const AFTER_END: Duration = Duration::from_millis(50);
 /// A member of a gang waits so long for the others.
-const GANG_PATIENCE: Duration = Duration::from_millis(3_000);
+const GANG_TIMEOUT: Duration = Duration::from_millis(3_000);
 const VERSION: &str = "v1";
 const SLOTS: u32 = 8;
-const WHOLE_PERCENT: u128 = 100;
+const MAX_PERCENT: u128 = 100;
 
 /// What a runner is.
 #[derive(Clone, Debug)]
@@ -46,33 +46,37 @@
 }
 
 /// The runner's state.
-pub struct HollowRunner {
+pub struct SimulatedRunner {
     profile: RunnerProfile,
-    board: Arc<Board>,
+    statistics: Arc<RunStatistics>,
     started: Instant,
     sequence: u64,
     active: Vec<Run>,
     finished: Vec<End>,
     ends: u64,
-    fence: u64,
-    held_until: Instant,
+    fencing_token: u64,
+    lease_end: Instant,
     highest_attempt: HashMap<String, u64>,
     next_heartbeat: Instant,
 }
 
-impl HollowRunner {
+impl SimulatedRunner {
     /// A runner that has just started.
-    pub fn new(profile: RunnerProfile, board: Arc<Board>, now: Instant) -> HollowRunner {
-        HollowRunner {
+    pub fn new(
+        profile: RunnerProfile,
+        statistics: Arc<RunStatistics>,
+        now: Instant,
+    ) -> SimulatedRunner {
+        SimulatedRunner {
             profile,
-            board,
+            statistics,
             started: now,
             sequence: 0,
             active: Vec::new(),
             finished: Vec::new(),
             ends: 0,
-            fence: 0,
-            held_until: now,
+            fencing_token: 0,
+            lease_end: now,
             highest_attempt: HashMap::new(),
             next_heartbeat: now,
         }
@@ -124,39 +128,39 @@
     }
 
     /// Takes the answer to a heartbeat sent at `sent`.
-    pub fn obey(&mut self, sent: Instant, now: Instant, orders: Orders) {
-        if orders.fence_token < self.fence {
+    pub fn carry_out(&mut self, sent: Instant, now: Instant, answer: HeartbeatAnswer) {
+        if answer.fence_token < self.fencing_token {
             return;
         }
-        if orders.fence_token > self.fence {
-            self.fence = orders.fence_token;
-            self.board.heard_of_term(self.fence, now);
+        if answer.fence_token > self.fencing_token {
+            self.fencing_token = answer.fence_token;
+            self.statistics.record_term(self.fencing_token, now);
         }
-        self.finished.retain(|end| end.number > orders.observed);
-        for (task, attempt) in orders.stop {
+        self.finished.retain(|end| end.number > answer.observed);
+        for (task, attempt) in answer.stop {
             self.stop(now, &task, attempt);
         }
-        if let Some(hold_ms) = orders.hold_ms {
-            self.held_until = self.held_until.max(sent + Duration::from_millis(hold_ms));
-            for (task, attempt, spec, _) in orders.start {
+        if let Some(hold_ms) = answer.hold_ms {
+            self.lease_end = self.lease_end.max(sent + Duration::from_millis(hold_ms));
+            for (task, attempt, spec, _) in answer.start {
                 self.start(now, task, attempt, &spec);
             }
         }
-        if let Some(retry_ms) = orders.retry_after_ms {
+        if let Some(retry_ms) = answer.retry_after_ms {
             self.next_heartbeat = now + Duration::from_millis(retry_ms);
         }
     }
 
     /// Runs whose time has come end; where no hold lasts, all do.
     fn pass(&mut self, now: Instant) {
-        if now > self.held_until {
+        if now > self.lease_end {
             let lapsed = std::mem::take(&mut self.active);
             lapsed
                 .into_iter()
                 .for_each(|run| self.end(now, run, "lapsed"));
         }
         for mut run in std::mem::take(&mut self.active) {
-            run.begin(&self.board);
+            run.begin(&self.statistics);
             match run.how_it_ends(now) {
                 Some(how) => self.end(now, run, how),
                 None => self.active.push(run),
@@ -173,9 +177,11 @@
         let Some(text) = TaskText::read(spec) else {
             return;
         };
-        self.board.started(&task, attempt, self.fence, now);
+        self.statistics
+            .record_start(&task, attempt, self.fencing_token, now);
         if text.gang > 0 {
-            self.board.joined(&gang_run(&task, attempt), text.gang, now);
+            self.statistics
+                .record_gang_member(&gang_run(&task, attempt), text.gang, now);
         }
         let mut run = Run {
             task,
@@ -202,7 +208,8 @@
     }
 
     fn end(&mut self, now: Instant, run: Run, how: &'static str) {
-        self.board.ended(&run.task, run.attempt, how == "done", now);
+        self.statistics
+            .record_end(&run.task, run.attempt, how == "done", now);
         if how == "done" {
             self.highest_attempt.remove(&run.task);
         }
@@ -223,9 +230,9 @@
 
 impl Run {
     /// A member of a gang begins once all are there.
-    fn begin(&mut self, board: &Board) {
+    fn begin(&mut self, statistics: &RunStatistics) {
         if self.begun.is_none() {
-            self.begun = board.whole_since(&gang_run(&self.task, self.attempt));
+            self.begun = statistics.complete_since(&gang_run(&self.task, self.attempt));
         }
     }
 
@@ -237,7 +244,7 @@
     fn how_it_ends(&self, now: Instant) -> Option<&'static str> {
         match self.ends_at() {
             Some(end) => (now >= end).then_some("done"),
-            None => (now >= self.arrived + GANG_PATIENCE).then_some("alone"),
+            None => (now >= self.arrived + GANG_TIMEOUT).then_some("alone"),
         }
     }
 
@@ -245,7 +252,7 @@
         let passed = self
             .begun
             .map_or(Duration::ZERO, |begun| now.saturating_duration_since(begun));
-        let percent = passed.as_millis() * WHOLE_PERCENT / u128::from(self.text.work_ms.max(1));
-        percent.min(WHOLE_PERCENT) as u8
+        let percent = passed.as_millis() * MAX_PERCENT / u128::from(self.text.work_ms.max(1));
+        percent.min(MAX_PERCENT) as u8
     }
 }
--- a/crates/testing/scale-testing/src/hollow/threads.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/threads.rs
@@ -1,14 +1,14 @@
-//! The threads that carry hollow workers, and their start and end.
+//! The threads that carry simulated workers, and their start and end.
 
 use super::agent::start;
-use super::document::Capacity;
-use super::endpoint::AgentDoor;
-use super::runner::{HollowRunner, RunnerProfile};
-use super::worker::work;
-use crate::board::Board;
+use super::agent_connection::AgentConnection;
+use super::heartbeat_loop::work;
+use super::messages::Capacity;
+use super::runner::{RunnerProfile, SimulatedRunner};
 use crate::call::Caller;
 use crate::operator::SERVICE;
 use crate::places::Places;
+use crate::run_statistics::RunStatistics;
 use crate::scenario::Scenario;
 use anyhow::Context;
 use sagetrail_agent::AgentSettings;
@@ -27,29 +27,29 @@
 
 const WELL: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What hollow workers are started with.
+/// What simulated workers are started with.
 #[derive(Clone)]
-pub struct HollowSettings {
+pub struct WorkerSettings {
     pub scenario: Arc<Scenario>,
     pub places: Places,
-    pub board: Arc<Board>,
+    pub statistics: Arc<RunStatistics>,
 }
 
-/// All hollow workers.
-pub struct HollowFleet {
+/// All simulated workers.
+pub struct WorkerFleet {
     over: watch::Sender<bool>,
     threads: Vec<JoinHandle<anyhow::Result<()>>>,
 }
 
-impl HollowFleet {
+impl WorkerFleet {
     /// Starts the threads and their workers.
-    pub fn start(settings: &HollowSettings) -> HollowFleet {
+    pub fn start(settings: &WorkerSettings) -> WorkerFleet {
         let (over, watch) = watch::channel(false);
         let threads = (0..settings.scenario.hollow_threads).map(|number| {
             let (settings, watch) = (settings.clone(), watch.clone());
-            std::thread::spawn(move || carry(&settings, number, watch))
+            std::thread::spawn(move || run_thread(&settings, number, watch))
         });
-        HollowFleet {
+        WorkerFleet {
             threads: threads.collect(),
             over,
         }
@@ -67,8 +67,8 @@
     }
 }
 
-fn carry(
-    settings: &HollowSettings,
+fn run_thread(
+    settings: &WorkerSettings,
     thread: u32,
     over: watch::Receiver<bool>,
 ) -> anyhow::Result<()> {
@@ -82,7 +82,7 @@
 }
 
 async fn start_all(
-    settings: &HollowSettings,
+    settings: &WorkerSettings,
     thread: u32,
     mut over: watch::Receiver<bool>,
 ) -> anyhow::Result<()> {
@@ -90,13 +90,20 @@
     let caller = Caller::default();
     for number in (thread..scenario.workers).step_by(scenario.hollow_threads as usize) {
         let endpoint = endpoint(settings, number, &caller)?;
-        tokio::task::spawn_local(answer_looks(listen(settings.places.runner(number)).await?));
-        let runner = HollowRunner::new(
+        tokio::task::spawn_local(answer_health_checks(
+            listen(settings.places.runner(number)).await?,
+        ));
+        let runner = SimulatedRunner::new(
             profile(settings, number),
-            settings.board.clone(),
+            settings.statistics.clone(),
             Instant::now(),
         );
-        tokio::task::spawn_local(work(runner, endpoint, settings.board.clone(), over.clone()));
+        tokio::task::spawn_local(work(
+            runner,
+            endpoint,
+            settings.statistics.clone(),
+            over.clone(),
+        ));
         tokio::time::sleep(START_GAP).await;
     }
     // An error: the run is over.
@@ -104,16 +111,23 @@
     Ok(())
 }
 
-fn endpoint(settings: &HollowSettings, number: u32, caller: &Caller) -> anyhow::Result<AgentDoor> {
+fn endpoint(
+    settings: &WorkerSettings,
+    number: u32,
+    caller: &Caller,
+) -> anyhow::Result<AgentConnection> {
     let ip = settings.places.worker_ip(number);
     if settings.scenario.real_sides {
-        return Ok(AgentDoor::Http {
+        return Ok(AgentConnection::Http {
             caller: caller.clone(),
             address: Places::control(ip),
         });
     }
-    let inputs = start(agent_settings(settings, number), settings.board.clone())?;
-    Ok(AgentDoor::Direct {
+    let inputs = start(
+        agent_settings(settings, number),
+        settings.statistics.clone(),
+    )?;
+    Ok(AgentConnection::Direct {
         inputs,
         last_request: 0,
     })
@@ -125,8 +139,8 @@
         .with_context(|| format!("listening at {address}"))
 }
 
-/// A hollow runner is well: looks at it are answered so.
-async fn answer_looks(listener: TcpListener) {
+/// A simulated runner is well: looks at it are answered so.
+async fn answer_health_checks(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         // An error: whoever looked has gone.
         let _ = stream.write_all(WELL).await;
@@ -134,7 +148,7 @@
 }
 
 /// What a worker's agent is started with.
-pub fn agent_settings(settings: &HollowSettings, number: u32) -> AgentSettings {
+pub fn agent_settings(settings: &WorkerSettings, number: u32) -> AgentSettings {
     let scenario = &settings.scenario;
     let seeds = (0..scenario.cores)
         .map(|core| settings.places.core_node(core))
@@ -151,7 +165,7 @@
 }
 
 /// What a worker's runner is.
-pub fn profile(settings: &HollowSettings, number: u32) -> RunnerProfile {
+pub fn profile(settings: &WorkerSettings, number: u32) -> RunnerProfile {
     let shape = &settings.scenario.worker;
     let rack = number / shape.workers_a_rack;
     RunnerProfile {
--- a/crates/testing/scale-testing/tests/runner.rs
+++ b/crates/testing/scale-testing/tests/runner.rs
@@ -1,7 +1,7 @@
-//! A hollow runner keeps to the protocol, on a clock of the test's own.
+//! A simulated runner keeps to the protocol, on a clock of the test's own.
 
-use sagetrail_scale_testing::board::{Board, JobFacts, OverJob};
-use sagetrail_scale_testing::hollow::{HollowRunner, Orders, RunnerProfile};
+use sagetrail_scale_testing::run_statistics::{CompletedJob, ExpectedJob, RunStatistics};
+use sagetrail_scale_testing::simulated_worker::{HeartbeatAnswer, RunnerProfile, SimulatedRunner};
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 const JOB: u64 = 0xaa;
 
 struct Stage {
-    board: Arc<Board>,
-    over: UnboundedReceiver<OverJob>,
-    runner: HollowRunner,
+    statistics: Arc<RunStatistics>,
+    over: UnboundedReceiver<CompletedJob>,
+    runner: SimulatedRunner,
     started: Instant,
 }
 
 impl Stage {
     fn new() -> Stage {
-        let (board, over) = Board::new();
-        let board = Arc::new(board);
+        let (statistics, over) = RunStatistics::new();
+        let statistics = Arc::new(statistics);
         let started = Instant::now();
         let capacity =
             serde_json::from_value(json!({"cpu": 16000, "mem_mb": 1000, "gpu": 0})).unwrap();
@@ -33,9 +33,9 @@
             labels: vec!["rack-1".to_owned()],
             heartbeat: Duration::from_millis(1_000),
         };
-        let runner = HollowRunner::new(profile, board.clone(), started);
+        let runner = SimulatedRunner::new(profile, statistics.clone(), started);
         Stage {
-            board,
+            statistics,
             over,
             runner,
             started,
@@ -52,9 +52,9 @@
     }
 
     fn orders(&mut self, ms: u64, orders: Value) {
-        let orders: Orders = serde_json::from_value(orders).unwrap();
+        let orders: HeartbeatAnswer = serde_json::from_value(orders).unwrap();
         let now = self.at(ms);
-        self.runner.obey(now, now, orders);
+        self.runner.carry_out(now, now, orders);
     }
 
     fn start(&mut self, ms: u64, task: &str, attempt: u64, text: &str) {
@@ -109,7 +109,7 @@
     assert_eq!(stage.runner.active(), 1);
     assert_eq!(
         stage
-            .board
+            .statistics
             .counts
             .double_starts
             .load(std::sync::atomic::Ordering::Relaxed),
@@ -135,14 +135,14 @@
 #[test]
 fn a_job_is_over_with_the_last_of_its_tasks() {
     let mut stage = Stage::new();
-    let facts = JobFacts {
+    let facts = ExpectedJob {
         due: stage.started,
         shape: "short".to_owned(),
         measured: true,
         left: 2,
         started: false,
     };
-    stage.board.expect(JOB, facts);
+    stage.statistics.expect(JOB, facts);
     stage.start(0, TASK, 1, "100 0");
     stage.start(0, OTHER, 1, "300 0");
     stage.beat(200);
--- a/crates/testing/scale-testing/tests/takeovers.rs
+++ b/crates/testing/scale-testing/tests/takeovers.rs
@@ -1,7 +1,7 @@
 //! What a fault led to is told from what the next one did.
 
-use sagetrail_scale_testing::board::Board;
 use sagetrail_scale_testing::faults::{takeovers, Played};
+use sagetrail_scale_testing::run_statistics::RunStatistics;
 use sagetrail_scale_testing::scenario::{Fault, FaultKind, FaultTarget};
 use std::time::{Duration, Instant};
 
@@ -19,20 +19,20 @@
 
 #[test]
 fn a_new_term_belongs_to_the_fault_before_it() {
-    let (board, _over) = Board::new();
+    let (statistics, _over) = RunStatistics::new();
     let started = Instant::now();
     let at = |ms: u64| started + Duration::from_millis(ms);
-    board.heard_of_term(1, at(0));
-    board.heard_of_term(2, at(1_000));
-    board.heard_of_term(2, at(1_200));
-    board.started("00000000000000aa.0.0.0", 1, 2, at(1_300));
-    board.heard_of_term(3, at(9_000));
+    statistics.record_term(1, at(0));
+    statistics.record_term(2, at(1_000));
+    statistics.record_term(2, at(1_200));
+    statistics.record_start("00000000000000aa.0.0.0", 1, 2, at(1_300));
+    statistics.record_term(3, at(9_000));
     let played = [
         fault(FaultTarget::Scheduler, at(100)),
         fault(FaultTarget::Replica, at(2_000)),
         fault(FaultTarget::All, at(8_000)),
     ];
-    let rows = takeovers(&played, &board);
+    let rows = takeovers(&played, &statistics);
     assert_eq!(rows[0].first_runner_ms, Some(900.0));
     assert_eq!(rows[0].last_runner_ms, Some(1_100.0));
     assert_eq!(rows[0].first_start_ms, Some(1_200.0));
