--- a/crates/testing/scale-testing/src/arguments.rs
+++ b/crates/testing/scale-testing/src/arguments.rs
@@ -1,8 +1,9 @@
 //! The command line.
 
-use argh::FromArgs;
 use std::path::PathBuf;
 
+use argh::FromArgs;
+
 /// Plays a scale run: hollow runners and agents beside real core and frontend processes on loopback.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
--- a/crates/testing/scale-testing/src/bin/sagetrail-scale-testing.rs
+++ b/crates/testing/scale-testing/src/bin/sagetrail-scale-testing.rs
@@ -1,8 +1,9 @@
 //! A scale run from a scenario file.
 
-use sagetrail_scale_testing::arguments::Arguments;
 use std::process::ExitCode;
 
+use sagetrail_scale_testing::arguments::Arguments;
+
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     match sagetrail_scale_testing::run::run(&arguments) {
--- a/crates/testing/scale-testing/src/call.rs
+++ b/crates/testing/scale-testing/src/call.rs
@@ -1,13 +1,14 @@
 //! Calls of HTTP, with kept connections.
 
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use std::net::SocketAddrV4;
-use std::time::Duration;
 
 /// The host of all queues.
 pub const HOST: &str = "scale.example";
@@ -15,17 +16,24 @@
 /// A call.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// The HTTP method.
     pub method: &'static str,
+    /// The path.
     pub path: String,
+    /// The configuration version that a change is based on, if it is one.
     pub base_version: Option<u64>,
+    /// The body.
     pub body: Vec<u8>,
+    /// Time that the answer is waited for.
     pub patience: Duration,
 }
 
 /// Its answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: Bytes,
 }
 
--- a/crates/testing/scale-testing/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -1,14 +1,17 @@
 //! The real processes of a run.
 
+use std::net::Ipv4Addr;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+use nix::sys::signal::Signal;
+
+use sagetrail_protocol::NodeKind;
+
 use crate::places::Places;
 use crate::program::Program;
 use crate::scenario::Scenario;
 use crate::settings::{write, Machine};
-use nix::sys::signal::Signal;
-use sagetrail_protocol::NodeKind;
-use std::net::Ipv4Addr;
-use std::path::{Path, PathBuf};
-use std::time::{Duration, Instant};
 
 /// In a core process's log: it has become the scheduler of a term.
 const TERM_MARK: &str = "term ";
@@ -18,8 +21,11 @@
 
 /// Core, frontend and, where wanted, side processes.
 pub struct Cluster {
+    /// `sagetrail-core`.
     pub cores: Vec<Program>,
+    /// `sagetrail-frontend`.
     pub frontends: Vec<Program>,
+    /// `sagetrail-side`; empty where agents are simulated.
     pub sides: Vec<Program>,
 }
 
--- a/crates/testing/scale-testing/src/disk_probe.rs
+++ b/crates/testing/scale-testing/src/disk_probe.rs
@@ -1,8 +1,6 @@
 //! Writes and syncs a small file again and again beside the processes' disks: how long that takes is the machine's
 //! part of each figure that waits for a disk.
 
-use crate::run_statistics::RunStatistics;
-use crate::timings::Timing;
 use std::fs::File;
 use std::io::{Seek, Write};
 use std::path::Path;
@@ -11,6 +9,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use crate::run_statistics::RunStatistics;
+use crate::timings::Timing;
+
 const INTERVAL: Duration = Duration::from_millis(100);
 const BYTES: [u8; 512] = [7; 512];
 const FILE: &str = "probe";
--- a/crates/testing/scale-testing/src/faults.rs
+++ b/crates/testing/scale-testing/src/faults.rs
@@ -1,23 +1,29 @@
 //! Troubles at their times, and how long it took until a scheduler was at work again.
 
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use nix::sys::signal::Signal;
+use serde::Serialize;
+
 use crate::cluster::Cluster;
 use crate::run_statistics::RunStatistics;
 use crate::scenario::{Fault, FaultKind, FaultTarget};
-use nix::sys::signal::Signal;
-use serde::Serialize;
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
 
 /// What a fault led to. Times in milliseconds from the fault.
 #[derive(Serialize, Clone, Debug)]
 pub struct Takeover {
+    /// What was done.
     pub kind: FaultKind,
+    /// To which process.
     pub target: FaultTarget,
+    /// When, in seconds from the start of the measurement.
     pub at_s: f64,
     /// The first runner heard of a new term.
     pub first_runner_ms: Option<f64>,
     /// The last runner did.
     pub last_runner_ms: Option<f64>,
+    /// Runners that received the new term before the next fault.
     pub runners: u64,
     /// The first task was started under the new term.
     pub first_start_ms: Option<f64>,
@@ -25,7 +31,9 @@
 
 /// A fault that was played.
 pub struct Played {
+    /// The fault as in the scenario.
     pub fault: Fault,
+    /// When it was injected.
     pub at: Instant,
 }
 
--- a/crates/testing/scale-testing/src/lib.rs
+++ b/crates/testing/scale-testing/src/lib.rs
@@ -1,8 +1,20 @@
-//! Scale runs: simulated runners with simulated agents, many to a process, beside real core and frontend processes on
-//! loopback, under a load that is drawn ahead of time. What is real and what is simulated is told apart throughout.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! Load tests of the cluster with many light workers, and their results.
+//!
+//! A run plays a scenario file (`scenario`): `plan` draws all jobs ahead of time, `load` submits them to the frontends
+//! and waits for their ends, `operator` changes the configuration meanwhile, `faults` kills or freezes processes. Two
+//! ways of playing share all of that:
+//!
+//! ```text
+//!                    real time (`run`)                       simulated time (`simulated_time`)
+//!   core, frontend   real processes (`cluster`, `program`)   their logic, in this process
+//!   agents           real logic, or real processes           their logic, in this process
+//!   runners          simulated (`simulated_worker`)          the same
+//!   network, disk    loopback, files                         modelled delays, metered bytes
+//! ```
+//!
+//! A *simulated worker* is a runner that lets time pass instead of working, beside the real logic of an agent. Everyone
+//! records into `run_statistics`; `samples`, `usage` and `sockets` read what processes use; `results`, `summary` and
+//! `page` write it down. Settings, results and the command line say `hollow` for simulated workers.
 
 pub mod arguments;
 pub mod call;
--- a/crates/testing/scale-testing/src/load.rs
+++ b/crates/testing/scale-testing/src/load.rs
@@ -1,16 +1,18 @@
 //! Submits the planned jobs when they are due, however long answers take, and asks for the state of those whose
 //! tasks have ended.
 
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
+use tokio::sync::mpsc;
+
 use crate::call::{Answer, Call, Caller};
 use crate::plan::{PlannedJob, TaskText};
 use crate::run_statistics::{CompletedJob, Counts, ExpectedJob, RunStatistics};
 use crate::scenario::{JobShape, Scenario};
 use crate::timings::Timing;
-use serde_json::{json, Value};
-use std::net::SocketAddrV4;
-use std::sync::Arc;
-use std::time::{Duration, Instant};
-use tokio::sync::mpsc;
 
 /// A client waits so long for an answer, and tries so often.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -27,10 +29,15 @@
 /// Plays the load.
 #[derive(Clone)]
 pub struct Load {
+    /// What is played.
     pub scenario: Arc<Scenario>,
+    /// Where submissions and answers are recorded.
     pub statistics: Arc<RunStatistics>,
+    /// Makes the calls.
     pub caller: Caller,
+    /// The frontends, used in rotation.
     pub frontends: Arc<Vec<SocketAddrV4>>,
+    /// The start of the load; planned times count from here.
     pub started: Instant,
 }
 
--- a/crates/testing/scale-testing/src/machine.rs
+++ b/crates/testing/scale-testing/src/machine.rs
@@ -7,8 +7,11 @@
 /// What results tell of the machine.
 #[derive(Serialize, Clone, Debug)]
 pub struct Machine {
+    /// The number of processors.
     pub processors: usize,
+    /// Memory, in megabytes.
     pub memory_mb: u64,
+    /// The release of the kernel.
     pub kernel: String,
     /// The load average over a minute when the run began: others at work make times longer.
     pub load_at_start: f64,
--- a/crates/testing/scale-testing/src/operator.rs
+++ b/crates/testing/scale-testing/src/operator.rs
@@ -1,14 +1,16 @@
 //! The operator: the first configuration, changes of it while the load runs, and when each is in force.
 
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
+
 use crate::call::{Answer, Call, Caller, HOST};
 use crate::places::Places;
 use crate::run_statistics::RunStatistics;
 use crate::scenario::{JobShape, Scenario};
 use crate::timings::Timing;
-use serde_json::{json, Value};
-use std::net::SocketAddrV4;
-use std::sync::Arc;
-use std::time::{Duration, Instant};
 
 /// The service that all simulated runners belong to.
 pub const SERVICE: &str = "hollow";
--- a/crates/testing/scale-testing/src/page.rs
+++ b/crates/testing/scale-testing/src/page.rs
@@ -1,8 +1,9 @@
 //! One page of HTML with the results and charts drawn in place; nothing is loaded from elsewhere.
 
+use std::fmt::Write;
+
 use crate::results::{CourseRow, Results};
 use crate::timings::TimingRow;
-use std::fmt::Write;
 
 const WIDTH: f64 = 760.0;
 const HEIGHT: f64 = 180.0;
--- a/crates/testing/scale-testing/src/places.rs
+++ b/crates/testing/scale-testing/src/places.rs
@@ -1,8 +1,9 @@
 //! Addresses of a run, all on loopback: each process and each simulated worker has one of its own.
 
-use sagetrail_protocol::NodeId;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
+use sagetrail_protocol::NodeId;
+
 /// The first port for what processes say to each other, and the last.
 pub const PEER_PORTS: [u16; 2] = [7380, 7395];
 const CONTROL_PORT: u16 = 7300;
--- a/crates/testing/scale-testing/src/plan.rs
+++ b/crates/testing/scale-testing/src/plan.rs
@@ -1,10 +1,12 @@
 //! The load, drawn ahead of time: which job is submitted when. Slow answers shift nothing.
 
-use crate::scenario::{JobShape, Scenario};
+use std::time::Duration;
+
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
-use std::time::Duration;
+
+use crate::scenario::{JobShape, Scenario};
 
 /// A job's time per task, as a part of its shape's mean: the least, and the span above it.
 const LEAST_PART: f64 = 0.5;
@@ -15,9 +17,11 @@
 pub struct PlannedJob {
     /// From the start of the load.
     pub at: Duration,
+    /// The number of the job, unique in the run.
     pub id: u64,
     /// Its shape's place in the scenario.
     pub shape: usize,
+    /// The time that each of its tasks takes, in milliseconds.
     pub work_ms: u64,
 }
 
@@ -60,6 +64,7 @@
 /// The text that tells a simulated runner what a task is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TaskText {
+    /// The time that the task takes, in milliseconds.
     pub work_ms: u64,
     /// Members of the gang; 0 for none.
     pub gang: u32,
--- a/crates/testing/scale-testing/src/program.rs
+++ b/crates/testing/scale-testing/src/program.rs
@@ -1,13 +1,14 @@
 //! A real process: started, killed, frozen, ended by its id; killed where the run ends early.
 
-use anyhow::Context;
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+use anyhow::Context;
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+
 /// A process gets so long to end by itself.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -1,5 +1,14 @@
 //! A run from start to end: processes, workers, load, faults, samples, results.
 
+use std::path::Path;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use anyhow::Context;
+use indicatif::{ProgressBar, ProgressStyle};
+use tokio::sync::mpsc;
+
 use crate::arguments::Arguments;
 use crate::call::Caller;
 use crate::cluster::{own_folder, Cluster};
@@ -17,13 +26,6 @@
 use crate::simulated_time;
 use crate::simulated_worker::{WorkerFleet, WorkerSettings};
 use crate::summary;
-use anyhow::Context;
-use indicatif::{ProgressBar, ProgressStyle};
-use std::path::Path;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
-use tokio::sync::mpsc;
 
 /// Processes are looked at this often.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/testing/scale-testing/src/run_statistics.rs
+++ b/crates/testing/scale-testing/src/run_statistics.rs
@@ -1,25 +1,37 @@
-//! What simulated runners and the load tell each other: when jobs were due, when their tasks began and ended.
+//! The statistics of a run, shared by simulated runners, the load and the operator: when jobs were due, when their tasks
+//! started and ended, which terms runners have received. One lock guards the state; it is never held across an await.
 
-use crate::timings::{Timing, Timings};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
+
 use tokio::sync::mpsc;
 
+use crate::timings::{Timing, Timings};
+
 /// Counts of a run.
 #[derive(Default)]
 pub struct Counts {
+    /// Runs that started.
     pub starts: AtomicU64,
+    /// Runs that ended with their work done.
     pub ends: AtomicU64,
+    /// Runs that ended otherwise.
     pub other_ends: AtomicU64,
     /// Starts of a task that was running elsewhere.
     pub double_starts: AtomicU64,
+    /// Heartbeats sent.
     pub heartbeats: AtomicU64,
+    /// Heartbeats without a good answer.
     pub failed_heartbeats: AtomicU64,
+    /// Reports that simulated agents sent.
     pub reports: AtomicU64,
+    /// Submissions that were accepted.
     pub accepted: AtomicU64,
+    /// Jobs whose submission was accepted in none of its attempts.
     pub refused: AtomicU64,
+    /// Runs that are active now.
     pub running: AtomicU64,
 }
 
@@ -30,29 +42,35 @@
     }
 }
 
-/// A job as the load knows it.
+/// A job that is submitted or about to be.
 pub struct ExpectedJob {
     /// When it was to be submitted, by the plan.
     pub due: Instant,
+    /// The name of its shape.
     pub shape: String,
+    /// Whether it is due within the measurement.
     pub measured: bool,
     /// Ends still to come.
     pub left: u32,
+    /// Whether one of its tasks has started.
     pub started: bool,
 }
 
-/// A gang's run: how many members are there, and since when all are.
+/// The members of a gang that have started, and since when the gang is complete.
 #[derive(Clone, Copy, Default)]
 struct GangMembers {
     present: u32,
     complete_since: Option<Instant>,
 }
 
-/// When a term was heard of by runners.
+/// When runners received a term.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedTerm {
+    /// When the first runner received it.
     pub first: Instant,
+    /// When the last runner so far received it.
     pub last: Instant,
+    /// Runners that have received it.
     pub runners: u64,
 }
 
@@ -65,9 +83,11 @@
     first_starts: BTreeMap<u64, Instant>,
 }
 
-/// The shared board.
+/// Everything that is recorded while a run lasts.
 pub struct RunStatistics {
+    /// The counts.
     pub counts: Counts,
+    /// The times.
     pub timings: Timings,
     state: Mutex<State>,
     over: mpsc::UnboundedSender<CompletedJob>,
@@ -75,14 +95,18 @@
 
 /// All tasks of a job have ended.
 pub struct CompletedJob {
+    /// The number of the job.
     pub id: u64,
+    /// When its last task ended.
     pub at: Instant,
+    /// The name of its shape.
     pub shape: String,
+    /// Whether it was due within the measurement.
     pub measured: bool,
 }
 
 impl RunStatistics {
-    /// An empty board; jobs whose tasks have all ended come by the channel.
+    /// Empty statistics; jobs whose tasks have all ended are sent by the channel.
     pub fn new() -> (RunStatistics, mpsc::UnboundedReceiver<CompletedJob>) {
         let (over, receiver) = mpsc::unbounded_channel();
         let statistics = RunStatistics {
@@ -98,12 +122,12 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// A job is about to be submitted.
+    /// Records a job that is about to be submitted.
     pub fn expect(&self, id: u64, facts: ExpectedJob) {
         self.lock().jobs.insert(id, facts);
     }
 
-    /// A runner has started a task.
+    /// Records that a runner has started a task under a term.
     pub fn record_start(&self, task: &str, attempt: u64, term: u64, now: Instant) {
         Counts::add(&self.counts.starts);
         Counts::add(&self.counts.running);
@@ -121,7 +145,7 @@
         }
     }
 
-    /// A run has ended; `done` where its work was done.
+    /// Records that a run has ended; `done` where its work was done.
     pub fn record_end(&self, task: &str, attempt: u64, done: bool, now: Instant) {
         self.counts.running.fetch_sub(1, Ordering::Relaxed);
         Counts::add(if done {
@@ -154,7 +178,7 @@
         }
     }
 
-    /// A member of a gang is there.
+    /// Records that a member of a gang has started; `members` is the size of the gang.
     pub fn record_gang_member(&self, run: &str, members: u32, now: Instant) {
         let mut state = self.lock();
         let members_present = state.gangs.entry(run.to_owned()).or_default();
@@ -164,7 +188,7 @@
         }
     }
 
-    /// Since when all members are there.
+    /// Since when the gang is complete; `None` while members are missing.
     pub fn complete_since(&self, run: &str) -> Option<Instant> {
         self.lock()
             .gangs
@@ -172,7 +196,7 @@
             .and_then(|members_present| members_present.complete_since)
     }
 
-    /// A runner hears of a term for the first time.
+    /// Records that a runner has received a term for the first time.
     pub fn record_term(&self, term: u64, now: Instant) {
         let mut state = self.lock();
         let seen = state.terms.entry(term).or_insert(ObservedTerm {
@@ -184,12 +208,12 @@
         seen.runners += 1;
     }
 
-    /// How many terms runners have heard of.
+    /// The number of terms that runners have received.
     pub fn terms(&self) -> u64 {
         self.lock().terms.len() as u64
     }
 
-    /// How many runners have heard of the newest term.
+    /// The number of runners that have received the newest term.
     pub fn newest_term_runners(&self) -> u64 {
         self.lock()
             .terms
@@ -198,7 +222,7 @@
             .map_or(0, |seen| seen.runners)
     }
 
-    /// The first term that runners heard of after an instant and before another.
+    /// The first term that runners received after an instant and before another.
     pub fn term_between(&self, from: Instant, to: Option<Instant>) -> Option<(u64, ObservedTerm)> {
         let state = self.lock();
         let within = |seen: &ObservedTerm| seen.first > from && to.is_none_or(|to| seen.first < to);
--- a/crates/testing/scale-testing/src/samples.rs
+++ b/crates/testing/scale-testing/src/samples.rs
@@ -1,10 +1,12 @@
 //! What each role uses, sample by sample, and in all over the measurement.
 
+use std::collections::BTreeMap;
+
+use serde::Serialize;
+
 use crate::cluster::Cluster;
 use crate::sockets::{self, Traffic};
 use crate::usage::{self, Usage};
-use serde::Serialize;
-use std::collections::BTreeMap;
 
 const MB: f64 = 1_048_576.0;
 
@@ -29,22 +31,28 @@
 /// One look at all processes.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
+    /// Role and usage by process id.
     pub processes: BTreeMap<u32, (Role, Usage)>,
 }
 
 /// A role's usage between two looks; per process.
 #[derive(Serialize, Clone, Debug)]
 pub struct RoleUsage {
+    /// The role.
     pub role: Role,
+    /// Processes with this role.
     pub processes: usize,
     /// Processors in use by one process, on average.
     pub cpu_share: f64,
+    /// Processor time of one process, on average, in seconds.
     pub cpu_s: f64,
     /// Not known in simulated time.
     pub memory_mb: Option<f64>,
+    /// Kilobytes a second that one process wrote to disk, on average.
     pub disk_kb_s: f64,
     /// By `ss`; absent where that is missing.
     pub sent_kb_s: Option<f64>,
+    /// Kilobytes a second that one process received, on average; as for `sent_kb_s`.
     pub received_kb_s: Option<f64>,
 }
 
@@ -89,7 +97,9 @@
 /// A look at processes and their connections.
 #[derive(Clone, Debug, Default)]
 pub struct Mark {
+    /// The processes.
     pub sample: Sample,
+    /// Traffic by process id; `None` without `ss`.
     pub traffic: Option<BTreeMap<u32, Traffic>>,
 }
 
--- a/crates/testing/scale-testing/src/settings.rs
+++ b/crates/testing/scale-testing/src/settings.rs
@@ -1,12 +1,15 @@
 //! Settings files of the real processes.
 
-use crate::places::{Places, PEER_PORTS};
-use crate::scenario::Scenario;
-use sagetrail_protocol::NodeKind;
-use serde::Serialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
+use serde::Serialize;
+
+use sagetrail_protocol::NodeKind;
+
+use crate::places::{Places, PEER_PORTS};
+use crate::scenario::Scenario;
+
 /// Seeds that each process is told.
 const SEEDS: u32 = 3;
 const MEMORY_MB: u32 = 2_048;
@@ -54,10 +57,15 @@
 
 /// A process to write a file for.
 pub struct Machine<'a> {
+    /// The kind of process.
     pub kind: NodeKind,
+    /// Its name, also of its files.
     pub name: &'a str,
+    /// Its address on loopback.
     pub ip: Ipv4Addr,
+    /// The folder of its files.
     pub folder: &'a Path,
+    /// Whether a core process bootstraps the cluster.
     pub bootstrap: bool,
 }
 
--- a/crates/testing/scale-testing/src/simulated_time/clients.rs
+++ b/crates/testing/scale-testing/src/simulated_time/clients.rs
@@ -1,11 +1,12 @@
 //! Clients' and the operator's requests in simulated time.
 
+use sagetrail_protocol::node::{HttpRequest, Method};
+
 use crate::call::HOST;
 use crate::load::document;
 use crate::operator::first_configuration;
 use crate::plan::PlannedJob;
 use crate::scenario::Scenario;
-use sagetrail_protocol::node::{HttpRequest, Method};
 
 /// Clients wait so long, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
--- a/crates/testing/scale-testing/src/simulated_time/engine.rs
+++ b/crates/testing/scale-testing/src/simulated_time/engine.rs
@@ -1,10 +1,11 @@
 //! What happens when: simulated time, and all that is to come.
 
-use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
-use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
+use sagetrail_protocol::{NodeId, Time};
+
 /// The time of day at the start, in milliseconds since 1970.
 const DAY_MS: i64 = 1_800_000_000_000;
 
--- a/crates/testing/scale-testing/src/simulated_time/machine.rs
+++ b/crates/testing/scale-testing/src/simulated_time/machine.rs
@@ -1,11 +1,12 @@
 //! A machine with one process: its logic, its meter, its disk.
 
-use super::meter::{thread_time, Meter};
-use crate::samples::Role;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::node::{DiskOperation, DiskWrite, Event, Node, Now, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
 
+use super::meter::{thread_time, Meter};
+use crate::samples::Role;
+
 /// Wakes of a process are at least so far apart, in milliseconds, as in the daemon.
 const WAKE_INTERVAL_MS: u64 = 1;
 
--- a/crates/testing/scale-testing/src/simulated_time/meter.rs
+++ b/crates/testing/scale-testing/src/simulated_time/meter.rs
@@ -1,8 +1,9 @@
 //! Processor time of this thread, and what a machine has used by it.
 
-use nix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
+use nix::time::{clock_gettime, ClockId};
+
 /// Processor time that this thread has used.
 pub(super) fn thread_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
--- a/crates/testing/scale-testing/src/simulated_time/simulation.rs
+++ b/crates/testing/scale-testing/src/simulated_time/simulation.rs
@@ -1,5 +1,15 @@
 //! A simulated run from start to end.
 
+use std::collections::{BTreeMap, HashMap};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use sagetrail_protocol::node::{
+    Event, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Outbox,
+};
+use sagetrail_protocol::{Message, NodeId, Time};
+
 use super::clients::{configuration, heartbeat, submission};
 use super::engine::{Action, Engine};
 use super::machine::Machine;
@@ -15,14 +25,6 @@
 use crate::scenario::{FaultKind, FaultTarget, Scenario};
 use crate::simulated_worker::{profile, HeartbeatAnswer, SimulatedRunner, WorkerSettings};
 use crate::timings::Timing;
-use sagetrail_protocol::node::{
-    Event, HealthCheckResult, HttpEndpoint, HttpReply, HttpRequest, HttpRequestId, Outbox,
-};
-use sagetrail_protocol::{Message, NodeId, Time};
-use std::collections::{BTreeMap, HashMap};
-use std::sync::atomic::Ordering;
-use std::sync::Arc;
-use std::time::Duration;
 
 /// From a runner or a client to its process, one way.
 const LOCAL: Duration = Duration::from_micros(100);
--- a/crates/testing/scale-testing/src/simulated_time/startup.rs
+++ b/crates/testing/scale-testing/src/simulated_time/startup.rs
@@ -1,18 +1,20 @@
 //! The machines of a simulated run, each with the real logic of its process.
 
-use super::machine::Machine;
-use crate::places::Places;
-use crate::samples::Role;
-use crate::settings::{render, Machine as SettingsOf};
-use crate::simulated_worker::{agent_settings, counted, WorkerSettings};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::Path;
+
 use sagetrail_agent::AgentNode;
 use sagetrail_cluster_node::settings::Settings;
 use sagetrail_cluster_node::start::{Ground, Maker};
 use sagetrail_cluster_node::{core_process, frontend_process};
 use sagetrail_protocol::node::{DiskImage, Now, Outbox};
 use sagetrail_protocol::{NodeId, NodeKind};
-use std::net::{Ipv4Addr, SocketAddrV4};
-use std::path::Path;
+
+use super::machine::Machine;
+use crate::places::Places;
+use crate::samples::Role;
+use crate::settings::{render, Machine as SettingsOf};
+use crate::simulated_worker::{agent_settings, counted, WorkerSettings};
 
 /// A frontend's port, counted from the first of the peer ports, as in the daemon.
 const FRONTEND_PORT_OFFSET: u16 = 1;
--- a/crates/testing/scale-testing/src/simulated_worker/agent.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent.rs
@@ -1,6 +1,11 @@
 //! A real agent in this process, driven by the daemon's own loop and transport.
 
-use crate::run_statistics::RunStatistics;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::sync::mpsc;
+
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::input::Inputs;
@@ -9,10 +14,8 @@
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::node::{Event, Node, Now, Outbox};
 use sagetrail_protocol::Time;
-use std::sync::atomic::Ordering;
-use std::sync::Arc;
-use std::time::Duration;
-use tokio::sync::mpsc;
+
+use crate::run_statistics::RunStatistics;
 
 /// An agent that is told to end does so within this.
 const GRACE: Duration = Duration::from_secs(1);
--- a/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
@@ -1,12 +1,15 @@
-//! The way from a simulated runner to its agent.
+//! The connection of a simulated runner to its agent.
 
-use crate::call::{Call, Caller};
-use sagetrail_cluster_node::input::{Input, Inputs};
-use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use std::net::SocketAddrV4;
 use std::time::Duration;
+
 use tokio::sync::oneshot;
 
+use sagetrail_cluster_node::input::{Input, Inputs};
+use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId, Method};
+
+use crate::call::{Call, Caller};
+
 /// An answer that comes later is dropped.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -22,7 +25,7 @@
 }
 
 impl AgentConnection {
-    /// Hands a heartbeat over; the body of the answer, where it is a good one.
+    /// Sends a heartbeat; the body of the answer if its status is 200.
     pub(super) async fn heartbeat(&mut self, path: &str, body: Vec<u8>) -> Option<Vec<u8>> {
         match self {
             AgentConnection::Direct {
--- a/crates/testing/scale-testing/src/simulated_worker/heartbeat_loop.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/heartbeat_loop.rs
@@ -1,12 +1,14 @@
-//! One simulated worker at work: heartbeats when they are due, until the run is over.
+//! The task of one simulated worker: sends heartbeats when they are due, until the run is over.
+
+use std::sync::Arc;
+use std::time::Instant;
+
+use tokio::sync::watch;
 
 use super::agent_connection::AgentConnection;
 use super::messages::HeartbeatAnswer;
 use super::runner::SimulatedRunner;
 use crate::run_statistics::{Counts, RunStatistics};
-use std::sync::Arc;
-use std::time::Instant;
-use tokio::sync::watch;
 
 /// Sends heartbeats until the run is over.
 pub(super) async fn work(
--- a/crates/testing/scale-testing/src/simulated_worker/runner.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/runner.rs
@@ -1,12 +1,13 @@
-//! A simulated runner: takes starts and stops, lets time pass instead of working, tells of it in heartbeats.
+//! A simulated runner: carries out starts and stops, lets time pass instead of working, and reports that in heartbeats.
 
-use super::messages::{Capacity, Heartbeat, HeartbeatAnswer};
-use crate::plan::TaskText;
-use crate::run_statistics::{gang_run, RunStatistics};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use super::messages::{Capacity, Heartbeat, HeartbeatAnswer};
+use crate::plan::TaskText;
+use crate::run_statistics::{gang_run, RunStatistics};
+
 /// After an end the next heartbeat goes out so soon.
 const AFTER_END: Duration = Duration::from_millis(50);
 /// A member of a gang waits so long for the others.
@@ -18,10 +19,15 @@
 /// What a runner is.
 #[derive(Clone, Debug)]
 pub struct RunnerProfile {
+    /// Its instance.
     pub instance: String,
+    /// Its service.
     pub service: String,
+    /// The address on which it accepts calls, `ip:port`.
     pub address: String,
+    /// All of its resources.
     pub capacity: Capacity,
+    /// What placements may ask for.
     pub labels: Vec<String>,
     /// It sends a heartbeat this often, unless told otherwise.
     pub heartbeat: Duration,
@@ -127,7 +133,7 @@
         serde_json::to_vec(&heartbeat).expect("plain values")
     }
 
-    /// Takes the answer to a heartbeat sent at `sent`.
+    /// Carries out the answer to a heartbeat that was sent at `sent`. An answer with a lower fencing token is ignored.
     pub fn carry_out(&mut self, sent: Instant, now: Instant, answer: HeartbeatAnswer) {
         if answer.fence_token < self.fencing_token {
             return;
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Runs whose time has come end; where no hold lasts, all do.
+    /// Ends the runs whose time has come; without a lease, all.
     fn pass(&mut self, now: Instant) {
         if now > self.lease_end {
             let lapsed = std::mem::take(&mut self.active);
--- a/crates/testing/scale-testing/src/simulated_worker/threads.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/threads.rs
@@ -1,5 +1,19 @@
 //! The threads that carry simulated workers, and their start and end.
 
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+use anyhow::Context;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::LocalSet;
+
+use sagetrail_agent::AgentSettings;
+use sagetrail_protocol::bounds::Bounds;
+
 use super::agent::start;
 use super::agent_connection::AgentConnection;
 use super::heartbeat_loop::work;
@@ -10,17 +24,6 @@
 use crate::places::Places;
 use crate::run_statistics::RunStatistics;
 use crate::scenario::Scenario;
-use anyhow::Context;
-use sagetrail_agent::AgentSettings;
-use sagetrail_protocol::bounds::Bounds;
-use std::net::SocketAddrV4;
-use std::sync::Arc;
-use std::thread::JoinHandle;
-use std::time::{Duration, Instant};
-use tokio::io::AsyncWriteExt;
-use tokio::net::TcpListener;
-use tokio::sync::watch;
-use tokio::task::LocalSet;
 
 /// A worker starts so long after the one before it on the same thread, so that heartbeats are spread.
 const START_GAP: Duration = Duration::from_micros(700);
@@ -30,8 +33,11 @@
 /// What simulated workers are started with.
 #[derive(Clone)]
 pub struct WorkerSettings {
+    /// What is played.
     pub scenario: Arc<Scenario>,
+    /// The addresses.
     pub places: Places,
+    /// Where workers record what they do.
     pub statistics: Arc<RunStatistics>,
 }
 
--- a/crates/testing/scale-testing/src/sockets.rs
+++ b/crates/testing/scale-testing/src/sockets.rs
@@ -6,7 +6,9 @@
 /// Bytes of a process on the connections that are open now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Traffic {
+    /// Bytes sent.
     pub sent: u64,
+    /// Bytes received.
     pub received: u64,
 }
 
--- a/crates/testing/scale-testing/src/timings.rs
+++ b/crates/testing/scale-testing/src/timings.rs
@@ -1,11 +1,12 @@
 //! The times that are taken, as HDR histograms.
 
-use hdrhistogram::Histogram;
-use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Duration;
 
+use hdrhistogram::Histogram;
+use serde::Serialize;
+
 /// The longest time that is told from longer ones, in microseconds.
 const LONGEST_US: u64 = 600_000_000;
 const DIGITS: u8 = 3;
@@ -18,9 +19,13 @@
     SendDelay,
     /// A write and sync on the folder of the processes' disks, by this process: the machine's own delay.
     DiskSync,
+    /// From the planned time of a submission to its acceptance.
     SubmitToAccept,
+    /// From the planned time of a submission to the first start of one of its tasks.
     SubmitToFirstStart,
+    /// From the end of a job's last task at its runner until a client reads that the job is completed.
     EndToDone,
+    /// From the acceptance of a configuration change until every frontend has it.
     ChangeToInForce,
 }
 
@@ -47,14 +52,23 @@
 /// A histogram in figures, in milliseconds.
 #[derive(Serialize, Clone, Debug)]
 pub struct TimingRow {
+    /// What is timed, by `Timing::name`.
     pub timing: String,
+    /// For whom: a shape's name, or `all`.
     pub of: String,
+    /// The number of times.
     pub count: u64,
+    /// The mean, in milliseconds.
     pub mean_ms: f64,
+    /// The median, in milliseconds.
     pub p50_ms: f64,
+    /// The 90th percentile, in milliseconds.
     pub p90_ms: f64,
+    /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
+    /// The 99.9th percentile, in milliseconds.
     pub p999_ms: f64,
+    /// The maximum, in milliseconds.
     pub max_ms: f64,
 }
 
--- a/crates/testing/scale-testing/tests/plan.rs
+++ b/crates/testing/scale-testing/tests/plan.rs
@@ -1,8 +1,9 @@
 //! The load as it is drawn.
 
+use std::path::Path;
+
 use sagetrail_scale_testing::plan::{draw, TaskText};
 use sagetrail_scale_testing::scenario::Scenario;
-use std::path::Path;
 
 fn scenario(name: &str) -> Scenario {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/scale");
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn all_example_scenarios_are_sound() {
+fn all_example_scenarios_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/scale");
     let mut files = 0;
     for entry in std::fs::read_dir(folder).expect("the examples") {
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_task_s_text_is_read_as_written() {
+fn a_task_text_is_read_as_written() {
     let text = TaskText {
         work_ms: 700,
         gang: 16,
--- a/crates/testing/scale-testing/tests/readings.rs
+++ b/crates/testing/scale-testing/tests/readings.rs
@@ -1,13 +1,14 @@
 //! What is read from logs, from the kernel and from `ss`.
 
+use std::time::Duration;
+
 use sagetrail_scale_testing::cluster::term_of;
 use sagetrail_scale_testing::sockets::{parse, Traffic};
 use sagetrail_scale_testing::timings::{Timing, Timings};
 use sagetrail_scale_testing::usage;
-use std::time::Duration;
 
 #[test]
-fn a_scheduler_s_start_is_told_from_other_lines() {
+fn the_start_of_a_scheduler_is_recognized_in_a_log() {
     assert_eq!(
         term_of("INFO term 12: scheduler starts with 3 records"),
         Some(12)
@@ -50,14 +51,14 @@
 }
 
 #[test]
-fn the_use_of_a_process_is_read() {
+fn the_usage_of_a_process_is_read() {
     let own = usage::read(std::process::id()).expect("it runs");
     assert!(own.memory > 0);
     assert!(usage::read(u32::MAX).is_none());
 }
 
 #[test]
-fn times_are_told_by_what_they_are_of() {
+fn timings_are_kept_by_what_is_timed() {
     let timings = Timings::default();
     (1..=100)
         .for_each(|ms| timings.record(Timing::SubmitToAccept, "short", Duration::from_millis(ms)));
--- a/crates/testing/scale-testing/tests/runner.rs
+++ b/crates/testing/scale-testing/tests/simulated_runner.rs
@@ -1,12 +1,14 @@
 //! A simulated runner keeps to the protocol, on a clock of the test's own.
 
-use sagetrail_scale_testing::run_statistics::{CompletedJob, ExpectedJob, RunStatistics};
-use sagetrail_scale_testing::simulated_worker::{HeartbeatAnswer, RunnerProfile, SimulatedRunner};
-use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
 use tokio::sync::mpsc::UnboundedReceiver;
 
+use sagetrail_scale_testing::run_statistics::{CompletedJob, ExpectedJob, RunStatistics};
+use sagetrail_scale_testing::simulated_worker::{HeartbeatAnswer, RunnerProfile, SimulatedRunner};
+
 const TASK: &str = "00000000000000aa.0.0.0";
 const OTHER: &str = "00000000000000aa.0.0.1";
 const JOB: u64 = 0xaa;
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn without_a_hold_nothing_starts_and_everything_lapses() {
+fn without_a_lease_nothing_starts_and_all_runs_end() {
     let mut stage = Stage::new();
     stage.orders(
         0,
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_lower_term_is_not_obeyed_and_a_run_starts_once() {
+fn a_lower_fencing_token_is_ignored_and_a_run_starts_once() {
     let mut stage = Stage::new();
     stage.orders(0, json!({"hold_ms": 9_000, "fence_token": 5}));
     stage.start(0, TASK, 1, "500 0");
@@ -118,7 +120,7 @@
 }
 
 #[test]
-fn a_gang_begins_once_all_are_there_and_a_member_left_alone_gives_up() {
+fn a_gang_begins_once_it_is_complete_and_a_lone_member_times_out() {
     let mut stage = Stage::new();
     stage.start(0, TASK, 1, "500 2");
     assert_eq!(stage.beat(1_000)["active"], json!([[TASK, 1, "", 0]]));
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn a_job_is_over_with_the_last_of_its_tasks() {
+fn a_job_is_complete_with_its_last_task() {
     let mut stage = Stage::new();
     let facts = ExpectedJob {
         due: stage.started,
--- a/crates/testing/scale-testing/tests/takeovers.rs
+++ b/crates/testing/scale-testing/tests/takeovers.rs
@@ -1,9 +1,10 @@
 //! What a fault led to is told from what the next one did.
 
+use std::time::{Duration, Instant};
+
 use sagetrail_scale_testing::faults::{takeovers, Played};
 use sagetrail_scale_testing::run_statistics::RunStatistics;
 use sagetrail_scale_testing::scenario::{Fault, FaultKind, FaultTarget};
-use std::time::{Duration, Instant};
 
 fn fault(target: FaultTarget, at: Instant) -> Played {
     Played {
