--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -9,7 +9,7 @@
 use futures_util::SinkExt;
 use percent_encoding::percent_decode_str;
 use sagetrail_dispatch::Reply;
-use sagetrail_replicated_store::About;
+use sagetrail_replicated_store::OverrideTarget;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -140,18 +140,23 @@
 }
 
 /// A word by hand that all dispatchers are to know: held here at once, and agreed where there is a store.
-async fn for_all(store: &Store, about: About, out: bool, client_context: &ClientContext) -> Reply {
+async fn for_all(
+    store: &Store,
+    about: OverrideTarget,
+    out: bool,
+    client_context: &ClientContext,
+) -> Reply {
     let agreed = store.word(about.clone(), out).await;
     if out {
         match &about {
-            About::Runner(id) => {
+            OverrideTarget::Runner(id) => {
                 let id = id.clone();
                 client_context
                     .mailbox
                     .ask(move |exchange| exchange.by_hand(&id, true))
                     .await;
             }
-            About::Dispatcher(_) => {}
+            OverrideTarget::Dispatcher(_) => {}
         }
     }
     match (agreed, out) {
@@ -200,7 +205,7 @@
                 }
                 return for_all(
                     store,
-                    About::Dispatcher(store.name().to_string()),
+                    OverrideTarget::Dispatcher(store.name().to_string()),
                     on,
                     client_context,
                 )
@@ -256,7 +261,9 @@
         _ => match runner(path) {
             Some(_) if !says => Reply::new(405, "not with this method\n"),
             Some((id, out)) if client_context.store.is_some() => match &client_context.store {
-                Some(store) => for_all(store, About::Runner(id), out, client_context).await,
+                Some(store) => {
+                    for_all(store, OverrideTarget::Runner(id), out, client_context).await
+                }
                 None => Reply::new(404, "no store is configured\n"),
             },
             Some((id, out)) => {
