--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -42,9 +42,9 @@
 //!
 //! # Where to begin reading
 //!
-//! `node` for the order of events, then `register` with `quorum`, `acceptor`, `proposer` and `change`; for the scheduler's
-//! records `terms` with `election`, `leadership`, `voting` and `replica`; for the life of a member `membership`, `recovery`
-//! and `reconfiguration`. Spans of time are in `timing`.
+//! `node` for the order of events, then `register` with `quorum`, `acceptor`, `proposer` and `change_function`; for the
+//! scheduler's records `terms` with `election`, `leadership`, `voting` and `replica`; for how members come and go
+//! `membership`, `recovery` and `reconfiguration`. Spans of time are in `timing`.
 //!
 //! # Sources
 //!
