--- a/crates/dispatcher/dispatcher/src/descriptors.rs
+++ b/crates/dispatcher/dispatcher/src/descriptors.rs
@@ -1,6 +1,6 @@
 //! How the process's file descriptors are shared out among its uses.
 
-use crate::console;
+use crate::admin_api;
 use crate::links;
 use crate::start::Start;
 
@@ -58,13 +58,13 @@
 
 /// What the program, the admin API, the links to peers and the store need.
 fn reserved(start: &Start) -> usize {
-    let console = start.console.map_or(0, |_| console::DESCRIPTORS);
+    let admin_api = start.console.map_or(0, |_| admin_api::DESCRIPTORS);
     let links = start.fleet.as_ref().map_or(0, |_| links::DESCRIPTORS);
     let store = match (&start.store, &start.fleet) {
         (Some(_), Some(fleet)) => store_descriptors(fleet.members.len()),
         _ => 0,
     };
-    PROGRAM + console + links + store
+    PROGRAM + admin_api + links + store
 }
 
 /// A link to each member, the streams that members open here, and the files of the store's folder.
--- a/crates/dispatcher/dispatcher/src/main.rs
+++ b/crates/dispatcher/dispatcher/src/main.rs
@@ -1,10 +1,10 @@
 //! The real dispatcher: reads what it is told, binds its address and starts the parts.
 
+mod admin_api;
 mod cli;
 mod client_context;
 mod clients;
 mod clock;
-mod console;
 mod descriptors;
 mod discovery;
 mod disk;
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -1,9 +1,9 @@
 //! Starts the parts of the dispatcher in order, and ends them.
 
+use crate::admin_api;
 use crate::client_context::{ClientContext, ClientContextParts};
 use crate::clients;
 use crate::clock::Clock;
-use crate::console;
 use crate::descriptors::DescriptorBudget;
 use crate::discovery;
 use crate::disk;
@@ -545,6 +545,6 @@
     fleet: Option<Rc<Fleet>>,
     trial: bool,
 ) -> JoinHandle<()> {
-    let console = console::Console::new(client_context.clone(), fleet, trial);
-    spawn_local(console::listen(listener, Rc::new(console)))
+    let api = admin_api::AdminApi::new(client_context.clone(), fleet, trial);
+    spawn_local(admin_api::listen(listener, Rc::new(api)))
 }
