--- a/crates/testing/scale-testing/src/places.rs
+++ b/crates/testing/scale-testing/src/addresses.rs
@@ -19,14 +19,14 @@
 
 /// The addresses of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct Addresses {
     network: u8,
 }
 
-impl Places {
+impl Addresses {
     /// A network of loopback that other runs hardly use: by the process's id.
-    pub fn of_process() -> Places {
-        Places {
+    pub fn of_process() -> Addresses {
+        Addresses {
             network: (std::process::id() % 127) as u8 | 0x80,
         }
     }
--- a/crates/testing/scale-testing/src/call.rs
+++ b/crates/testing/scale-testing/src/call.rs
@@ -25,7 +25,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// Time that the answer is waited for.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Its answer.
@@ -65,8 +65,8 @@
 impl Caller {
     /// Calls and waits for the whole answer.
     pub async fn call(&self, address: SocketAddrV4, call: Call) -> Result<Answer, CallError> {
-        let patience = call.patience;
-        let whole = tokio::time::timeout(patience, self.exchange(address, call));
+        let timeout = call.timeout;
+        let whole = tokio::time::timeout(timeout, self.exchange(address, call));
         whole.await.map_err(|_| CallError::Silence)?
     }
 
@@ -76,7 +76,7 @@
             .uri(format!("http://{address}{}", call.path))
             .header("Host", HOST)
             .header("Content-Type", "application/json")
-            .header("Deadline-Ms", call.patience.as_millis().to_string());
+            .header("Deadline-Ms", call.timeout.as_millis().to_string());
         if let Some(base) = call.base_version {
             request = request.header("Base-Version", base.to_string());
         }
--- a/crates/testing/scale-testing/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -8,7 +8,7 @@
 
 use sagetrail_protocol::NodeKind;
 
-use crate::places::Places;
+use crate::addresses::Addresses;
 use crate::program::Program;
 use crate::scenario::Scenario;
 use crate::settings::{write, Machine};
@@ -31,7 +31,7 @@
 
 struct ProcessStarter<'a> {
     scenario: &'a Scenario,
-    places: Places,
+    addresses: Addresses,
     programs: &'a Path,
     folder: &'a Path,
 }
@@ -74,7 +74,7 @@
             folder: self.folder,
             bootstrap,
         };
-        write(self.scenario, self.places, &machine)
+        write(self.scenario, self.addresses, &machine)
     }
 }
 
@@ -90,13 +90,13 @@
     /// Starts all real processes for the first time.
     pub fn start(
         scenario: &Scenario,
-        places: Places,
+        addresses: Addresses,
         programs: &Path,
         folder: &Path,
     ) -> anyhow::Result<Cluster> {
         let founder = ProcessStarter {
             scenario,
-            places,
+            addresses,
             programs,
             folder,
         };
@@ -108,13 +108,13 @@
         for number in 0..scenario.cores {
             cluster
                 .cores
-                .push(founder.start(NodeKind::Core, number, places.core_ip(number))?);
+                .push(founder.start(NodeKind::Core, number, addresses.core_ip(number))?);
         }
         for number in 0..scenario.frontends {
             cluster.frontends.push(founder.start(
                 NodeKind::Frontend,
                 number,
-                places.frontend_ip(number),
+                addresses.frontend_ip(number),
             )?);
         }
         let sides = if scenario.real_sides {
@@ -123,14 +123,16 @@
             0
         };
         for number in 0..sides {
-            cluster
-                .sides
-                .push(founder.start(NodeKind::Side, number, places.worker_ip(number))?);
+            cluster.sides.push(founder.start(
+                NodeKind::Side,
+                number,
+                addresses.worker_ip(number),
+            )?);
         }
         for number in 0..scenario.cores {
             // Each has read its file by the time that it would start again.
             founder.wait_for_log(&cluster.cores[number as usize])?;
-            founder.write(NodeKind::Core, number, places.core_ip(number), false)?;
+            founder.write(NodeKind::Core, number, addresses.core_ip(number), false)?;
         }
         Ok(cluster)
     }
--- a/crates/testing/scale-testing/src/faults.rs
+++ b/crates/testing/scale-testing/src/faults.rs
@@ -30,7 +30,7 @@
 }
 
 /// A fault that was played.
-pub struct Played {
+pub struct InjectedFault {
     /// The fault as in the scenario.
     pub fault: Fault,
     /// When it was injected.
@@ -42,35 +42,35 @@
     faults: Vec<Fault>,
     cluster: Arc<Mutex<Cluster>>,
     measured_from: Instant,
-) -> anyhow::Result<Vec<Played>> {
+) -> anyhow::Result<Vec<InjectedFault>> {
     let mut played = Vec::new();
     for fault in faults {
         tokio::time::sleep_until((measured_from + Duration::from_secs_f64(fault.at_s)).into())
             .await;
         let at = Instant::now();
-        let places = begin(&fault, &cluster);
+        let addresses = begin(&fault, &cluster);
         tokio::time::sleep(Duration::from_secs_f64(fault.for_s)).await;
-        finish(&fault, &cluster, &places)?;
-        played.push(Played { fault, at });
+        finish(&fault, &cluster, &addresses)?;
+        played.push(InjectedFault { fault, at });
     }
     Ok(played)
 }
 
 fn begin(fault: &Fault, cluster: &Mutex<Cluster>) -> Vec<usize> {
     let mut cluster = cluster.lock().expect("no holder panics");
-    let places = targets(fault.target, &cluster);
-    for &place in &places {
+    let addresses = targets(fault.target, &cluster);
+    for &place in &addresses {
         match fault.kind {
             FaultKind::Kill => cluster.cores[place].kill(),
             FaultKind::Freeze => cluster.cores[place].signal(Signal::SIGSTOP),
         }
     }
-    places
+    addresses
 }
 
-fn finish(fault: &Fault, cluster: &Mutex<Cluster>, places: &[usize]) -> anyhow::Result<()> {
+fn finish(fault: &Fault, cluster: &Mutex<Cluster>, addresses: &[usize]) -> anyhow::Result<()> {
     let mut cluster = cluster.lock().expect("no holder panics");
-    for &place in places {
+    for &place in addresses {
         match fault.kind {
             FaultKind::Kill => cluster.cores[place].restart()?,
             FaultKind::Freeze => cluster.cores[place].signal(Signal::SIGCONT),
@@ -90,7 +90,7 @@
 }
 
 /// What the played faults led to, by what runners saw, each up to the next one.
-pub fn takeovers(played: &[Played], statistics: &RunStatistics) -> Vec<Takeover> {
+pub fn takeovers(played: &[InjectedFault], statistics: &RunStatistics) -> Vec<Takeover> {
     let next = |place: usize| played.get(place + 1).map(|next| next.at);
     played
         .iter()
@@ -99,7 +99,7 @@
         .collect()
 }
 
-fn takeover(played: &Played, next: Option<Instant>, statistics: &RunStatistics) -> Takeover {
+fn takeover(played: &InjectedFault, next: Option<Instant>, statistics: &RunStatistics) -> Takeover {
     let since = |instant: Instant| (instant - played.at).as_secs_f64() * 1_000.0;
     let term = statistics.term_between(played.at, next);
     let seen = term.map(|(_, seen)| seen);
--- a/crates/testing/scale-testing/src/lib.rs
+++ b/crates/testing/scale-testing/src/lib.rs
@@ -16,6 +16,7 @@
 //! records into `run_statistics`; `samples`, `usage` and `sockets` read what processes use; `results`, `summary` and
 //! `page` write it down. Settings, results and the command line say `hollow` for simulated workers.
 
+pub mod addresses;
 pub mod arguments;
 pub mod call;
 pub mod cluster;
@@ -25,7 +26,6 @@
 pub mod machine;
 pub mod operator;
 pub mod page;
-pub mod places;
 pub mod plan;
 pub mod program;
 pub mod results;
--- a/crates/testing/scale-testing/src/load.rs
+++ b/crates/testing/scale-testing/src/load.rs
@@ -76,7 +76,7 @@
                 path,
                 base_version: None,
                 body: body.clone(),
-                patience: ANSWER_TIMEOUT,
+                timeout: ANSWER_TIMEOUT,
             };
             match self.caller.call(frontend, call).await {
                 Ok(Answer {
@@ -109,7 +109,7 @@
                 path,
                 base_version: None,
                 body: Vec::new(),
-                patience: ANSWER_TIMEOUT,
+                timeout: ANSWER_TIMEOUT,
             };
             if let Ok(answer) = self.caller.call(frontend, call).await {
                 if is_completed(&answer) {
--- a/crates/testing/scale-testing/src/machine.rs
+++ b/crates/testing/scale-testing/src/machine.rs
@@ -4,7 +4,7 @@
 
 const KB: u64 = 1_024;
 
-/// What results tell of the machine.
+/// The machine of a run, for its results.
 #[derive(Serialize, Clone, Debug)]
 pub struct Machine {
     /// The number of processors.
@@ -17,8 +17,8 @@
     pub load_at_start: f64,
 }
 
-/// Looks at this machine.
-pub fn look() -> Machine {
+/// Describes this machine.
+pub fn describe() -> Machine {
     let kernel = std::fs::read_to_string("/proc/sys/kernel/osrelease").unwrap_or_default();
     Machine {
         processors: std::thread::available_parallelism().map_or(0, usize::from),
--- a/crates/testing/scale-testing/src/operator.rs
+++ b/crates/testing/scale-testing/src/operator.rs
@@ -6,8 +6,8 @@
 
 use serde_json::{json, Value};
 
+use crate::addresses::Addresses;
 use crate::call::{Answer, Call, Caller, HOST};
-use crate::places::Places;
 use crate::run_statistics::RunStatistics;
 use crate::scenario::{JobShape, Scenario};
 use crate::timings::Timing;
@@ -34,11 +34,15 @@
 
 impl Operator {
     /// An operator of this run's cluster.
-    pub fn new(scenario: &Scenario, places: Places, statistics: Arc<RunStatistics>) -> Operator {
+    pub fn new(
+        scenario: &Scenario,
+        addresses: Addresses,
+        statistics: Arc<RunStatistics>,
+    ) -> Operator {
         let cores = (0..scenario.cores)
-            .map(|number| Places::control(places.core_ip(number)))
+            .map(|number| Addresses::control(addresses.core_ip(number)))
             .collect();
-        let frontends = frontends(scenario, places);
+        let frontends = frontends(scenario, addresses);
         Operator {
             caller: Caller::default(),
             cores,
@@ -110,7 +114,7 @@
                 path: path.to_owned(),
                 base_version: Some(base),
                 body: body.to_string().into_bytes(),
-                patience: ANSWER_TIMEOUT,
+                timeout: ANSWER_TIMEOUT,
             };
             match self.caller.call(*core, call).await {
                 Ok(Answer { status: 200, .. }) => return Ok(()),
@@ -133,7 +137,7 @@
                 path: format!("/{name}/"),
                 base_version: None,
                 body: Vec::new(),
-                patience: ANSWER_TIMEOUT,
+                timeout: ANSWER_TIMEOUT,
             };
             if matches!(
                 self.caller.call(frontend, call).await,
@@ -162,9 +166,9 @@
 }
 
 /// Where clients call.
-pub fn frontends(scenario: &Scenario, places: Places) -> Vec<SocketAddrV4> {
+pub fn frontends(scenario: &Scenario, addresses: Addresses) -> Vec<SocketAddrV4> {
     (0..scenario.frontends)
-        .map(|number| Places::clients(places.frontend_ip(number)))
+        .map(|number| Addresses::clients(addresses.frontend_ip(number)))
         .collect()
 }
 
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -9,25 +9,25 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use tokio::sync::mpsc;
 
+use crate::addresses::Addresses;
 use crate::arguments::Arguments;
 use crate::call::Caller;
 use crate::cluster::{own_folder, Cluster};
 use crate::disk_probe::DiskProbe;
-use crate::faults::{play, takeovers, Played};
+use crate::faults::{play, takeovers, InjectedFault};
 use crate::load::Load;
 use crate::machine;
 use crate::operator::{frontends, Operator};
-use crate::places::Places;
 use crate::plan;
 use crate::results::{CountRow, CourseRow, Results};
 use crate::run_statistics::{CompletedJob, Counts, RunStatistics};
-use crate::samples::{between, look, Mark, Role, RoleUsage, Sample};
+use crate::samples::{between, sample, ResourceSnapshot, Role, RoleUsage, Sample};
 use crate::scenario::Scenario;
 use crate::simulated_time;
 use crate::simulated_worker::{WorkerFleet, WorkerSettings};
 use crate::summary;
 
-/// Processes are looked at this often.
+/// Processes are sampled at this often.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// All workers must have been heard of by the scheduler within this.
 const GATHER_PATIENCE: Duration = Duration::from_secs(60);
@@ -55,21 +55,21 @@
 
 /// Plays a scenario with the programs of a folder.
 pub fn play_scenario(scenario: Scenario, programs: &Path, disks: &Path) -> anyhow::Result<Results> {
-    let machine = machine::look();
+    let machine = machine::describe();
     let folder = tempfile::tempdir_in(disks)?;
-    let places = Places::of_process();
+    let addresses = Addresses::of_process();
     let (statistics, over) = RunStatistics::new();
     let statistics = Arc::new(statistics);
     let scenario = Arc::new(scenario);
     let cluster = Arc::new(Mutex::new(Cluster::start(
         &scenario,
-        places,
+        addresses,
         programs,
         folder.path(),
     )?));
     let settings = WorkerSettings {
         scenario: scenario.clone(),
-        places,
+        addresses,
         statistics: statistics.clone(),
     };
     let health_check = DiskProbe::start(folder.path(), statistics.clone())?;
@@ -80,7 +80,7 @@
         .build()?;
     let stage = Stage {
         scenario: scenario.clone(),
-        places,
+        addresses,
         statistics: statistics.clone(),
         cluster: cluster.clone(),
     };
@@ -125,7 +125,7 @@
 
 struct Stage {
     scenario: Arc<Scenario>,
-    places: Places,
+    addresses: Addresses,
     statistics: Arc<RunStatistics>,
     cluster: Arc<Mutex<Cluster>>,
 }
@@ -134,13 +134,13 @@
     rows: Vec<CourseRow>,
     counts: CountRow,
     usage: Vec<RoleUsage>,
-    played: Vec<Played>,
+    played: Vec<InjectedFault>,
 }
 
 impl Stage {
     async fn play(&self, over: mpsc::UnboundedReceiver<CompletedJob>) -> anyhow::Result<Course> {
         let scenario = &self.scenario;
-        let mut operator = Operator::new(scenario, self.places, self.statistics.clone());
+        let mut operator = Operator::new(scenario, self.addresses, self.statistics.clone());
         operator.configure(scenario).await?;
         self.gather().await?;
         let started = Instant::now();
@@ -150,7 +150,7 @@
             scenario: scenario.clone(),
             statistics: self.statistics.clone(),
             caller: Caller::default(),
-            frontends: Arc::new(frontends(scenario, self.places)),
+            frontends: Arc::new(frontends(scenario, self.addresses)),
             started,
         };
         tokio::spawn(load.clone().ask_all(over));
@@ -207,17 +207,19 @@
         }
     }
 
-    async fn mark(&self) -> Mark {
+    async fn mark(&self) -> ResourceSnapshot {
         let cluster = self.cluster.clone();
-        let looked =
-            tokio::task::spawn_blocking(move || Mark::set(&cluster.lock().expect("no panics")));
-        looked.await.unwrap_or_default()
+        let sampled = tokio::task::spawn_blocking(move || {
+            ResourceSnapshot::take(&cluster.lock().expect("no panics"))
+        });
+        sampled.await.unwrap_or_default()
     }
 
     async fn sample(&self) -> Sample {
         let cluster = self.cluster.clone();
-        let looked = tokio::task::spawn_blocking(move || look(&cluster.lock().expect("no panics")));
-        looked.await.unwrap_or_default()
+        let sampled =
+            tokio::task::spawn_blocking(move || sample(&cluster.lock().expect("no panics")));
+        sampled.await.unwrap_or_default()
     }
 
     async fn sample_until(
@@ -313,7 +315,7 @@
     after: &CountRow,
     seconds: f64,
 ) -> CourseRow {
-    let marks = |sample: &Sample| Mark {
+    let marks = |sample: &Sample| ResourceSnapshot {
         sample: sample.clone(),
         traffic: None,
     };
--- a/crates/testing/scale-testing/src/samples.rs
+++ b/crates/testing/scale-testing/src/samples.rs
@@ -28,14 +28,14 @@
     Agent,
 }
 
-/// One look at all processes.
+/// The usage of all processes at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     /// Role and usage by process id.
     pub processes: BTreeMap<u32, (Role, Usage)>,
 }
 
-/// A role's usage between two looks; per process.
+/// The usage of a role between two moments; per process.
 #[derive(Serialize, Clone, Debug)]
 pub struct RoleUsage {
     /// The role.
@@ -56,8 +56,8 @@
     pub received_kb_s: Option<f64>,
 }
 
-/// Looks at all processes.
-pub fn look(cluster: &Cluster) -> Sample {
+/// Reads the usage of all processes.
+pub fn sample(cluster: &Cluster) -> Sample {
     let scheduler = cluster.scheduler();
     let core = |place: usize| {
         if Some(place) == scheduler {
@@ -94,27 +94,31 @@
     }
 }
 
-/// A look at processes and their connections.
+/// The usage of all processes and the traffic of their connections at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct Mark {
+pub struct ResourceSnapshot {
     /// The processes.
     pub sample: Sample,
     /// Traffic by process id; `None` without `ss`.
     pub traffic: Option<BTreeMap<u32, Traffic>>,
 }
 
-impl Mark {
-    /// Looks at processes and connections.
-    pub fn set(cluster: &Cluster) -> Mark {
-        Mark {
-            sample: look(cluster),
+impl ResourceSnapshot {
+    /// Reads usage and traffic.
+    pub fn take(cluster: &Cluster) -> ResourceSnapshot {
+        ResourceSnapshot {
+            sample: sample(cluster),
             traffic: sockets::read(),
         }
     }
 }
 
 /// What each role used between two marks, `seconds` apart. Processes that were not there at both are left out.
-pub fn between(before: &Mark, after: &Mark, seconds: f64) -> Vec<RoleUsage> {
+pub fn between(
+    before: &ResourceSnapshot,
+    after: &ResourceSnapshot,
+    seconds: f64,
+) -> Vec<RoleUsage> {
     let mut roles: BTreeMap<Role, Vec<RoleUsage>> = BTreeMap::new();
     for (id, (role, usage)) in &after.sample.processes {
         let Some((_, former)) = before.sample.processes.get(id) else {
@@ -132,7 +136,7 @@
         .collect()
 }
 
-fn difference(before: &Mark, after: &Mark, id: u32) -> Option<Traffic> {
+fn difference(before: &ResourceSnapshot, after: &ResourceSnapshot, id: u32) -> Option<Traffic> {
     let former = before
         .traffic
         .as_ref()?
--- a/crates/testing/scale-testing/src/settings.rs
+++ b/crates/testing/scale-testing/src/settings.rs
@@ -7,7 +7,7 @@
 
 use sagetrail_protocol::NodeKind;
 
-use crate::places::{Places, PEER_PORTS};
+use crate::addresses::{Addresses, PEER_PORTS};
 use crate::scenario::Scenario;
 
 /// Seeds that each process is told.
@@ -70,35 +70,43 @@
 }
 
 /// The seeds of a run.
-pub fn seeds(scenario: &Scenario, places: Places) -> Vec<SocketAddrV4> {
+pub fn seeds(scenario: &Scenario, addresses: Addresses) -> Vec<SocketAddrV4> {
     (0..scenario.cores.min(SEEDS))
-        .map(|number| Places::control(places.core_ip(number)))
+        .map(|number| Addresses::control(addresses.core_ip(number)))
         .collect()
 }
 
 /// Writes the settings of a process; where.
-pub fn write(scenario: &Scenario, places: Places, machine: &Machine) -> anyhow::Result<PathBuf> {
+pub fn write(
+    scenario: &Scenario,
+    addresses: Addresses,
+    machine: &Machine,
+) -> anyhow::Result<PathBuf> {
     let path = machine.folder.join(format!("{}.toml", machine.name));
-    std::fs::write(&path, render(scenario, places, machine)?)?;
+    std::fs::write(&path, render(scenario, addresses, machine)?)?;
     Ok(path)
 }
 
 /// The settings of a process.
-pub fn render(scenario: &Scenario, places: Places, machine: &Machine) -> anyhow::Result<String> {
+pub fn render(
+    scenario: &Scenario,
+    addresses: Addresses,
+    machine: &Machine,
+) -> anyhow::Result<String> {
     let front = machine.kind == NodeKind::Frontend;
     let file = File {
         node_name: machine.name.to_owned(),
         ip: machine.ip,
         zone: "loopback",
         port_range: PEER_PORTS,
-        seeds: seeds(scenario, places),
+        seeds: seeds(scenario, addresses),
         bootstrap: machine.bootstrap,
         data_dir: (machine.kind == NodeKind::Core).then(|| machine.folder.join(machine.name)),
         heartbeat_ms: scenario.heartbeat_ms,
         bind_addrs: Binds {
-            control: (!front).then(|| Places::control(machine.ip)),
-            frontend: front.then(|| Places::clients(machine.ip)),
-            readiness: front.then(|| Places::readiness(machine.ip)),
+            control: (!front).then(|| Addresses::control(machine.ip)),
+            frontend: front.then(|| Addresses::clients(machine.ip)),
+            readiness: front.then(|| Addresses::readiness(machine.ip)),
         },
         limits: Limits {
             memory_mb: MEMORY_MB,
--- a/crates/testing/scale-testing/src/simulated_time/simulation.rs
+++ b/crates/testing/scale-testing/src/simulated_time/simulation.rs
@@ -15,9 +15,9 @@
 use super::machine::Machine;
 use super::meter::Meter;
 use super::startup::start_machines;
-use crate::faults::{takeovers, Played};
-use crate::machine::look;
-use crate::places::Places;
+use crate::addresses::Addresses;
+use crate::faults::{takeovers, InjectedFault};
+use crate::machine::describe;
 use crate::plan::{draw, PlannedJob};
 use crate::results::{CountRow, Results};
 use crate::run_statistics::{ExpectedJob, RunStatistics};
@@ -50,7 +50,7 @@
     engine: Engine,
     machines: Vec<Machine>,
     lost: Vec<bool>,
-    places: HashMap<NodeId, usize>,
+    machine_at: HashMap<NodeId, usize>,
     runners: Vec<SimulatedRunner>,
     statistics: Arc<RunStatistics>,
     plan: Vec<PlannedJob>,
@@ -58,17 +58,17 @@
     callers: BTreeMap<u64, Waiting>,
     last_call: u64,
     scheduler: Option<usize>,
-    played: Vec<Played>,
+    played: Vec<InjectedFault>,
 }
 
 /// Plays a scenario in simulated time.
 pub fn play(scenario: Scenario) -> anyhow::Result<Results> {
-    let machine = look();
+    let machine = describe();
     let scenario = Arc::new(scenario);
     let (statistics, _over) = RunStatistics::new();
     let settings = WorkerSettings {
         scenario: scenario.clone(),
-        places: Places::of_process(),
+        addresses: Addresses::of_process(),
         statistics: Arc::new(statistics),
     };
     let mut simulation = Simulation::new(&settings)?;
@@ -116,7 +116,7 @@
         let mut simulation = Simulation {
             load_from: Time(engine.now.0 + STARTUP_TIME.as_micros() as u64),
             lost: vec![false; started_machines.len()],
-            places: started_machines
+            machine_at: started_machines
                 .iter()
                 .enumerate()
                 .map(|(at, one)| (one.machine.node, at))
@@ -215,7 +215,7 @@
         };
         self.lost[scheduler] = true;
         let fault = self.scenario.fault[fault].clone();
-        self.played.push(Played {
+        self.played.push(InjectedFault {
             fault,
             at: self.engine.instant(self.engine.now),
         });
@@ -317,7 +317,7 @@
         }
         let from = self.machines[at].node;
         for sending in self.machines[at].pack(messages) {
-            let Some(&to) = self.places.get(&sending.to) else {
+            let Some(&to) = self.machine_at.get(&sending.to) else {
                 continue;
             };
             let delay = self.delay(at, to);
@@ -495,7 +495,7 @@
         }
     }
 
-    /// What one machine of each role used between two looks.
+    /// What one machine of each role used between two moments, on average.
     fn usage(&self, before: &[Meter], after: &[Meter]) -> Vec<RoleUsage> {
         let seconds = self.scenario.measured_s;
         let mut roles: BTreeMap<Role, (usize, Meter)> = BTreeMap::new();
--- a/crates/testing/scale-testing/src/simulated_time/startup.rs
+++ b/crates/testing/scale-testing/src/simulated_time/startup.rs
@@ -11,7 +11,7 @@
 use sagetrail_protocol::{NodeId, NodeKind};
 
 use super::machine::Machine;
-use crate::places::Places;
+use crate::addresses::Addresses;
 use crate::samples::Role;
 use crate::settings::{render, Machine as SettingsOf};
 use crate::simulated_worker::{agent_settings, counted, WorkerSettings};
@@ -33,12 +33,12 @@
     let scenario = &settings.scenario;
     let mut machines = Vec::new();
     for number in 0..scenario.cores {
-        let node = settings.places.core_node(number);
+        let node = settings.addresses.core_node(number);
         machines.push(process(settings, now, NodeKind::Core, number, node)?);
     }
     for number in 0..scenario.frontends {
-        let ip = settings.places.frontend_ip(number);
-        let port = settings.places.core_node(0).port + FRONTEND_PORT_OFFSET;
+        let ip = settings.addresses.frontend_ip(number);
+        let port = settings.addresses.core_node(0).port + FRONTEND_PORT_OFFSET;
         let node = NodeId::from_address(SocketAddrV4::new(ip, port));
         machines.push(process(settings, now, NodeKind::Frontend, number, node)?);
     }
@@ -65,11 +65,11 @@
         folder: Path::new("/nowhere"),
         bootstrap: true,
     };
-    let parsed = Settings::parse(&render(scenario, settings.places, &machine)?, kind)?;
+    let parsed = Settings::parse(&render(scenario, settings.addresses, &machine)?, kind)?;
     let ground = Ground {
         node,
         incarnation: u64::from(node.ip),
-        seeds: seeds(settings.places, scenario.cores),
+        seeds: seeds(settings.addresses, scenario.cores),
         bounds: parsed.bounds.to_bounds(),
         seed: scenario.seed.wrapping_mul(u64::from(node.ip)),
         bootstrap: true,
@@ -89,7 +89,7 @@
     let mut outbox = Outbox::default();
     let agent = AgentNode::new(agent_settings(settings, number), now, &mut outbox);
     let region = number % settings.scenario.network.regions;
-    let node = settings.places.agent_node(number);
+    let node = settings.addresses.agent_node(number);
     StartedMachine {
         machine: Machine::new(
             node,
@@ -101,6 +101,8 @@
     }
 }
 
-fn seeds(places: Places, cores: u32) -> Vec<NodeId> {
-    (0..cores).map(|number| places.core_node(number)).collect()
+fn seeds(addresses: Addresses, cores: u32) -> Vec<NodeId> {
+    (0..cores)
+        .map(|number| addresses.core_node(number))
+        .collect()
 }
--- a/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
@@ -42,7 +42,7 @@
                     path,
                     base_version: None,
                     body,
-                    patience: ANSWER_TIMEOUT,
+                    timeout: ANSWER_TIMEOUT,
                 };
                 let answer = caller.call(*address, call).await.ok()?;
                 (answer.status == 200).then(|| answer.body.to_vec())
--- a/crates/testing/scale-testing/src/simulated_worker/threads.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/threads.rs
@@ -19,9 +19,9 @@
 use super::heartbeat_loop::work;
 use super::messages::Capacity;
 use super::runner::{RunnerProfile, SimulatedRunner};
+use crate::addresses::Addresses;
 use crate::call::Caller;
 use crate::operator::SERVICE;
-use crate::places::Places;
 use crate::run_statistics::RunStatistics;
 use crate::scenario::Scenario;
 
@@ -36,7 +36,7 @@
     /// What is played.
     pub scenario: Arc<Scenario>,
     /// The addresses.
-    pub places: Places,
+    pub addresses: Addresses,
     /// Where workers record what they do.
     pub statistics: Arc<RunStatistics>,
 }
@@ -97,7 +97,7 @@
     for number in (thread..scenario.workers).step_by(scenario.hollow_threads as usize) {
         let endpoint = endpoint(settings, number, &caller)?;
         tokio::task::spawn_local(answer_health_checks(
-            listen(settings.places.runner(number)).await?,
+            listen(settings.addresses.runner(number)).await?,
         ));
         let runner = SimulatedRunner::new(
             profile(settings, number),
@@ -122,11 +122,11 @@
     number: u32,
     caller: &Caller,
 ) -> anyhow::Result<AgentConnection> {
-    let ip = settings.places.worker_ip(number);
+    let ip = settings.addresses.worker_ip(number);
     if settings.scenario.real_sides {
         return Ok(AgentConnection::Http {
             caller: caller.clone(),
-            address: Places::control(ip),
+            address: Addresses::control(ip),
         });
     }
     let inputs = start(
@@ -157,15 +157,15 @@
 pub fn agent_settings(settings: &WorkerSettings, number: u32) -> AgentSettings {
     let scenario = &settings.scenario;
     let seeds = (0..scenario.cores)
-        .map(|core| settings.places.core_node(core))
+        .map(|core| settings.addresses.core_node(core))
         .collect();
     AgentSettings {
-        node: settings.places.agent_node(number),
+        node: settings.addresses.agent_node(number),
         incarnation: u64::from(number) + 1,
         seeds,
         bounds: Bounds::default(),
         heartbeat_ms: scenario.heartbeat_ms,
-        runner_address: Some(settings.places.runner(number)),
+        runner_address: Some(settings.addresses.runner(number)),
         seed: scenario.seed.wrapping_add(u64::from(number)),
     }
 }
@@ -177,7 +177,7 @@
     RunnerProfile {
         instance: format!("i-{number:08x}"),
         service: SERVICE.to_owned(),
-        address: settings.places.runner(number).to_string(),
+        address: settings.addresses.runner(number).to_string(),
         capacity: Capacity {
             cpu: shape.cpu,
             mem_mb: shape.mem_mb,
--- a/crates/testing/scale-testing/tests/takeovers.rs
+++ b/crates/testing/scale-testing/tests/takeovers.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use sagetrail_scale_testing::faults::{takeovers, Played};
+use sagetrail_scale_testing::faults::{takeovers, InjectedFault};
 use sagetrail_scale_testing::run_statistics::RunStatistics;
 use sagetrail_scale_testing::scenario::{Fault, FaultKind, FaultTarget};
 
-fn fault(target: FaultTarget, at: Instant) -> Played {
-    Played {
+fn fault(target: FaultTarget, at: Instant) -> InjectedFault {
+    InjectedFault {
         fault: Fault {
             kind: FaultKind::Kill,
             target,
