--- a/crates/cluster/cluster-node/src/core_process.rs
+++ b/crates/cluster/cluster-node/src/core_process.rs
@@ -6,21 +6,21 @@
 use sagetrail_protocol::service::{Service, ServiceFactory};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 
-use crate::start::Ground;
+use crate::start::ProcessContext;
 
 /// Makes the logic of a core process.
-pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
+pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = CoreSettings {
-        node: ground.node,
-        incarnation: ground.incarnation,
-        seeds: ground.seeds,
-        bootstrap: ground.bootstrap,
-        bounds: ground.bounds,
-        tolerated_machines: ground.settings.fault_tolerance.machines,
-        seed: ground.seed,
+        node: context.node,
+        incarnation: context.incarnation,
+        seeds: context.seeds,
+        bootstrap: context.bootstrap,
+        bounds: context.bounds,
+        tolerated_machines: context.settings.fault_tolerance.machines,
+        seed: context.seed,
     };
-    let factory = scheduler_factory(ground.bounds);
-    Box::new(CoreNode::new(settings, ground.image, factory, now, outbox))
+    let factory = scheduler_factory(context.bounds);
+    Box::new(CoreNode::new(settings, context.image, factory, now, outbox))
 }
 
 fn scheduler_factory(bounds: Bounds) -> ServiceFactory {
--- a/crates/cluster/cluster-node/src/frontend_process.rs
+++ b/crates/cluster/cluster-node/src/frontend_process.rs
@@ -3,16 +3,16 @@
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
-use crate::start::Ground;
+use crate::start::ProcessContext;
 
 /// Makes the logic of a frontend process.
-pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
+pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = GatewaySettings {
-        node: ground.node,
-        incarnation: ground.incarnation,
-        seeds: ground.seeds,
-        bounds: ground.bounds,
-        seed: ground.seed,
+        node: context.node,
+        incarnation: context.incarnation,
+        seeds: context.seeds,
+        bounds: context.bounds,
+        seed: context.seed,
     };
     Box::new(GatewayNode::new(settings, now, outbox))
 }
--- a/crates/cluster/cluster-node/src/health_check.rs
+++ b/crates/cluster/cluster-node/src/health_check.rs
@@ -47,16 +47,16 @@
 /// Starts a probe; what comes of it is told once.
 pub fn start(health_check: HealthCheck, inputs: Inputs) {
     tokio::spawn(async move {
-        let result = look(&health_check).await;
+        let result = check(&health_check).await;
         // An error: the process is ending.
-        let _ = inputs.send(Input::Probed {
+        let _ = inputs.send(Input::HealthChecked {
             id: health_check.id,
             result,
         });
     });
 }
 
-async fn look(health_check: &HealthCheck) -> HealthCheckResult {
+async fn check(health_check: &HealthCheck) -> HealthCheckResult {
     let timeout = Duration::from_millis(HEALTH_CHECK_TIMEOUT_MS);
     match tokio::time::timeout(timeout, status(health_check)).await {
         Ok(Ok(status)) => HealthCheckResult::Status(status.as_u16()),
--- a/crates/cluster/cluster-node/src/http.rs
+++ b/crates/cluster/cluster-node/src/http.rs
@@ -1,9 +1,9 @@
 //! The server of HTTP: listening addresses, connections, requests read whole.
 
+mod connection_limit;
 mod convert;
 mod listener;
-mod room;
 mod service;
 
-pub use listener::{serve, Listening, ServeContext};
-pub use room::Room;
+pub use connection_limit::ConnectionLimit;
+pub use listener::{serve, ListeningEndpoint, ServerContext};
--- a/crates/cluster/cluster-node/src/http/room.rs
+++ b/crates/cluster/cluster-node/src/http/connection_limit.rs
@@ -15,68 +15,68 @@
 const FEWEST_CONNECTIONS: usize = 16;
 
 /// The connections of all listening addresses.
-pub struct Room {
-    most: usize,
+pub struct ConnectionLimit {
+    limit: usize,
     clock: AtomicU64,
-    seats: Mutex<BTreeMap<u64, Arc<Seat>>>,
+    connections: Mutex<BTreeMap<u64, Arc<Connection>>>,
 }
 
 /// What is known of one connection.
-struct Seat {
+struct Connection {
     busy: AtomicBool,
     used: AtomicU64,
     evicted: Notify,
 }
 
 /// One connection's place, free again when dropped.
-pub struct Place {
-    room: Arc<Room>,
+pub struct ConnectionSlot {
+    connection_limit: Arc<ConnectionLimit>,
     number: u64,
-    seat: Arc<Seat>,
+    connection: Arc<Connection>,
 }
 
-impl Room {
+impl ConnectionLimit {
     /// Room within the limits of the deployment.
-    pub fn within(max_fds: u32, memory_mb: f64) -> Arc<Room> {
+    pub fn within(max_fds: u32, memory_mb: f64) -> Arc<ConnectionLimit> {
         let by_descriptors = max_fds.saturating_sub(RESERVED_DESCRIPTORS) as usize;
         let by_memory = (memory_mb * 1048576.0 * MEMORY_PART / CONNECTION_BYTES) as usize;
-        Room::of(by_descriptors.min(by_memory).max(FEWEST_CONNECTIONS))
+        ConnectionLimit::of(by_descriptors.min(by_memory).max(FEWEST_CONNECTIONS))
     }
 
     /// Room for so many connections.
-    pub fn of(most: usize) -> Arc<Room> {
-        Arc::new(Room {
-            most,
+    pub fn of(limit: usize) -> Arc<ConnectionLimit> {
+        Arc::new(ConnectionLimit {
+            limit,
             clock: AtomicU64::new(0),
-            seats: Mutex::default(),
+            connections: Mutex::default(),
         })
     }
 
     /// Takes a place for a new connection; `None` where all others are busy.
-    pub fn enter(self: &Arc<Room>) -> Option<Place> {
+    pub fn admit_connection(self: &Arc<ConnectionLimit>) -> Option<ConnectionSlot> {
         let number = self.tick();
-        let mut seats = self.seats.lock().expect("no holder panics");
-        if seats.len() >= self.most {
-            let longest_idle = longest_idle(&seats)?;
-            let seat = seats.remove(&longest_idle)?;
-            seat.evicted.notify_one();
+        let mut connections = self.connections.lock().expect("no holder panics");
+        if connections.len() >= self.limit {
+            let longest_idle = longest_idle(&connections)?;
+            let connection = connections.remove(&longest_idle)?;
+            connection.evicted.notify_one();
         }
-        let seat = Arc::new(Seat {
+        let connection = Arc::new(Connection {
             busy: AtomicBool::new(false),
             used: AtomicU64::new(number),
             evicted: Notify::new(),
         });
-        seats.insert(number, Arc::clone(&seat));
-        Some(Place {
-            room: Arc::clone(self),
+        connections.insert(number, Arc::clone(&connection));
+        Some(ConnectionSlot {
+            connection_limit: Arc::clone(self),
             number,
-            seat,
+            connection,
         })
     }
 
     /// How many connections there are.
-    pub fn taken(&self) -> usize {
-        self.seats.lock().expect("no holder panics").len()
+    pub fn open_connections(&self) -> usize {
+        self.connections.lock().expect("no holder panics").len()
     }
 
     fn tick(&self) -> u64 {
@@ -84,36 +84,38 @@
     }
 }
 
-fn longest_idle(seats: &BTreeMap<u64, Arc<Seat>>) -> Option<u64> {
-    let idle = seats
+fn longest_idle(connections: &BTreeMap<u64, Arc<Connection>>) -> Option<u64> {
+    let idle = connections
         .iter()
-        .filter(|(_, seat)| !seat.busy.load(Ordering::Relaxed));
-    idle.min_by_key(|(_, seat)| seat.used.load(Ordering::Relaxed))
+        .filter(|(_, connection)| !connection.busy.load(Ordering::Relaxed));
+    idle.min_by_key(|(_, connection)| connection.used.load(Ordering::Relaxed))
         .map(|(number, _)| *number)
 }
 
-impl Place {
+impl ConnectionSlot {
     /// A request has come, or has been answered.
     pub fn set_busy(&self, busy: bool) {
-        self.seat.busy.store(busy, Ordering::Relaxed);
-        self.seat.used.store(self.room.tick(), Ordering::Relaxed);
+        self.connection.busy.store(busy, Ordering::Relaxed);
+        self.connection
+            .used
+            .store(self.connection_limit.tick(), Ordering::Relaxed);
     }
 
     /// True while a request is under way.
     pub fn is_busy(&self) -> bool {
-        self.seat.busy.load(Ordering::Relaxed)
+        self.connection.busy.load(Ordering::Relaxed)
     }
 
     /// Waits until another connection needs the place.
     pub async fn evicted(&self) {
-        self.seat.evicted.notified().await;
+        self.connection.evicted.notified().await;
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.room
-            .seats
+        self.connection_limit
+            .connections
             .lock()
             .expect("no holder panics")
             .remove(&self.number);
--- a/crates/cluster/cluster-node/src/http/convert.rs
+++ b/crates/cluster/cluster-node/src/http/convert.rs
@@ -74,7 +74,7 @@
 }
 
 /// An answer of the server itself, after which the connection closes.
-pub(super) fn refusal(status: StatusCode) -> Response<Full<Bytes>> {
+pub(super) fn error_response(status: StatusCode) -> Response<Full<Bytes>> {
     let reply = HttpReply {
         status: status.as_u16(),
         retry_after_s: None,
--- a/crates/cluster/cluster-node/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -13,10 +13,10 @@
 
 use sagetrail_protocol::node::HttpEndpoint;
 
-use super::room::{Place, Room};
+use super::connection_limit::{ConnectionLimit, ConnectionSlot};
 use super::service::{answer, ServiceContext};
 use crate::input::Inputs;
-use crate::phase::{reached, Phase, PhaseWatch};
+use crate::lifecycle::{reached, Phase, PhaseReceiver};
 use crate::transport::bind_listener;
 
 /// After a failed accept (no descriptor, for instance) so long nothing is accepted.
@@ -26,16 +26,16 @@
 
 /// What all listening addresses share.
 #[derive(Clone)]
-pub struct ServeContext {
+pub struct ServerContext {
     pub inputs: Inputs,
-    pub phase: PhaseWatch,
-    pub room: Arc<Room>,
+    pub phase: PhaseReceiver,
+    pub connection_limit: Arc<ConnectionLimit>,
     pub next_id: Arc<AtomicU64>,
 }
 
 /// A listening address that is served.
 #[derive(Clone, Copy, Debug)]
-pub struct Listening {
+pub struct ListeningEndpoint {
     /// The address in use, with its port also where any was asked for.
     pub address: SocketAddr,
 }
@@ -44,15 +44,15 @@
 pub fn serve(
     address: SocketAddr,
     endpoint: HttpEndpoint,
-    context: ServeContext,
-) -> std::io::Result<Listening> {
+    context: ServerContext,
+) -> std::io::Result<ListeningEndpoint> {
     let listener = bind_listener(address)?;
     let address = listener.local_addr()?;
     tokio::spawn(accept(listener, endpoint, context));
-    Ok(Listening { address })
+    Ok(ListeningEndpoint { address })
 }
 
-async fn accept(listener: TcpListener, endpoint: HttpEndpoint, context: ServeContext) {
+async fn accept(listener: TcpListener, endpoint: HttpEndpoint, context: ServerContext) {
     let mut closing = context.phase.clone();
     let service = Arc::new(ServiceContext {
         endpoint,
@@ -66,32 +66,38 @@
             () = reached(&mut closing, Phase::Closing) => return,
         };
         match accepted {
-            Ok((stream, _)) => admit(stream, &context.room, &service),
+            Ok((stream, _)) => admit(stream, &context.connection_limit, &service),
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-fn admit(stream: TcpStream, room: &Arc<Room>, service: &Arc<ServiceContext>) {
-    let Some(place) = room.enter() else { return };
+fn admit(
+    stream: TcpStream,
+    connection_limit: &Arc<ConnectionLimit>,
+    service: &Arc<ServiceContext>,
+) {
+    let Some(slot) = connection_limit.admit_connection() else {
+        return;
+    };
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    tokio::spawn(converse(stream, place, Arc::clone(service)));
+    tokio::spawn(serve_connection(stream, slot, Arc::clone(service)));
 }
 
 /// Serves one connection until it ends, gives its place away or the process closes.
-async fn converse(stream: TcpStream, place: Place, context: Arc<ServiceContext>) {
+async fn serve_connection(stream: TcpStream, slot: ConnectionSlot, context: Arc<ServiceContext>) {
     let mut closing = context.phase.clone();
-    let handler = service_fn(|request| answer(&context, &place, request));
+    let handler = service_fn(|request| answer(&context, &slot, request));
     let mut builder = http1::Builder::new();
     builder.max_buf_size(BUFFER_BYTES);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), handler));
     tokio::select! {
         _ = connection.as_mut() => return,
         // A request may have been read in the same turn: it is answered first.
-        () = place.evicted() => {
-            if !place.is_busy() {
+        () = slot.evicted() => {
+            if !slot.is_busy() {
                 return;
             }
         }
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -13,10 +13,10 @@
 
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequestId};
 
-use super::convert::{refusal, to_request, to_response};
-use super::room::Place;
+use super::connection_limit::ConnectionSlot;
+use super::convert::{error_response, to_request, to_response};
 use crate::input::{Input, Inputs};
-use crate::phase::{Phase, PhaseWatch};
+use crate::lifecycle::{Phase, PhaseReceiver};
 
 /// A body that has not come whole after so long is given up.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -29,29 +29,29 @@
 pub(super) struct ServiceContext {
     pub endpoint: HttpEndpoint,
     pub inputs: Inputs,
-    pub phase: PhaseWatch,
+    pub phase: PhaseReceiver,
     pub next_id: Arc<AtomicU64>,
 }
 
 /// Tells the logic that the caller has gone, unless it has been answered.
-struct Abandonment {
+struct AbandonGuard {
     id: HttpRequestId,
     inputs: Inputs,
     answered: bool,
 }
 
-impl Drop for Abandonment {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.inputs.send(Input::Abandoned { id: self.id });
+            let _ = self.inputs.send(Input::HttpAbandoned { id: self.id });
         }
     }
 }
 
 /// Marks the connection busy until it is answered or given up.
-struct Busy<'a>(&'a Place);
+struct BusyGuard<'a>(&'a ConnectionSlot);
 
-impl Drop for Busy<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         self.0.set_busy(false);
     }
@@ -60,40 +60,40 @@
 /// Answers one request.
 pub(super) async fn answer(
     context: &ServiceContext,
-    place: &Place,
+    slot: &ConnectionSlot,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    place.set_busy(true);
-    let _busy = Busy(place);
+    slot.set_busy(true);
+    let _busy = BusyGuard(slot);
     let (parts, body) = request.into_parts();
     let body = match read_body(body, limit(context.endpoint)).await {
         Ok(body) => body,
-        Err(status) => return Ok(refusal(status)),
+        Err(status) => return Ok(error_response(status)),
     };
     let request = to_request(&parts, body);
     drop(parts);
     let id = HttpRequestId(context.next_id.fetch_add(1, Ordering::Relaxed));
     let (reply, replied) = oneshot::channel();
-    let input = Input::Request {
+    let input = Input::HttpRequest {
         id,
         endpoint: context.endpoint,
         request,
         reply,
     };
     if context.inputs.send(input).is_err() {
-        return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE));
+        return Ok(error_response(StatusCode::SERVICE_UNAVAILABLE));
     }
-    let mut abandonment = Abandonment {
+    let mut abandon_guard = AbandonGuard {
         id,
         inputs: context.inputs.clone(),
         answered: false,
     };
     let reply = replied.await;
-    abandonment.answered = true;
+    abandon_guard.answered = true;
     let close = *context.phase.borrow() > Phase::Serving;
     // The logic has gone without an answer: the outcome is not known.
     Ok(reply.map_or_else(
-        |_| refusal(StatusCode::GATEWAY_TIMEOUT),
+        |_| error_response(StatusCode::GATEWAY_TIMEOUT),
         |reply| to_response(reply, close),
     ))
 }
--- a/crates/cluster/cluster-node/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -14,16 +14,16 @@
     /// Another process sent a message.
     Message { from: NodeId, message: Message },
     /// A request of HTTP came, read whole.
-    Request {
+    HttpRequest {
         id: HttpRequestId,
         endpoint: HttpEndpoint,
         request: HttpRequest,
         reply: oneshot::Sender<HttpReply>,
     },
     /// The caller of a request has gone.
-    Abandoned { id: HttpRequestId },
+    HttpAbandoned { id: HttpRequestId },
     /// What came of a probe.
-    Probed {
+    HealthChecked {
         id: HealthCheckId,
         result: HealthCheckResult,
     },
@@ -35,7 +35,7 @@
     /// The disk failed; what it holds is known only after a restart.
     DiskFailed(DiskError),
     /// The settings name other seeds.
-    Seeds(Vec<NodeId>),
+    SeedsChanged(Vec<NodeId>),
     /// The platform wants the process to end.
     Terminate,
 }
--- a/crates/cluster/cluster-node/src/phase.rs
+++ b/crates/cluster/cluster-node/src/lifecycle.rs
@@ -14,17 +14,17 @@
 }
 
 /// Sets the phase.
-pub type PhaseSetter = watch::Sender<Phase>;
+pub type PhaseSender = watch::Sender<Phase>;
 /// Reads and awaits the phase.
-pub type PhaseWatch = watch::Receiver<Phase>;
+pub type PhaseReceiver = watch::Receiver<Phase>;
 
 /// A phase to watch, from `Serving` on.
-pub fn phases() -> (PhaseSetter, PhaseWatch) {
+pub fn watch_phase() -> (PhaseSender, PhaseReceiver) {
     watch::channel(Phase::Serving)
 }
 
 /// Waits for the phase or a later one.
-pub async fn reached(watch: &mut PhaseWatch, phase: Phase) {
+pub async fn reached(watch: &mut PhaseReceiver, phase: Phase) {
     // An error: the process is ending, so every phase is reached.
     let _ = watch.wait_for(|current| *current >= phase).await;
 }
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -14,7 +14,7 @@
 use crate::disk::{Disk, DiskError};
 use crate::health_check;
 use crate::input::{Input, Inputs};
-use crate::phase::{Phase, PhaseSetter};
+use crate::lifecycle::{Phase, PhaseSender};
 use crate::transport::Transport;
 
 /// Inputs taken together before what they led to is performed.
@@ -24,7 +24,7 @@
 
 /// Why the loop ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum ProcessEnd {
     /// The logic is done.
     Finished,
     /// It was told to end and was not done within the grace.
@@ -34,7 +34,7 @@
 }
 
 /// What the loop works with.
-pub struct Parts {
+pub struct ProcessParts {
     pub node: NodeId,
     pub clocks: Clocks,
     pub inputs: mpsc::UnboundedReceiver<Input>,
@@ -43,7 +43,7 @@
     pub disk: Option<Disk>,
     /// Only side processes look at others: where the results go.
     pub health_check_results: Option<Inputs>,
-    pub phase: PhaseSetter,
+    pub phase: PhaseSender,
     /// From being told to end to the end at the latest.
     pub grace: Duration,
 }
@@ -51,41 +51,41 @@
 /// The loop and its state.
 pub struct Process {
     logic: Box<dyn Node>,
-    parts: Parts,
+    parts: ProcessParts,
     callers: HashMap<HttpRequestId, oneshot::Sender<HttpReply>>,
     /// Messages of the process to itself.
-    own: VecDeque<Message>,
+    self_messages: VecDeque<Message>,
     outbox: Outbox,
     deadline: Option<Time>,
-    no_wake_before: Time,
+    earliest_wake: Time,
 }
 
 impl Process {
     /// A loop about some logic; `outbox` holds what the logic wanted done when it was made.
-    pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: Parts) -> Process {
+    pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: ProcessParts) -> Process {
         Process {
             logic,
             parts,
             callers: HashMap::new(),
-            own: VecDeque::new(),
+            self_messages: VecDeque::new(),
             outbox,
             deadline: None,
-            no_wake_before: Time::default(),
+            earliest_wake: Time::default(),
         }
     }
 
     /// Drives the logic to its end.
-    pub async fn run(&mut self) -> Ended {
+    pub async fn run(&mut self) -> ProcessEnd {
         let mut alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let mut armed_for = None;
         let mut batch = Vec::with_capacity(BATCH);
         self.perform();
         loop {
             if self.outbox.finished && self.deadline.is_some() {
-                return Ended::Finished;
+                return ProcessEnd::Finished;
             }
             self.arm(&mut alarm, &mut armed_for);
-            if self.own.is_empty() {
+            if self.self_messages.is_empty() {
                 tokio::select! {
                     biased;
                     _ = self.parts.inputs.recv_many(&mut batch, BATCH) => {}
@@ -94,9 +94,9 @@
             } else {
                 // Others get their turn before the process goes on talking to itself.
                 tokio::task::yield_now().await;
-                take_ready(&mut self.parts.inputs, &mut batch);
+                receive_ready(&mut self.parts.inputs, &mut batch);
             }
-            if let Some(ended) = self.turn(&mut batch) {
+            if let Some(ended) = self.process_batch(&mut batch) {
                 return ended;
             }
         }
@@ -108,40 +108,40 @@
     }
 
     /// One batch of inputs, the wake if it is due, and what they led to.
-    fn turn(&mut self, batch: &mut Vec<Input>) -> Option<Ended> {
-        for message in std::mem::take(&mut self.own) {
+    fn process_batch(&mut self, batch: &mut Vec<Input>) -> Option<ProcessEnd> {
+        for message in std::mem::take(&mut self.self_messages) {
             let from = self.parts.node;
-            self.tell(Event::Message { from, message });
+            self.handle(Event::Message { from, message });
         }
         for input in batch.drain(..) {
-            if let Some(ended) = self.take(input) {
+            if let Some(ended) = self.handle_input(input) {
                 return Some(ended);
             }
         }
         self.wake_if_due();
         self.perform();
-        self.out_of_grace().then_some(Ended::OutOfGrace)
+        self.is_out_of_grace().then_some(ProcessEnd::OutOfGrace)
     }
 
-    fn take(&mut self, input: Input) -> Option<Ended> {
+    fn handle_input(&mut self, input: Input) -> Option<ProcessEnd> {
         match input {
-            Input::Message { from, message } => self.tell(Event::Message { from, message }),
-            Input::Request {
+            Input::Message { from, message } => self.handle(Event::Message { from, message }),
+            Input::HttpRequest {
                 id,
                 endpoint,
                 request,
                 reply,
             } => {
                 self.callers.insert(id, reply);
-                self.tell(Event::Http {
+                self.handle(Event::Http {
                     id,
                     endpoint,
                     request,
                 });
             }
-            Input::Abandoned { id } => {
+            Input::HttpAbandoned { id } => {
                 if self.callers.remove(&id).is_some() {
-                    self.tell(Event::HttpAbandoned { id });
+                    self.handle(Event::HttpAbandoned { id });
                 }
             }
             Input::Synced { then, tokens } => {
@@ -149,11 +149,11 @@
                     .for_each(|(to, message)| self.send(to, message));
                 tokens
                     .into_iter()
-                    .for_each(|token| self.tell(Event::Synced { token }));
+                    .for_each(|token| self.handle(Event::Synced { token }));
             }
-            Input::Probed { id, result } => self.tell(Event::HealthCheck { id, result }),
-            Input::DiskFailed(error) => return Some(Ended::DiskFailed(error)),
-            Input::Seeds(seeds) => self.tell(Event::SeedsChanged(seeds)),
+            Input::HealthChecked { id, result } => self.handle(Event::HealthCheck { id, result }),
+            Input::DiskFailed(error) => return Some(ProcessEnd::DiskFailed(error)),
+            Input::SeedsChanged(seeds) => self.handle(Event::SeedsChanged(seeds)),
             Input::Terminate => self.terminate(),
         }
         None
@@ -166,11 +166,11 @@
         let now = self.parts.clocks.now().steady;
         self.deadline = Some(now + self.parts.grace.as_micros() as u64);
         self.parts.phase.send_replace(Phase::Draining);
-        self.tell(Event::Terminate);
+        self.handle(Event::Terminate);
     }
 
     /// Time is looked at for each event: the process may have been frozen in between.
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.parts.clocks.now();
         self.logic.handle(now, event, &mut self.outbox);
     }
@@ -178,7 +178,7 @@
     fn wake_if_due(&mut self) {
         let now = self.parts.clocks.now();
         if self.next_wake().is_some_and(|due| due <= now.steady) {
-            self.no_wake_before = now.steady.plus_millis(WAKE_INTERVAL_MS);
+            self.earliest_wake = now.steady.plus_millis(WAKE_INTERVAL_MS);
             self.logic.handle(now, Event::Wake, &mut self.outbox);
         }
     }
@@ -186,7 +186,7 @@
     fn next_wake(&self) -> Option<Time> {
         self.logic
             .next_wake()
-            .map(|due| due.max(self.no_wake_before))
+            .map(|due| due.max(self.earliest_wake))
     }
 
     fn perform(&mut self) {
@@ -215,13 +215,13 @@
 
     fn send(&mut self, to: NodeId, message: Message) {
         if to == self.parts.node {
-            self.own.push_back(message);
+            self.self_messages.push_back(message);
         } else {
             self.parts.transport.send(to, &message);
         }
     }
 
-    fn out_of_grace(&self) -> bool {
+    fn is_out_of_grace(&self) -> bool {
         self.deadline
             .is_some_and(|deadline| self.parts.clocks.now().steady >= deadline)
     }
@@ -243,7 +243,7 @@
     }
 }
 
-fn take_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
+fn receive_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
     while batch.len() < BATCH {
         let Ok(input) = inputs.try_recv() else { return };
         batch.push(input);
--- a/crates/cluster/cluster-node/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -3,18 +3,18 @@
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
-use crate::start::Ground;
+use crate::start::ProcessContext;
 
 /// Makes the logic of a side process.
-pub fn make(ground: Ground, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
+pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = AgentSettings {
-        node: ground.node,
-        incarnation: ground.incarnation,
-        seeds: ground.seeds,
-        bounds: ground.bounds,
-        heartbeat_ms: ground.settings.heartbeat_ms.whole(),
-        runner_address: ground.settings.app,
-        seed: ground.seed,
+        node: context.node,
+        incarnation: context.incarnation,
+        seeds: context.seeds,
+        bounds: context.bounds,
+        heartbeat_ms: context.settings.heartbeat_ms.whole(),
+        runner_address: context.settings.app,
+        seed: context.seed,
     };
     Box::new(AgentNode::new(settings, now, outbox))
 }
--- a/crates/cluster/cluster-node/src/signals.rs
+++ b/crates/cluster/cluster-node/src/signals.rs
@@ -38,7 +38,7 @@
 /// The seeds that the settings name now; `None` where they cannot be read, and the former ones stay.
 fn read_seeds(settings_path: &Path, kind: NodeKind) -> Option<Input> {
     match Settings::load(settings_path, kind) {
-        Ok(settings) => Some(Input::Seeds(seed_nodes(&settings))),
+        Ok(settings) => Some(Input::SeedsChanged(seed_nodes(&settings))),
         Err(error) => {
             log::warn!("SIGHUP: the settings stay as they were: {error}");
             None
--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -17,12 +17,12 @@
 use crate::arguments::Arguments;
 use crate::clocks::Clocks;
 use crate::disk::{Disk, DiskError, Opened, Store};
-use crate::http::{serve, Room, ServeContext};
+use crate::http::{serve, ConnectionLimit, ServerContext};
 use crate::identity::{draw_incarnation, draw_seed, node_id, seed_nodes};
 use crate::input::Inputs;
+use crate::lifecycle::watch_phase;
 use crate::logs;
-use crate::phase::phases;
-use crate::process::{Ended, Parts, Process};
+use crate::process::{Process, ProcessEnd, ProcessParts};
 use crate::settings::Settings;
 use crate::signals;
 use crate::transport::Transport;
@@ -44,7 +44,7 @@
 const BIND_PAUSE: Duration = Duration::from_millis(100);
 
 /// What the logic of a process is made from.
-pub struct Ground {
+pub struct ProcessContext {
     pub settings: Settings,
     pub node: NodeId,
     pub incarnation: Incarnation,
@@ -58,10 +58,10 @@
 }
 
 /// Makes the logic of a process.
-pub type Maker = fn(Ground, Now, &mut Outbox) -> Box<dyn Node>;
+pub type LogicFactory = fn(ProcessContext, Now, &mut Outbox) -> Box<dyn Node>;
 
 /// Runs a program of this kind to its end.
-pub fn main(kind: NodeKind, maker: Maker) -> ExitCode {
+pub fn main(kind: NodeKind, maker: LogicFactory) -> ExitCode {
     let arguments: Arguments = argh::from_env();
     if arguments.version {
         println!("{}", env!("CARGO_PKG_VERSION"));
@@ -92,7 +92,7 @@
     settings: Settings,
     settings_path: PathBuf,
     kind: NodeKind,
-    maker: Maker,
+    maker: LogicFactory,
 ) -> anyhow::Result<()> {
     let clocks = Clocks::start();
     let opened = match &settings.data_dir {
@@ -112,7 +112,7 @@
     settings: Settings,
     settings_path: PathBuf,
     kind: NodeKind,
-    maker: Maker,
+    maker: LogicFactory,
     clocks: Clocks,
     opened: Option<Opened>,
 ) -> anyhow::Result<()> {
@@ -123,19 +123,20 @@
     let transport = bind_patiently(|| Transport::start(node, incarnation, sender.clone()))
         .await
         .with_context(|| format!("listening at {node}"))?;
-    let (phase, watch) = phases();
-    let room = Room::within(settings.limits.max_fds, settings.limits.memory_mb.0);
-    let context = ServeContext {
+    let (phase, watch) = watch_phase();
+    let connection_limit =
+        ConnectionLimit::within(settings.limits.max_fds, settings.limits.memory_mb.0);
+    let context = ServerContext {
         inputs: sender.clone(),
         phase: watch,
-        room: Arc::clone(&room),
+        connection_limit: Arc::clone(&connection_limit),
         next_id: Arc::new(AtomicU64::new(1)),
     };
-    open_doors(&settings, &context).await?;
+    open_endpoints(&settings, &context).await?;
     drop(context);
     let grace = Duration::from_secs_f64(settings.bounds.to_bounds().grace_s.min(3600.0));
     let (disk, image, emptied) = split(opened, &sender)?;
-    let ground = Ground {
+    let context = ProcessContext {
         node,
         incarnation,
         seeds: seed_nodes(&settings),
@@ -145,13 +146,13 @@
         image,
         settings,
     };
-    log::info!("{} at {node}", ground.settings.node_name);
+    log::info!("{} at {node}", context.settings.node_name);
     let mut outbox = Outbox::default();
-    let logic = maker(ground, clocks.now(), &mut outbox);
+    let logic = maker(context, clocks.now(), &mut outbox);
     let grace = grace.saturating_sub(GRACE_MARGIN);
     let health_check_results = (kind == NodeKind::Side).then_some(sender);
     let transport_used = transport.clone();
-    let parts = Parts {
+    let parts = ProcessParts {
         node,
         clocks,
         inputs,
@@ -163,13 +164,13 @@
     };
     let mut process = Process::new(logic, outbox, parts);
     let ended = process.run().await;
-    if let Ended::DiskFailed(error) = ended {
+    if let ProcessEnd::DiskFailed(error) = ended {
         log::error!("{error}");
         tokio::time::sleep(DISK_FAILED_PAUSE).await;
         anyhow::bail!("starts anew to learn what is on disk");
     }
     process.close();
-    wait_until_quiet(&transport, &room).await;
+    wait_until_quiet(&transport, &connection_limit).await;
     Ok(())
 }
 
@@ -208,7 +209,7 @@
     }
 }
 
-async fn open_doors(settings: &Settings, context: &ServeContext) -> anyhow::Result<()> {
+async fn open_endpoints(settings: &Settings, context: &ServerContext) -> anyhow::Result<()> {
     let binds = &settings.bind_addrs;
     let endpoints = [
         (binds.frontend, HttpEndpoint::Frontend),
@@ -226,11 +227,11 @@
     Ok(())
 }
 
-async fn wait_until_quiet(transport: &Transport, room: &Room) {
+async fn wait_until_quiet(transport: &Transport, connection_limit: &ConnectionLimit) {
     let started = Instant::now();
     while started.elapsed() < CLOSING_TIME {
         tokio::time::sleep(CLOSING_STEP).await;
-        if room.taken() == 0 && transport.is_drained() {
+        if connection_limit.open_connections() == 0 && transport.is_drained() {
             return;
         }
     }
--- a/crates/cluster/cluster-node/src/transport/link.rs
+++ b/crates/cluster/cluster-node/src/transport/link.rs
@@ -20,7 +20,7 @@
 /// Room for what is read at once.
 const READ_BYTES: usize = 8 << 10;
 /// A larger buffer is given back once it is empty.
-const KEPT_BUFFER_BYTES: usize = 64 << 10;
+const RETAINED_BUFFER_BYTES: usize = 64 << 10;
 
 /// Sends and receives until the connection ends. What is left goes by another connection.
 pub(super) async fn run(
@@ -49,7 +49,7 @@
 async fn receive(mut reader: ReadHalf<'_>, transport: &Transport, peer: &Peer) {
     let mut received = BytesMut::new();
     loop {
-        make_room(&mut received);
+        reserve(&mut received);
         match reader.read_buf(&mut received).await {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
@@ -71,15 +71,15 @@
                 }
             }
             Err(error) => {
-                transport.complain(peer.node, &error);
+                transport.log_closed(peer.node, &error);
                 return false;
             }
         }
     }
 }
 
-fn make_room(received: &mut BytesMut) {
-    if received.is_empty() && received.capacity() > KEPT_BUFFER_BYTES {
+fn reserve(received: &mut BytesMut) {
+    if received.is_empty() && received.capacity() > RETAINED_BUFFER_BYTES {
         *received = BytesMut::new();
     }
     received.reserve(missing(received).max(READ_BYTES));
--- a/crates/cluster/cluster-node/src/transport/listener.rs
+++ b/crates/cluster/cluster-node/src/transport/listener.rs
@@ -22,7 +22,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(welcome(stream, transport.clone()));
+                tokio::spawn(serve_accepted(stream, transport.clone()));
             }
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
@@ -30,7 +30,7 @@
 }
 
 /// Learns who connects and goes on with the connection.
-async fn welcome(mut stream: TcpStream, transport: Transport) {
+async fn serve_accepted(mut stream: TcpStream, transport: Transport) {
     let mut bytes = [0; PREAMBLE_BYTES];
     let read = tokio::time::timeout(PREAMBLE_TIMEOUT, stream.read_exact(&mut bytes)).await;
     if !matches!(read, Ok(Ok(_))) || prepare_peer(&stream).is_err() {
@@ -38,14 +38,14 @@
     }
     let preamble = match read_preamble(&bytes) {
         Ok(preamble) => preamble,
-        Err(error) => return complain(&stream, &transport, &error),
+        Err(error) => return log_closed(&stream, &transport, &error),
     };
     let peer = transport.peer(preamble.from);
     let link = peer.attach(transport.next_link(), Some(preamble.incarnation));
     run(stream, transport, peer, link).await;
 }
 
-fn complain(
+fn log_closed(
     stream: &TcpStream,
     transport: &Transport,
     error: &sagetrail_protocol::frame::FrameError,
@@ -53,5 +53,5 @@
     let who = stream
         .peer_addr()
         .map_or_else(|_| "a stranger".to_owned(), |address| address.to_string());
-    transport.complain(who, error);
+    transport.log_closed(who, error);
 }
--- a/crates/cluster/cluster-node/src/transport/peer.rs
+++ b/crates/cluster/cluster-node/src/transport/peer.rs
@@ -24,7 +24,7 @@
 
 /// What `Peer::push` asks of its caller.
 #[derive(PartialEq, Eq, Debug)]
-pub(super) enum Pushed {
+pub(super) enum PushOutcome {
     /// It goes by a connection, or is waited for already, or was dropped.
     Nothing,
     /// Nobody is connecting: it is for the caller to see to it.
@@ -32,14 +32,14 @@
 }
 
 /// A frame that waits.
-struct Waiting {
+struct QueuedFrame {
     since: Instant,
     frame: Vec<u8>,
 }
 
 #[derive(Default)]
 struct State {
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedFrame>,
     bytes: usize,
     dropped: u64,
     /// All connections, the one to send by last.
@@ -70,25 +70,25 @@
     }
 
     /// Puts a frame in the queue, or drops it where the queue is full.
-    pub(super) fn push(&self, frame: Vec<u8>) -> Pushed {
+    pub(super) fn push(&self, frame: Vec<u8>) -> PushOutcome {
         let mut state = self.lock();
         if !state.queue.is_empty() && state.bytes + frame.len() > QUEUE_BYTES {
             state.dropped += 1;
-            return Pushed::Nothing;
+            return PushOutcome::Nothing;
         }
         state.bytes += frame.len();
-        state.queue.push_back(Waiting {
+        state.queue.push_back(QueuedFrame {
             since: Instant::now(),
             frame,
         });
         if let Some(link) = state.links.last() {
             link.wake.notify_one();
-            return Pushed::Nothing;
+            return PushOutcome::Nothing;
         }
         if std::mem::replace(&mut state.dialing, true) {
-            return Pushed::Nothing;
+            return PushOutcome::Nothing;
         }
-        Pushed::Dial
+        PushOutcome::Dial
     }
 
     /// All frames that wait, for the connection to send by; nothing for any other.
@@ -109,7 +109,7 @@
         state
             .queue
             .drain(..)
-            .for_each(|waiting| together.extend_from_slice(&waiting.frame));
+            .for_each(|queued| together.extend_from_slice(&queued.frame));
         state.bytes = 0;
         Some(together)
     }
@@ -181,7 +181,7 @@
     }
 
     /// Bytes that wait.
-    pub(super) fn waiting_bytes(&self) -> usize {
+    pub(super) fn queued_bytes(&self) -> usize {
         self.lock().bytes
     }
 
--- a/crates/cluster/cluster-node/src/transport/shared.rs
+++ b/crates/cluster/cluster-node/src/transport/shared.rs
@@ -14,12 +14,12 @@
 use super::dial::dial;
 use super::frames::pack;
 use super::listener::accept;
-use super::peer::{Peer, Pushed};
+use super::peer::{Peer, PushOutcome};
 use super::socket::bind_listener;
 use crate::input::{Input, Inputs};
 
 /// Of connections closed for what came on them one line is logged in so long.
-const COMPLAINT_INTERVAL: Duration = Duration::from_secs(60);
+const CLOSED_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Sends messages to other processes and hears theirs. Its clones are the same.
 #[derive(Clone)]
@@ -33,7 +33,7 @@
     inputs: Inputs,
     peers: Mutex<HashMap<NodeId, Arc<Peer>>>,
     next_link: AtomicU64,
-    last_complaint: Mutex<Option<Instant>>,
+    last_logged: Mutex<Option<Instant>>,
 }
 
 impl Transport {
@@ -50,7 +50,7 @@
             inputs,
             peers: Mutex::default(),
             next_link: AtomicU64::new(0),
-            last_complaint: Mutex::new(None),
+            last_logged: Mutex::new(None),
         };
         let transport = Transport {
             shared: Arc::new(shared),
@@ -70,7 +70,7 @@
 
     fn send_frame(&self, to: NodeId, frame: Vec<u8>) {
         let peer = self.peer(to);
-        if peer.push(frame) == Pushed::Dial {
+        if peer.push(frame) == PushOutcome::Dial {
             tokio::spawn(dial(self.clone(), peer));
         }
     }
@@ -78,7 +78,7 @@
     /// True where nothing waits to be sent.
     pub fn is_drained(&self) -> bool {
         let peers = self.shared.peers.lock().expect("no holder panics");
-        peers.values().all(|peer| peer.waiting_bytes() == 0)
+        peers.values().all(|peer| peer.queued_bytes() == 0)
     }
 
     /// Frames dropped so far, because a queue was full or a process could not be reached.
@@ -105,10 +105,10 @@
     }
 
     /// Says, at times, why a connection was closed.
-    pub(super) fn complain(&self, who: impl std::fmt::Display, error: &FrameError) {
-        let mut last = self.shared.last_complaint.lock().expect("no holder panics");
+    pub(super) fn log_closed(&self, who: impl std::fmt::Display, error: &FrameError) {
+        let mut last = self.shared.last_logged.lock().expect("no holder panics");
         let now = Instant::now();
-        if last.is_some_and(|last| now.duration_since(last) < COMPLAINT_INTERVAL) {
+        if last.is_some_and(|last| now.duration_since(last) < CLOSED_LOG_INTERVAL) {
             return;
         }
         *last = Some(now);
--- a/crates/cluster/cluster-node/tests/callers.rs
+++ b/crates/cluster/cluster-node/tests/callers.rs
@@ -18,10 +18,10 @@
 use tokio::sync::mpsc;
 
 use sagetrail_cluster_node::clocks::Clocks;
-use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::http::{serve, ConnectionLimit, ServerContext};
 use sagetrail_cluster_node::input::{Input, Inputs};
-use sagetrail_cluster_node::phase::phases;
-use sagetrail_cluster_node::process::{Ended, Parts, Process};
+use sagetrail_cluster_node::lifecycle::watch_phase;
+use sagetrail_cluster_node::process::{Process, ProcessEnd, ProcessParts};
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::frame::{
     decode, Preamble, LENGTH_BYTES, MAGIC, PREAMBLE_BYTES, PROTOCOL_VERSION,
@@ -105,23 +105,23 @@
     }
 }
 
-struct Stage {
+struct TestServer {
     endpoint: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     _inputs: Inputs,
-    _running: tokio::task::JoinHandle<Ended>,
+    _running: tokio::task::JoinHandle<ProcessEnd>,
 }
 
-fn start(room: usize, seed: u64) -> Stage {
+fn start(connection_limit: usize, seed: u64) -> TestServer {
     let (sender, inputs) = mpsc::unbounded_channel();
     let node = free_node();
     let transport = Transport::start(node, 1, sender.clone()).unwrap();
-    let (phase, watch) = phases();
+    let (phase, watch) = watch_phase();
     let next_id = Arc::new(AtomicU64::new(1));
-    let context = ServeContext {
+    let context = ServerContext {
         inputs: sender.clone(),
         phase: watch,
-        room: Room::of(room),
+        connection_limit: ConnectionLimit::of(connection_limit),
         next_id,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -137,7 +137,7 @@
     let running = tokio::task::spawn_local(async move {
         let clocks = Clocks::start();
         let grace = Duration::from_secs(5);
-        let parts = Parts {
+        let parts = ProcessParts {
             node,
             clocks,
             inputs,
@@ -151,7 +151,7 @@
             .run()
             .await
     });
-    Stage {
+    TestServer {
         endpoint,
         seen,
         _inputs: sender,
@@ -374,7 +374,7 @@
 }
 
 /// Waits until the logic has seen everything that was read before.
-async fn all_is_seen(stage: &Stage) {
+async fn all_is_seen(stage: &TestServer) {
     soon(async {
         loop {
             let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
--- a/crates/cluster/cluster-node/tests/health_check.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -30,7 +30,7 @@
         },
         sender,
     );
-    let Some(Input::Probed { id, result }) = soon(inputs.recv()).await else {
+    let Some(Input::HealthChecked { id, result }) = soon(inputs.recv()).await else {
         panic!("no result")
     };
     assert_eq!(id, HealthCheckId(7));
--- a/crates/cluster/cluster-node/tests/http_form.rs
+++ b/crates/cluster/cluster-node/tests/http_form.rs
@@ -12,9 +12,9 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
 use sagetrail_cluster_node::health_check;
-use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::http::{serve, ConnectionLimit, ServerContext};
 use sagetrail_cluster_node::input::Input;
-use sagetrail_cluster_node::phase::{phases, Phase, PhaseSetter};
+use sagetrail_cluster_node::lifecycle::{watch_phase, Phase, PhaseSender};
 use sagetrail_fixture::transcript::Transcript;
 use sagetrail_protocol::node::{
     HealthCheck, HealthCheckId, HttpEndpoint, HttpReply, HttpRequest, Method,
@@ -33,17 +33,17 @@
 /// A server, and what reaches the logic behind it.
 struct Served {
     at: SocketAddr,
-    phase: PhaseSetter,
+    phase: PhaseSender,
     inputs: UnboundedReceiver<Input>,
 }
 
 fn served() -> Served {
     let (sender, inputs) = mpsc::unbounded_channel();
-    let (phase, watch) = phases();
-    let context = ServeContext {
+    let (phase, watch) = watch_phase();
+    let context = ServerContext {
         inputs: sender,
         phase: watch,
-        room: Room::of(100),
+        connection_limit: ConnectionLimit::of(100),
         next_id: Arc::new(AtomicU64::new(1)),
     };
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -80,7 +80,7 @@
 /// The next request that reaches the logic, answered with `reply`; without one it is dropped unanswered.
 async fn answered(inputs: &mut UnboundedReceiver<Input>, reply: Option<HttpReply>) -> HttpRequest {
     loop {
-        if let Some(Input::Request {
+        if let Some(Input::HttpRequest {
             request,
             reply: sender,
             ..
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -13,10 +13,10 @@
 
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::disk::{Disk, Store};
-use sagetrail_cluster_node::http::{serve, Room, ServeContext};
+use sagetrail_cluster_node::http::{serve, ConnectionLimit, ServerContext};
 use sagetrail_cluster_node::input::{Input, Inputs};
-use sagetrail_cluster_node::phase::phases;
-use sagetrail_cluster_node::process::{Ended, Parts, Process};
+use sagetrail_cluster_node::lifecycle::watch_phase;
+use sagetrail_cluster_node::process::{Process, ProcessEnd, ProcessParts};
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::node::{
     DiskOperation, DiskWrite, Event, HealthCheck, HealthCheckId, HttpEndpoint, HttpReply,
@@ -146,18 +146,18 @@
     control: SocketAddr,
     inputs: Inputs,
     seen: Arc<Mutex<Vec<String>>>,
-    running: tokio::task::JoinHandle<Ended>,
+    running: tokio::task::JoinHandle<ProcessEnd>,
 }
 
 struct Plan {
-    room: usize,
+    connection_limit: usize,
     finish: bool,
     grace: Duration,
     with_disk: bool,
 }
 
 const PLAN: Plan = Plan {
-    room: 100,
+    connection_limit: 100,
     finish: true,
     grace: Duration::from_secs(5),
     with_disk: false,
@@ -168,12 +168,12 @@
     let (sender, inputs) = mpsc::unbounded_channel();
     let node = free_node();
     let transport = Transport::start(node, 1, sender.clone()).unwrap();
-    let (phase, watch) = phases();
+    let (phase, watch) = watch_phase();
     let next_id = Arc::new(AtomicU64::new(1));
-    let context = ServeContext {
+    let context = ServerContext {
         inputs: sender.clone(),
         phase: watch,
-        room: Room::of(plan.room),
+        connection_limit: ConnectionLimit::of(plan.connection_limit),
         next_id,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -196,7 +196,7 @@
     let grace = plan.grace;
     let results = sender.clone();
     let running = tokio::task::spawn_local(async move {
-        let parts = Parts {
+        let parts = ProcessParts {
             node,
             clocks: Clocks::start(),
             inputs,
@@ -399,7 +399,7 @@
         is_closed(&mut idle).await;
         assert!(matches!(
             soon(stage.running).await.unwrap(),
-            Ended::Finished
+            ProcessEnd::Finished
         ));
     })
     .await;
@@ -416,16 +416,19 @@
         stage.inputs.send(Input::Terminate).ok().unwrap();
         assert!(matches!(
             soon(stage.running).await.unwrap(),
-            Ended::OutOfGrace
+            ProcessEnd::OutOfGrace
         ));
     })
     .await;
 }
 
 #[tokio::test]
-async fn where_there_is_no_room_the_longest_idle_gives_way() {
+async fn at_the_connection_limit_the_longest_idle_connection_is_evicted() {
     on_stage(async {
-        let stage = start(Plan { room: 2, ..PLAN });
+        let stage = start(Plan {
+            connection_limit: 2,
+            ..PLAN
+        });
         let mut busy = TcpStream::connect(stage.endpoint).await.unwrap();
         send(&mut busy, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
         until_seen(&stage, "Frontend Get x /wait None None 0").await;
@@ -450,7 +453,7 @@
         stage.inputs.send(Input::DiskFailed(error)).ok().unwrap();
         assert!(matches!(
             soon(stage.running).await.unwrap(),
-            Ended::DiskFailed(_)
+            ProcessEnd::DiskFailed(_)
         ));
     })
     .await;
--- a/crates/testing/scale-testing/src/hollow/agent.rs
+++ b/crates/testing/scale-testing/src/hollow/agent.rs
@@ -4,8 +4,8 @@
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_cluster_node::clocks::Clocks;
 use sagetrail_cluster_node::input::Inputs;
-use sagetrail_cluster_node::phase::phases;
-use sagetrail_cluster_node::process::{Parts, Process};
+use sagetrail_cluster_node::lifecycle::watch_phase;
+use sagetrail_cluster_node::process::{Process, ProcessParts};
 use sagetrail_cluster_node::transport::Transport;
 use sagetrail_protocol::node::{Event, Node, Now, Outbox};
 use sagetrail_protocol::Time;
@@ -54,9 +54,9 @@
     let (sender, inputs) = mpsc::unbounded_channel();
     let transport = Transport::start(settings.node, settings.incarnation, sender.clone())?;
     let clocks = Clocks::start();
-    let (phase, _) = phases();
+    let (phase, _) = watch_phase();
     let node = settings.node;
-    let parts = Parts {
+    let parts = ProcessParts {
         node,
         clocks,
         inputs,
--- a/crates/testing/scale-testing/src/hollow/endpoint.rs
+++ b/crates/testing/scale-testing/src/hollow/endpoint.rs
@@ -59,7 +59,7 @@
         body,
     };
     inputs
-        .send(Input::Request {
+        .send(Input::HttpRequest {
             id,
             endpoint: HttpEndpoint::Control,
             request,
--- a/crates/testing/scale-testing/src/simulated/found.rs
+++ b/crates/testing/scale-testing/src/simulated/found.rs
@@ -7,7 +7,7 @@
 use crate::settings::{render, Machine as SettingsOf};
 use sagetrail_agent::AgentNode;
 use sagetrail_cluster_node::settings::Settings;
-use sagetrail_cluster_node::start::{Ground, Maker};
+use sagetrail_cluster_node::start::{LogicFactory, ProcessContext};
 use sagetrail_cluster_node::{core_process, frontend_process};
 use sagetrail_protocol::node::{DiskImage, Now, Outbox};
 use sagetrail_protocol::{NodeId, NodeKind};
@@ -49,7 +49,7 @@
     node: NodeId,
 ) -> anyhow::Result<Founded> {
     let scenario = &settings.scenario;
-    let (maker, role, name): (Maker, Role, &str) = match kind {
+    let (maker, role, name): (LogicFactory, Role, &str) = match kind {
         NodeKind::Core => (core_process::make, Role::Replica, "core"),
         _ => (frontend_process::make, Role::Frontend, "frontend"),
     };
@@ -61,7 +61,7 @@
         bootstrap: true,
     };
     let parsed = Settings::parse(&render(scenario, settings.places, &machine)?, kind)?;
-    let ground = Ground {
+    let context = ProcessContext {
         node,
         incarnation: u64::from(node.ip),
         seeds: seeds(settings.places, scenario.cores),
@@ -72,7 +72,7 @@
         settings: parsed,
     };
     let mut outbox = Outbox::default();
-    let logic = maker(ground, now, &mut outbox);
+    let logic = maker(context, now, &mut outbox);
     let region = number % scenario.network.regions;
     Ok(Founded {
         machine: Machine::new(node, role, region, logic),
