--- a/crates/cluster/cluster-node/src/disk/error.rs
+++ b/crates/cluster/cluster-node/src/disk/error.rs
@@ -1,61 +1,65 @@
 //! Why the disk could not be used.
 
-use std::fmt;
+use std::io;
+
+use redb::{DatabaseError, StorageError, TableError};
 
 /// Why the disk could not be used.
-#[derive(Debug)]
+#[derive(thiserror::Error, Debug)]
 pub enum DiskError {
-    /// What is on disk is torn and cannot be repaired.
-    Torn(String),
-    /// The disk refused; it may take it later.
-    Refused(String),
+    /// The file is corrupted and cannot be repaired: it is replaced at the next start.
+    #[error("the file on disk is corrupted: {0}")]
+    Corrupted(redb::Error),
+    /// One of the tables is missing; both are created in one transaction, so the file is corrupted.
+    #[error("the file on disk is corrupted: one table is missing")]
+    TableMissing,
+    /// The database refused; it may succeed later.
+    #[error("the disk refused: {0}")]
+    Refused(redb::Error),
+    /// The file system refused; it may succeed later.
+    #[error("the disk refused: {0}")]
+    Io(#[from] io::Error),
 }
 
 impl DiskError {
-    /// Sorts an error of opening by whether the file is at fault.
-    pub fn from_database(error: redb::DatabaseError) -> DiskError {
+    /// Classifies an error of opening by whether the file is at fault.
+    pub(super) fn from_database(error: DatabaseError) -> DiskError {
         match error {
-            redb::DatabaseError::Storage(storage) => DiskError::from_storage(storage),
-            redb::DatabaseError::RepairAborted | redb::DatabaseError::UpgradeRequired(_) => {
-                DiskError::Torn(error.to_string())
+            DatabaseError::Storage(storage) => DiskError::from_storage(storage),
+            DatabaseError::RepairAborted | DatabaseError::UpgradeRequired(_) => {
+                DiskError::Corrupted(error.into())
             }
-            other => DiskError::Refused(other.to_string()),
+            other => DiskError::Refused(other.into()),
         }
     }
 
-    /// Sorts an error of reading by whether the file is at fault.
-    pub fn from_storage(error: redb::StorageError) -> DiskError {
-        use std::io::ErrorKind::{InvalidData, UnexpectedEof};
+    /// Classifies an error of reading by whether the file is at fault.
+    pub(super) fn from_storage(error: StorageError) -> DiskError {
+        use io::ErrorKind::{InvalidData, UnexpectedEof};
         match &error {
-            redb::StorageError::Corrupted(_) => DiskError::Torn(error.to_string()),
-            redb::StorageError::Io(io) if matches!(io.kind(), InvalidData | UnexpectedEof) => {
-                DiskError::Torn(error.to_string())
+            StorageError::Corrupted(_) => DiskError::Corrupted(error.into()),
+            StorageError::Io(io) if matches!(io.kind(), InvalidData | UnexpectedEof) => {
+                DiskError::Corrupted(error.into())
             }
-            _ => DiskError::Refused(error.to_string()),
+            _ => DiskError::Refused(error.into()),
         }
     }
 
-    /// Sorts an error of opening a table.
-    pub fn from_table(error: redb::TableError) -> DiskError {
+    /// Classifies an error of opening a table.
+    pub(super) fn from_table(error: TableError) -> DiskError {
         match error {
-            redb::TableError::Storage(storage) => DiskError::from_storage(storage),
-            other => DiskError::Torn(other.to_string()),
+            TableError::Storage(storage) => DiskError::from_storage(storage),
+            other => DiskError::Corrupted(other.into()),
         }
     }
 
-    /// An error in writing: nothing can be said of the file by this process any more.
-    pub fn refused(error: impl fmt::Display) -> DiskError {
-        DiskError::Refused(error.to_string())
+    /// An error in writing: nothing is known about the file in this process any more.
+    pub(super) fn refused(error: impl Into<redb::Error>) -> DiskError {
+        DiskError::Refused(error.into())
     }
-}
 
-impl fmt::Display for DiskError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            DiskError::Torn(reason) => write!(formatter, "the file on disk is torn: {reason}"),
-            DiskError::Refused(reason) => write!(formatter, "the disk refused: {reason}"),
-        }
+    /// Whether the file is at fault and is to be replaced.
+    pub(super) fn is_corruption(&self) -> bool {
+        matches!(self, DiskError::Corrupted(_) | DiskError::TableMissing)
     }
 }
-
-impl std::error::Error for DiskError {}
--- a/crates/cluster/cluster-node/src/disk/file.rs
+++ b/crates/cluster/cluster-node/src/disk/file.rs
@@ -1,5 +1,5 @@
-//! The file as `redb` uses it: plain reads and writes at a place, no locks on ranges of it, which not every
-//! system has. One lock on the whole keeps a second process away.
+//! The file as `redb` uses it: plain reads and writes at an offset. In place of locks on ranges, which not every file
+//! system has, one lock on the file excludes a second process.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -15,7 +15,11 @@
 }
 
 impl LockedFile {
-    /// Opens the file, or makes it. Fails where another process has it open.
+    /// Opens the file, or creates it.
+    ///
+    /// # Errors
+    ///
+    /// `ResourceBusy` where another process has it open; any other error of opening or locking.
     pub(super) fn open(path: &Path) -> io::Result<LockedFile> {
         let file = OpenOptions::new()
             .read(true)
@@ -26,7 +30,7 @@
         match file.try_lock() {
             Ok(()) => Ok(LockedFile { file }),
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::ResourceBusy.into()),
-            // Without locks there is no telling; the platform starts one process.
+            // Without locks a second process goes unnoticed; the platform starts only one.
             Err(TryLockError::Error(error)) if error.kind() == io::ErrorKind::Unsupported => {
                 Ok(LockedFile { file })
             }
--- a/crates/cluster/cluster-node/src/disk/store.rs
+++ b/crates/cluster/cluster-node/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! The file: opening it, reading it whole, writing many changes at once.
+//! The file: opening it, reading all of it, writing many changes in one transaction.
 
 use std::fs::File;
 use std::path::Path;
@@ -12,12 +12,13 @@
 use super::file::LockedFile;
 use super::DiskError;
 
+/// The file in the data folder.
 const FILE_NAME: &str = "state.redb";
-/// A file on its way into the place of a torn one.
+/// A replacement of a corrupted file, before its rename.
 const NEW_FILE_NAME: &str = "state.redb.new";
-/// A row that says that the file took the place of a torn one, so that the disk never counts as fresh again.
+/// A row of a file that replaced a corrupted one, so that the disk never counts as fresh again.
 const REPLACED_KEY: &[u8] = b"replaced";
-/// The file is small; what it needs often fits in this.
+/// The cache of the database: the file is small, and what is read often fits.
 const CACHE_BYTES: usize = 4 << 20;
 
 type Definition = TableDefinition<'static, &'static [u8], &'static [u8]>;
@@ -33,18 +34,28 @@
 
 /// The open file and what was in it.
 pub struct Opened {
+    /// The open file.
     pub store: Store,
+    /// All rows at the start; empty for a new file.
     pub image: DiskImage,
-    /// A torn file was removed: whatever the disk held is forgotten.
+    /// Whether a corrupted file was replaced: whatever the disk held is lost.
     pub emptied: bool,
 }
 
 impl Store {
-    /// Opens the file in `folder`, or makes it. One torn beyond repair is replaced, as if the disk had been lost.
+    /// Opens the file in `folder`, or creates it. One corrupted beyond repair is replaced, as if the disk had been lost.
+    ///
+    /// # Errors
+    ///
+    /// [`DiskError::Refused`] or [`DiskError::Io`] where the disk can't be used now, or another process has the file
+    /// open. Blocks the thread until the file is read.
     pub fn open(folder: &Path) -> Result<Opened, DiskError> {
         match Store::open_existing(folder) {
-            Err(DiskError::Torn(reason)) => {
-                log::warn!("torn file replaced: {reason}");
+            Err(error) if error.is_corruption() => {
+                log::warn!(
+                    "disk file replaced: folder={} error={error}",
+                    folder.display()
+                );
                 let store = Store::replace(folder)?;
                 Ok(Opened {
                     store,
@@ -56,13 +67,11 @@
         }
     }
 
-    /// Puts a new file in the place of a torn one. Until it is whole and says so, the torn one stays.
+    /// Replaces a corrupted file by a new one, by rename: until the new one is synced, the corrupted one stays.
     fn replace(folder: &Path) -> Result<Store, DiskError> {
         let path = folder.join(NEW_FILE_NAME);
         match std::fs::remove_file(&path) {
-            Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
-                return Err(DiskError::refused(error))
-            }
+            Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(error.into()),
             _ => {}
         }
         let store = Store {
@@ -78,13 +87,13 @@
             operations: vec![row],
             ..DiskWrite::default()
         }])?;
-        std::fs::rename(&path, folder.join(FILE_NAME)).map_err(DiskError::refused)?;
+        std::fs::rename(&path, folder.join(FILE_NAME))?;
         sync_folder(folder)?;
         Ok(store)
     }
 
     fn open_existing(folder: &Path) -> Result<Opened, DiskError> {
-        std::fs::create_dir_all(folder).map_err(DiskError::refused)?;
+        std::fs::create_dir_all(folder)?;
         let store = Store {
             database: open_database(&folder.join(FILE_NAME))?,
         };
@@ -118,12 +127,16 @@
         match (control, records) {
             (Some(control), Some(records)) => Ok(Some(DiskImage { control, records })),
             (None, None) => Ok(None),
-            // Both are made at once.
-            _ => Err(DiskError::Torn("one table is missing".to_owned())),
+            // Both are created in one transaction.
+            _ => Err(DiskError::TableMissing),
         }
     }
 
-    /// Brings all writes to the disk together, and syncs.
+    /// Applies all writes in one transaction and syncs it.
+    ///
+    /// # Errors
+    ///
+    /// [`DiskError::Refused`]: what is on disk is known only after the file is opened again.
     pub fn write(&self, writes: &[DiskWrite]) -> Result<(), DiskError> {
         let mut transaction = self.database.begin_write().map_err(DiskError::refused)?;
         transaction
@@ -180,14 +193,13 @@
 fn open_database(path: &Path) -> Result<Database, DiskError> {
     let mut builder = Database::builder();
     builder.set_cache_size(CACHE_BYTES);
-    let file = LockedFile::open(path).map_err(DiskError::refused)?;
+    let file = LockedFile::open(path)?;
     builder
         .create_with_backend(file)
         .map_err(DiskError::from_database)
 }
 
-/// A name lasts once its folder is synced.
+/// Makes a created or renamed file's name durable.
 fn sync_folder(folder: &Path) -> Result<(), DiskError> {
-    let folder = File::open(folder).map_err(DiskError::refused)?;
-    folder.sync_all().map_err(DiskError::refused)
+    Ok(File::open(folder)?.sync_all()?)
 }
--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -1,4 +1,7 @@
-//! The thread that writes: takes all writes that wait, syncs them as one, reports what waited for them.
+//! The disk's thread: takes all pending writes, syncs them as one, reports what waited for them.
+//!
+//! The thread ends when its [`Disk`] is dropped, when the receiver of the inputs is dropped, or with the first failed
+//! write.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 
@@ -7,29 +10,32 @@
 use super::{DiskError, Store};
 use crate::input::{Input, Inputs};
 
-/// Operations that are synced as one at most; a longer sync holds up what waits first.
-const MOST_OPERATIONS: usize = 8192;
+/// The most operations in one transaction; a longer sync delays the first write in it.
+const MAX_OPERATIONS: usize = 8192;
 const THREAD_NAME: &str = "disk";
 const THREAD_STACK_BYTES: usize = 1 << 20;
 
-/// Takes writes for the thread.
+/// The sending side of the disk's thread.
 pub struct Disk {
     writes: Sender<DiskWrite>,
 }
 
 impl Disk {
-    /// Starts the thread.
+    /// Starts the thread. It sends [`Input::Synced`] and [`Input::DiskFailed`] to `inputs`.
+    ///
+    /// # Errors
+    ///
+    /// [`DiskError::Io`] where no thread can be started.
     pub fn start(store: Store, inputs: Inputs) -> Result<Disk, DiskError> {
         let (sender, receiver) = channel();
         std::thread::Builder::new()
             .name(THREAD_NAME.to_owned())
             .stack_size(THREAD_STACK_BYTES)
-            .spawn(move || run(&store, &receiver, &inputs))
-            .map_err(DiskError::refused)?;
+            .spawn(move || run(&store, &receiver, &inputs))?;
         Ok(Disk { writes: sender })
     }
 
-    /// Puts a write behind all before it. After a failure nothing is written any more.
+    /// Queues a write behind all earlier ones. After a failure nothing is written any more.
     pub fn submit(&self, write: DiskWrite) {
         let _ = self.writes.send(write);
     }
@@ -37,7 +43,7 @@
 
 fn run(store: &Store, writes: &Receiver<DiskWrite>, inputs: &Inputs) {
     while let Ok(first) = writes.recv() {
-        let group = gather(first, writes);
+        let group = collect_pending(first, writes);
         if let Err(error) = store.write(&group) {
             // A failed sync proves nothing of any later one on this file: the process must start anew.
             let _ = inputs.send(Input::DiskFailed(error));
@@ -49,10 +55,10 @@
     }
 }
 
-fn gather(first: DiskWrite, writes: &Receiver<DiskWrite>) -> Vec<DiskWrite> {
+fn collect_pending(first: DiskWrite, writes: &Receiver<DiskWrite>) -> Vec<DiskWrite> {
     let mut operations = first.operations.len();
     let mut group = vec![first];
-    while operations < MOST_OPERATIONS {
+    while operations < MAX_OPERATIONS {
         let Ok(next) = writes.try_recv() else { break };
         operations += next.operations.len();
         group.push(next);
--- a/crates/cluster/cluster-node/src/health_check.rs
+++ b/crates/cluster/cluster-node/src/health_check.rs
@@ -1,6 +1,5 @@
-//! Looks at another process: one GET by a connection of its own, within the time of a probe.
+//! Health checks: one GET on a connection of its own, with a time-out.
 
-use std::fmt;
 use std::io::ErrorKind;
 use std::time::Duration;
 
@@ -16,35 +15,29 @@
 
 use crate::input::{Input, Inputs};
 
-/// Why a probe got no status.
-#[derive(Debug)]
+/// Why a health check got no status.
+#[derive(thiserror::Error, Debug)]
 enum HealthCheckError {
-    /// No connection came about.
+    /// No connection was made.
+    #[error("no connection: {0}")]
     Unconnected(std::io::Error),
-    /// The path makes no request.
+    /// The path is invalid.
+    #[error("invalid request: {0}")]
     BadRequest(hyper::http::Error),
-    /// The connection broke off before the answer.
-    BrokenOff(hyper::Error),
+    /// The connection was closed before the answer.
+    #[error("connection closed: {0}")]
+    Closed(hyper::Error),
 }
 
 impl HealthCheckError {
-    /// Only a connection that never came about tells that nothing listens.
+    /// Only a connection that was refused proves that nothing listens.
     fn is_refusal(&self) -> bool {
         matches!(self, HealthCheckError::Unconnected(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-impl fmt::Display for HealthCheckError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            HealthCheckError::Unconnected(error) => write!(formatter, "no connection: {error}"),
-            HealthCheckError::BadRequest(error) => write!(formatter, "no request: {error}"),
-            HealthCheckError::BrokenOff(error) => write!(formatter, "broken off: {error}"),
-        }
-    }
-}
-
-/// Starts a probe; what comes of it is told once.
+/// Starts a health check. Its task sends one [`Input::HealthChecked`] and ends, at the latest after
+/// [`HEALTH_CHECK_TIMEOUT_MS`].
 pub fn start(health_check: HealthCheck, inputs: Inputs) {
     tokio::spawn(async move {
         let result = check(&health_check).await;
@@ -61,7 +54,10 @@
     match tokio::time::timeout(timeout, status(health_check)).await {
         Ok(Ok(status)) => HealthCheckResult::Status(status.as_u16()),
         Ok(Err(error)) => {
-            log::debug!("probe of {}: {error}", health_check.address);
+            log::debug!(
+                "health check failed: address={} error={error}",
+                health_check.address
+            );
             if error.is_refusal() {
                 HealthCheckResult::Refused
             } else {
@@ -83,11 +79,11 @@
         .map_err(HealthCheckError::Unconnected)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(HealthCheckError::BrokenOff)?;
-    let talk = tokio::spawn(connection);
+        .map_err(HealthCheckError::Closed)?;
+    let driver = tokio::spawn(connection);
     let answered = sender.send_request(request).await;
-    talk.abort();
+    driver.abort();
     answered
         .map(|response| response.status())
-        .map_err(HealthCheckError::BrokenOff)
+        .map_err(HealthCheckError::Closed)
 }
--- a/crates/cluster/cluster-node/src/identity.rs
+++ b/crates/cluster/cluster-node/src/identity.rs
@@ -1,4 +1,4 @@
-//! What names this process, and what it draws at random.
+//! Names of this process and of its seeds, and what it draws at random.
 
 use rand::rngs::OsRng;
 use rand::TryRngCore;
@@ -7,10 +7,6 @@
 
 use crate::settings::Settings;
 
-/// Ports of a machine that are ours, counted from the first of `port_range`: one for each kind of process, so
-/// that two on one machine do not meet.
-pub const PORTS_USED: u16 = 3;
-
 /// The port of a kind of process, counted from the first of `port_range`.
 fn port_offset(kind: NodeKind) -> u16 {
     match kind {
@@ -20,7 +16,7 @@
     }
 }
 
-/// The name of this process.
+/// The id of this process: its own address and the port of its kind.
 pub fn node_id(settings: &Settings, kind: NodeKind) -> NodeId {
     NodeId {
         ip: u32::from(settings.ip),
@@ -41,12 +37,20 @@
         .collect()
 }
 
-/// Draws a number from the system's source.
+/// Draws a number from the system's random source.
+///
+/// # Panics
+///
+/// Where the system has no random source.
 pub fn draw_seed() -> u64 {
     OsRng.try_next_u64().expect("the system's random source")
 }
 
 /// Draws an incarnation, never zero.
+///
+/// # Panics
+///
+/// As [`draw_seed`].
 pub fn draw_incarnation() -> Incarnation {
     draw_seed().max(1)
 }
--- a/crates/cluster/cluster-node/src/settings.rs
+++ b/crates/cluster/cluster-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: its fields, and their checks. Unknown fields are ignored.
+//! The settings file (TOML): its fields and their checks. Unknown fields are ignored; field names are the file's keys.
 
 mod check;
 mod error;
@@ -17,60 +17,76 @@
 
 use number::Number;
 
-/// What the platform tells a process.
+/// Ports of a machine that a cluster uses, counted from the first of `port_range`: one for each kind of process, so
+/// that two kinds can run on one machine.
+pub const PORTS_USED: u16 = 3;
+
+/// The settings of a process.
 #[derive(Deserialize, Validate, Clone, Debug)]
 pub struct Settings {
+    /// The machine's name, for log lines.
     #[serde(default)]
     pub node_name: String,
+    /// The machine's own address, at which other processes connect.
     #[validate(custom(function = check::is_specified))]
     pub ip: Ipv4Addr,
+    /// The machine's failure domain.
     #[serde(default)]
     pub zone: String,
-    /// First and last port that are free for what processes say to each other.
-    #[validate(custom(function = check::has_room))]
+    /// First and last port for messages between processes.
+    #[validate(custom(function = check::has_enough_ports))]
     pub port_range: [u16; 2],
     /// `control` addresses of core machines.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// True at the first start of the whole system only.
+    /// Whether this is the first start of the whole system: the core processes found the cluster.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The folder on disk, on core machines.
+    /// The folder of the state on disk; core machines only.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// How often a runner sends a heartbeat, in milliseconds.
+    /// The time between two heartbeats of a runner, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     #[validate(custom(function = check::is_positive))]
     pub heartbeat_ms: Number,
-    /// Where the runner of the machine accepts calls, on side machines.
+    /// Where the machine's runner listens; side machines only.
     #[serde(default)]
     pub app: Option<SocketAddrV4>,
+    /// Where the process listens for HTTP.
     #[serde(default)]
     pub bind_addrs: BindAddresses,
+    /// The resources of the process.
     #[serde(default)]
     #[validate(nested)]
     pub limits: Limits,
+    /// The losses that the cluster must survive.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
+    /// The deployment's bounds.
     #[serde(default)]
     #[validate(nested)]
     pub bounds: BoundsSettings,
 }
 
-/// Where the process hears HTTP.
+/// Where the process listens for HTTP.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 pub struct BindAddresses {
+    /// For clients; required on frontend machines.
     pub frontend: Option<SocketAddrV4>,
+    /// For the platform's readiness check.
     pub readiness: Option<SocketAddrV4>,
+    /// For the operator or the runner; required on core and side machines.
     pub control: Option<SocketAddrV4>,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Deserialize, Validate, Clone, Copy, Debug)]
 #[serde(default)]
 pub struct Limits {
+    /// Memory, in megabytes; above 0.
     #[validate(custom(function = check::is_positive))]
     pub memory_mb: Number,
+    /// File descriptors; at least 64.
     #[validate(range(min = 64))]
     pub max_fds: u32,
 }
@@ -84,10 +100,11 @@
     }
 }
 
-/// What may be lost at once.
+/// The losses at one time that the cluster must survive.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(default)]
 pub struct FaultTolerance {
+    /// Core machines that may be lost at once.
     pub machines: u32,
 }
 
@@ -101,23 +118,26 @@
 
 macro_rules! bounds_settings {
     (milliseconds: $($millis:ident),*; fractions: $($fraction:ident),*;) => {
-        /// The bounds of the deployment that the logic uses; what is missing has its usual value.
+        /// The deployment's bounds as the file gives them; a missing key has the value of [`Bounds::default`]. Units are
+        /// those of [`Bounds`].
         #[derive(Deserialize, Validate, Clone, Copy, Debug, Default)]
         #[serde(default)]
         pub struct BoundsSettings {
-            $(#[validate(custom(function = check::is_not_negative))]
+            $(/// As in [`Bounds`], in milliseconds.
+            #[validate(custom(function = check::is_not_negative))]
             pub $millis: Option<Number>,)*
-            $(#[validate(custom(function = check::is_not_negative))]
+            $(/// As in [`Bounds`].
+            #[validate(custom(function = check::is_not_negative))]
             pub $fraction: Option<Number>,)*
         }
 
         impl BoundsSettings {
             /// The bounds as the logic takes them.
             pub fn to_bounds(self) -> Bounds {
-                let usual = Bounds::default();
+                let default = Bounds::default();
                 Bounds {
-                    $($millis: self.$millis.map_or(usual.$millis, Number::whole),)*
-                    $($fraction: self.$fraction.map_or(usual.$fraction, |number| number.0),)*
+                    $($millis: self.$millis.map_or(default.$millis, Number::rounded),)*
+                    $($fraction: self.$fraction.map_or(default.$fraction, |number| number.0),)*
                 }
             }
         }
@@ -132,6 +152,10 @@
 
 impl Settings {
     /// Reads and checks the file for a kind of process.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`]: the file can't be read, or its first invalid field.
     pub fn load(path: &Path, kind: NodeKind) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -140,7 +164,11 @@
         Settings::parse(&text, kind)
     }
 
-    /// Checks the text of a settings file for a kind of process.
+    /// Parses and checks the text of a settings file for a kind of process.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Field`]: the first invalid field.
     pub fn parse(text: &str, kind: NodeKind) -> Result<Settings, SettingsError> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError::from_toml(text, &error))?;
@@ -151,7 +179,7 @@
         Ok(settings)
     }
 
-    /// The first port free for what processes say to each other.
+    /// The first port for messages between processes.
     pub fn first_port(&self) -> u16 {
         self.port_range[0]
     }
--- a/crates/cluster/cluster-node/src/settings/check.rs
+++ b/crates/cluster/cluster-node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, and of what a kind of process needs.
+//! Checks of single fields, and of the fields that a kind of process requires.
 
 use std::net::Ipv4Addr;
 
@@ -7,8 +7,8 @@
 use sagetrail_protocol::NodeKind;
 
 use super::number::Number;
+use super::PORTS_USED;
 use super::{Settings, SettingsError};
-use crate::identity::PORTS_USED;
 
 /// The address is a machine's own.
 pub(super) fn is_specified(ip: &Ipv4Addr) -> Result<(), ValidationError> {
@@ -18,8 +18,8 @@
     Ok(())
 }
 
-/// The ports are ascending and enough.
-pub(super) fn has_room(range: &[u16; 2]) -> Result<(), ValidationError> {
+/// The ports are ascending, and at least [`PORTS_USED`].
+pub(super) fn has_enough_ports(range: &[u16; 2]) -> Result<(), ValidationError> {
     let [first, last] = *range;
     if first == 0 || last < first || last - first + 1 < PORTS_USED {
         return Err(ValidationError::new(
@@ -45,10 +45,10 @@
     Ok(())
 }
 
-/// What a kind of process cannot do without is there.
+/// The fields that this kind of process requires are there.
 pub(super) fn fits_kind(settings: &Settings, kind: NodeKind) -> Result<(), SettingsError> {
     let binds = &settings.bind_addrs;
-    let need = |there: bool, field: &'static str| match there {
+    let need = |is_set: bool, field: &'static str| match is_set {
         true => Ok(()),
         false => Err(SettingsError::missing(field)),
     };
--- a/crates/cluster/cluster-node/src/settings/error.rs
+++ b/crates/cluster/cluster-node/src/settings/error.rs
@@ -1,25 +1,33 @@
-//! Why settings were refused, in one line that names the field.
+//! Why settings are invalid, in one line that names the field.
 
-use std::fmt;
 use std::path::PathBuf;
 
 use validator::{ValidationErrors, ValidationErrorsKind};
 
-/// Why settings were refused.
-#[derive(Debug)]
+/// Why settings are invalid.
+#[derive(thiserror::Error, Debug)]
 pub enum SettingsError {
     /// The file could not be read.
+    #[error("{}: {error}", path.display())]
     Unreadable {
+        /// The file.
         path: PathBuf,
+        /// Why it could not be read.
         error: std::io::Error,
     },
-    /// A field is bad or missing. `field` is empty where the file is no TOML at all.
-    Field { field: String, reason: String },
+    /// A field is invalid or missing.
+    #[error("{}{reason}", prefix(field))]
+    Field {
+        /// The key with its section; empty where the file is not TOML.
+        field: String,
+        /// What is wrong with its value.
+        reason: String,
+    },
 }
 
 impl SettingsError {
-    /// A field that this kind of process cannot do without.
-    pub fn missing(field: &str) -> SettingsError {
+    /// A field that this kind of process requires is missing.
+    pub(super) fn missing(field: &str) -> SettingsError {
         SettingsError::Field {
             field: field.to_owned(),
             reason: "missing".to_owned(),
@@ -27,7 +35,7 @@
     }
 
     /// An error of reading the text.
-    pub fn from_toml(text: &str, error: &toml::de::Error) -> SettingsError {
+    pub(super) fn from_toml(text: &str, error: &toml::de::Error) -> SettingsError {
         let field = error
             .span()
             .map_or_else(String::new, |span| field_at(text, span.start));
@@ -38,7 +46,7 @@
     }
 
     /// The first field, in alphabetical order, that failed its check.
-    pub fn from_validation(errors: &ValidationErrors) -> SettingsError {
+    pub(super) fn from_validation(errors: &ValidationErrors) -> SettingsError {
         let mut found = Vec::new();
         collect("", errors, &mut found);
         found.sort();
@@ -99,18 +107,11 @@
     line.trim().strip_prefix('[')?.strip_suffix(']')
 }
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            SettingsError::Unreadable { path, error } => {
-                write!(formatter, "{}: {error}", path.display())
-            }
-            SettingsError::Field { field, reason } if field.is_empty() => {
-                write!(formatter, "{reason}")
-            }
-            SettingsError::Field { field, reason } => write!(formatter, "{field}: {reason}"),
-        }
+/// The field before its reason, as in `field: reason`.
+fn prefix(field: &str) -> String {
+    if field.is_empty() {
+        String::new()
+    } else {
+        format!("{field}: ")
     }
 }
-
-impl std::error::Error for SettingsError {}
--- a/crates/cluster/cluster-node/src/settings/number.rs
+++ b/crates/cluster/cluster-node/src/settings/number.rs
@@ -1,17 +1,21 @@
-//! A figure that the settings may give as a whole number or as a fraction.
+//! A number that the settings may give as an integer or as a fraction.
 
 use std::fmt;
 
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// A finite figure.
+/// A finite number.
 #[derive(Serialize, Clone, Copy, PartialEq, Debug)]
-pub struct Number(pub f64);
+pub struct Number(
+    /// The value; finite.
+    pub f64,
+);
 
 impl Number {
-    /// The nearest whole number, zero for what is below.
-    pub fn whole(self) -> u64 {
+    /// The nearest integer; zero for a negative number.
+    #[must_use]
+    pub fn rounded(self) -> u64 {
         self.0.round().max(0.0) as u64
     }
 }
--- a/crates/cluster/cluster-node/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -12,7 +12,7 @@
         incarnation: context.incarnation,
         seeds: context.seeds,
         bounds: context.bounds,
-        heartbeat_ms: context.settings.heartbeat_ms.whole(),
+        heartbeat_ms: context.settings.heartbeat_ms.rounded(),
         runner_address: context.settings.app,
         seed: context.seed,
     };
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -149,7 +149,7 @@
         .store
         .write(&[write(vec![put(Table::Control, b"c", b"0")])])
         .unwrap();
-    assert!(matches!(Store::open(&folder), Err(DiskError::Refused(_))));
+    assert!(matches!(Store::open(&folder), Err(DiskError::Io(_))));
     drop(opened);
     assert_eq!(image(&folder).control.len(), 1);
 }
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -449,7 +449,7 @@
 async fn a_failed_disk_ends_the_process() {
     on_stage(async {
         let stage = start(PLAN);
-        let error = sagetrail_cluster_node::disk::DiskError::Refused("full".to_owned());
+        let error = sagetrail_cluster_node::disk::DiskError::Io(std::io::Error::other("full"));
         stage.inputs.send(Input::DiskFailed(error)).ok().unwrap();
         assert!(matches!(
             soon(stage.running).await.unwrap(),
--- a/crates/cluster/cluster-node/tests/settings.rs
+++ b/crates/cluster/cluster-node/tests/settings.rs
@@ -24,7 +24,7 @@
     assert_eq!(bounds.hold_max_ms, 10_000);
     assert_eq!(bounds.grace_s, 6.0);
     assert_eq!(bounds.restore_ms, 100);
-    assert_eq!(settings.heartbeat_ms.whole(), 1500);
+    assert_eq!(settings.heartbeat_ms.rounded(), 1500);
     assert_eq!(settings.fault_tolerance.machines, 1);
     assert_eq!(settings.limits.max_fds, 4100);
     assert!(settings.bootstrap);
