--- a/crates/cluster/cluster-node/src/transport/frames.rs
+++ b/crates/cluster/cluster-node/src/transport/frames.rs
@@ -8,7 +8,7 @@
 };
 use sagetrail_protocol::Message;
 
-/// A message with its length in front.
+/// Encodes a message with its length prefix.
 pub(super) fn pack(message: &Message) -> Result<Vec<u8>, FrameError> {
     let payload = encode(message)?;
     let mut frame = Vec::with_capacity(LENGTH_BYTES + payload.len());
@@ -17,7 +17,7 @@
     Ok(frame)
 }
 
-/// Takes the next whole message; `None` where more bytes are needed.
+/// Takes the next complete message; `None` where more bytes are needed.
 pub(super) fn unpack(received: &mut BytesMut) -> Result<Option<Message>, FrameError> {
     let Some(length) = next_length(received)? else {
         return Ok(None);
@@ -31,7 +31,7 @@
     Ok(Some(message))
 }
 
-/// Bytes that are missing from the frame that has begun; zero where that is not known.
+/// Bytes missing from the current frame; zero where its length is not known yet.
 pub(super) fn missing(received: &BytesMut) -> usize {
     match next_length(received) {
         Ok(Some(length)) => (LENGTH_BYTES + length).saturating_sub(received.len()),
--- a/crates/cluster/cluster-node/src/transport/link.rs
+++ b/crates/cluster/cluster-node/src/transport/link.rs
@@ -1,8 +1,5 @@
 //! One connection with another process, in both directions, from its preamble to its end.
 
-use std::future::Future;
-use std::pin::Pin;
-use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::BytesMut;
@@ -10,43 +7,52 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 
-use super::dial::dial;
 use super::frames::{missing, unpack};
 use super::peer::{Link, Peer};
-use super::shared::Transport;
+use super::shared::Shared;
 
-/// A peer that takes nothing for so long is given up.
+/// A connection on which the peer takes nothing for this time is closed.
 const STALLED: Duration = Duration::from_millis(1500);
-/// Room for what is read at once.
+/// Free space in the buffer before each read.
 const READ_BYTES: usize = 8 << 10;
-/// A larger buffer is given back once it is empty.
+/// A larger buffer is freed once it is empty.
 const RETAINED_BUFFER_BYTES: usize = 64 << 10;
 
-/// Sends and receives until the connection ends. What is left goes by another connection.
+/// What is left to do after a connection.
+#[must_use]
+pub(super) enum LinkEnd {
+    /// Nothing is queued, or another connection sends it, or another task dials.
+    Done,
+    /// Frames are queued and nobody dials: the caller does.
+    Redial,
+}
+
+/// Sends and receives until the connection ends. Frames that are still queued go by another connection.
+///
+/// # Cancel safety
+///
+/// Not cancel safe: a frame taken from the queue may be written in part, and the link stays attached.
 pub(super) async fn run(
     mut stream: TcpStream,
-    transport: Transport,
-    peer: Arc<Peer>,
-    link: Arc<Link>,
-) {
+    shared: &Shared,
+    peer: &Peer,
+    link: &Link,
+) -> LinkEnd {
     let (reader, writer) = stream.split();
     tokio::select! {
-        () = receive(reader, &transport, &peer) => {}
-        () = send(writer, &peer, &link) => {}
+        () = receive(reader, shared, peer) => {}
+        () = send(writer, peer, link) => {}
         () = link.outdated.notified() => {}
     }
     drop(stream);
-    if peer.detach(&link) {
-        tokio::spawn(dial_again(transport, peer));
+    if peer.detach(link) {
+        LinkEnd::Redial
+    } else {
+        LinkEnd::Done
     }
 }
 
-/// `dial` and `run` call each other; the type of their future must be named somewhere.
-fn dial_again(transport: Transport, peer: Arc<Peer>) -> Pin<Box<dyn Future<Output = ()> + Send>> {
-    Box::pin(dial(transport, peer))
-}
-
-async fn receive(mut reader: ReadHalf<'_>, transport: &Transport, peer: &Peer) {
+async fn receive(mut reader: ReadHalf<'_>, shared: &Shared, peer: &Peer) {
     let mut received = BytesMut::new();
     loop {
         reserve(&mut received);
@@ -54,24 +60,24 @@
             Ok(0) | Err(_) => return,
             Ok(_) => {}
         }
-        if !deliver_all(&mut received, transport, peer) {
+        if !deliver_all(&mut received, shared, peer) {
             return;
         }
     }
 }
 
-/// Hands on all whole messages; false where the connection is to end.
-fn deliver_all(received: &mut BytesMut, transport: &Transport, peer: &Peer) -> bool {
+/// Delivers all complete messages; false where the connection is to end.
+fn deliver_all(received: &mut BytesMut, shared: &Shared, peer: &Peer) -> bool {
     loop {
         match unpack(received) {
             Ok(None) => return true,
             Ok(Some(message)) => {
-                if !transport.deliver(peer.node, message) {
+                if !shared.deliver(peer.node, message) {
                     return false;
                 }
             }
             Err(error) => {
-                transport.log_closed(peer.node, &error);
+                shared.log_closed(peer.node, &error);
                 return false;
             }
         }
@@ -96,7 +102,7 @@
     }
 }
 
-/// Writes all, as long as the peer goes on taking some.
+/// Writes everything; fails once the peer has taken nothing for [`STALLED`].
 async fn write_steadily(writer: &mut WriteHalf<'_>, mut frames: &[u8]) -> std::io::Result<()> {
     while !frames.is_empty() {
         let written = tokio::time::timeout(STALLED, writer.write(frames)).await??;
--- a/crates/cluster/cluster-node/src/transport/listener.rs
+++ b/crates/cluster/cluster-node/src/transport/listener.rs
@@ -1,36 +1,38 @@
 //! Connections that other processes open.
 
+use std::sync::Arc;
 use std::time::Duration;
 
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-use sagetrail_protocol::frame::PREAMBLE_BYTES;
+use sagetrail_protocol::frame::{FrameError, PREAMBLE_BYTES};
 
+use super::dial::dial;
 use super::frames::read_preamble;
-use super::link::run;
-use super::shared::Transport;
+use super::link::{run, LinkEnd};
+use super::shared::Shared;
 use super::socket::prepare_peer;
 
-/// After a failed accept so long nothing is accepted.
+/// The pause after a failed accept (no descriptor, for instance).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A connection that has not named its process after so long is closed.
+/// A connection without a preamble after this time is closed.
 const PREAMBLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Accepts connections for as long as the process runs.
-pub(super) async fn accept(listener: TcpListener, transport: Transport) {
+pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve_accepted(stream, transport.clone()));
+                tokio::spawn(serve_accepted(stream, Arc::clone(&shared)));
             }
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-/// Learns who connects and goes on with the connection.
-async fn serve_accepted(mut stream: TcpStream, transport: Transport) {
+/// Reads the preamble and serves the connection.
+async fn serve_accepted(mut stream: TcpStream, shared: Arc<Shared>) {
     let mut bytes = [0; PREAMBLE_BYTES];
     let read = tokio::time::timeout(PREAMBLE_TIMEOUT, stream.read_exact(&mut bytes)).await;
     if !matches!(read, Ok(Ok(_))) || prepare_peer(&stream).is_err() {
@@ -38,20 +40,19 @@
     }
     let preamble = match read_preamble(&bytes) {
         Ok(preamble) => preamble,
-        Err(error) => return log_closed(&stream, &transport, &error),
+        Err(error) => return log_closed(&stream, &shared, &error),
     };
-    let peer = transport.peer(preamble.from);
-    let link = peer.attach(transport.next_link(), Some(preamble.incarnation));
-    run(stream, transport, peer, link).await;
+    let peer = shared.peer(preamble.from);
+    let link = peer.attach(shared.next_link(), Some(preamble.incarnation));
+    match run(stream, &shared, &peer, &link).await {
+        LinkEnd::Done => {}
+        LinkEnd::Redial => dial(shared, peer).await,
+    }
 }
 
-fn log_closed(
-    stream: &TcpStream,
-    transport: &Transport,
-    error: &sagetrail_protocol::frame::FrameError,
-) {
-    let who = stream
+fn log_closed(stream: &TcpStream, shared: &Shared, error: &FrameError) {
+    let peer = stream
         .peer_addr()
-        .map_or_else(|_| "a stranger".to_owned(), |address| address.to_string());
-    transport.log_closed(who, error);
+        .map_or_else(|_| "unknown".to_owned(), |address| address.to_string());
+    shared.log_closed(peer, error);
 }
--- a/crates/cluster/cluster-node/src/transport/peer.rs
+++ b/crates/cluster/cluster-node/src/transport/peer.rs
@@ -1,4 +1,4 @@
-//! Another process: what waits to be sent to it, and the connections that reach it.
+//! A peer: the frames queued for another process, and the connections to it.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,30 +8,31 @@
 
 use sagetrail_protocol::{Incarnation, NodeId};
 
-/// The most that waits for one process, in bytes. A single longer frame may wait alone.
+/// The most that is queued for one process, in bytes. A single longer frame may be queued alone.
 const QUEUE_BYTES: usize = 4 << 20;
-/// What has waited so long for a process that cannot be reached is dropped; the logic asks again.
+/// Frames queued for this time at an unreachable process are dropped; the logic retries.
 const QUEUE_AGE: Duration = Duration::from_secs(1);
 
-/// A connection, as others see it.
+/// The handle of a connection.
 pub(super) struct Link {
+    /// Tells the connections of a process apart.
     pub number: u64,
-    /// The sender has something to do.
+    /// Frames are queued.
     pub wake: Notify,
-    /// The process at its other end is no more.
+    /// The other process has a newer incarnation.
     pub outdated: Notify,
 }
 
-/// What `Peer::push` asks of its caller.
+/// What the caller of [`Peer::push`] has to do.
 #[derive(PartialEq, Eq, Debug)]
 pub(super) enum PushOutcome {
-    /// It goes by a connection, or is waited for already, or was dropped.
+    /// Nothing: a connection sends it, another task dials, or it was dropped.
     Nothing,
-    /// Nobody is connecting: it is for the caller to see to it.
+    /// Nobody dials: the caller does.
     Dial,
 }
 
-/// A frame that waits.
+/// A queued frame.
 struct QueuedFrame {
     since: Instant,
     frame: Vec<u8>,
@@ -42,22 +43,23 @@
     queue: VecDeque<QueuedFrame>,
     bytes: usize,
     dropped: u64,
-    /// All connections, the one to send by last.
+    /// All connections, the newest, which sends, last.
     links: Vec<Arc<Link>>,
     incarnation: Option<Incarnation>,
     dialing: bool,
-    /// Attempts to connect that failed since there was a connection.
+    /// Failed dials since there was a connection.
     failures: u32,
 }
 
-/// Another process.
+/// Another process. The lock is never held across an await.
 pub(super) struct Peer {
+    /// Its name.
     pub node: NodeId,
     state: Mutex<State>,
 }
 
 impl Peer {
-    /// A process that nothing is known of.
+    /// A peer without frames and connections.
     pub(super) fn new(node: NodeId) -> Arc<Peer> {
         Arc::new(Peer {
             node,
@@ -91,7 +93,7 @@
         PushOutcome::Dial
     }
 
-    /// All frames that wait, for the connection to send by; nothing for any other.
+    /// Takes all queued frames for the peer's newest connection; `None` for any other.
     pub(super) fn take(&self, link: &Link) -> Option<Vec<u8>> {
         let mut state = self.lock();
         let current = state
@@ -114,7 +116,7 @@
         Some(together)
     }
 
-    /// A connection is there; it is the one to send by from now on. Connections to an earlier incarnation end.
+    /// Adds a connection, by which frames are sent from now on. Connections of an earlier incarnation end.
     pub(super) fn attach(&self, number: u64, incarnation: Option<Incarnation>) -> Arc<Link> {
         let link = Arc::new(Link {
             number,
@@ -134,8 +136,7 @@
         link
     }
 
-    /// A connection is no more. True where something waits and nobody is connecting: it is for the caller to
-    /// see to it.
+    /// Removes a connection. True where frames are queued and nobody dials: the caller does.
     pub(super) fn detach(&self, link: &Link) -> bool {
         let mut state = self.lock();
         state.links.retain(|other| other.number != link.number);
@@ -150,15 +151,14 @@
         true
     }
 
-    /// Connecting failed; how often it has.
+    /// Counts a failed dial; the failures since there was a connection.
     pub(super) fn failed(&self) -> u32 {
         let mut state = self.lock();
         state.failures = state.failures.saturating_add(1);
         state.failures
     }
 
-    /// Asked after a pause. What has waited for too long is dropped; true where something is
-    /// left and there is no connection.
+    /// Drops frames queued for too long; true where some are left and there is no connection.
     pub(super) fn still_needed(&self, now: Instant) -> bool {
         let mut state = self.lock();
         while state
@@ -175,12 +175,12 @@
         needed
     }
 
-    /// Connecting is over.
+    /// The dial is over.
     pub(super) fn dialed(&self) {
         self.lock().dialing = false;
     }
 
-    /// Bytes that wait.
+    /// Queued bytes.
     pub(super) fn queued_bytes(&self) -> usize {
         self.lock().bytes
     }
--- a/crates/cluster/cluster-node/src/transport/socket.rs
+++ b/crates/cluster/cluster-node/src/transport/socket.rs
@@ -9,14 +9,22 @@
 
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Bytes sent but not acknowledged for so long end a connection.
+/// Bytes not acknowledged for this time end a connection.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
-/// A silent connection is probed after so long, and again so often.
-const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
-const HEALTH_CHECKS: u32 = 2;
+/// A silent connection is probed after this time, and each time again.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes that end a connection.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Listens at an address that may have been in use a moment ago. Needs the runtime.
+/// Listens at an address that may have been in use a moment ago (`SO_REUSEADDR`).
+///
+/// # Errors
+///
+/// Where the address can't be bound.
+///
+/// # Panics
+///
+/// Outside a Tokio runtime.
 pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -30,14 +38,14 @@
     TcpListener::from_std(socket.into())
 }
 
-/// A peer that says nothing is noticed within two seconds, and small frames leave at once.
+/// Sets the options by which an unreachable peer is detected within two seconds and small frames are sent at once.
 pub(super) fn prepare_peer(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    let probing = TcpKeepalive::new()
-        .with_time(HEALTH_CHECK_INTERVAL)
-        .with_interval(HEALTH_CHECK_INTERVAL)
-        .with_retries(HEALTH_CHECKS);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_keepalive(&probing)?;
+    socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
 }
