--- a/crates/cluster/cluster-node/src/clocks.rs
+++ b/crates/cluster/cluster-node/src/clocks.rs
@@ -27,15 +27,15 @@
         }
     }
 
-    /// The instant that the logic calls `time`.
+    /// The instant of a time of the logic, at most [`MAX_WAIT_S`] ahead.
     pub fn instant(&self, time: Time) -> Instant {
-        let farthest = Duration::from_secs(FARTHEST_WAKE_S);
-        self.started + Duration::from_micros(time.0).min(self.started.elapsed() + farthest)
+        let longest = Duration::from_secs(MAX_WAIT_S);
+        self.started + Duration::from_micros(time.0).min(self.started.elapsed() + longest)
     }
 }
 
-/// Farther ahead nothing is waited for; a wake in between does no harm.
-const FARTHEST_WAKE_S: u64 = 3600;
+/// The longest wait, in seconds; an early wake is allowed.
+const MAX_WAIT_S: u64 = 3600;
 
 fn wall_ms() -> i64 {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
--- a/crates/cluster/cluster-node/src/core_process.rs
+++ b/crates/cluster/cluster-node/src/core_process.rs
@@ -6,7 +6,7 @@
 use sagetrail_protocol::service::{Service, ServiceFactory};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 
-use crate::start::ProcessContext;
+use crate::context::ProcessContext;
 
 /// Makes the logic of a core process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -67,11 +67,14 @@
 }
 
 fn report(group: Vec<DiskWrite>) -> Input {
-    let mut then = Vec::new();
+    let mut send_when_synced = Vec::new();
     let mut tokens = Vec::new();
     for write in group {
-        then.extend(write.send_when_synced);
+        send_when_synced.extend(write.send_when_synced);
         tokens.extend(write.token);
     }
-    Input::Synced { then, tokens }
+    Input::Synced {
+        send_when_synced,
+        tokens,
+    }
 }
--- a/crates/cluster/cluster-node/src/frontend_process.rs
+++ b/crates/cluster/cluster-node/src/frontend_process.rs
@@ -3,7 +3,7 @@
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
-use crate::start::ProcessContext;
+use crate::context::ProcessContext;
 
 /// Makes the logic of a frontend process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
--- a/crates/cluster/cluster-node/src/http.rs
+++ b/crates/cluster/cluster-node/src/http.rs
@@ -1,4 +1,8 @@
-//! The server of HTTP: listening addresses, connections, requests read whole.
+//! The HTTP server: listening addresses, connections within a limit, requests handed to the logic with their full body.
+//!
+//! Tasks: one accepts for each address and ends at [`Phase::Closing`](crate::lifecycle::Phase); one serves each
+//! connection and ends when the caller closes it, when another connection evicts it while it is idle, or at `Closing`
+//! once its answer is sent. All are dropped with the runtime.
 
 mod connection_limit;
 mod convert;
--- a/crates/cluster/cluster-node/src/http/connection_limit.rs
+++ b/crates/cluster/cluster-node/src/http/connection_limit.rs
@@ -1,4 +1,4 @@
-//! How many connections are kept. Where there is no room the one idle for longest gives way.
+//! The limit on open connections. At the limit the connection idle for longest is evicted for a new one.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -6,29 +6,32 @@
 
 use tokio::sync::Notify;
 
-/// Descriptors kept back for files and for other processes.
+/// Descriptors reserved for files and for connections with other processes.
 const RESERVED_DESCRIPTORS: u32 = 400;
-/// What a connection costs in memory at most while it is idle.
+/// The most memory that an idle connection takes, in bytes.
 const CONNECTION_BYTES: f64 = 32.0 * 1024.0;
-/// The part of the memory that idle connections may take.
-const MEMORY_PART: f64 = 0.25;
-const FEWEST_CONNECTIONS: usize = 16;
-
-/// The connections of all listening addresses.
+/// Bytes in a megabyte of the settings.
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+/// The share of the memory that idle connections may take.
+const MEMORY_SHARE: f64 = 0.25;
+/// The least limit, whatever the settings say.
+const MIN_CONNECTIONS: usize = 16;
+
+/// The open connections of all listening addresses, and their limit. The lock is never held across an await.
 pub struct ConnectionLimit {
     limit: usize,
     clock: AtomicU64,
     connections: Mutex<BTreeMap<u64, Arc<Connection>>>,
 }
 
-/// What is known of one connection.
+/// The state of one connection.
 struct Connection {
     busy: AtomicBool,
     used: AtomicU64,
     evicted: Notify,
 }
 
-/// One connection's place, free again when dropped.
+/// One open connection; frees its slot when dropped.
 pub struct ConnectionSlot {
     connection_limit: Arc<ConnectionLimit>,
     number: u64,
@@ -36,14 +39,14 @@
 }
 
 impl ConnectionLimit {
-    /// Room within the limits of the deployment.
+    /// The limit by file descriptors and memory, in megabytes.
     pub fn within(max_fds: u32, memory_mb: f64) -> Arc<ConnectionLimit> {
         let by_descriptors = max_fds.saturating_sub(RESERVED_DESCRIPTORS) as usize;
-        let by_memory = (memory_mb * 1048576.0 * MEMORY_PART / CONNECTION_BYTES) as usize;
-        ConnectionLimit::of(by_descriptors.min(by_memory).max(FEWEST_CONNECTIONS))
+        let by_memory = (memory_mb * BYTES_PER_MB * MEMORY_SHARE / CONNECTION_BYTES) as usize;
+        ConnectionLimit::of(by_descriptors.min(by_memory).max(MIN_CONNECTIONS))
     }
 
-    /// Room for so many connections.
+    /// A limit of this number of connections.
     pub fn of(limit: usize) -> Arc<ConnectionLimit> {
         Arc::new(ConnectionLimit {
             limit,
@@ -52,7 +55,7 @@
         })
     }
 
-    /// Takes a place for a new connection; `None` where all others are busy.
+    /// Admits a new connection, evicting an idle one at the limit; `None` where all others are busy.
     pub fn admit_connection(self: &Arc<ConnectionLimit>) -> Option<ConnectionSlot> {
         let number = self.tick();
         let mut connections = self.connections.lock().expect("no holder panics");
@@ -74,7 +77,7 @@
         })
     }
 
-    /// How many connections there are.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.lock().expect("no holder panics").len()
     }
@@ -93,7 +96,7 @@
 }
 
 impl ConnectionSlot {
-    /// A request has come, or has been answered.
+    /// Marks the begin or the end of a request.
     pub fn set_busy(&self, busy: bool) {
         self.connection.busy.store(busy, Ordering::Relaxed);
         self.connection
@@ -101,12 +104,16 @@
             .store(self.connection_limit.tick(), Ordering::Relaxed);
     }
 
-    /// True while a request is under way.
+    /// Whether a request is in progress.
     pub fn is_busy(&self) -> bool {
         self.connection.busy.load(Ordering::Relaxed)
     }
 
-    /// Waits until another connection needs the place.
+    /// Waits until the connection is evicted.
+    ///
+    /// # Cancel safety
+    ///
+    /// Cancel safe: an eviction is remembered until it is awaited.
     pub async fn evicted(&self) {
         self.connection.evicted.notified().await;
     }
--- a/crates/cluster/cluster-node/src/http/convert.rs
+++ b/crates/cluster/cluster-node/src/http/convert.rs
@@ -1,4 +1,4 @@
-//! Between the types of `hyper` and those of the seam.
+//! Conversion between the types of `hyper` and those of `sagetrail_protocol::node`.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,7 +13,7 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// The request as the logic takes it.
+/// Converts a request for the logic.
 pub(super) fn to_request(parts: &Parts, body: Vec<u8>) -> HttpRequest {
     HttpRequest {
         method: method(&parts.method),
@@ -54,7 +54,7 @@
     parts.headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The answer as it goes out.
+/// Converts the logic's reply; `close` asks the caller to reconnect for its next request.
 pub(super) fn to_response(reply: HttpReply, close: bool) -> Response<Full<Bytes>> {
     let has_body = !reply.body.is_empty();
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
@@ -73,7 +73,7 @@
     response
 }
 
-/// An answer of the server itself, after which the connection closes.
+/// A reply of the server itself without a body, after which the connection closes.
 pub(super) fn error_response(status: StatusCode) -> Response<Full<Bytes>> {
     let reply = HttpReply {
         status: status.as_u16(),
--- a/crates/cluster/cluster-node/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -19,28 +19,40 @@
 use crate::lifecycle::{reached, Phase, PhaseReceiver};
 use crate::transport::bind_listener;
 
-/// After a failed accept (no descriptor, for instance) so long nothing is accepted.
+/// The pause after a failed accept (no descriptor, for instance).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The most that a connection buffers of a request's head.
+/// The most that a connection buffers of a request's head, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
 /// What all listening addresses share.
 #[derive(Clone)]
 pub struct ServerContext {
+    /// Where requests go.
     pub inputs: Inputs,
+    /// The phase of the process.
     pub phase: PhaseReceiver,
+    /// The limit on connections of all addresses together.
     pub connection_limit: Arc<ConnectionLimit>,
+    /// The id of the next request.
     pub next_id: Arc<AtomicU64>,
 }
 
 /// A listening address that is served.
 #[derive(Clone, Copy, Debug)]
 pub struct ListeningEndpoint {
-    /// The address in use, with its port also where any was asked for.
+    /// The bound address, with the actual port where 0 was given.
     pub address: SocketAddr,
 }
 
-/// Listens at an address and serves it until the process closes.
+/// Listens at an address and serves it until [`Phase::Closing`].
+///
+/// # Errors
+///
+/// Where the address can't be bound.
+///
+/// # Panics
+///
+/// Outside a Tokio runtime.
 pub fn serve(
     address: SocketAddr,
     endpoint: HttpEndpoint,
@@ -86,7 +98,7 @@
     tokio::spawn(serve_connection(stream, slot, Arc::clone(service)));
 }
 
-/// Serves one connection until it ends, gives its place away or the process closes.
+/// Serves one connection until it ends, is evicted, or the process closes.
 async fn serve_connection(stream: TcpStream, slot: ConnectionSlot, context: Arc<ServiceContext>) {
     let mut closing = context.phase.clone();
     let handler = service_fn(|request| answer(&context, &slot, request));
@@ -95,7 +107,7 @@
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), handler));
     tokio::select! {
         _ = connection.as_mut() => return,
-        // A request may have been read in the same turn: it is answered first.
+        // A request may have been read in the same poll: it is answered first.
         () = slot.evicted() => {
             if !slot.is_busy() {
                 return;
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -1,4 +1,4 @@
-//! One request: read whole within limits, handed to the logic, answered.
+//! One request: its body is read within limits, the logic answers it.
 
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,22 +18,22 @@
 use crate::input::{Input, Inputs};
 use crate::lifecycle::{Phase, PhaseReceiver};
 
-/// A body that has not come whole after so long is given up.
+/// The time-out of a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest body of a client's request, in bytes.
 const CLIENT_BODY_BYTES: usize = 1 << 20;
 /// The longest configuration or heartbeat, in bytes.
 const CONTROL_BODY_BYTES: usize = 4 << 20;
 
-/// What the requests of one listening address share.
+/// What the requests of one listening address share; see [`ServerContext`](super::ServerContext).
 pub(super) struct ServiceContext {
-    pub endpoint: HttpEndpoint,
-    pub inputs: Inputs,
-    pub phase: PhaseReceiver,
-    pub next_id: Arc<AtomicU64>,
+    pub(super) endpoint: HttpEndpoint,
+    pub(super) inputs: Inputs,
+    pub(super) phase: PhaseReceiver,
+    pub(super) next_id: Arc<AtomicU64>,
 }
 
-/// Tells the logic that the caller has gone, unless it has been answered.
+/// Sends [`Input::HttpAbandoned`] when dropped before the answer: `hyper` drops the handler with the connection.
 struct AbandonGuard {
     id: HttpRequestId,
     inputs: Inputs,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Marks the connection busy until it is answered or given up.
+/// Marks the connection idle again when dropped.
 struct BusyGuard<'a>(&'a ConnectionSlot);
 
 impl Drop for BusyGuard<'_> {
@@ -58,6 +58,10 @@
 }
 
 /// Answers one request.
+///
+/// # Cancel safety
+///
+/// Cancel safe: dropped, it marks the connection idle and tells the logic that the request is abandoned.
 pub(super) async fn answer(
     context: &ServiceContext,
     slot: &ConnectionSlot,
@@ -91,7 +95,7 @@
     let reply = replied.await;
     abandon_guard.answered = true;
     let close = *context.phase.borrow() > Phase::Serving;
-    // The logic has gone without an answer: the outcome is not known.
+    // The process ended without an answer: the outcome is unknown.
     Ok(reply.map_or_else(
         |_| error_response(StatusCode::GATEWAY_TIMEOUT),
         |reply| to_response(reply, close),
--- a/crates/cluster/cluster-node/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the loop that drives the logic, from sockets, disk and signals.
+//! Inputs of the loop that drives the logic, from sockets, disk and signals.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -9,36 +9,52 @@
 
 use crate::disk::DiskError;
 
-/// One thing that happened.
+/// An input of the loop.
 pub enum Input {
     /// Another process sent a message.
-    Message { from: NodeId, message: Message },
-    /// A request of HTTP came, read whole.
+    Message {
+        /// The sender.
+        from: NodeId,
+        /// The message.
+        message: Message,
+    },
+    /// An HTTP request arrived, with its full body.
     HttpRequest {
+        /// Names the request in the reply.
         id: HttpRequestId,
+        /// Where it arrived.
         endpoint: HttpEndpoint,
+        /// The request.
         request: HttpRequest,
+        /// Takes the reply; dropped without one, the caller gets 504.
         reply: oneshot::Sender<HttpReply>,
     },
-    /// The caller of a request has gone.
-    HttpAbandoned { id: HttpRequestId },
-    /// What came of a probe.
+    /// The caller of a request has closed its connection.
+    HttpAbandoned {
+        /// The request.
+        id: HttpRequestId,
+    },
+    /// The result of a health check.
     HealthChecked {
+        /// The health check.
         id: HealthCheckId,
+        /// Its result.
         result: HealthCheckResult,
     },
-    /// Disk writes are synced: what waited for them.
+    /// Disk writes are synced.
     Synced {
-        then: Vec<(NodeId, Message)>,
+        /// The messages that waited for them.
+        send_when_synced: Vec<(NodeId, Message)>,
+        /// The tokens of the writes, in their order.
         tokens: Vec<u64>,
     },
     /// The disk failed; what it holds is known only after a restart.
     DiskFailed(DiskError),
-    /// The settings name other seeds.
+    /// SIGHUP: the settings were read again, and these are the seeds.
     SeedsChanged(Vec<NodeId>),
-    /// The platform wants the process to end.
+    /// SIGTERM or SIGINT: the process has to end.
     Terminate,
 }
 
-/// Where sockets, disk and signals put what happened. Only a process that is ending no longer takes it.
+/// The sending side of the loop's channel, for sockets, disk and signals. A send fails only while the process ends.
 pub type Inputs = mpsc::UnboundedSender<Input>;
--- a/crates/cluster/cluster-node/src/lifecycle.rs
+++ b/crates/cluster/cluster-node/src/lifecycle.rs
@@ -1,30 +1,34 @@
-//! How far a process is on its way to its end, for all of its tasks.
+//! The phases of a process's shutdown, watched by its tasks. The loop sets them; HTTP connections act on them.
 
 use tokio::sync::watch;
 
-/// The phases of a process, in their order.
+/// The phases of a process, in their order; never goes back.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Phase {
-    /// Takes requests, keeps connections.
+    /// Accepts requests and keeps connections.
     Serving,
-    /// Told to end: answers still, but asks callers to connect elsewhere next time.
+    /// Since SIGTERM: still answers, with `Connection: close`.
     Draining,
-    /// The logic is done: connections close once their answers are out.
+    /// The logic has finished: connections close once their answers are sent.
     Closing,
 }
 
-/// Sets the phase.
+/// Sets the phase; held by the loop.
 pub type PhaseSender = watch::Sender<Phase>;
-/// Reads and awaits the phase.
+/// Reads and awaits the phase; held by tasks.
 pub type PhaseReceiver = watch::Receiver<Phase>;
 
-/// A phase to watch, from `Serving` on.
+/// A phase and its watch, from [`Phase::Serving`] on.
 pub fn watch_phase() -> (PhaseSender, PhaseReceiver) {
     watch::channel(Phase::Serving)
 }
 
 /// Waits for the phase or a later one.
+///
+/// # Cancel safety
+///
+/// Cancel safe: dropping the future loses nothing.
 pub async fn reached(watch: &mut PhaseReceiver, phase: Phase) {
-    // An error: the process is ending, so every phase is reached.
+    // An error: the sender is dropped with the loop, so every phase is reached.
     let _ = watch.wait_for(|current| *current >= phase).await;
 }
--- a/crates/cluster/cluster-node/src/logs.rs
+++ b/crates/cluster/cluster-node/src/logs.rs
@@ -1,4 +1,5 @@
-//! Log lines on standard error. Sparing: each line costs processor time.
+//! Log lines on standard error: the level, what happened, then fields as `key=value`. Few, since each costs processor
+//! time.
 
 use log::LevelFilter;
 
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -1,4 +1,4 @@
-//! The loop that drives the logic of a process: takes what happened, performs what the logic wants done.
+//! The loop that drives the logic of a process: hands inputs to it as events, performs its outbox.
 
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
@@ -17,34 +17,39 @@
 use crate::lifecycle::{Phase, PhaseSender};
 use crate::transport::Transport;
 
-/// Inputs taken together before what they led to is performed.
-const BATCH: usize = 64;
-/// Wakes are at least so far apart, in milliseconds, so that a process always hands back the processor.
+/// The most inputs in one batch, after which the outbox is performed.
+const MAX_BATCH: usize = 64;
+/// The least time between two wakes, in milliseconds, so that the loop always yields.
 const WAKE_INTERVAL_MS: u64 = 1;
 
 /// Why the loop ended.
 #[derive(Debug)]
 pub enum ProcessEnd {
-    /// The logic is done.
+    /// The logic has finished.
     Finished,
-    /// It was told to end and was not done within the grace.
+    /// The logic had not finished at the end of the grace.
     OutOfGrace,
-    /// The disk failed: the process must start anew.
+    /// The disk failed: the process must restart.
     DiskFailed(DiskError),
 }
 
-/// What the loop works with.
+/// What the loop drives the logic with.
 pub struct ProcessParts {
+    /// This process.
     pub node: NodeId,
+    /// The clocks, read before each event.
     pub clocks: Clocks,
+    /// The receiving side of all inputs.
     pub inputs: mpsc::UnboundedReceiver<Input>,
+    /// Sends messages to other processes.
     pub transport: Transport,
-    /// Only core processes have one.
+    /// The disk; only core processes have one.
     pub disk: Option<Disk>,
-    /// Only side processes look at others: where the results go.
+    /// Where results of health checks go; only side processes make any.
     pub health_check_results: Option<Inputs>,
+    /// The phase for the process's tasks.
     pub phase: PhaseSender,
-    /// From being told to end to the end at the latest.
+    /// The longest time from SIGTERM to the end.
     pub grace: Duration,
 }
 
@@ -61,7 +66,7 @@
 }
 
 impl Process {
-    /// A loop about some logic; `outbox` holds what the logic wanted done when it was made.
+    /// A loop around some logic; `outbox` holds what the logic wanted done when it was made.
     pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: ProcessParts) -> Process {
         Process {
             logic,
@@ -75,10 +80,14 @@
     }
 
     /// Drives the logic to its end.
+    ///
+    /// # Cancel safety
+    ///
+    /// Not cancel safe: inputs of a batch that is not processed yet are lost.
     pub async fn run(&mut self) -> ProcessEnd {
         let mut alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let mut armed_for = None;
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         self.perform();
         loop {
             if self.outbox.finished && self.deadline.is_some() {
@@ -88,11 +97,11 @@
             if self.self_messages.is_empty() {
                 tokio::select! {
                     biased;
-                    _ = self.parts.inputs.recv_many(&mut batch, BATCH) => {}
+                    _ = self.parts.inputs.recv_many(&mut batch, MAX_BATCH) => {}
                     () = alarm.as_mut(), if armed_for.is_some() => armed_for = None,
                 }
             } else {
-                // Others get their turn before the process goes on talking to itself.
+                // Other tasks run before the process handles messages to itself.
                 tokio::task::yield_now().await;
                 receive_ready(&mut self.parts.inputs, &mut batch);
             }
@@ -102,12 +111,12 @@
         }
     }
 
-    /// Connections close once their answers are out.
+    /// Sets [`Phase::Closing`]: connections close once their answers are sent.
     pub fn close(&self) {
         self.parts.phase.send_replace(Phase::Closing);
     }
 
-    /// One batch of inputs, the wake if it is due, and what they led to.
+    /// Handles one batch of inputs and the wake if it is due, then performs the outbox.
     fn process_batch(&mut self, batch: &mut Vec<Input>) -> Option<ProcessEnd> {
         for message in std::mem::take(&mut self.self_messages) {
             let from = self.parts.node;
@@ -144,8 +153,12 @@
                     self.handle(Event::HttpAbandoned { id });
                 }
             }
-            Input::Synced { then, tokens } => {
-                then.into_iter()
+            Input::Synced {
+                send_when_synced,
+                tokens,
+            } => {
+                send_when_synced
+                    .into_iter()
                     .for_each(|(to, message)| self.send(to, message));
                 tokens
                     .into_iter()
@@ -163,13 +176,14 @@
         if self.deadline.is_some() {
             return;
         }
+        log::info!("SIGTERM received, draining: node={}", self.parts.node);
         let now = self.parts.clocks.now().steady;
         self.deadline = Some(now + self.parts.grace.as_micros() as u64);
         self.parts.phase.send_replace(Phase::Draining);
         self.handle(Event::Terminate);
     }
 
-    /// Time is looked at for each event: the process may have been frozen in between.
+    /// Clocks are read for each event: the process may have been suspended in between.
     fn handle(&mut self, event: Event) {
         let now = self.parts.clocks.now();
         self.logic.handle(now, event, &mut self.outbox);
@@ -193,13 +207,16 @@
         for write in std::mem::take(&mut self.outbox.writes) {
             match &self.parts.disk {
                 Some(disk) => disk.submit(write),
-                None => log::error!("a write to disk by a process without one"),
+                None => log::error!("disk write dropped, no disk: node={}", self.parts.node),
             }
         }
         for health_check in std::mem::take(&mut self.outbox.health_checks) {
             match &self.parts.health_check_results {
                 Some(results) => health_check::start(health_check, results.clone()),
-                None => log::error!("a probe by a process that makes none"),
+                None => log::error!(
+                    "health check dropped, not a side process: node={}",
+                    self.parts.node
+                ),
             }
         }
         for (to, message) in std::mem::take(&mut self.outbox.sends) {
@@ -207,7 +224,7 @@
         }
         for (id, reply) in std::mem::take(&mut self.outbox.replies) {
             if let Some(caller) = self.callers.remove(&id) {
-                // An error: the caller went this moment.
+                // An error: the caller has just closed its connection.
                 let _ = caller.send(reply);
             }
         }
@@ -244,7 +261,7 @@
 }
 
 fn receive_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
-    while batch.len() < BATCH {
+    while batch.len() < MAX_BATCH {
         let Ok(input) = inputs.try_recv() else { return };
         batch.push(input);
     }
--- a/crates/cluster/cluster-node/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -3,7 +3,7 @@
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
-use crate::start::ProcessContext;
+use crate::context::ProcessContext;
 
 /// Makes the logic of a side process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
--- a/crates/cluster/cluster-node/src/signals.rs
+++ b/crates/cluster/cluster-node/src/signals.rs
@@ -1,4 +1,4 @@
-//! What the platform says by signals.
+//! Signals: SIGTERM and SIGINT end the process, SIGHUP reloads its seeds.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,8 @@
 use crate::input::{Input, Inputs};
 use crate::settings::Settings;
 
-/// Hears signals from now on: SIGTERM and SIGINT ask the process to end, SIGHUP to read its seeds anew.
+/// Handles signals from now on: SIGTERM and SIGINT as [`Input::Terminate`], SIGHUP as [`Input::SeedsChanged`]. The task
+/// ends when the process takes no inputs, or with the runtime.
 pub(crate) fn listen(
     inputs: &Inputs,
     settings_path: PathBuf,
@@ -35,12 +36,12 @@
     Ok(())
 }
 
-/// The seeds that the settings name now; `None` where they cannot be read, and the former ones stay.
+/// The seeds in the settings file; `None` where it is invalid, and the current ones stay.
 fn read_seeds(settings_path: &Path, kind: NodeKind) -> Option<Input> {
     match Settings::load(settings_path, kind) {
         Ok(settings) => Some(Input::SeedsChanged(seed_nodes(&settings))),
         Err(error) => {
-            log::warn!("SIGHUP: the settings stay as they were: {error}");
+            log::warn!("SIGHUP received, settings not reloaded: error={error}");
             None
         }
     }
--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -1,67 +1,48 @@
 //! From the command line to the running process, the same for all three programs.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use anyhow::Context;
 use tokio::sync::mpsc;
 
-use sagetrail_protocol::bounds::Bounds;
-use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Node, Now, Outbox};
-use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
+use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Outbox};
+use sagetrail_protocol::NodeKind;
 
 use crate::arguments::Arguments;
 use crate::clocks::Clocks;
-use crate::disk::{Disk, DiskError, Opened, Store};
+use crate::context::{LogicFactory, ProcessContext};
+use crate::disk::{Disk, DiskError, Opened};
+use crate::error::ProcessError;
 use crate::http::{serve, ConnectionLimit, ServerContext};
 use crate::identity::{draw_incarnation, draw_seed, node_id, seed_nodes};
 use crate::input::Inputs;
 use crate::lifecycle::watch_phase;
 use crate::logs;
 use crate::process::{Process, ProcessEnd, ProcessParts};
+use crate::retry;
 use crate::settings::Settings;
 use crate::signals;
 use crate::transport::Transport;
 
-/// The settings were refused, or the command line.
-const BAD_SETTINGS: u8 = 2;
-/// Connections have so long to send their last answers.
+/// The exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// The time for which connections may send their last answers.
 const CLOSING_TIME: Duration = Duration::from_millis(300);
+/// The time between two looks at open connections while closing.
 const CLOSING_STEP: Duration = Duration::from_millis(10);
-/// The platform kills at the end of the grace; the process ends by itself before.
+/// The platform kills at the end of the grace; the process ends by itself this much earlier.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// A process whose disk failed waits a little before it starts anew.
+/// The longest grace that is taken from the settings, in seconds.
+const MAX_GRACE_S: f64 = 3600.0;
+/// The pause of a process whose disk failed before it ends, so that restarts don't follow each other at once.
 const DISK_FAILED_PAUSE: Duration = Duration::from_millis(200);
-/// A disk that refuses to open is tried again for so long.
-const OPEN_TIME: Duration = Duration::from_secs(30);
-const OPEN_PAUSE: Duration = Duration::from_millis(500);
-/// An address still in use is tried again for so long.
-const BIND_TIME: Duration = Duration::from_secs(5);
-const BIND_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the logic of a process is made from.
-pub struct ProcessContext {
-    pub settings: Settings,
-    pub node: NodeId,
-    pub incarnation: Incarnation,
-    pub seeds: Vec<NodeId>,
-    pub bounds: Bounds,
-    pub seed: u64,
-    /// True only at the first start of the whole system with an empty disk.
-    pub bootstrap: bool,
-    /// Empty where there is no disk.
-    pub image: DiskImage,
-}
-
-/// Makes the logic of a process.
-pub type LogicFactory = fn(ProcessContext, Now, &mut Outbox) -> Box<dyn Node>;
-
-/// Runs a program of this kind to its end.
-pub fn main(kind: NodeKind, maker: LogicFactory) -> ExitCode {
+/// Runs a program of this kind to its end. The exit code is 2 for invalid settings, 1 for a failure, 0 otherwise.
+pub fn main(kind: NodeKind, factory: LogicFactory) -> ExitCode {
     let arguments: Arguments = argh::from_env();
     if arguments.version {
         println!("{}", env!("CARGO_PKG_VERSION"));
@@ -71,163 +52,181 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("settings: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if arguments.check {
         return ExitCode::SUCCESS;
     }
     logs::start(arguments.log);
-    match run(settings, arguments.settings_path(), kind, maker) {
+    match run(settings, arguments.settings_path(), kind, factory) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!("{error:#}");
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Runs a process to its end. The seeds are read again from `settings_path` at SIGHUP.
+///
+/// All tasks of the process run on a runtime of its own, which is shut down at the end: no task outlives this call. The
+/// disk's thread ends by itself once its sender is dropped.
+///
+/// # Errors
+///
+/// [`ProcessError`]: the process could not start, or its disk failed.
 pub fn run(
     settings: Settings,
     settings_path: PathBuf,
     kind: NodeKind,
-    maker: LogicFactory,
-) -> anyhow::Result<()> {
+    factory: LogicFactory,
+) -> Result<(), ProcessError> {
     let clocks = Clocks::start();
     let opened = match &settings.data_dir {
-        Some(folder) if kind == NodeKind::Core => Some(open_patiently(folder)?),
+        Some(folder) if kind == NodeKind::Core => Some(retry::open_disk(folder)?),
         _ => None,
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let ended = runtime.block_on(drive(settings, settings_path, kind, maker, clocks, opened));
-    // Connections that hang, or a disk that does, must not hold up the end.
+    let launch = Launch {
+        settings,
+        settings_path,
+        kind,
+        factory,
+        clocks,
+        opened,
+    };
+    let ended = runtime.block_on(launch.run());
+    // Connections or a disk that hang must not hold up the end.
     runtime.shutdown_background();
     ended
 }
 
-async fn drive(
+/// A process that is about to run.
+struct Launch {
     settings: Settings,
     settings_path: PathBuf,
     kind: NodeKind,
-    maker: LogicFactory,
+    factory: LogicFactory,
     clocks: Clocks,
     opened: Option<Opened>,
-) -> anyhow::Result<()> {
-    let (sender, inputs) = mpsc::unbounded_channel();
-    signals::listen(&sender, settings_path, kind)?;
-    let node = node_id(&settings, kind);
-    let incarnation = draw_incarnation();
-    let transport = bind_patiently(|| Transport::start(node, incarnation, sender.clone()))
-        .await
-        .with_context(|| format!("listening at {node}"))?;
-    let (phase, watch) = watch_phase();
-    let connection_limit =
-        ConnectionLimit::within(settings.limits.max_fds, settings.limits.memory_mb.0);
-    let context = ServerContext {
-        inputs: sender.clone(),
-        phase: watch,
-        connection_limit: Arc::clone(&connection_limit),
-        next_id: Arc::new(AtomicU64::new(1)),
-    };
-    open_endpoints(&settings, &context).await?;
-    drop(context);
-    let grace = Duration::from_secs_f64(settings.bounds.to_bounds().grace_s.min(3600.0));
-    let (disk, image, emptied) = split(opened, &sender)?;
-    let context = ProcessContext {
-        node,
-        incarnation,
-        seeds: seed_nodes(&settings),
-        bounds: settings.bounds.to_bounds(),
-        seed: draw_seed(),
-        bootstrap: settings.bootstrap && !emptied,
-        image,
-        settings,
-    };
-    log::info!("{} at {node}", context.settings.node_name);
-    let mut outbox = Outbox::default();
-    let logic = maker(context, clocks.now(), &mut outbox);
-    let grace = grace.saturating_sub(GRACE_MARGIN);
-    let health_check_results = (kind == NodeKind::Side).then_some(sender);
-    let transport_used = transport.clone();
-    let parts = ProcessParts {
-        node,
-        clocks,
-        inputs,
-        transport: transport_used,
-        disk,
-        health_check_results,
-        phase,
-        grace,
-    };
-    let mut process = Process::new(logic, outbox, parts);
-    let ended = process.run().await;
-    if let ProcessEnd::DiskFailed(error) = ended {
-        log::error!("{error}");
-        tokio::time::sleep(DISK_FAILED_PAUSE).await;
-        anyhow::bail!("starts anew to learn what is on disk");
-    }
-    process.close();
-    wait_until_quiet(&transport, &connection_limit).await;
-    Ok(())
-}
-
-fn split(
-    opened: Option<Opened>,
-    inputs: &Inputs,
-) -> Result<(Option<Disk>, DiskImage, bool), DiskError> {
-    let Some(opened) = opened else {
-        return Ok((None, DiskImage::default(), false));
-    };
-    let disk = Disk::start(opened.store, inputs.clone())?;
-    Ok((Some(disk), opened.image, opened.emptied))
 }
 
-/// Opens the file on disk; a disk in trouble, or full, gets some time.
-fn open_patiently(folder: &Path) -> Result<Opened, DiskError> {
-    let started = Instant::now();
-    loop {
-        match Store::open(folder) {
-            Err(error) if started.elapsed() < OPEN_TIME => {
-                log::warn!("{error}; trying again");
-                std::thread::sleep(OPEN_PAUSE);
-            }
-            result => return result,
+impl Launch {
+    /// Opens signals, sockets and disk, in this order, makes the logic and drives it to its end.
+    async fn run(self) -> Result<(), ProcessError> {
+        let Launch {
+            settings,
+            settings_path,
+            kind,
+            factory,
+            clocks,
+            opened,
+        } = self;
+        let (sender, inputs) = mpsc::unbounded_channel();
+        signals::listen(&sender, settings_path, kind)?;
+        let node = node_id(&settings, kind);
+        let incarnation = draw_incarnation();
+        let transport = retry::bind(|| Transport::start(node, incarnation, sender.clone()))
+            .await
+            .map_err(|error| ProcessError::Listen {
+                address: node.address().into(),
+                error,
+            })?;
+        let (phase, phase_receiver) = watch_phase();
+        let connection_limit =
+            ConnectionLimit::within(settings.limits.max_fds, settings.limits.memory_mb.0);
+        let server = ServerContext {
+            inputs: sender.clone(),
+            phase: phase_receiver,
+            connection_limit: Arc::clone(&connection_limit),
+            next_id: Arc::new(AtomicU64::new(1)),
+        };
+        open_endpoints(&settings, &server).await?;
+        drop(server);
+        let OpenDisk {
+            disk,
+            image,
+            emptied,
+        } = start_disk(opened, &sender)?;
+        let bounds = settings.bounds.to_bounds();
+        let grace = Duration::from_secs_f64(bounds.grace_s.min(MAX_GRACE_S));
+        let context = ProcessContext {
+            node,
+            incarnation,
+            seeds: seed_nodes(&settings),
+            bounds,
+            seed: draw_seed(),
+            bootstrap: settings.bootstrap && !emptied,
+            image,
+            settings,
+        };
+        log::info!("started: node={node} name={}", context.settings.node_name);
+        let mut outbox = Outbox::default();
+        let logic = factory(context, clocks.now(), &mut outbox);
+        let parts = ProcessParts {
+            node,
+            clocks,
+            inputs,
+            transport: transport.clone(),
+            disk,
+            health_check_results: (kind == NodeKind::Side).then_some(sender),
+            phase,
+            grace: grace.saturating_sub(GRACE_MARGIN),
+        };
+        let mut process = Process::new(logic, outbox, parts);
+        if let ProcessEnd::DiskFailed(error) = process.run().await {
+            tokio::time::sleep(DISK_FAILED_PAUSE).await;
+            return Err(error.into());
         }
+        process.close();
+        wait_until_drained(&transport, &connection_limit).await;
+        Ok(())
     }
 }
 
-async fn bind_patiently<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
-    let started = Instant::now();
-    loop {
-        match bind() {
-            Err(_) if started.elapsed() < BIND_TIME => tokio::time::sleep(BIND_PAUSE).await,
-            result => return result,
-        }
-    }
+/// The disk of a process that may have none.
+#[derive(Default)]
+struct OpenDisk {
+    disk: Option<Disk>,
+    image: DiskImage,
+    emptied: bool,
+}
+
+fn start_disk(opened: Option<Opened>, inputs: &Inputs) -> Result<OpenDisk, DiskError> {
+    let Some(opened) = opened else {
+        return Ok(OpenDisk::default());
+    };
+    let disk = Disk::start(opened.store, inputs.clone())?;
+    Ok(OpenDisk {
+        disk: Some(disk),
+        image: opened.image,
+        emptied: opened.emptied,
+    })
 }
 
-async fn open_endpoints(settings: &Settings, context: &ServerContext) -> anyhow::Result<()> {
-    let binds = &settings.bind_addrs;
+async fn open_endpoints(settings: &Settings, context: &ServerContext) -> Result<(), ProcessError> {
+    let addresses = &settings.bind_addrs;
     let endpoints = [
-        (binds.frontend, HttpEndpoint::Frontend),
-        (binds.readiness, HttpEndpoint::Readiness),
-        (binds.control, HttpEndpoint::Control),
+        (addresses.frontend, HttpEndpoint::Frontend),
+        (addresses.readiness, HttpEndpoint::Readiness),
+        (addresses.control, HttpEndpoint::Control),
     ];
     for (address, endpoint) in endpoints {
         let Some(address) = address.map(SocketAddr::from) else {
             continue;
         };
-        bind_patiently(|| serve(address, endpoint, context.clone()))
+        retry::bind(|| serve(address, endpoint, context.clone()))
             .await
-            .with_context(|| format!("listening at {address}"))?;
+            .map_err(|error| ProcessError::Listen { address, error })?;
     }
     Ok(())
 }
 
-async fn wait_until_quiet(transport: &Transport, connection_limit: &ConnectionLimit) {
+/// Waits, at most [`CLOSING_TIME`], until no connection is open and nothing is queued.
+async fn wait_until_drained(transport: &Transport, connection_limit: &ConnectionLimit) {
     let started = Instant::now();
     while started.elapsed() < CLOSING_TIME {
         tokio::time::sleep(CLOSING_STEP).await;
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -173,8 +173,11 @@
     let mut told = Vec::new();
     while told.len() < 200 {
         match soon(inputs.recv()).await.unwrap() {
-            Input::Synced { then, tokens } => {
-                sent.extend(then);
+            Input::Synced {
+                send_when_synced,
+                tokens,
+            } => {
+                sent.extend(send_when_synced);
                 told.extend(tokens);
             }
             _ => panic!("not asked for"),
