--- a/crates/testing/scale-testing/src/faults.rs
+++ b/crates/testing/scale-testing/src/faults.rs
@@ -1,23 +1,29 @@
 //! Troubles at their times, and how long it took until a scheduler was at work again.
 
-use crate::board::Board;
-use crate::cluster::Cluster;
-use crate::scenario::{Fault, FaultKind, FaultTarget};
-use nix::sys::signal::Signal;
-use serde::Serialize;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use nix::sys::signal::Signal;
+use serde::Serialize;
+
+use crate::cluster::Cluster;
+use crate::run_statistics::RunStatistics;
+use crate::scenario::{Fault, FaultKind, FaultTarget};
+
 /// What a fault led to. Times in milliseconds from the fault.
 #[derive(Serialize, Clone, Debug)]
 pub struct Takeover {
+    /// What was done.
     pub kind: FaultKind,
+    /// To which process.
     pub target: FaultTarget,
+    /// When, in seconds from the start of the measurement.
     pub at_s: f64,
     /// The first runner heard of a new term.
     pub first_runner_ms: Option<f64>,
     /// The last runner did.
     pub last_runner_ms: Option<f64>,
+    /// Runners that received the new term before the next fault.
     pub runners: u64,
     /// The first task was started under the new term.
     pub first_start_ms: Option<f64>,
@@ -25,7 +31,9 @@
 
 /// A fault that was played.
 pub struct Played {
+    /// The fault as in the scenario.
     pub fault: Fault,
+    /// When it was injected.
     pub at: Instant,
 }
 
@@ -82,18 +90,18 @@
 }
 
 /// What the played faults led to, by what runners saw, each up to the next one.
-pub fn takeovers(played: &[Played], board: &Board) -> Vec<Takeover> {
+pub fn takeovers(played: &[Played], statistics: &RunStatistics) -> Vec<Takeover> {
     let next = |place: usize| played.get(place + 1).map(|next| next.at);
     played
         .iter()
         .enumerate()
-        .map(|(place, fault)| takeover(fault, next(place), board))
+        .map(|(place, fault)| takeover(fault, next(place), statistics))
         .collect()
 }
 
-fn takeover(played: &Played, next: Option<Instant>, board: &Board) -> Takeover {
+fn takeover(played: &Played, next: Option<Instant>, statistics: &RunStatistics) -> Takeover {
     let since = |instant: Instant| (instant - played.at).as_secs_f64() * 1_000.0;
-    let term = board.term_between(played.at, next);
+    let term = statistics.term_between(played.at, next);
     let seen = term.map(|(_, seen)| seen);
     Takeover {
         kind: played.fault.kind,
@@ -103,7 +111,7 @@
         last_runner_ms: seen.map(|seen| since(seen.last)),
         runners: seen.map_or(0, |seen| seen.runners),
         first_start_ms: term
-            .and_then(|(term, _)| board.first_start_of(term))
+            .and_then(|(term, _)| statistics.first_start_of(term))
             .map(since),
     }
 }
