--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -1,4 +1,4 @@
-//! The loop that drives the logic of a process: takes what happened, performs what the logic wants done.
+//! The loop that drives the logic of a process: hands inputs to it as events, performs its outbox.
 
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
@@ -14,146 +14,159 @@
 use crate::disk::{Disk, DiskError};
 use crate::health_check;
 use crate::input::{Input, Inputs};
-use crate::phase::{Phase, PhaseSetter};
+use crate::lifecycle::{Phase, PhaseSender};
 use crate::transport::Transport;
 
-/// Inputs taken together before what they led to is performed.
-const BATCH: usize = 64;
-/// Wakes are at least so far apart, in milliseconds, so that a process always hands back the processor.
+/// The most inputs in one batch, after which the outbox is performed.
+const MAX_BATCH: usize = 64;
+/// The least time between two wakes, in milliseconds, so that the loop always yields.
 const WAKE_INTERVAL_MS: u64 = 1;
 
 /// Why the loop ended.
 #[derive(Debug)]
-pub enum Ended {
-    /// The logic is done.
+pub enum ProcessEnd {
+    /// The logic has finished.
     Finished,
-    /// It was told to end and was not done within the grace.
+    /// The logic had not finished at the end of the grace.
     OutOfGrace,
-    /// The disk failed: the process must start anew.
+    /// The disk failed: the process must restart.
     DiskFailed(DiskError),
 }
 
-/// What the loop works with.
-pub struct Parts {
+/// What the loop drives the logic with.
+pub struct ProcessParts {
+    /// This process.
     pub node: NodeId,
+    /// The clocks, read before each event.
     pub clocks: Clocks,
+    /// The receiving side of all inputs.
     pub inputs: mpsc::UnboundedReceiver<Input>,
+    /// Sends messages to other processes.
     pub transport: Transport,
-    /// Only core processes have one.
+    /// The disk; only core processes have one.
     pub disk: Option<Disk>,
-    /// Only side processes look at others: where the results go.
+    /// Where results of health checks go; only side processes make any.
     pub health_check_results: Option<Inputs>,
-    pub phase: PhaseSetter,
-    /// From being told to end to the end at the latest.
+    /// The phase for the process's tasks.
+    pub phase: PhaseSender,
+    /// The longest time from SIGTERM to the end.
     pub grace: Duration,
 }
 
 /// The loop and its state.
 pub struct Process {
     logic: Box<dyn Node>,
-    parts: Parts,
+    parts: ProcessParts,
     callers: HashMap<HttpRequestId, oneshot::Sender<HttpReply>>,
     /// Messages of the process to itself.
-    own: VecDeque<Message>,
+    self_messages: VecDeque<Message>,
     outbox: Outbox,
     deadline: Option<Time>,
-    no_wake_before: Time,
+    earliest_wake: Time,
 }
 
 impl Process {
-    /// A loop about some logic; `outbox` holds what the logic wanted done when it was made.
-    pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: Parts) -> Process {
+    /// A loop around some logic; `outbox` holds what the logic wanted done when it was made.
+    pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: ProcessParts) -> Process {
         Process {
             logic,
             parts,
             callers: HashMap::new(),
-            own: VecDeque::new(),
+            self_messages: VecDeque::new(),
             outbox,
             deadline: None,
-            no_wake_before: Time::default(),
+            earliest_wake: Time::default(),
         }
     }
 
     /// Drives the logic to its end.
-    pub async fn run(&mut self) -> Ended {
+    ///
+    /// # Cancel safety
+    ///
+    /// Not cancel safe: inputs of a batch that is not processed yet are lost.
+    pub async fn run(&mut self) -> ProcessEnd {
         let mut alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let mut armed_for = None;
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         self.perform();
         loop {
             if self.outbox.finished && self.deadline.is_some() {
-                return Ended::Finished;
+                return ProcessEnd::Finished;
             }
             self.arm(&mut alarm, &mut armed_for);
-            if self.own.is_empty() {
+            if self.self_messages.is_empty() {
                 tokio::select! {
                     biased;
-                    _ = self.parts.inputs.recv_many(&mut batch, BATCH) => {}
+                    _ = self.parts.inputs.recv_many(&mut batch, MAX_BATCH) => {}
                     () = alarm.as_mut(), if armed_for.is_some() => armed_for = None,
                 }
             } else {
-                // Others get their turn before the process goes on talking to itself.
+                // Other tasks run before the process handles messages to itself.
                 tokio::task::yield_now().await;
-                take_ready(&mut self.parts.inputs, &mut batch);
+                receive_ready(&mut self.parts.inputs, &mut batch);
             }
-            if let Some(ended) = self.turn(&mut batch) {
+            if let Some(ended) = self.process_batch(&mut batch) {
                 return ended;
             }
         }
     }
 
-    /// Connections close once their answers are out.
+    /// Sets [`Phase::Closing`]: connections close once their answers are sent.
     pub fn close(&self) {
         self.parts.phase.send_replace(Phase::Closing);
     }
 
-    /// One batch of inputs, the wake if it is due, and what they led to.
-    fn turn(&mut self, batch: &mut Vec<Input>) -> Option<Ended> {
-        for message in std::mem::take(&mut self.own) {
+    /// Handles one batch of inputs and the wake if it is due, then performs the outbox.
+    fn process_batch(&mut self, batch: &mut Vec<Input>) -> Option<ProcessEnd> {
+        for message in std::mem::take(&mut self.self_messages) {
             let from = self.parts.node;
-            self.tell(Event::Message { from, message });
+            self.handle(Event::Message { from, message });
         }
         for input in batch.drain(..) {
-            if let Some(ended) = self.take(input) {
+            if let Some(ended) = self.handle_input(input) {
                 return Some(ended);
             }
         }
         self.wake_if_due();
         self.perform();
-        self.out_of_grace().then_some(Ended::OutOfGrace)
+        self.is_out_of_grace().then_some(ProcessEnd::OutOfGrace)
     }
 
-    fn take(&mut self, input: Input) -> Option<Ended> {
+    fn handle_input(&mut self, input: Input) -> Option<ProcessEnd> {
         match input {
-            Input::Message { from, message } => self.tell(Event::Message { from, message }),
-            Input::Request {
+            Input::Message { from, message } => self.handle(Event::Message { from, message }),
+            Input::HttpRequest {
                 id,
                 endpoint,
                 request,
                 reply,
             } => {
                 self.callers.insert(id, reply);
-                self.tell(Event::Http {
+                self.handle(Event::Http {
                     id,
                     endpoint,
                     request,
                 });
             }
-            Input::Abandoned { id } => {
+            Input::HttpAbandoned { id } => {
                 if self.callers.remove(&id).is_some() {
-                    self.tell(Event::HttpAbandoned { id });
+                    self.handle(Event::HttpAbandoned { id });
                 }
             }
-            Input::Synced { then, tokens } => {
-                then.into_iter()
+            Input::Synced {
+                send_when_synced,
+                tokens,
+            } => {
+                send_when_synced
+                    .into_iter()
                     .for_each(|(to, message)| self.send(to, message));
                 tokens
                     .into_iter()
-                    .for_each(|token| self.tell(Event::Synced { token }));
+                    .for_each(|token| self.handle(Event::Synced { token }));
             }
-            Input::Probed { id, result } => self.tell(Event::HealthCheck { id, result }),
-            Input::DiskFailed(error) => return Some(Ended::DiskFailed(error)),
-            Input::Seeds(seeds) => self.tell(Event::SeedsChanged(seeds)),
+            Input::HealthChecked { id, result } => self.handle(Event::HealthCheck { id, result }),
+            Input::DiskFailed(error) => return Some(ProcessEnd::DiskFailed(error)),
+            Input::SeedsChanged(seeds) => self.handle(Event::SeedsChanged(seeds)),
             Input::Terminate => self.terminate(),
         }
         None
@@ -163,14 +176,15 @@
         if self.deadline.is_some() {
             return;
         }
+        log::info!("SIGTERM received, draining: node={}", self.parts.node);
         let now = self.parts.clocks.now().steady;
         self.deadline = Some(now + self.parts.grace.as_micros() as u64);
         self.parts.phase.send_replace(Phase::Draining);
-        self.tell(Event::Terminate);
+        self.handle(Event::Terminate);
     }
 
-    /// Time is looked at for each event: the process may have been frozen in between.
-    fn tell(&mut self, event: Event) {
+    /// Clocks are read for each event: the process may have been suspended in between.
+    fn handle(&mut self, event: Event) {
         let now = self.parts.clocks.now();
         self.logic.handle(now, event, &mut self.outbox);
     }
@@ -178,7 +192,7 @@
     fn wake_if_due(&mut self) {
         let now = self.parts.clocks.now();
         if self.next_wake().is_some_and(|due| due <= now.steady) {
-            self.no_wake_before = now.steady.plus_millis(WAKE_INTERVAL_MS);
+            self.earliest_wake = now.steady.plus_millis(WAKE_INTERVAL_MS);
             self.logic.handle(now, Event::Wake, &mut self.outbox);
         }
     }
@@ -186,20 +200,23 @@
     fn next_wake(&self) -> Option<Time> {
         self.logic
             .next_wake()
-            .map(|due| due.max(self.no_wake_before))
+            .map(|due| due.max(self.earliest_wake))
     }
 
     fn perform(&mut self) {
         for write in std::mem::take(&mut self.outbox.writes) {
             match &self.parts.disk {
                 Some(disk) => disk.submit(write),
-                None => log::error!("a write to disk by a process without one"),
+                None => log::error!("disk write dropped, no disk: node={}", self.parts.node),
             }
         }
         for health_check in std::mem::take(&mut self.outbox.health_checks) {
             match &self.parts.health_check_results {
                 Some(results) => health_check::start(health_check, results.clone()),
-                None => log::error!("a probe by a process that makes none"),
+                None => log::error!(
+                    "health check dropped, not a side process: node={}",
+                    self.parts.node
+                ),
             }
         }
         for (to, message) in std::mem::take(&mut self.outbox.sends) {
@@ -207,7 +224,7 @@
         }
         for (id, reply) in std::mem::take(&mut self.outbox.replies) {
             if let Some(caller) = self.callers.remove(&id) {
-                // An error: the caller went this moment.
+                // An error: the caller has just closed its connection.
                 let _ = caller.send(reply);
             }
         }
@@ -215,13 +232,13 @@
 
     fn send(&mut self, to: NodeId, message: Message) {
         if to == self.parts.node {
-            self.own.push_back(message);
+            self.self_messages.push_back(message);
         } else {
             self.parts.transport.send(to, &message);
         }
     }
 
-    fn out_of_grace(&self) -> bool {
+    fn is_out_of_grace(&self) -> bool {
         self.deadline
             .is_some_and(|deadline| self.parts.clocks.now().steady >= deadline)
     }
@@ -243,8 +260,8 @@
     }
 }
 
-fn take_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
-    while batch.len() < BATCH {
+fn receive_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
+    while batch.len() < MAX_BATCH {
         let Ok(input) = inputs.try_recv() else { return };
         batch.push(input);
     }
--- a/crates/testing/scale-testing/src/simulated_time/startup.rs
+++ b/crates/testing/scale-testing/src/simulated_time/startup.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use sagetrail_agent::AgentNode;
+use sagetrail_cluster_node::context::{LogicFactory, ProcessContext};
 use sagetrail_cluster_node::settings::Settings;
-use sagetrail_cluster_node::start::{Ground, Maker};
 use sagetrail_cluster_node::{core_process, frontend_process};
 use sagetrail_protocol::node::{DiskImage, Now, Outbox};
 use sagetrail_protocol::{NodeId, NodeKind};
@@ -54,7 +54,7 @@
     node: NodeId,
 ) -> anyhow::Result<StartedMachine> {
     let scenario = &settings.scenario;
-    let (maker, role, name): (Maker, Role, &str) = match kind {
+    let (make_logic, role, name): (LogicFactory, Role, &str) = match kind {
         NodeKind::Core => (core_process::make, Role::Replica, "core"),
         _ => (frontend_process::make, Role::Frontend, "frontend"),
     };
@@ -66,7 +66,7 @@
         bootstrap: true,
     };
     let parsed = Settings::parse(&render(scenario, settings.addresses, &machine)?, kind)?;
-    let ground = Ground {
+    let context = ProcessContext {
         node,
         incarnation: u64::from(node.ip),
         seeds: seeds(settings.addresses, scenario.cores),
@@ -77,7 +77,7 @@
         settings: parsed,
     };
     let mut outbox = Outbox::default();
-    let logic = maker(ground, now, &mut outbox);
+    let logic = make_logic(context, now, &mut outbox);
     let region = number % scenario.network.regions;
     Ok(StartedMachine {
         machine: Machine::new(node, role, region, logic),
