--- a/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
+++ b/crates/testing/scale-testing/src/simulated_worker/agent_connection.rs
@@ -42,7 +42,7 @@
                     path,
                     base_version: None,
                     body,
-                    patience: ANSWER_TIMEOUT,
+                    timeout: ANSWER_TIMEOUT,
                 };
                 let answer = caller.call(*address, call).await.ok()?;
                 (answer.status == 200).then(|| answer.body.to_vec())
@@ -62,7 +62,7 @@
         body,
     };
     inputs
-        .send(Input::Request {
+        .send(Input::HttpRequest {
             id,
             endpoint: HttpEndpoint::Control,
             request,
