--- a/crates/cluster/control-plane/src/accepted_changes.rs
+++ b/crates/cluster/control-plane/src/accepted_changes.rs
@@ -1,9 +1,9 @@
 //! The archive of accepted changes: by it a change is recognized when it is sent again, however late.
 //!
-//! Each entry was part of a chosen value of the register, so it is a fact that no later round can change. Together
-//! the entries form a chain: the version that one leads to is the base of the next. What only was accepted by some
-//! process never enters. The archive grows by the recent changes of each value learnt and by what other core
-//! processes tell; it is written in batches, since what was not yet written is among the value's recent changes.
+//! Each entry was part of a chosen value of the register, which no later round can change. Together the entries form a
+//! chain: the version to which one leads is the base of the next. What was only accepted by some process never enters.
+//! The archive grows by the recent changes of each chosen value and by replies of other core processes. It is written
+//! in batches, since what is not yet written is among the value's recent changes.
 
 use deku::prelude::*;
 use sagetrail_protocol::control::AcceptedChange;
@@ -11,12 +11,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// So many changes are kept; the oldest are dropped.
+/// The archive holds so many changes; the oldest are dropped.
 pub(crate) const MAX_ACCEPTED_CHANGES: usize = 65_536;
-/// Entries are written once so many wait. Fewer than the recent changes of a value, which hold them meanwhile.
-const WRITTEN_AT_ONCE: usize = 16;
-/// So many entries are written in one go at the most.
-const MAX_WRITTEN: usize = 1_000;
+/// Entries are written once so many are unwritten. Fewer than the recent changes of a value, in which they are
+/// meanwhile.
+const MIN_UNWRITTEN: usize = 16;
+/// So many entries are written at once at most.
+const MAX_WRITES: usize = 1_000;
 const KEY_PREFIX: &[u8] = b"change/";
 
 /// Versions of which it is not known how one led to the other.
@@ -48,7 +49,7 @@
 }
 
 impl AcceptedChanges {
-    /// An empty archive that keeps at most `capacity` entries.
+    /// An empty archive of at most `capacity` entries.
     pub fn with_capacity(capacity: usize) -> AcceptedChanges {
         AcceptedChanges {
             by_base: BTreeMap::new(),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// What the disk holds, from the entries of `Table::Control`.
+    /// The archive on disk, from the entries of `Table::Control`.
     pub fn load(entries: &[(Vec<u8>, Vec<u8>)]) -> AcceptedChanges {
         let mut changes = AcceptedChanges::default();
         for (_, value) in entries
@@ -90,7 +91,7 @@
         (base < change.version).then_some(change)
     }
 
-    /// Takes entries in; true where one of them is new.
+    /// Adds entries; true where one of them is new.
     pub fn insert_all(&mut self, changes: &[AcceptedChange]) -> bool {
         changes
             .iter()
@@ -124,15 +125,15 @@
             })
     }
 
-    /// Whether enough waits to be written.
+    /// Whether enough entries are unwritten to write them.
     pub fn needs_writing(&self) -> bool {
-        self.unwritten.len() >= WRITTEN_AT_ONCE
+        self.unwritten.len() >= MIN_UNWRITTEN
     }
 
-    /// What is to be written now.
+    /// The operations that bring the disk up to date, or nearer to that where there are many.
     pub fn take_writes(&mut self) -> Vec<DiskOperation> {
         let mut operations = Vec::new();
-        for _ in 0..MAX_WRITTEN {
+        for _ in 0..MAX_WRITES {
             let Some(base) = self.unwritten.pop_first() else {
                 break;
             };
@@ -143,10 +144,12 @@
     }
 
     fn insert(&mut self, change: AcceptedChange) -> bool {
-        if self.by_base.get(&change.base) == Some(&change) || self.is_too_old(change.base) {
+        if self.by_base.get(&change.base) == Some(&change)
+            || self.is_older_than_archive(change.base)
+        {
             return false;
         }
-        if !self.fits(&change) {
+        if !self.fits_chain(&change) {
             log::error!(
                 "accepted change {} -> {} contradicts the archive",
                 change.base,
@@ -157,29 +160,29 @@
         self.by_base.insert(change.base, change);
         self.unwritten.insert(change.base);
         self.dropped.remove(&change.base);
-        self.note_breaks(&change);
+        self.update_breaks(&change);
         self.drop_surplus();
         true
     }
 
-    fn is_too_old(&self, base: u64) -> bool {
+    fn is_older_than_archive(&self, base: u64) -> bool {
         let oldest = self.by_base.keys().next();
         self.by_base.len() >= self.capacity && oldest.is_none_or(|oldest| base < *oldest)
     }
 
     /// Whether the change overlaps with no other one.
-    fn fits(&self, change: &AcceptedChange) -> bool {
+    fn fits_chain(&self, change: &AcceptedChange) -> bool {
         let after_previous = self
             .previous(change.base)
             .is_none_or(|previous| previous.version <= change.base);
         let before_next = self
             .next(change.base)
             .is_none_or(|next| change.version <= next.base);
-        let unknown = !self.by_base.contains_key(&change.base);
-        unknown && change.base < change.version && after_previous && before_next
+        let is_new = !self.by_base.contains_key(&change.base);
+        is_new && change.base < change.version && after_previous && before_next
     }
 
-    fn note_breaks(&mut self, change: &AcceptedChange) {
+    fn update_breaks(&mut self, change: &AcceptedChange) {
         let follows = self
             .previous(change.base)
             .is_some_and(|previous| previous.version == change.base);
--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -1,4 +1,5 @@
-//! The register's acceptor: what it said is on disk before it is said.
+//! The register's acceptor (CASPaxos, Rystsov, 2018, section 2.2): what it promises and accepts is on disk before it
+//! is sent.
 
 use crate::accept_change;
 use crate::effects::Effects;
@@ -13,11 +14,13 @@
 /// The acceptor of one process.
 #[derive(Debug, Default)]
 pub(crate) struct Acceptor {
+    /// The highest number promised, and that of the accepted value; the latter is at most the former.
     pub proposals: AcceptorNumbers,
+    /// The accepted value, encoded.
     pub value: Blob,
     /// The member list's version in the accepted value.
     pub members_version: u64,
-    /// The newest accepted value that is surely on disk.
+    /// The number of the newest accepted value that is surely on disk.
     pub synced: ProposalNumber,
 }
 
@@ -28,55 +31,51 @@
         self.adopt(proposals, value);
     }
 
-    /// Takes up what was told by others and is being written.
+    /// Takes up what was received from others and is being written.
     pub(crate) fn adopt(&mut self, proposals: AcceptorNumbers, value: Blob) {
         self.members_version = members_version(&value);
         self.proposals = proposals;
         self.value = value;
     }
 
-    /// First round.
-    pub(crate) fn prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
+    /// The prepare phase: promises the number, unless a higher one was promised.
+    pub(crate) fn on_prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
         if prepare.proposal < self.proposals.promised {
-            return self.refuse(from, prepare.proposal, effects);
+            return self.reject(from, prepare.proposal, effects);
         }
         self.proposals.promised = prepare.proposal;
-        let value = self.value_unless(prepare.have);
-        let promised = Promise {
+        let promise = ControlMessage::Promise(Promise {
             proposal: prepare.proposal,
             accepted: self.proposals.accepted,
-            value,
-        };
-        let then = vec![(from, ControlMessage::Promise(promised))];
-        effects.write(vec![put_proposals(&self.proposals)], then);
+            value: self.value_unless(prepare.have),
+        });
+        effects.write(vec![put_proposals(&self.proposals)], vec![(from, promise)]);
     }
 
-    /// Second round. `node` is the process itself.
-    pub(crate) fn accept(
+    /// The accept phase: accepts the value, unless a higher number was promised. `node`: this process itself.
+    pub(crate) fn on_accept(
         &mut self,
         node: NodeId,
         from: NodeId,
         accept: Accept,
         effects: &mut Effects,
     ) {
-        if accept.proposal < self.proposals.promised {
-            return self.refuse(from, accept.proposal, effects);
-        }
         let proposal = accept.proposal;
-        self.adopt(
-            AcceptorNumbers {
-                promised: proposal,
-                accepted: proposal,
-            },
-            accept.value,
-        );
-        let settled = (node, ControlMessage::StateSynced(StateSynced { proposal }));
+        if proposal < self.proposals.promised {
+            return self.reject(from, proposal, effects);
+        }
+        let proposals = AcceptorNumbers {
+            promised: proposal,
+            accepted: proposal,
+        };
+        self.adopt(proposals, accept.value);
+        let synced = (node, ControlMessage::StateSynced(StateSynced { proposal }));
         let accepted = (from, ControlMessage::Accepted(Accepted { proposal }));
-        effects.write(self.operations(), vec![settled, accepted]);
+        effects.write(self.operations(), vec![synced, accepted]);
     }
 
-    /// Second round with the change alone, put on the accepted value.
-    pub(crate) fn accept_change(
+    /// The accept phase with the change alone, which is applied to the accepted value.
+    pub(crate) fn on_accept_change(
         &mut self,
         node: NodeId,
         from: NodeId,
@@ -85,7 +84,7 @@
     ) {
         let proposal = accept.proposal;
         if proposal < self.proposals.promised {
-            return self.refuse(from, proposal, effects);
+            return self.reject(from, proposal, effects);
         }
         let value = match self.proposals.accepted {
             accepted if accepted == proposal => Some(self.value.clone()),
@@ -93,36 +92,35 @@
             _ => None,
         };
         match value {
-            Some(value) => self.accept(node, from, Accept { proposal, value }, effects),
+            Some(value) => self.on_accept(node, from, Accept { proposal, value }, effects),
             None => effects.control(from, ControlMessage::ValueNeeded(ValueNeeded { proposal })),
         }
     }
 
-    /// A read promises nothing. The answer waits for the sync of what it tells.
-    pub(crate) fn read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
-        let value = self.value_unless(read.have);
-        let reply = ReadReply {
+    /// A quorum read promises nothing. The reply waits until the value that it names is on disk.
+    pub(crate) fn on_read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
+        let reply = ControlMessage::ReadReply(ReadReply {
             nonce: read.nonce,
             accepted: self.proposals.accepted,
-            value,
-        };
-        let reply = ControlMessage::ReadReply(reply);
+            value: self.value_unless(read.have),
+        });
         if self.synced == self.proposals.accepted {
             return effects.control(from, reply);
         }
         effects.write(Vec::new(), vec![(from, reply)]);
     }
 
-    /// A value has been synced.
-    pub(crate) fn settled(&mut self, proposal: ProposalNumber) {
+    /// The value accepted in this proposal number has been synced.
+    pub(crate) fn on_synced(&mut self, proposal: ProposalNumber) {
         self.synced = self.synced.max(proposal);
     }
 
-    /// Everything, to be written.
+    /// The acceptor's complete state, to be written.
     pub(crate) fn operations(&self) -> Vec<DiskOperation> {
         vec![put_proposals(&self.proposals), put_value(&self.value)]
     }
 
+    /// The accepted value; empty where the other process has it.
     fn value_unless(&self, have: ProposalNumber) -> Blob {
         if have == self.proposals.accepted {
             return Blob::default();
@@ -130,15 +128,16 @@
         self.value.clone()
     }
 
-    fn refuse(&self, from: NodeId, proposal: ProposalNumber, effects: &mut Effects) {
-        let refused = Refused {
+    fn reject(&self, from: NodeId, proposal: ProposalNumber, effects: &mut Effects) {
+        let rejection = Refused {
             proposal,
             promised: self.proposals.promised,
         };
-        effects.control(from, ControlMessage::Refused(refused));
+        effects.control(from, ControlMessage::Refused(rejection));
     }
 }
 
+/// The version with which an encoded value begins; 0 of no value.
 fn members_version(value: &Blob) -> u64 {
     let bytes = value
         .get(..size_of::<u64>())
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -1,4 +1,5 @@
-//! Fetches accepted changes that this process missed from the other members, one request at a time.
+//! Anti-entropy of accepted changes: fetches those that this process lacks from the other members, one request at a
+//! time.
 
 use crate::accepted_changes::{AcceptedChanges, Gap};
 use crate::effects::Effects;
@@ -9,46 +10,49 @@
 use sagetrail_protocol::{List, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many changes are told at once.
-const MAX_CHANGES_TOLD: usize = 1_000;
-/// A member that left so many requests for a gap without an answer counts as asked.
-const MAX_SILENCES: u32 = 3;
-/// The first and the longest pause before a gap that nobody could fill is asked for again, in milliseconds.
-const FIRST_PAUSE_MS: u64 = 500;
-const LONGEST_PAUSE_MS: u64 = 30_000;
+/// A reply has at most so many changes.
+const MAX_CHANGES_PER_REPLY: usize = 1_000;
+/// A member that has left so many requests for a gap without a reply counts as unable to fill it.
+const MAX_TIMEOUTS: u32 = 3;
+/// The shortest and the longest backoff before a gap that no member could fill is requested again.
+const MIN_BACKOFF_MS: u64 = 500;
+const MAX_BACKOFF_MS: u64 = 30_000;
 
-/// The request under way.
+/// A request that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     member: NodeId,
+    /// The gap: the version up to which the chain below it is known.
     after: u64,
     sent_at: Time,
 }
 
-/// What was tried to fill one gap.
+/// The attempts to fill one gap.
 #[derive(Debug, Default)]
 struct Attempts {
-    /// Members that could not.
+    /// Members that could not fill it.
     unable: BTreeSet<NodeId>,
-    silences: BTreeMap<NodeId, u32>,
-    /// Every member was asked once, and none could.
-    open: bool,
+    /// Requests without a reply, by member.
+    timeouts: BTreeMap<NodeId, u32>,
+    /// Every member was asked, and none could.
+    exhausted: bool,
+    /// No request before this moment.
     resume_at: Time,
-    pause_ms: u64,
+    backoff_ms: u64,
 }
 
-/// The requests of one process.
+/// The fetches of one process.
 #[derive(Debug, Default)]
 pub(crate) struct ChangesFetch {
     request: Option<Request>,
     /// By the version after which the gap begins; a gap that is filled in part is another one.
     attempts: BTreeMap<u64, Attempts>,
-    /// Told some and knows more.
+    /// The member whose last reply had changes and said that there are more.
     preferred: Option<NodeId>,
 }
 
 impl ChangesFetch {
-    /// Sends, repeats or postpones requests for what is missing. `node`: this process, which is not asked.
+    /// Sends requests for what is missing, or puts them off. `node`: this process, which is not asked.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -67,7 +71,7 @@
             self.attempts
                 .entry(request.after)
                 .or_default()
-                .silent(request.member);
+                .on_timeout(request.member);
             self.preferred = None;
         }
         let gaps: BTreeSet<u64> = changes.gaps().map(|gap| gap.after).collect();
@@ -91,16 +95,16 @@
         }
     }
 
-    /// An answer came; it is taken only where it was asked for.
-    pub(crate) fn reply(
+    /// A member has replied; the reply counts only where it was requested.
+    pub(crate) fn on_reply(
         &mut self,
         from: NodeId,
         reply: &ChangesReply,
         changes: &mut AcceptedChanges,
     ) {
-        let parse_request =
+        let is_reply_to =
             |request: &Request| request.member == from && request.after == reply.after;
-        if !self.request.as_ref().is_some_and(parse_request) {
+        if !self.request.as_ref().is_some_and(is_reply_to) {
             return;
         }
         self.request = None;
@@ -123,18 +127,18 @@
         let due = |gap: Gap| {
             self.attempts
                 .get(&gap.after)
-                .map(|tried| tried.resume_at)
+                .map(|attempts| attempts.resume_at)
                 .unwrap_or_default()
         };
         changes.gaps().map(due).min()
     }
 
-    /// Whether nothing is missing but what every member was asked for in vain.
+    /// Whether nothing is missing but gaps that no member could fill.
     pub(crate) fn is_done(&self, changes: &AcceptedChanges) -> bool {
         changes.gaps().all(|gap| {
             self.attempts
                 .get(&gap.after)
-                .is_some_and(|tried| tried.open)
+                .is_some_and(|attempts| attempts.exhausted)
         })
     }
 
@@ -144,7 +148,7 @@
             return None;
         }
         let Some(member) = attempts.next_member(self.preferred, members) else {
-            attempts.postpone(now);
+            attempts.back_off(now);
             return None;
         };
         Some(Request {
@@ -156,30 +160,30 @@
 }
 
 impl Attempts {
-    fn silent(&mut self, member: NodeId) {
-        let silences = self.silences.entry(member).or_default();
-        *silences += 1;
-        if *silences >= MAX_SILENCES {
+    fn on_timeout(&mut self, member: NodeId) {
+        let timeouts = self.timeouts.entry(member).or_default();
+        *timeouts += 1;
+        if *timeouts >= MAX_TIMEOUTS {
             self.unable.insert(member);
         }
     }
 
-    /// The preferred member, or the one that was silent least often.
+    /// The preferred member, or the one with the fewest timeouts.
     fn next_member(&self, preferred: Option<NodeId>, members: &[NodeId]) -> Option<NodeId> {
         let able = members
             .iter()
             .copied()
             .filter(|member| !self.unable.contains(member));
-        let silences = |member: &NodeId| self.silences.get(member).copied().unwrap_or_default();
-        able.min_by_key(|member| (Some(*member) != preferred, silences(member)))
+        let timeouts = |member: &NodeId| self.timeouts.get(member).copied().unwrap_or_default();
+        able.min_by_key(|member| (Some(*member) != preferred, timeouts(member)))
     }
 
-    fn postpone(&mut self, now: Time) {
+    fn back_off(&mut self, now: Time) {
         self.unable.clear();
-        self.silences.clear();
-        self.open = true;
-        self.pause_ms = (self.pause_ms * 2).clamp(FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
-        self.resume_at = now.plus_millis(self.pause_ms);
+        self.timeouts.clear();
+        self.exhausted = true;
+        self.backoff_ms = (self.backoff_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.resume_at = now.plus_millis(self.backoff_ms);
     }
 }
 
@@ -189,14 +193,14 @@
         self.register_view.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
     }
 
-    /// Asks for accepted changes that are missing, and writes those that are not on disk yet.
+    /// Requests accepted changes that are missing, and writes those that are not on disk yet.
     pub(crate) fn step_changes(&mut self, now: Time) {
         let (node, list) = (self.settings.node, &self.register_view.list);
         if list.version > 0 {
             self.changes_fetch
                 .tick(now, node, &self.accepted_changes, list, &mut self.effects);
         }
-        // A process that never took part keeps nothing on disk.
+        // A process that never took part writes nothing to its disk.
         if self.membership_state.ready && self.accepted_changes.needs_writing() {
             let operations = self.accepted_changes.take_writes();
             self.effects.write(operations, Vec::new());
@@ -205,17 +209,17 @@
 
     /// When a request is due.
     pub(crate) fn changes_wake(&self) -> Option<Time> {
-        let founded = self.register_view.list.version > 0;
-        founded
+        let bootstrapped = self.register_view.list.version > 0;
+        bootstrapped
             .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
             .flatten()
     }
 
-    /// Another core process misses accepted changes. They are facts: telling them needs no promise.
+    /// Another core process lacks accepted changes. They are part of chosen values: any process may send them.
     pub(crate) fn on_changes_request(&mut self, from: NodeId, request: &ChangesRequest) {
         let (changes, more) = self
             .accepted_changes
-            .from_base(request.after, MAX_CHANGES_TOLD);
+            .from_base(request.after, MAX_CHANGES_PER_REPLY);
         let reply = ChangesReply {
             after: request.after,
             changes: List(changes),
@@ -225,9 +229,9 @@
             .control(from, ControlMessage::ChangesReply(reply));
     }
 
-    /// A member told accepted changes.
+    /// A member has sent accepted changes.
     pub(crate) fn on_changes_reply(&mut self, from: NodeId, reply: &ChangesReply) {
         self.changes_fetch
-            .reply(from, reply, &mut self.accepted_changes);
+            .on_reply(from, reply, &mut self.accepted_changes);
     }
 }
--- a/crates/cluster/control-plane/src/election.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -1,4 +1,5 @@
-//! Elections: a process whose granted lease is over first asks whether it would be promised a term, then for it.
+//! Elections: a process whose granted lease is over first asks whether it would be promised a term (pre-vote, Ongaro's
+//! thesis, 9.6), then for the term itself.
 
 use crate::effects::Effects;
 use crate::quorum::MemberList;
@@ -13,11 +14,12 @@
 use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A vote that was given.
+/// A vote that was granted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Vote {
+    /// The voter's newest records.
     pub position: RecordsPosition,
-    /// When it was asked for, in microseconds of the candidate's steady clock.
+    /// When it was requested, in microseconds of the candidate's steady clock.
     pub sent_at: u64,
 }
 
@@ -25,8 +27,9 @@
 #[derive(Debug)]
 pub(crate) struct Elected {
     pub term: Term,
-    /// The newest records among the voters, and who has them.
+    /// The newest records among the voters, on which the term builds.
     pub base: RecordsPosition,
+    /// A voter that has them; this process where it has them itself.
     pub source: NodeId,
     pub votes: BTreeMap<NodeId, Vote>,
 }
@@ -34,24 +37,35 @@
 impl Elected {
     /// Voters with the newest records besides the source.
     pub(crate) fn other_sources(&self) -> Vec<NodeId> {
-        let holders = self
+        let with_base = self
             .votes
             .iter()
             .filter(|(voter, vote)| vote.position == self.base && **voter != self.source);
-        holders.map(|(voter, _)| *voter).collect()
+        with_base.map(|(voter, _)| *voter).collect()
     }
 }
 
+/// What a candidate asks for.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum VoteKind {
+    /// Whether the voter would promise the term; nothing is promised.
+    PreVote,
+    /// The promise of the term.
+    Vote,
+}
+
+/// A candidacy under way.
 #[derive(Debug)]
 struct Candidacy {
     term: Term,
-    pre_vote: bool,
+    kind: VoteKind,
+    /// The member list's version at the start: an election is not won by votes of two lists.
     members_version: u64,
     started: Time,
     sent_at: Time,
     votes: BTreeMap<NodeId, Vote>,
-    /// Who promised the term, or a higher one, to somebody else.
-    refusals: BTreeSet<NodeId>,
+    /// Members that promised the term, or a higher one, to another candidate.
+    rejections: BTreeSet<NodeId>,
 }
 
 /// The elections of one process.
@@ -60,8 +74,11 @@
     node: NodeId,
     incarnation: Incarnation,
     random: Pcg64Mcg,
+    /// From the end of the granted lease to the next candidacy.
     jitter_ms: u64,
+    /// No candidacy begins before.
     not_before: Time,
+    /// The highest term that was seen promised or was stood for.
     highest: Term,
     candidacy: Option<Candidacy>,
 }
@@ -71,13 +88,12 @@
     pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Elections {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let jitter_ms = random.random_range(0..ELECTION_JITTER_MS);
-        let not_before = Time::default();
         Elections {
             node,
             incarnation,
             random,
             jitter_ms,
-            not_before,
+            not_before: Time::default(),
             highest: 0,
             candidacy: None,
         }
@@ -89,42 +105,42 @@
             Some(candidacy) => candidacy
                 .sent_at
                 .plus_millis(RESEND_MS)
-                .min(candidacy.ends()),
+                .min(candidacy.ends_at()),
             None => lease_until.plus_millis(self.jitter_ms).max(self.not_before),
         }
     }
 
     /// The leader gave its lease up: the next election comes soon.
-    pub(crate) fn hasten(&mut self) {
+    pub(crate) fn hasten_next(&mut self) {
         self.jitter_ms = self.random.random_range(0..RESIGNED_JITTER_MS);
     }
 
-    /// Notes a term that was promised somewhere.
-    pub(crate) fn note(&mut self, term: Term) {
+    /// A term was promised somewhere: the next candidacy is for a higher one.
+    pub(crate) fn observe_term(&mut self, term: Term) {
         self.highest = self.highest.max(term);
     }
 
-    /// Gives a candidacy up.
-    pub(crate) fn stand_back(&mut self, now: Time) {
+    /// Ends a candidacy, if there is one, and puts the next off by a random delay.
+    pub(crate) fn withdraw(&mut self, now: Time) {
         self.candidacy = None;
         self.jitter_ms = self.random.random_range(0..ELECTION_JITTER_MS);
         self.not_before = now.plus_millis(self.jitter_ms);
     }
 
-    /// Gives a candidacy up and frees those who promised its term.
+    /// Ends a candidacy and frees those who promised its term.
     fn give_up(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        let leadership = self
+        let requested_term = self
             .candidacy
             .as_ref()
-            .filter(|candidacy| !candidacy.pre_vote)
+            .filter(|candidacy| candidacy.kind == VoteKind::Vote)
             .map(|candidacy| candidacy.term);
-        self.stand_back(now);
-        if let Some(term) = leadership {
+        self.withdraw(now);
+        if let Some(term) = requested_term {
             effects.broadcast(list.all(), &ControlMessage::Resign(Resign { term }));
         }
     }
 
-    /// Starts, repeats or gives up a candidacy.
+    /// Begins a candidacy, sends its requests again, or gives it up.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -136,37 +152,35 @@
             return;
         }
         match &mut self.candidacy {
-            None => self.stand(now, true, list, effects),
-            Some(candidacy) if now >= candidacy.ends() => self.give_up(now, list, effects),
+            None => self.begin(now, VoteKind::PreVote, list, effects),
+            Some(candidacy) if now >= candidacy.ends_at() => self.give_up(now, list, effects),
             Some(candidacy) => {
                 candidacy.sent_at = now;
-                candidacy.send(self.incarnation, list, effects);
+                candidacy.send_requests(self.incarnation, list, effects);
             }
         }
     }
 
-    fn stand(&mut self, now: Time, pre_vote: bool, list: &MemberList, effects: &mut Effects) {
+    fn begin(&mut self, now: Time, kind: VoteKind, list: &MemberList, effects: &mut Effects) {
         let term = self.highest + 1;
-        if !pre_vote {
+        if kind == VoteKind::Vote {
             self.highest = term;
         }
-        let (votes, refusals) = (BTreeMap::new(), BTreeSet::new());
-        let members_version = list.version;
         let candidacy = Candidacy {
             term,
-            pre_vote,
-            members_version,
+            kind,
+            members_version: list.version,
             started: now,
             sent_at: now,
-            votes,
-            refusals,
+            votes: BTreeMap::new(),
+            rejections: BTreeSet::new(),
         };
-        candidacy.send(self.incarnation, list, effects);
+        candidacy.send_requests(self.incarnation, list, effects);
         self.candidacy = Some(candidacy);
     }
 
-    /// An answer came.
-    pub(crate) fn reply(
+    /// A voter has answered; the election where this vote wins it.
+    pub(crate) fn on_vote_reply(
         &mut self,
         now: Time,
         from: NodeId,
@@ -174,19 +188,17 @@
         list: &MemberList,
         effects: &mut Effects,
     ) -> Option<Elected> {
-        self.highest = self.highest.max(reply.promised);
+        self.observe_term(reply.promised);
         let candidacy = self.candidacy.as_mut()?;
-        if reply.incarnation != self.incarnation {
-            return None;
-        }
-        let same = reply.pre_vote == candidacy.pre_vote
-            && (reply.pre_vote || reply.term == candidacy.term);
-        if !same || !list.contains(from) {
+        if reply.incarnation != self.incarnation
+            || !candidacy.is_answered_by(reply)
+            || !list.contains(from)
+        {
             return None;
         }
         if !reply.granted {
-            candidacy.refusals.insert(from);
-            if !list.has_quorum_without(&candidacy.refusals) {
+            candidacy.rejections.insert(from);
+            if !list.has_quorum_without(&candidacy.rejections) {
                 self.give_up(now, list, effects);
             }
             return None;
@@ -201,12 +213,22 @@
                 sent_at: reply.sent_at,
             },
         );
+        self.on_vote_granted(now, list, effects)
+    }
+
+    fn on_vote_granted(
+        &mut self,
+        now: Time,
+        list: &MemberList,
+        effects: &mut Effects,
+    ) -> Option<Elected> {
+        let candidacy = self.candidacy.as_ref()?;
         let voters: BTreeSet<NodeId> = candidacy.votes.keys().copied().collect();
         if !list.has_quorum(&voters) {
             return None;
         }
-        if candidacy.pre_vote {
-            self.stand(now, false, list, effects);
+        if candidacy.kind == VoteKind::PreVote {
+            self.begin(now, VoteKind::Vote, list, effects);
             return None;
         }
         if candidacy.members_version != list.version || !voters.contains(&self.node) {
@@ -214,37 +236,45 @@
         }
         self.candidacy
             .take()
-            .map(|candidacy| candidacy.won(self.node))
+            .map(|candidacy| candidacy.into_elected(self.node))
     }
 }
 
 impl Candidacy {
-    fn ends(&self) -> Time {
-        let span_ms = if self.pre_vote {
-            PRE_VOTE_MS
-        } else {
-            LEADER_LEASE_MS
+    fn ends_at(&self) -> Time {
+        let span_ms = match self.kind {
+            VoteKind::PreVote => PRE_VOTE_MS,
+            VoteKind::Vote => LEADER_LEASE_MS,
         };
         self.started.plus_millis(span_ms)
     }
 
-    fn send(&self, incarnation: Incarnation, list: &MemberList, effects: &mut Effects) {
+    /// Whether the reply is to a request of this candidacy. Pre-votes count for whichever term they were asked.
+    fn is_answered_by(&self, reply: &VoteReply) -> bool {
+        match self.kind {
+            VoteKind::PreVote => reply.pre_vote,
+            VoteKind::Vote => !reply.pre_vote && reply.term == self.term,
+        }
+    }
+
+    /// Sends the request to each member that has not granted it.
+    fn send_requests(&self, incarnation: Incarnation, list: &MemberList, effects: &mut Effects) {
         let request = VoteRequest {
             term: self.term,
             incarnation,
             members_version: self.members_version,
-            pre_vote: self.pre_vote,
+            pre_vote: self.kind == VoteKind::PreVote,
             sent_at: self.sent_at.0,
         };
-        let silent = list
+        let without_vote = list
             .all()
             .into_iter()
             .filter(|member| !self.votes.contains_key(member));
-        effects.broadcast(silent, &ControlMessage::VoteRequest(request));
+        effects.broadcast(without_vote, &ControlMessage::VoteRequest(request));
     }
 
-    /// The newest records count; among equals, this process's own.
-    fn won(self, node: NodeId) -> Elected {
+    /// The term builds on the newest records among the voters; of equally new ones, on those of `node`, this process.
+    fn into_elected(self, node: NodeId) -> Elected {
         let newest = self
             .votes
             .iter()
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -1,12 +1,17 @@
-//! A term of the elected process: its lease, and the batches on their way to the replicas.
+//! The state of a leader during its term: its lease, and the replication of records.
+//!
+//! The lease is one of Gray and Cheriton (1989): the leader asks all replicas to renew it, and counts on it for less
+//! time than a majority has granted. Batches of records go to each replica by its `Progress`; one is committed once
+//! a majority has synced it.
 
-use crate::batch_window::Window;
+use crate::batch_window::BatchWindow;
 use crate::effects::Effects;
 use crate::election::Elected;
 use crate::learner::Learner;
+use crate::progress::Progress;
 use crate::quorum::MemberList;
 use crate::records::to_changes;
-use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, RESEND_MS, WINDOW_PATIENCE_MS};
+use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, WINDOW_PATIENCE_MS};
 use sagetrail_protocol::control::{
     ControlMessage, ProposalNumber, RecordBatch, RecordsPosition, Renew, RenewAck, Resign,
 };
@@ -15,68 +20,54 @@
 use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
-/// So many batches are under way to the quorum at once.
-const MAX_IN_FLIGHT: u64 = 2;
-/// So many batches are under way to one replica at once.
-const MAX_OUTSTANDING: u64 = 64;
+/// So many batches may be uncommitted at once.
+const MAX_UNCOMMITTED: u64 = 2;
 
-#[derive(Clone, Copy, Debug)]
-struct Progress {
-    /// The newest batch that it has synced in this term; `None` before it has the term's base.
-    acked: Option<u64>,
-    /// The next batch to send.
-    next: u64,
-    progressed_at: Time,
-    /// When the newest lease that it granted was asked for.
-    lease_sent_at: Option<u64>,
-    heard: Time,
-    /// It has said that it is about to end.
-    leaving: bool,
+/// Whether a term is still the newest one known.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[must_use]
+pub(crate) enum TermStatus {
+    Current,
+    /// A replica has promised a higher term.
+    Superseded,
 }
 
-impl Progress {
-    /// Of a replica that has yet to say where it stands.
-    fn new(now: Time, lease_sent_at: Option<u64>) -> Progress {
-        Progress {
-            acked: None,
-            next: 1,
-            progressed_at: now,
-            lease_sent_at,
-            heard: now,
-            leaving: false,
-        }
-    }
-}
-
-/// The term.
+/// The leader's state in its term.
 pub(crate) struct Leadership {
     node: NodeId,
     pub term: Term,
     pub elected_at: Time,
+    /// The term ends at this moment, unless a majority grants the lease again.
     pub lease_until: Time,
+    /// The state on which the term builds: the newest among the voters.
     base: RecordsPosition,
+    /// The replica from which the others get the base.
     source: NodeId,
     /// Other voters with the term's base.
     other_sources: Vec<NodeId>,
+    /// Of members and learners.
     progress: BTreeMap<NodeId, Progress>,
     /// Processes that hold the records as members do and count in no quorum.
     learners: BTreeMap<NodeId, Learner>,
-    window: Window,
+    window: BatchWindow,
+    /// The number of the newest batch; 0 before the first.
     last: u64,
-    /// One more than the newest batch kept by a quorum; 0 before the base is.
+    /// One more than the newest committed batch; 0 before the base is committed.
     committed: u64,
+    /// When the lease is renewed next.
     renew_at: Time,
+    /// The scheduler, once the base is committed and the register has been read.
     pub service: Option<Box<dyn Service + Send>>,
 }
 
 impl Leadership {
     /// Begins with the votes as first grants of the lease.
     pub(crate) fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Leadership {
-        let vote = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
+        let voted_at = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
         let progress = list
             .all()
             .into_iter()
-            .map(|member| (member, Progress::new(now, vote(&member))));
+            .map(|member| (member, Progress::new(now, voted_at(&member))));
         let progress: BTreeMap<NodeId, Progress> = progress.collect();
         let other_sources = elected.other_sources();
         let mut leadership = Leadership {
@@ -89,7 +80,7 @@
             other_sources,
             progress,
             learners: BTreeMap::new(),
-            window: Window::default(),
+            window: BatchWindow::default(),
             last: 0,
             committed: 0,
             renew_at: now,
@@ -99,21 +90,21 @@
         leadership
     }
 
-    /// Whether the term's base is at a quorum.
+    /// Whether the term's base is committed.
     pub(crate) fn base_is_committed(&self) -> bool {
         self.committed > 0
     }
 
-    /// This process has the records of the term in hand.
-    pub(crate) fn holds_base(&mut self, now: Time) {
+    /// This process has the term's base now: the others get it from here.
+    pub(crate) fn become_source(&mut self, now: Time) {
         if self.source != self.node {
             self.source = self.node;
             self.renew_at = now;
         }
     }
 
-    /// The records are to come from another voter that has the base; false where there is none.
-    pub(crate) fn turn_to_next_source(&mut self, now: Time) -> bool {
+    /// The base is to come from another voter that has it; false where there is none.
+    pub(crate) fn try_next_source(&mut self, now: Time) -> bool {
         let Some(source) = self.other_sources.pop() else {
             return false;
         };
@@ -124,22 +115,12 @@
 
     /// When something is due, the service's own times apart.
     pub(crate) fn next_wake(&self) -> Time {
-        let resends = self
-            .progress
-            .values()
-            .filter(|progress| progress.outstanding());
-        let resend_at = resends
-            .map(|progress| progress.progressed_at.plus_millis(RESEND_MS))
-            .min();
-        let timers = [Some(self.renew_at), Some(self.lease_until), resend_at];
-        timers
-            .into_iter()
-            .flatten()
-            .min()
-            .unwrap_or(self.lease_until)
+        let resends = self.progress.values().filter_map(Progress::resend_at);
+        let timers = resends.chain([self.renew_at, self.lease_until]);
+        timers.min().unwrap_or(self.lease_until)
     }
 
-    /// Renews the lease where that is due.
+    /// Renews the lease where that is due. `learned`: the newest chosen value of the register that the leader knows.
     pub(crate) fn renew(
         &mut self,
         now: Time,
@@ -164,41 +145,40 @@
         effects.broadcast(followers, &ControlMessage::Renew(renew));
     }
 
-    /// A replica granted the lease. False: a higher term was promised.
-    pub(crate) fn renew_ack(
+    /// A replica has answered a renewal.
+    pub(crate) fn on_renew_ack(
         &mut self,
         now: Time,
         from: NodeId,
         ack: &RenewAck,
         list: &MemberList,
-    ) -> bool {
+    ) -> TermStatus {
         if ack.promised > self.term {
-            return false;
+            return TermStatus::Superseded;
         }
         if ack.term != self.term || ack.sent_at > now.0 {
-            return true;
+            return TermStatus::Current;
         }
         if self
             .learners
             .get_mut(&from)
             .is_some_and(|learner| !learner.hear(ack))
         {
-            return true;
+            return TermStatus::Current;
         }
-        self.heard(now, from, ack.position, list);
+        self.observe_replica(now, from, ack.position, list);
         if let Some(progress) = self.progress.get_mut(&from) {
-            progress.lease_sent_at = progress.lease_sent_at.max(Some(ack.sent_at));
-            progress.leaving = ack.leaving;
+            progress.on_lease_granted(ack);
         }
         self.extend_lease(list);
-        true
+        TermStatus::Current
     }
 
     fn extend_lease(&mut self, list: &MemberList) {
         let granted = |member: &NodeId| {
             self.progress
                 .get(member)
-                .and_then(|progress| progress.lease_sent_at)
+                .map(Progress::lease_sent_at)
                 .unwrap_or_default()
         };
         if let Some(sent_at) = list.quorum_value(granted).filter(|sent_at| *sent_at > 0) {
@@ -208,8 +188,8 @@
         }
     }
 
-    /// A replica has synced its records up to a state.
-    pub(crate) fn stored(
+    /// A replica has synced its records up to a position.
+    pub(crate) fn on_records_synced(
         &mut self,
         now: Time,
         from: NodeId,
@@ -217,11 +197,17 @@
         list: &MemberList,
     ) {
         if list.contains(from) {
-            self.heard(now, from, position, list);
+            self.observe_replica(now, from, position, list);
         }
     }
 
-    fn heard(&mut self, now: Time, from: NodeId, position: RecordsPosition, list: &MemberList) {
+    fn observe_replica(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        position: RecordsPosition,
+        list: &MemberList,
+    ) {
         if !list.contains(from) && !self.learners.contains_key(&from) {
             return;
         }
@@ -229,18 +215,15 @@
             .progress
             .entry(from)
             .or_insert_with(|| Progress::new(now, None));
-        progress.heard = now;
-        if position.term != self.term || Some(position.number) <= progress.acked {
-            return;
+        progress.last_active = now;
+        if position.term == self.term {
+            progress.on_synced(now, position.number);
         }
-        progress.acked = Some(position.number);
-        progress.next = progress.next.max(position.number + 1);
-        progress.progressed_at = now;
     }
 
-    /// The newest batch kept by a quorum, where that has moved.
-    pub(crate) fn advance(&mut self, list: &MemberList) -> Option<u64> {
-        let committed = self.committed_by_quorum(list);
+    /// The newest committed batch, where that has moved.
+    pub(crate) fn advance_commit(&mut self, list: &MemberList) -> Option<u64> {
+        let committed = self.synced_by_quorum(list);
         if committed <= self.committed {
             return None;
         }
@@ -248,27 +231,25 @@
         Some(committed - 1)
     }
 
-    /// Whether a quorum of this list holds everything that was ever kept by a quorum in this term.
+    /// Whether a quorum of this list has everything that was ever committed in this term.
     pub(crate) fn is_committed_by(&self, list: &MemberList) -> bool {
-        self.base_is_committed() && self.committed_by_quorum(list) >= self.committed
-    }
-
-    fn committed_by_quorum(&self, list: &MemberList) -> u64 {
-        list.quorum_value(|member| self.synced_by(member))
-            .unwrap_or_default()
+        self.base_is_committed() && self.synced_by_quorum(list) >= self.committed
     }
 
-    fn synced_by(&self, member: &NodeId) -> u64 {
-        let acked = self
-            .progress
-            .get(member)
-            .and_then(|progress| progress.acked);
-        acked.map_or(0, |number| number + 1)
+    /// One more than the newest batch that a quorum has synced.
+    fn synced_by_quorum(&self, list: &MemberList) -> u64 {
+        let synced_states = |member: &NodeId| {
+            self.progress
+                .get(member)
+                .map(Progress::synced_states)
+                .unwrap_or_default()
+        };
+        list.quorum_value(synced_states).unwrap_or_default()
     }
 
-    /// Takes batches from the service and sends what replicas miss.
-    pub(crate) fn pump(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        while self.base_is_committed() && self.last + 1 - self.committed < MAX_IN_FLIGHT {
+    /// Takes batches from the service and sends each replica what it lacks.
+    pub(crate) fn replicate(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
+        while self.base_is_committed() && self.last + 1 - self.committed < MAX_UNCOMMITTED {
             let Some(batch) = self
                 .service
                 .as_mut()
@@ -276,39 +257,41 @@
             else {
                 break;
             };
-            self.keep(now, batch);
+            self.append(now, batch);
         }
         let learners = &self.learners;
         self.progress
             .retain(|member, _| list.contains(*member) || learners.contains_key(member));
-        for (member, progress) in &mut self.progress {
-            send_missing(now, *member, progress, &self.window, effects);
+        for (replica, progress) in &mut self.progress {
+            progress.send_missing(now, *replica, &self.window, effects);
         }
     }
 
-    fn keep(&mut self, now: Time, batch: Batch) {
+    fn append(&mut self, now: Time, batch: Batch) {
         self.last = batch.number;
         let changes = to_changes(batch.operations);
-        let missed = self.first_missed(now);
+        let first_missing = self.first_missing(now);
         self.window.push(
             RecordBatch {
                 term: self.term,
                 number: batch.number,
                 changes,
             },
-            missed,
+            first_missing,
         );
     }
 
-    /// The first batch that a member that was heard lately has not synced. One that fetches an image, or that was
+    /// The first batch that a replica which was active lately has not synced. One that fetches a snapshot, or that was
     /// frozen for a while, goes on from there.
-    fn first_missed(&self, now: Time) -> u64 {
-        let there = self
+    fn first_missing(&self, now: Time) -> u64 {
+        let active = self
             .progress
             .values()
-            .filter(|progress| now < progress.heard.plus_millis(WINDOW_PATIENCE_MS));
-        let missed = there.map(|progress| progress.acked.map_or(1, |acked| acked + 1));
-        missed.min().unwrap_or(u64::MAX)
+            .filter(|progress| now < progress.last_active.plus_millis(WINDOW_PATIENCE_MS));
+        active
+            .map(Progress::first_missing)
+            .min()
+            .unwrap_or(u64::MAX)
     }
 
     /// The processes that are to learn. One that has started anew learns from the beginning.
@@ -329,7 +312,7 @@
         }
     }
 
-    /// A learner that holds everything a member holds.
+    /// A learner that has everything a member has.
     pub(crate) fn ready_learner(&self) -> Option<NodeId> {
         let is_ready = |learner: &Learner| learner.holds(self.term, self.last);
         self.learners
@@ -339,18 +322,26 @@
     }
 
     /// The member that a learner should replace: one that is about to end, else the one that has been silent for longest,
-    /// since before `moment`.
-    pub(crate) fn replaceable(&self, list: &MemberList, moment: Option<Time>) -> Option<NodeId> {
+    /// at least since `silent_since`.
+    pub(crate) fn member_to_replace(
+        &self,
+        list: &MemberList,
+        silent_since: Option<Time>,
+    ) -> Option<NodeId> {
         let members = || {
             self.progress
                 .iter()
                 .filter(|(member, _)| list.members.contains(member))
         };
+        let is_silent =
+            |progress: &Progress| silent_since.is_some_and(|since| progress.last_active <= since);
         let leaving = members().find(|(_, progress)| progress.leaving);
-        let silent =
-            members().filter(|(_, progress)| moment.is_some_and(|moment| progress.heard <= moment));
-        let longest = || silent.min_by_key(|(_, progress)| progress.heard);
-        leaving.or_else(longest).map(|(member, _)| *member)
+        let longest_silent = || {
+            members()
+                .filter(|(_, progress)| is_silent(progress))
+                .min_by_key(|(_, progress)| progress.last_active)
+        };
+        leaving.or_else(longest_silent).map(|(member, _)| *member)
     }
 
     /// Gives the lease up and says so.
@@ -371,35 +362,3 @@
         }
     }
 }
-
-impl Progress {
-    fn outstanding(&self) -> bool {
-        self.acked.is_some_and(|acked| self.next > acked + 1)
-    }
-}
-
-fn send_missing(
-    now: Time,
-    member: NodeId,
-    progress: &mut Progress,
-    window: &Window,
-    effects: &mut Effects,
-) {
-    let (Some(acked), Some(first)) = (progress.acked, window.first()) else {
-        return;
-    };
-    if progress.outstanding() && now >= progress.progressed_at.plus_millis(RESEND_MS) {
-        progress.next = acked + 1;
-        progress.progressed_at = now;
-    }
-    if !progress.outstanding() {
-        progress.progressed_at = now;
-    }
-    while progress.next >= first && progress.next <= acked + MAX_OUTSTANDING {
-        let Some(batch) = window.get(progress.next) else {
-            break;
-        };
-        effects.control(member, ControlMessage::RecordBatch(batch.clone()));
-        progress.next += 1;
-    }
-}
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,5 +1,5 @@
-//! Leases of membership of the processes outside the core. Each of these greets one core process, so core processes
-//! tell each other, in a message whose size does not grow with their number.
+//! Leases of membership (Gray and Cheriton, 1989) of the processes outside the core. Each of these says hello to one
+//! core process, so core processes notify each other, in a message whose size does not grow with the number of leases.
 
 use crate::node::CoreNode;
 use crate::timing::SHARE_INTERVAL_MS;
@@ -9,104 +9,106 @@
 use sagetrail_protocol::{List, NodeId, NodeKind, Time};
 use std::collections::BTreeMap;
 
-/// So many leases are kept at one process.
+/// One process holds so many leases.
 const MAX_LEASES: usize = 4_096;
 /// The core serves configurations to so many processes for each of its own before it names relays.
 pub(crate) const DIRECT_CHILDREN: u64 = 16;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
 
-/// A process that has greeted this one.
+/// The lease of a process that says hello to this one.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     kind: NodeKind,
-    until: Time,
+    expires_at: Time,
 }
 
-/// What another core process told.
+/// The leases at another core process, as it last reported them.
 #[derive(Debug)]
-struct Told {
+struct PeerLeases {
     count: u32,
-    until: Time,
+    /// The report counts until then.
+    expires_at: Time,
+    /// The peer's best relays, and when the lease of each expires.
     relays: BTreeMap<NodeId, Time>,
 }
 
-/// The leases held here, and what other core processes told of theirs.
+/// The leases at this process, and the reports of other core processes.
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     own: BTreeMap<NodeId, Lease>,
-    told: BTreeMap<NodeId, Told>,
-    /// The best relays of all, and until when each holds a lease.
+    peers: BTreeMap<NodeId, PeerLeases>,
+    /// The best relays of all, best first, and when the lease of each expires.
     best: Vec<(NodeId, Time)>,
-    share_at: Time,
+    report_at: Time,
 }
 
 impl Leases {
     /// A process outside the core said hello.
-    pub(crate) fn hear(&mut self, now: Time, node: NodeId, kind: NodeKind) {
+    pub(crate) fn renew(&mut self, now: Time, node: NodeId, kind: NodeKind) {
         if self.own.contains_key(&node) || self.own.len() < MAX_LEASES {
             self.own.insert(
                 node,
                 Lease {
                     kind,
-                    until: now.plus_millis(MEMBER_LEASE_MS),
+                    expires_at: now.plus_millis(MEMBER_LEASE_MS),
                 },
             );
         }
     }
 
-    /// Another core process told of its leases.
-    pub(crate) fn take(&mut self, now: Time, from: NodeId, leases: &MemberLeases) {
-        let until = |lease: &MemberLease| {
+    /// Another core process has reported its leases.
+    pub(crate) fn on_report(&mut self, now: Time, from: NodeId, leases: &MemberLeases) {
+        let expires_at = |lease: &MemberLease| {
             now.plus_millis(u64::from(lease.remaining_ms).min(MEMBER_LEASE_MS))
         };
         let relays = leases
             .relays
             .iter()
             .take(MAX_RELAYS)
-            .map(|lease| (lease.node, until(lease)));
-        let told = Told {
+            .map(|lease| (lease.node, expires_at(lease)));
+        let peer = PeerLeases {
             count: leases.count,
-            until: now.plus_millis(MEMBER_LEASE_MS),
+            expires_at: now.plus_millis(MEMBER_LEASE_MS),
             relays: relays.collect(),
         };
-        self.told.insert(from, told);
+        self.peers.insert(from, peer);
     }
 
-    /// What the other core processes are to be told, once that is due and there is anything to tell.
-    pub(crate) fn share(&mut self, now: Time) -> Option<MemberLeases> {
-        if now < self.share_at {
+    /// The report to the other core processes, once that is due; `None` also where this process has no leases.
+    pub(crate) fn take_report(&mut self, now: Time) -> Option<MemberLeases> {
+        if now < self.report_at {
             return None;
         }
-        self.share_at = now.plus_millis(SHARE_INTERVAL_MS);
-        self.own.retain(|_, lease| lease.until > now);
-        self.told.retain(|_, told| told.until > now);
-        self.best = self.choose(now);
-        (!self.own.is_empty()).then(|| self.summary(now))
+        self.report_at = now.plus_millis(SHARE_INTERVAL_MS);
+        self.own.retain(|_, lease| lease.expires_at > now);
+        self.peers.retain(|_, peer| peer.expires_at > now);
+        self.best = self.best_of_all(now);
+        (!self.own.is_empty()).then(|| self.report(now))
     }
 
-    /// When `share` is due.
+    /// When the next report is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
-        let idle = self.own.is_empty() && self.told.is_empty();
-        (!idle).then_some(self.share_at)
+        let idle = self.own.is_empty() && self.peers.is_empty();
+        (!idle).then_some(self.report_at)
     }
 
-    /// The relays that hold a lease, best first; none while `core` processes serve all themselves.
+    /// The relays that have a lease, best first; none while `core` processes serve all themselves.
     pub(crate) fn relays(&self, now: Time, core: usize) -> Vec<NodeId> {
         if self.count(now) <= DIRECT_CHILDREN * core as u64 {
             return Vec::new();
         }
-        let live = self.best.iter().filter(|(_, until)| *until > now);
+        let live = self.best.iter().filter(|(_, expires_at)| *expires_at > now);
         live.map(|(node, _)| *node).collect()
     }
 
-    /// How many leases are held, here and elsewhere; one that was renewed at two processes counts twice.
+    /// The number of leases, here and at the peers; one that was renewed at two processes counts twice.
     fn count(&self, now: Time) -> u64 {
-        let told = self.told.values().filter(|told| told.until > now);
-        self.own.len() as u64 + told.map(|told| u64::from(told.count)).sum::<u64>()
+        let peers = self.peers.values().filter(|peer| peer.expires_at > now);
+        self.own.len() as u64 + peers.map(|peer| u64::from(peer.count)).sum::<u64>()
     }
 
-    fn summary(&self, now: Time) -> MemberLeases {
+    fn report(&self, now: Time) -> MemberLeases {
         let own = self.own_relays();
         let lease = |node: NodeId| MemberLease {
             node,
@@ -119,13 +121,13 @@
         }
     }
 
-    fn choose(&self, now: Time) -> Vec<(NodeId, Time)> {
+    fn best_of_all(&self, now: Time) -> Vec<(NodeId, Time)> {
         let mut all = self.own_relays();
-        for (node, until) in self.told.values().flat_map(|told| &told.relays) {
-            let known = all.entry(*node).or_insert(*until);
-            *known = (*known).max(*until);
+        for (node, expires_at) in self.peers.values().flat_map(|peer| &peer.relays) {
+            let known = all.entry(*node).or_insert(*expires_at);
+            *known = (*known).max(*expires_at);
         }
-        all.retain(|_, until| *until > now);
+        all.retain(|_, expires_at| *expires_at > now);
         let best = best_relays(all.keys().copied().collect(), MAX_RELAYS);
         best.into_iter().map(|node| (node, all[&node])).collect()
     }
@@ -135,19 +137,21 @@
             .own
             .iter()
             .filter(|(_, lease)| lease.kind.relay_weight() > 0);
-        relays.map(|(node, lease)| (*node, lease.until)).collect()
+        relays
+            .map(|(node, lease)| (*node, lease.expires_at))
+            .collect()
     }
 }
 
-fn millis_until(until: Time, now: Time) -> u16 {
-    let millis = until.0.saturating_sub(now.0) / MICROS_PER_MS;
+fn millis_until(expires_at: Time, now: Time) -> u16 {
+    let millis = expires_at.0.saturating_sub(now.0) / MICROS_PER_MS;
     u16::try_from(millis).unwrap_or(u16::MAX)
 }
 
 impl CoreNode {
-    /// Tells the other members of the core which leases this process holds.
+    /// Reports the leases at this process to the other members of the core.
     pub(crate) fn step_leases(&mut self, now: Time) {
-        let Some(leases) = self.leases.share(now) else {
+        let Some(leases) = self.leases.take_report(now) else {
             return;
         };
         let message = ControlMessage::MemberLeases(leases);
@@ -156,10 +160,10 @@
         self.effects.broadcast(others, &message);
     }
 
-    /// A member of the core told of its leases.
+    /// A member of the core has reported its leases.
     pub(crate) fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
         if self.register_view.list.contains(from) && from != self.settings.node {
-            self.leases.take(self.now.steady, from, leases);
+            self.leases.on_report(self.now.steady, from, leases);
         }
     }
 }
--- a/crates/cluster/control-plane/src/membership_state.rs
+++ b/crates/cluster/control-plane/src/membership_state.rs
@@ -217,7 +217,7 @@
             self.membership_state.unacknowledged.remove(&from);
             return;
         }
-        self.acceptor.settled(settled.proposal);
+        self.acceptor.on_synced(settled.proposal);
         if self.membership_state.settling {
             self.membership_state.settling = false;
             self.membership_state.ready = true;
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -3,11 +3,11 @@
 use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::election::Elected;
 use crate::http_api::{parse_request, ApiRequest};
-use crate::leadership::Leadership;
+use crate::leadership::{Leadership, TermStatus};
 use crate::node::{CoreNode, LearnAsker};
 use crate::proposer::Decision;
-use crate::reader::ReadOutcome;
-use crate::replica::Condition;
+use crate::quorum_read::ReadOutcome;
+use crate::replica::ProcessStatus;
 use sagetrail_protocol::control::{
     ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
     RenewAck, VoteReply,
@@ -18,7 +18,7 @@
 /// So many processes wait to be told that a proposal number is learnt.
 const MAX_LEARN_ASKERS: usize = 64;
 /// After so many reads in a row whose answers differed, a round of the register settles its value.
-const MOST_UNSETTLED_READS: u32 = 2;
+const MAX_UNDECIDED_READS: u32 = 2;
 /// After a read whose answers differed the next one comes so soon, in milliseconds.
 const REREAD_MS: u64 = 50;
 
@@ -30,7 +30,7 @@
             Message::Hello(hello) => self.on_hello(from, &hello),
             Message::Directory(directory) => self.on_directory(&directory),
             Message::ClientRequest(_) | Message::RunnerReport(_) => self.serve(from, message),
-            Message::Subscribe(subscribe) => self.subscribers.subscribe(now, from, &subscribe),
+            Message::Subscribe(subscribe) => self.subscribers.on_subscribe(now, from, &subscribe),
             Message::Control(control) => self.on_control(from, control),
             _ => {}
         }
@@ -53,7 +53,7 @@
                     .on_value_needed(from, &needed, &mut self.effects);
             }
             ControlMessage::ReadReply(reply) => {
-                if let Some(found) = self.reader.reply(from, reply) {
+                if let Some(found) = self.reader.on_reply(from, reply) {
                     self.on_read(found);
                 }
             }
@@ -61,17 +61,22 @@
             ControlMessage::Learned(learned) => self.on_learned(from, &learned),
             ControlMessage::RecoverReply(reply) => {
                 if let Some(recovery) = &mut self.membership_state.recovery {
-                    recovery.reply(from, &reply, &mut self.effects);
+                    recovery.on_reply(from, &reply, &mut self.effects);
                 }
             }
             ControlMessage::VoteReply(reply) => self.on_vote_reply(from, &reply),
             ControlMessage::RenewAck(ack) => self.on_renew_ack(from, &ack),
             ControlMessage::RecordsSynced(stored) => {
                 if from == self.settings.node {
-                    self.replica.stored(stored.position);
+                    self.replica.on_synced(stored.position);
                 }
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.stored(now, from, stored.position, &self.register_view.list);
+                    leadership.on_records_synced(
+                        now,
+                        from,
+                        stored.position,
+                        &self.register_view.list,
+                    );
                 }
             }
             ControlMessage::ChangesRequest(request) => self.on_changes_request(from, &request),
@@ -90,43 +95,47 @@
         match message {
             ControlMessage::Prepare(prepare) => {
                 self.proposer.observe_proposal(prepare.proposal);
-                self.acceptor.prepare(from, &prepare, effects);
+                self.acceptor.on_prepare(from, &prepare, effects);
             }
             ControlMessage::Accept(accept) => {
                 self.acceptor
-                    .accept(self.settings.node, from, accept, effects)
+                    .on_accept(self.settings.node, from, accept, effects)
             }
             ControlMessage::AcceptChange(accept) => {
                 self.acceptor
-                    .accept_change(self.settings.node, from, &accept, effects);
+                    .on_accept_change(self.settings.node, from, &accept, effects);
             }
-            ControlMessage::Read(read) => self.acceptor.read(from, &read, effects),
+            ControlMessage::Read(read) => self.acceptor.on_read(from, &read, effects),
             ControlMessage::Recover(recover) => self.on_recover(from, &recover),
             ControlMessage::VoteRequest(request) => {
                 let members_version = self.acceptor.members_version;
                 self.replica
-                    .vote(now, from, &request, members_version, effects);
+                    .on_vote_request(now, from, &request, members_version, effects);
             }
             ControlMessage::Renew(renew) => {
-                let condition = self.condition(&renew);
+                let status = self.process_status(&renew);
                 self.replica
-                    .renew(now, from, &renew, condition, &mut self.effects);
+                    .on_renew(now, from, &renew, status, &mut self.effects);
                 self.on_newer_value_hint(renew.learned);
             }
-            ControlMessage::Resign(resign) if self.replica.resigned(now, from, resign.term) => {
-                self.elections.hasten();
+            ControlMessage::Resign(resign) if self.replica.on_resign(now, from, resign.term) => {
+                self.elections.hasten_next();
+            }
+            ControlMessage::RecordBatch(batch) => self.replica.on_batch(from, batch, effects),
+            ControlMessage::FetchSnapshot(fetch) => {
+                self.replica.on_fetch_snapshot(now, from, &fetch, effects)
+            }
+            ControlMessage::SnapshotChunk(chunk) => {
+                self.replica.on_snapshot_chunk(now, from, chunk, effects)
             }
-            ControlMessage::RecordBatch(batch) => self.replica.batch(from, batch, effects),
-            ControlMessage::FetchSnapshot(fetch) => self.replica.fetch(now, from, &fetch, effects),
-            ControlMessage::SnapshotChunk(chunk) => self.replica.chunk(now, from, chunk, effects),
             _ => {}
         }
     }
 
     /// What this process says of itself to the leader of the term.
-    fn condition(&self, renew: &Renew) -> Condition {
+    fn process_status(&self, renew: &Renew) -> ProcessStatus {
         let caught_up = self.register_view.proposal() >= renew.learned && self.changes_caught_up();
-        Condition {
+        ProcessStatus {
             leaving: self.terminating.is_some(),
             caught_up,
         }
@@ -134,7 +143,7 @@
 
     fn on_promised(&mut self, from: NodeId, promised: Promise) {
         if let Some(recovery) = &mut self.membership_state.recovery {
-            if let Some(recovered) = recovery.promised(from, promised) {
+            if let Some(recovered) = recovery.on_promise(from, promised) {
                 self.on_recovered(recovered);
             }
             return;
@@ -149,7 +158,7 @@
 
     fn on_refused(&mut self, refused: &Refused) {
         if let Some(recovery) = &mut self.membership_state.recovery {
-            recovery.refused(refused);
+            recovery.on_rejected(refused);
         }
         self.proposer.on_rejected(self.now.steady, refused);
     }
@@ -187,20 +196,20 @@
             ReadOutcome::Chosen { chosen, as_of } => {
                 self.learn(chosen);
                 self.freshen(as_of);
-                self.unsettled_reads = 0;
+                self.undecided_reads = 0;
             }
-            ReadOutcome::Unsettled => self.on_unsettled_read(),
+            ReadOutcome::Undecided => self.on_undecided_read(),
         }
     }
 
     /// Mostly a change is under way, and the next read finds it chosen. A round would compete with it.
-    fn on_unsettled_read(&mut self) {
-        self.unsettled_reads += 1;
-        if self.unsettled_reads < MOST_UNSETTLED_READS {
+    fn on_undecided_read(&mut self) {
+        self.undecided_reads += 1;
+        if self.undecided_reads < MAX_UNDECIDED_READS {
             self.poll_at = self.now.steady.plus_millis(REREAD_MS);
             return;
         }
-        self.unsettled_reads = 0;
+        self.undecided_reads = 0;
         self.proposer.push(ChangeFunction::Identity);
     }
 
@@ -264,7 +273,7 @@
         let list = &self.register_view.list;
         let elected: Option<Elected> =
             self.elections
-                .reply(now, from, reply, list, &mut self.effects);
+                .on_vote_reply(now, from, reply, list, &mut self.effects);
         if let Some(elected) = elected.filter(|_| self.may_lead()) {
             self.leadership = Some(Leadership::new(self.settings.node, now, elected, list));
         }
@@ -272,14 +281,15 @@
 
     fn on_renew_ack(&mut self, from: NodeId, ack: &RenewAck) {
         let now = self.now.steady;
-        self.elections.note(ack.promised);
+        self.elections.observe_term(ack.promised);
         if from == self.settings.node {
-            self.replica.leader_synced(ack.term);
+            self.replica.on_leader_synced(ack.term);
         }
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if !leadership.renew_ack(now, from, ack, &self.register_view.list) {
+        let status = leadership.on_renew_ack(now, from, ack, &self.register_view.list);
+        if status == TermStatus::Superseded {
             self.step_down();
         }
     }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -12,7 +12,7 @@
 use crate::operator::Operator;
 use crate::persisted::{ControlState, DiskContent, ReplicaState};
 use crate::proposer::Proposer;
-use crate::reader::Reader;
+use crate::quorum_read::QuorumReader;
 use crate::reconfiguration::Joiners;
 use crate::records::Records;
 use crate::register_view::RegisterView;
@@ -62,7 +62,7 @@
     pub(crate) changes_fetch: ChangesFetch,
     pub(crate) acceptor: Acceptor,
     pub(crate) proposer: Proposer,
-    pub(crate) reader: Reader,
+    pub(crate) reader: QuorumReader,
     pub(crate) operator: Operator,
     pub(crate) replica: Replica,
     pub(crate) elections: Elections,
@@ -78,7 +78,7 @@
     pub(crate) newer_value_hint_at: Option<Time>,
     pub(crate) poll_at: Time,
     /// So many reads in a row found answers that differ.
-    pub(crate) unsettled_reads: u32,
+    pub(crate) undecided_reads: u32,
     pub(crate) membership_at: Time,
     pub(crate) terminating: Option<Time>,
     pub(crate) random: Pcg64Mcg,
@@ -114,7 +114,7 @@
             changes_fetch: ChangesFetch::default(),
             acceptor: Acceptor::default(),
             proposer: Proposer::new(node, settings.incarnation, random.random()),
-            reader: Reader::new(random.random()),
+            reader: QuorumReader::new(random.random()),
             operator: Operator::new(settings.bounds.ack_ms),
             replica: Replica::new(node, now.steady, ReplicaState::default(), records),
             elections: Elections::new(node, settings.incarnation, random.random()),
@@ -127,7 +127,7 @@
             learn_askers: Vec::new(),
             newer_value_hint_at: None,
             poll_at: now.steady,
-            unsettled_reads: 0,
+            undecided_reads: 0,
             membership_at: now.steady,
             terminating: None,
             random,
@@ -149,7 +149,7 @@
     fn restore(&mut self, state: ControlState) {
         self.acceptor.restore(state.proposals, state.value);
         self.proposer.observe_proposal(state.proposals.promised);
-        self.elections.note(state.replica.promise.term);
+        self.elections.observe_term(state.replica.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.settings.node, self.started, state.replica, records);
         self.register_view.adopt_list(state.members.into());
--- a/crates/cluster/control-plane/src/non_members.rs
+++ b/crates/cluster/control-plane/src/non_members.rs
@@ -50,11 +50,11 @@
             if !self.register_view.list.contains(from) {
                 self.joiners.hear(now, from, hello.incarnation);
             }
-            if self.replica.lease_holder_restarted(now, from) {
-                self.elections.hasten();
+            if self.replica.on_hello_of_lease_holder(now, from) {
+                self.elections.hasten_next();
             }
         } else {
-            self.leases.hear(now, from, hello.kind);
+            self.leases.renew(now, from, hello.kind);
         }
         self.send_directory(from);
     }
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -1,4 +1,4 @@
-//! What a core process keeps in `Table::Control`.
+//! The rows of a core process in `Table::Control`: the acceptor's and the replica's state, and the member list.
 
 use crate::quorum::MemberList;
 use crate::value::RegisterValue;
@@ -12,18 +12,21 @@
 const REPLICA_KEY: &[u8] = b"replica";
 const MEMBERS_KEY: &[u8] = b"members";
 
-/// The register's proposal numbers on disk.
+/// The acceptor's proposal numbers on disk.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AcceptorNumbers {
+    /// The highest number that was promised.
     pub promised: ProposalNumber,
+    /// The number of the accepted value; at most `promised`.
     pub accepted: ProposalNumber,
 }
 
-/// A term that was promised, and to whom.
+/// The highest term that was promised, and the process to which it was.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TermPromise {
     pub term: Term,
     pub node: NodeId,
+    /// 0 where the process is known as the term's leader only.
     pub incarnation: Incarnation,
 }
 
@@ -31,15 +34,18 @@
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct ReplicaState {
     pub promise: TermPromise,
+    /// Of the newest batch that was applied.
     pub position: RecordsPosition,
-    /// False after the disk was emptied, until the records have been brought whole.
+    /// False after the disk was emptied, until a complete snapshot was installed.
     pub complete: bool,
 }
 
 /// A member list on disk.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoredMembers {
+    /// The list's version.
     pub version: u64,
+    /// The members; of a change under way, those before it.
     pub members: List<NodeId>,
     /// Empty unless a change of members is under way.
     pub next_members: List<NodeId>,
@@ -65,23 +71,24 @@
     }
 }
 
-/// All of it.
+/// The state of a core process on its disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlState {
     pub proposals: AcceptorNumbers,
+    /// The accepted value, encoded.
     pub value: Blob,
     pub replica: ReplicaState,
     pub members: StoredMembers,
 }
 
-/// What a process finds on its disk.
+/// The content of a disk at the start of the process.
 #[derive(Debug)]
 pub(crate) enum DiskContent {
     /// Nothing: the disk is fresh, or was emptied.
     Empty,
     State(Box<ControlState>),
-    /// Something that is not what a process writes. What it promised is forgotten, as with an emptied disk, but it did
-    /// take part: whatever its settings say, it must not found.
+    /// Rows that cannot be read. What the process promised is lost, as with an emptied disk, but it did take part:
+    /// whatever its settings say, it must not bootstrap a cluster.
     Damaged,
 }
 
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -122,7 +122,7 @@
     let mut members = list.members.clone();
     if members.len() >= size {
         let silent_since = now.0.checked_sub(UNREACHABLE_MS * 1000).map(Time);
-        let replaced = leadership.replaceable(list, silent_since)?;
+        let replaced = leadership.member_to_replace(list, silent_since)?;
         members.retain(|member| *member != replaced);
     }
     members.push(learner);
--- a/crates/cluster/control-plane/src/records.rs
+++ b/crates/cluster/control-plane/src/records.rs
@@ -1,4 +1,4 @@
-//! The replicated records in memory, and their changes on disk.
+//! The replicated records in memory, and the operations that bring the disk to the same state.
 
 use sagetrail_protocol::control::{RecordChange, RecordEntry};
 use sagetrail_protocol::node::{DiskOperation, Table};
@@ -11,7 +11,7 @@
 pub(crate) struct Records(pub BTreeMap<Vec<u8>, Vec<u8>>);
 
 impl Records {
-    /// Applies a batch and gives what is to be written.
+    /// Applies a batch and gives the operations for the disk.
     pub(crate) fn apply(&mut self, changes: &[RecordChange]) -> Vec<DiskOperation> {
         changes
             .iter()
@@ -19,7 +19,7 @@
             .collect()
     }
 
-    /// Everything, to be written over whatever is there.
+    /// The operations that replace whatever is on disk by all records.
     pub(crate) fn rewrite(&self) -> Vec<DiskOperation> {
         let clear = DiskOperation::Clear {
             table: Table::Records,
@@ -28,7 +28,7 @@
         std::iter::once(clear).chain(puts).collect()
     }
 
-    /// Takes entries in.
+    /// Adds the entries of a snapshot.
     pub(crate) fn insert_all(&mut self, entries: List<RecordEntry>) {
         let pairs = entries
             .0
@@ -54,7 +54,7 @@
     }
 }
 
-/// Changes as they travel.
+/// A service's operations as changes in a batch.
 pub(crate) fn to_changes(operations: Vec<RecordOperation>) -> List<RecordChange> {
     operations.into_iter().map(to_change).collect()
 }
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -1,7 +1,8 @@
-//! A member with an emptied disk learns from the others what it may have promised, before it takes part again.
+//! Recovery of a member whose disk was emptied: before it takes part again, it learns from the others what it may have
+//! promised.
 //!
-//! It first asks for the highest promises, then has a majority of the members promise a higher proposal number: an answer
-//! that it gave in its former life can no longer complete a round that the others have not seen.
+//! It first asks for the highest promises, then has a quorum of the others promise a higher proposal number: an answer
+//! of its former incarnation can no longer complete a round that the others have not seen.
 
 use crate::effects::Effects;
 use crate::persisted::AcceptorNumbers;
@@ -13,11 +14,12 @@
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
 
-/// What the others know.
+/// What the others know: the state with which the member takes part again.
 #[derive(Debug)]
 pub(crate) struct Recovered {
     pub proposals: AcceptorNumbers,
     pub value: Blob,
+    /// The highest term that one of them has promised.
     pub term: Term,
     /// The version of the list whose members were asked.
     pub members_version: u64,
@@ -25,7 +27,9 @@
 
 #[derive(Debug)]
 enum Phase {
-    Asking,
+    /// Asks for the highest promises.
+    CollectingPromises,
+    /// Has a proposal number promised that is higher than all of them.
     Preparing,
 }
 
@@ -34,13 +38,17 @@
 pub(crate) struct Recovery {
     node: NodeId,
     incarnation: Incarnation,
+    /// Tells replies to this recovery from those to earlier ones.
     nonce: u64,
     list: MemberList,
     others: Vec<NodeId>,
     phase: Phase,
+    /// Members that have answered in this phase.
     replies: BTreeSet<NodeId>,
+    /// The highest proposal number that was promised to anybody.
     highest: ProposalNumber,
     term: Term,
+    /// The newest accepted value among the promises, and its proposal number.
     accepted: ProposalNumber,
     value: Blob,
     started: Time,
@@ -67,7 +75,7 @@
             nonce: incarnation.wrapping_add(now.0),
             list: list.clone(),
             others,
-            phase: Phase::Asking,
+            phase: Phase::CollectingPromises,
             replies: BTreeSet::new(),
             highest: ProposalNumber::default(),
             term: 0,
@@ -85,7 +93,7 @@
         self.sent_at.plus_millis(RESEND_MS)
     }
 
-    /// Repeats what had no answer; true where it should start anew.
+    /// Sends again what had no answer; true where the recovery lasts too long and should start anew.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) -> bool {
         if now >= self.next_wake() {
             self.sent_at = now;
@@ -94,11 +102,11 @@
         now >= self.started.plus_millis(ROUND_MS)
     }
 
-    /// A member told its highest promises.
-    pub(crate) fn reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
+    /// A member has reported its highest promises.
+    pub(crate) fn on_reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
         if reply.nonce != self.nonce
             || !self.others.contains(&from)
-            || !matches!(self.phase, Phase::Asking)
+            || !matches!(self.phase, Phase::CollectingPromises)
         {
             return;
         }
@@ -112,15 +120,15 @@
         }
     }
 
-    /// A member promised; the result once enough have.
-    pub(crate) fn promised(&mut self, from: NodeId, promised: Promise) -> Option<Recovered> {
-        if !matches!(self.phase, Phase::Preparing) || promised.proposal != self.proposal() {
+    /// A member has promised; the result once a quorum has.
+    pub(crate) fn on_promise(&mut self, from: NodeId, promise: Promise) -> Option<Recovered> {
+        if !matches!(self.phase, Phase::Preparing) || promise.proposal != self.proposal() {
             return None;
         }
         self.replies.insert(from);
-        if promised.accepted > self.accepted {
-            self.accepted = promised.accepted;
-            self.value = promised.value;
+        if promise.accepted > self.accepted {
+            self.accepted = promise.accepted;
+            self.value = promise.value;
         }
         if !self.list.has_recovery_quorum(self.node, &self.replies) || self.value.is_empty() {
             return None;
@@ -138,10 +146,10 @@
         })
     }
 
-    /// A higher proposal number is about: the next one goes above it.
-    pub(crate) fn refused(&mut self, refused: &Refused) {
-        if refused.proposal == self.proposal() {
-            self.highest = self.highest.max(refused.promised);
+    /// A member has promised a higher proposal number to another process: the next one goes above it.
+    pub(crate) fn on_rejected(&mut self, rejected: &Refused) {
+        if rejected.proposal == self.proposal() {
+            self.highest = self.highest.max(rejected.promised);
             self.replies.clear();
         }
     }
@@ -156,17 +164,17 @@
 
     fn send(&self, effects: &mut Effects) {
         let message = match self.phase {
-            Phase::Asking => ControlMessage::Recover(Recover { nonce: self.nonce }),
+            Phase::CollectingPromises => ControlMessage::Recover(Recover { nonce: self.nonce }),
             Phase::Preparing => ControlMessage::Prepare(Prepare {
                 proposal: self.proposal(),
                 have: ProposalNumber::default(),
             }),
         };
-        let silent = self
+        let unanswered = self
             .others
             .iter()
             .copied()
             .filter(|other| !self.replies.contains(other));
-        effects.broadcast(silent, &message);
+        effects.broadcast(unanswered, &message);
     }
 }
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -1,33 +1,36 @@
-//! The replica: promises of terms, the lease it granted, and its copy of the records.
+//! The replica of one process: the terms it has promised, the lease it has granted, and its copy of the records.
 
 use crate::effects::Effects;
 use crate::persisted::{put_replica, ReplicaState, TermPromise};
 use crate::records::Records;
-use crate::snapshot::Images;
-use crate::snapshot_transfer::Collection;
+use crate::snapshot::SnapshotStore;
+use crate::snapshot_transfer::{SnapshotTransfer, TransferredSnapshot};
 use crate::timing::{BEHIND_MS, LEASE_MS};
 use sagetrail_protocol::control::{
     ControlMessage, FetchSnapshot, RecordBatch, RecordChange, RecordsPosition, RecordsSynced,
     Renew, RenewAck, SnapshotChunk,
 };
+use sagetrail_protocol::node::DiskOperation;
 use sagetrail_protocol::{List, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
-/// So many batches wait for the whole records or for an earlier batch.
+/// So many batches are buffered until an earlier batch or the complete records arrive.
 const MAX_BUFFERED: usize = 256;
 
 /// The term that this replica follows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Followed {
+pub(crate) struct FollowedTerm {
     pub term: Term,
     pub leader: NodeId,
+    /// The state on which the term builds.
     base: RecordsPosition,
+    /// The process from which the base can be fetched.
     source: NodeId,
 }
 
-/// What the process says of itself with each acknowledgement of a lease.
+/// What the process reports of itself with each acknowledgement of a lease.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Condition {
+pub(crate) struct ProcessStatus {
     /// It was asked to end.
     pub leaving: bool,
     /// It knows the register's newest value and all accepted changes.
@@ -38,23 +41,28 @@
 #[derive(Debug)]
 pub(crate) struct Replica {
     node: NodeId,
+    /// As on disk, or being written there.
     pub state: ReplicaState,
-    /// The newest state that is surely on disk.
+    /// The newest position that is surely on disk; at most `state.position`.
     pub synced: RecordsPosition,
     pub records: Records,
     /// No term is promised before: a lease may be running.
     pub lease_until: Time,
-    pub(crate) followed: Option<Followed>,
+    pub(crate) followed: Option<FollowedTerm>,
     /// The term whose leader is surely named on disk: only then is a lease granted to it.
     leader_on_disk: Option<Term>,
+    /// Batches of the followed term after `state.position`, by number.
     buffered: BTreeMap<u64, List<RecordChange>>,
-    collection: Option<Collection>,
+    /// The snapshot that is being fetched.
+    transfer: Option<SnapshotTransfer>,
+    /// Since when the leader has had newer batches than this replica, without a pause.
     behind_since: Option<Time>,
-    images: Images,
+    /// Snapshots for other replicas.
+    snapshots: SnapshotStore,
 }
 
 impl Replica {
-    /// A replica that has just started and may have granted a lease in its former life.
+    /// A replica that has just started and may have granted a lease in its former incarnation.
     pub(crate) fn new(node: NodeId, now: Time, state: ReplicaState, records: Records) -> Replica {
         Replica {
             node,
@@ -65,9 +73,9 @@
             followed: None,
             leader_on_disk: None,
             buffered: BTreeMap::new(),
-            collection: None,
+            transfer: None,
             behind_since: None,
-            images: Images::default(),
+            snapshots: SnapshotStore::default(),
         }
     }
 
@@ -88,22 +96,22 @@
     }
 
     /// The leader renews its lease.
-    pub(crate) fn renew(
+    pub(crate) fn on_renew(
         &mut self,
         now: Time,
         from: NodeId,
         renew: &Renew,
-        condition: Condition,
+        status: ProcessStatus,
         effects: &mut Effects,
     ) {
         if renew.term < self.state.promise.term {
-            let ack = self.renew_ack(renew, condition);
+            let ack = self.renew_ack(renew, status);
             return effects.control(from, ack);
         }
         self.lease_until = now.plus_millis(LEASE_MS);
         self.follow(from, renew);
-        self.name_leader(from, renew.term);
-        let ack = self.renew_ack(renew, condition);
+        self.record_leader(from, renew.term);
+        let ack = self.renew_ack(renew, status);
         if self.leader_on_disk == Some(renew.term) {
             effects.control(from, ack);
         } else {
@@ -115,7 +123,7 @@
     }
 
     /// After a restart the promise alone tells who may hold a lease. It may have been made to a candidate that lost.
-    fn name_leader(&mut self, leader: NodeId, term: Term) {
+    fn record_leader(&mut self, leader: NodeId, term: Term) {
         if (self.state.promise.term, self.state.promise.node) != (term, leader) {
             self.state.promise = TermPromise {
                 term,
@@ -126,26 +134,25 @@
     }
 
     /// The leader of the term has been synced as the holder of the lease.
-    pub(crate) fn leader_synced(&mut self, term: Term) {
+    pub(crate) fn on_leader_synced(&mut self, term: Term) {
         self.leader_on_disk = self.leader_on_disk.max(Some(term));
     }
 
-    /// Forgets what was on its way in an earlier term.
-    pub(crate) fn forget_transfers(&mut self) {
-        self.collection = None;
+    /// Drops batches and chunks of an earlier term.
+    pub(crate) fn drop_transfers(&mut self) {
+        self.transfer = None;
         self.buffered.clear();
         self.behind_since = None;
     }
 
-    fn renew_ack(&self, renew: &Renew, condition: Condition) -> ControlMessage {
-        let promised = self.state.promise.term;
+    fn renew_ack(&self, renew: &Renew, status: ProcessStatus) -> ControlMessage {
         ControlMessage::RenewAck(RenewAck {
             term: renew.term,
             sent_at: renew.sent_at,
-            promised,
+            promised: self.state.promise.term,
             position: self.synced,
-            leaving: condition.leaving,
-            caught_up: condition.caught_up,
+            leaving: status.leaving,
+            caught_up: status.caught_up,
         })
     }
 
@@ -154,9 +161,9 @@
             .followed
             .is_none_or(|followed| followed.term != renew.term)
         {
-            self.forget_transfers();
+            self.drop_transfers();
         }
-        self.followed = Some(Followed {
+        self.followed = Some(FollowedTerm {
             term: renew.term,
             leader,
             base: renew.base,
@@ -164,19 +171,15 @@
         });
     }
 
+    /// Enters the followed term where this replica has its base, else fetches a snapshot. `newest`: the number of the
+    /// leader's newest batch.
     fn catch_up(&mut self, now: Time, newest: u64, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
         if self.state.position.term == followed.term && self.state.complete {
-            // The leader sends on once it hears what was synced: what waits for the disk is not behind.
-            let behind = newest > self.state.position.number && self.synced == self.state.position;
-            self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
-            let long = self
-                .behind_since
-                .is_some_and(|since| now >= since.plus_millis(BEHIND_MS));
-            if long {
-                self.collect(now, followed, newest, effects);
+            if self.is_long_behind(now, newest) {
+                self.fetch_snapshot(now, followed, newest, effects);
             }
             return;
         }
@@ -185,38 +188,53 @@
                 term: followed.term,
                 number: 0,
             };
-            self.store(Vec::new(), effects);
+            self.write(Vec::new(), effects);
             return self.apply_buffered(effects);
         }
-        self.collect(now, followed, newest, effects);
+        self.fetch_snapshot(now, followed, newest, effects);
     }
 
-    /// A transfer goes on from the source with which it began, while that one gives.
-    fn collect(&mut self, now: Time, followed: Followed, newest: u64, effects: &mut Effects) {
+    /// Whether batches have been missing for `BEHIND_MS`. The leader sends more once it is told what was synced: a
+    /// replica that waits for its disk is not behind.
+    fn is_long_behind(&mut self, now: Time, newest: u64) -> bool {
+        let behind = newest > self.state.position.number && self.synced == self.state.position;
+        self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
+        self.behind_since
+            .is_some_and(|since| now >= since.plus_millis(BEHIND_MS))
+    }
+
+    /// A transfer goes on from the source with which it began, while that one sends.
+    fn fetch_snapshot(
+        &mut self,
+        now: Time,
+        followed: FollowedTerm,
+        newest: u64,
+        effects: &mut Effects,
+    ) {
         let source = followed.source;
         if source == self.node {
             return;
         }
         let oldest = self.oldest_useful(followed.term, newest);
-        match &mut self.collection {
+        match &mut self.transfer {
             None => {
-                self.collection = Some(Collection::start(
+                self.transfer = Some(SnapshotTransfer::start(
                     now,
                     followed.term,
                     source,
                     oldest,
                     effects,
-                ))
+                ));
             }
-            Some(collection) if collection.source != source && collection.is_silent(now) => {
-                collection.turn_to(now, source, effects);
+            Some(transfer) if transfer.source != source && transfer.source_is_silent(now) => {
+                transfer.change_source(now, source, effects);
             }
             Some(_) => {}
         }
     }
 
-    /// The oldest state of which an image is of use. With its disk a replica may have lost what it acknowledged, which
-    /// is no newer than the leader's newest batch; otherwise its own state holds all of that.
+    /// The oldest position of which a snapshot is of use. With its disk a replica may have lost what it acknowledged,
+    /// which is no newer than the leader's newest batch; otherwise its own state holds all of that.
     fn oldest_useful(&self, term: Term, newest: u64) -> RecordsPosition {
         if !self.state.complete && newest > 0 {
             return RecordsPosition {
@@ -233,15 +251,15 @@
         RecordsPosition::default()
     }
 
-    /// Whether records are being fetched from a source that gives nothing.
+    /// Whether a snapshot is being fetched from a source that sends nothing.
     pub(crate) fn source_is_silent(&self, now: Time) -> bool {
-        self.collection
+        self.transfer
             .as_ref()
-            .is_some_and(|collection| collection.is_silent(now))
+            .is_some_and(|transfer| transfer.source_is_silent(now))
     }
 
-    /// A batch came.
-    pub(crate) fn batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
+    /// A batch has arrived.
+    pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
@@ -251,12 +269,10 @@
         }
         if self.state.position.term == batch.term && batch.number <= self.state.position.number {
             if batch.number <= self.synced.number && self.synced.term == batch.term {
-                effects.control(
-                    from,
-                    ControlMessage::RecordsSynced(RecordsSynced {
-                        position: self.synced,
-                    }),
-                );
+                let synced = RecordsSynced {
+                    position: self.synced,
+                };
+                effects.control(from, ControlMessage::RecordsSynced(synced));
             }
             return;
         }
@@ -273,48 +289,51 @@
         if self.state.position.term != followed.term {
             return;
         }
-        let mut operations = Vec::new();
         let before = self.state.position.number;
-        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
-            operations.extend(self.records.apply(&changes));
-            self.state.position.number += 1;
-        }
+        let operations = self.apply_consecutive();
         let number = self.state.position.number;
         self.buffered.retain(|buffered, _| *buffered > number);
         if number > before {
-            // Where batches come on there is no need for an image.
+            // Where batches arrive there is no need for a snapshot.
             self.behind_since = None;
-            self.collection = None;
-            self.store(operations, effects);
+            self.transfer = None;
+            self.write(operations, effects);
         }
     }
 
-    fn store(
-        &mut self,
-        mut operations: Vec<sagetrail_protocol::node::DiskOperation>,
-        effects: &mut Effects,
-    ) {
+    /// Applies the buffered batches that follow the position without a gap, and gives what is to be written.
+    fn apply_consecutive(&mut self) -> Vec<DiskOperation> {
+        let mut operations = Vec::new();
+        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
+            operations.extend(self.records.apply(&changes));
+            self.state.position.number += 1;
+        }
+        operations
+    }
+
+    /// Writes the operations and the state; once they are synced the leader and this process are notified.
+    fn write(&mut self, mut operations: Vec<DiskOperation>, effects: &mut Effects) {
         operations.push(put_replica(&self.state));
-        let stored = ControlMessage::RecordsSynced(RecordsSynced {
+        let synced = ControlMessage::RecordsSynced(RecordsSynced {
             position: self.state.position,
         });
-        let mut then = vec![(self.node, stored.clone())];
+        let mut then = vec![(self.node, synced.clone())];
         if let Some(followed) = self
             .followed
             .filter(|followed| followed.leader != self.node)
         {
-            then.push((followed.leader, stored));
+            then.push((followed.leader, synced));
         }
         effects.write(operations, then);
     }
 
-    /// The records have been synced up to this state.
-    pub(crate) fn stored(&mut self, position: RecordsPosition) {
+    /// The records have been synced up to this position.
+    pub(crate) fn on_synced(&mut self, position: RecordsPosition) {
         self.synced = self.synced.max(position);
     }
 
-    /// Somebody fetches the whole records.
-    pub(crate) fn fetch(
+    /// Another replica fetches a snapshot.
+    pub(crate) fn on_fetch_snapshot(
         &mut self,
         now: Time,
         from: NodeId,
@@ -324,70 +343,67 @@
         if !self.state.complete {
             return;
         }
-        if let Some(chunk) = self
-            .images
-            .chunk(now, from, fetch, self.state.position, &self.records)
-        {
+        let chunk =
+            self.snapshots
+                .requested_chunk(now, from, fetch, self.state.position, &self.records);
+        if let Some(chunk) = chunk {
             effects.control(from, ControlMessage::SnapshotChunk(chunk));
         }
     }
 
-    /// A piece of the whole records came.
-    pub(crate) fn chunk(
+    /// A chunk of the snapshot that this replica fetches has arrived.
+    pub(crate) fn on_snapshot_chunk(
         &mut self,
         now: Time,
         from: NodeId,
         chunk: SnapshotChunk,
         effects: &mut Effects,
     ) {
-        let Some(collection) = &mut self.collection else {
+        let Some(transfer) = &mut self.transfer else {
             return;
         };
-        let Some((position, records)) = collection.take(now, from, chunk, effects) else {
+        let Some(snapshot) = transfer.on_chunk(now, from, chunk, effects) else {
             return;
         };
-        self.collection = None;
-        self.install(position, records, effects);
+        self.transfer = None;
+        self.install(snapshot, effects);
     }
 
-    fn install(&mut self, position: RecordsPosition, records: Records, effects: &mut Effects) {
+    fn install(&mut self, snapshot: TransferredSnapshot, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
         };
         let term = followed.term;
-        let position = if position == followed.base {
+        let position = if snapshot.position == followed.base {
             RecordsPosition { term, number: 0 }
         } else {
-            position
+            snapshot.position
         };
         let newer = position > self.state.position || !self.state.complete;
         if position.term != term || !newer || self.state.promise.term != term {
             return;
         }
-        self.records = records;
+        self.records = snapshot.records;
         self.state.position = position;
         self.state.complete = true;
         self.behind_since = None;
-        while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
-            self.records.apply(&changes);
-            self.state.position.number += 1;
-        }
-        self.store(self.records.rewrite(), effects);
+        self.apply_consecutive();
+        self.write(self.records.rewrite(), effects);
     }
 
-    /// Repeats requests and drops what is old. Pieces are kept while no leader is heard: its term may go on.
+    /// Sends requests again and drops old snapshots. Chunks stay while there is no leader: its term may go on.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) {
-        if let Some(collection) = self.collection.as_mut().filter(|_| now < self.lease_until) {
-            collection.tick(now, effects);
+        if let Some(transfer) = self.transfer.as_mut().filter(|_| now < self.lease_until) {
+            transfer.tick(now, effects);
         }
-        self.images.tick(now);
+        self.snapshots.tick(now);
     }
 
     /// When something is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
-        let collection = self.collection.as_ref().map(Collection::next_wake);
-        let collection = collection.filter(|due| *due < self.lease_until);
-        [collection, self.images.next_wake()]
+        let transfer = self.transfer.as_ref().map(SnapshotTransfer::next_wake);
+        let transfer = transfer.filter(|due| *due < self.lease_until);
+        [transfer, self.snapshots.next_wake()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/cluster/control-plane/src/resignation.rs
+++ b/crates/cluster/control-plane/src/resignation.rs
@@ -23,7 +23,7 @@
         }
         // Its own grant was made to the life that has ended.
         self.replica.lease_until = self.started;
-        self.elections.hasten();
+        self.elections.hasten_next();
         let until = self.started.plus_millis(RESIGN_FORMER_TERM_MS);
         self.former_term_resignation = Some(FormerTermResignation {
             term: promise.term,
--- a/crates/cluster/control-plane/src/checksum.rs
+++ b/crates/cluster/control-plane/src/snapshot_checksum.rs
@@ -1,15 +1,15 @@
-//! The checksum of an image's pieces: CRC-32 over all entries so far, the image's state and the piece's place.
+//! The checksum of a snapshot's chunks: CRC-32 over all entries so far, the snapshot's position and the chunk's index.
 
 use sagetrail_protocol::control::{RecordEntry, RecordsPosition};
 
-/// The checksum over the entries of an image, up to a piece. That of the last piece covers the whole image.
+/// The checksum over the entries of a snapshot, up to a chunk. That of the last chunk covers the complete snapshot.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ImageChecksum {
+pub(crate) struct SnapshotChecksum {
     entries: crc32fast::Hasher,
 }
 
-impl ImageChecksum {
-    /// Takes the entries of the next piece.
+impl SnapshotChecksum {
+    /// Adds the entries of the next chunk.
     pub(crate) fn update(&mut self, entries: &[RecordEntry]) {
         for entry in entries {
             for bytes in [&entry.key, &entry.value] {
@@ -19,8 +19,8 @@
         }
     }
 
-    /// The checksum of the piece whose entries were taken last.
-    pub(crate) fn of_piece(&self, position: RecordsPosition, index: u32, last: bool) -> u32 {
+    /// The checksum of the chunk whose entries were added last.
+    pub(crate) fn of_chunk(&self, position: RecordsPosition, index: u32, last: bool) -> u32 {
         let mut hasher = self.entries.clone();
         hasher.update(&position.term.to_be_bytes());
         hasher.update(&position.number.to_be_bytes());
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -1,5 +1,5 @@
-//! Who is sent each new configuration. A process hands out only what it has made sure of lately at a majority, and
-//! says how long ago that was: cut off, it says nothing, and subscribers turn elsewhere.
+//! Subscriptions to configurations. A process sends only what it has lately confirmed at a majority, together with the
+//! age of that knowledge: cut off from the majority it sends nothing, and subscribers turn to another process.
 
 use crate::effects::Effects;
 use crate::register_view::RegisterView;
@@ -9,13 +9,15 @@
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many processes are served at once.
+/// So many processes are subscribed at once.
 const MAX_SUBSCRIBERS: usize = 4096;
 
 #[derive(Debug)]
 struct Subscription {
+    /// The newest version that the subscriber has or was sent.
     have: u64,
-    expires: Time,
+    expires_at: Time,
+    /// The subscriber's time at its last request; returned with the answer.
     asked_at: u64,
 }
 
@@ -23,25 +25,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct Subscribers {
     subscriptions: BTreeMap<NodeId, Subscription>,
-    /// Those whose last question has no answer yet.
+    /// Subscribers whose last request has no answer yet.
     unanswered: BTreeSet<NodeId>,
     /// The newest version that was sent to all subscribers.
-    pushed: u64,
+    published: u64,
 }
 
 impl Subscribers {
-    /// A process asks for what is newer than it has.
-    pub(crate) fn subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
+    /// A process requests what is newer than it has.
+    pub(crate) fn on_subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
         self.subscriptions
-            .retain(|_, subscription| subscription.expires > now);
-        let expires = now.plus_millis(SUBSCRIPTION_MS);
-        let known = self.subscriptions.contains_key(&from);
-        if known || self.subscriptions.len() < MAX_SUBSCRIBERS {
+            .retain(|_, subscription| subscription.expires_at > now);
+        let expires_at = now.plus_millis(SUBSCRIPTION_MS);
+        let subscribed = self.subscriptions.contains_key(&from);
+        if subscribed || self.subscriptions.len() < MAX_SUBSCRIBERS {
             self.subscriptions.insert(
                 from,
                 Subscription {
                     have: subscribe.have,
-                    expires,
+                    expires_at,
                     asked_at: subscribe.asked_at,
                 },
             );
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Answers questions and sends a newer configuration, where what is known here is fresh enough.
+    /// Answers requests and sends a newer configuration to all, where what is known here is fresh enough.
     pub(crate) fn serve(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         let Some(age_ms) = register_view
             .age_ms(now)
@@ -62,10 +64,10 @@
         }
         if let Some(config) = register_view
             .config()
-            .filter(|config| config.version > self.pushed)
+            .filter(|config| config.version > self.published)
         {
-            self.pushed = config.version;
-            self.push(now, config, effects);
+            self.published = config.version;
+            self.publish(now, config, effects);
         }
     }
 
@@ -85,7 +87,7 @@
             .config()
             .filter(|config| config.version > subscription.have)
         {
-            Some(config) => update(config),
+            Some(config) => config_update(config),
             None => Message::ConfigCurrent(ConfigCurrent {
                 version,
                 age_ms,
@@ -96,17 +98,17 @@
         effects.sends.push((node, answer));
     }
 
-    fn push(&mut self, now: Time, config: &ConfigInForce, effects: &mut Effects) {
+    fn publish(&mut self, now: Time, config: &ConfigInForce, effects: &mut Effects) {
         for (node, subscription) in &mut self.subscriptions {
-            if subscription.expires > now && subscription.have < config.version {
+            if subscription.expires_at > now && subscription.have < config.version {
                 subscription.have = config.version;
-                effects.sends.push((*node, update(config)));
+                effects.sends.push((*node, config_update(config)));
             }
         }
     }
 }
 
-fn update(config: &ConfigInForce) -> Message {
+fn config_update(config: &ConfigInForce) -> Message {
     let document = Blob(config.document.to_vec());
     Message::ConfigUpdate(ConfigUpdate {
         version: config.version,
--- a/crates/cluster/control-plane/src/term_base.rs
+++ b/crates/cluster/control-plane/src/term_base.rs
@@ -17,7 +17,7 @@
         let Some(leadership) = self.leadership.as_mut().filter(|_| silent) else {
             return;
         };
-        if !leadership.turn_to_next_source(now) {
+        if !leadership.try_next_source(now) {
             log::info!("term {}: nobody has its base", leadership.term);
             self.step_down();
         }
--- a/crates/cluster/control-plane/src/timers.rs
+++ b/crates/cluster/control-plane/src/timers.rs
@@ -86,7 +86,7 @@
             .is_some_and(|leadership| now >= leadership.lease_until)
         {
             self.leadership = None;
-            self.elections.stand_back(now);
+            self.elections.withdraw(now);
         }
     }
 
@@ -94,7 +94,7 @@
     pub(crate) fn step_down(&mut self) {
         if let Some(leadership) = self.leadership.take() {
             leadership.resign(&self.register_view.list, &mut self.effects);
-            self.elections.stand_back(self.now.steady);
+            self.elections.withdraw(self.now.steady);
         }
     }
 
@@ -263,7 +263,7 @@
             return;
         };
         if holds_base {
-            leadership.holds_base(now);
+            leadership.become_source(now);
         }
         leadership.renew(
             now,
@@ -271,7 +271,7 @@
             self.register_view.proposal(),
             &mut self.effects,
         );
-        let advanced = leadership.advance(&self.register_view.list);
+        let advanced = leadership.advance_commit(&self.register_view.list);
         if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
             service.committed(self.now, number);
         }
@@ -280,7 +280,7 @@
             return;
         };
         leadership.wake_service(self.now);
-        leadership.pump(now, &self.register_view.list, &mut self.effects);
+        leadership.replicate(now, &self.register_view.list, &mut self.effects);
         if let Some(service) = &mut leadership.service {
             self.effects.sends.extend(service.take_sends());
         }
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -6,10 +6,10 @@
 use sagetrail_protocol::{Blob, List, NodeId};
 use std::fmt;
 
-/// So many of the newest changes travel with the value; earlier ones are in each process's `AcceptedChanges`.
+/// So many of the newest changes are part of the value; earlier ones are in each process's `AcceptedChanges`.
 pub(crate) const MAX_RECENT_CHANGES: usize = 64;
 
-/// A configuration as the register keeps it.
+/// The configuration in the register.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoredConfig {
     /// 0 before the first configuration.
@@ -18,10 +18,12 @@
     pub document: Blob,
 }
 
-/// The register's value.
+/// The register's value. The order of the fields is that of the bytes on the wire and on disk.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct RegisterValue {
+    /// The version of the member list; each step of a change of members adds one.
     pub members_version: u64,
+    /// The core's members; while a change is under way, those before it.
     pub members: List<NodeId>,
     /// The list that is to follow; empty unless a change of members is under way.
     pub next_members: List<NodeId>,
