--- a/crates/cluster/control-plane/tests/rounds.rs
+++ b/crates/cluster/control-plane/tests/accept_phase.rs
@@ -7,7 +7,7 @@
 use sagetrail_protocol::node::{Event, Method};
 use sagetrail_protocol::{Blob, Message};
 use support::operators::{patch, read_back, Answering, Operators};
-use support::world::{config, World, CLIENT};
+use support::cluster::{config, World, CLIENT};
 
 const ROUTES: usize = 400;
 /// All that a small change may cost a core of three, in bytes, the second after its acknowledgement included.
--- a/crates/cluster/control-plane/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use support::histories::{control, History};
 use support::speeds::{Speeds, SMALL_SITE};
-use support::world::{id, Weather, World, CALM};
+use support::cluster::{id, Weather, World, CALM};
 
 /// Milliseconds within which a member of a small site has to have caught up.
 const CATCH_UP_MS: u64 = 4_000;
--- a/crates/cluster/control-plane/tests/catch_up_times.rs
+++ b/crates/cluster/control-plane/tests/catch_up_times.rs
@@ -3,7 +3,7 @@
 mod support;
 use support::histories::History;
 use support::speeds::{Speeds, SMALL_SITE};
-use support::world::{Weather, CALM};
+use support::cluster::{Weather, CALM};
 
 /// A row's key and value.
 const ROW_BYTES: u64 = 308;
--- a/crates/cluster/control-plane/tests/races.rs
+++ b/crates/cluster/control-plane/tests/concurrent_changes.rs
@@ -6,7 +6,7 @@
 use support::operators::{
     abandon, is_clear, patch, read_back, replacement, Answering, Operators, Order,
 };
-use support::world::{Weather, World, CALM};
+use support::cluster::{Weather, World, CALM};
 
 const WINDY: Weather = Weather {
     loss: 0.03,
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -1,7 +1,7 @@
 //! A disk that holds something that cannot be read is an emptied disk, never a fresh one: nobody founds on it.
 
 mod support;
-use support::world::{Disk, World};
+use support::cluster::{Disk, World};
 
 const ROWS: [&[u8]; 4] = [b"acceptor", b"value", b"replica", b"members"];
 
--- a/crates/cluster/control-plane/tests/trouble.rs
+++ b/crates/cluster/control-plane/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod support;
 use sagetrail_protocol::node::Method;
-use support::world::{config, id, World};
+use support::cluster::{config, id, World};
 
 fn busy(count: usize, seed: u64) -> World {
     let mut world = World::founded(count, seed);
--- a/crates/cluster/control-plane/tests/http_answers.rs
+++ b/crates/cluster/control-plane/tests/http_answers.rs
@@ -5,7 +5,7 @@
 
 use sagetrail_fixture::transcript::Transcript;
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
-use support::world::{config, World};
+use support::cluster::{config, World};
 
 const KEPT: &str = "tests/fixtures/http_answers.txt";
 const REPLACE: &str = "/v1/config/replace";
--- a/crates/cluster/control-plane/tests/cut_off.rs
+++ b/crates/cluster/control-plane/tests/isolation/main.rs
@@ -1,6 +1,7 @@
 //! A member of the core that is cut off, frozen or runs by a wrong clock for some twenty seconds: what it says to the
 //! operator, to clients and to those that take configurations from it, then and right after its return.
 
+#[path = "../support/mod.rs"]
 mod support;
 use rand::Rng;
 use sagetrail_control_plane::RegisterValue;
@@ -14,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 use support::journal::READ;
-use support::world::{config, id, Weather, World, CALM, CLIENT, TRUE_RATE_PPM};
+use support::cluster::{config, id, Weather, World, CALM, CLIENT, TRUE_RATE_PPM};
 
 /// A process that reaches the members only by another.
 const FAR: NodeId = NodeId { ip: 98, port: 1 };
--- a/crates/cluster/control-plane/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -6,7 +6,7 @@
 };
 use sagetrail_protocol::node::Event;
 use sagetrail_protocol::{Message, NodeId, Term};
-use support::world::{Weather, World, CALM, CLIENT};
+use support::cluster::{Weather, World, CALM, CLIENT};
 
 const TERM: Term = 9;
 
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use std::sync::OnceLock;
 use support::histories::History;
-use support::world::{config, Weather, World, CALM};
+use support::cluster::{config, Weather, World, CALM};
 
 const STEPS: usize = 14;
 /// Few large records make an image of several pieces.
--- a/crates/cluster/control-plane/tests/replacements.rs
+++ b/crates/cluster/control-plane/tests/member_replacement.rs
@@ -4,7 +4,7 @@
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::{Message, NodeId};
 use std::collections::BTreeSet;
-use support::world::{id, World};
+use support::cluster::{id, World};
 
 /// A machine that is new, or back, counts as lost for so long.
 const CATCH_UP_MS: u64 = 4_000;
--- a/crates/cluster/control-plane/tests/members.rs
+++ b/crates/cluster/control-plane/tests/membership.rs
@@ -3,7 +3,7 @@
 mod support;
 use sagetrail_protocol::NodeId;
 use std::collections::BTreeSet;
-use support::world::{id, World};
+use support::cluster::{id, World};
 
 fn feed(world: &mut World, requests: std::ops::Range<u64>) {
     for request in requests {
--- a/crates/cluster/control-plane/tests/http_endpoints.rs
+++ b/crates/cluster/control-plane/tests/non_member_messages.rs
@@ -7,7 +7,7 @@
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::Event;
 use sagetrail_protocol::{frame, Blob, Message, NodeId, NodeKind, Text};
-use support::world::{id, World, CLIENT};
+use support::cluster::{id, World, CLIENT};
 
 fn send(world: &mut World, index: usize, from: NodeId, message: Message) {
     world.event(index, Event::Message { from, message });
--- a/crates/cluster/control-plane/tests/ordinary.rs
+++ b/crates/cluster/control-plane/tests/normal_operation.rs
@@ -2,7 +2,7 @@
 
 mod support;
 use sagetrail_protocol::node::{Event, Method};
-use support::world::{config, World};
+use support::cluster::{config, World};
 
 #[test]
 fn three_processes_found_and_elect() {
--- a/crates/cluster/control-plane/tests/schedules.rs
+++ b/crates/cluster/control-plane/tests/random_faults.rs
@@ -6,7 +6,7 @@
 use sagetrail_protocol::node::Method;
 use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
-use support::world::{config, id, Weather, World, CALM};
+use support::cluster::{config, id, Weather, World, CALM};
 
 const STEPS: usize = 60;
 /// With odd seeds trouble comes only at each so many steps.
--- a/crates/cluster/control-plane/tests/repeats.rs
+++ b/crates/cluster/control-plane/tests/resubmission.rs
@@ -3,7 +3,7 @@
 mod support;
 use rand::Rng;
 use support::operators::{patch, read_back, replacement, Answering, Operators, Order};
-use support::world::World;
+use support::cluster::World;
 
 /// More changes than the register's value names.
 const MANY_CHANGES: u64 = 2_100;
--- a/crates/cluster/control-plane/tests/support/histories.rs
+++ b/crates/cluster/control-plane/tests/support/histories.rs
@@ -1,7 +1,7 @@
 //! Long histories: many records, a steady rate of requests, and when a member holds what was acknowledged.
 
 use super::speeds::Speeds;
-use super::world::{World, CALM};
+use super::cluster::{World, CALM};
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::Message;
 use std::collections::VecDeque;
--- a/crates/cluster/control-plane/tests/support/mod.rs
+++ b/crates/cluster/control-plane/tests/support/mod.rs
@@ -5,4 +5,4 @@
 pub(crate) mod journal;
 pub(crate) mod operators;
 pub(crate) mod speeds;
-pub(crate) mod world;
+pub(crate) mod cluster;
--- a/crates/cluster/control-plane/tests/support/operators.rs
+++ b/crates/cluster/control-plane/tests/support/operators.rs
@@ -1,6 +1,6 @@
 //! Operators who send orders through any process, and a checker of all the answers that they were given.
 
-use super::world::{config, World};
+use super::cluster::{config, World};
 use sagetrail_protocol::node::{Event, HttpRequestId, Method};
 use std::collections::BTreeMap;
 
