--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -15,6 +15,7 @@
 mod changes_fetch;
 mod effects;
 mod election;
+mod error;
 mod http_api;
 mod leadership;
 mod learner;
@@ -50,6 +51,7 @@
 mod voting;
 
 pub use accepted_changes::{AcceptedChanges, Gap};
+pub use error::ControlPlaneError;
 pub use node::CoreNode;
 pub use settings::CoreSettings;
-pub use value::{RegisterValue, StoredConfig, ValueError};
+pub use value::{RegisterValue, StoredConfig};
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -1,10 +1,10 @@
 //! The register's value: the core's members, the configuration, and the changes that led to it.
 
+use crate::error::ControlPlaneError;
 use crate::quorum::MemberList;
 use deku::prelude::*;
 use sagetrail_protocol::control::AcceptedChange;
 use sagetrail_protocol::{Blob, List, NodeId};
-use std::fmt;
 
 /// So many of the newest changes are part of the value; earlier ones are in each process's `AcceptedChanges`.
 pub(crate) const MAX_RECENT_CHANGES: usize = 64;
@@ -34,28 +34,16 @@
     pub recent: List<AcceptedChange>,
 }
 
-/// Why bytes are no value.
-#[derive(Debug, PartialEq)]
-pub enum ValueError {
-    Malformed(DekuError),
-}
-
-impl fmt::Display for ValueError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ValueError::Malformed(error) => write!(formatter, "no value of the register: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for ValueError {}
-
 impl RegisterValue {
     /// The value that bytes hold.
-    pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ValueError> {
+    ///
+    /// # Errors
+    ///
+    /// `MalformedValue` where the bytes are too short or a field is out of its range. Bytes after the value are ignored.
+    pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ControlPlaneError> {
         RegisterValue::from_bytes((bytes, 0))
             .map(|(_, value)| value)
-            .map_err(ValueError::Malformed)
+            .map_err(ControlPlaneError::MalformedValue)
     }
 
     /// The value as bytes.
