--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -14,11 +14,11 @@
 const MIN_SIZE_RATIO: usize = 4;
 
 /// The change to be sent in the place of the value `bytes`, which `function` made of the value accepted in proposal number
-/// `on`; `None` where the value itself is to be sent.
+/// `base_proposal`; `None` where the value itself is to be sent.
 pub(crate) fn compose(
     function: &ChangeFunction,
     proposal: ProposalNumber,
-    on: ProposalNumber,
+    base_proposal: ProposalNumber,
     bytes: &Blob,
 ) -> Option<AcceptChange> {
     let ChangeFunction::Config { change, .. } = function else {
@@ -27,12 +27,12 @@
     if change.body.len() * MIN_SIZE_RATIO > bytes.len() {
         return None;
     }
-    let (kind, base, body) = (change.kind, change.base, Blob(change.body.clone()));
+    let (kind, base_version, body) = (change.kind, change.base, Blob(change.body.clone()));
     Some(AcceptChange {
         proposal,
-        on,
+        base_proposal,
         kind,
-        base,
+        base_version,
         body,
         result: digest(bytes),
     })
@@ -40,7 +40,7 @@
 
 /// The value that the change makes of `value`, if it is the one that the proposer made.
 pub(crate) fn result(accept: &AcceptChange, value: &Blob) -> Option<Blob> {
-    let change = Change::new(accept.kind, accept.base, accept.body.0.clone());
+    let change = Change::new(accept.kind, accept.base_version, accept.body.0.clone());
     let value = RegisterValue::decode(value).ok()?;
     let bytes = change.applied_to(&value).ok()?.encode();
     (digest(&bytes) == accept.result).then_some(Blob(bytes))
--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -6,7 +6,7 @@
 use crate::persisted::{put_proposals, put_value, AcceptorNumbers};
 use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, ControlMessage, Prepare, Promise, ProposalNumber, Read,
-    ReadReply, Refused, StateSynced, ValueNeeded,
+    ReadReply, Rejected, StateSynced, ValueNeeded,
 };
 use sagetrail_protocol::node::DiskOperation;
 use sagetrail_protocol::{Blob, NodeId};
@@ -47,7 +47,7 @@
         let promise = ControlMessage::Promise(Promise {
             proposal: prepare.proposal,
             accepted: self.proposals.accepted,
-            value: self.value_unless(prepare.have),
+            value: self.value_unless(prepare.known),
         });
         effects.write(vec![put_proposals(&self.proposals)], vec![(from, promise)]);
     }
@@ -88,7 +88,9 @@
         }
         let value = match self.proposals.accepted {
             accepted if accepted == proposal => Some(self.value.clone()),
-            accepted if accepted == accept.on => accept_change::result(accept, &self.value),
+            accepted if accepted == accept.base_proposal => {
+                accept_change::result(accept, &self.value)
+            }
             _ => None,
         };
         match value {
@@ -102,7 +104,7 @@
         let reply = ControlMessage::ReadReply(ReadReply {
             nonce: read.nonce,
             accepted: self.proposals.accepted,
-            value: self.value_unless(read.have),
+            value: self.value_unless(read.known),
         });
         if self.synced == self.proposals.accepted {
             return effects.control(from, reply);
@@ -121,19 +123,19 @@
     }
 
     /// The accepted value; empty where the other process has it.
-    fn value_unless(&self, have: ProposalNumber) -> Blob {
-        if have == self.proposals.accepted {
+    fn value_unless(&self, known: ProposalNumber) -> Blob {
+        if known == self.proposals.accepted {
             return Blob::default();
         }
         self.value.clone()
     }
 
     fn reject(&self, from: NodeId, proposal: ProposalNumber, effects: &mut Effects) {
-        let rejection = Refused {
+        let rejection = Rejected {
             proposal,
             promised: self.proposals.promised,
         };
-        effects.control(from, ControlMessage::Refused(rejection));
+        effects.control(from, ControlMessage::Rejected(rejection));
     }
 }
 
--- a/crates/cluster/control-plane/src/messages.rs
+++ b/crates/cluster/control-plane/src/messages.rs
@@ -9,8 +9,8 @@
 use crate::quorum_read::ReadOutcome;
 use crate::replica::ProcessStatus;
 use sagetrail_protocol::control::{
-    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Refused, Renew,
-    RenewAck, VoteReply,
+    ControlMessage, Learn, Learned, Promise, ProposalNumber, Recover, RecoverReply, Rejected,
+    Renew, RenewAck, VoteReply,
 };
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId, Time};
@@ -47,7 +47,7 @@
                 let decision = self.proposer.on_accepted(from, &accepted);
                 self.on_decision(decision);
             }
-            ControlMessage::Refused(refused) => self.on_refused(&refused),
+            ControlMessage::Rejected(rejected) => self.on_rejected(&rejected),
             ControlMessage::ValueNeeded(needed) => {
                 self.proposer
                     .on_value_needed(from, &needed, &mut self.effects);
@@ -156,11 +156,11 @@
         self.on_decision(decision);
     }
 
-    fn on_refused(&mut self, refused: &Refused) {
+    fn on_rejected(&mut self, rejected: &Rejected) {
         if let Some(recovery) = &mut self.membership_state.recovery {
-            recovery.on_rejected(refused);
+            recovery.on_rejected(rejected);
         }
-        self.proposer.on_rejected(self.now.steady, refused);
+        self.proposer.on_rejected(self.now.steady, rejected);
     }
 
     fn on_decision(&mut self, decision: Option<Decision>) {
--- a/crates/cluster/control-plane/src/quorum_read.rs
+++ b/crates/cluster/control-plane/src/quorum_read.rs
@@ -127,14 +127,14 @@
 
 impl PendingRead {
     fn send(&self, effects: &mut Effects) {
-        let have = self
+        let known = self
             .known
             .as_ref()
             .map(|known| known.proposal)
             .unwrap_or_default();
         let read = ControlMessage::Read(Read {
             nonce: self.nonce,
-            have,
+            known,
         });
         let unanswered = self
             .list
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -9,7 +9,7 @@
 use crate::quorum::MemberList;
 use crate::timing::{RESEND_MS, ROUND_MS};
 use sagetrail_protocol::control::{
-    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Refused,
+    ControlMessage, Prepare, Promise, ProposalNumber, Recover, RecoverReply, Rejected,
 };
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
@@ -147,7 +147,7 @@
     }
 
     /// A member has promised a higher proposal number to another process: the next one goes above it.
-    pub(crate) fn on_rejected(&mut self, rejected: &Refused) {
+    pub(crate) fn on_rejected(&mut self, rejected: &Rejected) {
         if rejected.proposal == self.proposal() {
             self.highest = self.highest.max(rejected.promised);
             self.replies.clear();
@@ -167,7 +167,7 @@
             Phase::CollectingPromises => ControlMessage::Recover(Recover { nonce: self.nonce }),
             Phase::Preparing => ControlMessage::Prepare(Prepare {
                 proposal: self.proposal(),
-                have: ProposalNumber::default(),
+                known: ProposalNumber::default(),
             }),
         };
         let unanswered = self
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct Subscription {
     /// The newest version that the subscriber has or was sent.
-    have: u64,
+    known_version: u64,
     expires_at: Time,
     /// The subscriber's time at its last request; returned with the answer.
     asked_at: u64,
@@ -42,7 +42,7 @@
             self.subscriptions.insert(
                 from,
                 Subscription {
-                    have: subscribe.have,
+                    known_version: subscribe.known_version,
                     expires_at,
                     asked_at: subscribe.asked_at,
                 },
@@ -85,7 +85,7 @@
         let asked_at = subscription.asked_at;
         let answer = match register_view
             .config()
-            .filter(|config| config.version > subscription.have)
+            .filter(|config| config.version > subscription.known_version)
         {
             Some(config) => config_update(config),
             None => Message::ConfigCurrent(ConfigCurrent {
@@ -94,14 +94,14 @@
                 asked_at,
             }),
         };
-        subscription.have = subscription.have.max(version);
+        subscription.known_version = subscription.known_version.max(version);
         effects.sends.push((node, answer));
     }
 
     fn publish(&mut self, now: Time, config: &ConfigInForce, effects: &mut Effects) {
         for (node, subscription) in &mut self.subscriptions {
-            if subscription.expires_at > now && subscription.have < config.version {
-                subscription.have = config.version;
+            if subscription.expires_at > now && subscription.known_version < config.version {
+                subscription.known_version = config.version;
                 effects.sends.push((*node, config_update(config)));
             }
         }
--- a/crates/cluster/control-plane/tests/isolation/trial.rs
+++ b/crates/cluster/control-plane/tests/isolation/trial.rs
@@ -245,7 +245,7 @@
             config_version: have,
         };
         let subscribe = Subscribe {
-            have,
+            known_version: have,
             asked_at: self.cluster.now,
         };
         let relayed_by_third = self.cluster.random.random_bool(0.25);
--- a/crates/cluster/control-plane/tests/support/cluster.rs
+++ b/crates/cluster/control-plane/tests/support/cluster.rs
@@ -165,7 +165,7 @@
     pub(crate) fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
         for index in 0..self.machines.len() {
-            self.event(index, Event::Seeds(self.seeds.clone()));
+            self.event(index, Event::SeedsChanged(self.seeds.clone()));
         }
     }
 
@@ -354,7 +354,7 @@
         };
         apply(&mut self.machines[machine].disk, write.operations);
         let from = self.machines[machine].id;
-        for (to, message) in write.then {
+        for (to, message) in write.send_when_synced {
             self.send(from, to, message);
         }
         if let Some(token) = write.token {
--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -250,7 +250,7 @@
 
     pub(crate) fn subscriptions(&self) -> Vec<(NodeId, u64)> {
         let subscription = |(to, message): &(NodeId, Message)| match message {
-            Message::Subscribe(subscribe) => Some((*to, subscribe.have)),
+            Message::Subscribe(subscribe) => Some((*to, subscribe.known_version)),
             _ => None,
         };
         self.outbox.sends.iter().filter_map(subscription).collect()
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -251,5 +251,5 @@
     runner.active.clear();
     cluster.report_all();
     cluster.report_all();
-    assert_eq!(cluster.orders[&node(0)].start[0].saved.0, "half");
+    assert_eq!(cluster.orders[&node(0)].start[0].checkpoint.0, "half");
 }
