--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -1,7 +1,7 @@
-//! The register's second round by the change alone: a member that holds the value before it makes the new one itself.
+//! The accept phase with the change alone: a member that holds the value before it makes the new one itself.
 //!
-//! The SHA-256 of the proposer's value goes with the change. A member accepts only what has that very digest, so that
-//! under one proposal number there still is one value.
+//! The SHA-256 of the proposer's value goes with the change. A member accepts only a value with the same digest, so
+//! that under one proposal number there is still one value.
 
 use crate::change::Change;
 use crate::change_function::ChangeFunction;
@@ -10,7 +10,7 @@
 use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
-/// A change goes alone where the value is at least so many times its size.
+/// A change is sent alone where the value is at least so many times its size.
 const MIN_SIZE_RATIO: usize = 4;
 
 /// The change to be sent in the place of the value `bytes`, which `function` made of the value accepted in proposal number
--- a/crates/cluster/control-plane/src/accepted_changes.rs
+++ b/crates/cluster/control-plane/src/accepted_changes.rs
@@ -75,12 +75,12 @@
         changes
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.by_base.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.by_base.is_empty()
     }
--- a/crates/cluster/control-plane/src/batch_window.rs
+++ b/crates/cluster/control-plane/src/batch_window.rs
@@ -1,4 +1,4 @@
-//! The newest batches of a term, kept for replicas that missed them.
+//! The newest batches of a term, for replicas that missed them.
 
 use sagetrail_protocol::control::{RecordBatch, RecordChange};
 use std::collections::VecDeque;
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -34,7 +34,7 @@
     unable: BTreeSet<NodeId>,
     /// Requests without a reply, by member.
     timeouts: BTreeMap<NodeId, u32>,
-    /// Every member was asked, and none could.
+    /// A request went to every member, and none could fill it.
     exhausted: bool,
     /// No request before this moment.
     resume_at: Time,
--- a/crates/cluster/control-plane/src/election.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a candidate asks for.
+/// What a candidate requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum VoteKind {
     /// Whether the voter would promise the term; nothing is promised.
--- a/crates/cluster/control-plane/src/quorum_read.rs
+++ b/crates/cluster/control-plane/src/quorum_read.rs
@@ -1,5 +1,5 @@
 //! Quorum reads of the register, without a round: where a majority has accepted the value of the same proposal number,
-//! that value is chosen. What a quorum read can't tell, a round with the identity function does (CASPaxos, Rystsov,
+//! that value is chosen. What a quorum read leaves undecided, a round with the identity function decides (CASPaxos, Rystsov,
 //! 2018, section 2.2).
 
 use crate::effects::Effects;
@@ -34,7 +34,7 @@
 pub(crate) enum ReadOutcome {
     /// This value is chosen, and nothing newer was before `as_of`.
     Chosen { chosen: Chosen, as_of: Time },
-    /// The replies differ: a value may be chosen or not, only a round of the register tells.
+    /// The replies differ: a value may be chosen or not, only a round of the register decides.
     Undecided,
 }
 
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -194,7 +194,7 @@
         self.fetch_snapshot(now, followed, newest, effects);
     }
 
-    /// Whether batches have been missing for `BEHIND_MS`. The leader sends more once it is told what was synced: a
+    /// Whether batches have been missing for `BEHIND_MS`. The leader sends more once it is notified of what was synced: a
     /// replica that waits for its disk is not behind.
     fn is_long_behind(&mut self, now: Time, newest: u64) -> bool {
         let behind = newest > self.state.position.number && self.synced == self.state.position;
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -29,6 +29,7 @@
     pub next_members: List<NodeId>,
     /// How many members the cluster is to have.
     pub bootstrap_size: u32,
+    /// The newest configuration.
     pub config: StoredConfig,
     /// The newest changes, oldest first; the last one led to `config`.
     pub recent: List<AcceptedChange>,
