--- a/crates/cluster/control-plane/tests/concurrent_changes.rs
+++ b/crates/cluster/control-plane/tests/concurrent_changes.rs
@@ -344,22 +344,7 @@
         _ => {}
     }
     let other = cluster.random.random_range(0..count);
-    revive(cluster, other);
-}
-
-fn revive(cluster: &mut Cluster, index: usize) {
-    if cluster.machines[index].node.is_none() {
-        cluster.start(index, false);
-    } else if cluster.machines[index].frozen {
-        cluster.thaw(index);
-    }
-}
-
-fn heal(cluster: &mut Cluster, count: usize) {
-    cluster.heal_network();
-    cluster.conditions = CALM;
-    (0..count).for_each(|index| revive(cluster, index));
-    cluster.run(5_000);
+    cluster.revive(other);
 }
 
 /// Several operators on top of the newest confirmed version, repeats of any age, mixed faults.
@@ -412,7 +397,8 @@
             .unwrap_or(newest)
             .max(newest);
     }
-    heal(&mut cluster, count);
+    cluster.end_faults(0..count);
+    cluster.run(5_000);
     let changes = operators.changes();
     send_all_until_answered(&mut cluster, &mut operators, &changes, count);
     send_all_until_answered(&mut cluster, &mut operators, &changes, count);
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -14,20 +14,15 @@
     |disk, row| disk.control.get_mut(row).unwrap().push(0),
 ];
 
-fn feed(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
-    for request in requests {
-        if let Some(leader) = cluster.leader() {
-            cluster.submit(leader, request);
-        }
-        cluster.run(3);
-    }
+fn submit_requests(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
+    cluster.submit_all(requests, 3);
     cluster.run(300);
 }
 
 fn busy(seed: u64) -> Cluster {
     let mut cluster = Cluster::bootstrapped(3, seed);
     assert_eq!(cluster.replace(0, 0, 5), 200);
-    feed(&mut cluster, 1..51);
+    submit_requests(&mut cluster, 1..51);
     assert_eq!(cluster.acked(), 50);
     cluster
 }
@@ -54,7 +49,7 @@
     cluster.start(2, false);
     cluster.run(6_000);
     assert_eq!(cluster.read_back(0), Some(5), "{context}");
-    feed(cluster, 1_001..1_011);
+    submit_requests(cluster, 1_001..1_011);
     assert_eq!(cluster.acked(), 60, "{context}");
     assert_eq!(
         cluster.machines[0].disk.records, cluster.machines[1].disk.records,
--- a/crates/cluster/control-plane/tests/faults.rs
+++ b/crates/cluster/control-plane/tests/faults.rs
@@ -8,12 +8,12 @@
 fn busy(count: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::bootstrapped(count, seed);
     assert_eq!(cluster.replace(0, 0, 5), 200);
-    feed(&mut cluster, 0..200);
+    submit_requests(&mut cluster, 0..200);
     assert_eq!(cluster.acked(), 200);
     cluster
 }
 
-fn feed(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
+fn submit_requests(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
     for request in requests {
         let Some(leader) = cluster.leader() else {
             continue;
@@ -33,7 +33,7 @@
     assert_ne!(cluster.leader(), Some(leader));
     cluster.start(leader, false);
     cluster.run(1_000);
-    feed(&mut cluster, 1_000..1_050);
+    submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(cluster.status(number), 503);
     cluster.heal_network();
     cluster.run(1_500);
-    feed(&mut cluster, 1_000..1_050);
+    submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
     assert_eq!(cluster.terms(), 2);
 }
@@ -104,7 +104,7 @@
         cluster.kill(healthy);
         cluster.run(3_000);
         assert_eq!(cluster.read_back(victim), Some(5), "seed {seed}");
-        feed(&mut cluster, 1_000..1_050);
+        submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 250, "seed {seed}");
     }
 }
@@ -122,7 +122,7 @@
         cluster.run(5_000);
         assert_eq!(cluster.read_back(0), Some(9), "seed {seed}");
         assert_eq!(cluster.read_back(1), Some(9), "seed {seed}");
-        feed(&mut cluster, 1_000..1_050);
+        submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 250, "seed {seed}");
     }
 }
@@ -139,7 +139,7 @@
     cluster.kill(remaining);
     cluster.run(4_000);
     assert_eq!(cluster.read_back(successor), Some(5));
-    feed(&mut cluster, 1_000..1_050);
+    submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
 }
 
@@ -148,7 +148,7 @@
     let mut cluster = busy(3, 5);
     let behind = (cluster.leader().unwrap() + 1) % 3;
     cluster.isolate(behind);
-    feed(&mut cluster, 1_000..4_000);
+    submit_requests(&mut cluster, 1_000..4_000);
     cluster.heal_network();
     cluster.run(3_000);
     let leader = cluster.leader().unwrap();
@@ -182,7 +182,7 @@
     (0..5).for_each(|index| cluster.start(index, false));
     cluster.run(450);
     assert_eq!(cluster.terms(), terms + 1);
-    feed(&mut cluster, 1_000..1_050);
+    submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
 }
 
@@ -196,7 +196,7 @@
     (0..5).for_each(|index| cluster.start(index, false));
     cluster.run(450);
     assert_eq!(cluster.terms(), 2);
-    feed(&mut cluster, 1_000..1_050);
+    submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
 }
 
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -9,7 +9,7 @@
 use std::sync::OnceLock;
 use support::cluster::Cluster;
 use support::histories::History;
-use support::network::{Conditions, CALM};
+use support::network::Conditions;
 use support::requests::config;
 
 const STEPS: usize = 14;
@@ -69,11 +69,11 @@
 const LATE_SCHEDULES: [u64; 1] = [10_051];
 
 /// A change is acknowledged within this.
-const ORDER_MS: u64 = 25;
+const CHANGE_MS: u64 = 25;
 /// The changes that take longer, and how long at the most; issue 50.
-const LATE_ORDERS: [u64; 1] = [296];
-const LATE_ORDER_MS: u64 = 50;
-const ORDERS: u64 = 700;
+const LATE_CHANGES: [u64; 1] = [296];
+const LATE_CHANGE_MS: u64 = 50;
+const CHANGES: u64 = 700;
 
 /// How long after the last member had caught up a request was acknowledged.
 struct Served {
@@ -137,8 +137,8 @@
             };
             self.lost.retain(complete);
         }
-        self.heal();
         let members: Vec<usize> = (0..self.history.cluster.machines.len()).collect();
+        self.history.cluster.end_faults(members.iter().copied());
         let times = self.history.catch_up(&members, HEALED_MS);
         assert!(
             times.iter().all(Option::is_some),
@@ -169,20 +169,6 @@
         }
         served_after_ms
     }
-
-    fn heal(&mut self) {
-        let cluster = &mut self.history.cluster;
-        cluster.heal_network();
-        cluster.conditions = CALM;
-        for index in 0..cluster.machines.len() {
-            if cluster.machines[index].node.is_none() {
-                cluster.start(index, false);
-            }
-            if cluster.machines[index].frozen {
-                cluster.thaw(index);
-            }
-        }
-    }
 }
 
 /// Whether a member has on disk everything that was acknowledged, and says so: it votes again.
@@ -243,7 +229,7 @@
 /// Changes the configuration many times, each change on top of the one before; `within_ms` says how long each may take.
 fn change_many(history: &mut History, within_ms: fn(u64) -> u64) {
     let leader = history.cluster.leader().unwrap();
-    for version in 1..=ORDERS {
+    for version in 1..=CHANGES {
         let number = history.cluster.http(
             leader,
             Method::Post,
@@ -251,9 +237,9 @@
             Some(version - 1),
             &config(version),
         );
-        history.run(ORDER_MS);
+        history.run(CHANGE_MS);
         if history.cluster.status(number) == 0 {
-            history.run(within_ms(version) - ORDER_MS);
+            history.run(within_ms(version) - CHANGE_MS);
         }
         assert_eq!(history.cluster.status(number), 200, "version {version}");
     }
@@ -262,7 +248,7 @@
 #[test]
 fn each_of_700_changes_is_acknowledged_within_25_ms() {
     let (mut history, _) = without_two();
-    change_many(&mut history, |_| ORDER_MS);
+    change_many(&mut history, |_| CHANGE_MS);
 }
 
 #[test]
@@ -270,9 +256,9 @@
 {
     let (mut history, late) = without_two();
     change_many(&mut history, |version| {
-        match LATE_ORDERS.contains(&version) {
-            true => LATE_ORDER_MS,
-            false => ORDER_MS,
+        match LATE_CHANGES.contains(&version) {
+            true => LATE_CHANGE_MS,
+            false => CHANGE_MS,
         }
     });
     // One of the two also loses its disk; the majority then consists of these two and one that knows everything.
@@ -285,7 +271,7 @@
     history.cluster.power_off(others[1]);
     history.run(3_000);
     for member in late.iter().chain([&others[2]]) {
-        assert_eq!(history.cluster.read_back(*member), Some(ORDERS));
+        assert_eq!(history.cluster.read_back(*member), Some(CHANGES));
     }
     history.finish("after 700 configurations");
 }
--- a/crates/cluster/control-plane/tests/membership.rs
+++ b/crates/cluster/control-plane/tests/membership.rs
@@ -5,13 +5,8 @@
 use std::collections::BTreeSet;
 use support::cluster::{id, Cluster};
 
-fn feed(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
-    for request in requests {
-        if let Some(leader) = cluster.leader() {
-            cluster.submit(leader, request);
-        }
-        cluster.run(2);
-    }
+fn submit_requests(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
+    cluster.submit_all(requests, 2);
     cluster.run(300);
 }
 
@@ -20,7 +15,7 @@
     for seed in 0..20 {
         let mut cluster = Cluster::bootstrapped(5, 200 + seed);
         assert_eq!(cluster.replace(4, 0, 5), 200);
-        feed(&mut cluster, 0..100);
+        submit_requests(&mut cluster, 0..100);
         let first = seed as usize % 5;
         let second = (first + 2) % 5;
         (0..5).for_each(|index| cluster.power_off(index));
@@ -30,7 +25,7 @@
         (0..5).for_each(|index| cluster.start(index, false));
         cluster.run(6_000);
         assert_eq!(cluster.read_back(first), Some(5), "seed {seed}");
-        feed(&mut cluster, 1_000..1_050);
+        submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 150, "seed {seed}");
     }
 }
@@ -106,7 +101,7 @@
     cluster.kill(0);
     cluster.kill(1);
     cluster.run(3_000);
-    feed(&mut cluster, 0..50);
+    submit_requests(&mut cluster, 0..50);
     assert_eq!(cluster.acked(), 50);
 }
 
@@ -114,7 +109,7 @@
 fn machines_are_replaced_one_after_the_other() {
     let mut cluster = Cluster::bootstrapped(3, 3);
     assert_eq!(cluster.replace(0, 0, 5), 200);
-    feed(&mut cluster, 0..100);
+    submit_requests(&mut cluster, 0..100);
     for gone in 0..3 {
         cluster.wipe(gone);
         let successor = cluster.add_machine();
@@ -122,7 +117,7 @@
         cluster.start(successor, false);
         cluster.run(9_000);
         let next = 1_000 * (gone as u64 + 1);
-        feed(&mut cluster, next..next + 50);
+        submit_requests(&mut cluster, next..next + 50);
         assert_eq!(
             cluster.acked(),
             100 + 50 * (gone + 1),
--- a/crates/cluster/control-plane/tests/random_faults.rs
+++ b/crates/cluster/control-plane/tests/random_faults.rs
@@ -7,7 +7,7 @@
 use sagetrail_protocol::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 use support::cluster::{id, Cluster};
-use support::network::{Conditions, CALM};
+use support::network::Conditions;
 use support::requests::config;
 
 const STEPS: usize = 60;
@@ -118,20 +118,6 @@
     }
 }
 
-fn heal(cluster: &mut Cluster, present: &[usize]) {
-    cluster.heal_network();
-    cluster.conditions = CALM;
-    for index in present.iter().copied() {
-        if cluster.machines[index].node.is_none() {
-            cluster.start(index, false);
-        }
-        if cluster.machines[index].frozen {
-            cluster.thaw(index);
-        }
-    }
-    cluster.run(6_000);
-}
-
 fn change(cluster: &mut Cluster, present: &[usize], newest: u64) -> Change {
     let version = newest + cluster.random.random_range(1..3);
     let mark: u32 = cluster.random.random_range(0..1000);
@@ -217,12 +203,14 @@
             .max(newest);
     }
     let present = replacements.present(&cluster);
-    heal(&mut cluster, &present);
+    cluster.end_faults(present.iter().copied());
+    cluster.run(6_000);
     if replacements.leaving.is_some() {
         // The one that was asked to end has ended by now.
         replacements.step(&mut cluster);
         let present = replacements.present(&cluster);
-        heal(&mut cluster, &present);
+        cluster.end_faults(present.iter().copied());
+        cluster.run(6_000);
     }
     if replacing {
         set_members_as_seeds(&mut cluster, present[0]);
--- a/crates/cluster/control-plane/tests/support/faults.rs
+++ b/crates/cluster/control-plane/tests/support/faults.rs
@@ -2,6 +2,7 @@
 
 use super::cluster::{id, Cluster};
 use super::machine::{apply, Disk};
+use super::network::CALM;
 use rand::Rng;
 use sagetrail_protocol::node::{DiskWrite, Event};
 
@@ -86,4 +87,22 @@
     pub(crate) fn heal_network(&mut self) {
         self.partition.clear();
     }
+
+    /// Starts the machine's process where none runs, thaws it where it is frozen.
+    pub(crate) fn revive(&mut self, index: usize) {
+        if self.machines[index].node.is_none() {
+            self.start(index, false);
+        } else if self.machines[index].frozen {
+            self.thaw(index);
+        }
+    }
+
+    /// Ends all faults of the network and of these machines.
+    pub(crate) fn end_faults(&mut self, machines: impl IntoIterator<Item = usize>) {
+        self.heal_network();
+        self.conditions = CALM;
+        for index in machines {
+            self.revive(index);
+        }
+    }
 }
--- a/crates/cluster/control-plane/tests/support/requests.rs
+++ b/crates/cluster/control-plane/tests/support/requests.rs
@@ -7,6 +7,7 @@
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId, Method};
 use sagetrail_protocol::{Blob, Message, NodeId, NodeKind, Text};
 use std::collections::BTreeSet;
+use std::ops::Range;
 
 impl Cluster {
     pub(crate) fn http(
@@ -72,7 +73,17 @@
         self.submit_bytes(index, request, 100);
     }
 
-    /// The same with a body of so many bytes.
+    /// Submits requests one after the other, each where there is a leader at that moment.
+    pub(crate) fn submit_all(&mut self, requests: Range<u64>, interval_ms: u64) {
+        for request in requests {
+            if let Some(leader) = self.leader() {
+                self.submit(leader, request);
+            }
+            self.run(interval_ms);
+        }
+    }
+
+    /// Submits a request with a body of so many bytes.
     pub(crate) fn submit_bytes(&mut self, index: usize, request: u64, bytes: usize) {
         self.ask(index, request, ClientMethod::Submit, bytes);
     }
