--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,10 +1,9 @@
 //! Leases of membership (Gray and Cheriton, 1989) of the processes outside the core. Each of these says hello to one
 //! core process, so core processes notify each other, in a message whose size does not grow with the number of leases.
 
-use crate::node::CoreNode;
 use crate::timing::SHARE_INTERVAL_MS;
 use sagetrail_config_distribution::best_relays;
-use sagetrail_protocol::control::{ControlMessage, MemberLease, MemberLeases};
+use sagetrail_protocol::control::{MemberLease, MemberLeases};
 use sagetrail_protocol::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
 use sagetrail_protocol::{List, NodeId, NodeKind, Time};
 use std::collections::BTreeMap;
@@ -147,23 +146,3 @@
     let millis = expires_at.0.saturating_sub(now.0) / MICROS_PER_MS;
     u16::try_from(millis).unwrap_or(u16::MAX)
 }
-
-impl CoreNode {
-    /// Reports the leases at this process to the other members of the core.
-    pub(crate) fn step_leases(&mut self, now: Time) {
-        let Some(leases) = self.leases.take_report(now) else {
-            return;
-        };
-        let message = ControlMessage::MemberLeases(leases);
-        let mut others = self.register_view.list.all();
-        others.remove(&self.settings.node);
-        self.effects.broadcast(others, &message);
-    }
-
-    /// A member of the core has reported its leases.
-    pub(crate) fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
-        if self.register_view.list.contains(from) && from != self.settings.node {
-            self.leases.on_report(self.now.steady, from, leases);
-        }
-    }
-}
--- /dev/null
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -0,0 +1,146 @@
+//! What is due by time, in the order in which the parts run.
+
+use super::CoreNode;
+use crate::persisted::{put_members, StoredMembers};
+use crate::register::{RegisterDemand, ViewUpdate};
+use sagetrail_protocol::control::ControlMessage;
+use sagetrail_protocol::Time;
+
+impl CoreNode {
+    /// Everything that is due.
+    pub(super) fn step(&mut self) {
+        let now = self.now.steady;
+        self.membership.step(
+            now,
+            self.termination.is_requested(),
+            &mut self.register,
+            &mut self.terms,
+            &mut self.effects,
+        );
+        self.step_register(now);
+        self.register.fetch_changes(now, &mut self.effects);
+        if self.membership.is_active() {
+            // A process that never took part keeps nothing on disk.
+            self.register.write_changes(&mut self.effects);
+        }
+        let may_stand = self.may_stand();
+        let view = self.register.view();
+        self.terms
+            .step(self.now, may_stand, view, &mut self.effects);
+        self.reconfiguration
+            .step(now, &mut self.terms, &mut self.register);
+        self.share_leases(now);
+        self.subscribers
+            .serve(now, self.register.view(), &mut self.effects);
+        self.deliver_pending(now);
+        self.step_termination(now);
+    }
+
+    /// When something is due next.
+    pub(super) fn earliest_wake(&self) -> Option<Time> {
+        let now = self.now.steady;
+        let terminating = self.termination.is_requested();
+        let is_idle = self.operator.is_idle();
+        let wakes = [
+            self.membership.next_wake(terminating, &self.register),
+            self.register.next_wake(self.may_propose()),
+            self.register.changes_wake(),
+            self.operator.next_wake(&self.register),
+            self.terms.next_wake(self.may_stand()),
+            self.reconfiguration.next_wake(&self.terms, &self.register),
+            self.leases.next_wake(),
+            self.pending.next_wake(),
+            self.termination.next_wake(now, is_idle, self.succession()),
+        ];
+        wakes.into_iter().flatten().min()
+    }
+
+    /// Whether this process may run rounds of the register: it knows what it promised, or it is no acceptor.
+    fn may_propose(&self) -> bool {
+        let is_outsider = self.register.has_members() && !self.is_member();
+        self.membership.is_active() || is_outsider
+    }
+
+    /// Whether this process may become a candidate, as far as its membership goes.
+    fn may_stand(&self) -> bool {
+        self.membership.is_active() && self.is_member() && self.may_lead()
+    }
+
+    /// Whether this process is in the member list.
+    fn is_member(&self) -> bool {
+        self.register.members().contains(self.node)
+    }
+
+    fn step_register(&mut self, now: Time) {
+        let demand = RegisterDemand {
+            may_propose: self.may_propose(),
+            fresh_as_of: self.required_freshness(),
+        };
+        let update = self.register.step(now, demand, &mut self.effects);
+        self.on_view_update(update);
+        self.operator
+            .tick(now, &mut self.register, &mut self.effects);
+    }
+
+    /// The moment as of which a part of this process needs to know the register.
+    fn required_freshness(&self) -> Option<Time> {
+        let required = [
+            self.terms.fresh_as_of(),
+            self.pending.fresh_as_of(),
+            self.operator.fresh_as_of(),
+        ];
+        required.into_iter().flatten().max()
+    }
+
+    /// Passes on what a newly learned value changed.
+    pub(super) fn on_view_update(&mut self, update: Option<ViewUpdate>) {
+        let Some(update) = update else { return };
+        if update.members {
+            self.on_members_changed();
+        }
+        if update.config {
+            if let Some(config) = self.register.view().config().cloned() {
+                self.terms.config_changed(self.now, config);
+            }
+        }
+    }
+
+    fn on_members_changed(&mut self) {
+        let members = self.register.members();
+        self.reconfiguration.members_changed(members);
+        if self.membership.is_active() {
+            let operation = put_members(&StoredMembers::from(members));
+            self.effects.write(vec![operation], Vec::new());
+        }
+    }
+
+    /// Reports to the other members of the core which leases this process holds.
+    fn share_leases(&mut self, now: Time) {
+        let Some(leases) = self.leases.take_report(now) else {
+            return;
+        };
+        let mut others = self.register.members().all();
+        others.remove(&self.node);
+        let message = ControlMessage::MemberLeases(leases);
+        self.effects.broadcast(others, &message);
+    }
+
+    fn deliver_pending(&mut self, now: Time) {
+        while let Some(request) = self.pending.next_ready(now, self.register.view()) {
+            self.deliver(request.from, request.message);
+        }
+    }
+
+    /// Answers what is left, and gives the term up at the end.
+    fn step_termination(&mut self, now: Time) {
+        if !self.termination.is_requested() {
+            return;
+        }
+        if self.termination.is_closing(now) {
+            self.operator.close(&mut self.register, &mut self.effects);
+        }
+        if !self.may_lead() {
+            self.step_down();
+        }
+    }
+}
