--- a/crates/testing/scale-testing/src/call.rs
+++ b/crates/testing/scale-testing/src/call.rs
@@ -1,13 +1,14 @@
 //! Calls of HTTP, with kept connections.
 
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use std::net::SocketAddrV4;
-use std::time::Duration;
 
 /// The host of all queues.
 pub const HOST: &str = "scale.example";
@@ -15,17 +16,24 @@
 /// A call.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// The HTTP method.
     pub method: &'static str,
+    /// The path.
     pub path: String,
+    /// The configuration version that a change is based on, if it is one.
     pub base_version: Option<u64>,
+    /// The body.
     pub body: Vec<u8>,
-    pub patience: Duration,
+    /// Time that the answer is waited for.
+    pub timeout: Duration,
 }
 
 /// Its answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: Bytes,
 }
 
@@ -57,8 +65,8 @@
 impl Caller {
     /// Calls and waits for the whole answer.
     pub async fn call(&self, address: SocketAddrV4, call: Call) -> Result<Answer, CallError> {
-        let patience = call.patience;
-        let whole = tokio::time::timeout(patience, self.exchange(address, call));
+        let timeout = call.timeout;
+        let whole = tokio::time::timeout(timeout, self.exchange(address, call));
         whole.await.map_err(|_| CallError::Silence)?
     }
 
@@ -68,7 +76,7 @@
             .uri(format!("http://{address}{}", call.path))
             .header("Host", HOST)
             .header("Content-Type", "application/json")
-            .header("Deadline-Ms", call.patience.as_millis().to_string());
+            .header("Deadline-Ms", call.timeout.as_millis().to_string());
         if let Some(base) = call.base_version {
             request = request.header("Base-Version", base.to_string());
         }
--- a/crates/testing/scale-testing/src/cluster.rs
+++ b/crates/testing/scale-testing/src/cluster.rs
@@ -1,36 +1,42 @@
 //! The real processes of a run.
 
-use crate::places::Places;
-use crate::program::Program;
-use crate::scenario::Scenario;
-use crate::settings::{write, Machine};
-use nix::sys::signal::Signal;
-use sagetrail_protocol::NodeKind;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
+use nix::sys::signal::Signal;
+
+use sagetrail_protocol::NodeKind;
+
+use crate::addresses::Addresses;
+use crate::program::Program;
+use crate::scenario::Scenario;
+use crate::settings::{write, Machine};
+
 /// In a core process's log: it has become the scheduler of a term.
 const TERM_MARK: &str = "term ";
 /// A process gets so long to start.
-const START_PATIENCE: Duration = Duration::from_secs(10);
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Core, frontend and, where wanted, side processes.
 pub struct Cluster {
+    /// `sagetrail-core`.
     pub cores: Vec<Program>,
+    /// `sagetrail-frontend`.
     pub frontends: Vec<Program>,
+    /// `sagetrail-side`; empty where agents are simulated.
     pub sides: Vec<Program>,
 }
 
-struct Founder<'a> {
+struct ProcessStarter<'a> {
     scenario: &'a Scenario,
-    places: Places,
+    addresses: Addresses,
     programs: &'a Path,
     folder: &'a Path,
 }
 
-impl Founder<'_> {
+impl ProcessStarter<'_> {
     fn start(&self, kind: NodeKind, number: u32, ip: Ipv4Addr) -> anyhow::Result<Program> {
         let settings = self.write(kind, number, ip, true)?;
         Program::start(
@@ -44,11 +50,11 @@
         let started = Instant::now();
         while std::fs::metadata(program.log())?.len() == 0 {
             anyhow::ensure!(
-                started.elapsed() < START_PATIENCE,
+                started.elapsed() < START_TIMEOUT,
                 "no start: {}",
                 program.log().display()
             );
-            std::thread::sleep(LOOK_AGAIN);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -68,7 +74,7 @@
             folder: self.folder,
             bootstrap,
         };
-        write(self.scenario, self.places, &machine)
+        write(self.scenario, self.addresses, &machine)
     }
 }
 
@@ -84,13 +90,13 @@
     /// Starts all real processes for the first time.
     pub fn start(
         scenario: &Scenario,
-        places: Places,
+        addresses: Addresses,
         programs: &Path,
         folder: &Path,
     ) -> anyhow::Result<Cluster> {
-        let founder = Founder {
+        let founder = ProcessStarter {
             scenario,
-            places,
+            addresses,
             programs,
             folder,
         };
@@ -102,13 +108,13 @@
         for number in 0..scenario.cores {
             cluster
                 .cores
-                .push(founder.start(NodeKind::Core, number, places.core_ip(number))?);
+                .push(founder.start(NodeKind::Core, number, addresses.core_ip(number))?);
         }
         for number in 0..scenario.frontends {
             cluster.frontends.push(founder.start(
                 NodeKind::Frontend,
                 number,
-                places.frontend_ip(number),
+                addresses.frontend_ip(number),
             )?);
         }
         let sides = if scenario.real_sides {
@@ -117,14 +123,16 @@
             0
         };
         for number in 0..sides {
-            cluster
-                .sides
-                .push(founder.start(NodeKind::Side, number, places.worker_ip(number))?);
+            cluster.sides.push(founder.start(
+                NodeKind::Side,
+                number,
+                addresses.worker_ip(number),
+            )?);
         }
         for number in 0..scenario.cores {
             // Each has read its file by the time that it would start again.
             founder.wait_for_log(&cluster.cores[number as usize])?;
-            founder.write(NodeKind::Core, number, places.core_ip(number), false)?;
+            founder.write(NodeKind::Core, number, addresses.core_ip(number), false)?;
         }
         Ok(cluster)
     }
--- a/crates/testing/scale-testing/src/machine.rs
+++ b/crates/testing/scale-testing/src/machine.rs
@@ -4,18 +4,21 @@
 
 const KB: u64 = 1_024;
 
-/// What results tell of the machine.
+/// The machine of a run, for its results.
 #[derive(Serialize, Clone, Debug)]
 pub struct Machine {
+    /// The number of processors.
     pub processors: usize,
+    /// Memory, in megabytes.
     pub memory_mb: u64,
+    /// The release of the kernel.
     pub kernel: String,
     /// The load average over a minute when the run began: others at work make times longer.
     pub load_at_start: f64,
 }
 
-/// Looks at this machine.
-pub fn look() -> Machine {
+/// Describes this machine.
+pub fn describe() -> Machine {
     let kernel = std::fs::read_to_string("/proc/sys/kernel/osrelease").unwrap_or_default();
     Machine {
         processors: std::thread::available_parallelism().map_or(0, usize::from),
--- a/crates/testing/scale-testing/src/run.rs
+++ b/crates/testing/scale-testing/src/run.rs
@@ -1,35 +1,37 @@
 //! A run from start to end: processes, workers, load, faults, samples, results.
 
+use std::path::Path;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use anyhow::Context;
+use indicatif::{ProgressBar, ProgressStyle};
+use tokio::sync::mpsc;
+
+use crate::addresses::Addresses;
 use crate::arguments::Arguments;
-use crate::board::{Board, Counts, OverJob};
 use crate::call::Caller;
 use crate::cluster::{own_folder, Cluster};
 use crate::disk_probe::DiskProbe;
-use crate::faults::{play, takeovers, Played};
-use crate::hollow::{HollowFleet, HollowSettings};
+use crate::faults::{play, takeovers, InjectedFault};
 use crate::load::Load;
 use crate::machine;
 use crate::operator::{frontends, Operator};
-use crate::places::Places;
 use crate::plan;
 use crate::results::{CountRow, CourseRow, Results};
-use crate::samples::{between, look, Mark, Role, RoleUsage, Sample};
+use crate::run_statistics::{CompletedJob, Counts, RunStatistics};
+use crate::samples::{between, sample, ResourceSnapshot, Role, RoleUsage, Sample};
 use crate::scenario::Scenario;
-use crate::simulated;
+use crate::simulated_time;
+use crate::simulated_worker::{WorkerFleet, WorkerSettings};
 use crate::summary;
-use anyhow::Context;
-use indicatif::{ProgressBar, ProgressStyle};
-use std::path::Path;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
-use tokio::sync::mpsc;
 
-/// Processes are looked at this often.
+/// Processes are sampled at this often.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// All workers must have been heard of by the scheduler within this.
 const GATHER_PATIENCE: Duration = Duration::from_secs(60);
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const LOAD_THREADS: usize = 2;
 
 /// Plays a run and writes its results.
@@ -39,7 +41,7 @@
     scenario.workers = arguments.workers.unwrap_or(scenario.workers);
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     if arguments.simulated {
-        let results = simulated::play(scenario)?;
+        let results = simulated_time::play(scenario)?;
         results.write(&arguments.results)?;
         summary::print(&results);
         return Ok(());
@@ -53,33 +55,33 @@
 
 /// Plays a scenario with the programs of a folder.
 pub fn play_scenario(scenario: Scenario, programs: &Path, disks: &Path) -> anyhow::Result<Results> {
-    let machine = machine::look();
+    let machine = machine::describe();
     let folder = tempfile::tempdir_in(disks)?;
-    let places = Places::of_process();
-    let (board, over) = Board::new();
-    let board = Arc::new(board);
+    let addresses = Addresses::of_process();
+    let (statistics, over) = RunStatistics::new();
+    let statistics = Arc::new(statistics);
     let scenario = Arc::new(scenario);
     let cluster = Arc::new(Mutex::new(Cluster::start(
         &scenario,
-        places,
+        addresses,
         programs,
         folder.path(),
     )?));
-    let settings = HollowSettings {
+    let settings = WorkerSettings {
         scenario: scenario.clone(),
-        places,
-        board: board.clone(),
+        addresses,
+        statistics: statistics.clone(),
     };
-    let health_check = DiskProbe::start(folder.path(), board.clone())?;
-    let fleet = HollowFleet::start(&settings);
+    let health_check = DiskProbe::start(folder.path(), statistics.clone())?;
+    let fleet = WorkerFleet::start(&settings);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(LOAD_THREADS)
         .enable_all()
         .build()?;
     let stage = Stage {
         scenario: scenario.clone(),
-        places,
-        board: board.clone(),
+        addresses,
+        statistics: statistics.clone(),
         cluster: cluster.clone(),
     };
     let course = runtime.block_on(stage.play(over));
@@ -96,9 +98,9 @@
         planned_starts_s: scenario.starts_a_second(),
         scenario: Scenario::clone(&scenario),
         counts: course.counts,
-        timings: board.timings.rows(),
+        timings: statistics.timings.rows(),
         usage: course.usage,
-        takeovers: takeovers(&course.played, &board),
+        takeovers: takeovers(&course.played, &statistics),
         course: course.rows,
     })
 }
@@ -123,8 +125,8 @@
 
 struct Stage {
     scenario: Arc<Scenario>,
-    places: Places,
-    board: Arc<Board>,
+    addresses: Addresses,
+    statistics: Arc<RunStatistics>,
     cluster: Arc<Mutex<Cluster>>,
 }
 
@@ -132,13 +134,13 @@
     rows: Vec<CourseRow>,
     counts: CountRow,
     usage: Vec<RoleUsage>,
-    played: Vec<Played>,
+    played: Vec<InjectedFault>,
 }
 
 impl Stage {
-    async fn play(&self, over: mpsc::UnboundedReceiver<OverJob>) -> anyhow::Result<Course> {
+    async fn play(&self, over: mpsc::UnboundedReceiver<CompletedJob>) -> anyhow::Result<Course> {
         let scenario = &self.scenario;
-        let mut operator = Operator::new(scenario, self.places, self.board.clone());
+        let mut operator = Operator::new(scenario, self.addresses, self.statistics.clone());
         operator.configure(scenario).await?;
         self.gather().await?;
         let started = Instant::now();
@@ -146,9 +148,9 @@
         let end = measured_from + Duration::from_secs_f64(scenario.measured_s);
         let load = Load {
             scenario: scenario.clone(),
-            board: self.board.clone(),
+            statistics: self.statistics.clone(),
             caller: Caller::default(),
-            frontends: Arc::new(frontends(scenario, self.places)),
+            frontends: Arc::new(frontends(scenario, self.addresses)),
             started,
         };
         tokio::spawn(load.clone().ask_all(over));
@@ -171,7 +173,12 @@
         changes.await??;
         Ok(Course {
             rows,
-            counts: difference(&before.1, &after.1, seconds, self.board.open_jobs() as u64),
+            counts: difference(
+                &before.1,
+                &after.1,
+                seconds,
+                self.statistics.open_jobs() as u64,
+            ),
             usage: between(&before.0, &after.0, seconds),
             played,
         })
@@ -181,13 +188,13 @@
     async fn gather(&self) -> anyhow::Result<()> {
         let started = Instant::now();
         let wanted = u64::from(self.scenario.workers);
-        while self.board.newest_term_runners() < wanted {
-            let heard = self.board.newest_term_runners();
+        while self.statistics.newest_term_runners() < wanted {
+            let heard = self.statistics.newest_term_runners();
             anyhow::ensure!(
                 started.elapsed() < GATHER_PATIENCE,
                 "{heard} of {wanted} workers are served"
             );
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -195,22 +202,24 @@
     /// Waits for the end of all jobs, but not for ever.
     async fn drain(&self) {
         let end = Instant::now() + Duration::from_secs_f64(self.scenario.drain_s);
-        while Instant::now() < end && self.board.open_jobs() > 0 {
-            tokio::time::sleep(LOOK_AGAIN).await;
+        while Instant::now() < end && self.statistics.open_jobs() > 0 {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn mark(&self) -> Mark {
+    async fn mark(&self) -> ResourceSnapshot {
         let cluster = self.cluster.clone();
-        let looked =
-            tokio::task::spawn_blocking(move || Mark::set(&cluster.lock().expect("no panics")));
-        looked.await.unwrap_or_default()
+        let sampled = tokio::task::spawn_blocking(move || {
+            ResourceSnapshot::take(&cluster.lock().expect("no panics"))
+        });
+        sampled.await.unwrap_or_default()
     }
 
     async fn sample(&self) -> Sample {
         let cluster = self.cluster.clone();
-        let looked = tokio::task::spawn_blocking(move || look(&cluster.lock().expect("no panics")));
-        looked.await.unwrap_or_default()
+        let sampled =
+            tokio::task::spawn_blocking(move || sample(&cluster.lock().expect("no panics")));
+        sampled.await.unwrap_or_default()
     }
 
     async fn sample_until(
@@ -245,7 +254,7 @@
     }
 
     fn totals(&self) -> CountRow {
-        let counts: &Counts = &self.board.counts;
+        let counts: &Counts = &self.statistics.counts;
         let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         CountRow {
             seconds: 0.0,
@@ -306,7 +315,7 @@
     after: &CountRow,
     seconds: f64,
 ) -> CourseRow {
-    let marks = |sample: &Sample| Mark {
+    let marks = |sample: &Sample| ResourceSnapshot {
         sample: sample.clone(),
         traffic: None,
     };
