--- a/crates/dispatcher/shared-state/tests/budgets.rs
+++ b/crates/dispatcher/shared-state/tests/budgets.rs
@@ -25,7 +25,7 @@
     /// A process that starts anew does as if it had run for ever.
     ForgetsItStarted,
     /// All processes of a name are one.
-    OneBirth,
+    OneProcess,
     /// A lease is longer for the borrower than for the lender.
     LongerLease,
     /// What comes twice or late is taken for new.
@@ -45,7 +45,7 @@
 
 struct Member {
     budgets: Budgets,
-    birth: u64,
+    process: u64,
     /// Its questions are numbered from here on.
     first: u32,
     /// Local time is `off + rate x true time`.
@@ -76,13 +76,13 @@
     .into()
 }
 
-struct World {
+struct Simulation {
     now: f64,
     members: Vec<Member>,
     /// All spends of all processes there ever were: amount, true end.
     out: Vec<(u64, f64)>,
     wire: Vec<(f64, usize, usize, Wire)>,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     loss: f64,
     double: f64,
     late_s: f64,
@@ -92,15 +92,15 @@
     limit: u64,
 }
 
-impl World {
-    fn new(n: usize, seed: u64, broken: Broken) -> World {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+impl Simulation {
+    fn new(n: usize, seed: u64, broken: Broken) -> Simulation {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let drift = if broken == Broken::Drift { 0.3 } else { 0.01 };
         let members = (0..n)
             .map(|me| {
                 let (off, rate) = (
-                    chance.random_range(-5.0..5.0),
-                    1.0 + chance.random_range(-drift..=drift),
+                    random.random_range(-5.0..5.0),
+                    1.0 + random.random_range(-drift..=drift),
                 );
                 let mut numbers: Vec<u64> = (0..n as u64).collect();
                 if broken == Broken::RightsOfTheLiving {
@@ -113,7 +113,7 @@
                 budgets.set_limit(off, KEY, LIMIT);
                 Member {
                     budgets,
-                    birth: me as u64,
+                    process: me as u64,
                     first: 0,
                     off,
                     rate,
@@ -124,19 +124,19 @@
                 }
             })
             .collect();
-        World {
+        Simulation {
             now: 0.0,
             members,
             out: Vec::new(),
             wire: Vec::new(),
-            loss: chance.random_range(0.0..0.4),
-            double: chance.random_range(0.0..0.3),
-            late_s: if chance.random_bool(0.5) {
-                chance.random_range(0.001..0.6)
+            loss: random.random_range(0.0..0.4),
+            double: random.random_range(0.0..0.3),
+            late_s: if random.random_bool(0.5) {
+                random.random_range(0.001..0.6)
             } else {
                 0.01
             },
-            chance,
+            random,
             split: None,
             broken,
             most: 0,
@@ -150,13 +150,13 @@
     }
 
     fn post(&mut self, from: usize, to: usize, wire: impl Fn() -> Wire) {
-        let copies = 1 + usize::from(self.chance.random_bool(self.double));
+        let copies = 1 + usize::from(self.random.random_bool(self.double));
         for _ in 0..copies {
             let apart = self
                 .split
                 .is_some_and(|sides| (sides >> from ^ sides >> to) & 1 == 1);
-            if !apart && !self.chance.random_bool(self.loss) {
-                let at = self.now + self.chance.random_range(0.0..self.late_s);
+            if !apart && !self.random.random_bool(self.loss) {
+                let at = self.now + self.random.random_range(0.0..self.late_s);
                 self.wire.push((at, from, to, wire()));
             }
         }
@@ -170,17 +170,23 @@
             local
         };
         let n = self.members.len() as u64;
-        let birth = if self.broken == Broken::OneBirth {
+        let process = if self.broken == Broken::OneProcess {
             who as u64
         } else {
-            self.chance.random()
+            self.random.random()
         };
-        let mut budgets = Budgets::new((0..n).collect(), who, birth, lending(self.broken), started);
+        let mut budgets = Budgets::new(
+            (0..n).collect(),
+            who,
+            process,
+            lending(self.broken),
+            started,
+        );
         budgets.set_limit(local, KEY, self.limit);
         let member = &mut self.members[who];
-        (member.budgets, member.birth, member.paused_until) = (budgets, birth, 0.0);
+        (member.budgets, member.process, member.paused_until) = (budgets, process, 0.0);
         member.spends.clear();
-        if self.broken == Broken::OneBirth {
+        if self.broken == Broken::OneProcess {
             member.first += 10_000;
         }
     }
@@ -218,7 +224,7 @@
             self.tell(who);
             let local = self.local(who);
             match wire {
-                Wire::Ask(birth, mut ask) => {
+                Wire::Ask(process, mut ask) => {
                     let no = ask.sequence;
                     if self.broken == Broken::TakesStale {
                         // As if the last were the newest: numbers that never go back.
@@ -226,7 +232,7 @@
                     }
                     if let Some(mut grant) = self.members[who]
                         .budgets
-                        .receive_request(local, from, birth, ask)
+                        .receive_request(local, from, process, ask)
                     {
                         grant.sequence = no;
                         if self.broken == Broken::LongerLease {
@@ -249,9 +255,9 @@
         }
         if out < usable.min(self.members[who].demand) {
             let amount = self
-                .chance
+                .random
                 .random_range(1..=usable.min(self.members[who].demand) - out);
-            let hold = self.chance.random_range(0.5..1.0) * HOLD_S;
+            let hold = self.random.random_range(0.5..1.0) * HOLD_S;
             let member = &mut self.members[who];
             member.spends.push((amount, local + hold));
             self.out.push((amount, self.now + hold / member.rate));
@@ -259,10 +265,10 @@
         }
         let mut asks = Vec::new();
         self.members[who].budgets.request_leases(local, &mut asks);
-        let birth = self.members[who].birth;
+        let process = self.members[who].process;
         for (to, mut ask) in asks {
             ask.sequence += self.members[who].first;
-            self.post(who, to, || Wire::Ask(birth, ask));
+            self.post(who, to, || Wire::Ask(process, ask));
         }
     }
 
@@ -274,7 +280,7 @@
 
     /// True while the limit holds.
     fn step(&mut self) -> bool {
-        self.now += self.chance.random_range(0.01..0.08);
+        self.now += self.random.random_range(0.01..0.08);
         for who in 0..self.members.len() {
             self.turn(who);
         }
@@ -284,15 +290,15 @@
     }
 
     fn trouble(&mut self) {
-        let who = self.chance.random_range(0..self.members.len());
-        match self.chance.random_range(0..100) {
+        let who = self.random.random_range(0..self.members.len());
+        match self.random.random_range(0..100) {
             0..3 => self.restart(who),
             3..8 => {
-                let pause = self.chance.random_range(0.1..6.0);
+                let pause = self.random.random_range(0.1..6.0);
                 self.members[who].paused_until = self.now + pause;
             }
-            8..12 => self.split = self.split.is_none().then(|| self.chance.random()),
-            12..40 => self.members[who].demand = self.chance.random_range(0..=LIMIT),
+            8..12 => self.split = self.split.is_none().then(|| self.random.random()),
+            12..40 => self.members[who].demand = self.random.random_range(0..=LIMIT),
             _ => {}
         }
     }
@@ -301,15 +307,15 @@
 /// Plays one schedule; false where the limit was passed.
 fn play(seed: u64, broken: Broken) -> bool {
     let n = 2 + (seed % 5) as usize;
-    let mut world = World::new(n, seed, broken);
+    let mut simulation = Simulation::new(n, seed, broken);
     (0..250).all(|_| {
-        world.trouble();
-        world.step()
+        simulation.trouble();
+        simulation.step()
     })
 }
 
 #[test]
-fn ten_thousand_schedules_pass_no_limit() {
+fn ten_thousand_random_schedules_never_pass_the_limit() {
     // More by hand: SCHEDULES=1000000 cargo test --release -p sagetrail-shared-state
     let schedules = std::env::var("SCHEDULES")
         .ok()
@@ -327,7 +333,7 @@
         LooksBefore,
         TellsNothing,
         ForgetsItStarted,
-        OneBirth,
+        OneProcess,
         LongerLease,
         TakesStale,
         RightsOfTheLiving,
@@ -339,71 +345,84 @@
     }
 }
 
-fn calm(n: usize, seed: u64) -> World {
-    let mut world = World::new(n, seed, Broken::No);
-    (world.loss, world.double, world.late_s) = (0.0, 0.0, 0.01);
-    world
+fn calm(n: usize, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(n, seed, Broken::No);
+    (simulation.loss, simulation.double, simulation.late_s) = (0.0, 0.0, 0.01);
+    simulation
 }
 
 #[test]
-fn an_idle_members_part_is_with_the_busy_one_within_a_second() {
+fn a_busy_member_borrows_an_idle_members_right_within_a_second() {
     for (n, busy) in [(3, 0), (3, 2), (12, 4), (25, 24)] {
-        let mut world = calm(n, 1);
-        world.members[busy].demand = LIMIT;
-        while world.now < 1.0 {
-            assert!(world.step());
+        let mut simulation = calm(n, 1);
+        simulation.members[busy].demand = LIMIT;
+        while simulation.now < 1.0 {
+            assert!(simulation.step());
         }
-        let usable = world.members[busy].budgets.usable(world.local(busy), KEY);
+        let usable = simulation.members[busy]
+            .budgets
+            .usable(simulation.local(busy), KEY);
         assert!(usable * 10 >= LIMIT * 8, "{n}: {usable} of {LIMIT}");
         // And goes on being so: leases are renewed before they end.
         for _ in 0..400 {
-            assert!(world.step());
-            let usable = world.members[busy].budgets.usable(world.local(busy), KEY);
+            assert!(simulation.step());
+            let usable = simulation.members[busy]
+                .budgets
+                .usable(simulation.local(busy), KEY);
             assert!(
                 usable * 10 >= LIMIT * 8,
                 "{n}: {usable} of {LIMIT} at {}",
-                world.now
+                simulation.now
             );
         }
     }
 }
 
 #[test]
-fn two_busy_ones_share_and_what_one_no_longer_needs_goes_back() {
-    let mut world = calm(5, 3);
-    (world.members[0].demand, world.members[1].demand) = (LIMIT, LIMIT);
-    while world.now < 12.0 {
-        assert!(world.step());
-    }
-    let usable =
-        |world: &World, who: usize| world.members[who].budgets.usable(world.local(who), KEY);
+fn two_busy_members_share_and_unneeded_amounts_are_returned() {
+    let mut simulation = calm(5, 3);
+    (simulation.members[0].demand, simulation.members[1].demand) = (LIMIT, LIMIT);
+    while simulation.now < 12.0 {
+        assert!(simulation.step());
+    }
+    let usable = |simulation: &Simulation, who: usize| {
+        simulation.members[who]
+            .budgets
+            .usable(simulation.local(who), KEY)
+    };
     for who in [0, 1] {
         assert!(
-            usable(&world, who) >= LIMIT / 4,
+            usable(&simulation, who) >= LIMIT / 4,
             "{who}: {}",
-            usable(&world, who)
+            usable(&simulation, who)
         );
     }
-    world.members[0].demand = 0;
-    while world.now < 24.0 {
-        assert!(world.step());
+    simulation.members[0].demand = 0;
+    while simulation.now < 24.0 {
+        assert!(simulation.step());
     }
-    assert!(usable(&world, 1) * 10 >= LIMIT * 8, "{}", usable(&world, 1));
+    assert!(
+        usable(&simulation, 1) * 10 >= LIMIT * 8,
+        "{}",
+        usable(&simulation, 1)
+    );
 }
 
 #[test]
-fn who_hears_nothing_falls_to_its_right_and_no_further() {
-    let mut world = calm(3, 4);
-    world.members[0].demand = LIMIT;
-    while world.now < 2.0 {
-        assert!(world.step());
+fn a_partitioned_member_keeps_its_own_right() {
+    let mut simulation = calm(3, 4);
+    simulation.members[0].demand = LIMIT;
+    while simulation.now < 2.0 {
+        assert!(simulation.step());
     }
-    world.loss = 1.0;
-    while world.now < 2.0 + LEASE_S + HOLD_S + 1.0 {
-        assert!(world.step());
+    simulation.loss = 1.0;
+    while simulation.now < 2.0 + LEASE_S + HOLD_S + 1.0 {
+        assert!(simulation.step());
     }
     for who in 0..3 {
-        let usable = world.members[who].budgets.usable(world.local(who), KEY);
+        let usable = simulation.members[who]
+            .budgets
+            .usable(simulation.local(who), KEY);
         assert!(
             (LIMIT / 3..=LIMIT / 3 + 1).contains(&usable),
             "{who}: {usable}"
@@ -412,98 +431,104 @@
 }
 
 #[test]
-fn one_that_was_paused_finds_its_lease_ended_before_it_spends() {
-    let mut world = calm(3, 5);
-    world.members[0].demand = LIMIT;
-    while world.now < 2.0 {
-        assert!(world.step());
-    }
-    world.members[0].paused_until = world.now + 20.0;
-    world.members[1].demand = LIMIT;
-    while world.now < 21.9 {
-        assert!(world.step());
-    }
-    let usable = world.members[0].budgets.usable(world.local(0), KEY);
+fn a_paused_process_finds_its_lease_expired_before_it_spends() {
+    let mut simulation = calm(3, 5);
+    simulation.members[0].demand = LIMIT;
+    while simulation.now < 2.0 {
+        assert!(simulation.step());
+    }
+    simulation.members[0].paused_until = simulation.now + 20.0;
+    simulation.members[1].demand = LIMIT;
+    while simulation.now < 21.9 {
+        assert!(simulation.step());
+    }
+    let usable = simulation.members[0]
+        .budgets
+        .usable(simulation.local(0), KEY);
     assert!(usable <= LIMIT / 3 + 1, "{usable}");
-    while world.now < 26.0 {
-        assert!(world.step());
+    while simulation.now < 26.0 {
+        assert!(simulation.step());
     }
 }
 
 #[test]
-fn a_new_process_spends_nothing_that_its_former_may_have_spent_or_lent() {
-    let mut world = calm(3, 6);
-    world.members[1].demand = LIMIT;
-    while world.now < 2.0 {
-        assert!(world.step());
-    }
-    world.restart(0);
-    let usable = |world: &World| world.members[0].budgets.usable(world.local(0), KEY);
-    assert_eq!(usable(&world), 0);
-    let start = world.now;
-    while world.now < start + HOLD_S * 1.2 {
-        assert!(world.step());
+fn a_restarted_process_spends_nothing_that_its_predecessor_may_have_spent_or_lent() {
+    let mut simulation = calm(3, 6);
+    simulation.members[1].demand = LIMIT;
+    while simulation.now < 2.0 {
+        assert!(simulation.step());
+    }
+    simulation.restart(0);
+    let usable = |simulation: &Simulation| {
+        simulation.members[0]
+            .budgets
+            .usable(simulation.local(0), KEY)
+    };
+    assert_eq!(usable(&simulation), 0);
+    let start = simulation.now;
+    while simulation.now < start + HOLD_S * 1.2 {
+        assert!(simulation.step());
     }
     assert!(
-        (1..LIMIT / 20).contains(&usable(&world)),
+        (1..LIMIT / 20).contains(&usable(&simulation)),
         "its reserve: {}",
-        usable(&world)
+        usable(&simulation)
     );
-    world.members[1].demand = 0;
-    while world.now < start + 6.0 {
-        assert!(world.step());
+    simulation.members[1].demand = 0;
+    while simulation.now < start + 6.0 {
+        assert!(simulation.step());
     }
-    assert!(usable(&world) >= LIMIT / 3);
+    assert!(usable(&simulation) >= LIMIT / 3);
 }
 
 #[test]
-fn a_lowered_limit_binds_at_once_where_it_is_known_and_everywhere_when_leases_end() {
-    let mut world = calm(3, 7);
-    world.members[0].demand = LIMIT;
-    while world.now < 2.0 {
-        assert!(world.step());
+fn a_lowered_limit_binds_at_once_where_known_and_everywhere_when_leases_expire() {
+    let mut simulation = calm(3, 7);
+    simulation.members[0].demand = LIMIT;
+    while simulation.now < 2.0 {
+        assert!(simulation.step());
     }
     // Split off: only the others have heard of the new limit.
-    world.split = Some(1);
+    simulation.split = Some(1);
     for who in [1, 2] {
-        let local = world.local(who);
-        world.members[who].budgets.set_limit(local, KEY, 300);
-        world.members[who].demand = LIMIT;
+        let local = simulation.local(who);
+        simulation.members[who].budgets.set_limit(local, KEY, 300);
+        simulation.members[who].demand = LIMIT;
     }
-    while world.now < 2.0 + 2.0 * (LEASE_S + HOLD_S) {
-        assert!(world.step(), "never over the old one");
+    while simulation.now < 2.0 + 2.0 * (LEASE_S + HOLD_S) {
+        assert!(simulation.step(), "never over the old one");
     }
-    let local = world.local(0);
-    world.members[0].budgets.set_limit(local, KEY, 300);
-    let told = world.now;
-    while world.now < told + HOLD_S + 0.2 {
-        world.step();
+    let local = simulation.local(0);
+    simulation.members[0].budgets.set_limit(local, KEY, 300);
+    let told = simulation.now;
+    while simulation.now < told + HOLD_S + 0.2 {
+        simulation.step();
     }
-    world.limit = 300;
+    simulation.limit = 300;
     for _ in 0..200 {
         assert!(
-            world.step(),
+            simulation.step(),
             "under the new one once the last has heard and its spends ended"
         );
     }
 }
 
 #[test]
-fn a_limit_of_nothing_lets_nobody_spend() {
-    let mut world = calm(3, 8);
+fn a_limit_of_zero_allows_no_spending() {
+    let mut simulation = calm(3, 8);
     for who in 0..3 {
-        let local = world.local(who);
-        world.members[who].budgets.set_limit(local, KEY, 0);
-        world.members[who].demand = LIMIT;
+        let local = simulation.local(who);
+        simulation.members[who].budgets.set_limit(local, KEY, 0);
+        simulation.members[who].demand = LIMIT;
     }
-    world.limit = 0;
+    simulation.limit = 0;
     for _ in 0..200 {
-        assert!(world.step());
+        assert!(simulation.step());
     }
 }
 
 #[test]
-fn grants_that_no_member_can_have_given_are_refused() {
+fn impossible_grants_are_rejected() {
     let mut budgets = Budgets::new(vec![1, 2, 3], 0, 9, lending(Broken::No), 0.0);
     budgets.set_limit(10.0, KEY, LIMIT);
     let grant = LeaseGrant {
--- a/crates/dispatcher/shared-state/tests/encoding.rs
+++ b/crates/dispatcher/shared-state/tests/encoding.rs
@@ -1,6 +1,6 @@
-//! The bytes of what whole members send each other. The frames are those that a pair of members writes in a fixed
-//! story; each is handed to the other one, so that it is read as well. Membership of different releases speak to each
-//! other: a difference from `fixtures/frames.txt` is a new version, never a new fixture alone.
+//! The bytes of the frames that members send each other. The frames are those that a pair of members writes in a fixed
+//! scenario; each is handed to the other one, so that it is read as well. Members of different releases exchange them: a
+//! difference from `fixtures/frames.txt` is a new version, never a new fixture alone.
 
 use sagetrail_fixture::Fixture;
 use sagetrail_shared_state::{
@@ -61,7 +61,7 @@
     Codec::new(FLEET).decode(frame, MAX_SYNC_BYTES).unwrap()
 }
 
-fn terms(me: usize) -> NodeConfig {
+fn config(me: usize) -> NodeConfig {
     let peer = |name: &str, number, site| Peer {
         name: name.to_string(),
         number,
@@ -100,8 +100,8 @@
 impl Pair {
     fn new() -> Pair {
         Pair {
-            a: Node::new(terms(0), START),
-            b: Node::new(terms(1), START),
+            a: Node::new(config(0), START),
+            b: Node::new(config(1), START),
             written: Fixture::default(),
         }
     }
@@ -114,7 +114,7 @@
         self.written.add_bytes(name, frame);
     }
 
-    fn nobody_refused(&self) {
+    fn nothing_rejected(&self) {
         assert!(self.a.rejected.is_empty(), "{:?}", self.a.rejected);
         assert!(self.b.rejected.is_empty(), "{:?}", self.b.rejected);
     }
@@ -187,7 +187,7 @@
     }
 }
 
-/// Membership ask for parts of each kind of budget, once with nothing in use and once with something.
+/// Members request leases on each kind of budget, once with nothing in use and once with something.
 fn budgets(pair: &mut Pair) {
     for (limit, kind) in (1000..).step_by(100).zip(KINDS) {
         pair.a.budgets.set_limit(10.0, key(kind), limit);
@@ -223,7 +223,7 @@
     gossip(&mut pair);
     exchange(&mut pair);
     budgets(&mut pair);
-    pair.nobody_refused();
+    pair.nothing_rejected();
     Fixture::assert_keeps(FIXTURE, &pair.written);
 }
 
@@ -243,7 +243,7 @@
 
 /// Figures of the second question and answer, in which none is zero.
 #[test]
-fn questions_and_grants_mean_what_they_did() {
+fn requests_and_grants_keep_their_meaning() {
     let fixture = Fixture::read(FIXTURE);
     let (_, asks) = opened(&fixture.bytes("asks-in-use"));
     let (_, grants) = opened(&fixture.bytes("grants-in-use"));
--- a/crates/dispatcher/shared-state/tests/evidence.rs
+++ b/crates/dispatcher/shared-state/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! What is heard of runners: who is believed, and who is not.
+//! Verdicts on runners: which reporters are believed, and which are not.
 
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -7,7 +7,7 @@
 use sagetrail_swim::FrameError;
 
 /// A reporter of a site that saw runners well (w), bad (b), or not at all (.).
-fn sights(seen: &str) -> Vec<Evidence> {
+fn evidence_of(seen: &str) -> Vec<Evidence> {
     let told = |(of, what)| match what {
         'w' => Some(Evidence {
             runner: of,
@@ -29,7 +29,7 @@
 }
 
 fn evaluate(rules: &EvidenceRules, all: &[(u16, &str)]) -> Vec<(u64, RunnerVerdict)> {
-    let told: Vec<Vec<Evidence>> = all.iter().map(|(_, seen)| sights(seen)).collect();
+    let told: Vec<Vec<Evidence>> = all.iter().map(|(_, seen)| evidence_of(seen)).collect();
     let witnesses: Vec<Witness> = told
         .iter()
         .enumerate()
@@ -46,49 +46,49 @@
     rules.evaluate(&witnesses, sites.len())
 }
 
-fn unwell(all: &[(u16, &str)]) -> Vec<u64> {
-    let heard = evaluate(&EvidenceRules::default(), all);
-    heard
+fn unhealthy(all: &[(u16, &str)]) -> Vec<u64> {
+    let verdicts = evaluate(&EvidenceRules::default(), all);
+    verdicts
         .iter()
-        .filter(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
+        .filter(|(_, verdict)| *verdict == RunnerVerdict::Unhealthy)
         .map(|(of, _)| *of)
         .collect()
 }
 
 #[test]
-fn what_two_of_two_sites_find_bad_is_unwell_for_a_third_that_has_not_seen_it() {
+fn a_runner_bad_for_reporters_of_two_sites_is_unhealthy_for_a_third_without_observations() {
     assert_eq!(
-        unwell(&[(0, "www....."), (1, "wwwbwwww"), (2, "wwwbwwww")]),
+        unhealthy(&[(0, "www....."), (1, "wwwbwwww"), (2, "wwwbwwww")]),
         [3]
     );
 }
 
 #[test]
-fn ones_own_bad_sights_are_those_of_one_reporter() {
-    assert_eq!(unwell(&[(0, "wwwbwwww"), (1, "wwwbwwww")]), [3]);
+fn own_failures_count_as_one_reporter() {
+    assert_eq!(unhealthy(&[(0, "wwwbwwww"), (1, "wwwbwwww")]), [3]);
     assert_eq!(
-        unwell(&[(0, "wwwbwwww")]),
+        unhealthy(&[(0, "wwwbwwww")]),
         [] as [u64; 0],
         "but alone they are its own test's"
     );
 }
 
 #[test]
-fn own_evidence_goes_before_what_is_heard() {
+fn own_evidence_overrides_reports() {
     assert_eq!(
-        unwell(&[(0, "wwwwwwww"), (1, "wwwbwwww"), (2, "wwwbwwww")]),
+        unhealthy(&[(0, "wwwwwwww"), (1, "wwwbwwww"), (2, "wwwbwwww")]),
         [] as [u64; 0]
     );
 }
 
 #[test]
-fn one_reporter_or_one_site_shuts_nobody_out() {
+fn one_reporter_or_one_site_makes_no_runner_unhealthy() {
     assert_eq!(
-        unwell(&[(0, "www....."), (1, "wwwbwwww"), (2, "wwwwwwww")]),
+        unhealthy(&[(0, "www....."), (1, "wwwbwwww"), (2, "wwwwwwww")]),
         [] as [u64; 0]
     );
     assert_eq!(
-        unwell(&[
+        unhealthy(&[
             (0, "www....."),
             (1, "wwwbwwww"),
             (1, "wwwbwwww"),
@@ -102,11 +102,11 @@
 #[test]
 fn a_reporter_whose_own_links_are_cut_is_not_believed() {
     assert_eq!(
-        unwell(&[(0, "........"), (1, "bbbbbbww"), (2, "bbbbbbww")]),
+        unhealthy(&[(0, "........"), (1, "bbbbbbww"), (2, "bbbbbbww")]),
         [] as [u64; 0]
     );
     assert_eq!(
-        unwell(&[
+        unhealthy(&[
             (0, "........"),
             (1, "bbbbbbbb"),
             (2, "wwwbwwww"),
@@ -119,7 +119,7 @@
 #[test]
 fn work_that_fails_everywhere_blames_no_runner() {
     assert_eq!(
-        unwell(&[
+        unhealthy(&[
             (0, "...bbb.."),
             (1, "bbwwwwbb"),
             (2, "bbwwwwbb"),
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn who_finds_it_well_weighs_as_much_as_who_does_not() {
+fn reporters_for_and_against_a_runner_weigh_alike() {
     assert_eq!(
-        unwell(&[
+        unhealthy(&[
             (0, "www....."),
             (1, "wwwbwwww"),
             (2, "wwwbwwww"),
@@ -144,23 +144,23 @@
 }
 
 #[test]
-fn never_more_than_a_quarter_is_out() {
+fn at_most_a_quarter_of_the_runners_is_unhealthy() {
     let bad = "wwwwwwwwwwbbbb";
-    assert_eq!(unwell(&[(0, ""), (1, bad), (2, bad), (3, bad)]).len(), 3);
+    assert_eq!(unhealthy(&[(0, ""), (1, bad), (2, bad), (3, bad)]).len(), 3);
 }
 
 #[test]
-fn back_in_service_is_heard_as_soon_as_one_served() {
-    let heard = evaluate(
+fn a_runner_is_healthy_again_as_soon_as_one_reporter_succeeded() {
+    let verdicts = evaluate(
         &EvidenceRules::default(),
         &[(0, "wwwbwwww"), (1, "wwwwwwww"), (2, "www.wwww")],
     );
-    assert!(heard.contains(&(3, RunnerVerdict::Healthy)));
+    assert!(verdicts.contains(&(3, RunnerVerdict::Healthy)));
 }
 
 #[test]
-fn old_sights_say_nothing() {
-    let seen = sights("wwwbwwww");
+fn old_observations_are_ignored() {
+    let seen = evidence_of("wwwbwwww");
     let witness = |age_s, site| Witness {
         site,
         is_own: false,
@@ -168,17 +168,18 @@
         evidence: &seen,
     };
     let bad = |age_s: f64| {
-        let heard = EvidenceRules::default().evaluate(&[witness(age_s, 1), witness(age_s, 2)], 3);
-        heard
+        let verdicts =
+            EvidenceRules::default().evaluate(&[witness(age_s, 1), witness(age_s, 2)], 3);
+        verdicts
             .iter()
-            .any(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
+            .any(|(_, verdict)| *verdict == RunnerVerdict::Unhealthy)
     };
     assert!(bad(0.5));
     assert!(!bad(2.0));
 }
 
 #[test]
-fn sights_fade_and_the_latest_trouble_is_told_first() {
+fn observations_expire_and_the_latest_failure_is_reported_first() {
     let mut observations = Observations::default();
     observations.record(10.0, 1, true);
     observations.record(10.1, 2, false);
@@ -200,20 +201,20 @@
 }
 
 /// A fleet of which one member lies, is cut one way or is starved, in any way it likes.
-fn with_a_liar(seed: u64, rules: &EvidenceRules) -> bool {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+fn with_a_false_reporter(seed: u64, rules: &EvidenceRules) -> bool {
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (members, runners) = (
-        chance.random_range(3..9usize),
-        chance.random_range(4..30usize),
+        random.random_range(3..9usize),
+        random.random_range(4..30usize),
     );
     let mut all = Vec::new();
     for n in 0..members {
         let liar = n == 1;
-        let part = chance.random_range(0.0..1.0);
+        let part = random.random_range(0.0..1.0);
         let seen: String = (0..runners)
             .map(|_| match liar {
-                true if chance.random_bool(part) => 'b',
-                _ => ['w', 'w', '.'][chance.random_range(0..3)],
+                true if random.random_bool(part) => 'b',
+                _ => ['w', 'w', '.'][random.random_range(0..3)],
             })
             .collect();
         all.push(((n % 3) as u16, seen));
@@ -224,38 +225,41 @@
         .collect();
     evaluate(rules, &all)
         .iter()
-        .all(|(_, heard)| *heard != RunnerVerdict::Unhealthy)
+        .all(|(_, verdict)| *verdict != RunnerVerdict::Unhealthy)
 }
 
 #[test]
-fn ten_thousand_liars_shut_nobody_out() {
+fn ten_thousand_false_reporters_make_no_runner_unhealthy() {
     for seed in 0..10_000 {
-        assert!(with_a_liar(seed, &EvidenceRules::default()), "seed {seed}");
+        assert!(
+            with_a_false_reporter(seed, &EvidenceRules::default()),
+            "seed {seed}"
+        );
     }
-    let gullible = EvidenceRules {
+    let credulous = EvidenceRules {
         reporters: 1,
         sites: 1,
         own_fault: 1.0,
         ..EvidenceRules::default()
     };
     assert!(
-        (0..1000).any(|seed| !with_a_liar(seed, &gullible)),
+        (0..1000).any(|seed| !with_a_false_reporter(seed, &credulous)),
         "a broken rules is caught"
     );
 }
 
 #[test]
-fn in_ten_thousand_fleets_no_more_is_out_than_stated() {
+fn in_ten_thousand_random_fleets_at_most_the_stated_part_is_unhealthy() {
     for seed in 0..10_000 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let runners = chance.random_range(4..40usize);
-        let bad = chance.random_range(0.0..1.0);
-        let ill: Vec<bool> = (0..runners).map(|_| chance.random_bool(bad)).collect();
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let runners = random.random_range(4..40usize);
+        let bad = random.random_range(0.0..1.0);
+        let ill: Vec<bool> = (0..runners).map(|_| random.random_bool(bad)).collect();
         let mut all = Vec::new();
-        for n in 0..chance.random_range(3..9u16) {
+        for n in 0..random.random_range(3..9u16) {
             let seen: String = ill
                 .iter()
-                .map(|ill| match chance.random_range(0..4) {
+                .map(|ill| match random.random_range(0..4) {
                     0 => '.',
                     _ if *ill => 'b',
                     _ => 'w',
@@ -267,7 +271,7 @@
             .iter()
             .map(|(site, seen)| (*site, seen.as_str()))
             .collect();
-        let out = unwell(&all);
+        let out = unhealthy(&all);
         assert!(
             4 * out.len() <= runners,
             "seed {seed}: {} of {runners}",
@@ -313,19 +317,19 @@
 
 proptest! {
     #[test]
-    fn the_join_bears_loss_doubling_and_reordering(
+    fn the_join_is_independent_of_loss_duplication_and_order(
         reports in proptest::collection::vec(any_report(), 0..24), seed in any::<u64>()
     ) {
         let once = joined(&reports);
         let mut again = reports.clone();
         again.extend(reports.clone());
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        (1..again.len()).for_each(|at| again.swap(at, chance.random_range(0..=at)));
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        (1..again.len()).for_each(|at| again.swap(at, random.random_range(0..=at)));
         prop_assert_eq!(joined(&again), once);
     }
 
     #[test]
-    fn what_is_beyond_a_digest_makes_both_alike(
+    fn exchanging_the_missing_reports_makes_both_tables_equal(
         a in proptest::collection::vec(any_report(), 0..12),
         b in proptest::collection::vec(any_report(), 0..12),
     ) {
@@ -344,7 +348,7 @@
 }
 
 #[test]
-fn a_count_says_how_far_off_it_may_be() {
+fn an_estimate_of_arrivals_states_its_maximum_error() {
     let mut all = ReportTable::default();
     all.join(10.0, report(1, 1, 1, 100)).unwrap();
     all.join(12.0, report(2, 1, 1, 50)).unwrap();
@@ -353,7 +357,7 @@
     assert_eq!(
         told.max_error,
         2 * 3 * 4 + 2 * 3 * 2,
-        "twice its busiest second, since it was heard"
+        "twice its busiest second, since it was verdicts"
     );
     assert_eq!(told.oldest_s, 4.0);
     assert_eq!(all.running(14.0, 3.0), (2, 1));
@@ -361,7 +365,7 @@
 }
 
 #[test]
-fn a_sum_that_runs_backwards_or_a_figure_that_cannot_be_is_refused() {
+fn counts_that_go_back_and_impossible_values_are_rejected() {
     let mut all = ReportTable::default();
     assert_eq!(all.join(0.0, report(1, 1, 5, 100)), Ok(()));
     assert_eq!(
--- a/crates/dispatcher/shared-state/tests/nodes.rs
+++ b/crates/dispatcher/shared-state/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Whole members on frames: what they hand each other as bytes, through loss and splits.
+//! Complete members that exchange frames, through loss and partitions.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,12 +10,12 @@
     now: f64,
     nodes: Vec<Node>,
     wire: Vec<(f64, usize, usize, Vec<u8>)>,
-    cut: Vec<(usize, usize)>,
+    blocked: Vec<(usize, usize)>,
     loss: f64,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
 }
 
-fn terms(n: usize, me: usize, fleet: &str) -> NodeConfig {
+fn config(n: usize, me: usize, fleet: &str) -> NodeConfig {
     let roster = (0..n)
         .map(|m| Peer {
             name: format!("m{m}"),
@@ -45,11 +45,13 @@
     fn new(n: usize) -> Fleet {
         Fleet {
             now: 0.0,
-            nodes: (0..n).map(|me| Node::new(terms(n, me, "a"), 0.0)).collect(),
+            nodes: (0..n)
+                .map(|me| Node::new(config(n, me, "a"), 0.0))
+                .collect(),
             wire: Vec::new(),
-            cut: Vec::new(),
+            blocked: Vec::new(),
             loss: 0.0,
-            chance: Pcg64Mcg::seed_from_u64(n as u64),
+            random: Pcg64Mcg::seed_from_u64(n as u64),
         }
     }
 
@@ -63,8 +65,8 @@
                     self.nodes[me].tick(self.now, &mut out);
                 }
                 if let Some((to, have)) = self.nodes[me].start_exchange(self.now) {
-                    // A whole exchange is a stream: it comes through whole, or not at all.
-                    if !self.cut.contains(&(me, to)) && !self.cut.contains(&(to, me)) {
+                    // An exchange is a stream: it arrives in full, or not at all.
+                    if !self.blocked.contains(&(me, to)) && !self.blocked.contains(&(to, me)) {
                         let give = self.nodes[to]
                             .receive_exchange(self.now, &have)
                             .expect("an answer");
@@ -74,7 +76,7 @@
                         assert!(self.nodes[to].receive_exchange(self.now, &rest).is_none());
                     }
                 }
-                self.post(me, out);
+                self.send(me, out);
                 let due: Vec<_> = self
                     .wire
                     .extract_if(.., |(at, _, to, _)| *to == me && *at <= self.now)
@@ -82,17 +84,17 @@
                 for (_, _, _, frame) in due {
                     let mut out = Datagrams::new();
                     self.nodes[me].receive_datagram(self.now, &frame, &mut out);
-                    self.post(me, out);
+                    self.send(me, out);
                 }
             }
         }
     }
 
-    fn post(&mut self, from: usize, out: Datagrams) {
+    fn send(&mut self, from: usize, out: Datagrams) {
         for (to, frame) in out {
-            if !self.cut.contains(&(from, to)) && !self.chance.random_bool(self.loss) {
+            if !self.blocked.contains(&(from, to)) && !self.random.random_bool(self.loss) {
                 self.wire.push((
-                    self.now + self.chance.random_range(0.0..0.02),
+                    self.now + self.random.random_range(0.0..0.02),
                     from,
                     to,
                     frame,
@@ -101,7 +103,7 @@
         }
     }
 
-    fn refused(&self) -> BTreeMap<FrameError, u64> {
+    fn rejected(&self) -> BTreeMap<FrameError, u64> {
         let mut all = BTreeMap::new();
         for (why, n) in self.nodes.iter().flat_map(|node| &node.rejected) {
             *all.entry(*why).or_default() += n;
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn members_meet_count_and_see_together() {
+fn members_join_and_agree_on_counts_and_verdicts() {
     let mut fleet = Fleet::new(5);
     fleet.loss = 0.1;
     fleet.run(3.0);
@@ -137,11 +139,11 @@
             .verdicts(fleet.now)
             .contains(&(3, RunnerVerdict::Unhealthy)));
     }
-    assert!(fleet.refused().is_empty(), "{:?}", fleet.refused());
+    assert!(fleet.rejected().is_empty(), "{:?}", fleet.rejected());
 }
 
 #[test]
-fn what_one_saw_is_one_report_however_often_it_is_passed_on() {
+fn the_evidence_of_one_member_counts_once_however_often_it_is_forwarded() {
     let mut fleet = Fleet::new(6);
     fleet.run(3.0);
     for _ in 0..20 {
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn parts_are_lent_over_frames_and_end_in_a_split() {
+fn leases_are_granted_over_frames_and_expire_in_a_partition() {
     let mut fleet = Fleet::new(3);
     let key = BudgetKey {
         kind: BudgetKind::SlowStart,
@@ -181,7 +183,7 @@
         fleet.run(0.1);
     }
     assert!(fleet.nodes[1].budgets.usable(fleet.now, key) > 800_000);
-    fleet.cut = vec![(0, 1), (1, 0), (1, 2), (2, 1)];
+    fleet.blocked = vec![(0, 1), (1, 0), (1, 2), (2, 1)];
     for _ in 0..50 {
         want(&mut fleet);
         fleet.run(0.1);
@@ -196,10 +198,10 @@
 }
 
 #[test]
-fn frames_that_cannot_be_are_counted_by_reason_and_change_nothing() {
+fn invalid_frames_are_counted_by_reason_and_change_nothing() {
     let mut fleet = Fleet::new(3);
-    let mut other = Node::new(terms(3, 1, "b"), 0.0);
-    let mut stranger = Node::new(terms(5, 4, "a"), 0.0);
+    let mut other = Node::new(config(3, 1, "b"), 0.0);
+    let mut stranger = Node::new(config(5, 4, "a"), 0.0);
     let (mut of_other, mut of_stranger) = (Datagrams::new(), Datagrams::new());
     other.tick(1.0, &mut of_other);
     stranger.tick(1.0, &mut of_stranger);
