--- a/crates/cluster/agent/src/config_relay.rs
+++ b/crates/cluster/agent/src/config_relay.rs
@@ -39,10 +39,10 @@
         outbox: &mut Outbox,
     ) {
         let answers = match message {
-            Message::Subscribe(subscribe) => self.relay.subscribe(from, subscribe, now),
-            Message::ConfigUpdate(update) => self.relay.update(from, update, now),
+            Message::Subscribe(subscribe) => self.relay.receive_subscribe(from, subscribe, now),
+            Message::ConfigUpdate(update) => self.relay.receive_update(from, update, now),
             Message::ConfigCurrent(current) => {
-                self.relay.current(from, &current, now);
+                self.relay.receive_current(from, &current, now);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -57,7 +57,7 @@
         }
         self.core = core.to_vec();
         self.relays = relays.to_vec();
-        self.relay.candidates(&self.core, &self.relays);
+        self.relay.set_candidates(&self.core, &self.relays);
     }
 
     /// Renews the subscription with the parent where that is due.
--- a/crates/cluster/config-distribution/src/children.rs
+++ b/crates/cluster/config-distribution/src/children.rs
@@ -1,4 +1,4 @@
-//! The processes that have subscribed here.
+//! The processes that are subscribed to this one.
 
 use sagetrail_protocol::distribution::SUBSCRIPTION_MS;
 use sagetrail_protocol::{NodeId, Time};
@@ -7,30 +7,32 @@
 /// The most children of a relay; more go to other parents. A core process takes all.
 pub const MAX_CHILDREN: usize = 64;
 
-/// Subscriptions, each until it must have been renewed.
+/// Subscriptions of children.
 #[derive(Debug, Default)]
 pub(crate) struct Children {
-    until: BTreeMap<NodeId, Time>,
+    /// When each subscription ends unless it is renewed.
+    expires_at: BTreeMap<NodeId, Time>,
 }
 
 impl Children {
-    /// Takes or renews a subscription; false where there are `most` others.
-    pub(crate) fn subscribe(&mut self, child: NodeId, now: Time, most: usize) -> bool {
-        self.forget_lapsed(now);
-        if !self.until.contains_key(&child) && self.until.len() >= most {
+    /// Takes or renews a subscription; false if there are `max_children` others.
+    pub(crate) fn subscribe(&mut self, child: NodeId, now: Time, max_children: usize) -> bool {
+        self.remove_expired(now);
+        if !self.expires_at.contains_key(&child) && self.expires_at.len() >= max_children {
             return false;
         }
-        self.until.insert(child, now.plus_millis(SUBSCRIPTION_MS));
+        self.expires_at
+            .insert(child, now.plus_millis(SUBSCRIPTION_MS));
         true
     }
 
-    /// Those whose subscription lasts.
+    /// The children with a subscription.
     pub(crate) fn current(&mut self, now: Time) -> impl Iterator<Item = NodeId> + '_ {
-        self.forget_lapsed(now);
-        self.until.keys().copied()
+        self.remove_expired(now);
+        self.expires_at.keys().copied()
     }
 
-    fn forget_lapsed(&mut self, now: Time) {
-        self.until.retain(|_, until| *until > now);
+    fn remove_expired(&mut self, now: Time) {
+        self.expires_at.retain(|_, expires_at| *expires_at > now);
     }
 }
--- a/crates/cluster/config-distribution/src/lib.rs
+++ b/crates/cluster/config-distribution/src/lib.rs
@@ -1,5 +1,14 @@
-//! The relay tree that brings configurations to every process. Core processes are its roots; every other process
-//! subscribes to one parent, renews that, and serves the processes below it. Versions never go back.
+//! The relay tree that brings configurations to every process.
+//!
+//! ```text
+//!   core process --+-- relay --+-- relay ...
+//!   core process --+           +-- leaf
+//!                  +-- relay ----- leaf
+//! ```
+//!
+//! Core processes are its roots. Every other process subscribes to one parent, renews that, and serves the children
+//! below it ([`Relay`]). Which parents a process may choose follows from the processes' names alone ([`parents`]), the
+//! same wherever it is computed. Versions never go back. The crate does no I/O: messages to send are returned.
 
 mod children;
 mod parent;
@@ -7,6 +16,6 @@
 mod tree;
 
 pub use children::MAX_CHILDREN;
-pub use parent::{RETURN_INTERVAL_MS, SILENCE_MS, STALE_MS, TRIAL_MS};
-pub use relay::{Relay, AGE_UNKNOWN};
+pub use parent::{ANSWER_TIMEOUT_MS, FIRST_ANSWER_TIMEOUT_MS, MAX_AGE_MS, RETURN_INTERVAL_MS};
+pub use relay::{Relay, UNKNOWN_AGE_MS};
 pub use tree::{best_relays, leaf_parents, parents, FAN_OUT};
--- a/crates/cluster/config-distribution/src/relay.rs
+++ b/crates/cluster/config-distribution/src/relay.rs
@@ -1,17 +1,17 @@
-//! One process's place in the tree: what it knows, whom it asks and whom it tells.
+//! One process of the relay tree: its newest configuration, its parent and its children.
 
 use crate::children::{Children, MAX_CHILDREN};
-use crate::parent::{Parent, STALE_MS};
+use crate::parent::{Subscription, MAX_AGE_MS};
 use crate::tree;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
-/// Told as age by a process that does not know how old its knowledge is.
-pub const AGE_UNKNOWN: u64 = u64::MAX;
+/// The age in an answer of a process that does not know how old its configuration is.
+pub const UNKNOWN_AGE_MS: u64 = u64::MAX;
 
-/// How old knowledge is: `age_ms` at `at`.
+/// That the newest version known here was the newest at the core `age_ms` before `at`.
 #[derive(Clone, Copy, Debug)]
-struct Knowledge {
+struct Confirmation {
     at: Time,
     age_ms: u64,
 }
@@ -21,29 +21,29 @@
 pub struct Relay {
     node: NodeId,
     is_core: bool,
-    /// Nobody is served by it.
+    /// It serves no children.
     is_leaf: bool,
     newest: Option<ConfigUpdate>,
-    knowledge: Option<Knowledge>,
-    parent: Parent,
+    confirmation: Option<Confirmation>,
+    subscription: Subscription,
     children: Children,
 }
 
 impl Relay {
-    /// A process that knows nothing and nobody. `seed` spreads its attempts to return to its best parent.
+    /// A process without configuration or parents. `seed` spreads its attempts to return to its best parent.
     pub fn new(node: NodeId, seed: u64) -> Relay {
         Relay {
             node,
             is_core: false,
             is_leaf: false,
             newest: None,
-            knowledge: None,
-            parent: Parent::new(seed),
+            confirmation: None,
+            subscription: Subscription::new(seed),
             children: Children::default(),
         }
     }
 
-    /// The same of a process that serves no others.
+    /// The same for a process that serves no children.
     pub fn leaf(node: NodeId, seed: u64) -> Relay {
         Relay {
             is_leaf: true,
@@ -51,25 +51,26 @@
         }
     }
 
-    /// Takes the processes that make up the tree.
-    pub fn candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
+    /// Sets the processes that make up the tree.
+    pub fn set_candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
         self.is_core = core.contains(&self.node);
         let parents = if self.is_leaf {
             tree::leaf_parents
         } else {
             tree::parents
         };
-        self.parent.choices(parents(self.node, core, relays));
+        self.subscription
+            .set_choices(parents(self.node, core, relays));
     }
 
-    /// Whom this process asks; `None` for a core process, or before any candidates are known.
+    /// The current parent; `None` for a core process, or before any candidates are known.
     pub fn parent(&self) -> Option<NodeId> {
-        self.parent.current()
+        self.subscription.current()
     }
 
-    /// A core process has read or learnt a version from the register; what goes to its children.
+    /// A core process has read a version from the register. The messages for its children.
     pub fn publish(&mut self, version: u64, document: &Blob, now: Time) -> Vec<(NodeId, Message)> {
-        self.learn(
+        self.accept(
             ConfigUpdate {
                 version,
                 document: document.clone(),
@@ -78,28 +79,28 @@
         )
     }
 
-    /// A core process has made sure that it knows the newest version.
+    /// A core process has confirmed that it knows the newest version.
     pub fn confirm(&mut self, now: Time) {
-        self.knowledge = Some(Knowledge { at: now, age_ms: 0 });
+        self.confirmation = Some(Confirmation { at: now, age_ms: 0 });
     }
 
-    /// Takes the subscription of a child; what answers it.
-    pub fn subscribe(
+    /// Takes or renews the subscription of a child. The messages that answer it; none when there are too many others.
+    pub fn receive_subscribe(
         &mut self,
         from: NodeId,
         subscribe: Subscribe,
         now: Time,
     ) -> Vec<(NodeId, Message)> {
-        let most = self.most_children();
-        if from == self.node || !self.children.subscribe(from, now, most) {
+        let max_children = self.max_children();
+        if from == self.node || !self.children.subscribe(from, now, max_children) {
             return Vec::new();
         }
-        let missed = self
+        let newer = self
             .newest
             .as_ref()
             .filter(|newest| newest.version > subscribe.known_version);
-        let update = missed.map(|newest| (from, Message::ConfigUpdate(newest.clone())));
-        let age_ms = self.age_ms(now).unwrap_or(AGE_UNKNOWN);
+        let update = newer.map(|newest| (from, Message::ConfigUpdate(newest.clone())));
+        let age_ms = self.age_ms(now).unwrap_or(UNKNOWN_AGE_MS);
         let current = ConfigCurrent {
             version: self.version(),
             age_ms,
@@ -111,8 +112,8 @@
             .collect()
     }
 
-    /// Takes a configuration; what goes to the children where it is newer than what was known.
-    pub fn update(
+    /// Takes a configuration. The messages for the children, if it is newer than the one known.
+    pub fn receive_update(
         &mut self,
         from: NodeId,
         update: ConfigUpdate,
@@ -120,39 +121,40 @@
     ) -> Vec<(NodeId, Message)> {
         if update.version > self.version() {
             log::debug!("{}: version {} from {from}", self.node, update.version);
-            self.parent.heard(from, now);
+            self.subscription.record_answer(from, now);
         }
-        self.learn(update, now)
+        self.accept(update, now)
     }
 
-    /// Takes a parent's word that it lives, and of how old its knowledge is.
-    pub fn current(&mut self, from: NodeId, current: &ConfigCurrent, now: Time) {
-        if current.version < self.version() || current.age_ms > STALE_MS {
+    /// Takes a parent's answer: its version, and how old that is.
+    pub fn receive_current(&mut self, from: NodeId, current: &ConfigCurrent, now: Time) {
+        if current.version < self.version() || current.age_ms > MAX_AGE_MS {
             return;
         }
         if current.version > self.version() {
-            self.parent.heard(from, now);
-            self.parent.ask_soon(now);
+            self.subscription.record_answer(from, now);
+            self.subscription.request_soon(now);
             return;
         }
         let (at, age_ms) = (Time(current.asked_at), current.age_ms);
         let younger = |known_ms| age_ms + now.millis_since(at) < known_ms;
         if at <= now && self.age_ms(now).is_none_or(younger) {
-            self.knowledge = Some(Knowledge { at, age_ms });
+            self.confirmation = Some(Confirmation { at, age_ms });
         }
-        self.parent.heard(from, now);
+        self.subscription.record_answer(from, now);
     }
 
-    /// Does what is due.
+    /// Does what is due by now. The messages to send.
     pub fn wake(&mut self, now: Time) -> Vec<(NodeId, Message)> {
-        let have = self.version();
-        let asked = self.parent.wake(now).into_iter();
-        asked
+        let known_version = self.version();
+        self.subscription
+            .wake(now)
+            .into_iter()
             .map(|parent| {
                 (
                     parent,
                     Message::Subscribe(Subscribe {
-                        known_version: have,
+                        known_version,
                         asked_at: now.0,
                     }),
                 )
@@ -160,9 +162,9 @@
             .collect()
     }
 
-    /// When `wake` is due.
+    /// When [`Relay::wake`] is to be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        self.parent.next_wake()
+        self.subscription.next_wake()
     }
 
     /// The newest version known, and its document.
@@ -172,17 +174,17 @@
             .map(|newest| (newest.version, &newest.document))
     }
 
-    /// How long ago, at most, what is known here was the newest at the core; `None` where that was never told.
+    /// How many milliseconds ago, at most, the version known here was the newest at the core; `None` if unknown.
     pub fn age_ms(&self, now: Time) -> Option<u64> {
-        let knowledge = self.knowledge?;
+        let confirmation = self.confirmation?;
         Some(
-            knowledge
+            confirmation
                 .age_ms
-                .saturating_add(now.millis_since(knowledge.at)),
+                .saturating_add(now.millis_since(confirmation.at)),
         )
     }
 
-    fn most_children(&self) -> usize {
+    fn max_children(&self) -> usize {
         match (self.is_leaf, self.is_core) {
             (true, _) => 0,
             (false, true) => usize::MAX,
@@ -194,7 +196,7 @@
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
-    fn learn(&mut self, update: ConfigUpdate, now: Time) -> Vec<(NodeId, Message)> {
+    fn accept(&mut self, update: ConfigUpdate, now: Time) -> Vec<(NodeId, Message)> {
         if update.version <= self.version() {
             return Vec::new();
         }
--- a/crates/cluster/config-distribution/src/tree.rs
+++ b/crates/cluster/config-distribution/src/tree.rs
@@ -10,14 +10,14 @@
 use sagetrail_protocol::NodeId;
 use std::cmp::Reverse;
 
-/// So many children a process has on average.
+/// How many children a process has on average.
 pub const FAN_OUT: usize = 8;
-/// So many relays of the level above are tried before the core is asked.
+/// How many relays of the level above are tried before the core.
 const RELAYS_TRIED: usize = 2;
 /// Tells ranks from choices.
 const RANK_SALT: u64 = 0x7261_6e6b;
 
-/// Whom `node` asks for configurations, best first: relays of the level above, then core processes. Empty for a
+/// The parents that `node` may subscribe to, best first: relays of the level above, then core processes. Empty for a
 /// core process.
 pub fn parents(node: NodeId, core: &[NodeId], relays: &[NodeId]) -> Vec<NodeId> {
     if core.contains(&node) {
@@ -30,7 +30,7 @@
     )
 }
 
-/// Whom a process asks that nobody asks: it ranks after all relays.
+/// The same for a process without children: it ranks after all relays.
 pub fn leaf_parents(node: NodeId, core: &[NodeId], relays: &[NodeId]) -> Vec<NodeId> {
     let mut before = relays.to_vec();
     before.retain(|relay| *relay != node);
@@ -43,10 +43,10 @@
     then_core(node, core, above)
 }
 
-/// The best relays among `candidates`, at most `most`: those that rank first, whoever chooses.
-pub fn best_relays(candidates: Vec<NodeId>, most: usize) -> Vec<NodeId> {
+/// The best relays among `candidates`, at most `limit`: those that rank first, whoever chooses.
+pub fn best_relays(candidates: Vec<NodeId>, limit: usize) -> Vec<NodeId> {
     let mut best = ranked(&[], candidates);
-    best.truncate(most);
+    best.truncate(limit);
     best
 }
 
@@ -58,12 +58,12 @@
     chosen
 }
 
-/// So many relays stand below the core; no more than a directory names.
+/// How many relays stand directly below the core; no more than a directory names.
 fn first_level(core: &[NodeId]) -> usize {
     (FAN_OUT * core.len().max(1)).min(MAX_RELAYS)
 }
 
-/// The last whole level among relays in their order; empty where that is the core.
+/// The last complete level among relays in their order; empty where that is the core.
 fn level_above(core: &[NodeId], before: Vec<NodeId>) -> Vec<NodeId> {
     let mut start = 0;
     let mut size = first_level(core);
@@ -109,7 +109,7 @@
     (mix(number(node) ^ RANK_SALT), node)
 }
 
-/// How much `child` wants `parent`.
+/// The weight by which `child` prefers `parent` (rendezvous hashing; Thaler and Ravishankar, 1998).
 fn weight(child: NodeId, parent: NodeId) -> u64 {
     mix(mix(number(child)) ^ number(parent))
 }
--- a/crates/cluster/config-distribution/tests/cut_off.rs
+++ b/crates/cluster/config-distribution/tests/cut_off.rs
@@ -39,7 +39,7 @@
 impl Line {
     fn new(seed: u64) -> Line {
         let mut relay = Relay::new(node(9), seed);
-        relay.candidates(&[node(1), node(2), node(3)], &[]);
+        relay.set_candidates(&[node(1), node(2), node(3)], &[]);
         Line {
             relay,
             now: Time(1),
@@ -84,8 +84,10 @@
 
     fn take(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::ConfigUpdate(update) => drop(self.relay.update(from, update, self.now)),
-            Message::ConfigCurrent(current) => self.relay.current(from, &current, self.now),
+            Message::ConfigUpdate(update) => {
+                drop(self.relay.receive_update(from, update, self.now))
+            }
+            Message::ConfigCurrent(current) => self.relay.receive_current(from, &current, self.now),
             _ => {}
         }
     }
@@ -101,7 +103,7 @@
     }
 
     fn check(&mut self) {
-        let answers = self.relay.subscribe(
+        let answers = self.relay.receive_subscribe(
             node(20),
             Subscribe {
                 known_version: u64::MAX,
--- a/crates/cluster/config-distribution/tests/delivery.rs
+++ b/crates/cluster/config-distribution/tests/delivery.rs
@@ -152,7 +152,7 @@
         document: Blob(version.to_be_bytes().to_vec()),
     };
     let now = Time(5000);
-    relay.subscribe(
+    relay.receive_subscribe(
         node(7),
         Subscribe {
             known_version: 0,
@@ -160,11 +160,11 @@
         },
         now,
     );
-    assert_eq!(relay.update(node(0), update(9), now).len(), 1);
-    assert_eq!(relay.update(node(0), update(9), now).len(), 0);
-    assert_eq!(relay.update(node(0), update(8), now).len(), 0);
+    assert_eq!(relay.receive_update(node(0), update(9), now).len(), 1);
+    assert_eq!(relay.receive_update(node(0), update(9), now).len(), 0);
+    assert_eq!(relay.receive_update(node(0), update(8), now).len(), 0);
     assert_eq!(relay.newest().unwrap().0, 9);
-    relay.current(
+    relay.receive_current(
         node(0),
         &ConfigCurrent {
             version: 8,
@@ -178,7 +178,7 @@
         None,
         "an older parent says nothing of newer knowledge"
     );
-    relay.current(
+    relay.receive_current(
         node(0),
         &ConfigCurrent {
             version: 10,
@@ -188,7 +188,7 @@
         now,
     );
     assert_eq!(relay.age_ms(now), None, "what is missed is not known");
-    let answer = relay.subscribe(
+    let answer = relay.receive_subscribe(
         node(8),
         Subscribe {
             known_version: 9,
@@ -209,7 +209,7 @@
     ));
     assert_eq!(
         relay
-            .subscribe(
+            .receive_subscribe(
                 node(8),
                 Subscribe {
                     known_version: 3,
--- a/crates/cluster/config-distribution/tests/leaves.rs
+++ b/crates/cluster/config-distribution/tests/leaves.rs
@@ -52,9 +52,9 @@
 #[test]
 fn a_leaf_serves_nobody() {
     let mut leaf = Relay::leaf(node(50), 1);
-    leaf.candidates(&nodes(0..3), &nodes(3..35));
+    leaf.set_candidates(&nodes(0..3), &nodes(3..35));
     assert_eq!(
-        leaf.subscribe(
+        leaf.receive_subscribe(
             node(7),
             Subscribe {
                 known_version: 0,
--- a/crates/cluster/config-distribution/tests/network/mod.rs
+++ b/crates/cluster/config-distribution/tests/network/mod.rs
@@ -68,7 +68,7 @@
         };
         for name in nodes(0..core + others) {
             let mut relay = Relay::new(name, network.chance.below(1 << 40));
-            relay.candidates(&network.core, &nodes(core..core + others));
+            relay.set_candidates(&network.core, &nodes(core..core + others));
             network.relays.insert(name, relay);
         }
         network
@@ -153,10 +153,12 @@
         for letter in due {
             let relay = self.relays.get_mut(&letter.to).unwrap();
             let out = match letter.message {
-                Message::Subscribe(subscribe) => relay.subscribe(letter.from, subscribe, now),
-                Message::ConfigUpdate(update) => relay.update(letter.from, update, now),
+                Message::Subscribe(subscribe) => {
+                    relay.receive_subscribe(letter.from, subscribe, now)
+                }
+                Message::ConfigUpdate(update) => relay.receive_update(letter.from, update, now),
                 Message::ConfigCurrent(current) => {
-                    relay.current(letter.from, &current, now);
+                    relay.receive_current(letter.from, &current, now);
                     Vec::new()
                 }
                 _ => panic!("no message of the relay tree"),
--- a/crates/cluster/gateway/src/subscription.rs
+++ b/crates/cluster/gateway/src/subscription.rs
@@ -42,7 +42,7 @@
         }
         self.core = core.to_vec();
         self.relays = relays.to_vec();
-        self.relay.candidates(core, relays);
+        self.relay.set_candidates(core, relays);
     }
 
     /// The version of the configuration, 0 for none.
@@ -78,13 +78,13 @@
         }
         if update.version > version {
             self.read_limits(&update);
-            self.relay.update(from, update, now);
+            self.relay.receive_update(from, update, now);
         }
     }
 
     /// Receives a parent's message of how old its own knowledge is.
     pub(crate) fn receive_current(&mut self, now: Time, from: NodeId, current: &ConfigCurrent) {
-        self.relay.current(from, current, now);
+        self.relay.receive_current(from, current, now);
     }
 
     /// Renews the subscription with the parent where that is due.
