--- a/crates/cluster/config-distribution/src/lib.rs
+++ b/crates/cluster/config-distribution/src/lib.rs
@@ -11,11 +11,13 @@
 //! same wherever it is computed. Versions never go back. The crate does no I/O: messages to send are returned.
 
 mod children;
-mod parent;
 mod relay;
+mod subscription;
 mod tree;
 
 pub use children::MAX_CHILDREN;
-pub use parent::{ANSWER_TIMEOUT_MS, FIRST_ANSWER_TIMEOUT_MS, MAX_AGE_MS, RETURN_INTERVAL_MS};
 pub use relay::{Relay, UNKNOWN_AGE_MS};
+pub use subscription::{
+    ANSWER_TIMEOUT_MS, FIRST_ANSWER_TIMEOUT_MS, MAX_AGE_MS, RETURN_INTERVAL_MS,
+};
 pub use tree::{best_relays, leaf_parents, parents, FAN_OUT};
--- a/crates/cluster/config-distribution/src/relay.rs
+++ b/crates/cluster/config-distribution/src/relay.rs
@@ -1,7 +1,7 @@
 //! One process of the relay tree: its newest configuration, its parent and its children.
 
 use crate::children::{Children, MAX_CHILDREN};
-use crate::parent::{Subscription, MAX_AGE_MS};
+use crate::subscription::{Subscription, MAX_AGE_MS};
 use crate::tree;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
