--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -10,7 +10,7 @@
 use super::CoreNode;
 use crate::http_api::{parse_request, ApiRequest};
 use crate::register::RegisterProgress;
-use crate::replica::Condition;
+use crate::replica::ProcessStatus;
 
 impl CoreNode {
     /// A message, by whatever route it came.
@@ -22,7 +22,7 @@
             Message::ClientRequest(_) | Message::RunnerReport(_) => {
                 self.on_scheduler_message(from, message);
             }
-            Message::Subscribe(subscribe) => self.subscribers.subscribe(now, from, &subscribe),
+            Message::Subscribe(subscribe) => self.subscribers.on_subscribe(now, from, &subscribe),
             Message::Control(control) => self.on_control(from, control),
             _ => {}
         }
@@ -55,7 +55,7 @@
 
     fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
         if self.register.members().contains(from) && from != self.node {
-            self.leases.take(self.now.steady, from, leases);
+            self.leases.on_report(self.now.steady, from, leases);
         }
     }
 
@@ -162,17 +162,17 @@
 
     fn on_renew(&mut self, from: NodeId, renew: &Renew) {
         let now = self.now.steady;
-        let condition = self.condition(renew);
+        let status = self.process_status(renew);
         let effects = &mut self.effects;
-        self.terms.on_renew(now, from, renew, condition, effects);
+        self.terms.on_renew(now, from, renew, status, effects);
         let update = self.register.newer_value_hint(now, renew.learned, effects);
         self.on_view_update(update);
     }
 
     /// What this process reports of itself to the leader of the term.
-    fn condition(&self, renew: &Renew) -> Condition {
+    fn process_status(&self, renew: &Renew) -> ProcessStatus {
         let knows_newest = self.register.view().proposal() >= renew.learned;
-        Condition {
+        ProcessStatus {
             leaving: self.termination.is_requested(),
             caught_up: knows_newest && self.register.is_caught_up(),
         }
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -117,7 +117,7 @@
 
     /// Reports to the other members of the core which leases this process holds.
     fn share_leases(&mut self, now: Time) {
-        let Some(leases) = self.leases.share(now) else {
+        let Some(leases) = self.leases.take_report(now) else {
             return;
         };
         let mut others = self.register.members().all();
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -1,15 +1,15 @@
 //! The register's value: the core's members, the configuration, and the changes that led to it.
 
+use crate::error::ControlPlaneError;
 use crate::quorum::MemberList;
 use deku::prelude::*;
 use sagetrail_protocol::control::AcceptedChange;
 use sagetrail_protocol::{Blob, List, NodeId};
-use std::fmt;
 
-/// So many of the newest changes travel with the value; earlier ones are in each process's `AcceptedChanges`.
+/// So many of the newest changes are part of the value; earlier ones are in each process's `AcceptedChanges`.
 pub(crate) const MAX_RECENT_CHANGES: usize = 64;
 
-/// A configuration as the register keeps it.
+/// The configuration in the register.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoredConfig {
     /// 0 before the first configuration.
@@ -18,42 +18,33 @@
     pub document: Blob,
 }
 
-/// The register's value.
+/// The register's value. The order of the fields is that of the bytes on the wire and on disk.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct RegisterValue {
+    /// The version of the member list; each step of a change of members adds one.
     pub members_version: u64,
+    /// The core's members; while a change is under way, those before it.
     pub members: List<NodeId>,
     /// The list that is to follow; empty unless a change of members is under way.
     pub next_members: List<NodeId>,
     /// How many members the cluster is to have.
     pub bootstrap_size: u32,
+    /// The newest configuration.
     pub config: StoredConfig,
     /// The newest changes, oldest first; the last one led to `config`.
     pub recent: List<AcceptedChange>,
 }
 
-/// Why bytes are no value.
-#[derive(Debug, PartialEq)]
-pub enum ValueError {
-    Malformed(DekuError),
-}
-
-impl fmt::Display for ValueError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ValueError::Malformed(error) => write!(formatter, "no value of the register: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for ValueError {}
-
 impl RegisterValue {
     /// The value that bytes hold.
-    pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ValueError> {
+    ///
+    /// # Errors
+    ///
+    /// `MalformedValue` where the bytes are too short or a field is out of its range. Bytes after the value are ignored.
+    pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ControlPlaneError> {
         RegisterValue::from_bytes((bytes, 0))
             .map(|(_, value)| value)
-            .map_err(ValueError::Malformed)
+            .map_err(ControlPlaneError::MalformedValue)
     }
 
     /// The value as bytes.
