--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -57,9 +57,6 @@
 //! [`Event`]: sagetrail_protocol::node::Event
 //! [`Outbox`]: sagetrail_protocol::node::Outbox
 
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
-
 mod accept_change;
 mod accepted_changes;
 mod acceptor;
