--- a/crates/cluster/cluster-config/src/change.rs
+++ b/crates/cluster/cluster-config/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration: the whole of it, or named items.
+//! Changes of a configuration: a replacement, or a patch of named items.
 
 use serde_json::Value;
 
@@ -7,7 +7,11 @@
 use crate::read::{self, Object};
 
 impl ConfigDocument {
-    /// The whole configuration in `body`, to take the place of `current`.
+    /// Parses the full configuration in `body`, which replaces `current`.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::OldVersion`] where its version is not above the current one, otherwise as [`ConfigDocument::parse`].
     pub fn replace(
         current: Option<&ConfigDocument>,
         body: &[u8],
@@ -17,8 +21,13 @@
         ConfigDocument::from_json(json)
     }
 
-    /// `current` after the change in `body`: the items under `remove` go first, then those under `upsert` are put
-    /// in the place of their namesakes, or at the end.
+    /// Applies the patch in `body` to `current`: first the items under `remove` are removed, then those under `upsert`
+    /// replace the items of the same name, or are appended.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::NothingToPatch`] without a current configuration, [`ConfigError::Invalid`] for an invalid patch,
+    /// otherwise as [`ConfigDocument::replace`].
     pub fn patch(
         current: Option<&ConfigDocument>,
         body: &[u8],
@@ -46,7 +55,7 @@
     Ok(version)
 }
 
-/// The fields of the object `key` of a patch; none where it is missing.
+/// The fields of the object `key` of a patch; empty where it is missing.
 fn section<'a>(patch: &'a Object, key: &str) -> Result<Vec<(&'a String, &'a Value)>, ConfigError> {
     match patch.get(key) {
         None => Ok(Vec::new()),
@@ -56,14 +65,14 @@
 }
 
 fn remove(json: &mut Object, key: &str, change: &Value) -> Result<(), ConfigError> {
-    let place = format!("remove.{key}");
+    let path = format!("remove.{key}");
     let names = change
         .as_array()
-        .ok_or_else(|| ConfigError::at(&place, "must be a list of names"))?;
+        .ok_or_else(|| ConfigError::at(&path, "must be a list of names"))?;
     for (position, name) in names.iter().enumerate() {
         let name = name
             .as_str()
-            .ok_or_else(|| ConfigError::at(format!("{place}[{position}]"), "must be a name"))?;
+            .ok_or_else(|| ConfigError::at(format!("{path}[{position}]"), "must be a name"))?;
         if let Some(Value::Array(items)) = json.get_mut(key) {
             items.retain(|item| name_of(item) != Some(name));
         }
@@ -72,11 +81,11 @@
 }
 
 fn upsert(json: &mut Object, key: &str, change: &Value) -> Result<(), ConfigError> {
-    let place = format!("upsert.{key}");
+    let path = format!("upsert.{key}");
     match change {
-        Value::Array(changes) => upsert_items(json, key, changes, &place),
-        Value::Object(changes) => upsert_fields(json, key, changes, &place),
-        _ => Err(ConfigError::at(place, "must be a list of items")),
+        Value::Array(changes) => upsert_items(json, key, changes, &path),
+        Value::Object(changes) => upsert_fields(json, key, changes, &path),
+        _ => Err(ConfigError::at(path, "must be a list of items")),
     }
 }
 
@@ -84,20 +93,20 @@
     json: &mut Object,
     key: &str,
     changes: &[Value],
-    place: &str,
+    path: &str,
 ) -> Result<(), ConfigError> {
     let list = json.entry(key).or_insert_with(|| Value::Array(Vec::new()));
     let items = list
         .as_array_mut()
-        .ok_or_else(|| ConfigError::at(place, "does not change a list"))?;
+        .ok_or_else(|| ConfigError::at(path, "does not change a list"))?;
     for (position, change) in changes.iter().enumerate() {
-        let place = || format!("{place}[{position}]");
-        let name = name_of(change).ok_or_else(|| ConfigError::at(place(), "must have a name"))?;
+        let path = || format!("{path}[{position}]");
+        let name = name_of(change).ok_or_else(|| ConfigError::at(path(), "must have a name"))?;
         let repeated = changes[..position]
             .iter()
             .any(|earlier| name_of(earlier) == Some(name));
         if repeated {
-            return Err(ConfigError::at(place(), format!("{name} is there twice")));
+            return Err(ConfigError::at(path(), format!("{name} is there twice")));
         }
         match items.iter_mut().find(|item| name_of(item) == Some(name)) {
             Some(item) => *item = change.clone(),
@@ -107,19 +116,19 @@
     Ok(())
 }
 
-/// Takes the fields of a nameless object such as `limits`; those it does not name stay.
+/// Sets fields of an object without a name, such as `limits`; the others stay.
 fn upsert_fields(
     json: &mut Object,
     key: &str,
     changes: &Object,
-    place: &str,
+    path: &str,
 ) -> Result<(), ConfigError> {
     let target = json
         .entry(key)
         .or_insert_with(|| Value::Object(Object::new()));
     let fields = target
         .as_object_mut()
-        .ok_or_else(|| ConfigError::at(place, "does not change an object"))?;
+        .ok_or_else(|| ConfigError::at(path, "does not change an object"))?;
     for (name, value) in changes {
         fields.insert(name.clone(), value.clone());
     }
--- a/crates/cluster/cluster-config/src/document.rs
+++ b/crates/cluster/cluster-config/src/document.rs
@@ -1,4 +1,4 @@
-//! A whole configuration.
+//! A full configuration.
 
 use std::collections::HashMap;
 
@@ -9,12 +9,17 @@
 use crate::item::{Limits, Route, ServiceEntry};
 use crate::read::{self, Object};
 
-/// A configuration that keeps the rules for configurations.
+/// A valid configuration: typed fields beside the JSON as it was sent. Items have unique names, each route names a
+/// service of the document, and no two routes share host and prefix.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ConfigDocument {
+    /// The version; rises with each change.
     pub version: u64,
+    /// The routes, in the document's order.
     pub routes: Vec<Route>,
+    /// The services, in the document's order.
     pub services: Vec<ServiceEntry>,
+    /// Limits on clients' requests.
     pub limits: Limits,
     /// The JSON as sent, the source of the fields above.
     json: Object,
@@ -23,22 +28,29 @@
 }
 
 impl ConfigDocument {
-    /// Reads a whole configuration and checks it by itself.
+    /// Parses and checks a full configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::Unreadable`] or [`ConfigError::Invalid`], for the first fault found.
     pub fn parse(body: &[u8]) -> Result<ConfigDocument, ConfigError> {
         ConfigDocument::from_json(read::object(body)?)
     }
 
     /// The configuration as JSON, each value as it was sent.
+    #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(&self.json).unwrap_or_default()
     }
 
     /// The configuration's JSON, unknown fields included.
+    #[must_use]
     pub fn json(&self) -> &serde_json::Map<String, Value> {
         &self.json
     }
 
     /// The route of a request: `host` without a port, `path` without a query.
+    #[must_use]
     pub fn route<'a>(&'a self, host: &str, path: &'a str) -> Option<RouteMatch<'a>> {
         let route = &self.routes[self.route_index.find(host, path)?];
         Some(RouteMatch {
@@ -48,6 +60,7 @@
     }
 
     /// The service with this name.
+    #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
         self.service_positions
             .get(name)
--- a/crates/cluster/cluster-config/src/error.rs
+++ b/crates/cluster/cluster-config/src/error.rs
@@ -1,44 +1,41 @@
-//! Why a configuration is refused.
+//! Why a configuration is rejected.
 
-use std::fmt;
-
-/// A configuration or a change of one that is refused: where it is wrong, and why.
-#[derive(Clone, PartialEq, Eq, Debug)]
+/// Why a configuration or a change of one is rejected. The texts are part of the operator's HTTP answers.
+#[derive(thiserror::Error, Clone, PartialEq, Eq, Debug)]
 pub enum ConfigError {
-    /// No JSON, or cut short.
-    Unreadable { reason: String },
-    /// A field or an item does not hold what it must.
-    Invalid { place: String, reason: String },
-    /// Its version is not above the one in force.
-    OldVersion { version: u64, current: u64 },
-    /// A patch, and there is nothing to change.
+    /// The body is not JSON, or is cut off.
+    #[error("unreadable: {reason}")]
+    Unreadable {
+        /// What the parser reports.
+        reason: String,
+    },
+    /// A field or an item is invalid or missing.
+    #[error("{path}: {reason}")]
+    Invalid {
+        /// Where it is in the document, as in `routes[1].timeout_ms`.
+        path: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The version is not above the current one.
+    #[error("version: {version} is not above the current {current}")]
+    OldVersion {
+        /// The version in the body.
+        version: u64,
+        /// The version of the current configuration; 0 where there is none.
+        current: u64,
+    },
+    /// A patch, and there is no configuration yet.
+    #[error("there is no configuration to patch")]
     NothingToPatch,
 }
 
 impl ConfigError {
-    /// An error at `place`.
-    pub(crate) fn at(place: impl Into<String>, reason: impl Into<String>) -> ConfigError {
+    /// A field or item at `path` is invalid.
+    pub(crate) fn at(path: impl Into<String>, reason: impl Into<String>) -> ConfigError {
         ConfigError::Invalid {
-            place: place.into(),
+            path: path.into(),
             reason: reason.into(),
         }
     }
 }
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ConfigError::Unreadable { reason } => write!(formatter, "unreadable: {reason}"),
-            ConfigError::Invalid { place, reason } => write!(formatter, "{place}: {reason}"),
-            ConfigError::OldVersion { version, current } => {
-                write!(
-                    formatter,
-                    "version: {version} is not above the current {current}"
-                )
-            }
-            ConfigError::NothingToPatch => write!(formatter, "there is no configuration to patch"),
-        }
-    }
-}
-
-impl std::error::Error for ConfigError {}
--- a/crates/cluster/cluster-config/src/index.rs
+++ b/crates/cluster/cluster-config/src/index.rs
@@ -6,9 +6,10 @@
 use crate::error::ConfigError;
 use crate::item::Route;
 
-/// The route of a request, and what is left of its path.
+/// The route of a request, and the rest of its path.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RouteMatch<'a> {
+    /// The route.
     pub route: &'a Route,
     /// The path after the route's prefix.
     pub rest: &'a str,
--- a/crates/cluster/cluster-config/src/lib.rs
+++ b/crates/cluster/cluster-config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operator's configuration: types, checks, changes, routes.
+//! The operator's configuration document: its types, checks and changes, and the routing of requests by it.
 //!
-//! A document keeps its JSON as it was sent beside the typed view, so that a read-back gives the same values,
-//! unknown fields included.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! [`ConfigDocument`] keeps the JSON as it was sent beside the typed items, so that a read returns the same values,
+//! unknown fields included. [`ConfigDocument::parse`] takes a full document; [`ConfigDocument::replace`] and
+//! [`ConfigDocument::patch`] make the next one from the current one. A document is valid by construction;
+//! [`ConfigError`] names the path of the first fault. [`ConfigDocument::route`] finds a request's route: host first,
+//! then the longest prefix.
 
 mod change;
 mod document;
--- a/crates/cluster/cluster-config/src/read.rs
+++ b/crates/cluster/cluster-config/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads typed items out of a document's JSON, and says where it fails.
+//! Reads typed items from a document's JSON; errors name the path of the fault.
 
 use std::collections::HashSet;
 
@@ -9,10 +9,10 @@
 use crate::error::ConfigError;
 use crate::item::Limits;
 
-/// An object of JSON.
+/// A JSON object.
 pub(crate) type Object = Map<String, Value>;
 
-/// The object that `body` holds.
+/// Parses the object in `body`.
 pub(crate) fn object(body: &[u8]) -> Result<Object, ConfigError> {
     let value: Value = serde_json::from_slice(body).map_err(|error| ConfigError::Unreadable {
         reason: error.to_string(),
@@ -35,7 +35,7 @@
         .ok_or_else(|| ConfigError::at("version", "must be a whole number"))
 }
 
-/// The field `limits`, or what holds without it.
+/// The field `limits`, or the defaults without it.
 pub(crate) fn limits(object: &Object) -> Result<Limits, ConfigError> {
     match object.get("limits") {
         None => Ok(Limits::default()),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The items of the list `key`, each read and checked by itself.
+/// The items of the list `key`, each parsed and checked by itself.
 pub(crate) fn items<'a, T>(object: &'a Object, key: &str) -> Result<Vec<T>, ConfigError>
 where
     T: Deserialize<'a> + Validate,
@@ -62,30 +62,30 @@
         .collect()
 }
 
-fn item<'a, T>(value: &'a Value, place: &str) -> Result<T, ConfigError>
+fn item<'a, T>(value: &'a Value, path: &str) -> Result<T, ConfigError>
 where
     T: Deserialize<'a> + Validate,
 {
-    let item = T::deserialize(value).map_err(|error| ConfigError::at(place, error.to_string()))?;
+    let item = T::deserialize(value).map_err(|error| ConfigError::at(path, error.to_string()))?;
     item.validate()
-        .map_err(|errors| first_error(place, &errors))?;
+        .map_err(|errors| first_error(path, &errors))?;
     Ok(item)
 }
 
-fn first_error(place: &str, errors: &ValidationErrors) -> ConfigError {
+fn first_error(path: &str, errors: &ValidationErrors) -> ConfigError {
     let fields = errors.field_errors();
     let first = fields.iter().min_by_key(|(field, _)| field.to_string());
     let Some((field, [error, ..])) = first.map(|(field, list)| (field, list.as_slice())) else {
-        return ConfigError::at(place, "not valid");
+        return ConfigError::at(path, "not valid");
     };
     let reason = error
         .message
         .as_ref()
         .map_or("not valid", |message| message.as_ref());
-    ConfigError::at(format!("{place}.{field}"), reason)
+    ConfigError::at(format!("{path}.{field}"), reason)
 }
 
-/// Refuses a list in which two items share their name.
+/// Rejects a list in which two items have the same name.
 pub(crate) fn unique_names<'a>(
     key: &str,
     names: impl Iterator<Item = &'a str>,
--- a/crates/cluster/cluster-config/tests/change.rs
+++ b/crates/cluster/cluster-config/tests/change.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn versions_must_climb() {
+fn versions_must_rise() {
     let old = current();
     for version in [4, 5] {
         let refused = Err(ConfigError::OldVersion {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_patch_needs_something_to_change() {
+fn a_patch_needs_a_current_configuration() {
     let refused = ConfigDocument::patch(None, &body(&json!({"version": 6})));
     assert_eq!(refused, Err(ConfigError::NothingToPatch));
 }
@@ -176,14 +176,14 @@
 
     /// No bytes make the reader panic.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_parsed_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = ConfigDocument::parse(&bytes);
         let _ = ConfigDocument::patch(Some(&current()), &bytes);
     }
 
     /// A document cut short anywhere is refused.
     #[test]
-    fn cut_short_is_refused(cut in 0_usize..300) {
+    fn truncated_bodies_are_rejected(cut in 0_usize..300) {
         let whole = body(&document(1));
         prop_assert!(ConfigDocument::parse(&whole[..cut.min(whole.len() - 1)]).is_err());
     }
--- a/crates/cluster/cluster-config/tests/document.rs
+++ b/crates/cluster/cluster-config/tests/document.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn defaults_stand_in_for_optional_fields() {
+fn missing_optional_fields_have_defaults() {
     let config = ConfigDocument::parse(&body(&document(3))).unwrap();
     assert_eq!(config.version, 3);
     assert_eq!(config.limits.max_body_bytes, 262_144);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn longest_prefix_of_the_exact_host_counts() {
+fn the_longest_prefix_at_the_exact_host_matches() {
     let mut sent = document(1);
     let routes = sent["routes"].as_array_mut().unwrap();
     routes.push(route("deep", "a.example", "/one/two/", "two"));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn bad_configurations_are_refused_with_their_place() {
+fn invalid_configurations_are_rejected_with_the_path_of_the_fault() {
     let whole = body(&document(1));
     assert!(matches!(
         ConfigDocument::parse(&whole[..whole.len() / 2]),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn four_hundred_routes_are_told_apart() {
+fn four_hundred_routes_are_distinguished() {
     let mut sent = document(1);
     sent["routes"] = (0..400)
         .map(|number| {
