--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 
 use sagetrail_protocol::node::{DiskImage, HttpEndpoint, Outbox};
-use sagetrail_protocol::NodeKind;
+use sagetrail_protocol::{Incarnation, NodeId, NodeKind};
 
 use crate::arguments::Arguments;
 use crate::clocks::Clocks;
@@ -20,7 +20,7 @@
 use crate::http::{serve, ConnectionLimit, ServerContext};
 use crate::identity::{draw_incarnation, draw_seed, node_id, seed_nodes};
 use crate::input::Inputs;
-use crate::lifecycle::watch_phase;
+use crate::lifecycle::{watch_phase, PhaseReceiver};
 use crate::logs;
 use crate::process::{Process, ProcessEnd, ProcessParts};
 use crate::retry;
@@ -129,23 +129,9 @@
         signals::listen(&sender, settings_path, kind)?;
         let node = node_id(&settings, kind);
         let incarnation = draw_incarnation();
-        let transport = retry::bind(|| Transport::start(node, incarnation, sender.clone()))
-            .await
-            .map_err(|error| ProcessError::Listen {
-                address: node.address().into(),
-                error,
-            })?;
         let (phase, phase_receiver) = watch_phase();
-        let connection_limit =
-            ConnectionLimit::within(settings.limits.max_fds, settings.limits.memory_mb.0);
-        let server = ServerContext {
-            inputs: sender.clone(),
-            phase: phase_receiver,
-            connection_limit: Arc::clone(&connection_limit),
-            next_id: Arc::new(AtomicU64::new(1)),
-        };
-        open_endpoints(&settings, &server).await?;
-        drop(server);
+        let transport = start_transport(node, incarnation, &sender).await?;
+        let connection_limit = open_endpoints(&settings, &sender, phase_receiver).await?;
         let OpenDisk {
             disk,
             image,
@@ -207,7 +193,33 @@
     })
 }
 
-async fn open_endpoints(settings: &Settings, context: &ServerContext) -> Result<(), ProcessError> {
+async fn start_transport(
+    node: NodeId,
+    incarnation: Incarnation,
+    inputs: &Inputs,
+) -> Result<Transport, ProcessError> {
+    retry::bind(|| Transport::start(node, incarnation, inputs.clone()))
+        .await
+        .map_err(|error| ProcessError::Listen {
+            address: node.address().into(),
+            error,
+        })
+}
+
+/// Serves all HTTP endpoints that the settings name, within one connection limit.
+async fn open_endpoints(
+    settings: &Settings,
+    inputs: &Inputs,
+    phase: PhaseReceiver,
+) -> Result<Arc<ConnectionLimit>, ProcessError> {
+    let connection_limit =
+        ConnectionLimit::within(settings.limits.max_fds, settings.limits.memory_mb.0);
+    let context = ServerContext {
+        inputs: inputs.clone(),
+        phase,
+        connection_limit: Arc::clone(&connection_limit),
+        next_id: Arc::new(AtomicU64::new(1)),
+    };
     let addresses = &settings.bind_addrs;
     let endpoints = [
         (addresses.frontend, HttpEndpoint::Frontend),
@@ -222,7 +234,7 @@
             .await
             .map_err(|error| ProcessError::Listen { address, error })?;
     }
-    Ok(())
+    Ok(connection_limit)
 }
 
 /// Waits, at most [`CLOSING_TIME`], until no connection is open and nothing is queued.
