--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -15,7 +15,7 @@
 use crate::persisted::{AcceptorNumbers, ControlState};
 use crate::proposer::Proposer;
 use crate::quorum::MemberList;
-use crate::reader::{ReadOutcome, Reader};
+use crate::quorum_read::{QuorumReader, ReadOutcome};
 use crate::register_view::{Chosen, RegisterView};
 use crate::timing::POLL_MS;
 use crate::value::RegisterValue;
@@ -101,7 +101,7 @@
     view: RegisterView,
     acceptor: Acceptor,
     proposer: Proposer,
-    reader: Reader,
+    reader: QuorumReader,
     /// All accepted changes of the configuration, as far as this process knows them.
     accepted_changes: AcceptedChanges,
     changes_fetch: ChangesFetch,
@@ -122,7 +122,7 @@
             view: RegisterView::default(),
             acceptor: Acceptor::default(),
             proposer: Proposer::new(start.node, start.incarnation, start.proposer_seed),
-            reader: Reader::new(start.reader_seed),
+            reader: QuorumReader::new(start.reader_seed),
             accepted_changes: start.accepted_changes,
             changes_fetch: ChangesFetch::default(),
             learn_waiters: Vec::new(),
@@ -175,7 +175,7 @@
 
     /// The accepted value of this process has been synced.
     pub(crate) fn value_synced(&mut self, proposal: ProposalNumber) {
-        self.acceptor.settled(proposal);
+        self.acceptor.on_synced(proposal);
     }
 
     /// The proposer goes above what the acceptor has promised.
@@ -307,7 +307,7 @@
                 self.differing_reads = 0;
                 update
             }
-            ReadOutcome::Unsettled => {
+            ReadOutcome::Undecided => {
                 self.replies_differed(now);
                 None
             }
--- a/crates/cluster/control-plane/src/round.rs
+++ b/crates/cluster/control-plane/src/round.rs
@@ -103,14 +103,14 @@
     }
 
     fn send_prepare(&self, phase: &PreparePhase, effects: &mut Effects) {
-        let have = self
+        let known = self
             .known
             .as_ref()
             .map(|known| known.proposal)
             .unwrap_or_default();
         let prepare = ControlMessage::Prepare(Prepare {
             proposal: self.proposal,
-            known: have,
+            known,
         });
         let members = self.list.all().into_iter();
         let unanswered = members.filter(|member| !phase.accepted.contains_key(member));
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -82,14 +82,14 @@
 
     /// Takes up what was on disk, and begins to give up the term of the former incarnation.
     pub(crate) fn restore(&mut self, state: ReplicaState) {
-        self.elections.note(state.promise.term);
+        self.elections.observe_term(state.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.node, self.started, state, records);
         self.former_term = FormerTermResignation::of(state.promise, self.node, self.started);
         if self.former_term.is_some() {
             // The process granted this lease to its own incarnation that has ended.
             self.replica.lease_until = self.started;
-            self.elections.hasten();
+            self.elections.hasten_next();
         }
     }
 
@@ -179,7 +179,7 @@
             .is_some_and(|leadership| now >= leadership.lease_until)
         {
             self.leadership = None;
-            self.elections.stand_back(now);
+            self.elections.withdraw(now);
         }
     }
 
@@ -187,7 +187,7 @@
     pub(crate) fn step_down(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
         if let Some(leadership) = self.leadership.take() {
             leadership.resign(members, effects);
-            self.elections.stand_back(now);
+            self.elections.withdraw(now);
         }
     }
 }
@@ -268,7 +268,7 @@
         let Some(leadership) = self.leadership.as_mut().filter(|_| silent) else {
             return;
         };
-        if !leadership.turn_to_next_source(now) {
+        if !leadership.try_next_source(now) {
             let (node, term) = (self.node, leadership.term);
             log::info!("no reachable source of the term's base records: node={node} term={term}");
             self.step_down(now, members, effects);
@@ -281,10 +281,10 @@
             return;
         };
         if holds_base {
-            leadership.holds_base(now.steady);
+            leadership.become_source(now.steady);
         }
         leadership.renew(now.steady, &view.list, view.proposal(), effects);
-        let advanced = leadership.advance(&view.list);
+        let advanced = leadership.advance_commit(&view.list);
         if let (Some(number), Some(service)) = (advanced, &mut leadership.service) {
             service.committed(now, number);
         }
@@ -326,7 +326,7 @@
             return;
         };
         leadership.wake_service(now);
-        leadership.pump(now.steady, &view.list, effects);
+        leadership.replicate(now.steady, &view.list, effects);
         if let Some(service) = &mut leadership.service {
             effects.sends.extend(service.take_sends());
         }
--- a/crates/cluster/control-plane/src/terms/messages.rs
+++ b/crates/cluster/control-plane/src/terms/messages.rs
@@ -2,9 +2,9 @@
 
 use super::Terms;
 use crate::effects::Effects;
-use crate::leadership::Leadership;
+use crate::leadership::{Leadership, TermStatus};
 use crate::quorum::MemberList;
-use crate::replica::Condition;
+use crate::replica::ProcessStatus;
 use sagetrail_protocol::control::{
     FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign, SnapshotChunk, VoteReply,
     VoteRequest,
@@ -23,7 +23,7 @@
         effects: &mut Effects,
     ) {
         self.replica
-            .vote(now, from, request, members_version, effects);
+            .on_vote_request(now, from, request, members_version, effects);
     }
 
     /// A leader renews its lease.
@@ -32,29 +32,29 @@
         now: Time,
         from: NodeId,
         renew: &Renew,
-        condition: Condition,
+        status: ProcessStatus,
         effects: &mut Effects,
     ) {
-        self.replica.renew(now, from, renew, condition, effects);
+        self.replica.on_renew(now, from, renew, status, effects);
     }
 
     /// A leader gave its lease up, or a candidate its candidacy.
     pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, resign: &Resign) {
-        if self.replica.resigned(now, from, resign.term) {
-            self.elections.hasten();
+        if self.replica.on_resign(now, from, resign.term) {
+            self.elections.hasten_next();
         }
     }
 
     /// A core process that does not take part yet said hello: the lease of its former incarnation is void.
     pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
-        if self.replica.lease_holder_restarted(now, from) {
-            self.elections.hasten();
+        if self.replica.on_hello_of_lease_holder(now, from) {
+            self.elections.hasten_next();
         }
     }
 
     /// The leader sent a batch of changes.
     pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
-        self.replica.batch(from, batch, effects);
+        self.replica.on_batch(from, batch, effects);
     }
 
     /// Another process fetches a snapshot.
@@ -65,7 +65,7 @@
         fetch: &FetchSnapshot,
         effects: &mut Effects,
     ) {
-        self.replica.fetch(now, from, fetch, effects);
+        self.replica.on_fetch_snapshot(now, from, fetch, effects);
     }
 
     /// A chunk of a snapshot that this process fetches.
@@ -76,7 +76,7 @@
         chunk: SnapshotChunk,
         effects: &mut Effects,
     ) {
-        self.replica.chunk(now, from, chunk, effects);
+        self.replica.on_snapshot_chunk(now, from, chunk, effects);
     }
 }
 
@@ -92,7 +92,9 @@
         members: &MemberList,
         effects: &mut Effects,
     ) {
-        let elected = self.elections.reply(now, from, reply, members, effects);
+        let elected = self
+            .elections
+            .on_vote_reply(now, from, reply, members, effects);
         if let Some(elected) = elected.filter(|_| may_lead) {
             self.leadership = Some(Leadership::new(self.node, now, elected, members));
         }
@@ -107,14 +109,14 @@
         members: &MemberList,
         effects: &mut Effects,
     ) {
-        self.elections.note(ack.promised);
+        self.elections.observe_term(ack.promised);
         if from == self.node {
-            self.replica.leader_synced(ack.term);
+            self.replica.on_leader_synced(ack.term);
         }
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if !leadership.renew_ack(now, from, ack, members) {
+        if leadership.on_renew_ack(now, from, ack, members) == TermStatus::Superseded {
             self.step_down(now, members, effects);
         }
     }
@@ -128,10 +130,10 @@
         members: &MemberList,
     ) {
         if from == self.node {
-            self.replica.stored(synced.position);
+            self.replica.on_synced(synced.position);
         }
         if let Some(leadership) = &mut self.leadership {
-            leadership.stored(now, from, synced.position, members);
+            leadership.on_records_synced(now, from, synced.position, members);
         }
     }
 }
