--- a/crates/cluster/scheduler/src/pass_pacing.rs
+++ b/crates/cluster/scheduler/src/pass_pacing.rs
@@ -3,9 +3,9 @@
 
 use sagetrail_protocol::Time;
 
-/// With up to so many runners every event may lead to a pass.
+/// Up to this number of runners every event may lead to a pass.
 const UNPACED_RUNNERS: usize = 200;
-/// For each runner beyond, passes are so much farther apart, in microseconds: several times what a pass costs.
+/// The distance of passes for each runner beyond, in microseconds: several times what a pass costs for it.
 const DISTANCE_PER_RUNNER_US: u64 = 10;
 
 /// When the next pass may run.
@@ -18,7 +18,7 @@
 }
 
 impl PassPacing {
-    /// A pass over so many runners begins.
+    /// A pass over this number of runners begins.
     pub(crate) fn pass_started(&mut self, now: Time, runners: usize) {
         let beyond = runners.saturating_sub(UNPACED_RUNNERS) as u64;
         self.next = now + beyond * DISTANCE_PER_RUNNER_US;
--- a/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
+++ b/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
@@ -19,7 +19,8 @@
 const DRAIN_WAIT_MS: u64 = 1_000;
 /// Runners are reserved for so long, in milliseconds; then they are chosen anew.
 const DRAIN_RESERVATION_MS: u64 = 4_000;
-/// Only for tasks of which at most so many fit into an empty runner: smaller ones find free capacity piece by piece.
+/// Only for tasks of which at most this number fits into an empty runner: smaller ones find free capacity piece by
+/// piece.
 const MAX_TASKS_PER_RUNNER: u32 = 2;
 
 /// A runner that could take tasks of the step if it were empty.
--- a/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
+++ b/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::records::{Key, Outcome};
 use crate::step_run::AssignedRun;
 
-/// An ended job's state is kept so much longer than the bound for clients, in milliseconds.
+/// Beyond the bound for clients, an ended job's state stays for this long, in milliseconds.
 const RETENTION_MARGIN_MS: u64 = 60_000;
 
 /// The runs and records that an ending job leaves behind.
--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -15,7 +15,7 @@
 
 /// A step that has been pending for so long no longer avoids runners at which its tasks failed, in milliseconds.
 const FAILED_RUNNER_AVOIDANCE_MS: u64 = 2_500;
-/// Outlier ejection is off while more than one in so many reachable runners of a service is suspect.
+/// Outlier ejection is off while more than one in this number of reachable runners of a service is suspect.
 const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl Scheduler {
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -18,7 +18,7 @@
 use crate::step_run::AssignedRun;
 use crate::victims::{offers_for_gang, PreemptionOffer, Victim};
 
-/// So many pending steps of a service are considered in a round.
+/// The number of pending steps of a service that are considered in a round.
 const STEPS_PER_ROUND: usize = 8;
 /// A step waits so long before it preempts others, in milliseconds; an urgent one does not wait.
 const PREEMPTION_WAIT_MS: u64 = 150;
--- a/crates/testing/simulation/src/bin/sagetrail-simulation.rs
+++ b/crates/testing/simulation/src/bin/sagetrail-simulation.rs
@@ -13,13 +13,13 @@
     /// how many days, each with the next seed
     #[argh(option, default = "1")]
     days: u64,
-    /// days without trouble
+    /// days without fault
     #[argh(switch)]
     calm: bool,
-    /// troubled days with more work
+    /// hit by faults days with more work
     #[argh(switch)]
     pressed: bool,
-    /// troubled days that go on after a loss of all power
+    /// hit by faults days that go on after a loss of all power
     #[argh(switch)]
     recovering: bool,
     /// print a digest of each day: the same day, the same digest
@@ -67,8 +67,8 @@
 }
 
 fn print_history(arguments: &Arguments, report: &Report) {
-    for seen in &report.history.seen {
-        let line = format!("{:>10.3} {:?}", seen.at as f64 / 1e6, seen.sight);
+    for seen in &report.history.observations {
+        let line = format!("{:>10.3} {:?}", seen.at as f64 / 1e6, seen.observation);
         let wanted = arguments
             .about
             .as_ref()
--- a/crates/testing/simulation/src/checker/calm.rs
+++ b/crates/testing/simulation/src/checker/calm.rs
@@ -1,7 +1,7 @@
-//! When no trouble was near, and which machines were in touch.
+//! When no fault was near, and which machines were in touch.
 
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{History, Reach, Sight};
+use crate::history::{History, Observation, Reach};
 use sagetrail_protocol::NodeId;
 
 struct Span {
@@ -11,7 +11,7 @@
 }
 
 impl Span {
-    /// Whether the machine is out of touch for this trouble, or was within `contact` before.
+    /// Whether the machine is out of touch for this fault, or was within `contact` before.
     fn touches(&self, machine: NodeId, at: Micros, contact: Micros) -> bool {
         let (reached, contact) = match &self.reach {
             // A final fault took most of the core.
@@ -24,7 +24,7 @@
     }
 }
 
-/// The troubles of a day.
+/// The faults of a day.
 pub(super) struct Calm {
     troubles: Vec<Span>,
     contact: Micros,
@@ -33,15 +33,15 @@
 }
 
 impl Calm {
-    /// Reads the troubles of a day.
+    /// Reads the faults of a day.
     pub(super) fn gather(history: &History, contact_ms: u64) -> Calm {
         let mut calm = Calm {
             troubles: Vec::new(),
             contact: contact_ms * MILLISECOND,
             clocks_jump: false,
         };
-        for seen in &history.seen {
-            if let Sight::Trouble { until, what, reach } = &seen.sight {
+        for seen in &history.observations {
+            if let Observation::Fault { until, what, reach } = &seen.observation {
                 calm.troubles.push(Span {
                     from: seen.at,
                     until: *until,
@@ -53,7 +53,7 @@
         calm
     }
 
-    /// True where no trouble of anyone was near at any instant of a span.
+    /// True where no fault of anyone was near at any instant of a span.
     pub(super) fn during(&self, from: Micros, until: Micros) -> bool {
         // After a loss of most of the core the span of contact is twice as long.
         let near =
@@ -61,12 +61,12 @@
         !self.troubles.iter().any(near)
     }
 
-    /// True where no trouble of anyone was near at an instant.
+    /// True where no fault of anyone was near at an instant.
     pub(super) fn at(&self, instant: Micros) -> bool {
         self.during(instant, instant)
     }
 
-    /// True where a machine outside the core was in touch at an instant, whatever troubled other machines.
+    /// True where a machine outside the core was in touch at an instant, whatever hit by faults other machines.
     pub(super) fn in_touch(&self, machine: NodeId, instant: Micros) -> bool {
         !self
             .troubles
--- a/crates/testing/simulation/src/checker/cancels.rs
+++ b/crates/testing/simulation/src/checker/cancels.rs
@@ -2,7 +2,7 @@
 
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::history::{ShownState, Sight};
+use crate::history::{Observation, ShownState};
 use std::collections::BTreeMap;
 
 /// Judges starts and runs of jobs that are over.
@@ -40,19 +40,19 @@
 fn reached(judge: &Judge, instant: Micros) -> bool {
     judge
         .history
-        .seen
+        .observations
         .last()
         .is_some_and(|seen| seen.at >= instant)
 }
 
 fn first_completed(judge: &Judge) -> BTreeMap<String, Micros> {
     let mut completed = BTreeMap::new();
-    for seen in &judge.history.seen {
-        if let Sight::StateRead {
+    for seen in &judge.history.observations {
+        if let Observation::StateRead {
             job,
             state: ShownState::Completed,
             ..
-        } = &seen.sight
+        } = &seen.observation
         {
             completed.entry(job.clone()).or_insert(seen.at);
         }
--- a/crates/testing/simulation/src/checker/configs.rs
+++ b/crates/testing/simulation/src/checker/configs.rs
@@ -3,12 +3,12 @@
 use super::{Judge, Rule};
 use crate::configuration::Configuration;
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{Answer, OrderNumber, OrderSeen, Sight};
+use crate::history::{Answer, Observation, ObservedChange, OrderNumber};
 use std::collections::BTreeMap;
 
 /// An order with its fate.
 struct OrderFact {
-    seen: OrderSeen,
+    seen: ObservedChange,
     first_sent: Micros,
     acknowledged: Option<Micros>,
     refused: Option<Micros>,
@@ -26,9 +26,9 @@
 
 fn gather(judge: &Judge) -> BTreeMap<OrderNumber, OrderFact> {
     let mut orders: BTreeMap<OrderNumber, OrderFact> = BTreeMap::new();
-    for seen in &judge.history.seen {
-        match &seen.sight {
-            Sight::OrderSent(order) => {
+    for seen in &judge.history.observations {
+        match &seen.observation {
+            Observation::OrderSent(order) => {
                 let fact = || OrderFact {
                     seen: order.clone(),
                     first_sent: seen.at,
@@ -37,7 +37,7 @@
                 };
                 orders.entry(order.order).or_insert_with(fact);
             }
-            Sight::OrderAnswered { order, answer } => {
+            Observation::OrderAnswered { order, answer } => {
                 if let Some(fact) = orders.get_mut(order) {
                     fact.take(seen.at, *answer);
                 }
@@ -111,11 +111,11 @@
 
 fn reads(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
     let history = judge.history;
-    for seen in &history.seen {
-        let Sight::ConfigRead {
+    for seen in &history.observations {
+        let Observation::ConfigRead {
             content: Some(content),
             ..
-        } = &seen.sight
+        } = &seen.observation
         else {
             continue;
         };
@@ -144,15 +144,16 @@
     let Some(end) = judge.facts.day_end else {
         return;
     };
-    let mut reads = judge
-        .history
-        .seen
-        .iter()
-        .rev()
-        .filter_map(|seen| match &seen.sight {
-            Sight::ConfigRead { sent, content } => Some((*sent, content.clone())),
-            _ => None,
-        });
+    let mut reads =
+        judge
+            .history
+            .observations
+            .iter()
+            .rev()
+            .filter_map(|seen| match &seen.observation {
+                Observation::ConfigRead { sent, content } => Some((*sent, content.clone())),
+                _ => None,
+            });
     let last: Option<(Micros, Option<Configuration>)> = reads.next();
     let newest = newest_acknowledged(orders, last.as_ref().map_or(end, |(sent, _)| *sent));
     let shown = last
@@ -168,14 +169,14 @@
 fn counts(judge: &mut Judge, orders: &BTreeMap<OrderNumber, OrderFact>) {
     let history = judge.history;
     let apply = judge.limits.bounds.config_apply_ms * MILLISECOND;
-    for seen in &history.seen {
-        let Sight::QueueRead {
+    for seen in &history.observations {
+        let Observation::QueueRead {
             sent,
             host,
             prefix,
             answer,
             gateway,
-        } = &seen.sight
+        } = &seen.observation
         else {
             continue;
         };
--- a/crates/testing/simulation/src/checker/facts.rs
+++ b/crates/testing/simulation/src/checker/facts.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::Configuration;
 use crate::engine::Micros;
-use crate::history::{Answer, EndSeen, History, RunnerFacts, Sight, StartSeen};
+use crate::history::{Answer, History, Observation, ObservedEnd, ObservedStart, RunnerFacts};
 use crate::job::{StepName, TaskName};
 use sagetrail_protocol::agent::RunEnd;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SubmitFact {
     pub first_sent: Option<Micros>,
-    pub tries: u64,
+    pub attempts: u64,
     pub rejections: u64,
     pub accepted: Option<Micros>,
     pub cancel_sent: Option<Micros>,
@@ -36,7 +36,7 @@
 
 /// From when to when a runner was up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LifeFact {
+pub(super) struct InstanceSpan {
     pub from: Micros,
     pub until: Micros,
 }
@@ -50,7 +50,7 @@
     pub runs_of_instance: BTreeMap<String, Vec<usize>>,
     pub runners: BTreeMap<String, RunnerFacts>,
     pub submits: BTreeMap<String, SubmitFact>,
-    pub lives: BTreeMap<String, LifeFact>,
+    pub instances: BTreeMap<String, InstanceSpan>,
     pub drains: BTreeMap<String, Micros>,
     /// Every configuration that was sent and valid.
     pub configurations: Vec<Configuration>,
@@ -61,54 +61,54 @@
     /// Reads a day.
     pub(super) fn gather(history: &History) -> Facts {
         let mut facts = Facts::default();
-        for seen in &history.seen {
-            facts.take(seen.at, &seen.sight);
+        for seen in &history.observations {
+            facts.take(seen.at, &seen.observation);
         }
         facts
     }
 
-    fn take(&mut self, at: Micros, sight: &Sight) {
-        match sight {
-            Sight::SubmitSent { job } => {
+    fn take(&mut self, at: Micros, observation: &Observation) {
+        match observation {
+            Observation::SubmitSent { job } => {
                 let submit = self.submits.entry(job.clone()).or_default();
                 submit.first_sent.get_or_insert(at);
-                submit.tries += 1;
+                submit.attempts += 1;
             }
-            Sight::SubmitAnswered { job, answer } => self.take_submit(at, job, *answer),
-            Sight::CancelSent { job } => {
+            Observation::SubmitAnswered { job, answer } => self.take_submit(at, job, *answer),
+            Observation::CancelSent { job } => {
                 self.submits
                     .entry(job.clone())
                     .or_default()
                     .cancel_sent
                     .get_or_insert(at);
             }
-            Sight::CancelAnswered { job, answer } if answer.is_success() => {
+            Observation::CancelAnswered { job, answer } if answer.is_success() => {
                 self.submits
                     .entry(job.clone())
                     .or_default()
                     .cancelled
                     .get_or_insert(at);
             }
-            Sight::RunnerUp(runner) => {
-                self.lives.insert(
+            Observation::RunnerUp(runner) => {
+                self.instances.insert(
                     runner.instance.clone(),
-                    LifeFact {
+                    InstanceSpan {
                         from: at,
                         until: Micros::MAX,
                     },
                 );
                 self.runners.insert(runner.instance.clone(), runner.clone());
             }
-            Sight::RunnerDown { instance } => self.take_down(at, instance),
-            Sight::Started(start) => self.take_start(at, start),
-            Sight::Ended(end) => self.take_end(at, end),
-            Sight::Observed { instance, number } => self.take_observed(at, instance, *number),
-            Sight::HoldLapsed { instance } => self.take_lapse(instance),
-            Sight::DrainAcknowledged { instance } => {
+            Observation::RunnerDown { instance } => self.take_down(at, instance),
+            Observation::Started(start) => self.take_start(at, start),
+            Observation::Ended(end) => self.take_end(at, end),
+            Observation::Observed { instance, number } => self.take_observed(at, instance, *number),
+            Observation::LeaseExpired { instance } => self.take_lapse(instance),
+            Observation::DrainAcknowledged { instance } => {
                 self.drains.insert(instance.clone(), at);
             }
-            Sight::OrderSent(order) => self.configurations.extend(order.content.clone()),
-            Sight::DayEnd => self.day_end = Some(at),
+            Observation::OrderSent(order) => self.configurations.extend(order.content.clone()),
+            Observation::DayEnd => self.day_end = Some(at),
             _ => (),
         }
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    fn take_start(&mut self, at: Micros, start: &StartSeen) {
+    fn take_start(&mut self, at: Micros, start: &ObservedStart) {
         let Some(task) = TaskName::parse(&start.task) else {
             return;
         };
@@ -149,7 +149,7 @@
         });
     }
 
-    fn take_end(&mut self, at: Micros, end: &EndSeen) {
+    fn take_end(&mut self, at: Micros, end: &ObservedEnd) {
         let Some(indices) = self.runs_of.get(&end.task) else {
             return;
         };
@@ -165,8 +165,8 @@
     }
 
     fn take_down(&mut self, at: Micros, instance: &str) {
-        if let Some(life) = self.lives.get_mut(instance) {
-            life.until = at;
+        if let Some(span) = self.instances.get_mut(instance) {
+            span.until = at;
         }
         for index in self.runs_of_instance.get(instance).into_iter().flatten() {
             let run = &mut self.runs[*index];
--- a/crates/testing/simulation/src/checker/jobs.rs
+++ b/crates/testing/simulation/src/checker/jobs.rs
@@ -4,7 +4,7 @@
 use super::runs::step_done;
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{ShownState, Sight};
+use crate::history::{Observation, ShownState};
 use crate::job::{JobDefinition, StepName};
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::NodeId;
@@ -14,13 +14,13 @@
 pub(super) fn judge(judge: &mut Judge) {
     let history = judge.history;
     let mut last: BTreeMap<String, ShownState> = BTreeMap::new();
-    for seen in &history.seen {
-        let Sight::StateRead {
+    for seen in &history.observations {
+        let Observation::StateRead {
             job,
             sent,
             state,
             gateway,
-        } = &seen.sight
+        } = &seen.observation
         else {
             continue;
         };
@@ -28,13 +28,13 @@
             continue;
         };
         let submit = judge.facts.submits.get(job).cloned().unwrap_or_default();
-        let look = Look {
+        let check = PendingHealthCheck {
             at: seen.at,
             sent: *sent,
             gateway: *gateway,
             state,
         };
-        read(judge, &look, definition, &submit, last.get(job));
+        read(judge, &check, definition, &submit, last.get(job));
         last.insert(job.clone(), state.clone());
     }
     if let Some(end) = judge.facts.day_end {
@@ -43,7 +43,7 @@
 }
 
 /// A look of a client at a job.
-struct Look<'a> {
+struct PendingHealthCheck<'a> {
     at: Micros,
     sent: Micros,
     gateway: NodeId,
@@ -52,12 +52,12 @@
 
 fn read(
     judge: &mut Judge,
-    look: &Look,
+    check: &PendingHealthCheck,
     job: &JobDefinition,
     submit: &SubmitFact,
     before: Option<&ShownState>,
 ) {
-    let (at, state) = (look.at, look.state);
+    let (at, state) = (check.at, check.state);
     match state {
         ShownState::Unreadable => {
             judge.accuse(Rule::Mixed, at, format!("{}: unreadable state", job.id))
@@ -77,7 +77,7 @@
                 format!("{} is shown as cancelled without cause", job.id),
             );
         }
-        ShownState::Gone => gone(judge, look, job, submit),
+        ShownState::Gone => gone(judge, check, job, submit),
         _ => (),
     }
     let regressed = before == Some(&ShownState::Completed) && is_open(state);
@@ -108,13 +108,13 @@
     }
 }
 
-fn gone(judge: &mut Judge, look: &Look, job: &JobDefinition, submit: &SubmitFact) {
-    let sent = look.sent;
+fn gone(judge: &mut Judge, check: &PendingHealthCheck, job: &JobDefinition, submit: &SubmitFact) {
+    let sent = check.sent;
     let visible = judge.limits.visible_ms * MILLISECOND;
     let known = submit
         .accepted
         .is_some_and(|accepted| sent > accepted + visible);
-    if known && submit.cancel_sent.is_none() && judge.calm.in_touch(look.gateway, sent) {
+    if known && submit.cancel_sent.is_none() && judge.calm.in_touch(check.gateway, sent) {
         judge.accuse(
             Rule::Lost,
             sent,
--- a/crates/testing/simulation/src/checker/mod.rs
+++ b/crates/testing/simulation/src/checker/mod.rs
@@ -1,6 +1,6 @@
 //! Judges a day by what clients, runners and the operator saw, and by nothing else. Shares no code with the
 //! system. Rules with a time bound are judged for machines in touch, those of gangs, of work that runs on and of
-//! standstill only while no trouble of anyone is near.
+//! standstill only while no fault of anyone is near.
 
 mod calm;
 mod cancels;
@@ -22,26 +22,44 @@
 /// A rule that can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A task runs twice at a time, or again after it was done.
     Twice,
+    /// A runner has more runs than its capacity holds.
     Limit,
+    /// A step starts before what it depends on has ended, or an occurrence before it is due.
     Order,
+    /// A task is started more often than its queue allows.
     Budget,
+    /// A run that no client asked for, with another specification or checkpoint than its own, or after a cancellation
+    /// was acknowledged.
     Unasked,
+    /// A job starts although all its submissions were rejected.
     Refused,
+    /// An accepted job, its end or an acknowledged configuration is lost.
     Lost,
+    /// A configuration is in force that was never sent, or an older one after a newer.
     Config,
+    /// A member of a gang waited in vain for the others though no fault was near.
     Gang,
+    /// A task runs at a runner of another service, without the labels that it asks for, or beside more of its step than
+    /// anti-affinity allows.
     Route,
+    /// A client reads a state that does not parse or contradicts an earlier one.
     Mixed,
+    /// A run starts at a runner whose drain was acknowledged.
     Drain,
+    /// Clients are not served in time after the final fault.
     Recover,
 }
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// The rule that was broken.
     pub rule: Rule,
+    /// When it was broken.
     pub at: Micros,
+    /// What was observed.
     pub detail: String,
 }
 
@@ -60,6 +78,7 @@
 /// What the rules leave to the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// The bounds that hold between clients, runners and the cluster.
     pub bounds: Bounds,
     /// A job is known so long after the acknowledgement.
     pub visible_ms: u64,
--- a/crates/testing/simulation/src/checker/recover.rs
+++ b/crates/testing/simulation/src/checker/recover.rs
@@ -2,7 +2,7 @@
 
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::history::Sight;
+use crate::history::Observation;
 
 /// A request that waits longer for its success is not served.
 const SERVED_WITHIN: Micros = 3 * SECOND;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Judges the jobs that were handed in before the final fault and after the recovery from it.
+/// Judges the jobs that were submitted before the final fault and after the recovery from it.
 pub(super) fn judge(judge: &mut Judge) {
     let Some((struck, back)) = final_fault(judge) else {
         return;
@@ -40,10 +40,14 @@
 }
 
 fn final_fault(judge: &Judge) -> Option<(Micros, Micros)> {
-    judge.history.seen.iter().find_map(|seen| match seen.sight {
-        Sight::FinalFault { back } => Some((seen.at, back)),
-        _ => None,
-    })
+    judge
+        .history
+        .observations
+        .iter()
+        .find_map(|seen| match seen.observation {
+            Observation::FinalFault { back } => Some((seen.at, back)),
+            _ => None,
+        })
 }
 
 /// What became of the jobs first sent after `from` and before `until`.
--- a/crates/testing/simulation/src/checker/stalls.rs
+++ b/crates/testing/simulation/src/checker/stalls.rs
@@ -5,7 +5,7 @@
 use super::runs::step_done;
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND, SECOND, WALL_START_MS};
-use crate::history::{RunnerFacts, ShownState, Sight};
+use crate::history::{Observation, RunnerFacts, ShownState};
 use crate::job::{JobDefinition, StepDefinition};
 use sagetrail_protocol::agent::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -78,12 +78,12 @@
 
 fn first_final(judge: &Judge) -> BTreeMap<String, Micros> {
     let mut ended = BTreeMap::new();
-    for seen in &judge.history.seen {
-        if let Sight::StateRead {
+    for seen in &judge.history.observations {
+        if let Observation::StateRead {
             job,
             state: ShownState::Completed | ShownState::Failed,
             ..
-        } = &seen.sight
+        } = &seen.observation
         {
             ended.entry(job.clone()).or_insert(seen.at);
         }
@@ -129,9 +129,9 @@
 fn runners_of(judge: &Judge, job: &JobDefinition, at: Micros) -> Vec<RunnerFacts> {
     let services = judge.facts.services(&job.prefix);
     let up = |runner: &&RunnerFacts| {
-        let life = judge.facts.lives.get(&runner.instance);
+        let span = judge.facts.instances.get(&runner.instance);
         let drains = judge.facts.drains.contains_key(&runner.instance);
-        life.is_some_and(|life| life.from <= at && life.until > at)
+        span.is_some_and(|span| span.from <= at && span.until > at)
             && !drains
             && services.contains(&runner.service)
     };
--- a/crates/testing/simulation/src/checker/starts.rs
+++ b/crates/testing/simulation/src/checker/starts.rs
@@ -3,15 +3,15 @@
 use super::facts::RunFact;
 use super::{Judge, Rule};
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{Sight, StartSeen};
+use crate::history::{Observation, ObservedStart};
 use crate::job::{JobDefinition, StepDefinition, TaskName};
 use sagetrail_protocol::agent::Resources;
 
 /// Judges all starts.
 pub(super) fn judge(judge: &mut Judge) {
     let history = judge.history;
-    for seen in &history.seen {
-        if let Sight::Started(start) = &seen.sight {
+    for seen in &history.observations {
+        if let Observation::Started(start) = &seen.observation {
             asked(judge, seen.at, start);
         }
     }
@@ -29,7 +29,7 @@
     }
 }
 
-fn asked(judge: &mut Judge, at: Micros, start: &StartSeen) {
+fn asked(judge: &mut Judge, at: Micros, start: &ObservedStart) {
     let history = judge.history;
     let task = TaskName::parse(&start.task);
     let job = task
@@ -152,7 +152,7 @@
     let Some(submit) = judge.facts.submits.get(&run.task.job) else {
         return;
     };
-    if submit.tries > 0 && submit.rejections == submit.tries {
+    if submit.attempts > 0 && submit.rejections == submit.attempts {
         let detail = format!(
             "{} starts on {}, all tries were rejected",
             run.task, run.instance
--- a/crates/testing/simulation/src/client.rs
+++ b/crates/testing/simulation/src/client.rs
@@ -1,8 +1,8 @@
-//! Clients: they hand jobs in, try again as the protocol says, ask for states and cancel.
+//! Clients: they submit jobs, retry as the protocol says, ask for states and cancel.
 
-use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
+use crate::actor::{Actor, ActorContext, CallTag, Outcome, OutgoingCall};
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::history::{Answer, ShownState, Sight};
+use crate::history::{Answer, Observation, ShownState};
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use sagetrail_protocol::NodeId;
 use serde_json::Value;
@@ -10,21 +10,23 @@
 /// How long a client waits for an answer.
 const DEADLINE: Micros = 3 * SECOND;
 /// So often a job is sent at most.
-const MOST_TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 /// The pause before the second try; it doubles with each, up to `LONGEST_PAUSE`.
 const FIRST_PAUSE: Micros = 300 * MILLISECOND;
 const LONGEST_PAUSE: Micros = 2 * SECOND;
 /// A state is asked for about this often.
 const POLL_INTERVAL: Micros = 1500 * MILLISECOND;
-/// Further looks at a state that is final.
-const LOOKS_AFTER_END: u32 = 2;
+/// Further reads of a state that is final.
+const READS_AFTER_END: u32 = 2;
 
 /// What a client does with one job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobPlan {
-    /// The job's ID in the book.
+    /// The job's ID in the job table.
     pub job: String,
+    /// The `Host` of its queue.
     pub host: String,
+    /// When it is first sent.
     pub submit_at: Micros,
     /// When it is cancelled, if it has been accepted.
     pub cancel_at: Option<Micros>,
@@ -55,9 +57,9 @@
     plan: JobPlan,
     phase: Phase,
     due: Micros,
-    tries: u32,
+    attempts: u32,
     pending: Option<Pending>,
-    looks_left: u32,
+    reads_left: u32,
     cancelled: bool,
 }
 
@@ -73,9 +75,9 @@
             due: plan.submit_at,
             plan,
             phase: Phase::Submitting,
-            tries: 0,
+            attempts: 0,
             pending: None,
-            looks_left: LOOKS_AFTER_END,
+            reads_left: READS_AFTER_END,
             cancelled: false,
         };
         Clients {
@@ -93,10 +95,10 @@
         }
     }
 
-    fn send(&mut self, now: Micros, tag: CallTag, surroundings: &mut Surroundings) {
+    fn send(&mut self, now: Micros, tag: CallTag, context: &mut ActorContext) {
         let kind = self.kind();
-        let gateway = surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
-        let Some(definition) = surroundings.history.jobs.jobs.get(&self.plan.job) else {
+        let gateway = context.gateways[context.chance.index(context.gateways.len())];
+        let Some(definition) = context.history.jobs.jobs.get(&self.plan.job) else {
             return;
         };
         let request = HttpRequest {
@@ -111,20 +113,20 @@
                 Vec::new()
             },
         };
-        surroundings.calls.push(OutgoingCall {
+        context.calls.push(OutgoingCall {
             tag,
             to: gateway,
             endpoint: HttpEndpoint::Frontend,
             request,
-            patience: DEADLINE,
+            timeout: DEADLINE,
         });
         let job = self.plan.job.clone();
         match kind {
-            Kind::Submit => surroundings.history.note(now, Sight::SubmitSent { job }),
-            Kind::Cancel => surroundings.history.note(now, Sight::CancelSent { job }),
+            Kind::Submit => context.history.note(now, Observation::SubmitSent { job }),
+            Kind::Cancel => context.history.note(now, Observation::CancelSent { job }),
             Kind::Read => (),
         }
-        self.tries += 1;
+        self.attempts += 1;
         self.pending = Some(Pending {
             kind,
             sent: now,
@@ -133,48 +135,51 @@
     }
 
     fn pause(&mut self, now: Micros) {
-        let doubled = FIRST_PAUSE << self.tries.min(6).saturating_sub(1);
+        let doubled = FIRST_PAUSE << self.attempts.min(6).saturating_sub(1);
         self.due = now + doubled.min(LONGEST_PAUSE);
     }
 
-    fn take_submit(&mut self, now: Micros, answer: Answer, surroundings: &mut Surroundings) {
+    fn take_submit(&mut self, now: Micros, answer: Answer, context: &mut ActorContext) {
         let job = self.plan.job.clone();
-        surroundings.history.note(
+        context.history.note(
             now,
-            Sight::SubmitAnswered {
+            Observation::SubmitAnswered {
                 job: job.clone(),
                 answer,
             },
         );
         if answer.is_success() {
             self.phase = Phase::Following;
-            self.tries = 0;
-            self.plan_next_look(now, surroundings);
-        } else if self.tries >= MOST_TRIES || matches!(answer, Answer::Status(400 | 404 | 413)) {
-            surroundings.history.note(now, Sight::SubmitGivenUp { job });
+            self.attempts = 0;
+            self.plan_next_read(now, context);
+        } else if self.attempts >= MAX_ATTEMPTS || matches!(answer, Answer::Status(400 | 404 | 413))
+        {
+            context
+                .history
+                .note(now, Observation::SubmitGivenUp { job });
             self.phase = Phase::Over;
         } else {
             self.pause(now);
         }
     }
 
-    fn plan_next_look(&mut self, now: Micros, surroundings: &mut Surroundings) {
-        self.due = now + POLL_INTERVAL / 2 + surroundings.chance.between(0, POLL_INTERVAL);
+    fn plan_next_read(&mut self, now: Micros, context: &mut ActorContext) {
+        self.due = now + POLL_INTERVAL / 2 + context.chance.between(0, POLL_INTERVAL);
         if let Some(at) = self.plan.cancel_at.filter(|_| !self.cancelled) {
             self.due = self.due.min(at.max(now));
         }
     }
 
-    fn take_cancel(&mut self, now: Micros, answer: Answer, surroundings: &mut Surroundings) {
+    fn take_cancel(&mut self, now: Micros, answer: Answer, context: &mut ActorContext) {
         let job = self.plan.job.clone();
-        surroundings
+        context
             .history
-            .note(now, Sight::CancelAnswered { job, answer });
+            .note(now, Observation::CancelAnswered { job, answer });
         if answer.is_success() || answer == Answer::Status(410) {
             self.cancelled = true;
             self.phase = Phase::Following;
-            self.tries = 0;
-            self.plan_next_look(now, surroundings);
+            self.attempts = 0;
+            self.plan_next_read(now, context);
         } else {
             self.pause(now);
         }
@@ -185,9 +190,9 @@
         now: Micros,
         pending: &Pending,
         outcome: &Outcome,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
-        self.plan_next_look(now, surroundings);
+        self.plan_next_read(now, context);
         let Some(state) = shown_state(outcome) else {
             return;
         };
@@ -196,17 +201,17 @@
             ShownState::Completed | ShownState::Failed | ShownState::Cancelled
         );
         let gone = state == ShownState::Gone;
-        let sight = Sight::StateRead {
+        let observation = Observation::StateRead {
             job: self.plan.job.clone(),
             sent: pending.sent,
             gateway: pending.gateway,
             state,
         };
-        surroundings.history.note(now, sight);
+        context.history.note(now, observation);
         if end || gone && self.cancelled {
-            self.looks_left = self.looks_left.saturating_sub(1);
+            self.reads_left = self.reads_left.saturating_sub(1);
         }
-        if self.looks_left == 0 {
+        if self.reads_left == 0 {
             self.phase = Phase::Over;
         }
     }
@@ -251,26 +256,20 @@
 }
 
 impl Actor for Clients {
-    fn wake(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    fn wake(&mut self, now: Micros, context: &mut ActorContext) {
         for (tag, course) in self.courses.iter_mut().enumerate() {
             if course.phase == Phase::Over || course.pending.is_some() || course.due > now {
                 continue;
             }
             if course.wants_cancel(now) {
                 course.phase = Phase::Cancelling;
-                course.tries = 0;
+                course.attempts = 0;
             }
-            course.send(now, tag as CallTag, surroundings);
+            course.send(now, tag as CallTag, context);
         }
     }
 
-    fn outcome(
-        &mut self,
-        now: Micros,
-        tag: CallTag,
-        outcome: Outcome,
-        surroundings: &mut Surroundings,
-    ) {
+    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, context: &mut ActorContext) {
         let Some(course) = self.courses.get_mut(tag as usize) else {
             return;
         };
@@ -278,9 +277,9 @@
             return;
         };
         match pending.kind {
-            Kind::Submit => course.take_submit(now, outcome.answer(), surroundings),
-            Kind::Cancel => course.take_cancel(now, outcome.answer(), surroundings),
-            Kind::Read => course.take_state(now, &pending, &outcome, surroundings),
+            Kind::Submit => course.take_submit(now, outcome.answer(), context),
+            Kind::Cancel => course.take_cancel(now, outcome.answer(), context),
+            Kind::Read => course.take_state(now, &pending, &outcome, context),
         }
     }
 
--- a/crates/testing/simulation/src/cluster/calls.rs
+++ b/crates/testing/simulation/src/cluster/calls.rs
@@ -1,9 +1,9 @@
 //! Calls by HTTP from outside to a process, and their outcomes.
 
-use super::{ActorId, CallOwner, World, WorldEvent};
+use super::{ActorId, CallOwner, ClusterEvent, SimulatedCluster};
 use crate::actor::{Outcome, OutgoingCall};
 use crate::engine::Micros;
-use crate::process::{Held, ProcessState};
+use crate::process::{Deferred, ProcessState};
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpRequest, HttpRequestId};
 use sagetrail_protocol::NodeId;
 
@@ -28,7 +28,7 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     pub(crate) fn start_call(&mut self, actor: ActorId, outgoing: OutgoingCall) {
         let id = HttpRequestId(self.next_call);
         self.next_call += 1;
@@ -42,16 +42,16 @@
             endpoint: outgoing.endpoint,
         };
         let arrives = self.now() + call.latency();
-        let timeout = self.now() + outgoing.patience;
+        let timeout = self.now() + outgoing.timeout;
         self.calls.insert(id, call);
         self.queue.schedule(
             arrives,
-            WorldEvent::RequestArrives {
+            ClusterEvent::RequestArrives {
                 id,
                 request: outgoing.request,
             },
         );
-        self.queue.schedule(timeout, WorldEvent::CallTimeout(id));
+        self.queue.schedule(timeout, ClusterEvent::CallTimeout(id));
     }
 
     pub(crate) fn request_arrives(&mut self, id: HttpRequestId, request: HttpRequest) {
@@ -72,7 +72,7 @@
             ProcessState::Down => self.answer_call(id, Outcome::Broken),
             ProcessState::Frozen => {
                 process.requests.insert(id);
-                process.held.push(Held::Event(Box::new(event)));
+                process.deferred.push(Deferred::Event(Box::new(event)));
             }
             ProcessState::Running => {
                 process.requests.insert(id);
@@ -94,7 +94,7 @@
         if !lost {
             self.queue.schedule(
                 self.queue.now() + latency,
-                WorldEvent::OutcomeArrives { id, outcome },
+                ClusterEvent::OutcomeArrives { id, outcome },
             );
         }
     }
--- a/crates/testing/simulation/src/cluster/trouble.rs
+++ b/crates/testing/simulation/src/cluster/fault_injection.rs
@@ -1,9 +1,9 @@
-//! Troubles as they strike.
+//! Faults as they strike.
 
-use super::{ActorId, World, WorldEvent};
+use super::{ActorId, ClusterEvent, SimulatedCluster};
 use crate::engine::{Micros, MILLISECOND};
 use crate::faults::Fault;
-use crate::history::{Reach, Sight};
+use crate::history::{Observation, Reach};
 use crate::network::Direction;
 use crate::process::ProcessState;
 use sagetrail_protocol::{NodeId, NodeKind};
@@ -11,13 +11,13 @@
 /// A process that is killed is started again no sooner than after this.
 const SHORTEST_ABSENCE: Micros = 50 * MILLISECOND;
 
-impl World {
+impl SimulatedCluster {
     pub(crate) fn apply(&mut self, fault: Fault) {
         let now = self.now();
         let what = format!("{fault:?}");
         let reach = self.reach(&fault);
-        let until = now + self.strike(fault);
-        self.note_trouble(until, what, reach);
+        let until = now + self.inject(fault);
+        self.record_fault(until, what, reach);
     }
 
     fn reach(&self, fault: &Fault) -> Reach {
@@ -52,7 +52,7 @@
             .is_some_and(|process| process.kind == NodeKind::Core)
     }
 
-    /// Troubles at machines; those of the core touch everyone.
+    /// Faults at machines; those of the core touch everyone.
     fn reach_of(&self, nodes: &[NodeId]) -> Reach {
         if nodes.iter().any(|node| self.is_core(*node)) {
             return Reach::Core;
@@ -70,8 +70,8 @@
         Reach::Machines(ends.filter(|node| !self.is_core(*node)).collect())
     }
 
-    /// Lets a trouble strike; gives how long it lasts.
-    fn strike(&mut self, fault: Fault) -> Micros {
+    /// Lets a fault strike; gives how long it lasts.
+    fn inject(&mut self, fault: Fault) -> Micros {
         match fault {
             Fault::Kill { node, back_after } => {
                 self.take_down(&[node], ProcessState::Down, back_after)
@@ -107,7 +107,7 @@
             } => self.replace_planned(node, successor, overlap),
             Fault::Isolate { node, lasts } => {
                 self.network.isolate(node, true);
-                self.end_after(lasts, WorldEvent::Rejoin(node))
+                self.end_after(lasts, ClusterEvent::Rejoin(node))
             }
             Fault::CutOneWay { from, to, lasts } => self.cut(vec![Direction { from, to }], lasts),
             Fault::CutGroups { one, other, lasts } => self.cut(between(&one, &other), lasts),
@@ -118,7 +118,7 @@
             } => self.step_clock(node, millis, lasts),
             Fault::SlowDisk { node, sync, lasts } => {
                 self.set_sync(node, Some(sync));
-                self.end_after(lasts, WorldEvent::DiskUsual(node))
+                self.end_after(lasts, ClusterEvent::DiskUsual(node))
             }
             Fault::StallDisk { node, lasts } => self.stall_disk(node, lasts),
             Fault::Storm { loss, lasts } => {
@@ -128,11 +128,11 @@
             Fault::RunnerCrash { .. }
             | Fault::RunnerDrain { .. }
             | Fault::RunnerDeregister { .. }
-            | Fault::RunnerSilence { .. } => self.trouble_runner(fault),
+            | Fault::RunnerSilence { .. } => self.inject_runner_fault(fault),
         }
     }
 
-    fn end_after(&mut self, lasts: Micros, event: WorldEvent) -> Micros {
+    fn end_after(&mut self, lasts: Micros, event: ClusterEvent) -> Micros {
         self.queue.schedule(self.queue.now() + lasts, event);
         lasts
     }
@@ -142,7 +142,7 @@
         for node in nodes {
             self.kill(*node, state);
             self.queue
-                .schedule(self.queue.now() + absence, WorldEvent::Start(*node));
+                .schedule(self.queue.now() + absence, ClusterEvent::Start(*node));
         }
         absence
     }
@@ -151,15 +151,15 @@
         let nodes: Vec<NodeId> = self.processes.keys().copied().collect();
         let absence = self.take_down(&nodes, ProcessState::PowerOff, back_after);
         for runner in 0..self.runners.len() {
-            self.trouble_runner(Fault::RunnerCrash {
+            self.inject_runner_fault(Fault::RunnerCrash {
                 runner,
                 back_after: absence,
             });
         }
         let now = self.now();
-        self.surroundings.history.note(
+        self.context.history.note(
             now,
-            Sight::FinalFault {
+            Observation::FinalFault {
                 back: now + absence,
             },
         );
@@ -182,7 +182,7 @@
         for direction in &directions {
             self.network.cut(*direction);
         }
-        self.end_after(lasts, WorldEvent::Join(directions))
+        self.end_after(lasts, ClusterEvent::Join(directions))
     }
 
     fn step_clock(&mut self, node: NodeId, millis: i64, lasts: Micros) -> Micros {
@@ -199,7 +199,7 @@
             millis: 0,
             lasts: 0,
         };
-        self.end_after(lasts, WorldEvent::Fault(back))
+        self.end_after(lasts, ClusterEvent::Fault(back))
     }
 
     fn stall_disk(&mut self, node: NodeId, lasts: Micros) -> Micros {
@@ -214,11 +214,11 @@
         lasts
     }
 
-    fn trouble_runner(&mut self, fault: Fault) -> Micros {
+    fn inject_runner_fault(&mut self, fault: Fault) -> Micros {
         let now = self.now();
         let (index, lasts) = match fault {
             Fault::RunnerCrash { runner, back_after } => {
-                self.runners[runner].crash(now, back_after, &mut self.surroundings);
+                self.runners[runner].crash(now, back_after, &mut self.context);
                 (runner, back_after)
             }
             Fault::RunnerDrain {
--- a/crates/testing/simulation/src/cluster/health_checks.rs
+++ b/crates/testing/simulation/src/cluster/health_checks.rs
@@ -1,6 +1,6 @@
 //! Looks of an agent at the runner beside it.
 
-use super::{World, WorldEvent};
+use super::{ClusterEvent, SimulatedCluster};
 use crate::engine::{Micros, MILLISECOND};
 use sagetrail_protocol::node::{Event, HealthCheck, HealthCheckId, HealthCheckResult};
 use sagetrail_protocol::NodeId;
@@ -12,13 +12,13 @@
 
 /// A look on its way, of a process in one of its lives.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Look {
+pub(crate) struct PendingHealthCheck {
     node: NodeId,
     generation: u64,
     id: HealthCheckId,
 }
 
-impl World {
+impl SimulatedCluster {
     pub(crate) fn start_health_checks(&mut self, node: NodeId, health_checks: Vec<HealthCheck>) {
         let Some(generation) = self.processes.get(&node).map(|process| process.generation) else {
             return;
@@ -26,36 +26,36 @@
         let at = self.now() + BESIDE;
         for health_check in health_checks {
             self.digest.probed(self.queue.now(), node, &health_check);
-            let look = Look {
+            let check = PendingHealthCheck {
                 node,
                 generation,
                 id: health_check.id,
             };
             self.queue
-                .schedule(at, WorldEvent::HealthCheckArrives(look));
+                .schedule(at, ClusterEvent::HealthCheckArrives(check));
         }
     }
 
     /// The port is looked at as it is now.
-    pub(crate) fn health_check_arrives(&mut self, look: Look) {
+    pub(crate) fn health_check_arrives(&mut self, check: PendingHealthCheck) {
         let up = self
             .runners
             .iter()
-            .any(|runner| runner.agent() == look.node && runner.is_up());
+            .any(|runner| runner.agent() == check.node && runner.is_up());
         let result = if up { WELL } else { HealthCheckResult::Refused };
         self.queue.schedule(
             self.queue.now() + BESIDE,
-            WorldEvent::Probed { look, result },
+            ClusterEvent::Probed { check, result },
         );
     }
 
-    pub(crate) fn probed(&mut self, look: Look, result: HealthCheckResult) {
-        let process = self.processes.get(&look.node);
-        if process.is_some_and(|process| process.generation == look.generation) {
+    pub(crate) fn probed(&mut self, check: PendingHealthCheck, result: HealthCheckResult) {
+        let process = self.processes.get(&check.node);
+        if process.is_some_and(|process| process.generation == check.generation) {
             self.dispatch(
-                look.node,
+                check.node,
                 Event::HealthCheck {
-                    id: look.id,
+                    id: check.id,
                     result,
                 },
             );
--- a/crates/testing/simulation/src/cluster/mod.rs
+++ b/crates/testing/simulation/src/cluster/mod.rs
@@ -1,26 +1,26 @@
-//! The simulated world: processes, their network and disks, and everyone outside.
+//! The simulated cluster: processes, their network and disks, and everyone outside.
 
 mod calls;
+mod fault_injection;
 mod health_checks;
-mod life;
 mod outside;
+mod process_lifecycle;
 mod replacement;
-mod trouble;
 
-use crate::actor::{CallTag, Outcome, Surroundings};
+use crate::actor::{ActorContext, CallTag, Outcome};
 use crate::client::Clients;
 use crate::digest::DayDigest;
 use crate::disk::{Disk, DiskSpeed};
 use crate::engine::{Chance, Micros, Queue, MILLISECOND};
 use crate::faults::Fault;
-use crate::gang::GangBoard;
-use crate::history::{History, Reach, Sight};
+use crate::gang::GangTable;
+use crate::history::{History, Observation, Reach};
 use crate::network::{Direction, LinkQuality, Network};
 use crate::operator::Operator;
 use crate::process::{Factory, Process};
 use crate::runner::Runner;
 use calls::Call;
-use health_checks::Look;
+use health_checks::PendingHealthCheck;
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::frame;
 use sagetrail_protocol::node::{
@@ -34,28 +34,42 @@
 
 /// What makes the processes of each class.
 pub struct Factories {
+    /// Makes core processes.
     pub core: Factory,
+    /// Makes frontends.
     pub frontend: Factory,
+    /// Makes agents.
     pub side: Factory,
 }
 
 /// A process's place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
+    /// The process.
     pub node: NodeId,
+    /// Its kind.
     pub kind: NodeKind,
+    /// Its zone.
     pub zone: usize,
 }
 
-/// What a world is made of.
-pub struct WorldPlan {
+/// What a cluster is made of.
+pub struct ClusterPlan {
+    /// The seed of all random choices.
     pub seed: u64,
+    /// All processes that start with the cluster.
     pub places: Vec<Place>,
+    /// The addresses to start from.
     pub seeds: Vec<NodeId>,
+    /// The bounds that hold between clients, runners and the cluster.
     pub bounds: Bounds,
+    /// How many core machines may be lost.
     pub tolerated_machines: u32,
+    /// The interval of runners' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
+    /// The quality of all links.
     pub links: LinkQuality,
+    /// The speed of all disks.
     pub disks: DiskSpeed,
     /// The share of answers to the operator that are lost.
     pub lost_answers: f64,
@@ -71,7 +85,7 @@
     Operator,
 }
 
-pub(crate) enum WorldEvent {
+pub(crate) enum ClusterEvent {
     Start(NodeId),
     Deliver {
         to: NodeId,
@@ -95,9 +109,9 @@
         outcome: Outcome,
     },
     CallTimeout(HttpRequestId),
-    HealthCheckArrives(Look),
+    HealthCheckArrives(PendingHealthCheck),
     Probed {
-        look: Look,
+        check: PendingHealthCheck,
         result: HealthCheckResult,
     },
     ActorWake {
@@ -125,15 +139,15 @@
     },
 }
 
-/// The world.
-pub struct World {
-    pub(crate) queue: Queue<WorldEvent>,
+/// The cluster.
+pub struct SimulatedCluster {
+    pub(crate) queue: Queue<ClusterEvent>,
     pub(crate) chance: Chance,
     pub(crate) network: Network,
     pub(crate) processes: BTreeMap<NodeId, Process>,
     pub(crate) factories: Factories,
-    pub(crate) plan: WorldPlan,
-    pub(crate) surroundings: Surroundings,
+    pub(crate) plan: ClusterPlan,
+    pub(crate) context: ActorContext,
     pub(crate) runners: Vec<Runner>,
     pub(crate) clients: Clients,
     pub(crate) operator: Operator,
@@ -143,14 +157,19 @@
     pub(crate) digest: DayDigest,
     /// Messages carried, and their bytes.
     pub messages: u64,
+    /// The bytes of all messages carried.
     pub message_bytes: u64,
     /// Faults of the codec: a message that does not come out as it went in.
     pub codec_faults: Vec<String>,
 }
 
-impl World {
-    /// A world in which nothing has started.
-    pub fn new(plan: WorldPlan, factories: Factories, jobs: crate::job::JobBook) -> World {
+impl SimulatedCluster {
+    /// A cluster in which nothing has started.
+    pub fn new(
+        plan: ClusterPlan,
+        factories: Factories,
+        jobs: crate::job::JobTable,
+    ) -> SimulatedCluster {
         let mut chance = Chance::new(plan.seed);
         let mut network = Network::new(plan.links);
         let mut processes = BTreeMap::new();
@@ -166,26 +185,26 @@
                 ),
             );
         }
-        let surroundings = Surroundings {
+        let context = ActorContext {
             history: History {
                 jobs,
                 ..History::default()
             },
             chance: Chance::new(plan.seed ^ 0x5eed),
-            gangs: GangBoard::default(),
+            gangs: GangTable::default(),
             bounds: plan.bounds,
             calls: Vec::new(),
             gateways: plan.nodes(NodeKind::Frontend),
             cores: plan.nodes(NodeKind::Core),
         };
-        World {
+        SimulatedCluster {
             queue: Queue::default(),
             chance,
             network,
             processes,
             factories,
             plan,
-            surroundings,
+            context,
             runners: Vec::new(),
             clients: Clients::new(Vec::new()),
             operator: Operator::new(Vec::new()),
@@ -213,11 +232,11 @@
         let nodes: Vec<NodeId> = self.processes.keys().copied().collect();
         for node in nodes {
             let at = self.chance.between(0, START_SPREAD);
-            self.queue.schedule(at, WorldEvent::Start(node));
+            self.queue.schedule(at, ClusterEvent::Start(node));
         }
         for planned in faults {
             self.queue
-                .schedule(planned.at, WorldEvent::Fault(planned.fault));
+                .schedule(planned.at, ClusterEvent::Fault(planned.fault));
         }
         self.schedule_all_actors();
     }
@@ -231,7 +250,7 @@
 
     /// What has been seen.
     pub fn history(&mut self) -> &mut History {
-        &mut self.surroundings.history
+        &mut self.context.history
     }
 
     /// The digest of all that was seen so far.
@@ -248,35 +267,35 @@
         self.queue.now()
     }
 
-    pub(crate) fn note_trouble(&mut self, until: Micros, what: String, reach: Reach) {
+    pub(crate) fn record_fault(&mut self, until: Micros, what: String, reach: Reach) {
         let now = self.now();
-        self.surroundings
+        self.context
             .history
-            .note(now, Sight::Trouble { until, what, reach });
+            .note(now, Observation::Fault { until, what, reach });
     }
 
-    fn take(&mut self, event: WorldEvent) {
+    fn take(&mut self, event: ClusterEvent) {
         match event {
-            WorldEvent::Start(node) => self.start(node),
-            WorldEvent::Deliver { to, from, payload } => self.deliver(to, from, &payload),
-            WorldEvent::Wake { node, at } => self.wake_process(node, at),
-            WorldEvent::DiskDone { node, generation } => self.disk_done(node, generation),
-            WorldEvent::RequestArrives { id, request } => self.request_arrives(id, request),
-            WorldEvent::OutcomeArrives { id, outcome } => self.outcome_arrives(id, outcome),
-            WorldEvent::CallTimeout(id) => self.call_timeout(id),
-            WorldEvent::HealthCheckArrives(look) => self.health_check_arrives(look),
-            WorldEvent::Probed { look, result } => self.probed(look, result),
-            WorldEvent::ActorWake { actor, at } => self.wake_actor(actor, at),
-            WorldEvent::Fault(fault) => self.apply(fault),
-            WorldEvent::Listed { gone, came } => self.list(gone, came),
-            WorldEvent::Leave(node) => self.leave(node),
-            WorldEvent::Thaw { node, generation } => self.thaw(node, generation),
-            WorldEvent::Join(directions) => directions
+            ClusterEvent::Start(node) => self.start(node),
+            ClusterEvent::Deliver { to, from, payload } => self.deliver(to, from, &payload),
+            ClusterEvent::Wake { node, at } => self.wake_process(node, at),
+            ClusterEvent::DiskDone { node, generation } => self.disk_done(node, generation),
+            ClusterEvent::RequestArrives { id, request } => self.request_arrives(id, request),
+            ClusterEvent::OutcomeArrives { id, outcome } => self.outcome_arrives(id, outcome),
+            ClusterEvent::CallTimeout(id) => self.call_timeout(id),
+            ClusterEvent::HealthCheckArrives(check) => self.health_check_arrives(check),
+            ClusterEvent::Probed { check, result } => self.probed(check, result),
+            ClusterEvent::ActorWake { actor, at } => self.wake_actor(actor, at),
+            ClusterEvent::Fault(fault) => self.apply(fault),
+            ClusterEvent::Listed { gone, came } => self.list(gone, came),
+            ClusterEvent::Leave(node) => self.leave(node),
+            ClusterEvent::Thaw { node, generation } => self.thaw(node, generation),
+            ClusterEvent::Join(directions) => directions
                 .into_iter()
                 .for_each(|one| self.network.join(one)),
-            WorldEvent::Rejoin(node) => self.network.isolate(node, false),
-            WorldEvent::DiskUsual(node) => self.set_sync(node, None),
-            WorldEvent::GraceOver {
+            ClusterEvent::Rejoin(node) => self.network.isolate(node, false),
+            ClusterEvent::DiskUsual(node) => self.set_sync(node, None),
+            ClusterEvent::GraceOver {
                 node,
                 generation,
                 back_after,
@@ -308,7 +327,7 @@
         {
             self.queue.schedule(
                 at,
-                WorldEvent::Deliver {
+                ClusterEvent::Deliver {
                     to,
                     from,
                     payload: payload.clone(),
@@ -345,7 +364,7 @@
         }
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
             self.queue
-                .schedule(at, WorldEvent::DiskDone { node, generation });
+                .schedule(at, ClusterEvent::DiskDone { node, generation });
         }
     }
 }
@@ -355,7 +374,7 @@
     chance.between(0, 2 * drift_ppm + 1) as i64 - drift_ppm as i64
 }
 
-impl WorldPlan {
+impl ClusterPlan {
     /// All processes of a class.
     pub fn nodes(&self, kind: NodeKind) -> Vec<NodeId> {
         self.places
@@ -369,7 +388,9 @@
 /// A fault and its instant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
+    /// When, in true time.
     pub at: Micros,
+    /// The fault.
     pub fault: Fault,
 }
 
--- a/crates/testing/simulation/src/cluster/outside.rs
+++ b/crates/testing/simulation/src/cluster/outside.rs
@@ -1,10 +1,10 @@
-//! Runners, clients and the operator in the world.
+//! Runners, clients and the operator in the cluster.
 
-use super::{ActorId, CallOwner, World, WorldEvent};
-use crate::actor::{Actor, Outcome, Surroundings};
+use super::{ActorId, CallOwner, ClusterEvent, SimulatedCluster};
+use crate::actor::{Actor, ActorContext, Outcome};
 use crate::engine::Micros;
 
-impl World {
+impl SimulatedCluster {
     fn actor(&mut self, id: ActorId) -> Option<&mut dyn Actor> {
         match id {
             ActorId::Runner(index) => self
@@ -19,7 +19,7 @@
     pub(crate) fn with_actor(
         &mut self,
         id: ActorId,
-        act: impl FnOnce(&mut dyn Actor, Micros, &mut Surroundings),
+        act: impl FnOnce(&mut dyn Actor, Micros, &mut ActorContext),
     ) {
         let now = self.now();
         let actor: &mut dyn Actor = match id {
@@ -27,7 +27,7 @@
             ActorId::Clients => &mut self.clients,
             ActorId::Operator => &mut self.operator,
         };
-        act(actor, now, &mut self.surroundings);
+        act(actor, now, &mut self.context);
         self.after_acting(id);
     }
 
@@ -39,16 +39,16 @@
     }
 
     fn flush_calls(&mut self, id: ActorId) {
-        for call in std::mem::take(&mut self.surroundings.calls) {
+        for call in std::mem::take(&mut self.context.calls) {
             self.start_call(id, call);
         }
     }
 
     fn follow_gangs(&mut self) {
         let now = self.now();
-        while self.surroundings.gangs.take_changed() {
+        while self.context.gangs.take_changed() {
             for index in 0..self.runners.len() {
-                self.runners[index].follow_gangs(now, &mut self.surroundings);
+                self.runners[index].follow_gangs(now, &mut self.context);
                 self.schedule_actor(ActorId::Runner(index));
             }
         }
@@ -75,7 +75,7 @@
             Some(at) => {
                 self.actor_wakes.insert(id, at);
                 self.queue
-                    .schedule(at, WorldEvent::ActorWake { actor: id, at });
+                    .schedule(at, ClusterEvent::ActorWake { actor: id, at });
             }
             None => {
                 self.actor_wakes.remove(&id);
@@ -88,13 +88,13 @@
             return;
         }
         self.actor_wakes.remove(&id);
-        self.with_actor(id, |actor, now, surroundings| actor.wake(now, surroundings));
+        self.with_actor(id, |actor, now, context| actor.wake(now, context));
     }
 
     pub(crate) fn tell_actor(&mut self, owner: CallOwner, outcome: Outcome) {
         let CallOwner { actor, tag } = owner;
-        self.with_actor(actor, |acting, now, surroundings| {
-            acting.outcome(now, tag, outcome, surroundings)
+        self.with_actor(actor, |acting, now, context| {
+            acting.outcome(now, tag, outcome, context)
         });
     }
 }
--- a/crates/testing/simulation/src/cluster/life.rs
+++ b/crates/testing/simulation/src/cluster/process_lifecycle.rs
@@ -1,16 +1,16 @@
-//! The life of processes: start, events, disk, freeze and end.
+//! The lifecycle of processes: start, events, disk, freeze and end.
 
-use super::{World, WorldEvent};
+use super::{ClusterEvent, SimulatedCluster};
 use crate::actor::Outcome;
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::process::{Birth, Held, ProcessState};
+use crate::process::{Deferred, ProcessStart, ProcessState};
 use sagetrail_protocol::node::{DiskWrite, Event, Outbox};
 use sagetrail_protocol::{NodeId, NodeKind};
 
 /// Timers go off at most so late.
 const TIMER_LATENESS: Micros = MILLISECOND;
 
-impl World {
+impl SimulatedCluster {
     /// Starts a process that does not run.
     pub(crate) fn start(&mut self, node: NodeId) {
         let now = self.now();
@@ -26,7 +26,7 @@
         process.generation += 1;
         process.state = ProcessState::Running;
         process.clock.started = now;
-        let birth = Birth {
+        let start = ProcessStart {
             node,
             kind: process.kind,
             incarnation,
@@ -45,14 +45,14 @@
         };
         process.started_before = true;
         self.digest
-            .started(now, node, birth.now, seed, &birth.image);
+            .started(now, node, start.now, seed, &start.image);
         let mut outbox = Outbox::default();
         let factory = match process.kind {
             NodeKind::Core => &mut self.factories.core,
             NodeKind::Frontend => &mut self.factories.frontend,
             NodeKind::Side => &mut self.factories.side,
         };
-        process.logic = Some(factory(birth, &mut outbox));
+        process.logic = Some(factory(start, &mut outbox));
         self.empty(node, outbox);
     }
 
@@ -63,7 +63,7 @@
             return;
         };
         if process.state == ProcessState::Frozen {
-            process.held.push(Held::Event(Box::new(event)));
+            process.deferred.push(Deferred::Event(Box::new(event)));
             return;
         }
         let Some(logic) = &mut process.logic else {
@@ -117,7 +117,7 @@
         }
         process.wake_at = due.map(|due| due + late);
         if let Some(at) = process.wake_at {
-            self.queue.schedule(at, WorldEvent::Wake { node, at });
+            self.queue.schedule(at, ClusterEvent::Wake { node, at });
         }
     }
 
@@ -148,16 +148,16 @@
         self.digest.synced(now, node, synced.len());
         if let Some(at) = disk.start_sync(now, &mut self.chance) {
             self.queue
-                .schedule(at, WorldEvent::DiskDone { node, generation });
+                .schedule(at, ClusterEvent::DiskDone { node, generation });
         }
         if process.state == ProcessState::Frozen {
-            process.held.push(Held::Synced(synced));
+            process.deferred.push(Deferred::Synced(synced));
             return;
         }
-        self.tell_synced(node, synced);
+        self.notify_synced(node, synced);
     }
 
-    fn tell_synced(&mut self, node: NodeId, synced: Vec<DiskWrite>) {
+    fn notify_synced(&mut self, node: NodeId, synced: Vec<DiskWrite>) {
         for write in synced {
             for (to, message) in &write.send_when_synced {
                 self.send(node, *to, message);
@@ -177,7 +177,7 @@
             process.state = ProcessState::Frozen;
             let generation = process.generation;
             self.queue
-                .schedule(until, WorldEvent::Thaw { node, generation });
+                .schedule(until, ClusterEvent::Thaw { node, generation });
         }
     }
 
@@ -189,10 +189,10 @@
             return;
         }
         process.state = ProcessState::Running;
-        for held in std::mem::take(&mut process.held) {
-            match held {
-                Held::Event(event) => self.dispatch(node, *event),
-                Held::Synced(synced) => self.tell_synced(node, synced),
+        for deferred in std::mem::take(&mut process.deferred) {
+            match deferred {
+                Deferred::Event(event) => self.dispatch(node, *event),
+                Deferred::Synced(synced) => self.notify_synced(node, synced),
             }
         }
         self.schedule_wake(node);
@@ -232,7 +232,7 @@
         };
         process.terminating = true;
         let generation = process.generation;
-        let event = WorldEvent::GraceOver {
+        let event = ClusterEvent::GraceOver {
             node,
             generation,
             back_after,
@@ -249,7 +249,7 @@
     fn finish_gracefully(&mut self, node: NodeId) {
         self.kill(node, ProcessState::Down);
         self.queue
-            .schedule(self.queue.now() + SECOND, WorldEvent::Start(node));
+            .schedule(self.queue.now() + SECOND, ClusterEvent::Start(node));
     }
 
     pub(crate) fn grace_over(&mut self, node: NodeId, generation: u64, back_after: Micros) {
@@ -260,7 +260,7 @@
         if alive {
             self.kill(node, ProcessState::Down);
             self.queue
-                .schedule(self.queue.now() + back_after, WorldEvent::Start(node));
+                .schedule(self.queue.now() + back_after, ClusterEvent::Start(node));
         }
     }
 
--- a/crates/testing/simulation/src/cluster/replacement.rs
+++ b/crates/testing/simulation/src/cluster/replacement.rs
@@ -1,6 +1,6 @@
 //! Core machines that are taken away for good, and the empty ones that come in their places.
 
-use super::{draw_clock_rate, World, WorldEvent};
+use super::{draw_clock_rate, ClusterEvent, SimulatedCluster};
 use crate::disk::Disk;
 use crate::engine::{Micros, SECOND};
 use crate::process::{Process, ProcessState};
@@ -9,7 +9,7 @@
 /// The operator's list, from which seeds are taken as well, lags by so much.
 const LIST_LAG: Micros = 3 * SECOND;
 
-impl World {
+impl SimulatedCluster {
     /// A core machine is gone for good, and its successor comes later.
     pub(crate) fn replace(
         &mut self,
@@ -22,7 +22,7 @@
         self.add_successor(node, successor);
         self.queue.schedule(
             self.queue.now() + successor_after,
-            WorldEvent::Start(successor),
+            ClusterEvent::Start(successor),
         );
         self.list_later(node, successor);
         successor_after
@@ -38,7 +38,7 @@
         self.add_successor(node, successor);
         self.start(successor);
         self.queue
-            .schedule(self.queue.now() + overlap, WorldEvent::Leave(node));
+            .schedule(self.queue.now() + overlap, ClusterEvent::Leave(node));
         self.list_later(node, successor);
         overlap + self.grace()
     }
@@ -51,11 +51,7 @@
 
     /// The operator's list, and so the seeds of what starts from now on, name `came` in the place of `gone`.
     pub(crate) fn list(&mut self, gone: NodeId, came: NodeId) {
-        let lists = self
-            .surroundings
-            .cores
-            .iter_mut()
-            .chain(&mut self.plan.seeds);
+        let lists = self.context.cores.iter_mut().chain(&mut self.plan.seeds);
         lists
             .filter(|node| **node == gone)
             .for_each(|node| *node = came);
@@ -64,7 +60,7 @@
     fn list_later(&mut self, gone: NodeId, came: NodeId) {
         self.queue.schedule(
             self.queue.now() + LIST_LAG,
-            WorldEvent::Listed { gone, came },
+            ClusterEvent::Listed { gone, came },
         );
     }
 
--- a/crates/testing/simulation/src/configuration.rs
+++ b/crates/testing/simulation/src/configuration.rs
@@ -6,14 +6,23 @@
 /// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteItem {
+    /// Its name.
     pub name: String,
+    /// The `Host` of its queue.
     pub host: String,
+    /// The path prefix that it matches.
     pub path_prefix: String,
+    /// The timeout of requests, in milliseconds.
     pub timeout_ms: u64,
+    /// The priority of its jobs, 0 first.
     pub priority: u64,
+    /// The service.
     pub service: String,
+    /// A job fails with so many failed runs of a task.
     pub max_attempts: u64,
+    /// The objective's multiple of a job's longest chain of work.
     pub extension: f64,
+    /// The objective's constant part, in milliseconds.
     pub target_latency_ms: u64,
 }
 
@@ -61,12 +70,14 @@
     Some(value.get(name)?.as_str()?.to_owned())
 }
 
-/// A configuration, whole.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Configuration {
+    /// Its version.
     pub version: u64,
+    /// The routes by name.
     pub routes: BTreeMap<String, RouteItem>,
-    /// Each service, and whether its runners guard their room.
+    /// Each service, and whether its runners guard their capacity.
     pub services: BTreeMap<String, bool>,
 }
 
@@ -128,7 +139,9 @@
 /// Named items that change.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Patch {
+    /// Routes that are added or replaced.
     pub upsert: Vec<RouteItem>,
+    /// Names of routes that are removed.
     pub remove: Vec<String>,
 }
 
--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -124,7 +124,7 @@
         self.begin(Entry::Called, at, call.to);
         self.number(id.0);
         self.number(call.tag);
-        self.number(call.patience);
+        self.number(call.timeout);
         self.request(call.endpoint, &call.request);
         self.end();
     }
@@ -246,7 +246,7 @@
         }
     }
 
-    /// A message that cannot be encoded counts as an empty one; the world reports it as a fault of the codec.
+    /// A message that cannot be encoded counts as an empty one; the cluster reports it as a fault of the codec.
     fn message(&mut self, message: &Message) {
         let payload = frame::encode(message).unwrap_or_default();
         self.bytes(&payload);
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -8,6 +8,7 @@
 /// How long a sync takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiskSpeed {
+    /// How long a sync takes.
     pub sync: Micros,
     /// At most so much is added by chance.
     pub jitter: Micros,
--- a/crates/testing/simulation/src/engine.rs
+++ b/crates/testing/simulation/src/engine.rs
@@ -1,18 +1,18 @@
-//! The queue of what is to happen, by time and then by the order of asking, and the world's chance.
+//! The queue of what is to happen, by time and then by the order of asking, and the cluster's chance.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// True time in microseconds since the world began.
+/// True time in microseconds since the cluster began.
 pub type Micros = u64;
 
 /// Microseconds in a millisecond.
 pub const MILLISECOND: Micros = 1_000;
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
-/// The time of day at which the world begins, in milliseconds since 1970.
+/// The time of day at which the cluster begins, in milliseconds since 1970.
 pub const WALL_START_MS: i64 = 1_700_000_000_000;
 
 struct Entry<E> {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The world's chance.
+/// The cluster's chance.
 pub struct Chance(Pcg64Mcg);
 
 impl Chance {
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,131 +1,188 @@
-//! Troubles, and schedules of them drawn from a seed that keep to what a deployment must bear.
+//! Faults, and schedules of them drawn from a seed that keep to what a deployment must bear.
 
 use crate::cluster::PlannedFault;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND};
 use sagetrail_protocol::NodeId;
 
-/// The share of the core's troubles in which a disk is lost while all other machines lose power.
+/// The share of the core's faults in which a disk is lost while all other machines lose power.
 const WIPE_WITH_POWER_LOSS: f64 = 0.1;
 
-/// A trouble.
+/// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A process is killed.
     Kill {
+        /// The process.
         node: NodeId,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
     /// A machine loses power.
     PowerLoss {
+        /// The process.
         node: NodeId,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
     /// A machine loses power and its disk.
     Wipe {
+        /// The process.
         node: NodeId,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
+    /// A process is frozen, and goes on where it was.
     Freeze {
+        /// The process.
         node: NodeId,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// The platform stops a process gracefully.
     Terminate {
+        /// The process.
         node: NodeId,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
     /// A process is cut from all others.
     Isolate {
+        /// The process.
         node: NodeId,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// One direction between two processes is cut.
     CutOneWay {
+        /// The sender.
         from: NodeId,
+        /// The receiver.
         to: NodeId,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// Two groups are cut from each other, both ways.
     CutGroups {
+        /// One group.
         one: Vec<NodeId>,
+        /// The other group.
         other: Vec<NodeId>,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// The time of day jumps and jumps back.
     ClockStep {
+        /// The process.
         node: NodeId,
+        /// How far it jumps, in milliseconds.
         millis: i64,
+        /// How long it lasts.
         lasts: Micros,
     },
+    /// Syncs of a disk are slow.
     SlowDisk {
+        /// The process.
         node: NodeId,
+        /// How long a sync takes.
         sync: Micros,
+        /// How long it lasts.
         lasts: Micros,
     },
+    /// No sync of a disk ends for a while.
     StallDisk {
+        /// The process.
         node: NodeId,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// Many messages are lost.
     Storm {
+        /// The part of messages that are lost.
         loss: f64,
+        /// How long it lasts.
         lasts: Micros,
     },
     /// All of these are killed at once.
     KillMany {
+        /// The processes.
         nodes: Vec<NodeId>,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
     /// All of these lose power at once.
     PowerLossMany {
+        /// The processes.
         nodes: Vec<NodeId>,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
     /// A core machine is gone for good; an empty one takes its place at another address later.
     ReplaceCore {
+        /// The process.
         node: NodeId,
+        /// The address of the machine that takes its place.
         successor: NodeId,
+        /// The successor starts so long after the fault.
         successor_after: Micros,
     },
     /// A core machine's successor starts; later the machine is asked to end, and is gone for good.
     ReplaceCorePlanned {
+        /// The process.
         node: NodeId,
+        /// The address of the machine that takes its place.
         successor: NodeId,
+        /// How long both run.
         overlap: Micros,
     },
     /// The day's final fault: all machines lose power, runners among them.
     FinalPowerLoss {
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
+    /// A runner dies without notice.
     RunnerCrash {
+        /// The index of the runner.
         runner: usize,
+        /// It starts again so long after the fault.
         back_after: Micros,
     },
+    /// A runner shuts down gracefully.
     RunnerDrain {
+        /// The index of the runner.
         runner: usize,
+        /// The time that it announces, in milliseconds of its clock or as a span.
         left: Micros,
+        /// It serves on for so long.
         serves_on: Micros,
     },
     /// A runner deregisters without ever saying `draining`, and serves on.
     RunnerDeregister {
+        /// The index of the runner.
         runner: usize,
+        /// It serves on for so long.
         serves_on: Micros,
     },
     /// A runner sends no heartbeats for a while, and works on.
     RunnerSilence {
+        /// The index of the runner.
         runner: usize,
+        /// How long it lasts.
         lasts: Micros,
     },
 }
 
-/// What there is to be troubled.
+/// What there is to be hit by faults.
 #[derive(Clone, Debug)]
 pub struct FaultField {
+    /// The core processes.
     pub cores: Vec<NodeId>,
     /// Addresses of core machines that may take the place of others.
     pub successors: Vec<NodeId>,
+    /// The frontends.
     pub frontends: Vec<NodeId>,
+    /// The agents.
     pub sides: Vec<NodeId>,
+    /// How many runners there are.
     pub runners: usize,
     /// So many core machines may be lost at once.
     pub tolerated: usize,
@@ -133,7 +190,7 @@
     pub catch_up: Micros,
 }
 
-/// Draws troubles of the core one after another, with time to catch up between them, and troubles of everything
+/// Draws faults of the core one after another, with time to catch up between them, and faults of everything
 /// else at any time.
 pub fn random_schedule(
     chance: &mut Chance,
@@ -201,7 +258,7 @@
     }
 }
 
-/// One trouble of the core, or a lost disk while all others lose power.
+/// One fault of the core, or a lost disk while all others lose power.
 fn core_faults(chance: &mut Chance, core: &mut CoreField, lasts: Micros) -> Vec<Fault> {
     if !chance.happens(WIPE_WITH_POWER_LOSS) {
         return vec![core_fault(chance, core, lasts)];
--- a/crates/testing/simulation/src/gang.rs
+++ b/crates/testing/simulation/src/gang.rs
@@ -7,7 +7,9 @@
 /// One run of one gang.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GangRun {
+    /// The step.
     pub step: StepName,
+    /// The run's attempt number.
     pub attempt: u64,
 }
 
@@ -25,9 +27,11 @@
 /// What becomes of a gang that has all its members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GangPlan {
+    /// How many members the gang has.
     pub members: u64,
     /// From the last member's coming to the end.
     pub lasts: Micros,
+    /// True where it then fails.
     pub fails: bool,
 }
 
@@ -40,12 +44,12 @@
 
 /// All gangs of a day.
 #[derive(Default)]
-pub struct GangBoard {
+pub struct GangTable {
     gangs: BTreeMap<GangRun, Gang>,
     changed: bool,
 }
 
-impl GangBoard {
+impl GangTable {
     /// A member has come.
     pub fn join(&mut self, now: Micros, run: &GangRun, index: u64, plan: GangPlan) {
         let gang = self.gangs.entry(run.clone()).or_default();
--- a/crates/testing/simulation/src/job.rs
+++ b/crates/testing/simulation/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients hand them in, and the names of their tasks.
+//! Jobs as clients submit them, and the names of their tasks.
 
 use crate::engine::Micros;
 use sagetrail_protocol::agent::Resources;
@@ -9,19 +9,31 @@
 /// One step of a job.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct StepDefinition {
+    /// How many tasks.
     pub count: u64,
+    /// Thousandths of a core for each task.
     pub cpu: u64,
+    /// Megabytes of memory for each task.
     pub mem_mb: u64,
+    /// Graphics processors for each task.
     pub gpu: u64,
     /// How long a task works.
     pub work: Micros,
+    /// Indexes of earlier steps that must have ended.
     pub depends_on: Vec<usize>,
+    /// The tasks save checkpoints.
     pub checkpoints: bool,
+    /// The tasks start together.
     pub gang: bool,
+    /// The gang is slower when it is spread over racks.
     pub rack_local: bool,
+    /// A label that a runner must have; empty for none.
     pub constraints: String,
+    /// The rack of the data; empty for none.
     pub affinity: String,
+    /// The most tasks at one runner; 0 for any number.
     pub anti_affinity: u64,
+    /// Copies may run in parallel.
     pub speculative: bool,
 }
 
@@ -41,15 +53,19 @@
 pub struct JobDefinition {
     /// Sixteen hex digits.
     pub id: String,
+    /// The specification handed to the run.
     pub spec: String,
     /// The path prefix of its queue.
     pub prefix: String,
+    /// The steps.
     pub steps: Vec<StepDefinition>,
+    /// The tasks go on until the job is cancelled.
     pub long_running: bool,
     /// So many times; 0: once, at once.
     pub repeat: u64,
     /// When time 0 is due, in milliseconds since 1970.
     pub first_run_ms: i64,
+    /// From one occurrence to the next, in milliseconds.
     pub interval_ms: u64,
     /// The share of runs that fail by their own fault.
     pub failing: f64,
@@ -58,17 +74,24 @@
 /// A task: ID.K.STEP.INDEX.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskName {
+    /// The job's ID.
     pub job: String,
+    /// Which occurrence of a repeated job, from 0.
     pub time: u64,
+    /// The step.
     pub step: usize,
+    /// The index within the step.
     pub index: u64,
 }
 
 /// A step of one time K; a gang is named so.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepName {
+    /// The job's ID.
     pub job: String,
+    /// Which occurrence of a repeated job, from 0.
     pub time: u64,
+    /// The step.
     pub step: usize,
 }
 
@@ -117,7 +140,7 @@
         self.repeat.max(1)
     }
 
-    /// The path by which it is handed in and asked for.
+    /// The path by which it is submitted and asked for.
     pub fn path(&self) -> String {
         format!("{}{}", self.prefix, self.id)
     }
@@ -145,7 +168,7 @@
             .collect()
     }
 
-    /// The body by which it is handed in.
+    /// The body by which it is submitted.
     pub fn body(&self) -> Vec<u8> {
         let mut body = Map::new();
         body.insert("spec".into(), json!(self.spec));
@@ -200,11 +223,12 @@
 
 /// Every job of a day, by its ID.
 #[derive(Clone, Debug, Default)]
-pub struct JobBook {
+pub struct JobTable {
+    /// The jobs.
     pub jobs: BTreeMap<String, JobDefinition>,
 }
 
-impl JobBook {
+impl JobTable {
     /// The step of a task that some client sent.
     pub fn step_of(&self, task: &TaskName) -> Option<&StepDefinition> {
         self.jobs.get(&task.job)?.step_of(task)
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -1,11 +1,20 @@
 //! Whole clusters in one process on a simulated network, clock and disk.
 //!
 //! The logic of the processes is the real one, driven through `sagetrail_protocol::node::Node`. Runners, clients and
-//! the operator are simulated after the protocol; what they saw is written to a `history::History`, and
-//! `checker` judges by that alone. The same seed gives the same result.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! the operator are simulated after the protocol; what they observed is written to a [`history::History`], and
+//! [`checker`] judges by that alone. The same seed gives the same day, down to each byte: [`digest`] has the proof.
+//!
+//! ```text
+//!  scenario (seed) --> topology, workload, faults
+//!         |
+//!         v
+//!  cluster: engine (events by true time), network, disk, process (clocks, logic from real or tamper)
+//!     ^  |                                              |
+//!     |  v  calls and their outcomes (actor)            v
+//!  runner, client, operator ----> history ----> checker  digest
+//!                                    |             |       |
+//!                                    +-----------> report <+
+//! ```
 
 pub mod actor;
 pub mod checker;
--- a/crates/testing/simulation/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -35,7 +35,9 @@
 /// One direction between two processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
+    /// Where messages come from.
     pub from: NodeId,
+    /// Where they go.
     pub to: NodeId,
 }
 
--- a/crates/testing/simulation/src/operator.rs
+++ b/crates/testing/simulation/src/operator.rs
@@ -1,10 +1,10 @@
 //! The operator: changes of the configuration, races, resends after lost answers, read-backs, and counts asked of
 //! gateways on routes that come and go.
 
-use crate::actor::{Actor, CallTag, Outcome, OutgoingCall, Surroundings};
+use crate::actor::{Actor, ActorContext, CallTag, Outcome, OutgoingCall};
 use crate::configuration::{Configuration, Patch, RouteItem};
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::history::{Answer, OrderSeen, Sight};
+use crate::history::{Answer, Observation, ObservedChange};
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use sagetrail_protocol::NodeId;
 
@@ -30,13 +30,20 @@
     /// The configuration is read.
     Read,
     /// A queue's count is asked of a gateway.
-    HealthCheck { host: String, prefix: String },
+    QueueCount {
+        /// The host of the queue.
+        host: String,
+        /// The path prefix of the queue.
+        prefix: String,
+    },
 }
 
 /// One doing of the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
+    /// When it is sent.
     pub at: Micros,
+    /// What it changes.
     pub kind: ChangeKind,
     /// How far its version lies above its base.
     pub step: u64,
@@ -45,12 +52,12 @@
 #[derive(Clone, PartialEq)]
 enum Task {
     Order {
-        seen: OrderSeen,
+        seen: ObservedChange,
         path: &'static str,
         body: Vec<u8>,
     },
     Learn,
-    HealthCheck {
+    QueueCount {
         host: String,
         prefix: String,
         gateway: NodeId,
@@ -60,7 +67,7 @@
 struct Errand {
     task: Task,
     due: Micros,
-    tries: u32,
+    attempts: u32,
     sent: Micros,
     out: bool,
     over: bool,
@@ -94,7 +101,7 @@
         }
     }
 
-    fn begin(&mut self, now: Micros, change: Change, surroundings: &mut Surroundings) {
+    fn begin(&mut self, now: Micros, change: Change, context: &mut ActorContext) {
         let version = self.current.version + change.step.max(1);
         match change.kind {
             ChangeKind::Bootstrap(configuration) => {
@@ -126,12 +133,11 @@
             ChangeKind::Invalid => self.order_invalid(now, version),
             ChangeKind::Repeat => self.repeat(now),
             ChangeKind::Read => self.errand(now, Task::Learn),
-            ChangeKind::HealthCheck { host, prefix } => {
-                let gateway =
-                    surroundings.gateways[surroundings.chance.index(surroundings.gateways.len())];
+            ChangeKind::QueueCount { host, prefix } => {
+                let gateway = context.gateways[context.chance.index(context.gateways.len())];
                 self.errand(
                     now,
-                    Task::HealthCheck {
+                    Task::QueueCount {
                         host,
                         prefix,
                         gateway,
@@ -152,7 +158,7 @@
         let version = content
             .as_ref()
             .map_or(self.current.version + 1, |content| content.version);
-        let seen = OrderSeen {
+        let seen = ObservedChange {
             order: self.orders,
             base,
             version,
@@ -192,7 +198,7 @@
         self.errands.push(Errand {
             task,
             due: now,
-            tries: 0,
+            attempts: 0,
             sent: now,
             out: false,
             over: false,
@@ -209,14 +215,14 @@
         now: Micros,
         index: usize,
         answer: Answer,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
         let Task::Order { seen, .. } = self.errands[index].task.clone() else {
             return;
         };
-        surroundings.history.note(
+        context.history.note(
             now,
-            Sight::OrderAnswered {
+            Observation::OrderAnswered {
                 order: seen.order,
                 answer,
             },
@@ -250,13 +256,13 @@
         now: Micros,
         index: usize,
         outcome: &Outcome,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
         let content = outcome.success_body().and_then(Configuration::from_json);
         let sent = self.errands[index].sent;
-        surroundings.history.note(
+        context.history.note(
             now,
-            Sight::ConfigRead {
+            Observation::ConfigRead {
                 sent,
                 content: content.clone(),
             },
@@ -273,44 +279,44 @@
         }
     }
 
-    fn take_health_check(
+    fn take_queue_count(
         &mut self,
         now: Micros,
         index: usize,
         answer: Answer,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
         let errand = &mut self.errands[index];
         errand.over = true;
-        if let Task::HealthCheck {
+        if let Task::QueueCount {
             host,
             prefix,
             gateway,
         } = errand.task.clone()
         {
-            let sight = Sight::QueueRead {
+            let observation = Observation::QueueRead {
                 sent: errand.sent,
                 gateway,
                 host,
                 prefix,
                 answer,
             };
-            surroundings.history.note(now, sight);
+            context.history.note(now, observation);
         }
     }
 
     fn try_again(&mut self, now: Micros, index: usize) {
         let errand = &mut self.errands[index];
-        let pause = FIRST_PAUSE * u64::from(errand.tries);
+        let pause = FIRST_PAUSE * u64::from(errand.attempts);
         errand.due = now + pause.min(LONGEST_PAUSE);
     }
 
-    fn send(&mut self, now: Micros, index: usize, surroundings: &mut Surroundings) {
+    fn send(&mut self, now: Micros, index: usize, context: &mut ActorContext) {
         let errand = &mut self.errands[index];
         errand.out = true;
-        errand.tries += 1;
+        errand.attempts += 1;
         errand.sent = now;
-        let core = surroundings.cores[surroundings.chance.index(surroundings.cores.len())];
+        let core = context.cores[context.chance.index(context.cores.len())];
         let mut request = HttpRequest {
             method: Method::Get,
             host: String::new(),
@@ -324,7 +330,7 @@
             to: core,
             endpoint: HttpEndpoint::Control,
             request: request.clone(),
-            patience: PATIENCE,
+            timeout: PATIENCE,
         };
         match &errand.task {
             Task::Order { seen, path, body } => {
@@ -332,11 +338,11 @@
                 request.path = (*path).to_owned();
                 request.base_version = Some(seen.base);
                 request.body = body.clone();
-                surroundings
+                context
                     .history
-                    .note(now, Sight::OrderSent(seen.clone()));
+                    .note(now, Observation::OrderSent(seen.clone()));
             }
-            Task::HealthCheck {
+            Task::QueueCount {
                 host,
                 prefix,
                 gateway,
@@ -350,45 +356,37 @@
             Task::Learn => (),
         }
         call.request = request;
-        surroundings.calls.push(call);
+        context.calls.push(call);
     }
 }
 
 impl Actor for Operator {
-    fn wake(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    fn wake(&mut self, now: Micros, context: &mut ActorContext) {
         while let Some(change) = self.changes.get(self.next_change).cloned() {
             if change.at > now || self.changes_wait() {
                 break;
             }
             self.next_change += 1;
-            self.begin(now, change, surroundings);
+            self.begin(now, change, context);
         }
         for index in 0..self.errands.len() {
             let errand = &self.errands[index];
             if !errand.over && !errand.out && errand.due <= now {
-                self.send(now, index, surroundings);
+                self.send(now, index, context);
             }
         }
     }
 
-    fn outcome(
-        &mut self,
-        now: Micros,
-        tag: CallTag,
-        outcome: Outcome,
-        surroundings: &mut Surroundings,
-    ) {
+    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, context: &mut ActorContext) {
         let index = tag as usize;
         let Some(errand) = self.errands.get_mut(index) else {
             return;
         };
         errand.out = false;
         match errand.task {
-            Task::Order { .. } => self.take_order(now, index, outcome.answer(), surroundings),
-            Task::Learn => self.take_read(now, index, &outcome, surroundings),
-            Task::HealthCheck { .. } => {
-                self.take_health_check(now, index, outcome.answer(), surroundings)
-            }
+            Task::Order { .. } => self.take_order(now, index, outcome.answer(), context),
+            Task::Learn => self.take_read(now, index, &outcome, context),
+            Task::QueueCount { .. } => self.take_queue_count(now, index, outcome.answer(), context),
         }
     }
 
--- a/crates/testing/simulation/src/process.rs
+++ b/crates/testing/simulation/src/process.rs
@@ -10,6 +10,7 @@
 /// Whether a process runs.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ProcessState {
+    /// It runs.
     Running,
     /// What comes waits.
     Frozen,
@@ -20,26 +21,39 @@
 }
 
 /// What a process is given at its start.
-pub struct Birth {
+pub struct ProcessStart {
+    /// The process.
     pub node: NodeId,
+    /// Its kind.
     pub kind: NodeKind,
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
+    /// The addresses to start from.
     pub seeds: Vec<NodeId>,
+    /// True at its first start ever.
     pub bootstrap: bool,
+    /// The bounds that hold between clients, runners and the cluster.
     pub bounds: Bounds,
+    /// How many core machines may be lost.
     pub tolerated_machines: u32,
+    /// The interval of runners' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
+    /// What is on its disk.
     pub image: DiskImage,
+    /// The seed of all random choices.
     pub seed: u64,
+    /// What its clocks show.
     pub now: Now,
 }
 
 /// Makes the logic of a process.
-pub type Factory = Box<dyn FnMut(Birth, &mut Outbox) -> Box<dyn Node>>;
+pub type Factory = Box<dyn FnMut(ProcessStart, &mut Outbox) -> Box<dyn Node>>;
 
 /// What waits for a frozen process.
-pub enum Held {
+pub enum Deferred {
+    /// An event.
     Event(Box<Event>),
+    /// Writes that were synced.
     Synced(Vec<DiskWrite>),
 }
 
@@ -49,6 +63,7 @@
 /// The clocks of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
+    /// When the process started, in true time.
     pub started: Micros,
     /// How much its steady clock runs fast, in millionths.
     pub fast_ppm: i64,
@@ -87,18 +102,27 @@
 
 /// A process.
 pub struct Process {
+    /// Its kind.
     pub kind: NodeKind,
+    /// Whether it runs.
     pub state: ProcessState,
+    /// Its logic, while it is alive.
     pub logic: Option<Box<dyn Node>>,
     /// Rises with each start and end; what belongs to an earlier one is dropped.
     pub generation: u64,
+    /// Its clocks.
     pub clock: ProcessClock,
+    /// Its disk, if it has one.
     pub disk: Option<Disk>,
-    pub held: Vec<Held>,
+    /// What came while it was frozen.
+    pub deferred: Vec<Deferred>,
+    /// When it is woken next, in true time.
     pub wake_at: Option<Micros>,
     /// Requests that it has read and not answered.
     pub requests: BTreeSet<HttpRequestId>,
+    /// True once it has started.
     pub started_before: bool,
+    /// True once it was asked to end.
     pub terminating: bool,
     /// Its machine was taken away: it never starts again.
     pub removed: bool,
@@ -118,7 +142,7 @@
                 wall_ahead_ms: 0,
             },
             disk,
-            held: Vec::new(),
+            deferred: Vec::new(),
             wake_at: None,
             requests: BTreeSet::new(),
             started_before: false,
@@ -150,7 +174,7 @@
         self.state = state;
         self.logic = None;
         self.generation += 1;
-        self.held.clear();
+        self.deferred.clear();
         self.wake_at = None;
         self.terminating = false;
         std::mem::take(&mut self.requests)
--- a/crates/testing/simulation/src/real.rs
+++ b/crates/testing/simulation/src/real.rs
@@ -1,7 +1,7 @@
 //! The real processes.
 
 use crate::cluster::Factories;
-use crate::process::{Birth, Factory};
+use crate::process::{Factory, ProcessStart};
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
@@ -21,22 +21,22 @@
 
 /// Makes core processes, with the scheduler on the elected one.
 pub fn core() -> Factory {
-    Box::new(|birth: Birth, outbox: &mut Outbox| {
+    Box::new(|start: ProcessStart, outbox: &mut Outbox| {
         let settings = CoreSettings {
-            node: birth.node,
-            incarnation: birth.incarnation,
-            seeds: birth.seeds,
-            bootstrap: birth.bootstrap,
-            bounds: birth.bounds,
-            tolerated_machines: birth.tolerated_machines,
-            seed: birth.seed,
+            node: start.node,
+            incarnation: start.incarnation,
+            seeds: start.seeds,
+            bootstrap: start.bootstrap,
+            bounds: start.bounds,
+            tolerated_machines: start.tolerated_machines,
+            seed: start.seed,
         };
-        let service = scheduler(birth.bounds);
+        let service = scheduler(start.bounds);
         let node: Box<dyn Node> = Box::new(CoreNode::new(
             settings,
-            birth.image,
+            start.image,
             service,
-            birth.now,
+            start.now,
             outbox,
         ));
         node
@@ -53,32 +53,32 @@
 
 /// Makes gateways.
 pub fn frontend() -> Factory {
-    Box::new(|birth: Birth, outbox: &mut Outbox| {
+    Box::new(|start: ProcessStart, outbox: &mut Outbox| {
         let settings = GatewaySettings {
-            node: birth.node,
-            incarnation: birth.incarnation,
-            seeds: birth.seeds,
-            bounds: birth.bounds,
-            seed: birth.seed,
+            node: start.node,
+            incarnation: start.incarnation,
+            seeds: start.seeds,
+            bounds: start.bounds,
+            seed: start.seed,
         };
-        let node: Box<dyn Node> = Box::new(GatewayNode::new(settings, birth.now, outbox));
+        let node: Box<dyn Node> = Box::new(GatewayNode::new(settings, start.now, outbox));
         node
     })
 }
 
 /// Makes agents.
 pub fn side() -> Factory {
-    Box::new(|birth: Birth, outbox: &mut Outbox| {
+    Box::new(|start: ProcessStart, outbox: &mut Outbox| {
         let settings = AgentSettings {
-            node: birth.node,
-            incarnation: birth.incarnation,
-            seeds: birth.seeds,
-            bounds: birth.bounds,
-            heartbeat_ms: birth.heartbeat_ms,
+            node: start.node,
+            incarnation: start.incarnation,
+            seeds: start.seeds,
+            bounds: start.bounds,
+            heartbeat_ms: start.heartbeat_ms,
             runner_address: None,
-            seed: birth.seed,
+            seed: start.seed,
         };
-        let node: Box<dyn Node> = Box::new(AgentNode::new(settings, birth.now, outbox));
+        let node: Box<dyn Node> = Box::new(AgentNode::new(settings, start.now, outbox));
         node
     })
 }
--- a/crates/testing/simulation/src/report.rs
+++ b/crates/testing/simulation/src/report.rs
@@ -2,28 +2,40 @@
 
 use crate::checker::Violation;
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{History, ShownState, Sight};
+use crate::history::{History, Observation, ShownState};
 use crate::workload::Workload;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a day came to.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
+    /// All broken rules.
     pub violations: Vec<Violation>,
+    /// Messages that did not decode to what was encoded.
     pub codec_faults: Vec<String>,
+    /// Jobs that clients wanted to submit.
     pub submitted: usize,
+    /// Jobs whose submission was accepted.
     pub accepted: usize,
+    /// Jobs that a client read as completed.
     pub completed: usize,
+    /// Jobs that a client read as failed.
     pub failed: usize,
+    /// Jobs that a client read as cancelled.
     pub cancelled: usize,
+    /// Starts at runners.
     pub starts: usize,
     /// From the first send of a job to its first start.
     pub start_p50_ms: u64,
+    /// The 99th percentile of these waits, in milliseconds.
     pub start_p99_ms: u64,
+    /// Messages carried.
     pub messages: u64,
+    /// The bytes of all messages carried.
     pub message_bytes: u64,
     /// See `digest`.
     pub digest: String,
+    /// What was observed so far.
     pub history: History,
 }
 
@@ -36,15 +48,15 @@
         };
         let mut accepted = BTreeSet::new();
         let mut shown: BTreeMap<&str, &ShownState> = BTreeMap::new();
-        for seen in &history.seen {
-            match &seen.sight {
-                Sight::SubmitAnswered { job, answer } if answer.is_success() => {
+        for seen in &history.observations {
+            match &seen.observation {
+                Observation::SubmitAnswered { job, answer } if answer.is_success() => {
                     accepted.insert(job.as_str());
                 }
-                Sight::StateRead { job, state, .. } => {
+                Observation::StateRead { job, state, .. } => {
                     shown.insert(job, state);
                 }
-                Sight::Started(_) => report.starts += 1,
+                Observation::Started(_) => report.starts += 1,
                 _ => (),
             }
         }
@@ -64,11 +76,11 @@
 fn waits(history: &History, workload: &Workload) -> Vec<u64> {
     let mut sent: BTreeMap<&str, Micros> = BTreeMap::new();
     let mut waits = Vec::new();
-    for seen in &history.seen {
-        match &seen.sight {
-            Sight::SubmitSent { job } => {
+    for seen in &history.observations {
+        match &seen.observation {
+            Observation::SubmitSent { job } => {
                 let timed = workload
-                    .book
+                    .job_table
                     .jobs
                     .get(job)
                     .is_some_and(|job| job.repeat > 0);
@@ -76,7 +88,7 @@
                     sent.entry(job).or_insert(seen.at);
                 }
             }
-            Sight::Started(start) => {
+            Observation::Started(start) => {
                 let job = start.task.split('.').next().unwrap_or_default();
                 if let Some(at) = sent.get_mut(job).filter(|at| **at != Micros::MAX) {
                     waits.push((seen.at - *at) / MILLISECOND);
--- a/crates/testing/simulation/src/runner/orders.rs
+++ b/crates/testing/simulation/src/runner/commands.rs
@@ -2,9 +2,9 @@
 
 use super::run::Run;
 use super::{RunKey, Runner};
-use crate::actor::{Outcome, Surroundings};
+use crate::actor::{ActorContext, Outcome};
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::{Sight, StartSeen};
+use crate::history::{Observation, ObservedStart};
 use crate::job::{StepDefinition, TaskName};
 use sagetrail_protocol::agent::{Resources, RunEnd};
 use serde_json::Value;
@@ -15,20 +15,22 @@
         &mut self,
         now: Micros,
         outcome: Outcome,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
-        let Some(beat) = self.beat.take() else { return };
+        let Some(heartbeat) = self.heartbeat.take() else {
+            return;
+        };
         let Some(body) = outcome.success_body() else {
             return;
         };
-        if beat.said_draining {
-            self.take_drain_acknowledgement(now, surroundings);
+        if heartbeat.reported_draining {
+            self.take_drain_acknowledgement(now, context);
         }
         let Ok(answer) = serde_json::from_slice::<Value>(body) else {
             return;
         };
         if let Some(again) = answer.get("retry_after_ms").and_then(Value::as_u64) {
-            self.beat_due = self.beat_due.min(now + again * MILLISECOND);
+            self.heartbeat_due = self.heartbeat_due.min(now + again * MILLISECOND);
         }
         let fence = answer
             .get("fence_token")
@@ -39,45 +41,45 @@
         }
         self.fence = fence;
         if let Some(number) = answer.get("observed").and_then(Value::as_u64) {
-            self.take_observed(now, number, surroundings);
+            self.take_observed(now, number, context);
         }
-        let held = self.take_hold(now, beat.sent, &answer, surroundings);
+        let deferred = self.take_hold(now, heartbeat.sent, &answer, context);
         for stop in items(&answer, "stop") {
-            self.take_stop(now, stop, surroundings);
+            self.take_stop(now, stop, context);
         }
-        if held {
+        if deferred {
             for start in items(&answer, "start") {
-                self.take_start(now, start, surroundings);
+                self.take_start(now, start, context);
             }
         }
     }
 
     /// Looks at gangs anew: a member has come or gone somewhere.
-    pub fn follow_gangs(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    pub fn follow_gangs(&mut self, now: Micros, context: &mut ActorContext) {
         for run in self.active.values_mut() {
-            run.follow_gang(surroundings);
+            run.follow_gang(context);
         }
-        self.check_runs(now, surroundings);
+        self.check_runs(now, context);
     }
 
-    fn take_drain_acknowledgement(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    fn take_drain_acknowledgement(&mut self, now: Micros, context: &mut ActorContext) {
         let instance = self.instance();
         let Some(drain) = &mut self.drain else { return };
         if drain.acknowledged.is_none() {
             drain.acknowledged = Some(now);
-            surroundings
+            context
                 .history
-                .note(now, Sight::DrainAcknowledged { instance });
+                .note(now, Observation::DrainAcknowledged { instance });
         }
     }
 
-    fn take_observed(&mut self, now: Micros, number: u64, surroundings: &mut Surroundings) {
+    fn take_observed(&mut self, now: Micros, number: u64, context: &mut ActorContext) {
         self.finished.retain(|end| end.number > number);
-        let sight = Sight::Observed {
+        let observation = Observation::Observed {
             instance: self.instance(),
             number,
         };
-        surroundings.history.note(now, sight);
+        context.history.note(now, observation);
     }
 
     fn take_hold(
@@ -85,24 +87,27 @@
         now: Micros,
         sent: Micros,
         answer: &Value,
-        surroundings: &Surroundings,
+        context: &ActorContext,
     ) -> bool {
         let Some(hold_ms) = answer.get("hold_ms").and_then(Value::as_u64) else {
             return false;
         };
-        let granted = hold_ms.min(surroundings.bounds.hold_max_ms) * MILLISECOND;
+        let granted = hold_ms.min(context.bounds.hold_max_ms) * MILLISECOND;
         let until = sent + self.own(granted);
         if until > now {
-            self.hold_until = Some(self.hold_until.map_or(until, |held| held.max(until)));
+            self.lease_until = Some(
+                self.lease_until
+                    .map_or(until, |deferred| deferred.max(until)),
+            );
         }
-        self.hold_until.is_some()
+        self.lease_until.is_some()
     }
 
-    fn take_stop(&mut self, now: Micros, stop: &Value, surroundings: &mut Surroundings) {
+    fn take_stop(&mut self, now: Micros, stop: &Value, context: &mut ActorContext) {
         let Some(key) = run_key(stop) else { return };
-        let took = surroundings
+        let took = context
             .chance
-            .between(0, surroundings.bounds.stop_ms * MILLISECOND);
+            .between(0, context.bounds.stop_ms * MILLISECOND);
         match self.active.get_mut(&key) {
             Some(run) => run.stop_at(now + took),
             None => {
@@ -112,11 +117,11 @@
         }
     }
 
-    fn take_start(&mut self, now: Micros, start: &Value, surroundings: &mut Surroundings) {
+    fn take_start(&mut self, now: Micros, start: &Value, context: &mut ActorContext) {
         let spec = text_at(start, 2);
         let saved = text_at(start, 3);
         let Some(key) = run_key(start) else {
-            self.note_start(now, &text_at(start, 0), 0, spec, saved, surroundings);
+            self.note_start(now, &text_at(start, 0), 0, spec, saved, context);
             return;
         };
         let listed = self
@@ -130,31 +135,24 @@
             .over
             .get(&key.task)
             .is_some_and(|highest| key.attempt <= *highest);
-        let asked = surroundings
+        let asked = context
             .history
             .jobs
             .step_of(&key.task)
             .map(StepDefinition::asked)
             .unwrap_or_default();
         if stale || (self.plan.guards && !self.fits(asked)) {
-            self.list_end(now, &key, RunEnd::Rejected, saved, surroundings);
+            self.list_end(now, &key, RunEnd::Rejected, saved, context);
             return;
         }
-        let run = Run::start(
-            now,
-            &self.plan,
-            &key.task,
-            key.attempt,
-            &saved,
-            surroundings,
-        );
+        let run = Run::start(now, &self.plan, &key.task, key.attempt, &saved, context);
         self.note_start(
             now,
             &key.task.to_string(),
             key.attempt,
             spec,
             saved,
-            surroundings,
+            context,
         );
         self.active.insert(key, run);
     }
@@ -166,17 +164,17 @@
         attempt: u64,
         spec: String,
         saved: String,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
         let instance = self.instance();
-        let seen = StartSeen {
+        let seen = ObservedStart {
             instance,
             task: task.to_owned(),
             attempt,
             spec,
             saved,
         };
-        surroundings.history.note(now, Sight::Started(seen));
+        context.history.note(now, Observation::Started(seen));
     }
 
     fn fits(&self, asked: Resources) -> bool {
--- a/crates/testing/simulation/src/runner/drain.rs
+++ b/crates/testing/simulation/src/runner/drain.rs
@@ -1,7 +1,7 @@
 //! A runner's planned end: it says so, serves on, and leaves.
 
 use super::Runner;
-use crate::actor::Surroundings;
+use crate::actor::ActorContext;
 use crate::engine::{Micros, SECOND};
 
 /// Without an acknowledgement a runner that leaves ends after so long.
@@ -37,7 +37,7 @@
     }
 
     /// True where it says in its heartbeats that it drains.
-    pub(super) fn is_said(&self) -> bool {
+    pub(super) fn is_announced(&self) -> bool {
         !self.deregisters_first
     }
 
@@ -70,20 +70,20 @@
 
 impl Runner {
     /// Leaves once its time has come.
-    pub(super) fn check_drain(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    pub(super) fn check_drain(&mut self, now: Micros, context: &mut ActorContext) {
         let Some(drain) = self.drain else { return };
         if drain
             .deregister_sent
             .is_some_and(|sent| now >= drain.ends_at(sent))
         {
-            self.end_life(now, now + 5 * SECOND, surroundings);
+            self.end_incarnation(now, now + 5 * SECOND, context);
         } else if drain.deregister_sent.is_none() && drain.deregisters_at() <= now {
-            self.send_deregister(now, surroundings);
+            self.send_deregister(now, context);
         }
     }
 
     /// Its deregistration was acknowledged.
-    pub(super) fn take_deregistered(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    pub(super) fn take_deregistered(&mut self, now: Micros, context: &mut ActorContext) {
         let Some(drain) = self
             .drain
             .as_mut()
@@ -94,7 +94,7 @@
         if drain.deregisters_first {
             drain.acknowledged.get_or_insert(now);
         } else {
-            self.end_life(now, now + 5 * SECOND, surroundings);
+            self.end_incarnation(now, now + 5 * SECOND, context);
         }
     }
 
--- a/crates/testing/simulation/src/runner/beat.rs
+++ b/crates/testing/simulation/src/runner/heartbeat.rs
@@ -1,10 +1,10 @@
 //! A runner's heartbeats and its leave.
 
 use super::drain::Drain;
-use super::{Beat, Runner, ANSWER_LIMIT};
-use crate::actor::{CallTag, OutgoingCall, Surroundings};
+use super::{PendingHeartbeat, Runner, ANSWER_LIMIT};
+use crate::actor::{ActorContext, CallTag, OutgoingCall};
 use crate::engine::{Micros, MILLISECOND};
-use crate::history::EndSeen;
+use crate::history::ObservedEnd;
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::node::{HttpEndpoint, HttpRequest, Method};
 use serde_json::{json, Value};
@@ -13,7 +13,7 @@
 const ENDS_AT_ONCE: usize = 500;
 
 /// The word for an end.
-pub(super) fn end_word(end: RunEnd) -> &'static str {
+pub(super) fn end_name(end: RunEnd) -> &'static str {
     match end {
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
@@ -25,45 +25,45 @@
     }
 }
 
-fn end_json(end: &EndSeen) -> Value {
+fn end_json(end: &ObservedEnd) -> Value {
     json!([
         end.number,
         end.task.to_string(),
         end.attempt,
-        end_word(end.end),
+        end_name(end.end),
         end.saved
     ])
 }
 
 impl Runner {
     /// Sends a heartbeat, or waits where it is silent.
-    pub(super) fn send_beat(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    pub(super) fn send_heartbeat(&mut self, now: Micros, context: &mut ActorContext) {
         if now < self.silent_until {
-            self.beat_due = self.silent_until;
+            self.heartbeat_due = self.silent_until;
             return;
         }
         self.sequence += 1;
-        let body = self.beat_body(now, surroundings).to_string().into_bytes();
+        let body = self.heartbeat_body(now, context).to_string().into_bytes();
         let path = format!("/v1/instances/{}/heartbeat", self.instance());
-        let tag = self.call(path, body, surroundings);
-        self.beat = Some(Beat {
+        let tag = self.call(path, body, context);
+        self.heartbeat = Some(PendingHeartbeat {
             tag,
             sent: now,
-            said_draining: self.says_draining(),
+            reported_draining: self.reports_draining(),
         });
-        self.beat_due = now + self.plan.heartbeat;
+        self.heartbeat_due = now + self.plan.heartbeat;
     }
 
     /// Says that it leaves.
-    pub(super) fn send_deregister(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    pub(super) fn send_deregister(&mut self, now: Micros, context: &mut ActorContext) {
         let path = format!("/v1/instances/{}/deregister", self.instance());
-        self.call(path, Vec::new(), surroundings);
+        self.call(path, Vec::new(), context);
         if let Some(drain) = &mut self.drain {
             drain.deregister_sent = Some(now);
         }
     }
 
-    fn call(&mut self, path: String, body: Vec<u8>, surroundings: &mut Surroundings) -> CallTag {
+    fn call(&mut self, path: String, body: Vec<u8>, context: &mut ActorContext) -> CallTag {
         let tag = self.next_tag;
         self.next_tag += 1;
         let request = HttpRequest {
@@ -79,15 +79,15 @@
             to: self.plan.agent,
             endpoint: HttpEndpoint::Control,
             request,
-            patience: ANSWER_LIMIT,
+            timeout: ANSWER_LIMIT,
         };
-        surroundings.calls.push(call);
+        context.calls.push(call);
         tag
     }
 
-    fn beat_body(&self, now: Micros, surroundings: &Surroundings) -> Value {
+    fn heartbeat_body(&self, now: Micros, context: &ActorContext) -> Value {
         let plan = &self.plan;
-        let state = if self.says_draining() {
+        let state = if self.reports_draining() {
             "draining"
         } else {
             "ready"
@@ -97,28 +97,28 @@
             "zone": plan.zone, "version": "v1", "slots": 8, "state": state, "cold_remaining_ms": 0,
             "capacity": {"cpu": plan.capacity.cpu, "mem_mb": plan.capacity.mem_mb, "gpu": plan.capacity.gpu},
             "labels": plan.labels, "clock_ms": (now - self.up_since) / MILLISECOND, "seq": self.sequence,
-            "active": self.active_json(now, surroundings),
+            "active": self.active_json(now, context),
             "finished": self.finished.iter().take(ENDS_AT_ONCE).map(end_json).collect::<Value>(),
         });
-        if let Some(drain) = self.drain.filter(Drain::is_said) {
+        if let Some(drain) = self.drain.filter(Drain::is_announced) {
             let left = (drain.began + drain.left).saturating_sub(now) / MILLISECOND;
             body["remaining_ms"] = json!(left);
         }
         body
     }
 
-    fn says_draining(&self) -> bool {
-        self.drain.as_ref().is_some_and(Drain::is_said)
+    fn reports_draining(&self) -> bool {
+        self.drain.as_ref().is_some_and(Drain::is_announced)
     }
 
-    fn active_json(&self, now: Micros, surroundings: &Surroundings) -> Value {
+    fn active_json(&self, now: Micros, context: &ActorContext) -> Value {
         let list = self.active.iter().map(|(key, run)| {
-            let saved = run.saved(now, surroundings);
+            let saved = run.saved(now, context);
             json!([
                 key.task.to_string(),
                 key.attempt,
                 saved,
-                run.percent(now, surroundings)
+                run.percent(now, context)
             ])
         });
         list.collect()
--- a/crates/testing/simulation/src/runner/mod.rs
+++ b/crates/testing/simulation/src/runner/mod.rs
@@ -1,13 +1,13 @@
 //! A runner beside its agent, as the protocol describes it.
 
-mod beat;
+mod commands;
 mod drain;
-mod orders;
+mod heartbeat;
 mod run;
 
-use crate::actor::{Actor, CallTag, Outcome, Surroundings};
+use crate::actor::{Actor, ActorContext, CallTag, Outcome};
 use crate::engine::{Micros, MILLISECOND, SECOND};
-use crate::history::{EndSeen, RunnerFacts, Sight};
+use crate::history::{Observation, ObservedEnd, RunnerFacts};
 use crate::job::TaskName;
 use drain::Drain;
 use run::Run;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 
 /// A heartbeat follows an end after so long.
-const BEAT_AFTER_END: Micros = 50 * MILLISECOND;
+const HEARTBEAT_AFTER_END: Micros = 50 * MILLISECOND;
 /// An answer later than this is dropped.
 const ANSWER_LIMIT: Micros = SECOND;
 
@@ -27,9 +27,13 @@
     pub number: usize,
     /// The process beside it.
     pub agent: NodeId,
+    /// The service.
     pub service: String,
+    /// Its zone.
     pub zone: String,
+    /// All that it has.
     pub capacity: Resources,
+    /// Its labels; the last one is its rack.
     pub labels: Vec<String>,
     /// True where it refuses what does not fit.
     pub guards: bool,
@@ -37,6 +41,7 @@
     pub slowness_percent: u64,
     /// How much slower its clock runs, in millionths.
     pub clock_slow_ppm: u64,
+    /// The interval of its heartbeats.
     pub heartbeat: Micros,
     /// The share of all runs that fail by the runner's fault.
     pub failing: f64,
@@ -49,10 +54,10 @@
     attempt: u64,
 }
 
-struct Beat {
+struct PendingHeartbeat {
     tag: CallTag,
     sent: Micros,
-    said_draining: bool,
+    reported_draining: bool,
 }
 
 /// A runner.
@@ -60,18 +65,18 @@
     plan: RunnerPlan,
     up: bool,
     back_at: Option<Micros>,
-    lives: u64,
+    incarnation: u64,
     up_since: Micros,
     sequence: u64,
     fence: u64,
-    hold_until: Option<Micros>,
+    lease_until: Option<Micros>,
     active: BTreeMap<RunKey, Run>,
     /// The highest attempt of each task that stopped or ended here.
     over: BTreeMap<TaskName, u64>,
-    finished: Vec<EndSeen>,
+    finished: Vec<ObservedEnd>,
     next_number: u64,
-    beat: Option<Beat>,
-    beat_due: Micros,
+    heartbeat: Option<PendingHeartbeat>,
+    heartbeat_due: Micros,
     next_tag: CallTag,
     drain: Option<Drain>,
     silent_until: Micros,
@@ -84,26 +89,26 @@
             plan,
             up: false,
             back_at: Some(at),
-            lives: 0,
+            incarnation: 0,
             up_since: at,
             sequence: 0,
             fence: 0,
-            hold_until: None,
+            lease_until: None,
             active: BTreeMap::new(),
             over: BTreeMap::new(),
             finished: Vec::new(),
             next_number: 1,
-            beat: None,
-            beat_due: at,
+            heartbeat: None,
+            heartbeat_due: at,
             next_tag: 1,
             drain: None,
             silent_until: 0,
         }
     }
 
-    /// Its id in this life.
+    /// Its id in this incarnation.
     pub fn instance(&self) -> String {
-        format!("i-{:02}-{:03}", self.plan.number, self.lives)
+        format!("i-{:02}-{:03}", self.plan.number, self.incarnation)
     }
 
     /// The process beside it.
@@ -121,10 +126,10 @@
         self.active.len()
     }
 
-    /// It dies without a word, and returns after `back_after` with a new id.
-    pub fn crash(&mut self, now: Micros, back_after: Micros, surroundings: &mut Surroundings) {
+    /// It dies without notice, and returns after `back_after` with a new id.
+    pub fn crash(&mut self, now: Micros, back_after: Micros, context: &mut ActorContext) {
         if self.up {
-            self.end_life(now, now + back_after, surroundings);
+            self.end_incarnation(now, now + back_after, context);
         }
     }
 
@@ -132,7 +137,7 @@
     pub fn start_drain(&mut self, now: Micros, left: Micros, serves_on: Micros) {
         if self.up && self.drain.is_none() {
             self.drain = Some(Drain::new(now, left, serves_on));
-            self.beat_due = self.beat_due.min(now);
+            self.heartbeat_due = self.heartbeat_due.min(now);
         }
     }
 
@@ -151,15 +156,15 @@
         self.silent_until = until;
     }
 
-    fn begin_life(&mut self, now: Micros, surroundings: &mut Surroundings) {
-        self.lives += 1;
+    fn start_incarnation(&mut self, now: Micros, context: &mut ActorContext) {
+        self.incarnation += 1;
         self.up = true;
         self.back_at = None;
         self.up_since = now;
         self.sequence = 0;
         self.fence = 0;
         self.next_number = 1;
-        self.beat_due = now;
+        self.heartbeat_due = now;
         let facts = RunnerFacts {
             instance: self.instance(),
             machine: self.plan.agent,
@@ -168,25 +173,25 @@
             labels: self.plan.labels.clone(),
             guards: self.plan.guards,
         };
-        surroundings.history.note(now, Sight::RunnerUp(facts));
+        context.history.note(now, Observation::RunnerUp(facts));
     }
 
-    fn end_life(&mut self, now: Micros, back_at: Micros, surroundings: &mut Surroundings) {
+    fn end_incarnation(&mut self, now: Micros, back_at: Micros, context: &mut ActorContext) {
         for run in std::mem::take(&mut self.active).into_values() {
-            run.leave_gang(now, surroundings);
+            run.leave_gang(now, context);
         }
-        surroundings.history.note(
+        context.history.note(
             now,
-            Sight::RunnerDown {
+            Observation::RunnerDown {
                 instance: self.instance(),
             },
         );
         self.up = false;
         self.back_at = Some(back_at);
-        self.hold_until = None;
+        self.lease_until = None;
         self.over.clear();
         self.finished.clear();
-        self.beat = None;
+        self.heartbeat = None;
         self.drain = None;
     }
 
@@ -195,43 +200,43 @@
         span + span * self.plan.clock_slow_ppm / 1_000_000
     }
 
-    fn check_hold(&mut self, now: Micros, surroundings: &mut Surroundings) {
-        if self.hold_until.is_none_or(|until| until > now) {
+    fn check_lease(&mut self, now: Micros, context: &mut ActorContext) {
+        if self.lease_until.is_none_or(|until| until > now) {
             return;
         }
-        self.hold_until = None;
-        surroundings.history.note(
+        self.lease_until = None;
+        context.history.note(
             now,
-            Sight::HoldLapsed {
+            Observation::LeaseExpired {
                 instance: self.instance(),
             },
         );
         let keys: Vec<RunKey> = self.active.keys().cloned().collect();
         for key in keys {
-            self.end_run(now, &key, RunEnd::LeaseExpired, surroundings);
+            self.end_run(now, &key, RunEnd::LeaseExpired, context);
         }
     }
 
-    fn check_runs(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    fn check_runs(&mut self, now: Micros, context: &mut ActorContext) {
         let keys: Vec<RunKey> = self.active.keys().cloned().collect();
         for key in keys {
             let end = self
                 .active
                 .get(&key)
-                .and_then(|run| run.end_by(now, surroundings));
+                .and_then(|run| run.end_by(now, context));
             if let Some(end) = end {
-                self.end_run(now, &key, end, surroundings);
+                self.end_run(now, &key, end, context);
             }
         }
     }
 
-    fn end_run(&mut self, now: Micros, key: &RunKey, end: RunEnd, surroundings: &mut Surroundings) {
+    fn end_run(&mut self, now: Micros, key: &RunKey, end: RunEnd, context: &mut ActorContext) {
         let Some(run) = self.active.remove(key) else {
             return;
         };
-        run.leave_gang(now, surroundings);
-        let saved = run.saved_at_end(now, end, surroundings);
-        self.list_end(now, key, end, saved, surroundings);
+        run.leave_gang(now, context);
+        let saved = run.saved_at_end(now, end, context);
+        self.list_end(now, key, end, saved, context);
     }
 
     fn list_end(
@@ -240,11 +245,11 @@
         key: &RunKey,
         end: RunEnd,
         saved: String,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) {
         let highest = self.over.entry(key.task.clone()).or_insert(0);
         *highest = (*highest).max(key.attempt);
-        let seen = EndSeen {
+        let seen = ObservedEnd {
             instance: self.instance(),
             number: self.next_number,
             task: key.task.clone(),
@@ -254,44 +259,42 @@
         };
         self.next_number += 1;
         self.finished.push(seen.clone());
-        surroundings.history.note(now, Sight::Ended(seen));
-        self.beat_due = self.beat_due.min(now + BEAT_AFTER_END);
+        context.history.note(now, Observation::Ended(seen));
+        self.heartbeat_due = self.heartbeat_due.min(now + HEARTBEAT_AFTER_END);
     }
 }
 
 impl Actor for Runner {
-    fn wake(&mut self, now: Micros, surroundings: &mut Surroundings) {
+    fn wake(&mut self, now: Micros, context: &mut ActorContext) {
         if !self.up {
             if self.back_at.is_some_and(|at| at <= now) {
-                self.begin_life(now, surroundings);
+                self.start_incarnation(now, context);
             } else {
                 return;
             }
         }
-        self.check_hold(now, surroundings);
-        self.check_runs(now, surroundings);
-        self.check_drain(now, surroundings);
-        if self.up && self.beat.is_none() && self.beat_due <= now {
-            self.send_beat(now, surroundings);
+        self.check_lease(now, context);
+        self.check_runs(now, context);
+        self.check_drain(now, context);
+        if self.up && self.heartbeat.is_none() && self.heartbeat_due <= now {
+            self.send_heartbeat(now, context);
         }
     }
 
-    fn outcome(
-        &mut self,
-        now: Micros,
-        tag: CallTag,
-        outcome: Outcome,
-        surroundings: &mut Surroundings,
-    ) {
+    fn outcome(&mut self, now: Micros, tag: CallTag, outcome: Outcome, context: &mut ActorContext) {
         if !self.up {
             return;
         }
-        self.check_hold(now, surroundings);
-        self.check_runs(now, surroundings);
-        if self.beat.as_ref().is_some_and(|beat| beat.tag == tag) {
-            self.take_answer(now, outcome, surroundings);
+        self.check_lease(now, context);
+        self.check_runs(now, context);
+        if self
+            .heartbeat
+            .as_ref()
+            .is_some_and(|heartbeat| heartbeat.tag == tag)
+        {
+            self.take_answer(now, outcome, context);
         } else if outcome.success_body().is_some() {
-            self.take_deregistered(now, surroundings);
+            self.take_deregistered(now, context);
         }
     }
 
@@ -299,9 +302,9 @@
         if !self.up {
             return self.back_at;
         }
-        let beat = self.beat.is_none().then_some(self.beat_due);
+        let heartbeat = self.heartbeat.is_none().then_some(self.heartbeat_due);
         let ends = self.active.values().filter_map(Run::next_check).min();
-        [beat, ends, self.hold_until, self.drain_wake()]
+        [heartbeat, ends, self.lease_until, self.drain_wake()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/testing/simulation/src/runner/run.rs
+++ b/crates/testing/simulation/src/runner/run.rs
@@ -1,7 +1,7 @@
 //! One run at a runner.
 
 use super::RunnerPlan;
-use crate::actor::Surroundings;
+use crate::actor::ActorContext;
 use crate::engine::{Micros, MILLISECOND, SECOND};
 use crate::gang::{GangPlan, GangRun};
 use crate::job::TaskName;
@@ -59,9 +59,9 @@
         task: &TaskName,
         attempt: u64,
         saved: &str,
-        surroundings: &mut Surroundings,
+        context: &mut ActorContext,
     ) -> Run {
-        let job = surroundings
+        let job = context
             .history
             .jobs
             .jobs
@@ -83,12 +83,12 @@
         } else {
             task.to_string()
         };
-        let fails = surroundings.chance.happens(job.failing + plan.failing);
+        let fails = context.chance.happens(job.failing + plan.failing);
         let restored = progress_of(saved).min(work);
         let restore = if saved.is_empty() {
             0
         } else {
-            surroundings.bounds.restore_ms * MILLISECOND
+            context.bounds.restore_ms * MILLISECOND
         };
         let mut run = Run {
             asked: step.asked(),
@@ -97,18 +97,18 @@
             owner,
             checkpoints: step.checkpoints,
             joined: now,
-            gang_until: now + surroundings.bounds.gang_ms * MILLISECOND,
+            gang_until: now + context.bounds.gang_ms * MILLISECOND,
             work,
             slowness_percent: plan.slowness_percent,
             restore,
             restored,
             saved: saved.to_owned(),
-            save_every: ((surroundings.bounds.save_s * SECOND as f64) as Micros).max(MILLISECOND),
+            save_every: ((context.bounds.save_s * SECOND as f64) as Micros).max(MILLISECOND),
             ends: None,
             fails,
             stop_at: None,
         };
-        let lasts = run.lasts(fails, surroundings);
+        let lasts = run.lasts(fails, context);
         match run.gang.clone() {
             Some(gang) => {
                 let plan = GangPlan {
@@ -116,7 +116,7 @@
                     lasts,
                     fails,
                 };
-                surroundings.gangs.join(now, &gang, task.index, plan);
+                context.gangs.join(now, &gang, task.index, plan);
             }
             None if job.long_running && !fails => (),
             None => run.ends = Some(now + lasts),
@@ -124,10 +124,10 @@
         run
     }
 
-    fn lasts(&self, fails: bool, surroundings: &mut Surroundings) -> Micros {
+    fn lasts(&self, fails: bool, context: &mut ActorContext) -> Micros {
         let left = (self.work - self.restored) * self.slowness_percent / 100;
         let part = if fails {
-            surroundings.chance.between(5, 100)
+            context.chance.between(5, 100)
         } else {
             100
         };
@@ -140,14 +140,14 @@
     }
 
     /// How it has ended by now.
-    pub(crate) fn end_by(&self, now: Micros, surroundings: &Surroundings) -> Option<RunEnd> {
+    pub(crate) fn end_by(&self, now: Micros, context: &ActorContext) -> Option<RunEnd> {
         let own = if self.fails {
             RunEnd::Failed
         } else {
             RunEnd::Done
         };
         if let Some(gang) = &self.gang {
-            let course = surroundings.gangs.course(gang);
+            let course = context.gangs.course(gang);
             if let Some(course) = course.filter(|course| course.ends <= now) {
                 let failed = if self.index == 0 {
                     RunEnd::Failed
@@ -156,7 +156,7 @@
                 };
                 return Some(if course.fails { failed } else { RunEnd::Done });
             }
-            if surroundings.gangs.is_broken(gang) {
+            if context.gangs.is_broken(gang) {
                 return Some(RunEnd::GangMemberEnded);
             }
             if course.is_none() && self.gang_until <= now {
@@ -176,26 +176,26 @@
     }
 
     /// The wait for the other members is over; looks at the joint end from now on.
-    pub(crate) fn follow_gang(&mut self, surroundings: &Surroundings) {
+    pub(crate) fn follow_gang(&mut self, context: &ActorContext) {
         if let Some(course) = self
             .gang
             .as_ref()
-            .and_then(|gang| surroundings.gangs.course(gang))
+            .and_then(|gang| context.gangs.course(gang))
         {
             self.gang_until = course.ends;
         }
     }
 
     /// The others learn that it is over.
-    pub(crate) fn leave_gang(&self, now: Micros, surroundings: &mut Surroundings) {
+    pub(crate) fn leave_gang(&self, now: Micros, context: &mut ActorContext) {
         if let Some(gang) = &self.gang {
-            surroundings.gangs.leave(now, gang);
+            context.gangs.leave(now, gang);
         }
     }
 
-    fn progress(&self, now: Micros, surroundings: &Surroundings) -> Micros {
+    fn progress(&self, now: Micros, context: &ActorContext) -> Micros {
         let from = match &self.gang {
-            Some(gang) => surroundings.gangs.course(gang).map(|course| course.from),
+            Some(gang) => context.gangs.course(gang).map(|course| course.from),
             None => Some(self.joined),
         };
         let Some(from) = from else {
@@ -206,13 +206,13 @@
     }
 
     /// Hundredths of its work that are done.
-    pub(crate) fn percent(&self, now: Micros, surroundings: &Surroundings) -> u64 {
-        (self.progress(now, surroundings) * 100 / self.work.max(1)).min(99)
+    pub(crate) fn percent(&self, now: Micros, context: &ActorContext) -> u64 {
+        (self.progress(now, context) * 100 / self.work.max(1)).min(99)
     }
 
     /// Its newest checkpoint.
-    pub(crate) fn saved(&self, now: Micros, surroundings: &Surroundings) -> String {
-        let full = self.progress(now, surroundings) / self.save_every * self.save_every;
+    pub(crate) fn saved(&self, now: Micros, context: &ActorContext) -> String {
+        let full = self.progress(now, context) / self.save_every * self.save_every;
         if !self.checkpoints || full <= self.restored {
             return self.saved.clone();
         }
@@ -220,16 +220,11 @@
     }
 
     /// Its checkpoint after an end.
-    pub(crate) fn saved_at_end(
-        &self,
-        now: Micros,
-        end: RunEnd,
-        surroundings: &Surroundings,
-    ) -> String {
-        let progress = self.progress(now, surroundings);
+    pub(crate) fn saved_at_end(&self, now: Micros, end: RunEnd, context: &ActorContext) -> String {
+        let progress = self.progress(now, context);
         if end == RunEnd::Stopped && self.checkpoints && progress > self.restored {
             return checkpoint(&self.owner, progress);
         }
-        self.saved(now, surroundings)
+        self.saved(now, context)
     }
 }
--- a/crates/testing/simulation/src/scenario.rs
+++ b/crates/testing/simulation/src/scenario.rs
@@ -2,11 +2,11 @@
 
 use crate::checker::{check, Limits};
 use crate::client::Clients;
-use crate::cluster::{Factories, Place, PlannedFault, World, WorldPlan};
+use crate::cluster::{ClusterPlan, Factories, Place, PlannedFault, SimulatedCluster};
 use crate::disk::DiskSpeed;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND};
 use crate::faults::{random_schedule, Fault, FaultField};
-use crate::history::Sight;
+use crate::history::Observation;
 use crate::network::LinkQuality;
 use crate::operator::{Change, ChangeKind, Operator};
 use crate::report::Report;
@@ -32,30 +32,43 @@
 const LEAD: Micros = 10 * SECOND;
 /// After the traffic's end so long is given for jobs to end.
 const TAIL: Micros = 70 * SECOND;
-/// The last so much of a day is without trouble.
+/// The last so much of a day is without fault.
 const QUIET: Micros = 10 * SECOND;
 
 /// The plan of a day.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// The seed of all random choices.
     pub seed: u64,
+    /// How many core processes.
     pub cores: usize,
+    /// How many frontends.
     pub frontends: usize,
+    /// Agents, each with its runners, for each service.
     pub sides_per_service: usize,
+    /// How many core machines may be lost at once.
     pub tolerated: u32,
     /// How long traffic lasts.
     pub length: Micros,
+    /// How many jobs come.
     pub jobs: u64,
     /// Changes of the configuration during the day.
     pub changes: u64,
+    /// The part of answers to the operator that are lost.
     pub lost_answers: f64,
+    /// The bounds that hold between clients, runners and the cluster.
     pub bounds: Bounds,
+    /// The quality of all links.
     pub links: LinkQuality,
+    /// The speed of all disks.
     pub disks: DiskSpeed,
     /// Each machine's steady clock runs fast or slow by at most so many millionths.
     pub clock_drift_ppm: u64,
+    /// The interval of runners' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
+    /// The part of runs that fail by their own fault.
     pub failing: f64,
+    /// The part of jobs all of whose runs fail.
     pub poison: f64,
     /// The share of jobs that last until they are cancelled.
     pub long_running: f64,
@@ -67,16 +80,16 @@
     pub all_must_finish: bool,
     /// The share of jobs that are cancelled.
     pub cancelled: f64,
-    /// When all machines lose power, counted from the traffic's begin. No trouble is drawn for later.
+    /// When all machines lose power, counted from the traffic's begin. No fault is drawn for later.
     pub final_power_loss: Option<Micros>,
-    /// Troubles drawn from the seed.
+    /// Faults drawn from the seed.
     pub random_faults: bool,
-    /// Troubles besides.
+    /// Faults besides.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Scenario {
-    /// A day without trouble.
+    /// A day without fault.
     pub fn calm(seed: u64) -> Scenario {
         Scenario {
             seed,
@@ -106,7 +119,7 @@
         }
     }
 
-    /// A day with troubles drawn from the seed.
+    /// A day with faults drawn from the seed.
     pub fn troubled(seed: u64) -> Scenario {
         Scenario {
             random_faults: true,
@@ -115,7 +128,7 @@
         }
     }
 
-    /// A troubled day with more work than there is room for at times.
+    /// A hit by faults day with more work than there is room for at times.
     pub fn pressed(seed: u64) -> Scenario {
         Scenario {
             all_must_finish: false,
@@ -128,7 +141,7 @@
         }
     }
 
-    /// A troubled day that goes on after a loss of all power.
+    /// A hit by faults day that goes on after a loss of all power.
     pub fn recovering(seed: u64) -> Scenario {
         Scenario {
             length: 60 * SECOND,
@@ -172,24 +185,24 @@
     pub fn run_with(&self, factories: Factories) -> Report {
         let mut chance = Chance::new(self.seed ^ 0x0da7);
         let workload = draw(&mut chance, &self.workload_plan());
-        let jobs = workload.book.clone();
-        let mut world = World::new(self.world_plan(), factories, jobs);
+        let jobs = workload.job_table.clone();
+        let mut cluster = SimulatedCluster::new(self.world_plan(), factories, jobs);
         let runners = self.runners(&mut chance);
         let operator = Operator::new(self.operator_plan(&mut chance));
         let faults = self.fault_plan(&mut chance);
-        world.begin(
+        cluster.begin(
             runners,
             Clients::new(workload.plans.clone()),
             operator,
             faults,
         );
         let end = self.traffic_end() + TAIL;
-        world.run_until(end);
-        world.history().note(end, Sight::DayEnd);
-        self.report(&mut world, &workload)
+        cluster.run_until(end);
+        cluster.history().note(end, Observation::DayEnd);
+        self.report(&mut cluster, &workload)
     }
 
-    fn world_plan(&self) -> WorldPlan {
+    fn world_plan(&self) -> ClusterPlan {
         let mut places = Vec::new();
         for (kind, nodes) in [
             (NodeKind::Core, self.core_nodes()),
@@ -203,7 +216,7 @@
                 zone: index % ZONES,
             }));
         }
-        WorldPlan {
+        ClusterPlan {
             seed: self.seed,
             places,
             seeds: self.core_nodes().into_iter().take(3).collect(),
@@ -303,7 +316,7 @@
     fn health_checks(&self, chance: &mut Chance) -> Vec<Change> {
         let health_check = |_| {
             let prefix = format!("/extra-{}/", chance.between(0, 4));
-            let kind = ChangeKind::HealthCheck {
+            let kind = ChangeKind::QueueCount {
                 host: HOST.into(),
                 prefix,
             };
@@ -332,7 +345,7 @@
                 chance,
                 &field,
                 LEAD / 2,
-                self.trouble_end(),
+                self.last_fault_end(),
             ));
         }
         if let Some(at) = self.final_power_loss {
@@ -345,15 +358,15 @@
         faults
     }
 
-    /// Drawn troubles begin before this.
-    fn trouble_end(&self) -> Micros {
+    /// Drawn faults begin before this.
+    fn last_fault_end(&self) -> Micros {
         match self.final_power_loss {
             Some(at) => LEAD + at - QUIET,
             None => self.traffic_end() + QUIET,
         }
     }
 
-    fn report(&self, world: &mut World, workload: &Workload) -> Report {
+    fn report(&self, cluster: &mut SimulatedCluster, workload: &Workload) -> Report {
         let limits = Limits {
             bounds: self.bounds,
             visible_ms: 3_000,
@@ -361,14 +374,14 @@
             recovery_ms: RECOVERY_MS,
             all_must_finish: self.all_must_finish,
         };
-        let violations = check(world.history(), limits);
-        let mut report = Report::from_history(world.history(), workload);
+        let violations = check(cluster.history(), limits);
+        let mut report = Report::from_history(cluster.history(), workload);
         report.violations = violations;
-        report.codec_faults = world.codec_faults.clone();
-        report.messages = world.messages;
-        report.message_bytes = world.message_bytes;
-        report.digest = world.digest();
-        report.history = std::mem::take(world.history());
+        report.codec_faults = cluster.codec_faults.clone();
+        report.messages = cluster.messages;
+        report.message_bytes = cluster.message_bytes;
+        report.digest = cluster.digest();
+        report.history = std::mem::take(cluster.history());
         report
     }
 }
--- a/crates/testing/simulation/src/tamper.rs
+++ b/crates/testing/simulation/src/tamper.rs
@@ -1,10 +1,10 @@
 //! Processes that are broken on purpose, to see that the checker notices.
 
-use crate::process::{Birth, Factory};
+use crate::process::{Factory, ProcessStart};
 use sagetrail_protocol::node::{Event, HttpReply, HttpRequest, Node, Now, Outbox};
 use sagetrail_protocol::Time;
 
-/// What is done to a process on its way to and from the world.
+/// What is done to a process on its way to and from the cluster.
 #[derive(Clone, Copy)]
 pub struct Tampering {
     /// Changes a request before the process reads it.
@@ -12,7 +12,7 @@
     /// Changes an answer after the process gave it.
     pub reply: fn(&mut HttpReply),
     /// Changes what the process is given at its start.
-    pub birth: fn(&mut Birth),
+    pub start: fn(&mut ProcessStart),
     /// The process's steady clock runs slower than its machine's by so many hundredths, below 100.
     pub clock_slow_percent: u64,
 }
@@ -22,7 +22,7 @@
         Tampering {
             request: |_| (),
             reply: |_| (),
-            birth: |_| (),
+            start: |_| (),
             clock_slow_percent: 0,
         }
     }
@@ -73,10 +73,10 @@
 
 /// Processes as `factory` makes them, tampered with.
 pub fn tamper(mut factory: Factory, tampering: Tampering) -> Factory {
-    Box::new(move |mut birth: Birth, outbox: &mut Outbox| {
-        (tampering.birth)(&mut birth);
-        birth.now = tampering.slowed(birth.now);
-        let inner = factory(birth, outbox);
+    Box::new(move |mut start: ProcessStart, outbox: &mut Outbox| {
+        (tampering.start)(&mut start);
+        start.now = tampering.slowed(start.now);
+        let inner = factory(start, outbox);
         let node: Box<dyn Node> = Box::new(Tampered { inner, tampering });
         node
     })
--- a/crates/testing/simulation/src/workload.rs
+++ b/crates/testing/simulation/src/workload.rs
@@ -2,7 +2,7 @@
 
 use crate::client::JobPlan;
 use crate::engine::{Chance, Micros, MILLISECOND, SECOND, WALL_START_MS};
-use crate::job::{JobBook, JobDefinition, StepDefinition};
+use crate::job::{JobDefinition, JobTable, StepDefinition};
 
 /// The host of all queues.
 pub const HOST: &str = "queue.example";
@@ -10,35 +10,49 @@
 /// A queue and what its runners have.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuePlan {
+    /// The path prefix of the queue.
     pub prefix: String,
+    /// The service.
     pub service: String,
+    /// True where its runners have graphics processors.
     pub has_gpu: bool,
 }
 
 /// How many jobs come, and of which kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadPlan {
+    /// The queues.
     pub queues: Vec<QueuePlan>,
+    /// When the first may come.
     pub from: Micros,
+    /// When the last may come.
     pub until: Micros,
+    /// How many.
     pub jobs: u64,
     /// Shares of all jobs.
     pub gangs: f64,
+    /// The part of long-running jobs.
     pub long_running: f64,
+    /// The part of jobs with several occurrences.
     pub repeated: f64,
+    /// The part of jobs that are cancelled.
     pub cancelled: f64,
     /// The share of jobs all of whose runs fail.
     pub poison: f64,
     /// The share of runs that fail by their own fault.
     pub failing: f64,
+    /// The racks that jobs name.
     pub racks: Vec<String>,
+    /// The labels that jobs name.
     pub labels: Vec<String>,
 }
 
 /// The jobs of a day and what clients do with them.
 #[derive(Clone, Debug, Default)]
 pub struct Workload {
-    pub book: JobBook,
+    /// The jobs by ID.
+    pub job_table: JobTable,
+    /// What clients do with each.
     pub plans: Vec<JobPlan>,
 }
 
@@ -57,7 +71,7 @@
             cancel_at,
         };
         workload.plans.push(client);
-        workload.book.jobs.insert(job.id.clone(), job);
+        workload.job_table.jobs.insert(job.id.clone(), job);
     }
     workload
 }
--- a/crates/testing/simulation/tests/broken.rs
+++ b/crates/testing/simulation/tests/broken.rs
@@ -6,7 +6,7 @@
 use sagetrail_simulation::cluster::{Factories, PlannedFault};
 use sagetrail_simulation::engine::SECOND;
 use sagetrail_simulation::faults::Fault;
-use sagetrail_simulation::process::{Birth, Factory};
+use sagetrail_simulation::process::{Factory, ProcessStart};
 use sagetrail_simulation::real;
 use sagetrail_simulation::scenario::Scenario;
 use sagetrail_simulation::tamper::{tamper, Tampering};
@@ -46,8 +46,8 @@
 }
 
 fn rename_ends(request: &mut HttpRequest, from: &str, to: &str) {
-    edit(&mut request.body, |beat| {
-        for end in beat
+    edit(&mut request.body, |heartbeat| {
+        for end in heartbeat
             .get_mut("finished")
             .and_then(Value::as_array_mut)
             .into_iter()
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_agent_that_extends_holds_for_ever_runs_tasks_twice() {
+fn an_agent_that_extends_leases_for_ever_runs_tasks_twice() {
     let extend =
         |reply: &mut HttpReply| edit(&mut reply.body, |answer| answer["hold_ms"] = json!(10_000));
     let scenario = Scenario {
@@ -121,10 +121,10 @@
 }
 
 #[test]
-fn an_agent_that_exaggerates_its_room_breaks_the_limit() {
+fn an_agent_that_exaggerates_its_capacity_breaks_the_limit() {
     let exaggerate = |request: &mut HttpRequest| {
-        edit(&mut request.body, |beat| {
-            beat["capacity"] = json!({"cpu": 900_000, "mem_mb": 9_000_000, "gpu": 90})
+        edit(&mut request.body, |heartbeat| {
+            heartbeat["capacity"] = json!({"cpu": 900_000, "mem_mb": 9_000_000, "gpu": 90})
         });
     };
     let scenario = Scenario {
@@ -143,11 +143,11 @@
 }
 
 #[test]
-fn agents_that_hide_room_let_jobs_stand_still_on_a_pressed_day() {
+fn agents_that_hide_capacity_let_jobs_stall_on_a_day_under_load() {
     let hide = |request: &mut HttpRequest| {
-        edit(&mut request.body, |beat| {
-            if beat.get("capacity").is_some() {
-                beat["capacity"] = json!({"cpu": 1_000, "mem_mb": 2_000, "gpu": 1});
+        edit(&mut request.body, |heartbeat| {
+            if heartbeat.get("capacity").is_some() {
+                heartbeat["capacity"] = json!({"cpu": 1_000, "mem_mb": 2_000, "gpu": 1});
             }
         });
     };
@@ -275,11 +275,11 @@
 
 #[test]
 fn a_core_that_forgets_its_disks_loses_jobs_and_configurations() {
-    let forget = |birth: &mut Birth| birth.image = DiskImage::default();
+    let forget = |start: &mut ProcessStart| start.image = DiskImage::default();
     let core = tamper(
         real::core(),
         Tampering {
-            birth: forget,
+            start: forget,
             ..Tampering::default()
         },
     );
@@ -332,22 +332,22 @@
     Scenario { faults, ..scenario }
 }
 
-fn comes_later(birth: &Birth) -> bool {
+fn comes_later(start: &ProcessStart) -> bool {
     let original = Scenario::calm(3).core_nodes();
-    birth.kind == NodeKind::Core && !original.contains(&birth.node)
+    start.kind == NodeKind::Core && !original.contains(&start.node)
 }
 
 #[test]
 fn a_core_whose_successors_never_join_loses_jobs() {
-    let strand = |birth: &mut Birth| {
-        if comes_later(birth) {
-            birth.seeds.clear();
+    let strand = |start: &mut ProcessStart| {
+        if comes_later(start) {
+            start.seeds.clear();
         }
     };
     let core = tamper(
         real::core(),
         Tampering {
-            birth: strand,
+            start: strand,
             ..Tampering::default()
         },
     );
@@ -363,16 +363,16 @@
 
 #[test]
 fn a_core_whose_successors_found_their_own_cluster_breaks_the_configuration() {
-    let found = |birth: &mut Birth| {
-        if comes_later(birth) {
-            birth.seeds = vec![birth.node];
-            birth.bootstrap = true;
+    let found = |start: &mut ProcessStart| {
+        if comes_later(start) {
+            start.seeds = vec![start.node];
+            start.bootstrap = true;
         }
     };
     let core = tamper(
         real::core(),
         Tampering {
-            birth: found,
+            start: found,
             ..Tampering::default()
         },
     );
@@ -388,11 +388,11 @@
 
 #[test]
 fn a_core_that_forgets_its_disks_does_not_recover() {
-    let forget = |birth: &mut Birth| birth.image = DiskImage::default();
+    let forget = |start: &mut ProcessStart| start.image = DiskImage::default();
     let core = tamper(
         real::core(),
         Tampering {
-            birth: forget,
+            start: forget,
             ..Tampering::default()
         },
     );
@@ -412,15 +412,15 @@
 
 #[test]
 fn gateways_that_find_no_core_after_a_restart_do_not_recover() {
-    let strand = |birth: &mut Birth| {
-        if !birth.bootstrap {
-            birth.seeds.clear();
+    let strand = |start: &mut ProcessStart| {
+        if !start.bootstrap {
+            start.seeds.clear();
         }
     };
     let frontend = tamper(
         real::frontend(),
         Tampering {
-            birth: strand,
+            start: strand,
             ..Tampering::default()
         },
     );
@@ -438,8 +438,8 @@
     );
 }
 
-/// A day on which some agent's machine is in trouble at any time.
-fn troubled_elsewhere() -> Scenario {
+/// A day on which some agent's machine is in fault at any time.
+fn faults_elsewhere() -> Scenario {
     let scenario = Scenario::calm(3);
     let sides = scenario.side_nodes().into_iter().cycle();
     let freeze = |(number, node): (u64, NodeId)| {
@@ -457,13 +457,13 @@
 }
 
 #[test]
-fn a_gateway_that_denies_queues_is_noticed_while_other_machines_are_in_trouble() {
+fn a_gateway_that_denies_queues_is_noticed_during_faults_at_other_machines() {
     let deny = |reply: &mut HttpReply| {
         if String::from_utf8_lossy(&reply.body).contains("\"pending\"") {
             reply.status = 404;
         }
     };
-    let scenario = troubled_elsewhere();
+    let scenario = faults_elsewhere();
     assert_eq!(broken_rules(&scenario, real::factories()), BTreeSet::new());
     let frontend = tamper(
         real::frontend(),
--- a/crates/testing/simulation/tests/checker_histories.rs
+++ b/crates/testing/simulation/tests/checker_histories.rs
@@ -7,7 +7,8 @@
 use sagetrail_simulation::configuration::{Configuration, RouteItem};
 use sagetrail_simulation::engine::{Micros, SECOND, WALL_START_MS};
 use sagetrail_simulation::history::{
-    Answer, EndSeen, History, OrderSeen, Reach, RunnerFacts, ShownState, Sight, StartSeen,
+    Answer, History, Observation, ObservedChange, ObservedEnd, ObservedStart, Reach, RunnerFacts,
+    ShownState,
 };
 use sagetrail_simulation::job::{JobDefinition, StepDefinition, TaskName};
 use std::collections::BTreeSet;
@@ -27,8 +28,8 @@
     made
 }
 
-fn order(number: usize, base: u64, version: u64) -> OrderSeen {
-    OrderSeen {
+fn order(number: usize, base: u64, version: u64) -> ObservedChange {
+    ObservedChange {
         order: number,
         base,
         version,
@@ -63,10 +64,10 @@
         let mut history = History::default();
         history.jobs.jobs.insert(job.id.clone(), job);
         let mut day = Day(history);
-        day.at(1.0, Sight::OrderSent(order(0, 0, 1)));
+        day.at(1.0, Observation::OrderSent(order(0, 0, 1)));
         day.at(
             1.1,
-            Sight::OrderAnswered {
+            Observation::OrderAnswered {
                 order: 0,
                 answer: Answer::Status(200),
             },
@@ -86,7 +87,7 @@
                 labels,
                 guards: false,
             };
-            day.at(2.0, Sight::RunnerUp(facts));
+            day.at(2.0, Observation::RunnerUp(facts));
         }
         day
     }
@@ -97,14 +98,15 @@
         day
     }
 
-    fn at(&mut self, seconds: f64, sight: Sight) {
-        self.0.note((seconds * SECOND as f64) as Micros, sight);
+    fn at(&mut self, seconds: f64, observation: Observation) {
+        self.0
+            .note((seconds * SECOND as f64) as Micros, observation);
     }
 
     fn trouble(&mut self, seconds: f64, until_second: u64, reach: Reach) {
         self.at(
             seconds,
-            Sight::Trouble {
+            Observation::Fault {
                 until: until_second * SECOND,
                 what: "Kill".into(),
                 reach,
@@ -113,10 +115,10 @@
     }
 
     fn submit(&mut self, seconds: f64, answer: Answer) {
-        self.at(seconds, Sight::SubmitSent { job: JOB.into() });
+        self.at(seconds, Observation::SubmitSent { job: JOB.into() });
         self.at(
             seconds,
-            Sight::SubmitAnswered {
+            Observation::SubmitAnswered {
                 job: JOB.into(),
                 answer,
             },
@@ -125,14 +127,14 @@
 
     fn start(&mut self, seconds: f64, instance: &str, task: &str, attempt: u64) {
         let task = format!("{JOB}.{task}");
-        let seen = StartSeen {
+        let seen = ObservedStart {
             instance: instance.into(),
             task,
             attempt,
             spec: "work".into(),
             saved: String::new(),
         };
-        self.at(seconds, Sight::Started(seen));
+        self.at(seconds, Observation::Started(seen));
     }
 
     fn end(
@@ -145,7 +147,7 @@
         end: RunEnd,
     ) {
         let task = TaskName::parse(&format!("{JOB}.{task}")).expect("a task's name");
-        let seen = EndSeen {
+        let seen = ObservedEnd {
             instance: instance.into(),
             number,
             task,
@@ -153,13 +155,13 @@
             end,
             saved: String::new(),
         };
-        self.at(seconds, Sight::Ended(seen));
+        self.at(seconds, Observation::Ended(seen));
     }
 
     fn observed(&mut self, seconds: f64, instance: &str, number: u64) {
         self.at(
             seconds,
-            Sight::Observed {
+            Observation::Observed {
                 instance: instance.into(),
                 number,
             },
@@ -170,7 +172,7 @@
         let sent = (seconds * SECOND as f64) as Micros;
         self.at(
             seconds,
-            Sight::StateRead {
+            Observation::StateRead {
                 job: JOB.into(),
                 sent,
                 gateway: NodeId::default(),
@@ -233,12 +235,12 @@
     day.read(15.0, ShownState::Completed);
     day.at(
         60.0,
-        Sight::ConfigRead {
+        Observation::ConfigRead {
             sent: 59 * SECOND,
             content: Some(configuration(1)),
         },
     );
-    day.at(70.0, Sight::DayEnd);
+    day.at(70.0, Observation::DayEnd);
     day.keeps_all();
 }
 
@@ -279,7 +281,7 @@
     day.end(12.0, "a", "0.0.0", 1, 1, RunEnd::Done);
     day.at(
         12.2,
-        Sight::HoldLapsed {
+        Observation::LeaseExpired {
             instance: "a".into(),
         },
     );
@@ -299,7 +301,7 @@
 }
 
 #[test]
-fn more_than_the_room_breaks_the_limit_what_is_stopped_included() {
+fn more_than_the_capacity_breaks_the_limit_stopped_runs_included() {
     let mut day = Day::accepted(job(vec![step(2)]));
     day.start(11.0, "a", "0.0.0", 1);
     day.start(11.1, "a", "0.0.1", 1);
@@ -356,10 +358,10 @@
 #[test]
 fn a_start_after_the_cancelling_is_unasked() {
     let mut day = Day::accepted(job(vec![step(1)]));
-    day.at(11.0, Sight::CancelSent { job: JOB.into() });
+    day.at(11.0, Observation::CancelSent { job: JOB.into() });
     day.at(
         11.1,
-        Sight::CancelAnswered {
+        Observation::CancelAnswered {
             job: JOB.into(),
             answer: Answer::Status(200),
         },
@@ -375,10 +377,10 @@
 fn a_run_that_outlives_the_cancelling_is_unasked() {
     let mut day = Day::accepted(job(vec![step(1)]));
     day.start(11.0, "a", "0.0.0", 1);
-    day.at(11.0, Sight::CancelSent { job: JOB.into() });
+    day.at(11.0, Observation::CancelSent { job: JOB.into() });
     day.at(
         11.1,
-        Sight::CancelAnswered {
+        Observation::CancelAnswered {
             job: JOB.into(),
             answer: Answer::Status(200),
         },
@@ -397,7 +399,7 @@
     let task = format!("{JOB}.0.0.0");
     day.at(
         11.0,
-        Sight::Started(StartSeen {
+        Observation::Started(ObservedStart {
             instance: "a".into(),
             task,
             attempt: 1,
@@ -436,7 +438,7 @@
 }
 
 #[test]
-fn an_unknown_job_near_trouble_is_excused() {
+fn an_unknown_job_near_a_fault_is_excused() {
     let mut day = Day::accepted(job(vec![step(1)]));
     day.trouble(12.0, 13, Reach::Everything);
     day.read(14.0, ShownState::Gone);
@@ -444,7 +446,7 @@
 }
 
 #[test]
-fn trouble_excuses_the_machines_that_it_reaches_alone() {
+fn a_fault_excuses_only_the_machines_that_it_reaches() {
     let elsewhere = NodeId { ip: 99, port: 1 };
     let here = NodeId::default();
     let cases = [
@@ -469,16 +471,16 @@
 }
 
 #[test]
-fn a_start_after_the_cancelling_is_excused_by_trouble_of_its_machine_alone() {
+fn a_start_after_the_cancellation_is_excused_only_by_a_fault_of_its_machine() {
     for (troubled, expected) in [
         ("a", BTreeSet::new()),
         ("b", BTreeSet::from([Rule::Unasked])),
     ] {
         let mut day = Day::accepted(job(vec![step(1)]));
-        day.at(12.0, Sight::CancelSent { job: JOB.into() });
+        day.at(12.0, Observation::CancelSent { job: JOB.into() });
         day.at(
             12.0,
-            Sight::CancelAnswered {
+            Observation::CancelAnswered {
                 job: JOB.into(),
                 answer: Answer::Status(200),
             },
@@ -505,28 +507,28 @@
     day.read(13.0, ShownState::Queued);
     day.at(
         60.0,
-        Sight::ConfigRead {
+        Observation::ConfigRead {
             sent: 59 * SECOND,
             content: Some(configuration(1)),
         },
     );
-    day.at(90.0, Sight::DayEnd);
+    day.at(90.0, Observation::DayEnd);
     day.breaks(Rule::Lost);
 }
 
 #[test]
-fn a_job_that_stands_still_is_lost_and_one_without_room_is_not() {
+fn a_stalled_job_is_lost_and_one_without_capacity_is_not() {
     let limits = limits(false);
     for (cpu, broken) in [(400, 1), (1_200, 0)] {
         let mut day = Day::accepted(job(vec![StepDefinition { cpu, ..step(1) }]));
         day.at(
             60.0,
-            Sight::ConfigRead {
+            Observation::ConfigRead {
                 sent: 59 * SECOND,
                 content: Some(configuration(1)),
             },
         );
-        day.at(90.0, Sight::DayEnd);
+        day.at(90.0, Observation::DayEnd);
         let violations = check(&day.0, limits);
         assert_eq!(violations.len(), broken, "{violations:?}");
         assert!(violations
@@ -582,7 +584,7 @@
     let mut day = Day::accepted(job(vec![step(1)]));
     day.at(
         10.5,
-        Sight::DrainAcknowledged {
+        Observation::DrainAcknowledged {
             instance: "a".into(),
         },
     );
@@ -594,10 +596,10 @@
 fn two_acknowledged_changes_on_one_version_break_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
     for (number, version) in [(1, 2), (2, 3)] {
-        day.at(11.0, Sight::OrderSent(order(number, 1, version)));
+        day.at(11.0, Observation::OrderSent(order(number, 1, version)));
         day.at(
             11.5,
-            Sight::OrderAnswered {
+            Observation::OrderAnswered {
                 order: number,
                 answer: Answer::Status(200),
             },
@@ -611,7 +613,7 @@
     let mut day = Day::new(job(vec![step(1)]));
     day.at(
         12.0,
-        Sight::OrderAnswered {
+        Observation::OrderAnswered {
             order: 0,
             answer: Answer::Status(412),
         },
@@ -624,7 +626,7 @@
     let mut day = Day::new(job(vec![step(1)]));
     day.at(
         11.0,
-        Sight::OrderSent(OrderSeen {
+        Observation::OrderSent(ObservedChange {
             order: 1,
             base: 1,
             version: 2,
@@ -634,7 +636,7 @@
     );
     day.at(
         11.5,
-        Sight::OrderAnswered {
+        Observation::OrderAnswered {
             order: 1,
             answer: Answer::Status(200),
         },
@@ -645,39 +647,39 @@
 #[test]
 fn an_older_read_back_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
-    day.at(11.0, Sight::OrderSent(order(1, 1, 2)));
+    day.at(11.0, Observation::OrderSent(order(1, 1, 2)));
     day.at(
         11.5,
-        Sight::OrderAnswered {
+        Observation::OrderAnswered {
             order: 1,
             answer: Answer::Status(200),
         },
     );
     day.at(
         60.0,
-        Sight::ConfigRead {
+        Observation::ConfigRead {
             sent: 59 * SECOND,
             content: Some(configuration(1)),
         },
     );
-    day.at(70.0, Sight::DayEnd);
+    day.at(70.0, Observation::DayEnd);
     day.breaks(Rule::Config);
 }
 
 #[test]
 fn a_refused_change_in_force_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
-    day.at(11.0, Sight::OrderSent(order(1, 1, 2)));
+    day.at(11.0, Observation::OrderSent(order(1, 1, 2)));
     day.at(
         11.5,
-        Sight::OrderAnswered {
+        Observation::OrderAnswered {
             order: 1,
             answer: Answer::Status(412),
         },
     );
     day.at(
         12.0,
-        Sight::ConfigRead {
+        Observation::ConfigRead {
             sent: 11 * SECOND,
             content: Some(configuration(2)),
         },
@@ -689,7 +691,7 @@
 fn a_route_that_is_there_and_not_found_breaks_the_configuration() {
     let mut day = Day::new(job(vec![step(1)]));
     let answer = Answer::Status(404);
-    let read = Sight::QueueRead {
+    let read = Observation::QueueRead {
         sent: 20 * SECOND,
         gateway: NodeId::default(),
         host: "h".into(),
@@ -710,15 +712,15 @@
         day.start(started, "a", "0.0.0", 1);
         day.end(started + 1.0, "a", "0.0.0", 1, 1, RunEnd::Done);
         day.read(started + 2.0, ShownState::Completed);
-        day.at(35.0, Sight::SubmitSent { job: "last".into() });
+        day.at(35.0, Observation::SubmitSent { job: "last".into() });
         day.at(
             60.0,
-            Sight::ConfigRead {
+            Observation::ConfigRead {
                 sent: 59 * SECOND,
                 content: Some(configuration(1)),
             },
         );
-        day.at(90.0, Sight::DayEnd);
+        day.at(90.0, Observation::DayEnd);
         let violations = check(&day.0, limits(false));
         assert_eq!(violations.len(), broken, "{violations:?}");
         assert!(violations
@@ -731,19 +733,19 @@
 fn too_few_requests_served_after_the_final_fault_break_the_recovery() {
     for (served, broken) in [(0, true), (1, true), (2, false), (8, false)] {
         let mut day = Day::accepted(job(vec![step(1)]));
-        day.at(20.0, Sight::FinalFault { back: 22 * SECOND });
+        day.at(20.0, Observation::FinalFault { back: 22 * SECOND });
         // Sent before the recovery is over.
         day.at(
             33.0,
-            Sight::SubmitSent {
+            Observation::SubmitSent {
                 job: "early".into(),
             },
         );
         for number in 0..8 {
             let job = format!("late-{number}");
-            day.at(35.0, Sight::SubmitSent { job: job.clone() });
+            day.at(35.0, Observation::SubmitSent { job: job.clone() });
             let answer = Answer::Status(if number < served { 200 } else { 503 });
-            day.at(37.0, Sight::SubmitAnswered { job, answer });
+            day.at(37.0, Observation::SubmitAnswered { job, answer });
         }
         let expected = if broken {
             BTreeSet::from([Rule::Recover])
@@ -757,11 +759,11 @@
 #[test]
 fn a_success_that_comes_late_after_the_final_fault_does_not_count() {
     let mut day = Day::accepted(job(vec![step(1)]));
-    day.at(20.0, Sight::FinalFault { back: 22 * SECOND });
-    day.at(35.0, Sight::SubmitSent { job: "late".into() });
+    day.at(20.0, Observation::FinalFault { back: 22 * SECOND });
+    day.at(35.0, Observation::SubmitSent { job: "late".into() });
     day.at(
         39.0,
-        Sight::SubmitAnswered {
+        Observation::SubmitAnswered {
             job: "late".into(),
             answer: Answer::Status(200),
         },
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -8,7 +8,7 @@
 use sagetrail_simulation::scenario::Scenario;
 use std::ops::RangeInclusive;
 
-/// Names how many troubled days are played.
+/// Names how many hit by faults days are played.
 const SEEDS_VARIABLE: &str = "SAGETRAIL_SIM_SEEDS";
 /// So many days of a test are played at once.
 const AT_ONCE: u64 = 4;
@@ -43,7 +43,7 @@
 fn the_same_seed_gives_the_same_day() {
     let first = Scenario::troubled(11).run();
     let second = Scenario::troubled(11).run();
-    assert_eq!(first.history.seen, second.history.seen);
+    assert_eq!(first.history.observations, second.history.observations);
     assert_eq!(first.messages, second.messages);
     assert_eq!(first.message_bytes, second.message_bytes);
     assert_eq!(first.digest, second.digest);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn troubled_days_break_no_rule() {
+fn days_with_faults_break_no_rule() {
     assert_all_keep_all(asked_seeds(), Scenario::troubled);
 }
 
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn due_times_are_kept_while_clocks_drift() {
+fn due_times_hold_while_clocks_drift() {
     for seed in 1..=6 {
         let scenario = Scenario {
             repeated: 0.8,
--- a/crates/testing/simulation/tests/digests.rs
+++ b/crates/testing/simulation/tests/digests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn forty_days_of_all_kinds_are_kept_and_no_two_have_one_digest() {
+fn forty_days_of_all_kinds_have_the_digests_of_the_fixture_and_no_two_the_same() {
     let days = kept();
     let digests: BTreeSet<&str> = days.iter().map(|day| day.digest).collect();
     assert_eq!((days.len(), digests.len()), (40, 40));
--- a/crates/testing/simulation/tests/parts.rs
+++ b/crates/testing/simulation/tests/parts.rs
@@ -1,10 +1,10 @@
-//! The parts of the simulated world by themselves.
+//! The parts of the simulated cluster by themselves.
 
 use sagetrail_protocol::node::{DiskOperation, DiskWrite, Table};
 use sagetrail_protocol::{NodeId, Time};
 use sagetrail_simulation::disk::{Disk, DiskSpeed};
 use sagetrail_simulation::engine::{Chance, Queue, MILLISECOND, SECOND};
-use sagetrail_simulation::gang::{GangBoard, GangPlan, GangRun};
+use sagetrail_simulation::gang::{GangPlan, GangRun, GangTable};
 use sagetrail_simulation::job::{StepName, TaskName};
 use sagetrail_simulation::network::{Direction, LinkQuality, Network};
 use sagetrail_simulation::process::ProcessClock;
@@ -203,7 +203,7 @@
         lasts: SECOND,
         fails: false,
     };
-    let mut board = GangBoard::default();
+    let mut board = GangTable::default();
     board.join(10, &run, 0, plan);
     assert_eq!(board.course(&run), None);
     board.join(20, &run, 1, plan);
