--- a/crates/dispatcher/dispatcher/src/meeting.rs
+++ b/crates/dispatcher/dispatcher/src/handover_socket.rs
@@ -1,8 +1,9 @@
-//! Where the old and the new process of one address meet, and the link between them.
+//! Where the old and the new process of one address find each other during an upgrade, and the link between them.
 
-use crate::door::Door;
+use crate::client_context::ClientContext;
 use crate::handover::{
-    frames, receive, send, Ask, Frame, Peer, Read, Write, FRAMES, LINKS, STATE_S, VERSION,
+    frames, receive, send, Frame, FrameReader, FrameWriter, Peer, PeerRequest, MAX_LINKS,
+    MAX_QUEUED_FRAMES, STATE_TIMEOUT, VERSION,
 };
 use sagetrail_dispatch::Passed;
 use std::cell::RefCell;
@@ -16,56 +17,55 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Where the processes of one address meet.
-pub(crate) struct Meeting {
+/// The socket by which a new process finds its predecessor: a common name that points to the newest process's own.
+pub(crate) struct HandoverSocket {
+    /// A link in the folder for temporary files; points to the newest process's socket.
     common: PathBuf,
+    /// This process's socket.
     own: PathBuf,
 }
 
 /// A predecessor's link.
-pub(crate) struct Former {
-    read: Read,
-    write: Write,
+pub(crate) struct Predecessor {
+    read: FrameReader,
+    write: FrameWriter,
     path: Option<PathBuf>,
 }
 
-impl Meeting {
-    pub(crate) fn new(listen: SocketAddr) -> Meeting {
+impl HandoverSocket {
+    pub(crate) fn new(listen: SocketAddr) -> HandoverSocket {
         let name = format!("sagetrail-{listen}");
         let folder = std::env::temp_dir();
-        Meeting {
+        HandoverSocket {
             common: folder.join(&name),
             own: folder.join(format!("{name}-{}.socket", std::process::id())),
         }
     }
 
-    /// What the process before this one has to tell. Guards against one that is gone or does not answer: that
-    /// is a fresh start.
-    pub(crate) async fn find(&self) -> Option<(Passed, Former)> {
+    /// The predecessor's state and the link to it. `None`, a fresh start, where it is gone or does not answer within
+    /// [`STATE_TIMEOUT`].
+    pub(crate) async fn find(&self) -> Option<(Passed, Predecessor)> {
         let path = std::fs::read_link(&self.common).ok();
-        let told = async {
+        let state = async {
             let stream = UnixStream::connect(&self.common).await.ok()?;
             let (mut read, mut write) = frames(stream);
             send(&mut write, &Frame::Hello { version: VERSION })
                 .await
                 .ok()?;
             match receive(&mut read).await? {
-                Frame::State(state) => Some((*state, Former { read, write, path })),
+                Frame::State(state) => Some((*state, Predecessor { read, write, path })),
                 _ => None,
             }
         };
-        let found = timeout(Duration::from_secs_f64(STATE_S), told)
-            .await
-            .ok()
-            .flatten();
+        let found = timeout(STATE_TIMEOUT, state).await.ok().flatten();
         match &found {
             Some((state, _)) => {
                 tracing::info!(
-                    "takes over from the process before: {} runners",
+                    "takes over from the predecessor: {} runners",
                     state.runners.len()
                 );
             }
-            None => tracing::info!("no process before this one answers; starts afresh"),
+            None => tracing::info!("no predecessor answers; starts afresh"),
         }
         found
     }
@@ -83,7 +83,12 @@
     }
 
     /// Answers those that come after this process.
-    pub(crate) async fn keep(self: Rc<Self>, door: Rc<Door>, deployment: u64, terms: Rc<Vec<u64>>) {
+    pub(crate) async fn keep(
+        self: Rc<Self>,
+        client_context: Rc<ClientContext>,
+        deployment: u64,
+        terms: Rc<Vec<u64>>,
+    ) {
         let _ = std::fs::remove_file(&self.own);
         let listener = match UnixListener::bind(&self.own)
             .and_then(|listener| self.claim().map(|()| listener))
@@ -96,7 +101,7 @@
                 );
             }
         };
-        let places = Arc::new(Semaphore::new(LINKS));
+        let places = Arc::new(Semaphore::new(MAX_LINKS));
         loop {
             let Ok(place) = places.clone().acquire_owned().await else {
                 return;
@@ -105,17 +110,18 @@
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let (meeting, door, terms) = (self.clone(), door.clone(), terms.clone());
+            let (handover_socket, client_context, terms) =
+                (self.clone(), client_context.clone(), terms.clone());
             spawn_local(async move {
                 let _place = place;
                 let (mut read, write) = frames(stream);
-                let hello = timeout(Duration::from_secs_f64(STATE_S), receive(&mut read)).await;
+                let hello = timeout(STATE_TIMEOUT, receive(&mut read)).await;
                 let Ok(Some(Frame::Hello { version: VERSION })) = hello else {
                     return;
                 };
                 // Linked before it is told: a call in between goes after, and misses neither.
-                let linked = Linked::new(true, &door);
-                let state = door
+                let linked = Linked::new(true, &client_context);
+                let state = client_context
                     .mailbox
                     .ask(move |exchange| exchange.hand_over(&terms))
                     .await;
@@ -123,78 +129,79 @@
                     return;
                 };
                 let state = Passed {
-                    drained: door.drained.get(),
+                    drained: client_context.drained.get(),
                     deployment,
                     learnt,
                     runners,
                 };
                 tracing::info!("a new process takes over");
                 linked.serve(Some(state), read, write).await;
-                if !door.shutting_down.get() {
+                if !client_context.shutting_down.get() {
                     tracing::warn!("the new process has ended; this one goes on");
-                    door.mailbox
+                    client_context
+                        .mailbox
                         .ask(|exchange| exchange.hand_over_failed())
                         .await;
-                    let _ = meeting.claim();
+                    let _ = handover_socket.claim();
                 }
             });
         }
     }
 }
 
-impl Former {
-    /// Keeps up the link until the process before has ended.
-    pub(crate) async fn keep(self, door: Rc<Door>) {
-        Linked::new(false, &door)
+impl Predecessor {
+    /// Keeps up the link until the predecessor has ended.
+    pub(crate) async fn keep(self, client_context: Rc<ClientContext>) {
+        Linked::new(false, &client_context)
             .serve(None, self.read, self.write)
             .await;
         // One that was killed leaves its name.
         self.path
             .into_iter()
             .for_each(|path| drop(std::fs::remove_file(path)));
-        tracing::info!("the process before has ended");
+        tracing::info!("the predecessor has ended");
     }
 }
 
 /// A link, as long as it lasts: whoever waits for the other process then hears that nobody is there.
 struct Linked {
-    door: Rc<Door>,
+    client_context: Rc<ClientContext>,
     peer: Rc<Peer>,
     frames: mpsc::Receiver<Frame>,
 }
 
 impl Drop for Linked {
     fn drop(&mut self) {
-        let mut linked = self.door.handover.peer.borrow_mut();
+        let mut linked = self.client_context.handover.peer.borrow_mut();
         if linked
             .as_ref()
             .is_some_and(|other| Rc::ptr_eq(other, &self.peer))
         {
             *linked = None;
         }
-        self.peer.waiting.borrow_mut().clear();
+        self.peer.unanswered.borrow_mut().clear();
     }
 }
 
 impl Linked {
-    fn new(newer: bool, door: &Rc<Door>) -> Linked {
-        let (out, frames) = mpsc::channel(FRAMES);
+    fn new(newer: bool, client_context: &Rc<ClientContext>) -> Linked {
+        let (out, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let peer = Rc::new(Peer {
             newer,
             frames: out,
-            waiting: RefCell::default(),
+            unanswered: RefCell::default(),
         });
-        door.handover.peer.replace(Some(peer.clone()));
+        client_context.handover.peer.replace(Some(peer.clone()));
         Linked {
-            door: door.clone(),
+            client_context: client_context.clone(),
             peer,
             frames,
         }
     }
 
     /// Serves the other process until one of the two ends; `first` goes before all that is laid on the link.
-    async fn serve(mut self, first: Option<Passed>, mut read: Read, mut write: Write) {
-        let (door, peer) = (self.door.clone(), self.peer.clone());
+    async fn serve(mut self, first: Option<Passed>, mut read: FrameReader, mut write: FrameWriter) {
+        let (client_context, peer) = (self.client_context.clone(), self.peer.clone());
         let writes = async {
             if let Some(state) = first {
                 send(&mut write, &Frame::State(Box::new(state))).await?;
@@ -207,12 +214,12 @@
         let reads = async {
             while let Some(frame) = receive(&mut read).await {
                 match frame {
-                    Frame::Asks { no, ask } => {
-                        let yes = carry_out(ask, &door).await;
-                        let _ = peer.frames.send(Frame::Did { no, yes }).await;
+                    Frame::Request { no, ask } => {
+                        let yes = perform(ask, &client_context).await;
+                        let _ = peer.frames.send(Frame::Response { no, yes }).await;
                     }
-                    Frame::Did { no, yes } => {
-                        let asked = peer.waiting.borrow_mut().remove(&no);
+                    Frame::Response { no, yes } => {
+                        let asked = peer.unanswered.borrow_mut().remove(&no);
                         asked.into_iter().for_each(|asked| _ = asked.send(yes));
                     }
                     Frame::Hello { .. } | Frame::State(_) => return,
@@ -227,21 +234,21 @@
     }
 }
 
-/// Does what the other process asks; whether it concerned anything here.
-async fn carry_out(ask: Ask, door: &Rc<Door>) -> bool {
+/// Performs a request of the other process. Whether it concerned anything here.
+async fn perform(ask: PeerRequest, client_context: &Rc<ClientContext>) -> bool {
     match ask {
-        Ask::News(word) => door
+        PeerRequest::Callback(callback) => client_context
             .mailbox
-            .ask(move |exchange| exchange.callback(word))
+            .ask(move |exchange| exchange.callback(callback))
             .await
             .unwrap_or(false),
-        Ask::ByHand { id, out } => door
+        PeerRequest::SetMaintenance { id, out } => client_context
             .mailbox
             .ask(move |exchange| exchange.by_hand(&id, out))
             .await
             .unwrap_or(false),
-        Ask::Drain(on) => {
-            door.drain(on);
+        PeerRequest::Drain(on) => {
+            client_context.drain(on);
             true
         }
     }
