--- a/crates/cluster/control-plane/src/membership/recovering.rs
+++ b/crates/cluster/control-plane/src/membership/recovering.rs
@@ -65,7 +65,7 @@
         effects: &mut Effects,
     ) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.reply(from, reply, effects);
+            recovery.on_reply(from, reply, effects);
         }
     }
 
@@ -81,7 +81,7 @@
         let recovered = self
             .recovery
             .as_mut()
-            .and_then(|recovery| recovery.promised(from, promise));
+            .and_then(|recovery| recovery.on_promise(from, promise));
         if let Some(recovered) = recovered {
             self.take_up_recovered(recovered, register, terms, effects);
         }
@@ -90,7 +90,7 @@
     /// A member has promised a higher proposal number than the recovery's.
     pub(crate) fn on_rejected(&mut self, rejected: &Rejected) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.refused(rejected);
+            recovery.on_rejected(rejected);
         }
     }
 
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -179,7 +179,7 @@
     let mut next = members.members.clone();
     if next.len() >= size {
         let unreachable_since = now.0.checked_sub(UNREACHABLE_MS * MICROS_PER_MS).map(Time);
-        let replaced = leadership.replaceable(members, unreachable_since)?;
+        let replaced = leadership.member_to_replace(members, unreachable_since)?;
         next.retain(|member| *member != replaced);
     }
     next.push(learner);
