--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -547,12 +547,7 @@
     let Some(store) = &client_context.store else {
         return Ok(None);
     };
-    let Some(recorded) = store
-        .said
-        .recorded
-        .get(job.category)
-        .and_then(Option::as_ref)
-    else {
+    let Some(recorded) = store.recorded(job.category) else {
         return Ok(None);
     };
     let (_, query) = request
--- a/crates/dispatcher/dispatcher/src/console.rs
+++ b/crates/dispatcher/dispatcher/src/console.rs
@@ -146,7 +146,7 @@
     out: bool,
     client_context: &ClientContext,
 ) -> Reply {
-    let agreed = store.word(about.clone(), out).await;
+    let agreed = store.set_out_of_service(about.clone(), out).await;
     if out {
         match &about {
             OverrideTarget::Runner(id) => {
@@ -248,8 +248,8 @@
         }
         _ if path == "/store" || path.starts_with("/store/") => match &client_context.store {
             Some(store) if looks || says => {
-                let (status, text) = store.call(path, says, &request.body).await;
-                Reply::new(status, text)
+                let reply = store.admin_call(path, says, &request.body).await;
+                Reply::new(reply.status, reply.text)
             }
             Some(_) => Reply::new(405, "not with this method\n"),
             None => Reply::new(404, "no store is configured\n"),
--- a/crates/dispatcher/dispatcher/src/disk.rs
+++ b/crates/dispatcher/dispatcher/src/disk.rs
@@ -1,41 +1,53 @@
-//! The store's folder. One thread writes what it is handed, in order, and makes it last; the loop never waits for it.
+//! The store's folder, and the thread that writes it: jobs in order, synced before they are reported. The loop never
+//! waits for the disk.
 
-use sagetrail_replicated_store::{decode_journal, encode_header, Journal, StoreError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
-use std::sync::mpsc as queue;
+use std::sync::mpsc as std_mpsc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
 use tokio::sync::mpsc;
 
-/// More than this is no log of ours: it is put into a snapshot long before.
-const MOST_BYTES: u64 = 256 << 20;
+use sagetrail_raft::DiskRecord;
+use sagetrail_replicated_store::{decode_journal, encode_header, Journal, StoreError};
+
+use crate::store::DiskError;
+
+/// Largest journal that is read, bytes: it is compacted long before.
+const MAX_JOURNAL_BYTES: u64 = 256 << 20;
+/// Jobs that are synced together, besides the first.
+const MAX_FURTHER_JOBS: usize = 255;
+const JOURNAL_FILE: &str = "log";
+const MERGED_STATE_FILE: &str = "merged";
 
-pub(crate) enum Job {
-    /// Behind what the log holds; with nothing to write it only keeps its turn.
-    Append(Vec<u8>),
-    /// In place of all that the log holds.
-    Anew(Vec<u8>),
-    /// The log is put aside for study, and begun anew with this.
-    Aside(Vec<u8>),
-    /// Merged state, beside the log.
-    Merged(Vec<u8>),
+/// A job for the thread that writes.
+pub(crate) enum WriteJob {
+    /// Appends to the journal; without bytes it only keeps its place in the order.
+    AppendToJournal(Vec<u8>),
+    /// Replaces the journal.
+    ReplaceJournal(Vec<u8>),
+    /// Puts the journal aside for study, and begins a new one with these bytes.
+    PutJournalAside(Vec<u8>),
+    /// Saves the merged state; nothing is acknowledged by it.
+    SaveMergedState(Vec<u8>),
 }
 
-/// A disk that is slow or full: for tests.
+/// A slow or full disk, for tests.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Ill {
-    pub slow: Duration,
+pub(crate) struct DiskDefect {
+    /// Delay of each sync.
+    pub sync_delay: Duration,
     /// Bytes that it still takes.
-    pub room: Option<u64>,
+    pub free_bytes: Option<u64>,
 }
 
-impl Ill {
-    fn takes(&mut self, bytes: usize) -> io::Result<()> {
-        match &mut self.room {
-            Some(room) if *room < bytes as u64 => Err(io::ErrorKind::StorageFull.into()),
-            Some(room) => {
-                *room -= bytes as u64;
+impl DiskDefect {
+    fn take_space(&mut self, bytes: usize) -> io::Result<()> {
+        match &mut self.free_bytes {
+            Some(free) if *free < bytes as u64 => Err(io::ErrorKind::StorageFull.into()),
+            Some(free) => {
+                *free -= bytes as u64;
                 Ok(())
             }
             None => Ok(()),
@@ -43,24 +55,141 @@
     }
 }
 
-/// What became of jobs on the log: so many last, or why none does any more.
-pub(crate) type Done = Result<usize, String>;
+/// The number of further journal jobs that are synced, or why none will be any more.
+pub(crate) type WriteOutcome = Result<usize, DiskError>;
 
-pub(crate) struct Disk {
-    jobs: queue::Sender<Job>,
+/// A saved copy of the merged state.
+pub(crate) struct SavedMergedState {
+    /// The bytes.
+    pub bytes: Vec<u8>,
+    /// Time since it was saved, seconds.
+    pub age_s: f64,
 }
 
-fn log(folder: &Path) -> PathBuf {
-    folder.join("log")
+/// The content of a folder.
+pub(crate) struct FolderContent {
+    /// The identity of the disk.
+    pub disk: u64,
+    /// The journal's records.
+    pub records: Vec<DiskRecord>,
+    /// Number of records that the disk has ever held.
+    pub records_written: u64,
+    /// The merged state, if it was saved.
+    pub merged: Option<SavedMergedState>,
 }
 
-fn unix() -> u64 {
-    SystemTime::now()
+/// Reads the folder, which is created if it is absent. A journal that cannot be used is put aside. `new_disk` is the
+/// identity for a blank disk.
+///
+/// # Errors
+///
+/// [`DiskError::Folder`] and [`DiskError::JournalTooLarge`].
+pub(crate) fn open_folder(
+    folder: &Path,
+    fleet: u32,
+    member: u64,
+    new_disk: u64,
+) -> Result<FolderContent, DiskError> {
+    let folder_error = |source: io::Error| DiskError::Folder {
+        folder: folder.to_path_buf(),
+        source,
+    };
+    fs::create_dir_all(folder).map_err(folder_error)?;
+    let path = folder.join(JOURNAL_FILE);
+    let size_bytes = fs::metadata(&path).map_or(0, |data| data.len());
+    if size_bytes > MAX_JOURNAL_BYTES {
+        return Err(DiskError::JournalTooLarge { path, size_bytes });
+    }
+    let bytes = read_or_empty(&path).map_err(folder_error)?;
+    let new_header = encode_header(fleet, member, new_disk, 0);
+    match decode_journal(&bytes, fleet, member) {
+        Ok(Some(journal)) => {
+            cut_off_incomplete(folder, &journal, bytes.len()).map_err(folder_error)?;
+            Ok(FolderContent {
+                disk: journal.disk,
+                records: journal.records,
+                records_written: journal.records_written,
+                merged: saved_merged_state(folder),
+            })
+        }
+        Ok(None) => {
+            replace(&path, &new_header).map_err(folder_error)?;
+            Ok(blank(new_disk))
+        }
+        Err(error) => {
+            put_folder_aside(folder, error).map_err(folder_error)?;
+            replace(&path, &new_header).map_err(folder_error)?;
+            Ok(blank(new_disk))
+        }
+    }
+}
+
+fn blank(disk: u64) -> FolderContent {
+    FolderContent {
+        disk,
+        records: Vec::new(),
+        records_written: 0,
+        merged: None,
+    }
+}
+
+fn read_or_empty(path: &Path) -> io::Result<Vec<u8>> {
+    match fs::read(path) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
+        result => result,
+    }
+}
+
+fn saved_merged_state(folder: &Path) -> Option<SavedMergedState> {
+    let path = folder.join(MERGED_STATE_FILE);
+    let bytes = fs::read(&path).ok()?;
+    let saved_at = fs::metadata(&path).and_then(|data| data.modified()).ok();
+    let age_s = saved_at
+        .and_then(|at| SystemTime::now().duration_since(at).ok())
+        .map_or(0.0, |age| age.as_secs_f64());
+    Some(SavedMergedState { bytes, age_s })
+}
+
+/// Cuts off an incomplete record at the end of the journal.
+fn cut_off_incomplete(folder: &Path, journal: &Journal, journal_bytes: usize) -> io::Result<()> {
+    if journal.valid_bytes == journal_bytes {
+        return Ok(());
+    }
+    tracing::warn!(
+        "journal in {} ends with an incomplete record: cut off",
+        folder.display()
+    );
+    let file = OpenOptions::new()
+        .write(true)
+        .open(folder.join(JOURNAL_FILE))?;
+    file.set_len(journal.valid_bytes as u64)?;
+    file.sync_all()
+}
+
+fn put_folder_aside(folder: &Path, error: StoreError) -> io::Result<()> {
+    tracing::warn!(
+        "journal in {} is put aside, joining again blank: {error}",
+        folder.display()
+    );
+    put_aside(&folder.join(JOURNAL_FILE))?;
+    put_aside(&folder.join(MERGED_STATE_FILE))
+}
+
+/// Renames a file to a free name beside it; no effect if it does not exist.
+fn put_aside(path: &Path) -> io::Result<()> {
+    if !path.exists() {
+        return Ok(());
+    }
+    let unix_s = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |unix| unix.as_secs())
+        .map_or(0, |unix| unix.as_secs());
+    let free_name = (0..)
+        .map(|number| path.with_extension(format!("aside-{unix_s}-{number}")))
+        .find(|path| !path.exists());
+    free_name.map_or(Ok(()), |name| fs::rename(path, name))
 }
 
-/// Written whole under another name, made to last, then moved into place: who reads it finds the old or the new one.
+/// Replaces a file atomically: written under another name, synced, then renamed. A reader finds the old or the new one.
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = path.with_extension("new");
     let mut file = File::create(&new)?;
@@ -71,173 +200,140 @@
         .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
 }
 
-fn aside(path: &Path) -> io::Result<()> {
-    if path.exists() {
-        let name = (0..).map(|n| path.with_extension(format!("aside-{}-{n}", unix())));
-        let free = name.into_iter().find(|path| !path.exists());
-        free.map_or(Ok(()), |name| fs::rename(path, name))?;
-    }
-    Ok(())
-}
-
-/// What was found in a folder.
-pub(crate) struct Found {
-    pub disk: u64,
-    pub records: Vec<sagetrail_raft::DiskRecord>,
-    pub records_written: u64,
-    /// Merged state, and how old it is in seconds.
-    pub merged: Option<(Vec<u8>, f64)>,
-}
-
-/// Reads the folder, and puts aside what cannot be used; `fresh`: a number for a new disk.
-pub(crate) fn find(folder: &Path, fleet: u32, me: u64, fresh: u64) -> Result<Found, String> {
-    let said = |error: io::Error| format!("store.folder {}: {error}", folder.display());
-    fs::create_dir_all(folder).map_err(said)?;
-    let path = log(folder);
-    let size = fs::metadata(&path).map_or(0, |data| data.len());
-    if size > MOST_BYTES {
-        return Err(format!(
-            "{}: {size} bytes are no log of ours",
-            path.display()
-        ));
-    }
-    let bytes = match fs::read(&path) {
-        Ok(bytes) => bytes,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
-        Err(error) => return Err(said(error)),
-    };
-    let merged = fs::read(folder.join("merged")).ok();
-    let age = fs::metadata(folder.join("merged"))
-        .and_then(|data| data.modified())
-        .ok();
-    let age_s = age
-        .and_then(|at| SystemTime::now().duration_since(at).ok())
-        .map_or(0.0, |age| age.as_secs_f64());
-    let begun = |why: Option<StoreError>| -> Result<Found, String> {
-        if let Some(why) = why {
-            tracing::warn!(
-                "the log in {} is put aside: {why}; begins as a new member",
-                folder.display()
-            );
-            aside(&path).map_err(said)?;
-            aside(&folder.join("merged")).map_err(said)?;
-        }
-        replace(&path, &encode_header(fleet, me, fresh, 0)).map_err(said)?;
-        Ok(Found {
-            disk: fresh,
-            records: Vec::new(),
-            records_written: 0,
-            merged: None,
-        })
-    };
-    match decode_journal(&bytes, fleet, me) {
-        Ok(None) => begun(None),
-        Err(why) => begun(Some(why)),
-        Ok(Some(Journal {
-            disk,
-            records,
-            records_written,
-            valid_bytes,
-        })) => {
-            if valid_bytes < bytes.len() {
-                tracing::warn!(
-                    "the log in {} ends with what was never promised: cut",
-                    folder.display()
-                );
-                let file = OpenOptions::new().write(true).open(&path).map_err(said)?;
-                file.set_len(valid_bytes as u64)
-                    .and_then(|()| file.sync_all())
-                    .map_err(said)?;
-            }
-            Ok(Found {
-                disk,
-                records,
-                records_written,
-                merged: merged.map(|bytes| (bytes, age_s)),
-            })
-        }
-    }
+/// The handle of the thread that writes. The thread ends when the handle is dropped, or after a failed write.
+pub(crate) struct Disk {
+    jobs: std_mpsc::Sender<WriteJob>,
 }
 
 impl Disk {
-    /// Begins the thread that writes. What becomes of jobs on the log comes back in order.
+    /// Starts the thread. Outcomes of jobs on the journal come back in order.
+    ///
+    /// # Errors
+    ///
+    /// [`DiskError::Thread`].
     pub(crate) fn start(
         folder: PathBuf,
-        ill: Ill,
-    ) -> io::Result<(Disk, mpsc::UnboundedReceiver<Done>)> {
-        let (jobs, queue) = queue::channel();
-        let (tell, told) = mpsc::unbounded_channel();
-        let name = "store".to_string();
+        defect: DiskDefect,
+    ) -> Result<(Disk, mpsc::UnboundedReceiver<WriteOutcome>), DiskError> {
+        let (jobs, queue) = std_mpsc::channel();
+        let (outcomes, outcome_receiver) = mpsc::unbounded_channel();
         std::thread::Builder::new()
-            .name(name)
-            .spawn(move || write(&folder, ill, &queue, &tell))?;
-        Ok((Disk { jobs }, told))
+            .name("store".to_string())
+            .spawn(move || write_jobs(&folder, defect, &queue, &outcomes))
+            .map_err(DiskError::Thread)?;
+        Ok((Disk { jobs }, outcome_receiver))
     }
 
-    pub(crate) fn put(&self, job: Job) {
+    /// Queues a job. After a failed write the thread has ended, and jobs are dropped.
+    pub(crate) fn submit(&self, job: WriteJob) {
         let _ = self.jobs.send(job);
     }
 }
 
-fn write(
+/// Writes jobs until the handle is dropped or a write fails: a failed sync has lost what it stood for, and no later one
+/// makes up for it.
+fn write_jobs(
     folder: &Path,
-    mut ill: Ill,
-    jobs: &queue::Receiver<Job>,
-    tell: &mpsc::UnboundedSender<Done>,
+    defect: DiskDefect,
+    queue: &std_mpsc::Receiver<WriteJob>,
+    outcomes: &mpsc::UnboundedSender<WriteOutcome>,
 ) {
-    let path = log(folder);
-    let mut file = None;
-    while let Ok(first) = jobs.recv() {
-        // Those that wait behind it are made to last together.
-        let mut all = vec![first];
-        all.extend(std::iter::from_fn(|| jobs.try_recv().ok()).take(255));
-        let mut done = 0;
-        let work = || -> io::Result<()> {
-            let mut unsynced = false;
-            for job in all {
-                match job {
-                    Job::Append(bytes) => {
-                        ill.takes(bytes.len())?;
-                        if !bytes.is_empty() {
-                            let file = match &mut file {
-                                Some(file) => file,
-                                None => file.insert(OpenOptions::new().append(true).open(&path)?),
-                            };
-                            file.write_all(&bytes)?;
-                            unsynced = true;
-                        }
-                        done += 1;
-                    }
-                    Job::Anew(bytes) => {
-                        file = None;
-                        ill.takes(bytes.len())?;
-                        replace(&path, &bytes)?;
-                        unsynced = false;
-                        done += 1;
-                    }
-                    Job::Aside(bytes) => {
-                        file = None;
-                        aside(&path)?;
-                        replace(&path, &bytes)?;
-                        unsynced = false;
-                    }
-                    // Of use, but nobody hangs on it.
-                    Job::Merged(bytes) => drop(replace(&folder.join("merged"), &bytes)),
+    let mut writer = FolderWriter::new(folder, defect);
+    while let Ok(first) = queue.recv() {
+        // Jobs that wait already are synced together with the first.
+        let further = std::iter::from_fn(|| queue.try_recv().ok()).take(MAX_FURTHER_JOBS);
+        let mut jobs = vec![first];
+        jobs.extend(further);
+        let outcome = writer.write(jobs).map_err(DiskError::from);
+        let has_failed = outcome.is_err();
+        if outcomes.send(outcome).is_err() || has_failed {
+            return;
+        }
+    }
+}
+
+/// Writes the files of a folder.
+struct FolderWriter {
+    journal_path: PathBuf,
+    merged_state_path: PathBuf,
+    /// The journal, open for appending.
+    journal: Option<File>,
+    /// The journal holds appended bytes that are not synced.
+    is_unsynced: bool,
+    defect: DiskDefect,
+}
+
+impl FolderWriter {
+    fn new(folder: &Path, defect: DiskDefect) -> FolderWriter {
+        FolderWriter {
+            journal_path: folder.join(JOURNAL_FILE),
+            merged_state_path: folder.join(MERGED_STATE_FILE),
+            journal: None,
+            is_unsynced: false,
+            defect,
+        }
+    }
+
+    /// Writes jobs and syncs the journal once; the number of batches that are synced now.
+    fn write(&mut self, jobs: Vec<WriteJob>) -> io::Result<usize> {
+        let mut batches = 0;
+        for job in jobs {
+            match job {
+                WriteJob::AppendToJournal(bytes) => {
+                    self.append(&bytes)?;
+                    batches += 1;
                 }
-            }
-            match &mut file {
-                Some(file) if unsynced => {
-                    std::thread::sleep(ill.slow);
-                    file.sync_data()
+                WriteJob::ReplaceJournal(bytes) => {
+                    self.defect.take_space(bytes.len())?;
+                    self.replace_journal(&bytes)?;
+                    batches += 1;
                 }
-                _ => Ok(()),
+                WriteJob::PutJournalAside(bytes) => {
+                    put_aside(&self.journal_path)?;
+                    self.replace_journal(&bytes)?;
+                }
+                // The state can be fetched from other members, so a failure is no failure of the disk.
+                WriteJob::SaveMergedState(bytes) => drop(replace(&self.merged_state_path, &bytes)),
+            }
+        }
+        self.sync()?;
+        Ok(batches)
+    }
+
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.defect.take_space(bytes.len())?;
+        if bytes.is_empty() {
+            return Ok(());
+        }
+        let journal = match &mut self.journal {
+            Some(journal) => journal,
+            None => {
+                let file = OpenOptions::new().append(true).open(&self.journal_path)?;
+                self.journal.insert(file)
             }
         };
-        let said = work().map(|()| done).map_err(|error| error.to_string());
-        // A write or sync that failed has lost what it stood for: no later one makes up for it.
-        let over = said.is_err();
-        if tell.send(said).is_err() || over {
-            return;
+        journal.write_all(bytes)?;
+        self.is_unsynced = true;
+        Ok(())
+    }
+
+    /// Replaces the journal; the new one is synced.
+    fn replace_journal(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.journal = None;
+        replace(&self.journal_path, bytes)?;
+        self.is_unsynced = false;
+        Ok(())
+    }
+
+    fn sync(&mut self) -> io::Result<()> {
+        match &mut self.journal {
+            Some(journal) if self.is_unsynced => {
+                std::thread::sleep(self.defect.sync_delay);
+                journal.sync_data()?;
+                self.is_unsynced = false;
+                Ok(())
+            }
+            _ => Ok(()),
         }
     }
 }
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -185,9 +185,9 @@
                 return;
             };
             if let (Some(store), Some(&STORE_VERSION)) = (&store, first.first()) {
-                store.heard(&first);
+                store.receive_frame(&first);
                 while let Some(Ok(frame)) = stream.next().await {
-                    store.heard(&frame);
+                    store.receive_frame(&frame);
                 }
                 return;
             }
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::siting::Siting;
 use crate::sockets::{self, Exchange, Mailbox, Sockets};
 use crate::start::{self, Source, Start};
-use crate::store::{OpenStore, Store};
+use crate::store::{OpenStore, Store, StoreParts};
 use crate::trial::Broken;
 use sagetrail_dispatch::{number, terms, Figures, Parts};
 use sagetrail_policy::Dispatcher;
@@ -172,16 +172,16 @@
 /// What the platform's settings for tests change.
 struct TestSettings {
     broken: Option<Broken>,
-    disk: disk::Ill,
+    disk: disk::DiskDefect,
 }
 
 impl TestSettings {
     fn new(trial: Option<&Trial>) -> TestSettings {
         TestSettings {
             broken: trial.and_then(|trial| Broken::named(trial.broken.as_deref()?)),
-            disk: trial.map_or(disk::Ill::default(), |trial| disk::Ill {
-                slow: Duration::from_secs_f64(trial.disk_slow_s),
-                room: trial.disk_full,
+            disk: trial.map_or(disk::DiskDefect::default(), |trial| disk::DiskDefect {
+                sync_delay: Duration::from_secs_f64(trial.disk_slow_s),
+                free_bytes: trial.disk_full,
             }),
         }
     }
@@ -382,15 +382,17 @@
     let (Some(settings), Some((members, fleet))) = (start.store.take(), fleet) else {
         return Ok(None);
     };
-    let open = Store::open(
-        settings,
+    let parts = StoreParts {
+        config: settings,
         members,
-        fleet.clone(),
+        fleet: fleet.clone(),
         clock,
-        source.clone(),
-        discovery_at.clone(),
-        (test_settings.disk, test_settings.broken),
-    )?;
+        source: source.clone(),
+        discovery_at: discovery_at.clone(),
+        disk_defect: test_settings.disk,
+        broken: test_settings.broken,
+    };
+    let open = Store::open(parts).map_err(|error| error.to_string())?;
     match source.open_on(&open.store.settings()) {
         Ok(agreed) => {
             fleet.limits(agreed.fleet.as_ref().unwrap_or(members), &agreed.categories);
@@ -535,7 +537,7 @@
     }
     spawn_local(
         open.store
-            .keep(open.done, mailbox.clone(), client_context.clone()),
+            .run(open.write_outcomes, mailbox.clone(), client_context.clone()),
     );
 }
 
