--- a/crates/dispatcher/dispatcher/src/cli.rs
+++ b/crates/dispatcher/dispatcher/src/cli.rs
@@ -40,7 +40,7 @@
         #[arg(long)]
         schema: bool,
     },
-    /// A call at an admin API, such as `GET /stats` or `POST /runners/s-1/maint`.
+    /// A call at an operators' door, such as `GET /stats` or `POST /runners/s-1/maint`.
     Console {
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
