--- a/crates/testing/scale-testing/src/simulated/engine.rs
+++ b/crates/testing/scale-testing/src/simulated_time/engine.rs
@@ -1,10 +1,11 @@
 //! What happens when: simulated time, and all that is to come.
 
-use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
-use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+use sagetrail_protocol::node::{DiskWrite, HealthCheckId, HttpReply, Now};
+use sagetrail_protocol::{NodeId, Time};
+
 /// The time of day at the start, in milliseconds since 1970.
 const DAY_MS: i64 = 1_800_000_000_000;
 
@@ -39,7 +40,7 @@
         attempt: u32,
         reply: Option<HttpReply>,
     },
-    /// A look at a runner is answered: hollow runners are well.
+    /// A look at a runner is answered: simulated runners are well.
     Looked {
         machine: usize,
         id: HealthCheckId,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A time as hollow runners take it.
+    /// A time as simulated runners take it.
     pub(super) fn instant(&self, time: Time) -> Instant {
         self.origin + Duration::from_micros(time.0)
     }
