--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -3,7 +3,7 @@
 use super::CoreNode;
 use crate::http_api::{parse_request, ApiRequest};
 use crate::register::RegisterProgress;
-use crate::replica::Condition;
+use crate::replica::ProcessStatus;
 use sagetrail_protocol::control::{
     ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Rejected, Renew,
     VoteReply,
@@ -21,7 +21,7 @@
             Message::ClientRequest(_) | Message::RunnerReport(_) => {
                 self.on_scheduler_message(from, message);
             }
-            Message::Subscribe(subscribe) => self.subscribers.subscribe(now, from, &subscribe),
+            Message::Subscribe(subscribe) => self.subscribers.on_subscribe(now, from, &subscribe),
             Message::Control(control) => self.on_control(from, control),
             _ => {}
         }
@@ -54,7 +54,7 @@
 
     fn on_member_leases(&mut self, from: NodeId, leases: &MemberLeases) {
         if self.register.members().contains(from) && from != self.node {
-            self.leases.take(self.now.steady, from, leases);
+            self.leases.on_report(self.now.steady, from, leases);
         }
     }
 
@@ -161,17 +161,17 @@
 
     fn on_renew(&mut self, from: NodeId, renew: &Renew) {
         let now = self.now.steady;
-        let condition = self.condition(renew);
+        let status = self.process_status(renew);
         let effects = &mut self.effects;
-        self.terms.on_renew(now, from, renew, condition, effects);
+        self.terms.on_renew(now, from, renew, status, effects);
         let update = self.register.newer_value_hint(now, renew.learned, effects);
         self.on_view_update(update);
     }
 
     /// What this process reports of itself to the leader of the term.
-    fn condition(&self, renew: &Renew) -> Condition {
+    fn process_status(&self, renew: &Renew) -> ProcessStatus {
         let knows_newest = self.register.view().proposal() >= renew.learned;
-        Condition {
+        ProcessStatus {
             leaving: self.termination.is_requested(),
             caught_up: knows_newest && self.register.is_caught_up(),
         }
--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -47,7 +47,7 @@
                 .on_hello(now, from, hello.incarnation, members);
             self.terms.on_hello(now, from);
         } else {
-            self.leases.hear(now, from, hello.kind);
+            self.leases.renew(now, from, hello.kind);
         }
         self.send_directory(from);
     }
--- a/crates/cluster/control-plane/src/register/messages.rs
+++ b/crates/cluster/control-plane/src/register/messages.rs
@@ -16,12 +16,12 @@
     /// A proposer's prepare phase.
     pub(crate) fn on_prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
         self.proposer.observe_proposal(prepare.proposal);
-        self.acceptor.prepare(from, prepare, effects);
+        self.acceptor.on_prepare(from, prepare, effects);
     }
 
     /// A proposer's accept phase.
     pub(crate) fn on_accept(&mut self, from: NodeId, accept: Accept, effects: &mut Effects) {
-        self.acceptor.accept(self.node, from, accept, effects);
+        self.acceptor.on_accept(self.node, from, accept, effects);
     }
 
     /// A proposer's accept phase with the change alone.
@@ -32,12 +32,12 @@
         effects: &mut Effects,
     ) {
         self.acceptor
-            .accept_change(self.node, from, accept, effects);
+            .on_accept_change(self.node, from, accept, effects);
     }
 
     /// A read of what is accepted.
     pub(crate) fn on_read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
-        self.acceptor.read(from, read, effects);
+        self.acceptor.on_read(from, read, effects);
     }
 }
 
@@ -93,7 +93,7 @@
         reply: ReadReply,
         effects: &mut Effects,
     ) -> Option<ViewUpdate> {
-        let outcome = self.reader.reply(from, reply)?;
+        let outcome = self.reader.on_reply(from, reply)?;
         self.read_finished(now, outcome, effects)
     }
 
@@ -195,6 +195,6 @@
     /// A member reported accepted changes.
     pub(crate) fn on_changes_reply(&mut self, from: NodeId, reply: &ChangesReply) {
         self.changes_fetch
-            .reply(from, reply, &mut self.accepted_changes);
+            .on_reply(from, reply, &mut self.accepted_changes);
     }
 }
--- /dev/null
+++ b/crates/cluster/control-plane/tests/membership.rs
@@ -0,0 +1,143 @@
+//! The core's members: several emptied disks, late and spare processes, replacement under load.
+
+mod support;
+use sagetrail_protocol::NodeId;
+use std::collections::BTreeSet;
+use support::cluster::{id, Cluster};
+
+fn submit_requests(cluster: &mut Cluster, requests: std::ops::Range<u64>) {
+    cluster.submit_all(requests, 2);
+    cluster.run(300);
+}
+
+#[test]
+fn two_of_five_disks_are_emptied_while_the_others_lose_power() {
+    for seed in 0..20 {
+        let mut cluster = Cluster::bootstrapped(5, 200 + seed);
+        assert_eq!(cluster.replace(4, 0, 5), 200);
+        submit_requests(&mut cluster, 0..100);
+        let first = seed as usize % 5;
+        let second = (first + 2) % 5;
+        (0..5).for_each(|index| cluster.power_off(index));
+        cluster.wipe(first);
+        cluster.wipe(second);
+        cluster.run(3_000);
+        (0..5).for_each(|index| cluster.start(index, false));
+        cluster.run(6_000);
+        assert_eq!(cluster.read_back(first), Some(5), "seed {seed}");
+        submit_requests(&mut cluster, 1_000..1_050);
+        assert_eq!(cluster.acked(), 150, "seed {seed}");
+    }
+}
+
+#[test]
+fn a_spare_process_stays_outside_and_still_serves_the_operator() {
+    let mut cluster = Cluster::bootstrapped(3, 1);
+    assert_eq!(cluster.replace(0, 0, 5), 200);
+    let spare = cluster.add_machine();
+    cluster.start(spare, false);
+    cluster.run(3_000);
+    assert_eq!(cluster.replace(spare, 5, 7), 200);
+    assert_eq!(cluster.read_back(spare), Some(7));
+    for index in 0..=spare {
+        assert_eq!(
+            cluster.members(index),
+            (0..3).map(id).collect::<BTreeSet<NodeId>>()
+        );
+    }
+}
+
+#[test]
+fn a_member_that_knows_only_machines_that_have_gone_finds_the_others_by_new_seeds() {
+    let mut cluster = Cluster::bootstrapped(3, 7);
+    assert_eq!(cluster.replace(0, 0, 5), 200);
+    cluster.freeze(2);
+    for gone in 0..2 {
+        let successor = cluster.add_machine();
+        cluster.start(successor, false);
+        cluster.run(6_000);
+        cluster.remove(gone);
+        cluster.seeds = (gone + 2..gone + 5).map(id).collect();
+    }
+    assert_eq!(cluster.replace(4, 5, 9), 200);
+    cluster.thaw(2);
+    cluster.run(5_000);
+    assert_ne!(cluster.read_back(2), Some(5));
+    let seeds = cluster.seeds.clone();
+    cluster.set_seeds(seeds);
+    cluster.run(4_000);
+    assert_eq!(cluster.read_back(2), Some(9));
+}
+
+#[test]
+fn an_emptied_member_whose_seeds_know_nothing_is_notified_by_the_other_members() {
+    for seed in 0..20 {
+        let mut cluster = Cluster::bootstrapped(3, 400 + seed);
+        assert_eq!(cluster.replace(0, 0, 5), 200);
+        let emptied = seed as usize % 3;
+        cluster.wipe(emptied);
+        cluster.seeds = (3..5).map(id).collect();
+        for _ in 0..2 {
+            let ignorant = cluster.add_machine();
+            cluster.start(ignorant, false);
+        }
+        cluster.run(1_000);
+        cluster.start(emptied, false);
+        cluster.run(4_000);
+        assert_eq!(cluster.read_back(emptied), Some(5), "seed {seed}");
+        assert_eq!(cluster.read_back(4), Some(5), "seed {seed}");
+    }
+}
+
+#[test]
+fn a_process_that_missed_the_bootstrap_is_added() {
+    let mut cluster = Cluster::new(5, 2);
+    (0..4).for_each(|index| cluster.start(index, true));
+    cluster.run(6_000);
+    assert!(cluster.leader().is_some());
+    cluster.start(4, true);
+    cluster.run(5_000);
+    assert!(!cluster.machines[4].disk.control.is_empty());
+    cluster.kill(0);
+    cluster.kill(1);
+    cluster.run(3_000);
+    submit_requests(&mut cluster, 0..50);
+    assert_eq!(cluster.acked(), 50);
+}
+
+#[test]
+fn machines_are_replaced_one_after_the_other() {
+    let mut cluster = Cluster::bootstrapped(3, 3);
+    assert_eq!(cluster.replace(0, 0, 5), 200);
+    submit_requests(&mut cluster, 0..100);
+    for gone in 0..3 {
+        cluster.wipe(gone);
+        let successor = cluster.add_machine();
+        cluster.run(1_000);
+        cluster.start(successor, false);
+        cluster.run(9_000);
+        let next = 1_000 * (gone as u64 + 1);
+        submit_requests(&mut cluster, next..next + 50);
+        assert_eq!(
+            cluster.acked(),
+            100 + 50 * (gone + 1),
+            "after machine {gone}"
+        );
+    }
+    assert_eq!(cluster.read_back(3), Some(5));
+}
+
+#[test]
+fn a_bootstrapping_process_that_restarts_notifies_the_remaining_members() {
+    for seed in 0..20 {
+        let mut cluster = Cluster::new(3, 300 + seed);
+        (0..3).for_each(|index| cluster.start(index, true));
+        cluster.run(690 + seed);
+        cluster.power_off(0);
+        cluster.run(1_000);
+        cluster.start(0, true);
+        cluster.run(7_000);
+        assert!(cluster.leader().is_some(), "seed {seed}");
+        assert_eq!(cluster.replace(1, 0, 5), 200, "seed {seed}");
+    }
+}
