--- a/crates/dispatcher/dispatcher/src/admin_api.rs
+++ b/crates/dispatcher/dispatcher/src/admin_api.rs
@@ -306,8 +306,8 @@
     async fn store(&self, path: &str, request: &Request, reads: bool, posts: bool) -> Reply {
         match &self.client_context.store {
             Some(store) if reads || posts => {
-                let (status, text) = store.call(path, posts, &request.body).await;
-                Reply::new(status, text)
+                let reply = store.admin_call(path, posts, &request.body).await;
+                Reply::new(reply.status, reply.text)
             }
             Some(_) => method_not_allowed(),
             None => Reply::new(NOT_FOUND, "no store is configured\n"),
@@ -338,7 +338,7 @@
 
     /// A command that all dispatchers are to know: out of service holds here at once, and is agreed by the store.
     async fn agree(&self, store: &Store, target: OverrideTarget, out: bool) -> Reply {
-        let agreed = store.word(target.clone(), out).await;
+        let agreed = store.set_out_of_service(target.clone(), out).await;
         if let (OverrideTarget::Runner(id), true) = (target, out) {
             self.set_maintenance(id, true).await;
         }
