--- a/crates/dispatcher/settings/src/broken.rs
+++ b/crates/dispatcher/settings/src/broken.rs
@@ -1,5 +1,6 @@
-//! Broken variants of the program, for a referee to catch: name, what each breaks, and how.
+//! Broken variants of the program, which the checker of fault testing must catch.
 
+/// Each variant's name, the rule or bound that it breaks, and how.
 pub const BROKEN: &[(&str, &str, &str)] = &[
     (
         "loses-answers",
--- a/crates/dispatcher/settings/src/lib.rs
+++ b/crates/dispatcher/settings/src/lib.rs
@@ -1,9 +1,12 @@
-//! The project's own configuration beside the platform's page: TOML, layered file < environment < flags, units in the
-//! text, unknown keys refused with the nearest known one, every finding with its place. What it yields is the
-//! platform's page in its own form, so that one reader in the program serves both, and the parts the page has not.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! The project's own configuration: TOML in layers (file, environment, flags; the later one wins), with units in the
+//! text. Unknown keys are refused with the nearest known one, and each finding says where it stands.
+//!
+//! ```text
+//!   Layers (file, environment, flags, agreed settings) ──► read ──► Configuration
+//!                                                          │          page: the deploy platform's form, for the
+//!   KEYS: every key, its kind, default and bounds ─────────┘                one reader in the program
+//!     └──► reference and schema, from the same table                  the parts that form has not
+//! ```
 
 mod broken;
 mod configuration;
