--- a/crates/dispatcher/policy/src/chance.rs
+++ b/crates/dispatcher/policy/src/chance.rs
@@ -1,4 +1,4 @@
-//! The chance by which Algorithm 1 lets a job start at a runner.
+//! The probability with which Algorithm 1 lets a job start at a runner.
 
 /// P = 1 − e^(−mean cost / cost), or 1 where the job costs nothing at this runner. `mean_cost` is the job's mean
 /// over the runners with room, `cost` its cost at this one; both in the same unit.
--- a/crates/dispatcher/policy/src/pcg.rs
+++ b/crates/dispatcher/policy/src/pcg.rs
@@ -16,18 +16,19 @@
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
-    /// A number from 0 up to, but not including, 1.
-    pub(crate) fn chance(&mut self) -> f64 {
+    /// Draws a uniformly distributed number from 0 (included) to 1 (excluded).
+    pub(crate) fn uniform(&mut self) -> f64 {
         self.next() as f64 / 4294967296.0
     }
 
-    pub(crate) fn below(&mut self, n: usize) -> usize {
-        ((self.next() as u64 * n as u64) >> 32) as usize
+    /// Draws a uniformly distributed index below `bound`.
+    pub(crate) fn index_below(&mut self, bound: usize) -> usize {
+        ((self.next() as u64 * bound as u64) >> 32) as usize
     }
 }
 
-/// A number drawn for a pair, the same wherever it is drawn.
-pub(crate) fn draw(key: u64, id: u64) -> u64 {
+/// The rendezvous hash of a pair, such as a key and a runner's id. Every dispatcher computes the same value.
+pub(crate) fn pair_hash(key: u64, id: u64) -> u64 {
     let mixed = (key ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     (mixed ^ (mixed >> 31)).wrapping_mul(0x94D0_49BB_1331_11EB)
 }
--- a/crates/dispatcher/policy/src/policy.rs
+++ b/crates/dispatcher/policy/src/policy.rs
@@ -15,7 +15,7 @@
 mod work_items;
 
 use crate::chance::start_chance;
-use crate::pcg::draw;
+use crate::pcg::pair_hash;
 use crate::ring::{median, Ring};
 pub use crate::state::Dispatcher;
 use crate::state::{Attempt, Runner, Work};
@@ -85,7 +85,7 @@
         let by = now + 1e-6; // Guards against a wake a rounding error early: 1 us is the clock's own grain.
         if by >= self.next_ask {
             host.watch();
-            self.next_ask = now + self.terms.must_ask_s * (0.3 + 0.2 * self.pcg.chance());
+            self.next_ask = now + self.terms.must_ask_s * (0.3 + 0.2 * self.pcg.uniform());
         }
         if by >= self.next_look {
             self.next_look = now + LOOK_S;
--- a/crates/dispatcher/policy/src/policy/health.rs
+++ b/crates/dispatcher/policy/src/policy/health.rs
@@ -122,7 +122,7 @@
         match self.runners[r].resting {
             None if !well => self.weigh(r, now, 6.0),
             Some(until) if well && self.runners[r].trial.is_none() && until > now + LOOK_S => {
-                self.runners[r].resting = Some(now + LOOK_S * self.pcg.chance());
+                self.runners[r].resting = Some(now + LOOK_S * self.pcg.uniform());
             }
             _ => {}
         }
--- a/crates/dispatcher/policy/src/policy/membership.rs
+++ b/crates/dispatcher/policy/src/policy/membership.rs
@@ -32,7 +32,7 @@
                             listed.born
                         };
                     }
-                    runner.rank = draw(self.terms.me as u64, listed.id);
+                    runner.rank = pair_hash(self.terms.me as u64, listed.id);
                     runner.at = listed;
                     if started {
                         self.share(index);
@@ -102,7 +102,7 @@
 
     /// A call to the list failed, or its subscription broke: ask again soon, with jitter.
     pub fn discovery_failed(&mut self, now: f64) {
-        self.next_ask = now + self.ask_again_s * self.pcg.chance();
+        self.next_ask = now + self.ask_again_s * self.pcg.uniform();
         self.ask_again_s = self.terms.ask_again_s(self.ask_again_s);
     }
 }
--- a/crates/dispatcher/policy/src/policy/passes.rs
+++ b/crates/dispatcher/policy/src/policy/passes.rs
@@ -23,7 +23,7 @@
         }
         (1..open.len())
             .rev()
-            .for_each(|i| open.swap(i, self.pcg.below(i + 1)));
+            .for_each(|i| open.swap(i, self.pcg.index_below(i + 1)));
         if !open.is_empty() || self.terms.probes {
             self.price(&open, now);
         }
@@ -32,7 +32,7 @@
                 let Some((place, p)) = self.largest(r, now) else {
                     return false;
                 };
-                if p < P_MIN || self.pcg.chance() >= p {
+                if p < P_MIN || self.pcg.uniform() >= p {
                     return true;
                 }
                 self.send(host, place, r);
--- a/crates/dispatcher/policy/src/policy/places.rs
+++ b/crates/dispatcher/policy/src/policy/places.rs
@@ -109,7 +109,7 @@
         if key == 0 {
             runner.rank
         } else {
-            draw(key as u64, runner.at.id)
+            pair_hash(key as u64, runner.at.id)
         }
     }
 }
--- a/crates/dispatcher/policy/src/policy/rules.rs
+++ b/crates/dispatcher/policy/src/policy/rules.rs
@@ -55,7 +55,7 @@
             let ready = self.runners.iter().filter(|r| r.ready()).count().max(1) as f64;
             // Guards against all who are refused coming back at once.
             let apart = if refused {
-                1.0 + self.pcg.chance()
+                1.0 + self.pcg.uniform()
             } else {
                 0.0
             };
--- a/crates/dispatcher/policy/src/policy/work_items.rs
+++ b/crates/dispatcher/policy/src/policy/work_items.rs
@@ -123,7 +123,7 @@
         let id = self.place(Work::new(job, begun, now));
         // Guards against the loss of a site taking the next one along: what would not fit is not begun.
         let part = self.admit.get(job.category).copied().unwrap_or(1.0);
-        self.works[id as usize].refused = part < 1.0 && self.pcg.chance() >= part;
+        self.works[id as usize].refused = part < 1.0 && self.pcg.uniform() >= part;
         self.hold(now, id);
         Some(WorkItem(id))
     }
--- a/crates/dispatcher/policy/src/state.rs
+++ b/crates/dispatcher/policy/src/state.rs
@@ -1,6 +1,6 @@
 //! What the decisions keep of each work item, attempt and runner.
 
-use crate::pcg::{draw, Pcg};
+use crate::pcg::{pair_hash, Pcg};
 use crate::policy::{
     ASKED, CAP_START, KEYS, KEY_AGE_S, LEAST, NEAR, OUTCOMES, REST_S, RUNS, WAITS,
 };
@@ -349,7 +349,7 @@
         let mut pcg = Pcg::new(seed);
         // Spread, since all dispatchers may start together and the list answers few calls a second.
         let next_ask = if terms.asks_for_list {
-            now + terms.ask_spread_s() * pcg.chance()
+            now + terms.ask_spread_s() * pcg.uniform()
         } else {
             f64::INFINITY
         };
@@ -467,7 +467,7 @@
         match self.keys.samples_mut().iter_mut().find(|(k, _)| *k == key) {
             Some(entry) => entry.1 = now,
             // The longest unused goes first, as at the runner.
-            None => self.keys.replace((key, now), |a, b| a.1 < b.1),
+            None => self.keys.push_replacing_first((key, now), |a, b| a.1 < b.1),
         }
     }
 }
@@ -541,7 +541,7 @@
             runner.cold_sent = kept.spent.into();
             self.share(r);
         }
-        self.next_ask = self.next_ask.min(now + 0.5 * self.pcg.chance());
+        self.next_ask = self.next_ask.min(now + 0.5 * self.pcg.uniform());
         self.choose_anew(now);
     }
 }
@@ -714,7 +714,7 @@
     /// How many dispatchers rank before this one at a runner, by the hash.
     pub(crate) fn share(&mut self, r: usize) {
         let (me, replicas, runner) = (self.terms.me, self.terms.replicas, &mut self.runners[r]);
-        let before = |peer: &usize| *peer != me && draw(*peer as u64, runner.at.id) > runner.rank;
+        let before = |peer: &usize| *peer != me && pair_hash(*peer as u64, runner.at.id) > runner.rank;
         runner.ahead = (0..replicas).filter(before).count();
     }
 
