--- a/crates/dispatcher/dispatch/src/carry.rs
+++ b/crates/dispatcher/dispatch/src/carry.rs
@@ -5,7 +5,7 @@
 use crate::learnt::{Inherited, Known, Learnt, Passed, Usual};
 use crate::message::number;
 use crate::roster::{Gate, Life, Member, Told};
-use sagetrail_policy::{Kept, Listed, News, Outcome, WorkItem};
+use sagetrail_policy::{ListUpdate, ListedRunner, Outcome, RunnerHandover, WorkItem};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,22 +19,22 @@
 
     pub fn listed(&mut self, told: Told) {
         let news = if told.whole {
-            News::Whole
+            ListUpdate::Full
         } else {
-            News::Changes
+            ListUpdate::Changes
         };
         self.apply(told, news);
     }
 
     /// The list as it was before the start.
     pub fn known(&mut self, told: Told) -> usize {
-        self.apply(told, News::Cached)
+        self.apply(told, ListUpdate::Cached)
     }
 
-    fn apply(&mut self, told: Told, news: News) -> usize {
+    fn apply(&mut self, told: Told, news: ListUpdate) -> usize {
         // Half of the grace: the rest is for what lies between the list's writing and our reading.
         let shut_at = self.desk.now + 0.5 * self.desk.drain_s;
-        if news != News::Changes {
+        if news != ListUpdate::Changes {
             self.desk
                 .load
                 .gates
@@ -47,7 +47,7 @@
                 entries.push(entry);
             }
         }
-        if news == News::Whole {
+        if news == ListUpdate::Full {
             self.desk
                 .load
                 .gates
@@ -60,8 +60,8 @@
         // Guards against a first beat of the list taken for the list itself: nothing has been named yet.
         self.desk
             .outside
-            .has_list(news == News::Whole || !self.desk.load.gates.is_empty());
-        self.dispatcher.listed(self.desk.now, news, &entries);
+            .has_list(news == ListUpdate::Full || !self.desk.load.gates.is_empty());
+        self.dispatcher.update_list(self.desk.now, news, &entries);
         self.hold_out(&entries);
         self.bury(&entries);
         self.carry(&entries)
@@ -78,7 +78,7 @@
             let what = if out { "taken out" } else { "put back" };
             tracing::info!("{} ({}) {what} by hand", runner.name, runner.address.get());
         }
-        self.dispatcher.by_hand(self.desk.now, place, out);
+        self.dispatcher.set_disabled(self.desk.now, place, out);
         true
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Guards against a first attempt to a runner that is named after the word on it.
-    fn hold_out(&mut self, entries: &[(usize, Option<Listed>)]) {
+    fn hold_out(&mut self, entries: &[(usize, Option<ListedRunner>)]) {
         if self.desk.held_out.is_empty() {
             return;
         }
@@ -132,7 +132,9 @@
         let now = self.desk.now;
         (
             listed().count(),
-            listed().filter(|&r| self.dispatcher.avoids(r, now)).count(),
+            listed()
+                .filter(|&r| self.dispatcher.is_avoided(r, now))
+                .count(),
         )
     }
 
@@ -141,11 +143,11 @@
     pub fn learnt(&self, terms: &[u64]) -> Learnt {
         let usual = |(n, &terms)| {
             self.dispatcher
-                .usual(n)
+                .usual_run_s(n)
                 .map(|seconds| Usual { terms, seconds })
         };
         let known = |(r, runner): (usize, &Rc<Gate>)| {
-            let (born, slots, pace) = self.dispatcher.learnt(r)?;
+            let (born, slots, pace) = self.dispatcher.learned_runner(r)?;
             let started = if born.is_finite() {
                 born + self.desk.unix
             } else {
@@ -184,7 +186,7 @@
         let usual = |u: &Usual| Some((terms.iter().position(|t| *t == u.terms)?, u.seconds));
         let usuals = learnt.usuals.iter().filter_map(usual);
         usuals
-            .map(|(n, seconds)| self.dispatcher.carry_usual(n, seconds))
+            .map(|(n, seconds)| self.dispatcher.restore_usual_run(n, seconds))
             .count()
     }
 
@@ -193,17 +195,17 @@
     /// What a new process must know that serves at the same address from now on. Cold runners are left to it:
     /// the two together have one part of them.
     pub fn hand_over(&mut self, terms: &[u64]) -> (Learnt, Vec<Inherited>) {
-        self.dispatcher.leave_cold(self.desk.now, true);
+        self.dispatcher.yield_cold_runners(self.desk.now, true);
         let unix = |at: f64| at + self.desk.unix;
         let inherits = |(place, member): (usize, &Member)| {
-            let Kept {
-                out,
-                back,
-                spent,
+            let RunnerHandover {
+                disabled_at_s: out,
+                enabled_at_s: back,
+                cold_sends: spent,
                 evidence,
-                resting,
-                rest_s,
-            } = self.dispatcher.kept(place);
+                ejected_until_s: resting,
+                ejection_s: rest_s,
+            } = self.dispatcher.runner_handover(place);
             let (out, back, resting) = (out.map(unix), back.map(unix), resting.map(unix));
             let spent = spent
                 .into_iter()
@@ -227,7 +229,7 @@
 
     /// The new process has ended before its time.
     pub fn hand_over_failed(&mut self) {
-        self.dispatcher.leave_cold(self.desk.now, false);
+        self.dispatcher.yield_cold_runners(self.desk.now, false);
     }
 
     /// Takes up what the process before had.
@@ -274,13 +276,13 @@
                 .collect();
             kept.push((
                 place,
-                Kept {
-                    out,
-                    back,
-                    spent,
+                RunnerHandover {
+                    disabled_at_s: out,
+                    enabled_at_s: back,
+                    cold_sends: spent,
                     evidence,
-                    resting,
-                    rest_s,
+                    ejected_until_s: resting,
+                    ejection_s: rest_s,
                 },
             ));
         }
@@ -288,7 +290,7 @@
     }
 
     /// Only for the same process at the same address; a runner that started since is cold and unknown.
-    fn carry(&mut self, entries: &[(usize, Option<Listed>)]) -> usize {
+    fn carry(&mut self, entries: &[(usize, Option<ListedRunner>)]) -> usize {
         let mut carried = 0;
         for &(place, listed) in entries {
             let runner = &self.desk.load.gates[place];
@@ -301,9 +303,12 @@
                 f64::NEG_INFINITY
             };
             // 10 ms: clocks are read twice, processes take longer to start.
-            let same = |listed: Listed| listed.born == born || (listed.born - born).abs() < 0.01;
+            let same = |listed: ListedRunner| {
+                listed.started_at_s == born || (listed.started_at_s - born).abs() < 0.01
+            };
             if listed.is_some_and(same) && runner.address.get().to_string() == known.address {
-                self.dispatcher.carry_runner(place, known.slots, known.pace);
+                self.dispatcher
+                    .restore_runner(place, known.slots, known.pace);
                 carried += 1;
             }
         }
@@ -312,10 +317,10 @@
 
     /// Guards against waiting for word of jobs whose machine vanished without one: a process that has started
     /// again has none of the earlier one's.
-    fn bury(&mut self, entries: &[(usize, Option<Listed>)]) {
+    fn bury(&mut self, entries: &[(usize, Option<ListedRunner>)]) {
         let born: BTreeMap<usize, f64> = entries
             .iter()
-            .filter_map(|(place, listed)| Some((*place, (*listed)?.born)))
+            .filter_map(|(place, listed)| Some((*place, (*listed)?.started_at_s)))
             .collect();
         for place in 0..self.desk.taken.len() {
             let Some(Taken {
@@ -349,7 +354,7 @@
         self.load.gates.len() - 1
     }
 
-    fn entry(&mut self, member: Member, shut_at: f64) -> Option<(usize, Option<Listed>)> {
+    fn entry(&mut self, member: Member, shut_at: f64) -> Option<(usize, Option<ListedRunner>)> {
         let place = match self.places.get(&member.id) {
             Some(&place) => place,
             None => {
@@ -377,10 +382,10 @@
         } else {
             runner.shut_at.get().min(shut_at)
         });
-        let listed = Listed {
+        let listed = ListedRunner {
             id: number(&member.id),
             kind: member.kind,
-            born: if member.started > 0.0 {
+            started_at_s: if member.started > 0.0 {
                 member.started - self.unix
             } else {
                 f64::NEG_INFINITY
--- a/crates/dispatcher/dispatch/src/desk.rs
+++ b/crates/dispatcher/dispatch/src/desk.rs
@@ -347,7 +347,7 @@
         }
     }
 
-    fn forget(&mut self, work_item: WorkItem) {
+    fn release_handle(&mut self, work_item: WorkItem) {
         if let Some(taken) = self
             .taken
             .get_mut(work_item.0 as usize)
@@ -370,15 +370,15 @@
         // This protocol has no probe; the terms say so too.
     }
 
-    fn wake(&mut self, in_s: f64) {
+    fn wake_in(&mut self, in_s: f64) {
         self.wake_at = self.now + in_s;
     }
 
-    fn doubts(&mut self, runner: usize) {
+    fn runner_silent(&mut self, runner: usize) {
         self.outside.saw(self.now, runner, Saw::Silent);
     }
 
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.outside.ask_discovery();
     }
 
--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -135,7 +135,7 @@
                         taken.order.id
                     );
                     self.desk.write_off(work_item);
-                    work_item.left(&mut self.dispatcher, &mut self.desk);
+                    work_item.client_left(&mut self.dispatcher, &mut self.desk);
                 }
             } else if taken.out.as_ref().is_some_and(|out| out.no == no) {
                 let ticket = Ticket {
@@ -169,7 +169,13 @@
             return self.desk.outside.answer(answer, reply);
         }
         let expiry = (now + wait_s).min(self.desk.end_at);
-        let Some(work_item) = self.dispatcher.take(now, Job { expiry, ..job }) else {
+        let Some(work_item) = self.dispatcher.submit(
+            now,
+            Job {
+                expires_at_s: expiry,
+                ..job
+            },
+        ) else {
             return self
                 .desk
                 .outside
@@ -205,7 +211,7 @@
     /// still be deferred.
     pub fn end_by(&mut self, at: f64) {
         self.desk.end_at = at;
-        self.dispatcher.end_by(at);
+        self.dispatcher.set_shutdown_at(at);
         for (place, taken) in self.desk.taken.iter_mut().enumerate() {
             let Some(taken) = taken else { continue };
             let mut timers = vec![(taken.expiry + OVERDUE_S, at + OVERDUE_S, EXPIRY)];
@@ -233,7 +239,7 @@
         let gone = |taken: &&mut Taken<_, _>| taken.answer.as_ref().is_some_and(O::gone);
         if let Some(taken) = self.desk.taken(work_item).filter(gone) {
             taken.answer = None;
-            work_item.left(&mut self.dispatcher, &mut self.desk);
+            work_item.client_left(&mut self.dispatcher, &mut self.desk);
         }
         // Guards against an attempt that begins once nobody waits: where giving up is not allowed, one whose connection
         // is still coming up is held back all the same.
@@ -372,13 +378,13 @@
                 status: 503 | 504,
                 declined: true,
                 ..
-            }) => Outcome::Unsure,
+            }) => Outcome::MaybeFull,
             Ok(_) => Outcome::Error,
-            Err(Broken::Unsent) => Outcome::Moot,
+            Err(Broken::Unsent) => Outcome::NotSent,
             Err(Broken::Unreached) => Outcome::NoConnection,
             Err(Broken::Unanswered | Broken::Stale) if off => Outcome::Cancelled,
             Err(Broken::Unanswered) => Outcome::Reset,
-            Err(Broken::Stale) => Outcome::Stale,
+            Err(Broken::Stale) => Outcome::StaleConnection,
         };
         self.ended(ticket, outcome);
     }
@@ -440,7 +446,7 @@
         saw.into_iter()
             .for_each(|saw| self.desk.outside.saw(self.desk.now, out.runner, saw));
         let settled = outcome == Outcome::Finished;
-        work_item.outcome(&mut self.dispatcher, &mut self.desk, no, outcome, settled);
+        work_item.attempt_ended(&mut self.dispatcher, &mut self.desk, no, outcome, settled);
         self.pass_starts(|desk, _, other| {
             desk.out(other)
                 .is_some_and(|next| next.runner == out.runner)
--- a/crates/dispatcher/dispatch/tests/stories.rs
+++ b/crates/dispatcher/dispatch/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of the exchange without a socket: one fake world, driven by calls with the time.
 
 use sagetrail_dispatch::*;
-use sagetrail_policy::{Category, Dispatcher, Job, Placement, Repeat, Terms};
+use sagetrail_policy::{Category, Dispatcher, Job, Placement, PolicyConfig, Repeat};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -51,17 +51,17 @@
         window_s: 3.0,
         placement: Placement::default(),
     };
-    let terms = Terms {
-        replicas: 1,
-        asks_for_list: true,
-        tells_taking: true,
-        tells_start: true,
+    let terms = PolicyConfig {
+        dispatcher_count: 1,
+        requests_list: true,
+        reports_acceptance: true,
+        reports_start: true,
         may_cancel: true,
         max_retry_after_s: 2.0,
-        most_attempts: 3,
-        must_ask_s: 10.0,
+        max_attempts: 3,
+        list_request_limit_s: 10.0,
         categories: vec![category(Repeat::Idempotent), category(Repeat::AtMostOnce)],
-        ..Terms::default()
+        ..PolicyConfig::default()
     };
     let parts = Parts {
         unix: 1e9,
@@ -102,8 +102,8 @@
     let job = Job {
         category,
         key: 0,
-        expiry: 0.0,
-        hint: 0.0,
+        expires_at_s: 0.0,
+        hint_s: 0.0,
         slots: 1.0,
         memory: 0.0,
     };
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -472,8 +472,8 @@
         key: key
             .map_or(0, |key| (number(key) >> 32) as u32)
             .max(key.is_some() as u32),
-        expiry: 0.0,
-        hint: 0.0,
+        expires_at_s: 0.0,
+        hint_s: 0.0,
         slots,
         memory,
     };
--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -278,7 +278,7 @@
             } else {
                 node.budgets.usable(now, key)
             };
-            d.part(r, Some(usable as f64 / WHOLE as f64));
+            d.set_cold_share(r, Some(usable as f64 / WHOLE as f64));
         }
         let out = |category: usize| f64::from(load.out.get(category).copied().unwrap_or(0));
         let left = |(category, cap): (usize, &Option<(BudgetKey, u64)>)| match cap {
@@ -295,7 +295,7 @@
             }
             _ => f64::INFINITY,
         };
-        d.left(&left, resends);
+        d.set_remaining_budgets(&left, resends);
         if now < self.next_hear.get() {
             return;
         }
@@ -312,13 +312,13 @@
             match self.broken == Some(Broken::BelievesOne) {
                 true if heard == RunnerVerdict::Unhealthy => _ = believed.insert(place, now + 10.0),
                 true => {}
-                false => d.heard(now, place, heard == RunnerVerdict::Healthy),
+                false => d.apply_peer_verdict(now, place, heard == RunnerVerdict::Healthy),
             }
         }
         // Only in the broken variant: a verdict that outlasts its evidence.
         believed.retain(|_, until| now < *until);
         if self.broken == Some(Broken::BelievesOne) {
-            d.away(now, &believed.keys().copied().collect::<Vec<usize>>());
+            d.set_unreachable(now, &believed.keys().copied().collect::<Vec<usize>>());
         }
         // In the mean of the last second: what several tell at moments of their own does not add up otherwise.
         let mut runs = self.runs.borrow_mut();
@@ -336,7 +336,7 @@
         let running: Vec<(u64, u16)> = places.iter().filter_map(told).collect();
         node.set_running(running);
         if !self.cold.borrow().is_empty() {
-            d.all_running(node.max_running(now, TOLD_S) as f64 / 16.0);
+            d.set_fleet_max_running(node.max_running(now, TOLD_S) as f64 / 16.0);
         }
     }
 
@@ -349,7 +349,7 @@
         let mut cold = self.cold.borrow_mut();
         cold.clear();
         let mut short = false;
-        for (r, spent, wants) in d.cold(now) {
+        for (r, spent, wants) in d.cold_usage(now) {
             let Some(gate) = load.gates.get(r) else {
                 continue;
             };
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -255,7 +255,7 @@
         broken,
         answered: 0,
     };
-    let alone = start.terms.replicas <= 1;
+    let alone = start.terms.dispatcher_count <= 1;
     let mut exchange = new_exchange(&mut start, outside, client_context.retry_after_s, clock);
     take_up_former_state(
         &mut exchange,
@@ -343,9 +343,14 @@
         mailbox: mailbox.clone(),
         ask: ask.clone(),
         after: start.known.generation,
-        turn_s: terms.ask_spread_s() * terms.me as f64 / terms.replicas as f64,
+        turn_s: terms.list_request_spread_s() * terms.dispatcher_index as f64
+            / terms.dispatcher_count as f64,
         // What an agent says goes before the configuration's endpoints, from the first moment.
-        known: Cell::new(terms.asks_agent.then(|| std::mem::take(&mut start.known))),
+        known: Cell::new(
+            terms
+                .list_from_agent
+                .then(|| std::mem::take(&mut start.known)),
+        ),
         failing: Cell::new(false),
         broken,
     }
@@ -362,7 +367,7 @@
         settings,
         &start.categories,
         longest_expiry_s,
-        start.terms.fall_s,
+        start.terms.overload_window_s,
         clock.unix,
         clock.now(),
         broken,
@@ -489,7 +494,7 @@
         may_cancel: start.terms.may_cancel,
     };
     let mut dispatcher = Dispatcher::new(start.terms.clone(), start.seed, clock.now());
-    dispatcher.begins_anew(clock.now());
+    dispatcher.begin_without_history(clock.now());
     Exchange::new(dispatcher, outside, parts, clock.now())
 }
 
--- a/crates/dispatcher/dispatcher/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -113,7 +113,7 @@
             self.go_otherwise(load, &mut away);
         }
         if away != self.away {
-            d.away(now, &away);
+            d.set_unreachable(now, &away);
             self.away = away;
         }
         self.refuse(now, d);
@@ -165,7 +165,7 @@
         }
         let troubled = self.sites.troubled();
         if troubled.is_empty() {
-            return d.admit(&[]);
+            return d.set_admission(&[]);
         }
         // A returning site counts by its portion; what is cut off from here is none of ours for now.
         let part = |name: &String| {
@@ -181,7 +181,7 @@
         };
         let capacity: f64 = self.plan.sites.iter().map(bears).sum();
         let demand = |(n, name): (usize, &String)| {
-            let (usual_s, worth) = d.asks(n);
+            let (usual_s, worth) = d.usual_run_and_worth(n);
             let order = self.plan.order.iter().position(|first| first == name);
             Demand {
                 slots: self.counted.2[n] * usual_s,
@@ -190,6 +190,6 @@
             }
         };
         let demands: Vec<Demand> = self.categories.iter().enumerate().map(demand).collect();
-        d.admit(&admitted(&demands, capacity, self.plan.floor));
+        d.set_admission(&admitted(&demands, capacity, self.plan.floor));
     }
 }
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -2,7 +2,7 @@
 
 use sagetrail_dispatch::{number, Names, Told};
 use sagetrail_failover::Plan;
-use sagetrail_policy::{read_terms, Stated, Terms};
+use sagetrail_policy::{parse_policy_config, FlatSettings, PolicyConfig};
 use sagetrail_settings::{Fleet, Layers, Store, Trial};
 use serde::Deserialize;
 use serde_json::Value;
@@ -43,7 +43,7 @@
     pub learnt: Option<PathBuf>,
     pub deployment: u64,
     pub probes_allowed: bool,
-    pub terms: Terms,
+    pub terms: PolicyConfig,
     pub categories: Vec<String>,
     /// How long a client of each waits at the most, where it does not say.
     pub expiries: Vec<f64>,
@@ -93,7 +93,7 @@
 }
 
 /// Nested values as paths, the way the simulator writes them.
-fn flatten(path: &str, value: &Value, into: &mut Stated) {
+fn flatten(path: &str, value: &Value, into: &mut FlatSettings) {
     let below = |leaf: &str| {
         if path.is_empty() {
             leaf.to_string()
@@ -106,7 +106,7 @@
             .iter()
             .for_each(|(leaf, value)| flatten(&below(leaf), value, into)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.state(&below("count"), &items.len().to_string());
+            into.insert(&below("count"), &items.len().to_string());
             items
                 .iter()
                 .enumerate()
@@ -114,9 +114,9 @@
         }
         Value::Array(items) => {
             let words: Vec<String> = items.iter().map(plain).collect();
-            into.state(path, &words.join(","));
+            into.insert(path, &words.join(","));
         }
-        value => into.state(path, &plain(value)),
+        value => into.insert(path, &plain(value)),
     }
 }
 
@@ -218,19 +218,19 @@
     if !page.settings.is_object() {
         return Err("settings are not an object".to_string());
     }
-    let mut stated = Stated::default();
+    let mut stated = FlatSettings::default();
     flatten("", &page.settings, &mut stated);
-    let mut terms = read_terms(&stated)?;
+    let mut terms = parse_policy_config(&stated)?;
     if terms.categories.is_empty() {
         return Err("settings name no category".to_string());
     }
     // This protocol has one way to the list, a watch, whatever the deployment's was, and a 202.
-    terms.asks_agent = !terms.asks_for_list;
-    terms.asks_for_list = true;
-    terms.tells_taking = true;
-    let probes_allowed = std::mem::replace(&mut terms.probes, false);
-    if terms.must_ask_s <= 0.0 {
-        terms.must_ask_s = 10.0;
+    terms.list_from_agent = !terms.requests_list;
+    terms.requests_list = true;
+    terms.reports_acceptance = true;
+    let probes_allowed = std::mem::replace(&mut terms.uses_load_probes, false);
+    if terms.list_request_limit_s <= 0.0 {
+        terms.list_request_limit_s = 10.0;
     }
     let names = Names {
         zones: strings(&page.settings["Dcs"]),
@@ -275,7 +275,7 @@
         dial_s: or(stated.seconds("Limits.DialTimeoutUs")?, 0.25),
         runner_idle_s: or(stated.seconds("Limits.ConnIdleUs")?, 10.0),
         drain_s: stated.seconds("Safety.StopSendingWithinUs")?,
-        two_at_once: stated.yes("Limits.MayDuplicate")?,
+        two_at_once: stated.flag("Limits.MayDuplicate")?,
         most_held: (or(stated.number("Limits.MostHeld")?, 10_000.0)) as usize,
         page: whole,
         fleet: None,
--- a/crates/dispatcher/dispatcher/src/trial.rs
+++ b/crates/dispatcher/dispatcher/src/trial.rs
@@ -70,7 +70,7 @@
                 .filter(|category| matches!(category.repeat, Repeat::Keyed(_)))
                 .for_each(|category| category.repeat = Repeat::Idempotent),
             TwoAtOnce => start.two_at_once = true,
-            IgnoresCold => start.terms.cold_s = 0.0,
+            IgnoresCold => start.terms.warm_up_s = 0.0,
             _ => {}
         }
     }
--- a/crates/dispatcher/policy/src/lib.rs
+++ b/crates/dispatcher/policy/src/lib.rs
@@ -13,6 +13,6 @@
 
 pub use chance::start_chance;
 pub use policy::{Dispatcher, WorkItem};
-pub use reading::{read_terms, Stated};
-pub use state::Kept;
+pub use reading::{parse_policy_config, FlatSettings};
+pub use state::RunnerHandover;
 pub use terms::*;
--- a/crates/dispatcher/policy/src/policy.rs
+++ b/crates/dispatcher/policy/src/policy.rs
@@ -1,8 +1,8 @@
-//! Every decision of sagetrail. How to call it: make a `Dispatcher` from its `Terms` and a seed, tell it the
+//! Every decision of sagetrail. How to call it: make a `Dispatcher` from its `PolicyConfig` and a seed, tell it the
 //! list with `listed`, take work items with `take`, and tell each handle (`WorkItem`) what becomes of it:
 //! `started`, `progressed`, `outcome`, `left`. After a batch of news, and whenever a wake asked for comes
 //! due, call `decide`: it visits the runners and acts through the `Host`. Before a planned end, `end_by`. The
-//! interface (`Host`, `Terms`, `Job`, `Listed`, `Outcome`) is defined in `terms.rs`.
+//! interface (`Host`, `PolicyConfig`, `Job`, `ListedRunner`, `Outcome`) is defined in `terms.rs`.
 
 mod cold;
 mod health;
@@ -71,10 +71,10 @@
 
 impl Dispatcher {
     /// The process is to end then: nothing in hand may outlast it.
-    pub fn end_by(&mut self, at: f64) {
+    pub fn set_shutdown_at(&mut self, at: f64) {
         self.works
             .iter_mut()
-            .for_each(|work| work.job.expiry = work.job.expiry.min(at));
+            .for_each(|work| work.job.expires_at_s = work.job.expires_at_s.min(at));
         self.longest.clear(); // What comes from now on has less time left, and is no repeat for that.
         self.next_look = self.next_look.min(at - 2.0 * LOOK_S);
     }
@@ -84,8 +84,9 @@
         let now = host.now();
         let by = now + 1e-6; // Guards against a wake a rounding error early: 1 us is the clock's own grain.
         if by >= self.next_ask {
-            host.watch();
-            self.next_ask = now + self.terms.must_ask_s * (0.3 + 0.2 * self.pcg.uniform());
+            host.request_list();
+            self.next_ask =
+                now + self.config.list_request_limit_s * (0.3 + 0.2 * self.pcg.uniform());
         }
         if by >= self.next_look {
             self.next_look = now + LOOK_S;
@@ -96,7 +97,7 @@
         // Only where room or work has come since the last pass: most news on a busy day is neither.
         if std::mem::take(&mut self.changed) {
             self.pass(host);
-            if self.terms.probes {
+            if self.config.uses_load_probes {
                 self.seek(host);
                 self.queue(host);
             }
@@ -109,7 +110,7 @@
         };
         if self.wake_at <= by || next < self.wake_at - 1e-6 {
             self.wake_at = next;
-            host.wake((next - now).max(0.0));
+            host.wake_in((next - now).max(0.0));
         }
     }
 }
--- a/crates/dispatcher/policy/src/policy/health.rs
+++ b/crates/dispatcher/policy/src/policy/health.rs
@@ -31,7 +31,7 @@
                 );
                 self.served(now, attempt.runner, job.key);
             }
-            Outcome::Full | Outcome::Unsure => {
+            Outcome::Full | Outcome::MaybeFull => {
                 runner.cap = (runner.cap / 2.0).floor().max(1.0);
                 (runner.free, runner.reported, runner.refused) = (0.0, now, now);
                 // Guards against a runner full of others' work, or hung with a full queue: a mild bad sign.
@@ -118,7 +118,7 @@
 
     /// What others saw of a runner, weighed by the host: a bad sign that outweighs the last good ones, or
     /// that it serves others again, which ends its rest at a moment of this dispatcher's own.
-    pub fn heard(&mut self, now: f64, r: usize, well: bool) {
+    pub fn apply_peer_verdict(&mut self, now: f64, r: usize, well: bool) {
         match self.runners[r].resting {
             None if !well => self.weigh(r, now, 6.0),
             Some(until) if well && self.runners[r].trial.is_none() && until > now + LOOK_S => {
@@ -139,19 +139,24 @@
         let full = self.runners[r].running >= self.runners[r].most.max(1.0);
         let quiet_s = match attempt.started {
             // Where others' work is not known, it may wait behind theirs as long as any did lately.
-            None if self.terms.probes => QUIET_S + 3.0 * run,
+            None if self.config.uses_load_probes => QUIET_S + 3.0 * run,
             // Guards against others' queues, or a jam, taken for illness: twice the longest last wait.
-            None if self.terms.tells_start && !full => {
-                let unknown = self.terms.replicas > 1 && self.waits.samples().len() < WAITS;
+            None if self.config.reports_start && !full => {
+                let unknown =
+                    self.config.dispatcher_count > 1 && self.waits.samples().len() < WAITS;
                 QUIET_S + 2.0 * self.longest_wait + if unknown { 3.0 * run } else { 0.0 }
             }
-            Some(_) if self.terms.progress_s > 0.0 => 2.2 * self.terms.progress_s, // Their own beat.
+            Some(_) if self.config.progress_interval_s > 0.0 => {
+                2.2 * self.config.progress_interval_s
+            } // Their own beat.
             _ => QUIET_S + 3.0 * run,
         };
         // Guards against a queue that no report tells of: what waits there for its start says it is full.
-        let waits = self.terms.probes && attempt.started.is_none() && now > attempt.sent + PROMPT_S;
+        let waits = self.config.uses_load_probes
+            && attempt.started.is_none()
+            && now > attempt.sent + PROMPT_S;
         // Guards against an attempt never taken by a runner that is well otherwise: taking is said at once.
-        let unsaid = self.terms.tells_taking
+        let unsaid = self.config.reports_acceptance
             && attempt.moved <= attempt.sent
             && now > attempt.sent + QUIET_S;
         let spoke = self.runners[r]
@@ -163,14 +168,14 @@
             attempt.moved.max(spoke)
         };
         let silent = now - heard > quiet_s * (1.0 + attempt.doubts as f64);
-        let rerun = self.terms.categories[category].repeat != Repeat::AtMostOnce;
+        let rerun = self.config.categories[category].repeat != Repeat::AtMostOnce;
         if attempt.started.is_none() && now > attempt.sent + PROMPT_S {
             self.runners[r].wait = (now - attempt.sent, now);
         }
         if silent {
             self.works[w as usize].out.as_mut().unwrap().doubts += 1;
             self.weigh(r, now, 2.6);
-            host.doubts(r);
+            host.runner_silent(r);
         }
         if waits {
             (self.runners[r].free, self.runners[r].reported) = (0.0, now);
@@ -180,7 +185,7 @@
         let stuck = still || left > 2.0 * run && now + left > self.due(w);
         // Guards against answers lost on the way back: a started job tells each beat, so one beat and a half
         // without word means that it has ended or stands still, be its runner well or not.
-        let beat = self.terms.progress_s;
+        let beat = self.config.progress_interval_s;
         let ended = out.started.is_some() && beat > 0.0 && now > out.moved + 1.5 * beat;
         // Only off a runner judged unwell, or that never took it, while another try can still end in time.
         if unsaid {
--- a/crates/dispatcher/policy/src/policy/looks.rs
+++ b/crates/dispatcher/policy/src/policy/looks.rs
@@ -37,7 +37,7 @@
         self.pace = self.ratios.quantile(0.5).unwrap_or(1.0).max(1.0);
         for place in (0..self.held.len()).rev() {
             let w = self.held[place];
-            if !self.terms.probes {
+            if !self.config.uses_load_probes {
                 self.best_place(w, now);
             }
             let work = &self.works[w as usize];
@@ -59,7 +59,7 @@
         for place in 0..self.chosen.len() {
             let r = self.chosen[place];
             let at = self.runners[r].at;
-            let cold = now < self.runners[r].born() + self.terms.cold_s;
+            let cold = now < self.runners[r].born() + self.config.warm_up_s;
             if cold && !std::mem::replace(&mut sized[at.kind as usize], true) {
                 self.size_up(at.kind, now);
             }
@@ -75,17 +75,17 @@
     pub(super) fn due(&self, w: u32) -> f64 {
         let work = &self.works[w as usize];
         let category = self.category(w);
-        let own = if work.job.hint > 0.0 {
-            work.job.hint
+        let own = if work.job.hint_s > 0.0 {
+            work.job.hint_s
         } else {
             self.expected(&work.job)
         };
-        let since = if self.terms.probes {
+        let since = if self.config.uses_load_probes {
             work.taken
         } else {
             work.begun
         };
-        (since + category.due_s + category.stretch * own).min(work.job.expiry)
+        (since + category.due_s + category.stretch * own).min(work.job.expires_at_s)
     }
 
     /// Until when a held work item is worth holding.
@@ -95,12 +95,12 @@
         // Where late pays nothing, it ends with the last start that a long run would still make in time.
         let late_pays = self.category(w).tardy > 0.0;
         let last = if late_pays {
-            0.5 * (due + work.job.expiry) - run
+            0.5 * (due + work.job.expires_at_s) - run
         } else {
             due - 1.4 * run - self.wait_s
         };
         // Never into the expiry itself: two looks before it the answer is given whatever it is.
         last.max(work.taken + LOOK_S)
-            .min(work.job.expiry - 2.0 * LOOK_S)
+            .min(work.job.expires_at_s - 2.0 * LOOK_S)
     }
 }
--- a/crates/dispatcher/policy/src/policy/membership.rs
+++ b/crates/dispatcher/policy/src/policy/membership.rs
@@ -4,9 +4,14 @@
 
 impl Dispatcher {
     /// What the list says. `None` for a runner means it is gone.
-    pub fn listed(&mut self, now: f64, news: News, entries: &[(usize, Option<Listed>)]) {
-        let stays_open = self.terms.only_draining_binds;
-        if news != News::Changes {
+    pub fn update_list(
+        &mut self,
+        now: f64,
+        news: ListUpdate,
+        entries: &[(usize, Option<ListedRunner>)],
+    ) {
+        let stays_open = self.config.unlisted_may_serve;
+        if news != ListUpdate::Changes {
             let named: BTreeSet<usize> = entries.iter().map(|(index, _)| *index).collect();
             let missing = (0..self.runners.len()).filter(|r| !named.contains(r));
             missing.for_each(|r| self.runners[r].gone(now, stays_open));
@@ -21,18 +26,18 @@
                     // A restart forgets keys, room and verdicts: the new process has none of them.
                     // Guards against clocks that differ: any other stamp is another start, and that was not
                     // after the list told of it.
-                    let off = self.terms.start_off_s;
-                    let moved = listed.born - runner.at.born;
+                    let off = self.config.start_time_error_s;
+                    let moved = listed.started_at_s - runner.at.started_at_s;
                     let started = moved > 1e-6 || off > 0.0 && moved < -1e-6;
                     if started {
                         runner.restart();
                         runner.start = if off > 0.0 {
-                            now.min(listed.born + off)
+                            now.min(listed.started_at_s + off)
                         } else {
-                            listed.born
+                            listed.started_at_s
                         };
                     }
-                    runner.rank = pair_hash(self.terms.me as u64, listed.id);
+                    runner.rank = pair_hash(self.config.dispatcher_index as u64, listed.id);
                     runner.at = listed;
                     if started {
                         self.share(index);
@@ -40,14 +45,15 @@
                 }
             }
         }
-        if self.terms.asks_for_list && news != News::Cached {
-            (self.next_ask, self.ask_again_s) = (f64::INFINITY, self.terms.ask_spread_s());
+        if self.config.requests_list && news != ListUpdate::Cached {
+            (self.next_ask, self.ask_again_s) =
+                (f64::INFINITY, self.config.list_request_spread_s());
         }
         self.choose_anew(now);
     }
 
     /// Operators take a runner out, or put it back: restarted meanwhile, perhaps, and the list may be late.
-    pub fn by_hand(&mut self, now: f64, r: usize, out: bool) {
+    pub fn set_disabled(&mut self, now: f64, r: usize, out: bool) {
         match (self.runners[r].out, out) {
             (None, true) => self.runners[r].out = Some(now),
             (Some(since), false) => self.runners[r].put_back(since, now),
@@ -68,7 +74,7 @@
     /// hash of its own number and theirs; as many, by themselves, of those open to the same bound categories.
     /// Where a fetch is priced no lower than crossing, all use all, so that a key lies at the same places.
     pub(super) fn choose(&mut self) {
-        let all = self.terms.probes || self.terms.fetch_is_dear;
+        let all = self.config.uses_load_probes || self.config.fetch_cost_dominates;
         let most = if all {
             usize::MAX
         } else {
@@ -76,7 +82,7 @@
         };
         let runners = &self.runners;
         let bound: Vec<&Placement> = self
-            .terms
+            .config
             .categories
             .iter()
             .map(|c| &c.placement)
@@ -103,6 +109,6 @@
     /// A call to the list failed, or its subscription broke: ask again soon, with jitter.
     pub fn discovery_failed(&mut self, now: f64) {
         self.next_ask = now + self.ask_again_s * self.pcg.uniform();
-        self.ask_again_s = self.terms.ask_again_s(self.ask_again_s);
+        self.ask_again_s = self.config.list_retry_spread_s(self.ask_again_s);
     }
 }
--- a/crates/dispatcher/policy/src/policy/passes.rs
+++ b/crates/dispatcher/policy/src/policy/passes.rs
@@ -24,7 +24,7 @@
         (1..open.len())
             .rev()
             .for_each(|i| open.swap(i, self.pcg.index_below(i + 1)));
-        if !open.is_empty() || self.terms.probes {
+        if !open.is_empty() || self.config.uses_load_probes {
             self.price(&open, now);
         }
         open.retain(|&r| {
@@ -67,13 +67,13 @@
             .any(|&w| spent(w) > 0.5 * self.category(w).due_s);
         self.crowded_at = if crowded { now } else { self.crowded_at };
         let a_slots_second = |n: usize| {
-            if self.terms.pays_by_work {
+            if self.config.payoff_per_work {
                 1.0
             } else {
                 self.usual[n].max(1e-3)
             }
         };
-        let worth = |n: usize| self.terms.categories[n].payoff / a_slots_second(n);
+        let worth = |n: usize| self.config.categories[n].payoff / a_slots_second(n);
         let best = (0..self.usual.len()).map(worth).fold(0.0, f64::max);
         for &w in &self.held {
             let work = &self.works[w as usize];
@@ -81,7 +81,7 @@
             let worth = worth(work.job.category);
             let ends = now + self.wait_s + self.pace * self.expected(&work.job);
             // A repeat that asks and is turned away costs runners more than it can still earn.
-            let again = self.terms.probes && work.begun < work.taken - PROMPT_S;
+            let again = self.config.uses_load_probes && work.begun < work.taken - PROMPT_S;
             let late = again || ends > self.due(w);
             let value = if crowded {
                 worth * if late { category.tardy } else { 1.0 }
@@ -92,7 +92,7 @@
             // crowd what is late, or pays under 0.4 of the best, leaves a slot free; where runners are
             // asked, and dear work asks for a slot, what is late does so for 5 s more. What is late and then
             // pays nothing is not sent at all in a jam: it would make others late, who come again.
-            let leaves = match self.terms.probes {
+            let leaves = match self.config.uses_load_probes {
                 true => late && now < self.crowded_at + 5.0,
                 false => crowded && (late || worth < 0.4 * best),
             };
@@ -102,7 +102,7 @@
             let ill = |r: &Runner| r.resting.is_some() || r.shunned(work.job.category, now);
             let well = |r: &Runner| r.ready() && !ill(r);
             let busy = others == open.len() && self.runners.get(work.home).is_some_and(well);
-            let waits = !self.terms.probes && !late && busy;
+            let waits = !self.config.uses_load_probes && !late && busy;
             let odds = start_chance(others as f64 / open.len().max(1) as f64, FAR_COST);
             let work = &mut self.works[w as usize];
             (work.value, work.spare, work.waits, work.odds) =
@@ -143,10 +143,10 @@
         self.resends -= if work.made > 0 { 1.0 } else { 0.0 };
         runner.load(&work.job, 1.0);
         runner.cold_left -= size;
-        if now < runner.born() + self.terms.cold_s {
+        if now < runner.born() + self.config.warm_up_s {
             runner
                 .cold_sent
-                .retain(|(at, _)| now < at + self.terms.fall_s);
+                .retain(|(at, _)| now < at + self.config.overload_window_s);
             runner.cold_sent.push_back((now, size));
         }
         runner.trial = runner.resting.map(|_| now + runner.rest_s);
@@ -159,13 +159,13 @@
         ));
         work.made += 1;
         // Guards against clocks that differ: the client may wait longer than was told, and be answered then.
-        let drop_at = work.job.expiry + self.terms.expiry_off_s;
+        let drop_at = work.job.expires_at_s + self.config.expiry_error_s;
         host.send_attempt(WorkItem(w), r, drop_at, self.repeat_by(w));
     }
 
     pub(super) fn room(&self, r: usize, now: f64) -> f64 {
         let runner = &self.runners[r];
-        match self.terms.probes {
+        match self.config.uses_load_probes {
             true if now < runner.reported + self.fresh_s => runner.free,
             true => 0.0,
             false => runner.cap.floor() - runner.mine,
@@ -176,14 +176,14 @@
         let runner = &self.runners[r];
         let able = runner.ready() && runner.cold_left > self.fetch_s && now >= runner.left_until;
         able && runner.tried(now)
-            && (runner.room >= 1.0 || runner.mine <= 0.0 && !self.terms.probes)
+            && (runner.room >= 1.0 || runner.mine <= 0.0 && !self.config.uses_load_probes)
     }
 
     pub(super) fn fits(&self, w: u32, r: usize, now: f64) -> bool {
         let (work, runner) = (&self.works[w as usize], &self.runners[r]);
         // The cheap and frequent reasons first: on a bad day most of what is held fits nowhere. What waits
         // has no holder among the runners with room.
-        let (job, probes) = (&work.job, self.terms.probes);
+        let (job, probes) = (&work.job, self.config.uses_load_probes);
         let jam = !probes && self.wait_s > PROMPT_S;
         // Guards against a fetch for want of a question: its places come first, in their order.
         let asked = || {
--- a/crates/dispatcher/policy/src/policy/places.rs
+++ b/crates/dispatcher/policy/src/policy/places.rs
@@ -23,7 +23,7 @@
     pub(super) fn find_home(&mut self, w: u32, now: f64) {
         let key = self.works[w as usize].job.key;
         let order = self.order(w);
-        let left = |d: &Self, r: usize| d.terms.probes && now < d.runners[r].left_until;
+        let left = |d: &Self, r: usize| d.config.uses_load_probes && now < d.runners[r].left_until;
         let fit = |d: &Self, r: usize| d.open_to(w, r) && d.may_go(w, r, now) && !left(d, r);
         let mut near = Ring::default();
         order
@@ -68,7 +68,7 @@
         let able = near
             .iter()
             .enumerate()
-            .filter(|(_, r)| !self.terms.probes && takes(**r));
+            .filter(|(_, r)| !self.config.uses_load_probes && takes(**r));
         let able = able.map(|(n, &r)| (cost(n, r), n >= work.own, !self.runners[r].rank, r));
         let least = able.min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
         let home = least
@@ -85,7 +85,7 @@
         let (waited, at) = runner.wait;
         match () {
             () if waited > PROMPT_S && now < at + REMEMBERED * waited => waited,
-            () if now < runner.born() + self.terms.cold_s => -self.wait_s,
+            () if now < runner.born() + self.config.warm_up_s => -self.wait_s,
             () => 0.0,
         }
     }
--- a/crates/dispatcher/policy/src/policy/rules.rs
+++ b/crates/dispatcher/policy/src/policy/rules.rs
@@ -33,7 +33,7 @@
         let work = &self.works[w as usize];
         let first = work.made == 0 || self.resends >= 1.0 && !self.fails_anywhere(work.job.key);
         first
-            && work.made < self.terms.most_attempts
+            && work.made < self.config.max_attempts
             && work.ran.is_none_or(|(_, first)| self.may_go(w, first, now))
     }
 
@@ -61,7 +61,7 @@
             };
             host.defer(
                 WorkItem(w),
-                (0.2 + backlog / ready + apart).min(self.terms.max_retry_after_s),
+                (0.2 + backlog / ready + apart).min(self.config.max_retry_after_s),
             );
         } else {
             host.write_off(WorkItem(w));
@@ -70,7 +70,7 @@
     }
 
     pub(super) fn cancel(&mut self, host: &mut impl Host, w: u32) {
-        let may = self.terms.may_cancel;
+        let may = self.config.may_cancel;
         if let Some(attempt) = self.works[w as usize]
             .out
             .as_mut()
--- a/crates/dispatcher/policy/src/policy/work_items.rs
+++ b/crates/dispatcher/policy/src/policy/work_items.rs
@@ -23,7 +23,7 @@
         // Guards against a cap past the slots: with no 'full' before a long queue, a late start is the first
         // sign, a soft 'full'. Where more of ours ran before and nobody else sends, a lost job runs on.
         if waited > PROMPT_S && runner.running < runner.cap {
-            let passing = d.terms.replicas == 1 && runner.running < runner.most;
+            let passing = d.config.dispatcher_count == 1 && runner.running < runner.most;
             runner.cap = runner.running;
             runner.ceiling = (runner.cap, now + if passing { 1.0 } else { 10.0 });
         }
@@ -56,7 +56,7 @@
     }
 
     /// The client has gone; nothing is owed any more.
-    pub fn left(self, d: &mut Dispatcher, host: &mut impl Host) {
+    pub fn client_left(self, d: &mut Dispatcher, host: &mut impl Host) {
         d.held.retain(|&w| w != self.0);
         d.works[self.0 as usize].ended = true;
         d.cancel(host, self.0);
@@ -64,7 +64,7 @@
     }
 
     /// A attempt has come back.
-    pub fn outcome(
+    pub fn attempt_ended(
         self,
         d: &mut Dispatcher,
         host: &mut impl Host,
@@ -83,20 +83,20 @@
         d.learn(&job, &attempt, now, outcome);
         let work = &mut d.works[self.0 as usize];
         work.ended |= settled;
-        if !outcome.never_ran() && outcome != Outcome::Finished {
+        if !outcome.proves_not_run() && outcome != Outcome::Finished {
             work.ran.get_or_insert((attempt.sent, attempt.runner));
         }
         if work.ended {
             return d.release(host, self.0);
         }
         // 20 ms: a time-out trimmed to the expiry arrives within a batch or two of it.
-        if now > job.expiry - 0.02 {
+        if now > job.expires_at_s - 0.02 {
             return d.end(host, self.0, false);
         }
         // Guards against giving the same failing runner its work straight back.
         work.avoid = (
             attempt.runner,
-            if outcome == Outcome::Stale {
+            if outcome == Outcome::StaleConnection {
                 now
             } else {
                 now + 1.0
@@ -111,14 +111,14 @@
 
 impl Dispatcher {
     /// Takes a work item of a known category; it is held until `decide` finds it a runner.
-    pub fn take(&mut self, now: f64, job: Job) -> Option<WorkItem> {
-        self.terms.categories.get(job.category)?;
+    pub fn submit(&mut self, now: f64, job: Job) -> Option<WorkItem> {
+        self.config.categories.get(job.category)?;
         self.asked.push(job.key);
         // Guards against repeats that look fresh: a client gives up all tries at one time, so what is left of
         // the longest wait seen tells when its first try came, by which it is due.
         let begun = self.longest.get_mut(job.category).map_or(now, |longest| {
-            *longest = longest.max(job.expiry - now);
-            now.min(job.expiry - *longest)
+            *longest = longest.max(job.expires_at_s - now);
+            now.min(job.expires_at_s - *longest)
         });
         let id = self.place(Work::new(job, begun, now));
         // Guards against the loss of a site taking the next one along: what would not fit is not begun.
@@ -146,7 +146,7 @@
         self.next_look = self.next_look.min(if refused {
             now
         } else {
-            job.expiry - 2.0 * LOOK_S
+            job.expires_at_s - 2.0 * LOOK_S
         });
     }
 }
--- a/crates/dispatcher/policy/src/reading.rs
+++ b/crates/dispatcher/policy/src/reading.rs
@@ -1,14 +1,14 @@
 //! Reads what is stated at start into the terms that the decisions know; the same for every host.
 
-use crate::terms::{Category, Placement, Repeat, Scope, Terms};
+use crate::terms::{Category, Placement, PolicyConfig, Repeat, Scope};
 use std::collections::BTreeMap;
 
 /// What is stated: a path and its value each, lists of plain values joined with commas.
 #[derive(Default)]
-pub struct Stated(BTreeMap<String, String>);
+pub struct FlatSettings(BTreeMap<String, String>);
 
-impl Stated {
-    pub fn state(&mut self, path: &str, value: &str) {
+impl FlatSettings {
+    pub fn insert(&mut self, path: &str, value: &str) {
         self.0.insert(path.to_string(), value.replace(' ', "_"));
     }
 
@@ -40,7 +40,7 @@
         Err(format!("setting {path}: '{number}' is not a count"))
     }
 
-    pub fn yes(&self, path: &str) -> Result<bool, String> {
+    pub fn flag(&self, path: &str) -> Result<bool, String> {
         match self.text(path) {
             "true" => Ok(true),
             "false" | "" => Ok(false),
@@ -91,7 +91,7 @@
 }
 
 /// The runners that a category is bound to: by the settings of its own, and by the machine kind that runs it.
-fn placement(info: &Stated, category: usize, count: usize) -> Result<Placement, String> {
+fn placement(info: &FlatSettings, category: usize, count: usize) -> Result<Placement, String> {
     let path = |leaf: &str| format!("Categories.{category}.{leaf}");
     let bound_to = info.places(&path("BoundTo"), "Kinds", 1 << 8)?;
     let zones = info.places(&path("DcsOnly"), "Dcs", 1 << 16)?;
@@ -118,7 +118,7 @@
     })
 }
 
-pub fn read_terms(info: &Stated) -> Result<Terms, String> {
+pub fn parse_policy_config(info: &FlatSettings) -> Result<PolicyConfig, String> {
     let fields: Vec<&str> = info.text("Report.Fields").split(',').collect();
     let meaning = |name: &str| {
         let field = ["x0", "x1"]
@@ -132,7 +132,7 @@
     };
     let free_slots_at = meaning("free_slots");
     let how = info.word("Report.How", &["off", "inline", "on_probe"])?;
-    let on_probe = info.yes("Limits.Probes")? && how == "on_probe";
+    let on_probe = info.flag("Limits.Probes")? && how == "on_probe";
     let mut categories = Vec::new();
     let count = info.count("Categories.count")?;
     for n in 0..count {
@@ -167,44 +167,44 @@
             placement: placement(info, n, count)?,
         });
     }
-    let retry_after = info.yes("Limits.RetryAfter")?;
+    let retry_after = info.flag("Limits.RetryAfter")?;
     let (crossing, fetch) = (
         info.number("Penalties.CrossZone")?,
         info.number("Penalties.Origin")?,
     );
-    Ok(Terms {
-        replicas: info.count("ReplicasOfMe")?.max(1),
-        me: info.count("Me")?,
-        asks_for_list: info.word("Discovery", &["pushed", "on_request"])? == "on_request",
-        asks_agent: false,
-        probes: on_probe && free_slots_at.is_some(),
-        free_slots_at,
-        free_memory_at: meaning("free_memory"),
-        busy_at: fields
+    Ok(PolicyConfig {
+        dispatcher_count: info.count("ReplicasOfMe")?.max(1),
+        dispatcher_index: info.count("Me")?,
+        requests_list: info.word("Discovery", &["pushed", "on_request"])? == "on_request",
+        list_from_agent: false,
+        uses_load_probes: on_probe && free_slots_at.is_some(),
+        free_slots_index: free_slots_at,
+        free_memory_index: meaning("free_memory"),
+        load_index: fields
             .iter()
             .position(|f| *f == "queue")
             .or(fields.iter().position(|f| *f == "util")),
         zone: info.count("Zone")? as u16,
-        fetch_is_dear: fetch > 0.0 && fetch >= crossing,
-        tells_taking: false,
-        tells_start: info.yes("Domain.TellsStart")?,
-        progress_s: info.seconds("Domain.ProgressUs")?,
-        may_cancel: info.yes("Limits.MayCancel")?,
+        fetch_cost_dominates: fetch > 0.0 && fetch >= crossing,
+        reports_acceptance: false,
+        reports_start: info.flag("Domain.TellsStart")?,
+        progress_interval_s: info.seconds("Domain.ProgressUs")?,
+        may_cancel: info.flag("Limits.MayCancel")?,
         max_retry_after_s: if retry_after {
             info.seconds("Limits.MaxRetryAfterUs")?
         } else {
             0.0
         },
-        most_attempts: info.count("Limits.MostHandOffs")? as u16,
-        cold_from: info.number("Safety.ColdFrom")?,
-        cold_s: info.seconds("Safety.ColdUs")?,
-        fall_multiple: info.number("Safety.FallMultiple")?,
-        fall_s: info.seconds("Safety.OverloadForUs")?,
-        must_ask_s: info.seconds("Safety.MustAskInUs")?,
-        only_draining_binds: info.yes("Safety.DroppedStayOpen")?,
-        pays_by_work: info.word("PayoffBasis", &["request", "work"])? == "work",
-        start_off_s: info.seconds("Safety.ReadyMarginUs")?,
-        expiry_off_s: info.seconds("Safety.BudgetErrorUs")?,
+        max_attempts: info.count("Limits.MostHandOffs")? as u16,
+        slow_start_fraction: info.number("Safety.ColdFrom")?,
+        warm_up_s: info.seconds("Safety.ColdUs")?,
+        overload_multiple: info.number("Safety.FallMultiple")?,
+        overload_window_s: info.seconds("Safety.OverloadForUs")?,
+        list_request_limit_s: info.seconds("Safety.MustAskInUs")?,
+        unlisted_may_serve: info.flag("Safety.DroppedStayOpen")?,
+        payoff_per_work: info.word("PayoffBasis", &["request", "work"])? == "work",
+        start_time_error_s: info.seconds("Safety.ReadyMarginUs")?,
+        expiry_error_s: info.seconds("Safety.BudgetErrorUs")?,
         categories,
     })
 }
--- a/crates/dispatcher/policy/src/state.rs
+++ b/crates/dispatcher/policy/src/state.rs
@@ -122,7 +122,7 @@
 }
 
 pub(crate) struct Runner {
-    pub at: Listed,
+    pub at: ListedRunner,
     /// When it started, at the latest.
     pub start: f64,
     /// Out by hand, and since when; and when it was put back with no start told since.
@@ -184,10 +184,10 @@
 impl Runner {
     pub(crate) fn new() -> Self {
         Runner {
-            at: Listed {
+            at: ListedRunner {
                 id: 0,
                 kind: 0,
-                born: f64::NEG_INFINITY,
+                started_at_s: f64::NEG_INFINITY,
                 cell: 0,
                 zone: 0,
                 ready: false,
@@ -265,14 +265,14 @@
         let (at, start) = (self.at, self.start);
         self.restart();
         (self.at, self.start, self.out) = (at, start, None);
-        if at.born < since {
+        if at.started_at_s < since {
             self.back = now;
         }
     }
 }
 
 pub struct Dispatcher {
-    pub(crate) terms: Terms,
+    pub(crate) config: PolicyConfig,
     pub(crate) pcg: Pcg,
     /// Room or work has come since the last pass.
     pub(crate) changed: bool,
@@ -345,31 +345,31 @@
 }
 
 impl Dispatcher {
-    pub fn new(terms: Terms, seed: u64, now: f64) -> Self {
+    pub fn new(config: PolicyConfig, seed: u64, now: f64) -> Self {
         let mut pcg = Pcg::new(seed);
         // Spread, since all dispatchers may start together and the list answers few calls a second.
-        let next_ask = if terms.asks_for_list {
-            now + terms.ask_spread_s() * pcg.uniform()
+        let next_ask = if config.requests_list {
+            now + config.list_request_spread_s() * pcg.uniform()
         } else {
             f64::INFINITY
         };
-        let ask_again_s = terms.ask_spread_s();
+        let ask_again_s = config.list_request_spread_s();
         Dispatcher {
-            runs: vec![Ring::default(); terms.categories.len()],
-            usual: terms.categories.iter().map(|c| c.due_s).collect(),
-            hints: vec![Ring::default(); terms.categories.len()],
-            hinted: vec![1.0; terms.categories.len()],
+            runs: vec![Ring::default(); config.categories.len()],
+            usual: config.categories.iter().map(|c| c.due_s).collect(),
+            hints: vec![Ring::default(); config.categories.len()],
+            hinted: vec![1.0; config.categories.len()],
             longest: vec![
                 0.0;
-                if terms.expiry_off_s > 0.0 {
+                if config.expiry_error_s > 0.0 {
                     0
                 } else {
-                    terms.categories.len()
+                    config.categories.len()
                 }
             ],
-            warm_runs: vec![Ring::default(); terms.categories.len()],
-            warm: vec![1.0; terms.categories.len()],
-            terms,
+            warm_runs: vec![Ring::default(); config.categories.len()],
+            warm: vec![1.0; config.categories.len()],
+            config,
             pcg,
             changed: true,
             last_pass: now,
@@ -474,7 +474,7 @@
 
 impl Dispatcher {
     /// A runner that gets nothing now, whatever its room: it drains, rests, or could not be reached just now.
-    pub fn avoids(&self, r: usize, now: f64) -> bool {
+    pub fn is_avoided(&self, r: usize, now: f64) -> bool {
         let runner = self.runners.get(r);
         runner.is_none_or(|runner| {
             !runner.ready() || runner.resting.is_some() || now < runner.left_until
@@ -485,60 +485,63 @@
 /// What a process that takes over must know of a runner: a ban, a return, what was sent while it was cold,
 /// and a verdict.
 #[derive(Clone, Debug)]
-pub struct Kept {
-    pub out: Option<f64>,
-    pub back: Option<f64>,
-    pub spent: Vec<(f64, f64)>,
+pub struct RunnerHandover {
+    pub disabled_at_s: Option<f64>,
+    pub enabled_at_s: Option<f64>,
+    pub cold_sends: Vec<(f64, f64)>,
     pub evidence: f64,
-    pub resting: Option<f64>,
-    pub rest_s: f64,
+    pub ejected_until_s: Option<f64>,
+    pub ejection_s: f64,
 }
 
 /// Upgrades: two processes that are one dispatcher to the rules.
 impl Dispatcher {
     /// Leaves cold runners to another process, or takes them up again. Guards against what that one sent just
     /// before it died, which nobody here knows of: it counts for as long as the rule looks back.
-    pub fn leave_cold(&mut self, now: f64, leave: bool) {
+    pub fn yield_cold_runners(&mut self, now: f64, leave: bool) {
         self.leaves_cold = if leave {
             f64::INFINITY
         } else {
-            now + self.terms.fall_s
+            now + self.config.overload_window_s
         };
     }
 
     /// It begins now. Guards against a budget spent twice: what a process before this one sent just now to a runner that
     /// was cold by then, nobody knows.
-    pub fn begins_anew(&mut self, now: f64) {
+    pub fn begin_without_history(&mut self, now: f64) {
         self.began = now;
     }
 
     /// A cold runner is not this process's now.
     pub(crate) fn leaves(&self, r: usize, now: f64) -> bool {
         let before = self.runners[r].born() < self.began;
-        now < self.leaves_cold || before && now < self.began + self.terms.fall_s
+        now < self.leaves_cold || before && now < self.began + self.config.overload_window_s
     }
 
-    pub fn kept(&self, r: usize) -> Kept {
+    pub fn runner_handover(&self, r: usize) -> RunnerHandover {
         let runner = &self.runners[r];
-        Kept {
-            out: runner.out,
-            back: Some(runner.back).filter(|back| back.is_finite()),
-            spent: runner.cold_sent.iter().copied().collect(),
+        RunnerHandover {
+            disabled_at_s: runner.out,
+            enabled_at_s: Some(runner.back).filter(|back| back.is_finite()),
+            cold_sends: runner.cold_sent.iter().copied().collect(),
             evidence: runner.evidence,
-            resting: runner.resting,
-            rest_s: runner.rest_s,
+            ejected_until_s: runner.resting,
+            ejection_s: runner.rest_s,
         }
     }
 
     /// Takes up what the process before kept, once its list has been told. The list itself is asked soon: one
     /// upgrade is no wave of starts.
-    pub fn inherit(&mut self, now: f64, kept: Vec<(usize, Kept)>) {
+    pub fn inherit(&mut self, now: f64, kept: Vec<(usize, RunnerHandover)>) {
         for (r, kept) in kept {
             let runner = &mut self.runners[r];
-            (runner.out, runner.back) = (kept.out, kept.back.unwrap_or(f64::NEG_INFINITY));
+            (runner.out, runner.back) = (
+                kept.disabled_at_s,
+                kept.enabled_at_s.unwrap_or(f64::NEG_INFINITY),
+            );
             (runner.evidence, runner.resting, runner.rest_s) =
-                (kept.evidence, kept.resting, kept.rest_s);
-            runner.cold_sent = kept.spent.into();
+                (kept.evidence, kept.ejected_until_s, kept.ejection_s);
+            runner.cold_sent = kept.cold_sends.into();
             self.share(r);
         }
         self.next_ask = self.next_ask.min(now + 0.5 * self.pcg.uniform());
@@ -550,7 +553,7 @@
 impl Dispatcher {
     /// Parts, 0 to 1, of what cold runners may be sent by all; once any was said, a runner of which none is
     /// gets nothing while it is cold. Say them before each `decide`: they end.
-    pub fn part(&mut self, r: usize, part: Option<f64>) {
+    pub fn set_cold_share(&mut self, r: usize, part: Option<f64>) {
         self.lent |= part.is_some();
         if let Some(runner) = self.runners.get_mut(r) {
             runner.part = part;
@@ -558,7 +561,7 @@
     }
 
     /// What is left of each category's cap, in work items, and of the resends.
-    pub fn left(&mut self, left: &[f64], resends: f64) {
+    pub fn set_remaining_budgets(&mut self, left: &[f64], resends: f64) {
         let more = self
             .left
             .iter()
@@ -572,7 +575,7 @@
 
     /// Runners, in ascending order, whose site is lost or has not come back so far: they get nothing. What is out
     /// there goes on under the rule on effects.
-    pub fn away(&mut self, now: f64, away: &[usize]) {
+    pub fn set_unreachable(&mut self, now: f64, away: &[usize]) {
         let mut changed = false;
         for (r, runner) in self.runners.iter_mut().enumerate() {
             let is = away.binary_search(&r).is_ok();
@@ -584,18 +587,18 @@
     }
 
     /// The part of each category that is let in, by chance; all of it where nothing is said.
-    pub fn admit(&mut self, parts: &[f64]) {
+    pub fn set_admission(&mut self, parts: &[f64]) {
         self.admit.clear();
         self.admit.extend_from_slice(parts);
     }
 
     /// How much a work item of a category asks for, in seconds of a slot, and what one of these pays.
-    pub fn asks(&self, category: usize) -> (f64, f64) {
+    pub fn usual_run_and_worth(&self, category: usize) -> (f64, f64) {
         let usual = self.usual[category].max(1e-3);
-        let payoff = self.terms.categories[category].payoff;
+        let payoff = self.config.categories[category].payoff;
         (
             usual,
-            if self.terms.pays_by_work {
+            if self.config.payoff_per_work {
                 payoff
             } else {
                 payoff / usual
@@ -604,13 +607,13 @@
     }
 
     /// The most that all dispatchers together have running on one runner.
-    pub fn all_running(&mut self, most: f64) {
+    pub fn set_fleet_max_running(&mut self, most: f64) {
         self.told_most = most;
     }
 
     /// The cold runners in use: what of the whole was spent there within the rule's span, 0 to 1, and whether
     /// more could be used.
-    pub fn cold(&self, now: f64) -> Vec<(usize, f64, bool)> {
+    pub fn cold_usage(&self, now: f64) -> Vec<(usize, f64, bool)> {
         let of = |&r: &usize| {
             let whole = self.cold_whole(r, now)?;
             let spent = self.cold_spent(r, now);
@@ -629,7 +632,7 @@
         let recent = self.runners[r]
             .cold_sent
             .iter()
-            .filter(|(at, _)| *at > now - self.terms.fall_s);
+            .filter(|(at, _)| *at > now - self.config.overload_window_s);
         recent.map(|(_, size)| size).sum()
     }
 }
@@ -637,25 +640,29 @@
 /// What still means the same after a planned restart.
 impl Dispatcher {
     /// A category's usual time, where one was measured.
-    pub fn usual(&self, category: usize) -> Option<f64> {
+    pub fn usual_run_s(&self, category: usize) -> Option<f64> {
         self.runs[category].mean()
     }
 
     /// When a runner started, the slots it was seen to have and its pace, where one was measured.
-    pub fn learnt(&self, r: usize) -> Option<(f64, f64, f64)> {
+    pub fn learned_runner(&self, r: usize) -> Option<(f64, f64, f64)> {
         let runner = self
             .runners
             .get(r)
             .filter(|runner| !runner.paces.samples().is_empty())?;
-        Some((runner.at.born, runner.most.max(runner.slots), runner.pace))
+        Some((
+            runner.at.started_at_s,
+            runner.most.max(runner.slots),
+            runner.pace,
+        ))
     }
 
-    pub fn carry_usual(&mut self, category: usize, seconds: f64) {
+    pub fn restore_usual_run(&mut self, category: usize, seconds: f64) {
         self.runs[category].push(seconds);
         self.usual[category] = seconds;
     }
 
-    pub fn carry_runner(&mut self, r: usize, slots: f64, pace: f64) {
+    pub fn restore_runner(&mut self, r: usize, slots: f64, pace: f64) {
         let runner = &mut self.runners[r];
         (runner.most, runner.pace) = (slots, pace);
         runner.paces.push(pace);
@@ -685,15 +692,15 @@
         *evidence = (*evidence - 0.5).max(0.0);
         self.runs[job.category].push(run);
         self.usual[job.category] = self.runs[job.category].mean().unwrap_or(run);
-        let warm = attempt.sent >= self.runners[attempt.runner].born() + self.terms.cold_s;
+        let warm = attempt.sent >= self.runners[attempt.runner].born() + self.config.warm_up_s;
         if warm {
             self.warm_runs[job.category].push(run);
         }
         let usual = self.warm_runs[job.category].mean();
         self.warm[job.category] =
             usual.map_or(1.0, |warm| warm / self.usual[job.category].max(1e-3));
-        if job.hint > 0.0 {
-            self.hints[job.category].push(job.hint);
+        if job.hint_s > 0.0 {
+            self.hints[job.category].push(job.hint_s);
             self.hinted[job.category] =
                 self.usual[job.category] / self.hints[job.category].mean().unwrap_or(run);
         }
@@ -713,8 +720,13 @@
 
     /// How many dispatchers rank before this one at a runner, by the hash.
     pub(crate) fn share(&mut self, r: usize) {
-        let (me, replicas, runner) = (self.terms.me, self.terms.replicas, &mut self.runners[r]);
-        let before = |peer: &usize| *peer != me && pair_hash(*peer as u64, runner.at.id) > runner.rank;
+        let (me, replicas, runner) = (
+            self.config.dispatcher_index,
+            self.config.dispatcher_count,
+            &mut self.runners[r],
+        );
+        let before =
+            |peer: &usize| *peer != me && pair_hash(*peer as u64, runner.at.id) > runner.rank;
         runner.ahead = (0..replicas).filter(before).count();
     }
 
@@ -730,8 +742,8 @@
 
     /// How long a work item should run: by its own hint as far as hints went of late, else as its like.
     pub(crate) fn expected(&self, job: &Job) -> f64 {
-        let usual = if job.hint > 0.0 {
-            job.hint * self.hinted[job.category]
+        let usual = if job.hint_s > 0.0 {
+            job.hint_s * self.hinted[job.category]
         } else {
             self.usual[job.category]
         };
@@ -740,19 +752,19 @@
 
     /// A probe has come back, with a report where it was answered. Without one the runner counts as full for
     /// a moment. Guards against a cut: who cannot be reached is left alone, as after a failed attempt.
-    pub fn probed(&mut self, now: f64, r: usize, outcome: Outcome, report: &[f32]) {
+    pub fn probe_ended(&mut self, now: f64, r: usize, outcome: Outcome, report: &[f32]) {
         let Some(runner) = self.runners.get_mut(r) else {
             return;
         };
         self.probe_times
             .push(runner.probed.take().map_or(0.0, |t| now - t));
         let figure = |at: Option<usize>| at.and_then(|at| report.get(at)).map(|&f| f as f64);
-        let free = figure(self.terms.free_slots_at).filter(|f| f.is_finite() && *f >= 0.0);
-        let memory = figure(self.terms.free_memory_at).filter(|f| f.is_finite() && *f >= 0.0);
+        let free = figure(self.config.free_slots_index).filter(|f| f.is_finite() && *f >= 0.0);
+        let memory = figure(self.config.free_memory_index).filter(|f| f.is_finite() && *f >= 0.0);
         runner.free = free.unwrap_or(0.0).round();
         runner.free_memory = memory.unwrap_or(f64::INFINITY);
         runner.slots = runner.slots.max(runner.free);
-        runner.busy = figure(self.terms.busy_at)
+        runner.busy = figure(self.config.load_index)
             .filter(|f| f.is_finite() && *f >= 0.0)
             .unwrap_or(0.0);
         runner.reported = now;
@@ -770,7 +782,8 @@
         // A holder where work waits longer than a fetch takes is none.
         let listed = || work.holders.samples().contains(&r);
         work.home == r
-            || listed() && (self.terms.probes || self.wait_at(r, self.last_pass) <= self.far_s)
+            || listed()
+                && (self.config.uses_load_probes || self.wait_at(r, self.last_pass) <= self.far_s)
     }
 
     /// The runners that rank highest for a key by a hash that all share; kept until other runners are in use.
@@ -819,12 +832,12 @@
         if work.live && work.ended && work.out.is_none() {
             work.live = false;
             self.free.push(w);
-            host.forget(WorkItem(w));
+            host.release_handle(WorkItem(w));
         }
     }
 
     pub(crate) fn category(&self, w: u32) -> &Category {
-        &self.terms.categories[self.works[w as usize].job.category]
+        &self.config.categories[self.works[w as usize].job.category]
     }
 
     /// Until when its next attempt may begin, where it may have run and runners drop repeats for a while only. 50 ms:
--- a/crates/dispatcher/policy/src/terms.rs
+++ b/crates/dispatcher/policy/src/terms.rs
@@ -44,50 +44,50 @@
     }
 
     /// A runner is among those named, as far as any are.
-    pub fn admits(&self, runner: &Listed) -> bool {
+    pub fn admits(&self, runner: &ListedRunner) -> bool {
         (self.kinds.is_empty() || self.kinds.contains(&runner.kind))
             && (self.zones.is_empty() || self.zones.contains(&runner.zone))
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    pub replicas: usize,
+pub struct PolicyConfig {
+    pub dispatcher_count: usize,
     /// This dispatcher's number among them.
-    pub me: usize,
-    pub asks_for_list: bool,
+    pub dispatcher_index: usize,
+    pub requests_list: bool,
     /// Where it asks: an agent beside it, which lists are pushed to, not one service for all.
-    pub asks_agent: bool,
+    pub list_from_agent: bool,
     /// Runners report their load to probes, and to nothing else.
-    pub probes: bool,
+    pub uses_load_probes: bool,
     /// Where in a load report each figure stands.
-    pub free_slots_at: Option<usize>,
-    pub free_memory_at: Option<usize>,
-    pub busy_at: Option<usize>,
+    pub free_slots_index: Option<usize>,
+    pub free_memory_index: Option<usize>,
+    pub load_index: Option<usize>,
     pub zone: u16,
     /// A fetch has a price, and crossing zones none higher.
-    pub fetch_is_dear: bool,
+    pub fetch_cost_dominates: bool,
     /// Runners say at once that they take an attempt, apart from its start.
-    pub tells_taking: bool,
-    pub tells_start: bool,
-    pub progress_s: f64,
+    pub reports_acceptance: bool,
+    pub reports_start: bool,
+    pub progress_interval_s: f64,
     pub may_cancel: bool,
     /// The longest wait a client follows; zero where no advice is passed on.
     pub max_retry_after_s: f64,
-    pub most_attempts: u16,
-    pub cold_from: f64,
-    pub cold_s: f64,
-    pub fall_multiple: f64,
-    pub fall_s: f64,
-    pub must_ask_s: f64,
+    pub max_attempts: u16,
+    pub slow_start_fraction: f64,
+    pub warm_up_s: f64,
+    pub overload_multiple: f64,
+    pub overload_window_s: f64,
+    pub list_request_limit_s: f64,
     /// Only draining binds: a runner that is gone by the list may still be sent to.
-    pub only_draining_binds: bool,
+    pub unlisted_may_serve: bool,
     /// The payoff is for each unit of work, not for each work item.
-    pub pays_by_work: bool,
+    pub payoff_per_work: bool,
     /// How much earlier or later than it was a start may be listed; zero where clocks agree.
-    pub start_off_s: f64,
+    pub start_time_error_s: f64,
     /// How much earlier or later than it is an expiry may be told; zero where clocks agree.
-    pub expiry_off_s: f64,
+    pub expiry_error_s: f64,
     pub categories: Vec<Category>,
 }
 
@@ -101,22 +101,22 @@
 /// An agent answers one dispatcher alone, and what it has counts as told at once: asked well within any grace.
 const AGENT_S: f64 = 0.1;
 
-impl Terms {
+impl PolicyConfig {
     /// Over how long calls to the list are spread. Guards against all dispatchers asking at once, after a
     /// start or a failure: the list works through calls in turn, and goes on with those that were given up.
-    pub fn ask_spread_s(&self) -> f64 {
-        match self.asks_agent {
+    pub fn list_request_spread_s(&self) -> f64 {
+        match self.list_from_agent {
             true => AGENT_S,
-            false => (CALL_S * self.replicas as f64)
-                .clamp(0.3, SPREAD_S.min(0.5 * self.must_ask_s.max(0.6))),
+            false => (CALL_S * self.dispatcher_count as f64)
+                .clamp(0.3, SPREAD_S.min(0.5 * self.list_request_limit_s.max(0.6))),
         }
     }
 
     /// The same after one more failure.
-    pub fn ask_again_s(&self, last_s: f64) -> f64 {
-        match self.asks_agent {
+    pub fn list_retry_spread_s(&self, last_s: f64) -> f64 {
+        match self.list_from_agent {
             true => AGENT_S,
-            false => (2.0 * last_s).min(LATER_S.min(0.25 * self.must_ask_s.max(1.2))),
+            false => (2.0 * last_s).min(LATER_S.min(0.25 * self.list_request_limit_s.max(1.2))),
         }
     }
 }
@@ -127,31 +127,31 @@
     pub category: usize,
     /// A hash of what it needs, the same at every dispatcher; 0 for nothing.
     pub key: u32,
-    pub expiry: f64,
+    pub expires_at_s: f64,
     /// How many seconds of work it is said to be; 0 where nothing is said.
-    pub hint: f64,
+    pub hint_s: f64,
     pub slots: f64,
     pub memory: f64,
 }
 
 /// A runner as the list names it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedRunner {
     /// The same at every dispatcher.
     pub id: u64,
     pub kind: u8,
-    pub born: f64,
+    pub started_at_s: f64,
     pub cell: u16,
     pub zone: u16,
     pub ready: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum ListUpdate {
     /// Only what changed.
     Changes,
     /// The whole list.
-    Whole,
+    Full,
     /// The whole list as held before a restart.
     Cached,
 }
@@ -165,16 +165,19 @@
     NoConnection,
     Reset,
     /// The same on a connection that had rested, which may have been dead before it was used again.
-    Stale,
+    StaleConnection,
     Cancelled,
-    Moot,
+    NotSent,
     /// It said that it is full, perhaps to an earlier request.
-    Unsure,
+    MaybeFull,
 }
 
 impl Outcome {
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
+    pub fn proves_not_run(self) -> bool {
+        matches!(
+            self,
+            Outcome::Full | Outcome::NoConnection | Outcome::NotSent
+        )
     }
 }
 
@@ -188,10 +191,10 @@
     fn cancel(&mut self, work_item: WorkItem, attempt: u16);
     fn probe(&mut self, runner: usize);
     /// The handle is void from here on and may be given out again.
-    fn forget(&mut self, work_item: WorkItem);
-    fn wake(&mut self, in_s: f64);
-    fn watch(&mut self);
+    fn release_handle(&mut self, work_item: WorkItem);
+    fn wake_in(&mut self, in_s: f64);
+    fn request_list(&mut self);
     /// Silence of a runner, or a job that stands still there, has just been counted against it.
-    fn doubts(&mut self, _runner: usize) {}
+    fn runner_silent(&mut self, _runner: usize) {}
     fn log(&mut self, runner: usize, line: &str);
 }
--- a/crates/dispatcher/policy/tests/cold.rs
+++ b/crates/dispatcher/policy/tests/cold.rs
@@ -59,19 +59,20 @@
     hears: Vec<(f64, usize)>,
 }
 
-fn fleet_terms(me: usize) -> Terms {
-    Terms {
-        replicas: FLEET,
-        me,
-        cold_from: 0.12,
-        cold_s: 24.0,
-        tells_taking: true,
+fn fleet_terms(me: usize) -> PolicyConfig {
+    PolicyConfig {
+        dispatcher_count: FLEET,
+        dispatcher_index: me,
+        slow_start_fraction: 0.12,
+        warm_up_s: 24.0,
+        reports_acceptance: true,
         ..terms()
     }
 }
 
-fn warmth(age: f64, terms: &Terms) -> f64 {
-    terms.cold_from + (1.0 - terms.cold_from) * (age / terms.cold_s).clamp(0.0, 1.0)
+fn warmth(age: f64, terms: &PolicyConfig) -> f64 {
+    terms.slow_start_fraction
+        + (1.0 - terms.slow_start_fraction) * (age / terms.warm_up_s).clamp(0.0, 1.0)
 }
 
 /// The most that any cold runner got within the rule's span, beside its budget N and 2 x root of N + 2 for chance, and beside
@@ -83,22 +84,22 @@
     let listed = |r: usize, born: f64| {
         (
             r,
-            Some(Listed {
-                born,
+            Some(ListedRunner {
+                started_at_s: born,
                 ..runner(r as u64)
             }),
         )
     };
     let fresh = |me: usize, now: f64, seed: u64, machines: &[Machine]| {
         let mut d = Dispatcher::new(fleet_terms(me), seed, now);
-        d.begins_anew(now);
+        d.begin_without_history(now);
         let born = |m: &Machine| m.born.unwrap_or(f64::NEG_INFINITY);
         let all: Vec<_> = machines
             .iter()
             .enumerate()
             .map(|(r, m)| listed(r, born(m)))
             .collect();
-        d.listed(now, News::Whole, &all);
+        d.update_list(now, ListUpdate::Full, &all);
         let host = Fake {
             now,
             ..Fake::default()
@@ -155,16 +156,18 @@
             member.host.now = now;
             for (_, r) in member.hears.extract_if(.., |(at, _)| *at <= now) {
                 let born = machines[r].born.unwrap_or(f64::NEG_INFINITY);
-                member.d.listed(now, News::Changes, &[listed(r, born)]);
+                member
+                    .d
+                    .update_list(now, ListUpdate::Changes, &[listed(r, born)]);
             }
             // Some see several times the mean.
             let own = if me % 10 == 0 { 3.0 } else { 0.8 };
             if pcg.next() < herd * own * rate / FLEET as f64 * TICK_S {
                 let job = Job {
-                    expiry: now + 6.0,
+                    expires_at_s: now + 6.0,
                     ..job(IDEMPOTENT, 0)
                 };
-                let work_item = member.d.take(now, job).unwrap();
+                let work_item = member.d.submit(now, job).unwrap();
                 member.attempts.insert(work_item.0, 0);
                 member
                     .sizes
@@ -222,10 +225,12 @@
                 machine.runs.push((now + job.3 / pace, job));
             }
             let Some(born) = machine.born else { continue };
-            machine.sent.retain(|at| now < at + terms.fall_s);
-            let allowed =
-                terms.fall_multiple * days.slots as f64 * warmth(now - born, &terms) * terms.fall_s
-                    / days.mean_s;
+            machine.sent.retain(|at| now < at + terms.overload_window_s);
+            let allowed = terms.overload_multiple
+                * days.slots as f64
+                * warmth(now - born, &terms)
+                * terms.overload_window_s
+                / days.mean_s;
             let got = machine.sent.len() as f64;
             worst = worst.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
             used = used.max(got / allowed);
--- a/crates/dispatcher/policy/tests/drawn/carried_out.rs
+++ b/crates/dispatcher/policy/tests/drawn/carried_out.rs
@@ -62,10 +62,10 @@
             let bad = [
                 Outcome::Error,
                 Outcome::Reset,
-                Outcome::Stale,
+                Outcome::StaleConnection,
                 Outcome::NoConnection,
-                Outcome::Moot,
-                Outcome::Unsure,
+                Outcome::NotSent,
+                Outcome::MaybeFull,
             ];
             return (bad[self.random.random_range(0..bad.len())], 1 + run / 4);
         }
--- a/crates/dispatcher/policy/tests/drawn/mod.rs
+++ b/crates/dispatcher/policy/tests/drawn/mod.rs
@@ -50,33 +50,33 @@
         }
     }
 
-    fn terms(self) -> Terms {
+    fn terms(self) -> PolicyConfig {
         match self {
             Way::Unreported => terms(),
-            Way::Probing => Terms {
-                probes: true,
-                free_slots_at: Some(0),
-                free_memory_at: Some(1),
-                busy_at: Some(2),
-                replicas: 5,
+            Way::Probing => PolicyConfig {
+                uses_load_probes: true,
+                free_slots_index: Some(0),
+                free_memory_index: Some(1),
+                load_index: Some(2),
+                dispatcher_count: 5,
                 ..terms()
             },
-            Way::ByWork => Terms {
-                pays_by_work: true,
-                fetch_is_dear: true,
-                only_draining_binds: true,
-                replicas: 3,
-                me: 1,
+            Way::ByWork => PolicyConfig {
+                payoff_per_work: true,
+                fetch_cost_dominates: true,
+                unlisted_may_serve: true,
+                dispatcher_count: 3,
+                dispatcher_index: 1,
                 categories: bound(terms().categories),
                 ..terms()
             },
-            Way::Shared => Terms {
-                replicas: 30,
-                me: 4,
-                asks_for_list: true,
-                tells_taking: true,
-                start_off_s: 0.2,
-                expiry_off_s: 0.1,
+            Way::Shared => PolicyConfig {
+                dispatcher_count: 30,
+                dispatcher_index: 4,
+                requests_list: true,
+                reports_acceptance: true,
+                start_time_error_s: 0.2,
+                expiry_error_s: 0.1,
                 ..terms()
             },
         }
@@ -98,7 +98,7 @@
     Came(Sent, Outcome),
     Left(Owed),
     Probed(usize, Outcome, [f32; 3]),
-    Listed(usize, Option<Listed>),
+    Listed(usize, Option<ListedRunner>),
     WholeList,
     ListFailed,
 }
@@ -126,7 +126,7 @@
 }
 
 struct Machine {
-    listed: Option<Listed>,
+    listed: Option<ListedRunner>,
     running: usize,
     /// Until then it answers nothing.
     silent_until: f64,
@@ -163,7 +163,7 @@
             step: 0,
             asked: 0,
         };
-        history.tell_whole_list(sagetrail_policy::News::Cached);
+        history.tell_whole_list(sagetrail_policy::ListUpdate::Cached);
         history
     }
 
@@ -211,7 +211,7 @@
 }
 
 fn machine(index: usize) -> Machine {
-    let listed = Listed {
+    let listed = ListedRunner {
         kind: u8::from(index.is_multiple_of(2)),
         cell: index as u16 / 2,
         zone: u16::from(index >= RUNNERS / 2),
--- a/crates/dispatcher/policy/tests/drawn/recorder.rs
+++ b/crates/dispatcher/policy/tests/drawn/recorder.rs
@@ -104,23 +104,23 @@
         self.wanted.push_back(Wanted::Probe(runner));
     }
 
-    fn forget(&mut self, work_item: WorkItem) {
+    fn release_handle(&mut self, work_item: WorkItem) {
         self.decision(Kind::Forget, &[number(work_item)]);
         self.wanted.push_back(Wanted::Forget(work_item));
     }
 
-    fn wake(&mut self, in_s: f64) {
+    fn wake_in(&mut self, in_s: f64) {
         self.decision(Kind::Wake, &[in_s.to_bits()]);
         let at = self.now + in_s;
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
 
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.decision(Kind::Watch, &[]);
         self.wanted.push_back(Wanted::Watch);
     }
 
-    fn doubts(&mut self, runner: usize) {
+    fn runner_silent(&mut self, runner: usize) {
         self.decision(Kind::Doubt, &[runner as u64]);
     }
 
--- a/crates/dispatcher/policy/tests/drawn/told.rs
+++ b/crates/dispatcher/policy/tests/drawn/told.rs
@@ -32,16 +32,18 @@
             News::Came(sent, outcome) if self.is_out(sent) => self.come(sent, outcome),
             News::Left(owed) if self.owes(owed) => {
                 self.held.get_mut(&owed.work_item.0).unwrap().left = true;
-                owed.work_item.left(&mut self.dispatcher, &mut self.host);
+                owed.work_item
+                    .client_left(&mut self.dispatcher, &mut self.host);
             }
             News::Probed(runner, outcome, report) => {
-                self.dispatcher.probed(now, runner, outcome, &report);
+                self.dispatcher.probe_ended(now, runner, outcome, &report);
             }
             News::Listed(runner, listed) => {
-                let changes = sagetrail_policy::News::Changes;
-                self.dispatcher.listed(now, changes, &[(runner, listed)]);
+                let changes = sagetrail_policy::ListUpdate::Changes;
+                self.dispatcher
+                    .update_list(now, changes, &[(runner, listed)]);
             }
-            News::WholeList => self.tell_whole_list(sagetrail_policy::News::Whole),
+            News::WholeList => self.tell_whole_list(sagetrail_policy::ListUpdate::Full),
             News::ListFailed => self.dispatcher.discovery_failed(now),
             _ => {}
         }
@@ -61,7 +63,7 @@
         let machine = &mut self.machines[runner];
         machine.running = machine.running.saturating_sub(1);
         let work_item = sent.owed.work_item;
-        work_item.outcome(
+        work_item.attempt_ended(
             &mut self.dispatcher,
             &mut self.host,
             sent.no,
@@ -70,9 +72,9 @@
         );
     }
 
-    pub(super) fn tell_whole_list(&mut self, news: sagetrail_policy::News) {
+    pub(super) fn tell_whole_list(&mut self, news: sagetrail_policy::ListUpdate) {
         let listed = self.machines.iter().map(|machine| machine.listed);
         let entries: Vec<_> = listed.enumerate().collect();
-        self.dispatcher.listed(self.host.now, news, &entries);
+        self.dispatcher.update_list(self.host.now, news, &entries);
     }
 }
--- a/crates/dispatcher/policy/tests/drawn/work.rs
+++ b/crates/dispatcher/policy/tests/drawn/work.rs
@@ -10,7 +10,7 @@
         let arrives = self.chance(if crowd { 0.6 } else { 0.2 });
         if arrives {
             let job = self.draw_job();
-            let work_item = self.dispatcher.take(self.host.now, job).unwrap();
+            let work_item = self.dispatcher.submit(self.host.now, job).unwrap();
             self.hold(work_item);
         }
         arrives
@@ -24,8 +24,8 @@
             category: self.random.random_range(0..4),
             // Some keys are asked for more than others; one in twenty asks for none.
             key: key * key / 4,
-            expiry: self.host.now + 0.3 + 8.0 * self.random.random::<f64>(),
-            hint: if hinted {
+            expires_at_s: self.host.now + 0.3 + 8.0 * self.random.random::<f64>(),
+            hint_s: if hinted {
                 0.4 * self.random.random::<f64>()
             } else {
                 0.0
--- a/crates/dispatcher/policy/tests/fake/mod.rs
+++ b/crates/dispatcher/policy/tests/fake/mod.rs
@@ -40,11 +40,11 @@
     fn probe(&mut self, runner: usize) {
         self.asked.push(Probe(runner));
     }
-    fn forget(&mut self, _: WorkItem) {}
-    fn wake(&mut self, in_s: f64) {
+    fn release_handle(&mut self, _: WorkItem) {}
+    fn wake_in(&mut self, in_s: f64) {
         self.wake = self.now + in_s;
     }
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.asked.push(Watch);
     }
     fn log(&mut self, runner: usize, line: &str) {
@@ -59,7 +59,7 @@
     Repeat::Keyed(Scope::All),
 ];
 
-pub(crate) fn terms() -> Terms {
+pub(crate) fn terms() -> PolicyConfig {
     let category = |repeat| Category {
         due_s: 0.5,
         stretch: 3.0,
@@ -69,28 +69,28 @@
         window_s: 3.0,
         placement: Placement::default(),
     };
-    Terms {
-        replicas: 1,
-        tells_start: true,
-        progress_s: 1.0,
+    PolicyConfig {
+        dispatcher_count: 1,
+        reports_start: true,
+        progress_interval_s: 1.0,
         may_cancel: true,
         max_retry_after_s: 2.0,
-        most_attempts: 3,
-        cold_from: 0.1,
-        cold_s: 20.0,
-        fall_multiple: 3.0,
-        fall_s: 1.0,
-        must_ask_s: 10.0,
+        max_attempts: 3,
+        slow_start_fraction: 0.1,
+        warm_up_s: 20.0,
+        overload_multiple: 3.0,
+        overload_window_s: 1.0,
+        list_request_limit_s: 10.0,
         categories: CATEGORIES.map(category).to_vec(),
-        ..Terms::default()
+        ..PolicyConfig::default()
     }
 }
 
-pub(crate) fn runner(id: u64) -> Listed {
-    Listed {
+pub(crate) fn runner(id: u64) -> ListedRunner {
+    ListedRunner {
         id,
         kind: 0,
-        born: f64::NEG_INFINITY,
+        started_at_s: f64::NEG_INFINITY,
         cell: id as u16,
         zone: 0,
         ready: true,
@@ -98,10 +98,10 @@
 }
 
 /// A dispatcher with so many ready runners, each a cell of its own, at 100 s.
-pub(crate) fn start(terms: Terms, runners: usize) -> (Dispatcher, Fake) {
-    let mut d = Dispatcher::new(terms.clone(), 7 + terms.me as u64, 100.0);
+pub(crate) fn start(terms: PolicyConfig, runners: usize) -> (Dispatcher, Fake) {
+    let mut d = Dispatcher::new(terms.clone(), 7 + terms.dispatcher_index as u64, 100.0);
     let entries: Vec<_> = (0..runners).map(|r| (r, Some(runner(r as u64)))).collect();
-    d.listed(100.0, News::Cached, &entries);
+    d.update_list(100.0, ListUpdate::Cached, &entries);
     (
         d,
         Fake {
@@ -115,8 +115,8 @@
     Job {
         category,
         key,
-        expiry: 110.0,
-        hint: 0.0,
+        expires_at_s: 110.0,
+        hint_s: 0.0,
         slots: 1.0,
         memory: 0.0,
     }
@@ -137,25 +137,25 @@
         let fresh = |r| {
             (
                 r,
-                Some(Listed {
-                    born: self.now - 50.0,
+                Some(ListedRunner {
+                    started_at_s: self.now - 50.0,
                     ..runner(r as u64)
                 }),
             )
         };
-        d.listed(
+        d.update_list(
             self.now,
-            News::Changes,
+            ListUpdate::Changes,
             &(0..runners).map(fresh).collect::<Vec<_>>(),
         );
     }
     pub(crate) fn take(&mut self, d: &mut Dispatcher, category: usize, key: u32) -> WorkItem {
         let expiry = self.now + 10.0;
         let work_item = d
-            .take(
+            .submit(
                 self.now,
                 Job {
-                    expiry,
+                    expires_at_s: expiry,
                     ..job(category, key)
                 },
             )
@@ -170,11 +170,11 @@
         no: u16,
         outcome: Outcome,
     ) {
-        work_item.outcome(d, self, no, outcome, outcome == Outcome::Finished);
+        work_item.attempt_ended(d, self, no, outcome, outcome == Outcome::Finished);
         d.decide(self);
     }
     pub(crate) fn probed(&mut self, d: &mut Dispatcher, runner: usize, report: &[f32]) {
-        d.probed(self.now, runner, Outcome::Finished, report);
+        d.probe_ended(self.now, runner, Outcome::Finished, report);
         d.decide(self);
     }
     /// Lets time pass in looks.
--- a/crates/dispatcher/policy/tests/placement.rs
+++ b/crates/dispatcher/policy/tests/placement.rs
@@ -12,8 +12,8 @@
 const RUNNERS: usize = 8;
 
 /// Two categories, both safe to repeat, the first bound as said.
-fn told(settings: &[(&str, &str)]) -> Result<Terms, String> {
-    let mut stated = Stated::default();
+fn told(settings: &[(&str, &str)]) -> Result<PolicyConfig, String> {
+    let mut stated = FlatSettings::default();
     let usual = [
         ("Categories.count", "2"),
         ("Dcs", "north,south"),
@@ -26,32 +26,32 @@
     usual
         .iter()
         .chain(settings)
-        .for_each(|(path, value)| stated.state(path, value));
+        .for_each(|(path, value)| stated.insert(path, value));
     for n in [BOUND, UNBOUND] {
         for (leaf, value) in [
             ("Repeat", "read_like"),
             ("DueTimeUs", "1000000"),
             ("Payoff", "1"),
         ] {
-            stated.state(&format!("Categories.{n}.{leaf}"), value);
+            stated.insert(&format!("Categories.{n}.{leaf}"), value);
         }
     }
-    read_terms(&stated)
+    parse_policy_config(&stated)
 }
 
 /// Zones take turns, kinds change after each pair.
-fn placed(r: usize) -> Listed {
-    Listed {
+fn placed(r: usize) -> ListedRunner {
+    ListedRunner {
         zone: (r % ZONES) as u16,
         kind: (r / ZONES % 2) as u8,
         ..runner(r as u64)
     }
 }
 
-fn fleet(terms: Terms) -> (Dispatcher, Fake) {
+fn fleet(terms: PolicyConfig) -> (Dispatcher, Fake) {
     let mut d = Dispatcher::new(terms, 7, 100.0);
     let entries: Vec<_> = (0..RUNNERS).map(|r| (r, Some(placed(r)))).collect();
-    d.listed(100.0, News::Cached, &entries);
+    d.update_list(100.0, ListUpdate::Cached, &entries);
     (
         d,
         Fake {
@@ -140,7 +140,7 @@
         .filter(|r| placed(*r).zone == 1)
         .map(|r| (r, None))
         .collect();
-    d.listed(host.now, News::Changes, &gone);
+    d.update_list(host.now, ListUpdate::Changes, &gone);
     let unbound = host.take(&mut d, UNBOUND, 5);
     let bound = host.take(&mut d, BOUND, 5);
     host.pass(&mut d, 0.1);
@@ -178,7 +178,7 @@
             if binds { "false" } else { "true" },
         );
         let (mut d, mut host) = fleet(told(&[stays_open]).unwrap());
-        d.listed(host.now, News::Whole, &[]);
+        d.update_list(host.now, ListUpdate::Full, &[]);
         let work_item = host.take(&mut d, UNBOUND, 5);
         host.pass(&mut d, 0.1);
         assert_eq!(host.sent_to(work_item).is_empty(), binds);
@@ -202,17 +202,17 @@
     let drains = |r| {
         (
             r,
-            Some(Listed {
+            Some(ListedRunner {
                 ready: false,
                 ..placed(r)
             }),
         )
     };
-    d.listed(host.now, News::Changes, &[drains(0), drains(1)]);
-    d.listed(host.now, News::Changes, &[(0, None)]);
-    d.listed(
+    d.update_list(host.now, ListUpdate::Changes, &[drains(0), drains(1)]);
+    d.update_list(host.now, ListUpdate::Changes, &[(0, None)]);
+    d.update_list(
         host.now,
-        News::Whole,
+        ListUpdate::Full,
         &(2..RUNNERS)
             .map(|r| (r, Some(placed(r))))
             .collect::<Vec<_>>(),
@@ -231,8 +231,8 @@
         ];
         let home = |me: usize| {
             let (mut d, mut host) = start(
-                Terms {
-                    me,
+                PolicyConfig {
+                    dispatcher_index: me,
                     ..told(&prices).unwrap()
                 },
                 100,
--- a/crates/dispatcher/policy/tests/stories.rs
+++ b/crates/dispatcher/policy/tests/stories.rs
@@ -34,7 +34,7 @@
     let sends = |seed| {
         let mut d = Dispatcher::new(terms(), seed, 100.0);
         let entries: Vec<_> = (0..8).map(|r| (r, Some(runner(r as u64)))).collect();
-        d.listed(100.0, News::Cached, &entries);
+        d.update_list(100.0, ListUpdate::Cached, &entries);
         let mut host = Fake {
             now: 100.0,
             ..Fake::default()
@@ -71,7 +71,7 @@
 
 #[test]
 fn exclusive_work_proven_not_run_goes_to_another_runner() {
-    for outcome in [Outcome::Full, Outcome::NoConnection, Outcome::Moot] {
+    for outcome in [Outcome::Full, Outcome::NoConnection, Outcome::NotSent] {
         let (mut d, mut host) = start(terms(), 3);
         let work_item = host.take(&mut d, AT_MOST_ONCE, 0);
         host.come(&mut d, work_item, 0, outcome);
@@ -111,13 +111,13 @@
 #[test]
 fn a_draining_runner_gets_nothing_new() {
     let (mut d, mut host) = start(terms(), 1);
-    d.listed(
+    d.update_list(
         100.0,
-        News::Changes,
+        ListUpdate::Changes,
         &[
             (
                 0,
-                Some(Listed {
+                Some(ListedRunner {
                     ready: false,
                     ..runner(0)
                 }),
@@ -127,7 +127,7 @@
     );
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
     assert_eq!(host.sent_to(work_item), [1]);
-    d.listed(100.0, News::Whole, &[(0, Some(runner(0)))]);
+    d.update_list(100.0, ListUpdate::Full, &[(0, Some(runner(0)))]);
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
     assert_eq!(
         host.sent_to(work_item),
@@ -139,7 +139,7 @@
 #[test]
 fn work_with_no_runner_left_is_deferred_at_once() {
     let (mut d, mut host) = start(terms(), 1);
-    d.listed(100.0, News::Changes, &[(0, None)]);
+    d.update_list(100.0, ListUpdate::Changes, &[(0, None)]);
     let work_item = host.take(&mut d, AT_MOST_ONCE, 0);
     host.pass(&mut d, 0.1);
     assert!(matches!(host.ends(work_item)[..], [Defer(..)]));
@@ -150,10 +150,10 @@
     let (mut d, mut host) = start(terms(), 0);
     host.pass(&mut d, 0.1);
     let work_item = d
-        .take(
+        .submit(
             host.now,
             Job {
-                expiry: host.now,
+                expires_at_s: host.now,
                 ..job(IDEMPOTENT, 0)
             },
         )
@@ -178,8 +178,8 @@
 #[test]
 fn a_wake_a_rounding_error_early_does_not_end_the_looks() {
     let (mut d, mut host) = start(terms(), 0);
-    d.take(host.now, job(IDEMPOTENT, 0)).unwrap();
-    d.listed(host.now, News::Changes, &[(0, Some(runner(0)))]);
+    d.submit(host.now, job(IDEMPOTENT, 0)).unwrap();
+    d.update_list(host.now, ListUpdate::Changes, &[(0, Some(runner(0)))]);
     d.decide(&mut host);
     for _ in 0..20 {
         host.now = host.wake - 1e-9;
@@ -191,19 +191,19 @@
 #[test]
 fn a_cold_runner_gets_no_more_than_its_part() {
     let (mut d, mut host) = start(
-        Terms {
-            replicas: 2,
+        PolicyConfig {
+            dispatcher_count: 2,
             ..terms()
         },
         1,
     );
-    d.listed(
+    d.update_list(
         100.0,
-        News::Changes,
+        ListUpdate::Changes,
         &[(
             0,
-            Some(Listed {
-                born: 100.0,
+            Some(ListedRunner {
+                started_at_s: 100.0,
                 ..runner(0)
             }),
         )],
@@ -268,18 +268,18 @@
     let (mut d, mut host) = start(terms(), 1);
     for _ in 0..5 {
         let work_item = host.take(&mut d, IDEMPOTENT, 0);
-        host.come(&mut d, work_item, 0, Outcome::Stale);
+        host.come(&mut d, work_item, 0, Outcome::StaleConnection);
         assert_eq!(
             host.sent_to(work_item),
             [0, 0],
             "straight back, on another connection"
         );
-        host.come(&mut d, work_item, 1, Outcome::Stale);
+        host.come(&mut d, work_item, 1, Outcome::StaleConnection);
         host.come(&mut d, work_item, 2, Outcome::Finished);
         host.asked.clear();
     }
     let work_item = host.take(&mut d, AT_MOST_ONCE, 0);
-    host.come(&mut d, work_item, 0, Outcome::Stale);
+    host.come(&mut d, work_item, 0, Outcome::StaleConnection);
     assert_eq!(
         host.ends(work_item),
         [WriteOff(work_item)],
@@ -448,8 +448,8 @@
 fn work_that_its_runner_does_not_take_is_called_off_though_the_runner_is_well() {
     for (category, moves) in [(IDEMPOTENT, true), (AT_MOST_ONCE, false)] {
         let (mut d, mut host) = start(
-            Terms {
-                tells_taking: true,
+            PolicyConfig {
+                reports_acceptance: true,
                 ..terms()
             },
             1,
@@ -483,8 +483,8 @@
 #[test]
 fn the_list_is_asked_for_and_asked_again_after_failures() {
     let (mut d, mut host) = start(
-        Terms {
-            asks_for_list: true,
+        PolicyConfig {
+            requests_list: true,
             ..terms()
         },
         1,
@@ -497,7 +497,7 @@
     }
     assert!(asked >= 8, "{asked} calls in 20 s of failures");
     host.pass(&mut d, 2.0);
-    d.listed(host.now, News::Changes, &[]);
+    d.update_list(host.now, ListUpdate::Changes, &[]);
     host.asked.clear();
     host.pass(&mut d, 20.0);
     assert!(!host.asked.contains(&Watch), "subscribed");
@@ -507,9 +507,9 @@
 fn calls_to_the_list_are_spread_after_a_common_start_and_after_a_failure() {
     let asks = |seed| {
         let mut d = Dispatcher::new(
-            Terms {
-                replicas: 100,
-                asks_for_list: true,
+            PolicyConfig {
+                dispatcher_count: 100,
+                requests_list: true,
                 ..terms()
             },
             seed,
@@ -549,9 +549,9 @@
 /// One of a hundred dispatchers over as many runners as each uses at the least.
 fn one_of_many(me: usize) -> (Dispatcher, Fake) {
     start(
-        Terms {
-            replicas: 100,
-            me,
+        PolicyConfig {
+            dispatcher_count: 100,
+            dispatcher_index: me,
             ..terms()
         },
         16,
@@ -596,7 +596,7 @@
     work_item.started(&mut d, host.now, 0);
     host.come(&mut d, work_item, 0, Outcome::Finished);
     host.pass(&mut d, 0.2);
-    d.carry_usual(IDEMPOTENT, 0.1);
+    d.restore_usual_run(IDEMPOTENT, 0.1);
     let again = host.take(&mut d, IDEMPOTENT, 42);
     assert_ne!(
         host.sent_to(again).last(),
@@ -646,9 +646,9 @@
 #[test]
 fn who_cannot_use_all_runners_uses_those_that_rank_highest() {
     let (mut d, mut host) = start(
-        Terms {
-            replicas: 400,
-            me: 399,
+        PolicyConfig {
+            dispatcher_count: 400,
+            dispatcher_index: 399,
             ..terms()
         },
         300,
@@ -673,9 +673,9 @@
     };
     let first = used(&mut d, &mut host);
     assert_eq!(first.len(), 16, "the least, with next to nothing running");
-    d.listed(
+    d.update_list(
         host.now,
-        News::Changes,
+        ListUpdate::Changes,
         &first.iter().map(|&r| (r, None)).collect::<Vec<_>>(),
     );
     let next = used(&mut d, &mut host);
@@ -703,21 +703,21 @@
     for (age, items) in [(4.0, 2), (12.5, 4)] {
         let sent = |me| {
             let (mut d, mut host) = start(
-                Terms {
-                    replicas: 12,
-                    me,
-                    cold_s: 40.0,
+                PolicyConfig {
+                    dispatcher_count: 12,
+                    dispatcher_index: me,
+                    warm_up_s: 40.0,
                     ..terms()
                 },
                 1,
             );
-            d.listed(
+            d.update_list(
                 100.0,
-                News::Changes,
+                ListUpdate::Changes,
                 &[(
                     0,
-                    Some(Listed {
-                        born: 100.0 - age,
+                    Some(ListedRunner {
+                        started_at_s: 100.0 - age,
                         ..runner(0)
                     }),
                 )],
@@ -743,7 +743,7 @@
         .map(|c| host.take(&mut d, c, 0))
         .to_vec();
     assert!(host.sent_to(all[2]).is_empty(), "two are out, one is held");
-    d.end_by(host.now + 0.65);
+    d.set_shutdown_at(host.now + 0.65);
     host.pass(&mut d, 0.5);
     assert!(matches!(host.ends(all[2])[..], [Defer(..)]));
     // The host drops what is out a moment before.
@@ -756,11 +756,11 @@
     assert_eq!(host.ends(all[1]), [WriteOff(all[1])]);
 }
 
-fn probing(replicas: usize) -> Terms {
-    Terms {
-        probes: true,
-        free_slots_at: Some(0),
-        replicas,
+fn probing(replicas: usize) -> PolicyConfig {
+    PolicyConfig {
+        uses_load_probes: true,
+        free_slots_index: Some(0),
+        dispatcher_count: replicas,
         ..terms()
     }
 }
@@ -850,33 +850,36 @@
 #[test]
 fn what_was_learnt_before_a_planned_restart_counts_from_the_first_second() {
     let (mut d, mut host) = start(
-        Terms {
-            cold_from: 0.1,
+        PolicyConfig {
+            slow_start_fraction: 0.1,
             ..terms()
         },
         1,
     );
-    d.listed(
+    d.update_list(
         100.0,
-        News::Changes,
+        ListUpdate::Changes,
         &[(
             0,
-            Some(Listed {
-                born: 100.0,
+            Some(ListedRunner {
+                started_at_s: 100.0,
                 ..runner(0)
             }),
         )],
     );
-    assert_eq!((d.usual(IDEMPOTENT), d.learnt(0)), (None, None));
-    d.carry_usual(IDEMPOTENT, 0.1);
+    assert_eq!(
+        (d.usual_run_s(IDEMPOTENT), d.learned_runner(0)),
+        (None, None)
+    );
+    d.restore_usual_run(IDEMPOTENT, 0.1);
     // 0.32 s of work may be sent: no item of the stated half second, but one of the carried 0.1 s.
     let work_item = host.take(&mut d, IDEMPOTENT, 0);
     assert_eq!(
-        (host.sent_to(work_item), d.usual(IDEMPOTENT)),
+        (host.sent_to(work_item), d.usual_run_s(IDEMPOTENT)),
         (vec![0], Some(0.1))
     );
-    d.carry_runner(0, 5.0, 1.5);
-    assert_eq!(d.learnt(0), Some((100.0, 5.0, 1.5)));
+    d.restore_runner(0, 5.0, 1.5);
+    assert_eq!(d.learned_runner(0), Some((100.0, 5.0, 1.5)));
 }
 
 #[test]
@@ -889,7 +892,7 @@
             panic!("{:?}", host.asked)
         };
         cut.push(r);
-        d.probed(host.now, r, Outcome::NoConnection, &[]);
+        d.probe_ended(host.now, r, Outcome::NoConnection, &[]);
         d.decide(&mut host);
     }
     host.pass(&mut d, 0.5);
@@ -928,7 +931,7 @@
     let home = host.sent_to(first[0])[0];
     let waits = host.take(&mut d, IDEMPOTENT, 42);
     assert!(host.sent_to(waits).is_empty(), "for its busy holder");
-    d.by_hand(host.now, home, true);
+    d.set_disabled(host.now, home, true);
     d.decide(&mut host);
     assert_eq!(
         host.sent_to(waits),
@@ -937,9 +940,9 @@
     );
     // The whole list names it; it drains, goes, and comes back as a new process.
     let named = |ready, born| {
-        Some(Listed {
+        Some(ListedRunner {
             ready,
-            born,
+            started_at_s: born,
             ..runner(home as u64)
         })
     };
@@ -950,22 +953,22 @@
         None,
         named(true, host.now),
     ] {
-        d.listed(host.now, News::Whole, &[(home, entry), other]);
-        d.by_hand(host.now, home, true);
+        d.update_list(host.now, ListUpdate::Full, &[(home, entry), other]);
+        d.set_disabled(host.now, home, true);
         host.pass(&mut d, 1.0);
         host.asked.clear();
         let work_item = host.take(&mut d, IDEMPOTENT, 42);
         assert_eq!(host.sent_to(work_item), [1 - home]);
         host.come(&mut d, work_item, 0, Outcome::Finished);
-        assert!(d.avoids(home, host.now));
+        assert!(d.is_avoided(home, host.now));
     }
     // A single call back ends it.
     first
         .iter()
         .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Reset));
-    d.by_hand(host.now, home, false);
+    d.set_disabled(host.now, home, false);
     assert!(
-        !d.avoids(home, host.now),
+        !d.is_avoided(home, host.now),
         "what its end did to work is no sign against the new process"
     );
 }
@@ -975,23 +978,33 @@
     // Of the last start that the list told, before the ban or in it, and what may be sent at once then.
     for (born, sent) in [(None, 1), (Some(90.0), 1), (Some(101.0), 2)] {
         let (mut d, mut host) = start(
-            Terms {
-                cold_s: 2.0,
-                fall_s: 0.5,
+            PolicyConfig {
+                warm_up_s: 2.0,
+                overload_window_s: 0.5,
                 ..terms()
             },
             1,
         );
         let tell = |d: &mut Dispatcher, now| {
             let born = born.filter(|born| *born < now).unwrap_or(f64::NEG_INFINITY);
-            d.listed(now, News::Whole, &[(0, Some(Listed { born, ..runner(0) }))]);
+            d.update_list(
+                now,
+                ListUpdate::Full,
+                &[(
+                    0,
+                    Some(ListedRunner {
+                        started_at_s: born,
+                        ..runner(0)
+                    }),
+                )],
+            );
         };
         tell(&mut d, 100.0);
-        d.carry_usual(IDEMPOTENT, 0.3);
-        d.by_hand(100.5, 0, true);
+        d.restore_usual_run(IDEMPOTENT, 0.3);
+        d.set_disabled(100.5, 0, true);
         host.now = 105.0;
         tell(&mut d, 105.0);
-        d.by_hand(105.0, 0, false);
+        d.set_disabled(105.0, 0, false);
         let all: Vec<WorkItem> = (0..2).map(|_| host.take(&mut d, IDEMPOTENT, 0)).collect();
         assert_eq!(
             all.iter()
@@ -1007,18 +1020,18 @@
 fn two_processes_of_one_dispatcher_have_one_part_of_a_cold_runner() {
     let both = || {
         let (mut d, host) = start(terms(), 1);
-        d.listed(
+        d.update_list(
             100.0,
-            News::Changes,
+            ListUpdate::Changes,
             &[(
                 0,
-                Some(Listed {
-                    born: 95.0,
+                Some(ListedRunner {
+                    started_at_s: 95.0,
                     ..runner(0)
                 }),
             )],
         );
-        d.carry_usual(IDEMPOTENT, 0.4);
+        d.restore_usual_run(IDEMPOTENT, 0.4);
         (d, host)
     };
     let sent = |d: &mut Dispatcher, host: &mut Fake| {
@@ -1030,9 +1043,9 @@
     // It bears 1.8 s of work in this second, and the cap is two.
     let (mut old, mut host) = both();
     assert_eq!(sent(&mut old, &mut host), 2);
-    let kept = old.kept(0);
+    let kept = old.runner_handover(0);
     for (spent, may) in [
-        (kept.spent.clone(), 2),
+        (kept.cold_sends.clone(), 2),
         (vec![(100.0, 0.8), (100.0, 0.8)], 0),
     ] {
         let (mut new, mut host) = both();
@@ -1040,8 +1053,8 @@
             100.0,
             vec![(
                 0,
-                Kept {
-                    spent,
+                RunnerHandover {
+                    cold_sends: spent,
                     ..kept.clone()
                 },
             )],
@@ -1049,9 +1062,9 @@
         assert_eq!(sent(&mut new, &mut host), may);
     }
     let (mut old, mut host) = both();
-    old.leave_cold(host.now, true);
+    old.yield_cold_runners(host.now, true);
     assert_eq!(sent(&mut old, &mut host), 0, "the new one has its part");
-    old.leave_cold(host.now, false);
+    old.yield_cold_runners(host.now, false);
     host.pass(&mut old, 0.8);
     assert_eq!(
         host.asked.len(),
@@ -1070,14 +1083,14 @@
     let of_kind = |r: u64, born| {
         (
             r as usize,
-            Some(Listed {
+            Some(ListedRunner {
                 kind: 1,
-                born,
+                started_at_s: born,
                 ..runner(r)
             }),
         )
     };
-    d.listed(100.0, News::Changes, &[of_kind(0, f64::NEG_INFINITY)]);
+    d.update_list(100.0, ListUpdate::Changes, &[of_kind(0, f64::NEG_INFINITY)]);
     // The others do well; the only one of its kind takes ten times as long.
     for seconds in [0.1, 0.1, 0.1] {
         let all: Vec<WorkItem> = (0..5).map(|_| host.take(&mut d, AT_MOST_ONCE, 0)).collect();
@@ -1085,9 +1098,9 @@
         all.iter()
             .for_each(|work_item| host.come(&mut d, *work_item, 0, Outcome::Finished));
     }
-    d.carry_runner(0, 4.0, 10.0);
-    d.carry_usual(IDEMPOTENT, 0.2);
-    d.listed(host.now, News::Changes, &[of_kind(9, host.now)]);
+    d.restore_runner(0, 4.0, 10.0);
+    d.restore_usual_run(IDEMPOTENT, 0.2);
+    d.update_list(host.now, ListUpdate::Changes, &[of_kind(9, host.now)]);
     host.pass(&mut d, 0.2);
     host.asked.clear();
     // Four slots likely: 0.7 x 3 x (0.75 x 4 x 0.2) x 1 s = 1.3 s of work, six items of 0.2 s, two by its cap.
@@ -1106,8 +1119,8 @@
 fn work_of_ours_at_a_keys_place_makes_another_place_cheaper_than_waiting_there() {
     // Room is left at the home, but two run there and nothing does elsewhere; a fetch costs next to nothing.
     let (mut d, mut host) = start(
-        Terms {
-            replicas: 5,
+        PolicyConfig {
+            dispatcher_count: 5,
             ..terms()
         },
         4,
@@ -1126,7 +1139,7 @@
     let (mut d, mut host) = start(terms(), 60);
     let work_item = host.take(&mut d, IDEMPOTENT, 42);
     let gone: Vec<_> = (0..60).filter(|r| *r != 7).map(|r| (r, None)).collect();
-    d.listed(host.now, News::Changes, &gone);
+    d.update_list(host.now, ListUpdate::Changes, &gone);
     host.come(&mut d, work_item, 0, Outcome::NoConnection);
     assert_eq!(host.sent_to(work_item).last(), Some(&7));
 }
@@ -1140,20 +1153,20 @@
         (60.0, -90.0, 2),
     ] {
         let (mut d, mut host) = start(
-            Terms {
-                start_off_s: off,
+            PolicyConfig {
+                start_time_error_s: off,
                 ..terms()
             },
             1,
         );
         // A restart, stamped earlier than the start before it: only where clocks differ is that another one.
-        d.listed(
+        d.update_list(
             100.0,
-            News::Changes,
+            ListUpdate::Changes,
             &[(
                 0,
-                Some(Listed {
-                    born: 100.0 + stamp,
+                Some(ListedRunner {
+                    started_at_s: 100.0 + stamp,
                     ..runner(0)
                 }),
             )],
@@ -1177,8 +1190,8 @@
 
 /// Late pays nothing, and one runner is full with two of ours.
 fn full_runner(pays_by_work: bool) -> (Dispatcher, Fake, Vec<WorkItem>) {
-    let mut terms = Terms {
-        pays_by_work,
+    let mut terms = PolicyConfig {
+        payoff_per_work: pays_by_work,
         ..terms()
     };
     terms
@@ -1197,10 +1210,10 @@
     let fresh = host.take(&mut d, IDEMPOTENT, 0);
     // Its client gives up three seconds before others do, so it first came that long ago.
     let again = d
-        .take(
+        .submit(
             host.now,
             Job {
-                expiry: host.now + 7.0,
+                expires_at_s: host.now + 7.0,
                 ..job(IDEMPOTENT, 0)
             },
         )
@@ -1218,11 +1231,11 @@
     let (mut d, mut host, _) = full_runner(false);
     let [small, large] = [0.01, 2.0].map(|hint| {
         let work_item = d
-            .take(
+            .submit(
                 host.now,
                 Job {
-                    expiry: host.now + 10.0,
-                    hint,
+                    expires_at_s: host.now + 10.0,
+                    hint_s: hint,
                     ..job(IDEMPOTENT, 0)
                 },
             )
@@ -1238,8 +1251,8 @@
 fn where_work_is_paid_by_its_size_the_better_paid_category_goes_first_however_long_it_runs() {
     for (by_work, first) in [(true, KEYED), (false, IDEMPOTENT)] {
         let (mut d, mut host, out) = full_runner(by_work);
-        d.carry_usual(IDEMPOTENT, 0.1);
-        d.carry_usual(KEYED, 0.8);
+        d.restore_usual_run(IDEMPOTENT, 0.1);
+        d.restore_usual_run(KEYED, 0.8);
         let held = [IDEMPOTENT, KEYED].map(|category| host.take(&mut d, category, 0));
         host.pass(&mut d, 0.4);
         host.come(&mut d, out[0], 0, Outcome::Finished);
@@ -1253,10 +1266,10 @@
 #[test]
 fn how_far_clocks_may_be_off_is_read_or_refused_with_one_line() {
     let read = |path: &str, value: &str| {
-        let mut stated = Stated::default();
-        stated.state("Report.How", "off");
-        stated.state(path, value);
-        read_terms(&stated).map(|terms| (terms.start_off_s, terms.expiry_off_s))
+        let mut stated = FlatSettings::default();
+        stated.insert("Report.How", "off");
+        stated.insert(path, value);
+        parse_policy_config(&stated).map(|terms| (terms.start_time_error_s, terms.expiry_error_s))
     };
     assert_eq!(read("Me", "0"), Ok((0.0, 0.0)), "absent");
     assert_eq!(read("Safety.ReadyMarginUs", "9936000"), Ok((9.936, 0.0)));
@@ -1275,8 +1288,8 @@
 
 #[test]
 fn in_a_jam_what_comes_too_late_to_pay_is_turned_away_at_once_and_no_longer_than_waits_are_told() {
-    let mut terms = Terms {
-        replicas: 5,
+    let mut terms = PolicyConfig {
+        dispatcher_count: 5,
         ..terms()
     };
     terms
@@ -1293,7 +1306,7 @@
         host.come(&mut d, work_item, 0, Outcome::Finished);
     }
     host.pass(&mut d, 0.1);
-    d.carry_usual(IDEMPOTENT, 0.1);
+    d.restore_usual_run(IDEMPOTENT, 0.1);
     host.asked.clear();
     let jammed = host.take(&mut d, IDEMPOTENT, 42);
     host.pass(&mut d, 0.3);
@@ -1307,12 +1320,12 @@
 #[test]
 fn what_comes_before_a_planned_end_is_no_repeat_for_having_less_time() {
     let (mut d, mut host, _) = full_runner(false);
-    d.end_by(host.now + 3.0);
+    d.set_shutdown_at(host.now + 3.0);
     let work_item = d
-        .take(
+        .submit(
             host.now,
             Job {
-                expiry: host.now + 3.0,
+                expires_at_s: host.now + 3.0,
                 ..job(IDEMPOTENT, 0)
             },
         )
@@ -1325,32 +1338,32 @@
 fn a_part_that_is_lent_bounds_what_a_cold_runner_gets_and_none_is_as_without() {
     let sent = |part: Option<f64>| {
         let (mut d, mut host) = start(
-            Terms {
-                replicas: 6,
-                cold_from: 0.5,
+            PolicyConfig {
+                dispatcher_count: 6,
+                slow_start_fraction: 0.5,
                 ..terms()
             },
             1,
         );
-        d.listed(
+        d.update_list(
             host.now,
-            News::Changes,
+            ListUpdate::Changes,
             &[(
                 0,
-                Some(Listed {
-                    born: host.now,
+                Some(ListedRunner {
+                    started_at_s: host.now,
                     ..runner(0)
                 }),
             )],
         );
-        d.part(0, part);
+        d.set_cold_share(0, part);
         (0..6).for_each(|_| _ = host.take(&mut d, 0, 0));
         (
             host.asked
                 .iter()
                 .filter(|asked| matches!(asked, Attempt(..)))
                 .count(),
-            d.cold(host.now),
+            d.cold_usage(host.now),
         )
     };
     let (all, cold) = sent(Some(1.0));
@@ -1364,15 +1377,15 @@
 #[test]
 fn a_runner_that_others_find_unwell_rests_until_one_is_served() {
     let (mut d, mut host) = start(terms(), 4);
-    d.heard(host.now, 2, true);
-    assert!(!d.avoids(2, host.now), "well it was already");
-    d.heard(host.now, 2, false);
-    assert!(d.avoids(2, host.now));
+    d.apply_peer_verdict(host.now, 2, true);
+    assert!(!d.is_avoided(2, host.now), "well it was already");
+    d.apply_peer_verdict(host.now, 2, false);
+    assert!(d.is_avoided(2, host.now));
     for _ in 0..12 {
         let work_item = host.take(&mut d, 0, 0);
         assert!(!host.sent_to(work_item).contains(&2));
     }
-    d.heard(host.now, 2, true);
+    d.apply_peer_verdict(host.now, 2, true);
     host.pass(&mut d, 0.3);
     let trial = host
         .asked
@@ -1384,14 +1397,14 @@
 #[test]
 fn whatever_is_heard_no_more_than_half_rest() {
     let (mut d, host) = start(terms(), 6);
-    (0..6).for_each(|r| d.heard(host.now, r, false));
-    assert_eq!((0..6).filter(|&r| d.avoids(r, host.now)).count(), 3);
+    (0..6).for_each(|r| d.apply_peer_verdict(host.now, r, false));
+    assert_eq!((0..6).filter(|&r| d.is_avoided(r, host.now)).count(), 3);
 }
 
 #[test]
 fn a_category_at_its_cap_is_held_and_the_others_go_on() {
     let (mut d, mut host) = start(terms(), 4);
-    d.left(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
+    d.set_remaining_budgets(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
     let (first, second, other) = (
         host.take(&mut d, 0, 0),
         host.take(&mut d, 0, 0),
@@ -1405,7 +1418,7 @@
         ),
         (1, 0, 1)
     );
-    d.left(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
+    d.set_remaining_budgets(&[1.0, 9.0, 9.0, 9.0], f64::INFINITY);
     host.now += 0.01;
     d.decide(&mut host);
     assert_eq!(host.sent_to(second).len(), 1);
@@ -1414,7 +1427,7 @@
 #[test]
 fn without_a_resend_left_what_failed_is_given_up_at_once() {
     let (mut d, mut host) = start(terms(), 4);
-    d.left(&[], 1.0);
+    d.set_remaining_budgets(&[], 1.0);
     let (first, second) = (host.take(&mut d, 0, 0), host.take(&mut d, 0, 0));
     host.come(&mut d, first, 0, Outcome::Error);
     assert_eq!(host.sent_to(first).len(), 2);
--- a/crates/dispatcher/simulator-adapter/src/host.rs
+++ b/crates/dispatcher/simulator-adapter/src/host.rs
@@ -2,7 +2,8 @@
 
 use crate::frame::{Batch, Fields, Reply, ENTRY};
 use sagetrail_policy::{
-    read_terms, Dispatcher, Host, Job, Listed, News, Outcome, Stated, WorkItem,
+    parse_policy_config, Dispatcher, FlatSettings, Host, Job, ListUpdate, ListedRunner, Outcome,
+    WorkItem,
 };
 use std::collections::HashMap;
 
@@ -92,17 +93,17 @@
         self.reply
             .act(60, self.instance, &[&self.ids.addresses[runner]]);
     }
-    fn forget(&mut self, work_item: WorkItem) {
+    fn release_handle(&mut self, work_item: WorkItem) {
         self.ids
             .handles
             .remove(&self.ids.client_ids[work_item.0 as usize]);
     }
-    fn wake(&mut self, in_s: f64) {
+    fn wake_in(&mut self, in_s: f64) {
         // An hour at most: the wire's timers end a little later.
         let wait = (micros(in_s.min(3600.0)) as u32).to_le_bytes();
         self.reply.act(50, self.instance, &[&wait]);
     }
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.reply.act(110, self.instance, &[&[1]]);
     }
     fn log(&mut self, runner: usize, line: &str) {
@@ -117,8 +118,8 @@
 pub(crate) struct Process {
     instances: Vec<Option<Instance>>,
     touched: Vec<u16>,
-    rosters: Vec<Vec<(Address, Option<Listed>)>>,
-    entries: Vec<(usize, Option<Listed>)>,
+    rosters: Vec<Vec<(Address, Option<ListedRunner>)>>,
+    entries: Vec<(usize, Option<ListedRunner>)>,
 }
 
 impl Process {
@@ -157,7 +158,7 @@
         let (code, instance) = (record.u8(0), record.u16(1));
         match code {
             10 => {
-                let terms = read_terms(&stated(batch.tail(record, 11, 1)?)?)?;
+                let terms = parse_policy_config(&stated(batch.tail(record, 11, 1)?)?)?;
                 let dispatcher = Dispatcher::new(terms, record.u64(3), now);
                 if self.instances.len() <= instance as usize {
                     self.instances.resize_with(instance as usize + 1, || None);
@@ -212,9 +213,9 @@
         match code {
             20 => {
                 let news = match record.u8(3) {
-                    4 => News::Changes,
-                    1 => News::Whole,
-                    0 => News::Cached,
+                    4 => ListUpdate::Changes,
+                    1 => ListUpdate::Full,
+                    0 => ListUpdate::Cached,
                     2 => {
                         dispatcher.discovery_failed(now);
                         return Ok(());
@@ -230,7 +231,7 @@
                         .iter()
                         .map(|(address, listed)| (ids.runner(*address), *listed)),
                 );
-                dispatcher.listed(now, news, &self.entries);
+                dispatcher.update_list(now, news, &self.entries);
             }
             30 => {
                 let category = record.u8(7) as usize;
@@ -242,8 +243,8 @@
                     } else {
                         short(record.u64(12))
                     },
-                    expiry: record.u64(20) as f64 / 1e6,
-                    hint: if flags & 1 != 0 {
+                    expires_at_s: record.u64(20) as f64 / 1e6,
+                    hint_s: if flags & 1 != 0 {
                         record.u32(28) as f64 / 1e6
                     } else {
                         0.0
@@ -252,7 +253,7 @@
                     memory: record.f32(36) as f64,
                 };
                 let work_item = dispatcher
-                    .take(now, job)
+                    .submit(now, job)
                     .ok_or_else(|| format!("category {category} is not known"))?;
                 if ids.client_ids.len() <= work_item.0 as usize {
                     ids.client_ids.resize(work_item.0 as usize + 1, 0);
@@ -274,7 +275,7 @@
                         instance,
                         now,
                     };
-                    work_item.outcome(
+                    work_item.attempt_ended(
                         dispatcher,
                         &mut wire,
                         record.u16(7),
@@ -285,7 +286,7 @@
             }
             60 => {
                 if let Some(work_item) = known {
-                    work_item.left(
+                    work_item.client_left(
                         dispatcher,
                         &mut Wire {
                             ids,
@@ -300,7 +301,7 @@
                 if let Some(&runner) = ids.runners.get(&record.address(9)) {
                     let report: [f32; 4] = std::array::from_fn(|n| record.f32(16 + 4 * n));
                     let told = (record.u8(15) as usize).min(4);
-                    dispatcher.probed(now, runner, outcome(record.u16(3))?, &report[..told]);
+                    dispatcher.probe_ended(now, runner, outcome(record.u16(3))?, &report[..told]);
                 }
             }
             120 => match (known, record.u8(15)) {
@@ -317,28 +318,28 @@
 }
 
 /// The `Info` of an instance's start: a path=value pair a line.
-fn stated(info: &[u8]) -> Result<Stated, String> {
+fn stated(info: &[u8]) -> Result<FlatSettings, String> {
     let info = std::str::from_utf8(info).map_err(|_| "settings are not UTF-8".to_string())?;
-    let mut stated = Stated::default();
+    let mut stated = FlatSettings::default();
     for line in info.lines().filter(|line| !line.trim().is_empty()) {
         let (path, value) = line
             .split_once('=')
             .ok_or_else(|| format!("setting line '{line}' has no '='"))?;
-        stated.state(path, value);
+        stated.insert(path, value);
     }
     Ok(stated)
 }
 
-fn entry(entry: Fields) -> (Address, Option<Listed>) {
+fn entry(entry: Fields) -> (Address, Option<ListedRunner>) {
     let born = match entry.u64(1) {
         0 => f64::NEG_INFINITY,
         born => born as f64 / 1e6,
     };
     let address = entry.address(9);
-    let listed = Listed {
+    let listed = ListedRunner {
         id: number(address),
         kind: entry.u8(0),
-        born,
+        started_at_s: born,
         cell: entry.u16(15),
         zone: entry.u16(17),
         ready: entry.u8(19) == 1,
@@ -355,7 +356,7 @@
         4 => Outcome::NoConnection,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
