--- a/crates/cluster/scheduler/src/lib.rs
+++ b/crates/cluster/scheduler/src/lib.rs
@@ -1,61 +1,62 @@
-//! Jobs, their runs, and their placement on runners: what the elected core process does for its term.
+//! The cluster scheduler: accepts jobs, places their tasks on runners and follows every run to its end.
 //!
-//! [`Scheduler`] is the `Service` that the control plane starts at an election and drops at the term's end. It has no
-//! sockets, threads or clock of its own: it is handed messages, commits and the time, and hands out batches of records
-//! and messages. All its state is in memory; what must outlive the term is in the records, and what may only be said
-//! or commanded once a record is committed waits in the commit queue for its batch. `docs/system.md` has the
+//! [`Scheduler`] implements the control plane's `Service`. The control plane creates it when this process is elected
+//! leader and drops it at the end of the term. It has no sockets, threads or clock of its own: it receives messages,
+//! commit notifications and the time, and returns batches of records and messages to send. All its state is in memory;
+//! state that must survive the term is also written to the replicated records. A reply or command that may be sent only
+//! after a record is committed waits in the commit queue for that record's batch. `docs/system.md` lists the
 //! invariants, `docs/design.md` the source of the placement algorithm.
 //!
-//! # The way of a job
+//! # Lifecycle of a job
 //!
 //! ```text
 //!  client's POST                                                      client's answer
 //!       |                                                                   ^
-//!       v                                                                   | once committed
+//!       v                                                                   | after the commit
 //!  scheduler/client_requests --- spec: valid? ---> job_table ---> commit_queue (records)
 //!                                                     |
 //!              due_times (not due yet) <--------------+ scheduler/job_lifecycle:
-//!                     |  falls due                    | due, dependencies met, gang complete?
+//!                     |  becomes due                  | due, dependencies met, gang complete?
 //!                     +---------------------------->  v
 //!      objective (priority, expectation, due) --> pending_queue <-------------------------+
 //!                                                     |                                   |
 //!                 scheduler/placement_round:          v                                   |
 //!      runner_table, outlier_ejection ---> placement (Algorithm 1, gangs)                 |
 //!      reservation, reserved_capacity -->     |            |                              |
-//!                                   assigned  |            | found no free capacity       |
+//!                                   assigned  |            | no free capacity             |
 //!                                             v            v                              |
 //!                        commit_queue, then   |   scheduler/preemption (victims),         |
 //!                  scheduler/runner_commands  |   scheduler/drain_reservation             |
 //!                                             v                                           |
 //!                                    agent and runner                                     |
 //!                                             |                                           |
-//!     scheduler/runner_reports (agent_session: is the agent believed?)                    |
-//!     scheduler/stuck_runs (stalled, runner leaves), expired leases                       |
+//!     scheduler/runner_reports (agent_session: is the report accepted?)                   |
+//!     scheduler/run_relocation (stalled, runner drains), expired leases                   |
 //!                                             v                                           |
 //!                            scheduler/run_outcome --- failed or stopped: requeue --------+
 //!                                             |
-//!                          all tasks done, or attempts used up
+//!                          all tasks done, or attempts exhausted
 //!                                             v
 //!                   scheduler/job_lifecycle: end, retention, purge
 //! ```
 //!
-//! # Which module decides what
+//! # Responsibilities of the modules
 //!
 //! | question | module |
 //! |---|---|
-//! | is a submitted job valid? | `spec` |
-//! | which steps may start? | `job`, `scheduler/job_lifecycle` |
-//! | in which order? | `objective`, `pending_queue` |
-//! | which runner takes which task? | `placement` |
-//! | what is left free for urgent work? | `reserved_capacity`, `scheduler/urgent_demand` |
-//! | who is stopped, or drained, for whom? | `victims`, `scheduler/preemption`, `scheduler/drain_reservation` |
-//! | which runners get no work for a while? | `outlier_ejection` |
-//! | which runs move elsewhere? | `scheduler/stuck_runs` |
-//! | is a run over for sure? | `scheduler/runner_reports`, `runner` (leases), `agent_session` |
-//! | what does an end mean for its task and job? | `scheduler/run_outcome` |
+//! | Is a submitted job valid? | `spec` |
+//! | Which steps may start? | `job`, `scheduler/job_lifecycle` |
+//! | In which order are steps placed? | `objective`, `pending_queue` |
+//! | Which runner gets which task? | `placement` |
+//! | How much capacity is kept free for urgent work? | `reserved_capacity`, `scheduler/urgent_demand` |
+//! | Which runs are preempted and which runners drained for a pending step? | `victims`, `scheduler/preemption`, `scheduler/drain_reservation` |
+//! | Which runners are ejected and get no new starts for a time? | `outlier_ejection` |
+//! | Which runs are moved to another runner? | `scheduler/run_relocation`, `scheduler/stragglers` |
+//! | Has a run certainly ended? | `scheduler/runner_reports`, `runner` (leases), `agent_session` |
+//! | How does the end of a run change its task and job? | `scheduler/run_outcome` |
 //!
-//! The files of the crate's root each own one data structure and know nothing of the scheduler; the submodules of
-//! `scheduler` use several of them for one concern.
+//! Each module in the crate root owns one data structure and does not depend on `scheduler`. Each submodule of
+//! `scheduler` implements one concern with several of these data structures.
 
 mod agent_session;
 mod capacity;
--- a/crates/cluster/scheduler/src/scheduler.rs
+++ b/crates/cluster/scheduler/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! The scheduler of one term: owns all state, and runs the steps of each event in their order.
+//! The scheduler of one term: owns all state and processes one event after the other.
 //!
-//! Its parts own their data and know nothing of each other; what concerns several of them stands in the submodules
-//! here, each for one concern.
+//! Its data structures are independent of each other. Logic that needs several of them is in the submodules, one for
+//! each concern.
 
 mod client_requests;
 mod configuration;
@@ -14,10 +14,10 @@
 mod record_writes;
 mod restore;
 mod run_outcome;
+mod run_relocation;
 mod runner_commands;
 mod runner_reports;
 mod stragglers;
-mod stuck_runs;
 mod urgent_demand;
 
 use rand::SeedableRng;
@@ -40,47 +40,49 @@
 use crate::time_of_day::TimeOfDay;
 use crate::timers::{Activity, Timers};
 
-/// A pass considers the first so many pending steps of a service.
+/// The number of pending steps of a service that one placement pass considers, from the front of its backlog.
 const PENDING_STEPS_PER_PASS: usize = 256;
 
-/// The deployment's settings for the scheduler.
+/// Settings of the deployment that the scheduler needs.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerSettings {
-    /// The bounds that hold between clients, runners and the cluster.
+    /// Time limits and other bounds that clients, runners and the cluster agree on.
     pub bounds: Bounds,
 }
 
-/// Schedules all jobs on all runners for one term.
+/// Schedules all jobs on all runners during one term.
 pub struct Scheduler {
     settings: SchedulerSettings,
     term: Term,
+    /// When the term began, by the steady clock.
     started_at: Time,
     random: Pcg64Mcg,
+    /// The wall clock with short jumps filtered out.
     time_of_day: TimeOfDay,
-    /// The time of day at the newest event, in milliseconds since 1970.
+    /// The filtered time of day at the newest event, in milliseconds since 1970.
     wall_ms: i64,
-    /// The configuration in force; `None` before the first.
+    /// The configuration in force; `None` until the first one arrives.
     config: Option<ConfigDocument>,
     jobs: JobTable,
     runners: RunnerTable,
-    /// Steps whose tasks wait for a runner.
+    /// Steps with tasks that wait for a runner.
     pending: PendingQueue,
-    /// Occurrences that are not due yet.
+    /// Occurrences of repeated jobs that are not due yet.
     due_times: DueTimes,
-    /// Changes of records, and messages that wait for their commit.
+    /// Record changes on their way to a quorum, and messages that wait until these are committed.
     commits: CommitQueue,
     reservations: Reservations,
     reserved_capacity: ReservedCapacity,
-    /// How often work fails, by service.
+    /// The rate of failed runs in each service.
     failure_rates: FailureRates,
-    /// Free capacity or pending steps have changed since the last pass.
+    /// Whether free capacity or pending steps have changed since the last placement pass.
     placement_due: bool,
     pass_pacing: PassPacing,
     timers: Timers,
 }
 
 impl Scheduler {
-    /// Starts a term from the records of earlier ones.
+    /// Creates the scheduler of a new term from the records of earlier terms.
     pub fn new(settings: SchedulerSettings, now: Now, restored: Restored) -> Scheduler {
         let mut scheduler = Scheduler {
             settings,
@@ -102,7 +104,7 @@
             pass_pacing: PassPacing::default(),
             timers: Timers::new(now.steady),
         };
-        scheduler.restore(now, &restored.records);
+        scheduler.restore_records(now, &restored.records);
         if let Some(config) = restored.config {
             scheduler.adopt_config(&config);
         }
@@ -111,33 +113,33 @@
         scheduler
     }
 
-    /// The last steps of each event: due times, placement, commands.
+    /// Completes the handling of an event: starts due occurrences, places pending steps and sends commands.
     fn finish_event(&mut self, now: Now) {
         self.start_due_occurrences(now);
-        let is_wanted = self.placement_due && !self.pending.is_empty();
-        if is_wanted && self.pass_pacing.may_run(now.steady) {
-            self.place(now);
+        let is_pass_needed = self.placement_due && !self.pending.is_empty();
+        if is_pass_needed && self.pass_pacing.may_run(now.steady) {
+            self.place_pending_steps(now);
         }
         self.send_changed_commands(now);
     }
 
-    /// The periodic check of everything that changes by time alone.
-    fn check_all(&mut self, now: Now) {
+    /// Handles everything that changes with time alone, at the interval of the periodic check.
+    fn run_periodic_check(&mut self, now: Now) {
         self.expire_unreachable_runners(now);
-        self.judge_paces(now);
+        self.update_pace_verdicts(now);
         self.relocate_runs(now);
         self.reorder_pending_steps();
-        self.place(now);
+        self.place_pending_steps(now);
         for service in self.pending.services() {
-            self.preempt(now, &service);
+            self.preempt_for_pending_steps(now, &service);
         }
-        self.purge(now);
+        self.purge_ended_jobs(now);
         self.log_long_waits(now);
         self.log_status(now);
         self.placement_due = true;
     }
 
-    /// Pending steps move in the backlog as their objectives come nearer.
+    /// Updates the positions of pending steps in the backlog, which depend on the time left until they are due.
     fn reorder_pending_steps(&mut self) {
         for service in self.pending.services() {
             for key in self.pending.first(&service, PENDING_STEPS_PER_PASS) {
@@ -166,7 +168,7 @@
         self.commits.commit(number);
         for node in self.runners.take_committed(number) {
             self.runners.set_changed(node);
-            self.observe_ends(node);
+            self.acknowledge_committed_ends(node);
         }
         self.finish_event(now);
     }
@@ -178,14 +180,14 @@
             Activity::Active
         };
         if self.timers.take_check(now.steady, activity) {
-            self.check_all(now);
+            self.run_periodic_check(now);
         }
         self.finish_event(now);
     }
 
     fn next_wake(&self) -> Option<Time> {
-        let is_wanted = self.placement_due && !self.pending.is_empty();
-        let delayed_pass = self.pass_pacing.delayed_until().filter(|_| is_wanted);
+        let is_pass_needed = self.placement_due && !self.pending.is_empty();
+        let delayed_pass = self.pass_pacing.delayed_until().filter(|_| is_pass_needed);
         [self.timers.next_due, delayed_pass]
             .into_iter()
             .flatten()
--- a/crates/cluster/scheduler/src/scheduler/client_requests.rs
+++ b/crates/cluster/scheduler/src/scheduler/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: submit, read and cancel a job, count a queue's jobs.
+//! Client requests: submit, read or cancel a job, and count the active jobs of a queue.
 
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_protocol::node::Now;
@@ -11,43 +11,44 @@
 use crate::records::Outcome;
 use crate::spec::JobSpec;
 
-/// The most jobs, ended ones included: their records stay under a quarter of a core machine's memory.
+/// The maximum number of jobs, including ended ones. With this limit their records take less than a quarter of the
+/// memory of a core machine.
 const MAX_JOBS: usize = 40_000;
-/// When a rejected client may try again, in milliseconds.
+/// The delay after which a client may retry a request that was rejected with 429 or 503, in milliseconds.
 const RETRY_AFTER_MS: u32 = 1_000;
-/// Names no batch: the answer waits for no commit.
+/// Stands for no batch: an answer with this number is sent without waiting for a commit.
 const NO_BATCH: u64 = 0;
 
-/// What a request's path names.
-struct Target {
+/// The queue and job that a request's path addresses.
+struct RequestTarget {
     queue: QueueAttributes,
-    /// What follows the queue's prefix: a job's ID, or nothing for the queue itself.
-    job: String,
+    /// The path after the queue's prefix: a job ID, not validated yet, or empty for the queue itself.
+    job_id_text: String,
 }
 
-/// Whom to answer.
+/// The sender of a request, to which the answer goes.
 #[derive(Clone, Copy)]
 struct Caller {
     /// The gateway that forwarded the request.
     gateway: NodeId,
-    /// The gateway's number of the request.
+    /// The number that the gateway gave to the request.
     request: u64,
 }
 
-/// The answer to a request.
+/// The answer to a client's request.
 struct Answer {
     /// The HTTP status.
     status: u16,
-    /// JSON, or empty.
+    /// A JSON document, or empty.
     body: Vec<u8>,
-    /// When the client may try again, in milliseconds; 0 for no such hint.
+    /// The delay after which the client may retry, in milliseconds; 0 for no retry hint.
     retry_after_ms: u32,
-    /// The answer leaves once this batch is committed.
+    /// The number of the batch that must be committed before the answer is sent.
     after_batch: u64,
 }
 
 impl Answer {
-    fn status(status: u16) -> Answer {
+    fn with_status(status: u16) -> Answer {
         Answer {
             status,
             body: Vec::new(),
@@ -56,21 +57,21 @@
         }
     }
 
-    fn json(status: u16, value: serde_json::Value) -> Answer {
+    fn with_json(status: u16, value: serde_json::Value) -> Answer {
         Answer {
             body: value.to_string().into_bytes(),
-            ..Answer::status(status)
+            ..Answer::with_status(status)
         }
     }
 
-    fn rejected(status: u16) -> Answer {
+    fn retry_later(status: u16) -> Answer {
         Answer {
             retry_after_ms: RETRY_AFTER_MS,
-            ..Answer::status(status)
+            ..Answer::with_status(status)
         }
     }
 
-    fn after(self, batch: u64) -> Answer {
+    fn after_commit(self, batch: u64) -> Answer {
         Answer {
             after_batch: batch,
             ..self
@@ -79,8 +80,8 @@
 }
 
 impl Scheduler {
-    /// Answers a client's request, now or once its effect is committed. Not at all where the gateway knows a newer
-    /// configuration: it retries, and by then this process has it as well.
+    /// Answers a client's request, at once or after its effect is committed. A request whose gateway has a newer
+    /// configuration gets no answer: the gateway retries, and by then this process has received that configuration too.
     pub(super) fn client_request(&mut self, now: Now, gateway: NodeId, request: ClientRequest) {
         let config_version = self.config.as_ref().map(|config| config.version);
         if config_version.is_some_and(|version| version < request.config_version) {
@@ -90,47 +91,47 @@
             gateway,
             request: request.request,
         };
-        let answer = self.handle(now, request);
-        self.reply(caller, answer);
+        let answer = self.handle_request(now, request);
+        self.send_reply(caller, answer);
     }
 
-    fn handle(&mut self, now: Now, request: ClientRequest) -> Answer {
+    fn handle_request(&mut self, now: Now, request: ClientRequest) -> Answer {
         let Some(config) = &self.config else {
-            return Answer::rejected(503);
+            return Answer::retry_later(503);
         };
         let target = config
             .route(&request.host, &request.path)
-            .map(|found| Target {
+            .map(|found| RequestTarget {
                 queue: QueueAttributes::from(found.route),
-                job: found.rest.to_owned(),
+                job_id_text: found.rest.to_owned(),
             });
         let Some(target) = target else {
-            return Answer::status(404);
+            return Answer::with_status(404);
         };
-        if target.job.is_empty() && request.method == ClientMethod::Read {
-            let pending = self.jobs.active_in_queue(&target.queue.name);
-            return Answer::json(200, json!({ "pending": pending }));
+        if target.job_id_text.is_empty() && request.method == ClientMethod::Read {
+            let active_jobs = self.jobs.active_in_queue(&target.queue.name);
+            return Answer::with_json(200, json!({ "pending": active_jobs }));
         }
-        let Some(id) = JobId::parse(&target.job) else {
-            return Answer::json(400, json!({ "error": "no job's ID" }));
+        let Some(job_id) = JobId::parse(&target.job_id_text) else {
+            return Answer::with_json(400, json!({ "error": "no job's ID" }));
         };
         match request.method {
-            ClientMethod::Submit => self.submit(now, id, target.queue, request.body),
-            ClientMethod::Read => self.read(id),
-            ClientMethod::Cancel => self.cancel(now, id),
+            ClientMethod::Submit => self.submit_job(now, job_id, target.queue, request.body),
+            ClientMethod::Read => self.read_job_state(job_id),
+            ClientMethod::Cancel => self.cancel_job(now, job_id),
         }
     }
 
-    fn submit(&mut self, now: Now, id: JobId, queue: QueueAttributes, body: Blob) -> Answer {
-        if let Some(job) = self.jobs.get(id) {
-            return Answer::status(200).after(job.batch);
+    fn submit_job(&mut self, now: Now, job_id: JobId, queue: QueueAttributes, body: Blob) -> Answer {
+        if let Some(job) = self.jobs.get(job_id) {
+            return Answer::with_status(200).after_commit(job.batch);
         }
         if self.jobs.len() >= MAX_JOBS {
-            return Answer::rejected(429);
+            return Answer::retry_later(429);
         }
         let spec = match JobSpec::parse(&body) {
             Ok(spec) => spec,
-            Err(error) => return Answer::json(400, json!({ "error": error.to_string() })),
+            Err(error) => return Answer::with_json(400, json!({ "error": error.to_string() })),
         };
         let attributes = JobAttributes {
             queue,
@@ -138,15 +139,15 @@
             accepted_ms: self.time_of_day.millis(now),
         };
         self.jobs
-            .insert(Job::new(id, attributes, spec, body.0, now.steady));
-        self.write_job(id);
-        self.enqueue_job(now, id);
-        Answer::status(200).after(self.batch_of(id))
+            .insert(Job::new(job_id, attributes, spec, body.0, now.steady));
+        self.write_job(job_id);
+        self.enqueue_job(now, job_id);
+        Answer::with_status(200).after_commit(self.outcome_batch(job_id))
     }
 
-    fn read(&self, id: JobId) -> Answer {
-        let Some(job) = self.jobs.get(id) else {
-            return Answer::status(410);
+    fn read_job_state(&self, job_id: JobId) -> Answer {
+        let Some(job) = self.jobs.get(job_id) else {
+            return Answer::with_status(410);
         };
         let state = match job.outcome {
             Outcome::Active if job.has_started => "running",
@@ -155,23 +156,23 @@
             Outcome::Failed => "failed",
             Outcome::Cancelled => "cancelled",
         };
-        Answer::json(200, json!({ "state": state })).after(job.batch)
+        Answer::with_json(200, json!({ "state": state })).after_commit(job.batch)
     }
 
-    fn cancel(&mut self, now: Now, id: JobId) -> Answer {
-        if self.jobs.get(id).is_none() {
-            return Answer::status(410);
+    fn cancel_job(&mut self, now: Now, job_id: JobId) -> Answer {
+        if self.jobs.get(job_id).is_none() {
+            return Answer::with_status(410);
         }
-        self.end_job(now, id, Outcome::Cancelled);
-        Answer::status(200).after(self.batch_of(id))
+        self.end_job(now, job_id, Outcome::Cancelled);
+        Answer::with_status(200).after_commit(self.outcome_batch(job_id))
     }
 
-    /// The batch with the newest change of a job's outcome.
-    fn batch_of(&self, id: JobId) -> u64 {
-        self.jobs.get(id).map_or(NO_BATCH, |job| job.batch)
+    /// Returns the number of the batch that holds the newest change of a job's outcome.
+    fn outcome_batch(&self, job_id: JobId) -> u64 {
+        self.jobs.get(job_id).map_or(NO_BATCH, |job| job.batch)
     }
 
-    fn reply(&mut self, caller: Caller, answer: Answer) {
+    fn send_reply(&mut self, caller: Caller, answer: Answer) {
         let reply = ClientReply {
             request: caller.request,
             status: answer.status,
--- a/crates/cluster/scheduler/src/scheduler/configuration.rs
+++ b/crates/cluster/scheduler/src/scheduler/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: jobs follow their queue's route.
+//! Configuration changes: active jobs take over the new attributes of their queue's route.
 
 use sagetrail_cluster_config::ConfigDocument;
 use sagetrail_protocol::service::ConfigInForce;
@@ -8,7 +8,7 @@
 use crate::job::QueueAttributes;
 
 impl Scheduler {
-    /// Adopts a newer configuration; one that is not newer, or does not parse, changes nothing.
+    /// Adopts a configuration. Ignores it if it is not newer than the current one or does not parse.
     pub(super) fn adopt_config(&mut self, config: &ConfigInForce) {
         let current = self.config.as_ref().map(|current| current.version);
         if current.is_some_and(|version| version >= config.version) {
@@ -18,22 +18,23 @@
             Ok(document) => self.config = Some(document),
             Err(error) => {
                 log::error!(
-                    "configuration does not parse: term={} version={} error={error}",
+                    "ignoring configuration that does not parse: term={} version={} error={error}",
                     self.term,
                     config.version
                 );
                 return;
             }
         }
-        for id in self.jobs.active_ids() {
-            self.follow_route(id);
+        for job_id in self.jobs.active_ids() {
+            self.update_queue_attributes(job_id);
         }
         self.placement_due = true;
     }
 
-    /// A job takes over what its queue's route says now; without a route it keeps what it has.
-    fn follow_route(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Updates a job's queue attributes from the route of its queue. Without a route of that name they stay as they
+    /// are.
+    fn update_queue_attributes(&mut self, job_id: JobId) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         let config = self.config.as_ref();
--- a/crates/cluster/scheduler/src/scheduler/diagnostics.rs
+++ b/crates/cluster/scheduler/src/scheduler/diagnostics.rs
@@ -1,4 +1,4 @@
-//! Log lines on long waits: which runners have free capacity, and why others take nothing.
+//! Log lines that explain long waits: the free capacity of each runner, and the conditions that keep work from it.
 
 use sagetrail_protocol::node::Now;
 
@@ -6,11 +6,12 @@
 use crate::pending_queue::PendingKey;
 use crate::runner::Runner;
 
-/// A step that has been pending for so long is logged, in milliseconds.
+/// The first step of a backlog is logged after it has been pending for this time, in milliseconds.
 const LONG_WAIT_MS: u64 = 4_000;
 
 impl Scheduler {
-    /// Logs at the debug level how many tasks are pending in each service and in which state its runners are.
+    /// Logs, at debug level, the number of pending tasks with priority 0, 1 and 2 in each service and the state of its
+    /// runners.
     pub(super) fn log_status(&mut self, now: Now) {
         let is_enabled = log::log_enabled!(log::Level::Debug);
         if !is_enabled || !self.timers.take_status_log(now.steady) {
@@ -19,18 +20,18 @@
         for service in self.pending.services() {
             let pending = self.pending.all(&service);
             log::debug!(
-                "scheduler status: term={} service={service} pending={}/{}/{} uncommitted_batches={}: {}",
+                "scheduler status: term={} service={service} pending={}/{}/{} uncommitted_batches={} runners=[{}]",
                 self.term,
-                self.waiting_tasks(&pending, 0),
-                self.waiting_tasks(&pending, 1),
-                self.waiting_tasks(&pending, 2),
+                self.count_waiting_tasks(&pending, 0),
+                self.count_waiting_tasks(&pending, 1),
+                self.count_waiting_tasks(&pending, 2),
                 self.commits.uncommitted_batches(),
                 self.describe_runners(now, &service)
             );
         }
     }
 
-    /// Logs the runners of a service where the first step of its backlog has been pending for long.
+    /// Logs, for each service whose first pending step has waited for `LONG_WAIT_MS`, that step and all runners.
     pub(super) fn log_long_waits(&mut self, now: Now) {
         if !self.timers.take_long_wait_log(now.steady) {
             return;
@@ -39,26 +40,26 @@
             let Some(&key) = self.pending.first(&service, 1).first() else {
                 continue;
             };
-            let (mut racks, limit) = self.racks(now, &service);
+            let (mut racks, hold_limit) = self.racks_and_hold_limit(now, &service);
             let Some(step) = self.jobs.step(key.step) else {
                 continue;
             };
-            let since = step.waiting_since.max(self.started_at);
-            if now.steady.millis_since(since) < LONG_WAIT_MS {
+            let pending_since = step.waiting_since.max(self.started_at);
+            if now.steady.millis_since(pending_since) < LONG_WAIT_MS {
                 continue;
             }
             log::info!(
-                "pending for long: term={} job={} service={service} step={:?}: {}",
+                "step pending for a long time: term={} job={} service={service} step={:?} runners=[{}]",
                 self.term,
                 key.step.job,
-                self.pending_step(now, key, &mut racks, limit),
+                self.pending_step(now, key, &mut racks, hold_limit),
                 self.describe_runners(now, &service)
             );
         }
     }
 
-    /// How many tasks of one priority wait in these steps.
-    fn waiting_tasks(&self, pending: &[PendingKey], priority: u32) -> usize {
+    /// Counts the waiting tasks of these steps that have the given priority.
+    fn count_waiting_tasks(&self, pending: &[PendingKey], priority: u32) -> usize {
         let of_priority = pending.iter().filter(|key| key.priority == priority);
         of_priority
             .filter_map(|key| self.jobs.step(key.step))
@@ -68,13 +69,13 @@
 
     fn describe_runners(&self, now: Now, service: &str) -> String {
         let runners = self.runners.of_service(service);
-        let states: Vec<String> = runners.map(|(_, runner)| describe(now, runner)).collect();
+        let states: Vec<String> = runners.map(|(_, runner)| describe_runner(now, runner)).collect();
         states.join("; ")
     }
 }
 
-/// A runner's free capacity, and what keeps work from it.
-fn describe(now: Now, runner: &Runner) -> String {
+/// Describes a runner's free capacity and every condition that keeps new work from it.
+fn describe_runner(now: Now, runner: &Runner) -> String {
     let free = runner.free_capacity();
     let conditions = [
         (!runner.has_runner, "absent"),
--- a/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
+++ b/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
@@ -1,9 +1,9 @@
-//! Runners drained for a step that finds no free capacity, because many runs that may not be preempted use a part of
-//! each.
+//! Drains runners for a step that finds no free capacity because runs that may not be preempted occupy a part of each
+//! runner.
 //!
-//! Without it tasks that need a whole runner, and gangs that need several, would wait as long as smaller work keeps
-//! coming. For one step of a service at a time runners are reserved until they are empty enough; the runs there end by
-//! themselves.
+//! Without this, tasks that need a whole runner, and gangs that need several, would wait as long as smaller tasks keep
+//! arriving. Runners are reserved until they are empty enough, for one step of a service at a time. The runs on them
+//! are not stopped but end by themselves.
 
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::NodeId;
@@ -15,39 +15,39 @@
 use crate::reservation::{Reservation, ReservationKind};
 use crate::spec::Stage;
 
-/// A step waits so long before runners are drained for it, in milliseconds.
+/// The time that a step waits before runners are drained for it, in milliseconds.
 const DRAIN_WAIT_MS: u64 = 1_000;
-/// Runners are reserved for so long, in milliseconds; then they are chosen anew.
+/// The time after which a drain reservation expires and runners are chosen again, in milliseconds.
 const DRAIN_RESERVATION_MS: u64 = 4_000;
-/// Only for tasks of which at most this number fits into an empty runner: smaller ones find free capacity piece by
-/// piece.
+/// Runners are drained only for tasks of which at most this number fits into an empty runner. Smaller tasks find free
+/// capacity as single runs end.
 const MAX_TASKS_PER_RUNNER: u32 = 2;
 
 /// A runner that could take tasks of the step if it were empty.
 struct Candidate {
     node: NodeId,
-    /// How many tasks; above 0.
+    /// The number of tasks that fit into the empty runner; above 0.
     slots: u32,
-    /// Thousandths of a core in use there.
+    /// The processor capacity assigned on the runner, in thousandths of a core.
     load: u64,
 }
 
 impl Scheduler {
-    /// Reserves the least loaded suitable runners for a step that has waited for long.
-    pub(super) fn reserve_by_draining(&mut self, now: Now, service: &str, key: PendingKey) {
+    /// Reserves the least loaded suitable runners for a step that has waited for `DRAIN_WAIT_MS`.
+    pub(super) fn drain_runners_for_step(&mut self, now: Now, service: &str, key: PendingKey) {
         let (Some(stage), Some(step)) =
             (self.jobs.stage(key.step).cloned(), self.jobs.step(key.step))
         else {
             return;
         };
-        let tasks = if stage.gang {
+        let task_count = if stage.gang {
             step.waiting.len() as u32
         } else {
             1
         };
-        let since = self.jobs.waiting_since(key.step);
-        let has_waited = since.is_some_and(|since| now.steady.millis_since(since) >= DRAIN_WAIT_MS);
-        if !has_waited || self.is_draining(service) {
+        let waiting_since = self.jobs.waiting_since(key.step);
+        let has_waited = waiting_since.is_some_and(|since| now.steady.millis_since(since) >= DRAIN_WAIT_MS);
+        if !has_waited || self.has_draining_runner(service) {
             return;
         }
         let reservation = Reservation {
@@ -56,8 +56,8 @@
             expires_at: now.steady.plus_millis(DRAIN_RESERVATION_MS),
             kind: ReservationKind::Draining,
         };
-        let mut remaining = tasks;
-        for candidate in self.drain_candidates(now, service, key, &stage, tasks) {
+        let mut remaining = task_count;
+        for candidate in self.find_drain_candidates(now, service, key, &stage, task_count) {
             if remaining == 0 {
                 break;
             }
@@ -66,22 +66,23 @@
         }
     }
 
-    /// True where runners of the service are being drained already.
-    fn is_draining(&self, service: &str) -> bool {
+    /// Returns true if a runner of the service is already reserved for draining.
+    fn has_draining_runner(&self, service: &str) -> bool {
         self.reservations.draining().any(|node| {
             let runner = self.runners.get(node);
             runner.is_some_and(|runner| runner.service == service)
         })
     }
 
-    /// The runners to drain, least loaded first; none where they would not suffice.
-    fn drain_candidates(
+    /// Returns the runners to drain, least loaded first; empty if they are not enough for the tasks, which for
+    /// a rack-local gang means that no single rack is enough.
+    fn find_drain_candidates(
         &self,
         now: Now,
         service: &str,
         key: PendingKey,
         stage: &Stage,
-        tasks: u32,
+        task_count: u32,
     ) -> Vec<Candidate> {
         let mut racks: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         for (node, runner) in self.runners.of_service(service) {
@@ -101,19 +102,20 @@
                 .or_default()
                 .push(Candidate { node, slots, load });
         }
-        least_loaded_rack(racks.into_values().collect(), tasks)
+        least_loaded_rack(racks.into_values().collect(), task_count)
     }
 }
 
-/// The candidates of the rack whose runners are emptied soonest, least loaded first; none where no rack suffices.
-fn least_loaded_rack(mut racks: Vec<Vec<Candidate>>, tasks: u32) -> Vec<Candidate> {
-    racks.retain(|rack| rack.iter().map(|candidate| candidate.slots).sum::<u32>() >= tasks);
+/// Returns the candidates of the rack with the least load to drain, which is emptied soonest, least loaded runner
+/// first. Returns none if no rack has enough slots.
+fn least_loaded_rack(mut racks: Vec<Vec<Candidate>>, task_count: u32) -> Vec<Candidate> {
+    racks.retain(|rack| rack.iter().map(|candidate| candidate.slots).sum::<u32>() >= task_count);
     for rack in &mut racks {
         rack.sort_by_key(|candidate| candidate.load);
     }
     let load_to_drain = |rack: &Vec<Candidate>| {
         let slots = rack.iter().map(|candidate| candidate.slots).max();
-        let runners = tasks.div_ceil(slots.unwrap_or(1)) as usize;
+        let runners = task_count.div_ceil(slots.unwrap_or(1)) as usize;
         let drained = rack.iter().take(runners);
         drained.map(|candidate| candidate.load).sum::<u64>()
     };
--- a/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
+++ b/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
@@ -1,4 +1,5 @@
-//! A job from its acceptance to its end: which of its steps are pending, and when it is forgotten.
+//! Lifecycle of a job: enqueues its ready steps, starts occurrences when they are due, ends the job and purges it after
+//! its retention.
 
 use sagetrail_protocol::node::Now;
 
@@ -11,49 +12,49 @@
 use crate::records::{Key, Outcome};
 use crate::step_run::AssignedRun;
 
-/// Beyond the bound for clients, an ended job's state stays for this long, in milliseconds.
+/// An ended job is kept this much longer than the bound for clients, `status_s`, requires, in milliseconds.
 const RETENTION_MARGIN_MS: u64 = 60_000;
 
-/// The runs and records that an ending job leaves behind.
+/// The runs and task records of a job that have to be cleaned up when it ends.
 #[derive(Default)]
-struct Leftovers {
-    /// Runs that may still be at their runners.
+struct EndCleanup {
+    /// Runs that may still be active on their runners.
     assigned: Vec<AssignedRun>,
-    /// Tasks with a record and no run.
+    /// Tasks that have a record but no assigned run.
     recorded: Vec<TaskId>,
 }
 
-impl Leftovers {
-    fn of(job: &Job, steps: &[StepId]) -> Leftovers {
-        let mut leftovers = Leftovers::default();
+impl EndCleanup {
+    fn collect(job: &Job, steps: &[StepId]) -> EndCleanup {
+        let mut cleanup = EndCleanup::default();
         for &step in steps {
             let tasks = job.step(step).into_iter().flat_map(|run| &run.tasks);
             for (index, task) in tasks.enumerate() {
                 let index = index as u32;
-                let id = TaskId { step, index };
+                let task_id = TaskId { step, index };
                 match task.runner {
-                    Some(node) => leftovers.assigned.push(AssignedRun { task: id, node }),
-                    None if task.attempt > 0 => leftovers.recorded.push(id),
+                    Some(node) => cleanup.assigned.push(AssignedRun { task: task_id, node }),
+                    None if task.attempt > 0 => cleanup.recorded.push(task_id),
                     None => {}
                 }
             }
         }
-        leftovers
+        cleanup
     }
 }
 
 impl Scheduler {
-    /// Enqueues the ready steps of all jobs at the start of a term.
+    /// Enqueues the ready steps of all active jobs; called at the start of a term.
     pub(super) fn enqueue_all_jobs(&mut self, now: Now) {
-        for id in self.jobs.active_ids() {
-            self.enqueue_job(now, id);
+        for job_id in self.jobs.active_ids() {
+            self.enqueue_job(now, job_id);
         }
     }
 
-    /// Enqueues the ready steps of a job; occurrences that are not due yet wait for their time.
-    pub(super) fn enqueue_job(&mut self, now: Now, id: JobId) {
+    /// Enqueues the ready steps of a job. Occurrences that are not due yet are added to the due times instead.
+    pub(super) fn enqueue_job(&mut self, now: Now, job_id: JobId) {
         let wall_ms = self.time_of_day.millis(now);
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.jobs.get(job_id) else {
             return;
         };
         let Some(spec) = job.spec.clone() else {
@@ -63,16 +64,16 @@
             match spec.due_ms(occurrence) {
                 Some(at_ms) if at_ms > wall_ms => self.due_times.insert(DueTime {
                     at_ms,
-                    job: id,
+                    job: job_id,
                     occurrence,
                 }),
-                _ => self.start_occurrence(id, occurrence),
+                _ => self.start_occurrence(job_id, occurrence),
             }
         }
     }
 
-    fn start_occurrence(&mut self, id: JobId, occurrence: u32) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    fn start_occurrence(&mut self, job_id: JobId, occurrence: u32) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         job.due_occurrences.insert(occurrence);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Starts the occurrences that have fallen due, and notes when the next one does.
+    /// Starts the occurrences that have become due, and sets the timer for the next one.
     pub(super) fn start_due_occurrences(&mut self, now: Now) {
         let wall_ms = self.time_of_day.millis(now);
         self.wall_ms = wall_ms;
@@ -93,64 +94,65 @@
         self.timers.next_due = wait_ms.map(|wait_ms| now.steady.plus_millis(wait_ms));
     }
 
-    /// Puts a step into the backlog, moves it there or takes it out, by its state and its objective.
-    pub(super) fn refresh_step(&mut self, id: StepId) {
-        let Some(job) = self.jobs.get(id.job).filter(|job| job.is_ready(id)) else {
-            return self.pending.remove(id);
+    /// Inserts a step into the backlog, moves it within the backlog or removes it, according to its state and
+    /// objective.
+    pub(super) fn refresh_step(&mut self, step_id: StepId) {
+        let Some(job) = self.jobs.get(step_id.job).filter(|job| job.is_ready(step_id)) else {
+            return self.pending.remove(step_id);
         };
-        let objective = Objective::of(job, id, self.wall_ms);
+        let objective = Objective::of(job, step_id, self.wall_ms);
         let key = PendingKey {
             priority: job.priority(),
             expectation: objective.expectation,
             due_ms: objective.due_ms,
             order: job.attributes.order,
-            step: id,
+            step: step_id,
         };
         self.pending.insert(&job.attributes.queue.service, key);
         self.placement_due = true;
     }
 
-    /// Ends a job that has not ended: nothing of it starts any more, and what runs is stopped unless the job is
-    /// completed.
-    pub(super) fn end_job(&mut self, now: Now, id: JobId, outcome: Outcome) {
-        let Some(job) = self.jobs.get_active_mut(id) else {
+    /// Ends a job, unless it has ended already. Its tasks no longer start, and its runs are stopped. Only the active
+    /// runs of a completed job are left to end by themselves.
+    pub(super) fn end_job(&mut self, now: Now, job_id: JobId, outcome: Outcome) {
+        let Some(job) = self.jobs.get_active_mut(job_id) else {
             return;
         };
         let steps = job.all_steps();
-        let leftovers = Leftovers::of(job, &steps);
+        let cleanup = EndCleanup::collect(job, &steps);
         job.end(outcome, now.steady);
-        self.jobs.set_ended(id);
+        self.jobs.set_ended(job_id);
         for step in steps {
             self.pending.remove(step);
         }
-        for task in leftovers.recorded {
+        for task in cleanup.recorded {
             self.commits.delete(Key::Task(task));
         }
-        for run in leftovers.assigned {
-            // The members of a gang that has ended well end by themselves.
+        for run in cleanup.assigned {
+            // When a gang has completed, its members that are still active end by themselves.
             let is_active = self.runners.assignment(run).map(|run| run.active);
             if outcome != Outcome::Completed || is_active == Some(false) {
                 self.runners.stop(run);
             }
         }
-        self.write_job(id);
+        self.write_job(job_id);
     }
 
-    /// Forgets jobs whose end is past its retention, with their records.
-    pub(super) fn purge(&mut self, now: Now) {
+    /// Removes ended jobs whose retention is over, together with their records.
+    pub(super) fn purge_ended_jobs(&mut self, now: Now) {
         if !self.timers.take_purge(now.steady) {
             return;
         }
         let status_ms = (self.settings.bounds.status_s * 1000.0) as u64;
         let retention_ms = status_ms + RETENTION_MARGIN_MS;
-        let is_past = |job: &&Job| {
+        let is_past_retention = |job: &&Job| {
             job.ended_at
                 .is_some_and(|at| now.steady.millis_since(at) > retention_ms)
         };
-        let past: Vec<JobId> = self.jobs.iter().filter(is_past).map(|job| job.id).collect();
-        for id in past {
-            self.jobs.remove(id);
-            self.commits.delete(Key::Job(id));
+        let expired: Vec<JobId> = self.jobs.iter().filter(is_past_retention).map(|job| job.id).collect();
+        for job_id in expired {
+            self.jobs.remove(job_id);
+            self.commits.delete(Key::Job(job_id));
         }
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/pending_steps.rs
+++ b/crates/cluster/scheduler/src/scheduler/pending_steps.rs
@@ -1,4 +1,5 @@
-//! Pending steps as a placement pass needs them: what they ask for, what they still wait for, and what they avoid.
+//! Builds the input of a placement pass for pending steps: their demand, how long they wait for a runner near their
+//! data, and the runners that they avoid.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::node::Now;
@@ -12,17 +13,18 @@
 use crate::spec::Stage;
 use crate::step_run::{StepRun, Task};
 
-/// A step that has been pending for so long no longer avoids runners at which its tasks failed, in milliseconds.
+/// A step avoids runners on which its tasks failed until it has been pending for this time, in milliseconds.
 const FAILED_RUNNER_AVOIDANCE_MS: u64 = 2_500;
-/// A step that has been pending for so long takes stragglers too, in milliseconds.
+/// A step avoids stragglers until it has been pending for this time, in milliseconds.
 const STRAGGLER_AVOIDANCE_MS: u64 = 1_500;
-/// A step that has been pending for so long, while many runners are idle, takes those that are being drained for another
-/// step, in milliseconds: a job must not stand still beside them for seconds.
-const DRAIN_PATIENCE_MS: u64 = 2_000;
+/// While many runners are idle, a step avoids runners that are drained for another step only until it has been pending
+/// for this time, in milliseconds: a job must not wait for seconds while runners are idle.
+const DRAIN_AVOIDANCE_MS: u64 = 2_000;
 
 impl Scheduler {
-    /// The racks of a service, and how long its work may wait for them.
-    pub(super) fn racks<'a>(&'a self, now: Now, service: &'a str) -> (Racks<'a>, HoldLimit) {
+    /// Returns the racks of a service's reachable runners, and the limit on how long tasks wait for a runner near their
+    /// data.
+    pub(super) fn racks_and_hold_limit<'a>(&'a self, now: Now, service: &'a str) -> (Racks<'a>, HoldLimit) {
         let mut racks = Racks::default();
         let (mut capacity, mut free) = (Resources::default(), Resources::default());
         for (_, runner) in self.runners.of_service(service) {
@@ -36,20 +38,21 @@
         (racks, HoldLimit::new(far_x, capacity, free))
     }
 
-    /// A pending step as a placement pass needs it. To be called in the order in which steps are placed.
+    /// Builds a placement pass's input for a pending step. Must be called in the order in which the steps are placed,
+    /// because `racks` accumulates the demand for each rack.
     pub(super) fn pending_step(
         &self,
         now: Now,
         key: PendingKey,
         racks: &mut Racks,
-        limit: HoldLimit,
+        hold_limit: HoldLimit,
     ) -> Option<PendingStep> {
         let job = self.jobs.get(key.step.job)?;
         let (stage, step) = (job.stage(key.step)?, job.step(key.step)?);
         let pending_since = step.waiting_since.max(job.accepted_at);
         let pending_ms = now.steady.millis_since(pending_since);
         let waiting = step.waiting.len() as u32;
-        let max_hold_ms = limit.of(stage.estimate_ms);
+        let max_hold_ms = hold_limit.of(stage.estimate_ms);
         let held = racks.hold(RackDemand {
             rack: &stage.affinity,
             resources: stage.resources(),
@@ -59,7 +62,7 @@
             max_hold_ms,
         });
         let avoiding = if pending_ms < FAILED_RUNNER_AVOIDANCE_MS {
-            count_avoiding(step)
+            count_failed_at(step)
         } else {
             BTreeMap::new()
         };
@@ -75,7 +78,7 @@
                 && racks.can_hold(stage.resources(), waiting),
             far_tasks: if stage.gang { u32::MAX } else { waiting - held },
             takes_stragglers: pending_ms >= STRAGGLER_AVOIDANCE_MS,
-            ignores_drains: pending_ms >= DRAIN_PATIENCE_MS && limit.is_idle(),
+            ignores_drains: pending_ms >= DRAIN_AVOIDANCE_MS && hold_limit.is_idle(),
             affinity: stage.affinity.clone(),
             constraints: stage.constraints.clone(),
             anti_affinity: stage.anti_affinity,
@@ -85,24 +88,26 @@
     }
 }
 
-/// How many waiting tasks of a step have failed at each runner.
-fn count_avoiding(step: &StepRun) -> BTreeMap<NodeId, u32> {
+/// Counts, for each runner, the waiting tasks of a step that have failed there.
+fn count_failed_at(step: &StepRun) -> BTreeMap<NodeId, u32> {
     let waiting = step
         .waiting
         .iter()
         .filter_map(|&index| step.tasks.get(index as usize));
-    count(waiting.flat_map(|task| task.failed_at.iter().copied()))
+    count_by_node(waiting.flat_map(|task| task.failed_at.iter().copied()))
 }
 
-/// How many tasks of a step are assigned to each runner; counted only where anti-affinity asks for it.
+/// Counts, for each runner, the tasks of a step that are assigned to it. Returns an empty map if the step has no
+/// anti-affinity, because only that needs the counts.
 fn count_assigned(stage: &Stage, step: &StepRun) -> BTreeMap<NodeId, u32> {
     if stage.anti_affinity == 0 {
         return BTreeMap::new();
     }
-    count(step.tasks.iter().filter_map(|task: &Task| task.runner))
+    count_by_node(step.tasks.iter().filter_map(|task: &Task| task.runner))
 }
 
-fn count(nodes: impl Iterator<Item = NodeId>) -> BTreeMap<NodeId, u32> {
+/// Counts how often each node occurs.
+fn count_by_node(nodes: impl Iterator<Item = NodeId>) -> BTreeMap<NodeId, u32> {
     let mut counts = BTreeMap::new();
     nodes.for_each(|node| *counts.entry(node).or_default() += 1);
     counts
--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -1,4 +1,4 @@
-//! One placement round: a pass for each service with pending steps, and the assignments it decides on.
+//! One placement round: runs a pass for each service with pending steps, and assigns the tasks that it placed.
 
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::NodeId;
@@ -14,16 +14,16 @@
 use crate::spec::Stage;
 use crate::step_run::{AssignedRun, StepRun};
 
-/// Outlier ejection is off while more than one in this number of reachable runners of a service is suspect.
+/// Outlier ejection is suspended while more than one in this number of a service's reachable runners is suspect.
 const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl Scheduler {
-    /// Decides and records assignments in all services.
-    pub(super) fn place(&mut self, now: Now) {
+    /// Runs a placement pass for each service with pending steps and assigns the tasks that it placed.
+    pub(super) fn place_pending_steps(&mut self, now: Now) {
         self.placement_due = false;
         let services = self.pending.services();
-        let considered = |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
-        let steps = services.iter().map(considered).sum();
+        let considered_steps = |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
+        let steps = services.iter().map(considered_steps).sum();
         self.pass_pacing
             .pass_started(now.steady, self.runners.len(), steps);
         self.update_reserved_capacity(now);
@@ -37,20 +37,20 @@
         if runners.is_empty() {
             return;
         }
-        let (mut racks, limit) = self.racks(now, service);
+        let (mut racks, hold_limit) = self.racks_and_hold_limit(now, service);
         let steps: Vec<PendingStep> = self
             .pending
             .first(service, PENDING_STEPS_PER_PASS)
             .into_iter()
-            .filter_map(|key| self.pending_step(now, key, &mut racks, limit))
+            .filter_map(|key| self.pending_step(now, key, &mut racks, hold_limit))
             .filter(|step| may_start_somewhere(step, &runners))
             .collect();
         let reserved = self.reserved_capacity.of_service(service);
         let placements = Pass::new(runners, steps, reserved, &mut self.random).run();
-        self.assign_all(now, &placements);
+        self.assign_placements(now, &placements);
     }
 
-    /// The runners of a service at which work may start, by address.
+    /// Returns the runners of a service on which work may start, sorted by address.
     fn available_runners(&self, now: Now, service: &str) -> Vec<AvailableRunner> {
         let reachable: Vec<(NodeId, &Runner)> = self
             .runners
@@ -61,11 +61,11 @@
             .iter()
             .filter(|(_, runner)| !runner.health.is_healthy())
             .count();
-        // Where many fail at once the cause lies elsewhere: ejecting them would leave too few.
-        let ejection_off = suspects * MAX_EJECTED_DIVISOR > reachable.len();
+        // If many runners fail at once, the cause is not the single runner, and ejecting them would leave too few.
+        let is_ejection_suspended = suspects * MAX_EJECTED_DIVISOR > reachable.len();
         reachable
             .into_iter()
-            .filter(|(_, runner)| ejection_off || runner.health.may_start(now.steady))
+            .filter(|(_, runner)| is_ejection_suspended || runner.health.may_start(now.steady))
             .map(|(node, runner)| AvailableRunner {
                 node,
                 free: runner.free_capacity(),
@@ -74,7 +74,7 @@
                     .reservations
                     .get(node)
                     .filter(|reservation| self.pending.contains(reservation.step)),
-                max_starts: if ejection_off || runner.health.is_healthy() {
+                max_starts: if is_ejection_suspended || runner.health.is_healthy() {
                     runner.pace.max_starts(runner.assigned.len())
                 } else {
                     1
@@ -85,8 +85,8 @@
             .collect()
     }
 
-    /// Assigns what a pass decided. All members of a gang get one attempt number.
-    fn assign_all(&mut self, now: Now, placements: &[Placement]) {
+    /// Assigns the tasks that a pass placed. All members of a gang get the same attempt number.
+    fn assign_placements(&mut self, now: Now, placements: &[Placement]) {
         let mut gang_attempts: BTreeMap<StepId, u64> = BTreeMap::new();
         for placement in placements {
             let Some(job) = self.jobs.get(placement.step.job) else {
@@ -100,7 +100,7 @@
                     .entry(placement.step)
                     .or_insert_with(|| step.next_gang_attempt());
             }
-            let Some(index) = task_to_start(step, placement.runner) else {
+            let Some(index) = choose_waiting_task(step, placement.runner) else {
                 continue;
             };
             let task = TaskId {
@@ -115,29 +115,29 @@
         }
     }
 
-    /// Assigns a task to a runner; its start is commanded once the record is committed. Tasks that are no members of
-    /// a gang take their own next attempt number.
+    /// Assigns a task to a runner. Its start is commanded after the record is committed. `gang_attempt` is the attempt
+    /// number of the gang that the task belongs to; a task outside a gang gets its own next attempt number.
     fn assign(&mut self, now: Now, run: AssignedRun, gang_attempt: Option<u64>) {
-        let AssignedRun { task: id, node } = run;
-        let Some(job) = self.jobs.get_mut(id.step.job) else {
+        let AssignedRun { task: task_id, node } = run;
+        let Some(job) = self.jobs.get_mut(task_id.step.job) else {
             return;
         };
-        let Some(resources) = job.stage(id.step).map(Stage::resources) else {
+        let Some(resources) = job.stage(task_id.step).map(Stage::resources) else {
             return;
         };
         job.has_started = true;
-        let Some(step) = job.step_mut(id.step) else {
+        let Some(step) = job.step_mut(task_id.step) else {
             return;
         };
-        let Some(task) = step.tasks.get_mut(id.index as usize) else {
+        let Some(task) = step.tasks.get_mut(task_id.index as usize) else {
             return;
         };
         task.attempt = gang_attempt.unwrap_or(task.attempt + 1);
         task.runner = Some(node);
         let attempt = task.attempt;
-        step.waiting.remove(&id.index);
+        step.waiting.remove(&task_id.index);
         let far_x = self.settings.bounds.far_x;
-        let Some(stage) = job.stage(id.step) else {
+        let Some(stage) = job.stage(task_id.step) else {
             return;
         };
         let Some(runner) = self.runners.get_mut(node) else {
@@ -146,31 +146,33 @@
         runner.health.started();
         let mut assignment = Assignment::new(attempt, resources, now.steady);
         assignment.progress = RunProgress::new(expected_run_ms(stage, runner, far_x));
-        runner.assigned.insert(id, assignment);
-        let batch = self.write_task(id);
+        runner.assigned.insert(task_id, assignment);
+        let batch = self.write_task(task_id);
         if let Some(assignment) = self.runners.assignment_mut(run) {
             assignment.batch = batch;
         }
         self.runners.wait_for_commit(batch, node);
-        self.refresh_step(id.step);
+        self.refresh_step(task_id.step);
     }
 }
 
-/// True where any runner has free capacity for a task of the step, near its data if all its tasks wait for that.
+/// Returns true if some runner that the step accepts has free capacity for one of its tasks. If all its tasks are held
+/// back for a runner near their data, only such runners count.
 fn may_start_somewhere(step: &PendingStep, runners: &[AvailableRunner]) -> bool {
-    let is_open = |runner: &AvailableRunner| {
+    let can_take_task = |runner: &AvailableRunner| {
         fits(step.resources, runner.free)
             && (step.takes_stragglers || !runner.straggler)
             && (step.far_tasks > 0 || runner.labels.contains(&step.affinity))
     };
-    runners.iter().any(is_open)
+    runners.iter().any(can_take_task)
 }
 
-/// The waiting task to start at a runner: the first that has not failed there, else the first.
-fn task_to_start(step: &StepRun, node: NodeId) -> Option<u32> {
-    let avoids = |index: &u32| step.tasks[*index as usize].failed_at.contains(&node);
+/// Returns the index of the waiting task to start on a runner: the first that has not failed there, or the first of all
+/// if each has failed there.
+fn choose_waiting_task(step: &StepRun, node: NodeId) -> Option<u32> {
+    let has_failed_here = |index: &u32| step.tasks[*index as usize].failed_at.contains(&node);
     let mut waiting = step.waiting.iter().copied();
     waiting
-        .find(|index| !avoids(index))
+        .find(|index| !has_failed_here(index))
         .or(step.waiting.first().copied())
 }
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption: capacity freed for work of a higher priority, and reserved for it.
+//! Preemption: stops runs to free capacity for a step of a higher priority, and reserves that capacity for it.
 //!
-//! Priority 0 may preempt any run of a lower priority that is neither a member of a gang nor long-running; other
-//! priorities only runs that save a checkpoint when they are stopped. Nothing is stopped unless all that it makes
-//! place for can start. The capacity is reserved until the step has started or the reservation expires.
+//! Runs of a gang and long-running ones are never preempted. Priority 0 may preempt any other run of a lower priority,
+//! the other priorities only those of them that save a checkpoint when they are stopped. Runs are stopped only if the
+//! tasks that they make room for can then start, which for a gang means all its tasks. The capacity is reserved until
+//! the step has started or the reservation expires.
 
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::NodeId;
@@ -18,65 +19,68 @@
 use crate::step_run::AssignedRun;
 use crate::victims::{offers_for_gang, PreemptionOffer, Victim};
 
-/// The number of pending steps of a service that are considered in a round.
+/// The number of pending steps of a service that one round considers, from the front of its backlog.
 const STEPS_PER_ROUND: usize = 8;
-/// A step waits so long before it preempts others, in milliseconds; an urgent one does not wait.
+/// The time that a step waits before it preempts runs, in milliseconds. An urgent step does not wait.
 const PREEMPTION_WAIT_MS: u64 = 150;
-/// A run is not preempted in its first moments, in milliseconds: it would be moved to and fro.
+/// The minimum age of a run that is preempted, in milliseconds. Without it a run could be moved back and forth.
 const MIN_RUN_MS: u64 = 500;
-/// Beyond the longest stop, for heartbeats and the commit of the record, in milliseconds.
+/// A reservation lasts this much longer than the longest stop, for heartbeats and the commit of the record, in
+/// milliseconds.
 const RESERVATION_MARGIN_MS: u64 = 1_500;
 
 impl Scheduler {
-    /// Frees capacity for the first pending steps of a service that found none.
-    pub(super) fn preempt(&mut self, now: Now, service: &str) {
+    /// Frees capacity for the first pending steps of a service, which have found none.
+    pub(super) fn preempt_for_pending_steps(&mut self, now: Now, service: &str) {
         let pending = &self.pending;
         self.reservations
             .expire(now.steady, |step| pending.contains(step));
         for key in self.pending.first(service, STEPS_PER_ROUND) {
             let is_entitled = key.priority == URGENT || self.has_waited(now, key.step);
-            let holds = self.holds_for_near_runner(now, service, key.step);
-            if !self.reservations.has_step(key.step) && is_entitled && !holds {
+            let is_held = self.holds_for_near_runner(now, service, key.step);
+            if !self.reservations.has_step(key.step) && is_entitled && !is_held {
                 self.preempt_for(now, service, key);
             }
         }
     }
 
-    /// True where a step waits for a runner near its data although others have room: it is no reason to stop anybody.
-    fn holds_for_near_runner(&self, now: Now, service: &str, id: StepId) -> bool {
-        let (Some(stage), Some(since)) = (self.jobs.stage(id), self.jobs.waiting_since(id)) else {
+    /// Returns true if a step waits for a runner near its data although other runners have free capacity. Such a step
+    /// preempts no runs.
+    fn holds_for_near_runner(&self, now: Now, service: &str, step_id: StepId) -> bool {
+        let (Some(stage), Some(since)) = (self.jobs.stage(step_id), self.jobs.waiting_since(step_id)) else {
             return false;
         };
         if stage.affinity.is_empty() || stage.gang {
             return false;
         }
-        let (_, limit) = self.racks(now, service);
+        let (_, hold_limit) = self.racks_and_hold_limit(now, service);
         let pending_ms = now.steady.millis_since(since);
         let has_room = |(_, runner): (NodeId, &Runner)| {
             runner.is_usable(now.steady)
                 && !runner.pace.is_straggler()
                 && fits(stage.resources(), runner.free_capacity())
         };
-        (pending_ms as f64) < limit.of(stage.estimate_ms)
+        (pending_ms as f64) < hold_limit.of(stage.estimate_ms)
             && self.runners.of_service(service).any(has_room)
     }
 
-    fn has_waited(&self, now: Now, id: StepId) -> bool {
-        let since = self.jobs.waiting_since(id);
-        since.is_some_and(|since| now.steady.millis_since(since) >= PREEMPTION_WAIT_MS)
+    /// Returns true if a step has waited long enough to preempt runs.
+    fn has_waited(&self, now: Now, step_id: StepId) -> bool {
+        let waiting_since = self.jobs.waiting_since(step_id);
+        waiting_since.is_some_and(|since| now.steady.millis_since(since) >= PREEMPTION_WAIT_MS)
     }
 
-    /// Preempts runs for a step and reserves their runners, or drains runners where preemption does not suffice.
+    /// Preempts runs for a step and reserves their runners. Drains runners instead if preemption cannot free enough.
     fn preempt_for(&mut self, now: Now, service: &str, key: PendingKey) {
         let (Some(stage), Some(step)) =
             (self.jobs.stage(key.step).cloned(), self.jobs.step(key.step))
         else {
             return;
         };
-        let tasks = step.waiting.len() as u32;
-        let mut offers = self.preemption_offers(now, service, key, &stage);
+        let task_count = step.waiting.len() as u32;
+        let mut offers = self.find_preemption_offers(now, service, key, &stage);
         if stage.gang {
-            offers = offers_for_gang(offers, stage.rack_local, tasks);
+            offers = offers_for_gang(offers, stage.rack_local, task_count);
         }
         if offers.is_empty() {
             return self.reserve_by_draining(now, service, key);
@@ -89,7 +93,7 @@
                 .plus_millis(self.settings.bounds.stop_ms + RESERVATION_MARGIN_MS),
             kind: ReservationKind::Preemption,
         };
-        let mut remaining = tasks;
+        let mut remaining = task_count;
         for offer in offers {
             let slots = offer.slots.min(remaining);
             remaining -= slots;
@@ -106,8 +110,8 @@
         }
     }
 
-    /// The runners at which tasks of the step would fit once runs there are stopped, smallest loss first.
-    fn preemption_offers(
+    /// Returns the runners on which tasks of the step would fit after runs there are stopped, smallest loss first.
+    fn find_preemption_offers(
         &self,
         now: Now,
         service: &str,
@@ -125,13 +129,13 @@
             .runners
             .of_service(service)
             .filter(|&(node, runner)| is_suitable(node, runner))
-            .filter_map(|(node, runner)| self.offer(now, node, runner, key.priority, stage))
+            .filter_map(|(node, runner)| self.preemption_offer(now, node, runner, key.priority, stage))
             .collect();
         offers.sort_by_key(PreemptionOffer::loss);
         offers
     }
 
-    /// True where anti-affinity lets one more task of the step run at the runner.
+    /// Returns true if anti-affinity allows one more task of the step on the runner.
     fn within_anti_affinity(&self, node: NodeId, key: PendingKey, stage: &Stage) -> bool {
         if stage.anti_affinity == 0 {
             return true;
@@ -145,7 +149,9 @@
         assigned < stage.anti_affinity as usize
     }
 
-    fn offer(
+    /// Returns the capacity that preemption on a runner can free for tasks of the step; `None` if not one task would
+    /// fit.
+    fn preemption_offer(
         &self,
         now: Now,
         node: NodeId,
@@ -176,19 +182,19 @@
         PreemptionOffer::new(node, runner.rack(), free, victims, wanted, stage.count)
     }
 
-    /// The work that stopping a run would waste, in core-milliseconds; `None` where it may not be preempted for this
-    /// priority.
-    fn preemption_loss(&self, now: Now, id: TaskId, priority: u32) -> Option<u64> {
-        let job = self.jobs.get_active(id.step.job)?;
-        let stage = job.stage(id.step)?;
+    /// Returns the work that stopping a run would waste, in core-milliseconds; `None` if the run may not be preempted
+    /// for this priority.
+    fn preemption_loss(&self, now: Now, task_id: TaskId, priority: u32) -> Option<u64> {
+        let job = self.jobs.get_active(task_id.step.job)?;
+        let stage = job.stage(task_id.step)?;
         if job.priority() <= priority || stage.gang || stage.long_running {
             return None;
         }
         if stage.checkpoints {
             return Some(0);
         }
-        let node = job.step(id.step)?.tasks.get(id.index as usize)?.runner?;
-        let run = AssignedRun { task: id, node };
+        let node = job.step(task_id.step)?.tasks.get(task_id.index as usize)?.runner?;
+        let run = AssignedRun { task: task_id, node };
         let since = self.runners.assignment(run)?.assigned_at;
         (priority == URGENT).then(|| now.steady.millis_since(since) * stage.cpu / 1000)
     }
--- a/crates/cluster/scheduler/src/scheduler/record_writes.rs
+++ b/crates/cluster/scheduler/src/scheduler/record_writes.rs
@@ -1,4 +1,4 @@
-//! Records of jobs and tasks as they are now, put into the open batch.
+//! Writes the current state of jobs and tasks to their records, in the open batch.
 
 use super::Scheduler;
 use crate::ids::{JobId, TaskId};
@@ -6,14 +6,15 @@
 use crate::step_run::AssignedRun;
 
 impl Scheduler {
-    /// Puts a task's record into the open batch, or its deletion if the task is forgotten. Returns the batch's number.
-    pub(super) fn write_task(&mut self, id: TaskId) -> u64 {
-        let Some(task) = self.jobs.task_mut(id) else {
-            return self.commits.delete(Key::Task(id));
+    /// Adds a task's record to the open batch, or the deletion of the record if the task no longer exists. Returns the
+    /// number of the batch.
+    pub(super) fn write_task(&mut self, task_id: TaskId) -> u64 {
+        let Some(task) = self.jobs.task_mut(task_id) else {
+            return self.commits.delete(Key::Task(task_id));
         };
         let assigned = task.runner.and_then(|node| {
             let runner = self.runners.get(node)?;
-            let assignment = self.runners.assignment(AssignedRun { task: id, node })?;
+            let assignment = self.runners.assignment(AssignedRun { task: task_id, node })?;
             Some(AssignmentRecord {
                 agent: node,
                 instance: runner.instance.as_str().into(),
@@ -29,13 +30,13 @@
             assigned: u8::from(assigned.is_some()),
             assignment: assigned.unwrap_or_default(),
         };
-        self.commits.put_task(Key::Task(id), &record)
+        self.commits.put_task(Key::Task(task_id), &record)
     }
 
-    /// Puts a job's record into the open batch; clients are answered once that is committed.
-    pub(super) fn write_job(&mut self, id: JobId) {
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.batch = self.commits.put_job(Key::Job(id), &job.record());
+    /// Adds a job's record to the open batch. Clients are answered after that batch is committed.
+    pub(super) fn write_job(&mut self, job_id: JobId) {
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            job.batch = self.commits.put_job(Key::Job(job_id), &job.record());
         }
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/restore.rs
+++ b/crates/cluster/scheduler/src/scheduler/restore.rs
@@ -1,4 +1,4 @@
-//! The state of earlier terms, from the replicated records.
+//! Restores jobs, tasks and assignments of earlier terms from the replicated records.
 
 use deku::DekuContainerRead;
 use sagetrail_protocol::node::Now;
@@ -13,13 +13,13 @@
 use crate::spec::JobSpec;
 
 impl Scheduler {
-    /// Restores all records; those of jobs sort before those of tasks. One that does not decode is logged and left
-    /// out.
-    pub(super) fn restore(&mut self, now: Now, records: &[(Vec<u8>, Vec<u8>)]) {
+    /// Restores all records. Relies on their order: the records of jobs sort before those of tasks. A record that
+    /// cannot be restored is logged and skipped.
+    pub(super) fn restore_records(&mut self, now: Now, records: &[(Vec<u8>, Vec<u8>)]) {
         for (key, value) in records {
             if let Err(error) = self.restore_record(now, key, value) {
                 log::error!(
-                    "record not restored: term={} key={key:02x?} error={error}",
+                    "skipping stored record that cannot be restored: term={} key={key:02x?} error={error}",
                     self.term
                 );
             }
@@ -28,12 +28,12 @@
 
     fn restore_record(&mut self, now: Now, key: &[u8], value: &[u8]) -> Result<(), SchedulerError> {
         match Key::parse(key)? {
-            Key::Job(id) => self.restore_job(now, id, value),
-            Key::Task(id) => self.restore_task(now, id, value),
+            Key::Job(job_id) => self.restore_job(now, job_id, value),
+            Key::Task(task_id) => self.restore_task(now, task_id, value),
         }
     }
 
-    fn restore_job(&mut self, now: Now, id: JobId, value: &[u8]) -> Result<(), SchedulerError> {
+    fn restore_job(&mut self, now: Now, job_id: JobId, value: &[u8]) -> Result<(), SchedulerError> {
         let (_, record) = JobRecord::from_bytes((value, 0))?;
         let attributes = JobAttributes {
             queue: QueueAttributes {
@@ -50,38 +50,38 @@
         self.jobs.observe_order(record.order);
         let job = if record.outcome == Outcome::Active {
             let spec = JobSpec::parse(&record.body)?;
-            Job::new(id, attributes, spec, record.body.0, now.steady)
+            Job::new(job_id, attributes, spec, record.body.0, now.steady)
         } else {
-            Job::ended(id, attributes, record.outcome, now.steady)
+            Job::ended(job_id, attributes, record.outcome, now.steady)
         };
         self.jobs.insert(job);
         Ok(())
     }
 
-    fn restore_task(&mut self, now: Now, id: TaskId, value: &[u8]) -> Result<(), SchedulerError> {
+    fn restore_task(&mut self, now: Now, task_id: TaskId, value: &[u8]) -> Result<(), SchedulerError> {
         let (_, record) = TaskRecord::from_bytes((value, 0))?;
-        let mut is_wanted = false;
-        if let Some(job) = self.jobs.get_active_mut(id.step.job) {
-            job.restore_task(id, &record);
-            is_wanted = record.done == 0;
+        let mut is_run_wanted = false;
+        if let Some(job) = self.jobs.get_active_mut(task_id.step.job) {
+            job.restore_task(task_id, &record);
+            is_run_wanted = record.done == 0;
         }
         if record.assigned != 0 {
-            self.restore_assignment(now, id, &record, is_wanted);
-        } else if !self.jobs.is_active(id.step.job) {
-            self.commits.delete(Key::Task(id));
+            self.restore_assignment(now, task_id, &record, is_run_wanted);
+        } else if !self.jobs.is_active(task_id.step.job) {
+            self.commits.delete(Key::Task(task_id));
         }
         Ok(())
     }
 
-    fn restore_assignment(&mut self, now: Now, id: TaskId, record: &TaskRecord, is_wanted: bool) {
+    fn restore_assignment(&mut self, now: Now, task_id: TaskId, record: &TaskRecord, is_run_wanted: bool) {
         let runner = self
             .runners
             .get_or_add(record.assignment.agent, self.started_at);
-        // Only one instance at a machine can still be running; the newest assignment names it.
+        // Only one instance on a machine can still be running, and the newest assignment names it.
         runner.instance = record.assignment.instance.0.clone();
         let resources = record.assignment.resources;
         let mut assignment = Assignment::new(record.attempt, resources, now.steady);
-        assignment.unwanted = !is_wanted;
-        runner.assigned.insert(id, assignment);
+        assignment.unwanted = !is_run_wanted;
+        runner.assigned.insert(task_id, assignment);
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/stuck_runs.rs
+++ b/crates/cluster/scheduler/src/scheduler/run_relocation.rs
@@ -1,4 +1,4 @@
-//! Runs that should move elsewhere: stalled ones, and those on a runner that shuts down.
+//! Moves runs to other runners: stalled runs, runs on draining runners, and runs on stragglers.
 
 use sagetrail_protocol::node::Now;
 
@@ -7,28 +7,29 @@
 use crate::spec::Stage;
 use crate::step_run::AssignedRun;
 
-/// A run whose progress has not changed for so long is stalled, in milliseconds, however short its estimate.
+/// The shortest time without progress after which a run is stalled, in milliseconds, however short its estimate.
 const STALL_MS: u64 = 2_000;
-/// A run may go without progress for this part of its estimate.
-const STALL_OF_ESTIMATE: f64 = 0.25;
-/// Beyond the longest stop, so that a stop is over before its runner leaves, in milliseconds.
+/// A run may be without progress for this part of its estimated duration before it is stalled.
+const STALL_ESTIMATE_FRACTION: f64 = 0.25;
+/// A run with checkpoints is evacuated this much earlier than the longest stop requires, in milliseconds, so that the
+/// stop is complete before the runner leaves.
 const EVACUATION_MARGIN_MS: u64 = 700;
-/// Progress below this says nothing of a run's pace, in hundredths.
+/// Progress below this is not used to extrapolate a run's duration, in hundredths.
 const MIN_PACE_PERCENT: u8 = 5;
 
 /// The runs to stop.
 #[derive(Default)]
 struct Relocations {
-    /// All of them.
+    /// All runs to stop.
     unwanted: Vec<AssignedRun>,
-    /// The stalled ones among them: evidence against their runners.
+    /// The stalled runs among them, which are evidence against the health of their runners.
     stalled: Vec<AssignedRun>,
 }
 
 impl Scheduler {
-    /// Stops runs that should move elsewhere.
+    /// Stops the runs that should move to another runner. Their tasks are requeued when the runs end.
     pub(super) fn relocate_runs(&mut self, now: Now) {
-        let mut relocations = self.relocations(now);
+        let mut relocations = self.find_relocations(now);
         for AssignedRun { task, node } in std::mem::take(&mut relocations.stalled) {
             log::info!(
                 "run stalled: term={} job={} task={task} runner={node}",
@@ -39,13 +40,14 @@
         }
         relocations
             .unwanted
-            .extend(self.runs_to_move_from_stragglers(now));
+            .extend(self.select_runs_to_move_from_stragglers(now));
         for run in relocations.unwanted {
             self.runners.stop(run);
         }
     }
 
-    fn relocations(&self, now: Now) -> Relocations {
+    /// Finds the stalled runs and those that must leave draining runners.
+    fn find_relocations(&self, now: Now) -> Relocations {
         let mut relocations = Relocations::default();
         for (node, runner) in self.runners.iter() {
             for (&task, assignment) in &runner.assigned {
@@ -54,7 +56,7 @@
                     continue;
                 }
                 if !assignment.active {
-                    // The agent of a draining runner offers it no start any more.
+                    // The agent of a draining runner no longer offers it any starts.
                     if runner.draining && !assignment.seen_active {
                         relocations.unwanted.push(run);
                     }
@@ -76,20 +78,20 @@
         relocations
     }
 
-    /// True where a run has been without progress for longer than its estimate explains.
+    /// Returns true if a run has been without progress for longer than its estimate permits.
     fn is_stalled(&self, now: Now, assignment: &Assignment, stage: &Stage) -> bool {
         if stage.long_running || assignment.percent >= 100 {
             return false;
         }
         let bounds = &self.settings.bounds;
-        let estimate_ms = (stage.estimate_ms * STALL_OF_ESTIMATE) as u64;
+        let estimate_ms = (stage.estimate_ms * STALL_ESTIMATE_FRACTION) as u64;
         let gang_wait_ms = if stage.gang { bounds.gang_ms } else { 0 };
         let limit_ms = STALL_MS.max(estimate_ms) + gang_wait_ms + bounds.restore_ms;
         now.steady.millis_since(assignment.progressed_at) > limit_ms
     }
 
-    /// True where a run on a draining runner should move now: it can't end before the runner leaves, or its checkpoint
-    /// would come too late.
+    /// Returns true if a run on a draining runner must be stopped now: it cannot end before the runner leaves, or a
+    /// later stop would leave too little time to save its checkpoint. Long-running tasks move at once.
     fn must_evacuate(
         &self,
         now: Now,
@@ -109,7 +111,8 @@
     }
 }
 
-/// How much longer a run takes, by its progress so far or else by its estimate, in milliseconds.
+/// Returns the remaining time of a run, extrapolated from its progress so far or else from its estimate, in
+/// milliseconds.
 fn remaining_run_ms(now: Now, assignment: &Assignment, stage: &Stage) -> u64 {
     let ran_ms = now.steady.millis_since(assignment.assigned_at);
     let percent = u64::from(assignment.percent);
--- a/crates/cluster/scheduler/src/scheduler/runner_commands.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_commands.rs
@@ -1,4 +1,5 @@
-//! Commands to runners: every run that is wanted and not there, every run that is there and not wanted.
+//! Commands to runners: start every assigned run whose record is committed and that is not active yet, stop every
+//! active run that is not wanted.
 
 use sagetrail_protocol::agent::{
     RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
@@ -9,31 +10,32 @@
 use super::Scheduler;
 use crate::runner::{CommandSet, CommandedStart, Runner};
 
-/// A runner with work sends its next heartbeat after so long, in milliseconds.
+/// The time until the next heartbeat of a runner with assigned runs, in milliseconds.
 const BUSY_HEARTBEAT_MS: u64 = 25;
-/// A runner without work sends its next heartbeat after so long, in milliseconds.
+/// The time until the next heartbeat of a runner without assigned runs, in milliseconds.
 const IDLE_HEARTBEAT_MS: u64 = 60;
 
 impl Scheduler {
-    /// Sends commands to all runners whose commands have changed.
+    /// Sends commands to all runners whose wanted commands differ from those sent last.
     pub(super) fn send_changed_commands(&mut self, now: Now) {
         for node in self.runners.take_changed() {
             let Some(runner) = self.runners.get(node) else {
                 continue;
             };
-            let is_known = runner.session.is_established();
-            if is_known && self.wanted_commands(runner) != runner.sent_commands {
+            let has_session = runner.session.is_established();
+            if has_session && self.wanted_commands(runner) != runner.sent_commands {
                 self.send_commands(now, node, None);
             }
         }
     }
 
-    /// Answers a report with commands, which renews the agent's lease.
+    /// Answers a report with commands. The answer renews the agent's lease.
     pub(super) fn answer_report(&mut self, now: Now, node: NodeId, report: &RunnerReport) {
         self.runners.clear_changed(node);
         self.send_commands(now, node, Some(report));
     }
 
+    /// Returns the commands that a runner should have now, by its assignments and its newest report.
     fn wanted_commands(&self, runner: &Runner) -> CommandSet {
         let mut wanted = CommandSet {
             instance: runner.instance.clone(),
@@ -57,7 +59,8 @@
         wanted
     }
 
-    /// Sends a runner's commands, complete. Only an answer to a report renews the lease.
+    /// Sends the complete set of a runner's commands. `report` is the report that they answer; only an answer renews
+    /// the lease.
     fn send_commands(&mut self, now: Now, node: NodeId, report: Option<&RunnerReport>) {
         let Some(runner) = self.runners.get(node) else {
             return;
@@ -71,7 +74,7 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let revision = adopt_commands(runner, wanted);
+        let revision = store_commands(runner, wanted);
         if report.is_some() {
             runner.lease_granted_at = now.steady;
         }
@@ -94,8 +97,8 @@
         self.commits.send(node, Message::RunnerCommands(commands));
     }
 
-    /// At the start of a term: tells every agent that may have runs which process schedules now, and withdraws all
-    /// starts of earlier terms.
+    /// Called at the start of a term: tells every agent that may have runs which process is the scheduler now, and
+    /// withdraws all starts commanded in earlier terms.
     pub(super) fn announce_term(&mut self) {
         for (node, runner) in self.runners.iter() {
             let commands = RunnerCommands {
@@ -114,7 +117,8 @@
         }
     }
 
-    /// A start with what the run needs; `None` where its job has ended.
+    /// Builds a start command with the job's specification and the checkpoint to resume from; `None` if the job has
+    /// ended.
     fn start_command(&self, start: CommandedStart) -> Option<StartCommand> {
         let CommandedStart { task, attempt } = start;
         let job = self.jobs.get(task.step.job)?;
@@ -134,9 +138,9 @@
     }
 }
 
-/// Makes the commands the runner's newest; returns their revision. From then on unwanted runs that are not active
-/// count as withdrawn.
-fn adopt_commands(runner: &mut Runner, wanted: CommandSet) -> u64 {
+/// Stores the commands as the runner's newest and returns their revision. Marks unwanted runs that are not active as
+/// withdrawn in this revision, unless they were withdrawn earlier.
+fn store_commands(runner: &mut Runner, wanted: CommandSet) -> u64 {
     if wanted != runner.sent_commands || runner.revision == 0 {
         runner.revision += 1;
         runner.sent_commands = wanted;
--- a/crates/cluster/scheduler/src/scheduler/runner_reports.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_reports.rs
@@ -1,4 +1,4 @@
-//! Agents' reports: which runs are active, which have ended, which can no longer be running.
+//! Reports from agents: which runs are active, which have ended, and which can no longer be running.
 
 use sagetrail_protocol::agent::{FinishedRun, RunnerReport, StopCommand};
 use sagetrail_protocol::node::Now;
@@ -14,7 +14,8 @@
 const MICROS_PER_MS: u64 = 1_000;
 
 impl Scheduler {
-    /// Takes in a report and answers it with commands.
+    /// Processes a report and answers it with commands. A report from a newer term or a late one gets no answer. The
+    /// report of an agent that may have been replaced is answered and changes nothing else.
     pub(super) fn runner_report(&mut self, now: Now, from: NodeId, report: RunnerReport) {
         if report.term > self.term {
             return;
@@ -40,7 +41,7 @@
         self.placement_due = true;
     }
 
-    /// Takes over what a report says of the runner and its runs.
+    /// Updates a runner and its runs from a report.
     fn update_runner(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         if !self.update_instance(now, from, report) {
             return;
@@ -58,9 +59,11 @@
         }
     }
 
-    /// Returns true where the report is about the instance that runs now. With another instance on the machine
-    /// whatever the former one ran is over. An agent that started anew may have a late heartbeat of a dead instance:
-    /// its report counts once all starts are resolved, or no lease lasts.
+    /// Checks which instance a report describes, and returns true if that is the runner's current instance. A different
+    /// instance replaces the current one, and all runs of the replaced instance are over. A restarted agent may have
+    /// received a late heartbeat of a dead instance. Therefore a report of a different instance is believed only if it
+    /// is of this term and all starts are resolved or no lease is valid any more. Until then the runner's state is
+    /// unknown.
     fn update_instance(&mut self, now: Now, node: NodeId, report: &RunnerReport) -> bool {
         let Some(runner) = self.runners.get_mut(node) else {
             return false;
@@ -83,14 +86,15 @@
         true
     }
 
-    /// Everything assigned to the runner is over.
+    /// Ends all runs assigned to a runner with `RunEnd::LeaseExpired`.
     pub(super) fn end_all_runs(&mut self, now: Now, node: NodeId) {
         for task in self.runners.assigned_tasks(node) {
             self.end_run(now, EndedRun::lease_expired(AssignedRun { task, node }));
         }
     }
 
-    /// Marks the assignments that the report lists as active, and collects active runs that nobody assigned.
+    /// Marks the assignments that the report lists as active, and collects active runs that are not assigned, which are
+    /// then stopped.
     fn update_active_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let Some(runner) = self.runners.get_mut(from) else {
             return;
@@ -104,14 +108,14 @@
             return;
         }
         let mut progresses = Vec::new();
-        let reported_at = heartbeat_sent_at(report);
+        let heartbeat_us = heartbeat_time_us(report);
         for run in report.active.iter() {
-            let id = TaskId::parse(&run.task);
-            let assignment = id.and_then(|id| runner.assigned.get_mut(&id));
+            let task_id = TaskId::parse(&run.task);
+            let assignment = task_id.and_then(|task_id| runner.assigned.get_mut(&task_id));
             match assignment.filter(|assignment| assignment.attempt == run.attempt) {
                 Some(assignment) => {
                     assignment.set_active(run.percent, now.steady);
-                    let progress = assignment.progress.advance(reported_at, run.percent);
+                    let progress = assignment.progress.advance(heartbeat_us, run.percent);
                     progresses.extend(progress);
                 }
                 None => runner.unknown_runs.push(StopCommand {
@@ -120,7 +124,7 @@
                 }),
             }
         }
-        // What is slow from its start is no straggler.
+        // A runner in slow start is slow by design, so its progress is no evidence of a straggler.
         if report.slow_start_remaining_ms == 0 {
             for progress in progresses {
                 runner.pace.record(now.steady, progress);
@@ -131,7 +135,8 @@
         }
     }
 
-    /// Records new checkpoints of active runs: one that only this process knows would be lost with it.
+    /// Writes new checkpoints of active runs to the tasks' records. A checkpoint kept only in memory would be lost when
+    /// this process fails.
     fn update_checkpoints(&mut self, report: &RunnerReport) {
         if report.lease_expired {
             return;
@@ -142,23 +147,23 @@
             .iter()
             .filter(|run| !run.checkpoint.is_empty())
         {
-            let Some(id) = TaskId::parse(&run.task) else {
+            let Some(task_id) = TaskId::parse(&run.task) else {
                 continue;
             };
-            let Some(task) = self.jobs.task_mut(id) else {
+            let Some(task) = self.jobs.task_mut(task_id) else {
                 continue;
             };
             if task.attempt == run.attempt && task.checkpoint != run.checkpoint.0 {
                 task.checkpoint = run.checkpoint.0.clone();
-                updated.push(id);
+                updated.push(task_id);
             }
         }
-        for id in updated {
-            self.write_task(id);
+        for task_id in updated {
+            self.write_task(task_id);
         }
     }
 
-    /// Takes in ends that are not in a batch yet, in the order of the runner's numbers.
+    /// Processes the reported ends of runs that are not in a batch yet, in the order of the runner's numbers.
     fn record_finished_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
         let mut finished: Vec<&FinishedRun> = report.finished.iter().collect();
         finished.sort_by_key(|run| run.number);
@@ -181,10 +186,10 @@
             self.runners.wait_for_commit(batch, from);
             self.runners.set_changed(from);
         }
-        self.observe_ends(from);
+        self.acknowledge_committed_ends(from);
     }
 
-    /// Ends an assigned run as reported; an end of any other attempt changes nothing.
+    /// Ends an assigned run as reported. Ignores the end of any other attempt.
     fn end_finished_run(&mut self, now: Now, node: NodeId, finished: &FinishedRun) {
         let Some(task) = TaskId::parse(&finished.task) else {
             return;
@@ -201,23 +206,24 @@
         }
     }
 
-    /// Ends what is neither active nor finished and can no longer start.
+    /// Ends assigned runs that the report lists neither as active nor as finished, and that can no longer start or be
+    /// active. Other absent runs become unwanted if the runner's lease has expired.
     fn end_absent_runs(&mut self, now: Now, from: NodeId, report: &RunnerReport) {
-        let is_of_term = report.term == self.term;
+        let is_current_term = report.term == self.term;
         let Some(runner) = self.runners.get_mut(from) else {
             return;
         };
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         let mut has_unwanted = false;
-        let absent = runner.assigned.iter_mut().filter(|(_, run)| !run.active);
-        for (&task, assignment) in absent {
+        let inactive = runner.assigned.iter_mut().filter(|(_, run)| !run.active);
+        for (&task, assignment) in inactive {
             let is_withdrawn = assignment
                 .withdrawn_in
-                .is_some_and(|revision| is_of_term && report.revision >= revision);
+                .is_some_and(|revision| is_current_term && report.revision >= revision);
             let cannot_start = is_withdrawn && (report.starts_resolved || report.lease_expired);
-            let ran_and_expired = report.lease_expired && assignment.seen_active;
-            if cannot_start || ran_and_expired {
-                over.push(task);
+            let was_active_and_expired = report.lease_expired && assignment.seen_active;
+            if cannot_start || was_active_and_expired {
+                ended.push(task);
             } else if report.lease_expired {
                 assignment.unwanted = true;
                 has_unwanted = true;
@@ -226,26 +232,27 @@
         if has_unwanted {
             self.runners.set_changed(from);
         }
-        for task in over {
+        for task in ended {
             let run = AssignedRun { task, node: from };
             self.end_run(now, EndedRun::lease_expired(run));
         }
     }
 
-    /// Ends of a runner whose batches are committed may be observed.
-    pub(super) fn observe_ends(&mut self, node: NodeId) {
+    /// Raises the number up to which a runner's ends are committed, so that the next commands acknowledge them and the
+    /// runner may forget them.
+    pub(super) fn acknowledge_committed_ends(&mut self, node: NodeId) {
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let before = runner.observed;
+        let observed_before = runner.observed;
         let commits = &self.commits;
         runner.observe_ends(|batch| commits.is_committed(batch));
-        if runner.observed != before {
+        if runner.observed != observed_before {
             self.runners.set_changed(node);
         }
     }
 
-    /// Ends the runs of runners that have been unreachable for longer than any lease of theirs.
+    /// Ends the runs of runners that have been unreachable for longer than their last lease can be valid.
     pub(super) fn expire_unreachable_runners(&mut self, now: Now) {
         let has_expired =
             |runner: &Runner| !runner.assigned.is_empty() && runner.is_beyond_lease(now.steady);
@@ -257,7 +264,7 @@
             .collect();
         for node in expired {
             log::warn!(
-                "runner unreachable beyond its lease, its runs are over: term={} runner={node}",
+                "runner unreachable until its lease expired, ending its runs: term={} runner={node}",
                 self.term
             );
             self.end_all_runs(now, node);
@@ -268,13 +275,13 @@
     }
 }
 
-/// When the runner sent the heartbeat on which a report builds, by the agent's steady clock, in microseconds.
-fn heartbeat_sent_at(report: &RunnerReport) -> u64 {
+/// Returns the time of the runner's heartbeat that a report is based on, by the agent's steady clock, in microseconds.
+fn heartbeat_time_us(report: &RunnerReport) -> u64 {
     let since_heartbeat_us = report.since_heartbeat_ms.saturating_mul(MICROS_PER_MS);
     report.sent_at.saturating_sub(since_heartbeat_us)
 }
 
-/// Takes over what a report says of the runner itself.
+/// Updates the attributes of the runner itself from a report.
 fn update_attributes(runner: &mut Runner, report: &RunnerReport) {
     let labels = || report.labels.iter().map(|label| &label.0);
     runner.service = report.service.0.clone();
@@ -282,7 +289,7 @@
         runner.labels = labels().cloned().collect();
     }
     runner.capacity = report.capacity;
-    // Once it drains, an instance drains until its end; an agent that started anew may not know.
+    // An instance that drains continues to drain until it ends, but a restarted agent may not know that it does.
     runner.draining |= report.draining;
     runner.lease_expired = report.lease_expired;
     runner.remaining_ms = report.remaining_ms;
--- a/crates/cluster/scheduler/src/scheduler/stragglers.rs
+++ b/crates/cluster/scheduler/src/scheduler/stragglers.rs
@@ -1,5 +1,5 @@
-//! Runners that work much slower than others: told apart by the pace of their runs, and relieved of runs that end sooner
-//! where they begin anew elsewhere.
+//! Stragglers: detects runners that work much slower than others by the pace of their runs, and selects the runs to
+//! move away from them because they end sooner when restarted elsewhere.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::node::Now;
@@ -13,38 +13,41 @@
 use crate::spec::Stage;
 use crate::step_run::AssignedRun;
 
-/// A run moves where it would take this many times as long to its end as it takes anew elsewhere.
+/// A run is moved if its remaining time here is more than this multiple of the time that a new run takes elsewhere.
 const MOVE_GAIN: f64 = 1.5;
-/// What a move takes beside the stop and the work, in milliseconds: two heartbeats and the commit of a record.
-const MOVE_MS: f64 = 150.0;
-/// The slowest pace that is told from a standstill, as a part of the median.
+/// The time that a move takes in addition to the stop and the work, in milliseconds: two heartbeats and the commit of a
+/// record.
+const MOVE_OVERHEAD_MS: f64 = 150.0;
+/// The lower bound of a runner's pace, as a part of the median. It keeps the remaining time finite for stalled runs.
 const MIN_RELATIVE_PACE: f64 = 0.01;
 
-/// The runners of one service, as far as their pace goes.
+/// The paces and the free capacity of the runners of one service.
 #[derive(Debug, Default)]
 struct ServicePaces {
+    /// The paces of the usable runners with enough evidence.
     known: Vec<f64>,
+    /// The median of these; `None` if too few are known.
     median: Option<f64>,
-    /// Free capacity of sound runners, less that of the runs that move.
+    /// Free capacity of the runners that are no stragglers, less that of the runs selected to move.
     free: Resources,
 }
 
 impl Scheduler {
-    /// Judges all runners by the median pace of their service.
-    pub(super) fn judge_paces(&mut self, now: Now) {
-        let medians = self.median_paces(now);
+    /// Updates the pace verdict of all runners by the median pace of their service, and logs changes.
+    pub(super) fn update_pace_verdicts(&mut self, now: Now) {
+        let medians = self.compute_median_paces(now);
         let nodes: Vec<NodeId> = self.runners.iter().map(|(node, _)| node).collect();
         for node in nodes {
             let Some(runner) = self.runners.get_mut(node) else {
                 continue;
             };
             let median = medians.get(&runner.service).copied();
-            let before = runner.pace.verdict();
+            let previous_verdict = runner.pace.verdict();
             runner.pace.judge(now.steady, median);
             let verdict = runner.pace.verdict();
-            if verdict != before {
+            if verdict != previous_verdict {
                 log::info!(
-                    "runner pace: term={} runner={node} verdict={verdict:?} pace={:?} median={median:?}",
+                    "pace verdict changed: term={} runner={node} verdict={verdict:?} pace={:?} median={median:?}",
                     self.term,
                     runner.pace.pace()
                 );
@@ -52,8 +55,8 @@
         }
     }
 
-    /// The median pace of each service that has one.
-    fn median_paces(&self, now: Now) -> BTreeMap<String, f64> {
+    /// Returns the median pace of each service; services with too few known paces are left out.
+    fn compute_median_paces(&self, now: Now) -> BTreeMap<String, f64> {
         let mut known: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for (_, runner) in self.runners.iter() {
             if let Some(pace) = runner
@@ -70,8 +73,8 @@
         known.into_iter().filter_map(median).collect()
     }
 
-    /// The runs at stragglers that end sooner elsewhere, as far as sound runners have free capacity.
-    pub(super) fn runs_to_move_from_stragglers(&self, now: Now) -> Vec<AssignedRun> {
+    /// Selects the runs on stragglers that would end sooner elsewhere, up to the free capacity of the other runners.
+    pub(super) fn select_runs_to_move_from_stragglers(&self, now: Now) -> Vec<AssignedRun> {
         let has_stragglers = self
             .runners
             .iter()
@@ -79,7 +82,7 @@
         if !has_stragglers {
             return Vec::new();
         }
-        let mut services = self.service_paces(now);
+        let mut services = self.collect_service_paces(now);
         let mut runs = Vec::new();
         for (node, runner) in self.runners.iter() {
             let service = services.get_mut(runner.service.as_str());
@@ -103,7 +106,8 @@
         runs
     }
 
-    fn service_paces(&self, now: Now) -> BTreeMap<&str, ServicePaces> {
+    /// Collects the paces and the free capacity of each service's usable runners.
+    fn collect_service_paces(&self, now: Now) -> BTreeMap<&str, ServicePaces> {
         let mut services: BTreeMap<&str, ServicePaces> = BTreeMap::new();
         for (_, runner) in self.runners.iter() {
             let service = services.entry(&runner.service).or_default();
@@ -121,7 +125,8 @@
         services
     }
 
-    /// True where a run at a straggler would take much longer to its end than begun anew at a runner of median pace.
+    /// Returns true if a run on a straggler would take more than `MOVE_GAIN` times as long to its end as a new run on a
+    /// runner of median pace.
     fn ends_sooner_elsewhere(
         &self,
         runner: &Runner,
@@ -137,21 +142,21 @@
             return false;
         }
         let bounds = &self.settings.bounds;
-        let left = f64::from(100 - assignment.percent.min(100)) / 100.0;
+        let remaining_share = f64::from(100 - assignment.percent.min(100)) / 100.0;
         let relative_pace = (pace / median).max(MIN_RELATIVE_PACE);
-        let here_ms = expected_ms * left / relative_pace;
+        let remaining_ms = expected_ms * remaining_share / relative_pace;
         let work_ms = if stage.checkpoints {
-            stage.estimate_ms * left + bounds.restore_ms as f64
+            stage.estimate_ms * remaining_share + bounds.restore_ms as f64
         } else {
             stage.estimate_ms
         };
-        let elsewhere_ms = work_ms + bounds.stop_ms as f64 + MOVE_MS;
-        here_ms > MOVE_GAIN * elsewhere_ms
+        let elsewhere_ms = work_ms + bounds.stop_ms as f64 + MOVE_OVERHEAD_MS;
+        remaining_ms > MOVE_GAIN * elsewhere_ms
     }
 }
 
-/// How long a run of the step should take at the runner, in milliseconds; 0 where its progress says nothing of the
-/// runner's pace: members of gangs wait for each other, lasting tasks have none.
+/// Returns how long a run of the step should take on the runner, in milliseconds; 0 if its progress is no evidence of
+/// the runner's pace: members of a gang wait for each other, and long-running tasks report no progress.
 pub(super) fn expected_run_ms(stage: &Stage, runner: &Runner, far_x: f64) -> f64 {
     if stage.gang || stage.long_running {
         return 0.0;
--- a/crates/cluster/scheduler/src/scheduler/urgent_demand.rs
+++ b/crates/cluster/scheduler/src/scheduler/urgent_demand.rs
@@ -1,4 +1,5 @@
-//! Measures what urgent work uses and waits for, by service, for the capacity that is reserved for it.
+//! Measures the resources that urgent runs use and urgent tasks wait for in each service. The capacity reserved for
+//! urgent work is computed from this demand.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::node::Now;
@@ -11,7 +12,7 @@
 use crate::runner::Runner;
 
 impl Scheduler {
-    /// Computes anew what is reserved for urgent work, at most as often as `ReservedCapacity` wants it.
+    /// Recomputes the capacity reserved for urgent work, no more often than `ReservedCapacity` allows.
     pub(super) fn update_reserved_capacity(&mut self, now: Now) {
         if !self.reserved_capacity.start_update(now.steady) {
             return;
@@ -29,9 +30,9 @@
         }
     }
 
-    /// Adds a runner's capacity and the urgent runs there.
+    /// Adds a runner's capacity and the resources of its urgent runs to the demand.
     fn add_usage(&self, now: Now, demand: &mut UrgentDemand, runner: &Runner) {
-        // What takes no new work has no capacity to reserve either.
+        // A runner that takes no new work has no capacity to reserve.
         if runner.is_reachable(now.steady) {
             add(&mut demand.capacity, runner.capacity);
         }
@@ -43,17 +44,17 @@
         }
     }
 
-    /// Adds what pending urgent steps of a service ask for.
+    /// Adds the resources that the waiting tasks of urgent steps ask for, if these steps can run somewhere.
     fn add_waiting(&self, now: Now, demand: &mut UrgentDemand, service: &str) {
         let pending = self.pending.all(service);
         for key in pending.iter().take_while(|key| key.priority == URGENT) {
             if self.may_run_somewhere(now, service, key) {
-                add(&mut demand.waiting, self.resources_waited_for(key));
+                add(&mut demand.waiting, self.waiting_resources(key));
             }
         }
     }
 
-    /// True where any runner that takes new work meets the constraints of a step.
+    /// Returns true if some runner that takes new work meets the constraints of a step.
     fn may_run_somewhere(&self, now: Now, service: &str, key: &PendingKey) -> bool {
         let Some(stage) = self.jobs.stage(key.step) else {
             return false;
@@ -66,15 +67,15 @@
             .any(|(_, runner)| is_suitable(runner))
     }
 
-    /// What all waiting tasks of a step ask for.
-    fn resources_waited_for(&self, key: &PendingKey) -> Resources {
+    /// Returns the resources that all waiting tasks of a step together ask for.
+    fn waiting_resources(&self, key: &PendingKey) -> Resources {
         let (Some(stage), Some(step)) = (self.jobs.stage(key.step), self.jobs.step(key.step))
         else {
             return Resources::default();
         };
-        let tasks = step.waiting.len() as u64;
+        let task_count = step.waiting.len() as u64;
         combine(stage.resources(), Resources::default(), |wanted, _| {
-            wanted.saturating_mul(tasks)
+            wanted.saturating_mul(task_count)
         })
     }
 }
