--- a/crates/cluster/scheduler/tests/client_answers.rs
+++ b/crates/cluster/scheduler/tests/client_answers.rs
@@ -1,5 +1,7 @@
-//! What the scheduler answers to clients' requests: status, `Retry-After` in milliseconds and body of each outcome, as
-//! in `fixtures/client_answers.txt`. The gateway forwards them.
+//! The scheduler's answers to client requests: status, `Retry-After` in milliseconds and body of each outcome, compared
+//! with `fixtures/client_answers.txt`.
+//!
+//! Guards against unintended changes of these answers, which the gateway forwards to clients as they are.
 
 mod test_cluster;
 
@@ -14,10 +16,10 @@
 const OTHER_JOB: &str = "00000000000000bb";
 const UNKNOWN_JOB: &str = "00000000000000cc";
 const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
-/// The most jobs that the scheduler takes.
+/// The maximum number of jobs that the scheduler keeps.
 const MAX_JOBS: usize = 40_000;
 
-/// Bodies that are not valid jobs.
+/// Request bodies that are not valid jobs.
 const BAD_JOBS: [&str; 12] = [
     "",
     "{",
@@ -33,14 +35,15 @@
     r#"{"stages":[{"count":1}],"repeat":0}"#,
 ];
 
+/// Adds an answer to the transcript.
 fn add_reply(transcript: &mut Transcript, name: &str, reply: &ClientReply) {
     let answer = http_answer(reply.status, None, &reply.body);
-    let wait = reply.retry_after_ms;
-    transcript.add(name, &format!("again after {wait} ms, {answer}"));
+    let retry_after_ms = reply.retry_after_ms;
+    transcript.add(name, &format!("again after {retry_after_ms} ms, {answer}"));
 }
 
-/// Adds the answer to a request, once what it changes is committed.
-fn add(
+/// Sends a request, commits its changes and adds the answer to the transcript.
+fn add_answer(
     transcript: &mut Transcript,
     cluster: &mut TestCluster,
     name: &str,
@@ -51,7 +54,7 @@
     cluster.commit();
     let reply = cluster
         .reply(number)
-        .unwrap_or_else(|| panic!("no answer: {name}"));
+        .unwrap_or_else(|| panic!("request without an answer: {name}"));
     add_reply(transcript, name, reply);
 }
 
@@ -59,51 +62,51 @@
     format!("/q/{job}")
 }
 
-fn life_of_a_job(transcript: &mut Transcript) {
+fn add_job_lifecycle(transcript: &mut Transcript) {
     let mut cluster = TestCluster::new(1);
     let path = job_path(JOB);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "a queue without jobs",
         (Read, "/q/", ""),
     );
-    add(transcript, &mut cluster, "a job", (Submit, &path, ONE_TASK));
-    add(
+    add_answer(transcript, &mut cluster, "a job", (Submit, &path, ONE_TASK));
+    add_answer(
         transcript,
         &mut cluster,
         "the same job again",
         (Submit, &path, ONE_TASK),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "the same job with another body",
         (Submit, &path, "{"),
     );
-    add(transcript, &mut cluster, "its queue", (Read, "/q/", ""));
-    add(transcript, &mut cluster, "its state", (Read, &path, ""));
+    add_answer(transcript, &mut cluster, "its queue", (Read, "/q/", ""));
+    add_answer(transcript, &mut cluster, "its state", (Read, &path, ""));
     cluster.execute_commands();
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state once it runs",
         (Read, &path, ""),
     );
     cluster.end_all_runs(RunEnd::Done);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state at its end",
         (Read, &path, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its cancellation after its end",
         (Cancel, &path, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state after that",
@@ -111,25 +114,25 @@
     );
 
     let path = job_path(OTHER_JOB);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "another job",
         (Submit, &path, ONE_TASK),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its cancellation",
         (Cancel, &path, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its cancellation again",
         (Cancel, &path, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state when cancelled",
@@ -138,7 +141,7 @@
 
     let mut cluster = TestCluster::with_config(1, config(1, 1, 1));
     let path = job_path(JOB);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "a job with one attempt",
@@ -146,7 +149,7 @@
     );
     cluster.execute_commands();
     cluster.end_all_runs(RunEnd::Failed);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state when failed",
@@ -154,20 +157,20 @@
     );
 }
 
-fn a_job_that_waits(transcript: &mut Transcript) {
+fn add_job_not_yet_due(transcript: &mut Transcript) {
     let mut cluster = TestCluster::new(1);
     let path = job_path(JOB);
-    let later = START_WALL_MS + 60_000;
+    let first_run_ms = START_WALL_MS + 60_000;
     let body = format!(
-        r#"{{"stages":[{{"count":1,"cpu":500}}],"repeat":2,"first_run_ms":{later},"interval_ms":2000}}"#
+        r#"{{"stages":[{{"count":1,"cpu":500}}],"repeat":2,"first_run_ms":{first_run_ms},"interval_ms":2000}}"#
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "a job for later",
         (Submit, &path, &body),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "its state before",
@@ -175,44 +178,44 @@
     );
 }
 
-fn rejected_requests(transcript: &mut Transcript) {
+fn add_rejected_requests(transcript: &mut Transcript) {
     let mut cluster = TestCluster::new(1);
     let unknown = job_path(UNKNOWN_JOB);
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "an unknown job's state",
         (Read, &unknown, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "an unknown job's cancellation",
         (Cancel, &unknown, ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "no such queue",
         (Read, "/none/", ""),
     );
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "no such queue, with a job",
         (Submit, "/none/00000000000000aa", ONE_TASK),
     );
     for path in ["/q/nothex", "/q/00000000000000AA", "/q/0a", "/q/"] {
-        add(
+        add_answer(
             transcript,
             &mut cluster,
             &format!("POST {path}"),
             (Submit, path, ONE_TASK),
         );
     }
-    add(transcript, &mut cluster, "DELETE /q/", (Cancel, "/q/", ""));
+    add_answer(transcript, &mut cluster, "DELETE /q/", (Cancel, "/q/", ""));
     for body in BAD_JOBS {
-        add(
+        add_answer(
             transcript,
             &mut cluster,
             &format!("no job: {body}"),
@@ -221,13 +224,13 @@
     }
 }
 
-fn too_many_jobs(transcript: &mut Transcript) {
+fn add_job_over_the_limit(transcript: &mut Transcript) {
     let mut cluster = TestCluster::new(0);
     for number in 0..MAX_JOBS {
         cluster.submit(&format!("{number:016x}"), ONE_TASK);
     }
     let path = job_path(&format!("{MAX_JOBS:016x}"));
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "one job over those kept",
@@ -235,10 +238,10 @@
     );
 }
 
-fn no_configuration(transcript: &mut Transcript) {
+fn add_request_without_configuration(transcript: &mut Transcript) {
     let mut cluster = TestCluster::new(0);
     cluster.scheduler = start_scheduler(cluster.now, 2, 7, StoredState::default());
-    add(
+    add_answer(
         transcript,
         &mut cluster,
         "without a configuration",
@@ -249,10 +252,10 @@
 #[test]
 fn every_answer_equals_the_fixture() {
     let mut transcript = Transcript::default();
-    life_of_a_job(&mut transcript);
-    a_job_that_waits(&mut transcript);
-    rejected_requests(&mut transcript);
-    too_many_jobs(&mut transcript);
-    no_configuration(&mut transcript);
+    add_job_lifecycle(&mut transcript);
+    add_job_not_yet_due(&mut transcript);
+    add_rejected_requests(&mut transcript);
+    add_job_over_the_limit(&mut transcript);
+    add_request_without_configuration(&mut transcript);
     transcript.assert_kept(FIXTURE);
 }
--- a/crates/cluster/scheduler/tests/late_reports.rs
+++ b/crates/cluster/scheduler/tests/late_reports.rs
@@ -1,5 +1,7 @@
-//! Late reports of an earlier incarnation of an agent, or of a dead runner: they end nothing, start nothing and take
-//! no living agent's place.
+//! Late reports: of a replaced incarnation of an agent, or of a runner instance that is dead.
+//!
+//! Guards against a report that is delayed on the network and then taken as current. It would end runs that are still
+//! active, start their tasks a second time, or replace the live agent, whose own reports would then be ignored.
 
 mod test_cluster;
 
@@ -11,41 +13,43 @@
 use std::collections::BTreeMap;
 use test_cluster::{config, node, TestCluster};
 
-const A: &str = "00000000000000aa";
+const JOB: &str = "00000000000000aa";
 const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
+/// The number of random schedules, one for each seed.
 const SCHEDULES: u64 = 1_500;
+/// The number of random steps in a schedule.
 const STEPS: usize = 60;
 
-fn one_running() -> (TestCluster, NodeId) {
+fn cluster_with_one_run() -> (TestCluster, NodeId) {
     let mut cluster = TestCluster::new(2);
-    cluster.submit(A, ONE_TASK);
+    cluster.submit(JOB, ONE_TASK);
     cluster.commit();
     cluster.execute_commands();
-    let at = cluster.running()[0].node;
-    (cluster, at)
+    let runner_node = cluster.running()[0].node;
+    (cluster, runner_node)
 }
 
-fn other_than(at: NodeId) -> NodeId {
-    if at == node(0) {
+fn other_node(runner_node: NodeId) -> NodeId {
+    if runner_node == node(0) {
         node(1)
     } else {
         node(0)
     }
 }
 
-/// Time passes and all agents report; nothing may have been started beside what runs.
-fn nothing_starts_again(cluster: &mut TestCluster) {
+/// Lets time pass while all agents report, and asserts that the run continues and its task is not started again.
+fn assert_not_restarted(cluster: &mut TestCluster) {
     for _ in 0..6 {
         cluster.advance_ms(100);
         cluster.report_all();
         cluster.execute_commands();
     }
     assert_eq!(cluster.running().len(), 1);
-    assert_eq!(cluster.running()[0].attempt, 1, "it was started again");
+    assert_eq!(cluster.running()[0].attempt, 1, "the task was started again");
 }
 
-/// What a former agent reported of a former instance.
-fn former(report: RunnerReport) -> RunnerReport {
+/// Changes a report into one of a replaced agent about a former instance without active runs.
+fn report_of_replaced_agent(report: RunnerReport) -> RunnerReport {
     let instance = "i-former".into();
     RunnerReport {
         agent: 9,
@@ -57,90 +61,90 @@
 }
 
 #[test]
-fn a_late_report_of_a_former_agent_does_not_silence_the_present_one() {
-    let (mut cluster, at) = one_running();
-    let late = cluster.next_report(at).expect("a report");
-    cluster.restart_agent(at, 60);
+fn a_late_report_of_a_replaced_agent_does_not_shut_out_the_current_one() {
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    let late = cluster.next_report(runner_node).expect("a report");
+    cluster.restart_agent(runner_node, 60);
     cluster.start_next_term(config(1, 2, 1));
     cluster.report_all();
     cluster.report_all();
-    cluster.deliver(at, late);
-    nothing_starts_again(&mut cluster);
+    cluster.deliver(runner_node, late);
+    assert_not_restarted(&mut cluster);
     cluster.end_all_runs(RunEnd::Done);
-    assert_eq!(cluster.state(A), "completed");
+    assert_eq!(cluster.state(JOB), "completed");
 }
 
 #[test]
 fn a_late_report_that_comes_first_in_a_term_ends_nothing() {
-    let (mut cluster, at) = one_running();
-    let report = cluster.next_report(at).expect("a report");
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    let report = cluster.next_report(runner_node).expect("a report");
     cluster.start_next_term(config(1, 2, 1));
-    cluster.deliver(at, former(report.clone()));
+    cluster.deliver(runner_node, report_of_replaced_agent(report.clone()));
     cluster.deliver(
-        at,
+        runner_node,
         RunnerReport {
             lease_expired: true,
-            ..former(report)
+            ..report_of_replaced_agent(report)
         },
     );
-    nothing_starts_again(&mut cluster);
+    assert_not_restarted(&mut cluster);
 }
 
 #[test]
 fn a_late_report_in_the_middle_of_a_term_ends_nothing() {
-    let (mut cluster, at) = one_running();
-    let report = cluster.next_report(at).expect("a report");
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    let report = cluster.next_report(runner_node).expect("a report");
     for sequence in [900, 901] {
         cluster.deliver(
-            at,
+            runner_node,
             RunnerReport {
                 sequence,
                 term: 0,
                 revision: 0,
-                ..former(report.clone())
+                ..report_of_replaced_agent(report.clone())
             },
         );
         cluster.deliver(
-            at,
+            runner_node,
             RunnerReport {
                 sequence,
                 lease_expired: true,
-                ..former(report.clone())
+                ..report_of_replaced_agent(report.clone())
             },
         );
     }
-    nothing_starts_again(&mut cluster);
+    assert_not_restarted(&mut cluster);
 }
 
 #[test]
-fn a_new_agent_with_a_heartbeat_of_a_former_instance_ends_nothing_until_it_is_settled() {
-    let (mut cluster, at) = one_running();
-    let instance = cluster.runners[&at].instance.clone();
-    let active = cluster.runners[&at].active.clone();
-    cluster.restart_agent(at, 60);
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+fn a_restarted_agent_with_a_stale_heartbeat_ends_nothing_before_starts_are_resolved() {
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    let instance = cluster.runners[&runner_node].instance.clone();
+    let active = cluster.runners[&runner_node].active.clone();
+    cluster.restart_agent(runner_node, 60);
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     (runner.instance, runner.starts_resolved) = ("i-former".to_owned(), false);
     runner.active.clear();
     for _ in 0..3 {
         cluster.report_all();
         cluster.advance_ms(100);
     }
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     (runner.instance, runner.starts_resolved, runner.active) = (instance, true, active);
-    nothing_starts_again(&mut cluster);
+    assert_not_restarted(&mut cluster);
 }
 
 #[test]
-fn a_new_agent_ends_what_it_knows_to_be_over() {
-    for lapsed in [false, true] {
-        let (mut cluster, at) = one_running();
-        cluster.restart_agent(at, 60);
-        let runner = cluster.runners.get_mut(&at).expect("a runner");
+fn a_restarted_agent_ends_runs_that_are_certainly_over() {
+    for lease_expired in [false, true] {
+        let (mut cluster, runner_node) = cluster_with_one_run();
+        cluster.restart_agent(runner_node, 60);
+        let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
         (
             runner.instance,
             runner.lease_expired,
             runner.starts_resolved,
-        ) = ("i-new".to_owned(), lapsed, !lapsed);
+        ) = ("i-new".to_owned(), lease_expired, !lease_expired);
         runner.active.clear();
         cluster.report_all();
         cluster.report_all();
@@ -152,49 +156,49 @@
                 .iter()
                 .any(|start| start.attempt == 2)
         };
-        assert!([at, other_than(at)].iter().any(started), "lapsed: {lapsed}");
+        assert!([runner_node, other_node(runner_node)].iter().any(started), "lease_expired: {lease_expired}");
     }
 }
 
 #[test]
-fn runs_of_a_runner_that_reaches_no_new_agent_are_over() {
-    let (mut cluster, at) = one_running();
-    cluster.restart_agent(at, 60);
-    for lapsed in [false, true] {
+fn runs_of_a_runner_unknown_to_its_restarted_agent_end_with_the_lease() {
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    cluster.restart_agent(runner_node, 60);
+    for lease_expired in [false, true] {
         for _ in 0..2 {
-            let report = cluster.next_report(at).expect("a report");
+            let report = cluster.next_report(runner_node).expect("a report");
             cluster.deliver(
-                at,
+                runner_node,
                 RunnerReport {
                     has_runner: false,
                     instance: "".into(),
-                    lease_expired: lapsed,
+                    lease_expired,
                     ..report
                 },
             );
         }
         cluster.advance_ms(100);
         cluster.commit();
-        let started = cluster.commands[&other_than(at)]
+        let started = cluster.commands[&other_node(runner_node)]
             .start
             .iter()
             .any(|start| start.attempt == 2);
-        assert_eq!(started, lapsed);
+        assert_eq!(started, lease_expired);
     }
 }
 
-/// Submits the job again; it is accepted, and its state stays.
+/// Submits the job again and asserts that the answer is 200 and the job's state is unchanged.
 fn assert_resubmitted(cluster: &mut TestCluster, state: &str) {
-    let again = cluster.submit(A, ONE_TASK);
+    let again = cluster.submit(JOB, ONE_TASK);
     cluster.commit();
     assert_eq!(cluster.reply(again).map(|reply| reply.status), Some(200));
-    assert_eq!(cluster.state(A), state);
+    assert_eq!(cluster.state(JOB), state);
 }
 
 #[test]
 fn a_resubmitted_id_stays_one_job_through_all_its_states() {
     for end in [None, Some(RunEnd::Done)] {
-        let (mut cluster, _) = one_running();
+        let (mut cluster, _) = cluster_with_one_run();
         assert_resubmitted(&mut cluster, "running");
         cluster.start_next_term(config(1, 2, 1));
         assert_resubmitted(&mut cluster, "running");
@@ -208,7 +212,7 @@
         match end {
             Some(end) => cluster.end_all_runs(end),
             None => {
-                cluster.request(ClientMethod::Cancel, &format!("/q/{A}"), "");
+                cluster.request(ClientMethod::Cancel, &format!("/q/{JOB}"), "");
                 cluster.commit();
             }
         }
@@ -225,33 +229,33 @@
 }
 
 #[test]
-fn unstarted_runs_of_a_draining_runner_go_elsewhere_at_once() {
+fn unstarted_runs_of_a_draining_runner_move_at_once() {
     let mut cluster = TestCluster::new(2);
-    cluster.submit(A, ONE_TASK);
+    cluster.submit(JOB, ONE_TASK);
     cluster.commit();
-    let at = if cluster.commands[&node(0)].start.is_empty() {
+    let runner_node = if cluster.commands[&node(0)].start.is_empty() {
         node(1)
     } else {
         node(0)
     };
-    assert_eq!(cluster.commands[&at].start.len(), 1);
-    cluster.runners.get_mut(&at).expect("a runner").draining = true;
+    assert_eq!(cluster.commands[&runner_node].start.len(), 1);
+    cluster.runners.get_mut(&runner_node).expect("a runner").draining = true;
     for _ in 0..3 {
         cluster.report_all();
         cluster.advance_ms(100);
         cluster.commit();
     }
-    assert!(cluster.commands[&at].start.is_empty());
-    assert_eq!(cluster.commands[&other_than(at)].start[0].attempt, 2);
+    assert!(cluster.commands[&runner_node].start.is_empty());
+    assert_eq!(cluster.commands[&other_node(runner_node)].start[0].attempt, 2);
 }
 
 #[test]
-fn a_draining_runner_keeps_draining_at_a_new_agent() {
-    let (mut cluster, at) = one_running();
-    cluster.runners.get_mut(&at).expect("a runner").draining = true;
+fn a_draining_runner_keeps_draining_after_its_agent_restarts() {
+    let (mut cluster, runner_node) = cluster_with_one_run();
+    cluster.runners.get_mut(&runner_node).expect("a runner").draining = true;
     cluster.report_all();
-    cluster.restart_agent(at, 60);
-    cluster.runners.get_mut(&at).expect("a runner").draining = false;
+    cluster.restart_agent(runner_node, 60);
+    cluster.runners.get_mut(&runner_node).expect("a runner").draining = false;
     cluster.report_all();
     cluster.report_all();
     for job in 1..=8 {
@@ -263,14 +267,15 @@
     cluster.commit();
     cluster.advance_ms(100);
     cluster.commit();
-    assert!(cluster.commands[&at].start.is_empty());
-    assert!(!cluster.commands[&other_than(at)].start.is_empty());
+    assert!(cluster.commands[&runner_node].start.is_empty());
+    assert!(!cluster.commands[&other_node(runner_node)].start.is_empty());
 }
 
-/// Everything that was ever reported, to be delivered again.
+/// All reports sent so far, which a schedule may deliver again.
 #[derive(Default)]
 struct SentReports(Vec<(NodeId, RunnerReport)>);
 
+/// Sends a runner's report and keeps a copy for a late delivery.
 fn report(cluster: &mut TestCluster, sent: &mut SentReports, node: NodeId) {
     let Some(report) = cluster.next_report(node) else {
         return;
@@ -280,7 +285,7 @@
     cluster.commit();
 }
 
-/// A runner carries out its commands; its agent reports what came of them.
+/// Makes a runner execute its commands, and its agent report the result.
 fn execute_commands(cluster: &mut TestCluster, sent: &mut SentReports, node: NodeId) {
     let Some(commands) = cluster.commands.get(&node).cloned() else {
         return report(cluster, sent, node);
@@ -305,7 +310,9 @@
     report(cluster, sent, node);
 }
 
-fn random_step(
+/// Applies one random event: a late delivery, a restart of an agent, a new instance, a takeover, a failed run, a
+/// report, an execution of commands, or the passing of time.
+fn apply_random_step(
     cluster: &mut TestCluster,
     sent: &mut SentReports,
     random: &mut Pcg64Mcg,
@@ -314,8 +321,8 @@
     let node = node(random.random_range(0..3));
     match random.random_range(0..24) {
         0..=3 => {
-            let (to, late) = sent.0[random.random_range(0..sent.0.len())].clone();
-            cluster.deliver(to, late);
+            let (sender, late) = sent.0[random.random_range(0..sent.0.len())].clone();
+            cluster.deliver(sender, late);
             cluster.commit();
         }
         4 => cluster.restart_agent(node, random.random_range(1..u64::MAX)),
@@ -342,8 +349,8 @@
     }
 }
 
-/// No task runs twice at a time. Returns how many run.
-fn check(cluster: &TestCluster, seed: u64, step: usize) -> usize {
+/// Asserts that no task has two active runs. Returns the number of active runs.
+fn assert_no_concurrent_runs(cluster: &TestCluster, seed: u64, step: usize) -> usize {
     let mut runs: Vec<String> = cluster.running().into_iter().map(|run| run.task).collect();
     let count = runs.len();
     runs.sort();
@@ -359,30 +366,30 @@
 
 #[test]
 fn no_schedule_of_late_reports_starts_a_task_twice() {
-    let (mut most, mut all_running) = (0, 0);
+    let (mut max_running, mut complete_schedules) = (0, 0);
     for seed in 0..SCHEDULES {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (mut cluster, mut sent) = (TestCluster::new(3), SentReports::default());
         let body = r#"{"stages":[{"count":4,"cpu":1000,"long_running":true}]}"#;
-        cluster.submit(A, body);
+        cluster.submit(JOB, body);
         cluster.commit();
         (0..3).for_each(|number| report(&mut cluster, &mut sent, node(number)));
         for number in 0..STEPS {
-            random_step(&mut cluster, &mut sent, &mut random, number);
-            most = most.max(check(&cluster, seed, number));
+            apply_random_step(&mut cluster, &mut sent, &mut random, number);
+            max_running = max_running.max(assert_no_concurrent_runs(&cluster, seed, number));
         }
-        // Whatever came late, living agents are believed in the end: everything runs.
+        // Late reports must not shut out live agents for good: after regular reports all tasks run again.
         for number in 0..40 {
             (0..3).for_each(|runner| execute_commands(&mut cluster, &mut sent, node(runner)));
             cluster.advance_ms(100);
             cluster.commit();
-            check(&cluster, seed, STEPS + number);
+            assert_no_concurrent_runs(&cluster, seed, STEPS + number);
         }
-        all_running += usize::from(cluster.running().len() == 4);
+        complete_schedules += usize::from(cluster.running().len() == 4);
     }
-    assert_eq!(most, 4);
+    assert_eq!(max_running, 4);
     assert_eq!(
-        all_running, SCHEDULES as usize,
-        "runners were lost for good"
+        complete_schedules, SCHEDULES as usize,
+        "in some schedules not all tasks run in the end"
     );
 }
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -1,4 +1,7 @@
-//! Runs across lost messages, silent runners and changes of the scheduler: never two at once, none lost.
+//! Runs across lost messages, unreachable runners and takeovers by a new scheduler.
+//!
+//! Guards against two concurrent runs of a task, which occur if a new run starts before the lease of the old one has
+//! expired, and against lost runs, which occur if a command or an assignment is not restored or not sent again.
 
 mod test_cluster;
 
@@ -6,13 +9,13 @@
 use sagetrail_protocol::client::ClientMethod;
 use test_cluster::{config, node, RunningTask, TestCluster};
 
-const A: &str = "00000000000000aa";
-/// Longer than any lease of an agent can last, in milliseconds.
+const JOB: &str = "00000000000000aa";
+/// A time longer than any lease of an agent can be valid, in milliseconds.
 const BEYOND_LEASE_MS: u64 = 13_000;
 
-fn one_running() -> TestCluster {
+fn cluster_with_one_run() -> TestCluster {
     let mut cluster = TestCluster::new(2);
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 1);
@@ -20,8 +23,8 @@
 }
 
 #[test]
-fn a_takeover_leaves_running_work_alone() {
-    let mut cluster = one_running();
+fn a_takeover_does_not_disturb_active_runs() {
+    let mut cluster = cluster_with_one_run();
     cluster.start_next_term(config(1, 2, 1));
     for _ in 0..5 {
         cluster.report_all();
@@ -31,13 +34,13 @@
     assert_eq!(cluster.running().len(), 1);
     assert_eq!(cluster.running()[0].attempt, 1);
     cluster.end_all_runs(RunEnd::Done);
-    assert_eq!(cluster.state(A), "completed");
+    assert_eq!(cluster.state(JOB), "completed");
 }
 
 #[test]
-fn after_a_takeover_nothing_starts_at_a_runner_before_its_settled_report() {
+fn after_a_takeover_no_new_attempt_starts_before_starts_are_resolved() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     cluster.start_next_term(config(1, 2, 1));
     cluster
@@ -57,7 +60,7 @@
 #[test]
 fn a_lost_command_is_sent_again() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     cluster.report_all();
     assert_eq!(cluster.commands[&node(0)].start.len(), 1);
@@ -69,44 +72,44 @@
 }
 
 #[test]
-fn an_unreachable_runner_keeps_its_runs_until_its_lease_is_surely_over() {
-    let mut cluster = one_running();
-    let away = cluster.running()[0].node;
-    let here = if away == node(0) { node(1) } else { node(0) };
+fn an_unreachable_runner_keeps_its_runs_until_its_lease_has_certainly_expired() {
+    let mut cluster = cluster_with_one_run();
+    let unreachable_node = cluster.running()[0].node;
+    let other_node = if unreachable_node == node(0) { node(1) } else { node(0) };
     for _ in 0..(BEYOND_LEASE_MS / 500 - 2) {
         cluster.advance_ms(500);
-        cluster.report(here);
+        cluster.report(other_node);
         cluster.commit();
-        assert!(cluster.commands[&here].start.is_empty());
+        assert!(cluster.commands[&other_node].start.is_empty());
     }
     for _ in 0..6 {
         cluster.advance_ms(500);
-        cluster.report(here);
+        cluster.report(other_node);
         cluster.commit();
     }
-    assert_eq!(cluster.commands[&here].start.len(), 1);
-    assert_eq!(cluster.commands[&here].start[0].attempt, 2);
+    assert_eq!(cluster.commands[&other_node].start.len(), 1);
+    assert_eq!(cluster.commands[&other_node].start[0].attempt, 2);
 }
 
 #[test]
-fn a_new_scheduler_waits_for_the_lease_its_predecessor_granted() {
-    let mut cluster = one_running();
-    let away = cluster.running()[0].node;
-    let here = if away == node(0) { node(1) } else { node(0) };
+fn a_new_scheduler_waits_for_leases_granted_by_its_predecessor() {
+    let mut cluster = cluster_with_one_run();
+    let unreachable_node = cluster.running()[0].node;
+    let other_node = if unreachable_node == node(0) { node(1) } else { node(0) };
     cluster.start_next_term(config(1, 2, 1));
     for _ in 0..(BEYOND_LEASE_MS / 500 - 2) {
-        cluster.report(here);
+        cluster.report(other_node);
         cluster.commit();
         cluster.advance_ms(500);
-        assert!(cluster.commands[&here].start.is_empty());
+        assert!(cluster.commands[&other_node].start.is_empty());
     }
 }
 
 #[test]
-fn a_new_instance_runs_nothing_of_the_former_one() {
-    let mut cluster = one_running();
-    let at = cluster.running()[0].node;
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+fn runs_of_a_replaced_instance_are_over() {
+    let mut cluster = cluster_with_one_run();
+    let runner_node = cluster.running()[0].node;
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     runner.instance = "i-new".to_owned();
     runner.active.clear();
     cluster.report_all();
@@ -118,46 +121,46 @@
 }
 
 #[test]
-fn a_silent_runner_whose_lease_is_over_loses_its_runs() {
-    let mut cluster = one_running();
-    let at = cluster.running()[0].node;
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+fn runs_of_a_runner_with_an_expired_lease_restart_elsewhere() {
+    let mut cluster = cluster_with_one_run();
+    let runner_node = cluster.running()[0].node;
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     runner.lease_expired = true;
     runner.active.clear();
     cluster.report_all();
     cluster.advance_ms(100);
     cluster.commit();
-    let other = if at == node(0) { node(1) } else { node(0) };
-    assert_eq!(cluster.commands[&other].start.len(), 1);
-    assert_eq!(cluster.commands[&other].start[0].attempt, 2);
+    let other_node = if runner_node == node(0) { node(1) } else { node(0) };
+    assert_eq!(cluster.commands[&other_node].start.len(), 1);
+    assert_eq!(cluster.commands[&other_node].start[0].attempt, 2);
 }
 
 #[test]
 fn an_end_of_an_abandoned_run_changes_nothing() {
-    let mut cluster = one_running();
+    let mut cluster = cluster_with_one_run();
     let RunningTask {
-        node: at,
+        node: runner_node,
         task,
         attempt,
     } = cluster.running()[0].clone();
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     runner.lease_expired = true;
-    cluster.report(at);
+    cluster.report(runner_node);
     cluster.commit();
-    let runner = cluster.runners.get_mut(&at).expect("a runner");
+    let runner = cluster.runners.get_mut(&runner_node).expect("a runner");
     runner.lease_expired = false;
     runner.active.insert(task.clone(), attempt);
     runner.end(&task, RunEnd::Done);
     cluster.report_all();
-    assert_eq!(cluster.state(A), "running");
+    assert_eq!(cluster.state(JOB), "running");
 }
 
 #[test]
-fn a_start_that_was_withdrawn_is_over_only_with_a_settled_report() {
+fn a_withdrawn_start_is_over_only_after_starts_are_resolved() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":4000}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":1,"cpu":4000}]}"#);
     cluster.commit();
-    cluster.request(ClientMethod::Cancel, &format!("/q/{A}"), "");
+    cluster.request(ClientMethod::Cancel, &format!("/q/{JOB}"), "");
     cluster.commit();
     cluster.submit("00000000000000bb", r#"{"stages":[{"count":1,"cpu":4000}]}"#);
     cluster.commit();
@@ -186,7 +189,7 @@
         .expect("a runner")
         .draining = true;
     cluster.report_all();
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":500}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":1,"cpu":500}]}"#);
     cluster.commit();
     cluster.advance_ms(200);
     cluster.commit();
@@ -204,8 +207,8 @@
 
 #[test]
 fn a_stalled_run_is_moved() {
-    let mut cluster = one_running();
-    let at = cluster.running()[0].node;
+    let mut cluster = cluster_with_one_run();
+    let runner_node = cluster.running()[0].node;
     for _ in 0..8 {
         cluster.advance_ms(500);
         cluster.report_all();
@@ -215,7 +218,7 @@
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 1);
-    assert!(cluster.running()[0].attempt >= 2 || cluster.running()[0].node != at);
+    assert!(cluster.running()[0].attempt >= 2 || cluster.running()[0].node != runner_node);
 }
 
 #[test]
@@ -242,19 +245,19 @@
 
 #[test]
 fn a_new_scheduler_notifies_agents_with_runs_at_once() {
-    let mut cluster = one_running();
-    let at = cluster.running()[0].node;
+    let mut cluster = cluster_with_one_run();
+    let runner_node = cluster.running()[0].node;
     cluster.start_next_term(config(1, 2, 1));
-    cluster.take_sends();
-    assert_eq!(cluster.commands[&at].term, 2);
-    assert!(cluster.commands[&at].start.is_empty());
+    cluster.deliver_messages();
+    assert_eq!(cluster.commands[&runner_node].term, 2);
+    assert!(cluster.commands[&runner_node].start.is_empty());
 }
 
 #[test]
-fn a_checkpoint_outlives_scheduler_and_runner() {
+fn a_checkpoint_survives_a_takeover_and_a_runner_crash() {
     let mut cluster = TestCluster::new(1);
     cluster.submit(
-        A,
+        JOB,
         r#"{"stages":[{"count":1,"cpu":500,"checkpoints":true}]}"#,
     );
     cluster.commit();
--- a/crates/cluster/scheduler/tests/test_cluster/config.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/config.rs
@@ -3,8 +3,8 @@
 use sagetrail_protocol::service::ConfigInForce;
 use std::sync::Arc;
 
-/// A configuration with the queues `/q/` of this priority and `/urgent/` of priority 0, both of service `s`, whose jobs
-/// fail with so many failed attempts.
+/// Returns a configuration with two queues of the service `s`: `/q/` with the given priority and `/urgent/` with
+/// priority 0. Their jobs fail after `max_attempts` failed attempts of a task.
 pub(crate) fn config(version: u64, max_attempts: u32, priority: u32) -> ConfigInForce {
     let route = |name: &str, prefix: &str, priority: u32| {
         serde_json::json!({"name": name, "host": "h", "path_prefix": prefix, "kind": "non_idempotent",
--- a/crates/cluster/scheduler/tests/test_cluster/mod.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A scheduler with simulated runners and clients. Nothing happens by itself: time passes, batches are committed and
-//! commands are carried out when the test says so.
+//! A scheduler with simulated runners and clients. Nothing happens on its own: time passes, batches are committed and
+//! commands are executed only when a test calls the respective method.
 
-// Each test program uses a part of this.
+// Each test program uses only some of these items.
 #![allow(dead_code)]
 
 mod config;
@@ -19,15 +19,16 @@
 pub(crate) use config::config;
 pub(crate) use runner::SimulatedRunner;
 
-/// The gateway of all clients.
+/// The gateway that forwards all client requests.
 const GATEWAY: NodeId = NodeId { ip: 1, port: 1 };
-/// The seed of the first term, and of later ones.
+/// The seed of the first term.
 const FIRST_SEED: u64 = 7;
+/// The seed of all later terms.
 const LATER_SEED: u64 = 8;
 /// The time of day at the start, in milliseconds since 1970.
 pub(crate) const START_WALL_MS: i64 = 1_000_000;
 
-/// An active run at a simulated runner.
+/// An active run on a simulated runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RunningTask {
     /// The address of the runner's agent.
@@ -38,7 +39,7 @@
     pub attempt: u64,
 }
 
-/// The first attempt of a task, at the first runner.
+/// Returns the first attempt of a task, on the first runner.
 pub(crate) fn first_run(task: String) -> RunningTask {
     RunningTask {
         node: node(0),
@@ -47,27 +48,27 @@
     }
 }
 
-/// The whole cluster.
+/// A scheduler with all simulated runners, clients and stored records.
 pub(crate) struct TestCluster {
-    /// The scheduler of the present term.
+    /// The scheduler of the current term.
     pub scheduler: Scheduler,
-    /// What all clocks show.
+    /// The time that all clocks show.
     pub now: Now,
-    /// The present term.
+    /// The current term.
     pub term: u64,
     /// The runners by the address of their agent.
     pub runners: BTreeMap<NodeId, SimulatedRunner>,
-    /// The newest commands of the present term, by agent.
+    /// The newest commands of the current term, by agent.
     pub commands: BTreeMap<NodeId, RunnerCommands>,
-    /// All answers to clients.
+    /// All answers sent to clients.
     pub replies: Vec<ClientReply>,
     /// The committed records.
     pub records: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// The number of the newest request.
-    request: u64,
+    /// The number of the newest client request.
+    last_request: u64,
 }
 
-/// A scheduler that starts a term.
+/// Creates the scheduler of a term.
 pub(crate) fn start_scheduler(now: Now, term: Term, seed: u64, state: StoredState) -> Scheduler {
     let restored = Restored {
         term,
@@ -82,7 +83,7 @@
     Scheduler::new(settings, now, restored)
 }
 
-/// What a term starts from.
+/// The stored state from which a term starts.
 #[derive(Default)]
 pub(crate) struct StoredState {
     /// The records, sorted by key.
@@ -91,7 +92,7 @@
     pub config: Option<ConfigInForce>,
 }
 
-/// The address of a runner's agent.
+/// Returns the address of the agent of the runner with this number.
 pub(crate) fn node(number: u32) -> NodeId {
     NodeId {
         ip: 100 + number,
@@ -100,13 +101,13 @@
 }
 
 impl TestCluster {
-    /// A cluster with so many runners of four cores, two to a rack, all of which have reported; `/q/` has priority 1
-    /// and two attempts.
+    /// Creates a cluster with `runners` runners of four cores, two in each rack, all of which have reported. `/q/` has
+    /// priority 1 and two attempts.
     pub(crate) fn new(runners: u32) -> TestCluster {
         TestCluster::with_config(runners, config(1, 2, 1))
     }
 
-    /// The same with another configuration.
+    /// Creates the cluster of `new` with another configuration.
     pub(crate) fn with_config(runners: u32, config: ConfigInForce) -> TestCluster {
         let now = Now {
             steady: Time(1_000_000),
@@ -126,14 +127,14 @@
             commands: BTreeMap::new(),
             replies: Vec::new(),
             records: BTreeMap::new(),
-            request: 0,
+            last_request: 0,
         };
         cluster.report_all();
         cluster.report_all();
         cluster
     }
 
-    /// A new term takes over from the committed records, with this configuration in force.
+    /// Starts a new term from the committed records, with this configuration in force.
     pub(crate) fn start_next_term(&mut self, config: ConfigInForce) {
         self.term += 1;
         let state = StoredState {
@@ -144,20 +145,20 @@
         self.commands.clear();
     }
 
-    /// Time passes at all clocks, and the scheduler's timers fire.
+    /// Advances all clocks and lets the scheduler's timers fire.
     pub(crate) fn advance_ms(&mut self, millis: u64) {
         self.now.steady = self.now.steady.plus_millis(millis);
         self.now.wall_ms += millis as i64;
         self.scheduler.wake(self.now);
-        self.take_sends();
+        self.deliver_messages();
     }
 
-    /// Delivers what the scheduler has sent.
-    pub(crate) fn take_sends(&mut self) {
-        for (to, message) in self.scheduler.take_sends() {
+    /// Delivers the messages that the scheduler has sent.
+    pub(crate) fn deliver_messages(&mut self) {
+        for (receiver, message) in self.scheduler.take_sends() {
             match message {
                 Message::RunnerCommands(commands) => {
-                    self.commands.insert(to, commands);
+                    self.commands.insert(receiver, commands);
                 }
                 Message::ClientReply(reply) => self.replies.push(reply),
                 _ => {}
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A quorum commits all batches.
+    /// Commits all batches, as a quorum would, and notifies the scheduler.
     pub(crate) fn commit(&mut self) {
         while let Some(batch) = self.scheduler.take_batch() {
             for operation in batch.operations {
@@ -175,16 +176,16 @@
                 };
             }
             self.scheduler.committed(self.now, batch.number);
-            self.take_sends();
+            self.deliver_messages();
         }
-        self.take_sends();
+        self.deliver_messages();
     }
 
     /// Sends a client's request. Returns its number.
     pub(crate) fn request(&mut self, method: ClientMethod, path: &str, body: &str) -> u64 {
-        self.request += 1;
+        self.last_request += 1;
         let request = ClientRequest {
-            request: self.request,
+            request: self.last_request,
             method,
             host: "h".into(),
             path: path.into(),
@@ -194,8 +195,8 @@
         };
         self.scheduler
             .message(self.now, GATEWAY, Message::ClientRequest(request));
-        self.take_sends();
-        self.request
+        self.deliver_messages();
+        self.last_request
     }
 
     /// Submits a job to `/q/`. Returns the request's number.
@@ -203,12 +204,12 @@
         self.request(ClientMethod::Submit, &format!("/q/{id}"), body)
     }
 
-    /// The answer to a request, where there is one.
+    /// Returns the answer to a request; `None` if there is none yet.
     pub(crate) fn reply(&self, request: u64) -> Option<&ClientReply> {
         self.replies.iter().find(|reply| reply.request == request)
     }
 
-    /// A job's state as a client reads it.
+    /// Reads a job's state as a client; returns the status as text if it is not 200.
     pub(crate) fn state(&mut self, id: &str) -> String {
         let request = self.request(ClientMethod::Read, &format!("/q/{id}"), "");
         self.commit();
@@ -220,7 +221,7 @@
         body["state"].as_str().expect("a state is text").to_owned()
     }
 
-    /// A runner's agent reports.
+    /// Sends the next report of a runner's agent.
     pub(crate) fn report(&mut self, node: NodeId) {
         let Some(report) = self.next_report(node) else {
             return;
@@ -228,14 +229,14 @@
         self.deliver(node, report);
     }
 
-    /// A report reaches the scheduler.
+    /// Delivers a report to the scheduler.
     pub(crate) fn deliver(&mut self, node: NodeId, report: RunnerReport) {
         self.scheduler
             .message(self.now, node, Message::RunnerReport(report));
-        self.take_sends();
+        self.deliver_messages();
     }
 
-    /// What the runner's agent reports now.
+    /// Builds the next report of a runner's agent without sending it.
     pub(crate) fn next_report(&mut self, node: NodeId) -> Option<RunnerReport> {
         let (term, revision) = self
             .commands
@@ -278,7 +279,7 @@
         })
     }
 
-    /// The runner's agent starts anew and knows nothing.
+    /// Restarts a runner's agent, which loses all its state.
     pub(crate) fn restart_agent(&mut self, node: NodeId, incarnation: u64) {
         self.commands.remove(&node);
         let Some(runner) = self.runners.get_mut(&node) else {
@@ -288,17 +289,17 @@
         runner.sequence = 0;
     }
 
-    /// All agents report, and what that changes is committed.
+    /// Sends a report of every agent and commits the resulting changes.
     pub(crate) fn report_all(&mut self) {
         let nodes: Vec<NodeId> = self.runners.keys().copied().collect();
         nodes.into_iter().for_each(|node| self.report(node));
         self.commit();
     }
 
-    /// Every runner carries out its commands and reports.
+    /// Makes every runner execute its newest commands, then sends all reports.
     pub(crate) fn execute_commands(&mut self) {
         for (node, commands) in self.commands.clone() {
-            let runner = self.runners.get_mut(&node).expect("a runner with commands");
+            let runner = self.runners.get_mut(&node).expect("a runner for each agent with commands");
             if commands.instance.0 != runner.instance {
                 continue;
             }
@@ -313,7 +314,7 @@
         self.report_all();
     }
 
-    /// All active runs end so; the runners report it.
+    /// Ends all active runs with this end, then sends all reports.
     pub(crate) fn end_all_runs(&mut self, end: RunEnd) {
         for runner in self.runners.values_mut() {
             let tasks: Vec<String> = runner.active.keys().cloned().collect();
@@ -322,7 +323,7 @@
         self.report_all();
     }
 
-    /// What runs where, over all runners.
+    /// Returns the active runs of all runners.
     pub(crate) fn running(&self) -> Vec<RunningTask> {
         let runs = |(&node, runner): (&NodeId, &SimulatedRunner)| {
             let run = |(task, &attempt): (&String, &u64)| RunningTask {
--- a/crates/cluster/scheduler/tests/test_cluster/runner.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/runner.rs
@@ -1,34 +1,34 @@
-//! A simulated runner with its agent: it does what its commands say when the test says so.
+//! A simulated runner with its agent. It executes its commands only when a test calls for it.
 
 use sagetrail_protocol::agent::{FinishedRun, Resources, RunEnd};
 use std::collections::BTreeMap;
 
-/// A runner and what its agent reports of it. Tests change the fields as they need.
+/// A runner and the state that its agent reports. Tests set the fields directly.
 #[derive(Clone, Debug)]
 pub(crate) struct SimulatedRunner {
-    /// The runner's id.
+    /// The runner's ID, a new one for each instance.
     pub instance: String,
     /// Its labels; the last one is its rack.
     pub labels: Vec<String>,
-    /// All that it has.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// The active runs' attempts, by task.
+    /// The attempt numbers of its active runs, by task.
     pub active: BTreeMap<String, u64>,
-    /// Ends that have not been observed.
+    /// Ended runs whose end the scheduler has not acknowledged yet.
     pub finished: Vec<FinishedRun>,
     /// The number of its newest end.
     pub last_end_number: u64,
     /// The newest attempt of each task that has ended in this instance.
     pub ended_attempts: BTreeMap<String, u64>,
-    /// It shuts down.
+    /// Whether it is shutting down.
     pub draining: bool,
-    /// While it drains: the time that is left, in milliseconds.
+    /// The time left while it drains, in milliseconds.
     pub remaining_ms: u64,
-    /// Its agent reports that whatever it ran is over.
+    /// Whether its agent reports that its lease has expired and all its runs are over.
     pub lease_expired: bool,
-    /// Its agent's reports resolve all starts once they are under commands of a term.
+    /// Whether its agent's reports resolve all starts, as soon as the agent has commands of a term.
     pub starts_resolved: bool,
-    /// The progress of all its runs, in hundredths.
+    /// The progress of all its active runs, in hundredths.
     pub percent: u8,
     /// The checkpoint of all its active runs.
     pub checkpoint: String,
@@ -39,7 +39,7 @@
 }
 
 impl SimulatedRunner {
-    /// A runner of four cores without work; two of them share a rack.
+    /// Creates an idle runner of four cores. Runners 2n and 2n + 1 share a rack.
     pub(crate) fn new(number: u32) -> SimulatedRunner {
         SimulatedRunner {
             instance: format!("i-{number}"),
@@ -64,14 +64,14 @@
         }
     }
 
-    /// True where this run or a later one of the task has ended here.
+    /// Returns true if this attempt or a later one of the task has ended on this instance.
     pub(crate) fn has_ended(&self, task: &str, attempt: u64) -> bool {
         self.ended_attempts
             .get(task)
             .is_some_and(|&ended| attempt <= ended)
     }
 
-    /// Ends an active run; its end is reported until it is observed.
+    /// Ends an active run. The end is reported until the scheduler acknowledges it.
     pub(crate) fn end(&mut self, task: &str, end: RunEnd) {
         let Some(attempt) = self.active.remove(task) else {
             return;
