--- a/crates/cluster/scheduler/src/scheduler/client_requests.rs
+++ b/crates/cluster/scheduler/src/scheduler/client_requests.rs
@@ -122,7 +122,13 @@
         }
     }
 
-    fn submit_job(&mut self, now: Now, job_id: JobId, queue: QueueAttributes, body: Blob) -> Answer {
+    fn submit_job(
+        &mut self,
+        now: Now,
+        job_id: JobId,
+        queue: QueueAttributes,
+        body: Blob,
+    ) -> Answer {
         if let Some(job) = self.jobs.get(job_id) {
             return Answer::with_status(200).after_commit(job.batch);
         }
--- a/crates/cluster/scheduler/src/scheduler/diagnostics.rs
+++ b/crates/cluster/scheduler/src/scheduler/diagnostics.rs
@@ -69,7 +69,9 @@
 
     fn describe_runners(&self, now: Now, service: &str) -> String {
         let runners = self.runners.of_service(service);
-        let states: Vec<String> = runners.map(|(_, runner)| describe_runner(now, runner)).collect();
+        let states: Vec<String> = runners
+            .map(|(_, runner)| describe_runner(now, runner))
+            .collect();
         states.join("; ")
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
+++ b/crates/cluster/scheduler/src/scheduler/drain_reservation.rs
@@ -46,7 +46,8 @@
             1
         };
         let waiting_since = self.jobs.waiting_since(key.step);
-        let has_waited = waiting_since.is_some_and(|since| now.steady.millis_since(since) >= DRAIN_WAIT_MS);
+        let has_waited =
+            waiting_since.is_some_and(|since| now.steady.millis_since(since) >= DRAIN_WAIT_MS);
         if !has_waited || self.has_draining_runner(service) {
             return;
         }
--- a/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
+++ b/crates/cluster/scheduler/src/scheduler/job_lifecycle.rs
@@ -33,7 +33,10 @@
                 let index = index as u32;
                 let task_id = TaskId { step, index };
                 match task.runner {
-                    Some(node) => cleanup.assigned.push(AssignedRun { task: task_id, node }),
+                    Some(node) => cleanup.assigned.push(AssignedRun {
+                        task: task_id,
+                        node,
+                    }),
                     None if task.attempt > 0 => cleanup.recorded.push(task_id),
                     None => {}
                 }
@@ -97,7 +100,11 @@
     /// Inserts a step into the backlog, moves it within the backlog or removes it, according to its state and
     /// objective.
     pub(super) fn refresh_step(&mut self, step_id: StepId) {
-        let Some(job) = self.jobs.get(step_id.job).filter(|job| job.is_ready(step_id)) else {
+        let Some(job) = self
+            .jobs
+            .get(step_id.job)
+            .filter(|job| job.is_ready(step_id))
+        else {
             return self.pending.remove(step_id);
         };
         let objective = Objective::of(job, step_id, self.wall_ms);
@@ -149,7 +156,12 @@
             job.ended_at
                 .is_some_and(|at| now.steady.millis_since(at) > retention_ms)
         };
-        let expired: Vec<JobId> = self.jobs.iter().filter(is_past_retention).map(|job| job.id).collect();
+        let expired: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(is_past_retention)
+            .map(|job| job.id)
+            .collect();
         for job_id in expired {
             self.jobs.remove(job_id);
             self.commits.delete(Key::Job(job_id));
--- a/crates/cluster/scheduler/src/scheduler/pending_steps.rs
+++ b/crates/cluster/scheduler/src/scheduler/pending_steps.rs
@@ -24,7 +24,11 @@
 impl Scheduler {
     /// Returns the racks of a service's reachable runners, and the limit on how long tasks wait for a runner near their
     /// data.
-    pub(super) fn racks_and_hold_limit<'a>(&'a self, now: Now, service: &'a str) -> (Racks<'a>, HoldLimit) {
+    pub(super) fn racks_and_hold_limit<'a>(
+        &'a self,
+        now: Now,
+        service: &'a str,
+    ) -> (Racks<'a>, HoldLimit) {
         let mut racks = Racks::default();
         let (mut capacity, mut free) = (Resources::default(), Resources::default());
         for (_, runner) in self.runners.of_service(service) {
--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -22,7 +22,8 @@
     pub(super) fn place_pending_steps(&mut self, now: Now) {
         self.placement_due = false;
         let services = self.pending.services();
-        let considered_steps = |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
+        let considered_steps =
+            |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
         let steps = services.iter().map(considered_steps).sum();
         self.pass_pacing
             .pass_started(now.steady, self.runners.len(), steps);
@@ -118,7 +119,10 @@
     /// Assigns a task to a runner. Its start is commanded after the record is committed. `gang_attempt` is the attempt
     /// number of the gang that the task belongs to; a task outside a gang gets its own next attempt number.
     fn assign(&mut self, now: Now, run: AssignedRun, gang_attempt: Option<u64>) {
-        let AssignedRun { task: task_id, node } = run;
+        let AssignedRun {
+            task: task_id,
+            node,
+        } = run;
         let Some(job) = self.jobs.get_mut(task_id.step.job) else {
             return;
         };
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -47,7 +47,9 @@
     /// Returns true if a step waits for a runner near its data although other runners have free capacity. Such a step
     /// preempts no runs.
     fn holds_for_near_runner(&self, now: Now, service: &str, step_id: StepId) -> bool {
-        let (Some(stage), Some(since)) = (self.jobs.stage(step_id), self.jobs.waiting_since(step_id)) else {
+        let (Some(stage), Some(since)) =
+            (self.jobs.stage(step_id), self.jobs.waiting_since(step_id))
+        else {
             return false;
         };
         if stage.affinity.is_empty() || stage.gang {
@@ -83,7 +85,7 @@
             offers = offers_for_gang(offers, stage.rack_local, task_count);
         }
         if offers.is_empty() {
-            return self.reserve_by_draining(now, service, key);
+            return self.drain_runners_for_step(now, service, key);
         }
         let reservation = Reservation {
             step: key.step,
@@ -129,7 +131,9 @@
             .runners
             .of_service(service)
             .filter(|&(node, runner)| is_suitable(node, runner))
-            .filter_map(|(node, runner)| self.preemption_offer(now, node, runner, key.priority, stage))
+            .filter_map(|(node, runner)| {
+                self.preemption_offer(now, node, runner, key.priority, stage)
+            })
             .collect();
         offers.sort_by_key(PreemptionOffer::loss);
         offers
@@ -193,8 +197,15 @@
         if stage.checkpoints {
             return Some(0);
         }
-        let node = job.step(task_id.step)?.tasks.get(task_id.index as usize)?.runner?;
-        let run = AssignedRun { task: task_id, node };
+        let node = job
+            .step(task_id.step)?
+            .tasks
+            .get(task_id.index as usize)?
+            .runner?;
+        let run = AssignedRun {
+            task: task_id,
+            node,
+        };
         let since = self.runners.assignment(run)?.assigned_at;
         (priority == URGENT).then(|| now.steady.millis_since(since) * stage.cpu / 1000)
     }
--- a/crates/cluster/scheduler/src/scheduler/record_writes.rs
+++ b/crates/cluster/scheduler/src/scheduler/record_writes.rs
@@ -14,7 +14,10 @@
         };
         let assigned = task.runner.and_then(|node| {
             let runner = self.runners.get(node)?;
-            let assignment = self.runners.assignment(AssignedRun { task: task_id, node })?;
+            let assignment = self.runners.assignment(AssignedRun {
+                task: task_id,
+                node,
+            })?;
             Some(AssignmentRecord {
                 agent: node,
                 instance: runner.instance.as_str().into(),
--- a/crates/cluster/scheduler/src/scheduler/restore.rs
+++ b/crates/cluster/scheduler/src/scheduler/restore.rs
@@ -58,7 +58,12 @@
         Ok(())
     }
 
-    fn restore_task(&mut self, now: Now, task_id: TaskId, value: &[u8]) -> Result<(), SchedulerError> {
+    fn restore_task(
+        &mut self,
+        now: Now,
+        task_id: TaskId,
+        value: &[u8],
+    ) -> Result<(), SchedulerError> {
         let (_, record) = TaskRecord::from_bytes((value, 0))?;
         let mut is_run_wanted = false;
         if let Some(job) = self.jobs.get_active_mut(task_id.step.job) {
@@ -73,7 +78,13 @@
         Ok(())
     }
 
-    fn restore_assignment(&mut self, now: Now, task_id: TaskId, record: &TaskRecord, is_run_wanted: bool) {
+    fn restore_assignment(
+        &mut self,
+        now: Now,
+        task_id: TaskId,
+        record: &TaskRecord,
+        is_run_wanted: bool,
+    ) {
         let runner = self
             .runners
             .get_or_add(record.assignment.agent, self.started_at);
--- a/crates/cluster/scheduler/src/scheduler/run_outcome.rs
+++ b/crates/cluster/scheduler/src/scheduler/run_outcome.rs
@@ -52,7 +52,10 @@
 impl Scheduler {
     /// Removes a run's assignment from its runner and updates its task: done, failed or waiting for another run.
     pub(super) fn end_run(&mut self, now: Now, ended: EndedRun) {
-        let AssignedRun { node, task: task_id } = ended.run;
+        let AssignedRun {
+            node,
+            task: task_id,
+        } = ended.run;
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
@@ -74,7 +77,9 @@
             task.checkpoint = ended.checkpoint;
         }
         let is_first_failure = task.failures == 0;
-        let long_running = job.stage(task_id.step).is_some_and(|stage| stage.long_running);
+        let long_running = job
+            .stage(task_id.step)
+            .is_some_and(|stage| stage.long_running);
         match ended.end {
             RunEnd::Done => {
                 self.record_success(node);
@@ -124,7 +129,9 @@
         };
         let is_gang = job.stage(task_id.step).is_some_and(|stage| stage.gang);
         let members = if is_gang {
-            0..job.step(task_id.step).map_or(0, |step| step.tasks.len() as u32)
+            0..job
+                .step(task_id.step)
+                .map_or(0, |step| step.tasks.len() as u32)
         } else {
             task_id.index..task_id.index + 1
         };
@@ -171,7 +178,10 @@
     /// Counts a failed run. A failed attempt of a gang counts only once, however many of its members fail.
     fn count_failure(&mut self, failure: Failure) -> FailureVerdict {
         let Failure { run, attempt } = failure;
-        let AssignedRun { node, task: task_id } = run;
+        let AssignedRun {
+            node,
+            task: task_id,
+        } = run;
         let Some(job) = self.jobs.get_mut(task_id.step.job) else {
             return FailureVerdict::Retry;
         };
@@ -208,7 +218,10 @@
     /// Ends a job as failed after its last permitted attempt.
     fn fail_job(&mut self, now: Now, failure: Failure, failures: u32) {
         let Failure { run, attempt } = failure;
-        let AssignedRun { node, task: task_id } = run;
+        let AssignedRun {
+            node,
+            task: task_id,
+        } = run;
         log::info!(
             "job failed: term={} job={} task={task_id} runner={node} attempt={attempt} failures={failures}",
             self.term,
--- a/crates/cluster/scheduler/tests/late_reports.rs
+++ b/crates/cluster/scheduler/tests/late_reports.rs
@@ -45,7 +45,11 @@
         cluster.execute_commands();
     }
     assert_eq!(cluster.running().len(), 1);
-    assert_eq!(cluster.running()[0].attempt, 1, "the task was started again");
+    assert_eq!(
+        cluster.running()[0].attempt,
+        1,
+        "the task was started again"
+    );
 }
 
 /// Changes a report into one of a replaced agent about a former instance without active runs.
@@ -156,7 +160,10 @@
                 .iter()
                 .any(|start| start.attempt == 2)
         };
-        assert!([runner_node, other_node(runner_node)].iter().any(started), "lease_expired: {lease_expired}");
+        assert!(
+            [runner_node, other_node(runner_node)].iter().any(started),
+            "lease_expired: {lease_expired}"
+        );
     }
 }
 
@@ -239,23 +246,38 @@
         node(0)
     };
     assert_eq!(cluster.commands[&runner_node].start.len(), 1);
-    cluster.runners.get_mut(&runner_node).expect("a runner").draining = true;
+    cluster
+        .runners
+        .get_mut(&runner_node)
+        .expect("a runner")
+        .draining = true;
     for _ in 0..3 {
         cluster.report_all();
         cluster.advance_ms(100);
         cluster.commit();
     }
     assert!(cluster.commands[&runner_node].start.is_empty());
-    assert_eq!(cluster.commands[&other_node(runner_node)].start[0].attempt, 2);
+    assert_eq!(
+        cluster.commands[&other_node(runner_node)].start[0].attempt,
+        2
+    );
 }
 
 #[test]
 fn a_draining_runner_keeps_draining_after_its_agent_restarts() {
     let (mut cluster, runner_node) = cluster_with_one_run();
-    cluster.runners.get_mut(&runner_node).expect("a runner").draining = true;
+    cluster
+        .runners
+        .get_mut(&runner_node)
+        .expect("a runner")
+        .draining = true;
     cluster.report_all();
     cluster.restart_agent(runner_node, 60);
-    cluster.runners.get_mut(&runner_node).expect("a runner").draining = false;
+    cluster
+        .runners
+        .get_mut(&runner_node)
+        .expect("a runner")
+        .draining = false;
     cluster.report_all();
     cluster.report_all();
     for job in 1..=8 {
--- a/crates/cluster/scheduler/tests/takeover.rs
+++ b/crates/cluster/scheduler/tests/takeover.rs
@@ -75,7 +75,11 @@
 fn an_unreachable_runner_keeps_its_runs_until_its_lease_has_certainly_expired() {
     let mut cluster = cluster_with_one_run();
     let unreachable_node = cluster.running()[0].node;
-    let other_node = if unreachable_node == node(0) { node(1) } else { node(0) };
+    let other_node = if unreachable_node == node(0) {
+        node(1)
+    } else {
+        node(0)
+    };
     for _ in 0..(BEYOND_LEASE_MS / 500 - 2) {
         cluster.advance_ms(500);
         cluster.report(other_node);
@@ -95,7 +99,11 @@
 fn a_new_scheduler_waits_for_leases_granted_by_its_predecessor() {
     let mut cluster = cluster_with_one_run();
     let unreachable_node = cluster.running()[0].node;
-    let other_node = if unreachable_node == node(0) { node(1) } else { node(0) };
+    let other_node = if unreachable_node == node(0) {
+        node(1)
+    } else {
+        node(0)
+    };
     cluster.start_next_term(config(1, 2, 1));
     for _ in 0..(BEYOND_LEASE_MS / 500 - 2) {
         cluster.report(other_node);
@@ -130,7 +138,11 @@
     cluster.report_all();
     cluster.advance_ms(100);
     cluster.commit();
-    let other_node = if runner_node == node(0) { node(1) } else { node(0) };
+    let other_node = if runner_node == node(0) {
+        node(1)
+    } else {
+        node(0)
+    };
     assert_eq!(cluster.commands[&other_node].start.len(), 1);
     assert_eq!(cluster.commands[&other_node].start[0].attempt, 2);
 }
--- a/crates/cluster/scheduler/tests/test_cluster/mod.rs
+++ b/crates/cluster/scheduler/tests/test_cluster/mod.rs
@@ -299,7 +299,10 @@
     /// Makes every runner execute its newest commands, then sends all reports.
     pub(crate) fn execute_commands(&mut self) {
         for (node, commands) in self.commands.clone() {
-            let runner = self.runners.get_mut(&node).expect("a runner for each agent with commands");
+            let runner = self
+                .runners
+                .get_mut(&node)
+                .expect("a runner for each agent with commands");
             if commands.instance.0 != runner.instance {
                 continue;
             }
