--- a/crates/cluster/scheduler/benches/placement.rs
+++ b/crates/cluster/scheduler/benches/placement.rs
@@ -1,6 +1,6 @@
-//! One placement pass: 64 pending steps of eight tasks at 12 and at 3,100 runners.
+//! Measures one placement pass over 64 pending steps of eight tasks each, with 12 and with 3,100 runners.
 
-// `criterion_group!` makes a public function without a doc comment.
+// `criterion_group!` generates a public function without a doc comment.
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
@@ -11,10 +11,14 @@
 use sagetrail_scheduler::{AvailableRunner, JobId, Labels, Pass, PendingStep, StepId};
 use std::collections::BTreeMap;
 
+/// The number of pending steps in the backlog.
 const PENDING_STEPS: u64 = 64;
+/// The number of waiting tasks of each step.
 const TASKS_PER_STEP: u32 = 8;
+/// The number of runners in each rack.
 const RUNNERS_PER_RACK: u32 = 3;
 
+/// Returns `count` empty runners of 16 cores each.
 fn runners(count: u32) -> Vec<AvailableRunner> {
     let runner = |number: u32| AvailableRunner {
         node: NodeId {
@@ -29,11 +33,12 @@
         labels: vec!["a".to_owned(), format!("r1-{}", number / RUNNERS_PER_RACK)].into(),
         reservation: None,
         max_starts: u32::MAX,
-        straggler: false,
+        is_straggler: false,
     };
     (0..count).map(runner).collect()
 }
 
+/// Returns the backlog in its order. Steps with an even number have data in one of two racks.
 fn pending_steps() -> Vec<PendingStep> {
     let step = |number: u64| PendingStep {
         id: StepId {
@@ -48,10 +53,10 @@
             gpu: 0,
         },
         waiting: TASKS_PER_STEP,
-        gang: false,
+        is_gang: false,
         long_running: false,
         holds_for_rack: false,
-        far_tasks: u32::MAX,
+        max_far_tasks: u32::MAX,
         takes_stragglers: false,
         ignores_drains: false,
         affinity: if number.is_multiple_of(2) {
@@ -61,8 +66,8 @@
         },
         constraints: Labels::default(),
         anti_affinity: 0,
-        assigned_at: BTreeMap::new(),
-        avoiding: BTreeMap::new(),
+        assigned_per_runner: BTreeMap::new(),
+        avoiding_per_runner: BTreeMap::new(),
     };
     let mut steps: Vec<PendingStep> = (0..PENDING_STEPS).map(step).collect();
     steps.sort_by_key(|step| (step.priority, step.id));
--- a/crates/cluster/scheduler/src/placement.rs
+++ b/crates/cluster/scheduler/src/placement.rs
@@ -1,6 +1,7 @@
-//! Placement: which pending tasks start at which available runners. Plain values in (`inputs`), choices out; `pass` is
-//! the algorithm for single tasks, `gang` that for tasks that start together, `locality` how long tasks wait for a runner
-//! near their data.
+//! Placement decides which pending tasks start at which available runners.
+//!
+//! It takes plain values and returns plain values, both declared in `inputs`. `pass` places single tasks, `gang` places
+//! tasks that must start together, and `locality` limits how long tasks wait for a runner near their data.
 
 mod gang;
 mod inputs;
--- a/crates/cluster/scheduler/src/placement/locality.rs
+++ b/crates/cluster/scheduler/src/placement/locality.rs
@@ -1,34 +1,37 @@
-//! Delay scheduling: how many waiting tasks of a step stay back for a runner near their data.
+//! Delay scheduling: decides how many waiting tasks of a step are held back for a runner near their data.
 //!
-//! Away from its data a task takes `far_x` times as long, which delays its job and takes capacity from all others. Where
-//! the rack of its data is full for a moment, waiting is cheaper (Zaharia et al., "Delay Scheduling", EuroSys 2010). A
-//! task waits at most as long as the way to another rack would cost it, the bound of the ski-rental problem (Karlin et
-//! al., "Competitive Snoopy Caching", Algorithmica 3, 1988): it loses at most as much again. What the rack cannot take
-//! within that time, behind the work that waits for the same rack before it, does not wait.
+//! A runner is near a task's data if it is in the rack of the data. Elsewhere the task takes `far_factor` times as
+//! long, which delays its job and takes capacity from all others. If the rack is only briefly full, waiting is cheaper
+//! (Zaharia et al., "Delay Scheduling", EuroSys 2010). A task is held at most for the extra time that it would take in
+//! another rack. This is the bound of the ski-rental problem (Karlin et al., "Competitive Snoopy Caching", Algorithmica
+//! 3, 1988): a task that waits in vain loses at most twice the extra time. Tasks that the rack cannot start within the
+//! bound, behind the earlier backlog for the same rack, are not held.
 
 use sagetrail_protocol::agent::Resources;
 use std::collections::BTreeMap;
 
 use crate::capacity::{add, fit_count};
 
-/// The longest wait while many runners are idle, in milliseconds: a job must not stand still beside them for seconds.
+/// The longest hold of a task while many runners are idle, in milliseconds. It is short because a job must not wait
+/// for seconds beside idle runners.
 const MAX_HOLD_IDLE_MS: f64 = 2_000.0;
-/// The longest wait in a busy service, in milliseconds.
+/// The longest hold of a task in a busy service, in milliseconds.
 const MAX_HOLD_BUSY_MS: f64 = 6_000.0;
-/// A service is busy where more than this part of its processors is in use, in hundredths.
+/// A service is busy if more than this percentage of its CPU capacity is in use.
 const BUSY_PERCENT: u64 = 60;
 
-/// The bound on waits for a near runner in a service.
+/// The limit on how long tasks of one service are held for a runner near their data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HoldLimit {
+    /// The longest hold of any task, in milliseconds.
     longest_ms: f64,
-    /// How many times as long work takes away from its data.
-    far_x: f64,
+    /// How many times as long a task takes away from its data as near it.
+    far_factor: f64,
 }
 
 impl HoldLimit {
-    /// The bound in a service with so much capacity, used or free, of which so much is free.
-    pub(crate) fn new(far_x: f64, capacity: Resources, free: Resources) -> HoldLimit {
+    /// Returns the limit for a service with this total `capacity`, of which `free` is not in use.
+    pub(crate) fn new(far_factor: f64, capacity: Resources, free: Resources) -> HoldLimit {
         let used = capacity.cpu.saturating_sub(free.cpu);
         let is_busy = used * 100 > capacity.cpu * BUSY_PERCENT;
         HoldLimit {
@@ -37,82 +40,84 @@
             } else {
                 MAX_HOLD_IDLE_MS
             },
-            far_x,
+            far_factor,
         }
     }
 
-    /// True where many of the service's runners are idle.
+    /// Returns true if the service is not busy, so many of its runners are idle.
     pub(crate) fn is_idle(self) -> bool {
         self.longest_ms <= MAX_HOLD_IDLE_MS
     }
 
-    /// The longest wait of a task that takes so long near its data, in milliseconds.
-    pub(crate) fn of(self, estimate_ms: f64) -> f64 {
-        (estimate_ms * (self.far_x - 1.0)).clamp(0.0, self.longest_ms)
+    /// Returns the longest hold, in milliseconds, of a task that takes `estimate_ms` near its data.
+    pub(crate) fn max_hold_ms(self, estimate_ms: f64) -> f64 {
+        (estimate_ms * (self.far_factor - 1.0)).clamp(0.0, self.longest_ms)
     }
 }
 
-/// Waiting tasks with data on a rack.
+/// The waiting tasks of one step and the rack that holds their data.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RackDemand<'a> {
-    /// The rack of their data.
+    /// The rack that holds the tasks' data; empty if they need no particular rack.
     pub rack: &'a str,
-    /// What one task asks for.
+    /// The resources that one task needs.
     pub resources: Resources,
-    /// How long a task takes there, in milliseconds.
+    /// The estimated time that one task takes in that rack, in milliseconds.
     pub estimate_ms: f64,
-    /// How many tasks wait.
+    /// The number of tasks that wait.
     pub waiting: u32,
-    /// How long they have waited, in milliseconds.
+    /// The time that the tasks have waited so far, in milliseconds.
     pub pending_ms: u64,
-    /// The longest that they wait, in milliseconds.
+    /// The longest time that the tasks are held for the rack, in milliseconds.
     pub max_hold_ms: f64,
 }
 
-/// One rack in a pass.
+/// The runners of one rack and the backlog for them, within one pass.
 #[derive(Clone, Debug, Default)]
 struct Rack {
+    /// The capacity of all runners in the rack together, in use or free.
     capacity: Resources,
-    /// The capacity of each of its runners.
+    /// The capacity of each runner in the rack, in use or free.
     runners: Vec<Resources>,
-    /// How long the rack takes for the tasks that wait for it, in milliseconds.
+    /// The time that the rack needs for the tasks that wait for it, in milliseconds.
     backlog_ms: f64,
 }
 
 impl Rack {
-    /// How many tasks fit into its runners when they are empty, counted up to `limit`.
+    /// Returns how many tasks would fit into the rack's runners if they were empty, counting at most `limit` for each
+    /// runner.
     fn slots(&self, resources: Resources, limit: u32) -> u32 {
         let fitting = |runner: &Resources| fit_count(resources, *runner, limit);
         self.runners.iter().map(fitting).sum()
     }
 }
 
-/// The racks of a service, with the work that waits for each.
+/// The racks of a service by name, each with the backlog of tasks that wait for it.
 #[derive(Debug, Default)]
 pub(crate) struct Racks<'a>(BTreeMap<&'a str, Rack>);
 
 impl<'a> Racks<'a> {
-    /// Adds the capacity, used or free, of a runner that takes new work.
+    /// Adds a runner that takes new work; `capacity` is its total capacity, in use or free.
     pub(crate) fn add_runner(&mut self, rack: &'a str, capacity: Resources) {
         let rack = self.0.entry(rack).or_default();
         add(&mut rack.capacity, capacity);
         rack.runners.push(capacity);
     }
 
-    /// True where one rack could hold all of so many tasks if it were empty.
+    /// Returns true if some rack could run all `tasks` at the same time if it were empty.
     pub(crate) fn can_hold(&self, resources: Resources, tasks: u32) -> bool {
         self.0
             .values()
             .any(|rack| rack.slots(resources, tasks) >= tasks)
     }
 
-    /// How many of the tasks wait for their rack. To be called for one step after the other in the order in which they
-    /// are placed.
-    pub(crate) fn hold(&mut self, demand: RackDemand) -> u32 {
+    /// Returns how many of a step's tasks are held for their rack, and adds all its waiting tasks to the rack's
+    /// backlog. Must be called once for each step, in the order in which steps are placed.
+    pub(crate) fn hold_tasks(&mut self, demand: RackDemand) -> u32 {
         let Some(rack) = self.0.get_mut(demand.rack) else {
             return 0;
         };
-        let task_ms = demand.estimate_ms * share_of(demand.resources, rack.capacity);
+        let task_ms = demand.estimate_ms * dominant_share(demand.resources, rack.capacity);
         let left_ms = demand.max_hold_ms - demand.pending_ms as f64;
         let held = if task_ms > 0.0 && left_ms > 0.0 {
             let fitting = (demand.max_hold_ms - rack.backlog_ms) / task_ms;
@@ -125,8 +130,8 @@
     }
 }
 
-/// The part of a capacity that is asked for, by the kind that is scarcest.
-fn share_of(wanted: Resources, capacity: Resources) -> f64 {
+/// Returns the dominant share of `wanted` in `capacity`: the largest of the shares of CPU, memory and GPUs.
+fn dominant_share(wanted: Resources, capacity: Resources) -> f64 {
     let share = |wanted: u64, capacity: u64| match (wanted, capacity) {
         (0, _) => 0.0,
         (_, 0) => 1.0,
--- a/crates/cluster/scheduler/src/placement/pass.rs
+++ b/crates/cluster/scheduler/src/placement/pass.rs
@@ -1,11 +1,15 @@
-//! Algorithm 1 of "Probabilistic Network-Aware Task Placement for MapReduce Scheduling" (section II-C): which waiting
-//! task starts at which runner.
+//! One placement pass: decides which waiting task starts at which runner.
 //!
-//! Runners with free capacity are visited from the fullest on. At each, every pending step whose tasks fit gets its cost
-//! there and its mean cost over the available runners; the largest P = 1 - e^(-mean/cost) wins, ties go to the first
-//! in the backlog. Below `P_MIN`, or on losing the coin, the runner is skipped for another, as in delay scheduling
-//! (Zaharia et al., EuroSys 2010) work waits for a runner near its data; `locality` decides which tasks wait longer than
-//! one pass. What else all runners skipped in one pass takes its cheapest one. Priorities go before all this; gangs are placed complete.
+//! It implements Algorithm 1 of "Probabilistic Network-Aware Task Placement for MapReduce Scheduling" (section II-C).
+//! Runners with free capacity are visited in order, the one with the least free capacity first. At each runner, every
+//! pending step whose tasks fit there gets its cost at this runner and its mean cost over the available runners. The
+//! step with the largest probability P = 1 - e^(-mean/cost) is chosen; among equals, the first in the backlog. If P is
+//! below `P_MIN`, or a random draw with probability P fails, the pass moves on to the next runner. As in delay
+//! scheduling (Zaharia et al., EuroSys 2010), tasks thereby wait for a runner near their data; `locality` decides which
+//! tasks wait longer than one pass. Other tasks that were skipped at every runner start at their cheapest runner at the
+//! end of the pass.
+//!
+//! Steps of a higher priority are placed before all others. All tasks of a gang are placed together, or none is.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -13,47 +17,51 @@
 use sagetrail_protocol::agent::Resources;
 use std::ops::Range;
 
-use super::gang::{choose_slots, GangSlots, RackSlots, Spread};
+use super::gang::{choose_slots, GangSlots, RackSlots, RackSpread};
 use super::inputs::{AvailableRunner, PendingStep, Placement};
 use crate::capacity::{add, fit_count, fits, subtract};
 use crate::reserved_capacity::URGENT;
 
-/// Below this chance a runner is skipped. Just under 1 - 1/e: a runner away from the data is passed over while any
-/// near it has free capacity (P = 1 - e^(-far share) < P_MIN), and takes its chance where none has.
+/// The minimum probability P at which a task may start; below it the runner is skipped. It is just under 1 - 1/e. A
+/// runner away from the data is skipped while any runner near the data has free capacity, because then
+/// P = 1 - e^(-share of far runners) < `P_MIN`. If no near runner has free capacity, P is 1 - 1/e and a random draw
+/// decides.
 pub const P_MIN: f64 = 0.63;
-/// The cost of a task away from its data; near it the cost is zero.
+/// The cost of a task at a runner away from its data; near the data the cost is zero. Costs have no unit.
 const FAR_COST: f64 = 1.0;
-/// The mean cost is taken over the first so many of the shuffled runners.
+/// The maximum number of runners over which the mean cost of a step is taken, starting with the fullest.
 const SAMPLED_RUNNERS: usize = 64;
 
-/// A step and its chance to start at the runner in question.
+/// A step and the probability that it starts at the runner being visited.
 #[derive(Clone, Copy)]
 struct Candidate {
     /// The step's index in the pass.
     step: usize,
-    /// P of Algorithm 1, 0 to 1.
+    /// The probability P of Algorithm 1, from 0 to 1.
     chance: f64,
 }
 
-/// One pass over the available runners and the pending steps of a service. Steps and runners are named by their index.
+/// One pass over the available runners and the pending steps of a service. Methods refer to steps and runners by their
+/// index in the pass.
 pub struct Pass<'a, R: Rng> {
-    /// In the order in which they are visited: the fullest first, at random among equals.
+    /// The available runners in the order of the visit: least free capacity first, in random order among equals.
     runners: Vec<AvailableRunner>,
-    /// In the order of the backlog.
+    /// The pending steps in the order of the backlog.
     steps: Vec<PendingStep>,
-    /// Capacity that work which is not urgent leaves free, over all runners.
+    /// The capacity, over all runners together, that non-urgent steps must leave free.
     reserved: Resources,
-    /// Free capacity of all runners together.
+    /// The free capacity of all runners together.
     free: Resources,
-    /// The mean cost of each step over the available runners, as the pass began.
+    /// The mean cost of each step over the available runners at the start of the pass, by the step's index.
     mean_costs: Vec<f64>,
     random: &'a mut R,
-    placed: Vec<Placement>,
+    /// The placements decided so far.
+    placements: Vec<Placement>,
 }
 
 impl<'a, R: Rng> Pass<'a, R> {
-    /// A pass over these runners and steps, which come in the order of the backlog. Work that is not urgent leaves
-    /// `reserved` free, over all runners together.
+    /// Creates a pass over these runners and steps; `steps` must be in the order of the backlog. Non-urgent steps leave
+    /// `reserved` free over all runners together.
     pub fn new(
         mut runners: Vec<AvailableRunner>,
         steps: Vec<PendingStep>,
@@ -61,7 +69,8 @@
         random: &'a mut R,
     ) -> Pass<'a, R> {
         runners.shuffle(random);
-        // Best fit: work that needs a whole runner, or several, finds them as long as small work leaves them empty.
+        // Best fit: filling the fullest runners first keeps others empty for work that needs one or several whole
+        // runners.
         runners.sort_by_key(|runner| (runner.free.gpu, runner.free.cpu));
         let mut free = Resources::default();
         runners
@@ -74,7 +83,7 @@
             free,
             mean_costs: Vec::new(),
             random,
-            placed: Vec::new(),
+            placements: Vec::new(),
         };
         pass.mean_costs = (0..pass.steps.len())
             .map(|step| pass.mean_cost(step))
@@ -82,14 +91,14 @@
         pass
     }
 
-    /// Decides which tasks start, one priority after the other: gangs first, then single tasks.
+    /// Decides which tasks start, one priority after the other; within a priority gangs come before single tasks.
     #[must_use]
     pub fn run(mut self) -> Vec<Placement> {
         let mut first = 0;
         while first < self.steps.len() {
             let level = self.priority_level(first);
             let (gangs, singles): (Vec<usize>, Vec<usize>) =
-                level.clone().partition(|&step| self.steps[step].gang);
+                level.clone().partition(|&step| self.steps[step].is_gang);
             gangs.into_iter().for_each(|step| self.place_gang(step));
             self.visit_runners(level.clone());
             singles
@@ -97,10 +106,10 @@
                 .for_each(|step| self.place_cheapest(step));
             first = level.end;
         }
-        self.placed
+        self.placements
     }
 
-    /// The steps of one priority, from the first one on.
+    /// Returns the range of steps, starting at `first`, that have the priority of the step at `first`.
     fn priority_level(&self, first: usize) -> Range<usize> {
         let priority = self.steps[first].priority;
         let steps = self.steps[first..].iter();
@@ -108,6 +117,7 @@
         first..first + count
     }
 
+    /// Visits all runners and starts tasks of single-task steps of this priority there, as in Algorithm 1.
     fn visit_runners(&mut self, level: Range<usize>) {
         for runner in 0..self.runners.len() {
             while let Some(candidate) = self.best_candidate(level.clone(), runner) {
@@ -119,16 +129,17 @@
         }
     }
 
-    /// True where the chance is large enough and the coin is won. A certain start tosses none.
+    /// Returns true if the probability is at least `P_MIN` and the random draw succeeds. No number is drawn for a
+    /// probability of 1.
     fn accepts(&mut self, chance: f64) -> bool {
         chance >= P_MIN && (chance >= 1.0 || self.random.random::<f64>() < chance)
     }
 
-    /// The step with the largest P at a runner; ties go to the first in the backlog.
+    /// Returns the step with the largest probability P at a runner; among equals, the first in the backlog.
     fn best_candidate(&self, level: Range<usize>, runner: usize) -> Option<Candidate> {
         let mut best: Option<Candidate> = None;
         for step in level {
-            if self.steps[step].gang || !self.may_start(step, runner) {
+            if self.steps[step].is_gang || !self.may_start(step, runner) {
                 continue;
             }
             let chance = start_chance(self.mean_costs[step], self.cost(step, runner));
@@ -142,6 +153,7 @@
         best
     }
 
+    /// Returns the cost of a step's task at a runner: zero near its data, `FAR_COST` away from it.
     fn cost(&self, step: usize, runner: usize) -> f64 {
         let rack = &self.steps[step].affinity;
         if rack.is_empty() || self.runners[runner].labels.contains(rack) {
@@ -151,28 +163,29 @@
         }
     }
 
-    /// The mean cost of a step over the runners at which one of its tasks may start.
+    /// Returns the mean cost of a step over those of the first `SAMPLED_RUNNERS` runners at which one of its tasks may
+    /// start.
     fn mean_cost(&self, step: usize) -> f64 {
         if self.steps[step].affinity.is_empty() {
             return 0.0;
         }
         let sample = 0..self.runners.len().min(SAMPLED_RUNNERS);
-        let open: Vec<usize> = sample
+        let eligible: Vec<usize> = sample
             .filter(|&runner| self.may_start(step, runner))
             .collect();
-        let total: f64 = open.iter().map(|&runner| self.cost(step, runner)).sum();
-        total / open.len().max(1) as f64
+        let total: f64 = eligible.iter().map(|&runner| self.cost(step, runner)).sum();
+        total / eligible.len().max(1) as f64
     }
 
-    /// True where one waiting task of the step may start at the runner.
+    /// Returns true if one waiting task of the step may start at the runner.
     fn may_start(&self, step: usize, runner: usize) -> bool {
-        let is_held = self.steps[step].far_tasks == 0 && self.cost(step, runner) > 0.0;
+        let is_held = self.steps[step].max_far_tasks == 0 && self.cost(step, runner) > 0.0;
         let (step, runner) = (&self.steps[step], &self.runners[runner]);
         let reserved_for_other = runner
             .reservation
             .is_some_and(|reservation| step.is_excluded_by(&reservation));
         !is_held
-            && (step.takes_stragglers || !runner.straggler)
+            && (step.takes_stragglers || !runner.is_straggler)
             && step.has_task_for(runner.node)
             && self.leaves_reserved_capacity(step)
             && !reserved_for_other
@@ -182,14 +195,15 @@
             && step.constraints.all_in(&runner.labels)
     }
 
-    /// True where the capacity reserved for urgent work stays free. Long-running work may use it: it would wait for
-    /// ever.
+    /// Returns true if one more task of the step leaves the capacity reserved for urgent work free. Urgent steps may
+    /// use that capacity. Long-running steps may use it too, because otherwise they could wait forever.
     fn leaves_reserved_capacity(&self, step: &PendingStep) -> bool {
         let mut needed = self.reserved;
         add(&mut needed, step.resources);
         step.priority == URGENT || step.long_running || fits(needed, self.free)
     }
 
+    /// Places one task of a step at a runner.
     fn place(&mut self, step: usize, runner: usize) {
         let is_far = self.cost(step, runner) > 0.0;
         let step = &mut self.steps[step];
@@ -199,35 +213,35 @@
         runner.max_starts -= 1;
         step.waiting -= 1;
         if is_far {
-            step.far_tasks = step.far_tasks.saturating_sub(1);
+            step.max_far_tasks = step.max_far_tasks.saturating_sub(1);
         }
-        *step.assigned_at.entry(runner.node).or_default() += 1;
-        self.placed.push(Placement {
+        *step.assigned_per_runner.entry(runner.node).or_default() += 1;
+        self.placements.push(Placement {
             step: step.id,
             runner: runner.node,
         });
     }
 
-    /// What is left of a step starts at its cheapest runners.
+    /// Places the remaining tasks of a step at its cheapest runners, as far as any runner may take them.
     fn place_cheapest(&mut self, step: usize) {
         while self.steps[step].waiting > 0 {
-            let open = (0..self.runners.len()).filter(|&runner| self.may_start(step, runner));
+            let eligible = (0..self.runners.len()).filter(|&runner| self.may_start(step, runner));
             let by_cost =
                 |a: &usize, b: &usize| self.cost(step, *a).total_cmp(&self.cost(step, *b));
-            let Some(runner) = open.min_by(by_cost) else {
+            let Some(runner) = eligible.min_by(by_cost) else {
                 return;
             };
             self.place(step, runner);
         }
     }
 
-    /// Places all tasks of a gang or none.
+    /// Places all tasks of a gang, or none of them.
     fn place_gang(&mut self, step: usize) {
         let gang = &self.steps[step];
         let spread = if gang.holds_for_rack {
-            Spread::Forbidden
+            RackSpread::Forbidden
         } else {
-            Spread::Allowed
+            RackSpread::Allowed
         };
         let available: Vec<RackSlots> = (0..self.runners.len())
             .map(|runner| self.rack_slots(step, runner))
@@ -238,7 +252,7 @@
         }
     }
 
-    /// How many tasks of a gang fit at one runner.
+    /// Returns the slots for a gang's tasks at one runner, with the runner's rack.
     fn rack_slots(&self, step: usize, runner: usize) -> RackSlots<'_> {
         let tasks = if self.may_start(step, runner) {
             let (step, runner) = (&self.steps[step], &self.runners[runner]);
--- a/crates/cluster/scheduler/src/scheduler/pending_steps.rs
+++ b/crates/cluster/scheduler/src/scheduler/pending_steps.rs
@@ -49,8 +49,8 @@
         let pending_since = step.waiting_since.max(job.accepted_at);
         let pending_ms = now.steady.millis_since(pending_since);
         let waiting = step.waiting.len() as u32;
-        let max_hold_ms = limit.of(stage.estimate_ms);
-        let held = racks.hold(RackDemand {
+        let max_hold_ms = limit.max_hold_ms(stage.estimate_ms);
+        let held = racks.hold_tasks(RackDemand {
             rack: &stage.affinity,
             resources: stage.resources(),
             estimate_ms: stage.estimate_ms,
@@ -68,19 +68,19 @@
             priority: key.priority,
             resources: stage.resources(),
             waiting,
-            gang: stage.gang,
+            is_gang: stage.gang,
             long_running: stage.long_running,
             holds_for_rack: stage.rack_local
                 && (pending_ms as f64) < max_hold_ms
                 && racks.can_hold(stage.resources(), waiting),
-            far_tasks: if stage.gang { u32::MAX } else { waiting - held },
+            max_far_tasks: if stage.gang { u32::MAX } else { waiting - held },
             takes_stragglers: pending_ms >= STRAGGLER_AVOIDANCE_MS,
             ignores_drains: pending_ms >= DRAIN_PATIENCE_MS && limit.is_idle(),
             affinity: stage.affinity.clone(),
             constraints: stage.constraints.clone(),
             anti_affinity: stage.anti_affinity,
-            assigned_at: count_assigned(stage, step),
-            avoiding,
+            assigned_per_runner: count_assigned(stage, step),
+            avoiding_per_runner: avoiding,
         })
     }
 }
--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -79,7 +79,7 @@
                 } else {
                     1
                 },
-                straggler: runner.pace.is_straggler(),
+                is_straggler: runner.pace.is_straggler(),
             })
             .filter(|available| available.free.cpu > 0)
             .collect()
@@ -160,8 +160,8 @@
 fn may_start_somewhere(step: &PendingStep, runners: &[AvailableRunner]) -> bool {
     let is_open = |runner: &AvailableRunner| {
         fits(step.resources, runner.free)
-            && (step.takes_stragglers || !runner.straggler)
-            && (step.far_tasks > 0 || runner.labels.contains(&step.affinity))
+            && (step.takes_stragglers || !runner.is_straggler)
+            && (step.max_far_tasks > 0 || runner.labels.contains(&step.affinity))
     };
     runners.iter().any(is_open)
 }
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -57,7 +57,7 @@
                 && !runner.pace.is_straggler()
                 && fits(stage.resources(), runner.free_capacity())
         };
-        (pending_ms as f64) < limit.of(stage.estimate_ms)
+        (pending_ms as f64) < limit.max_hold_ms(stage.estimate_ms)
             && self.runners.of_service(service).any(has_room)
     }
 
