--- a/crates/cluster/scheduler/src/agent_session.rs
+++ b/crates/cluster/scheduler/src/agent_session.rs
@@ -1,64 +1,65 @@
-//! Which incarnation of a runner's agent is believed.
+//! Decides which incarnation of a runner's agent the scheduler accepts reports from.
 //!
-//! Messages may come late, also those of an agent that has been replaced. A new incarnation is believed once it
-//! reports under commands that its first report was answered with: only a living agent can.
+//! Messages may arrive late, also those of an incarnation that has been replaced. A new incarnation is therefore
+//! accepted only once it sends a report under the commands with which its first report was answered: only an agent that
+//! is still alive can have received them.
 
 use sagetrail_protocol::agent::RunnerReport;
 use sagetrail_protocol::{Incarnation, Term};
 
-/// How many replaced incarnations of an agent are remembered.
-const MAX_REPLACED_AGENTS: usize = 16;
+/// The maximum number of replaced incarnations of an agent that are remembered.
+const MAX_REPLACED_INCARNATIONS: usize = 16;
 
-/// What a report is worth.
+/// The result of checking a report: what the scheduler may conclude from it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Admission {
-    /// It is the newest of the incarnation that is believed.
+    /// The report is the newest one of the accepted incarnation.
     Newest,
-    /// It is of a new incarnation, which is believed from now on.
+    /// The report is of a new incarnation, which is accepted from now on.
     NewAgent,
-    /// Its agent may have been replaced: the report is answered, and nothing is concluded.
+    /// The incarnation may have been replaced: the report is answered, but nothing is concluded from it.
     Unproven,
-    /// A newer one has come, or its agent was replaced.
+    /// A newer report has arrived before, or the incarnation has been replaced.
     Late,
 }
 
-/// An incarnation that has reported and may have been replaced.
+/// An incarnation that has reported but is not accepted yet, because it may have been replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Candidate {
-    agent: Incarnation,
-    /// The revision of the commands that its first report was answered with.
+    incarnation: Incarnation,
+    /// The revision of the commands with which its first report was answered.
     revision: u64,
 }
 
-/// The incarnations of one runner's agent.
+/// The accepted, candidate and replaced incarnations of one runner's agent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AgentSession {
-    /// The one that is believed; 0 before any was in this term.
-    agent: Incarnation,
-    /// Another one that is not believed yet.
+    /// The accepted incarnation; 0 before one was accepted in this term.
+    accepted: Incarnation,
+    /// An incarnation that has reported but is not accepted yet.
     candidate: Option<Candidate>,
-    /// Those that have been replaced, oldest first.
+    /// The incarnations that have been replaced, oldest first; at most `MAX_REPLACED_INCARNATIONS`.
     replaced: Vec<Incarnation>,
-    /// The highest sequence number of the believed one's reports.
-    sequence: u64,
+    /// The highest sequence number of the accepted incarnation's reports.
+    last_sequence: u64,
 }
 
 impl AgentSession {
-    /// True once an incarnation is believed in this term.
+    /// Returns true once an incarnation has been accepted in this term.
     pub(crate) fn is_established(&self) -> bool {
-        self.agent != 0
+        self.accepted != 0
     }
 
-    /// Judges a report in a term. `revision` is that of the runner's commands; a first report of an unknown
-    /// incarnation raises it, so that the answer to it can be told from all before.
+    /// Checks a report that arrived in `term`. `revision` is the revision of the runner's commands. The first report of
+    /// an unknown incarnation increments it, so that the answer to this report can be told from all earlier answers.
     pub(crate) fn admit(
         &mut self,
         report: &RunnerReport,
         term: Term,
         revision: &mut u64,
     ) -> Admission {
-        if self.agent == report.agent {
-            return self.admit_known(report.sequence);
+        if self.accepted == report.agent {
+            return self.admit_accepted(report.sequence);
         }
         if self.replaced.contains(&report.agent) {
             return Admission::Late;
@@ -70,38 +71,41 @@
         Admission::NewAgent
     }
 
-    fn admit_known(&mut self, sequence: u64) -> Admission {
-        if sequence <= self.sequence {
+    /// Checks a report of the accepted incarnation by its sequence number.
+    fn admit_accepted(&mut self, sequence: u64) -> Admission {
+        if sequence <= self.last_sequence {
             return Admission::Late;
         }
-        self.sequence = sequence;
+        self.last_sequence = sequence;
         Admission::Newest
     }
 
-    /// True where the report was sent under commands that its agent was first answered with. A late report of a
-    /// replaced agent cannot have been.
+    /// Returns true if the report was sent under the commands with which the incarnation's first report was answered,
+    /// or under later ones. A late report of a replaced incarnation cannot have been. An incarnation that is not the
+    /// candidate becomes the candidate, under a new revision.
     fn is_proven_live(&mut self, report: &RunnerReport, term: Term, revision: &mut u64) -> bool {
         let candidate = self
             .candidate
-            .filter(|candidate| candidate.agent == report.agent);
+            .filter(|candidate| candidate.incarnation == report.agent);
         if let Some(candidate) = candidate {
             return report.term == term && report.revision >= candidate.revision;
         }
         *revision += 1;
         self.candidate = Some(Candidate {
-            agent: report.agent,
+            incarnation: report.agent,
             revision: *revision,
         });
         false
     }
 
+    /// Accepts the incarnation that sent this report in place of the one accepted before.
     fn replace(&mut self, report: &RunnerReport) {
-        let former = std::mem::replace(&mut self.agent, report.agent);
+        let former = std::mem::replace(&mut self.accepted, report.agent);
         self.replaced.push(former);
-        if self.replaced.len() > MAX_REPLACED_AGENTS {
+        if self.replaced.len() > MAX_REPLACED_INCARNATIONS {
             self.replaced.remove(0);
         }
         self.candidate = None;
-        self.sequence = report.sequence;
+        self.last_sequence = report.sequence;
     }
 }
--- a/crates/cluster/scheduler/src/capacity.rs
+++ b/crates/cluster/scheduler/src/capacity.rs
@@ -1,18 +1,18 @@
-//! Arithmetic on resources: what fits into a free capacity, and how often.
+//! Arithmetic on resources: sums, differences, and how often a task's resources fit into a free capacity.
 
 use sagetrail_protocol::agent::Resources;
 
-/// True where `wanted` fits into `free`.
+/// Returns true if `wanted` fits into `free`.
 pub(crate) fn fits(wanted: Resources, free: Resources) -> bool {
     wanted.cpu <= free.cpu && wanted.mem_mb <= free.mem_mb && wanted.gpu <= free.gpu
 }
 
-/// How many times `wanted` fits into `free`, at most `limit`.
+/// Returns how many times `wanted` fits into `free`, at most `limit`.
 pub(crate) fn fit_count(wanted: Resources, free: Resources, limit: u32) -> u32 {
-    let fit_of = |wanted: u64, free: u64| free.checked_div(wanted).unwrap_or(u64::from(limit));
-    let count = fit_of(wanted.cpu, free.cpu)
-        .min(fit_of(wanted.mem_mb, free.mem_mb))
-        .min(fit_of(wanted.gpu, free.gpu));
+    let quotient = |wanted: u64, free: u64| free.checked_div(wanted).unwrap_or(u64::from(limit));
+    let count = quotient(wanted.cpu, free.cpu)
+        .min(quotient(wanted.mem_mb, free.mem_mb))
+        .min(quotient(wanted.gpu, free.gpu));
     count.min(u64::from(limit)) as u32
 }
 
@@ -21,12 +21,12 @@
     *total = combine(*total, more, u64::saturating_add);
 }
 
-/// Takes `used` from `free`, saturating at zero.
+/// Subtracts `used` from `free`, saturating at zero.
 pub(crate) fn subtract(free: &mut Resources, used: Resources) {
     *free = combine(*free, used, u64::saturating_sub);
 }
 
-/// Applies a function to each kind of resource of both sides.
+/// Combines two amounts of resources by applying a function to each kind of resource separately.
 pub(crate) fn combine(
     left: Resources,
     right: Resources,
--- a/crates/cluster/scheduler/src/commit_queue.rs
+++ b/crates/cluster/scheduler/src/commit_queue.rs
@@ -1,4 +1,4 @@
-//! Changes of records on their way to a quorum, and the messages that wait for them.
+//! Changes of records that are to be committed by a quorum, and the messages that wait for these commits.
 
 use deku::DekuContainerWrite;
 use sagetrail_protocol::service::{Batch, RecordOperation};
@@ -7,32 +7,33 @@
 
 use crate::records::{JobRecord, Key, TaskRecord};
 
-/// A message with its receiver.
+/// The address of a receiver and the message for it.
 type Envelope = (NodeId, Message);
 
-/// Collects changes of records into numbered batches and holds messages back until theirs is committed.
+/// Collects changes of records into numbered batches, and holds each message back until the batch that it depends on is
+/// committed. A batch is open until it is taken for replication.
 pub(crate) struct CommitQueue {
-    /// The number of the batch that takes the next change; the first of a term is 1.
-    open: u64,
-    /// All batches up to this number are committed.
-    committed: u64,
-    /// The open batch by key; `None` deletes the record.
+    /// The number of the open batch, which takes the next change; the first batch of a term has number 1.
+    open_batch: u64,
+    /// The highest committed batch number: all batches up to it are committed.
+    committed_batch: u64,
+    /// The changes in the open batch: the new value of each record by key. `None` deletes the record.
     changes: BTreeMap<Vec<u8>, Option<Vec<u8>>>,
-    /// Messages by the batch that they wait for.
-    waiting: BTreeMap<u64, Vec<Envelope>>,
-    /// Messages that may leave.
-    ready: Vec<Envelope>,
+    /// The messages that are held back, by the number of the batch that they wait for.
+    held_messages: BTreeMap<u64, Vec<Envelope>>,
+    /// The messages that may be sent now.
+    ready_messages: Vec<Envelope>,
 }
 
 impl CommitQueue {
-    /// An empty queue at the start of a term.
+    /// Creates an empty queue for the start of a term.
     pub(crate) fn new() -> CommitQueue {
         CommitQueue {
-            open: 1,
-            committed: 0,
+            open_batch: 1,
+            committed_batch: 0,
             changes: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            ready: Vec::new(),
+            held_messages: BTreeMap::new(),
+            ready_messages: Vec::new(),
         }
     }
 
@@ -48,50 +49,56 @@
         self.change(key, Some(value))
     }
 
-    /// Deletes a record with the open batch. Returns the batch's number.
+    /// Puts the deletion of a record into the open batch. Returns the batch's number.
     pub(crate) fn delete(&mut self, key: Key) -> u64 {
         self.change(key, None)
     }
 
+    /// Adds a change to the open batch. Returns the batch's number.
     fn change(&mut self, key: Key, value: Option<Vec<u8>>) -> u64 {
         self.changes.insert(key.to_bytes(), value);
-        self.open
+        self.open_batch
     }
 
-    /// True once the batch with this number is committed. There is no batch 0: what needs none is committed at once.
+    /// Returns true once the batch with this number is committed. Number 0, which no batch has, counts as committed: it
+    /// stands for changes that need no batch.
     pub(crate) fn is_committed(&self, batch: u64) -> bool {
-        batch <= self.committed
+        batch <= self.committed_batch
     }
 
-    /// Sends a message once the batch with this number is committed.
+    /// Queues a message to be sent once the batch with this number is committed.
     pub(crate) fn send_after(&mut self, batch: u64, to: NodeId, message: Message) {
         if self.is_committed(batch) {
-            self.ready.push((to, message));
+            self.ready_messages.push((to, message));
         } else {
-            self.waiting.entry(batch).or_default().push((to, message));
+            self.held_messages
+                .entry(batch)
+                .or_default()
+                .push((to, message));
         }
     }
 
-    /// Sends a message at once.
+    /// Queues a message to be sent at once.
     pub(crate) fn send(&mut self, to: NodeId, message: Message) {
-        self.ready.push((to, message));
+        self.ready_messages.push((to, message));
     }
 
-    /// All batches up to this number are committed: what waited for them may leave, in the order of the batches.
+    /// Notes that all batches up to this number are committed, and releases the messages that waited for them, in the
+    /// order of the batches.
     pub(crate) fn commit(&mut self, batch: u64) {
-        self.committed = self.committed.max(batch);
-        let later = self.waiting.split_off(&(self.committed + 1));
-        let released = std::mem::replace(&mut self.waiting, later);
-        self.ready.extend(released.into_values().flatten());
+        self.committed_batch = self.committed_batch.max(batch);
+        let later = self.held_messages.split_off(&(self.committed_batch + 1));
+        let released = std::mem::replace(&mut self.held_messages, later);
+        self.ready_messages.extend(released.into_values().flatten());
     }
 
-    /// Closes and takes the open batch; `None` where it is empty.
+    /// Closes and takes the open batch; returns `None` if it is empty.
     pub(crate) fn take_batch(&mut self) -> Option<Batch> {
         if self.changes.is_empty() {
             return None;
         }
-        let number = self.open;
-        self.open += 1;
+        let number = self.open_batch;
+        self.open_batch += 1;
         let changes = std::mem::take(&mut self.changes);
         let operation = |(key, value)| match value {
             Some(value) => RecordOperation::Put { key, value },
@@ -103,22 +110,22 @@
         })
     }
 
-    /// Takes the messages that may leave.
+    /// Takes the messages that may be sent now.
     pub(crate) fn take_sends(&mut self) -> Vec<Envelope> {
-        std::mem::take(&mut self.ready)
+        std::mem::take(&mut self.ready_messages)
     }
 
-    /// How many batches are not committed yet, the open one included if it holds a change.
+    /// Returns how many batches are not committed yet, including the open batch if it holds a change.
     pub(crate) fn uncommitted_batches(&self) -> u64 {
-        self.newest().saturating_sub(self.committed)
+        self.newest().saturating_sub(self.committed_batch)
     }
 
-    /// The number of the newest batch that holds a change, be it open or taken.
+    /// Returns the number of the newest batch that holds a change, whether it is open or has been taken.
     pub(crate) fn newest(&self) -> u64 {
         if self.changes.is_empty() {
-            self.open - 1
+            self.open_batch - 1
         } else {
-            self.open
+            self.open_batch
         }
     }
 }
--- a/crates/cluster/scheduler/src/ids.rs
+++ b/crates/cluster/scheduler/src/ids.rs
@@ -1,16 +1,16 @@
-//! Names of jobs, steps and tasks.
+//! The IDs of jobs, steps and tasks, and their text form.
 
 use std::fmt;
 
-/// Hexadecimal digits of a job's ID.
+/// The number of hexadecimal digits in the text of a job's ID.
 const ID_DIGITS: usize = 16;
 
-/// A job's ID: 16 lower-case hexadecimal digits chosen by the client.
+/// A job's ID, chosen by the client. Its text is 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Parses an ID; `None` unless the text is 16 lower-case hexadecimal digits.
+    /// Parses the text of a job's ID; returns `None` unless it is 16 lower-case hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != ID_DIGITS || !text.bytes().all(is_digit) {
@@ -26,18 +26,18 @@
     }
 }
 
-/// One step of a job, in one of the job's occurrences.
+/// The ID of one step of a job, in one of the job's occurrences.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StepId {
     /// The job that the step is part of.
     pub job: JobId,
-    /// Which occurrence of a repeated job, from 0; 0 for a job that runs once.
+    /// The index of the job's occurrence, from 0; always 0 for a job that runs once.
     pub occurrence: u32,
     /// The step's index in the job's `stages`.
     pub step: u32,
 }
 
-/// One task of a step. Its text, also on the wire, is `JOB.OCCURRENCE.STEP.INDEX`.
+/// The ID of one task of a step. Its text, also on the wire, is `JOB.OCCURRENCE.STEP.INDEX`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
     /// The step that the task is part of.
@@ -47,7 +47,7 @@
 }
 
 impl TaskId {
-    /// Parses the text of a task's ID; `None` where it is malformed.
+    /// Parses the text of a task's ID; returns `None` if it is malformed.
     pub fn parse(text: &str) -> Option<TaskId> {
         let mut parts = text.split('.');
         let job = JobId::parse(parts.next()?)?;
