--- a/crates/cluster/scheduler/src/job.rs
+++ b/crates/cluster/scheduler/src/job.rs
@@ -1,4 +1,4 @@
-//! One job: its attributes, and the state of its steps in each of its occurrences.
+//! One job: its attributes, its specification, and the state of its steps in each of its occurrences.
 
 use sagetrail_cluster_config::Route;
 use sagetrail_protocol::{Blob, Time};
@@ -10,20 +10,20 @@
 use crate::spec::{JobSpec, Stage};
 use crate::step_run::{StepRun, Task};
 
-/// What a queue's route in the configuration says of the queue's jobs.
+/// The attributes that a queue's route in the configuration gives to the queue's jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct QueueAttributes {
     /// The name of the route.
     pub name: String,
-    /// The service whose runners run the jobs.
+    /// The name of the service whose runners run the jobs.
     pub service: String,
-    /// A job fails with so many failed runs of one task, or of one gang; at least 1.
+    /// The number of failed runs of one task, or of one gang, with which the job fails; at least 1.
     pub max_attempts: u32,
-    /// 0 is the most urgent.
+    /// The priority of the jobs; 0 is the most urgent.
     pub priority: u32,
-    /// The objective's multiple of the job's longest chain of work; see `objective`.
+    /// The factor by which the objective multiplies the job's longest chain of work; see `objective`.
     pub extension: f64,
-    /// The objective's constant part, in milliseconds.
+    /// The constant part of the objective, in milliseconds; see `objective`.
     pub target_ms: f64,
 }
 
@@ -40,48 +40,48 @@
     }
 }
 
-/// What is known of a job beside its specification.
+/// The attributes of a job that are not part of its specification.
 #[derive(Clone, Debug)]
 pub(crate) struct JobAttributes {
-    /// Its queue; follows the configuration.
+    /// The attributes of the job's queue; they change with the configuration.
     pub queue: QueueAttributes,
-    /// Rises with each accepted job.
+    /// The job's position in the order of acceptance; each accepted job gets a higher number.
     pub order: u64,
-    /// When it was accepted, in milliseconds since 1970.
+    /// The time at which the job was accepted, in milliseconds since 1970.
     pub accepted_ms: i64,
 }
 
-/// One job. Once it has ended, only its attributes and its outcome are kept.
+/// One job. Once it has ended, its specification and the state of its steps are dropped.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Its ID.
+    /// The job's ID.
     pub id: JobId,
-    /// Its queue, and when it was accepted.
+    /// The job's queue and its acceptance.
     pub attributes: JobAttributes,
-    /// How it ended, or that it has not.
+    /// How the job ended; `Active` until it has ended.
     pub outcome: Outcome,
-    /// As submitted; `None` once the job has ended.
+    /// The specification as submitted; `None` once the job has ended.
     pub spec: Option<Arc<JobSpec>>,
-    /// The submitted body, byte for byte; empty once the job has ended.
+    /// The body of the submission, byte for byte; empty once the job has ended.
     body: Vec<u8>,
-    /// The steps of each occurrence.
+    /// The state of the steps, by occurrence and then by step index; empty once the job has ended.
     pub occurrences: Vec<Vec<StepRun>>,
-    /// The occurrences that have fallen due.
+    /// The indexes of the occurrences that have become due.
     pub due_occurrences: BTreeSet<u32>,
-    /// How many tasks are not done, over all steps and occurrences.
+    /// The number of tasks that are not done, over all steps and occurrences.
     pub remaining: u64,
-    /// True once a task has been assigned.
+    /// True once any of the job's tasks has been assigned to a runner.
     pub has_started: bool,
-    /// The batch that holds the newest change of `outcome`.
+    /// The number of the batch of record changes that holds the newest change of `outcome`.
     pub batch: u64,
-    /// When the job ended; for one that ended in an earlier term, when this term began.
+    /// The time at which the job ended; for a job that ended in an earlier term, the time at which this term began.
     pub ended_at: Option<Time>,
-    /// When it was accepted; for one of an earlier term, when this term began.
+    /// The time at which the job was accepted; for a job of an earlier term, the time at which this term began.
     pub accepted_at: Time,
 }
 
 impl Job {
-    /// A job just submitted, or restored unended.
+    /// Creates an active job, either just submitted or restored from a record, with no task done or assigned.
     pub(crate) fn new(
         id: JobId,
         attributes: JobAttributes,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A job that ended in an earlier term.
+    /// Creates a job that ended in an earlier term; `now` is the time at which this term began.
     pub(crate) fn ended(id: JobId, attributes: JobAttributes, outcome: Outcome, now: Time) -> Job {
         Job {
             id,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The job's record.
+    /// Returns the job's record in its stored form.
     pub(crate) fn record(&self) -> JobRecord {
         let JobAttributes {
             queue,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Ends the job; its tasks are forgotten.
+    /// Ends the job and drops its specification and the state of its steps.
     pub(crate) fn end(&mut self, outcome: Outcome, now: Time) {
         self.outcome = outcome;
         self.ended_at = Some(now);
@@ -164,36 +164,36 @@
         self.remaining = 0;
     }
 
-    /// The job's priority, 0 first.
+    /// Returns the job's priority; 0 is the most urgent.
     pub(crate) fn priority(&self) -> u32 {
         self.attributes.queue.priority
     }
 
-    /// A step as submitted.
+    /// Returns a step's specification; `None` once the job has ended.
     pub(crate) fn stage(&self, id: StepId) -> Option<&Stage> {
         self.spec.as_ref()?.stages.get(id.step as usize)
     }
 
-    /// A step's state.
+    /// Returns a step's state.
     pub(crate) fn step(&self, id: StepId) -> Option<&StepRun> {
         self.occurrences
             .get(id.occurrence as usize)?
             .get(id.step as usize)
     }
 
-    /// A step's state, to change it.
+    /// Returns a step's state for modification.
     pub(crate) fn step_mut(&mut self, id: StepId) -> Option<&mut StepRun> {
         self.occurrences
             .get_mut(id.occurrence as usize)?
             .get_mut(id.step as usize)
     }
 
-    /// A task's state, to change it.
+    /// Returns a task's state for modification.
     pub(crate) fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         self.step_mut(id.step)?.tasks.get_mut(id.index as usize)
     }
 
-    /// All steps of one occurrence.
+    /// Returns the IDs of all steps of one occurrence.
     pub(crate) fn steps_of(&self, occurrence: u32) -> Vec<StepId> {
         let count = self
             .occurrences
@@ -208,7 +208,7 @@
             .collect()
     }
 
-    /// True where all steps that this one depends on have ended.
+    /// Returns true if all steps that this step depends on have ended.
     fn dependencies_met(&self, id: StepId) -> bool {
         let Some(stage) = self.stage(id) else {
             return false;
@@ -220,15 +220,15 @@
         stage.depends_on.iter().all(ended)
     }
 
-    /// All steps of all occurrences.
+    /// Returns the IDs of all steps of all occurrences.
     pub(crate) fn all_steps(&self) -> Vec<StepId> {
         (0..self.occurrences.len() as u32)
             .flat_map(|occurrence| self.steps_of(occurrence))
             .collect()
     }
 
-    /// True where a step's tasks may start: some wait (all of a gang), its occurrence is due, and what it depends on
-    /// has ended.
+    /// Returns true if a step's tasks may start: at least one task waits (in a gang, all of them), the occurrence is
+    /// due, and the steps that it depends on have ended.
     pub(crate) fn is_ready(&self, id: StepId) -> bool {
         let (Some(stage), Some(step)) = (self.stage(id), self.step(id)) else {
             return false;
@@ -239,7 +239,7 @@
             && self.due_occurrences.contains(&id.occurrence)
     }
 
-    /// Marks a task done. Returns false where it was done already, or is unknown.
+    /// Marks a task done. Returns false if the task was already done or does not exist.
     pub(crate) fn mark_done(&mut self, id: TaskId) -> bool {
         let Some(step) = self.step_mut(id.step) else {
             return false;
@@ -257,7 +257,7 @@
         true
     }
 
-    /// Restores a task from its record.
+    /// Restores a task's state from its record.
     pub(crate) fn restore_task(&mut self, id: TaskId, record: &TaskRecord) {
         if record.done != 0 {
             self.mark_done(id);
--- a/crates/cluster/scheduler/src/objective.rs
+++ b/crates/cluster/scheduler/src/objective.rs
@@ -1,41 +1,42 @@
-//! When a job is due, and whether it can still end by then.
+//! The objective of a job: when it is due to end, and whether it can still end by then.
 //!
-//! A queue's objective is `extension` times the job's longest chain of work, plus `target_latency_ms`; up to three
-//! times that a job still has some value. Chains are computed from the steps' estimates.
+//! The objective is a time span from the start of the job or occurrence: the queue's `extension` times the job's
+//! longest chain of dependent steps, plus the queue's `target_latency_ms`. A job that ends later, but within three
+//! times its objective, still has some value. The lengths of chains are computed from the steps' estimates.
 
 use crate::ids::StepId;
 use crate::job::Job;
 use crate::spec::JobSpec;
 
-/// The extension of a queue that gives none.
+/// The `extension` of a job whose queue the configuration does not define.
 pub(crate) const DEFAULT_EXTENSION: f64 = 2.0;
-/// The target of a queue that gives none, in milliseconds.
+/// The `target_latency_ms` of a job whose queue the configuration does not define, in milliseconds.
 pub(crate) const DEFAULT_TARGET_MS: f64 = 1_500.0;
-/// Beyond this multiple of its objective a job has no value.
+/// A job that ends later than this multiple of its objective has no value.
 const LATE_FACTOR: f64 = 3.0;
 
-/// Whether work can still meet its objective. Sorts by the order in which work is placed.
+/// States whether a step's job can still meet its objective. Sorts by the order in which steps are placed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Expectation {
-    /// It can end within its objective.
+    /// The job can end within its objective.
     InTime,
-    /// It can end within three times its objective.
+    /// The job can end within three times its objective, but not within the objective.
     Late,
-    /// It cannot end while it has any value.
+    /// The job cannot end within three times its objective, so it no longer has any value.
     Missed,
 }
 
-/// The objective of one step's job, and what to expect of it.
+/// The due time of one step's job, and whether it can still be met.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Objective {
-    /// Whether it can still be met.
+    /// States whether the objective can still be met.
     pub expectation: Expectation,
-    /// When the job, or this occurrence of it, is due to end, in milliseconds since 1970.
+    /// The time at which the job, or this occurrence of it, is due to end, in milliseconds since 1970.
     pub due_ms: i64,
 }
 
 impl Objective {
-    /// The objective of a step at a time of day, in milliseconds since 1970.
+    /// Computes the objective of a step at the time of day `wall_ms`, in milliseconds since 1970.
     pub(crate) fn of(job: &Job, id: StepId, wall_ms: i64) -> Objective {
         let Some(spec) = &job.spec else {
             return Objective {
@@ -68,13 +69,13 @@
     }
 }
 
-/// For each step, the longest chain of work from its start to the job's end, in milliseconds.
+/// Returns for each step the length of the longest chain of dependent steps that begins with it, in milliseconds.
 fn chains_ms(spec: &JobSpec) -> Vec<f64> {
     let mut chains: Vec<f64> = spec.stages.iter().map(|stage| stage.estimate_ms).collect();
     for step in (0..spec.stages.len()).rev() {
         for &on in &spec.stages[step].depends_on {
-            let through = spec.stages[on as usize].estimate_ms + chains[step];
-            chains[on as usize] = chains[on as usize].max(through);
+            let chain_ms = spec.stages[on as usize].estimate_ms + chains[step];
+            chains[on as usize] = chains[on as usize].max(chain_ms);
         }
     }
     chains
