--- a/crates/cluster/scheduler/src/outlier_ejection.rs
+++ b/crates/cluster/scheduler/src/outlier_ejection.rs
@@ -1,88 +1,93 @@
-//! Outlier ejection: runners at which runs fail or stall while others do well get no new starts for a while.
+//! Outlier ejection: a runner at which runs fail or stall while other runners succeed gets no new starts for a while.
 //!
-//! Evidence is a cumulative sum of log likelihood ratios (CUSUM; Page, "Continuous Inspection Schemes", Biometrika 41,
-//! 1954): each end of a run speaks for the hypothesis that the runner fails `UNHEALTHY_FAILURE_RATE` of what it starts,
-//! or against it, compared with the failure rate of its service. Over `SUSPECT_SCORE` the runner is ejected, then
-//! tried with a single run.
+//! The evidence against a runner is a cumulative sum of log likelihood ratios (CUSUM; Page, "Continuous Inspection
+//! Schemes", Biometrika 41, 1954). Each end of a run is evidence for or against the hypothesis that the runner fails
+//! the share `UNHEALTHY_FAILURE_RATE` of its runs, compared with the failure rate of its service (the baseline). From
+//! `SUSPECT_SCORE` on, the runner is suspect: it is ejected for a while and then gets a single trial run.
 
 use sagetrail_protocol::Time;
 use std::collections::BTreeMap;
 
 use crate::ids::JobId;
 
-/// The part of its runs that an unhealthy runner fails.
+/// The share of its runs that an unhealthy runner fails, from 0 to 1.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.4;
-/// The lower bound of a service's failure rate.
+/// The lower bound of a service's failure rate, as a share of its ended runs from 0 to 1.
 const MIN_BASELINE_RATE: f64 = 0.05;
-/// The upper bound of a service's failure rate.
+/// The upper bound of a service's failure rate, as a share of its ended runs from 0 to 1.
 const MAX_BASELINE_RATE: f64 = 0.25;
-/// Evidence over this makes a runner suspect: three failures in a row where work hardly ever fails.
+/// The score from which a runner is suspect. Three failures in a row reach it if the service's failure rate is at its
+/// lower bound.
 const SUSPECT_SCORE: f64 = 5.0;
-/// The first ejection's length in milliseconds; each further one is twice as long.
+/// The length of the first ejection, in milliseconds; each further one is twice as long.
 const FIRST_EJECTION_MS: u64 = 1_000;
-/// The longest ejection, in milliseconds.
+/// The maximum length of an ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 8_000;
-/// After so long without an ejection the next one is short again, in milliseconds.
+/// The time after the end of an ejection, in milliseconds, after which the next one starts again at
+/// `FIRST_EJECTION_MS`.
 const EJECTION_RESET_MS: u64 = 20_000;
-/// A service's rate begins as if so many runs had ended at the lower bound: one runner's failures do not make it.
+/// The weight, in ended runs, of the initial assumption that a service's failure rate is at its lower bound. It keeps
+/// the failures of a single runner from determining the rate.
 const PRIOR_RUNS: f64 = 100.0;
-/// An end weighs half in a service's rate after so many further ones.
+/// The number of further ends of runs after which an end has half its weight in its service's failure rate.
 const BASELINE_HALF_LIFE_RUNS: f64 = 200.0;
 
-/// How often runs fail in a service, over its recent past.
+/// How often runs of a service have recently failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
-    /// Ended runs, decayed.
+    /// The number of ended runs, decayed with each further end.
     ends: f64,
-    /// Failed ones among them, decayed alike.
+    /// The number of failed runs among them, decayed in the same way.
     failures: f64,
 }
 
 impl FailureRate {
-    /// Counts an end.
-    fn count(&mut self, failed: bool) {
+    /// Records the end of a run.
+    fn record_end(&mut self, failed: bool) {
         let decay = 0.5f64.powf(1.0 / BASELINE_HALF_LIFE_RUNS);
         self.ends = self.ends * decay + 1.0;
         self.failures = self.failures * decay + f64::from(u8::from(failed));
     }
 
+    /// Returns the share of runs that fail, from `MIN_BASELINE_RATE` to `MAX_BASELINE_RATE`.
     fn rate(self) -> f64 {
         let failures = self.failures + PRIOR_RUNS * MIN_BASELINE_RATE;
         (failures / (self.ends + PRIOR_RUNS)).clamp(MIN_BASELINE_RATE, MAX_BASELINE_RATE)
     }
 }
 
-/// The failure rates of all services, by name.
+/// The failure rates of all services, by the service's name.
 #[derive(Debug, Default)]
 pub(crate) struct FailureRates(BTreeMap<String, FailureRate>);
 
 impl FailureRates {
-    /// Counts an end in a service. Returns the rate with this end.
-    pub(crate) fn count(&mut self, service: &str, failed: bool) -> FailureRate {
+    /// Records the end of a run in a service. Returns the failure rate that includes this end.
+    pub(crate) fn record_end(&mut self, service: &str, failed: bool) -> FailureRate {
         let rate = self.0.entry(service.to_owned()).or_default();
-        rate.count(failed);
+        rate.record_end(failed);
         *rate
     }
 }
 
-/// The evidence about one runner.
+/// The evidence that one runner is unhealthy, and the runner's ejections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerHealth {
-    /// The cumulative sum; suspect from `SUSPECT_SCORE`.
+    /// The cumulative sum of log likelihood ratios; the runner is suspect from `SUSPECT_SCORE` on.
     score: f64,
-    /// The job that failed here last: failures of its other tasks are no new evidence.
+    /// The job of the newest failed run here, if no run has succeeded since. At a healthy runner, failures of the same
+    /// job's other tasks are no new evidence.
     last_failed_job: Option<JobId>,
-    /// The length of the newest ejection, in milliseconds; 0 for none.
+    /// The length of the newest ejection, in milliseconds; 0 before the first one.
     ejection_ms: u64,
-    /// When it ends, or ended.
+    /// The time at which the newest ejection ends or ended.
     ejected_until: Time,
-    /// A run is out that tries a suspect runner.
+    /// A trial run is assigned to this suspect runner and has not ended.
     on_trial: bool,
 }
 
 impl RunnerHealth {
-    /// A run ended well. A suspect runner is cleared by it.
-    pub(crate) fn succeeded(&mut self, baseline: FailureRate) {
+    /// Records a run that succeeded. A suspect runner becomes healthy by it.
+    pub(crate) fn record_success(&mut self, baseline: FailureRate) {
         self.last_failed_job = None;
         if !self.is_healthy() {
             self.score = 0.0;
@@ -92,15 +97,15 @@
         self.score = (self.score + log_ratio).max(0.0);
     }
 
-    /// A run failed or stalled here whose task had not failed elsewhere before.
-    pub(crate) fn failed(&mut self, now: Time, job: JobId, baseline: FailureRate) {
+    /// Records a run that failed or stalled here and whose task had not failed at another runner before.
+    pub(crate) fn record_failure(&mut self, now: Time, job: JobId, baseline: FailureRate) {
         self.on_trial = false;
         if self.last_failed_job == Some(job) && self.is_healthy() {
             return;
         }
         self.last_failed_job = Some(job);
         self.score += (UNHEALTHY_FAILURE_RATE / baseline.rate()).ln();
-        // Runs that were in flight when the ejection began do not prolong it.
+        // Failures of runs that were in flight when the ejection began do not prolong it.
         if self.is_healthy() || now < self.ejected_until {
             return;
         }
@@ -111,23 +116,24 @@
         self.ejected_until = now.plus_millis(self.ejection_ms);
     }
 
-    /// True where the runner is not suspect.
+    /// Returns true if the runner is not suspect.
     pub(crate) fn is_healthy(&self) -> bool {
         self.score < SUSPECT_SCORE
     }
 
-    /// True where a start may be tried now.
+    /// Returns true if a run may start now: the runner is healthy, or its ejection is over and no trial run is in
+    /// flight.
     pub(crate) fn may_start(&self, now: Time) -> bool {
         self.is_healthy() || (now >= self.ejected_until && !self.on_trial)
     }
 
-    /// A run was assigned: a suspect runner gets no other before this one's end.
-    pub(crate) fn started(&mut self) {
+    /// Records that a run was assigned. At a suspect runner it is a trial run, and no other run starts before its end.
+    pub(crate) fn record_start(&mut self) {
         self.on_trial = !self.is_healthy();
     }
 
-    /// A run is over, however it ended: a suspect runner may be tried again.
-    pub(crate) fn trial_ended(&mut self) {
+    /// Records that a run is over, whatever its result, so that a suspect runner may get another trial run.
+    pub(crate) fn end_trial(&mut self) {
         self.on_trial = false;
     }
 }
--- a/crates/cluster/scheduler/src/pass_pacing.rs
+++ b/crates/cluster/scheduler/src/pass_pacing.rs
@@ -1,47 +1,52 @@
-//! How often placement passes run: each one visits every runner and every pending step, so with many of them passes keep a
-//! distance, and what came in between is placed together. Without it a service that is full would take up the processor
-//! by passes that find no room.
+//! Pacing: limits how often placement passes run.
+//!
+//! Each pass visits every runner and every pending step. With many of them, passes keep a minimum interval, and the
+//! next pass places all work that arrived in the meantime. Without this limit a full service would use up the CPU with
+//! passes that find no free capacity.
 
 use sagetrail_protocol::Time;
 
-/// Up to this number of runners every event may lead to a pass.
+/// The number of runners up to which runners add nothing to the interval between passes, so every event may start a
+/// pass.
 const UNPACED_RUNNERS: usize = 200;
-/// The distance of passes for each runner beyond, in microseconds: several times what a pass costs for it.
-const DISTANCE_PER_RUNNER_US: u64 = 10;
+/// The interval between passes for each runner above `UNPACED_RUNNERS`, in microseconds. It is several times the CPU
+/// time that a pass takes for one runner.
+const INTERVAL_PER_RUNNER_US: u64 = 10;
 
-/// Up to this number of pending steps they do not delay passes.
+/// The number of pending steps up to which pending steps add nothing to the interval between passes.
 const UNPACED_STEPS: usize = 16;
-/// The distance of passes for each pending step beyond, in microseconds: several times what a pass costs for it.
-const DISTANCE_PER_STEP_US: u64 = 10;
+/// The interval between passes for each pending step above `UNPACED_STEPS`, in microseconds. It is several times the
+/// CPU time that a pass takes for one pending step.
+const INTERVAL_PER_STEP_US: u64 = 10;
 
-/// When the next pass may run.
+/// The time at which the next pass may run.
 #[derive(Debug, Default)]
 pub(crate) struct PassPacing {
     /// The earliest time of the next pass.
-    next: Time,
-    /// A pass was wanted earlier.
-    delayed: bool,
+    next_pass_at: Time,
+    /// True if a pass was requested before it was allowed.
+    is_delayed: bool,
 }
 
 impl PassPacing {
-    /// A pass over so many runners and pending steps begins.
-    pub(crate) fn pass_started(&mut self, now: Time, runners: usize, steps: usize) {
-        let runners_beyond = runners.saturating_sub(UNPACED_RUNNERS) as u64;
-        let steps_beyond = steps.saturating_sub(UNPACED_STEPS) as u64;
-        let distance_us =
-            runners_beyond * DISTANCE_PER_RUNNER_US + steps_beyond * DISTANCE_PER_STEP_US;
-        self.next = now + distance_us;
-        self.delayed = false;
+    /// Records that a pass over these numbers of runners and pending steps begins now.
+    pub(crate) fn start_pass(&mut self, now: Time, runners: usize, steps: usize) {
+        let paced_runners = runners.saturating_sub(UNPACED_RUNNERS) as u64;
+        let paced_steps = steps.saturating_sub(UNPACED_STEPS) as u64;
+        let interval_us =
+            paced_runners * INTERVAL_PER_RUNNER_US + paced_steps * INTERVAL_PER_STEP_US;
+        self.next_pass_at = now + interval_us;
+        self.is_delayed = false;
     }
 
-    /// True where a pass may run now; otherwise one is remembered as delayed.
+    /// Returns true if a pass may run now; otherwise remembers that a pass is delayed.
     pub(crate) fn may_run(&mut self, now: Time) -> bool {
-        self.delayed = now < self.next;
-        !self.delayed
+        self.is_delayed = now < self.next_pass_at;
+        !self.is_delayed
     }
 
-    /// When a delayed pass may run; `None` where none was delayed.
+    /// Returns the time at which a delayed pass may run; `None` if no pass is delayed.
     pub(crate) fn delayed_until(&self) -> Option<Time> {
-        self.delayed.then_some(self.next)
+        self.is_delayed.then_some(self.next_pass_at)
     }
 }
--- a/crates/cluster/scheduler/src/pending_queue.rs
+++ b/crates/cluster/scheduler/src/pending_queue.rs
@@ -1,26 +1,28 @@
-//! The backlog: steps with tasks that wait for a runner, by service, in the order in which they are placed.
+//! The backlog: for each service, the steps with tasks that wait for a runner, in the order in which they are placed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::StepId;
 use crate::objective::Expectation;
 
-/// A pending step with what decides its position; sorts by the order in which steps are placed.
+/// A pending step with the values that determine its position in the queue. Keys sort in the order in which steps are
+/// placed; the order of the fields is the order of comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct PendingKey {
-    /// 0 comes first.
+    /// The priority of the step's job; 0 comes first.
     pub priority: u32,
-    /// Within a priority, work that can be in time comes first, work without value last.
+    /// Whether the job can still meet its objective. Within a priority, jobs that can come first, and jobs that can no
+    /// longer have any value come last.
     pub expectation: Expectation,
-    /// When the job is due to end, in milliseconds since 1970.
+    /// The time at which the job is due to end, in milliseconds since 1970.
     pub due_ms: i64,
-    /// The job's order of acceptance.
+    /// The job's position in the order of acceptance.
     pub order: u64,
-    /// The step.
+    /// The ID of the step.
     pub step: StepId,
 }
 
-/// Where a step stands in the queue.
+/// The service and the key under which a step is in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Position {
     service: String,
@@ -30,14 +32,16 @@
 /// The pending steps of all services. Invariant: both maps hold the same steps, and no set is empty.
 #[derive(Default)]
 pub(crate) struct PendingQueue {
+    /// The pending steps of each service, by the service's name.
     services: BTreeMap<String, BTreeSet<PendingKey>>,
+    /// The position of each pending step.
     positions: BTreeMap<StepId, Position>,
 }
 
 impl PendingQueue {
-    /// Adds a step, or moves it to another position.
+    /// Adds a step, or moves it to a new position if it is already pending.
     pub(crate) fn insert(&mut self, service: &str, key: PendingKey) {
-        let unchanged = |at: &Position| at.service == service && at.key == key;
+        let unchanged = |position: &Position| position.service == service && position.key == key;
         if self.positions.get(&key.step).is_some_and(unchanged) {
             return;
         }
@@ -48,7 +52,7 @@
         self.positions.insert(key.step, Position { service, key });
     }
 
-    /// Removes a step, if it is there.
+    /// Removes a step if it is pending.
     pub(crate) fn remove(&mut self, step: StepId) {
         let Some(Position { service, key }) = self.positions.remove(&step) else {
             return;
@@ -62,34 +66,34 @@
         }
     }
 
-    /// True where the step is pending.
+    /// Returns true if the step is pending.
     pub(crate) fn contains(&self, step: StepId) -> bool {
         self.positions.contains_key(&step)
     }
 
-    /// The services with pending steps, by name.
+    /// Returns the names of the services that have pending steps, in alphabetical order.
     pub(crate) fn services(&self) -> Vec<String> {
         self.services.keys().cloned().collect()
     }
 
-    /// The first `limit` pending steps of a service, in order.
+    /// Returns the first `limit` pending steps of a service, in the order in which they are placed.
     pub(crate) fn first(&self, service: &str, limit: usize) -> Vec<PendingKey> {
         let keys = self.services.get(service);
         keys.map(|keys| keys.iter().take(limit).copied().collect())
             .unwrap_or_default()
     }
 
-    /// How many steps of a service are pending.
+    /// Returns the number of pending steps of a service.
     pub(crate) fn len(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, BTreeSet::len)
     }
 
-    /// All pending steps of a service, in order.
+    /// Returns all pending steps of a service, in the order in which they are placed.
     pub(crate) fn all(&self, service: &str) -> Vec<PendingKey> {
         self.first(service, usize::MAX)
     }
 
-    /// True where nothing is pending.
+    /// Returns true if no step of any service is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
--- a/crates/cluster/scheduler/src/records.rs
+++ b/crates/cluster/scheduler/src/records.rs
@@ -1,6 +1,7 @@
-//! The stored form of jobs and tasks in the replicated records.
+//! The stored form of jobs and tasks: the replicated records and their keys.
 //!
-//! The order and types of fields, the numbers of variants and the layout of keys are on disk: they must not change.
+//! Records are on disk, so the order and types of fields, the numbers of variants and the layout of keys must not
+//! change.
 
 use deku::prelude::*;
 use sagetrail_protocol::agent::Resources;
@@ -9,81 +10,81 @@
 use crate::error::SchedulerError;
 use crate::ids::{JobId, StepId, TaskId};
 
-/// How a job ended, or that it has not.
+/// How a job ended, or `Active` if it has not ended.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub(crate) enum Outcome {
-    /// It has tasks to run, or running.
+    /// The job has tasks that are running or have yet to run.
     #[deku(id = 0)]
     Active,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     #[deku(id = 1)]
     Completed,
-    /// One of its tasks, or a gang, failed as often as its queue allows.
+    /// A task or a gang of the job failed as many times as the job's queue allows.
     #[deku(id = 2)]
     Failed,
-    /// Its client cancelled it.
+    /// The client cancelled the job.
     #[deku(id = 3)]
     Cancelled,
 }
 
-/// A job's record.
+/// The stored record of a job.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Debug)]
 pub(crate) struct JobRecord {
-    /// How it ended, or that it has not.
+    /// How the job ended; `Active` until it has ended.
     pub outcome: Outcome,
-    /// The name of its route.
+    /// The name of the job's queue, which is also the name of the queue's route in the configuration.
     pub queue: Text,
-    /// The service that ran the queue when the job was accepted.
+    /// The name of the service that ran the queue's jobs when this job was accepted.
     pub service: Text,
-    /// How many failed runs of a task fail the job.
+    /// The number of failed runs of one task, or of one gang, with which the job fails.
     pub max_attempts: u32,
-    /// 0 is the most urgent.
+    /// The job's priority; 0 is the most urgent.
     pub priority: u32,
-    /// Rises with each accepted job.
+    /// The job's position in the order of acceptance; each accepted job gets a higher number.
     pub order: u64,
-    /// When it was accepted, in milliseconds since 1970.
+    /// The time at which the job was accepted, in milliseconds since 1970.
     pub accepted_ms: i64,
-    /// As submitted; empty once the job has ended.
+    /// The body as submitted; empty once the job has ended.
     pub body: Blob,
 }
 
-/// An assignment of a run to a runner that may not be over.
+/// The assignment of a run to a runner. The run may be active until its end is known.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct AssignmentRecord {
-    /// The agent of the runner.
+    /// The address of the runner's agent.
     pub agent: NodeId,
-    /// The instance of the runner.
+    /// The instance ID of the runner.
     pub instance: Text,
-    /// What the run uses.
+    /// The resources that the run uses.
     pub resources: Resources,
 }
 
-/// A task's record; there is none for a task that has never been assigned.
+/// The stored record of a task. A task that has never been assigned has no record.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub(crate) struct TaskRecord {
-    /// 1 where the task has ended well.
+    /// 1 if the task is done, which means that a run of it has succeeded; otherwise 0.
     pub done: u8,
-    /// The highest attempt used.
+    /// The highest attempt number used; 0 before the first run.
     pub attempt: u64,
-    /// How many of its runs have ended `failed`.
+    /// The number of the task's runs that have ended as `failed`.
     pub failures: u32,
-    /// For a member of a gang: the newest attempt whose failure was counted here.
+    /// The newest attempt of a gang whose failure was counted at this member; 0 for a task that is not in a gang.
     pub failed_attempt: u64,
-    /// The newest checkpoint known, empty for none.
+    /// The newest known checkpoint; empty if there is none.
     pub checkpoint: Text,
-    /// 1 where the assignment below may not be over.
+    /// 1 if the run of `assignment` may still be active; otherwise 0.
     pub assigned: u8,
-    /// The newest assignment; empty where `assigned` is 0.
+    /// The newest assignment; empty if `assigned` is 0.
     pub assignment: AssignmentRecord,
 }
 
 /// The key of a record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Key {
-    /// Of a job's record.
+    /// The key of a job's record.
     Job(JobId),
-    /// Of a task's record.
+    /// The key of a task's record.
     Task(TaskId),
 }
 
@@ -93,8 +94,8 @@
 const TASK_KEY: u8 = b't';
 
 impl Key {
-    /// The key's bytes: the kind, then job, occurrence, step and index, big-endian, so that they sort in this order.
-    /// All jobs sort before all tasks.
+    /// Returns the key's bytes: the kind, then job, occurrence, step and index. Numbers are big-endian, so keys sort in
+    /// this order, and all jobs sort before all tasks.
     pub(crate) fn to_bytes(self) -> Vec<u8> {
         match self {
             Key::Job(id) => [&[JOB_KEY][..], &id.0.to_be_bytes()].concat(),
@@ -117,11 +118,11 @@
         }
     }
 
-    /// Parses a key.
+    /// Parses a key from its bytes.
     ///
     /// # Errors
     ///
-    /// `UnknownKey` where the bytes are no key of this version.
+    /// Returns `UnknownKey` if the bytes are not a key known to this version.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Key, SchedulerError> {
         Key::from_bytes(bytes).ok_or(SchedulerError::UnknownKey(bytes.len()))
     }
--- a/crates/cluster/scheduler/src/reserved_capacity.rs
+++ b/crates/cluster/scheduler/src/reserved_capacity.rs
@@ -1,7 +1,8 @@
-//! Free capacity reserved for urgent work: as much as it has lately needed at once, less what it uses now.
+//! Reserves free capacity of each service for urgent work, which is work of priority `URGENT`.
 //!
-//! Without it a service filled with lesser work makes urgent tasks wait for a preemption, which is longer than they
-//! have.
+//! The reserved amount is the decayed peak of what urgent work needed at once, less what it uses now. Without it, in a
+//! service that is filled with work of lower priority, urgent tasks would wait for a preemption, and that takes longer
+//! than their deadlines allow.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::Time;
@@ -11,57 +12,59 @@
 
 /// The priority of urgent work.
 pub(crate) const URGENT: u32 = 0;
-/// The remembered peak decays to a half in so long, in milliseconds.
+/// The half-life of the remembered peak demand, in milliseconds.
 const PEAK_HALF_LIFE_MS: f64 = 6_000.0;
-/// It is computed at most this often, in milliseconds.
+/// The minimum interval between two updates of the reserved capacity, in milliseconds.
 const UPDATE_INTERVAL_MS: u64 = 20;
-/// The largest part of a service's capacity that is reserved, in hundredths.
+/// The maximum share of a service's capacity that is reserved, in percent.
 const MAX_RESERVED_PERCENT: u64 = 40;
 
-/// What urgent work of a service uses and waits for, and what the service has.
+/// The capacity that urgent work of a service uses and waits for, and the capacity of the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UrgentDemand {
-    /// In use by urgent runs.
+    /// The resources that urgent runs use.
     pub running: Resources,
-    /// Asked for by urgent tasks that wait and can run somewhere.
+    /// The resources that waiting urgent tasks need, not counting tasks that no runner can take.
     pub waiting: Resources,
-    /// The capacity of all runners that take new work.
+    /// The capacity, in use or free, of all runners that take new work.
     pub capacity: Resources,
 }
 
-/// What urgent work of a service has lately needed at once.
+/// The decayed peak of the resources that urgent work of a service needed at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
     needed: Resources,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Peak {
-    /// Decays the peak and raises it to what is needed now.
+    /// Decays the peak and raises it to the resources that are needed now.
     fn update(&mut self, now: Time, needed: Resources) {
-        let decay = 0.5f64.powf(now.millis_since(self.at) as f64 / PEAK_HALF_LIFE_MS);
+        let decay = 0.5f64.powf(now.millis_since(self.updated_at) as f64 / PEAK_HALF_LIFE_MS);
         self.needed = combine(self.needed, needed, |former, needed| {
             ((former as f64 * decay) as u64).max(needed)
         });
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
-/// The capacity reserved in each service, by its name.
+/// The capacity reserved for urgent work in each service, by the service's name.
 #[derive(Default)]
 pub(crate) struct ReservedCapacity {
+    /// The peak demand of urgent work in each service.
     peaks: BTreeMap<String, Peak>,
+    /// The reserved capacity of each service.
     reserved: BTreeMap<String, Resources>,
     updated_at: Time,
 }
 
 impl ReservedCapacity {
-    /// The capacity that lesser work leaves free.
+    /// Returns the capacity of a service that work of lower priority must leave free.
     pub(crate) fn of_service(&self, service: &str) -> Resources {
         self.reserved.get(service).copied().unwrap_or_default()
     }
 
-    /// True where the demand should be measured again; it is taken as done now.
+    /// Returns true if the demand must be measured again; `now` then counts as the time of the update.
     pub(crate) fn start_update(&mut self, now: Time) -> bool {
         let due = now.millis_since(self.updated_at) >= UPDATE_INTERVAL_MS;
         if due {
@@ -70,7 +73,7 @@
         due
     }
 
-    /// Computes what is reserved in a service by its demand.
+    /// Computes the capacity to reserve in a service from the service's demand.
     pub(crate) fn update(&mut self, now: Time, service: &str, demand: UrgentDemand) {
         let mut needed = demand.running;
         add(&mut needed, demand.waiting);
--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -25,7 +25,7 @@
         let considered = |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
         let steps = services.iter().map(considered).sum();
         self.pass_pacing
-            .pass_started(now.steady, self.runners.len(), steps);
+            .start_pass(now.steady, self.runners.len(), steps);
         self.update_reserved_capacity(now);
         for service in services {
             self.place_in_service(now, &service);
@@ -143,7 +143,7 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        runner.health.started();
+        runner.health.record_start();
         let mut assignment = Assignment::new(attempt, resources, now.steady);
         assignment.progress = RunProgress::new(expected_run_ms(stage, runner, far_x));
         runner.assigned.insert(id, assignment);
--- a/crates/cluster/scheduler/src/scheduler/run_outcome.rs
+++ b/crates/cluster/scheduler/src/scheduler/run_outcome.rs
@@ -59,7 +59,7 @@
         let Some(assignment) = runner.assigned.remove(&id) else {
             return;
         };
-        runner.health.trial_ended();
+        runner.health.end_trial();
         self.runners.set_changed(node);
         self.placement_due = true;
         let Some(job) = self.jobs.get_active_mut(id.step.job) else {
@@ -104,8 +104,8 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let baseline = self.failure_rates.count(&runner.service, false);
-        runner.health.succeeded(baseline);
+        let baseline = self.failure_rates.record_end(&runner.service, false);
+        runner.health.record_success(baseline);
     }
 
     /// A run of the job failed or stalled at the runner.
@@ -113,8 +113,8 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let baseline = self.failure_rates.count(&runner.service, true);
-        runner.health.failed(now.steady, job, baseline);
+        let baseline = self.failure_rates.record_end(&runner.service, true);
+        runner.health.record_failure(now.steady, job, baseline);
     }
 
     /// A task is done, and with it all members of its gang.
