--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,4 +1,4 @@
-//! A runner as the scheduler sees it: what its agent reported, what is assigned to it, what was commanded last.
+//! The scheduler's state of one runner: what its agent reported, the runs assigned to it, and the commands sent last.
 
 use sagetrail_protocol::agent::{Resources, StopCommand, AGENT_LEASE_MS};
 use sagetrail_protocol::Time;
@@ -11,55 +11,56 @@
 use crate::outlier_ejection::RunnerHealth;
 use crate::runner_pace::{RunProgress, RunnerPace};
 
-/// How much faster one steady clock may run than another, as a part of the time measured.
+/// The maximum drift between two steady clocks, as a share of the measured time.
 const MAX_CLOCK_DRIFT: f64 = 0.03;
-/// Beyond the lease, for messages on their way, in milliseconds.
+/// The time added to the length of a lease for messages in flight, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 300;
-/// Without a report of its agent for so long a runner gets no new starts, in milliseconds.
+/// The time without a report from its agent after which a runner gets no new starts, in milliseconds.
 const REPORT_TIMEOUT_MS: u64 = 1_600;
-/// Without a heartbeat to its agent for so long a runner gets no new starts, in milliseconds.
+/// The time without a heartbeat to its agent after which a runner gets no new starts, in milliseconds.
 const HEARTBEAT_TIMEOUT_MS: u64 = 900;
 
-/// How long after the last grant of a lease every run of an unreachable runner is over, in milliseconds.
+/// The time after the last grant of a lease after which every run of an unreachable runner is over, in milliseconds. It
+/// allows for clock drift and for messages in flight.
 pub(crate) const LEASE_EXPIRY_MS: u64 =
     AGENT_LEASE_MS + (AGENT_LEASE_MS as f64 * MAX_CLOCK_DRIFT) as u64 + LEASE_MARGIN_MS;
 
-/// A run that is, or may be, on a runner.
+/// The assignment of a run to a runner: the run is active there, or may be.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     /// The run's attempt number.
     pub attempt: u64,
-    /// What it uses while it may be there.
+    /// The resources that count as in use while the run may be at the runner.
     pub resources: Resources,
-    /// The batch with its record; its start is commanded once that is committed.
+    /// The number of the batch that holds the assignment's record. The start is commanded once this batch is committed.
     pub batch: u64,
-    /// It is no longer wanted: it is stopped, or its start withdrawn.
+    /// The run is no longer wanted: it is being stopped, or its start withdrawn.
     pub unwanted: bool,
-    /// The first revision of commands without its start.
-    pub withdrawn_in: Option<u64>,
-    /// The newest report lists it as active.
+    /// The first revision of commands that no longer contains the run's start; `None` if the start is not withdrawn.
+    pub withdrawn_in_revision: Option<u64>,
+    /// The newest report lists the run as active.
     pub active: bool,
-    /// Some report has listed it as active.
+    /// At least one report has listed the run as active.
     pub seen_active: bool,
-    /// When it was assigned, or restored in this term.
+    /// The time at which the run was assigned, or at which the assignment was restored in this term.
     pub assigned_at: Time,
-    /// Its progress as reported by the runner, in hundredths.
+    /// The run's progress as reported by the runner, in percent.
     pub percent: u8,
-    /// When its progress last changed.
+    /// The time at which `percent` last changed.
     pub progressed_at: Time,
-    /// Its progress from report to report.
+    /// The run's progress between reports, from which the runner's pace is measured.
     pub progress: RunProgress,
 }
 
 impl Assignment {
-    /// An assignment made now, with no batch yet.
+    /// Creates an assignment made now, whose record is not in a batch yet.
     pub(crate) fn new(attempt: u64, resources: Resources, now: Time) -> Assignment {
         Assignment {
             attempt,
             resources,
             batch: 0,
             unwanted: false,
-            withdrawn_in: None,
+            withdrawn_in_revision: None,
             active: false,
             seen_active: false,
             assigned_at: now,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes over that a report lists the run as active.
+    /// Records that a report lists the run as active, with its progress in percent.
     pub(crate) fn set_active(&mut self, percent: u8, now: Time) {
         self.active = true;
         self.seen_active = true;
@@ -80,88 +81,90 @@
     }
 }
 
-/// A start that was commanded.
+/// The start of a run, as commanded to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CommandedStart {
-    /// The task.
+    /// The task to run.
     pub task: TaskId,
     /// The run's attempt number.
     pub attempt: u64,
 }
 
-/// The commands to a runner, complete; a difference makes a new revision.
+/// The complete set of commands to a runner. A set that differs from the one sent last gets a new revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct CommandSet {
-    /// Runs to start.
+    /// The runs to start.
     pub start: BTreeSet<CommandedStart>,
-    /// Runs to stop.
+    /// The runs to stop.
     pub stop: Vec<StopCommand>,
-    /// Ends up to this number are committed.
+    /// The number up to which the ends of the runner's runs are committed, so that the runner may forget them.
     pub observed: u64,
-    /// The runner's instance that is meant.
+    /// The ID of the runner's instance that the commands are for.
     pub instance: String,
 }
 
-/// An end of a run that was put into a batch.
+/// The end of a run whose record has been put into a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordedEnd {
-    /// The runner's number of the end.
+    /// The number that the runner gave to the end.
     pub number: u64,
-    /// The batch with its record.
+    /// The number of the batch that holds the record.
     pub batch: u64,
 }
 
-/// One runner; its name is its agent's address.
+/// One runner. It is identified by the address of its agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
-    /// Which incarnation of its agent is believed.
+    /// The incarnation of the runner's agent that reports are accepted from.
     pub session: AgentSession,
-    /// The newest report knows a runner.
+    /// The agent had a runner at its newest report.
     pub has_runner: bool,
-    /// The runner's id, a new one after each of its crashes; empty before the first.
+    /// The ID of the runner's instance, which changes after each crash of the runner; empty before the first instance.
     pub instance: String,
-    /// The service that it belongs to.
+    /// The name of the service that the runner belongs to.
     pub service: String,
-    /// Its labels; the last one is its rack.
+    /// The runner's labels; the last one names its rack.
     pub labels: Arc<[String]>,
-    /// All that it has, in use or free.
+    /// The runner's total capacity, in use or free.
     pub capacity: Resources,
-    /// It shuts down gracefully, and gets no new starts.
+    /// The runner is shutting down gracefully and gets no new starts.
     pub draining: bool,
-    /// By the newest report, whatever it ran is over.
+    /// The newest report says that the agent's lease has expired, so all runs of the runner are over.
     pub lease_expired: bool,
-    /// While it drains: the time that is left at least, in milliseconds.
-    pub remaining_ms: u64,
-    /// A report with all starts resolved has come in this term for this instance: all that may run there is known.
+    /// The minimum time until a draining runner shuts down, in milliseconds, by the newest report.
+    pub drain_remaining_ms: u64,
+    /// A report with all starts resolved has arrived for this instance in this term, so all runs that may be active at
+    /// the runner are known.
     pub state_known: bool,
-    /// When the newest report came.
+    /// The time at which the newest report arrived.
     pub last_report_at: Time,
-    /// Time since its last heartbeat, by the newest report, in milliseconds.
+    /// The time since the runner's last heartbeat to its agent, in milliseconds, by the newest report.
     pub since_heartbeat_ms: u64,
-    /// When a lease was last granted, or may have been by an earlier scheduler.
+    /// The time at which a lease was last granted, or may have been granted by an earlier scheduler.
     pub lease_granted_at: Time,
-    /// The revision of `sent_commands`; 0 before the first.
+    /// The revision of `sent_commands`; 0 before the first commands.
     pub revision: u64,
-    /// The commands sent last.
+    /// The commands that were sent last.
     pub sent_commands: CommandSet,
-    /// The runs that are, or may be, there.
+    /// The runs that are, or may be, active at the runner.
     pub assigned: BTreeMap<TaskId, Assignment>,
-    /// Active runs that nobody assigned.
+    /// Active runs that are not assigned to the runner; they are to be stopped.
     pub unknown_runs: Vec<StopCommand>,
-    /// Ends up to this number are in batches.
-    pub recorded_to: u64,
-    /// Ends in batches that are not committed yet, by number.
+    /// The highest number of an end of a run whose record has been put into a batch.
+    pub last_recorded_end: u64,
+    /// The ends of runs whose batches are not committed yet, in the order of their numbers.
     pub uncommitted_ends: VecDeque<RecordedEnd>,
-    /// Ends up to this number are committed: the runner may forget them.
-    pub observed: u64,
-    /// Evidence for or against it.
+    /// The number up to which the ends of runs are committed, so that the runner may forget them.
+    pub last_observed_end: u64,
+    /// The evidence that the runner is unhealthy, and its ejections.
     pub health: RunnerHealth,
-    /// How fast it works.
+    /// How fast the runner works compared with the estimates of its runs.
     pub pace: RunnerPace,
 }
 
 impl Runner {
-    /// A runner of which only the name is known, and when a lease may last have been granted to its agent.
+    /// Creates a runner of which nothing is known but its agent's address. `lease_granted_at` is the latest time at
+    /// which a lease may have been granted to the agent.
     pub(crate) fn new(lease_granted_at: Time) -> Runner {
         Runner {
             session: AgentSession::default(),
@@ -172,7 +175,7 @@
             capacity: Resources::default(),
             draining: false,
             lease_expired: false,
-            remaining_ms: 0,
+            drain_remaining_ms: 0,
             state_known: false,
             last_report_at: Time::default(),
             since_heartbeat_ms: 0,
@@ -181,20 +184,21 @@
             sent_commands: CommandSet::default(),
             assigned: BTreeMap::new(),
             unknown_runs: Vec::new(),
-            recorded_to: 0,
+            last_recorded_end: 0,
             uncommitted_ends: VecDeque::new(),
-            observed: 0,
+            last_observed_end: 0,
             health: RunnerHealth::default(),
             pace: RunnerPace::default(),
         }
     }
 
-    /// True where runs may be started there, free capacity aside.
+    /// Returns true if runs may start at the runner, apart from its free capacity.
     pub(crate) fn is_usable(&self, now: Time) -> bool {
         self.is_reachable(now) && self.health.may_start(now)
     }
 
-    /// True where its state is known and fresh and it neither drains nor has an expired lease; its health is left aside.
+    /// Returns true if the runner's state is known and recent, it runs nothing unassigned, and it neither drains nor
+    /// has an expired lease. Its health is not considered.
     pub(crate) fn is_reachable(&self, now: Time) -> bool {
         let recently_reported = now.millis_since(self.last_report_at) < REPORT_TIMEOUT_MS
             && self.since_heartbeat_ms < HEARTBEAT_TIMEOUT_MS;
@@ -206,7 +210,7 @@
             && self.unknown_runs.is_empty()
     }
 
-    /// Its capacity less what may be running there.
+    /// Returns the runner's capacity less the resources of the runs that may be active there.
     pub(crate) fn free_capacity(&self) -> Resources {
         let mut free = self.capacity;
         self.assigned
@@ -215,42 +219,42 @@
         free
     }
 
-    /// Thousandths of a core that are assigned.
+    /// Returns the CPU capacity of all assigned runs, in thousandths of a core.
     pub(crate) fn assigned_cpu(&self) -> u64 {
         let assigned = self.assigned.values();
         assigned.map(|assignment| assignment.resources.cpu).sum()
     }
 
-    /// True where nothing can be running there any more, because no lease can still last.
+    /// Returns true if no run can be active at the runner any more, because every lease must have expired.
     pub(crate) fn is_beyond_lease(&self, now: Time) -> bool {
         now.millis_since(self.lease_granted_at) > LEASE_EXPIRY_MS
     }
 
-    /// The rack among its labels: the last one; empty without labels.
+    /// Returns the runner's rack, which is its last label; empty if it has no labels.
     pub(crate) fn rack(&self) -> &str {
         self.labels.last().map_or("", String::as_str)
     }
 
-    /// Ends in committed batches are observed.
+    /// Marks the ends of runs whose batches are committed as observed, up to the first one that is not committed.
     pub(crate) fn observe_ends(&mut self, is_committed: impl Fn(u64) -> bool) {
         while let Some(end) = self
             .uncommitted_ends
             .front()
             .filter(|end| is_committed(end.batch))
         {
-            self.observed = self.observed.max(end.number);
+            self.last_observed_end = self.last_observed_end.max(end.number);
             self.uncommitted_ends.pop_front();
         }
     }
 
-    /// Another instance runs there now: what belonged to the former one is forgotten.
+    /// Replaces the runner's instance by a new one and resets the state that belonged to the former instance.
     pub(crate) fn replace_instance(&mut self, instance: &str) {
         self.instance = instance.to_owned();
         self.state_known = false;
         self.lease_expired = false;
         self.draining = false;
-        self.recorded_to = 0;
-        self.observed = 0;
+        self.last_recorded_end = 0;
+        self.last_observed_end = 0;
         self.uncommitted_ends.clear();
         self.unknown_runs.clear();
         self.health = RunnerHealth::default();
--- a/crates/cluster/scheduler/src/runner_pace.rs
+++ b/crates/cluster/scheduler/src/runner_pace.rs
@@ -1,61 +1,70 @@
-//! How fast a runner works, and whether it is a straggler: the progress of its runs against their estimates.
+//! Measures how fast a runner works from the progress of its runs against their estimates, and detects stragglers.
 //!
-//! A run's estimate is rough, so single runs say little. The pace of a runner is the estimated work that all its runs
-//! have done lately over the time that they took; it is compared with the median of its service, as in speculative
-//! execution by progress rate (Zaharia et al., "Improving MapReduce Performance in Heterogeneous Environments", OSDI
-//! 2008, section 3). A straggler gets no new starts until its evidence has gone stale; then it is tried with a few.
+//! The estimate of a run is rough, so a single run is little evidence. The pace of a runner is therefore the estimated
+//! work that all its runs have recently done, divided by the time that they took. It is compared with the median pace
+//! of the runner's service, as in speculative execution by progress rate (Zaharia et al., "Improving MapReduce
+//! Performance in Heterogeneous Environments", OSDI 2008, section 3). A straggler gets no new starts, except for work
+//! that finds no other runner, until its evidence is stale; then it is on trial with a few runs.
 
 use sagetrail_protocol::Time;
 
-/// Evidence weighs half after so long, in milliseconds.
+/// The half-life of evidence, in milliseconds.
 const HALF_LIFE_MS: f64 = 400.0;
-/// Less time of runs than this says nothing of a runner, in milliseconds: some three runs over the half-life.
+/// The minimum decayed time of all runs together, in milliseconds, from which a runner's pace is known. It corresponds
+/// to about three runs over the half-life.
 const MIN_EVIDENCE_MS: f64 = 1_500.0;
-/// Progress of a run is taken in at this distance, in microseconds: it is reported in hundredths.
+/// The minimum interval between two progress samples of a run, in microseconds. Shorter intervals would be too coarse,
+/// because progress is reported in percent.
 const SAMPLE_INTERVAL_US: u64 = 100_000;
-/// Two reports further apart than this are not compared, in microseconds: the agent was out of touch.
+/// The maximum interval between two samples that are compared, in microseconds. After a longer one the agent was out of
+/// touch.
 const MAX_SAMPLE_US: u64 = 2_000_000;
-/// A runner is a straggler below this part of its service's median pace.
+/// The share of its service's median pace below which a runner becomes a straggler.
 const STRAGGLER_BELOW: f64 = 0.35;
-/// It is none any more above this part.
-const SOUND_ABOVE: f64 = 0.6;
-/// A straggler without fresh evidence is tried again after so long, in milliseconds.
+/// The share of its service's median pace above which a runner is no longer a straggler.
+const NORMAL_ABOVE: f64 = 0.6;
+/// The time without recent evidence after which a straggler is put on trial, in milliseconds.
 const TRIAL_AFTER_MS: u64 = 1_000;
-/// How many runs a straggler on trial has at most.
+/// The maximum number of runs at a runner that is on trial.
 const TRIAL_RUNS: u32 = 5;
-/// A trial that brings no evidence ends after so long, in milliseconds: what runs there may tell nothing of its pace.
+/// The time after which a trial without evidence ends, in milliseconds. The runs there may be of a kind whose progress
+/// gives no evidence of the runner's pace.
 const TRIAL_MS: u64 = 3_000;
-/// With fewer runners of a known pace a service has no median.
+/// The minimum number of runners of known pace from which a service has a median pace.
 const MIN_RUNNERS: usize = 4;
+/// The number of microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// What a run did between two reports.
+/// The progress that a run made between two samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Progress {
-    /// Work by the run's estimate, in milliseconds.
+    /// The work done, in milliseconds of the run's estimate.
     pub work_ms: f64,
-    /// The time that it took, in milliseconds.
+    /// The time that the work took, in milliseconds.
     pub time_ms: f64,
 }
 
-/// Where a run was at a report.
+/// The progress of a run at one report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Sample {
-    /// By the agent's steady clock, in microseconds.
+    /// The time of the report by the agent's steady clock, in microseconds.
     at_us: u64,
+    /// The run's progress, in percent.
     percent: u8,
 }
 
-/// The progress of one run as its runner's reports tell it.
+/// The progress of one run, sampled from the reports of its runner's agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RunProgress {
-    /// How long the run should take at its runner, in milliseconds; 0 where its progress says nothing of the runner.
+    /// The time that the run should take at its runner, in milliseconds; 0 if the run's progress gives no evidence of
+    /// the runner's pace.
     pub expected_ms: f64,
+    /// The newest sample; `None` before the first one.
     sample: Option<Sample>,
 }
 
 impl RunProgress {
-    /// A run that should take so long.
+    /// Creates the state of a run that should take `expected_ms`, before its first sample.
     pub(crate) fn new(expected_ms: f64) -> RunProgress {
         RunProgress {
             expected_ms,
@@ -63,7 +72,8 @@
         }
     }
 
-    /// Takes in a report. Returns what was done since the sample before, where that is far enough back.
+    /// Takes the progress from a report. Returns the progress since the previous sample; `None` if that sample is too
+    /// recent or cannot be compared, or if the run is no evidence of the runner's pace.
     pub(crate) fn advance(&mut self, at_us: u64, percent: u8) -> Option<Progress> {
         let next = Sample { at_us, percent };
         let Some(last) = self.sample else {
@@ -75,7 +85,7 @@
             return None;
         }
         self.sample = Some(next);
-        // Another life of the agent has another clock.
+        // The steady clock starts anew when the agent restarts, so a time that went back cannot be compared.
         let is_comparable = at_us > last.at_us && elapsed_us <= MAX_SAMPLE_US;
         (is_comparable && self.expected_ms > 0.0 && percent < 100).then(|| Progress {
             work_ms: f64::from(percent.saturating_sub(last.percent)) / 100.0 * self.expected_ms,
@@ -84,39 +94,41 @@
     }
 }
 
-/// What is made of a runner's pace.
+/// The classification of a runner by its pace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PaceVerdict {
-    /// As fast as others, or nothing is known of it.
+    /// The runner is not much slower than others, or its pace is unknown.
     #[default]
-    Sound,
-    /// Much slower than others.
+    Normal,
+    /// The runner is much slower than others.
     Straggler,
-    /// It was a straggler and is tried with a few runs.
+    /// The runner was a straggler and gets a few runs to find out whether it still is.
     OnTrial,
 }
 
-/// The pace of one runner.
+/// The pace of one runner, with the evidence for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunnerPace {
-    /// Work done by runs by their estimates, decayed, in milliseconds.
+    /// The work done by the runner's runs, decayed, in milliseconds of their estimates.
     work_ms: f64,
-    /// The time that they took, decayed alike, in milliseconds.
+    /// The time that this work took, decayed in the same way, in milliseconds.
     time_ms: f64,
+    /// The time of the last decay.
     updated_at: Time,
-    /// When there was last enough evidence, or a trial began.
+    /// The time at which there was last enough evidence, or at which the trial began.
     known_at: Time,
     verdict: PaceVerdict,
 }
 
 impl RunnerPace {
-    /// Takes in what a run has done.
+    /// Adds the progress that a run has made.
     pub(crate) fn record(&mut self, now: Time, progress: Progress) {
         self.decay(now);
         self.work_ms += progress.work_ms;
         self.time_ms += progress.time_ms;
     }
 
+    /// Decays the evidence to its weight at `now`.
     fn decay(&mut self, now: Time) {
         let decay = 0.5f64.powf(now.millis_since(self.updated_at) as f64 / HALF_LIFE_MS);
         self.work_ms *= decay;
@@ -124,12 +136,13 @@
         self.updated_at = now;
     }
 
-    /// Estimated work for each unit of time; `None` without enough evidence.
+    /// Returns the runner's pace, which is estimated work divided by the time it took; `None` without enough evidence.
     pub(crate) fn pace(&self) -> Option<f64> {
         (self.time_ms >= MIN_EVIDENCE_MS).then(|| self.work_ms / self.time_ms)
     }
 
-    /// Compares the runner with its service; `median` is that service's, where it has one.
+    /// Classifies the runner by its pace relative to `median`, the median pace of its service; `None` if the service
+    /// has no median.
     pub(crate) fn judge(&mut self, now: Time, median: Option<f64>) {
         self.decay(now);
         let relative = self.pace().zip(median).map(|(pace, median)| pace / median);
@@ -139,12 +152,12 @@
         self.known_at = now;
         if relative < STRAGGLER_BELOW {
             self.verdict = PaceVerdict::Straggler;
-        } else if relative > SOUND_ABOVE {
-            self.verdict = PaceVerdict::Sound;
+        } else if relative > NORMAL_ABOVE {
+            self.verdict = PaceVerdict::Normal;
         }
     }
 
-    /// A straggler is tried again after a while; a trial without evidence is over after a while.
+    /// Puts a straggler on trial once its evidence is stale, and ends a trial that has given no evidence.
     fn judge_without_evidence(&mut self, now: Time) {
         let unknown_ms = now.millis_since(self.known_at);
         match self.verdict {
@@ -152,32 +165,32 @@
                 self.verdict = PaceVerdict::OnTrial;
                 self.known_at = now;
             }
-            PaceVerdict::OnTrial if unknown_ms >= TRIAL_MS => self.verdict = PaceVerdict::Sound,
+            PaceVerdict::OnTrial if unknown_ms >= TRIAL_MS => self.verdict = PaceVerdict::Normal,
             _ => {}
         }
     }
 
-    /// What is made of it.
+    /// Returns the runner's classification.
     pub(crate) fn verdict(&self) -> PaceVerdict {
         self.verdict
     }
 
-    /// True where it is much slower than others.
+    /// Returns true if the runner is much slower than others.
     pub(crate) fn is_straggler(&self) -> bool {
         self.verdict == PaceVerdict::Straggler
     }
 
-    /// How many more runs may start there beside so many, as far as its pace goes. Those at a straggler are for work
-    /// that finds no other runner.
+    /// Returns how many more runs the runner's pace allows to start beside the `assigned` ones. A straggler has no
+    /// limit, because only work that finds no other runner starts there.
     pub(crate) fn max_starts(&self, assigned: usize) -> u32 {
         match self.verdict {
-            PaceVerdict::Sound | PaceVerdict::Straggler => u32::MAX,
+            PaceVerdict::Normal | PaceVerdict::Straggler => u32::MAX,
             PaceVerdict::OnTrial => TRIAL_RUNS.saturating_sub(assigned as u32),
         }
     }
 }
 
-/// The median of the paces of a service's runners; `None` where too few are known.
+/// Returns the median of the known paces of a service's runners; `None` if there are too few or if the median is zero.
 pub(crate) fn median_pace(mut paces: Vec<f64>) -> Option<f64> {
     if paces.len() < MIN_RUNNERS {
         return None;
--- a/crates/cluster/scheduler/src/runner_table.rs
+++ b/crates/cluster/scheduler/src/runner_table.rs
@@ -1,4 +1,4 @@
-//! All runners, which of them may need new commands, and which wait for a commit.
+//! The table of all runners, including which of them may need new commands and which wait for a commit.
 
 use sagetrail_protocol::{NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,40 +7,42 @@
 use crate::runner::{Assignment, Runner};
 use crate::step_run::AssignedRun;
 
-/// The runners by the address of their agent.
+/// All runners by the address of their agent.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerTable {
     runners: BTreeMap<NodeId, Runner>,
-    /// Runners that may need new commands.
+    /// The runners that may need new commands.
     changed: BTreeSet<NodeId>,
-    /// Runners with assignments or ends in a batch that is not committed, by the batch: a commit concerns these alone.
+    /// The runners with assignments or ends of runs in a batch that is not committed, by the batch's number. A commit
+    /// affects these runners only.
     uncommitted: BTreeMap<u64, BTreeSet<NodeId>>,
 }
 
 impl RunnerTable {
-    /// A runner.
+    /// Returns a runner.
     pub(crate) fn get(&self, node: NodeId) -> Option<&Runner> {
         self.runners.get(&node)
     }
 
-    /// A runner, to change it.
+    /// Returns a runner for modification.
     pub(crate) fn get_mut(&mut self, node: NodeId) -> Option<&mut Runner> {
         self.runners.get_mut(&node)
     }
 
-    /// A runner, added if it is new with the time at which a lease may last have been granted to it.
+    /// Returns a runner for modification. If it is new, it is added with the latest time at which a lease may have been
+    /// granted to its agent.
     pub(crate) fn get_or_add(&mut self, node: NodeId, lease_granted_at: Time) -> &mut Runner {
         self.runners
             .entry(node)
             .or_insert_with(|| Runner::new(lease_granted_at))
     }
 
-    /// All runners, by address.
+    /// Iterates over all runners in the order of their agents' addresses.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (NodeId, &Runner)> {
         self.runners.iter().map(|(&node, runner)| (node, runner))
     }
 
-    /// The runners of a service, by address.
+    /// Iterates over the runners of a service in the order of their agents' addresses.
     pub(crate) fn of_service<'a>(
         &'a self,
         service: &'a str,
@@ -49,22 +51,22 @@
             .filter(move |(_, runner)| runner.service == service)
     }
 
-    /// How many runners there are.
+    /// Returns the number of runners.
     pub(crate) fn len(&self) -> usize {
         self.runners.len()
     }
 
-    /// An assignment at a runner.
+    /// Returns the assignment of a run to its runner.
     pub(crate) fn assignment(&self, run: AssignedRun) -> Option<&Assignment> {
         self.get(run.node)?.assigned.get(&run.task)
     }
 
-    /// An assignment at a runner, to change it.
+    /// Returns the assignment of a run to its runner for modification.
     pub(crate) fn assignment_mut(&mut self, run: AssignedRun) -> Option<&mut Assignment> {
         self.get_mut(run.node)?.assigned.get_mut(&run.task)
     }
 
-    /// The tasks assigned to a runner.
+    /// Returns the tasks that are assigned to a runner.
     pub(crate) fn assigned_tasks(&self, node: NodeId) -> Vec<TaskId> {
         let assigned = self.get(node).map(|runner| &runner.assigned);
         assigned
@@ -74,7 +76,7 @@
             .collect()
     }
 
-    /// A run is no longer wanted.
+    /// Marks a run as no longer wanted, so that it is stopped or its start withdrawn.
     pub(crate) fn stop(&mut self, run: AssignedRun) {
         if let Some(assignment) = self.assignment_mut(run) {
             assignment.unwanted = true;
@@ -82,27 +84,27 @@
         }
     }
 
-    /// The runner may need new commands.
+    /// Notes that a runner may need new commands.
     pub(crate) fn set_changed(&mut self, node: NodeId) {
         self.changed.insert(node);
     }
 
-    /// The runner is being sent its commands.
+    /// Notes that a runner needs no new commands, because it is being sent them.
     pub(crate) fn clear_changed(&mut self, node: NodeId) {
         self.changed.remove(&node);
     }
 
-    /// Takes the runners that may need new commands.
+    /// Takes all runners that may need new commands.
     pub(crate) fn take_changed(&mut self) -> BTreeSet<NodeId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// The runner has an assignment or an end in this batch.
+    /// Notes that a runner has an assignment or an end of a run in the batch with this number.
     pub(crate) fn wait_for_commit(&mut self, batch: u64, node: NodeId) {
         self.uncommitted.entry(batch).or_default().insert(node);
     }
 
-    /// All batches up to this number are committed: takes the runners that this concerns.
+    /// Takes the runners that have assignments or ends of runs in batches up to this number, which are now committed.
     pub(crate) fn take_committed(&mut self, batch: u64) -> BTreeSet<NodeId> {
         let later = self.uncommitted.split_off(&(batch + 1));
         let committed = std::mem::replace(&mut self.uncommitted, later);
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -127,7 +127,7 @@
             .filter(|&(node, runner)| is_suitable(node, runner))
             .filter_map(|(node, runner)| self.offer(now, node, runner, key.priority, stage))
             .collect();
-        offers.sort_by_key(PreemptionOffer::loss);
+        offers.sort_by_key(PreemptionOffer::loss_core_ms);
         offers
     }
 
@@ -168,7 +168,7 @@
                 victims.push(Victim {
                     run: AssignedRun { task, node },
                     resources: assignment.resources,
-                    loss,
+                    loss_core_ms: loss,
                 });
             }
         }
--- a/crates/cluster/scheduler/src/scheduler/runner_commands.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_commands.rs
@@ -37,7 +37,7 @@
     fn wanted_commands(&self, runner: &Runner) -> CommandSet {
         let mut wanted = CommandSet {
             instance: runner.instance.clone(),
-            observed: runner.observed,
+            observed: runner.last_observed_end,
             stop: runner.unknown_runs.clone(),
             ..CommandSet::default()
         };
@@ -144,7 +144,7 @@
     let revision = runner.revision;
     for assignment in runner.assigned.values_mut() {
         if assignment.unwanted && !assignment.active {
-            assignment.withdrawn_in.get_or_insert(revision);
+            assignment.withdrawn_in_revision.get_or_insert(revision);
         }
     }
     revision
--- a/crates/cluster/scheduler/src/scheduler/runner_reports.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_reports.rs
@@ -166,10 +166,10 @@
             let Some(runner) = self.runners.get_mut(from) else {
                 return;
             };
-            if run.number <= runner.recorded_to {
+            if run.number <= runner.last_recorded_end {
                 continue;
             }
-            runner.recorded_to = run.number;
+            runner.last_recorded_end = run.number;
             self.end_finished_run(now, from, run);
             let batch = self.commits.newest();
             if let Some(runner) = self.runners.get_mut(from) {
@@ -212,7 +212,7 @@
         let absent = runner.assigned.iter_mut().filter(|(_, run)| !run.active);
         for (&task, assignment) in absent {
             let is_withdrawn = assignment
-                .withdrawn_in
+                .withdrawn_in_revision
                 .is_some_and(|revision| is_of_term && report.revision >= revision);
             let cannot_start = is_withdrawn && (report.starts_resolved || report.lease_expired);
             let ran_and_expired = report.lease_expired && assignment.seen_active;
@@ -237,10 +237,10 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let before = runner.observed;
+        let before = runner.last_observed_end;
         let commits = &self.commits;
         runner.observe_ends(|batch| commits.is_committed(batch));
-        if runner.observed != before {
+        if runner.last_observed_end != before {
             self.runners.set_changed(node);
         }
     }
@@ -285,6 +285,6 @@
     // Once it drains, an instance drains until its end; an agent that started anew may not know.
     runner.draining |= report.draining;
     runner.lease_expired = report.lease_expired;
-    runner.remaining_ms = report.remaining_ms;
+    runner.drain_remaining_ms = report.remaining_ms;
     runner.since_heartbeat_ms = report.since_heartbeat_ms;
 }
--- a/crates/cluster/scheduler/src/scheduler/stuck_runs.rs
+++ b/crates/cluster/scheduler/src/scheduler/stuck_runs.rs
@@ -101,7 +101,7 @@
             return true;
         }
         let since_report_ms = now.steady.millis_since(runner.last_report_at);
-        let left_ms = runner.remaining_ms.saturating_sub(since_report_ms);
+        let left_ms = runner.drain_remaining_ms.saturating_sub(since_report_ms);
         if stage.checkpoints {
             return left_ms <= self.settings.bounds.stop_ms + EVACUATION_MARGIN_MS;
         }
--- a/crates/cluster/scheduler/src/spec.rs
+++ b/crates/cluster/scheduler/src/spec.rs
@@ -1,6 +1,6 @@
-//! What a client submits: a job's steps and what their tasks ask for, parsed and validated.
+//! The specification of a job as a client submits it: its steps and the resources of their tasks, parsed and validated.
 //!
-//! Field names are those of the JSON body. The names of the types reach clients in the parser's messages.
+//! The names of fields are those of the JSON body. The names of the types reach clients in the messages of the parser.
 
 use sagetrail_protocol::agent::Resources;
 use serde::Deserialize;
@@ -8,55 +8,55 @@
 use crate::error::SchedulerError;
 use crate::limits::{MAX_SPEC_BYTES, MAX_STAGES, MAX_TASKS, MAX_TIME_MS};
 
-/// A step: tasks that are alike. Missing fields are zero, empty or false.
+/// One step of a job: a number of tasks that are alike. Missing fields are zero, empty or false.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Stage {
-    /// How many tasks.
+    /// The number of tasks.
     #[serde(default)]
     pub count: u32,
-    /// Thousandths of a core for each task.
+    /// The CPU capacity that each task needs, in thousandths of a core.
     #[serde(default)]
     pub cpu: u64,
-    /// Megabytes of memory for each task.
+    /// The memory that each task needs, in megabytes.
     #[serde(default)]
     pub mem_mb: u64,
-    /// Graphics processors for each task.
+    /// The number of GPUs that each task needs.
     #[serde(default)]
     pub gpu: u64,
-    /// An estimate of how long a task takes, in milliseconds.
+    /// The estimated time that one task takes, in milliseconds.
     #[serde(default)]
     pub estimate_ms: f64,
-    /// Indexes of earlier steps that must have ended.
+    /// The indexes of the earlier steps that must have ended before this step starts.
     #[serde(default)]
     pub depends_on: Vec<u32>,
     /// The tasks save a checkpoint when they are stopped.
     #[serde(default)]
     pub checkpoints: bool,
-    /// The tasks start together, with one attempt number, and one end counts for all.
+    /// The tasks form a gang: they start together, with the same attempt number, and the end of one counts for all.
     #[serde(default)]
     pub gang: bool,
-    /// The gang is slower when it is spread over racks.
+    /// The gang is slower if it runs on several racks.
     #[serde(default)]
     pub rack_local: bool,
-    /// Labels that a runner must have.
+    /// The labels that a runner must have to take the tasks.
     #[serde(default)]
     pub constraints: Labels,
-    /// The rack that holds the data; empty for none.
+    /// The rack that holds the tasks' data; empty if they need no particular rack.
     #[serde(default)]
     pub affinity: String,
-    /// The most tasks of the step at one runner; 0 for any number.
+    /// The maximum number of the step's tasks at one runner; 0 means no limit.
     #[serde(default)]
     pub anti_affinity: u32,
-    /// Copies may run in parallel. Accepted, and not used.
+    /// Copies of a task may run in parallel. The field is accepted but not used.
     #[serde(default)]
     pub speculative: bool,
-    /// The tasks go on until the job is cancelled.
+    /// The tasks run until the job is cancelled.
     #[serde(default)]
     pub long_running: bool,
 }
 
 impl Stage {
-    /// What one task asks for.
+    /// Returns the resources that one task needs.
     pub fn resources(&self) -> Resources {
         Resources {
             cpu: self.cpu,
@@ -66,13 +66,13 @@
     }
 }
 
-/// One label, or several.
+/// A set of labels, given as one label or as a list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Labels {
-    /// A single label; an empty one is no label.
+    /// A single label; an empty text means no label.
     One(String),
-    /// A list of labels.
+    /// A list of labels; empty texts in it are ignored.
     Several(Vec<String>),
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Labels {
-    /// True where `labels` holds all of these.
+    /// Returns true if `labels` contains all labels of this set.
     pub fn all_in(&self, labels: &[String]) -> bool {
         let has = |wanted: &String| wanted.is_empty() || labels.contains(wanted);
         match self {
@@ -93,37 +93,37 @@
     }
 }
 
-/// A job as submitted.
+/// The specification of a job as submitted.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct JobSpec {
-    /// Handed to each run as it is, at most `MAX_SPEC_BYTES` long.
+    /// A text that is passed to each run unchanged; at most `MAX_SPEC_BYTES` long.
     #[serde(default)]
     pub spec: String,
-    /// The steps, 1 to `MAX_STAGES`.
+    /// The steps of the job, from 1 to `MAX_STAGES` of them.
     pub stages: Vec<Stage>,
-    /// How many occurrences the job has; 0 for one, at once.
+    /// The number of occurrences of the job; 0 means one occurrence that is due at once.
     #[serde(default)]
     pub repeat: u32,
-    /// When the first occurrence falls due, in milliseconds since 1970.
+    /// The time at which the first occurrence becomes due, in milliseconds since 1970.
     #[serde(default)]
     pub first_run_ms: f64,
-    /// From one occurrence to the next, in milliseconds.
+    /// The interval between the due times of two occurrences, in milliseconds.
     #[serde(default)]
     pub interval_ms: f64,
-    /// True for all steps at once.
+    /// If true, all steps count as `long_running`.
     #[serde(default)]
     long_running: bool,
 }
 
 impl JobSpec {
-    /// Parses and validates a body.
+    /// Parses and validates the body of a submission.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the body; the text is for the client.
+    /// Returns the reason why the body is rejected; its text is sent to the client.
     pub fn parse(body: &[u8]) -> Result<JobSpec, SchedulerError> {
         let mut spec: JobSpec = serde_json::from_slice(body)?;
-        spec.check()?;
+        spec.validate()?;
         if spec.long_running {
             spec.stages
                 .iter_mut()
@@ -132,18 +132,19 @@
         Ok(spec)
     }
 
-    /// How many occurrences the job has, at least 1.
+    /// Returns the number of occurrences of the job, at least 1.
     pub fn occurrences(&self) -> u32 {
         self.repeat.max(1)
     }
 
-    /// When an occurrence falls due, in milliseconds since 1970; `None` for at once.
+    /// Returns the time at which an occurrence becomes due, in milliseconds since 1970; `None` if it is due at once.
     pub fn due_ms(&self, occurrence: u32) -> Option<i64> {
         (self.repeat > 0)
             .then(|| (self.first_run_ms + f64::from(occurrence) * self.interval_ms) as i64)
     }
 
-    fn check(&self) -> Result<(), SchedulerError> {
+    /// Checks the limits of the job.
+    fn validate(&self) -> Result<(), SchedulerError> {
         if self.spec.len() > MAX_SPEC_BYTES {
             return Err(SchedulerError::SpecTooLong(self.spec.len()));
         }
@@ -157,10 +158,11 @@
         if !in_range(self.first_run_ms) || !in_range(self.interval_ms) {
             return Err(SchedulerError::BadTime);
         }
-        self.check_stages()
+        self.validate_stages()
     }
 
-    fn check_stages(&self) -> Result<(), SchedulerError> {
+    /// Checks the limits of the steps, their dependencies and the total number of tasks.
+    fn validate_stages(&self) -> Result<(), SchedulerError> {
         let mut tasks = 0;
         for (index, stage) in self.stages.iter().enumerate() {
             if stage.count == 0 {
--- a/crates/cluster/scheduler/src/timers.rs
+++ b/crates/cluster/scheduler/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is due by the clock alone, and when.
+//! The timers of the scheduler's recurring work.
 
 use sagetrail_protocol::Time;
 
@@ -6,35 +6,39 @@
 const CHECK_INTERVAL_MS: u64 = 100;
 /// The interval of the periodic check while all jobs have ended, in milliseconds.
 const IDLE_CHECK_INTERVAL_MS: u64 = 500;
-/// Ended jobs are looked through for a purge this often, in milliseconds.
+/// The interval at which ended jobs are checked for a purge, in milliseconds.
 const PURGE_INTERVAL_MS: u64 = 1_000;
-/// Log lines on long waits keep this distance, in milliseconds.
+/// The interval between log lines about steps that have been pending for long, in milliseconds.
 const LONG_WAIT_LOG_INTERVAL_MS: u64 = 5_000;
-/// Log lines on the state of all services keep this distance, in milliseconds.
+/// The interval between log lines about the state of all services, in milliseconds.
 const STATUS_LOG_INTERVAL_MS: u64 = 500;
 
-/// Whether any job has not ended.
+/// States whether any job has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Activity {
-    /// Some job has not.
+    /// At least one job has not ended.
     Active,
-    /// All have.
+    /// All jobs have ended.
     Idle,
 }
 
-/// The times of a term's recurring work, by the steady clock.
+/// The times of the recurring work of one term, by the steady clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timers {
+    /// The time of the next periodic check.
     next_check: Time,
+    /// The time of the next purge of ended jobs.
     next_purge: Time,
+    /// The time at which long waits were last logged.
     long_waits_logged_at: Time,
+    /// The time at which the state of all services was last logged.
     status_logged_at: Time,
-    /// When the next occurrence of a job falls due; `None` where none is to come.
+    /// The time at which the next occurrence of a job becomes due; `None` if no occurrence is outstanding.
     pub next_due: Option<Time>,
 }
 
 impl Timers {
-    /// The timers at the start of a term: nothing is due at once.
+    /// Creates the timers at the start of a term; nothing is due at once.
     pub(crate) fn new(now: Time) -> Timers {
         Timers {
             next_check: now.plus_millis(CHECK_INTERVAL_MS),
@@ -45,12 +49,12 @@
         }
     }
 
-    /// When the next periodic check is due.
+    /// Returns the time of the next periodic check.
     pub(crate) fn next_check(&self) -> Time {
         self.next_check
     }
 
-    /// True where the periodic check is due; the next one is then set.
+    /// Returns true if the periodic check is due; the time of the next one is then set.
     pub(crate) fn take_check(&mut self, now: Time, activity: Activity) -> bool {
         if now < self.next_check {
             return false;
@@ -62,7 +66,7 @@
         true
     }
 
-    /// True where a purge is due; the next one is then set.
+    /// Returns true if a purge is due; the time of the next one is then set.
     pub(crate) fn take_purge(&mut self, now: Time) -> bool {
         if now < self.next_purge {
             return false;
@@ -71,7 +75,7 @@
         true
     }
 
-    /// True where long waits are to be logged; the next time is then set.
+    /// Returns true if long waits are to be logged; `now` then counts as the time of the log lines.
     pub(crate) fn take_long_wait_log(&mut self, now: Time) -> bool {
         let is_due = now.millis_since(self.long_waits_logged_at) >= LONG_WAIT_LOG_INTERVAL_MS;
         if is_due {
@@ -80,7 +84,7 @@
         is_due
     }
 
-    /// True where the state of all services is to be logged; the next time is then set.
+    /// Returns true if the state of all services is to be logged; `now` then counts as the time of the log lines.
     pub(crate) fn take_status_log(&mut self, now: Time) -> bool {
         let is_due = now.millis_since(self.status_logged_at) >= STATUS_LOG_INTERVAL_MS;
         if is_due {
--- a/crates/cluster/scheduler/src/victims.rs
+++ b/crates/cluster/scheduler/src/victims.rs
@@ -1,4 +1,5 @@
-//! Which runs to stop so that tasks of a higher priority fit: plain values in, choices out.
+//! Chooses the runs to preempt (victims) so that tasks of a higher priority fit. It takes plain values and returns
+//! plain values.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::NodeId;
@@ -11,31 +12,32 @@
 /// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Victim {
-    /// The run.
+    /// The run that may be stopped.
     pub run: AssignedRun,
-    /// What its stop frees.
+    /// The resources that stopping the run frees.
     pub resources: Resources,
-    /// Work that its stop wastes, in core-milliseconds.
-    pub loss: u64,
+    /// The work that stopping the run wastes, in core-milliseconds.
+    pub loss_core_ms: u64,
 }
 
-/// A runner, and what preempting runs there would free.
+/// A runner and the capacity that preempting runs there would free.
 #[derive(Clone, Debug)]
 pub(crate) struct PreemptionOffer {
     /// The address of the runner's agent.
     pub node: NodeId,
-    /// The runner's rack; empty for none.
+    /// The runner's rack; empty if it has none.
     pub rack: String,
-    /// Capacity that is free, or becomes so without a further stop.
+    /// The capacity that is free, or becomes free without any further stop.
     pub free: Resources,
-    /// The runs that may be stopped, those with the smallest loss first.
+    /// The runs that may be stopped, in ascending order of loss.
     pub victims: Vec<Victim>,
-    /// How many tasks of the step fit once all victims are stopped; above 0.
+    /// The number of the step's tasks that fit once all victims are stopped; above 0.
     pub slots: u32,
 }
 
 impl PreemptionOffer {
-    /// An offer for tasks that ask for `wanted` each, of which at most `limit` are of use. `None` where not one fits.
+    /// Creates the offer of a runner for up to `limit` tasks that need `wanted` each. Returns `None` if not a single
+    /// task would fit.
     pub(crate) fn new(
         node: NodeId,
         rack: &str,
@@ -44,7 +46,7 @@
         wanted: Resources,
         limit: u32,
     ) -> Option<PreemptionOffer> {
-        victims.sort_by_key(|victim| (victim.loss, Reverse(victim.resources.gpu)));
+        victims.sort_by_key(|victim| (victim.loss_core_ms, Reverse(victim.resources.gpu)));
         let mut freed = free;
         victims
             .iter()
@@ -59,12 +61,13 @@
         })
     }
 
-    /// The work that stopping all victims wastes, in core-milliseconds.
-    pub(crate) fn loss(&self) -> u64 {
-        self.victims.iter().map(|victim| victim.loss).sum()
+    /// Returns the work that stopping all victims wastes, in core-milliseconds.
+    pub(crate) fn loss_core_ms(&self) -> u64 {
+        self.victims.iter().map(|victim| victim.loss_core_ms).sum()
     }
 
-    /// The fewest victims to stop so that `slots` tasks fit that ask for `wanted` each.
+    /// Returns the victims to stop so that `slots` tasks that need `wanted` each fit: as many of the first ones as are
+    /// needed.
     pub(crate) fn victims_for(&self, wanted: Resources, slots: u32) -> Vec<Victim> {
         let mut free = self.free;
         let mut needed = Vec::new();
@@ -79,8 +82,8 @@
     }
 }
 
-/// The offers for all `tasks` of a gang, of the one rack with the smallest loss if it is rack-local; none where they
-/// do not suffice.
+/// Returns the offers for all `tasks` of a gang. If the gang is rack-local, these are the offers of the one rack with
+/// the smallest loss that has enough slots. Returns no offers if there are too few slots.
 pub(crate) fn offers_for_gang(
     offers: Vec<PreemptionOffer>,
     rack_local: bool,
@@ -96,8 +99,12 @@
         racks.entry(rack).or_default().push(offer);
     }
     let slots = |offers: &Vec<PreemptionOffer>| offers.iter().map(|offer| offer.slots).sum::<u32>();
-    let loss =
-        |offers: &Vec<PreemptionOffer>| offers.iter().map(PreemptionOffer::loss).sum::<u64>();
+    let loss = |offers: &Vec<PreemptionOffer>| {
+        offers
+            .iter()
+            .map(PreemptionOffer::loss_core_ms)
+            .sum::<u64>()
+    };
     racks
         .into_values()
         .filter(|offers| slots(offers) >= tasks)
