--- a/crates/cluster/scheduler/src/error.rs
+++ b/crates/cluster/scheduler/src/error.rs
@@ -26,12 +26,12 @@
     #[error("{0} tasks, at most {MAX_TASKS}")]
     TooManyTasks(u64),
     /// A step depends on itself, on a later step or on a step that does not exist.
-    #[error("stages[{stage}].depends_on: {on} is no earlier step")]
+    #[error("stages[{stage}].depends_on: {dependency} is no earlier step")]
     BadDependency {
         /// The index of the dependent step.
         stage: usize,
         /// The index of the step that it depends on.
-        on: u32,
+        dependency: u32,
     },
     /// The first due time or the interval between occurrences is not a number from 0 to `MAX_TIME_MS`.
     #[error("first_run_ms or interval_ms: out of range")]
--- a/crates/cluster/scheduler/src/objective.rs
+++ b/crates/cluster/scheduler/src/objective.rs
@@ -73,9 +73,9 @@
 fn chains_ms(spec: &JobSpec) -> Vec<f64> {
     let mut chains: Vec<f64> = spec.stages.iter().map(|stage| stage.estimate_ms).collect();
     for step in (0..spec.stages.len()).rev() {
-        for &on in &spec.stages[step].depends_on {
-            let chain_ms = spec.stages[on as usize].estimate_ms + chains[step];
-            chains[on as usize] = chains[on as usize].max(chain_ms);
+        for &dependency in &spec.stages[step].depends_on {
+            let chain_ms = spec.stages[dependency as usize].estimate_ms + chains[step];
+            chains[dependency as usize] = chains[dependency as usize].max(chain_ms);
         }
     }
     chains
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -129,7 +129,8 @@
     pub capacity: Resources,
     /// The runner is shutting down gracefully and gets no new starts.
     pub draining: bool,
-    /// The newest report says that the agent's lease has expired, so all runs of the runner are over.
+    /// The newest report says that every lease of the runner has expired or that the runner is dead, so all its runs
+    /// are over.
     pub lease_expired: bool,
     /// The minimum time until a draining runner shuts down, in milliseconds, by the newest report.
     pub drain_remaining_ms: u64,
--- a/crates/cluster/scheduler/src/spec.rs
+++ b/crates/cluster/scheduler/src/spec.rs
@@ -168,8 +168,12 @@
             if stage.count == 0 {
                 return Err(SchedulerError::EmptyStage(index));
             }
-            if let Some(&on) = stage.depends_on.iter().find(|&&on| on as usize >= index) {
-                return Err(SchedulerError::BadDependency { stage: index, on });
+            let is_not_earlier = |&&dependency: &&u32| dependency as usize >= index;
+            if let Some(&dependency) = stage.depends_on.iter().find(is_not_earlier) {
+                return Err(SchedulerError::BadDependency {
+                    stage: index,
+                    dependency,
+                });
             }
             tasks += u64::from(stage.count) * u64::from(self.occurrences());
         }
--- a/crates/cluster/scheduler/tests/gangs.rs
+++ b/crates/cluster/scheduler/tests/gangs.rs
@@ -1,16 +1,17 @@
-//! Tasks that start together, or not at all.
+//! Guards against gangs of which only a part runs: a gang starts as a whole or not at all, and restarts only once all
+//! runs of its last attempt are over.
 
 mod test_cluster;
 
 use sagetrail_protocol::agent::RunEnd;
 use test_cluster::{node, TestCluster};
 
-const A: &str = "00000000000000aa";
+const JOB: &str = "00000000000000aa";
 
 #[test]
-fn a_gang_starts_complete_with_one_attempt_and_one_end_counts_for_all() {
+fn a_gang_starts_as_a_whole_with_one_attempt_number_and_one_end_counts_for_all() {
     let mut cluster = TestCluster::new(4);
-    cluster.submit(A, r#"{"stages":[{"count":4,"cpu":3000,"gang":true}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":4,"cpu":3000,"gang":true}]}"#);
     cluster.commit();
     cluster.execute_commands();
     let running = cluster.running();
@@ -20,13 +21,13 @@
     let task = runner.active.keys().next().expect("a member").clone();
     runner.end(&task, RunEnd::Done);
     cluster.report_all();
-    assert_eq!(cluster.state(A), "completed");
+    assert_eq!(cluster.state(JOB), "completed");
 }
 
 #[test]
-fn a_gang_without_capacity_for_all_starts_none() {
+fn a_gang_without_capacity_for_all_members_starts_none() {
     let mut cluster = TestCluster::new(2);
-    cluster.submit(A, r#"{"stages":[{"count":3,"cpu":3000,"gang":true}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":3,"cpu":3000,"gang":true}]}"#);
     cluster.commit();
     cluster.advance_ms(2_000);
     cluster.commit();
@@ -35,9 +36,9 @@
 }
 
 #[test]
-fn a_broken_gang_starts_again_only_when_every_member_is_over() {
+fn a_failed_gang_restarts_only_once_the_runs_of_all_members_are_over() {
     let mut cluster = TestCluster::new(4);
-    cluster.submit(A, r#"{"stages":[{"count":2,"cpu":3000,"gang":true}]}"#);
+    cluster.submit(JOB, r#"{"stages":[{"count":2,"cpu":3000,"gang":true}]}"#);
     cluster.commit();
     cluster.execute_commands();
     let first = cluster.running()[0].clone();
--- a/crates/cluster/scheduler/tests/locality.rs
+++ b/crates/cluster/scheduler/tests/locality.rs
@@ -1,20 +1,25 @@
-//! How long work waits for a runner near its data. Work takes 1.5 times as long elsewhere.
+//! Guards against holding tasks too long, or not at all, for a runner near their data.
+//!
+//! Away from its data a task takes 1.5 times as long, so a hold is worth at most half the task's estimate. Holding must
+//! neither preempt other runs nor keep tasks that the rack cannot start in time.
 
 mod test_cluster;
 
 use sagetrail_protocol::agent::RunEnd;
 use test_cluster::{node, RunningTask, TestCluster};
 
-const A: &str = "00000000000000aa";
-const B: &str = "00000000000000bb";
-/// Tasks of a second near the second rack: they wait half a second for it.
-const NEAR: &str = r#"{"stages":[{"count":2,"cpu":1000,"estimate_ms":1000,"affinity":"r1-1"}]}"#;
+const JOB_A: &str = "00000000000000aa";
+const JOB_B: &str = "00000000000000bb";
+/// A job of two tasks with an estimate of one second and data in the second rack; they are held for it for half a
+/// second.
+const NEAR_SECOND_RACK: &str =
+    r#"{"stages":[{"count":2,"cpu":1000,"estimate_ms":1000,"affinity":"r1-1"}]}"#;
 
-/// Two racks of two runners with four cores each; the second rack is full.
+/// Returns a cluster of two racks with two runners of four cores each; the second rack is full.
 fn cluster_with_a_full_rack() -> TestCluster {
     let mut cluster = TestCluster::new(4);
     let body = r#"{"stages":[{"count":8,"cpu":1000,"estimate_ms":9000,"affinity":"r1-1"}]}"#;
-    cluster.submit(A, body);
+    cluster.submit(JOB_A, body);
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 8);
@@ -22,17 +27,20 @@
     cluster
 }
 
+/// Returns true if the run is at a runner in the second rack.
 fn is_near(run: &RunningTask) -> bool {
     run.node == node(2) || run.node == node(3)
 }
 
+/// Returns the active runs of one job.
 fn running_of(cluster: &TestCluster, job: &str) -> Vec<RunningTask> {
     let mut running = cluster.running();
     running.retain(|run| run.task.starts_with(job));
     running
 }
 
-fn pass_time(cluster: &mut TestCluster, millis: u64) {
+/// Advances the time in steps of 50 ms, each with reports and the execution of all commands.
+fn advance_in_steps(cluster: &mut TestCluster, millis: u64) {
     for _ in 0..millis / 50 {
         cluster.advance_ms(50);
         cluster.report_all();
@@ -41,59 +49,59 @@
 }
 
 #[test]
-fn a_task_takes_the_runner_near_its_data_that_becomes_free() {
+fn a_held_task_starts_at_a_near_runner_that_becomes_free() {
     let mut cluster = cluster_with_a_full_rack();
-    cluster.submit(B, NEAR);
+    cluster.submit(JOB_B, NEAR_SECOND_RACK);
     cluster.commit();
-    pass_time(&mut cluster, 300);
-    assert!(running_of(&cluster, B).is_empty());
+    advance_in_steps(&mut cluster, 300);
+    assert!(running_of(&cluster, JOB_B).is_empty());
     let ended: Vec<String> = cluster.runners[&node(3)].active.keys().cloned().collect();
     let runner = cluster.runners.get_mut(&node(3)).expect("a runner");
     ended.iter().for_each(|task| runner.end(task, RunEnd::Done));
-    pass_time(&mut cluster, 100);
-    let running = running_of(&cluster, B);
+    advance_in_steps(&mut cluster, 100);
+    let running = running_of(&cluster, JOB_B);
     assert_eq!(running.len(), 2);
     assert!(running.iter().all(is_near), "{running:?}");
 }
 
 #[test]
-fn a_task_waits_no_longer_than_another_rack_would_cost_it() {
+fn a_task_is_held_no_longer_than_its_extra_time_in_another_rack() {
     let mut cluster = cluster_with_a_full_rack();
-    cluster.submit(B, NEAR);
+    cluster.submit(JOB_B, NEAR_SECOND_RACK);
     cluster.commit();
-    pass_time(&mut cluster, 400);
-    assert!(running_of(&cluster, B).is_empty());
-    pass_time(&mut cluster, 200);
-    let running = running_of(&cluster, B);
+    advance_in_steps(&mut cluster, 400);
+    assert!(running_of(&cluster, JOB_B).is_empty());
+    advance_in_steps(&mut cluster, 200);
+    let running = running_of(&cluster, JOB_B);
     assert_eq!(running.len(), 2);
     assert!(!running.iter().any(is_near), "{running:?}");
 }
 
 #[test]
-fn what_the_rack_cannot_take_in_that_time_does_not_wait() {
+fn tasks_beyond_what_the_rack_can_start_in_time_are_not_held() {
     let mut cluster = cluster_with_a_full_rack();
-    // An empty rack of eight cores would take four of them in half a second.
+    // An empty rack of eight cores would start four of the tasks in half a second.
     let body = r#"{"stages":[{"count":7,"cpu":1000,"estimate_ms":1000,"affinity":"r1-1"}]}"#;
-    cluster.submit(B, body);
+    cluster.submit(JOB_B, body);
     cluster.commit();
     cluster.execute_commands();
-    assert_eq!(running_of(&cluster, B).len(), 3);
+    assert_eq!(running_of(&cluster, JOB_B).len(), 3);
 }
 
 #[test]
-fn waiting_for_a_rack_preempts_nobody() {
+fn a_held_urgent_task_preempts_no_run() {
     let mut cluster = cluster_with_a_full_rack();
-    pass_time(&mut cluster, 1_000);
-    let urgent = format!("/urgent/{B}");
+    advance_in_steps(&mut cluster, 1_000);
+    let urgent = format!("/urgent/{JOB_B}");
     cluster.request(
         sagetrail_protocol::client::ClientMethod::Submit,
         &urgent,
-        NEAR,
+        NEAR_SECOND_RACK,
     );
     cluster.commit();
-    pass_time(&mut cluster, 700);
-    assert_eq!(running_of(&cluster, A).len(), 8);
-    assert_eq!(running_of(&cluster, B).len(), 2);
+    advance_in_steps(&mut cluster, 700);
+    assert_eq!(running_of(&cluster, JOB_A).len(), 8);
+    assert_eq!(running_of(&cluster, JOB_B).len(), 2);
 }
 
 #[test]
@@ -101,20 +109,21 @@
     for (tasks, is_spread_at_once) in [(5, true), (4, false)] {
         let mut cluster = TestCluster::new(4);
         let small = r#"{"stages":[{"count":1,"cpu":1000,"estimate_ms":9000,"affinity":"r1-0"}]}"#;
-        cluster.submit(A, small);
+        cluster.submit(JOB_A, small);
         let other = small.replace("r1-0", "r1-1");
         cluster.submit("00000000000000cc", &other);
         cluster.commit();
         cluster.execute_commands();
-        // Two of its tasks fit into an empty runner, four into an empty rack, and three into each rack now.
+        // Two of the gang's tasks fit into an empty runner, four into an empty rack, and three into each rack at
+        // present.
         let body = format!(
             r#"{{"stages":[{{"count":{tasks},"cpu":2000,"estimate_ms":4000,"gang":true,"rack_local":true}}]}}"#
         );
-        cluster.submit(B, &body);
+        cluster.submit(JOB_B, &body);
         cluster.commit();
         cluster.execute_commands();
-        assert_eq!(!running_of(&cluster, B).is_empty(), is_spread_at_once);
-        pass_time(&mut cluster, 2_200);
-        assert_eq!(running_of(&cluster, B).len(), tasks);
+        assert_eq!(!running_of(&cluster, JOB_B).is_empty(), is_spread_at_once);
+        advance_in_steps(&mut cluster, 2_200);
+        assert_eq!(running_of(&cluster, JOB_B).len(), tasks);
     }
 }
--- a/crates/cluster/scheduler/tests/outlier_ejection.rs
+++ b/crates/cluster/scheduler/tests/outlier_ejection.rs
@@ -1,4 +1,7 @@
-//! Runners at which work fails get none for a while.
+//! Guards against a faulty runner that fails run after run, and against ejecting runners that are not the cause.
+//!
+//! A faulty runner is soon free again, so without ejection it would take and fail more runs than any healthy one. If
+//! one job fails, or runs fail at many runners, the cause lies elsewhere and no runner may be ejected.
 
 mod test_cluster;
 
@@ -6,7 +9,7 @@
 use sagetrail_protocol::NodeId;
 use test_cluster::{config, node, RunningTask, TestCluster};
 
-/// Submits jobs of one task each.
+/// Submits a job of one task for each ID and executes the commands that follow.
 fn submit_jobs(cluster: &mut TestCluster, ids: std::ops::Range<u64>) {
     for id in ids {
         cluster.submit(
@@ -18,46 +21,52 @@
     cluster.execute_commands();
 }
 
-/// Ends all runs: those at `bad` fail, the others end well.
-fn end_with_failures_at(cluster: &mut TestCluster, bad: &[NodeId]) {
-    for RunningTask { node: at, task, .. } in cluster.running() {
-        let end = if bad.contains(&at) {
+/// Ends all runs: those at the runners `failing` fail, all others succeed.
+fn end_with_failures_at(cluster: &mut TestCluster, failing: &[NodeId]) {
+    for RunningTask {
+        node: address,
+        task,
+        ..
+    } in cluster.running()
+    {
+        let end = if failing.contains(&address) {
             RunEnd::Failed
         } else {
             RunEnd::Done
         };
         cluster
             .runners
-            .get_mut(&at)
+            .get_mut(&address)
             .expect("a runner")
             .end(&task, end);
     }
     cluster.report_all();
 }
 
-fn running_at(cluster: &TestCluster, at: NodeId) -> usize {
+/// Returns the number of active runs at one runner.
+fn count_running_at(cluster: &TestCluster, address: NodeId) -> usize {
     cluster
         .running()
         .iter()
-        .filter(|run| run.node == at)
+        .filter(|run| run.node == address)
         .count()
 }
 
 #[test]
-fn a_runner_that_fails_what_others_do_is_ejected_then_tried_with_one_run() {
+fn a_runner_at_which_runs_fail_is_ejected_and_then_gets_one_trial_run() {
     let mut cluster = TestCluster::with_config(4, config(1, 9, 1));
     submit_jobs(&mut cluster, 0..16);
-    assert_eq!(running_at(&cluster, node(1)), 4);
+    assert_eq!(count_running_at(&cluster, node(1)), 4);
     end_with_failures_at(&mut cluster, &[node(1)]);
     cluster.execute_commands();
     submit_jobs(&mut cluster, 100..116);
-    assert_eq!(running_at(&cluster, node(1)), 0);
+    assert_eq!(count_running_at(&cluster, node(1)), 0);
     for _ in 0..11 {
         cluster.advance_ms(100);
         cluster.report_all();
     }
     cluster.execute_commands();
-    assert_eq!(running_at(&cluster, node(1)), 1);
+    assert_eq!(count_running_at(&cluster, node(1)), 1);
 }
 
 #[test]
@@ -69,11 +78,11 @@
     end_with_failures_at(&mut cluster, &[node(1)]);
     cluster.execute_commands();
     submit_jobs(&mut cluster, 100..116);
-    assert!(running_at(&cluster, node(1)) > 1);
+    assert!(count_running_at(&cluster, node(1)) > 1);
 }
 
 #[test]
-fn where_many_fail_none_is_ejected() {
+fn no_runner_is_ejected_if_runs_fail_at_many_runners() {
     let mut cluster = TestCluster::with_config(4, config(1, 9, 1));
     submit_jobs(&mut cluster, 0..16);
     end_with_failures_at(&mut cluster, &[node(0), node(1), node(2)]);
--- a/crates/cluster/scheduler/tests/placement_rules.rs
+++ b/crates/cluster/scheduler/tests/placement_rules.rs
@@ -1,29 +1,34 @@
-//! Which runner takes which task: capacity, labels, data, deadlines.
+//! Guards against placements that break a rule: tasks at runners without capacity, outside their constraints or above
+//! their anti-affinity, tasks away from their data while a near runner is free, late jobs before those that can still
+//! meet their objective, and large tasks that starve behind small ones.
 
 mod test_cluster;
 
 use sagetrail_protocol::agent::RunEnd;
 use test_cluster::{node, RunningTask, TestCluster};
 
-const A: &str = "00000000000000aa";
-const B: &str = "00000000000000bb";
+const JOB_A: &str = "00000000000000aa";
+const JOB_B: &str = "00000000000000bb";
 
 #[test]
 fn one_runner_takes_no_more_than_anti_affinity_allows() {
     let mut cluster = TestCluster::new(2);
-    cluster.submit(A, r#"{"stages":[{"count":4,"cpu":100,"anti_affinity":1}]}"#);
+    cluster.submit(
+        JOB_A,
+        r#"{"stages":[{"count":4,"cpu":100,"anti_affinity":1}]}"#,
+    );
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 2);
 }
 
 #[test]
-fn constraints_bind_at_every_start() {
+fn tasks_start_only_at_runners_that_meet_their_constraints() {
     let mut cluster = TestCluster::new(2);
     cluster.runners.get_mut(&node(1)).expect("a runner").labels[0] = "b".to_owned();
     cluster.report_all();
     cluster.submit(
-        A,
+        JOB_A,
         r#"{"stages":[{"count":9,"cpu":1000,"constraints":"b"}]}"#,
     );
     cluster.commit();
@@ -50,7 +55,7 @@
 }
 
 #[test]
-fn work_goes_to_its_data_while_a_runner_near_it_has_capacity() {
+fn tasks_start_near_their_data_while_a_near_runner_has_capacity() {
     let mut cluster = TestCluster::new(8);
     for number in 0..8u64 {
         let body = r#"{"stages":[{"count":1,"cpu":500,"affinity":"r1-1"}]}"#;
@@ -64,32 +69,35 @@
 }
 
 #[test]
-fn work_that_can_be_in_time_goes_before_late_work() {
+fn jobs_that_can_meet_their_objective_start_before_late_jobs() {
     let mut cluster = TestCluster::new(1);
     let body = r#"{"stages":[{"count":4,"cpu":1000,"estimate_ms":1000}]}"#;
     cluster.submit("0000000000000001", body);
     cluster.commit();
     cluster.execute_commands();
-    cluster.submit(A, body);
+    cluster.submit(JOB_A, body);
     cluster.commit();
     for _ in 0..50 {
         cluster.advance_ms(100);
         cluster.report_all();
     }
-    cluster.submit(B, body);
+    cluster.submit(JOB_B, body);
     cluster.commit();
     cluster.advance_ms(100);
     cluster.end_all_runs(RunEnd::Done);
     cluster.execute_commands();
     assert!(
-        cluster.running().iter().all(|run| run.task.starts_with(B)),
+        cluster
+            .running()
+            .iter()
+            .all(|run| run.task.starts_with(JOB_B)),
         "{:?}",
         cluster.running()
     );
 }
 
 #[test]
-fn a_task_that_needs_a_whole_runner_does_not_wait_for_ever_behind_smaller_ones() {
+fn a_task_that_needs_a_whole_runner_is_not_starved_by_smaller_tasks() {
     let mut cluster = TestCluster::new(2);
     let small = r#"{"stages":[{"count":1,"cpu":1000}]}"#;
     for number in 0..8u64 {
@@ -97,9 +105,9 @@
     }
     cluster.commit();
     cluster.execute_commands();
-    cluster.submit(A, r#"{"stages":[{"count":1,"cpu":4000}]}"#);
+    cluster.submit(JOB_A, r#"{"stages":[{"count":1,"cpu":4000}]}"#);
     cluster.commit();
-    // One small run ends each 200 ms and another is handed in.
+    // Every 200 ms one small run ends and another small job is submitted.
     for number in 100..160u64 {
         cluster.advance_ms(200);
         cluster.commit();
@@ -107,19 +115,25 @@
             .running()
             .into_iter()
             .min_by_key(|run| run.task.clone());
-        let Some(RunningTask { node: at, task, .. }) =
-            oldest.filter(|run| !run.task.starts_with(A))
+        let Some(RunningTask {
+            node: address,
+            task,
+            ..
+        }) = oldest.filter(|run| !run.task.starts_with(JOB_A))
         else {
             break;
         };
         cluster
             .runners
-            .get_mut(&at)
+            .get_mut(&address)
             .expect("a runner")
             .end(&task, RunEnd::Done);
         cluster.submit(&format!("{number:016x}"), small);
         cluster.report_all();
         cluster.execute_commands();
     }
-    assert!(cluster.running().iter().any(|run| run.task.starts_with(A)));
+    assert!(cluster
+        .running()
+        .iter()
+        .any(|run| run.task.starts_with(JOB_A)));
 }
--- a/crates/cluster/scheduler/tests/preemption.rs
+++ b/crates/cluster/scheduler/tests/preemption.rs
@@ -1,4 +1,6 @@
-//! Urgent work takes the capacity of lesser runs.
+//! Guards against urgent work that waits behind runs of lower priority in a full cluster.
+//!
+//! Such runs must be preempted, for all urgent tasks at once, and the freed capacity must go to the urgent job.
 
 mod test_cluster;
 
@@ -6,23 +8,23 @@
 use sagetrail_protocol::client::ClientMethod;
 use test_cluster::{node, TestCluster};
 
-const A: &str = "00000000000000aa";
-const B: &str = "00000000000000bb";
+const LOW_PRIORITY_JOB: &str = "00000000000000aa";
+const URGENT_JOB: &str = "00000000000000bb";
 
 #[test]
-fn urgent_work_preempts_a_lesser_run_and_gets_its_capacity() {
+fn urgent_work_preempts_a_run_of_lower_priority_and_gets_its_capacity() {
     let mut cluster = TestCluster::new(1);
     cluster.submit(
-        A,
+        LOW_PRIORITY_JOB,
         r#"{"stages":[{"count":4,"cpu":1000,"checkpoints":true}]}"#,
     );
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 4);
-    let urgent = format!("/urgent/{B}");
+    let urgent_path = format!("/urgent/{URGENT_JOB}");
     cluster.request(
         ClientMethod::Submit,
-        &urgent,
+        &urgent_path,
         r#"{"stages":[{"count":1,"cpu":1000}]}"#,
     );
     cluster.commit();
@@ -31,7 +33,10 @@
         cluster.commit();
         cluster.execute_commands();
     }
-    assert!(cluster.running().iter().any(|run| run.task.starts_with(B)));
+    assert!(cluster
+        .running()
+        .iter()
+        .any(|run| run.task.starts_with(URGENT_JOB)));
     assert_eq!(cluster.running().len(), 4);
     let capacity = Resources {
         cpu: 4000,
@@ -45,17 +50,17 @@
 fn capacity_is_freed_for_all_urgent_tasks_at_once() {
     let mut cluster = TestCluster::new(2);
     cluster.submit(
-        A,
+        LOW_PRIORITY_JOB,
         r#"{"stages":[{"count":8,"cpu":1000,"checkpoints":true}]}"#,
     );
     cluster.commit();
     cluster.execute_commands();
     cluster.advance_ms(600);
     cluster.report_all();
-    let urgent = format!("/urgent/{B}");
+    let urgent_path = format!("/urgent/{URGENT_JOB}");
     cluster.request(
         ClientMethod::Submit,
-        &urgent,
+        &urgent_path,
         r#"{"stages":[{"count":6,"cpu":1000}]}"#,
     );
     cluster.commit();
--- a/crates/cluster/scheduler/tests/reserved_capacity.rs
+++ b/crates/cluster/scheduler/tests/reserved_capacity.rs
@@ -1,4 +1,5 @@
-//! Capacity reserved for urgent work: it is left free, and never keeps out lesser work that could run.
+//! Guards against faults of the capacity that is reserved for urgent work: work of lower priority must leave it free,
+//! but it must not block such work on behalf of draining runners or of urgent tasks that no runner can take.
 
 mod test_cluster;
 
@@ -6,13 +7,16 @@
 use sagetrail_protocol::client::ClientMethod;
 use test_cluster::{node, TestCluster};
 
-const URGENT: &str = "00000000000000aa";
-const LESSER: &str = "00000000000000bb";
-/// As many tasks as all runners can take, and again.
-const MANY: &str = r#"{"stages":[{"count":40,"cpu":1000,"constraints":"b"}]}"#;
+/// The job of priority 0.
+const URGENT_JOB: &str = "00000000000000aa";
+/// The job of priority 1.
+const LOW_PRIORITY_JOB: &str = "00000000000000bb";
+/// A job of far more tasks than all runners can take, whose constraint no runner meets.
+const MANY_TASKS: &str = r#"{"stages":[{"count":40,"cpu":1000,"constraints":"b"}]}"#;
 
-fn urgent(cluster: &mut TestCluster, body: &str) {
-    cluster.request(ClientMethod::Submit, &format!("/urgent/{URGENT}"), body);
+/// Submits the urgent job.
+fn submit_urgent(cluster: &mut TestCluster, body: &str) {
+    cluster.request(ClientMethod::Submit, &format!("/urgent/{URGENT_JOB}"), body);
     cluster.commit();
 }
 
@@ -21,36 +25,39 @@
     let mut cluster = TestCluster::new(4);
     (1..4).for_each(|number| cluster.runners.get_mut(&node(number)).unwrap().draining = true);
     cluster.report_all();
-    urgent(&mut cluster, &MANY.replace(r#","constraints":"b""#, ""));
+    submit_urgent(
+        &mut cluster,
+        &MANY_TASKS.replace(r#","constraints":"b""#, ""),
+    );
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 4);
-    cluster.request(ClientMethod::Cancel, &format!("/urgent/{URGENT}"), "");
+    cluster.request(ClientMethod::Cancel, &format!("/urgent/{URGENT_JOB}"), "");
     cluster.commit();
     cluster.execute_commands();
     assert!(cluster.running().is_empty());
-    cluster.submit(LESSER, r#"{"stages":[{"count":1,"cpu":1000}]}"#);
+    cluster.submit(LOW_PRIORITY_JOB, r#"{"stages":[{"count":1,"cpu":1000}]}"#);
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 1);
 }
 
 #[test]
-fn work_that_can_run_nowhere_reserves_no_capacity() {
+fn urgent_work_that_no_runner_can_take_reserves_no_capacity() {
     let mut cluster = TestCluster::new(1);
-    urgent(&mut cluster, MANY);
-    cluster.submit(LESSER, r#"{"stages":[{"count":4,"cpu":1000}]}"#);
+    submit_urgent(&mut cluster, MANY_TASKS);
+    cluster.submit(LOW_PRIORITY_JOB, r#"{"stages":[{"count":4,"cpu":1000}]}"#);
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 4);
 }
 
 #[test]
-fn lesser_work_leaves_the_capacity_that_urgent_work_lately_needed() {
+fn work_of_lower_priority_leaves_the_capacity_free_that_urgent_work_recently_needed() {
     let mut cluster = TestCluster::new(2);
-    let urgent = format!("/urgent/{URGENT}");
+    let urgent_path = format!("/urgent/{URGENT_JOB}");
     cluster.request(
         ClientMethod::Submit,
-        &urgent,
+        &urgent_path,
         r#"{"stages":[{"count":2,"cpu":1000}]}"#,
     );
     cluster.commit();
@@ -58,7 +65,7 @@
     cluster.advance_ms(100);
     cluster.end_all_runs(RunEnd::Done);
     cluster.advance_ms(100);
-    cluster.submit(LESSER, r#"{"stages":[{"count":8,"cpu":1000}]}"#);
+    cluster.submit(LOW_PRIORITY_JOB, r#"{"stages":[{"count":8,"cpu":1000}]}"#);
     cluster.commit();
     cluster.execute_commands();
     assert_eq!(cluster.running().len(), 6);
