--- a/crates/cluster/scheduler/src/agent_session.rs
+++ b/crates/cluster/scheduler/src/agent_session.rs
@@ -10,7 +10,7 @@
 /// The maximum number of replaced incarnations of an agent that are remembered.
 const MAX_REPLACED_INCARNATIONS: usize = 16;
 
-/// The result of checking a report: what the scheduler may conclude from it.
+/// The result of checking a report, which determines the conclusions that the scheduler may draw from it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Admission {
     /// The report is the newest one of the accepted incarnation.
@@ -26,6 +26,7 @@
 /// An incarnation that has reported but is not accepted yet, because it may have been replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Candidate {
+    /// The incarnation that has reported.
     incarnation: Incarnation,
     /// The revision of the commands with which its first report was answered.
     revision: u64,
--- a/crates/cluster/scheduler/src/job_table.rs
+++ b/crates/cluster/scheduler/src/job_table.rs
@@ -13,7 +13,9 @@
 /// the end of a job and the call of `set_ended`.
 #[derive(Debug)]
 pub(crate) struct JobTable {
+    /// All jobs, including ended ones.
     jobs: BTreeMap<JobId, Job>,
+    /// The IDs of the jobs that have not ended.
     active: BTreeSet<JobId>,
     /// The order number of the next accepted job; the first one is 1.
     next_order: u64,
--- a/crates/cluster/scheduler/src/pending_queue.rs
+++ b/crates/cluster/scheduler/src/pending_queue.rs
@@ -25,7 +25,9 @@
 /// The service and the key under which a step is in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Position {
+    /// The name of the service.
     service: String,
+    /// The key within the service.
     key: PendingKey,
 }
 
--- a/crates/cluster/scheduler/src/placement/pass.rs
+++ b/crates/cluster/scheduler/src/placement/pass.rs
@@ -9,7 +9,8 @@
 //! tasks wait longer than one pass. Other tasks that were skipped at every runner start at their cheapest runner at the
 //! end of the pass.
 //!
-//! Steps of a higher priority are placed before all others. All tasks of a gang are placed together, or none is.
+//! Steps of a higher priority are placed before those of a lower one. All tasks of a gang are placed together, or none
+//! is.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -54,6 +55,7 @@
     free: Resources,
     /// The mean cost of each step over the available runners at the start of the pass, by the step's index.
     mean_costs: Vec<f64>,
+    /// The random number generator for the order of equal runners and for the draws.
     random: &'a mut R,
     /// The placements decided so far.
     placements: Vec<Placement>,
@@ -222,7 +224,7 @@
         });
     }
 
-    /// Places the remaining tasks of a step at its cheapest runners, as far as any runner may take them.
+    /// Places the remaining tasks of a step at its cheapest runners, until no runner may take another one.
     fn place_cheapest(&mut self, step: usize) {
         while self.steps[step].waiting > 0 {
             let eligible = (0..self.runners.len()).filter(|&runner| self.may_start(step, runner));
--- a/crates/cluster/scheduler/src/reserved_capacity.rs
+++ b/crates/cluster/scheduler/src/reserved_capacity.rs
@@ -1,8 +1,8 @@
 //! Reserves free capacity of each service for urgent work, which is work of priority `URGENT`.
 //!
-//! The reserved amount is the decayed peak of what urgent work needed at once, less what it uses now. Without it, in a
-//! service that is filled with work of lower priority, urgent tasks would wait for a preemption, and that takes longer
-//! than their deadlines allow.
+//! The reserved amount is the decayed peak of the resources that urgent work needed at once, less those that it uses
+//! now. Without it, in a service that is filled with work of lower priority, urgent tasks would wait for a preemption,
+//! and that takes longer than their deadlines allow.
 
 use sagetrail_protocol::agent::Resources;
 use sagetrail_protocol::Time;
@@ -33,7 +33,9 @@
 /// The decayed peak of the resources that urgent work of a service needed at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
+    /// The decayed peak.
     needed: Resources,
+    /// The time of the last decay.
     updated_at: Time,
 }
 
@@ -55,6 +57,7 @@
     peaks: BTreeMap<String, Peak>,
     /// The reserved capacity of each service.
     reserved: BTreeMap<String, Resources>,
+    /// The time of the last update.
     updated_at: Time,
 }
 
--- a/crates/cluster/scheduler/src/runner.rs
+++ b/crates/cluster/scheduler/src/runner.rs
@@ -1,4 +1,5 @@
-//! The scheduler's state of one runner: what its agent reported, the runs assigned to it, and the commands sent last.
+//! The scheduler's state of one runner: the content of its agent's reports, the runs assigned to it, and the commands
+//! sent last.
 
 use sagetrail_protocol::agent::{Resources, StopCommand, AGENT_LEASE_MS};
 use sagetrail_protocol::Time;
--- a/crates/cluster/scheduler/src/runner_pace.rs
+++ b/crates/cluster/scheduler/src/runner_pace.rs
@@ -117,6 +117,7 @@
     updated_at: Time,
     /// The time at which there was last enough evidence, or at which the trial began.
     known_at: Time,
+    /// The runner's current classification.
     verdict: PaceVerdict,
 }
 
--- a/crates/cluster/scheduler/src/runner_table.rs
+++ b/crates/cluster/scheduler/src/runner_table.rs
@@ -10,6 +10,7 @@
 /// All runners by the address of their agent.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerTable {
+    /// The state of each runner.
     runners: BTreeMap<NodeId, Runner>,
     /// The runners that may need new commands.
     changed: BTreeSet<NodeId>,
--- a/crates/cluster/scheduler/src/spec.rs
+++ b/crates/cluster/scheduler/src/spec.rs
@@ -168,8 +168,8 @@
             if stage.count == 0 {
                 return Err(SchedulerError::EmptyStage(index));
             }
-            let is_not_earlier = |&&dependency: &&u32| dependency as usize >= index;
-            if let Some(&dependency) = stage.depends_on.iter().find(is_not_earlier) {
+            let dependencies = &stage.depends_on;
+            if let Some(&dependency) = dependencies.iter().find(|&&on| on as usize >= index) {
                 return Err(SchedulerError::BadDependency {
                     stage: index,
                     dependency,
