--- a/crates/cluster/scheduler/tests/locality.rs
+++ b/crates/cluster/scheduler/tests/locality.rs
@@ -8,7 +8,9 @@
 use sagetrail_protocol::agent::RunEnd;
 use test_cluster::{node, RunningTask, TestCluster};
 
+/// The job that occupies the racks first.
 const JOB_A: &str = "00000000000000aa";
+/// The job whose placement is checked.
 const JOB_B: &str = "00000000000000bb";
 /// A job of two tasks with an estimate of one second and data in the second rack; they are held for it for half a
 /// second.
--- a/crates/cluster/scheduler/tests/pass_pacing.rs
+++ b/crates/cluster/scheduler/tests/pass_pacing.rs
@@ -10,7 +10,9 @@
 use sagetrail_protocol::service::Service;
 use test_cluster::{node, RunningTask, TestCluster};
 
+/// The job that is submitted first.
 const JOB_A: &str = "00000000000000aa";
+/// A job that is submitted after `JOB_A`.
 const JOB_B: &str = "00000000000000bb";
 /// A job of a single task of half a core.
 const ONE_TASK: &str = r#"{"stages":[{"count":1,"cpu":500}]}"#;
--- a/crates/cluster/scheduler/tests/placement_rules.rs
+++ b/crates/cluster/scheduler/tests/placement_rules.rs
@@ -7,7 +7,9 @@
 use sagetrail_protocol::agent::RunEnd;
 use test_cluster::{node, RunningTask, TestCluster};
 
+/// The job that is submitted first.
 const JOB_A: &str = "00000000000000aa";
+/// A job that is submitted after `JOB_A`.
 const JOB_B: &str = "00000000000000bb";
 
 #[test]
