--- a/crates/cluster/scheduler/src/scheduler/placement_round.rs
+++ b/crates/cluster/scheduler/src/scheduler/placement_round.rs
@@ -26,7 +26,7 @@
             |service: &String| self.pending.len(service).min(PENDING_STEPS_PER_PASS);
         let steps = services.iter().map(considered_steps).sum();
         self.pass_pacing
-            .pass_started(now.steady, self.runners.len(), steps);
+            .start_pass(now.steady, self.runners.len(), steps);
         self.update_reserved_capacity(now);
         for service in services {
             self.place_in_service(now, &service);
@@ -80,7 +80,7 @@
                 } else {
                     1
                 },
-                straggler: runner.pace.is_straggler(),
+                is_straggler: runner.pace.is_straggler(),
             })
             .filter(|available| available.free.cpu > 0)
             .collect()
@@ -147,7 +147,7 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        runner.health.started();
+        runner.health.record_start();
         let mut assignment = Assignment::new(attempt, resources, now.steady);
         assignment.progress = RunProgress::new(expected_run_ms(stage, runner, far_x));
         runner.assigned.insert(task_id, assignment);
@@ -165,8 +165,8 @@
 fn may_start_somewhere(step: &PendingStep, runners: &[AvailableRunner]) -> bool {
     let can_take_task = |runner: &AvailableRunner| {
         fits(step.resources, runner.free)
-            && (step.takes_stragglers || !runner.straggler)
-            && (step.far_tasks > 0 || runner.labels.contains(&step.affinity))
+            && (step.takes_stragglers || !runner.is_straggler)
+            && (step.max_far_tasks > 0 || runner.labels.contains(&step.affinity))
     };
     runners.iter().any(can_take_task)
 }
--- a/crates/cluster/scheduler/src/scheduler/preemption.rs
+++ b/crates/cluster/scheduler/src/scheduler/preemption.rs
@@ -62,7 +62,7 @@
                 && !runner.pace.is_straggler()
                 && fits(stage.resources(), runner.free_capacity())
         };
-        (pending_ms as f64) < hold_limit.of(stage.estimate_ms)
+        (pending_ms as f64) < hold_limit.max_hold_ms(stage.estimate_ms)
             && self.runners.of_service(service).any(has_room)
     }
 
@@ -135,7 +135,7 @@
                 self.preemption_offer(now, node, runner, key.priority, stage)
             })
             .collect();
-        offers.sort_by_key(PreemptionOffer::loss);
+        offers.sort_by_key(PreemptionOffer::loss_core_ms);
         offers
     }
 
@@ -178,7 +178,7 @@
                 victims.push(Victim {
                     run: AssignedRun { task, node },
                     resources: assignment.resources,
-                    loss,
+                    loss_core_ms: loss,
                 });
             }
         }
--- a/crates/cluster/scheduler/src/scheduler/run_outcome.rs
+++ b/crates/cluster/scheduler/src/scheduler/run_outcome.rs
@@ -62,7 +62,7 @@
         let Some(assignment) = runner.assigned.remove(&task_id) else {
             return;
         };
-        runner.health.trial_ended();
+        runner.health.end_trial();
         self.runners.set_changed(node);
         self.placement_due = true;
         let Some(job) = self.jobs.get_active_mut(task_id.step.job) else {
@@ -109,8 +109,8 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let baseline = self.failure_rates.count(&runner.service, false);
-        runner.health.succeeded(baseline);
+        let baseline = self.failure_rates.record_end(&runner.service, false);
+        runner.health.record_success(baseline);
     }
 
     /// Records a failed or stalled run of the job as evidence against the runner's health.
@@ -118,8 +118,8 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let baseline = self.failure_rates.count(&runner.service, true);
-        runner.health.failed(now.steady, job, baseline);
+        let baseline = self.failure_rates.record_end(&runner.service, true);
+        runner.health.record_failure(now.steady, job, baseline);
     }
 
     /// Marks a task as done, and with it all members of its gang. Ends the job if this was its last task.
--- a/crates/cluster/scheduler/src/scheduler/runner_reports.rs
+++ b/crates/cluster/scheduler/src/scheduler/runner_reports.rs
@@ -171,10 +171,10 @@
             let Some(runner) = self.runners.get_mut(from) else {
                 return;
             };
-            if run.number <= runner.recorded_to {
+            if run.number <= runner.last_recorded_end {
                 continue;
             }
-            runner.recorded_to = run.number;
+            runner.last_recorded_end = run.number;
             self.end_finished_run(now, from, run);
             let batch = self.commits.newest();
             if let Some(runner) = self.runners.get_mut(from) {
@@ -218,7 +218,7 @@
         let inactive = runner.assigned.iter_mut().filter(|(_, run)| !run.active);
         for (&task, assignment) in inactive {
             let is_withdrawn = assignment
-                .withdrawn_in
+                .withdrawn_in_revision
                 .is_some_and(|revision| is_current_term && report.revision >= revision);
             let cannot_start = is_withdrawn && (report.starts_resolved || report.lease_expired);
             let was_active_and_expired = report.lease_expired && assignment.seen_active;
@@ -244,10 +244,10 @@
         let Some(runner) = self.runners.get_mut(node) else {
             return;
         };
-        let observed_before = runner.observed;
+        let observed_before = runner.last_observed_end;
         let commits = &self.commits;
         runner.observe_ends(|batch| commits.is_committed(batch));
-        if runner.observed != observed_before {
+        if runner.last_observed_end != observed_before {
             self.runners.set_changed(node);
         }
     }
@@ -292,6 +292,6 @@
     // An instance that drains continues to drain until it ends, but a restarted agent may not know that it does.
     runner.draining |= report.draining;
     runner.lease_expired = report.lease_expired;
-    runner.remaining_ms = report.remaining_ms;
+    runner.drain_remaining_ms = report.remaining_ms;
     runner.since_heartbeat_ms = report.since_heartbeat_ms;
 }
