--- a/crates/dispatcher/failover/src/detect.rs
+++ b/crates/dispatcher/failover/src/detect.rs
@@ -1,40 +1,53 @@
-//! Whether a whole site is lost. A loss is one cause: many of its runners silent or unreachable at once, against what
-//! the rest do at the same time. Told apart from a crowd and from work that fails anywhere (the rest fails too), from
-//! a shorter list (nothing failed), and, where peers talk, from a cut of one's own links (others reach it).
+//! Detects the loss of a whole site.
+//!
+//! A loss is one cause: many runners of a site are silent or unreachable at once, compared with the runners of the
+//! other sites at the same time. It differs from overload and from jobs that fail on every runner, where the other
+//! sites fail too; from a shorter endpoint list, where nothing failed; and, if other dispatchers share their results,
+//! from a network partition on this side, where others still reach the site.
 
-use crate::pace::{Pace, Stage};
+use crate::failback::{Pace, Stage};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// A sight says something for this long: a few hand-offs, or one silence and a half.
-const FRESH_S: f64 = 2.0;
-/// At a lost site nine in ten sights are bad; at a well one as many as at the rest, one in 33 at the least (the rate
-/// of the module's own test).
-const LOST: f64 = 0.9;
-const WELL: f64 = 0.03;
-/// Believed at 99 to 1: ln(0.99/0.01), against one in a hundred taken for lost by chance.
-const SURE: f64 = 4.6;
-/// So many of a site's runners must be bad, and most of those seen: fewer are runners' own troubles.
-const LEAST: usize = 2;
-const MOST: f64 = 0.6;
+/// A result counts for this many seconds: a few attempts, or one and a half times the time after which a silent
+/// attempt is noticed.
+const RESULT_VALID_S: f64 = 2.0;
+/// Share of failed results assumed at a lost site: nine in ten.
+const LOST_FAILURE_RATE: f64 = 0.9;
+/// Lower bound of the share of failed results assumed at a healthy site: 1 in 33, the rate in this module's own test.
+/// Above that bound a healthy site is assumed to fail as often as the other sites.
+const MIN_HEALTHY_FAILURE_RATE: f64 = 0.03;
+/// Log odds above which a site counts as lost: 99 to 1, ln(0.99/0.01), so that one healthy site in a hundred is taken
+/// for lost by chance.
+const LOST_LOG_ODDS: f64 = 4.6;
+/// A site can only be lost if at least this many of its runners fail: fewer are faults of single runners.
+const MIN_FAILED_RUNNERS: usize = 2;
+/// A site can only be lost if at least this share of its runners with a valid result fails, for the same reason.
+const MIN_FAILED_SHARE: f64 = 0.6;
 
-/// What is known of a site's loss.
+/// What is known about the reachability of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
+    /// The site is in use without restriction.
     Well,
-    /// Nobody who tells reaches it, or nobody tells.
+    /// No dispatcher that shares its results reaches the site, or none shares results.
     Lost,
-    /// Others reach it: the cut is on this side.
+    /// Other dispatchers reach the site: the network partition is on this side.
     CutFromHere,
 }
 
-/// What was last seen of a runner, by this dispatcher and by others; seconds.
+/// When a runner last succeeded and last failed, as seen by this dispatcher and by others. Times are in seconds on
+/// the host's clock; negative infinity stands for never.
 #[derive(Clone, Copy, Debug)]
 pub struct Sight {
+    /// Last success of an attempt by this dispatcher.
     pub good: f64,
+    /// Last failure of an attempt by this dispatcher.
     pub bad: f64,
+    /// Last success that another dispatcher reported.
     pub others_good: f64,
+    /// Last failure that another dispatcher reported.
     pub others_bad: f64,
 }
 
@@ -51,17 +64,19 @@
 }
 
 impl Sight {
-    fn looks(good: f64, bad: f64, now: f64) -> Option<bool> {
+    /// Whether the later of two results was a success. `None` if it is no longer valid; a tie counts as a failure.
+    fn later_succeeded(success_s: f64, failure_s: f64, now: f64) -> Option<bool> {
         match () {
-            () if bad >= good && now < bad + FRESH_S => Some(false),
-            () if good > bad && now < good + FRESH_S => Some(true),
+            () if failure_s >= success_s && now < failure_s + RESULT_VALID_S => Some(false),
+            () if success_s > failure_s && now < success_s + RESULT_VALID_S => Some(true),
             () => None,
         }
     }
 
-    /// Own sights first, what others saw where there are none.
-    fn well(&self, now: f64) -> Option<bool> {
-        Sight::looks(self.good, self.bad, now).or(Sight::looks(
+    /// Whether the runner is healthy by this dispatcher's own results, or by the others' results if it has none that
+    /// are valid. `None` if neither has any.
+    fn is_healthy(&self, now: f64) -> Option<bool> {
+        Sight::later_succeeded(self.good, self.bad, now).or(Sight::later_succeeded(
             self.others_good,
             self.others_bad,
             now,
@@ -70,174 +85,195 @@
 }
 
 struct Runner {
+    /// Hash of the runner's name, the same at every dispatcher.
     id: u64,
     site: u16,
-    listed: bool,
-    sight: Sight,
+    /// Whether the endpoint list names the runner now.
+    is_listed: bool,
+    results: Sight,
 }
 
-struct Held {
+/// State of a site from its loss until its failback is complete.
+struct SiteFailover {
     cause: Cause,
-    since: f64,
+    /// When the site was found lost, in seconds on the host's clock.
+    since_s: f64,
     pace: Pace,
-    /// Scouts' sights since it was lost, or since the portion last grew.
-    good: u32,
-    bad: u32,
+    /// Successes since the loss or since the portion in use last changed.
+    successes: u32,
+    /// Failures over the same time.
+    failures: u32,
 }
 
+/// Failure detector for whole sites.
 pub struct Sites {
-    me: u64,
+    /// Hash of this dispatcher's name.
+    own_id: u64,
+    /// Runners by their index in the host's table.
     runners: BTreeMap<usize, Runner>,
-    held: BTreeMap<u16, Held>,
+    /// Sites that are lost or returning, by their zone.
+    failovers: BTreeMap<u16, SiteFailover>,
+    /// Shortest time in seconds between two steps of a failback.
     step_s: f64,
 }
 
-/// A number for a pair, the same at every dispatcher.
-fn draw(a: u64, b: u64) -> u64 {
+/// Hash of a pair of ids, the same at every dispatcher.
+fn pair_hash(first: u64, second: u64) -> u64 {
     let mut hasher = SipHasher13::new();
-    hasher.write_u64(a);
-    hasher.write_u64(b);
+    hasher.write_u64(first);
+    hasher.write_u64(second);
     hasher.finish()
 }
 
 impl Sites {
-    /// `me`: a number for this dispatcher; `step_s`: a returning site's portion grows no faster than this.
+    /// Creates a detector without runners. `me` is a number that stands for this dispatcher; `step_s` is the shortest
+    /// time in seconds between two steps of a site's failback.
     pub fn new(me: u64, step_s: f64) -> Sites {
         Sites {
-            me,
+            own_id: me,
             runners: BTreeMap::new(),
-            held: BTreeMap::new(),
+            failovers: BTreeMap::new(),
             step_s,
         }
     }
 
-    /// What the list says of a runner. One that leaves the list is no loss: nothing failed.
+    /// Sets the site of the runner with index `place` and whether the endpoint list names it. `id` is the hash of the
+    /// runner's name. A runner that leaves the list does not count as failed.
     pub fn listed(&mut self, place: usize, id: u64, site: u16, listed: bool) {
-        let fresh = Runner {
+        let new_runner = Runner {
             id,
             site,
-            listed,
-            sight: Sight::default(),
+            is_listed: listed,
+            results: Sight::default(),
         };
-        let runner = self.runners.entry(place).or_insert(fresh);
-        (runner.site, runner.listed) = (site, listed);
+        let runner = self.runners.entry(place).or_insert(new_runner);
+        (runner.site, runner.is_listed) = (site, listed);
     }
 
+    /// Records the result of an attempt by this dispatcher at the runner with index `place`. `now` is in seconds. An
+    /// unknown runner is ignored.
     pub fn saw(&mut self, now: f64, place: usize, good: bool) {
         let Some(runner) = self.runners.get_mut(&place) else {
             return;
         };
         if good {
-            runner.sight.good = now
+            runner.results.good = now
         } else {
-            runner.sight.bad = now
+            runner.results.bad = now
         }
         let site = runner.site;
-        let Some(held) = self.held.get_mut(&site) else {
+        let Some(failover) = self.failovers.get_mut(&site) else {
             return;
         };
-        match (held.pace.stage(), good) {
-            // A scout's: what failed before it served says nothing of now.
-            (Stage::Lost, false) => (held.good, held.bad) = (0, 0),
-            (_, true) => held.good += 1,
-            (_, false) => held.bad += 1,
+        match (failover.pace.stage(), good) {
+            // A failure of the canary resets the counts: failures from before it succeeded say nothing about the
+            // present.
+            (Stage::Lost, false) => (failover.successes, failover.failures) = (0, 0),
+            (_, true) => failover.successes += 1,
+            (_, false) => failover.failures += 1,
         }
     }
 
-    /// What another saw, at that time.
+    /// Records the result of an attempt by another dispatcher, made at `at` seconds on this host's clock. An unknown
+    /// runner is ignored.
     pub fn heard(&mut self, at: f64, place: usize, good: bool) {
         let Some(runner) = self.runners.get_mut(&place) else {
             return;
         };
         let last = if good {
-            &mut runner.sight.others_good
+            &mut runner.results.others_good
         } else {
-            &mut runner.sight.others_bad
+            &mut runner.results.others_bad
         };
         *last = last.max(at);
     }
 
-    /// Runners of a site that look bad, of those of which anything is known.
-    fn count(&self, now: f64, of: impl Fn(u16) -> bool) -> (usize, usize) {
+    /// Listed runners of the selected sites that have a valid result: how many of them fail, and how many there are.
+    fn count_failed(&self, now: f64, is_selected: impl Fn(u16) -> bool) -> (usize, usize) {
         let known = self
             .runners
             .values()
-            .filter(|r| r.listed && of(r.site))
-            .filter_map(|r| r.sight.well(now));
-        known.fold((0, 0), |(bad, all), well| {
-            (bad + usize::from(!well), all + 1)
+            .filter(|runner| runner.is_listed && is_selected(runner.site))
+            .filter_map(|runner| runner.results.is_healthy(now));
+        known.fold((0, 0), |(failed, all), is_healthy| {
+            (failed + usize::from(!is_healthy), all + 1)
         })
     }
 
-    /// How sure it is that a site is lost: the log odds of its runners' sights against the rest's.
+    /// Natural logarithm of the odds that a site is lost, from the results of its runners compared with those of the
+    /// other sites. `now` is in seconds.
     pub fn odds(&self, now: f64, site: u16) -> f64 {
-        let (bad, all) = self.count(now, |of| of == site);
-        let (bad_else, all_else) = self.count(now, |of| of != site);
-        // Guards against a crowd, or work that fails anywhere: what the rest does counts as well. Nothing known of
-        // the rest is no sign that it is well.
-        let usual = ((bad_else as f64 + 0.5) / (all_else as f64 + 1.0)).clamp(WELL, 0.95);
-        bad as f64 * (LOST / usual).ln() + (all - bad) as f64 * ((1.0 - LOST) / (1.0 - usual)).ln()
+        let (failed, all) = self.count_failed(now, |other| other == site);
+        let (failed_elsewhere, all_elsewhere) = self.count_failed(now, |other| other != site);
+        // Overload, or jobs that fail on every runner, must not count as a loss, so the failure rate of the other
+        // sites is the baseline. Without results from the other sites the baseline is one half: nothing shows that
+        // they are healthy.
+        let baseline = ((failed_elsewhere as f64 + 0.5) / (all_elsewhere as f64 + 1.0))
+            .clamp(MIN_HEALTHY_FAILURE_RATE, 0.95);
+        failed as f64 * (LOST_FAILURE_RATE / baseline).ln()
+            + (all - failed) as f64 * ((1.0 - LOST_FAILURE_RATE) / (1.0 - baseline)).ln()
     }
 
-    /// Looks at all sites; those whose state has changed, with what is the matter.
+    /// Checks all sites at `now` seconds. Returns the sites whose state has changed, with their health and stage.
     pub fn look(&mut self, now: f64) -> Vec<(u16, Cause, Stage)> {
         let mut sites: Vec<u16> = self
             .runners
             .values()
-            .filter(|r| r.listed)
-            .map(|r| r.site)
+            .filter(|runner| runner.is_listed)
+            .map(|runner| runner.site)
             .collect();
         sites.sort_unstable();
         sites.dedup();
         let mut changed = Vec::new();
         for site in sites {
-            let (bad, all) = self.count(now, |of| of == site);
-            let lost =
-                bad >= LEAST && bad as f64 >= MOST * all as f64 && self.odds(now, site) > SURE;
-            match self.held.get(&site) {
-                None if lost => {
+            let (failed, all) = self.count_failed(now, |other| other == site);
+            let looks_lost = failed >= MIN_FAILED_RUNNERS
+                && failed as f64 >= MIN_FAILED_SHARE * all as f64
+                && self.odds(now, site) > LOST_LOG_ODDS;
+            match self.failovers.get(&site) {
+                None if looks_lost => {
                     let cause = self.cause(now, site);
                     let pace = Pace::new(now, self.step_s);
-                    self.held.insert(
+                    self.failovers.insert(
                         site,
-                        Held {
+                        SiteFailover {
                             cause,
-                            since: now,
+                            since_s: now,
                             pace,
-                            good: 0,
-                            bad: 0,
+                            successes: 0,
+                            failures: 0,
                         },
                     );
                     changed.push((site, cause, Stage::Lost));
                 }
                 Some(_) => {
                     let cause = self.cause(now, site);
-                    let Some(held) = self.held.get_mut(&site) else {
+                    let Some(failover) = self.failovers.get_mut(&site) else {
                         continue;
                     };
-                    let before = held.pace.stage();
-                    if before == Stage::Lost
-                        && held.cause == Cause::Lost
+                    let stage_before = failover.pace.stage();
+                    if stage_before == Stage::Lost
+                        && failover.cause == Cause::Lost
                         && cause == Cause::CutFromHere
                     {
-                        held.cause = cause;
+                        failover.cause = cause;
                         changed.push((site, cause, Stage::Lost));
                     }
-                    let served = (held.good, held.bad);
-                    let portion = self
+                    let results = (failover.successes, failover.failures);
+                    let runner_count = self
                         .runners
                         .values()
-                        .filter(|r| r.site == site && r.listed)
+                        .filter(|runner| runner.site == site && runner.is_listed)
                         .count();
-                    if held.pace.step(now, served, lost, portion) {
-                        (held.good, held.bad) = (0, 0);
+                    if failover.pace.step(now, results, looks_lost, runner_count) {
+                        (failover.successes, failover.failures) = (0, 0);
                     }
-                    let stage = held.pace.stage();
-                    let cause = held.cause;
-                    if stage == Stage::Whole && now >= held.since + self.step_s {
-                        self.held.remove(&site);
+                    let stage = failover.pace.stage();
+                    let cause = failover.cause;
+                    if stage == Stage::Whole && now >= failover.since_s + self.step_s {
+                        self.failovers.remove(&site);
                         changed.push((site, Cause::Well, Stage::Whole));
-                    } else if stage != before {
+                    } else if stage != stage_before {
                         changed.push((site, cause, stage));
                     }
                 }
@@ -247,52 +283,69 @@
         changed
     }
 
-    /// Others reach a runner after it failed here. What they saw before says nothing of now.
+    /// Whether others reach a site that looks lost from here: they reached one of its runners after it failed here. A
+    /// success from before that failure says nothing about the present.
     fn cause(&self, now: f64, site: u16) -> Cause {
-        let reached = |r: &Runner| {
+        let is_reached_by_others = |runner: &Runner| {
             let Sight {
                 bad,
                 others_good,
                 others_bad,
                 ..
-            } = r.sight;
-            others_good > bad.max(others_bad) && bad.is_finite() && now < others_good + FRESH_S
+            } = runner.results;
+            others_good > bad.max(others_bad)
+                && bad.is_finite()
+                && now < others_good + RESULT_VALID_S
         };
         match self
             .runners
             .values()
-            .any(|r| r.site == site && r.listed && reached(r))
+            .any(|runner| runner.site == site && runner.is_listed && is_reached_by_others(runner))
         {
             true => Cause::CutFromHere,
             false => Cause::Lost,
         }
     }
 
-    /// Runners that get nothing for now: those of a lost site but for this dispatcher's scout, and of a returning
-    /// one those whose turn has not come. The portion is the same at every dispatcher, so that a key's home is.
+    /// Indices, in ascending order, of the runners that get no attempts for now: those of a lost site except this
+    /// dispatcher's canary, and those of a returning site outside the portion in use. The portion is the same at every
+    /// dispatcher, so that all of them agree on a key's home runner.
     pub fn away(&self) -> Vec<usize> {
-        let mut away = Vec::new();
-        for (site, held) in &self.held {
-            let of = |r: &&Runner| r.site == *site && r.listed;
-            let scout = self
+        let mut excluded = Vec::new();
+        for (site, failover) in &self.failovers {
+            let is_of_site = |runner: &&Runner| runner.site == *site && runner.is_listed;
+            let canary = self
                 .runners
                 .values()
-                .filter(of)
-                .map(|r| draw(self.me, r.id))
+                .filter(is_of_site)
+                .map(|runner| pair_hash(self.own_id, runner.id))
                 .max();
-            let kept = |r: &Runner| held.pace.admits(r.id) || scout == Some(draw(self.me, r.id));
-            let gone = self.runners.iter().filter(|(_, r)| of(r) && !kept(r));
-            away.extend(gone.map(|(place, _)| *place));
+            let is_in_use = |runner: &Runner| {
+                failover.pace.admits(runner.id)
+                    || canary == Some(pair_hash(self.own_id, runner.id))
+            };
+            let unused = self
+                .runners
+                .iter()
+                .filter(|(_, runner)| is_of_site(runner) && !is_in_use(runner));
+            excluded.extend(unused.map(|(index, _)| *index));
         }
-        away.sort_unstable();
-        away
+        excluded.sort_unstable();
+        excluded
     }
 
-    /// Sites that are lost or on their way back, with since when.
+    /// Sites that are lost or returning, with their health, their stage, and the time of the loss in seconds.
     pub fn troubled(&self) -> Vec<(u16, Cause, Stage, f64)> {
-        self.held
+        self.failovers
             .iter()
-            .map(|(site, held)| (*site, held.cause, held.pace.stage(), held.since))
+            .map(|(site, failover)| {
+                (
+                    *site,
+                    failover.cause,
+                    failover.pace.stage(),
+                    failover.since_s,
+                )
+            })
             .collect()
     }
 }
--- a/crates/dispatcher/failover/src/lib.rs
+++ b/crates/dispatcher/failover/src/lib.rs
@@ -1,16 +1,16 @@
-//! A site is a zone of the list together with the dispatchers in it. `detect` tells a site's loss, as one cause, from
-//! what looks like it; `pace` brings it back in portions; `refuse` says what is turned away first; `plan` holds what
-//! operators say beforehand and what it comes to. No I/O: the host tells what was seen, and the time.
-
-// Not every public item of this crate has a doc comment yet.
-#![allow(missing_docs)]
+//! Failover between sites, without I/O: the host reports the results of attempts and supplies the time.
+//!
+//! A site is a zone of the endpoint list together with the dispatchers in it. `detect` tells the loss of a whole site
+//! from conditions that look like it, `failback` brings a recovered site back in portions, `load_shedding` computes
+//! which share of each category is admitted when capacity is short, and `plan` holds the operators' failover plan and
+//! forecasts the effect of losing sites.
 
 mod detect;
-mod pace;
+mod failback;
+mod load_shedding;
 mod plan;
-mod refuse;
 
 pub use detect::{Cause, Sight, Sites};
-pub use pace::{Pace, Stage};
+pub use failback::{Pace, Stage};
+pub use load_shedding::{admitted, Demand};
 pub use plan::{Finding, Loss, Plan, Site};
-pub use refuse::{admitted, Demand};
--- a/crates/dispatcher/failover/src/plan.rs
+++ b/crates/dispatcher/failover/src/plan.rs
@@ -1,38 +1,47 @@
-//! What operators say before the day, and what it comes to: for each site lost, and each two, where load goes, what is
-//! refused at which load, when all is back.
+//! The operators' plan for the loss of sites, and its forecast: where load moves for each site and each pair of sites
+//! that is lost, which share of each category is rejected at which load, and how long the failback takes.
 
-use crate::refuse::{admitted, Demand};
+use crate::load_shedding::{admitted, Demand};
 
+/// A site as the plan describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
+    /// Name of the site, which is the name of its zone.
     pub name: String,
-    /// Slots of its runners.
+    /// Slots of all its runners.
     pub capacity: f64,
-    /// The part kept free, where it says one.
+    /// Share of its capacity that is kept free, from 0 to below 1; `None` for the plan's headroom.
     pub headroom: Option<f64>,
-    /// Where its load goes first; all others by what they have to spare where it names none.
+    /// Names of the sites that take its load first if it is lost. If empty, its load goes to all other sites in
+    /// proportion to their free capacity.
     pub refuge: Vec<String>,
 }
 
-/// A plan; an empty one works.
+/// Failover plan. An empty plan is valid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// All sites, or none if the plan says nothing about them.
     pub sites: Vec<Site>,
-    /// The part of what remains that is kept free.
+    /// Share of the remaining capacity that is kept free, from 0 to below 1.
     pub headroom: f64,
-    /// The part of each category that is let in, whatever is refused.
+    /// Share of each category that is admitted even during load shedding, from 0 to below 1.
     pub floor: f64,
-    /// Categories that are refused first, in this order; the others by payoff for the capacity they cost.
+    /// Categories that are rejected first, in this order. The others follow by their payoff for the capacity they use.
     pub order: Vec<String>,
-    /// A returning site's portion grows no faster than this.
+    /// Shortest time in seconds between two steps of a site's failback.
     pub step_s: f64,
-    /// Load by category, in slots at a busy hour, for `what-if`.
+    /// Load in the busy hour, for the forecast of `what-if`: each category's name, the slots that it occupies, and its
+    /// payoff.
     pub load: Vec<(String, f64, f64)>,
 }
 
 impl Default for Plan {
-    /// A tenth free: what is refused by chance must not become a queue. A twentieth of each: enough to show that it
-    /// is served, little beside what is refused. Two seconds: a cold runner's first span and one more.
+    /// The defaults have these reasons:
+    ///
+    /// - `headroom`: categories are thinned out by chance, so arrivals vary; without a tenth of spare capacity they
+    ///   would queue up.
+    /// - `floor`: a twentieth shows that a category is still served, and is little compared with what is rejected.
+    /// - `step_s`: two seconds cover the first interval of a cold runner's slow start and one more.
     fn default() -> Self {
         Plan {
             sites: Vec::new(),
@@ -45,60 +54,65 @@
     }
 }
 
-/// Something about a plan: wrong, or only unwise.
+/// Result of a check of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
+    /// Whether the plan is invalid. If not, the finding is a warning.
     pub wrong: bool,
+    /// Key of the setting that the finding is about.
     pub place: String,
+    /// Message for the operator.
     pub why: String,
 }
 
-/// What the loss of some sites comes to at one load.
+/// Forecast of the loss of some sites at one load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loss {
+    /// Names of the lost sites.
     pub lost: Vec<String>,
+    /// Load as a multiple of the busy hour's load.
     pub load: f64,
-    /// What of the capacity that remains is asked for.
+    /// Demand divided by the remaining capacity after headroom; infinite if none remains.
     pub of_rest: f64,
-    /// Slots more, by site that remains.
+    /// Additional load of each remaining site, in slots.
     pub moved: Vec<(String, f64)>,
-    /// The part of each category that is let in.
+    /// Share of each category that is admitted, from 0 to 1.
     pub admitted: Vec<(String, f64)>,
-    /// So long after the first served there, all of it is in use again.
+    /// Time in seconds from the first success at a recovered site until all of it is in use again.
     pub back_s: f64,
 }
 
 impl Plan {
-    /// All that is wrong or unwise, against the list's zones and the categories.
+    /// Checks the plan against the zones and the categories of the settings. Returns errors and warnings.
     pub fn check(&self, zones: &[String], categories: &[String]) -> Vec<Finding> {
-        let mut found = Vec::new();
-        let mut say =
-            |wrong: bool, place: String, why: String| found.push(Finding { wrong, place, why });
-        let known = |name: &String| self.sites.iter().any(|site| site.name == *name);
+        let mut findings = Vec::new();
+        let mut add_finding =
+            |wrong: bool, place: String, why: String| findings.push(Finding { wrong, place, why });
+        let is_planned = |name: &String| self.sites.iter().any(|site| site.name == *name);
         for (n, site) in self.sites.iter().enumerate() {
-            let at = |leaf: &str| format!("plan.sites.{n}.{leaf}");
+            let key_of = |leaf: &str| format!("plan.sites.{n}.{leaf}");
             if !zones.contains(&site.name) {
-                say(true, at("name"), format!("'{}' is not in zones", site.name));
+                add_finding(true, key_of("name"), format!("'{}' is not in zones", site.name));
             }
             if self.sites[..n].iter().any(|other| other.name == site.name) {
-                say(true, at("name"), format!("'{}' stands twice", site.name));
+                add_finding(true, key_of("name"), format!("'{}' stands twice", site.name));
             }
             if site.capacity <= 0.0 {
-                say(
+                add_finding(
                     true,
-                    at("capacity"),
+                    key_of("capacity"),
                     format!("{} slots are no capacity", site.capacity),
                 );
             }
             for refuge in &site.refuge {
-                if !known(refuge) {
-                    say(
+                if !is_planned(refuge) {
+                    add_finding(
                         true,
-                        at("refuge"),
+                        key_of("refuge"),
                         format!("'{refuge}' is not a site of the plan"),
                     );
                 } else if *refuge == site.name {
-                    say(true, at("refuge"), "it is its own refuge".to_string());
+                    add_finding(true, key_of("refuge"), "it is its own refuge".to_string());
                 }
             }
             if site.refuge.len() == 1 && self.sites.len() > 2 {
@@ -106,7 +120,7 @@
                     "all of its load goes to '{}', which may follow it",
                     site.refuge[0]
                 );
-                say(false, at("refuge"), why);
+                add_finding(false, key_of("refuge"), why);
             }
         }
         if !self.sites.is_empty() {
@@ -114,7 +128,7 @@
                 .iter()
                 .filter(|zone| !self.sites.iter().any(|site| site.name == **zone))
             {
-                say(
+                add_finding(
                     true,
                     "plan.sites".to_string(),
                     format!("'{zone}' is in zones and not in the plan"),
@@ -122,31 +136,31 @@
             }
         }
         if let Some(cycle) = self.cycle() {
-            say(
+            add_finding(
                 true,
                 "plan.sites".to_string(),
                 format!("refuges go round: {}", cycle.join(" to ")),
             );
         }
-        for (place, part) in [("plan.headroom", self.headroom), ("plan.floor", self.floor)] {
-            if !(0.0..1.0).contains(&part) {
-                say(
+        for (key, share) in [("plan.headroom", self.headroom), ("plan.floor", self.floor)] {
+            if !(0.0..1.0).contains(&share) {
+                add_finding(
                     true,
-                    place.to_string(),
-                    format!("{part} is not from 0 to 1"),
+                    key.to_string(),
+                    format!("{share} is not from 0 to 1"),
                 );
             }
         }
         for (n, name) in self.order.iter().enumerate() {
             if !categories.contains(name) {
-                say(
+                add_finding(
                     true,
                     "plan.order".to_string(),
                     format!("'{name}' is not a category"),
                 );
             }
             if self.order[..n].contains(name) {
-                say(
+                add_finding(
                     true,
                     "plan.order".to_string(),
                     format!("'{name}' stands twice"),
@@ -155,39 +169,39 @@
         }
         for (name, slots, _) in &self.load {
             if !categories.contains(name) {
-                say(
+                add_finding(
                     true,
                     "plan.load".to_string(),
                     format!("'{name}' is not a category"),
                 );
             }
             if *slots < 0.0 {
-                say(
+                add_finding(
                     true,
                     "plan.load".to_string(),
                     format!("'{name}' has a load below nothing"),
                 );
             }
         }
-        let (load, capacity) = (self.all_load(), self.capacity(&[]));
+        let (load, capacity) = (self.total_load(), self.capacity(&[]));
         if capacity > 0.0 && load > (1.0 - self.headroom) * capacity {
             let why = format!("{load:.0} slots of load are over what is left of {capacity:.0} after headroom, with no site lost");
-            say(false, "plan.load".to_string(), why);
+            add_finding(false, "plan.load".to_string(), why);
         }
-        found
+        findings
     }
 
-    /// Sites that name each other as only refuge, round and round.
+    /// The names of sites that form a cycle, each with the next as its only refuge; `None` if there is no cycle.
     fn cycle(&self) -> Option<Vec<String>> {
         for start in &self.sites {
-            let (mut path, mut at) = (vec![start.name.clone()], start);
-            while let [next] = &at.refuge[..] {
+            let (mut path, mut current) = (vec![start.name.clone()], start);
+            while let [next] = &current.refuge[..] {
                 path.push(next.clone());
                 if *next == start.name && path.len() > 2 {
                     return Some(path);
                 }
                 match self.sites.iter().find(|site| site.name == *next) {
-                    Some(site) if path.len() <= self.sites.len() + 1 => at = site,
+                    Some(site) if path.len() <= self.sites.len() + 1 => current = site,
                     _ => break,
                 }
             }
@@ -195,92 +209,103 @@
         None
     }
 
-    fn all_load(&self) -> f64 {
+    /// Slots that all categories together occupy in the busy hour.
+    fn total_load(&self) -> f64 {
         self.load.iter().map(|(_, slots, _)| slots).sum()
     }
 
-    /// Slots of all sites but those lost.
+    /// Slots of all sites except those in `lost`.
     pub fn capacity(&self, lost: &[&str]) -> f64 {
-        let left = self
+        let remaining = self
             .sites
             .iter()
             .filter(|site| !lost.contains(&site.name.as_str()));
-        left.map(|site| site.capacity).sum()
+        remaining.map(|site| site.capacity).sum()
     }
 
-    /// What the rest may be asked for.
-    fn bears(&self, site: &Site) -> f64 {
+    /// Slots of a site that may be in use, without its headroom.
+    fn usable_slots(&self, site: &Site) -> f64 {
         site.capacity * (1.0 - site.headroom.unwrap_or(self.headroom))
     }
 
-    /// One loss at one load, as a part of what the busy hour has.
+    /// Forecast of the loss of these sites at one load, which is a multiple of the busy hour's load.
     pub fn loss(&self, lost: &[&str], load: f64) -> Loss {
-        let rest: Vec<&Site> = self
+        let remaining: Vec<&Site> = self
             .sites
             .iter()
             .filter(|site| !lost.contains(&site.name.as_str()))
             .collect();
-        let all = self.capacity(&[]);
-        let asked = load * self.all_load();
-        let bears: f64 = rest.iter().map(|site| self.bears(site)).sum();
+        let total_capacity = self.capacity(&[]);
+        let asked_slots = load * self.total_load();
+        let usable_slots: f64 = remaining.iter().map(|site| self.usable_slots(site)).sum();
         let demand = |(name, slots, worth): &(String, f64, f64)| Demand {
             slots: slots * load,
             worth: *worth,
             order: self.order.iter().position(|first| first == name),
         };
         let demands: Vec<Demand> = self.load.iter().map(demand).collect();
-        let parts = admitted(&demands, bears, self.floor);
+        let shares = admitted(&demands, usable_slots, self.floor);
         let admitted_slots: f64 = demands
             .iter()
-            .zip(&parts)
-            .map(|(d, part)| d.slots * part)
+            .zip(&shares)
+            .map(|(demand, share)| demand.slots * share)
             .sum();
-        // Each site had load by its capacity; what moves fills what the others have to spare, in proportion, the
-        // refuges first.
-        let had = |site: &Site| {
-            if all > 0.0 {
-                asked * site.capacity / all
+        // Before the loss each site has load in proportion to its capacity. The load that moves fills the free
+        // capacity of the remaining sites in proportion, the refuges first.
+        let slots_before = |site: &Site| {
+            if total_capacity > 0.0 {
+                asked_slots * site.capacity / total_capacity
             } else {
                 0.0
             }
         };
-        let mut moves = (admitted_slots
-            - rest
+        let mut slots_to_move = (admitted_slots
+            - remaining
                 .iter()
-                .map(|site| had(site).min(self.bears(site)))
+                .map(|site| slots_before(site).min(self.usable_slots(site)))
                 .sum::<f64>())
         .max(0.0);
-        let refuge = |site: &&Site| {
-            self.sites
-                .iter()
-                .any(|l| lost.contains(&l.name.as_str()) && l.refuge.contains(&site.name))
+        let is_refuge = |site: &&Site| {
+            self.sites.iter().any(|lost_site| {
+                lost.contains(&lost_site.name.as_str()) && lost_site.refuge.contains(&site.name)
+            })
         };
-        let named = rest.iter().any(refuge);
-        let mut moved: Vec<(String, f64)> =
-            rest.iter().map(|site| (site.name.clone(), 0.0)).collect();
-        for first in [true, false] {
-            let takes = |site: &&Site| !named || refuge(site) == first;
-            let spare = |n: usize| (self.bears(rest[n]) - had(rest[n]) - moved[n].1).max(0.0);
-            let spares: Vec<f64> = (0..rest.len())
-                .map(|n| if takes(&rest[n]) { spare(n) } else { 0.0 })
+        let has_refuge = remaining.iter().any(is_refuge);
+        let mut moved: Vec<(String, f64)> = remaining
+            .iter()
+            .map(|site| (site.name.clone(), 0.0))
+            .collect();
+        for refuges_only in [true, false] {
+            let takes_load = |site: &&Site| !has_refuge || is_refuge(site) == refuges_only;
+            let free_slots = |n: usize| {
+                (self.usable_slots(remaining[n]) - slots_before(remaining[n]) - moved[n].1).max(0.0)
+            };
+            let free: Vec<f64> = (0..remaining.len())
+                .map(|n| {
+                    if takes_load(&remaining[n]) {
+                        free_slots(n)
+                    } else {
+                        0.0
+                    }
+                })
                 .collect();
-            let all: f64 = spares.iter().sum();
-            let part = if all > 0.0 {
-                (moves / all).min(1.0)
+            let total_free: f64 = free.iter().sum();
+            let share = if total_free > 0.0 {
+                (slots_to_move / total_free).min(1.0)
             } else {
                 0.0
             };
             moved
                 .iter_mut()
-                .zip(&spares)
-                .for_each(|((_, slots), spare)| *slots += part * spare);
-            moves -= part * all;
+                .zip(&free)
+                .for_each(|((_, slots), free)| *slots += share * free);
+            slots_to_move -= share * total_free;
         }
         Loss {
             lost: lost.iter().map(ToString::to_string).collect(),
             load,
-            of_rest: if bears > 0.0 {
-                asked / bears
+            of_rest: if usable_slots > 0.0 {
+                asked_slots / usable_slots
             } else {
                 f64::INFINITY
             },
@@ -289,22 +314,23 @@
                 .load
                 .iter()
                 .map(|(name, ..)| name.clone())
-                .zip(parts)
+                .zip(shares)
                 .collect(),
-            // An eighth, a quarter, a half, all.
+            // Three steps lead from an eighth over a quarter and a half to all.
             back_s: 3.0 * self.step_s,
         }
     }
 
-    /// Each site and each two, at three loads of the busy hour.
+    /// Forecasts of the loss of each site and of each pair of sites, each at 0.6, 1.0 and 1.5 times the busy hour's
+    /// load. Losses that leave no site are omitted.
     pub fn losses(&self) -> Vec<Loss> {
         let names: Vec<&str> = self.sites.iter().map(|site| site.name.as_str()).collect();
         let mut lost: Vec<Vec<&str>> = names.iter().map(|name| vec![*name]).collect();
-        for (n, a) in names.iter().enumerate() {
-            lost.extend(names[n + 1..].iter().map(|b| vec![*a, *b]));
+        for (n, first) in names.iter().enumerate() {
+            lost.extend(names[n + 1..].iter().map(|second| vec![*first, *second]));
         }
         lost.retain(|lost| lost.len() < names.len());
-        let at = |lost: &Vec<&str>| [0.6, 1.0, 1.5].map(|load| self.loss(lost, load));
-        lost.iter().flat_map(at).collect()
+        let forecasts = |lost: &Vec<&str>| [0.6, 1.0, 1.5].map(|load| self.loss(lost, load));
+        lost.iter().flat_map(forecasts).collect()
     }
 }
--- a/crates/dispatcher/failover/tests/stories.rs
+++ b/crates/dispatcher/failover/tests/scenarios.rs
@@ -1,106 +1,108 @@
-//! Stories of sites that are lost, look lost, come back and flap; of what is refused; of plans.
+//! Scenarios for failover between sites: sites that are lost, that only look lost, that return and that flap; load
+//! shedding; checks and forecasts of plans.
 
 use sagetrail_failover::*;
 
-/// Three sites of eight runners; runner n is in site n % 3.
+/// A detector for three sites with eight runners each. Runner n is in site n % 3.
 fn sites() -> Sites {
     let mut sites = Sites::new(7, 1.0);
     (0..24).for_each(|n| sites.listed(n, 1000 + n as u64, (n % 3) as u16, true));
     sites
 }
 
-/// Every runner is tried once; `bad` says at which sites it fails.
-fn all_tried(sites: &mut Sites, now: f64, bad: &[u16]) {
+/// One attempt at every runner in use. It fails at the sites in `failed_sites`.
+fn try_all(sites: &mut Sites, now: f64, failed_sites: &[u16]) {
     let away = sites.away();
     (0..24)
         .filter(|n| !away.contains(n))
-        .for_each(|n| sites.saw(now, n, !bad.contains(&((n % 3) as u16))));
+        .for_each(|n| sites.saw(now, n, !failed_sites.contains(&((n % 3) as u16))));
 }
 
 #[test]
-fn a_lost_site_is_known_after_a_few_failures_and_gets_nothing_but_a_scout() {
+fn a_lost_site_is_detected_after_a_few_failures_and_only_its_canary_gets_attempts() {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[]);
+    try_all(&mut sites, 1.0, &[]);
     assert!(sites.look(1.1).is_empty());
     [1, 4].iter().for_each(|n| sites.saw(1.5, *n, false));
-    assert!(sites.look(1.5).is_empty(), "two of eight");
+    assert!(sites.look(1.5).is_empty(), "two of eight runners are not enough");
     [7, 10, 13].iter().for_each(|n| sites.saw(1.6, *n, false));
-    let looked = sites.look(1.6);
-    assert_eq!(looked, [(1, Cause::Lost, Stage::Lost)]);
+    let changed = sites.look(1.6);
+    assert_eq!(changed, [(1, Cause::Lost, Stage::Lost)]);
     let away = sites.away();
     assert_eq!(away.len(), 7);
     assert!(away.iter().all(|n| n % 3 == 1));
 }
 
 #[test]
-fn two_sites_at_once_are_two_losses() {
+fn two_sites_can_be_lost_at_once() {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[]);
-    all_tried(&mut sites, 2.0, &[0]);
+    try_all(&mut sites, 1.0, &[]);
+    try_all(&mut sites, 2.0, &[0]);
     assert_eq!(sites.look(2.1).len(), 1);
-    all_tried(&mut sites, 3.0, &[0, 2]);
+    try_all(&mut sites, 3.0, &[0, 2]);
     assert_eq!(sites.look(3.1), [(2, Cause::Lost, Stage::Lost)]);
     assert_eq!(sites.troubled().len(), 2);
 }
 
 #[test]
-fn a_crowd_or_work_that_fails_anywhere_is_no_loss() {
+fn failures_at_all_sites_are_not_the_loss_of_a_site() {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[0, 1, 2]);
+    try_all(&mut sites, 1.0, &[0, 1, 2]);
     assert!(sites.look(1.1).is_empty());
 }
 
 #[test]
-fn a_list_that_lost_half_its_entries_is_no_loss() {
+fn runners_removed_from_the_list_are_not_the_loss_of_a_site() {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[]);
+    try_all(&mut sites, 1.0, &[]);
     (0..24)
         .filter(|n| n % 3 == 1)
         .for_each(|n| sites.listed(n, 1000 + n as u64, 1, false));
-    all_tried(&mut sites, 2.0, &[]);
+    try_all(&mut sites, 2.0, &[]);
     assert!(sites.look(2.1).is_empty());
 }
 
 #[test]
-fn one_unwell_runner_is_its_own_trouble() {
+fn one_failing_runner_is_not_the_loss_of_its_site() {
     let mut sites = sites();
     for round in 0..5 {
-        all_tried(&mut sites, f64::from(round), &[]);
+        try_all(&mut sites, f64::from(round), &[]);
         sites.saw(f64::from(round) + 0.1, 4, false);
         assert!(sites.look(f64::from(round) + 0.2).is_empty());
     }
 }
 
 #[test]
-fn where_others_reach_it_the_cut_is_here() {
+fn a_site_that_others_reach_is_cut_off_from_here() {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[]);
+    try_all(&mut sites, 1.0, &[]);
     sites.heard(1.4, 7, true);
-    all_tried(&mut sites, 1.5, &[1]);
+    try_all(&mut sites, 1.5, &[1]);
     assert_eq!(
         sites.look(1.6),
         [(1, Cause::Lost, Stage::Lost)],
-        "what others saw before says nothing"
+        "a success elsewhere from before the failure here does not count"
     );
     sites.heard(1.8, 7, true);
     assert_eq!(sites.look(1.9), [(1, Cause::CutFromHere, Stage::Lost)]);
-    assert!(sites.look(2.0).is_empty(), "told once");
+    assert!(sites.look(2.0).is_empty(), "a change is reported once");
 }
 
 #[test]
-fn what_others_saw_counts_where_nothing_was_seen_here() {
+fn results_of_others_count_where_there_are_no_own_results() {
     let mut sites = sites();
     (0..24).for_each(|n| sites.heard(1.0, n, n % 3 != 1));
     assert_eq!(sites.look(1.1), [(1, Cause::Lost, Stage::Lost)]);
 }
 
-/// The site is lost at 2 s; what then becomes of it, seen each 0.2 s.
-fn after(until: f64, bad: impl Fn(f64) -> bool) -> (Sites, Vec<(f64, Stage)>) {
+/// Plays attempts at all runners every 0.2 s from 2 s to `until`; those at site 1 fail while `fails` says so. Returns
+/// the detector and the stages that it reported with their times.
+fn play(until: f64, fails: impl Fn(f64) -> bool) -> (Sites, Vec<(f64, Stage)>) {
     let mut sites = sites();
-    all_tried(&mut sites, 1.0, &[]);
+    try_all(&mut sites, 1.0, &[]);
     let (mut now, mut stages) = (2.0, Vec::new());
     while now < until {
-        all_tried(&mut sites, now, if bad(now) { &[1] } else { &[] });
+        try_all(&mut sites, now, if fails(now) { &[1] } else { &[] });
         stages.extend(sites.look(now).iter().map(|(_, _, stage)| (now, *stage)));
         now += 0.2;
     }
@@ -108,8 +110,8 @@
 }
 
 #[test]
-fn a_return_grows_by_what_was_served_and_the_portions_are_the_same_everywhere() {
-    let (sites, stages) = after(12.0, |now| now < 4.0);
+fn a_failback_steps_on_successes_and_its_portions_are_the_same_at_every_dispatcher() {
+    let (sites, stages) = play(12.0, |now| now < 4.0);
     let portions: Vec<Stage> = stages.iter().map(|(_, stage)| *stage).collect();
     assert_eq!(
         portions,
@@ -122,49 +124,49 @@
         ]
     );
     assert!(sites.troubled().is_empty() && sites.away().is_empty());
-    // Without a look at the clock of another: two dispatchers' portions differ in their scouts alone.
-    let portion = |me: u64| {
+    // Without any exchange between them, two dispatchers' portions differ in their canaries only.
+    let excluded = |me: u64| {
         let mut sites = Sites::new(me, 1.0);
         (0..24).for_each(|n| sites.listed(n, 1000 + n as u64, (n % 3) as u16, true));
-        all_tried(&mut sites, 1.0, &[]);
-        all_tried(&mut sites, 1.5, &[1]);
+        try_all(&mut sites, 1.0, &[]);
+        try_all(&mut sites, 1.5, &[1]);
         sites.look(1.6);
         for step in 0..8 {
             let now = 3.0 + 0.4 * f64::from(step);
-            all_tried(&mut sites, now, &[]);
+            try_all(&mut sites, now, &[]);
             sites.look(now);
         }
         sites.away()
     };
-    let (a, b) = (portion(1), portion(2));
-    let differ =
-        a.iter().filter(|n| !b.contains(n)).count() + b.iter().filter(|n| !a.contains(n)).count();
-    assert!(differ <= 2, "{a:?} {b:?}");
+    let (first, second) = (excluded(1), excluded(2));
+    let differences = first.iter().filter(|n| !second.contains(n)).count()
+        + second.iter().filter(|n| !first.contains(n)).count();
+    assert!(differences <= 2, "{first:?} {second:?}");
 }
 
 #[test]
-fn a_site_that_serves_nothing_does_not_come_back_by_the_clock() {
-    let (sites, stages) = after(60.0, |_| true);
+fn a_site_without_successes_does_not_return_by_elapsed_time() {
+    let (sites, stages) = play(60.0, |_| true);
     assert_eq!(stages.len(), 1);
     assert_eq!(sites.away().len(), 7);
 }
 
 #[test]
-fn one_that_flaps_waits_longer_each_time() {
-    let (_, stages) = after(60.0, |now| (now as u32 / 3).is_multiple_of(2));
-    let begins: Vec<f64> = stages
+fn a_flapping_site_waits_longer_before_each_return() {
+    let (_, stages) = play(60.0, |now| (now as u32 / 3).is_multiple_of(2));
+    let returns_s: Vec<f64> = stages
         .iter()
         .filter(|(_, stage)| *stage == Stage::Returning(12))
         .map(|(at, _)| *at)
         .collect();
     assert!(
-        begins.len() <= 6,
-        "{begins:?}: ten would be without damping"
+        returns_s.len() <= 6,
+        "{returns_s:?}: without damping there would be ten"
     );
 }
 
 #[test]
-fn what_pays_least_for_its_slots_is_refused_first_and_each_keeps_a_floor() {
+fn the_lowest_payoff_is_rejected_first_and_each_category_keeps_the_floor() {
     let demand = |slots: f64, worth: f64| Demand {
         slots,
         worth,
@@ -183,8 +185,8 @@
     assert!(admitted(&demands, 0.0, 0.05)
         .iter()
         .all(|part| *part == 0.05));
-    // Said by the plan: the second goes first, though it pays most.
-    let said = [
+    // The plan's order rejects the second first, although it has the highest payoff.
+    let ordered = [
         demands[0],
         Demand {
             order: Some(0),
@@ -192,12 +194,12 @@
         },
         demands[2],
     ];
-    let parts = admitted(&said, 22.0, 0.0);
+    let parts = admitted(&ordered, 22.0, 0.0);
     assert!(
         parts[0] == 1.0 && parts[2] == 1.0 && (parts[1] - 0.2).abs() < 1e-9,
         "{parts:?}"
     );
-    // Between equals the same part of each.
+    // Categories of equal rank get the same share.
     let parts = admitted(&[demand(10.0, 1.0), demand(30.0, 1.0)], 20.0, 0.0);
     assert_eq!(parts, [0.5, 0.5]);
 }
@@ -222,7 +224,7 @@
 }
 
 #[test]
-fn load_goes_to_all_that_remain_by_what_they_have_to_spare() {
+fn load_moves_to_the_remaining_sites_in_proportion_to_their_free_capacity() {
     let loss = plan().loss(&["a"], 0.6);
     assert_eq!(
         loss.admitted,
@@ -232,9 +234,9 @@
     assert!((moved - 0.6 * 60.0 * 0.4).abs() < 1e-9, "{loss:?}");
     assert!(
         (loss.moved[0].1 / loss.moved[1].1 - 2.0).abs() < 1e-9,
-        "b has twice c's room"
+        "b has twice the free capacity of c"
     );
-    // What does not fit is refused before it moves, the cheap first.
+    // The load that does not fit is rejected before it moves, the cheap category first.
     let loss = plan().loss(&["a"], 1.5);
     assert!(
         loss.admitted[0].1 < 0.6 && loss.admitted[1].1 == 1.0,
@@ -243,84 +245,90 @@
     let load: f64 = loss.moved.iter().map(|(_, slots)| slots).sum();
     assert!(
         load <= 54.0 - 1.5 * 60.0 * 0.6 + 1e-9,
-        "nobody is pushed over what it bears: {loss:?}"
+        "no site gets more than its usable capacity: {loss:?}"
     );
     assert_eq!(plan().losses().len(), 3 * (3 + 3));
 }
 
 #[test]
-fn a_refuge_is_filled_first_and_no_further_than_it_bears() {
+fn a_refuge_is_filled_first_and_up_to_its_usable_capacity() {
     let mut plan = plan();
     plan.sites[0].refuge = names(&["c"]);
     let loss = plan.loss(&["a"], 1.0);
     assert!(
         (loss.moved[1].1 - (18.0 - 12.0)).abs() < 1e-9,
-        "c has six slots to spare: {loss:?}"
+        "c has six free slots: {loss:?}"
     );
-    assert!(loss.moved[0].1 > 0.0, "the rest goes on");
+    assert!(loss.moved[0].1 > 0.0, "the remaining load moves to the other sites");
 }
 
 #[test]
-fn contradictions_are_wrong_and_what_is_only_unwise_is_a_warning() {
+fn contradictions_in_a_plan_are_errors_and_risks_are_warnings() {
     let (zones, categories) = (names(&["a", "b", "c"]), names(&["cheap", "dear"]));
     let check = |change: &dyn Fn(&mut Plan)| {
         let mut plan = plan();
         change(&mut plan);
-        let found = plan.check(&zones, &categories);
-        found
+        let findings = plan.check(&zones, &categories);
+        findings
             .iter()
-            .map(|f| (f.wrong, format!("{}: {}", f.place, f.why)))
+            .map(|finding| {
+                let text = format!("{}: {}", finding.place, finding.why);
+                (finding.wrong, text)
+            })
             .collect::<Vec<_>>()
     };
     assert!(check(&|_| ()).is_empty());
     assert!(
         Plan::default().check(&zones, &categories).is_empty(),
-        "an empty plan works"
+        "an empty plan is valid"
     );
-    let wrong = |change: &dyn Fn(&mut Plan), what: &str| {
-        let found = check(change);
+    let expect_error = |change: &dyn Fn(&mut Plan), expected: &str| {
+        let findings = check(change);
         assert!(
-            found
+            findings
                 .iter()
-                .any(|(wrong, why)| *wrong && why.contains(what)),
-            "{what}: {found:?}"
+                .any(|(is_error, text)| *is_error && text.contains(expected)),
+            "{expected}: {findings:?}"
         );
     };
-    wrong(
+    expect_error(
         &|plan| plan.sites[0].name = "z".to_string(),
         "'z' is not in zones",
     );
-    wrong(
+    expect_error(
         &|plan| drop(plan.sites.pop()),
         "'c' is in zones and not in the plan",
     );
-    wrong(
+    expect_error(
         &|plan| plan.sites[1].capacity = -3.0,
         "-3 slots are no capacity",
     );
-    wrong(&|plan| plan.sites[1].name = "a".to_string(), "stands twice");
-    wrong(
+    expect_error(
+        &|plan| plan.sites[1].name = "a".to_string(),
+        "stands twice",
+    );
+    expect_error(
         &|plan| plan.sites[0].refuge = names(&["q"]),
         "'q' is not a site",
     );
-    wrong(
+    expect_error(
         &|plan| plan.order = names(&["dear", "none"]),
         "'none' is not a category",
     );
-    wrong(&|plan| plan.floor = 1.5, "1.5 is not from 0 to 1");
-    wrong(
+    expect_error(&|plan| plan.floor = 1.5, "1.5 is not from 0 to 1");
+    expect_error(
         &|plan| {
             plan.sites[0].refuge = names(&["b"]);
             plan.sites[1].refuge = names(&["a"]);
         },
         "refuges go round: a to b to a",
     );
-    let unwise = check(&|plan| plan.sites[0].refuge = names(&["b"]));
+    let warnings = check(&|plan| plan.sites[0].refuge = names(&["b"]));
     assert!(
-        unwise.iter().all(|(wrong, _)| !wrong) && unwise[0].1.contains("may follow it"),
-        "{unwise:?}"
+        warnings.iter().all(|(is_error, _)| !is_error) && warnings[0].1.contains("may follow it"),
+        "{warnings:?}"
     );
     assert!(check(&|plan| plan.load[0].1 = 95.0)
         .iter()
-        .all(|(wrong, _)| !wrong));
+        .all(|(is_error, _)| !is_error));
 }
