--- a/crates/dispatcher/simulator-adapter/src/frame.rs
+++ b/crates/dispatcher/simulator-adapter/src/frame.rs
@@ -1,19 +1,23 @@
-//! The simulator's frames: batches in, replies out.
+//! Frames of the simulator's binary protocol: it sends batches of events, and gets a reply with actions to each batch.
+//! All numbers are little-endian.
 
 use std::io::{self, Read, Write};
 
-pub(crate) const RECORD: usize = 48;
-pub(crate) const ENTRY: usize = 24;
-const ACTION: usize = 24;
+/// Length of an event record in bytes.
+pub(crate) const RECORD_LEN: usize = 48;
+/// Length of a roster entry in bytes.
+pub(crate) const ENTRY_LEN: usize = 24;
+/// Length of an action record in bytes.
+const ACTION_LEN: usize = 24;
 
-/// The little-endian field of `N` bytes at an offset. Offsets are the wire page's and lie within a record.
+/// The field of `N` bytes at an offset. All offsets are fixed by the protocol and lie within a record.
 fn bytes<const N: usize>(from: &[u8], at: usize) -> [u8; N] {
     let mut field = [0; N];
     field.copy_from_slice(&from[at..at + N]);
     field
 }
 
-/// One event record or list entry.
+/// One event record or roster entry.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub &'a [u8]);
 
@@ -38,22 +42,28 @@
     }
 }
 
-/// A batch as read, its buffer used again for the next.
+/// A batch of events. Its buffer is reused for the next batch.
 #[derive(Default)]
 pub(crate) struct Batch {
+    /// The event records and the tail, to which records refer for data of variable length.
     body: Vec<u8>,
-    records: usize,
+    record_count: usize,
+    /// Time of the batch on the simulator's clock, in microseconds.
     pub clock_us: u64,
 }
 
 impl Batch {
-    /// Reads the next batch; `false` at the end of input on a frame's boundary.
+    /// Reads the next batch. Returns false if the input ends between two batches.
+    ///
+    /// # Errors
+    ///
+    /// Says why the batch cannot be read, or where in it the input ends.
     pub(crate) fn read(&mut self, from: &mut impl Read) -> Result<bool, String> {
         let mut header = Vec::with_capacity(16);
         from.by_ref()
             .take(16)
             .read_to_end(&mut header)
-            .map_err(|e| format!("reading: {e}"))?;
+            .map_err(|error| format!("reading a batch: {error}"))?;
         if header.is_empty() {
             return Ok(false);
         }
@@ -64,43 +74,51 @@
             ));
         }
         let header = Fields(&header);
-        let (records, length) = (header.u32(0) as usize, header.u32(4) as usize);
-        if records.checked_mul(RECORD).is_none_or(|size| size > length) {
+        let (record_count, length) = (header.u32(0) as usize, header.u32(4) as usize);
+        if record_count
+            .checked_mul(RECORD_LEN)
+            .is_none_or(|size| size > length)
+        {
             return Err(format!(
-                "a batch of {length} bytes cannot hold {records} records"
+                "a batch of {length} bytes cannot hold {record_count} records"
             ));
         }
         self.body.clear();
         from.by_ref()
             .take(length as u64)
             .read_to_end(&mut self.body)
-            .map_err(|e| format!("reading: {e}"))?;
+            .map_err(|error| format!("reading a batch: {error}"))?;
         if self.body.len() < length {
             return Err(format!(
                 "input ends {} bytes into a batch of {length}",
                 self.body.len()
             ));
         }
-        (self.records, self.clock_us) = (records, header.u64(8));
+        (self.record_count, self.clock_us) = (record_count, header.u64(8));
         Ok(true)
     }
 
+    /// The event records in their order.
     pub(crate) fn records(&self) -> impl Iterator<Item = Fields<'_>> {
-        self.body[..self.records * RECORD]
-            .chunks_exact(RECORD)
+        self.body[..self.record_count * RECORD_LEN]
+            .chunks_exact(RECORD_LEN)
             .map(Fields)
     }
 
-    /// What a tail reference at `at` of a record points to, `size` bytes for each one counted.
+    /// The bytes to which the tail reference at offset `at` of a record points. The reference counts items of `size` bytes.
+    ///
+    /// # Errors
+    ///
+    /// The reference overruns the tail.
     pub(crate) fn tail(&self, record: Fields, at: usize, size: usize) -> Result<&[u8], String> {
         let (offset, count) = (record.u32(at) as usize, record.u32(at + 4) as usize);
-        let tail = &self.body[self.records * RECORD..];
+        let tail = &self.body[self.record_count * RECORD_LEN..];
         let end = count
             .checked_mul(size)
             .and_then(|length| length.checked_add(offset));
         end.and_then(|end| tail.get(offset..end)).ok_or_else(|| {
             format!(
-                "code {}: {count} at {offset} overruns a tail of {} bytes",
+                "event code {}: {count} items of {size} bytes at offset {offset} overruns a tail of {} bytes",
                 record.u8(0),
                 tail.len()
             )
@@ -108,42 +126,43 @@
     }
 }
 
-/// A reply in the making.
+/// A reply that is being composed.
 #[derive(Default)]
 pub(crate) struct Reply {
-    records: Vec<u8>,
+    actions: Vec<u8>,
     tail: Vec<u8>,
 }
 
 impl Reply {
-    /// Appends one action: its code, the instance, then its further fields one after another.
-    pub(crate) fn act(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
-        let end = self.records.len() + ACTION;
-        self.records.push(code);
-        self.records.extend_from_slice(&instance.to_le_bytes());
+    /// Appends an action: its code, the number of the instance, and its other fields one after another.
+    pub(crate) fn push_action(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
+        let end = self.actions.len() + ACTION_LEN;
+        self.actions.push(code);
+        self.actions.extend_from_slice(&instance.to_le_bytes());
         for field in fields {
-            self.records.extend_from_slice(field);
+            self.actions.extend_from_slice(field);
         }
-        self.records.resize(end, 0);
+        self.actions.resize(end, 0);
     }
 
-    /// Puts a text into the tail; the reference to it.
-    pub(crate) fn text(&mut self, text: &[u8]) -> [u8; 8] {
-        let mut place = [0; 8];
-        place[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
-        place[4..].copy_from_slice(&(text.len() as u32).to_le_bytes());
+    /// Appends a text to the tail and returns the reference to it.
+    pub(crate) fn push_text(&mut self, text: &[u8]) -> [u8; 8] {
+        let mut reference = [0; 8];
+        reference[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
+        reference[4..].copy_from_slice(&(text.len() as u32).to_le_bytes());
         self.tail.extend_from_slice(text);
-        place
+        reference
     }
 
+    /// Writes the reply as a frame and clears it for the next batch.
     pub(crate) fn write(&mut self, to: &mut impl Write) -> io::Result<()> {
-        let count = (self.records.len() / ACTION) as u32;
-        let length = (self.records.len() + self.tail.len()) as u32;
+        let count = (self.actions.len() / ACTION_LEN) as u32;
+        let length = (self.actions.len() + self.tail.len()) as u32;
         to.write_all(&length.to_le_bytes())?;
         to.write_all(&count.to_le_bytes())?;
-        to.write_all(&self.records)?;
+        to.write_all(&self.actions)?;
         to.write_all(&self.tail)?;
-        self.records.clear();
+        self.actions.clear();
         self.tail.clear();
         to.flush()
     }
--- a/crates/dispatcher/simulator-adapter/src/main.rs
+++ b/crates/dispatcher/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts sagetrail's decisions on the simulator's wire: standard input in, standard output out.
+//! Runs the dispatch policy behind the simulator's binary protocol: reads batches of events from standard input and
+//! writes a reply to each to standard output.
 
 mod frame;
 mod host;
@@ -16,11 +17,11 @@
     );
     while batch.read(&mut input)? {
         process
-            .play(&batch, &mut reply)
-            .map_err(|e| format!("batch at {} us: {e}", batch.clock_us))?;
+            .handle_batch(&batch, &mut reply)
+            .map_err(|error| format!("batch at {} us: {error}", batch.clock_us))?;
         reply
             .write(&mut output)
-            .map_err(|e| format!("writing a reply: {e}"))?;
+            .map_err(|error| format!("writing a reply: {error}"))?;
     }
     Ok(())
 }
--- a/crates/dispatcher/simulator-adapter/tests/frames.rs
+++ b/crates/dispatcher/simulator-adapter/tests/frames.rs
@@ -1,16 +1,17 @@
-//! Frames written by hand, played to the adapter itself.
+//! Runs the adapter's binary on frames that the tests build byte by byte. Guards against replies that do not fit the
+//! protocol, and against input that makes the adapter hang or fail without a message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn play(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sagetrail-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all of a bad input.
+    // The write may fail, because the adapter exits at the first invalid input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -33,18 +34,18 @@
     frame
 }
 
-const INFO: &str = "Categories.count=1\nCategories.0.Repeat=read_like\nCategories.0.DueTimeUs=500000\n\
+const SETTINGS: &str = "Categories.count=1\nCategories.0.Repeat=read_like\nCategories.0.DueTimeUs=500000\n\
     Categories.0.Payoff=1.0\nLimits.MostHandOffs=3\nReplicasOfMe=1\nDiscovery=pushed\nSomething.New=a_b\n";
 const ADDRESS: [u8; 6] = [10, 18, 74, 7, 0x8b, 0x13];
 
-/// Instance 3 comes up with one ready runner in its cached list.
-fn up(info: &str) -> Vec<u8> {
-    let mut tail = info.as_bytes().to_vec();
+/// Instance 3 starts with one ready runner in its cached list.
+fn start(settings: &str) -> Vec<u8> {
+    let mut tail = settings.as_bytes().to_vec();
     let mut entry = vec![0; 24];
     entry[9..15].copy_from_slice(&ADDRESS);
     entry[19] = 1;
     tail.extend(entry);
-    let size = (info.len() as u32).to_le_bytes();
+    let size = (settings.len() as u32).to_le_bytes();
     let records = [
         record(&[(0, &[10]), (1, &[3]), (3, &[9]), (15, &size)]),
         record(&[(0, &[110]), (3, &size), (7, &[1])]),
@@ -53,10 +54,11 @@
     batch(1_000_000, &records, &tail)
 }
 
-fn accept(instance: u8, category: u8) -> Vec<u8> {
+/// A work item arrives at an instance.
+fn arrive(instance: u8, category: u8) -> Vec<u8> {
     let expiry = 6_000_000u64.to_le_bytes();
     let one = 1f32.to_le_bytes();
-    let accept: [(usize, &[u8]); 6] = [
+    let fields: [(usize, &[u8]); 6] = [
         (0, &[30]),
         (1, &[instance]),
         (3, &[77]),
@@ -64,52 +66,53 @@
         (20, &expiry),
         (32, &one),
     ];
-    batch(1_005_000, &[record(&accept)], &[])
+    batch(1_005_000, &[record(&fields)], &[])
 }
 
-fn fails(input: &[u8], with: &str) {
-    let output = play(input);
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(1), "{said}");
+/// The adapter must exit with status 1 and one line that contains `message`.
+fn assert_fails(input: &[u8], message: &str) {
+    let output = run_adapter(input);
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
     assert!(
-        said.contains(with) && said.lines().count() == 1,
-        "'{said}' does not say '{with}'"
+        stderr.contains(message) && stderr.lines().count() == 1,
+        "expected one line with '{message}', got '{stderr}'"
     );
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_is_clean() {
-    let output = play(&batch(5, &[], &[]));
+fn an_empty_batch_gets_an_empty_reply_and_the_adapter_exits_cleanly() {
+    let output = run_adapter(&batch(5, &[], &[]));
     assert_eq!((output.status.code(), output.stdout), (Some(0), vec![0; 8]));
-    assert_eq!(play(&[]).status.code(), Some(0));
+    assert_eq!(run_adapter(&[]).status.code(), Some(0));
 }
 
 #[test]
-fn a_work_item_is_handed_off_in_the_same_batch() {
-    let output = play(&[up(INFO), accept(3, 0)].concat());
+fn a_work_item_is_sent_in_the_reply_to_its_batch() {
+    let output = run_adapter(&[start(SETTINGS), arrive(3, 0)].concat());
     assert_eq!(output.status.code(), Some(0));
-    let relay = output
+    let send_action = output
         .stdout
         .windows(13)
         .find(|w| w[0] == 10 && w[1] == 3 && w[7..13] == ADDRESS)
         .unwrap();
-    assert_eq!(relay[3..7], [77, 0, 0, 0]);
+    assert_eq!(send_action[3..7], [77, 0, 0, 0]);
 }
 
 #[test]
-fn a_killed_instance_may_come_up_again_in_the_same_batch() {
+fn a_killed_instance_may_start_again() {
     let killed = batch(1_002_000, &[record(&[(0, &[100]), (1, &[3])])], &[]);
-    let again = [up(INFO), killed.clone(), up(INFO), accept(3, 0)].concat();
-    assert_eq!(play(&again).status.code(), Some(0));
-    fails(&[up(INFO), killed, accept(3, 0)].concat(), "not up");
+    let restarted = [start(SETTINGS), killed.clone(), start(SETTINGS), arrive(3, 0)].concat();
+    assert_eq!(run_adapter(&restarted).status.code(), Some(0));
+    assert_fails(&[start(SETTINGS), killed, arrive(3, 0)].concat(), "not up");
 }
 
 #[test]
-fn what_is_no_longer_held_is_passed_over() {
-    let late = record(&[(0, &[50]), (1, &[3]), (3, &[5]), (9, &ADDRESS), (15, &[1])]);
-    let left = record(&[(0, &[60]), (1, &[3]), (3, &[5])]);
+fn events_of_unknown_work_items_are_ignored() {
+    let late_outcome = record(&[(0, &[50]), (1, &[3]), (3, &[5]), (9, &ADDRESS), (15, &[1])]);
+    let client_left = record(&[(0, &[60]), (1, &[3]), (3, &[5])]);
     assert_eq!(
-        play(&[up(INFO), batch(1_005_000, &[late, left], &[])].concat())
+        run_adapter(&[start(SETTINGS), batch(1_005_000, &[late_outcome, client_left], &[])].concat())
             .status
             .code(),
         Some(0)
@@ -117,28 +120,28 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_message() {
-    fails(&[1, 2, 3], "3 bytes into a batch's header");
-    let whole = up(INFO);
-    fails(&whole[..whole.len() - 4], "input ends");
-    fails(
+fn invalid_input_ends_the_adapter_with_a_one_line_message() {
+    assert_fails(&[1, 2, 3], "3 bytes into a batch's header");
+    let complete = start(SETTINGS);
+    assert_fails(&complete[..complete.len() - 4], "input ends");
+    assert_fails(
         &[[9, 0, 0, 0], [8, 0, 0, 0], [0; 4], [0; 4]].concat(),
         "cannot hold 9 records",
     );
-    fails(
+    assert_fails(
         &[[0; 4], [255; 4], [0; 4], [0; 4]].concat(),
         "input ends 0 bytes into a batch",
     );
-    fails(
+    assert_fails(
         &batch(5, &[record(&[(0, &[99])])], &[]),
         "unknown event code 99",
     );
-    fails(
+    assert_fails(
         &batch(5, &[record(&[(0, &[10]), (11, &[4]), (15, &[9])])], &[]),
         "overruns a tail",
     );
-    fails(&accept(3, 0), "instance 3, which is not up");
-    fails(&[up(INFO), accept(3, 7)].concat(), "category 7");
-    fails(&up("ReplicasOfMe=many\n"), "ReplicasOfMe");
-    fails(&up("no pair\n"), "no pair");
+    assert_fails(&arrive(3, 0), "instance 3, which is not up");
+    assert_fails(&[start(SETTINGS), arrive(3, 7)].concat(), "category 7");
+    assert_fails(&start("ReplicasOfMe=many\n"), "ReplicasOfMe");
+    assert_fails(&start("no pair\n"), "no pair");
 }
