--- a/crates/dispatcher/simulator-adapter/src/frame.rs
+++ b/crates/dispatcher/simulator-adapter/src/frame.rs
@@ -118,7 +118,8 @@
             .and_then(|length| length.checked_add(offset));
         end.and_then(|end| tail.get(offset..end)).ok_or_else(|| {
             format!(
-                "event code {}: {count} items of {size} bytes at offset {offset} overruns a tail of {} bytes",
+                "event code {}: a reference to {count} items of {size} bytes at offset {offset} \
+                 overruns a tail of {} bytes",
                 record.u8(0),
                 tail.len()
             )
