--- a/crates/dispatcher/dispatch/src/membership.rs
+++ b/crates/dispatcher/dispatch/src/membership.rs
@@ -278,7 +278,7 @@
                 .address
                 .map(|address| self.state.add_runner(member, address));
         }
-        let members: Vec<Member> = state
+        let members: Vec<Member> = handover
             .runners
             .iter()
             .map(|runner| runner.member.clone())
--- a/crates/dispatcher/dispatch/src/saved_state.rs
+++ b/crates/dispatcher/dispatch/src/saved_state.rs
@@ -61,9 +61,9 @@
     pub back: Option<f64>,
     /// Times and sizes of the attempts that count towards its slow-start budget.
     pub spent: Vec<(f64, f64)>,
-    /// Evidence of the failure detector against the runner, as log odds.
+    /// Evidence of the failure detector against the runner, from 0 to 6. Above 4.5 the runner is excluded.
     pub evidence: f64,
-    /// Since when the failure detector excludes the runner; `None` if it does not.
+    /// Until when the failure detector excludes the runner. Then a trial attempt decides. `None` if it is not excluded.
     pub resting: Option<f64>,
     /// Length in seconds of the present or next exclusion.
     pub rest_s: f64,
