--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -78,7 +78,7 @@
         Exchange { dispatcher, state }
     }
 
-    /// Corrects the Unix time by `by_s` seconds, because the wall clock was set.
+    /// Adds `by_s` seconds to the Unix time at 0 on the exchange's clock: the wall clock was found to be off by that much.
     pub fn clock_jumped(&mut self, by_s: f64) {
         self.state.unix_at_zero_s += by_s;
     }
