--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -203,10 +203,13 @@
         };
         self.state.last_serial += 1;
         let serial = self.state.last_serial;
-        self.state.work_items_by_id.insert(order.id.clone(), work_item);
         self.state
-            .timers
-            .insert((to_micros(expiry_s + OVERDUE_S), serial, EXPIRY_TIMER), work_item);
+            .work_items_by_id
+            .insert(order.id.clone(), work_item);
+        self.state.timers.insert(
+            (to_micros(expiry_s + OVERDUE_S), serial, EXPIRY_TIMER),
+            work_item,
+        );
         let index = work_item.0 as usize;
         if self.state.open_items.len() <= index {
             self.state.open_items.resize_with(index + 1, || None);
@@ -302,7 +305,11 @@
 
     fn handle_callback(&mut self, work_item: WorkItem, callback: Callback) {
         let now = self.state.now_s;
-        let Some(serial) = self.state.open_item(work_item).map(|open_item| open_item.serial) else {
+        let Some(serial) = self
+            .state
+            .open_item(work_item)
+            .map(|open_item| open_item.serial)
+        else {
             return;
         };
         let Some(attempt) = self
--- a/crates/dispatcher/dispatch/src/membership.rs
+++ b/crates/dispatcher/dispatch/src/membership.rs
@@ -40,15 +40,11 @@
         // list and its reading here.
         let closed_from_s = self.state.now_s + 0.5 * self.state.drain_grace_s;
         if kind != News::Changes {
-            self.state
-                .load
-                .gates
-                .iter()
-                .for_each(|endpoint| {
-                    endpoint
-                        .shut_at
-                        .set(endpoint.shut_at.get().min(closed_from_s))
-                });
+            self.state.load.gates.iter().for_each(|endpoint| {
+                endpoint
+                    .shut_at
+                    .set(endpoint.shut_at.get().min(closed_from_s))
+            });
         }
         let mut entries = Vec::with_capacity(update.members.len());
         for member in update.members {
@@ -235,11 +231,7 @@
                 resting,
                 rest_s,
             } = self.dispatcher.kept(index);
-            let (out, back, resting) = (
-                out.map(to_unix),
-                back.map(to_unix),
-                resting.map(to_unix),
-            );
+            let (out, back, resting) = (out.map(to_unix), back.map(to_unix), resting.map(to_unix));
             let spent = spent
                 .into_iter()
                 .map(|(at_s, size)| (to_unix(at_s), size))
@@ -256,7 +248,12 @@
         };
         (
             self.learnt(terms),
-            self.state.list_entries.iter().enumerate().map(handover).collect(),
+            self.state
+                .list_entries
+                .iter()
+                .enumerate()
+                .map(handover)
+                .collect(),
         )
     }
 
@@ -343,9 +340,8 @@
                 f64::NEG_INFINITY
             };
             // The tolerance is 10 ms because the clocks are read twice. A process takes longer than that to start.
-            let is_same_process = |listed: Listed| {
-                listed.born == started_s || (listed.born - started_s).abs() < 0.01
-            };
+            let is_same_process =
+                |listed: Listed| listed.born == started_s || (listed.born - started_s).abs() < 0.01;
             if listed.is_some_and(is_same_process)
                 && endpoint.address.get().to_string() == saved.address
             {
--- a/crates/dispatcher/dispatch/tests/scenarios.rs
+++ b/crates/dispatcher/dispatch/tests/scenarios.rs
@@ -31,7 +31,10 @@
         true
     }
     fn begin(&mut self, task: Task, runner: usize, _: Outgoing, until: f64, whole: Rc<Cell<bool>>) {
-        self.0.borrow_mut().requests.push((task, runner, until, whole));
+        self.0
+            .borrow_mut()
+            .requests
+            .push((task, runner, until, whole));
     }
     fn stop(&mut self, _: ()) {
         self.0.borrow_mut().aborted_requests += 1;
--- a/crates/dispatcher/failover/src/detect.rs
+++ b/crates/dispatcher/failover/src/detect.rs
@@ -321,8 +321,7 @@
                 .map(|runner| pair_hash(self.own_id, runner.id))
                 .max();
             let is_in_use = |runner: &Runner| {
-                failover.pace.admits(runner.id)
-                    || canary == Some(pair_hash(self.own_id, runner.id))
+                failover.pace.admits(runner.id) || canary == Some(pair_hash(self.own_id, runner.id))
             };
             let unused = self
                 .runners
--- a/crates/dispatcher/failover/src/plan.rs
+++ b/crates/dispatcher/failover/src/plan.rs
@@ -92,10 +92,18 @@
         for (n, site) in self.sites.iter().enumerate() {
             let key_of = |leaf: &str| format!("plan.sites.{n}.{leaf}");
             if !zones.contains(&site.name) {
-                add_finding(true, key_of("name"), format!("'{}' is not in zones", site.name));
+                add_finding(
+                    true,
+                    key_of("name"),
+                    format!("'{}' is not in zones", site.name),
+                );
             }
             if self.sites[..n].iter().any(|other| other.name == site.name) {
-                add_finding(true, key_of("name"), format!("'{}' stands twice", site.name));
+                add_finding(
+                    true,
+                    key_of("name"),
+                    format!("'{}' stands twice", site.name),
+                );
             }
             if site.capacity <= 0.0 {
                 add_finding(
@@ -144,11 +152,7 @@
         }
         for (key, share) in [("plan.headroom", self.headroom), ("plan.floor", self.floor)] {
             if !(0.0..1.0).contains(&share) {
-                add_finding(
-                    true,
-                    key.to_string(),
-                    format!("{share} is not from 0 to 1"),
-                );
+                add_finding(true, key.to_string(), format!("{share} is not from 0 to 1"));
             }
         }
         for (n, name) in self.order.iter().enumerate() {
--- a/crates/dispatcher/failover/tests/scenarios.rs
+++ b/crates/dispatcher/failover/tests/scenarios.rs
@@ -24,7 +24,10 @@
     try_all(&mut sites, 1.0, &[]);
     assert!(sites.look(1.1).is_empty());
     [1, 4].iter().for_each(|n| sites.saw(1.5, *n, false));
-    assert!(sites.look(1.5).is_empty(), "two of eight runners are not enough");
+    assert!(
+        sites.look(1.5).is_empty(),
+        "two of eight runners are not enough"
+    );
     [7, 10, 13].iter().for_each(|n| sites.saw(1.6, *n, false));
     let changed = sites.look(1.6);
     assert_eq!(changed, [(1, Cause::Lost, Stage::Lost)]);
@@ -259,7 +262,10 @@
         (loss.moved[1].1 - (18.0 - 12.0)).abs() < 1e-9,
         "c has six free slots: {loss:?}"
     );
-    assert!(loss.moved[0].1 > 0.0, "the remaining load moves to the other sites");
+    assert!(
+        loss.moved[0].1 > 0.0,
+        "the remaining load moves to the other sites"
+    );
 }
 
 #[test]
@@ -303,10 +309,7 @@
         &|plan| plan.sites[1].capacity = -3.0,
         "-3 slots are no capacity",
     );
-    expect_error(
-        &|plan| plan.sites[1].name = "a".to_string(),
-        "stands twice",
-    );
+    expect_error(&|plan| plan.sites[1].name = "a".to_string(), "stands twice");
     expect_error(
         &|plan| plan.sites[0].refuge = names(&["q"]),
         "'q' is not a site",
--- a/crates/dispatcher/simulator-adapter/src/host.rs
+++ b/crates/dispatcher/simulator-adapter/src/host.rs
@@ -88,8 +88,11 @@
     }
     fn defer(&mut self, work_item: WorkItem, retry_after_s: f64) {
         let wait_us = (to_micros(retry_after_s) as u32).to_le_bytes();
-        self.reply
-            .push_action(20, self.instance, &[&self.ids.work_item_id(work_item), &wait_us]);
+        self.reply.push_action(
+            20,
+            self.instance,
+            &[&self.ids.work_item_id(work_item), &wait_us],
+        );
     }
     fn write_off(&mut self, work_item: WorkItem) {
         self.reply
@@ -198,7 +201,9 @@
             110 => {
                 let entries = batch.tail(record, 3, ENTRY_LEN)?;
                 if instance > 15 {
-                    return Err(format!("expected a roster number from 0 to 15, got {instance}"));
+                    return Err(format!(
+                        "expected a roster number from 0 to 15, got {instance}"
+                    ));
                 }
                 if self.rosters.len() <= instance as usize {
                     self.rosters.resize(instance as usize + 1, Vec::new());
--- a/crates/dispatcher/simulator-adapter/tests/frames.rs
+++ b/crates/dispatcher/simulator-adapter/tests/frames.rs
@@ -102,7 +102,13 @@
 #[test]
 fn a_killed_instance_may_start_again() {
     let killed = batch(1_002_000, &[record(&[(0, &[100]), (1, &[3])])], &[]);
-    let restarted = [start(SETTINGS), killed.clone(), start(SETTINGS), arrive(3, 0)].concat();
+    let restarted = [
+        start(SETTINGS),
+        killed.clone(),
+        start(SETTINGS),
+        arrive(3, 0),
+    ]
+    .concat();
     assert_eq!(run_adapter(&restarted).status.code(), Some(0));
     assert_fails(&[start(SETTINGS), killed, arrive(3, 0)].concat(), "not up");
 }
@@ -112,9 +118,15 @@
     let late_outcome = record(&[(0, &[50]), (1, &[3]), (3, &[5]), (9, &ADDRESS), (15, &[1])]);
     let client_left = record(&[(0, &[60]), (1, &[3]), (3, &[5])]);
     assert_eq!(
-        run_adapter(&[start(SETTINGS), batch(1_005_000, &[late_outcome, client_left], &[])].concat())
-            .status
-            .code(),
+        run_adapter(
+            &[
+                start(SETTINGS),
+                batch(1_005_000, &[late_outcome, client_left], &[])
+            ]
+            .concat()
+        )
+        .status
+        .code(),
         Some(0)
     );
 }
