--- a/crates/dispatcher/dispatcher/src/cli.rs
+++ b/crates/dispatcher/dispatcher/src/cli.rs
@@ -302,7 +302,7 @@
         } => {
             let read =
                 setup::read(&start::layers(&file, &[])?).map_err(|faults| faults.join("\n"))?;
-            let losses = read.plan.losses();
+            let losses = read.plan.forecast_all();
             if losses.is_empty() {
                 return Err("the plan names no two sites: there is nothing to lose".to_string());
             }
--- a/crates/dispatcher/dispatcher/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -4,7 +4,10 @@
 use crate::fleet::Fleet;
 use crate::trial::Broken;
 use sagetrail_dispatch::{number, Load, Saw};
-use sagetrail_failover::{admitted, Cause, Demand, Plan, Sites, Stage};
+use sagetrail_failover::{
+    admitted_fractions, CategoryDemand, FailbackStage, FailoverPlan, SiteFailureDetector,
+    SiteHealth,
+};
 use sagetrail_policy::Dispatcher;
 use std::rc::Rc;
 
@@ -14,8 +17,8 @@
 const RATE_S: f64 = 2.0;
 
 pub(crate) struct Siting {
-    sites: Sites,
-    plan: Plan,
+    sites: SiteFailureDetector,
+    plan: FailoverPlan,
     zones: Vec<String>,
     categories: Vec<String>,
     fleet: Option<Rc<Fleet>>,
@@ -33,7 +36,7 @@
 impl Siting {
     pub(crate) fn new(
         (me, mine): (u64, u16),
-        plan: Plan,
+        plan: FailoverPlan,
         zones: Vec<String>,
         categories: Vec<String>,
         fleet: Option<Rc<Fleet>>,
@@ -42,7 +45,7 @@
         let none = vec![0; categories.len()];
         let rates = vec![0.0; categories.len()];
         Siting {
-            sites: Sites::new(me, plan.step_s),
+            sites: SiteFailureDetector::new(me, plan.failback_step_s),
             plan,
             zones,
             categories,
@@ -57,12 +60,12 @@
     }
 
     /// Another plan is in force.
-    pub(crate) fn plan(&mut self, plan: Plan) {
+    pub(crate) fn plan(&mut self, plan: FailoverPlan) {
         self.plan = plan;
     }
 
     pub(crate) fn saw(&mut self, now: f64, runner: usize, what: Saw) {
-        self.sites.saw(now, runner, what != Saw::Silent);
+        self.sites.record_result(now, runner, what != Saw::Silent);
         // A sign of silence is looked at soon: the next would be spent on the same loss.
         if what == Saw::Silent {
             self.next = self.next.min(now);
@@ -88,27 +91,29 @@
         self.numbers.extend(fresh);
         for (place, (gate, of)) in load.gates.iter().zip(&self.numbers).enumerate() {
             self.sites
-                .listed(place, *of, gate.zone.get(), gate.listed.get());
+                .set_runner(place, *of, gate.zone.get(), gate.listed.get());
         }
         if let Some(fleet) = &self.fleet {
-            fleet.sights(now, |at, place, good| self.sites.heard(at, place, good));
+            fleet.sights(now, |at, place, good| {
+                self.sites.record_peer_result(at, place, good)
+            });
         }
-        for (site, cause, stage) in self.sites.look(now) {
+        for (site, cause, stage) in self.sites.update(now) {
             let name = self.name(site);
             match (stage, cause) {
-                (Stage::Lost, Cause::CutFromHere) => {
+                (FailbackStage::Lost, SiteHealth::UnreachableFromHere) => {
                     tracing::warn!("site {name} is cut off from here; others reach it");
                 }
-                (Stage::Lost, _) => {
+                (FailbackStage::Lost, _) => {
                     tracing::warn!("site {name} is lost: its work goes to the others")
                 }
-                (Stage::Returning(part), _) => {
+                (FailbackStage::Returning(part), _) => {
                     tracing::info!("site {name} comes back: {part}% of its runners")
                 }
-                (Stage::Whole, _) => tracing::info!("site {name} is back"),
+                (FailbackStage::Complete, _) => tracing::info!("site {name} is back"),
             }
         }
-        let mut away = self.sites.away();
+        let mut away = self.sites.excluded_runners();
         if self.yardstick.is_some() {
             self.go_otherwise(load, &mut away);
         }
@@ -122,11 +127,11 @@
     /// Yardsticks, in trials only: a lost site's dispatchers send all to the next site; a returning site is in use
     /// at once.
     fn go_otherwise(&self, load: &Load, away: &mut Vec<usize>) {
-        let troubled = self.sites.troubled();
+        let troubled = self.sites.sites_in_failover();
         let lost = |site: u16| {
             troubled
                 .iter()
-                .any(|(s, _, stage, _)| *s == site && *stage == Stage::Lost)
+                .any(|(s, _, stage, _)| *s == site && *stage == FailbackStage::Lost)
         };
         let zone = |place: &usize| load.gates[*place].zone.get();
         match self.yardstick {
@@ -163,7 +168,7 @@
                 .map(|(new, old)| new.saturating_sub(*old) as f64 / since);
             self.counted = (now, all.clone(), rates.collect());
         }
-        let troubled = self.sites.troubled();
+        let troubled = self.sites.sites_in_failover();
         if troubled.is_empty() {
             return d.admit(&[]);
         }
@@ -171,25 +176,25 @@
         let part = |name: &String| {
             let state = troubled.iter().find(|(site, ..)| self.name(*site) == name);
             state.map_or(1.0, |(_, _, stage, _)| match stage {
-                Stage::Lost => 0.0,
-                Stage::Returning(part) => f64::from(*part) / 100.0,
-                Stage::Whole => 1.0,
+                FailbackStage::Lost => 0.0,
+                FailbackStage::Returning(part) => f64::from(*part) / 100.0,
+                FailbackStage::Complete => 1.0,
             })
         };
-        let bears = |site: &sagetrail_failover::Site| {
+        let bears = |site: &sagetrail_failover::PlannedSite| {
             part(&site.name) * site.capacity * (1.0 - site.headroom.unwrap_or(self.plan.headroom))
         };
         let capacity: f64 = self.plan.sites.iter().map(bears).sum();
         let demand = |(n, name): (usize, &String)| {
             let (usual_s, worth) = d.asks(n);
-            let order = self.plan.order.iter().position(|first| first == name);
-            Demand {
+            let order = self.plan.shed_order.iter().position(|first| first == name);
+            CategoryDemand {
                 slots: self.counted.2[n] * usual_s,
-                worth,
-                order,
+                payoff_per_slot_s: worth,
+                shed_position: order,
             }
         };
-        let demands: Vec<Demand> = self.categories.iter().enumerate().map(demand).collect();
-        d.admit(&admitted(&demands, capacity, self.plan.floor));
+        let demands: Vec<CategoryDemand> = self.categories.iter().enumerate().map(demand).collect();
+        d.admit(&admitted_fractions(&demands, capacity, self.plan.floor));
     }
 }
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told at its start.
 
 use sagetrail_dispatch::{number, Names, Told};
-use sagetrail_failover::Plan;
+use sagetrail_failover::FailoverPlan;
 use sagetrail_policy::{read_terms, Stated, Terms};
 use sagetrail_settings::{Fleet, Layers, Store, Trial};
 use serde::Deserialize;
@@ -62,7 +62,7 @@
     /// The zones that the list names; whether their loss is looked for; what operators said of it beforehand.
     pub zones: Vec<String>,
     pub siting: bool,
-    pub plan: Plan,
+    pub plan: FailoverPlan,
     pub trial: Option<Trial>,
     pub json_log: bool,
 }
@@ -283,7 +283,7 @@
         zones: strings(&page.settings["Dcs"]),
         // By the platform's page as it was: no day gained by it (docs/site-loss.md).
         siting: false,
-        plan: Plan::default(),
+        plan: FailoverPlan::default(),
         trial: None,
         json_log: false,
     })
--- a/crates/dispatcher/dispatcher/src/whatif.rs
+++ b/crates/dispatcher/dispatcher/src/whatif.rs
@@ -1,18 +1,21 @@
 //! What the loss of sites would come to, as a table and as a page with a chart.
 
-use sagetrail_failover::Loss;
+use sagetrail_failover::LossForecast;
 use std::fmt::Write;
 
-fn moved(loss: &Loss) -> String {
+fn moved(loss: &LossForecast) -> String {
     let all = loss
-        .moved
+        .moved_slots
         .iter()
         .map(|(name, slots)| format!("{name} +{slots:.1}"));
     all.collect::<Vec<_>>().join(", ")
 }
 
-fn refused(loss: &Loss) -> String {
-    let some = loss.admitted.iter().filter(|(_, part)| *part < 0.9995);
+fn refused(loss: &LossForecast) -> String {
+    let some = loss
+        .admitted_fractions
+        .iter()
+        .filter(|(_, part)| *part < 0.9995);
     let all: Vec<String> = some
         .map(|(name, part)| format!("{name} {:.0}%", 100.0 * (1.0 - part)))
         .collect();
@@ -23,7 +26,7 @@
     }
 }
 
-pub(crate) fn table(losses: &[Loss]) -> String {
+pub(crate) fn table(losses: &[LossForecast]) -> String {
     let mut out = format!(
         "{:<16} {:>6} {:>8}  {:<34} {:<34} {:>8}\n",
         "lost", "load", "of rest", "goes to, slots", "refused", "back"
@@ -34,21 +37,21 @@
             "{:<16} {:>5.0}% {:>7.0}%  {:<34} {:<34} {:>6.0} s",
             loss.lost.join("+"),
             100.0 * loss.load,
-            100.0 * loss.of_rest,
+            100.0 * loss.demand_ratio,
             moved(loss),
             refused(loss),
-            loss.back_s
+            loss.failback_s
         );
     }
     out
 }
 
 /// Bars: what remains is asked for, by loss and load; over the line is refused.
-pub(crate) fn page(losses: &[Loss]) -> String {
+pub(crate) fn page(losses: &[LossForecast]) -> String {
     let escape = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
     let most = losses
         .iter()
-        .map(|loss| loss.of_rest)
+        .map(|loss| loss.demand_ratio)
         .filter(|part| part.is_finite())
         .fold(1.2, f64::max);
     let (row, left, width) = (22.0, 170.0, 700.0);
@@ -56,7 +59,7 @@
     let mut svg = format!("<svg viewBox='0 0 900 {height}' role='img'>");
     for (n, loss) in losses.iter().enumerate() {
         let y = row * n as f64 + 8.0;
-        let long = width * (loss.of_rest.min(most) / most);
+        let long = width * (loss.demand_ratio.min(most) / most);
         let fits = long.min(width / most);
         let _ = write!(
             svg,
--- a/crates/dispatcher/failover/src/detect.rs
+++ b/crates/dispatcher/failover/src/detect.rs
@@ -5,7 +5,7 @@
 //! sites fail too; from a shorter endpoint list, where nothing failed; and, if other dispatchers share their results,
 //! from a network partition on this side, where others still reach the site.
 
-use crate::failback::{Pace, Stage};
+use crate::failback::{FailbackPacing, FailbackStage};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -28,42 +28,42 @@
 
 /// What is known about the reachability of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum SiteHealth {
     /// The site is in use without restriction.
-    Well,
+    Healthy,
     /// No dispatcher that shares its results reaches the site, or none shares results.
     Lost,
     /// Other dispatchers reach the site: the network partition is on this side.
-    CutFromHere,
+    UnreachableFromHere,
 }
 
 /// When a runner last succeeded and last failed, as seen by this dispatcher and by others. Times are in seconds on
 /// the host's clock; negative infinity stands for never.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight {
+pub struct LastResults {
     /// Last success of an attempt by this dispatcher.
-    pub good: f64,
+    pub last_success_s: f64,
     /// Last failure of an attempt by this dispatcher.
-    pub bad: f64,
+    pub last_failure_s: f64,
     /// Last success that another dispatcher reported.
-    pub others_good: f64,
+    pub last_peer_success_s: f64,
     /// Last failure that another dispatcher reported.
-    pub others_bad: f64,
+    pub last_peer_failure_s: f64,
 }
 
-impl Default for Sight {
+impl Default for LastResults {
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
-        Sight {
-            good: never,
-            bad: never,
-            others_good: never,
-            others_bad: never,
+        LastResults {
+            last_success_s: never,
+            last_failure_s: never,
+            last_peer_success_s: never,
+            last_peer_failure_s: never,
         }
     }
 }
 
-impl Sight {
+impl LastResults {
     /// Whether the later of two results was a success. `None` if it is no longer valid; a tie counts as a failure.
     fn later_succeeded(success_s: f64, failure_s: f64, now: f64) -> Option<bool> {
         match () {
@@ -76,11 +76,9 @@
     /// Whether the runner is healthy by this dispatcher's own results, or by the others' results if it has none that
     /// are valid. `None` if neither has any.
     fn is_healthy(&self, now: f64) -> Option<bool> {
-        Sight::later_succeeded(self.good, self.bad, now).or(Sight::later_succeeded(
-            self.others_good,
-            self.others_bad,
-            now,
-        ))
+        LastResults::later_succeeded(self.last_success_s, self.last_failure_s, now).or(
+            LastResults::later_succeeded(self.last_peer_success_s, self.last_peer_failure_s, now),
+        )
     }
 }
 
@@ -90,15 +88,15 @@
     site: u16,
     /// Whether the endpoint list names the runner now.
     is_listed: bool,
-    results: Sight,
+    results: LastResults,
 }
 
 /// State of a site from its loss until its failback is complete.
 struct SiteFailover {
-    cause: Cause,
+    health: SiteHealth,
     /// When the site was found lost, in seconds on the host's clock.
     since_s: f64,
-    pace: Pace,
+    pace: FailbackPacing,
     /// Successes since the loss or since the portion in use last changed.
     successes: u32,
     /// Failures over the same time.
@@ -106,7 +104,7 @@
 }
 
 /// Failure detector for whole sites.
-pub struct Sites {
+pub struct SiteFailureDetector {
     /// Hash of this dispatcher's name.
     own_id: u64,
     /// Runners by their index in the host's table.
@@ -125,67 +123,67 @@
     hasher.finish()
 }
 
-impl Sites {
-    /// Creates a detector without runners. `me` is a number that stands for this dispatcher; `step_s` is the shortest
+impl SiteFailureDetector {
+    /// Creates a detector without runners. `own_id` is a hash of this dispatcher's name; `step_s` is the shortest
     /// time in seconds between two steps of a site's failback.
-    pub fn new(me: u64, step_s: f64) -> Sites {
-        Sites {
-            own_id: me,
+    pub fn new(own_id: u64, step_s: f64) -> SiteFailureDetector {
+        SiteFailureDetector {
+            own_id,
             runners: BTreeMap::new(),
             failovers: BTreeMap::new(),
             step_s,
         }
     }
 
-    /// Sets the site of the runner with index `place` and whether the endpoint list names it. `id` is the hash of the
+    /// Sets the site of the runner with index `index` and whether the endpoint list names it. `id` is the hash of the
     /// runner's name. A runner that leaves the list does not count as failed.
-    pub fn listed(&mut self, place: usize, id: u64, site: u16, listed: bool) {
+    pub fn set_runner(&mut self, index: usize, id: u64, site: u16, is_listed: bool) {
         let new_runner = Runner {
             id,
             site,
-            is_listed: listed,
-            results: Sight::default(),
+            is_listed,
+            results: LastResults::default(),
         };
-        let runner = self.runners.entry(place).or_insert(new_runner);
-        (runner.site, runner.is_listed) = (site, listed);
+        let runner = self.runners.entry(index).or_insert(new_runner);
+        (runner.site, runner.is_listed) = (site, is_listed);
     }
 
-    /// Records the result of an attempt by this dispatcher at the runner with index `place`. `now` is in seconds. An
+    /// Records the result of an attempt by this dispatcher at the runner with index `index`. `now` is in seconds. An
     /// unknown runner is ignored.
-    pub fn saw(&mut self, now: f64, place: usize, good: bool) {
-        let Some(runner) = self.runners.get_mut(&place) else {
+    pub fn record_result(&mut self, now: f64, index: usize, succeeded: bool) {
+        let Some(runner) = self.runners.get_mut(&index) else {
             return;
         };
-        if good {
-            runner.results.good = now
+        if succeeded {
+            runner.results.last_success_s = now
         } else {
-            runner.results.bad = now
+            runner.results.last_failure_s = now
         }
         let site = runner.site;
         let Some(failover) = self.failovers.get_mut(&site) else {
             return;
         };
-        match (failover.pace.stage(), good) {
+        match (failover.pace.stage(), succeeded) {
             // A failure of the canary resets the counts: failures from before it succeeded say nothing about the
             // present.
-            (Stage::Lost, false) => (failover.successes, failover.failures) = (0, 0),
+            (FailbackStage::Lost, false) => (failover.successes, failover.failures) = (0, 0),
             (_, true) => failover.successes += 1,
             (_, false) => failover.failures += 1,
         }
     }
 
-    /// Records the result of an attempt by another dispatcher, made at `at` seconds on this host's clock. An unknown
+    /// Records the result of an attempt by another dispatcher, made at `at_s` seconds on this host's clock. An unknown
     /// runner is ignored.
-    pub fn heard(&mut self, at: f64, place: usize, good: bool) {
-        let Some(runner) = self.runners.get_mut(&place) else {
+    pub fn record_peer_result(&mut self, at_s: f64, index: usize, succeeded: bool) {
+        let Some(runner) = self.runners.get_mut(&index) else {
             return;
         };
-        let last = if good {
-            &mut runner.results.others_good
+        let last = if succeeded {
+            &mut runner.results.last_peer_success_s
         } else {
-            &mut runner.results.others_bad
+            &mut runner.results.last_peer_failure_s
         };
-        *last = last.max(at);
+        *last = last.max(at_s);
     }
 
     /// Listed runners of the selected sites that have a valid result: how many of them fail, and how many there are.
@@ -202,7 +200,7 @@
 
     /// Natural logarithm of the odds that a site is lost, from the results of its runners compared with those of the
     /// other sites. `now` is in seconds.
-    pub fn odds(&self, now: f64, site: u16) -> f64 {
+    pub fn log_odds_of_loss(&self, now: f64, site: u16) -> f64 {
         let (failed, all) = self.count_failed(now, |other| other == site);
         let (failed_elsewhere, all_elsewhere) = self.count_failed(now, |other| other != site);
         // Overload, or jobs that fail on every runner, must not count as a loss, so the failure rate of the other
@@ -215,7 +213,7 @@
     }
 
     /// Checks all sites at `now` seconds. Returns the sites whose state has changed, with their health and stage.
-    pub fn look(&mut self, now: f64) -> Vec<(u16, Cause, Stage)> {
+    pub fn update(&mut self, now: f64) -> Vec<(u16, SiteHealth, FailbackStage)> {
         let mut sites: Vec<u16> = self
             .runners
             .values()
@@ -229,35 +227,35 @@
             let (failed, all) = self.count_failed(now, |other| other == site);
             let looks_lost = failed >= MIN_FAILED_RUNNERS
                 && failed as f64 >= MIN_FAILED_SHARE * all as f64
-                && self.odds(now, site) > LOST_LOG_ODDS;
+                && self.log_odds_of_loss(now, site) > LOST_LOG_ODDS;
             match self.failovers.get(&site) {
                 None if looks_lost => {
-                    let cause = self.cause(now, site);
-                    let pace = Pace::new(now, self.step_s);
+                    let health = self.health(now, site);
+                    let pace = FailbackPacing::new(now, self.step_s);
                     self.failovers.insert(
                         site,
                         SiteFailover {
-                            cause,
+                            health,
                             since_s: now,
                             pace,
                             successes: 0,
                             failures: 0,
                         },
                     );
-                    changed.push((site, cause, Stage::Lost));
+                    changed.push((site, health, FailbackStage::Lost));
                 }
                 Some(_) => {
-                    let cause = self.cause(now, site);
+                    let health = self.health(now, site);
                     let Some(failover) = self.failovers.get_mut(&site) else {
                         continue;
                     };
                     let stage_before = failover.pace.stage();
-                    if stage_before == Stage::Lost
-                        && failover.cause == Cause::Lost
-                        && cause == Cause::CutFromHere
+                    if stage_before == FailbackStage::Lost
+                        && failover.health == SiteHealth::Lost
+                        && health == SiteHealth::UnreachableFromHere
                     {
-                        failover.cause = cause;
-                        changed.push((site, cause, Stage::Lost));
+                        failover.health = health;
+                        changed.push((site, health, FailbackStage::Lost));
                     }
                     let results = (failover.successes, failover.failures);
                     let runner_count = self
@@ -269,12 +267,12 @@
                         (failover.successes, failover.failures) = (0, 0);
                     }
                     let stage = failover.pace.stage();
-                    let cause = failover.cause;
-                    if stage == Stage::Whole && now >= failover.since_s + self.step_s {
+                    let health = failover.health;
+                    if stage == FailbackStage::Complete && now >= failover.since_s + self.step_s {
                         self.failovers.remove(&site);
-                        changed.push((site, Cause::Well, Stage::Whole));
+                        changed.push((site, SiteHealth::Healthy, FailbackStage::Complete));
                     } else if stage != stage_before {
-                        changed.push((site, cause, stage));
+                        changed.push((site, health, stage));
                     }
                 }
                 None => {}
@@ -285,32 +283,32 @@
 
     /// Whether others reach a site that looks lost from here: they reached one of its runners after it failed here. A
     /// success from before that failure says nothing about the present.
-    fn cause(&self, now: f64, site: u16) -> Cause {
+    fn health(&self, now: f64, site: u16) -> SiteHealth {
         let is_reached_by_others = |runner: &Runner| {
-            let Sight {
-                bad,
-                others_good,
-                others_bad,
+            let LastResults {
+                last_failure_s,
+                last_peer_success_s,
+                last_peer_failure_s,
                 ..
             } = runner.results;
-            others_good > bad.max(others_bad)
-                && bad.is_finite()
-                && now < others_good + RESULT_VALID_S
+            last_peer_success_s > last_failure_s.max(last_peer_failure_s)
+                && last_failure_s.is_finite()
+                && now < last_peer_success_s + RESULT_VALID_S
         };
         match self
             .runners
             .values()
             .any(|runner| runner.site == site && runner.is_listed && is_reached_by_others(runner))
         {
-            true => Cause::CutFromHere,
-            false => Cause::Lost,
+            true => SiteHealth::UnreachableFromHere,
+            false => SiteHealth::Lost,
         }
     }
 
     /// Indices, in ascending order, of the runners that get no attempts for now: those of a lost site except this
     /// dispatcher's canary, and those of a returning site outside the portion in use. The portion is the same at every
     /// dispatcher, so that all of them agree on a key's home runner.
-    pub fn away(&self) -> Vec<usize> {
+    pub fn excluded_runners(&self) -> Vec<usize> {
         let mut excluded = Vec::new();
         for (site, failover) in &self.failovers {
             let is_of_site = |runner: &&Runner| runner.site == *site && runner.is_listed;
@@ -334,13 +332,13 @@
     }
 
     /// Sites that are lost or returning, with their health, their stage, and the time of the loss in seconds.
-    pub fn troubled(&self) -> Vec<(u16, Cause, Stage, f64)> {
+    pub fn sites_in_failover(&self) -> Vec<(u16, SiteHealth, FailbackStage, f64)> {
         self.failovers
             .iter()
             .map(|(site, failover)| {
                 (
                     *site,
-                    failover.cause,
+                    failover.health,
                     failover.pace.stage(),
                     failover.since_s,
                 )
--- a/crates/dispatcher/failover/src/failback.rs
+++ b/crates/dispatcher/failover/src/failback.rs
@@ -19,18 +19,18 @@
 
 /// How far a site has returned to service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stage {
+pub enum FailbackStage {
     /// None of its runners is in use except each dispatcher's canary.
     Lost,
     /// This percentage of its runners is in use.
     Returning(u8),
     /// All of its runners are in use.
-    Whole,
+    Complete,
 }
 
 /// Pace of one site's failback.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct FailbackPacing {
     /// Portion of the runners in use, from 0 to 1.
     portion: f64,
     /// When the portion last changed, in seconds.
@@ -44,10 +44,10 @@
     step_s: f64,
 }
 
-impl Pace {
+impl FailbackPacing {
     /// Starts with a site that was lost at `now` seconds. `step_s` is the shortest time in seconds between two steps.
-    pub fn new(now: f64, step_s: f64) -> Pace {
-        Pace {
+    pub fn new(now: f64, step_s: f64) -> FailbackPacing {
+        FailbackPacing {
             portion: 0.0,
             changed_s: now,
             returned_s: f64::NEG_INFINITY,
@@ -57,11 +57,11 @@
     }
 
     /// The stage that corresponds to the portion in use.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> FailbackStage {
         match self.portion {
-            portion if portion <= 0.0 => Stage::Lost,
-            portion if portion < 1.0 => Stage::Returning((100.0 * portion) as u8),
-            _ => Stage::Whole,
+            portion if portion <= 0.0 => FailbackStage::Lost,
+            portion if portion < 1.0 => FailbackStage::Returning((100.0 * portion) as u8),
+            _ => FailbackStage::Complete,
         }
     }
 
--- a/crates/dispatcher/failover/src/lib.rs
+++ b/crates/dispatcher/failover/src/lib.rs
@@ -10,7 +10,7 @@
 mod load_shedding;
 mod plan;
 
-pub use detect::{Cause, Sight, Sites};
-pub use failback::{Pace, Stage};
-pub use load_shedding::{admitted, Demand};
-pub use plan::{Finding, Loss, Plan, Site};
+pub use detect::{LastResults, SiteFailureDetector, SiteHealth};
+pub use failback::{FailbackPacing, FailbackStage};
+pub use load_shedding::{admitted_fractions, CategoryDemand};
+pub use plan::{FailoverPlan, LossForecast, PlanFinding, PlannedSite};
--- a/crates/dispatcher/failover/src/load_shedding.rs
+++ b/crates/dispatcher/failover/src/load_shedding.rs
@@ -3,19 +3,19 @@
 
 /// Capacity that a category asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
+pub struct CategoryDemand {
     /// Slots that the category would occupy if all of it were admitted.
     pub slots: f64,
     /// Payoff of one slot for one second of the category's work.
-    pub worth: f64,
+    pub payoff_per_slot_s: f64,
     /// Position in the plan's order of rejection. Lower positions are rejected first, and all of them before the
     /// categories with `None`, which the plan does not list.
-    pub order: Option<usize>,
+    pub shed_position: Option<usize>,
 }
 
 /// The share of each category that is admitted, from 0 to 1, so that all together fit into `capacity` slots. Each
 /// category keeps at least the share `floor` of its demand. Categories of equal rank get the same share.
-pub fn admitted(demands: &[Demand], capacity: f64, floor: f64) -> Vec<f64> {
+pub fn admitted_fractions(demands: &[CategoryDemand], capacity: f64, floor: f64) -> Vec<f64> {
     let total_slots: f64 = demands.iter().map(|demand| demand.slots).sum();
     if total_slots <= capacity {
         return vec![1.0; demands.len()];
@@ -26,8 +26,10 @@
     // of that order is the very last.
     let rank = |n: usize| {
         (
-            demands[n].order.map_or(usize::MAX, |order| order),
-            demands[n].worth,
+            demands[n]
+                .shed_position
+                .map_or(usize::MAX, |position| position),
+            demands[n].payoff_per_slot_s,
         )
     };
     let mut by_rank: Vec<usize> = (0..demands.len()).collect();
--- a/crates/dispatcher/settings/src/configuration.rs
+++ b/crates/dispatcher/settings/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The checked configuration that `read` yields.
 
 use crate::layers::Value;
-use sagetrail_failover::Plan;
+use sagetrail_failover::FailoverPlan;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -107,7 +107,7 @@
     /// A site's loss is looked for, by this plan.
     pub siting: bool,
     /// What is done when a site is lost.
-    pub plan: Plan,
+    pub plan: FailoverPlan,
     /// What is only unwise about it.
     pub warnings: Vec<String>,
     /// Injected faults, if any are configured.
--- a/crates/dispatcher/settings/src/read/plan.rs
+++ b/crates/dispatcher/settings/src/read/plan.rs
@@ -3,7 +3,7 @@
 use super::categories::DEFAULT_PAYOFF;
 use super::reader::Reader;
 use super::values::text_list;
-use sagetrail_failover::{Plan, Site};
+use sagetrail_failover::{FailoverPlan, PlannedSite};
 use serde_json::{json, Value};
 
 /// The plan, and the warnings about it.
@@ -11,34 +11,34 @@
     reader: &mut Reader,
     settings: &Value,
     categories: &[String],
-) -> (Plan, Vec<String>) {
-    let usual = Plan::default();
-    let plan = Plan {
+) -> (FailoverPlan, Vec<String>) {
+    let usual = FailoverPlan::default();
+    let plan = FailoverPlan {
         sites: sites(reader),
         headroom: reader.number("plan.headroom", usual.headroom),
         floor: reader.number("plan.floor", usual.floor),
-        order: reader.texts("plan.order"),
-        step_s: reader.number("plan.step", usual.step_s),
+        shed_order: reader.texts("plan.order"),
+        failback_step_s: reader.number("plan.step", usual.failback_step_s),
         load: load(reader, settings),
     };
     let warnings = check(reader, &plan, settings, categories);
     (plan, warnings)
 }
 
-fn sites(reader: &mut Reader) -> Vec<Site> {
+fn sites(reader: &mut Reader) -> Vec<PlannedSite> {
     let count = reader.count("plan.sites");
     (0..count).map(|n| site(reader, n)).collect()
 }
 
-fn site(reader: &mut Reader, n: usize) -> Site {
+fn site(reader: &mut Reader, n: usize) -> PlannedSite {
     let at = |key: &str| format!("plan.sites.{n}.{key}");
     reader.require(&at("name"));
     reader.require(&at("capacity"));
-    Site {
+    PlannedSite {
         name: reader.text(&at("name")).unwrap_or_default(),
         capacity: reader.number(&at("capacity"), 1.0),
         headroom: reader.get(&at("headroom")).and_then(Value::as_f64),
-        refuge: reader.texts(&at("refuge")),
+        failover_targets: reader.texts(&at("refuge")),
     }
 }
 
@@ -64,20 +64,25 @@
 }
 
 /// Notes the plan's faults; its warnings.
-fn check(reader: &mut Reader, plan: &Plan, settings: &Value, categories: &[String]) -> Vec<String> {
+fn check(
+    reader: &mut Reader,
+    plan: &FailoverPlan,
+    settings: &Value,
+    categories: &[String],
+) -> Vec<String> {
     let zones = text_list(settings.get("Dcs"));
     let mut warnings = Vec::new();
     for finding in plan.check(&zones, categories) {
-        if !finding.wrong {
-            warnings.push(format!("{}: {}", finding.place, finding.why));
+        if !finding.is_error {
+            warnings.push(format!("{}: {}", finding.key, finding.message));
             continue;
         }
         let exact = reader
             .values
-            .get(&finding.place)
+            .get(&finding.key)
             .map(|value| value.origin.clone());
         let origin = exact.unwrap_or_else(|| reader.origin("plan."));
-        reader.fault(&origin, &finding.place, &finding.why);
+        reader.fault(&origin, &finding.key, &finding.message);
     }
     warnings
 }
