--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -150,7 +150,7 @@
                         open_item.request.id
                     );
                     self.state.write_off(work_item);
-                    work_item.left(&mut self.dispatcher, &mut self.state);
+                    work_item.client_left(&mut self.dispatcher, &mut self.state);
                 }
             } else if open_item
                 .attempt
@@ -189,10 +189,10 @@
             return self.state.host.answer(client, reply);
         }
         let expiry_s = (now + wait_s).min(self.state.shutdown_at_s);
-        let Some(work_item) = self.dispatcher.take(
+        let Some(work_item) = self.dispatcher.submit(
             now,
             Job {
-                expiry: expiry_s,
+                expires_at_s: expiry_s,
                 ..job
             },
         ) else {
@@ -234,7 +234,7 @@
     /// work items that may run again can still be deferred.
     pub fn end_by(&mut self, at: f64) {
         self.state.shutdown_at_s = at;
-        self.dispatcher.end_by(at);
+        self.dispatcher.set_shutdown_at(at);
         for (index, open_item) in self.state.open_items.iter_mut().enumerate() {
             let Some(open_item) = open_item else { continue };
             let mut timers = vec![(open_item.expiry_s + OVERDUE_S, at + OVERDUE_S, EXPIRY_TIMER)];
@@ -265,7 +265,7 @@
             |open_item: &&mut OpenItem<_, _>| open_item.client.as_ref().is_some_and(O::gone);
         if let Some(open_item) = self.state.open_item(work_item).filter(has_left) {
             open_item.client = None;
-            work_item.left(&mut self.dispatcher, &mut self.state);
+            work_item.client_left(&mut self.dispatcher, &mut self.state);
         }
         // No attempt may begin once nobody waits for it. Where cancelling is not allowed, an attempt whose connection is
         // still being established is held back all the same.
@@ -417,13 +417,13 @@
                 status: 503 | 504,
                 declined: true,
                 ..
-            }) => Outcome::Unsure,
+            }) => Outcome::MaybeFull,
             Ok(_) => Outcome::Error,
-            Err(Broken::Unsent) => Outcome::Moot,
+            Err(Broken::Unsent) => Outcome::NotSent,
             Err(Broken::Unreached) => Outcome::NoConnection,
             Err(Broken::Unanswered | Broken::Stale) if is_cancelled => Outcome::Cancelled,
             Err(Broken::Unanswered) => Outcome::Reset,
-            Err(Broken::Stale) => Outcome::Stale,
+            Err(Broken::Stale) => Outcome::StaleConnection,
         };
         self.end_attempt(id, outcome);
     }
@@ -503,7 +503,7 @@
                 .saw(self.state.now_s, attempt.runner, observation)
         });
         let is_settled = outcome == Outcome::Finished;
-        work_item.outcome(
+        work_item.attempt_ended(
             &mut self.dispatcher,
             &mut self.state,
             attempt_number,
--- a/crates/dispatcher/dispatch/src/membership.rs
+++ b/crates/dispatcher/dispatch/src/membership.rs
@@ -6,7 +6,7 @@
 use crate::message::number;
 use crate::saved_state::{Inherited, Known, Learnt, Passed, Usual};
 use crate::state::{ExchangeState, OpenItem, Outside, Ticket};
-use sagetrail_policy::{Kept, Listed, News, Outcome, WorkItem};
+use sagetrail_policy::{ListUpdate, ListedRunner, Outcome, RunnerHandover, WorkItem};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,9 +22,9 @@
     /// Applies an update of the endpoint list.
     pub fn listed(&mut self, update: Told) {
         let kind = if update.whole {
-            News::Whole
+            ListUpdate::Full
         } else {
-            News::Changes
+            ListUpdate::Changes
         };
         self.apply(update, kind);
     }
@@ -32,14 +32,14 @@
     /// Applies an endpoint list from before the start of the exchange. Returns the number of runners for which learned
     /// values were restored.
     pub fn known(&mut self, update: Told) -> usize {
-        self.apply(update, News::Cached)
+        self.apply(update, ListUpdate::Cached)
     }
 
-    fn apply(&mut self, update: Told, kind: News) -> usize {
+    fn apply(&mut self, update: Told, kind: ListUpdate) -> usize {
         // Attempts may begin during half of the grace only. The other half is for the time between the writing of the
         // list and its reading here.
         let closed_from_s = self.state.now_s + 0.5 * self.state.drain_grace_s;
-        if kind != News::Changes {
+        if kind != ListUpdate::Changes {
             self.state.load.gates.iter().for_each(|endpoint| {
                 endpoint
                     .shut_at
@@ -52,7 +52,7 @@
                 entries.push(entry);
             }
         }
-        if kind == News::Whole {
+        if kind == ListUpdate::Full {
             self.state
                 .load
                 .gates
@@ -65,8 +65,9 @@
         // An update that names no runner must not pass for the list: it may be only the first heartbeat.
         self.state
             .host
-            .has_list(kind == News::Whole || !self.state.load.gates.is_empty());
-        self.dispatcher.listed(self.state.now_s, kind, &entries);
+            .has_list(kind == ListUpdate::Full || !self.state.load.gates.is_empty());
+        self.dispatcher
+            .update_list(self.state.now_s, kind, &entries);
         self.apply_agreed_out_of_service(&entries);
         self.end_attempts_at_restarted_runners(&entries);
         self.restore_saved_runners(&entries)
@@ -92,7 +93,7 @@
                 endpoint.address.get()
             );
         }
-        self.dispatcher.by_hand(self.state.now_s, index, out);
+        self.dispatcher.set_disabled(self.state.now_s, index, out);
         true
     }
 
@@ -109,7 +110,7 @@
 
     /// Takes newly listed runners out of service if that was agreed before the list named them, so that not even a
     /// first attempt goes to them.
-    fn apply_agreed_out_of_service(&mut self, entries: &[(usize, Option<Listed>)]) {
+    fn apply_agreed_out_of_service(&mut self, entries: &[(usize, Option<ListedRunner>)]) {
         if self.state.agreed_out_of_service.is_empty() {
             return;
         }
@@ -150,7 +151,9 @@
         let now = self.state.now_s;
         (
             listed().count(),
-            listed().filter(|&r| self.dispatcher.avoids(r, now)).count(),
+            listed()
+                .filter(|&r| self.dispatcher.is_avoided(r, now))
+                .count(),
         )
     }
 
@@ -161,11 +164,11 @@
     pub fn learnt(&self, terms: &[u64]) -> Learnt {
         let duration = |(n, &terms)| {
             self.dispatcher
-                .usual(n)
+                .usual_run_s(n)
                 .map(|seconds| Usual { terms, seconds })
         };
         let saved_runner = |(index, endpoint): (usize, &Rc<Gate>)| {
-            let (born, slots, pace) = self.dispatcher.learnt(index)?;
+            let (born, slots, pace) = self.dispatcher.learned_runner(index)?;
             let started = if born.is_finite() {
                 born + self.state.unix_at_zero_s
             } else {
@@ -210,7 +213,7 @@
         };
         let durations = saved.usuals.iter().filter_map(duration);
         durations
-            .map(|(n, seconds)| self.dispatcher.carry_usual(n, seconds))
+            .map(|(n, seconds)| self.dispatcher.restore_usual_run(n, seconds))
             .count()
     }
 
@@ -220,17 +223,17 @@
     /// runner. From then on only the new process sends to cold runners, since the two processes together have a single
     /// share of their slow-start budget.
     pub fn hand_over(&mut self, terms: &[u64]) -> (Learnt, Vec<Inherited>) {
-        self.dispatcher.leave_cold(self.state.now_s, true);
+        self.dispatcher.yield_cold_runners(self.state.now_s, true);
         let to_unix = |at_s: f64| at_s + self.state.unix_at_zero_s;
         let handover = |(index, member): (usize, &Member)| {
-            let Kept {
-                out,
-                back,
-                spent,
+            let RunnerHandover {
+                disabled_at_s: out,
+                enabled_at_s: back,
+                cold_sends: spent,
                 evidence,
-                resting,
-                rest_s,
-            } = self.dispatcher.kept(index);
+                ejected_until_s: resting,
+                ejection_s: rest_s,
+            } = self.dispatcher.runner_handover(index);
             let (out, back, resting) = (out.map(to_unix), back.map(to_unix), resting.map(to_unix));
             let spent = spent
                 .into_iter()
@@ -260,7 +263,7 @@
     /// The new process ended too early. This process sends to cold runners again, once what the new process may have
     /// sent to them no longer counts.
     pub fn hand_over_failed(&mut self) {
-        self.dispatcher.leave_cold(self.state.now_s, false);
+        self.dispatcher.yield_cold_runners(self.state.now_s, false);
     }
 
     /// Takes over the state of the process before this one. `deployment` and `terms` are this process's own hashes;
@@ -312,13 +315,13 @@
                 .collect();
             kept.push((
                 index,
-                Kept {
-                    out,
-                    back,
-                    spent,
+                RunnerHandover {
+                    disabled_at_s: out,
+                    enabled_at_s: back,
+                    cold_sends: spent,
                     evidence,
-                    resting,
-                    rest_s,
+                    ejected_until_s: resting,
+                    ejection_s: rest_s,
                 },
             ));
         }
@@ -327,7 +330,7 @@
 
     /// Restores learned values for listed runners and returns the number of runners. The values apply only to the same
     /// process at the same address: a runner that has restarted since is cold, and nothing is known about it.
-    fn restore_saved_runners(&mut self, entries: &[(usize, Option<Listed>)]) -> usize {
+    fn restore_saved_runners(&mut self, entries: &[(usize, Option<ListedRunner>)]) -> usize {
         let mut restored = 0;
         for &(index, listed) in entries {
             let endpoint = &self.state.load.gates[index];
@@ -340,12 +343,14 @@
                 f64::NEG_INFINITY
             };
             // The tolerance is 10 ms because the clocks are read twice. A process takes longer than that to start.
-            let is_same_process =
-                |listed: Listed| listed.born == started_s || (listed.born - started_s).abs() < 0.01;
+            let is_same_process = |listed: ListedRunner| {
+                listed.started_at_s == started_s || (listed.started_at_s - started_s).abs() < 0.01
+            };
             if listed.is_some_and(is_same_process)
                 && endpoint.address.get().to_string() == saved.address
             {
-                self.dispatcher.carry_runner(index, saved.slots, saved.pace);
+                self.dispatcher
+                    .restore_runner(index, saved.slots, saved.pace);
                 restored += 1;
             }
         }
@@ -354,10 +359,10 @@
 
     /// Ends the attempts that were sent to an earlier process of a runner that has restarted. If the machine vanished,
     /// no callback about their jobs will ever come, and the new process has none of them.
-    fn end_attempts_at_restarted_runners(&mut self, entries: &[(usize, Option<Listed>)]) {
+    fn end_attempts_at_restarted_runners(&mut self, entries: &[(usize, Option<ListedRunner>)]) {
         let starts_s: BTreeMap<usize, f64> = entries
             .iter()
-            .filter_map(|(index, listed)| Some((*index, (*listed)?.born)))
+            .filter_map(|(index, listed)| Some((*index, (*listed)?.started_at_s)))
             .collect();
         for index in 0..self.state.open_items.len() {
             let Some(OpenItem {
@@ -402,7 +407,7 @@
         &mut self,
         member: Member,
         closed_from_s: f64,
-    ) -> Option<(usize, Option<Listed>)> {
+    ) -> Option<(usize, Option<ListedRunner>)> {
         let index = match self.runner_indices.get(&member.id) {
             Some(&index) => index,
             None => {
@@ -429,10 +434,10 @@
         } else {
             endpoint.shut_at.get().min(closed_from_s)
         });
-        let listed = Listed {
+        let listed = ListedRunner {
             id: number(&member.id),
             kind: member.kind,
-            born: if member.started > 0.0 {
+            started_at_s: if member.started > 0.0 {
                 member.started - self.unix_at_zero_s
             } else {
                 f64::NEG_INFINITY
--- a/crates/dispatcher/dispatch/src/state.rs
+++ b/crates/dispatcher/dispatch/src/state.rs
@@ -403,7 +403,7 @@
         }
     }
 
-    fn forget(&mut self, work_item: WorkItem) {
+    fn release_handle(&mut self, work_item: WorkItem) {
         if let Some(open_item) = self
             .open_items
             .get_mut(work_item.0 as usize)
@@ -429,15 +429,15 @@
         // This protocol has no load probe, and the terms given to the policy say so.
     }
 
-    fn wake(&mut self, in_s: f64) {
+    fn wake_in(&mut self, in_s: f64) {
         self.wake_at_s = self.now_s + in_s;
     }
 
-    fn doubts(&mut self, runner: usize) {
+    fn runner_silent(&mut self, runner: usize) {
         self.host.saw(self.now_s, runner, Saw::Silent);
     }
 
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.host.ask_discovery();
     }
 
--- a/crates/dispatcher/dispatcher/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -118,7 +118,7 @@
             self.go_otherwise(load, &mut away);
         }
         if away != self.away {
-            d.away(now, &away);
+            d.set_unreachable(now, &away);
             self.away = away;
         }
         self.refuse(now, d);
@@ -170,7 +170,7 @@
         }
         let troubled = self.sites.sites_in_failover();
         if troubled.is_empty() {
-            return d.admit(&[]);
+            return d.set_admission(&[]);
         }
         // A returning site counts by its portion; what is cut off from here is none of ours for now.
         let part = |name: &String| {
@@ -186,7 +186,7 @@
         };
         let capacity: f64 = self.plan.sites.iter().map(bears).sum();
         let demand = |(n, name): (usize, &String)| {
-            let (usual_s, worth) = d.asks(n);
+            let (usual_s, worth) = d.usual_run_and_worth(n);
             let order = self.plan.shed_order.iter().position(|first| first == name);
             CategoryDemand {
                 slots: self.counted.2[n] * usual_s,
@@ -195,6 +195,6 @@
             }
         };
         let demands: Vec<CategoryDemand> = self.categories.iter().enumerate().map(demand).collect();
-        d.admit(&admitted_fractions(&demands, capacity, self.plan.floor));
+        d.set_admission(&admitted_fractions(&demands, capacity, self.plan.floor));
     }
 }
--- a/crates/dispatcher/simulator-adapter/src/host.rs
+++ b/crates/dispatcher/simulator-adapter/src/host.rs
@@ -3,7 +3,8 @@
 
 use crate::frame::{Batch, Fields, Reply, ENTRY_LEN};
 use sagetrail_policy::{
-    read_terms, Dispatcher, Host, Job, Listed, News, Outcome, Stated, WorkItem,
+    parse_policy_config, Dispatcher, FlatSettings, Host, Job, ListUpdate, ListedRunner, Outcome,
+    WorkItem,
 };
 use std::collections::HashMap;
 
@@ -109,17 +110,17 @@
         self.reply
             .push_action(60, self.instance, &[&self.ids.addresses[runner]]);
     }
-    fn forget(&mut self, work_item: WorkItem) {
+    fn release_handle(&mut self, work_item: WorkItem) {
         self.ids
             .work_items
             .remove(&self.ids.work_item_ids[work_item.0 as usize]);
     }
-    fn wake(&mut self, in_s: f64) {
+    fn wake_in(&mut self, in_s: f64) {
         // An hour at most, because the protocol's timers end a little later.
         let wait_us = (to_micros(in_s.min(3600.0)) as u32).to_le_bytes();
         self.reply.push_action(50, self.instance, &[&wait_us]);
     }
-    fn watch(&mut self) {
+    fn request_list(&mut self) {
         self.reply.push_action(110, self.instance, &[&[1]]);
     }
     fn log(&mut self, runner: usize, line: &str) {
@@ -139,9 +140,9 @@
     /// Numbers of the instances with events in the present batch, in the order of their first event.
     instances_with_events: Vec<u16>,
     /// Endpoint lists by their number, which events refer to. An entry without a value is a runner that is gone.
-    rosters: Vec<Vec<(Address, Option<Listed>)>>,
+    rosters: Vec<Vec<(Address, Option<ListedRunner>)>>,
     /// Buffer for the entries of one list, with the indices of the runners.
-    entries: Vec<(usize, Option<Listed>)>,
+    entries: Vec<(usize, Option<ListedRunner>)>,
 }
 
 impl Process {
@@ -185,7 +186,7 @@
         match code {
             // An instance starts.
             10 => {
-                let terms = read_terms(&parse_settings(batch.tail(record, 11, 1)?)?)?;
+                let terms = parse_policy_config(&parse_settings(batch.tail(record, 11, 1)?)?)?;
                 let dispatcher = Dispatcher::new(terms, record.u64(3), now_s);
                 if self.instances.len() <= instance as usize {
                     self.instances.resize_with(instance as usize + 1, || None);
@@ -246,9 +247,9 @@
             // An endpoint list, or the news that discovery failed.
             20 => {
                 let kind = match record.u8(3) {
-                    4 => News::Changes,
-                    1 => News::Whole,
-                    0 => News::Cached,
+                    4 => ListUpdate::Changes,
+                    1 => ListUpdate::Full,
+                    0 => ListUpdate::Cached,
                     2 => {
                         dispatcher.discovery_failed(now_s);
                         return Ok(());
@@ -264,7 +265,7 @@
                         .iter()
                         .map(|(address, listed)| (ids.runner_index(*address), *listed)),
                 );
-                dispatcher.listed(now_s, kind, &self.entries);
+                dispatcher.update_list(now_s, kind, &self.entries);
             }
             // A work item arrives.
             30 => {
@@ -277,8 +278,8 @@
                     } else {
                         short_key_hash(record.u64(12))
                     },
-                    expiry: record.u64(20) as f64 / 1e6,
-                    hint: if flags & 1 != 0 {
+                    expires_at_s: record.u64(20) as f64 / 1e6,
+                    hint_s: if flags & 1 != 0 {
                         record.u32(28) as f64 / 1e6
                     } else {
                         0.0
@@ -287,7 +288,7 @@
                     memory: record.f32(36) as f64,
                 };
                 let work_item = dispatcher
-                    .take(now_s, job)
+                    .submit(now_s, job)
                     .ok_or_else(|| format!("category {category} is not in the settings"))?;
                 if ids.work_item_ids.len() <= work_item.0 as usize {
                     ids.work_item_ids.resize(work_item.0 as usize + 1, 0);
@@ -311,7 +312,7 @@
                         instance,
                         now_s,
                     };
-                    work_item.outcome(
+                    work_item.attempt_ended(
                         dispatcher,
                         &mut host,
                         record.u16(7),
@@ -323,7 +324,7 @@
             // The client of a work item has left.
             60 => {
                 if let Some(work_item) = work_item {
-                    work_item.left(
+                    work_item.client_left(
                         dispatcher,
                         &mut InstanceHost {
                             ids,
@@ -339,7 +340,7 @@
                 if let Some(&runner) = ids.runner_indices.get(&record.address(9)) {
                     let report: [f32; 4] = std::array::from_fn(|n| record.f32(16 + 4 * n));
                     let value_count = (record.u8(15) as usize).min(4);
-                    dispatcher.probed(
+                    dispatcher.probe_ended(
                         now_s,
                         runner,
                         parse_outcome(record.u16(3))?,
@@ -363,30 +364,30 @@
 }
 
 /// Parses the settings in the start event of an instance: one path=value pair on each line.
-fn parse_settings(text: &[u8]) -> Result<Stated, String> {
+fn parse_settings(text: &[u8]) -> Result<FlatSettings, String> {
     let text = std::str::from_utf8(text)
         .map_err(|error| format!("expected settings in UTF-8: {error}"))?;
-    let mut settings = Stated::default();
+    let mut settings = FlatSettings::default();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         let (path, value) = line
             .split_once('=')
             .ok_or_else(|| format!("expected path=value, got setting line '{line}'"))?;
-        settings.state(path, value);
+        settings.insert(path, value);
     }
     Ok(settings)
 }
 
 /// Parses a roster entry. It has no value if the runner is gone.
-fn parse_entry(entry: Fields) -> (Address, Option<Listed>) {
+fn parse_entry(entry: Fields) -> (Address, Option<ListedRunner>) {
     let started_s = match entry.u64(1) {
         0 => f64::NEG_INFINITY,
         started_us => started_us as f64 / 1e6,
     };
     let address = entry.address(9);
-    let listed = Listed {
+    let listed = ListedRunner {
         id: runner_id(address),
         kind: entry.u8(0),
-        born: started_s,
+        started_at_s: started_s,
         cell: entry.u16(15),
         zone: entry.u16(17),
         ready: entry.u8(19) == 1,
@@ -403,7 +404,7 @@
         4 => Outcome::NoConnection,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(format!("expected an outcome from 0 to 7, got {other}")),
     })
 }
