--- a/crates/dispatcher/dispatch/src/endpoint_list.rs
+++ b/crates/dispatcher/dispatch/src/endpoint_list.rs
@@ -7,7 +7,7 @@
 
 /// Names of zones and kinds. An entry of the list refers to them by their position here.
 #[derive(Clone, Default)]
-pub struct Names {
+pub struct ListNames {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of runners.
@@ -16,7 +16,7 @@
 
 /// Lifecycle of a runner as the endpoint list states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
+pub enum Lifecycle {
     /// The runner takes new attempts.
     Ready,
     /// The runner finishes its jobs and takes no new attempts.
@@ -27,7 +27,7 @@
 
 /// Entry of the endpoint list: one runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Member {
+pub struct ListEntry {
     /// Name of the runner.
     pub id: String,
     /// Address and port. Only an entry of a runner that is gone may lack it.
@@ -39,22 +39,24 @@
     /// Number of the cell within the zone; 0 where the list states none.
     pub cell: u16,
     /// When the runner's process started, in Unix seconds; 0 if it started long ago.
-    pub started: f64,
+    #[serde(rename = "started")]
+    pub started_unix_s: f64,
     /// Lifecycle of the runner.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub lifecycle: Lifecycle,
 }
 
 /// One update of the endpoint list: all of it, or the entries that changed.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct DiscoveryUpdate {
     /// Version of the list after this update.
     pub generation: u64,
     /// Whether the update is the complete list. If so, runners that it does not name are no longer listed.
-    pub whole: bool,
+    pub is_full: bool,
     /// Entries of the update.
-    pub members: Vec<Member>,
+    pub entries: Vec<ListEntry>,
     /// Whether entries that could not be read were left out.
-    pub damaged: bool,
+    pub has_invalid_entries: bool,
 }
 
 /// JSON form of an update.
@@ -85,12 +87,12 @@
     started_at_ms: f64,
 }
 
-fn parse_entry(entry: Value, names: &Names) -> Result<Member, String> {
+fn parse_entry(entry: Value, names: &ListNames) -> Result<ListEntry, String> {
     let entry: UpdateEntry = serde_json::from_value(entry).map_err(|error| error.to_string())?;
-    let life = match entry.lifecycle.as_str() {
-        "Ready" => Life::Ready,
-        "Terminating" => Life::Draining,
-        "Gone" => Life::Gone,
+    let lifecycle = match entry.lifecycle.as_str() {
+        "Ready" => Lifecycle::Ready,
+        "Terminating" => Lifecycle::Draining,
+        "Gone" => Lifecycle::Gone,
         other => {
             return Err(format!(
                 "expected lifecycle Ready, Terminating or Gone, got '{other}'"
@@ -101,7 +103,7 @@
         .host_port
         .as_deref()
         .and_then(|text| text.parse().ok());
-    if address.is_none() && life != Life::Gone {
+    if address.is_none() && lifecycle != Lifecycle::Gone {
         return Err(format!(
             "expected an address and a port for runner '{}', got '{}'",
             entry.instance_id,
@@ -109,36 +111,36 @@
         ));
     }
     let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
-    Ok(Member {
+    Ok(ListEntry {
         address,
         kind: position(&names.kinds, &entry.machine_type).map_or(u8::MAX, |at| at as u8),
         zone: position(&names.zones, &entry.zone).map_or(u16::MAX, |at| at as u16),
         cell: entry.cell,
-        started: entry.started_at_ms / 1e3,
-        life,
+        started_unix_s: entry.started_at_ms / 1e3,
+        lifecycle,
         id: entry.instance_id,
     })
 }
 
-impl Told {
+impl DiscoveryUpdate {
     /// Reads an update from JSON. Entries that cannot be read are left out and logged.
     ///
     /// # Errors
     ///
     /// Says why the update as a whole cannot be read.
-    pub fn read(value: Value, names: &Names) -> Result<Told, String> {
+    pub fn parse(value: Value, names: &ListNames) -> Result<DiscoveryUpdate, String> {
         let line: UpdateLine = serde_json::from_value(value).map_err(|error| error.to_string())?;
-        let mut update = Told {
+        let mut update = DiscoveryUpdate {
             generation: line.generation,
-            whole: line.reset,
-            ..Told::default()
+            is_full: line.reset,
+            ..DiscoveryUpdate::default()
         };
         for entry in line.instances {
             match parse_entry(entry, names) {
-                Ok(member) => update.members.push(member),
+                Ok(entry) => update.entries.push(entry),
                 Err(reason) => {
                     tracing::warn!("entry of the endpoint list ignored: {reason}");
-                    update.damaged = true;
+                    update.has_invalid_entries = true;
                 }
             }
         }
@@ -148,34 +150,34 @@
 
 /// State of a runner's endpoint. The exchange writes it. The host reads it just before the first byte of an attempt is
 /// written, to decide whether the attempt may still begin.
-pub struct Gate {
+pub struct Endpoint {
     /// Name of the runner.
     pub name: String,
     /// Address and port.
     pub address: Cell<SocketAddr>,
     /// No attempt may begin from this time on, in seconds on the exchange's clock, because the runner drains or is
     /// gone; infinity for no limit.
-    pub shut_at: Cell<f64>,
+    pub closed_from_s: Cell<f64>,
     /// Whether operators have taken the runner out of service.
-    pub out: Cell<bool>,
+    pub out_of_service: Cell<bool>,
     /// Whether the endpoint list names the runner now.
-    pub listed: Cell<bool>,
+    pub is_listed: Cell<bool>,
     /// When the runner's process started according to the endpoint list, in Unix seconds; 0 if it started long ago.
-    pub started: Cell<f64>,
+    pub started_unix_s: Cell<f64>,
     /// Position of the zone's name; `u16::MAX` for an unknown zone.
     pub zone: Cell<u16>,
 }
 
-impl Gate {
-    /// An endpoint that is listed, in service and without a limit. `started` is in Unix seconds.
-    pub fn new(name: String, address: SocketAddr, started: f64) -> Self {
-        Gate {
+impl Endpoint {
+    /// An endpoint that is listed, in service and without a limit. `started_unix_s` is in Unix seconds.
+    pub fn new(name: String, address: SocketAddr, started_unix_s: f64) -> Self {
+        Endpoint {
             name,
             address: Cell::new(address),
-            shut_at: Cell::new(f64::INFINITY),
-            out: Cell::new(false),
-            listed: Cell::new(true),
-            started: Cell::new(started),
+            closed_from_s: Cell::new(f64::INFINITY),
+            out_of_service: Cell::new(false),
+            is_listed: Cell::new(true),
+            started_unix_s: Cell::new(started_unix_s),
             zone: Cell::new(u16::MAX),
         }
     }
--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -1,9 +1,9 @@
 //! Turns events from clients and runners into calls on the policy, which then decides once.
 
-use crate::message::{Answer, Broken, Callback, Order, Reply, State};
+use crate::message::{Callback, JobState, Reply, RequestFailure, RunnerResponse, WorkRequest};
 use crate::state::{
-    to_micros, ExchangeState, Load, OpenItem, Outside, Saw, Task, Ticket, EXPIRY_TIMER, OVERDUE_S,
-    SHUTDOWN_MARGIN_S,
+    to_micros, AttemptId, ExchangeHost, ExchangeState, Load, Observation, OpenItem, Purpose,
+    EXPIRY_TIMER, OVERDUE_S, SHUTDOWN_MARGIN_S,
 };
 use sagetrail_policy::{Dispatcher, Host, Job, Outcome, WorkItem};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -14,50 +14,50 @@
 /// is still short compared with a job.
 const START_DELAY_S: f64 = 0.005;
 
-/// Dispatch of work items. The host calls [`Exchange::at`] with the time, then makes the calls for the events at hand,
-/// each through [`Exchange::guarded`], then calls [`Exchange::settle`]. It does so for each batch of events and
-/// whenever [`Exchange::due`] is reached.
-pub struct Exchange<O: Outside> {
+/// Dispatch of work items. The host calls [`Exchange::set_now`] with the time, then makes the calls for the events at hand,
+/// each through [`Exchange::contain_panic`], then calls [`Exchange::process_due`]. It does so for each batch of events and
+/// whenever [`Exchange::next_due_s`] is reached.
+pub struct Exchange<O: ExchangeHost> {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) state: ExchangeState<O>,
 }
 
 /// Configuration of an exchange.
-pub struct Parts {
+pub struct ExchangeConfig {
     /// Unix time in seconds at 0 on the exchange's clock.
-    pub unix: f64,
+    pub unix_at_zero_s: f64,
     /// Longest time in seconds for establishing a connection to a runner.
-    pub dial_s: f64,
+    pub connect_timeout_s: f64,
     /// Grace in seconds after the news that a runner drains, within which attempts may still begin there.
-    pub drain_s: f64,
+    pub drain_grace_s: f64,
     /// Limit of the number of open work items.
-    pub most_held: usize,
+    pub max_open_work_items: usize,
     /// Retry time in seconds for a client that is rejected because of this limit.
     pub retry_after_s: f64,
     /// Whether a work item may be at two runners at once.
-    pub two_at_once: bool,
+    pub allow_concurrent_attempts: bool,
     /// Whether runners may be asked to cancel jobs.
     pub may_cancel: bool,
 }
 
-impl<O: Outside> Exchange<O> {
+impl<O: ExchangeHost> Exchange<O> {
     /// Creates an exchange without work items and without an endpoint list. `now` is in seconds on its clock.
-    pub fn new(dispatcher: Dispatcher, outside: O, parts: Parts, now: f64) -> Self {
-        let Parts {
-            unix,
-            dial_s,
-            drain_s,
-            most_held,
+    pub fn new(dispatcher: Dispatcher, host: O, config: ExchangeConfig, now: f64) -> Self {
+        let ExchangeConfig {
+            unix_at_zero_s,
+            connect_timeout_s,
+            drain_grace_s,
+            max_open_work_items,
             retry_after_s,
-            two_at_once,
+            allow_concurrent_attempts,
             may_cancel,
-        } = parts;
+        } = config;
         let state = ExchangeState {
-            host: outside,
+            host,
             now_s: now,
-            unix_at_zero_s: unix,
-            connect_timeout_s: dial_s,
-            drain_grace_s: drain_s,
+            unix_at_zero_s,
+            connect_timeout_s,
+            drain_grace_s,
             load: Load::default(),
             list_entries: Vec::new(),
             runner_indices: HashMap::new(),
@@ -67,9 +67,9 @@
             timers: BTreeMap::new(),
             pending_starts: VecDeque::new(),
             wake_at_s: 0.0,
-            max_open_items: most_held,
+            max_open_items: max_open_work_items,
             retry_after_s,
-            may_run_twice: two_at_once,
+            may_run_twice: allow_concurrent_attempts,
             may_cancel,
             agreed_out_of_service: BTreeSet::new(),
             saved_runners: HashMap::new(),
@@ -84,12 +84,12 @@
     }
 
     /// Sets the time, in seconds, at which the following calls happen.
-    pub fn at(&mut self, now: f64) {
+    pub fn set_now(&mut self, now: f64) {
         self.state.now_s = now;
     }
 
-    /// When [`Exchange::settle`] must be called again even without an event, in seconds.
-    pub fn due(&self) -> f64 {
+    /// When [`Exchange::process_due`] must be called again even without an event, in seconds.
+    pub fn next_due_s(&self) -> f64 {
         let timer_s = self
             .state
             .timers
@@ -104,24 +104,28 @@
     }
 
     /// Handles the timers that have expired and the starts that are due, then has the policy decide once.
-    pub fn settle(&mut self) {
-        self.guarded(Exchange::handle_expired_timers);
+    pub fn process_due(&mut self) {
+        self.contain_panic(Exchange::handle_expired_timers);
         let due_until_s = self.state.now_s - START_DELAY_S;
-        self.guarded(|exchange| exchange.pass_on_starts(|_, at, _| at <= due_until_s));
-        self.guarded(|exchange| {
+        self.contain_panic(|exchange| exchange.pass_on_starts(|_, at, _| at <= due_until_s));
+        self.contain_panic(|exchange| {
             if exchange.state.wake_at_s <= exchange.state.now_s {
                 exchange.state.wake_at_s = f64::INFINITY;
             }
             let (state, dispatcher) = (&mut exchange.state, &mut exchange.dispatcher);
-            state.host.advise(state.now_s, dispatcher, &state.load);
+            state
+                .host
+                .apply_shared_state(state.now_s, dispatcher, &state.load);
             dispatcher.decide(state);
-            state.host.spent(state.now_s, dispatcher, &state.load);
+            state
+                .host
+                .report_budget_use(state.now_s, dispatcher, &state.load);
         });
     }
 
     /// Makes a call and contains a panic in it, so that one faulty call does not end the dispatcher and all other work
     /// items are still settled.
-    pub fn guarded(&mut self, call: impl FnOnce(&mut Self)) {
+    pub fn contain_panic(&mut self, call: impl FnOnce(&mut Self)) {
         if catch_unwind(AssertUnwindSafe(|| call(self))).is_err() {
             tracing::error!("panic in the exchange contained");
             self.state.wake_at_s = self.state.now_s + 0.1;
@@ -157,7 +161,7 @@
                 .as_ref()
                 .is_some_and(|attempt| attempt.number == number)
             {
-                let id = Ticket {
+                let id = AttemptId {
                     work_item,
                     serial,
                     attempt_number: number,
@@ -172,9 +176,9 @@
 
     /// Accepts a work item from a client, or rejects it with a reply. `wait_s` is the time in seconds that the client
     /// waits; the expiry in `job` is ignored.
-    pub fn take(&mut self, order: Order, job: Job, wait_s: f64, client: O::Client) {
+    pub fn accept(&mut self, request: WorkRequest, job: Job, wait_s: f64, client: O::Client) {
         let now = self.state.now_s;
-        if self.state.work_items_by_id.contains_key(&order.id) {
+        if self.state.work_items_by_id.contains_key(&request.id) {
             return self
                 .state
                 .host
@@ -205,7 +209,7 @@
         let serial = self.state.last_serial;
         self.state
             .work_items_by_id
-            .insert(order.id.clone(), work_item);
+            .insert(request.id.clone(), work_item);
         self.state.timers.insert(
             (to_micros(expiry_s + OVERDUE_S), serial, EXPIRY_TIMER),
             work_item,
@@ -216,12 +220,12 @@
         }
         let category = job.category;
         self.state.load.adjust_work_items(category, true);
-        self.state.host.took(now, category);
+        self.state.host.record_arrival(now, category);
         let client = Some(client);
         self.state.open_items[index] = Some(OpenItem {
             serial,
             category,
-            request: order,
+            request,
             client,
             expiry_s,
             attempt_count: 0,
@@ -232,7 +236,7 @@
 
     /// Shuts the exchange down: everything is settled at `at` seconds. Attempts are dropped a little earlier, so that
     /// work items that may run again can still be deferred.
-    pub fn end_by(&mut self, at: f64) {
+    pub fn shut_down_by(&mut self, at: f64) {
         self.state.shutdown_at_s = at;
         self.dispatcher.set_shutdown_at(at);
         for (index, open_item) in self.state.open_items.iter_mut().enumerate() {
@@ -256,13 +260,14 @@
     }
 
     /// The client of the work item with this id has closed its connection.
-    pub fn left(&mut self, id: &str) {
+    pub fn client_left(&mut self, id: &str) {
         let Some(&work_item) = self.state.work_items_by_id.get(id) else {
             return;
         };
         // The client that left may be one that was rejected because another had the same id.
-        let has_left =
-            |open_item: &&mut OpenItem<_, _>| open_item.client.as_ref().is_some_and(O::gone);
+        let has_left = |open_item: &&mut OpenItem<_, _>| {
+            open_item.client.as_ref().is_some_and(O::has_disconnected)
+        };
         if let Some(open_item) = self.state.open_item(work_item).filter(has_left) {
             open_item.client = None;
             work_item.client_left(&mut self.dispatcher, &mut self.state);
@@ -282,7 +287,7 @@
             .as_ref()
             .filter(|attempt| !attempt.is_cancelled && !attempt.is_written.get())
         {
-            let id = Ticket {
+            let id = AttemptId {
                 work_item,
                 serial,
                 attempt_number: attempt.number,
@@ -322,10 +327,10 @@
         // The callback is about an earlier attempt if it comes from another runner, or before this attempt was written.
         let (number, runner, is_written) =
             (attempt.number, attempt.runner, attempt.is_written.get());
-        if !is_written || self.state.load.gates[runner].name != callback.from {
+        if !is_written || self.state.load.endpoints[runner].name != callback.from {
             return;
         }
-        let id = Ticket {
+        let id = AttemptId {
             work_item,
             serial,
             attempt_number: number,
@@ -337,24 +342,24 @@
         }
         work_item.accepted(&mut self.dispatcher, now, number);
         match callback.state {
-            State::Started => self.state.pending_starts.push_back((now, id)),
-            State::Running { share } => {
+            JobState::Started => self.state.pending_starts.push_back((now, id)),
+            JobState::Running { share } => {
                 work_item.progressed(&mut self.dispatcher, now, number, share.clamp(0.0, 1.0))
             }
-            State::Done { result } => {
+            JobState::Done { result } => {
                 self.state.reply(work_item, Reply::new(200, result));
                 self.end_attempt(id, Outcome::Finished);
             }
-            State::Failed => self.end_by_callback(id, Outcome::Error),
-            State::Returned => self.end_by_callback(id, Outcome::Full),
-            State::Lost => self.end_by_callback(id, Outcome::Reset),
+            JobState::Failed => self.end_by_callback(id, Outcome::Error),
+            JobState::Returned => self.end_by_callback(id, Outcome::Full),
+            JobState::Lost => self.end_by_callback(id, Outcome::Reset),
         }
     }
 
     /// Ends an attempt by a runner's callback. If the runner had an earlier attempt of the work item, the callback may
     /// be a late or repeated one about that, and the present attempt may still run. It is then cancelled first and
     /// counts as one that may have run.
-    fn end_by_callback(&mut self, id: Ticket, outcome: Outcome) {
+    fn end_by_callback(&mut self, id: AttemptId, outcome: Outcome) {
         let runner = self.state.attempt(id).map(|attempt| attempt.runner);
         let open_item = self.state.open_item(id.work_item);
         let had_earlier_attempt = open_item.is_some_and(|open_item| {
@@ -371,21 +376,29 @@
     }
 
     /// The host reports the end of a request to a runner: the response, or how far the request had come when it failed.
-    pub fn errand_ended(&mut self, task: Task, ended: Result<Answer, Broken>) {
-        match task {
-            Task::Attempt(id) => self.attempt_request_ended(id, ended),
-            Task::GiveUp(id, outcome) => self.cancel_request_ended(id, outcome, ended),
+    pub fn request_ended(
+        &mut self,
+        purpose: Purpose,
+        ended: Result<RunnerResponse, RequestFailure>,
+    ) {
+        match purpose {
+            Purpose::Attempt(id) => self.attempt_request_ended(id, ended),
+            Purpose::Cancel(id, outcome) => self.cancel_request_ended(id, outcome, ended),
         }
     }
 
-    /// Repeats a request to cancel an attempt, after the pause that [`Outside::again`] asked for.
-    pub fn again(&mut self, task: Task) {
-        if let Task::GiveUp(id, outcome) = task {
+    /// Repeats a request to cancel an attempt, after the pause that [`ExchangeHost::schedule_retry`] asked for.
+    pub fn retry(&mut self, purpose: Purpose) {
+        if let Purpose::Cancel(id, outcome) = purpose {
             self.state.cancel_attempt(id, outcome);
         }
     }
 
-    fn attempt_request_ended(&mut self, id: Ticket, ended: Result<Answer, Broken>) {
+    fn attempt_request_ended(
+        &mut self,
+        id: AttemptId,
+        ended: Result<RunnerResponse, RequestFailure>,
+    ) {
         let Some(attempt) = self.state.attempt(id) else {
             return;
         };
@@ -394,10 +407,14 @@
             return;
         }
         let outcome = match ended {
-            Ok(Answer { status: 202, .. }) => {
+            Ok(RunnerResponse { status: 202, .. }) => {
                 attempt.is_accepted = true;
                 let runner = attempt.runner;
-                self.state.host.saw(self.state.now_s, runner, Saw::Heard);
+                self.state.host.record_observation(
+                    self.state.now_s,
+                    runner,
+                    Observation::Responded,
+                );
                 if is_cancelled {
                     self.state.cancel_attempt(id, Some(Outcome::Cancelled));
                 }
@@ -407,23 +424,25 @@
                     id.attempt_number,
                 );
             }
-            Ok(Answer {
+            Ok(RunnerResponse {
                 status: 503 | 504,
-                declined: true,
-                doubtful: false,
+                is_declined: true,
+                may_be_duplicate: false,
                 ..
             }) => Outcome::Full,
-            Ok(Answer {
+            Ok(RunnerResponse {
                 status: 503 | 504,
-                declined: true,
+                is_declined: true,
                 ..
             }) => Outcome::MaybeFull,
             Ok(_) => Outcome::Error,
-            Err(Broken::Unsent) => Outcome::NotSent,
-            Err(Broken::Unreached) => Outcome::NoConnection,
-            Err(Broken::Unanswered | Broken::Stale) if is_cancelled => Outcome::Cancelled,
-            Err(Broken::Unanswered) => Outcome::Reset,
-            Err(Broken::Stale) => Outcome::StaleConnection,
+            Err(RequestFailure::NotSent) => Outcome::NotSent,
+            Err(RequestFailure::NotDelivered) => Outcome::NoConnection,
+            Err(RequestFailure::NoResponse | RequestFailure::StaleConnection) if is_cancelled => {
+                Outcome::Cancelled
+            }
+            Err(RequestFailure::NoResponse) => Outcome::Reset,
+            Err(RequestFailure::StaleConnection) => Outcome::StaleConnection,
         };
         self.end_attempt(id, outcome);
     }
@@ -434,9 +453,9 @@
     /// connections too. If the runner's process died, its machine reports that, and the endpoint list reports a restart.
     fn cancel_request_ended(
         &mut self,
-        id: Ticket,
+        id: AttemptId,
         outcome: Option<Outcome>,
-        ended: Result<Answer, Broken>,
+        ended: Result<RunnerResponse, RequestFailure>,
     ) {
         let (Some(outcome), Some(open_item)) = (outcome, self.state.open_item(id.work_item)) else {
             return;
@@ -454,21 +473,23 @@
                 let runner = attempt.runner;
                 tracing::warn!(
                     "runner does not confirm a cancellation runner={} work_item={work_item_id}",
-                    self.state.load.gates[runner].name
+                    self.state.load.endpoints[runner].name
                 );
             }
             // There is a pause before the repetition: a runner may close the connection at once, and every new
             // connection costs it work.
-            self.state.host.again(Task::GiveUp(id, Some(outcome)));
+            self.state
+                .host
+                .schedule_retry(Purpose::Cancel(id, Some(outcome)));
         }
     }
 
     /// Ends an attempt that is in flight and reports its outcome to the policy and to the host.
-    pub(crate) fn end_attempt(&mut self, id: Ticket, outcome: Outcome) {
+    pub(crate) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(drop_at_s) = self.state.attempt(id).map(|attempt| attempt.drop_at_s) else {
             return;
         };
-        let Ticket {
+        let AttemptId {
             work_item,
             serial,
             attempt_number,
@@ -492,15 +513,17 @@
             self.state.load.adjust_jobs(attempt.runner, false);
         }
         let observation = match outcome {
-            Outcome::Finished => Some(Saw::Finished),
-            Outcome::Error => Some(Saw::Failed),
-            Outcome::Reset | Outcome::NoConnection | Outcome::Timeout => Some(Saw::Silent),
+            Outcome::Finished => Some(Observation::Finished),
+            Outcome::Error => Some(Observation::Failed),
+            Outcome::Reset | Outcome::NoConnection | Outcome::Timeout => {
+                Some(Observation::NoResponse)
+            }
             _ => None,
         };
         observation.into_iter().for_each(|observation| {
             self.state
                 .host
-                .saw(self.state.now_s, attempt.runner, observation)
+                .record_observation(self.state.now_s, attempt.runner, observation)
         });
         let is_settled = outcome == Outcome::Finished;
         work_item.attempt_ended(
@@ -520,7 +543,7 @@
     /// Passes the reported starts that `is_due` selects on to the policy. They are delayed because a start may overtake
     /// the end that made room for it: a runner reports both at once, on two connections, and would seem to run one job
     /// too many.
-    fn pass_on_starts(&mut self, is_due: impl Fn(&mut ExchangeState<O>, f64, Ticket) -> bool) {
+    fn pass_on_starts(&mut self, is_due: impl Fn(&mut ExchangeState<O>, f64, AttemptId) -> bool) {
         for _ in 0..self.state.pending_starts.len() {
             let Some((at_s, id)) = self.state.pending_starts.pop_front() else {
                 return;
--- a/crates/dispatcher/dispatch/src/message.rs
+++ b/crates/dispatcher/dispatch/src/message.rs
@@ -15,9 +15,9 @@
     /// Body of the reply.
     pub body: Bytes,
     /// Whether the connection is closed after this reply.
-    pub close: bool,
+    pub close_connection: bool,
     /// Whether the body is left out and only its length is sent, as in a reply to HEAD.
-    pub bare: bool,
+    pub headers_only: bool,
 }
 
 impl Reply {
@@ -27,15 +27,15 @@
             status,
             retry_after_s: 0.0,
             body: body.into(),
-            close: false,
-            bare: false,
+            close_connection: false,
+            headers_only: false,
         }
     }
 }
 
 /// Request to a runner.
 #[derive(Clone, Debug)]
-pub enum Outgoing {
+pub enum RunnerRequest {
     /// Runs a work item.
     Work {
         /// Path and query.
@@ -43,16 +43,16 @@
         /// Header lines that are forwarded, the one with the work item's id among them.
         headers: Bytes,
         /// Time in seconds that the runner has for the work item; set when the request is written.
-        wait_s: f64,
+        time_left_s: f64,
         /// The first byte must be written before this time, in seconds on the exchange's clock.
-        begin_by: f64,
+        start_by_s: f64,
         /// Whether the client has disconnected. If so, the first byte must not be written.
-        gone: Rc<Cell<bool>>,
+        client_left: Rc<Cell<bool>>,
         /// Body of the request.
         body: Bytes,
     },
     /// Cancels a work item.
-    GiveUp {
+    Cancel {
         /// Id of the work item.
         id: String,
     },
@@ -60,34 +60,34 @@
 
 /// Response of a runner to a request.
 #[derive(Debug)]
-pub struct Answer {
+pub struct RunnerResponse {
     /// HTTP status.
     pub status: u16,
     /// Whether the runner states that it never started the work item.
-    pub declined: bool,
+    pub is_declined: bool,
     /// Whether it came so soon after another response on the same connection that it may be a second response to the
     /// request before.
-    pub doubtful: bool,
+    pub may_be_duplicate: bool,
     /// Whether the connection can carry another request.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// How far a request to a runner had come when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum RequestFailure {
     /// Held back on this side: not written, or not completely.
-    Unsent,
+    NotSent,
     /// The connection was not established, or it failed before the last byte was written.
-    Unreached,
+    NotDelivered,
     /// Written completely, but no response came.
-    Unanswered,
+    NoResponse,
     /// Written completely on a connection that had been idle, but no response came. The connection may have been dead
     /// before.
-    Stale,
+    StaleConnection,
 }
 
 /// A client's request as it is forwarded to runners.
-pub struct Order {
+pub struct WorkRequest {
     /// Id of the work item, unique among those that are open.
     pub id: Rc<str>,
     /// Path and query.
@@ -97,7 +97,7 @@
     /// Body of the request.
     pub body: Bytes,
     /// Whether the client has disconnected.
-    pub gone: Rc<Cell<bool>>,
+    pub client_left: Rc<Cell<bool>>,
 }
 
 /// Callback of a runner about the state of a job.
@@ -109,13 +109,13 @@
     pub from: String,
     /// State of the job at the runner.
     #[serde(flatten)]
-    pub state: State,
+    pub state: JobState,
 }
 
 /// State of a job at a runner.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(tag = "state", rename_all = "lowercase")]
-pub enum State {
+pub enum JobState {
     /// The job has started.
     Started,
     /// The job is running.
@@ -139,7 +139,7 @@
 }
 
 /// FNV-1a hash of a name. It is the same at every dispatcher.
-pub fn number(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ byte as u64).wrapping_mul(0x100_0000_01b3)
     })
--- a/crates/dispatcher/dispatch/src/metrics.rs
+++ b/crates/dispatcher/dispatch/src/metrics.rs
@@ -16,7 +16,7 @@
 
 /// Counters and gauges of this process.
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     /// Name and counters of each category.
     categories: Vec<(String, OutcomeCounts)>,
     /// Number of attempts that were written completely to runners.
@@ -30,17 +30,17 @@
 
 /// A request of a client that has been read and whose reply has not been written. It is no longer counted as open when
 /// this value is dropped, so that neither a panic nor a client that disconnects leaves it open for ever.
-pub struct Open {
-    metrics: Rc<Figures>,
+pub struct OpenRequest {
+    metrics: Rc<Metrics>,
     category: usize,
 }
 
-impl Open {
+impl OpenRequest {
     /// Counts a request of a category as open.
-    pub fn new(figures: &Rc<Figures>, category: usize) -> Open {
-        increment(&figures.open);
-        Open {
-            metrics: figures.clone(),
+    pub fn new(metrics: &Rc<Metrics>, category: usize) -> OpenRequest {
+        increment(&metrics.open);
+        OpenRequest {
+            metrics: metrics.clone(),
             category,
         }
     }
@@ -56,34 +56,34 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         let open = &self.metrics.open;
         open.set(open.get() - 1);
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Metrics with all values 0, for the categories of these names.
-    pub fn new(categories: &[String]) -> Rc<Figures> {
+    pub fn new(categories: &[String]) -> Rc<Metrics> {
         let categories = categories
             .iter()
             .map(|name| (name.clone(), OutcomeCounts::default()))
             .collect();
-        Rc::new(Figures {
+        Rc::new(Metrics {
             categories,
-            ..Figures::default()
+            ..Metrics::default()
         })
     }
 
     /// Counts an attempt that was written completely to a runner.
-    pub fn relays(&self) {
+    pub fn count_relayed(&self) {
         increment(&self.relayed);
     }
 
     /// All metrics in the statsd format, one on each line. `listed` is the number of runners in the endpoint list, and
     /// `avoided` is how many of them get no attempts now.
-    pub fn lines(&self, listed: usize, avoided: usize) -> String {
+    pub fn render(&self, listed: usize, avoided: usize) -> String {
         let mut lines = String::new();
         for (name, counts) in &self.categories {
             let counts = [&counts.finished, &counts.deferred, &counts.written_off];
--- a/crates/dispatcher/dispatch/src/state.rs
+++ b/crates/dispatcher/dispatch/src/state.rs
@@ -1,9 +1,9 @@
 //! State of an exchange: the open work items, their attempts and their timers. Here the decisions of the policy are
-//! carried out: the policy calls [`Host`], and what needs I/O goes on to [`Outside`].
+//! carried out: the policy calls [`Host`], and what needs I/O goes on to [`ExchangeHost`].
 
-use crate::endpoint_list::{Gate, Member};
-use crate::message::{Order, Outgoing, Reply};
-use crate::saved_state::Known;
+use crate::endpoint_list::{Endpoint, ListEntry};
+use crate::message::{Reply, RunnerRequest, WorkRequest};
+use crate::saved_state::RunnerEstimate;
 use sagetrail_policy::{Dispatcher, Host, Outcome, WorkItem};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -11,82 +11,82 @@
 
 /// I/O and shared state that an exchange needs from its host. Results come back later as calls on the exchange. Times
 /// are in seconds on the exchange's clock.
-pub trait Outside {
+pub trait ExchangeHost {
     /// A client that waits for a reply.
     type Client;
     /// A request to a runner that is under way. If the handle is dropped, the request goes on.
-    type Errand;
+    type RequestHandle;
 
     /// Replies to a client. This fails only if the client has disconnected, and then no reply is owed.
     fn answer(&mut self, client: Self::Client, reply: Reply);
     /// Whether the client has disconnected.
-    fn gone(client: &Self::Client) -> bool;
-    /// Sends a request to a runner and reports its end to `Exchange::errand_ended` exactly once. `whole` is set once
-    /// the last byte has been written. The request is abandoned at `until`.
-    fn begin(
+    fn has_disconnected(client: &Self::Client) -> bool;
+    /// Sends a request to a runner and reports its end to `Exchange::request_ended` exactly once. `is_written` is set once
+    /// the last byte has been written. The request is abandoned at `deadline`.
+    fn send_request(
         &mut self,
-        task: Task,
+        purpose: Purpose,
         runner: usize,
-        message: Outgoing,
-        until: f64,
-        whole: Rc<Cell<bool>>,
-    ) -> Self::Errand;
+        request: RunnerRequest,
+        deadline: f64,
+        is_written: Rc<Cell<bool>>,
+    ) -> Self::RequestHandle;
     /// Abandons a request.
-    fn stop(&mut self, errand: Self::Errand);
-    /// Calls `Exchange::again` after a pause.
-    fn again(&mut self, task: Task);
+    fn abort_request(&mut self, request: Self::RequestHandle);
+    /// Calls `Exchange::retry` after a pause.
+    fn schedule_retry(&mut self, purpose: Purpose);
     /// Adds a runner that the endpoint list names for the first time. Its index is the next one.
-    fn enlist(&mut self, gate: Rc<Gate>);
+    fn add_runner(&mut self, endpoint: Rc<Endpoint>);
     /// Closes the idle connections to a runner, because the process at their other end is no longer in use.
-    fn drop_idle(&mut self, runner: usize);
+    fn close_idle_connections(&mut self, runner: usize);
     /// Asks discovery for the endpoint list.
     fn ask_discovery(&mut self);
     /// Sets whether the exchange has an endpoint list.
-    fn has_list(&mut self, has: bool);
+    fn set_has_endpoints(&mut self, has_endpoints: bool);
 
     // ---- state that dispatchers share; the defaults are for a dispatcher that shares none ----
 
     /// Counts a work item that has been accepted.
-    fn took(&mut self, _now: f64, _category: usize) {}
+    fn record_arrival(&mut self, _now: f64, _category: usize) {}
     /// Until when an attempt may begin. Then the leases of the budgets end that it counts towards. The time is checked
     /// just before the first byte is written, because the process may have been paused in between.
-    fn spend_by(&self, _now: f64, _runner: usize, _category: usize) -> f64 {
+    fn budget_usable_until(&self, _now: f64, _runner: usize, _category: usize) -> f64 {
         f64::INFINITY
     }
-    /// Counts an attempt that is sent. `again` says that it is not the first of its work item.
-    fn goes(&mut self, _now: f64, _again: bool) {}
+    /// Counts an attempt that is sent. `is_retry` says that it is not the first of its work item.
+    fn record_attempt(&mut self, _now: f64, _is_retry: bool) {}
     /// Records an observation of a runner.
-    fn saw(&mut self, _now: f64, _runner: usize, _what: Saw) {}
+    fn record_observation(&mut self, _now: f64, _runner: usize, _observation: Observation) {}
     /// Called before the policy decides: passes on to it what other dispatchers share.
-    fn advise(&mut self, _now: f64, _dispatcher: &mut Dispatcher, _load: &Load) {}
+    fn apply_shared_state(&mut self, _now: f64, _dispatcher: &mut Dispatcher, _load: &Load) {}
     /// Called after the policy has decided: reports what is used of the shared budgets.
-    fn spent(&mut self, _now: f64, _dispatcher: &Dispatcher, _load: &Load) {}
+    fn report_budget_use(&mut self, _now: f64, _dispatcher: &Dispatcher, _load: &Load) {}
 }
 
 /// Observation of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Saw {
+pub enum Observation {
     /// A job has finished.
     Finished,
     /// The runner has accepted an attempt, so it is reachable.
-    Heard,
+    Responded,
     /// A job has failed, but the runner is reachable.
     Failed,
     /// The runner was not reached, reset the connection, timed out, or gave no sign where one was due.
-    Silent,
+    NoResponse,
 }
 
 /// Numbers of open work items, attempts and jobs.
 #[derive(Default)]
 pub struct Load {
     /// Endpoints of all runners that the endpoint list ever named, by their index.
-    pub gates: Vec<Rc<Gate>>,
+    pub endpoints: Vec<Rc<Endpoint>>,
     /// Open work items, by category.
-    pub taken: Vec<u32>,
+    pub open_work_items: Vec<u32>,
     /// Attempts in flight, by category.
-    pub out: Vec<u32>,
+    pub attempts: Vec<u32>,
     /// Jobs that have started, by runner.
-    pub runs: Vec<u32>,
+    pub running_jobs: Vec<u32>,
 }
 
 impl Load {
@@ -101,21 +101,21 @@
     }
 
     pub(crate) fn adjust_work_items(&mut self, category: usize, is_more: bool) {
-        Load::adjust(&mut self.taken, category, is_more);
+        Load::adjust(&mut self.open_work_items, category, is_more);
     }
 
     pub(crate) fn adjust_attempts(&mut self, category: usize, is_more: bool) {
-        Load::adjust(&mut self.out, category, is_more);
+        Load::adjust(&mut self.attempts, category, is_more);
     }
 
     pub(crate) fn adjust_jobs(&mut self, runner: usize, is_more: bool) {
-        Load::adjust(&mut self.runs, runner, is_more);
+        Load::adjust(&mut self.running_jobs, runner, is_more);
     }
 }
 
 /// Identifies an attempt among all attempts of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct AttemptId {
     /// Handle of the work item, which a later work item may get again.
     pub(crate) work_item: WorkItem,
     /// Serial number of the work item, which no other one gets.
@@ -126,12 +126,12 @@
 
 /// Purpose of a request to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Task {
+pub enum Purpose {
     /// To run the attempt.
-    Attempt(Ticket),
+    Attempt(AttemptId),
     /// To cancel the attempt. Once it is known to be cancelled, the outcome is reported to the policy; `None` for no
     /// report.
-    GiveUp(Ticket, Option<Outcome>),
+    Cancel(AttemptId, Option<Outcome>),
 }
 
 /// An attempt in flight. Times are in seconds on the exchange's clock.
@@ -159,7 +159,7 @@
 pub(crate) struct OpenItem<C, H> {
     pub serial: u64,
     pub category: usize,
-    pub request: Order,
+    pub request: WorkRequest,
     /// The client that waits for the reply; `None` once it has been sent or the client has disconnected.
     pub client: Option<C>,
     /// When the work item expires, in seconds on the exchange's clock.
@@ -179,7 +179,7 @@
 pub(crate) const SHUTDOWN_MARGIN_S: f64 = 0.05;
 
 /// State of an exchange apart from the policy. Times are in seconds on the exchange's clock.
-pub(crate) struct ExchangeState<O: Outside> {
+pub(crate) struct ExchangeState<O: ExchangeHost> {
     pub host: O,
     pub now_s: f64,
     /// Unix time in seconds at 0 on the exchange's clock.
@@ -190,11 +190,11 @@
     pub drain_grace_s: f64,
     pub load: Load,
     /// Last entry of each runner in the endpoint list, by the runner's index.
-    pub list_entries: Vec<Member>,
+    pub list_entries: Vec<ListEntry>,
     /// Index of each runner, by its name.
     pub runner_indices: HashMap<String, usize>,
     /// Open work items, by their handle.
-    pub open_items: Vec<Option<OpenItem<O::Client, O::Errand>>>,
+    pub open_items: Vec<Option<OpenItem<O::Client, O::RequestHandle>>>,
     /// Handles of the open work items, by their id.
     pub work_items_by_id: HashMap<Rc<str>, WorkItem>,
     /// Serial number of the last work item.
@@ -202,7 +202,7 @@
     /// Timers by time in microseconds, serial number of the work item, and number of the attempt or [`EXPIRY_TIMER`].
     pub timers: BTreeMap<(u64, u64, u16), WorkItem>,
     /// Reported starts that have not been passed on to the policy, in the order of their arrival, with its time.
-    pub pending_starts: VecDeque<(f64, Ticket)>,
+    pub pending_starts: VecDeque<(f64, AttemptId)>,
     /// When the policy is to decide again; infinity for no such time.
     pub wake_at_s: f64,
     /// Limit of the number of open work items.
@@ -216,7 +216,7 @@
     /// Names of the runners that operators have taken out of service at all dispatchers.
     pub agreed_out_of_service: BTreeSet<String>,
     /// Values that an earlier process learned about runners that the endpoint list has not named yet, by their name.
-    pub saved_runners: HashMap<String, Known>,
+    pub saved_runners: HashMap<String, RunnerEstimate>,
     /// When everything must be settled because the process ends; infinity before a shutdown.
     pub shutdown_at_s: f64,
 }
@@ -226,16 +226,16 @@
     (seconds.max(0.0) * 1e6) as u64
 }
 
-impl<O: Outside> ExchangeState<O> {
+impl<O: ExchangeHost> ExchangeState<O> {
     pub(crate) fn open_item(
         &mut self,
         work_item: WorkItem,
-    ) -> Option<&mut OpenItem<O::Client, O::Errand>> {
+    ) -> Option<&mut OpenItem<O::Client, O::RequestHandle>> {
         self.open_items.get_mut(work_item.0 as usize)?.as_mut()
     }
 
     /// The attempt with this id if it is still in flight.
-    pub(crate) fn attempt(&mut self, id: Ticket) -> Option<&mut Attempt<O::Errand>> {
+    pub(crate) fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt<O::RequestHandle>> {
         let open_item = self
             .open_item(id.work_item)
             .filter(|open_item| open_item.serial == id.serial)?;
@@ -257,7 +257,7 @@
 
     /// Cancels an attempt: by closing its connection as long as the runner has not accepted it, and by a request
     /// afterwards. `outcome` is reported to the policy once the attempt is known to be cancelled.
-    pub(crate) fn cancel_attempt(&mut self, id: Ticket, outcome: Option<Outcome>) {
+    pub(crate) fn cancel_attempt(&mut self, id: AttemptId, outcome: Option<Outcome>) {
         let deadline_s = self.now_s + 2.0 * self.connect_timeout_s;
         let may_cancel = self.may_cancel;
         let Some(open_item) = self
@@ -266,7 +266,7 @@
         else {
             return;
         };
-        let cancel_request = Outgoing::GiveUp {
+        let cancel_request = RunnerRequest::Cancel {
             id: open_item.request.id.to_string(),
         };
         let Some(attempt) = open_item
@@ -282,12 +282,12 @@
         // Closes the connection if it still waits for a response.
         request
             .into_iter()
-            .for_each(|request| self.host.stop(request));
+            .for_each(|request| self.host.abort_request(request));
         if is_accepted && may_cancel {
-            let purpose = Task::GiveUp(id, outcome);
+            let purpose = Purpose::Cancel(id, outcome);
             let request =
                 self.host
-                    .begin(purpose, runner, cancel_request, deadline_s, Rc::default());
+                    .send_request(purpose, runner, cancel_request, deadline_s, Rc::default());
             if let Some(attempt) = self.attempt(id) {
                 attempt.request = Some(request);
             }
@@ -295,49 +295,59 @@
     }
 }
 
-impl<O: Outside> Host for ExchangeState<O> {
+impl<O: ExchangeHost> Host for ExchangeState<O> {
     fn now(&self) -> f64 {
         self.now_s
     }
 
-    fn send_attempt(&mut self, work_item: WorkItem, runner: usize, drop_at: f64, begin_by: f64) {
+    fn send_attempt(
+        &mut self,
+        work_item: WorkItem,
+        runner: usize,
+        drop_at_s: f64,
+        start_by_s: f64,
+    ) {
         let (sent_at_s, drop_at_s) = (
             self.now_s,
-            drop_at.min(self.shutdown_at_s - SHUTDOWN_MARGIN_S),
+            drop_at_s.min(self.shutdown_at_s - SHUTDOWN_MARGIN_S),
         );
         let Some(open_item) = self.open_item(work_item) else {
             return;
         };
         let (number, category) = (open_item.attempt_count, open_item.category);
         open_item.attempt_count += 1;
-        let id = Ticket {
+        let id = AttemptId {
             work_item,
             serial: open_item.serial,
             attempt_number: number,
         };
-        let Order {
+        let WorkRequest {
             target,
             headers,
             body,
-            gone,
+            client_left,
             ..
         } = &open_item.request;
-        let (target, headers, body, gone) =
-            (target.clone(), headers.clone(), body.clone(), gone.clone());
-        let begin_by = begin_by.min(self.host.spend_by(sent_at_s, runner, category));
-        let message = Outgoing::Work {
+        let (target, headers, body, client_left) = (
+            target.clone(),
+            headers.clone(),
+            body.clone(),
+            client_left.clone(),
+        );
+        let start_by_s = start_by_s.min(self.host.budget_usable_until(sent_at_s, runner, category));
+        let message = RunnerRequest::Work {
             target,
             headers,
-            wait_s: 0.0,
-            begin_by,
-            gone,
+            time_left_s: 0.0,
+            start_by_s,
+            client_left,
             body,
         };
-        self.host.goes(sent_at_s, number > 0);
+        self.host.record_attempt(sent_at_s, number > 0);
         self.load.adjust_attempts(category, true);
         let is_written = Rc::new(Cell::new(false));
-        let request = Some(self.host.begin(
-            Task::Attempt(id),
+        let request = Some(self.host.send_request(
+            Purpose::Attempt(id),
             runner,
             message,
             drop_at_s,
@@ -381,7 +391,7 @@
         let Some(open_item) = self.open_item(work_item) else {
             return;
         };
-        let id = Ticket {
+        let id = AttemptId {
             work_item,
             serial: open_item.serial,
             attempt_number: attempt,
@@ -397,7 +407,8 @@
                 .as_ref()
                 .map_or(0, |current| current.runner);
             if open_item.client.is_some() {
-                self.host.saw(self.now_s, runner, Saw::Silent);
+                self.host
+                    .record_observation(self.now_s, runner, Observation::NoResponse);
             }
             self.cancel_attempt(id, Some(Outcome::Cancelled));
         }
@@ -434,7 +445,8 @@
     }
 
     fn runner_silent(&mut self, runner: usize) {
-        self.host.saw(self.now_s, runner, Saw::Silent);
+        self.host
+            .record_observation(self.now_s, runner, Observation::NoResponse);
     }
 
     fn request_list(&mut self) {
@@ -442,7 +454,7 @@
     }
 
     fn log(&mut self, runner: usize, line: &str) {
-        let endpoint = &self.load.gates[runner];
+        let endpoint = &self.load.endpoints[runner];
         tracing::info!(
             "{line} runner={} address={}",
             endpoint.name,
--- a/crates/dispatcher/dispatch/tests/encoding.rs
+++ b/crates/dispatcher/dispatch/tests/encoding.rs
@@ -4,7 +4,8 @@
 //! different values, so that a swap of two fields shows.
 
 use sagetrail_dispatch::{
-    number, terms, Callback, Inherited, Known, Learnt, Life, Member, Passed, State, Usual,
+    category_terms_hash, name_hash, Callback, CategoryDuration, HandoverState, JobState,
+    LearnedState, Lifecycle, ListEntry, RunnerEstimate, RunnerSnapshot,
 };
 use sagetrail_fixture::Fixture;
 use sagetrail_policy::{Category, Placement, Repeat, Scope};
@@ -15,14 +16,14 @@
 const FIXTURE: &str = include_str!("fixtures/handover.txt");
 
 /// Without a wildcard, so that a new variant does not compile until it is named here.
-fn state_name(state: &State) -> &'static str {
+fn state_name(state: &JobState) -> &'static str {
     match state {
-        State::Started => "callback/started",
-        State::Running { .. } => "callback/running",
-        State::Done { .. } => "callback/done",
-        State::Failed => "callback/failed",
-        State::Returned => "callback/returned",
-        State::Lost => "callback/lost",
+        JobState::Started => "callback/started",
+        JobState::Running { .. } => "callback/running",
+        JobState::Done { .. } => "callback/done",
+        JobState::Failed => "callback/failed",
+        JobState::Returned => "callback/returned",
+        JobState::Lost => "callback/lost",
     }
 }
 
@@ -35,26 +36,26 @@
     "callback/lost",
 ];
 
-fn life_name(life: Life) -> &'static str {
-    match life {
-        Life::Ready => "ready",
-        Life::Draining => "draining",
-        Life::Gone => "gone",
+fn lifecycle_name(lifecycle: Lifecycle) -> &'static str {
+    match lifecycle {
+        Lifecycle::Ready => "ready",
+        Lifecycle::Draining => "draining",
+        Lifecycle::Gone => "gone",
     }
 }
 
-const LIVES: [&str; 3] = ["ready", "draining", "gone"];
+const LIFECYCLES: [&str; 3] = ["ready", "draining", "gone"];
 
 fn callbacks() -> Vec<Callback> {
     let states = [
-        State::Started,
-        State::Running { share: 0.25 },
-        State::Done {
+        JobState::Started,
+        JobState::Running { share: 0.25 },
+        JobState::Done {
             result: "calm \"sea\"".to_string(),
         },
-        State::Failed,
-        State::Returned,
-        State::Lost,
+        JobState::Failed,
+        JobState::Returned,
+        JobState::Lost,
     ];
     let callback = |state| Callback {
         id: "item".to_string(),
@@ -64,73 +65,73 @@
     states.into_iter().map(callback).collect()
 }
 
-fn learnt() -> Learnt {
-    Learnt {
+fn learned_state() -> LearnedState {
+    LearnedState {
         version: 1,
         deployment: 0x0102_0304_0506_0708,
-        written: 1_700_000_000.5,
-        usuals: vec![Usual {
-            terms: 11,
+        written_at_s: 1_700_000_000.5,
+        category_durations: vec![CategoryDuration {
+            terms_hash: 11,
             seconds: 0.125,
         }],
-        runners: vec![Known {
+        runners: vec![RunnerEstimate {
             name: "runner".to_string(),
             address: "10.0.0.1:80".to_string(),
-            started: 12.5,
+            started_unix_s: 12.5,
             slots: 4.5,
             pace: 1.25,
         }],
     }
 }
 
-fn inherited() -> Vec<Inherited> {
-    let all_known = Inherited {
-        member: Member {
+fn runner_snapshots() -> Vec<RunnerSnapshot> {
+    let all_known = RunnerSnapshot {
+        entry: ListEntry {
             id: "runner".to_string(),
             address: Some("10.0.0.1:80".parse().unwrap()),
             kind: 1,
             zone: 2,
             cell: 3,
-            started: 12.5,
-            life: Life::Ready,
+            started_unix_s: 12.5,
+            lifecycle: Lifecycle::Ready,
         },
-        out: Some(21.5),
-        back: Some(22.5),
-        spent: vec![(23.5, 24.5), (25.5, 26.5)],
+        out_of_service_since_s: Some(21.5),
+        back_in_service_at_s: Some(22.5),
+        cold_sends: vec![(23.5, 24.5), (25.5, 26.5)],
         evidence: 27.5,
-        resting: Some(28.5),
-        rest_s: 29.5,
+        excluded_until_s: Some(28.5),
+        exclusion_s: 29.5,
     };
-    let nothing_known = |id: &str, life| Inherited {
-        member: Member {
+    let nothing_known = |id: &str, lifecycle| RunnerSnapshot {
+        entry: ListEntry {
             id: id.to_string(),
             address: None,
             kind: 0,
             zone: 0,
             cell: 0,
-            started: 0.0,
-            life,
+            started_unix_s: 0.0,
+            lifecycle,
         },
-        out: None,
-        back: None,
-        spent: Vec::new(),
+        out_of_service_since_s: None,
+        back_in_service_at_s: None,
+        cold_sends: Vec::new(),
         evidence: 0.0,
-        resting: None,
-        rest_s: 0.0,
+        excluded_until_s: None,
+        exclusion_s: 0.0,
     };
     vec![
         all_known,
-        nothing_known("leaving", Life::Draining),
-        nothing_known("gone", Life::Gone),
+        nothing_known("leaving", Lifecycle::Draining),
+        nothing_known("gone", Lifecycle::Gone),
     ]
 }
 
-fn passed() -> Passed {
-    Passed {
-        drained: true,
+fn handover_state() -> HandoverState {
+    HandoverState {
+        is_draining: true,
         deployment: 31,
-        learnt: learnt(),
-        runners: inherited(),
+        learned: learned_state(),
+        runners: runner_snapshots(),
     }
 }
 
@@ -149,11 +150,11 @@
 fn every_variant_has_an_example() {
     let named: BTreeSet<&str> = callbacks().iter().map(|c| state_name(&c.state)).collect();
     assert_eq!(named, BTreeSet::from(STATES));
-    let named: BTreeSet<&str> = inherited()
+    let named: BTreeSet<&str> = runner_snapshots()
         .iter()
-        .map(|i| life_name(i.member.life))
+        .map(|snapshot| lifecycle_name(snapshot.entry.lifecycle))
         .collect();
-    assert_eq!(named, BTreeSet::from(LIVES));
+    assert_eq!(named, BTreeSet::from(LIFECYCLES));
 }
 
 #[test]
@@ -162,8 +163,8 @@
     for callback in callbacks() {
         written.add_text(state_name(&callback.state), &json(&callback));
     }
-    written.add_text("learnt", &json(&learnt()));
-    written.add_text("passed", &json(&passed()));
+    written.add_text("learnt", &json(&learned_state()));
+    written.add_text("passed", &json(&handover_state()));
     Fixture::assert_keeps(FIXTURE, &written);
 }
 
@@ -172,16 +173,16 @@
     for name in STATES {
         assert_round_trip::<Callback>(name);
     }
-    assert_round_trip::<Learnt>("learnt");
-    assert_round_trip::<Passed>("passed");
+    assert_round_trip::<LearnedState>("learnt");
+    assert_round_trip::<HandoverState>("passed");
 }
 
 /// Dispatchers identify runners and members to each other by these hashes.
 #[test]
 fn hashes_of_names_do_not_change() {
-    assert_eq!(number(""), 0xcbf2_9ce4_8422_2325);
-    assert_eq!(number("a"), 0xaf63_dc4c_8601_ec8c);
-    assert_eq!(number("runner-é 12.5"), 12_569_012_519_533_245_936);
+    assert_eq!(name_hash(""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(name_hash("a"), 0xaf63_dc4c_8601_ec8c);
+    assert_eq!(name_hash("runner-é 12.5"), 12_569_012_519_533_245_936);
 }
 
 /// Learned values are stored and handed over under these hashes. A hash depends on the names of the category's fields and
@@ -208,7 +209,8 @@
         (Repeat::Keyed(Scope::Cell), Placement::default()),
         (Repeat::AtMostOnce, bound),
     ];
-    let hashes = examples.map(|(repeat, placement)| terms("name", &category(repeat, placement)));
+    let hashes = examples
+        .map(|(repeat, placement)| category_terms_hash("name", &category(repeat, placement)));
     let expected = [
         10_186_571_813_490_998_757,
         16_433_442_862_989_001_030,
--- a/crates/dispatcher/dispatch/tests/scenarios.rs
+++ b/crates/dispatcher/dispatch/tests/scenarios.rs
@@ -11,41 +11,48 @@
 #[derive(Default)]
 struct Calls {
     /// Purpose, runner, time-out in seconds, and the flag that the request was written.
-    requests: Vec<(Task, usize, f64, Rc<Cell<bool>>)>,
+    requests: Vec<(Purpose, usize, f64, Rc<Cell<bool>>)>,
     /// Client and HTTP status.
     replies: Vec<(u32, u16)>,
     aborted_requests: usize,
-    retries: Vec<Task>,
+    retries: Vec<Purpose>,
 }
 
 #[derive(Clone, Default)]
 struct FakeHost(Rc<std::cell::RefCell<Calls>>);
 
-impl Outside for FakeHost {
+impl ExchangeHost for FakeHost {
     type Client = u32;
-    type Errand = ();
+    type RequestHandle = ();
     fn answer(&mut self, client: u32, reply: Reply) {
         self.0.borrow_mut().replies.push((client, reply.status));
     }
-    fn gone(_: &u32) -> bool {
+    fn has_disconnected(_: &u32) -> bool {
         true
     }
-    fn begin(&mut self, task: Task, runner: usize, _: Outgoing, until: f64, whole: Rc<Cell<bool>>) {
+    fn send_request(
+        &mut self,
+        purpose: Purpose,
+        runner: usize,
+        _: RunnerRequest,
+        deadline: f64,
+        is_written: Rc<Cell<bool>>,
+    ) {
         self.0
             .borrow_mut()
             .requests
-            .push((task, runner, until, whole));
+            .push((purpose, runner, deadline, is_written));
     }
-    fn stop(&mut self, _: ()) {
+    fn abort_request(&mut self, _: ()) {
         self.0.borrow_mut().aborted_requests += 1;
     }
-    fn again(&mut self, task: Task) {
-        self.0.borrow_mut().retries.push(task);
+    fn schedule_retry(&mut self, purpose: Purpose) {
+        self.0.borrow_mut().retries.push(purpose);
     }
-    fn enlist(&mut self, _: Rc<Gate>) {}
-    fn drop_idle(&mut self, _: usize) {}
+    fn add_runner(&mut self, _: Rc<Endpoint>) {}
+    fn close_idle_connections(&mut self, _: usize) {}
     fn ask_discovery(&mut self) {}
-    fn has_list(&mut self, _: bool) {}
+    fn set_has_endpoints(&mut self, _: bool) {}
 }
 
 fn exchange(runners: usize) -> (Exchange<FakeHost>, FakeHost) {
@@ -70,41 +77,41 @@
         categories: vec![category(Repeat::Idempotent), category(Repeat::AtMostOnce)],
         ..PolicyConfig::default()
     };
-    let parts = Parts {
-        unix: 1e9,
-        dial_s: 0.25,
-        drain_s: 0.3,
-        most_held: 100,
+    let config = ExchangeConfig {
+        unix_at_zero_s: 1e9,
+        connect_timeout_s: 0.25,
+        drain_grace_s: 0.3,
+        max_open_work_items: 100,
         retry_after_s: 1.0,
-        two_at_once: false,
+        allow_concurrent_attempts: false,
         may_cancel: true,
     };
     let host = FakeHost::default();
-    let mut exchange = Exchange::new(Dispatcher::new(terms, 7, 0.0), host.clone(), parts, 0.0);
-    let member = |n: usize| Member {
+    let mut exchange = Exchange::new(Dispatcher::new(terms, 7, 0.0), host.clone(), config, 0.0);
+    let entry = |n: usize| ListEntry {
         id: format!("s-{n}"),
         address: Some(([127, 0, 0, 1], 4000 + n as u16).into()),
         kind: 0,
         zone: 0,
         cell: 0,
-        started: 0.0,
-        life: Life::Ready,
+        started_unix_s: 0.0,
+        lifecycle: Lifecycle::Ready,
     };
-    exchange.listed(Told {
-        whole: true,
-        members: (0..runners).map(member).collect(),
-        ..Told::default()
+    exchange.apply_update(DiscoveryUpdate {
+        is_full: true,
+        entries: (0..runners).map(entry).collect(),
+        ..DiscoveryUpdate::default()
     });
     (exchange, host)
 }
 
 fn take(exchange: &mut Exchange<FakeHost>, now: f64, id: &str, category: usize) {
-    let order = Order {
+    let request = WorkRequest {
         id: id.into(),
         target: "/a".to_string(),
         headers: Default::default(),
         body: Default::default(),
-        gone: Default::default(),
+        client_left: Default::default(),
     };
     let job = Job {
         category,
@@ -114,19 +121,19 @@
         slots: 1.0,
         memory: 0.0,
     };
-    exchange.at(now);
-    exchange.take(order, job, 4.0, 1);
-    exchange.settle();
+    exchange.set_now(now);
+    exchange.accept(request, job, 4.0, 1);
+    exchange.process_due();
 }
 
-fn callback(exchange: &mut Exchange<FakeHost>, now: f64, from: &str, state: State) {
-    exchange.at(now);
+fn callback(exchange: &mut Exchange<FakeHost>, now: f64, from: &str, state: JobState) {
+    exchange.set_now(now);
     exchange.callback(Callback {
         id: "w".to_string(),
         from: from.to_string(),
         state,
     });
-    exchange.settle();
+    exchange.process_due();
 }
 
 #[test]
@@ -138,7 +145,7 @@
         &mut exchange,
         1.1,
         "s-0",
-        State::Done {
+        JobState::Done {
             result: String::new(),
         },
     );
@@ -152,7 +159,7 @@
             &mut exchange,
             now,
             "s-0",
-            State::Done {
+            JobState::Done {
                 result: String::new(),
             },
         );
@@ -164,10 +171,10 @@
 fn exclusive_work_that_may_have_run_is_written_off() {
     let (mut exchange, host) = exchange(2);
     take(&mut exchange, 1.0, "w", 1);
-    let (task, ..) = host.0.borrow().requests[0];
-    exchange.at(1.1);
-    exchange.errand_ended(task, Err(Broken::Unanswered));
-    exchange.settle();
+    let (purpose, ..) = host.0.borrow().requests[0];
+    exchange.set_now(1.1);
+    exchange.request_ended(purpose, Err(RequestFailure::NoResponse));
+    exchange.process_due();
     assert_eq!(host.0.borrow().replies, [(1, 502)]);
     assert_eq!(host.0.borrow().requests.len(), 1);
 }
@@ -176,10 +183,10 @@
 fn an_attempt_that_was_not_delivered_is_retried_at_the_other_runner() {
     let (mut exchange, host) = exchange(2);
     take(&mut exchange, 1.0, "w", 1);
-    let (task, first, ..) = host.0.borrow().requests[0];
-    exchange.at(1.1);
-    exchange.errand_ended(task, Err(Broken::Unreached));
-    exchange.settle();
+    let (purpose, first, ..) = host.0.borrow().requests[0];
+    exchange.set_now(1.1);
+    exchange.request_ended(purpose, Err(RequestFailure::NotDelivered));
+    exchange.process_due();
     let requests = &host.0.borrow().requests;
     assert_eq!(requests.len(), 2);
     assert_ne!(requests[1].1, first);
@@ -190,10 +197,10 @@
     let (mut exchange, host) = exchange(1);
     take(&mut exchange, 1.0, "w", 1);
     let mut now = 1.0;
-    while exchange.due() < 8.0 && host.0.borrow().replies.is_empty() {
-        now = exchange.due().max(now + 1e-4);
-        exchange.at(now);
-        exchange.settle();
+    while exchange.next_due_s() < 8.0 && host.0.borrow().replies.is_empty() {
+        now = exchange.next_due_s().max(now + 1e-4);
+        exchange.set_now(now);
+        exchange.process_due();
     }
     assert_eq!(host.0.borrow().replies, [(1, 502)]);
     assert!(now <= 5.0 + 0.02, "at {now}");
@@ -203,7 +210,7 @@
 #[test]
 fn a_panic_in_one_call_is_contained() {
     let (mut exchange, host) = exchange(1);
-    exchange.guarded(|_| panic!("a fault"));
+    exchange.contain_panic(|_| panic!("a fault"));
     take(&mut exchange, 1.0, "w", 0);
     assert_eq!(host.0.borrow().requests.len(), 1);
 }
@@ -211,8 +218,11 @@
 #[test]
 fn a_runner_out_of_service_gets_no_attempts_until_it_is_put_back() {
     let (mut exchange, host) = exchange(1);
-    assert!(!exchange.by_hand("s-9", true), "no list ever named it");
-    assert!(exchange.by_hand("s-0", true));
+    assert!(
+        !exchange.set_out_of_service("s-9", true),
+        "no list ever named it"
+    );
+    assert!(exchange.set_out_of_service("s-0", true));
     take(&mut exchange, 1.0, "w", 0);
     assert!(host.0.borrow().requests.is_empty());
     assert_eq!(
@@ -220,7 +230,7 @@
         [(1, 503)],
         "there is no other runner"
     );
-    assert!(exchange.by_hand("s-0", false));
+    assert!(exchange.set_out_of_service("s-0", false));
     take(&mut exchange, 1.1, "w", 0);
     assert_eq!(host.0.borrow().requests.len(), 1);
 }
--- a/crates/dispatcher/dispatch/tests/stored.rs
+++ b/crates/dispatcher/dispatch/tests/stored.rs
@@ -4,60 +4,63 @@
 //! If the format has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-dispatch --test stored` writes
 //! `fixtures/passed.json` again, so that the commit shows the change.
 
-use sagetrail_dispatch::{terms, Inherited, Known, Learnt, Life, Member, Passed, Usual};
+use sagetrail_dispatch::{
+    category_terms_hash, CategoryDuration, HandoverState, LearnedState, Lifecycle, ListEntry,
+    RunnerEstimate, RunnerSnapshot,
+};
 use sagetrail_policy::{Category, Placement, Repeat, Scope};
 use std::path::PathBuf;
 
-const LIVES: [Life; 3] = [Life::Ready, Life::Draining, Life::Gone];
+const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone];
 
-fn member(number: u16, life: Life) -> Member {
-    Member {
+fn entry(number: u16, lifecycle: Lifecycle) -> ListEntry {
+    ListEntry {
         id: format!("s-{number}"),
         address: (number != 3).then(|| ([127, 0, 0, 1], 4000 + number).into()),
         kind: 1,
         zone: 2,
         cell: 3,
-        started: 1000.5,
-        life,
+        started_unix_s: 1000.5,
+        lifecycle,
     }
 }
 
-fn inherited(number: u16, life: Life) -> Inherited {
-    Inherited {
-        member: member(number, life),
-        out: Some(2000.25),
-        back: None,
-        spent: vec![(2001.5, 1.0), (2002.5, 2.0)],
+fn runner_snapshot(number: u16, lifecycle: Lifecycle) -> RunnerSnapshot {
+    RunnerSnapshot {
+        entry: entry(number, lifecycle),
+        out_of_service_since_s: Some(2000.25),
+        back_in_service_at_s: None,
+        cold_sends: vec![(2001.5, 1.0), (2002.5, 2.0)],
         evidence: 0.75,
-        resting: Some(2003.0),
-        rest_s: 0.5,
+        excluded_until_s: Some(2003.0),
+        exclusion_s: 0.5,
     }
 }
 
-fn passed() -> Passed {
-    Passed {
-        drained: true,
+fn handover_state() -> HandoverState {
+    HandoverState {
+        is_draining: true,
         deployment: 17,
-        learnt: Learnt {
+        learned: LearnedState {
             version: 1,
             deployment: 17,
-            written: 1999.5,
-            usuals: vec![Usual {
-                terms: 18,
+            written_at_s: 1999.5,
+            category_durations: vec![CategoryDuration {
+                terms_hash: 18,
                 seconds: 0.25,
             }],
-            runners: vec![Known {
+            runners: vec![RunnerEstimate {
                 name: "s-1".to_string(),
                 address: "127.0.0.1:4001".to_string(),
-                started: 1000.5,
+                started_unix_s: 1000.5,
                 slots: 6.0,
                 pace: 1.5,
             }],
         },
-        runners: LIVES
+        runners: LIFECYCLES
             .into_iter()
             .zip(1..)
-            .map(|(life, number)| inherited(number, life))
+            .map(|(lifecycle, number)| runner_snapshot(number, lifecycle))
             .collect(),
     }
 }
@@ -72,7 +75,7 @@
 
 #[test]
 fn the_handover_state_is_written_as_stored() {
-    let text = serde_json::to_string(&passed()).unwrap();
+    let text = serde_json::to_string(&handover_state()).unwrap();
     if std::env::var_os("WRITE_STORED").is_some() {
         std::fs::create_dir_all(fixture_path().parent().unwrap()).unwrap();
         std::fs::write(fixture_path(), &text).unwrap();
@@ -82,10 +85,10 @@
 
 #[test]
 fn the_stored_handover_state_is_read_without_loss() {
-    let read: Passed = serde_json::from_str(&stored_text()).unwrap();
+    let read: HandoverState = serde_json::from_str(&stored_text()).unwrap();
     assert_eq!(
         serde_json::to_string(&read).unwrap(),
-        serde_json::to_string(&passed()).unwrap()
+        serde_json::to_string(&handover_state()).unwrap()
     );
 }
 
@@ -112,7 +115,7 @@
         Repeat::Keyed(Scope::Cell),
         Repeat::AtMostOnce,
     ];
-    let hashes = repeats.map(|repeat| terms("name", &category(repeat)));
+    let hashes = repeats.map(|repeat| category_terms_hash("name", &category(repeat)));
     let expected = [
         4489956296849528677,
         16442027526128441362,
--- a/crates/dispatcher/dispatcher/src/admin_api.rs
+++ b/crates/dispatcher/dispatcher/src/admin_api.rs
@@ -121,9 +121,9 @@
     let reply = match read {
         None => return Ok(()),
         Some(Ok(request)) => {
-            let bare = request.method == Method::Head;
+            let headers_only = request.method == Method::Head;
             Reply {
-                bare,
+                headers_only,
                 ..answer(request, api).await
             }
         }
@@ -135,7 +135,7 @@
     let sent = timeout(
         CALL_TIMEOUT,
         wire.send(Reply {
-            close: true,
+            close_connection: true,
             ..reply
         }),
     )
@@ -237,7 +237,7 @@
             .ask(|exchange| exchange.listed_and_avoided())
             .await
         {
-            Some((listed, avoided)) => Reply::new(OK, context.figures.lines(listed, avoided)),
+            Some((listed, avoided)) => Reply::new(OK, context.figures.render(listed, avoided)),
             None => Reply::new(UNAVAILABLE, "the list cannot be asked\n"),
         }
     }
@@ -278,7 +278,7 @@
         let context = &self.client_context;
         let asked = context
             .mailbox
-            .ask(|exchange| (exchange.now(), exchange.named()))
+            .ask(|exchange| (exchange.now(), exchange.runner_starts()))
             .await;
         match asked {
             Some((now, named)) => Reply::new(OK, fleet.shared(now, &context.categories, &named)),
@@ -332,7 +332,7 @@
     async fn set_maintenance(&self, id: String, out: bool) -> Option<bool> {
         self.client_context
             .mailbox
-            .ask(move |exchange| exchange.by_hand(&id, out))
+            .ask(move |exchange| exchange.set_out_of_service(&id, out))
             .await
     }
 
--- a/crates/dispatcher/dispatcher/src/client_context.rs
+++ b/crates/dispatcher/dispatcher/src/client_context.rs
@@ -4,7 +4,7 @@
 use crate::handover::Handover;
 use crate::sockets::Mailbox;
 use crate::store::Store;
-use sagetrail_dispatch::Figures;
+use sagetrail_dispatch::Metrics;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// Names of the categories, in the order of the configuration.
     pub categories: Vec<String>,
     /// Counters.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// The other process at this address, during an upgrade.
     pub handover: Handover,
     /// How long a client of each category waits at the most where it does not say, in seconds.
@@ -68,7 +68,7 @@
     pub mailbox: Mailbox,
     pub store: Option<Rc<Store>>,
     pub categories: Vec<String>,
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     pub expiries: Vec<f64>,
     pub has_endpoints: Rc<Cell<bool>>,
     pub retry_after_s: f64,
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::sockets::Mailbox;
 use crate::store::Store;
 use futures_util::{SinkExt, Stream};
-use sagetrail_dispatch::{number, Callback, Open, Order, Reply};
+use sagetrail_dispatch::{name_hash, Callback, OpenRequest, Reply, WorkRequest};
 use sagetrail_policy::Job;
 use sagetrail_replicated_store::{Completion, RetryAnswer};
 use std::cell::Cell;
@@ -152,13 +152,20 @@
                 let _busy = Counted::new(&client_context.busy);
                 let keep = request.keep && !overrun;
                 callback = request.target == CALLBACKS;
-                let bare = request.method == Method::Head;
+                let headers_only = request.method == Method::Head;
                 let Some((reply, open)) =
                     answer(request, &mut wire, &mut ahead, client_context).await
                 else {
                     return Ok(None);
                 };
-                (Reply { bare, ..reply }, open, keep)
+                (
+                    Reply {
+                        headers_only,
+                        ..reply
+                    },
+                    open,
+                    keep,
+                )
             }
             Come::Fault(fault) => {
                 let Some(status) = fault.status() else {
@@ -168,10 +175,10 @@
             }
         };
         let busy = Counted::new(&client_context.busy);
-        reply.close = !keep
+        reply.close_connection = !keep
             || client_context.closes_after_answer(callback)
             || client_context.open.get() > client_context.budget.clients;
-        let (close, status) = (reply.close, reply.status);
+        let (close, status) = (reply.close_connection, reply.status);
         let sent = timeout(Duration::from_secs_f64(SLOW_S), wire.send(reply)).await;
         sent.map_err(|_| Fault::Unfinished)??;
         open.into_iter().for_each(|open| open.answered(status));
@@ -320,7 +327,7 @@
     wire: &mut Wire,
     ahead: &mut Ahead,
     client_context: &ClientContext,
-) -> Option<(Reply, Option<Open>)> {
+) -> Option<(Reply, Option<OpenRequest>)> {
     let path = request.target.split('?').next().unwrap_or_default();
     let looks = matches!(request.method, Method::Get | Method::Head);
     let reply = match path {
@@ -348,7 +355,7 @@
         _ if request.method != Method::Post => Reply::new(405, "jobs come by POST\n"),
         _ => match job(&request, client_context) {
             Ok((job, wait_s)) => {
-                let open = Open::new(&client_context.figures, job.category);
+                let open = OpenRequest::new(&client_context.figures, job.category);
                 let reply = match client_context.is_overloaded() {
                     true => {
                         let retry_after_s = client_context.retry_after_s;
@@ -470,7 +477,7 @@
     let job = Job {
         category,
         key: key
-            .map_or(0, |key| (number(key) >> 32) as u32)
+            .map_or(0, |key| (name_hash(key) >> 32) as u32)
             .max(key.is_some() as u32),
         expires_at_s: 0.0,
         hint_s: 0.0,
@@ -491,7 +498,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             self.gone.set(true);
-            self.mailbox.put(move |exchange| exchange.left(&id));
+            self.mailbox.put(move |exchange| exchange.client_left(&id));
         }
     }
 }
@@ -610,12 +617,12 @@
         ..
     } = request;
     let gone = Rc::new(Cell::new(false));
-    let order = Order {
+    let work_request = WorkRequest {
         id: id.clone(),
         target,
         headers,
         body,
-        gone: gone.clone(),
+        client_left: gone.clone(),
     };
     let mut waiting = Waiting {
         mailbox: &client_context.mailbox,
@@ -625,7 +632,7 @@
     let (tell, mut told) = oneshot::channel();
     client_context
         .mailbox
-        .call(move |exchange| exchange.take(order, job, wait_s, tell))
+        .call(move |exchange| exchange.accept(work_request, job, wait_s, tell))
         .await;
     tokio::select! {
         biased;
--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -9,7 +9,7 @@
 use crate::sockets::{Exchange, Mailbox};
 use crate::trial::Broken;
 use futures_util::SinkExt;
-use sagetrail_dispatch::{Life, Names, Told};
+use sagetrail_dispatch::{DiscoveryUpdate, Lifecycle, ListNames};
 use std::cell::Cell;
 use std::future::{pending, Future};
 use std::io::ErrorKind;
@@ -55,14 +55,14 @@
 pub(crate) struct Watch {
     /// Changes when the dispatcher is told of another list.
     pub at: watch::Receiver<SocketAddr>,
-    pub names: Names,
+    pub names: ListNames,
     pub mailbox: Mailbox,
     /// Rung when the decisions ask for the list.
     pub ask: Rc<Notify>,
     /// The version that the dispatcher starts from.
     pub after: u64,
     /// The list of before the start, where it holds only if nobody can be asked.
-    pub known: Cell<Option<Told>>,
+    pub known: Cell<Option<DiscoveryUpdate>>,
     /// This dispatcher's turn among all that have read the same flaw.
     pub turn_s: f64,
     pub failing: Cell<bool>,
@@ -165,7 +165,7 @@
                     }
                     let known = self.known.take();
                     let failed = move |exchange: &mut Exchange| {
-                        known.into_iter().for_each(|known| _ = exchange.known(known));
+                        known.into_iter().for_each(|known| _ = exchange.apply_cached_list(known));
                         if !waited {
                             exchange.discovery_failed();
                         }
@@ -223,7 +223,7 @@
             let Some(line) = line.map_err(late)?.transpose()? else {
                 return Ok(());
             };
-            let mut told = Told::default();
+            let mut told = DiscoveryUpdate::default();
             let beat = line.trim_ascii().is_empty();
             if !beat {
                 let Some(read) = indented.add(&line) else {
@@ -233,33 +233,34 @@
                 let value = read
                     .map_or_else(|alone| alone, Some)
                     .ok_or("it is broken".to_string());
-                match value.and_then(|value| Told::read(value, &self.names)) {
+                match value.and_then(|value| DiscoveryUpdate::parse(value, &self.names)) {
                     Ok(read) => told = read,
                     Err(why) => {
                         tracing::warn!("a line of the list is passed over: {why}");
-                        told.damaged = true;
+                        told.has_invalid_entries = true;
                     }
                 }
-                told.damaged |= broke_off;
+                told.has_invalid_entries |= broke_off;
             } else if indented.breaks_off() {
                 tracing::warn!("a line of the list is passed over: it breaks off");
-                told.damaged = true;
+                told.has_invalid_entries = true;
             } else if !first {
                 continue;
             }
             first = false;
             // Guards against a change lost with a bad line: the next watch asks from before it, and soon.
-            if sound && told.damaged {
+            if sound && told.has_invalid_entries {
                 place.flawed.notify_one();
             }
-            sound = (sound || told.whole) && !told.damaged;
+            sound = (sound || told.is_full) && !told.has_invalid_entries;
             // Guards against late word of before: what it still names as ready may drain by now.
-            if !told.whole && told.generation < place.after.get() {
-                told.members.retain(|member| member.life != Life::Ready);
+            if !told.is_full && told.generation < place.after.get() {
+                told.entries
+                    .retain(|entry| entry.lifecycle != Lifecycle::Ready);
             }
             if sound && !beat {
                 place.flaws.set(0);
-                let before = if told.whole { 0 } else { place.after.get() };
+                let before = if told.is_full { 0 } else { place.after.get() };
                 place.after.set(told.generation.max(before));
                 place.spoke.notify_one();
             }
@@ -269,12 +270,12 @@
             self.broken
                 .into_iter()
                 .for_each(|broken| broken.hears(&mut told));
-            let known = self.known.take().filter(|_| !told.whole);
+            let known = self.known.take().filter(|_| !told.is_full);
             let listed = move |exchange: &mut Exchange| {
                 known
                     .into_iter()
-                    .for_each(|known| _ = exchange.known(known));
-                exchange.listed(told);
+                    .for_each(|known| _ = exchange.apply_cached_list(known));
+                exchange.apply_update(told);
             };
             self.mailbox.call(listed).await;
         }
--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::trial::Broken;
 use rand::{Rng, SeedableRng};
-use sagetrail_dispatch::{number, Gate, Load, Saw};
+use sagetrail_dispatch::{name_hash, Endpoint, Load, Observation};
 use sagetrail_policy::Dispatcher;
 use sagetrail_settings::Fleet as Said;
 use sagetrail_shared_state::{
@@ -54,7 +54,7 @@
             (
                 BudgetKey {
                     kind: BudgetKind::Category,
-                    subject: number(name),
+                    subject: name_hash(name),
                 },
                 *most,
             )
@@ -89,7 +89,7 @@
         let site = |name: &str| sites.iter().position(|site| *site == name).unwrap_or(0) as u16;
         let peer = |member: &sagetrail_settings::Member| Peer {
             name: member.name.clone(),
-            number: number(&member.name),
+            number: name_hash(&member.name),
             site: site(&member.site),
         };
         let all = said.members.len();
@@ -192,16 +192,16 @@
         self.node.borrow_mut().record_arrival(now, category);
     }
 
-    pub(crate) fn saw(&self, now: f64, gate: &Gate, what: Saw) {
+    pub(crate) fn saw(&self, now: f64, gate: &Endpoint, what: Observation) {
         let good = match what {
-            Saw::Finished => true,
-            Saw::Failed | Saw::Silent => false,
-            Saw::Heard => return,
+            Observation::Finished => true,
+            Observation::Failed | Observation::NoResponse => false,
+            Observation::Responded => return,
         };
         self.node
             .borrow_mut()
             .observations
-            .record(now, number(&gate.name), good);
+            .record(now, name_hash(&gate.name), good);
     }
 
     /// What others saw of runners in the last seconds: when, at which place, whether good.
@@ -280,7 +280,7 @@
             };
             d.set_cold_share(r, Some(usable as f64 / WHOLE as f64));
         }
-        let out = |category: usize| f64::from(load.out.get(category).copied().unwrap_or(0));
+        let out = |category: usize| f64::from(load.attempts.get(category).copied().unwrap_or(0));
         let left = |(category, cap): (usize, &Option<(BudgetKey, u64)>)| match cap {
             Some((_, most)) if self.broken == Some(Broken::CapForEach) => {
                 *most as f64 - out(category)
@@ -301,8 +301,8 @@
         }
         self.next_hear.set(now + HEAR_S);
         let mut places = self.places.borrow_mut();
-        for place in places.len()..load.gates.len() {
-            places.insert(number(&load.gates[place].name), place);
+        for place in places.len()..load.endpoints.len() {
+            places.insert(name_hash(&load.endpoints[place].name), place);
         }
         let mut believed = self.believed.borrow_mut();
         for (of, heard) in node.verdicts(now) {
@@ -322,10 +322,10 @@
         }
         // In the mean of the last second: what several tell at moments of their own does not add up otherwise.
         let mut runs = self.runs.borrow_mut();
-        runs.resize(load.gates.len(), 0.0);
+        runs.resize(load.endpoints.len(), 0.0);
         for (mean, now) in runs
             .iter_mut()
-            .zip(load.runs.iter().chain(std::iter::repeat(&0)))
+            .zip(load.running_jobs.iter().chain(std::iter::repeat(&0)))
         {
             *mean += HEAR_S * (f64::from(*now) - *mean);
         }
@@ -350,12 +350,12 @@
         cold.clear();
         let mut short = false;
         for (r, spent, wants) in d.cold_usage(now) {
-            let Some(gate) = load.gates.get(r) else {
+            let Some(gate) = load.endpoints.get(r) else {
                 continue;
             };
             let key = BudgetKey {
                 kind: BudgetKind::SlowStart,
-                subject: number(&format!("{} {}", gate.name, gate.started.get())),
+                subject: name_hash(&format!("{} {}", gate.name, gate.started_unix_s.get())),
             };
             if !node.budgets.set_limit(now, key, WHOLE) {
                 continue;
@@ -375,7 +375,7 @@
             .filter_map(|(n, cap)| Some((n, (*cap)?)))
         {
             node.budgets.set_limit(now, key, most);
-            let (out, taken) = (count(&load.out, n), count(&load.taken, n));
+            let (out, taken) = (count(&load.attempts, n), count(&load.open_work_items, n));
             short |= taken > node.budgets.usable(now, key);
             node.budgets.record_use(now, key, out, taken.max(out));
         }
@@ -385,7 +385,7 @@
             while resent.front().is_some_and(|at| now >= at + RESENDS_S) {
                 resent.pop_front();
             }
-            let busy = load.out.iter().any(|n| *n > 0);
+            let busy = load.attempts.iter().any(|n| *n > 0);
             let want = if busy { 2 * resent.len() as u64 + 2 } else { 0 };
             node.budgets
                 .record_use(now, RESENDS, resent.len() as u64, want);
@@ -449,12 +449,12 @@
             BudgetKind::Resubmissions => "resends".to_string(),
             BudgetKind::Category => categories
                 .iter()
-                .find(|name| number(name) == key.subject)
+                .find(|name| name_hash(name) == key.subject)
                 .cloned()
                 .unwrap_or_default(),
             BudgetKind::SlowStart => {
                 let of = |(name, started): &&(String, f64)| {
-                    number(&format!("{name} {started}")) == key.subject
+                    name_hash(&format!("{name} {started}")) == key.subject
                 };
                 gates
                     .iter()
@@ -493,7 +493,7 @@
             .into_iter()
             .filter(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
         {
-            let runner = gates.iter().find(|(name, _)| number(name) == of);
+            let runner = gates.iter().find(|(name, _)| name_hash(name) == of);
             let runner = runner.map_or("?", |(name, _)| name);
             let _ = writeln!(lines, "{runner} {}", heard.as_str());
         }
--- a/crates/dispatcher/dispatcher/src/handover.rs
+++ b/crates/dispatcher/dispatcher/src/handover.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use sagetrail_dispatch::{Callback, Passed};
+use sagetrail_dispatch::{Callback, HandoverState};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -62,7 +62,7 @@
         version: u32,
     },
     /// The old process's state, in answer to `Hello`.
-    State(Box<Passed>),
+    State(Box<HandoverState>),
     /// A request, either way.
     #[serde(rename = "Asks")]
     Request {
--- a/crates/dispatcher/dispatcher/src/handover_socket.rs
+++ b/crates/dispatcher/dispatcher/src/handover_socket.rs
@@ -5,7 +5,7 @@
     frames, receive, send, Frame, FrameReader, FrameWriter, Peer, PeerRequest, MAX_LINKS,
     MAX_QUEUED_FRAMES, STATE_TIMEOUT, VERSION,
 };
-use sagetrail_dispatch::Passed;
+use sagetrail_dispatch::HandoverState;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -44,7 +44,7 @@
 
     /// The predecessor's state and the link to it. `None`, a fresh start, where it is gone or does not answer within
     /// [`STATE_TIMEOUT`].
-    pub(crate) async fn find(&self) -> Option<(Passed, Predecessor)> {
+    pub(crate) async fn find(&self) -> Option<(HandoverState, Predecessor)> {
         let path = std::fs::read_link(&self.common).ok();
         let state = async {
             let stream = UnixStream::connect(&self.common).await.ok()?;
@@ -128,10 +128,10 @@
                 let Some((learnt, runners)) = state else {
                     return;
                 };
-                let state = Passed {
-                    drained: client_context.drained.get(),
+                let state = HandoverState {
+                    is_draining: client_context.drained.get(),
                     deployment,
-                    learnt,
+                    learned: learnt,
                     runners,
                 };
                 tracing::info!("a new process takes over");
@@ -200,7 +200,12 @@
     }
 
     /// Serves the other process until one of the two ends; `first` goes before all that is laid on the link.
-    async fn serve(mut self, first: Option<Passed>, mut read: FrameReader, mut write: FrameWriter) {
+    async fn serve(
+        mut self,
+        first: Option<HandoverState>,
+        mut read: FrameReader,
+        mut write: FrameWriter,
+    ) {
         let (client_context, peer) = (self.client_context.clone(), self.peer.clone());
         let writes = async {
             if let Some(state) = first {
@@ -244,7 +249,7 @@
             .unwrap_or(false),
         PeerRequest::SetMaintenance { id, out } => client_context
             .mailbox
-            .ask(move |exchange| exchange.by_hand(&id, out))
+            .ask(move |exchange| exchange.set_out_of_service(&id, out))
             .await
             .unwrap_or(false),
         PeerRequest::Drain(on) => {
--- a/crates/dispatcher/dispatcher/src/http.rs
+++ b/crates/dispatcher/dispatcher/src/http.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use futures_util::Stream;
 use httparse::{Header, Status};
-use sagetrail_dispatch::{Answer, Outgoing, Reply};
+use sagetrail_dispatch::{Reply, RunnerRequest, RunnerResponse};
 use std::fmt::Write;
 use std::future::poll_fn;
 use std::io;
@@ -407,14 +407,14 @@
         if reply.retry_after_s > 0.0 {
             let _ = write!(head, "Retry-After: {:.3}\r\n", reply.retry_after_s);
         }
-        head.push_str(if reply.close {
+        head.push_str(if reply.close_connection {
             "Connection: close\r\n\r\n"
         } else {
             "\r\n"
         });
         dst.reserve(head.len() + reply.body.len());
         dst.put_slice(head.as_bytes());
-        if !reply.bare && reply.status != 204 {
+        if !reply.headers_only && reply.status != 204 {
             dst.put_slice(&reply.body);
         }
         Ok(())
@@ -425,7 +425,7 @@
 
 pub(crate) struct Calling {
     at: SocketAddr,
-    reading: Option<(Answer, Body)>,
+    reading: Option<(RunnerResponse, Body)>,
 }
 
 impl Calling {
@@ -444,20 +444,20 @@
     }
 }
 
-impl Encoder<Outgoing> for Calling {
+impl Encoder<RunnerRequest> for Calling {
     type Error = Fault;
 
-    fn encode(&mut self, message: Outgoing, dst: &mut BytesMut) -> Result<(), Fault> {
+    fn encode(&mut self, message: RunnerRequest, dst: &mut BytesMut) -> Result<(), Fault> {
         let host = self.at;
         match message {
-            Outgoing::Work {
+            RunnerRequest::Work {
                 target,
                 headers,
-                wait_s,
+                time_left_s,
                 body,
                 ..
             } => {
-                let wait = (wait_s * 1e3).max(0.0) as u64;
+                let wait = (time_left_s * 1e3).max(0.0) as u64;
                 let head = format!(
                     "POST {target} HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {wait}m\r\nContent-Length: {}\r\n",
                     body.len()
@@ -467,7 +467,7 @@
                     .iter()
                     .for_each(|part| dst.put_slice(part));
             }
-            Outgoing::GiveUp { id } => {
+            RunnerRequest::Cancel { id } => {
                 let head = format!(
                     "DELETE /jobs/{id} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
                 );
@@ -479,7 +479,7 @@
 }
 
 /// An answer's head, past any interim ones: its status, headers and framing.
-fn answer(src: &mut BytesMut, most: usize) -> Result<Option<(Answer, Body)>, Fault> {
+fn answer(src: &mut BytesMut, most: usize) -> Result<Option<(RunnerResponse, Body)>, Fault> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut head = httparse::Response::new(&mut headers);
@@ -489,22 +489,22 @@
         };
         let status = head.code.unwrap_or(0);
         let said = said(head.headers)?;
-        let declined = value(head.headers, "srv-declined")?.is_some_and(|said| said == "1");
+        let is_declined = value(head.headers, "srv-declined")?.is_some_and(|said| said == "1");
         let framing = match said.length {
             _ if matches!(status, 204 | 304) => Framing::Length(0),
             _ if said.chunked => Framing::ChunkSize,
             Some(length) => Framing::Length(length),
             None => Framing::UntilClosed,
         };
-        let keep = said.keeps(head.version) && !matches!(framing, Framing::UntilClosed);
+        let keep_alive = said.keeps(head.version) && !matches!(framing, Framing::UntilClosed);
         src.advance(length);
         if !(100..200).contains(&status) {
             return Ok(Some((
-                Answer {
+                RunnerResponse {
                     status,
-                    declined,
-                    doubtful: false,
-                    keep,
+                    is_declined,
+                    may_be_duplicate: false,
+                    keep_alive,
                 },
                 Body::new(framing, most)?,
             )));
@@ -513,10 +513,10 @@
 }
 
 impl Decoder for Calling {
-    type Item = Answer;
+    type Item = RunnerResponse;
     type Error = Fault;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Answer>, Fault> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<RunnerResponse>, Fault> {
         if self.reading.is_none() {
             self.reading = answer(src, BODY_MOST)?;
         }
@@ -529,7 +529,7 @@
         Ok(self.reading.take().map(|(answer, _)| answer))
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Answer>, Fault> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<RunnerResponse>, Fault> {
         if let Some(answer) = self.decode(src)? {
             return Ok(Some(answer));
         }
@@ -591,7 +591,7 @@
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
         if self.reading.is_none() {
             match answer(src, LINE_MOST)? {
-                Some((Answer { status: 200, .. }, body)) => self.reading = Some(body),
+                Some((RunnerResponse { status: 200, .. }, body)) => self.reading = Some(body),
                 Some((answer, _)) => return Err(Fault::Answer(answer.status)),
                 None => return Ok(None),
             }
--- a/crates/dispatcher/dispatcher/src/learnt.rs
+++ b/crates/dispatcher/dispatcher/src/learnt.rs
@@ -1,6 +1,6 @@
 //! What is worth keeping over a planned restart, in a file of its own.
 
-use sagetrail_dispatch::Learnt;
+use sagetrail_dispatch::LearnedState;
 use std::fs;
 use std::path::Path;
 use std::time::SystemTime;
@@ -19,10 +19,10 @@
 }
 
 /// Guards against figures that no runner can have had.
-fn sane(learnt: &Learnt) -> bool {
+fn sane(learnt: &LearnedState) -> bool {
     let within = |x: f64, least: f64, most: f64| (least..=most).contains(&x);
     learnt
-        .usuals
+        .category_durations
         .iter()
         .all(|usual| within(usual.seconds, 1e-4, 3600.0))
         && learnt
@@ -31,14 +31,14 @@
             .all(|r| within(r.slots, 0.0, 4096.0) && within(r.pace, 0.01, 100.0))
 }
 
-pub(crate) fn read(path: &Path, deployment: u64) -> Result<Learnt, String> {
+pub(crate) fn read(path: &Path, deployment: u64) -> Result<LearnedState, String> {
     let size = fs::metadata(path).map_err(|error| error.to_string())?.len();
     if size > MOST_BYTES {
         return Err(format!("{size} bytes are too many"));
     }
     let text = fs::read_to_string(path).map_err(|error| error.to_string())?;
-    let learnt: Learnt = serde_json::from_str(&text).map_err(|error| error.to_string())?;
-    let age_s = unix() - learnt.written;
+    let learnt: LearnedState = serde_json::from_str(&text).map_err(|error| error.to_string())?;
+    let age_s = unix() - learnt.written_at_s;
     match () {
         _ if learnt.version != VERSION => Err(format!("it is of version {}", learnt.version)),
         _ if learnt.deployment != deployment => Err("it is of another deployment".to_string()),
@@ -49,11 +49,11 @@
 }
 
 /// Written whole under another name first: who reads it finds the old one or the new one.
-pub(crate) fn write(path: &Path, deployment: u64, learnt: Learnt) -> Result<(), String> {
-    let learnt = Learnt {
+pub(crate) fn write(path: &Path, deployment: u64, learnt: LearnedState) -> Result<(), String> {
+    let learnt = LearnedState {
         version: VERSION,
         deployment,
-        written: unix(),
+        written_at_s: unix(),
         ..learnt
     };
     let text = serde_json::to_string(&learnt).map_err(|error| error.to_string())?;
--- a/crates/dispatcher/dispatcher/src/runners.rs
+++ b/crates/dispatcher/dispatcher/src/runners.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::http::{next, wire, Calling, Fault};
 use futures_util::{SinkExt, Stream};
-use sagetrail_dispatch::{Answer, Broken, Figures, Gate, Outgoing};
+use sagetrail_dispatch::{Endpoint, Metrics, RequestFailure, RunnerRequest, RunnerResponse};
 use std::cell::{Cell, RefCell};
 use std::future::{pending, poll_fn, ready};
 use std::net::SocketAddr;
@@ -27,12 +27,12 @@
 
 /// A runner, as far as sockets go.
 pub(crate) struct Runner {
-    pub gate: Rc<Gate>,
+    pub gate: Rc<Endpoint>,
     idle: RefCell<Vec<oneshot::Sender<Errand>>>,
 }
 
 impl Runner {
-    pub(crate) fn new(gate: Rc<Gate>) -> Rc<Self> {
+    pub(crate) fn new(gate: Rc<Endpoint>) -> Rc<Self> {
         Rc::new(Runner {
             gate,
             idle: RefCell::default(),
@@ -48,7 +48,7 @@
 /// What all connections to runners share.
 pub(crate) struct Pool {
     pub clock: Clock,
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     pub permits: Arc<Semaphore>,
     pub dial_s: f64,
     pub idle_s: f64,
@@ -72,7 +72,7 @@
     }
 }
 
-type Tell = Box<dyn FnOnce(Result<Answer, Broken>)>;
+type Tell = Box<dyn FnOnce(Result<RunnerResponse, RequestFailure>)>;
 
 /// Tells how an errand ended, exactly once. Guards against a panic or a task dropped on the way:
 /// what it carried is settled by how far it had come.
@@ -82,15 +82,15 @@
 }
 
 impl Ending {
-    fn tell(&mut self, ended: Result<Answer, Broken>) {
+    fn tell(&mut self, ended: Result<RunnerResponse, RequestFailure>) {
         if let Some(tell) = self.tell.take() {
             tell(ended);
         }
     }
 
-    fn broken(&self, so_far: Broken) -> Broken {
+    fn broken(&self, so_far: RequestFailure) -> RequestFailure {
         if self.whole.get() {
-            Broken::Unanswered
+            RequestFailure::NoResponse
         } else {
             so_far
         }
@@ -99,14 +99,14 @@
 
 impl Drop for Ending {
     fn drop(&mut self) {
-        let broken = self.broken(Broken::Unreached);
+        let broken = self.broken(RequestFailure::NotDelivered);
         self.tell(Err(broken));
     }
 }
 
 /// One message to a runner and the wait for its answer.
 pub(crate) struct Errand {
-    message: Outgoing,
+    message: RunnerRequest,
     /// None once the exchange has lost interest.
     stop: Option<oneshot::Receiver<()>>,
     until: f64,
@@ -116,10 +116,10 @@
 impl Errand {
     /// The errand, and what stops it; `whole` is set once it has been written whole.
     pub(crate) fn new(
-        message: Outgoing,
+        message: RunnerRequest,
         until: f64,
         whole: Rc<Cell<bool>>,
-        tell: impl FnOnce(Result<Answer, Broken>) + 'static,
+        tell: impl FnOnce(Result<RunnerResponse, RequestFailure>) + 'static,
     ) -> (Errand, oneshot::Sender<()>) {
         let (stopper, stop) = oneshot::channel();
         let ending = Ending {
@@ -138,18 +138,25 @@
     }
 
     /// What forbids that it begins now, though it did not when its connection was asked for.
-    fn held_back(&self, runner: &Runner, at: SocketAddr, now: f64) -> Option<Broken> {
-        let Outgoing::Work { begin_by, gone, .. } = &self.message else {
+    fn held_back(&self, runner: &Runner, at: SocketAddr, now: f64) -> Option<RequestFailure> {
+        let RunnerRequest::Work {
+            start_by_s,
+            client_left,
+            ..
+        } = &self.message
+        else {
             return None;
         };
         let gate = &runner.gate;
         match () {
             // Guards against a runner told to drain while its connection was coming up.
-            () if now >= gate.shut_at.get() => Some(Broken::Unreached),
+            () if now >= gate.closed_from_s.get() => Some(RequestFailure::NotDelivered),
             // Guards against one taken out by hand meanwhile, or that has moved to another address; a client that has
             // left; the end of a part of a budget, of the time in which its runners drop a repeat, of its own.
-            () if gate.out.get() || gate.address.get() != at || gone.get() => Some(Broken::Unsent),
-            () if now >= *begin_by || now >= self.until => Some(Broken::Unsent),
+            () if gate.out_of_service.get() || gate.address.get() != at || client_left.get() => {
+                Some(RequestFailure::NotSent)
+            }
+            () if now >= *start_by_s || now >= self.until => Some(RequestFailure::NotSent),
             () => None,
         }
     }
@@ -165,21 +172,23 @@
     ) -> bool {
         let now = pool.clock.now();
         let mut message = self.message.clone();
-        let hands_off = matches!(message, Outgoing::Work { .. });
+        let hands_off = matches!(message, RunnerRequest::Work { .. });
         if let Some(why) = self.held_back(runner, wire.codec().at(), now) {
             self.ending.tell(Err(why));
-            return !runner.gate.out.get();
+            return !runner.gate.out_of_service.get();
         }
-        if let Outgoing::Work { wait_s, .. } = &mut message {
-            *wait_s = self.until - now;
+        if let RunnerRequest::Work { time_left_s, .. } = &mut message {
+            *time_left_s = self.until - now;
         }
         let soon = rested.is_some_and(|since| since.elapsed().as_secs_f64() < CROSSING_S);
         let whole = self.ending.whole.clone();
         let exchanged = async {
-            wire.send(message).await.map_err(|_| Broken::Unreached)?;
+            wire.send(message)
+                .await
+                .map_err(|_| RequestFailure::NotDelivered)?;
             whole.set(true);
             if hands_off {
-                pool.figures.relays();
+                pool.figures.count_relayed();
             }
             let answer = match next(wire).await {
                 Some(Ok(answer)) => answer,
@@ -187,9 +196,9 @@
                 None | Some(Err(Fault::Broken(_))) if rested.is_some() && !stirs(wire) => {
                     // Guards against one dead connection after another: the other idle ones rested longer.
                     runner.drop_idle();
-                    return Err(Broken::Stale);
+                    return Err(RequestFailure::StaleConnection);
                 }
-                _ => return Err(Broken::Unanswered),
+                _ => return Err(RequestFailure::NoResponse),
             };
             if !soon || answer.status == 202 {
                 return Ok(answer);
@@ -197,10 +206,13 @@
             // Guards against a second answer to the request before taken for one to this: this one's own would follow,
             // and until it does nothing proves that it never ran.
             match timeout(Duration::from_secs_f64(CROSSING_S), next(wire)).await {
-                Ok(Some(Ok(own))) => Ok(Answer { keep: false, ..own }),
-                _ => Ok(Answer {
-                    keep: false,
-                    doubtful: true,
+                Ok(Some(Ok(own))) => Ok(RunnerResponse {
+                    keep_alive: false,
+                    ..own
+                }),
+                _ => Ok(RunnerResponse {
+                    keep_alive: false,
+                    may_be_duplicate: true,
                     ..answer
                 }),
             }
@@ -237,11 +249,11 @@
                 runner.drop_idle();
                 match hands_off && self.ending.whole.get() {
                     true => given_up(wire).await,
-                    false => Err(self.ending.broken(Broken::Unsent)),
+                    false => Err(self.ending.broken(RequestFailure::NotSent)),
                 }
             }
         };
-        let keep = ended.as_ref().is_ok_and(|answer| answer.keep);
+        let keep = ended.as_ref().is_ok_and(|answer| answer.keep_alive);
         self.ending.tell(ended);
         keep
     }
@@ -249,18 +261,18 @@
 
 /// Gives up by closing, and hears what crosses that. Guards against a second copy beside one whose 202 was on its way:
 /// its runner has to be told by word.
-async fn given_up(wire: &mut Wire) -> Result<Answer, Broken> {
+async fn given_up(wire: &mut Wire) -> Result<RunnerResponse, RequestFailure> {
     let closed = wire.get_mut().shutdown().await.is_ok();
     let crossing = timeout(Duration::from_secs_f64(CROSSING_S), next(wire));
     match closed {
         true => match crossing.await {
-            Ok(Some(Ok(answer))) => Ok(Answer {
-                keep: false,
+            Ok(Some(Ok(answer))) => Ok(RunnerResponse {
+                keep_alive: false,
                 ..answer
             }),
-            _ => Err(Broken::Unanswered),
+            _ => Err(RequestFailure::NoResponse),
         },
-        false => Err(Broken::Unanswered),
+        false => Err(RequestFailure::NoResponse),
     }
 }
 
@@ -305,7 +317,10 @@
     }
 }
 
-async fn open(pool: &Pool, at: SocketAddr) -> Result<(TcpStream, OwnedSemaphorePermit), Broken> {
+async fn open(
+    pool: &Pool,
+    at: SocketAddr,
+) -> Result<(TcpStream, OwnedSemaphorePermit), RequestFailure> {
     let within = Duration::from_secs_f64(pool.dial_s);
     let permit = match pool.permits.clone().try_acquire_owned() {
         Ok(permit) => permit,
@@ -313,12 +328,15 @@
             // All connections are in use or idle somewhere: one of the idle makes room.
             pool.spare_one();
             let freed = timeout(within, pool.permits.clone().acquire_owned()).await;
-            freed.ok().and_then(Result::ok).ok_or(Broken::Unsent)?
+            freed
+                .ok()
+                .and_then(Result::ok)
+                .ok_or(RequestFailure::NotSent)?
         }
     };
     match timeout(within, TcpStream::connect(at)).await {
         Ok(Ok(stream)) => Ok((stream, permit)),
-        _ => Err(Broken::Unreached),
+        _ => Err(RequestFailure::NotDelivered),
     }
 }
 
@@ -326,7 +344,7 @@
     let at = runner.gate.address.get();
     let opened = tokio::select! {
         biased;
-        () = stopped(&mut errand.stop) => Err(Broken::Unsent),
+        () = stopped(&mut errand.stop) => Err(RequestFailure::NotSent),
         opened = open(&pool, at) => opened,
     };
     match opened {
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -18,7 +18,7 @@
 use crate::start::{self, Source, Start};
 use crate::store::{OpenStore, Store, StoreParts};
 use crate::trial::Broken;
-use sagetrail_dispatch::{number, terms, Figures, Parts};
+use sagetrail_dispatch::{category_terms_hash, name_hash, ExchangeConfig, Metrics};
 use sagetrail_policy::Dispatcher;
 use sagetrail_settings::{Fleet as FleetSettings, Trial};
 use serde_json::Value;
@@ -209,7 +209,7 @@
     let listeners = Listeners::bind(&start, inherited, clock).await?;
     let (mailbox, calls) = Mailbox::new();
     let (ask_discovery, has_list) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
-    let figures = Figures::new(&start.categories);
+    let figures = Metrics::new(&start.categories);
     let pool = runner_pool(&start, clock, figures.clone(), budget);
     let (discovery_at, at) = watch::channel(start.discovery_at);
     let discovery = discovery_watch(&mut start, at, &mailbox, &ask_discovery, broken);
@@ -316,7 +316,7 @@
 fn runner_pool(
     start: &Start,
     clock: Clock,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     budget: DescriptorBudget,
 ) -> Rc<runners::Pool> {
     Rc::new(runners::Pool {
@@ -417,7 +417,7 @@
     budget: DescriptorBudget,
     mailbox: Mailbox,
     store: Option<Rc<Store>>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     has_endpoints: Rc<Cell<bool>>,
 ) -> Rc<ClientContext> {
     ClientContext::new(ClientContextParts {
@@ -438,7 +438,7 @@
         .categories
         .iter()
         .zip(&start.terms.categories)
-        .map(|(name, category)| terms(name, category))
+        .map(|(name, category)| category_terms_hash(name, category))
         .collect()
 }
 
@@ -473,7 +473,7 @@
     let wanted = start.zones.len() > 1 && start.siting;
     wanted.then(|| {
         Siting::new(
-            (number(&start.name), start.terms.zone),
+            (name_hash(&start.name), start.terms.zone),
             std::mem::take(&mut start.plan),
             std::mem::take(&mut start.zones),
             client_context.categories.clone(),
@@ -484,18 +484,18 @@
 }
 
 fn new_exchange(start: &mut Start, outside: Sockets, retry_after_s: f64, clock: Clock) -> Exchange {
-    let parts = Parts {
-        unix: clock.unix,
-        dial_s: start.dial_s,
-        drain_s: start.drain_s,
-        most_held: start.most_held,
+    let config = ExchangeConfig {
+        unix_at_zero_s: clock.unix,
+        connect_timeout_s: start.dial_s,
+        drain_grace_s: start.drain_s,
+        max_open_work_items: start.most_held,
         retry_after_s,
-        two_at_once: start.two_at_once,
+        allow_concurrent_attempts: start.two_at_once,
         may_cancel: start.terms.may_cancel,
     };
     let mut dispatcher = Dispatcher::new(start.terms.clone(), start.seed, clock.now());
     dispatcher.begin_without_history(clock.now());
-    Exchange::new(dispatcher, outside, parts, clock.now())
+    Exchange::new(dispatcher, outside, config, clock.now())
 }
 
 /// Takes up what a running predecessor passes on, or else what an earlier process left in a file.
@@ -511,15 +511,15 @@
         None => None,
     };
     if let Some((state, predecessor)) = predecessor {
-        client_context.drain(state.drained);
+        client_context.drain(state.is_draining);
         exchange.inherit(state, start.deployment, terms);
         start.known = Default::default();
         spawn_local(predecessor.keep(client_context.clone()));
     } else if let Some(path) = start.learnt.clone() {
         match learnt::read(&path, start.deployment) {
             Ok(learned) => {
-                let categories = exchange.take_up(learned, terms);
-                let runners = exchange.known(std::mem::take(&mut start.known));
+                let categories = exchange.restore_learned_state(learned, terms);
+                let runners = exchange.apply_cached_list(std::mem::take(&mut start.known));
                 tracing::info!(
                     "took up learned state of {categories} categories and {runners} runners"
                 );
@@ -530,8 +530,8 @@
             ),
         }
     }
-    if !start.known.members.is_empty() {
-        exchange.known(std::mem::take(&mut start.known));
+    if !start.known.entries.is_empty() {
+        exchange.apply_cached_list(std::mem::take(&mut start.known));
     }
 }
 
--- a/crates/dispatcher/dispatcher/src/shutdown.rs
+++ b/crates/dispatcher/dispatcher/src/shutdown.rs
@@ -51,7 +51,7 @@
         self.client_context.shutting_down.set(true);
         let end_at = since + self.longest_expiry_s.min(LONGEST_EXPIRY_S) + ANSWERED_AFTER_S;
         self.mailbox
-            .call(move |exchange| exchange.end_by(end_at))
+            .call(move |exchange| exchange.shut_down_by(end_at))
             .await;
         self.hand_over();
         self.wait_for_clients(since, end_at).await;
@@ -107,7 +107,7 @@
     ) {
         let (give, got) = oneshot::channel();
         self.mailbox
-            .call(move |exchange| drop(give.send(exchange.learnt(&terms))))
+            .call(move |exchange| drop(give.send(exchange.learned_state(&terms))))
             .await;
         let learned = timeout(LEARNED_STATE_TIMEOUT, got)
             .await
--- a/crates/dispatcher/dispatcher/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::trial::Broken;
-use sagetrail_dispatch::{number, Load, Saw};
+use sagetrail_dispatch::{name_hash, Load, Observation};
 use sagetrail_failover::{
     admitted_fractions, CategoryDemand, FailbackStage, FailoverPlan, SiteFailureDetector,
     SiteHealth,
@@ -64,10 +64,11 @@
         self.plan = plan;
     }
 
-    pub(crate) fn saw(&mut self, now: f64, runner: usize, what: Saw) {
-        self.sites.record_result(now, runner, what != Saw::Silent);
+    pub(crate) fn saw(&mut self, now: f64, runner: usize, what: Observation) {
+        self.sites
+            .record_result(now, runner, what != Observation::NoResponse);
         // A sign of silence is looked at soon: the next would be spent on the same loss.
-        if what == Saw::Silent {
+        if what == Observation::NoResponse {
             self.next = self.next.min(now);
         }
     }
@@ -84,14 +85,14 @@
         }
         self.next = now + LOOK_S;
         let fresh = load
-            .gates
+            .endpoints
             .iter()
             .skip(self.numbers.len())
-            .map(|gate| number(&gate.name));
+            .map(|gate| name_hash(&gate.name));
         self.numbers.extend(fresh);
-        for (place, (gate, of)) in load.gates.iter().zip(&self.numbers).enumerate() {
+        for (place, (gate, of)) in load.endpoints.iter().zip(&self.numbers).enumerate() {
             self.sites
-                .set_runner(place, *of, gate.zone.get(), gate.listed.get());
+                .set_runner(place, *of, gate.zone.get(), gate.is_listed.get());
         }
         if let Some(fleet) = &self.fleet {
             fleet.sights(now, |at, place, good| {
@@ -133,7 +134,7 @@
                 .iter()
                 .any(|(s, _, stage, _)| *s == site && *stage == FailbackStage::Lost)
         };
-        let zone = |place: &usize| load.gates[*place].zone.get();
+        let zone = |place: &usize| load.endpoints[*place].zone.get();
         match self.yardstick {
             Some(Broken::AllToNearest) if lost(self.mine) => {
                 let count = self.zones.len() as u16;
@@ -142,7 +143,7 @@
                     .find(|site| !lost(*site));
                 let other =
                     |place: &usize| Some(zone(place)) != nearest && zone(place) != self.mine;
-                away.extend((0..load.gates.len()).filter(other));
+                away.extend((0..load.endpoints.len()).filter(other));
                 away.sort_unstable();
                 away.dedup();
             }
--- a/crates/dispatcher/dispatcher/src/sockets.rs
+++ b/crates/dispatcher/dispatcher/src/sockets.rs
@@ -6,7 +6,9 @@
 use crate::runners::{self, Errand, Pool, Runner};
 use crate::siting::Siting;
 use crate::trial::Broken;
-use sagetrail_dispatch::{Gate, Load, Outgoing, Outside, Reply, Saw, Task};
+use sagetrail_dispatch::{
+    Endpoint, ExchangeHost, Load, Observation, Purpose, Reply, RunnerRequest,
+};
 use sagetrail_policy::Dispatcher;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -30,9 +32,9 @@
     pub answered: u64,
 }
 
-impl Outside for Sockets {
+impl ExchangeHost for Sockets {
     type Client = oneshot::Sender<Reply>;
-    type Errand = oneshot::Sender<()>;
+    type RequestHandle = oneshot::Sender<()>;
 
     fn answer(&mut self, client: Self::Client, reply: Reply) {
         self.answered += 1;
@@ -47,48 +49,48 @@
         }
     }
 
-    fn gone(client: &Self::Client) -> bool {
+    fn has_disconnected(client: &Self::Client) -> bool {
         client.is_closed()
     }
 
-    fn begin(
+    fn send_request(
         &mut self,
-        task: Task,
+        purpose: Purpose,
         runner: usize,
-        message: Outgoing,
-        until: f64,
-        whole: Rc<Cell<bool>>,
-    ) -> Self::Errand {
+        request: RunnerRequest,
+        deadline: f64,
+        is_written: Rc<Cell<bool>>,
+    ) -> Self::RequestHandle {
         let (mailbox, to) = (
             self.mailbox.clone(),
             self.pool.runners.borrow()[runner].clone(),
         );
-        let told = move |ended| mailbox.put(move |exchange| exchange.errand_ended(task, ended));
-        let (errand, stop) = Errand::new(message, until, whole, told);
+        let told = move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
+        let (errand, stop) = Errand::new(request, deadline, is_written, told);
         spawn_local(runners::run(self.pool.clone(), to, errand));
         stop
     }
 
-    fn stop(&mut self, errand: Self::Errand) {
-        let _ = errand.send(());
+    fn abort_request(&mut self, request: Self::RequestHandle) {
+        let _ = request.send(());
     }
 
-    fn again(&mut self, task: Task) {
+    fn schedule_retry(&mut self, purpose: Purpose) {
         let (mailbox, pause) = (
             self.mailbox.clone(),
             Duration::from_secs_f64(self.pool.dial_s),
         );
         spawn_local(async move {
             tokio::time::sleep(pause).await;
-            mailbox.call(move |exchange| exchange.again(task)).await;
+            mailbox.call(move |exchange| exchange.retry(purpose)).await;
         });
     }
 
-    fn enlist(&mut self, gate: Rc<Gate>) {
-        self.pool.runners.borrow_mut().push(Runner::new(gate));
+    fn add_runner(&mut self, endpoint: Rc<Endpoint>) {
+        self.pool.runners.borrow_mut().push(Runner::new(endpoint));
     }
 
-    fn drop_idle(&mut self, runner: usize) {
+    fn close_idle_connections(&mut self, runner: usize) {
         self.pool.runners.borrow()[runner].drop_idle();
     }
 
@@ -96,38 +98,38 @@
         self.ask_discovery.notify_one();
     }
 
-    fn has_list(&mut self, has: bool) {
-        self.has_list.set(has);
+    fn set_has_endpoints(&mut self, has_endpoints: bool) {
+        self.has_list.set(has_endpoints);
     }
 
-    fn took(&mut self, now: f64, category: usize) {
+    fn record_arrival(&mut self, now: f64, category: usize) {
         if let Some(fleet) = &self.fleet {
             fleet.took(now, category);
         }
     }
 
-    fn spend_by(&self, now: f64, runner: usize, category: usize) -> f64 {
+    fn budget_usable_until(&self, now: f64, runner: usize, category: usize) -> f64 {
         self.fleet
             .as_ref()
             .map_or(f64::INFINITY, |fleet| fleet.spend_by(now, runner, category))
     }
 
-    fn goes(&mut self, now: f64, again: bool) {
+    fn record_attempt(&mut self, now: f64, is_retry: bool) {
         if let Some(fleet) = &self.fleet {
-            fleet.goes(now, again);
+            fleet.goes(now, is_retry);
         }
     }
 
-    fn saw(&mut self, now: f64, runner: usize, what: Saw) {
+    fn record_observation(&mut self, now: f64, runner: usize, observation: Observation) {
         if let Some(fleet) = &self.fleet {
-            fleet.saw(now, &self.pool.runners.borrow()[runner].gate, what);
+            fleet.saw(now, &self.pool.runners.borrow()[runner].gate, observation);
         }
         if let Some(siting) = &mut self.siting {
-            siting.saw(now, runner, what);
+            siting.saw(now, runner, observation);
         }
     }
 
-    fn advise(&mut self, now: f64, dispatcher: &mut Dispatcher, load: &Load) {
+    fn apply_shared_state(&mut self, now: f64, dispatcher: &mut Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
             fleet.advise(now, dispatcher, load);
         }
@@ -136,7 +138,7 @@
         }
     }
 
-    fn spent(&mut self, now: f64, dispatcher: &Dispatcher, load: &Load) {
+    fn report_budget_use(&mut self, now: f64, dispatcher: &Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
             fleet.spent(now, dispatcher, load);
         }
@@ -152,15 +154,15 @@
                 Some(call) => Some(call),
                 None => return,
             },
-            () = clock.sleep_until(exchange.due()) => None,
+            () = clock.sleep_until(exchange.next_due_s()) => None,
         };
-        exchange.at(clock.now());
+        exchange.set_now(clock.now());
         if let Some(call) = call {
-            exchange.guarded(call);
+            exchange.contain_panic(call);
         }
         while let Some(call) = calls.at_hand() {
-            exchange.guarded(call);
+            exchange.contain_panic(call);
         }
-        exchange.settle();
+        exchange.process_due();
     }
 }
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher is told at its start.
 
-use sagetrail_dispatch::{number, Names, Told};
+use sagetrail_dispatch::{name_hash, DiscoveryUpdate, ListNames};
 use sagetrail_failover::FailoverPlan;
 use sagetrail_policy::{parse_policy_config, FlatSettings, PolicyConfig};
 use sagetrail_settings::{Fleet, Layers, Store, Trial};
@@ -38,7 +38,7 @@
     pub console: Option<SocketAddr>,
     pub seed: u64,
     pub descriptors: usize,
-    pub known: Told,
+    pub known: DiscoveryUpdate,
     /// Where what was learnt is kept over a planned restart, if anywhere, and a number for the deployment.
     pub learnt: Option<PathBuf>,
     pub deployment: u64,
@@ -47,7 +47,7 @@
     pub categories: Vec<String>,
     /// How long a client of each waits at the most, where it does not say.
     pub expiries: Vec<f64>,
-    pub names: Names,
+    pub names: ListNames,
     pub dial_s: f64,
     pub runner_idle_s: f64,
     pub drain_s: f64,
@@ -232,7 +232,7 @@
     if terms.list_request_limit_s <= 0.0 {
         terms.list_request_limit_s = 10.0;
     }
-    let names = Names {
+    let names = ListNames {
         zones: strings(&page.settings["Dcs"]),
         kinds: strings(&page.settings["Kinds"]),
     };
@@ -247,8 +247,10 @@
     let or = |said: f64, usual: f64| if said > 0.0 { said } else { usual };
     let seed = page.seed.unwrap_or_default();
     let known = match page.known {
-        Some(known) => Told::read(known, &names).map_err(|why| format!("known: {why}"))?,
-        None => Told::default(),
+        Some(known) => {
+            DiscoveryUpdate::parse(known, &names).map_err(|why| format!("known: {why}"))?
+        }
+        None => DiscoveryUpdate::default(),
     };
     Ok(Start {
         name: page.name.unwrap_or_else(|| "sagetrail".to_string()),
@@ -266,7 +268,7 @@
             .unwrap_or(1024),
         known,
         learnt: page.learnt,
-        deployment: number(&format!("{categories:?} {:?}", names.kinds)),
+        deployment: name_hash(&format!("{categories:?} {:?}", names.kinds)),
         probes_allowed,
         terms,
         categories,
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -22,7 +22,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 
-use sagetrail_dispatch::number;
+use sagetrail_dispatch::name_hash;
 use sagetrail_raft::Timing;
 use sagetrail_replicated_store::{Batch, ClaimOutcome, Node, NodeConfig};
 use sagetrail_settings::{Fleet as Members, Store as StoreSettings};
@@ -128,7 +128,7 @@
         let mut random = rand_pcg::Pcg64Mcg::from_os_rng();
         let members = parts.members;
         let name = members.members[members.me].name.clone();
-        let member = number(&name);
+        let member = name_hash(&name);
         let fleet_checksum = crc32fast::hash(members.name.as_bytes());
         let folder = &parts.config.folder;
         let content = disk::open_folder(folder, fleet_checksum, member, random.random())?;
@@ -138,7 +138,7 @@
         let names = members
             .members
             .iter()
-            .map(|member| (number(&member.name), member.name.clone()))
+            .map(|member| (name_hash(&member.name), member.name.clone()))
             .collect();
         let store = Store {
             node: RefCell::new(node),
@@ -223,9 +223,9 @@
         members: members
             .members
             .iter()
-            .map(|member| number(&member.name))
+            .map(|member| name_hash(&member.name))
             .collect(),
-        initial_voters: config.voters.iter().map(|name| number(name)).collect(),
+        initial_voters: config.voters.iter().map(|name| name_hash(name)).collect(),
         timing: Timing {
             heartbeat_s: config.beat_s,
             election_timeout_s: config.patience_s,
@@ -255,7 +255,7 @@
 fn queues(members: &Members, own: u64) -> (BTreeMap<u64, mpsc::Sender<Bytes>>, Queues) {
     let (mut senders, mut receivers) = (BTreeMap::new(), Vec::new());
     for member in &members.members {
-        let member_number = number(&member.name);
+        let member_number = name_hash(&member.name);
         if member_number != own {
             let (sender, receiver) = mpsc::channel(QUEUE_FRAMES);
             senders.insert(member_number, sender);
--- a/crates/dispatcher/dispatcher/src/store/admin_calls.rs
+++ b/crates/dispatcher/dispatcher/src/store/admin_calls.rs
@@ -1,6 +1,6 @@
 //! The store's part of the admin API: paths under `/store`.
 
-use sagetrail_dispatch::number;
+use sagetrail_dispatch::name_hash;
 use sagetrail_replicated_store::{Command, MAX_SETTINGS_BYTES};
 
 use super::Store;
@@ -129,7 +129,12 @@
     fn voters_without(&self, member: u64) -> Vec<u64> {
         let committed = self.node.borrow().committed.voters.clone();
         let mut voters = match committed.is_empty() {
-            true => self.config.voters.iter().map(|name| number(name)).collect(),
+            true => self
+                .config
+                .voters
+                .iter()
+                .map(|name| name_hash(name))
+                .collect(),
             false => committed,
         };
         voters.retain(|voter| *voter != member);
--- a/crates/dispatcher/dispatcher/src/store/apply.rs
+++ b/crates/dispatcher/dispatcher/src/store/apply.rs
@@ -45,7 +45,7 @@
         }
         if runners != *applied {
             applied.clone_from(&runners);
-            mailbox.put(move |exchange| exchange.held_out(runners));
+            mailbox.put(move |exchange| exchange.set_agreed_out_of_service(runners));
         }
         if self.drained.replace(drained) != drained {
             client_context.drain(drained);
@@ -88,7 +88,7 @@
         let plan = start.plan;
         mailbox.put(move |exchange| {
             exchange
-                .outside()
+                .host()
                 .siting
                 .iter_mut()
                 .for_each(|siting| siting.plan(plan.clone()));
--- a/crates/dispatcher/dispatcher/src/trial.rs
+++ b/crates/dispatcher/dispatcher/src/trial.rs
@@ -2,7 +2,7 @@
 //! catch. `run` refuses them.
 
 use crate::start::Start;
-use sagetrail_dispatch::{Life, Told};
+use sagetrail_dispatch::{DiscoveryUpdate, Lifecycle};
 use sagetrail_policy::Repeat;
 
 /// A program that breaks one rule or passes one bound.
@@ -76,13 +76,13 @@
     }
 
     /// Breaks what the list says.
-    pub(crate) fn hears(self, told: &mut Told) {
+    pub(crate) fn hears(self, told: &mut DiscoveryUpdate) {
         if self == IgnoresDrains {
             let draining = told
-                .members
+                .entries
                 .iter_mut()
-                .filter(|member| member.life == Life::Draining);
-            draining.for_each(|member| member.life = Life::Ready);
+                .filter(|entry| entry.lifecycle == Lifecycle::Draining);
+            draining.for_each(|entry| entry.lifecycle = Lifecycle::Ready);
         }
     }
 }
--- a/crates/dispatcher/dispatcher/tests/handover.rs
+++ b/crates/dispatcher/dispatcher/tests/handover.rs
@@ -3,7 +3,7 @@
 
 #[allow(dead_code)] // The other stories use more of it.
 mod stage;
-use sagetrail_dispatch::Passed;
+use sagetrail_dispatch::HandoverState;
 use stage::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -226,7 +226,7 @@
 fn the_state_is_read_by_the_core() {
     let state = fresh_state(true, SocketAddr::from(([10, 0, 0, 1], 80)));
     let state = state.strip_prefix(r#"{"State":"#).unwrap();
-    let passed: Passed = serde_json::from_str(state.strip_suffix('}').unwrap()).unwrap();
-    assert!(passed.drained);
+    let passed: HandoverState = serde_json::from_str(state.strip_suffix('}').unwrap()).unwrap();
+    assert!(passed.is_draining);
     assert_eq!((passed.deployment, passed.runners.len()), (DEPLOYMENT, 1));
 }
