--- a/crates/cluster/control-plane/src/accept_change.rs
+++ b/crates/cluster/control-plane/src/accept_change.rs
@@ -1,7 +1,8 @@
-//! The accept phase with the change alone: a member that holds the value before it makes the new one itself.
+//! The accept phase with the change instead of the value: a member that holds the value to which the change applies
+//! computes the new value itself.
 //!
-//! The SHA-256 of the proposer's value goes with the change. A member accepts only a value with the same digest, so
-//! that under one proposal number there is still one value.
+//! The change is sent with the SHA-256 of the proposer's value. A member accepts only a value with the same digest, so
+//! there is still only one value under one proposal number.
 
 use crate::change::Change;
 use crate::change_function::ChangeFunction;
@@ -10,12 +11,12 @@
 use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
-/// A change is sent alone where the value is at least so many times its size.
+/// A change is sent instead of the value if the value is at least this many times as large as the change.
 const MIN_SIZE_RATIO: usize = 4;
 
-/// The change to be sent in the place of the value `bytes`, which `function` made of the value accepted in proposal number
-/// `base_proposal`; `None` where the value itself is to be sent.
-pub(crate) fn compose(
+/// Builds the message with the change to send instead of the encoded value `bytes`, which `function` computed from the
+/// value accepted under `base_proposal`. Returns `None` if the value is to be sent.
+pub(crate) fn build(
     function: &ChangeFunction,
     proposal: ProposalNumber,
     base_proposal: ProposalNumber,
@@ -38,11 +39,11 @@
     })
 }
 
-/// The value that the change makes of `value`, if it is the one that the proposer made.
-pub(crate) fn result(accept: &AcceptChange, value: &Blob) -> Option<Blob> {
+/// Applies the change to the encoded value `value`. Returns `None` if the result is not the value of the proposer.
+pub(crate) fn apply(accept: &AcceptChange, value: &Blob) -> Option<Blob> {
     let change = Change::new(accept.kind, accept.base_version, accept.body.0.clone());
     let value = RegisterValue::decode(value).ok()?;
-    let bytes = change.applied_unchecked(value).ok()?.encode();
+    let bytes = change.apply_unchecked(value).ok()?.encode();
     (digest(&bytes) == accept.result).then_some(Blob(bytes))
 }
 
--- a/crates/cluster/control-plane/src/accepted_changes.rs
+++ b/crates/cluster/control-plane/src/accepted_changes.rs
@@ -1,9 +1,10 @@
-//! The archive of accepted changes: by it a change is recognized when it is sent again, however late.
+//! The archive of accepted changes, which recognizes a change that is sent again, however late.
 //!
-//! Each entry was part of a chosen value of the register, which no later round can change. Together the entries form a
-//! chain: the version to which one leads is the base of the next. What was only accepted by some process never enters.
-//! The archive grows by the recent changes of each chosen value and by replies of other core processes. It is written
-//! in batches, since what is not yet written is among the value's recent changes.
+//! Each entry was part of a chosen value of the register, which no later round can change. The entries form a chain:
+//! the version to which one leads is the base of the next. A change that some process has accepted but that is not
+//! known to be chosen is never added. The archive receives the recent changes of each chosen value, and the replies of
+//! other core processes. It is written to disk in batches, which is safe because the unwritten entries are among the
+//! recent changes of the value.
 
 use deku::prelude::*;
 use sagetrail_protocol::control::AcceptedChange;
@@ -11,34 +12,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// The archive holds so many changes; the oldest are dropped.
+/// The maximum number of changes in the archive. When it is full, the oldest ones are dropped.
 pub(crate) const MAX_ACCEPTED_CHANGES: usize = 65_536;
-/// Entries are written once so many are unwritten. Fewer than the recent changes of a value, in which they are
-/// meanwhile.
+/// Entries are written once this many are unwritten. The number is lower than that of the recent changes in a value,
+/// which contain the unwritten entries in the meantime.
 const MIN_UNWRITTEN: usize = 16;
-/// So many entries are written at once at most.
+/// The maximum number of entries that are written in one batch.
 const MAX_WRITES: usize = 1_000;
+/// The prefix of the keys of the rows on disk. It is followed by the change's base as eight big-endian bytes.
 const KEY_PREFIX: &[u8] = b"change/";
 
-/// Versions of which it is not known how one led to the other.
+/// A gap in the chain of accepted changes: entries between two versions are missing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Gap {
-    /// The version up to which the chain below is known; 0 is the beginning.
+    /// The last version of the chain before the gap; 0 is the beginning of all versions.
     pub after: u64,
-    /// The base of the next entry known.
+    /// The base of the first known entry after the gap.
     pub before: u64,
 }
 
-/// Accepted changes by the version they build on.
+/// The archive of accepted changes.
 #[derive(Debug)]
 pub struct AcceptedChanges {
+    /// The entries by their base, which is the version on which the change is based.
     by_base: BTreeMap<u64, AcceptedChange>,
-    /// Bases of the entries before which the chain is broken.
+    /// The bases of the entries whose predecessor in the chain is missing.
     breaks: BTreeSet<u64>,
-    /// Bases of entries that are not on disk yet.
+    /// The bases of the entries that are not on disk yet.
     unwritten: BTreeSet<u64>,
-    /// Bases of entries that were dropped here but not yet on disk.
+    /// The bases of the entries that were dropped in memory but are still on disk.
     dropped: BTreeSet<u64>,
+    /// The maximum number of entries.
     capacity: usize,
 }
 
@@ -49,7 +53,7 @@
 }
 
 impl AcceptedChanges {
-    /// An empty archive of at most `capacity` entries.
+    /// Creates an empty archive of at most `capacity` entries.
     pub fn with_capacity(capacity: usize) -> AcceptedChanges {
         AcceptedChanges {
             by_base: BTreeMap::new(),
@@ -60,7 +64,7 @@
         }
     }
 
-    /// The archive on disk, from the entries of `Table::Control`.
+    /// Loads the archive from the rows of `Table::Control`. Rows with other keys and malformed rows are skipped.
     pub fn load(entries: &[(Vec<u8>, Vec<u8>)]) -> AcceptedChanges {
         let mut changes = AcceptedChanges::default();
         for (_, value) in entries
@@ -85,13 +89,13 @@
         self.by_base.is_empty()
     }
 
-    /// The change that led from `base`, or over it, to a later version.
-    pub fn change_over(&self, base: u64) -> Option<&AcceptedChange> {
+    /// The change that led from version `base`, or from an earlier version past `base`, to a later version.
+    pub fn change_covering(&self, base: u64) -> Option<&AcceptedChange> {
         let (_, change) = self.by_base.range(..=base).next_back()?;
         (base < change.version).then_some(change)
     }
 
-    /// Adds entries; true where one of them is new.
+    /// Adds entries; returns whether any of them is new.
     pub fn insert_all(&mut self, changes: &[AcceptedChange]) -> bool {
         changes
             .iter()
@@ -100,14 +104,14 @@
             > 0
     }
 
-    /// At most `limit` entries from base `after` on, and whether there are more.
+    /// At most `limit` entries whose base is `after` or higher, in order, and whether there are more.
     pub fn from_base(&self, after: u64, limit: usize) -> (Vec<AcceptedChange>, bool) {
         let mut later = self.by_base.range(after..).map(|(_, change)| *change);
         let changes = later.by_ref().take(limit).collect();
         (changes, later.next().is_some())
     }
 
-    /// Where entries are missing, oldest first. What a full archive has dropped is not missing.
+    /// The gaps in the chain, oldest first. The entries that a full archive has dropped are no gap.
     pub fn gaps(&self) -> impl Iterator<Item = Gap> + '_ {
         let full = self.by_base.len() >= self.capacity;
         self.breaks
@@ -125,12 +129,13 @@
             })
     }
 
-    /// Whether enough entries are unwritten to write them.
+    /// Whether there are enough unwritten entries for a batch.
     pub fn needs_writing(&self) -> bool {
         self.unwritten.len() >= MIN_UNWRITTEN
     }
 
-    /// The operations that bring the disk up to date, or nearer to that where there are many.
+    /// Takes the disk operations of the next batch: the puts of at most `MAX_WRITES` unwritten entries, and the
+    /// deletions of all dropped ones.
     pub fn take_writes(&mut self) -> Vec<DiskOperation> {
         let mut operations = Vec::new();
         for _ in 0..MAX_WRITES {
@@ -151,7 +156,7 @@
         }
         if !self.fits_chain(&change) {
             log::error!(
-                "accepted change {} -> {} contradicts the archive",
+                "accepted change contradicts the archive and is ignored: base={} version={}",
                 change.base,
                 change.version
             );
@@ -170,7 +175,7 @@
         self.by_base.len() >= self.capacity && oldest.is_none_or(|oldest| base < *oldest)
     }
 
-    /// Whether the change overlaps with no other one.
+    /// Whether the change leads to a later version and overlaps with no entry.
     fn fits_chain(&self, change: &AcceptedChange) -> bool {
         let after_previous = self
             .previous(change.base)
@@ -189,7 +194,7 @@
         if !follows && change.base > 0 {
             self.breaks.insert(change.base);
         }
-        // An entry that begins where this one ends has its predecessor now.
+        // The entry whose base is this change's version has its predecessor now.
         self.breaks.remove(&change.version);
     }
 
--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! The register's acceptor (CASPaxos, Rystsov, 2018, section 2.2): what it promises and accepts is on disk before it
-//! is sent.
+//! The register's acceptor (CASPaxos, Rystsov, 2018, section 2.2). Each promise and each accepted value is synced to
+//! disk before the reply that states it is sent.
 
 use crate::accept_change;
 use crate::effects::Effects;
@@ -17,31 +17,31 @@
 /// The acceptor of one process.
 #[derive(Debug, Default)]
 pub(crate) struct Acceptor {
-    /// The highest number promised, and that of the accepted value; the latter is at most the former.
+    /// The highest promised proposal number and that of the accepted value. The latter is never higher than the former.
     pub proposals: AcceptorNumbers,
     /// The accepted value, encoded.
     pub value: Blob,
-    /// The member list's version in the accepted value.
+    /// The version of the member list in the accepted value; 0 if no value is accepted.
     pub members_version: u64,
-    /// The number of the newest accepted value that is surely on disk.
+    /// The proposal number of the newest accepted value that is known to be synced to disk.
     pub synced: ProposalNumber,
 }
 
 impl Acceptor {
-    /// Takes up what was on disk.
+    /// Restores the state that was read from disk.
     pub(crate) fn restore(&mut self, proposals: AcceptorNumbers, value: Blob) {
         self.synced = proposals.accepted;
         self.adopt(proposals, value);
     }
 
-    /// Takes up what was received from others and is being written.
+    /// Adopts state that is being written to disk and is not synced yet.
     pub(crate) fn adopt(&mut self, proposals: AcceptorNumbers, value: Blob) {
         self.members_version = members_version(&value);
         self.proposals = proposals;
         self.value = value;
     }
 
-    /// The prepare phase: promises the number, unless a higher one was promised.
+    /// Handles the prepare phase: promises the proposal number, unless a higher one was promised.
     pub(crate) fn on_prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
         if prepare.proposal < self.proposals.promised {
             return self.reject(from, prepare.proposal, effects);
@@ -55,7 +55,8 @@
         effects.write(vec![put_proposals(&self.proposals)], vec![(from, promise)]);
     }
 
-    /// The accept phase: accepts the value, unless a higher number was promised. `node`: this process itself.
+    /// Handles the accept phase: accepts the value, unless a higher proposal number was promised. `node` is the address
+    /// of this process, which is notified once the value is synced.
     pub(crate) fn on_accept(
         &mut self,
         node: NodeId,
@@ -77,7 +78,8 @@
         effects.write(self.operations(), vec![synced, accepted]);
     }
 
-    /// The accept phase with the change alone, which is applied to the accepted value.
+    /// Handles the accept phase with the change instead of the value: applies the change to the accepted value if that
+    /// is the one from which the proposer computed the new value, and asks for the full value otherwise.
     pub(crate) fn on_accept_change(
         &mut self,
         node: NodeId,
@@ -92,7 +94,7 @@
         let value = match self.proposals.accepted {
             accepted if accepted == proposal => Some(self.value.clone()),
             accepted if accepted == accept.base_proposal => {
-                accept_change::result(accept, &self.value)
+                accept_change::apply(accept, &self.value)
             }
             _ => None,
         };
@@ -102,7 +104,8 @@
         }
     }
 
-    /// The accepted value as a chosen one, decoded; `None` before the first.
+    /// The accepted value, decoded, in the form of a chosen one; `None` if no value is accepted. It is not necessarily
+    /// chosen.
     pub(crate) fn accepted_value(&self) -> Option<Chosen> {
         let value = RegisterValue::decode(&self.value).ok()?;
         Some(Chosen {
@@ -111,7 +114,8 @@
         })
     }
 
-    /// A quorum read promises nothing. The reply waits until the value that it names is on disk.
+    /// Handles a quorum read, which promises nothing. The reply is sent only once the value that it states as accepted
+    /// is synced to disk.
     pub(crate) fn on_read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
         let reply = ControlMessage::ReadReply(ReadReply {
             nonce: read.nonce,
@@ -124,17 +128,17 @@
         effects.write(Vec::new(), vec![(from, reply)]);
     }
 
-    /// The value accepted in this proposal number has been synced.
+    /// Records that the value accepted under this proposal number is synced to disk.
     pub(crate) fn on_synced(&mut self, proposal: ProposalNumber) {
         self.synced = self.synced.max(proposal);
     }
 
-    /// The acceptor's complete state, to be written.
+    /// The disk operations that write the acceptor's complete state.
     pub(crate) fn operations(&self) -> Vec<DiskOperation> {
         vec![put_proposals(&self.proposals), put_value(&self.value)]
     }
 
-    /// The accepted value; empty where the other process has it.
+    /// The accepted value; empty if the other process holds the value of this number already.
     fn value_unless(&self, known: ProposalNumber) -> Blob {
         if known == self.proposals.accepted {
             return Blob::default();
@@ -142,7 +146,7 @@
         self.value.clone()
     }
 
-    /// The accepted value where it was accepted in this proposal number; else empty.
+    /// The accepted value if it was accepted under this proposal number, empty otherwise.
     fn value_if(&self, wanted: ProposalNumber) -> Blob {
         if wanted == self.proposals.accepted {
             return self.value.clone();
@@ -159,7 +163,7 @@
     }
 }
 
-/// The version with which an encoded value begins; 0 of no value.
+/// The version of the member list, with which an encoded value begins; 0 if there is no value.
 fn members_version(value: &Blob) -> u64 {
     let bytes = value
         .get(..size_of::<u64>())
--- a/crates/cluster/control-plane/src/change.rs
+++ b/crates/cluster/control-plane/src/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration, as the operator sent it.
+//! A configuration change of the operator, and its application to a value of the register.
 
 use crate::value::{RegisterValue, StoredConfig};
 use sagetrail_cluster_config::{patch_unchecked, ConfigDocument, ConfigError, StoredDocument};
@@ -7,21 +7,21 @@
 use sagetrail_protocol::Blob;
 use sha2::{Digest, Sha256};
 
-/// A change of the configuration as the operator sent it.
+/// A configuration change as the operator sent it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Change {
     /// Whether `body` is a full configuration or a patch.
     pub kind: ChangeKind,
-    /// The configuration's version on which the operator built the change.
+    /// The version of the configuration on which the change is based.
     pub base: u64,
-    /// The request's body: a document, or a patch of one.
+    /// The body of the request: a configuration document or a patch of one.
     pub body: Vec<u8>,
-    /// SHA-256 of kind and body: two changes are the same where base and digest are.
+    /// The SHA-256 of kind and body. Two changes are the same if both base and digest are equal.
     pub digest: [u8; 32],
 }
 
 impl Change {
-    /// A change with its digest.
+    /// Creates a change and computes its digest.
     pub(crate) fn new(kind: ChangeKind, base: u64, body: Vec<u8>) -> Change {
         let digest = digest(kind, &body);
         Change {
@@ -32,12 +32,12 @@
         }
     }
 
-    /// The value with the change put on top of it.
+    /// Returns the value with the change applied.
     ///
     /// # Errors
     ///
-    /// What the document that results does not keep of the rules for configurations.
-    pub(crate) fn applied_to(&self, value: &RegisterValue) -> Result<RegisterValue, ConfigError> {
+    /// Returns the rule for configurations that the resulting document violates.
+    pub(crate) fn apply_to(&self, value: &RegisterValue) -> Result<RegisterValue, ConfigError> {
         let document = self.document(&value.config)?;
         let config = StoredConfig {
             version: document.version,
@@ -46,18 +46,19 @@
         Ok(self.next_value(value.clone(), config))
     }
 
-    /// The same for a change that its proposer has checked, and whose result will be compared with the proposer's: a
-    /// patch is applied without the checks, which take most of the time where there are thousands of routes.
+    /// Returns the value with the change applied, for a change that its proposer has checked and whose result will be
+    /// compared with the proposer's. A patch is applied without the checks, which take most of the time if there are
+    /// thousands of routes.
     ///
     /// # Errors
     ///
-    /// As [`Change::applied_to`]; what an unchecked patch makes may be invalid.
-    pub(crate) fn applied_unchecked(
+    /// Returns the same errors as [`Change::apply_to`], except that the result of an unchecked patch may be invalid.
+    pub(crate) fn apply_unchecked(
         &self,
         mut value: RegisterValue,
     ) -> Result<RegisterValue, ConfigError> {
         if self.kind != ChangeKind::Patch || value.config.version == 0 {
-            return self.applied_to(&value);
+            return self.apply_to(&value);
         }
         let current = std::mem::take(&mut value.config.document);
         let patched = patch_unchecked(&current, &self.body)?;
--- a/crates/cluster/control-plane/src/change_function.rs
+++ b/crates/cluster/control-plane/src/change_function.rs
@@ -1,7 +1,7 @@
 //! The change functions that the proposer applies to the register's value.
 //!
-//! CASPaxos (Rystsov, 2018, section 2.2) replicates a register by functions from its value to the next one: a proposer
-//! reads the value in the prepare phase, applies the function, and has the result accepted.
+//! CASPaxos (Rystsov, 2018, section 2.2) replicates a register with functions that compute the next value from the
+//! current one: a proposer reads the value in the prepare phase, applies the function, and has the result accepted.
 
 use crate::accepted_changes::AcceptedChanges;
 use crate::change::Change;
@@ -10,50 +10,51 @@
 use sagetrail_protocol::{List, NodeId};
 use std::sync::Arc;
 
-/// A function from the register's value to the next one.
+/// A function that computes the next value of the register from the current one.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) enum ChangeFunction {
-    /// A configuration change of the operator, by its number at this process.
+    /// A configuration change of the operator. `number` identifies it at this process.
     Config { number: u64, change: Arc<Change> },
-    /// Leaves the value as it is, and so completes a round that another proposer left unfinished.
+    /// Keeps the value as it is. A round with this function completes a round that another proposer left unfinished.
     Identity,
-    /// A step of a change of members on top of the list of version `base`.
+    /// A step of a change of members, based on the member list of version `base`.
     Members { base: u64, step: MemberStep },
 }
 
-/// A step of a change of members by joint consensus (Ongaro's thesis, 4.3). Between the two steps a majority of both
-/// lists is needed for everything.
+/// A step of a change of members by joint consensus (Ongaro's thesis, 4.3). Between the two steps every decision needs
+/// a majority of each of the two lists.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum MemberStep {
-    /// Names the list that is to follow.
+    /// Sets the next list, so that both lists are in force.
     EnterJoint(Vec<NodeId>),
-    /// The list that was to follow takes the place of the former one.
+    /// Replaces the former list by the next one.
     LeaveJoint,
 }
 
-/// What became of a change function.
+/// The outcome of a change function.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum ChangeOutcome {
-    /// The change is in the value.
+    /// The function was applied to the value.
     Applied,
-    /// It was there before.
+    /// The same change had been applied before.
     AlreadyApplied,
-    /// Another version is current, and this change did not lead to it.
+    /// The change is based on another version than the current one, and was not applied on its base. For a step of a
+    /// change of members: the step does not fit the current member list.
     Conflict,
-    /// The change is not in the value; whether it was applied long ago is not known here.
+    /// The change is based on an older version, and no known accepted change shows whether it was applied on its base.
     Unknown,
-    /// The change does not keep the rules for configurations.
+    /// The resulting configuration violates a rule for configurations.
     Invalid(ConfigError),
-    /// Nothing was to be changed.
+    /// The function keeps the value as it is.
     Unchanged,
 }
 
-/// The result of a change function on one value.
+/// The result of applying a change function to one value.
 #[derive(Clone, Debug)]
 pub(crate) struct Transition {
-    /// The next value; `None` leaves the value as it is.
+    /// The next value; `None` if the value stays as it is.
     pub next: Option<RegisterValue>,
-    /// What became of the function.
+    /// The outcome of the function.
     pub outcome: ChangeOutcome,
 }
 
@@ -74,7 +75,8 @@
 }
 
 impl ChangeFunction {
-    /// Applies the function to `value`. `changes`: earlier changes than the value itself names.
+    /// Applies the function to `value`. `changes` holds the accepted changes that are older than the recent ones in the
+    /// value.
     pub(crate) fn apply(&self, value: &RegisterValue, changes: &AcceptedChanges) -> Transition {
         match self {
             ChangeFunction::Config { change, .. } => apply_change(change, value, changes),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Whether this is the operator's change of this number.
+    /// Whether this is the operator's change with this number.
     pub(crate) fn is_config_change(&self, number: u64) -> bool {
         matches!(self, ChangeFunction::Config { number: own, .. } if *own == number)
     }
@@ -93,21 +95,21 @@
     if value.config.version != change.base {
         return Transition::unchanged(outcome_on_other_version(change, value, changes));
     }
-    match change.applied_to(value) {
+    match change.apply_to(value) {
         Ok(next) => Transition::to(next),
         Err(error) => Transition::unchanged(ChangeOutcome::Invalid(error)),
     }
 }
 
-/// What became of a change whose base is not the current version.
+/// The outcome of a change whose base is not the current version.
 fn outcome_on_other_version(
     change: &Change,
     value: &RegisterValue,
     changes: &AcceptedChanges,
 ) -> ChangeOutcome {
     let accepted = value
-        .change_over(change.base)
-        .or_else(|| changes.change_over(change.base));
+        .change_covering(change.base)
+        .or_else(|| changes.change_covering(change.base));
     match accepted {
         Some(accepted) if accepted.base == change.base && accepted.digest == change.digest => {
             ChangeOutcome::AlreadyApplied
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy of accepted changes: fetches those that this process lacks from the other members, one request at a
-//! time.
+//! Anti-entropy of accepted changes: fetches the changes that are missing in the archive of this process from the other
+//! members, one request at a time.
 
 use crate::accepted_changes::{AcceptedChanges, Gap};
 use crate::effects::Effects;
@@ -9,47 +9,53 @@
 use sagetrail_protocol::{NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member that has left so many requests for a gap without a reply counts as unable to fill it.
+/// The number of requests for a gap without a reply after which a member counts as unable to fill the gap.
 const MAX_TIMEOUTS: u32 = 3;
-/// The shortest and the longest backoff before a gap that no member could fill is requested again.
+/// The shortest backoff before a gap that no member could fill is requested again, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 500;
+/// The longest backoff before a gap that no member could fill is requested again, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 30_000;
 
 /// A request that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct Request {
+    /// The member that was asked.
     member: NodeId,
-    /// The gap: the version up to which the chain below it is known.
+    /// The gap that is requested, identified by the last version of the chain before it.
     after: u64,
     sent_at: Time,
 }
 
-/// The attempts to fill one gap.
+/// The state of the attempts to fill one gap.
 #[derive(Debug, Default)]
 struct Attempts {
-    /// Members that could not fill it.
+    /// The members that could not fill the gap.
     unable: BTreeSet<NodeId>,
-    /// Requests without a reply, by member.
+    /// The number of requests without a reply, by member.
     timeouts: BTreeMap<NodeId, u32>,
-    /// A request went to every member, and none could fill it.
+    /// Whether every member was asked and none could fill the gap.
     exhausted: bool,
-    /// No request before this moment.
+    /// The earliest time of the next request.
     resume_at: Time,
+    /// The latest backoff in milliseconds; 0 before the first.
     backoff_ms: u64,
 }
 
-/// The fetches of one process.
+/// The fetches of missing changes at one process.
 #[derive(Debug, Default)]
 pub(crate) struct ChangesFetch {
+    /// The request in flight.
     request: Option<Request>,
-    /// By the version after which the gap begins; a gap that is filled in part is another one.
+    /// The attempts by gap, which is identified by the last version before it. A gap that was filled in part counts as
+    /// another gap.
     attempts: BTreeMap<u64, Attempts>,
-    /// The member whose last reply had changes and said that there are more.
+    /// The member whose latest reply contained new changes and stated that there are more.
     preferred: Option<NodeId>,
 }
 
 impl ChangesFetch {
-    /// Sends requests for what is missing, or puts them off. `node`: this process, which is not asked.
+    /// Handles a request without a reply, and sends the next request for a gap if one is due. `node` is this process,
+    /// which is not asked.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -92,7 +98,7 @@
         }
     }
 
-    /// A member has replied; the reply counts only where it was requested.
+    /// Handles a reply. It is ignored unless it answers the request in flight.
     pub(crate) fn on_reply(
         &mut self,
         from: NodeId,
@@ -116,7 +122,7 @@
         }
     }
 
-    /// When something is due.
+    /// When the next request or the time-out of the current one is due.
     pub(crate) fn next_wake(&self, changes: &AcceptedChanges) -> Option<Time> {
         if let Some(request) = self.request {
             return Some(request.sent_at.plus_millis(RESEND_MS));
@@ -130,7 +136,7 @@
         changes.gaps().map(due).min()
     }
 
-    /// Whether nothing is missing but gaps that no member could fill.
+    /// Whether the archive has no gaps except those that no member could fill.
     pub(crate) fn is_done(&self, changes: &AcceptedChanges) -> bool {
         changes.gaps().all(|gap| {
             self.attempts
@@ -165,7 +171,8 @@
         }
     }
 
-    /// The preferred member, or the one with the fewest timeouts.
+    /// The member to ask next: the preferred one if it is able to fill the gap, otherwise the able one with the fewest
+    /// time-outs.
     fn next_member(&self, preferred: Option<NodeId>, members: &[NodeId]) -> Option<NodeId> {
         let able = members
             .iter()
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -65,7 +65,6 @@
 mod change;
 mod change_function;
 mod changes_fetch;
-mod differing_reads;
 mod effects;
 mod election;
 mod error;
@@ -100,6 +99,7 @@
 mod termination;
 mod terms;
 mod timing;
+mod undecided_reads;
 mod value;
 mod voting;
 
--- a/crates/cluster/control-plane/src/local_values.rs
+++ b/crates/cluster/control-plane/src/local_values.rs
@@ -1,7 +1,7 @@
-//! The values of the register that a process holds, whether or not it knows them to be chosen.
+//! The values of the register that a process holds, whether or not it knows that they are chosen.
 //!
-//! Under one proposal number there is one value (CASPaxos, Rystsov, 2018, section 2.2), so a process that holds the value of a
-//! number, by having accepted it or by having learned it, need not be sent it again.
+//! There is only one value under one proposal number (CASPaxos, Rystsov, 2018, section 2.2). A process that holds the
+//! value of a number, because it has accepted or learned it, therefore need not be sent it again.
 
 use crate::acceptor::Acceptor;
 use crate::register_view::{Chosen, RegisterView};
@@ -9,17 +9,17 @@
 use sagetrail_protocol::control::ProposalNumber;
 use std::sync::Arc;
 
-/// What the acceptor and the learner of one process hold.
+/// The values that the acceptor and the register view of one process hold.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LocalValues<'a> {
-    /// The process's acceptor.
+    /// The acceptor of the process.
     pub acceptor: &'a Acceptor,
-    /// What the process knows of the chosen values.
+    /// The chosen values that the process knows.
     pub view: &'a RegisterView,
 }
 
 impl LocalValues<'_> {
-    /// The value of this proposal number.
+    /// The value of this proposal number, if the process holds it.
     pub(crate) fn value(&self, proposal: ProposalNumber) -> Option<Arc<RegisterValue>> {
         let learned = self
             .view
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The value of the highest proposal number.
+    /// The value with the highest proposal number among those that the process holds.
     pub(crate) fn newest(&self) -> Option<Chosen> {
         let accepted = self.acceptor.proposals.accepted;
         if accepted > self.view.proposal() {
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -268,7 +268,7 @@
             self.unacknowledged.remove(&from);
             return None;
         }
-        register.value_synced(synced.proposal);
+        register.on_value_synced(synced.proposal);
         if !self.sync_pending {
             return None;
         }
@@ -283,7 +283,7 @@
         effects: &mut Effects,
     ) -> Option<ViewUpdate> {
         let accepted = register.accepted_value()?;
-        register.note_own_promise();
+        register.observe_own_promise();
         if !self.bootstrapped_here(register) {
             return None;
         }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -24,7 +24,7 @@
 use crate::persisted::{ControlState, DiskContent};
 use crate::reconfiguration::Reconfiguration;
 use crate::records::Records;
-use crate::register::{Register, RegisterStart};
+use crate::register::{Register, RegisterOptions};
 use crate::routing::MessageRouter;
 use crate::settings::CoreSettings;
 use crate::subscribers::Subscribers;
@@ -106,7 +106,7 @@
         let incarnation = settings.incarnation;
         let started = now.steady;
         let mut random = Pcg64Mcg::seed_from_u64(own_seed(settings));
-        let register = Register::new(RegisterStart {
+        let register = Register::new(RegisterOptions {
             node,
             incarnation,
             proposer_seed: random.random(),
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -165,7 +165,7 @@
         let status = self.process_status(renew);
         let effects = &mut self.effects;
         self.terms.on_renew(now, from, renew, status, effects);
-        let update = self.register.newer_value_hint(now, renew.learned, effects);
+        let update = self.register.on_newer_value_hint(now, renew.learned, effects);
         self.on_view_update(update);
     }
 
@@ -230,7 +230,7 @@
     fn on_vote_reply(&mut self, from: NodeId, reply: &VoteReply) {
         let now = self.now.steady;
         self.register
-            .members_version_reported(now, reply.members_version);
+            .on_members_version_reported(now, reply.members_version);
         let may_lead = self.may_lead();
         let members = self.register.members();
         self.terms
--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -78,7 +78,7 @@
             members: directory.members.0.clone(),
             next_members: directory.next_members.0.clone(),
         };
-        self.register.members_reported(self.now.steady, list);
+        self.register.on_members_reported(self.now.steady, list);
     }
 
     /// Hands a message to the scheduler, at once or once the register was read again.
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -45,7 +45,7 @@
         let wakes = [
             self.membership.next_wake(terminating, &self.register),
             self.register.next_wake(self.may_propose()),
-            self.register.changes_wake(),
+            self.register.next_changes_wake(),
             self.operator.next_wake(&self.register),
             self.terms.next_wake(self.may_stand()),
             self.terms.election_yield_until(now),
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -1,5 +1,5 @@
-//! The register's proposer (CASPaxos, Rystsov, 2018, section 2.2): one change function after the other, each in rounds
-//! until its outcome is known.
+//! The register's proposer (CASPaxos, Rystsov, 2018, section 2.2): it proposes one change function at a time, in as
+//! many rounds as it takes until the outcome is known.
 
 use crate::accepted_changes::AcceptedChanges;
 use crate::change_function::{ChangeFunction, ChangeOutcome};
@@ -16,45 +16,49 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// After so many failures in a row the backoff doubles no more.
+/// The number of consecutive failed rounds after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 /// A change function whose outcome is known.
 #[derive(Debug)]
 pub(crate) struct Decision {
-    /// The function.
+    /// The change function that was proposed.
     pub function: ChangeFunction,
-    /// What became of it.
+    /// The outcome of the function.
     pub outcome: ChangeOutcome,
-    /// The value that is chosen now.
+    /// The value that was chosen when the outcome became known.
     pub chosen: Chosen,
-    /// The round began at this moment: everything chosen before is in the value.
+    /// When the round began. The value includes every change that was chosen before this moment.
     pub as_of: Time,
 }
 
 /// The proposer of one process.
 #[derive(Debug)]
 pub(crate) struct Proposer {
+    /// The address of this process.
     node: NodeId,
+    /// The incarnation of this process, which is part of its proposal numbers.
     incarnation: Incarnation,
+    /// The random numbers for the backoff.
     random: Pcg64Mcg,
     /// The highest counter of a proposal number that this process has used or seen.
     counter: u64,
-    /// Functions that wait; the one in front is proposed by `round`.
+    /// The change functions to propose; `round` proposes the one at the front.
     queue: VecDeque<ChangeFunction>,
+    /// The round that is running.
     round: Option<Round>,
-    /// No round starts before.
+    /// The earliest time at which the next round may start.
     retry_at: Time,
-    /// Rounds of the function in front that failed.
+    /// The number of consecutive rounds that failed, as returned by [`Proposer::failures`].
     failures: u32,
-    /// A newer list seen in a value that is not known to be chosen.
+    /// The newest member list seen in an accepted value that is not known to be chosen.
     newer_list: MemberList,
-    /// Whether the function in front has gone into an accept phase.
+    /// Whether the function at the front of the queue has entered an accept phase, so that it may have been accepted.
     accept_sent: bool,
 }
 
 impl Proposer {
-    /// A proposer with nothing to propose.
+    /// Creates a proposer with an empty queue; `seed` is the seed of the random backoff.
     pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Proposer {
         Proposer {
             node,
@@ -70,19 +74,19 @@
         }
     }
 
-    /// Queues a function, unless the same one is queued already.
+    /// Queues a change function, unless the same one is queued already.
     pub(crate) fn push(&mut self, function: ChangeFunction) {
         if !self.queue.contains(&function) {
             self.queue.push_back(function);
         }
     }
 
-    /// Whether such a function is queued or being proposed.
+    /// Whether a change function that matches `wanted` is queued or being proposed.
     pub(crate) fn has_pending(&self, wanted: impl Fn(&ChangeFunction) -> bool) -> bool {
         self.queue.iter().any(wanted)
     }
 
-    /// Gives up the operator's change of this number.
+    /// Stops proposing the operator's change with this number.
     pub(crate) fn cancel(&mut self, number: u64) {
         let position = self
             .queue
@@ -99,25 +103,26 @@
         }
     }
 
-    /// Whether the operator's change of this number may have been accepted somewhere.
+    /// Whether some acceptor may have accepted the operator's change with this number.
     pub(crate) fn may_be_accepted(&self, number: u64) -> bool {
         let front = self.queue.front();
         self.accept_sent && front.is_some_and(|function| function.is_config_change(number))
     }
 
-    /// Later rounds take a higher number than one that others have promised.
+    /// Makes later rounds use a higher proposal number than `proposal`, which an acceptor has promised.
     pub(crate) fn observe_proposal(&mut self, proposal: ProposalNumber) {
         self.counter = self.counter.max(proposal.counter);
     }
 
-    /// A member list was accepted that may not be chosen: the next round asks its members.
+    /// Takes the member list of an accepted value that is not known to be chosen. If it is newer than the known list,
+    /// the next round runs with its members.
     pub(crate) fn observe_list(&mut self, list: MemberList) {
         if list.version > self.newer_list.version {
             self.newer_list = list;
         }
     }
 
-    /// When something is due.
+    /// When the next start or resend of a round is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         if self.queue.is_empty() {
             return None;
@@ -129,7 +134,7 @@
         Some(due)
     }
 
-    /// Starts rounds, sends again what had no answer, and gives up rounds that last too long.
+    /// Starts a round when one is due, resends messages without a reply, and ends a round after `ROUND_MS`.
     pub(crate) fn tick(&mut self, now: Time, local: &LocalValues, effects: &mut Effects) {
         if self.queue.is_empty() || local.view.list.version == 0 {
             return;
@@ -166,7 +171,7 @@
         self.round = Some(round);
     }
 
-    /// A member has promised. `changes`: accepted changes that are older than the value's recent ones.
+    /// Handles a promise. `changes` holds the accepted changes that are older than the value's recent ones.
     pub(crate) fn on_promise(
         &mut self,
         now: Time,
@@ -182,7 +187,7 @@
         self.on_prepared(now, changes, effects)
     }
 
-    /// A majority has promised: the function is applied to the newest accepted value.
+    /// Applies the change function to the newest accepted value, after a majority has promised.
     fn on_prepared(
         &mut self,
         now: Time,
@@ -220,7 +225,7 @@
         None
     }
 
-    /// A member has accepted the value and has it on disk.
+    /// Handles the reply of a member that has accepted the value and has synced it to disk.
     pub(crate) fn on_accepted(&mut self, from: NodeId, accepted: &Accepted) -> Option<Decision> {
         let round = self.current_round(accepted.proposal)?;
         let Phase::Accept(accept) = &mut round.phase else {
@@ -237,7 +242,7 @@
         self.finish(chosen, outcome)
     }
 
-    /// A member cannot make the value from the change.
+    /// Handles the reply of a member that cannot compute the value from the change.
     pub(crate) fn on_value_needed(
         &mut self,
         from: NodeId,
@@ -252,7 +257,7 @@
         }
     }
 
-    /// A member has promised a higher proposal number to another process.
+    /// Handles the rejection by a member that has promised a higher proposal number to another process.
     pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Rejected) {
         self.observe_proposal(rejected.promised);
         if self.current_round(rejected.proposal).is_some() {
@@ -260,7 +265,7 @@
         }
     }
 
-    /// The round under way, if it has this proposal number: answers to earlier rounds count no more.
+    /// The current round, if it has this proposal number. Replies to earlier rounds are ignored.
     fn current_round(&mut self, proposal: ProposalNumber) -> Option<&mut Round> {
         self.round
             .as_mut()
@@ -281,21 +286,25 @@
         })
     }
 
-    /// Rounds that failed since the last one that was finished, or since a read found the value chosen.
+    /// The number of rounds that failed since the last one that succeeded, or since a read with an empty queue found
+    /// the value chosen.
     pub(crate) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// A read found the newest value chosen: nobody competes any more.
-    pub(crate) fn value_is_chosen(&mut self) {
+    /// Handles a read that found the newest value chosen. With nothing to propose here, no process competes any more,
+    /// so the count of failed rounds is reset.
+    pub(crate) fn on_value_chosen(&mut self) {
         if self.queue.is_empty() {
             self.failures = 0;
         }
     }
 
-    /// Ends the round. A change is proposed again after a pause; a round that only completes another proposer's is not:
-    /// that one is under way, and where it is not, the next reads say so. Members that all went on would reject each
-    /// other's rounds for as long as a round, with its value on thin links, takes longer than the pauses.
+    /// Ends the round as failed. A change is proposed again after a random backoff. A round with the identity function,
+    /// which only completes the round of another proposer, is not repeated: that other round is still running, and if
+    /// it is not, the next reads find the value undecided again. If all members repeated such rounds, they would reject
+    /// each other's rounds for as long as a round takes longer than the backoff, as it does when the value is sent over
+    /// links of low bandwidth.
     fn back_off(&mut self, now: Time) {
         self.round = None;
         if self.queue.front() == Some(&ChangeFunction::Identity) {
@@ -303,8 +312,11 @@
             self.accept_sent = false;
         }
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
-        let longest = (BACKOFF_MS << doublings).min(BACKOFF_MAX_MS);
+        let max_backoff_ms = (BACKOFF_MS << doublings).min(BACKOFF_MAX_MS);
         self.failures += 1;
-        self.retry_at = now.plus_millis(self.random.random_range(longest / 2..=longest));
+        let backoff_ms = self
+            .random
+            .random_range(max_backoff_ms / 2..=max_backoff_ms);
+        self.retry_at = now.plus_millis(backoff_ms);
     }
 }
--- a/crates/cluster/control-plane/src/quorum.rs
+++ b/crates/cluster/control-plane/src/quorum.rs
@@ -1,20 +1,21 @@
-//! Member lists and majorities, also of both lists while a change of members is under way (joint consensus, Ongaro's
-//! thesis, 4.3).
+//! Member lists and quorums. While a change of members is in progress, a quorum is a majority of each of the two lists
+//! (joint consensus, Ongaro's thesis, 4.3).
 
 use sagetrail_protocol::NodeId;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The processes that take part in agreement, with the list's version; version 0 is no list.
+/// The processes that take part in agreement, with the version of the list. Version 0 means that there is no list.
 ///
-/// While a change is under way there are two groups of voters, and whatever needs a majority needs one of each.
+/// While a change of members is in progress there are two groups of voters, and every decision needs a majority of
+/// each.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct MemberList {
-    /// Each step of a change of members adds one.
+    /// The version of the list; each step of a change of members adds one.
     pub version: u64,
-    /// The members; of a change under way, those before it.
+    /// The members; while a change is in progress, the members before it.
     pub members: Vec<NodeId>,
-    /// The list that is to follow; empty unless a change is under way.
+    /// The members after the change that is in progress; empty if there is none.
     pub next_members: Vec<NodeId>,
 }
 
@@ -24,17 +25,17 @@
             formatter,
             "version={} members=[{}]",
             self.version,
-            names(&self.members)
+            format_nodes(&self.members)
         )?;
         if self.is_changing() {
-            write!(formatter, " next_members=[{}]", names(&self.next_members))?;
+            write!(formatter, " next_members=[{}]", format_nodes(&self.next_members))?;
         }
         Ok(())
     }
 }
 
 impl MemberList {
-    /// A list of which no change is under way.
+    /// Creates a list without a change in progress.
     pub fn new(version: u64, members: Vec<NodeId>) -> MemberList {
         MemberList {
             version,
@@ -43,17 +44,17 @@
         }
     }
 
-    /// Whether a change of members is under way.
+    /// Whether a change of members is in progress.
     pub fn is_changing(&self) -> bool {
         !self.next_members.is_empty()
     }
 
-    /// Whether a process takes part.
+    /// Whether a process is a member before or after the change in progress.
     pub fn contains(&self, node: NodeId) -> bool {
         self.members.contains(&node) || self.next_members.contains(&node)
     }
 
-    /// Everyone who takes part, in order.
+    /// All members before and after the change in progress, in order.
     pub fn all(&self) -> BTreeSet<NodeId> {
         self.members
             .iter()
@@ -62,31 +63,32 @@
             .collect()
     }
 
-    /// Whether these processes are a majority of each group.
+    /// Whether `nodes` include a majority of each group.
     pub fn has_quorum(&self, nodes: &BTreeSet<NodeId>) -> bool {
         !self.members.is_empty()
             && self
                 .groups()
-                .all(|group| count(group, nodes) >= majority(group))
+                .all(|group| count_members(group, nodes) >= majority(group))
     }
 
-    /// Whether the others are still a majority of each group.
+    /// Whether the members other than `nodes` are still a majority of each group.
     pub fn has_quorum_without(&self, nodes: &BTreeSet<NodeId>) -> bool {
         let rest: BTreeSet<NodeId> = self.all().difference(nodes).copied().collect();
         self.has_quorum(&rest)
     }
 
-    /// Whether these others are so many that one of them has seen each round and each term which `node` helped to
-    /// complete: a majority of each group, or all besides `node` where that is less.
+    /// Whether `others` suffice for the recovery of `node`: a majority of each group, or all members of the group
+    /// except `node` if that is less. Then for each round and each term that `node` helped to complete, at least one of
+    /// `others` has seen it.
     pub fn has_recovery_quorum(&self, node: NodeId, others: &BTreeSet<NodeId>) -> bool {
         let suffices = |group: &[NodeId]| {
             let available = group.iter().filter(|member| **member != node).count();
-            count(group, others) >= majority(group).min(available)
+            count_members(group, others) >= majority(group).min(available)
         };
         !self.members.is_empty() && self.groups().all(suffices)
     }
 
-    /// The highest value that a majority of each group has reached; `None` without members.
+    /// The highest value that a majority of each group has reached; `None` if there are no members.
     pub fn quorum_value(&self, value_of: impl Fn(&NodeId) -> u64) -> Option<u64> {
         self.groups()
             .map(|group| majority_value(group, &value_of))
@@ -94,14 +96,14 @@
             .flatten()
     }
 
-    /// The members, and of a change under way those after it.
+    /// The groups of voters: the members, and while a change is in progress also the members after it.
     fn groups(&self) -> impl Iterator<Item = &[NodeId]> {
         let next = Some(self.next_members.as_slice()).filter(|group| !group.is_empty());
         std::iter::once(self.members.as_slice()).chain(next)
     }
 }
 
-fn names(group: &[NodeId]) -> String {
+fn format_nodes(group: &[NodeId]) -> String {
     let names: Vec<String> = group.iter().map(ToString::to_string).collect();
     names.join(" ")
 }
@@ -110,7 +112,7 @@
     group.len() / 2 + 1
 }
 
-fn count(group: &[NodeId], nodes: &BTreeSet<NodeId>) -> usize {
+fn count_members(group: &[NodeId], nodes: &BTreeSet<NodeId>) -> usize {
     group.iter().filter(|member| nodes.contains(member)).count()
 }
 
--- a/crates/cluster/control-plane/src/quorum_read.rs
+++ b/crates/cluster/control-plane/src/quorum_read.rs
@@ -1,9 +1,9 @@
-//! Quorum reads of the register, without a round: where a majority has accepted the value of the same proposal number,
-//! that value is chosen. What a quorum read leaves undecided, a round with the identity function decides (CASPaxos, Rystsov,
-//! 2018, section 2.2).
+//! Quorum reads of the register, which need no round: if a majority has accepted the value of the same proposal number,
+//! that value is chosen. If a quorum read cannot tell whether a value is chosen, a round with the identity function
+//! decides (CASPaxos, Rystsov, 2018, section 2.2).
 //!
-//! The replies hold numbers only. A chosen value that the reader does not hold itself is fetched from one of those that
-//! have accepted it.
+//! The replies contain proposal numbers only. A chosen value that the reader does not hold is fetched from one of the
+//! acceptors that have accepted it.
 
 use crate::effects::Effects;
 use crate::local_values::LocalValues;
@@ -16,50 +16,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A read under way.
+/// A quorum read in progress.
 #[derive(Debug)]
 struct PendingRead {
-    /// Tells replies to this read from those to earlier ones.
+    /// Distinguishes replies to this read from replies to earlier ones.
     nonce: u64,
-    /// The members that are asked.
+    /// The member list whose members are asked.
     list: MemberList,
+    /// When the read started; the result of the read is complete up to this moment.
     started: Time,
+    /// When requests were last sent.
     sent_at: Time,
-    /// By acceptor, the proposal number of the value that it has accepted.
+    /// The acceptors that have replied, each with the proposal number of the value that it has accepted.
     accepted: BTreeMap<NodeId, ProposalNumber>,
-    /// The fetch of the chosen value, where the reader does not hold it.
+    /// The fetch of the chosen value; `None` until a value is found chosen that the reader does not hold.
     fetch: Option<Fetch>,
 }
 
-/// The fetch of a chosen value from one acceptor after the other.
+/// The fetch of a chosen value, which asks one acceptor at a time.
 #[derive(Debug)]
 struct Fetch {
-    /// The number of the chosen value.
+    /// The proposal number of the chosen value.
     proposal: ProposalNumber,
-    /// The acceptor that was asked last.
+    /// The acceptor that was asked last; `None` once no further acceptor can be asked.
     asked: Option<NodeId>,
-    /// Those that have accepted it and were not asked yet.
+    /// The acceptors that have accepted the value and have not been asked yet.
     sources: Vec<NodeId>,
 }
 
-/// The result of a read.
+/// The result of a quorum read.
 #[derive(Debug)]
 pub(crate) enum ReadOutcome {
-    /// This value is chosen, and nothing newer was before `as_of`.
+    /// `chosen` is a chosen value, and no newer value was chosen before `as_of`.
     Chosen { chosen: Chosen, as_of: Time },
-    /// The replies differ: a value may be chosen or not. `newest`: the highest proposal number in them.
+    /// The replies do not show whether a value is chosen. `newest` is the highest proposal number in them.
     Undecided { newest: ProposalNumber },
 }
 
-/// The quorum reads of one process, one at a time.
+/// The quorum reader of one process, which runs one read at a time.
 #[derive(Debug, Default)]
 pub(crate) struct QuorumReader {
+    /// The nonce of the latest read.
     nonce: u64,
+    /// The read in progress.
     pending: Option<PendingRead>,
 }
 
 impl QuorumReader {
-    /// Nonces begin at `seed`, so that two incarnations of a process differ.
+    /// Creates a reader without a read in progress. Its nonces begin at `seed`, so that two incarnations of a process
+    /// use different ones.
     pub(crate) fn new(seed: u64) -> QuorumReader {
         QuorumReader {
             nonce: seed,
@@ -67,19 +72,19 @@
         }
     }
 
-    /// Whether no read is under way.
+    /// Whether no read is in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_none()
     }
 
-    /// When something is due.
+    /// When the requests of the current read are resent or the read ends.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.pending
             .as_ref()
             .map(|read| read.sent_at.plus_millis(RESEND_MS))
     }
 
-    /// Starts a read, in the place of one that is under way.
+    /// Starts a read. A read that is in progress is dropped.
     pub(crate) fn start(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
         self.nonce = self.nonce.wrapping_add(1);
         let read = PendingRead {
@@ -94,19 +99,19 @@
         self.pending = Some(read);
     }
 
-    /// Sends again what had no reply. A read to which a majority has replied differently is undecided, one that lasts
-    /// too long is given up.
+    /// Resends requests without a reply. Ends the read as undecided if a majority has replied without showing a chosen
+    /// value, and without a result if it has lasted for `ROUND_MS`.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) -> Option<ReadOutcome> {
         let read = self.pending.as_mut()?;
         if now < read.sent_at.plus_millis(RESEND_MS) {
             return None;
         }
         read.sent_at = now;
-        let differs = read.fetch.is_none() && read.list.has_quorum(&read.answered());
-        if differs || now >= read.started.plus_millis(ROUND_MS) {
+        let is_undecided = read.fetch.is_none() && read.list.has_quorum(&read.answered());
+        if is_undecided || now >= read.started.plus_millis(ROUND_MS) {
             let undecided = read.undecided();
             self.pending = None;
-            return differs.then_some(undecided);
+            return is_undecided.then_some(undecided);
         }
         match &mut read.fetch {
             Some(fetch) => fetch.send(read.nonce, effects),
@@ -115,7 +120,7 @@
         None
     }
 
-    /// A member has replied; the outcome where that is known now.
+    /// Handles a reply; returns the outcome of the read if it is known now.
     pub(crate) fn on_reply(
         &mut self,
         now: Time,
@@ -150,7 +155,8 @@
         None
     }
 
-    /// A reply during a fetch. An acceptor that has accepted another value since sends none: the next one is asked.
+    /// Handles a reply during a fetch. An acceptor that has accepted another value since then does not send the wanted
+    /// one, so the next acceptor is asked.
     fn on_fetched(
         &mut self,
         from: NodeId,
@@ -220,7 +226,7 @@
         ReadOutcome::Undecided { newest }
     }
 
-    /// The proposal number whose value a majority has accepted.
+    /// The proposal number whose value a majority has accepted, if there is one.
     fn chosen_proposal(&self) -> Option<ProposalNumber> {
         self.accepted
             .values()
@@ -238,7 +244,7 @@
 }
 
 impl Fetch {
-    /// Asks the next acceptor. Once all were asked, the read waits for its end.
+    /// Asks the next acceptor. If all have been asked, nothing is sent and the read lasts until its time limit.
     fn send(&mut self, nonce: u64, effects: &mut Effects) {
         self.asked = self.sources.pop();
         let Some(source) = self.asked else {
--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -1,9 +1,9 @@
-//! The compare-and-swap register as one process takes part in it: acceptor, proposer and reader, what is known of the
-//! chosen values, and the archive of accepted changes.
+//! The compare-and-swap register at one process: its acceptor, proposer and quorum reader, its view of the chosen
+//! values, and its archive of accepted changes.
 //!
 //! The protocol is CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a proposer reads the
-//! accepted value at a majority, applies a change to it and has a majority accept the result. The value holds the core's
-//! member list, so a change of members is a change of the register like any other.
+//! accepted value at a majority, applies a change to it and has a majority accept the result. The value holds the
+//! core's member list, so a change of members is a change of the register like any other.
 
 mod messages;
 
@@ -14,7 +14,6 @@
 use crate::acceptor::Acceptor;
 use crate::change_function::{ChangeFunction, ChangeOutcome};
 use crate::changes_fetch::ChangesFetch;
-use crate::differing_reads::DifferingReads;
 use crate::effects::Effects;
 use crate::local_values::LocalValues;
 use crate::persisted::{AcceptorNumbers, ControlState};
@@ -23,126 +22,132 @@
 use crate::quorum_read::{QuorumReader, ReadOutcome};
 use crate::register_view::{Chosen, RegisterView};
 use crate::timing::POLL_MS;
+use crate::undecided_reads::UndecidedReads;
 
-/// The most processes that wait for a notice that a proposal number is learned.
+/// The maximum number of processes that wait to be notified that this process has learned a proposal number.
 const MAX_LEARN_WAITERS: usize = 64;
-/// The next read follows one whose replies differed after this time, in milliseconds.
-const REREAD_MS: u64 = 50;
-/// The most accepted changes in one reply.
+/// The delay in milliseconds between a read that found the value undecided and the next read.
+const REREAD_DELAY_MS: u64 = 50;
+/// The maximum number of accepted changes in one reply.
 const MAX_CHANGES_IN_REPLY: usize = 1_000;
 
-/// What a newly learned value changed in the register view.
+/// Which parts of the register view a newly learned value has changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct ViewUpdate {
-    /// The member list is a newer one.
+    /// Whether the view has a newer member list.
     pub members: bool,
-    /// The configuration in force is a newer one.
+    /// Whether the view has a newer configuration in force.
     pub config: bool,
 }
 
 /// A configuration change whose outcome is known.
 #[derive(Debug)]
 pub(crate) struct CompletedChange {
-    /// Its number at this process.
+    /// The number that this process has given to the change.
     pub number: u64,
-    /// What became of it.
+    /// The outcome of the change.
     pub outcome: ChangeOutcome,
     /// The proposal number of the value that decided it.
     pub proposal: ProposalNumber,
 }
 
-/// What an answer to the proposer led to.
+/// The results of a reply to the proposer.
 #[derive(Debug, Default)]
 pub(crate) struct RegisterProgress {
-    /// A newer value is known.
+    /// The update of the register view, if a newer value was learned.
     pub update: Option<ViewUpdate>,
-    /// A configuration change of this process is decided.
+    /// The configuration change of this process whose outcome became known, if any.
     pub completed: Option<CompletedChange>,
 }
 
-/// What the other parts of the process require of the register in one step.
+/// The requirements that the other parts of the process place on the register in one step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RegisterDemand {
-    /// Whether this process may run rounds of its own.
+    /// Whether this process may run rounds as a proposer.
     pub may_propose: bool,
-    /// Everything chosen before this moment has to be known.
+    /// The view has to include every value chosen before this moment; `None` if nothing requires a fresh view.
     pub fresh_as_of: Option<Time>,
 }
 
-/// A process that is notified once a proposal number is learned here.
+/// A process that is notified once this process has learned a proposal number.
 #[derive(Debug)]
 struct LearnWaiter {
+    /// The process that is notified.
     node: NodeId,
+    /// The proposal number that has to be learned.
     proposal: ProposalNumber,
 }
 
-/// With what a register starts.
+/// The identity, seeds and stored data with which a register is created.
 #[derive(Debug)]
-pub(crate) struct RegisterStart {
-    /// This process.
+pub(crate) struct RegisterOptions {
+    /// The address of this process.
     pub node: NodeId,
-    /// Its incarnation, which stands in its proposal numbers.
+    /// The incarnation of this process, which is part of its proposal numbers.
     pub incarnation: Incarnation,
-    /// Seeds the pauses between competing rounds.
+    /// The seed of the random backoff between competing rounds.
     pub proposer_seed: u64,
-    /// The first nonce of a read.
+    /// The value at which the nonces of reads begin.
     pub reader_seed: u64,
-    /// The archive as the disk holds it.
+    /// The archive of accepted changes, loaded from disk.
     pub accepted_changes: AcceptedChanges,
-    /// The moment of the start.
+    /// The time of the start.
     pub now: Time,
 }
 
 /// The register at one process.
 #[derive(Debug)]
 pub(crate) struct Register {
+    /// The address of this process.
     node: NodeId,
     view: RegisterView,
     acceptor: Acceptor,
     proposer: Proposer,
     reader: QuorumReader,
-    /// All accepted changes of the configuration, as far as this process knows them.
+    /// The accepted changes of the configuration that this process knows.
     accepted_changes: AcceptedChanges,
+    /// The fetches of missing accepted changes.
     changes_fetch: ChangesFetch,
     learn_waiters: Vec<LearnWaiter>,
-    /// When another process last named a newer chosen value.
+    /// When another process indicated that a newer value is chosen; `None` once the view is at least that fresh.
     newer_value_hint_at: Option<Time>,
-    /// When the register is read next without any demand.
+    /// When the register is read next if nothing requires an earlier read.
     poll_at: Time,
-    differing_reads: DifferingReads,
+    /// The consecutive reads that found the value undecided.
+    undecided_reads: UndecidedReads,
 }
 
 impl Register {
-    /// A register without a value.
-    pub(crate) fn new(start: RegisterStart) -> Register {
+    /// Creates a register without a value.
+    pub(crate) fn new(options: RegisterOptions) -> Register {
         Register {
-            node: start.node,
+            node: options.node,
             view: RegisterView::default(),
             acceptor: Acceptor::default(),
-            proposer: Proposer::new(start.node, start.incarnation, start.proposer_seed),
-            reader: QuorumReader::new(start.reader_seed),
-            accepted_changes: start.accepted_changes,
+            proposer: Proposer::new(options.node, options.incarnation, options.proposer_seed),
+            reader: QuorumReader::new(options.reader_seed),
+            accepted_changes: options.accepted_changes,
             changes_fetch: ChangesFetch::default(),
             learn_waiters: Vec::new(),
             newer_value_hint_at: None,
-            poll_at: start.now,
-            differing_reads: DifferingReads::default(),
+            poll_at: options.now,
+            undecided_reads: UndecidedReads::default(),
         }
     }
 
-    /// Takes up what was on disk.
+    /// Restores the state of the acceptor and the member list from disk.
     pub(crate) fn restore(&mut self, state: &ControlState) {
         self.acceptor.restore(state.proposals, state.value.clone());
         self.proposer.observe_proposal(state.proposals.promised);
         self.view.adopt_list(state.members.clone().into());
     }
 
-    /// What is known of the chosen values.
+    /// The chosen values that this process knows, and how fresh that knowledge is.
     pub(crate) fn view(&self) -> &RegisterView {
         &self.view
     }
 
-    /// The newest member list that is known.
+    /// The newest known member list.
     pub(crate) fn members(&self) -> &MemberList {
         &self.view.list
     }
@@ -152,79 +157,82 @@
         self.view.list.version > 0
     }
 
-    /// What this process has promised and accepted.
+    /// The acceptor, with the proposals that this process has promised and accepted.
     pub(crate) fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
-    /// The accepted value of this process as a chosen one.
+    /// The accepted value of this process in the form of a chosen one. It is not necessarily chosen.
     pub(crate) fn accepted_value(&self) -> Option<Chosen> {
         self.acceptor.accepted_value()
     }
 
-    /// Takes a value that other processes hold and that is being written here.
+    /// Adopts acceptor state that was received from other processes and is being written to this disk.
     pub(crate) fn adopt(&mut self, proposals: AcceptorNumbers, value: Blob) {
         self.acceptor.adopt(proposals, value);
     }
 
-    /// The accepted value of this process has been synced.
-    pub(crate) fn value_synced(&mut self, proposal: ProposalNumber) {
+    /// Handles the sync of the value that this process accepted under `proposal`.
+    pub(crate) fn on_value_synced(&mut self, proposal: ProposalNumber) {
         self.acceptor.on_synced(proposal);
     }
 
-    /// The proposer goes above what the acceptor has promised.
-    pub(crate) fn note_own_promise(&mut self) {
+    /// Makes the proposer use higher proposal numbers than the one that the acceptor has promised.
+    pub(crate) fn observe_own_promise(&mut self) {
         self.proposer
             .observe_proposal(self.acceptor.proposals.promised);
     }
 
-    /// Takes a member list that was chosen; true where it is newer.
+    /// Adopts a chosen member list; returns whether it is newer than the known one.
     pub(crate) fn adopt_members(&mut self, list: MemberList) -> bool {
         self.view.adopt_list(list)
     }
 
-    /// Another process reported a member list. A newer one stands in a newer value.
-    pub(crate) fn members_reported(&mut self, now: Time, list: MemberList) {
+    /// Handles a member list that another process reported. A newer list belongs to a newer chosen value, so the
+    /// register is read again.
+    pub(crate) fn on_members_reported(&mut self, now: Time, list: MemberList) {
         let newer = self.view.adopt_list(list);
         if newer && self.view.chosen.is_some() {
             self.newer_value_hint_at = Some(now);
         }
     }
 
-    /// Another process knows a member list of this version.
-    pub(crate) fn members_version_reported(&mut self, now: Time, version: u64) {
+    /// Handles the report that another process knows a member list of this version. A newer version belongs to a newer
+    /// chosen value, so the register is read again.
+    pub(crate) fn on_members_version_reported(&mut self, now: Time, version: u64) {
         if version > self.view.list.version {
             self.newer_value_hint_at = self.newer_value_hint_at.or(Some(now));
         }
     }
 
-    /// Takes a change function for the proposer; one that waits already is not taken twice.
+    /// Queues a change function for the proposer, unless the same one is queued already.
     pub(crate) fn propose(&mut self, function: ChangeFunction) {
         self.proposer.push(function);
     }
 
-    /// Gives a configuration change up.
+    /// Stops proposing a configuration change.
     pub(crate) fn cancel_change(&mut self, number: u64) {
         self.proposer.cancel(number);
     }
 
-    /// Whether this configuration change may have been accepted somewhere.
+    /// Whether some acceptor may have accepted this configuration change.
     pub(crate) fn may_be_accepted(&self, number: u64) -> bool {
         self.proposer.may_be_accepted(number)
     }
 
-    /// Whether a change of members is being proposed.
+    /// Whether the proposer has a change of members queued or in a round.
     pub(crate) fn is_changing_members(&self) -> bool {
         self.proposer
             .has_pending(|function| matches!(function, ChangeFunction::Members { .. }))
     }
 
-    /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
+    /// Whether this process knows a chosen value of the register and has all accepted changes that the other members
+    /// could supply.
     pub(crate) fn is_caught_up(&self) -> bool {
         self.view.chosen.is_some() && self.changes_fetch.is_done(&self.accepted_changes)
     }
 
-    /// Runs rounds and reads, as far as they are due.
+    /// Runs the rounds and reads that are due.
     pub(crate) fn step(
         &mut self,
         now: Time,
@@ -239,14 +247,14 @@
             self.proposer.tick(now, &local, effects);
         }
         let outcome = self.reader.tick(now, effects);
-        let update = outcome.and_then(|outcome| self.read_finished(now, outcome, effects));
-        if self.wants_read(now, demand.fresh_as_of) {
+        let update = outcome.and_then(|outcome| self.on_read_finished(now, outcome, effects));
+        if self.needs_read(now, demand.fresh_as_of) {
             self.read(now, demand.may_propose, effects);
         }
         update
     }
 
-    /// When a round or a read is due.
+    /// When the next round or read is due.
     pub(crate) fn next_wake(&self, may_propose: bool) -> Option<Time> {
         let round = if may_propose {
             self.proposer.next_wake()
@@ -254,45 +262,46 @@
             None
         };
         let read = if self.has_members() {
-            self.read_wake()
+            self.next_read_wake()
         } else {
             None
         };
         round.into_iter().chain(read).min()
     }
 
-    /// Reads the register. Where this process has accepted a newer member list, the members of the list that it knows
-    /// may have gone, so a round of the newer list's members decides whether that one is chosen.
+    /// Reads the register. If this process has accepted a value with a newer member list, the members of the known list
+    /// may no longer exist, so a round with the members of the newer list decides whether that value is chosen.
     fn read(&mut self, now: Time, may_propose: bool, effects: &mut Effects) {
-        let newer = self.acceptor.members_version > self.view.list.version && may_propose;
-        match newer.then(|| self.accepted_value()).flatten() {
-            Some(own) => {
-                self.proposer.observe_list(own.value.member_list());
+        let needs_round = self.acceptor.members_version > self.view.list.version && may_propose;
+        match needs_round.then(|| self.accepted_value()).flatten() {
+            Some(accepted) => {
+                self.proposer
+                    .observe_list(accepted.value.member_list());
                 self.proposer.push(ChangeFunction::Identity);
             }
             None => self.reader.start(now, &self.view.list, effects),
         }
     }
 
-    fn wants_read(&self, now: Time, fresh_as_of: Option<Time>) -> bool {
-        if !self.has_members() || self.is_refreshing() || !self.reader.is_idle() {
+    fn needs_read(&self, now: Time, fresh_as_of: Option<Time>) -> bool {
+        if !self.has_members() || self.has_pending_identity() || !self.reader.is_idle() {
             return false;
         }
-        let demanded = fresh_as_of.max(self.newer_value_hint_at);
-        now >= self.poll_at || demanded.is_some_and(|moment| !self.view.is_fresh(moment))
+        let required_as_of = fresh_as_of.max(self.newer_value_hint_at);
+        now >= self.poll_at || required_as_of.is_some_and(|moment| !self.view.is_fresh(moment))
     }
 
-    fn is_refreshing(&self) -> bool {
+    fn has_pending_identity(&self) -> bool {
         self.proposer
             .has_pending(|function| *function == ChangeFunction::Identity)
     }
 
-    fn read_wake(&self) -> Option<Time> {
-        let poll_at = (!self.is_refreshing()).then_some(self.poll_at);
+    fn next_read_wake(&self) -> Option<Time> {
+        let poll_at = (!self.has_pending_identity()).then_some(self.poll_at);
         self.reader.next_wake().or(poll_at)
     }
 
-    fn read_finished(
+    fn on_read_finished(
         &mut self,
         now: Time,
         outcome: ReadOutcome,
@@ -301,33 +310,34 @@
         match outcome {
             ReadOutcome::Chosen { chosen, as_of } => {
                 let update = self.learn(chosen, effects);
-                self.freshen(now, as_of);
-                self.differing_reads = DifferingReads::default();
-                self.proposer.value_is_chosen();
+                self.mark_fresh(now, as_of);
+                self.undecided_reads = UndecidedReads::default();
+                self.proposer.on_value_chosen();
                 update
             }
             ReadOutcome::Undecided { newest } => {
-                self.replies_differed(now, newest);
+                self.on_undecided_read(now, newest);
                 None
             }
         }
     }
 
-    /// Mostly a change is in flight, and the next read finds it chosen. A round would compete with it.
-    fn replies_differed(&mut self, now: Time, newest: ProposalNumber) {
-        self.differing_reads.record(newest);
+    /// Handles a read that left the value undecided. Usually a change is in flight and the next read finds it chosen,
+    /// while a round would compete with that change. A round therefore follows only several undecided reads.
+    fn on_undecided_read(&mut self, now: Time, newest: ProposalNumber) {
+        self.undecided_reads.record(newest);
         let failures = self.proposer.failures();
-        if !self.differing_reads.need_a_round(failures) {
-            self.poll_at = now.plus_millis(REREAD_MS);
+        if !self.undecided_reads.requires_round(failures) {
+            self.poll_at = now.plus_millis(REREAD_DELAY_MS);
             return;
         }
-        self.differing_reads = DifferingReads::default();
+        self.undecided_reads = UndecidedReads::default();
         self.proposer.push(ChangeFunction::Identity);
     }
 
-    /// Everything chosen before `moment` is known now.
-    fn freshen(&mut self, now: Time, moment: Time) {
-        self.view.freshen(moment);
+    /// Records that every value chosen before `moment` is known now.
+    fn mark_fresh(&mut self, now: Time, moment: Time) {
+        self.view.mark_fresh(moment);
         self.poll_at = now.plus_millis(POLL_MS);
         if self
             .newer_value_hint_at
@@ -337,7 +347,8 @@
         }
     }
 
-    /// Takes a chosen value and notifies those who wait for it; `None` where it is not newer.
+    /// Learns a chosen value and notifies the processes that wait for it; returns `None` if it is not newer than the
+    /// known one.
     pub(crate) fn learn(&mut self, chosen: Chosen, effects: &mut Effects) -> Option<ViewUpdate> {
         let config_version = self.view.config_version();
         let members_version = self.view.list.version;
@@ -350,7 +361,7 @@
             config: self.view.config_version() > config_version,
         };
         if update.members {
-            log::info!("members changed: node={} {}", self.node, self.view.list);
+            log::info!("member list changed: node={} {}", self.node, self.view.list);
         }
         self.accepted_changes.insert_all(&value.recent);
         self.notify_learn_waiters(effects);
@@ -368,7 +379,7 @@
         effects.broadcast(done.into_iter().map(|waiter| waiter.node), &learned);
     }
 
-    /// Requests accepted changes that are missing.
+    /// Requests accepted changes that are missing in the archive.
     pub(crate) fn fetch_changes(&mut self, now: Time, effects: &mut Effects) {
         if self.has_members() {
             self.changes_fetch.tick(
@@ -381,7 +392,7 @@
         }
     }
 
-    /// Writes accepted changes that are not on disk yet, once there are enough of them.
+    /// Writes accepted changes that are not on disk yet, once there are enough of them for a batch.
     pub(crate) fn write_changes(&mut self, effects: &mut Effects) {
         if self.accepted_changes.needs_writing() {
             let operations = self.accepted_changes.take_writes();
@@ -389,8 +400,8 @@
         }
     }
 
-    /// When a request for missing changes is due.
-    pub(crate) fn changes_wake(&self) -> Option<Time> {
+    /// When the next request for missing changes is due.
+    pub(crate) fn next_changes_wake(&self) -> Option<Time> {
         self.has_members()
             .then(|| self.changes_fetch.next_wake(&self.accepted_changes))
             .flatten()
--- a/crates/cluster/control-plane/src/register/messages.rs
+++ b/crates/cluster/control-plane/src/register/messages.rs
@@ -1,4 +1,5 @@
-//! The messages of the register: requests to the acceptor, replies to the proposer and the reader, notices to the learner.
+//! The handlers for the register's messages: requests to the acceptor, replies to the proposer and to the reader, and
+//! notifications about chosen values and accepted changes.
 
 use sagetrail_protocol::control::{
     Accept, AcceptChange, Accepted, ChangesReply, ChangesRequest, ControlMessage, Learn, Learned,
@@ -13,20 +14,20 @@
 use crate::local_values::LocalValues;
 use crate::proposer::Decision;
 
-/// Messages to the acceptor. Only a process that knows what it has promised may answer them.
+/// Messages to the acceptor. Only a process that knows its promises may answer them.
 impl Register {
-    /// A proposer's prepare phase.
+    /// Handles the prepare phase of a proposer.
     pub(crate) fn on_prepare(&mut self, from: NodeId, prepare: &Prepare, effects: &mut Effects) {
         self.proposer.observe_proposal(prepare.proposal);
         self.acceptor.on_prepare(from, prepare, effects);
     }
 
-    /// A proposer's accept phase.
+    /// Handles the accept phase of a proposer.
     pub(crate) fn on_accept(&mut self, from: NodeId, accept: Accept, effects: &mut Effects) {
         self.acceptor.on_accept(self.node, from, accept, effects);
     }
 
-    /// A proposer's accept phase with the change alone.
+    /// Handles the accept phase of a proposer that sends the change instead of the value.
     pub(crate) fn on_accept_change(
         &mut self,
         from: NodeId,
@@ -37,7 +38,7 @@
             .on_accept_change(self.node, from, accept, effects);
     }
 
-    /// A read of what is accepted.
+    /// Handles a quorum read of the accepted value.
     pub(crate) fn on_read(&self, from: NodeId, read: &Read, effects: &mut Effects) {
         self.acceptor.on_read(from, read, effects);
     }
@@ -45,7 +46,7 @@
 
 /// Replies to the proposer and to the reader.
 impl Register {
-    /// A member promised.
+    /// Handles a member's promise.
     pub(crate) fn on_promise(
         &mut self,
         now: Time,
@@ -57,10 +58,10 @@
         let decision = self
             .proposer
             .on_promise(now, from, promise, changes, effects);
-        self.round_finished(now, decision, effects)
+        self.on_round_finished(now, decision, effects)
     }
 
-    /// A member accepted.
+    /// Handles a member's acceptance.
     pub(crate) fn on_accepted(
         &mut self,
         now: Time,
@@ -69,15 +70,15 @@
         effects: &mut Effects,
     ) -> RegisterProgress {
         let decision = self.proposer.on_accepted(from, accepted);
-        self.round_finished(now, decision, effects)
+        self.on_round_finished(now, decision, effects)
     }
 
-    /// A member has promised a higher proposal number.
+    /// Handles the rejection by a member that has promised a higher proposal number.
     pub(crate) fn on_rejected(&mut self, now: Time, rejected: &Rejected) {
         self.proposer.on_rejected(now, rejected);
     }
 
-    /// A member cannot make the value from the change.
+    /// Handles the reply of a member that cannot compute the value from the change.
     pub(crate) fn on_value_needed(
         &mut self,
         from: NodeId,
@@ -87,7 +88,7 @@
         self.proposer.on_value_needed(from, needed, effects);
     }
 
-    /// A member reported what it has accepted.
+    /// Handles a member's reply to a quorum read.
     pub(crate) fn on_read_reply(
         &mut self,
         now: Time,
@@ -100,10 +101,10 @@
             view: &self.view,
         };
         let outcome = self.reader.on_reply(now, from, reply, &local, effects)?;
-        self.read_finished(now, outcome, effects)
+        self.on_read_finished(now, outcome, effects)
     }
 
-    fn round_finished(
+    fn on_round_finished(
         &mut self,
         now: Time,
         decision: Option<Decision>,
@@ -113,10 +114,10 @@
             return RegisterProgress::default();
         };
         let proposal = decision.chosen.proposal;
-        // Former members are notified as well.
+        // Members that the new value removes are notified as well.
         let mut learners = self.view.list.all();
         let update = self.learn(decision.chosen, effects);
-        self.freshen(now, decision.as_of);
+        self.mark_fresh(now, decision.as_of);
         if decision.outcome == ChangeOutcome::Applied {
             learners.extend(self.view.list.all());
             let learn = ControlMessage::Learn(Learn { proposal });
@@ -134,9 +135,10 @@
     }
 }
 
-/// Messages to the learner, and about accepted changes.
+/// Notifications about chosen values, and messages about accepted changes.
 impl Register {
-    /// A proposer's value was chosen; the proposer is notified once it is learned here.
+    /// Handles the notification of a proposer that its value is chosen. The proposer is notified in turn once this
+    /// process has learned the value.
     pub(crate) fn on_learn(
         &mut self,
         now: Time,
@@ -144,7 +146,7 @@
         proposal: ProposalNumber,
         effects: &mut Effects,
     ) -> Option<ViewUpdate> {
-        let update = self.newer_value_hint(now, proposal, effects);
+        let update = self.on_newer_value_hint(now, proposal, effects);
         let known = self.view.proposal();
         if known >= proposal {
             let learned = ControlMessage::Learned(Learned { proposal: known });
@@ -158,8 +160,9 @@
         update
     }
 
-    /// Another process reports that the value of this proposal number is chosen.
-    pub(crate) fn newer_value_hint(
+    /// Handles the report of another process that the value of this proposal number is chosen. If this process has
+    /// accepted that value, it learns it at once; otherwise it reads the register.
+    pub(crate) fn on_newer_value_hint(
         &mut self,
         now: Time,
         proposal: ProposalNumber,
@@ -180,7 +183,8 @@
         None
     }
 
-    /// Another core process misses accepted changes. They are facts: reporting them needs no promise.
+    /// Handles the request of another core process for accepted changes that it lacks. They were part of chosen values
+    /// and cannot change any more, so this process may report them even if it does not know its promises.
     pub(crate) fn on_changes_request(
         &self,
         from: NodeId,
@@ -198,7 +202,7 @@
         effects.control(from, ControlMessage::ChangesReply(reply));
     }
 
-    /// A member reported accepted changes.
+    /// Handles a member's reply with accepted changes.
     pub(crate) fn on_changes_reply(&mut self, from: NodeId, reply: &ChangesReply) {
         self.changes_fetch
             .on_reply(from, reply, &mut self.accepted_changes);
--- a/crates/cluster/control-plane/src/register_view.rs
+++ b/crates/cluster/control-plane/src/register_view.rs
@@ -1,4 +1,5 @@
-//! The register view: what this process knows of the register's chosen values, and as of when.
+//! The register view: the register's chosen values that this process knows, and the moment up to which they are
+//! complete.
 
 use std::sync::Arc;
 
@@ -12,31 +13,33 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
 
-/// A chosen value.
+/// A value of the register with the proposal number under which it was accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct Chosen {
-    /// The proposal number under which a majority accepted it.
+    /// The proposal number under which a majority has accepted the value.
     pub proposal: ProposalNumber,
-    /// The value itself.
+    /// The value.
     pub value: Arc<RegisterValue>,
 }
 
-/// What is known of the register's chosen values, and how fresh that is.
+/// The chosen values of the register that are known, and how fresh that knowledge is.
 #[derive(Debug, Default)]
 pub(crate) struct RegisterView {
-    /// The newest chosen value that is known.
+    /// The newest known chosen value.
     pub chosen: Option<Chosen>,
-    /// The member list to count by. It may be newer than `chosen`: lists also come with directories.
+    /// The member list with which quorums are counted. It may be newer than the one in `chosen`, since member lists are
+    /// also received with directories.
     pub list: MemberList,
-    /// Everything chosen before this moment is known.
+    /// The view includes every value chosen before this moment; `None` before the first read.
     pub fresh_as_of: Option<Time>,
-    /// The newest proposal number whose value others reported as chosen.
+    /// The highest proposal number that another process reported as chosen while its value was not known here.
     pub hinted: ProposalNumber,
+    /// The configuration in force; `None` before the first one.
     config: Option<ConfigInForce>,
 }
 
 impl RegisterView {
-    /// The proposal number of the newest chosen value.
+    /// The proposal number of the newest known chosen value; the lowest number if none is known.
     pub(crate) fn proposal(&self) -> ProposalNumber {
         self.chosen
             .as_ref()
@@ -44,7 +47,7 @@
             .unwrap_or_default()
     }
 
-    /// Takes a chosen value; true where it is newer.
+    /// Learns a chosen value; returns whether it is newer than the known one.
     pub(crate) fn learn(&mut self, proposal: ProposalNumber, value: Arc<RegisterValue>) -> bool {
         if proposal <= self.proposal() {
             return false;
@@ -55,7 +58,7 @@
         true
     }
 
-    /// Takes a member list that was chosen; true where it is newer.
+    /// Adopts a chosen member list; returns whether it is newer than the known one.
     pub(crate) fn adopt_list(&mut self, list: MemberList) -> bool {
         if list.version <= self.list.version || list.members.is_empty() {
             return false;
@@ -64,17 +67,17 @@
         true
     }
 
-    /// Everything chosen before `moment` is known now.
-    pub(crate) fn freshen(&mut self, moment: Time) {
+    /// Records that every value chosen before `moment` is known now.
+    pub(crate) fn mark_fresh(&mut self, moment: Time) {
         self.fresh_as_of = self.fresh_as_of.max(Some(moment));
     }
 
-    /// Whether everything chosen before `moment` is known.
+    /// Whether every value chosen before `moment` is known.
     pub(crate) fn is_fresh(&self, moment: Time) -> bool {
         self.fresh_as_of >= Some(moment)
     }
 
-    /// How old the view is at the most, in milliseconds; `None` before the first read of the register.
+    /// The upper bound of the view's age in milliseconds; `None` before the first read of the register.
     pub(crate) fn age_ms(&self, now: Time) -> Option<u64> {
         let fresh_as_of = self.fresh_as_of?;
         Some(now.0.saturating_sub(fresh_as_of.0).div_ceil(MICROS_PER_MS))
@@ -85,7 +88,7 @@
         self.config.as_ref()
     }
 
-    /// Its version, 0 before the first.
+    /// The version of the configuration in force; 0 before the first configuration.
     pub(crate) fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version)
     }
--- a/crates/cluster/control-plane/src/round.rs
+++ b/crates/cluster/control-plane/src/round.rs
@@ -1,4 +1,4 @@
-//! One round of the register: the prepare and the accept phase of one proposal number (CASPaxos, Rystsov, 2018,
+//! One round of the register: the prepare phase and the accept phase of one proposal number (CASPaxos, Rystsov, 2018,
 //! section 2.2).
 
 use crate::accept_change;
@@ -14,61 +14,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The prepare phase: promises, and the newest value that their senders have accepted.
+/// The state of the prepare phase: the promises received, and the newest value that their senders have accepted.
 #[derive(Debug)]
 pub(crate) struct PreparePhase {
-    /// By acceptor, the proposal number of the value that it has accepted.
+    /// The acceptors that have promised, each with the proposal number of the value that it has accepted.
     pub accepted: BTreeMap<NodeId, ProposalNumber>,
-    /// The highest of them.
+    /// The highest proposal number in `accepted`.
     pub newest: ProposalNumber,
-    /// The value accepted in `newest`.
+    /// The value accepted under `newest`; `None` if no value was accepted.
     pub value: Option<Arc<RegisterValue>>,
 }
 
-/// The accept phase: a value, and the acceptors that have it on disk.
+/// The state of the accept phase: the value, and the acceptors that have synced it to disk.
 #[derive(Debug)]
 pub(crate) struct AcceptPhase {
     /// The value that is to be accepted.
     pub value: Arc<RegisterValue>,
     /// `value`, encoded.
     bytes: Blob,
-    /// Sent in the place of the value, but to the members in `need_value`.
+    /// The change that is sent instead of the value, except to the members in `need_value`; `None` if the value is sent
+    /// to all.
     change: Option<AcceptChange>,
-    /// Members that cannot make the value from the change.
+    /// The members that cannot compute the value from the change.
     need_value: BTreeSet<NodeId>,
-    /// A majority of each is needed: also of the list that the value itself names.
+    /// The member lists of which a majority each has to accept: the list of the round, and the list in the value if
+    /// that is another one.
     quorums: Vec<MemberList>,
+    /// The acceptors that have accepted the value.
     accepted_by: BTreeSet<NodeId>,
-    /// What becomes of the change function once the value is chosen.
+    /// The outcome of the change function once the value is chosen.
     pub outcome: ChangeOutcome,
 }
 
-/// Where a round stands.
+/// The phase of a round.
 #[derive(Debug)]
 pub(crate) enum Phase {
     Prepare(PreparePhase),
     Accept(Box<AcceptPhase>),
 }
 
-/// A round under way.
+/// A round that is running.
 #[derive(Debug)]
 pub(crate) struct Round {
-    /// The number under which the round runs.
+    /// The proposal number of the round.
     pub proposal: ProposalNumber,
-    /// The members that prepare.
+    /// The member list whose members are sent the prepare message.
     pub list: MemberList,
-    /// The newest value held at the start: acceptors that hold the same one don't send it.
+    /// The newest value that this process held at the start. Acceptors that hold the same one do not send it.
     known: Option<Chosen>,
     /// When the prepare phase began.
     pub started: Time,
-    /// When the phase's message was last sent.
+    /// When the message of the current phase was last sent.
     pub sent_at: Time,
-    /// Where the round stands.
+    /// The current phase.
     pub phase: Phase,
 }
 
 impl Round {
-    /// A round that begins now with its prepare phase; nothing is sent yet.
+    /// Creates a round that begins at `now` with its prepare phase, without sending anything.
     pub(crate) fn new(
         now: Time,
         proposal: ProposalNumber,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Sends the phase's message to each member that has not answered.
+    /// Sends the message of the current phase to each member that has not replied.
     pub(crate) fn send(&self, effects: &mut Effects) {
         match &self.phase {
             Phase::Prepare(prepare) => self.send_prepare(prepare, effects),
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Sends again what had no answer, now with the value in the place of the change.
+    /// Resends the message of the current phase to each member that has not replied. In the accept phase the full value
+    /// is sent instead of the change.
     pub(crate) fn resend(&mut self, now: Time, effects: &mut Effects) {
         self.sent_at = now;
         if let Phase::Accept(accept) = &mut self.phase {
@@ -122,7 +126,7 @@
         effects.broadcast(unanswered, &prepare);
     }
 
-    /// Counts a promise; true once a majority has promised.
+    /// Counts a promise; returns whether a majority has promised.
     pub(crate) fn on_promise(&mut self, from: NodeId, promise: Promise) -> bool {
         let Phase::Prepare(prepare) = &mut self.phase else {
             return false;
@@ -146,8 +150,8 @@
             .has_quorum(&prepare.accepted.keys().copied().collect())
     }
 
-    /// Begins the accept phase with `value`. `node`: this process. `function`: what made the value of the one that
-    /// was read; `None` where that value itself is proposed again.
+    /// Begins the accept phase with `value`. `node` is this process. `function` is the change function that produced
+    /// `value` from the value that was read; it is `None` if the value that was read is proposed again.
     pub(crate) fn begin_accept(
         &mut self,
         node: NodeId,
@@ -165,7 +169,7 @@
         }
         let bytes = Blob(value.encode());
         let change = function.and_then(|function| {
-            accept_change::compose(function, self.proposal, prepare.newest, &bytes)
+            accept_change::build(function, self.proposal, prepare.newest, &bytes)
         });
         let accept = AcceptPhase {
             value,
@@ -182,14 +186,16 @@
 }
 
 impl PreparePhase {
-    /// Whether everyone who has promised has accepted the newest value: then it is chosen.
+    /// Whether all acceptors that have promised have accepted the newest value. They are a majority, so that value is
+    /// chosen.
     pub(crate) fn is_unanimous(&self) -> bool {
         self.accepted
             .values()
             .all(|proposal| *proposal == self.newest)
     }
 
-    /// Members that accepted another value than the one read, and `node` itself, to which nothing travels.
+    /// The members that have accepted another value than the newest one, and `node` itself, to which the full value can
+    /// be given without sending it over the network.
     fn members_without_newest(&self, node: NodeId) -> BTreeSet<NodeId> {
         let differs = self
             .accepted
@@ -200,7 +206,7 @@
 }
 
 impl AcceptPhase {
-    /// Counts an acceptor; true once the value is chosen.
+    /// Counts an acceptor; returns whether the value is chosen.
     pub(crate) fn on_accepted(&mut self, from: NodeId) -> bool {
         self.accepted_by.insert(from);
         self.quorums
@@ -208,7 +214,7 @@
             .all(|list| list.has_quorum(&self.accepted_by))
     }
 
-    /// A member cannot make the value from the change: it is sent the value, once.
+    /// Sends the full value, once, to a member that cannot compute it from the change.
     pub(crate) fn on_value_needed(
         &mut self,
         from: NodeId,
@@ -227,7 +233,8 @@
         }
     }
 
-    /// The change alone for a member that may hold the value before it, else the full value.
+    /// The accept message for a member: the change if the member may hold the value to which it applies, the full value
+    /// otherwise.
     fn message(&self, proposal: ProposalNumber, member: NodeId) -> ControlMessage {
         match &self.change {
             Some(change) if !self.need_value.contains(&member) => {
--- a/crates/cluster/control-plane/src/value.rs
+++ b/crates/cluster/control-plane/src/value.rs
@@ -1,4 +1,4 @@
-//! The register's value: the core's members, the configuration, and the changes that led to it.
+//! The value of the register: the core's members, the configuration, and the recent changes of the configuration.
 
 use crate::error::ControlPlaneError;
 use crate::quorum::MemberList;
@@ -6,53 +6,55 @@
 use sagetrail_protocol::control::AcceptedChange;
 use sagetrail_protocol::{Blob, List, NodeId};
 
-/// So many of the newest changes are part of the value; earlier ones are in each process's `AcceptedChanges`.
+/// The maximum number of changes in the value, which holds the newest ones. Earlier changes are in the
+/// `AcceptedChanges` of each process.
 pub(crate) const MAX_RECENT_CHANGES: usize = 64;
 
 /// The configuration in the register.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoredConfig {
-    /// 0 before the first configuration.
+    /// The version of the configuration; 0 before the first one.
     pub version: u64,
-    /// JSON, as the operator reads it.
+    /// The configuration as JSON, in the form in which the operator reads it.
     pub document: Blob,
 }
 
-/// The register's value. The order of the fields is that of the bytes on the wire and on disk.
+/// The value of the register. It is encoded on the wire and on disk in the order of the fields.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct RegisterValue {
     /// The version of the member list; each step of a change of members adds one.
     pub members_version: u64,
-    /// The core's members; while a change is under way, those before it.
+    /// The core's members; while a change of members is in progress, the members before it.
     pub members: List<NodeId>,
-    /// The list that is to follow; empty unless a change of members is under way.
+    /// The core's members after the change that is in progress; empty if there is none.
     pub next_members: List<NodeId>,
-    /// How many members the cluster is to have.
+    /// The number of members with which the cluster was bootstrapped. Members are added while there are fewer.
     pub bootstrap_size: u32,
-    /// The newest configuration.
+    /// The configuration in force.
     pub config: StoredConfig,
-    /// The newest changes, oldest first; the last one led to `config`.
+    /// The newest changes of the configuration, oldest first; the last one led to `config`.
     pub recent: List<AcceptedChange>,
 }
 
 impl RegisterValue {
-    /// The value that bytes hold.
+    /// Decodes a value.
     ///
     /// # Errors
     ///
-    /// `MalformedValue` where the bytes are too short or a field is out of its range. Bytes after the value are ignored.
+    /// Returns `MalformedValue` if the bytes are too short or a field is out of its range. Bytes after the value are
+    /// ignored.
     pub fn decode(bytes: &[u8]) -> Result<RegisterValue, ControlPlaneError> {
         RegisterValue::from_bytes((bytes, 0))
             .map(|(_, value)| value)
             .map_err(ControlPlaneError::MalformedValue)
     }
 
-    /// The value as bytes.
+    /// Encodes the value.
     pub fn encode(&self) -> Vec<u8> {
         self.to_bytes().unwrap_or_default()
     }
 
-    /// The members as a list to count by.
+    /// The member list of the value, with which quorums are counted.
     pub fn member_list(&self) -> MemberList {
         MemberList {
             version: self.members_version,
@@ -61,14 +63,14 @@
         }
     }
 
-    /// The recent change that led from `base`, or over it, to a later version.
-    pub fn change_over(&self, base: u64) -> Option<&AcceptedChange> {
+    /// The recent change that led from version `base`, or from an earlier version past `base`, to a later version.
+    pub fn change_covering(&self, base: u64) -> Option<&AcceptedChange> {
         self.recent
             .iter()
             .find(|change| change.base <= base && base < change.version)
     }
 
-    /// Adds the change that led to the configuration.
+    /// Appends the change that led to the configuration, and drops the oldest changes beyond `MAX_RECENT_CHANGES`.
     pub fn push_recent(&mut self, change: AcceptedChange) {
         self.recent.0.push(change);
         let surplus = self.recent.len().saturating_sub(MAX_RECENT_CHANGES);
--- a/crates/cluster/control-plane/tests/accepted_changes.rs
+++ b/crates/cluster/control-plane/tests/accepted_changes.rs
@@ -1,4 +1,5 @@
-//! The archive of accepted changes against a plain list.
+//! Compares the archive of accepted changes with a sorted list as its model: entries, gaps, capacity, paging and the
+//! rows that it writes to disk.
 
 use proptest::prelude::*;
 use sagetrail_control_plane::{AcceptedChanges, Gap};
@@ -6,7 +7,7 @@
 use sagetrail_protocol::node::DiskOperation;
 use std::collections::BTreeMap;
 
-/// A chain whose versions climb by these steps; digests name their place.
+/// A chain of changes whose versions increase by these steps. Each digest contains the low byte of the change's base.
 fn chain(steps: &[u64]) -> Vec<AcceptedChange> {
     let mut base = 0;
     let link = |step: &u64| {
@@ -21,7 +22,7 @@
     steps.iter().map(link).collect()
 }
 
-/// The plain list: all entries, oldest first, of which the newest `capacity` count.
+/// The model of the archive: the newest `capacity` entries, oldest first.
 struct Model {
     entries: Vec<AcceptedChange>,
     capacity: usize,
@@ -39,7 +40,7 @@
         self.entries.contains(&change)
     }
 
-    fn change_over(&self, base: u64) -> Option<&AcceptedChange> {
+    fn change_covering(&self, base: u64) -> Option<&AcceptedChange> {
         self.entries
             .iter()
             .find(|entry| (entry.base..entry.version).contains(&base))
@@ -78,12 +79,12 @@
             DiskOperation::Delete { key, .. } => {
                 disk.remove(&key);
             }
-            DiskOperation::Clear { .. } => panic!("the table holds other rows as well"),
+            DiskOperation::Clear { .. } => panic!("the table must not be cleared: it holds other rows as well"),
         }
     }
 }
 
-fn all(changes: &AcceptedChanges) -> Vec<AcceptedChange> {
+fn all_entries(changes: &AcceptedChanges) -> Vec<AcceptedChange> {
     changes.from_base(0, usize::MAX).0
 }
 
@@ -91,7 +92,7 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn archive_agrees_with_a_plain_list(
+    fn archive_equals_its_model(
         steps in prop::collection::vec(1u64..4, 1..40),
         insertions in prop::collection::vec((any::<prop::sample::Index>(), 1usize..8, any::<bool>()), 1..40),
         capacity in 1usize..50,
@@ -101,26 +102,26 @@
         let mut changes = AcceptedChanges::with_capacity(capacity);
         let mut model = Model { entries: Vec::new(), capacity };
         let mut disk = BTreeMap::new();
-        for (place, count, write) in insertions {
-            let first = place.index(chain.len());
+        for (start, count, write) in insertions {
+            let first = start.index(chain.len());
             let chunk = &chain[first..chain.len().min(first + count)];
             let new = chunk.iter().filter(|change| model.insert(**change)).count() > 0;
             prop_assert_eq!(changes.insert_all(chunk), new);
-            prop_assert_eq!(all(&changes), &model.entries[..]);
+            prop_assert_eq!(all_entries(&changes), &model.entries[..]);
             prop_assert_eq!(changes.gaps().collect::<Vec<_>>(), model.gaps());
             for base in 0..newest + 2 {
-                prop_assert_eq!(changes.change_over(base), model.change_over(base));
+                prop_assert_eq!(changes.change_covering(base), model.change_covering(base));
             }
             if write {
                 apply(&mut disk, changes.take_writes());
                 let rows: Vec<_> = disk.clone().into_iter().collect();
-                prop_assert_eq!(all(&AcceptedChanges::load(&rows)), &model.entries[..]);
+                prop_assert_eq!(all_entries(&AcceptedChanges::load(&rows)), &model.entries[..]);
             }
         }
     }
 
     #[test]
-    fn pages_of_the_archive_add_up(steps in prop::collection::vec(1u64..4, 1..60), limit in 1usize..20) {
+    fn pages_of_the_archive_contain_each_entry_once(steps in prop::collection::vec(1u64..4, 1..60), limit in 1usize..20) {
         let chain = chain(&steps);
         let mut changes = AcceptedChanges::default();
         changes.insert_all(&chain);
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn contradicting_changes_are_rejected() {
+fn changes_that_contradict_the_archive_are_rejected() {
     let mut changes = AcceptedChanges::default();
     let known = [
         AcceptedChange {
@@ -173,11 +174,11 @@
         };
         assert!(!changes.insert_all(&[other]), "{base} -> {version}");
     }
-    assert_eq!(all(&changes), known);
+    assert_eq!(all_entries(&changes), known);
 }
 
 #[test]
-fn writes_come_in_batches_and_are_bounded() {
+fn writes_are_batched_and_bounded() {
     let mut changes = AcceptedChanges::default();
     let chain = chain(&[1; 2_500]);
     changes.insert_all(&chain[..10]);
