--- a/crates/cluster/control-plane/src/error.rs
+++ b/crates/cluster/control-plane/src/error.rs
@@ -2,10 +2,10 @@
 
 use deku::DekuError;
 
-/// What can go wrong in the control plane.
+/// An error of the control plane.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ControlPlaneError {
-    /// Bytes from a message or from a disk are no value of the register.
-    #[error("no value of the register: {0}")]
+    /// Bytes from a message or from a disk do not encode a value of the register.
+    #[error("malformed value of the register: {0}")]
     MalformedValue(DekuError),
 }
--- a/crates/cluster/control-plane/src/http_api.rs
+++ b/crates/cluster/control-plane/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of a core process: what each request asks for.
+//! The HTTP interface of a core process: parses requests to operations or to an immediate status.
 
 use serde::de::IgnoredAny;
 
@@ -12,31 +12,31 @@
 const GET_PATH: &str = "/v1/config/get";
 const INSTANCES_PATH: &str = "/v1/instances/";
 
-/// 200.
+/// 200: the request succeeded.
 pub(crate) const OK: u16 = 200;
-/// 400: the request or the change itself is not valid.
+/// 400: the request or the change that it contains is not valid.
 pub(crate) const BAD_REQUEST: u16 = 400;
 const NOT_FOUND: u16 = 404;
 const METHOD_NOT_ALLOWED: u16 = 405;
 /// 412: the change's base is not the current version.
 pub(crate) const PRECONDITION_FAILED: u16 = 412;
-/// 503: surely without any effect; to be sent again.
+/// 503: the request certainly had no effect and may be sent again.
 pub(crate) const SERVICE_UNAVAILABLE: u16 = 503;
-/// 504: the change may or may not be in force.
+/// 504: it is not known whether the change is in force.
 pub(crate) const OUTCOME_UNKNOWN: u16 = 504;
 
-/// What a request asks for.
+/// A parsed HTTP request.
 #[derive(Debug)]
 pub(crate) enum ApiRequest {
-    /// A configuration change.
+    /// The request is a configuration change.
     Change(Change),
-    /// A configuration read: the newest one.
+    /// The request reads the newest configuration.
     Read,
-    /// Answered at once with this status.
+    /// The request is answered at once with this status.
     Status(u16),
 }
 
-/// Reads a request. `has_members`: this process knows the core's members.
+/// Parses a request. `has_members` is true if this process knows the core's members.
 pub(crate) fn parse_request(
     endpoint: HttpEndpoint,
     request: HttpRequest,
@@ -63,7 +63,8 @@
     }
 }
 
-/// A whole configuration that is not valid by itself can never have been accepted.
+/// Parses a request with a full configuration. An invalid configuration is rejected at once: it can never have been
+/// accepted, so no earlier outcome of the same change has to be looked up.
 fn parse_replace(request: HttpRequest) -> ApiRequest {
     if ConfigDocument::parse(&request.body).is_err() {
         return ApiRequest::Status(BAD_REQUEST);
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -1,14 +1,14 @@
-//! The control plane on the core machines: who the core's members are, which configuration is in force, which process
-//! schedules, and the records that the scheduler must not lose.
+//! The control plane on the core machines. It agrees on the core's members, on the configuration in force and on the
+//! process that runs the scheduler, and it replicates the records that the scheduler must not lose.
 //!
-//! [`CoreNode`] is the logic of one core process as a state machine without sockets, disk or clock: it is driven through
-//! [`sagetrail_protocol::node::Node`], by the real process as well as by the simulation. It takes one [`Event`] at a time
-//! and leaves sends, writes and replies in an [`Outbox`].
+//! [`CoreNode`] is the logic of one core process as a state machine without sockets, disk or clock. The real process
+//! and the simulation both drive it through [`sagetrail_protocol::node::Node`]. It handles one [`Event`] at a time and
+//! puts sends, writes and replies into an [`Outbox`].
 //!
-//! # How an event goes through the parts
+//! # How an event is processed
 //!
 //! ```text
-//!    Event            node.rs              parts, each of which owns its state
+//!    Event            node.rs              components, each of which owns its state
 //!   ────────►  CoreNode::handle ──────►  Register          acceptor, proposer, reader, register view
 //!              │ node/messages.rs        Membership        bootstrap, recovery, hellos
 //!              │ node/non_members.rs     Terms             replica, elections, leadership, scheduler
@@ -20,35 +20,35 @@
 //!              ◄───────────────────────  MessageRouter ──────►  Outbox
 //! ```
 //!
-//! After each event, and after each message of the process to itself, `CoreNode::step` runs whatever is due, always in the
-//! same order. Parts import the parts that they use, and none imports `node`; what concerns several parts
-//! (`ViewUpdate`, `RegisterProgress`) is returned to `CoreNode`, which passes it on.
+//! After each event, and after each message of the process to itself, `CoreNode::step` runs the work that is due,
+//! always in the same order. Components import the components that they use, and none imports `node`. Results that
+//! concern several components (`ViewUpdate`, `RegisterProgress`) are returned to `CoreNode`, which passes them on.
 //!
-//! # Where a configuration change goes
+//! # How a configuration change is processed
 //!
 //! ```text
-//!  POST /v1/config/…  http_api         parse_request             400, 405 or 503 at once
-//!                     operator         OperatorRequests::change  one number per change, however often it is sent
-//!                     register         Register::propose         queue of the proposer
-//!                     proposer         prepare phase             a majority of Promises gives the current value
-//!                     change_function  ChangeFunction::apply     412 or 400 by its outcome
-//!                     proposer         accept phase              a majority of Accepted: the change is in force
-//!                     register         Register::learn           Learn to all members; view, accepted changes
-//!                     operator         change_completed          200, once the leader has replied Learned
+//!  POST /v1/config/…  http_api         parse_request                          400, 405 or 503 at once
+//!                     operator         OperatorRequests::submit_change        one number for all sends of a change
+//!                     register         Register::propose                      queue of the proposer
+//!                     proposer         prepare phase                          a majority of Promises gives the current value
+//!                     change_function  ChangeFunction::apply                  412 or 400 by its outcome
+//!                     proposer         accept phase                           a majority of Accepted: the change is in force
+//!                     register         Register::learn                        Learn to all members; view, accepted changes
+//!                     operator         OperatorRequests::on_change_completed  200, once the leader has replied Learned
 //! ```
 //!
-//! The value is written by each acceptor (`acceptor`, `persisted`) before it answers. The scheduler is given the
-//! configuration as soon as its own process learns it; other processes subscribe (`subscribers`).
+//! Each acceptor syncs the value to disk (`acceptor`, `persisted`) before it replies. The scheduler receives the
+//! configuration as soon as its own process learns it; other processes subscribe to it (`subscribers`).
 //!
-//! # Where to begin reading
+//! # Where to start reading
 //!
-//! `node` for the order of events, then `register` with `quorum`, `acceptor`, `proposer` and `change_function`; for the
-//! scheduler's records `terms` with `election`, `leadership`, `voting` and `replica`; for how members come and go
-//! `membership`, `recovery` and `reconfiguration`. Spans of time are in `timing`.
+//! The order of events is in `node`. The register is in `register`, `quorum`, `acceptor`, `proposer` and
+//! `change_function`, the replication of the scheduler's records in `terms`, `election`, `leadership`, `voting` and
+//! `replica`, and changes of members are in `membership`, `recovery` and `reconfiguration`. Durations are in `timing`.
 //!
 //! # Sources
 //!
-//! - Register: Rystsov, "CASPaxos: Replicated State Machines without logs" (2018). Members are part of the value.
+//! - Register: Rystsov, "CASPaxos: Replicated State Machines without logs" (2018). The member list is part of the value.
 //! - Elections: Ongaro, "Consensus: Bridging Theory and Practice" (2014): terms 3.3, learners 4.2.1, joint consensus 4.3,
 //!   pre-vote 9.6.
 //! - Leases of the leader and of membership: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -1,8 +1,9 @@
-//! How a process comes to take part: by bootstrap, or by recovery of what an empty disk may have held. A process that is
-//! no member yet recovers as well, before it is added.
+//! The membership of a process: how it obtains the state with which it takes part in agreement, by bootstrap or by
+//! recovery of the state that an emptied disk may have held. A process that is not a member yet also recovers before it
+//! is added.
 //!
-//! A process is *joining* until it knows what it may have promised, *recovering* while it asks the members for that, and
-//! *active* once the state with which it takes part is on disk. Only an active process promises and accepts.
+//! A process is *joining* until it knows what it may have promised, *recovering* while it asks the members for that,
+//! and *active* once the state with which it takes part is synced to disk. Only an active process promises and accepts.
 
 mod bootstrapping;
 mod recovering;
@@ -23,42 +24,49 @@
 use crate::terms::Terms;
 use crate::timing::{OUT_OF_TOUCH_MS, UNREADY_HELLO_MS};
 
-/// The most core processes outside the member list that are remembered.
+/// The maximum number of core processes outside the member list that a process remembers.
 const MAX_UNLISTED_CONTACTS: usize = 16;
 
-/// The membership of one process: its way from an empty or restored disk to taking part.
+/// The membership of one process, from the start with an empty or restored disk until it is active.
 #[derive(Debug)]
 pub(crate) struct Membership {
+    /// The address of this process.
     node: NodeId,
+    /// The incarnation of this process, which is sent in hellos.
     incarnation: Incarnation,
-    /// Core processes to start from.
+    /// The core processes that this process contacts first.
     seeds: Vec<NodeId>,
-    /// Whether the cluster starts for the first time, as far as the settings say.
+    /// Whether the settings state that the cluster starts for the first time.
     may_bootstrap: bool,
+    /// When this process started.
     started: Time,
-    /// What the process once promised is known: it may promise and accept.
+    /// Whether this process knows its promises, and so may promise and accept.
     active: bool,
-    /// The state with which the process takes part is being written.
+    /// Whether the state with which this process takes part is being written to disk.
     sync_pending: bool,
-    /// At the bootstrapping process, until it has fixed the members.
+    /// The candidates for the first member list, at the bootstrapping process until it has chosen the members.
     bootstrap: Option<BootstrapCandidates>,
+    /// The recovery in progress.
     recovery: Option<Recovery>,
-    /// A member list, newer than the one known, that the recovery found in an accepted value.
+    /// A member list that a recovery found in an accepted value and that is newer than the known one. The next recovery
+    /// asks its members.
     recovered_list: MemberList,
-    /// Members that have not acknowledged the bootstrap value.
+    /// The members that have not acknowledged the bootstrap value.
     unacknowledged: BTreeSet<NodeId>,
+    /// When the bootstrap value is sent next.
     bootstrap_send_at: Time,
+    /// When the next hello is sent.
     hello_at: Time,
-    /// A process that is out of touch requests a directory no earlier than this.
+    /// The earliest time at which a process with an outdated register view requests a directory.
     directory_request_at: Time,
-    /// Since when the process has known a member list without knowing what it promised.
+    /// Since when this process has known a member list without knowing its promises.
     listed_since: Option<Time>,
-    /// Core processes that contacted this one and were no members as far as it knew.
+    /// Core processes that contacted this one and were not in the member list that it knew.
     unlisted_contacts: BTreeSet<NodeId>,
 }
 
 impl Membership {
-    /// A process that does not take part yet.
+    /// Creates the membership of a process that is not active yet.
     pub(crate) fn new(settings: &CoreSettings, started: Time) -> Membership {
         Membership {
             node: settings.node,
@@ -80,7 +88,8 @@
         }
     }
 
-    /// The disk is empty: the first seed bootstraps the cluster, every other process waits for a member list.
+    /// Starts with an empty disk: if the cluster starts for the first time, the first seed bootstraps it. Every other
+    /// process waits for a member list.
     pub(crate) fn start_empty(&mut self, tolerated_machines: u32) {
         let is_first_seed = self.seeds.first().is_none_or(|first| *first == self.node);
         if self.may_bootstrap && is_first_seed {
@@ -92,28 +101,29 @@
         }
     }
 
-    /// The disk holds what this process promised and accepted, and `register` has taken it up.
+    /// Starts with a disk that holds the promises and the accepted value of this process, which `register` has
+    /// restored.
     pub(crate) fn start_restored(&mut self, register: &Register) {
         self.active = true;
         self.begin_sending_bootstrap(register);
     }
 
-    /// Whether this process knows what it promised, and so may promise and accept.
+    /// Whether this process knows its promises, and so may promise and accept.
     pub(crate) fn is_active(&self) -> bool {
         self.active
     }
 
-    /// Whether this process is asking the members what it may have promised.
+    /// Whether this process is asking the members for the promises that it may have made.
     pub(crate) fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// Other processes to start from.
+    /// Replaces the core processes that this process contacts first.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
     }
 
-    /// Hellos, the bootstrap and the recovery, as far as they are due.
+    /// Sends hellos and directory requests, and runs the bootstrap and the recovery, each if it is due.
     pub(crate) fn step(
         &mut self,
         now: Time,
@@ -129,13 +139,13 @@
         self.recover(now, register, effects);
     }
 
-    /// When one of them is due.
+    /// When the next action of [`Membership::step`] is due.
     pub(crate) fn next_wake(&self, terminating: bool, register: &Register) -> Option<Time> {
         let hello = self
             .needs_hello(terminating, register)
             .then_some(self.hello_at);
         let directory_request = self.active.then(|| {
-            self.out_of_touch_at(register)
+            self.view_outdated_at(register)
                 .max(self.directory_request_at)
         });
         let bootstrap = self.bootstrap.as_ref().map(BootstrapCandidates::due_at);
@@ -188,10 +198,11 @@
             .extend(contacts.map(|node| (node, hello.clone())));
     }
 
-    /// All members that this process knows may have been replaced while it was away.
+    /// Requests directories if the register view is outdated: all members that this process knows may have been
+    /// replaced while it could not reach them.
     fn request_directory(&mut self, now: Time, register: &Register, effects: &mut Effects) {
         let due = self
-            .out_of_touch_at(register)
+            .view_outdated_at(register)
             .max(self.directory_request_at);
         if !self.active || now < due {
             return;
@@ -200,13 +211,14 @@
         effects.broadcast(self.contacts(register), &ControlMessage::DirectoryRequest);
     }
 
-    fn out_of_touch_at(&self, register: &Register) -> Time {
-        let in_touch_at = register.view().fresh_as_of.unwrap_or(self.started);
-        in_touch_at.plus_millis(OUT_OF_TOUCH_MS)
+    fn view_outdated_at(&self, register: &Register) -> Time {
+        let fresh_as_of = register.view().fresh_as_of.unwrap_or(self.started);
+        fresh_as_of.plus_millis(OUT_OF_TOUCH_MS)
     }
 
-    /// Another core process contacted this one. One that is no member as far as this process knows may know newer
-    /// members: whoever counts this process among them can report who they are.
+    /// Handles a contact by another core process. A process that is not in the known member list may know a newer list:
+    /// if it counts this process among the members, it can report that list. It is remembered, so that hellos and
+    /// directory requests are sent to it.
     pub(crate) fn on_contact(&mut self, from: NodeId, members: &MemberList) {
         if members.contains(from) {
             return;
@@ -217,7 +229,7 @@
         self.unlisted_contacts.insert(from);
     }
 
-    /// A core process said hello.
+    /// Handles the hello of a core process.
     pub(crate) fn on_hello(&mut self, now: Time, from: NodeId, members: &MemberList) {
         self.on_contact(from, members);
         if let Some(bootstrap) = &mut self.bootstrap {
@@ -225,7 +237,7 @@
         }
     }
 
-    /// Core processes that this process knows of, itself apart.
+    /// All core processes that this process knows except itself.
     fn contacts(&self, register: &Register) -> BTreeSet<NodeId> {
         let mut contacts: BTreeSet<NodeId> = self.seeds.iter().copied().collect();
         contacts.extend(register.members().all());
@@ -234,7 +246,8 @@
         contacts
     }
 
-    /// Writes what the process takes part with. The accepted value may not be chosen, so the list is the known one.
+    /// Writes the state with which this process takes part. The accepted value may not be chosen, so the member list
+    /// that is written is the known one and not that of the accepted value.
     fn write_state(
         &mut self,
         proposal: ProposalNumber,
@@ -256,7 +269,8 @@
         effects.write(operations, then);
     }
 
-    /// A process has synced the state with which it takes part, or this process an accepted value.
+    /// Handles the notification that another process has synced the bootstrap value, or that this process has synced
+    /// its state or an accepted value.
     pub(crate) fn on_state_synced(
         &mut self,
         from: NodeId,
@@ -274,17 +288,19 @@
         }
         self.sync_pending = false;
         self.active = true;
-        self.begin_to_take_part(register, effects)
+        self.start_participating(register, effects)
     }
 
-    fn begin_to_take_part(
+    /// Makes the proposer use proposal numbers above the promised one. The bootstrapping process also learns its
+    /// bootstrap value and starts to send it to the other members.
+    fn start_participating(
         &mut self,
         register: &mut Register,
         effects: &mut Effects,
     ) -> Option<ViewUpdate> {
         let accepted = register.accepted_value()?;
         register.observe_own_promise();
-        if !self.bootstrapped_here(register) {
+        if !self.is_bootstrapped_here(register) {
             return None;
         }
         let update = register.learn(accepted, effects);
--- a/crates/cluster/control-plane/src/membership/bootstrapping.rs
+++ b/crates/cluster/control-plane/src/membership/bootstrapping.rs
@@ -1,4 +1,4 @@
-//! The bootstrap of the cluster: one process fixes the members, the others take its value over.
+//! The bootstrap of the cluster: one process determines the members, and the others adopt its value.
 
 use sagetrail_protocol::control::{Bootstrap, ControlMessage, ProposalNumber, StateSynced};
 use sagetrail_protocol::{Blob, NodeId, Time};
@@ -11,11 +11,11 @@
 use crate::timing::RESEND_MS;
 use crate::value::RegisterValue;
 
-/// The bootstrap value's proposal number has this counter; every later one a higher one.
+/// The counter of the proposal number of the bootstrap value. Every later proposal number has a higher one.
 const BOOTSTRAP_COUNTER: u64 = 1;
 
 impl Membership {
-    /// Fixes the members once enough candidates have said hello.
+    /// Determines the members once enough candidates have sent a hello.
     pub(super) fn bootstrap_cluster(
         &mut self,
         now: Time,
@@ -26,7 +26,7 @@
         let Some(value) = self
             .bootstrap
             .as_ref()
-            .and_then(|bootstrap| bootstrap.due(now))
+            .and_then(|bootstrap| bootstrap.value_if_due(now))
         else {
             return;
         };
@@ -43,7 +43,7 @@
         self.adopt_bootstrap(bootstrap, None, register, terms, effects);
     }
 
-    /// The bootstrapping process sent the cluster's first value.
+    /// Handles the cluster's first value, sent by the bootstrapping process.
     pub(crate) fn on_bootstrap(
         &mut self,
         from: NodeId,
@@ -58,8 +58,8 @@
             });
             return effects.control(from, synced);
         }
-        let busy = self.sync_pending || self.recovery.is_some();
-        if self.may_bootstrap && !busy {
+        let is_busy = self.sync_pending || self.recovery.is_some();
+        if self.may_bootstrap && !is_busy {
             self.adopt_bootstrap(bootstrap, Some(from), register, terms, effects);
         }
     }
@@ -86,28 +86,29 @@
         self.write_state(proposal, sender, register, terms, effects);
     }
 
-    /// Whether the accepted value is the bootstrap value of this very process.
-    pub(super) fn bootstrapped_here(&self, register: &Register) -> bool {
+    /// Whether the accepted value is the bootstrap value that this process created.
+    pub(super) fn is_bootstrapped_here(&self, register: &Register) -> bool {
         let proposal = register.acceptor().proposals.accepted;
         proposal.counter == BOOTSTRAP_COUNTER && proposal.node == self.node
     }
 
-    /// The bootstrapping process sends its value to all others until each has acknowledged it, also after a restart.
+    /// Makes the bootstrapping process send its value to each other member until that member has acknowledged it, also
+    /// after a restart.
     pub(super) fn begin_sending_bootstrap(&mut self, register: &Register) {
-        if !self.bootstrapped_here(register) {
+        if !self.is_bootstrapped_here(register) {
             return;
         }
         self.unacknowledged = register.members().all();
         self.unacknowledged.remove(&self.node);
     }
 
-    /// Sends the bootstrap value to those that have not acknowledged it.
+    /// Sends the bootstrap value to the members that have not acknowledged it, if that is due.
     pub(super) fn send_bootstrap(&mut self, now: Time, register: &Register, effects: &mut Effects) {
         if self.unacknowledged.is_empty() || now < self.bootstrap_send_at {
             return;
         }
-        if !self.bootstrapped_here(register) {
-            // A later value was accepted, so a majority has the bootstrap; the others recover.
+        if !self.is_bootstrapped_here(register) {
+            // A later value was accepted, so a majority has the bootstrap value. The other members recover.
             return self.unacknowledged.clear();
         }
         self.bootstrap_send_at = now.plus_millis(RESEND_MS);
--- a/crates/cluster/control-plane/src/membership/recovering.rs
+++ b/crates/cluster/control-plane/src/membership/recovering.rs
@@ -1,4 +1,4 @@
-//! The recovery of what an emptied disk may have held, before the process takes part again.
+//! The recovery of the state that an emptied disk may have held, before the process takes part again.
 
 use sagetrail_protocol::control::{Promise, RecoverReply, Rejected};
 use sagetrail_protocol::{NodeId, Time};
@@ -16,8 +16,8 @@
         self.active || self.sync_pending
     }
 
-    /// When the recovery may begin. A lease that the process may have granted in its former incarnation has expired by
-    /// then, and so have votes of it.
+    /// When the recovery may begin; `None` if none is needed. By then a lease that the process may have granted in its
+    /// former incarnation has expired, and so have the votes of that incarnation.
     pub(super) fn recovery_due(&self) -> Option<Time> {
         if self.knows_its_promises() {
             return None;
@@ -31,7 +31,7 @@
         Some(grace_ends.max(self.started.plus_millis(LEASE_MS)))
     }
 
-    /// Begins the recovery, repeats its requests, or drops it where it is not needed any more.
+    /// Begins the recovery, resends its requests, or drops it if it is no longer needed.
     pub(super) fn recover(&mut self, now: Time, register: &Register, effects: &mut Effects) {
         if self.knows_its_promises() || !register.has_members() {
             self.recovery = None;
@@ -42,11 +42,11 @@
         if self.recovery_due().is_none_or(|due| now < due) {
             return;
         }
-        let starts_anew = self
+        let must_start = self
             .recovery
             .as_mut()
             .is_none_or(|recovery| recovery.tick(now, effects));
-        if starts_anew {
+        if must_start {
             let known = register.members();
             let list = if self.recovered_list.version > known.version {
                 &self.recovered_list
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A member reported its highest promises.
+    /// Handles a member's report of its highest promises.
     pub(crate) fn on_recover_reply(
         &mut self,
         from: NodeId,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A member promised the recovery's proposal number.
+    /// Handles a member's promise of the recovery's proposal number.
     pub(crate) fn on_promise(
         &mut self,
         from: NodeId,
@@ -84,19 +84,21 @@
             .as_mut()
             .and_then(|recovery| recovery.on_promise(from, promise));
         if let Some(recovered) = recovered {
-            self.take_up_recovered(recovered, register, terms, effects);
+            self.adopt_recovered(recovered, register, terms, effects);
         }
     }
 
-    /// A member has promised a higher proposal number than the recovery's.
+    /// Handles the rejection by a member that has promised a higher proposal number than the recovery's.
     pub(crate) fn on_rejected(&mut self, rejected: &Rejected) {
         if let Some(recovery) = &mut self.recovery {
             recovery.on_rejected(rejected);
         }
     }
 
-    /// The others reported what this process may have promised.
-    fn take_up_recovered(
+    /// Adopts the state that the other members reported, and writes it to disk. If the recovered value has a newer
+    /// member list than the one whose members were asked, nothing is adopted and the recovery is repeated with the
+    /// newer list.
+    fn adopt_recovered(
         &mut self,
         recovered: Recovered,
         register: &mut Register,
@@ -108,7 +110,7 @@
         };
         self.recovery = None;
         if value.members_version > recovered.members_version {
-            // Members that are not among those asked may know of later promises.
+            // Members of the newer list that were not asked may know of later promises.
             self.recovered_list = value.member_list();
             return;
         }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -222,7 +222,7 @@
                 endpoint,
                 request,
             } => self.on_http(id, endpoint, request),
-            Event::HttpAbandoned { id } => self.operator.abandoned(id),
+            Event::HttpAbandoned { id } => self.operator.on_abandoned(id),
             Event::Synced { token } => self.router.synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
             Event::SeedsChanged(seeds) => self.membership.set_seeds(seeds),
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -206,14 +206,14 @@
         let leader = self.terms.live_leader(now);
         let awaits_leader = leader.is_some_and(|leader| leader != self.node);
         self.operator
-            .change_completed(now, &completed, awaits_leader, &mut self.effects);
+            .on_change_completed(now, &completed, awaits_leader, &mut self.effects);
     }
 
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
         let leader = self.terms.live_leader(self.now.steady);
         if leader.is_none_or(|leader| leader == from) {
             self.operator
-                .leader_learned(learned.proposal, &mut self.effects);
+                .on_leader_learned(learned.proposal, &mut self.effects);
         }
     }
 
@@ -248,10 +248,10 @@
         let effects = &mut self.effects;
         match parse_request(endpoint, request, self.register.has_members()) {
             ApiRequest::Status(status) => effects.status(id, status),
-            ApiRequest::Read => self.operator.read(now, id, effects),
+            ApiRequest::Read => self.operator.submit_read(now, id, effects),
             ApiRequest::Change(change) => {
                 self.operator
-                    .change(now, id, change, &mut self.register, effects);
+                    .submit_change(now, id, change, &mut self.register, effects);
             }
         }
     }
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -110,7 +110,7 @@
 
     fn on_members_changed(&mut self) {
         let members = self.register.members();
-        self.reconfiguration.members_changed(members);
+        self.reconfiguration.on_members_changed(members);
         if self.membership.is_active() {
             let operation = put_members(&StoredMembers::from(members));
             self.effects.write(vec![operation], Vec::new());
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration changes and configuration reads that are in flight at this process.
+//! The configuration changes and configuration reads of the operator that are in flight at this process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,14 +16,15 @@
 use crate::register_view::RegisterView;
 use crate::timing::{ANSWER_MARGIN_MS, LEARN_WAIT_MS, UNPROPOSED_MS};
 
-/// The most configuration changes in flight, and the most configuration reads.
+/// The maximum number of configuration changes in flight, and the maximum number of configuration reads in flight.
 const MAX_IN_FLIGHT: usize = 64;
 
-/// A change that is in the register; the scheduler has not confirmed it yet.
+/// The confirmation by the scheduler that is awaited for a change that is in the register already.
 #[derive(Clone, Copy, Debug)]
 struct AwaitedConfirmation {
+    /// The proposal number of the value with the change.
     proposal: ProposalNumber,
-    /// The operator is answered by then, also without a confirmation.
+    /// When the operator is answered even without a confirmation.
     until: Time,
 }
 
@@ -31,31 +32,38 @@
 #[derive(Debug)]
 struct ChangeInFlight {
     change: Arc<Change>,
-    /// The requests that are answered with its outcome: the same change may be sent several times.
+    /// The requests that are answered with the outcome of the change, since the same change may be sent several times.
     waiters: Vec<HttpRequestId>,
+    /// When the first request arrived.
     arrived: Time,
+    /// The awaited confirmation; `None` until the change is in the register.
     accepted: Option<AwaitedConfirmation>,
 }
 
 /// A configuration read in flight.
 #[derive(Debug)]
 struct ReadInFlight {
+    /// The request to answer.
     id: HttpRequestId,
+    /// When the request arrived. The answer has to include every value chosen before this moment.
     arrived: Time,
 }
 
-/// All requests of the operator at one process.
+/// The requests of the operator that are in flight at one process.
 #[derive(Debug)]
 pub(crate) struct OperatorRequests {
-    /// How long a request may take, in milliseconds.
+    /// The time limit of a request in milliseconds.
     timeout_ms: u64,
+    /// The number of the latest change.
     last_number: u64,
+    /// The changes in flight by their number at this process.
     changes: BTreeMap<u64, ChangeInFlight>,
     reads: Vec<ReadInFlight>,
 }
 
 impl OperatorRequests {
-    /// Without any; `ack_ms` is how long the operator waits, in milliseconds.
+    /// Creates the state without requests. `ack_ms` is the time in milliseconds for which the operator waits for an
+    /// answer.
     pub(crate) fn new(ack_ms: u64) -> OperatorRequests {
         OperatorRequests {
             timeout_ms: ack_ms.saturating_sub(ANSWER_MARGIN_MS).max(UNPROPOSED_MS),
@@ -65,13 +73,14 @@
         }
     }
 
-    /// Whether nothing is in flight.
+    /// Whether no request is in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.changes.is_empty() && self.reads.is_empty()
     }
 
-    /// Proposes a change; for one that is in flight already, `id` is answered with its outcome.
-    pub(crate) fn change(
+    /// Proposes a change. If the same change is in flight already, it is not proposed again and the request `id` is
+    /// answered with its outcome.
+    pub(crate) fn submit_change(
         &mut self,
         now: Time,
         id: HttpRequestId,
@@ -105,29 +114,31 @@
         self.changes.insert(number, in_flight);
     }
 
-    /// Takes a configuration read. It is answered once the register is known as of now.
-    pub(crate) fn read(&mut self, now: Time, id: HttpRequestId, effects: &mut Effects) {
+    /// Takes a configuration read, which is answered once the register view includes every value chosen before `now`.
+    pub(crate) fn submit_read(&mut self, now: Time, id: HttpRequestId, effects: &mut Effects) {
         if self.reads.len() >= MAX_IN_FLIGHT {
             return effects.status(id, SERVICE_UNAVAILABLE);
         }
         self.reads.push(ReadInFlight { id, arrived: now });
     }
 
-    /// The moment as of which a configuration read needs the register.
+    /// The moment up to which the configuration reads in flight need the register view to be complete; `None` if there
+    /// are none.
     pub(crate) fn fresh_as_of(&self) -> Option<Time> {
         self.reads.iter().map(|read| read.arrived).max()
     }
 
-    /// The caller has gone. A change stays in flight: it may have been accepted.
-    pub(crate) fn abandoned(&mut self, id: HttpRequestId) {
+    /// Handles a request whose caller has disconnected. A change stays in flight, since it may have been accepted.
+    pub(crate) fn on_abandoned(&mut self, id: HttpRequestId) {
         self.reads.retain(|read| read.id != id);
         for in_flight in self.changes.values_mut() {
             in_flight.waiters.retain(|waiter| *waiter != id);
         }
     }
 
-    /// The outcome of a change. `awaits_leader`: the scheduler runs elsewhere and has yet to learn it.
-    pub(crate) fn change_completed(
+    /// Handles the outcome of a change. `awaits_leader` is true if the scheduler runs at another process, which still
+    /// has to learn the change.
+    pub(crate) fn on_change_completed(
         &mut self,
         now: Time,
         completed: &CompletedChange,
@@ -159,20 +170,20 @@
         }
     }
 
-    /// The leader has learned everything up to this proposal number.
-    pub(crate) fn leader_learned(&mut self, proposal: ProposalNumber, effects: &mut Effects) {
+    /// Handles the notification that the leader has learned the values up to this proposal number.
+    pub(crate) fn on_leader_learned(&mut self, proposal: ProposalNumber, effects: &mut Effects) {
         let is_learned = |accepted: AwaitedConfirmation| accepted.proposal <= proposal;
         self.confirm_accepted(is_learned, effects);
     }
 
-    /// Answers what is due.
+    /// Answers the requests that can be answered or have reached their time limit.
     pub(crate) fn tick(&mut self, now: Time, register: &mut Register, effects: &mut Effects) {
         self.confirm_accepted(|accepted| now >= accepted.until, effects);
         self.time_out_changes(now, register, effects);
         self.answer_reads(now, register.view(), effects);
     }
 
-    /// Answers everything at once: the process ends.
+    /// Answers all requests at once, because the process is shutting down.
     pub(crate) fn close(&mut self, register: &mut Register, effects: &mut Effects) {
         for read in std::mem::take(&mut self.reads) {
             effects.status(read.id, SERVICE_UNAVAILABLE);
@@ -183,12 +194,12 @@
         }
     }
 
-    /// When something is due.
+    /// When the next request reaches its time limit.
     pub(crate) fn next_wake(&self, register: &Register) -> Option<Time> {
         let changes = self
             .changes
             .iter()
-            .map(|(number, in_flight)| self.due(*number, in_flight, register));
+            .map(|(number, in_flight)| self.answer_due_at(*number, in_flight, register));
         let reads = self
             .reads
             .iter()
@@ -196,7 +207,9 @@
         changes.chain(reads).min()
     }
 
-    fn due(&self, number: u64, in_flight: &ChangeInFlight, register: &Register) -> Time {
+    /// When a change is answered even if its outcome is not known. A change that certainly was not accepted by any
+    /// acceptor is answered earlier than one that may have been.
+    fn answer_due_at(&self, number: u64, in_flight: &ChangeInFlight, register: &Register) -> Time {
         if let Some(accepted) = in_flight.accepted {
             return accepted.until;
         }
@@ -212,7 +225,7 @@
         let due: Vec<u64> = self
             .changes
             .iter()
-            .filter(|(number, in_flight)| now >= self.due(**number, in_flight, register))
+            .filter(|(number, in_flight)| now >= self.answer_due_at(**number, in_flight, register))
             .map(|(number, _)| *number)
             .collect();
         for number in due {
@@ -226,7 +239,7 @@
         self.answer(number, status, Vec::new(), effects);
     }
 
-    /// What can be reported of a change before its outcome is known.
+    /// The HTTP status for a change whose outcome is not known.
     fn status_before_outcome(&self, number: u64, register: &Register) -> u16 {
         let is_accepted = self
             .changes
@@ -243,10 +256,10 @@
         let timeout_ms = self.timeout_ms;
         self.reads.retain(|read| {
             let reply = match view.config() {
-                Some(config) if view.is_fresh(read.arrived) => json(OK, config.document.to_vec()),
-                None if view.is_fresh(read.arrived) => json(SERVICE_UNAVAILABLE, Vec::new()),
+                Some(config) if view.is_fresh(read.arrived) => json_reply(OK, config.document.to_vec()),
+                None if view.is_fresh(read.arrived) => json_reply(SERVICE_UNAVAILABLE, Vec::new()),
                 _ if now >= read.arrived.plus_millis(timeout_ms) => {
-                    json(SERVICE_UNAVAILABLE, Vec::new())
+                    json_reply(SERVICE_UNAVAILABLE, Vec::new())
                 }
                 _ => return true,
             };
@@ -275,12 +288,12 @@
             return;
         };
         for waiter in in_flight.waiters {
-            effects.replies.push((waiter, json(status, body.clone())));
+            effects.replies.push((waiter, json_reply(status, body.clone())));
         }
     }
 }
 
-fn json(status: u16, body: Vec<u8>) -> HttpReply {
+fn json_reply(status: u16, body: Vec<u8>) -> HttpReply {
     HttpReply {
         status,
         retry_after_s: None,
--- a/crates/cluster/control-plane/src/pending_requests.rs
+++ b/crates/cluster/control-plane/src/pending_requests.rs
@@ -1,4 +1,5 @@
-//! Requests whose senders have seen a newer configuration than this process: they wait until the register was read again.
+//! Requests whose senders have seen a newer configuration than this process. They wait until this process has read the
+//! register again.
 
 use std::collections::VecDeque;
 
@@ -7,27 +8,28 @@
 use crate::register_view::RegisterView;
 use crate::timing::PENDING_MS;
 
-/// The most requests that wait; further ones are dropped.
+/// The maximum number of waiting requests; further ones are dropped.
 const MAX_PENDING: usize = 256;
 
 /// A request that waits for a fresh register view.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// The gateway.
+    /// The gateway that sent the request.
     pub from: NodeId,
-    /// Its request.
+    /// The request.
     pub message: Message,
+    /// When the request arrived.
     arrived: Time,
 }
 
-/// All of them, oldest first.
+/// The waiting requests, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     queue: VecDeque<PendingRequest>,
 }
 
 impl PendingRequests {
-    /// Takes a request, as far as there is room.
+    /// Queues a request, or drops it if `MAX_PENDING` requests wait already.
     pub(crate) fn push(&mut self, arrived: Time, from: NodeId, message: Message) {
         if self.queue.len() < MAX_PENDING {
             self.queue.push_back(PendingRequest {
@@ -38,7 +40,8 @@
         }
     }
 
-    /// The next request that need not wait any longer. Those that have waited for too long are dropped.
+    /// Takes the oldest request if the register view is fresh enough for it. Requests that have waited for `PENDING_MS`
+    /// are dropped.
     pub(crate) fn next_ready(&mut self, now: Time, view: &RegisterView) -> Option<PendingRequest> {
         loop {
             let front = self.queue.front()?;
@@ -53,12 +56,12 @@
         }
     }
 
-    /// The moment as of which the register has to be known.
+    /// The moment up to which the waiting requests need the register view to be complete; `None` if there are none.
     pub(crate) fn fresh_as_of(&self) -> Option<Time> {
         self.queue.back().map(|request| request.arrived)
     }
 
-    /// When the oldest one is dropped.
+    /// When the oldest request is dropped.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.queue
             .front()
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -1,10 +1,11 @@
 //! Changes of the core's members, proposed by the leader of the term.
 //!
-//! A process that asks to join learns first: it follows the term like a member and counts in no quorum (a learner, as in
-//! Ongaro's thesis, 4.2.1). Once it holds everything, it takes the place of a member that is about to end or is
-//! unreachable. The change has two steps, as in joint consensus (Ongaro and Ousterhout, "In Search of an Understandable
-//! Consensus Algorithm", 2014, section 6): between them a majority of both lists is needed for everything, and the second
-//! step waits until a majority of both holds whatever was committed in the term.
+//! A process that asks to join becomes a learner first: it follows the term like a member but counts in no quorum
+//! (Ongaro's thesis, 4.2.1). Once it holds everything, it is added if there are too few members, or else replaces a
+//! member that is shutting down or unreachable. The change has two steps, as in joint consensus (Ongaro and Ousterhout,
+//! "In Search of an Understandable Consensus Algorithm", 2014, section 6). Between them every decision needs a majority
+//! of each of the two lists. The second step is taken only once a majority of each list holds everything that was
+//! committed in the term.
 
 use std::collections::BTreeMap;
 
@@ -17,15 +18,17 @@
 use crate::terms::Terms;
 use crate::timing::{JOINER_MS, MEMBERSHIP_INTERVAL_MS, UNREACHABLE_MS};
 
-/// The most processes that ask to join and are remembered.
+/// The maximum number of processes whose requests to join are remembered.
 const MAX_JOINERS: usize = 64;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
 
-/// The latest hello of a process that asks to join.
+/// The latest hello of a core process that is not a member, which is its request to join.
 #[derive(Clone, Copy, Debug)]
 struct JoinRequest {
+    /// The incarnation of the process that asks.
     incarnation: Incarnation,
+    /// When the hello was received.
     received: Time,
 }
 
@@ -35,14 +38,16 @@
     }
 }
 
-/// Core processes that are no members and ask to be.
+/// The core processes that are not members and ask to join.
 #[derive(Debug, Default)]
 pub(crate) struct Joiners {
+    /// The latest request of each process.
     requests: BTreeMap<NodeId, JoinRequest>,
 }
 
 impl Joiners {
-    /// A core process that is no member said hello.
+    /// Handles the hello of a core process that is not a member. Expired requests are dropped; a further process is
+    /// ignored while `MAX_JOINERS` are remembered.
     pub(crate) fn on_hello(&mut self, now: Time, node: NodeId, incarnation: Incarnation) {
         self.requests.retain(|_, request| request.is_recent(now));
         if self.requests.len() < MAX_JOINERS || self.requests.contains_key(&node) {
@@ -54,12 +59,13 @@
         }
     }
 
-    /// Forgets those who have become members: they ask no more, also once they are none again.
+    /// Drops the requests of processes that have become members, so that an old request does not count if they are
+    /// removed from the list again.
     pub(crate) fn forget_members(&mut self, members: &MemberList) {
         self.requests.retain(|node, _| !members.contains(*node));
     }
 
-    /// At most `count` of those that asked lately and are no members.
+    /// At most `count` of the processes that are not members and whose latest request is not older than `JOINER_MS`.
     pub(crate) fn candidates(
         &self,
         now: Time,
@@ -74,8 +80,8 @@
             .collect()
     }
 
-    /// Whether anybody may still be waiting.
-    pub(crate) fn any(&self, now: Time, members: &MemberList) -> bool {
+    /// Whether any process that is not a member has a recent request to join.
+    pub(crate) fn has_candidates(&self, now: Time, members: &MemberList) -> bool {
         !self.candidates(now, members, 1).is_empty()
     }
 }
@@ -84,14 +90,14 @@
 #[derive(Debug)]
 pub(crate) struct Reconfiguration {
     joiners: Joiners,
-    /// How many core machines may be lost at once.
+    /// The number of core machines that may be lost at once.
     tolerated_machines: usize,
-    /// When the members are checked next.
+    /// When the members and the joiners are checked next.
     check_at: Time,
 }
 
 impl Reconfiguration {
-    /// Without joiners.
+    /// Creates the state without joiners.
     pub(crate) fn new(tolerated_machines: u32, now: Time) -> Reconfiguration {
         Reconfiguration {
             joiners: Joiners::default(),
@@ -100,12 +106,12 @@
         }
     }
 
-    /// Who asks to join.
+    /// The processes that ask to join.
     pub(crate) fn joiners(&self) -> &Joiners {
         &self.joiners
     }
 
-    /// A core process said hello. One that is no member asks to join.
+    /// Handles the hello of a core process. If it is not a member, it asks to join.
     pub(crate) fn on_hello(
         &mut self,
         now: Time,
@@ -118,12 +124,12 @@
         }
     }
 
-    /// A newer member list is known.
-    pub(crate) fn members_changed(&mut self, members: &MemberList) {
+    /// Handles a newer member list.
+    pub(crate) fn on_members_changed(&mut self, members: &MemberList) {
         self.joiners.forget_members(members);
     }
 
-    /// Names learners, and proposes the next step of a change where one is due.
+    /// Sets the learners of the term, and proposes the next step of a change of members if one is due.
     pub(crate) fn step(&mut self, now: Time, terms: &mut Terms, register: &mut Register) {
         if self.next_wake(terms, register).is_none_or(|due| now < due) {
             return;
@@ -141,8 +147,8 @@
         }
     }
 
-    /// When the members are to be checked: while the scheduler runs here, and there are joiners or a change of members
-    /// has to be completed.
+    /// When the members are checked next; `None` unless the scheduler runs at this process and there are joiners or a
+    /// change of members to complete.
     pub(crate) fn next_wake(&self, terms: &Terms, register: &Register) -> Option<Time> {
         let is_needed = register.members().is_changing() || !self.joiners.requests.is_empty();
         (terms.is_serving() && is_needed).then_some(self.check_at)
@@ -170,7 +176,8 @@
     }
 }
 
-/// The list that should follow, where one should.
+/// The next list of members, which has at most `size` members; `None` if the list should stay as it is. While there are
+/// fewer members, a learner that holds everything is added; otherwise it replaces a member.
 fn next_members(
     now: Time,
     leadership: &Leadership,
--- a/crates/cluster/control-plane/src/recovery.rs
+++ b/crates/cluster/control-plane/src/recovery.rs
@@ -1,8 +1,9 @@
-//! Recovery of a member whose disk was emptied: before it takes part again, it learns from the others what it may have
-//! promised.
+//! The recovery of a member whose disk was emptied: before it takes part again, it learns from the other members what
+//! it may have promised.
 //!
-//! It first asks for the highest promises, then has a quorum of the others promise a higher proposal number: an answer
-//! of its former incarnation can no longer complete a round that the others have not seen.
+//! It first asks for their highest promises, and then has a quorum of the other members promise a higher proposal
+//! number. After that, a reply of its former incarnation can no longer complete a round that the other members have not
+//! seen.
 
 use crate::effects::Effects;
 use crate::persisted::AcceptorNumbers;
@@ -14,51 +15,60 @@
 use sagetrail_protocol::{Blob, Incarnation, NodeId, Term, Time};
 use std::collections::BTreeSet;
 
-/// What the others know: the state with which the member takes part again.
+/// The state that the other members know and with which the recovered member takes part again.
 #[derive(Debug)]
 pub(crate) struct Recovered {
-    /// The numbers that the acceptor goes on with.
+    /// The proposal numbers with which the acceptor continues.
     pub proposals: AcceptorNumbers,
-    /// The newest accepted value among the replies, encoded.
+    /// The newest accepted value among the promises, encoded.
     pub value: Blob,
-    /// The highest term that one of them has promised.
+    /// The highest term that one of the other members has promised.
     pub term: Term,
-    /// The version of the list whose members were asked.
+    /// The version of the member list whose members were asked.
     pub members_version: u64,
 }
 
+/// The phase of a recovery.
 #[derive(Debug)]
 enum Phase {
-    /// Asks for the highest promises.
+    /// Asks the other members for their highest promises.
     CollectingPromises,
-    /// Has a proposal number promised that is higher than all of them.
+    /// Asks the other members to promise a proposal number that is higher than all reported ones.
     Preparing,
 }
 
-/// The recovery of one process.
+/// The recovery in progress at one process.
 #[derive(Debug)]
 pub(crate) struct Recovery {
+    /// The address of this process.
     node: NodeId,
+    /// The incarnation of this process, which is part of its proposal number.
     incarnation: Incarnation,
-    /// Tells replies to this recovery from those to earlier ones.
+    /// Distinguishes replies to this recovery from replies to earlier ones.
     nonce: u64,
+    /// The member list whose members are asked.
     list: MemberList,
+    /// The members of `list` except this process.
     others: Vec<NodeId>,
     phase: Phase,
-    /// Members that have answered in this phase.
+    /// The members that have replied in the current phase.
     replies: BTreeSet<NodeId>,
-    /// The highest proposal number that was promised to anybody.
-    highest: ProposalNumber,
+    /// The highest proposal number that a member has reported as promised to any process.
+    highest_promised: ProposalNumber,
+    /// The highest term that a member has reported as promised.
     term: Term,
-    /// The newest accepted value among the promises, and its proposal number.
+    /// The proposal number of `value`.
     accepted: ProposalNumber,
+    /// The newest accepted value among the promises, encoded; empty if there is none.
     value: Blob,
+    /// When the recovery started.
     started: Time,
+    /// When requests were last sent.
     sent_at: Time,
 }
 
 impl Recovery {
-    /// Begins by asking all other members.
+    /// Starts a recovery by asking all other members of `list` for their highest promises.
     pub(crate) fn start(
         node: NodeId,
         incarnation: Incarnation,
@@ -79,7 +89,7 @@
             others,
             phase: Phase::CollectingPromises,
             replies: BTreeSet::new(),
-            highest: ProposalNumber::default(),
+            highest_promised: ProposalNumber::default(),
             term: 0,
             accepted: ProposalNumber::default(),
             value: Blob::default(),
@@ -90,12 +100,13 @@
         recovery
     }
 
-    /// When something is due.
+    /// When requests are resent next.
     pub(crate) fn next_wake(&self) -> Time {
         self.sent_at.plus_millis(RESEND_MS)
     }
 
-    /// Sends again what had no answer; true where the recovery lasts too long and should start anew.
+    /// Resends requests without a reply; returns whether the recovery has lasted for `ROUND_MS` and has to be
+    /// restarted.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) -> bool {
         if now >= self.next_wake() {
             self.sent_at = now;
@@ -104,7 +115,7 @@
         now >= self.started.plus_millis(ROUND_MS)
     }
 
-    /// A member has reported its highest promises.
+    /// Handles a member's report of its highest promises.
     pub(crate) fn on_reply(&mut self, from: NodeId, reply: &RecoverReply, effects: &mut Effects) {
         if reply.nonce != self.nonce
             || !self.others.contains(&from)
@@ -112,7 +123,7 @@
         {
             return;
         }
-        self.highest = self.highest.max(reply.promised);
+        self.highest_promised = self.highest_promised.max(reply.promised);
         self.term = self.term.max(reply.term);
         self.replies.insert(from);
         if self.list.has_recovery_quorum(self.node, &self.replies) {
@@ -122,7 +133,7 @@
         }
     }
 
-    /// A member has promised; the result once a quorum has.
+    /// Handles a promise; returns the recovered state once a quorum has promised.
     pub(crate) fn on_promise(&mut self, from: NodeId, promise: Promise) -> Option<Recovered> {
         if !matches!(self.phase, Phase::Preparing) || promise.proposal != self.proposal() {
             return None;
@@ -148,17 +159,18 @@
         })
     }
 
-    /// A member has promised a higher proposal number to another process: the next one goes above it.
+    /// Handles the rejection by a member that has promised a higher proposal number to another process. The recovery
+    /// continues with a proposal number above that one.
     pub(crate) fn on_rejected(&mut self, rejected: &Rejected) {
         if rejected.proposal == self.proposal() {
-            self.highest = self.highest.max(rejected.promised);
+            self.highest_promised = self.highest_promised.max(rejected.promised);
             self.replies.clear();
         }
     }
 
     fn proposal(&self) -> ProposalNumber {
         ProposalNumber {
-            counter: self.highest.counter + 1,
+            counter: self.highest_promised.counter + 1,
             node: self.node,
             incarnation: self.incarnation,
         }
--- a/crates/cluster/control-plane/src/settings.rs
+++ b/crates/cluster/control-plane/src/settings.rs
@@ -1,23 +1,23 @@
-//! The settings with which a core process starts.
+//! The settings of a core process.
 
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::{Incarnation, NodeId};
 
-/// The settings of a core process.
+/// The settings with which a core process starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoreSettings {
-    /// The address of this process, by which the others know it.
+    /// The address of this process, which identifies it to other processes.
     pub node: NodeId,
-    /// Differs between two starts of this process.
+    /// The incarnation of this process, which is different at each start.
     pub incarnation: Incarnation,
-    /// Core processes to start from; the first one bootstraps the cluster.
+    /// The core processes that this process contacts first. The first of them bootstraps the cluster.
     pub seeds: Vec<NodeId>,
-    /// True when the whole cluster starts for the first time.
+    /// Whether the whole cluster starts for the first time.
     pub bootstrap: bool,
-    /// The bounds of time that the operators state.
+    /// The time bounds that the operators have set.
     pub bounds: Bounds,
-    /// How many core machines may be lost at once.
+    /// The number of core machines that may be lost at once.
     pub tolerated_machines: u32,
-    /// Seeds all jitter.
+    /// The seed of all random jitter.
     pub seed: u64,
 }
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -21,7 +21,7 @@
 impl Succession<'_> {
     /// Whether somebody asks to join.
     pub(crate) fn has_joiner(&self, now: Time) -> bool {
-        self.joiners.any(now, self.members)
+        self.joiners.has_candidates(now, self.members)
     }
 }
 
