--- a/crates/cluster/control-plane/tests/accept_phase.rs
+++ b/crates/cluster/control-plane/tests/accept_phase.rs
@@ -1,4 +1,6 @@
-//! What the rounds of the register carry: the change alone to members that hold the value before it.
+//! The contents of the accept phase: a member that holds the value to which a change applies is sent only the change.
+//! The tests guard against needless traffic with large values, and against a member that accepts another value than the
+//! proposer's because it applied the change to another value.
 
 mod support;
 use sagetrail_protocol::control::{
@@ -11,7 +13,8 @@
 use support::requests::large_config;
 
 const ROUTES: usize = 400;
-/// All that a small change may cost a core of three, in bytes, the second after its acknowledgement included.
+/// The limit, in bytes, for all messages among three members for a small change, from the request until one second
+/// after its acknowledgement.
 const SMALL_CHANGE_BYTES: u64 = 20_000;
 
 fn with_large_config(seed: u64) -> Cluster {
@@ -52,7 +55,7 @@
 }
 
 #[test]
-fn a_member_that_was_away_is_sent_the_full_value() {
+fn a_member_that_missed_changes_is_sent_the_full_value() {
     let mut cluster = with_large_config(2);
     let mut operators = Operators::new(Answering::Sound);
     cluster.isolate(2);
@@ -77,7 +80,7 @@
     assert_eq!(operators.check(&cluster, &read), Ok(()));
 }
 
-/// The process's answers to a message that `CLIENT` sends in the place of a core process.
+/// The replies of process 0 to a message that `CLIENT` sends as if it were a core process.
 fn answers(cluster: &mut Cluster, message: ControlMessage) -> Vec<ControlMessage> {
     cluster.client_messages.clear();
     cluster.event(
@@ -119,63 +122,65 @@
         panic!("{promised:?}")
     };
     let body = Blob(patch(1, 2, "forged").content.into_bytes());
-    let on = promised.accepted;
+    let accepted = promised.accepted;
     let accept = AcceptChange {
         proposal,
-        base_proposal: on,
+        base_proposal: accepted,
         kind: ChangeKind::Patch,
         base_version: 1,
         body,
         result: [9; 32],
     };
-    let other = AcceptChange {
+    let on_other_base = AcceptChange {
         base_proposal: ProposalNumber {
             counter: 999,
             ..proposal
         },
         ..accept.clone()
     };
-    let late = AcceptChange {
+    let below_promise = AcceptChange {
         proposal: ProposalNumber {
             counter: 1,
             ..proposal
         },
         ..accept.clone()
     };
-    for wrong in [accept, other] {
+    for wrong in [accept, on_other_base] {
         let answer = answers(&mut cluster, ControlMessage::AcceptChange(wrong));
         assert!(
             matches!(&answer[..], [ControlMessage::ValueNeeded(needed)] if needed.proposal == proposal)
         );
     }
-    let answer = answers(&mut cluster, ControlMessage::AcceptChange(late));
+    let answer = answers(&mut cluster, ControlMessage::AcceptChange(below_promise));
     assert!(
         matches!(&answer[..], [ControlMessage::Rejected(rejected)] if rejected.promised == proposal)
     );
-    let committed = answers(
+    let promised_again = answers(
         &mut cluster,
         ControlMessage::Prepare(Prepare {
             proposal,
-            known: on,
+            known: accepted,
         }),
     );
     assert!(
-        matches!(&committed[..], [ControlMessage::Promise(promised)] if promised.accepted == on)
+        matches!(&promised_again[..], [ControlMessage::Promise(promised)] if promised.accepted == accepted)
     );
 }
 
-/// All that the members send each other in the seconds after all lost power, with a value of over 50,000 bytes.
+/// The limit, in bytes, for all messages among the members in the three seconds after a loss of power at all of them.
+/// The value alone is larger than half of it.
 const RESTART_BYTES: u64 = 60_000;
-/// The same for a member that comes back without the value: it is sent once, with room for the other messages.
+/// The limit for a member that restarts without the newest value, as a multiple of the value's size: the value is sent
+/// once, and the rest is for the other messages.
 const CATCH_UP_VALUES: u64 = 2;
 
-/// The bytes of the encoded value that the member's disk holds.
+/// The size in bytes of the encoded value on the member's disk.
 fn value_bytes(cluster: &Cluster, index: usize) -> u64 {
     cluster.machines[index].disk.control[&b"value"[..]].len() as u64
 }
 
 #[test]
-fn members_that_hold_the_value_are_not_sent_it_after_a_loss_of_power() {
+fn members_that_hold_the_value_are_not_sent_it_again_after_a_loss_of_power() {
     let mut cluster = with_large_config(4);
     assert!(value_bytes(&cluster, 0) > RESTART_BYTES / 2);
     (0..3).for_each(|index| cluster.power_off(index));
@@ -194,7 +199,7 @@
 }
 
 #[test]
-fn a_member_that_lacks_the_value_is_sent_it_by_one_other() {
+fn a_member_that_lacks_the_value_is_sent_it_only_once() {
     let mut cluster = with_large_config(5);
     cluster.power_off(2);
     let mut operators = Operators::new(Answering::Sound);
--- a/crates/cluster/control-plane/tests/competing_rounds.rs
+++ b/crates/cluster/control-plane/tests/competing_rounds.rs
@@ -1,4 +1,6 @@
-//! Members that find a value undecided at the same time, where a round takes longer than the pauses between rounds.
+//! Several members find a value undecided at the same time, while a round takes longer than the backoff between rounds.
+//! If each of them repeated its rounds, they would reject each other's proposals, and each round would send the value
+//! again.
 
 mod support;
 use sagetrail_protocol::control::ControlMessage;
@@ -11,24 +13,24 @@
 
 const MEMBERS: usize = 5;
 const ROUTES: usize = 400;
-/// Links on which a value of some 76,000 bytes takes 76 ms.
-const THIN_LINKS: Speeds = Speeds {
+/// Links on which sending a value of about 76,000 bytes takes 76 ms.
+const SLOW_LINKS: Speeds = Speeds {
     link_bytes_per_us: 1,
     ..SMALL_SITE
 };
-/// The members go on so long after the proposer has gone, in milliseconds.
-const AFTER_MS: u64 = 6_000;
-/// In that time the members may send so many values in all.
+/// How long the members run after the proposer has lost power, in milliseconds.
+const OBSERVED_MS: u64 = 6_000;
+/// The limit for the traffic of all members in that time, as a multiple of the value's size.
 const MAX_VALUES: u64 = 60;
 
-/// A cluster on thin links in which two members of the four that are left have accepted a change.
+/// A cluster on slow links that has lost the proposer of a change after two of the four remaining members accepted it.
 fn with_undecided_change(seed: u64) -> Cluster {
     let mut cluster = Cluster::bootstrapped(MEMBERS, seed);
     let body = large_config(1, ROUTES);
     let number = cluster.http(0, Method::Post, "/v1/config/replace", Some(0), &body);
     cluster.run(2_000);
     assert_eq!(cluster.status(number), 200);
-    cluster.speeds = Some(THIN_LINKS);
+    cluster.speeds = Some(SLOW_LINKS);
     cluster.run(2_000);
     cluster.tamper = Some(Box::new(move |from, to, message| {
         let accepts = matches!(
@@ -47,16 +49,16 @@
 }
 
 #[test]
-fn members_settle_a_value_without_competing_for_it() {
+fn members_decide_on_an_undecided_value_without_competing_rounds() {
     for seed in 1..=12 {
         let mut cluster = with_undecided_change(seed);
         let before = cluster.sent_bytes;
-        cluster.run(AFTER_MS);
+        cluster.run(OBSERVED_MS);
         let bytes = cluster.sent_bytes - before;
         let value = cluster.machines[1].disk.control[&b"value"[..]].len() as u64;
         assert!(
             bytes < MAX_VALUES * value,
-            "seed {seed}: {bytes} bytes with values of {value}"
+            "seed {seed}: {bytes} bytes sent with a value of {value} bytes"
         );
         let versions: Vec<Option<u64>> = (1..MEMBERS).map(|i| cluster.read_back(i)).collect();
         assert!(versions.iter().all(|version| *version == versions[0]));
--- a/crates/cluster/control-plane/tests/concurrent_changes.rs
+++ b/crates/cluster/control-plane/tests/concurrent_changes.rs
@@ -1,5 +1,6 @@
-//! Races: of several contents on top of one version at most one is ever confirmed, and that one is read back,
-//! whoever dies between the rounds and whichever answers are lost.
+//! Concurrent changes: of several changes on the same base at most one is ever confirmed, and that one is read back.
+//! The tests guard against a second confirmation when members fail between the phases of a round, when answers are lost
+//! and when changes are sent again.
 
 mod support;
 use rand::Rng;
@@ -9,43 +10,43 @@
     abandon, is_clear, patch, read_back, replacement, Answering, Change, Operators,
 };
 
-const WINDY: Conditions = Conditions {
+const LOSSY_NETWORK: Conditions = Conditions {
     loss: 0.03,
     duplication: 0.03,
     delay_us: (200, 8_000),
     sync_us: (1_000, 9_000),
 };
-/// Between two rounds a member's own disk is done long before the others hear of the second one.
-const FAR_APART: Conditions = Conditions {
+/// A member's own disk has synced a value long before the other members receive the message with it.
+const SLOW_NETWORK: Conditions = Conditions {
     loss: 0.0,
     duplication: 0.0,
     delay_us: (5_000, 9_000),
     sync_us: (500, 2_000),
 };
-/// A member dies at each millisecond up to this one after the changes were sent.
-const DEATHS_MS: u64 = 30;
-const DEATH_SEEDS: u64 = 1_080;
-/// With so many changes the value is large enough that a patch is sent without it.
+/// A member fails at each millisecond of this span after the changes were sent.
+const FAILURE_SPAN_MS: u64 = 30;
+const FAILURE_SEEDS: u64 = 1_080;
+/// With this many changes the value is large enough that the accept phase sends a patch instead of it.
 const LONG_HISTORY: u64 = 24;
 
 #[derive(Clone, Copy)]
-enum Death {
+enum Failure {
     Kill,
     PowerOff,
     EmptiedDisk,
 }
 
-const DEATHS: [Death; 3] = [Death::Kill, Death::PowerOff, Death::EmptiedDisk];
+const FAILURES: [Failure; 3] = [Failure::Kill, Failure::PowerOff, Failure::EmptiedDisk];
 
-fn die(cluster: &mut Cluster, index: usize, death: Death) {
-    match death {
-        Death::Kill => cluster.kill(index),
-        Death::PowerOff => cluster.power_off(index),
-        Death::EmptiedDisk => cluster.wipe(index),
+fn fail_member(cluster: &mut Cluster, index: usize, failure: Failure) {
+    match failure {
+        Failure::Kill => cluster.kill(index),
+        Failure::PowerOff => cluster.power_off(index),
+        Failure::EmptiedDisk => cluster.wipe(index),
     }
 }
 
-/// Sends the changes again in turns, each at the next running member, until all have a clear answer.
+/// Sends the changes again, each time to the next member, until all have a clear answer.
 fn send_all_until_answered(
     cluster: &mut Cluster,
     operators: &mut Operators,
@@ -55,7 +56,7 @@
     let mut open: Vec<Change> = changes.to_vec();
     for turn in 0..60 {
         let numbers: Vec<u64> = (open.iter().enumerate())
-            .map(|(place, change)| operators.send(cluster, (turn + place) % count, change))
+            .map(|(position, change)| operators.send(cluster, (turn + position) % count, change))
             .collect();
         cluster.run(1_200);
         let mut answers = numbers
@@ -69,8 +70,9 @@
     panic!("{} changes have no clear answer", open.len());
 }
 
-/// Two operators under one number at different members, all first answers lost, a member dying in between.
-fn two_operators(answering: Answering, count: usize, seed: u64) -> Result<(), String> {
+/// Two operators send different changes with the same base and version to two members. A member fails meanwhile, and
+/// the first answers are lost.
+fn check_two_operators(answering: Answering, count: usize, seed: u64) -> Result<(), String> {
     let mut cluster = Cluster::bootstrapped(count, 10_000 + seed);
     let mut operators = Operators::new(answering);
     let base = if seed.is_multiple_of(6) {
@@ -85,7 +87,7 @@
         );
     }
     if seed.is_multiple_of(4) {
-        cluster.conditions = WINDY;
+        cluster.conditions = LOSSY_NETWORK;
     }
     let rival = if seed.is_multiple_of(2) {
         patch(base, base + 2, "right")
@@ -100,22 +102,22 @@
         operators.send(&mut cluster, second, &changes[1]),
     ];
     let victim = cluster.random.random_range(0..count);
-    cluster.run(seed % DEATHS_MS);
-    die(
+    cluster.run(seed % FAILURE_SPAN_MS);
+    fail_member(
         &mut cluster,
         victim,
-        DEATHS[(seed / DEATHS_MS) as usize % DEATHS.len()],
+        FAILURES[(seed / FAILURE_SPAN_MS) as usize % FAILURES.len()],
     );
-    let patience = cluster.random.random_range(0..10);
-    cluster.run(patience);
+    let wait_ms = cluster.random.random_range(0..10);
+    cluster.run(wait_ms);
     numbers
         .into_iter()
         .for_each(|number| abandon(&mut cluster, number));
-    let pause = cluster.random.random_range(0..1_500);
-    cluster.run(pause);
+    let pause_ms = cluster.random.random_range(0..1_500);
+    cluster.run(pause_ms);
     cluster.start(victim, false);
     send_all_until_answered(&mut cluster, &mut operators, &changes, count);
-    // And once more, at each member.
+    // Each member is sent each change once more.
     for index in 0..count {
         for change in &changes {
             operators.send_until_answered(&mut cluster, index, change);
@@ -130,10 +132,10 @@
 }
 
 #[test]
-fn two_operators_with_one_version_while_a_member_of_three_dies() {
-    for seed in 0..DEATH_SEEDS {
+fn one_of_two_changes_on_the_same_base_is_in_force_after_a_failure_of_one_of_three() {
+    for seed in 0..FAILURE_SEEDS {
         assert_eq!(
-            two_operators(Answering::Sound, 3, seed),
+            check_two_operators(Answering::Sound, 3, seed),
             Ok(()),
             "seed {seed}"
         );
@@ -141,10 +143,10 @@
 }
 
 #[test]
-fn two_operators_with_one_version_while_a_member_of_five_dies() {
-    for seed in 0..DEATH_SEEDS / 4 {
+fn one_of_two_changes_on_the_same_base_is_in_force_after_a_failure_of_one_of_five() {
+    for seed in 0..FAILURE_SEEDS / 4 {
         assert_eq!(
-            two_operators(Answering::Sound, 5, 50_000 + seed),
+            check_two_operators(Answering::Sound, 5, 50_000 + seed),
             Ok(()),
             "seed {seed}"
         );
@@ -154,7 +156,7 @@
 #[test]
 fn the_checker_finds_a_process_that_rejects_repeats() {
     for seed in 0..20 {
-        let found = two_operators(Answering::RefusesRepeats, 3, seed).unwrap_err();
+        let found = check_two_operators(Answering::RefusesRepeats, 3, seed).unwrap_err();
         assert!(
             found.contains("was taken and refused"),
             "seed {seed}: {found}"
@@ -165,7 +167,7 @@
 #[test]
 fn the_checker_finds_a_process_that_confirms_by_version() {
     for seed in 0..20 {
-        let found = two_operators(Answering::ConfirmsByVersion, 3, seed).unwrap_err();
+        let found = check_two_operators(Answering::ConfirmsByVersion, 3, seed).unwrap_err();
         assert!(
             found.contains("two changes on top of"),
             "seed {seed}: {found}"
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_repeat_while_a_newer_change_is_in_flight() {
+fn a_repeated_change_keeps_its_outcome_while_a_newer_change_is_in_flight() {
     for seed in 0..300 {
         let mut cluster = Cluster::bootstrapped(3, 20_000 + seed);
         let mut operators = Operators::new(Answering::Sound);
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn eight_concurrent_changes_on_one_version_each_sent_to_two_members() {
+fn one_of_eight_concurrent_changes_on_the_same_base_is_confirmed() {
     for seed in 0..100 {
         let mut cluster = Cluster::bootstrapped(3, 30_000 + seed);
         let mut operators = Operators::new(Answering::Sound);
@@ -212,22 +214,22 @@
             operators.ask(&mut cluster, 0, &replacement(0, 5, "first")),
             200
         );
-        let kind = |place: u64| {
-            if place.is_multiple_of(2) {
+        let kind = |position: u64| {
+            if position.is_multiple_of(2) {
                 replacement
             } else {
                 patch
             }
         };
         let changes: Vec<Change> = (0..8)
-            .map(|place| kind(place)(5, 6 + place / 4, &format!("mark{place}")))
+            .map(|position| kind(position)(5, 6 + position / 4, &format!("mark{position}")))
             .collect();
         let mut numbers = Vec::new();
-        for (place, change) in changes.iter().enumerate() {
-            numbers.push((change, operators.send(&mut cluster, place % 3, change)));
+        for (position, change) in changes.iter().enumerate() {
+            numbers.push((change, operators.send(&mut cluster, position % 3, change)));
             numbers.push((
                 change,
-                operators.send(&mut cluster, (place + 1) % 3, change),
+                operators.send(&mut cluster, (position + 1) % 3, change),
             ));
         }
         cluster.run(6_000);
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn eight_concurrent_changes_each_on_top_of_the_one_before() {
+fn confirmed_changes_of_a_chain_that_was_sent_at_once_are_in_force() {
     for seed in 0..100 {
         let mut cluster = Cluster::bootstrapped(3, 40_000 + seed);
         let mut operators = Operators::new(Answering::Sound);
@@ -253,8 +255,8 @@
             .collect();
         let one_member = seed.is_multiple_of(2);
         let numbers: Vec<u64> = (changes.iter().enumerate())
-            .map(|(place, change)| {
-                operators.send(&mut cluster, if one_member { 1 } else { place % 3 }, change)
+            .map(|(position, change)| {
+                operators.send(&mut cluster, if one_member { 1 } else { position % 3 }, change)
             })
             .collect();
         cluster.run(6_000);
@@ -277,8 +279,9 @@
     }
 }
 
-/// A member is isolated when only it has accepted a change; the others go on with another one.
-fn accepted_by_one(seed: u64) -> bool {
+/// Isolates a member while it may be the only one that has accepted a change, and lets the others accept another
+/// change. Returns whether the isolated member had accepted the first change and the second one was confirmed.
+fn check_change_accepted_by_one(seed: u64) -> bool {
     let mut cluster = Cluster::bootstrapped(3, 80_000 + seed);
     let mut operators = Operators::new(Answering::Sound);
     assert_eq!(
@@ -286,7 +289,7 @@
         200
     );
     let changes = [replacement(5, 7, "lonely"), replacement(5, 6, "common")];
-    cluster.conditions = FAR_APART;
+    cluster.conditions = SLOW_NETWORK;
     operators.send(&mut cluster, 0, &changes[0]);
     cluster.run(14 + seed % 15);
     cluster.isolate(0);
@@ -296,7 +299,7 @@
     let accepted = value.windows(6).any(|bytes| bytes == b"lonely");
     let common = operators.send_until_answered(&mut cluster, 1, &changes[1]);
     let start = if common == 200 { 6 } else { 7 };
-    // Neither content is among the recent changes any more.
+    // After this, neither change is among the recent changes of the value.
     for base in start..start + 80 {
         assert_eq!(
             operators.send_until_answered(&mut cluster, 1, &replacement(base, base + 1, "later")),
@@ -321,10 +324,10 @@
 
 #[test]
 fn changes_accepted_by_a_minority_are_not_archived() {
-    let accepted = (0..60).filter(|seed| accepted_by_one(*seed)).count();
+    let accepted = (0..60).filter(|seed| check_change_accepted_by_one(*seed)).count();
     assert!(
         accepted >= 10,
-        "only {accepted} schedules had a change that one member accepted"
+        "a single member accepted the change in only {accepted} of 60 schedules, expected at least 10"
     );
 }
 
@@ -347,15 +350,16 @@
     cluster.revive(other);
 }
 
-/// Several operators on top of the newest confirmed version, repeats of any age, mixed faults.
-fn long_race(count: usize, seed: u64) {
+/// Several operators send changes on the newest confirmed version and repeat earlier changes of any age, during mixed
+/// faults.
+fn check_long_race(count: usize, seed: u64) {
     let mut cluster = Cluster::bootstrapped(count, seed);
     let mut operators = Operators::new(Answering::Sound);
     assert_eq!(
         operators.ask(&mut cluster, 0, &replacement(0, 1, "first")),
         200
     );
-    cluster.conditions = WINDY;
+    cluster.conditions = LOSSY_NETWORK;
     let (mut newest, mut wiped) = (1, 0);
     let mut last = Vec::new();
     for step in 0..50 {
@@ -381,8 +385,8 @@
             let index = cluster.random.random_range(0..count);
             numbers.push((operators.send(&mut cluster, index, &change), change));
         }
-        let pause = cluster.random.random_range(5..500);
-        cluster.run(pause);
+        let pause_ms = cluster.random.random_range(5..500);
+        cluster.run(pause_ms);
         if cluster.random.random_bool(0.3) {
             numbers
                 .iter()
@@ -413,11 +417,11 @@
 }
 
 #[test]
-fn operators_race_on_three_members_with_mixed_faults() {
-    (0..150).for_each(|seed| long_race(3, 60_000 + seed));
+fn answers_to_racing_operators_are_consistent_on_three_members_with_mixed_faults() {
+    (0..150).for_each(|seed| check_long_race(3, 60_000 + seed));
 }
 
 #[test]
-fn operators_race_on_five_members_with_mixed_faults() {
-    (0..50).for_each(|seed| long_race(5, 70_000 + seed));
+fn answers_to_racing_operators_are_consistent_on_five_members_with_mixed_faults() {
+    (0..50).for_each(|seed| check_long_race(5, 70_000 + seed));
 }
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -1,4 +1,7 @@
-//! A disk with rows that cannot be read counts as emptied, never as fresh: no process bootstraps a cluster on it.
+//! A disk with rows that cannot be read is treated as an emptied disk of a former member and never as a new one: no
+//! process bootstraps a cluster on it, and its member neither votes nor leads until it has recovered. Otherwise a
+//! second cluster would be bootstrapped, or a majority that has forgotten its promises would elect a leader without the
+//! records.
 
 mod support;
 use support::cluster::Cluster;
@@ -6,7 +9,7 @@
 
 const ROWS: [&[u8]; 4] = [b"acceptor", b"value", b"replica", b"members"];
 
-/// Ways in which a row is damaged.
+/// The ways to damage a row: it is removed, emptied, truncated, or extended by a byte.
 const DAMAGES: [fn(&mut Disk, &[u8]); 4] = [
     |disk, row| drop(disk.control.remove(row)),
     |disk, row| drop(disk.control.insert(row.to_vec(), Vec::new())),
@@ -19,7 +22,7 @@
     cluster.run(300);
 }
 
-fn busy(seed: u64) -> Cluster {
+fn cluster_with_records(seed: u64) -> Cluster {
     let mut cluster = Cluster::bootstrapped(3, seed);
     assert_eq!(cluster.replace(0, 0, 5), 200);
     submit_requests(&mut cluster, 1..51);
@@ -27,23 +30,23 @@
     cluster
 }
 
-/// The bootstrapping process returns with what `damage` left, with the setting to bootstrap, and is alone for long; then
-/// the others return.
-fn bootstrapping_process_returns(cluster: &mut Cluster, damage: impl Fn(&mut Disk), context: &str) {
+/// Restarts the bootstrapping process on its damaged disk, with the setting to bootstrap and without the other members
+/// for 18 s, and then restarts the other members.
+fn restart_bootstrapping_process(cluster: &mut Cluster, damage: impl Fn(&mut Disk), context: &str) {
     let terms = cluster.terms();
     (0..3).for_each(|index| cluster.power_off(index));
     damage(&mut cluster.machines[0].disk);
     cluster.start(0, true);
     cluster.run(9_000);
-    assert_eq!(cluster.terms(), terms, "{context}: bootstrapped anew");
-    // Killed and started again it still knows that its disk was in use.
+    assert_eq!(cluster.terms(), terms, "{context}: bootstrapped again");
+    // After a further kill and start, the process still knows that its disk was in use.
     cluster.kill(0);
     cluster.start(0, true);
     cluster.run(9_000);
     assert_eq!(
         cluster.terms(),
         terms,
-        "{context}: bootstrapped anew at the second start"
+        "{context}: bootstrapped again at the second start"
     );
     cluster.start(1, false);
     cluster.start(2, false);
@@ -59,27 +62,27 @@
 
 #[test]
 fn a_bootstrapping_process_with_a_damaged_row_does_not_bootstrap_again() {
-    for (place, row) in ROWS.into_iter().enumerate() {
-        for (kind, damage) in DAMAGES.into_iter().enumerate() {
-            let context = format!("row {place}, damage {kind}");
-            let mut cluster = busy(10 * place as u64 + kind as u64);
-            bootstrapping_process_returns(&mut cluster, |disk| damage(disk, row), &context);
+    for (row_index, row) in ROWS.into_iter().enumerate() {
+        for (damage_index, damage) in DAMAGES.into_iter().enumerate() {
+            let context = format!("row {row_index}, damage {damage_index}");
+            let mut cluster = cluster_with_records(10 * row_index as u64 + damage_index as u64);
+            restart_bootstrapping_process(&mut cluster, |disk| damage(disk, row), &context);
         }
     }
 }
 
 #[test]
 fn records_without_a_replica_state_are_discarded() {
-    let mut cluster = busy(50);
-    bootstrapping_process_returns(&mut cluster, |disk| disk.control.clear(), "records alone");
+    let mut cluster = cluster_with_records(50);
+    restart_bootstrapping_process(&mut cluster, |disk| disk.control.clear(), "records alone");
 }
 
 #[test]
 fn a_member_with_a_damaged_row_neither_votes_nor_leads_until_it_has_recovered() {
-    for (place, row) in ROWS.into_iter().enumerate() {
-        for (kind, damage) in DAMAGES.into_iter().enumerate() {
-            let context = format!("row {place}, damage {kind}");
-            let mut cluster = busy(100 + 10 * place as u64 + kind as u64);
+    for (row_index, row) in ROWS.into_iter().enumerate() {
+        for (damage_index, damage) in DAMAGES.into_iter().enumerate() {
+            let context = format!("row {row_index}, damage {damage_index}");
+            let mut cluster = cluster_with_records(100 + 10 * row_index as u64 + damage_index as u64);
             (0..3).for_each(|index| cluster.power_off(index));
             let missing = cluster.machines[1]
                 .disk
@@ -91,14 +94,14 @@
             cluster.machines[1].disk.records.remove(&missing);
             damage(&mut cluster.machines[1].disk, row);
             let terms = cluster.terms();
-            // With one more member it would be a majority.
+            // Together with member 2 the damaged member would be a majority.
             cluster.start(1, false);
             cluster.start(2, false);
             cluster.run(5_000);
             assert_eq!(
                 cluster.terms(),
                 terms,
-                "{context}: elected by a member that forgot"
+                "{context}: a leader was elected with the vote of a member that lost its state"
             );
             cluster.start(0, false);
             cluster.run(5_000);
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn an_empty_disk_is_a_fresh_one() {
+fn processes_with_empty_disks_bootstrap_a_cluster() {
     let mut cluster = Cluster::new(3, 60);
     (0..3).for_each(|index| cluster.start(index, true));
     cluster.run(4_000);
--- a/crates/cluster/control-plane/tests/http_answers.rs
+++ b/crates/cluster/control-plane/tests/http_answers.rs
@@ -1,5 +1,6 @@
-//! What a core process answers to the operator and to others, byte by byte: status, `Retry-After` and body of each
-//! outcome, as in `fixtures/http_answers.txt`.
+//! The HTTP answers of a core process, compared byte by byte with `fixtures/http_answers.txt`: the status,
+//! `Retry-After` and the body of each outcome. The test guards against unintended changes of the interface to operators
+//! and probes.
 
 mod support;
 
@@ -8,49 +9,49 @@
 use support::cluster::Cluster;
 use support::requests::config;
 
-const KEPT: &str = "tests/fixtures/http_answers.txt";
+const FIXTURE_PATH: &str = "tests/fixtures/http_answers.txt";
 const REPLACE: &str = "/v1/config/replace";
 const PATCH: &str = "/v1/config/patch";
 const GET: &str = "/v1/config/get";
-/// A request whose number no other has.
-const OWN_REQUEST: u64 = 900_000;
-/// Nothing waits longer for its answer, in milliseconds.
-const PATIENCE_MS: u64 = 6_000;
-/// So many changes or read-backs wait at once.
-const MOST_WAITING: usize = 64;
-/// A change is through after this, in milliseconds.
+/// The number of a request that is not sent through `Cluster::http`, which never uses this number.
+const EXTRA_REQUEST: u64 = 900_000;
+/// The time in milliseconds after which every request must have been answered.
+const ANSWER_TIMEOUT_MS: u64 = 6_000;
+/// The maximum number of changes, and of configuration reads, that a process keeps in flight.
+const MAX_WAITING: usize = 64;
+/// The latest isolation after a change was sent, in milliseconds. By then the change has completed.
 const LAST_ISOLATION_MS: u64 = 30;
-/// The status of a change of which nobody knows whether it was taken.
-const UNKNOWN: u16 = 504;
+/// The status of a change whose outcome the process does not know.
+const OUTCOME_UNKNOWN: u16 = 504;
 
-/// A change: its path, `Base-Version` and body.
+/// A configuration change: its path, `Base-Version` and body.
 type Change<'a> = (&'a str, Option<u64>, &'a str);
 
-/// Adds the answer to a request that was sent.
-fn add(transcript: &mut Transcript, name: &str, cluster: &Cluster, number: u64) {
+/// Adds the answer to a request that has been answered.
+fn add_answer(transcript: &mut Transcript, name: &str, cluster: &Cluster, number: u64) {
     let reply = cluster
         .replies
         .get(&number)
-        .unwrap_or_else(|| panic!("no answer: {name}"));
+        .unwrap_or_else(|| panic!("request {number} has no answer: {name}"));
     transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
 }
 
-/// Adds the answer to a change, as soon as there is one.
+/// Sends a change to process 0 and adds the answer that it has got within the time limit.
 fn add_change(transcript: &mut Transcript, name: &str, cluster: &mut Cluster, change: Change) {
     let (path, base, body) = change;
     let number = cluster.http(0, Method::Post, path, base, body);
-    cluster.run(PATIENCE_MS);
-    add(transcript, name, cluster, number);
+    cluster.run(ANSWER_TIMEOUT_MS);
+    add_answer(transcript, name, cluster, number);
 }
 
-/// Adds the configuration as it is read back.
+/// Reads the configuration at process 1 and adds the answer.
 fn add_read_back(transcript: &mut Transcript, name: &str, cluster: &mut Cluster) {
     let number = cluster.http(1, Method::Get, GET, None, "");
-    cluster.run(PATIENCE_MS);
-    add(transcript, name, cluster, number);
+    cluster.run(ANSWER_TIMEOUT_MS);
+    add_answer(transcript, name, cluster, number);
 }
 
-/// Adds the answer to a request at another address than the operator's, answered at once.
+/// Sends a request to `endpoint`, which is not the operator's, and adds the immediate answer.
 fn add_at(
     transcript: &mut Transcript,
     name: &str,
@@ -58,7 +59,7 @@
     endpoint: HttpEndpoint,
     path: &str,
 ) {
-    cluster.replies.remove(&OWN_REQUEST);
+    cluster.replies.remove(&EXTRA_REQUEST);
     let request = HttpRequest {
         method: Method::Get,
         host: String::new(),
@@ -67,7 +68,7 @@
         deadline_ms: None,
         body: Vec::new(),
     };
-    let id = HttpRequestId(OWN_REQUEST);
+    let id = HttpRequestId(EXTRA_REQUEST);
     cluster.event(
         0,
         Event::Http {
@@ -76,7 +77,7 @@
             request,
         },
     );
-    add(transcript, name, cluster, OWN_REQUEST);
+    add_answer(transcript, name, cluster, EXTRA_REQUEST);
 }
 
 fn before_the_bootstrap(transcript: &mut Transcript) {
@@ -88,7 +89,7 @@
         (GET, Method::Get),
     ] {
         let number = cluster.http(0, method, path, Some(0), &config(5));
-        add(
+        add_answer(
             transcript,
             &format!("not founded: {path}"),
             &cluster,
@@ -178,12 +179,12 @@
         (Some(0), r#"{"version":5}"#),
     ];
     for (base, body) in bad_replacements {
-        let shown = if base.is_none() {
+        let label = if base.is_none() {
             "without a base"
         } else {
             body
         };
-        let name = format!("no replacement: {shown}");
+        let name = format!("no replacement: {label}");
         add_change(transcript, &name, &mut cluster, (REPLACE, base, body));
     }
     let change = (REPLACE, Some(0), &*fifth);
@@ -200,7 +201,7 @@
     }
 }
 
-/// Patches of version 5 that cannot be taken.
+/// Invalid patches of version 5.
 const BAD_PATCHES: [&str; 15] = [
     "",
     "{",
@@ -230,43 +231,43 @@
         (REPLACE, Some(0), &fifth),
     );
     let number = cluster.http(0, Method::Get, GET, None, "");
-    cluster.run(PATIENCE_MS);
-    add(
+    cluster.run(ANSWER_TIMEOUT_MS);
+    add_answer(
         transcript,
         "a read-back that nobody confirms",
         &cluster,
         number,
     );
 
-    let numbers: Vec<u64> = (0..=MOST_WAITING as u64)
+    let numbers: Vec<u64> = (0..=MAX_WAITING as u64)
         .map(|change| cluster.http(0, Method::Post, REPLACE, Some(0), &config(change + 6)))
         .collect();
-    add(
+    add_answer(
         transcript,
         "one order over those that wait",
         &cluster,
-        numbers[MOST_WAITING],
+        numbers[MAX_WAITING],
     );
-    let numbers: Vec<u64> = (0..=MOST_WAITING)
+    let numbers: Vec<u64> = (0..=MAX_WAITING)
         .map(|_| cluster.http(1, Method::Get, GET, None, ""))
         .collect();
-    add(
+    add_answer(
         transcript,
         "one read-back over those that wait",
         &cluster,
-        numbers[MOST_WAITING],
+        numbers[MAX_WAITING],
     );
     let change = cluster.http(2, Method::Post, REPLACE, Some(0), &fifth);
     let read = cluster.http(2, Method::Get, GET, None, "");
     cluster.terminate(2);
-    cluster.run(PATIENCE_MS);
-    add(
+    cluster.run(ANSWER_TIMEOUT_MS);
+    add_answer(
         transcript,
         "an order under way at the end",
         &cluster,
         change,
     );
-    add(
+    add_answer(
         transcript,
         "a read-back under way at the end",
         &cluster,
@@ -274,21 +275,22 @@
     );
 }
 
-/// The answer to a change whose process is isolated so long after it was sent.
+/// Sends a change and isolates all processes `millis` ms later. Returns the cluster after the time limit, and the
+/// number of the change.
 fn isolated_after(millis: u64) -> (Cluster, u64) {
     let mut cluster = Cluster::bootstrapped(3, 5);
     let number = cluster.http(0, Method::Post, REPLACE, Some(0), &config(5));
     cluster.run(millis);
     (0..3).for_each(|index| cluster.isolate(index));
-    cluster.run(PATIENCE_MS);
+    cluster.run(ANSWER_TIMEOUT_MS);
     (cluster, number)
 }
 
 fn an_unknown_outcome(transcript: &mut Transcript) {
     let mut isolated = (1..=LAST_ISOLATION_MS).map(isolated_after);
-    let unknown = isolated.find(|(cluster, number)| cluster.status(*number) == UNKNOWN);
-    let (cluster, number) = unknown.expect("a moment at which the order may have been taken");
-    add(
+    let unknown = isolated.find(|(cluster, number)| cluster.status(*number) == OUTCOME_UNKNOWN);
+    let (cluster, number) = unknown.expect("no time of the isolation left the outcome of the change unknown");
+    add_answer(
         transcript,
         "cut off while the others may have taken it",
         &cluster,
@@ -317,7 +319,7 @@
                 continue;
             }
             let number = cluster.http(0, method, path, Some(0), "{}");
-            add(transcript, &format!("{name} {path}"), &cluster, number);
+            add_answer(transcript, &format!("{name} {path}"), &cluster, number);
         }
     }
     add_at(
@@ -352,7 +354,7 @@
 }
 
 #[test]
-fn every_answer_is_the_one_kept() {
+fn every_answer_equals_the_fixture() {
     let mut transcript = Transcript::default();
     before_the_bootstrap(&mut transcript);
     configurations(&mut transcript);
@@ -360,5 +362,5 @@
     without_a_majority(&mut transcript);
     an_unknown_outcome(&mut transcript);
     paths_and_methods(&mut transcript);
-    transcript.assert_kept(KEPT);
+    transcript.assert_kept(FIXTURE_PATH);
 }
--- a/crates/cluster/control-plane/tests/membership.rs
+++ b/crates/cluster/control-plane/tests/membership.rs
@@ -1,4 +1,6 @@
-//! The core's members: several emptied disks, late and spare processes, replacement under load.
+//! The core's members when disks are emptied, when processes are added, start late or lose contact with the members,
+//! and when machines are replaced. The tests guard against members that cannot recover or find the others, and against
+//! spare processes that become members without a place to fill.
 
 mod support;
 use sagetrail_protocol::NodeId;
@@ -11,7 +13,7 @@
 }
 
 #[test]
-fn two_of_five_disks_are_emptied_while_the_others_lose_power() {
+fn five_members_recover_after_two_emptied_disks_and_a_loss_of_power() {
     for seed in 0..20 {
         let mut cluster = Cluster::bootstrapped(5, 200 + seed);
         assert_eq!(cluster.replace(4, 0, 5), 200);
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn a_spare_process_stays_outside_and_still_serves_the_operator() {
+fn a_spare_process_does_not_become_a_member_and_serves_the_operator() {
     let mut cluster = Cluster::bootstrapped(3, 1);
     assert_eq!(cluster.replace(0, 0, 5), 200);
     let spare = cluster.add_machine();
@@ -48,16 +50,16 @@
 }
 
 #[test]
-fn a_member_that_knows_only_machines_that_have_gone_finds_the_others_by_new_seeds() {
+fn a_member_that_knows_only_removed_machines_finds_the_others_by_new_seeds() {
     let mut cluster = Cluster::bootstrapped(3, 7);
     assert_eq!(cluster.replace(0, 0, 5), 200);
     cluster.freeze(2);
-    for gone in 0..2 {
+    for removed in 0..2 {
         let successor = cluster.add_machine();
         cluster.start(successor, false);
         cluster.run(6_000);
-        cluster.remove(gone);
-        cluster.seeds = (gone + 2..gone + 5).map(id).collect();
+        cluster.remove(removed);
+        cluster.seeds = (removed + 2..removed + 5).map(id).collect();
     }
     assert_eq!(cluster.replace(4, 5, 9), 200);
     cluster.thaw(2);
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn an_emptied_member_whose_seeds_know_nothing_is_notified_by_the_other_members() {
+fn an_emptied_member_whose_seeds_know_no_member_is_contacted_by_the_members() {
     for seed in 0..20 {
         let mut cluster = Cluster::bootstrapped(3, 400 + seed);
         assert_eq!(cluster.replace(0, 0, 5), 200);
@@ -78,8 +80,8 @@
         cluster.wipe(emptied);
         cluster.seeds = (3..5).map(id).collect();
         for _ in 0..2 {
-            let ignorant = cluster.add_machine();
-            cluster.start(ignorant, false);
+            let newcomer = cluster.add_machine();
+            cluster.start(newcomer, false);
         }
         cluster.run(1_000);
         cluster.start(emptied, false);
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn a_process_that_missed_the_bootstrap_is_added() {
+fn a_process_that_missed_the_bootstrap_becomes_a_member() {
     let mut cluster = Cluster::new(5, 2);
     (0..4).for_each(|index| cluster.start(index, true));
     cluster.run(6_000);
@@ -106,29 +108,29 @@
 }
 
 #[test]
-fn machines_are_replaced_one_after_the_other() {
+fn all_machines_can_be_replaced_one_after_the_other() {
     let mut cluster = Cluster::bootstrapped(3, 3);
     assert_eq!(cluster.replace(0, 0, 5), 200);
     submit_requests(&mut cluster, 0..100);
-    for gone in 0..3 {
-        cluster.wipe(gone);
+    for removed in 0..3 {
+        cluster.wipe(removed);
         let successor = cluster.add_machine();
         cluster.run(1_000);
         cluster.start(successor, false);
         cluster.run(9_000);
-        let next = 1_000 * (gone as u64 + 1);
-        submit_requests(&mut cluster, next..next + 50);
+        let first_request = 1_000 * (removed as u64 + 1);
+        submit_requests(&mut cluster, first_request..first_request + 50);
         assert_eq!(
             cluster.acked(),
-            100 + 50 * (gone + 1),
-            "after machine {gone}"
+            100 + 50 * (removed + 1),
+            "after machine {removed}"
         );
     }
     assert_eq!(cluster.read_back(3), Some(5));
 }
 
 #[test]
-fn a_bootstrapping_process_that_restarts_notifies_the_remaining_members() {
+fn a_restarted_bootstrapping_process_sends_the_bootstrap_value_to_the_remaining_members() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(3, 300 + seed);
         (0..3).for_each(|index| cluster.start(index, true));
--- a/crates/cluster/control-plane/tests/register_value.rs
+++ b/crates/cluster/control-plane/tests/register_value.rs
@@ -1,5 +1,5 @@
-//! The bytes of the register's value: it travels in messages among core processes and lies on their disks, and its
-//! SHA-256 is compared. All fields differ.
+//! The encoding of the register's value, which is sent in messages among core processes, stored on their disks and
+//! compared by its SHA-256. All fields of the test value are different, so that a swap of fields is found.
 
 use sagetrail_control_plane::{RegisterValue, StoredConfig};
 use sagetrail_fixture::Fixture;
@@ -16,10 +16,10 @@
 }
 
 fn value() -> RegisterValue {
-    let change = |mark: u8| AcceptedChange {
-        base: 0x1000 + u64::from(mark),
-        version: 0x2000 + u64::from(mark),
-        digest: std::array::from_fn(|at| mark + at as u8),
+    let change = |offset: u8| AcceptedChange {
+        base: 0x1000 + u64::from(offset),
+        version: 0x2000 + u64::from(offset),
+        digest: std::array::from_fn(|index| offset + index as u8),
     };
     RegisterValue {
         members_version: 0x0102_0304_0506_0708,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_value_is_written_as_the_fixture_says() {
+fn encoded_value_equals_the_fixture() {
     let mut written = Fixture::default();
     written.add_bytes("founded", &value().encode());
     written.add_bytes("empty", &RegisterValue::default().encode());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_value_is_read_from_the_bytes_of_the_fixture() {
+fn value_is_decoded_from_the_fixture() {
     let fixture = Fixture::read(FIXTURE);
     let read = |name| RegisterValue::decode(&fixture.bytes(name));
     assert_eq!(read("founded"), Ok(value()));
--- a/crates/cluster/control-plane/tests/resubmission.rs
+++ b/crates/cluster/control-plane/tests/resubmission.rs
@@ -1,16 +1,18 @@
-//! Resubmission: a change that was accepted is never rejected, however late and at whichever member it is sent again.
+//! Resubmission: a change that was accepted is never rejected when it is sent again, no matter how late and to which
+//! process. The tests guard against processes that no longer recognize a change because it is not among the value's
+//! recent changes and the archive lacks it after an outage, an emptied disk or a replacement.
 
 mod support;
 use rand::Rng;
 use support::cluster::Cluster;
 use support::operators::{patch, read_back, replacement, Answering, Change, Operators};
 
-/// More changes than the register's value names.
+/// A number of changes far above that of the recent changes in the register's value.
 const MANY_CHANGES: u64 = 2_100;
-/// Places in a long history, by the base of the change.
-const PLACES: [u64; 6] = [0, 1, 700, 1_500, MANY_CHANGES - 65, MANY_CHANGES - 1];
+/// The bases of the changes in a long history that are sent again.
+const TESTED_BASES: [u64; 6] = [0, 1, 700, 1_500, MANY_CHANGES - 65, MANY_CHANGES - 1];
 
-/// Replacements and patches in turn.
+/// A change on `base` to the next version: a replacement for an even base, a patch for an odd one.
 fn change(base: u64, mark: &str) -> Change {
     if base.is_multiple_of(2) {
         replacement(base, base + 1, mark)
@@ -19,7 +21,7 @@
     }
 }
 
-fn change_often(
+fn send_changes(
     cluster: &mut Cluster,
     operators: &mut Operators,
     bases: std::ops::Range<u64>,
@@ -38,13 +40,14 @@
 fn with_many_changes(seed: u64, through: &[usize]) -> (Cluster, Operators) {
     let mut cluster = Cluster::bootstrapped(3, seed);
     let mut operators = Operators::new(Answering::Sound);
-    change_often(&mut cluster, &mut operators, 0..MANY_CHANGES, through);
+    send_changes(&mut cluster, &mut operators, 0..MANY_CHANGES, through);
     (cluster, operators)
 }
 
-/// What was accepted is confirmed, what lost is rejected.
+/// Checks that repeated changes are confirmed if they were accepted, and that other changes on the same base are
+/// rejected.
 fn repeat_all(cluster: &mut Cluster, operators: &mut Operators, through: &[usize]) {
-    for base in PLACES {
+    for base in TESTED_BASES {
         for index in through {
             assert_eq!(
                 operators.send_until_answered(cluster, *index, &change(base, "a")),
@@ -62,7 +65,7 @@
     assert_eq!(operators.check(cluster, &read), Ok(()));
 }
 
-fn archived(cluster: &Cluster, index: usize) -> usize {
+fn archived_changes(cluster: &Cluster, index: usize) -> usize {
     cluster.machines[index]
         .disk
         .control
@@ -71,7 +74,7 @@
         .count()
 }
 
-fn caught_up(cluster: &Cluster, index: usize) -> bool {
+fn is_caught_up(cluster: &Cluster, index: usize) -> bool {
     cluster.machines[index]
         .node
         .as_ref()
@@ -79,31 +82,31 @@
 }
 
 #[test]
-fn after_thousands_of_changes() {
+fn accepted_changes_are_confirmed_after_thousands_of_later_ones() {
     let (mut cluster, mut operators) = with_many_changes(1, &[0, 1, 2]);
     repeat_all(&mut cluster, &mut operators, &[0, 1, 2]);
 }
 
 #[test]
-fn at_a_member_that_never_saw_the_change() {
+fn accepted_changes_are_confirmed_by_a_member_that_missed_them() {
     let mut cluster = Cluster::bootstrapped(3, 2);
     let mut operators = Operators::new(Answering::Sound);
     cluster.isolate(2);
-    change_often(&mut cluster, &mut operators, 0..MANY_CHANGES, &[0, 1]);
+    send_changes(&mut cluster, &mut operators, 0..MANY_CHANGES, &[0, 1]);
     cluster.heal_network();
-    // Until the missing changes are there, the answer is open; it never is a refusal of what was taken.
-    for base in PLACES {
+    // Until the missing changes have arrived, the outcome may be unknown, but an accepted change is never rejected.
+    for base in TESTED_BASES {
         let status = operators.ask(&mut cluster, 2, &change(base, "a"));
         assert!([200, 503, 504].contains(&status), "base {base}: {status}");
     }
     cluster.run(3_000);
-    assert!(caught_up(&cluster, 2));
-    assert!(archived(&cluster, 2) as u64 > MANY_CHANGES - 64);
+    assert!(is_caught_up(&cluster, 2));
+    assert!(archived_changes(&cluster, 2) as u64 > MANY_CHANGES - 64);
     repeat_all(&mut cluster, &mut operators, &[2]);
 }
 
 #[test]
-fn after_all_lost_power() {
+fn accepted_changes_are_confirmed_after_a_loss_of_power_at_all_members() {
     let (mut cluster, mut operators) = with_many_changes(3, &[0, 1, 2]);
     (0..3).for_each(|index| cluster.power_off(index));
     cluster.run(500);
@@ -113,46 +116,46 @@
 }
 
 #[test]
-fn after_an_emptied_disk_and_with_nobody_else_who_knew() {
+fn accepted_changes_are_confirmed_by_members_that_all_had_an_emptied_disk() {
     let (mut cluster, mut operators) = with_many_changes(4, &[0, 1, 2]);
     for index in 0..2 {
         cluster.wipe(index);
         cluster.run(500);
         cluster.start(index, false);
         cluster.run(4_000);
-        assert!(caught_up(&cluster, index));
+        assert!(is_caught_up(&cluster, index));
     }
-    // The last one that saw the changes itself is gone.
+    // The last member that took part in the changes itself is stopped.
     cluster.kill(2);
     cluster.run(2_500);
     repeat_all(&mut cluster, &mut operators, &[0, 1]);
 }
 
 #[test]
-fn at_a_new_machine_in_the_place_of_a_lost_one() {
+fn accepted_changes_are_confirmed_by_the_successor_of_a_lost_machine() {
     let (mut cluster, mut operators) = with_many_changes(5, &[0, 1, 2]);
     let gone = (cluster.leader().unwrap() + 1) % 3;
     cluster.wipe(gone);
     let successor = cluster.add_machine();
     cluster.start(successor, false);
     cluster.run(10_000);
-    assert!(caught_up(&cluster, successor));
-    assert!(archived(&cluster, successor) as u64 > MANY_CHANGES - 64);
+    assert!(is_caught_up(&cluster, successor));
+    assert!(archived_changes(&cluster, successor) as u64 > MANY_CHANGES - 64);
     repeat_all(&mut cluster, &mut operators, &[successor]);
 }
 
 #[test]
-fn through_a_process_that_is_no_member() {
+fn accepted_changes_are_confirmed_by_a_process_that_is_not_a_member() {
     let (mut cluster, mut operators) = with_many_changes(6, &[0, 1, 2]);
     let spare = cluster.add_machine();
     cluster.start(spare, false);
     cluster.run(3_000);
-    assert!(caught_up(&cluster, spare));
+    assert!(is_caught_up(&cluster, spare));
     repeat_all(&mut cluster, &mut operators, &[spare]);
 }
 
 #[test]
-fn a_change_dropped_from_all_archives_is_left_open() {
+fn the_outcome_of_a_change_dropped_from_all_archives_is_unknown() {
     let (mut cluster, mut operators) = with_many_changes(7, &[0, 1, 2]);
     for index in 0..3 {
         cluster.kill(index);
@@ -164,7 +167,7 @@
     (0..3).for_each(|index| cluster.start(index, false));
     cluster.run(4_000);
     for index in 0..3 {
-        assert!(caught_up(&cluster, index));
+        assert!(is_caught_up(&cluster, index));
         assert_eq!(operators.ask(&mut cluster, index, &change(0, "a")), 504);
         assert_eq!(operators.ask(&mut cluster, index, &change(0, "b")), 504);
         assert_eq!(
@@ -189,7 +192,7 @@
     });
     cluster.start(1, false);
     cluster.run(3_000);
-    assert!(caught_up(&cluster, 1));
+    assert!(is_caught_up(&cluster, 1));
     cluster.kill(0);
     cluster.run(2_500);
     for base in [0, 4, 100, 299, 1_005] {
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn a_process_whose_peers_are_gone_keeps_asking_at_a_growing_interval() {
+fn requests_for_changes_that_no_member_has_back_off() {
     let (mut cluster, _) = with_many_changes(9, &[0, 1, 2]);
     for index in 0..3 {
         cluster.kill(index);
@@ -221,11 +224,12 @@
     let before = cluster.events;
     cluster.run(30_000);
     let rate = (cluster.events - before) / 90;
-    assert!(rate < 60, "{rate} events a second at each process");
+    assert!(rate < 60, "{rate} events per second at each process, expected fewer than 60");
 }
 
-/// One member at a time is killed, without power, isolated or has its disk emptied, while the history grows.
-fn outages(seed: u64) {
+/// Sends changes while one member at a time is killed, loses power, is isolated or has its disk emptied, and checks at
+/// the end that repeated changes keep their outcome.
+fn check_history_with_outages(seed: u64) {
     let mut cluster = Cluster::bootstrapped(3, 500 + seed);
     let mut operators = Operators::new(Answering::Sound);
     let mut down = None;
@@ -269,8 +273,8 @@
         0 => cluster.kill(index),
         1 => cluster.power_off(index),
         2 => cluster.isolate(index),
-        // What it alone knew would be lost.
-        _ if (0..3).all(|index| caught_up(cluster, index)) => cluster.wipe(index),
+        // A disk is emptied only if all members are caught up, since changes that only this member has would be lost.
+        _ if (0..3).all(|index| is_caught_up(cluster, index)) => cluster.wipe(index),
         _ => return None,
     }
     Some(index)
@@ -286,6 +290,6 @@
 }
 
 #[test]
-fn a_history_with_outages_is_completely_archived_at_the_end() {
-    (0..12).for_each(outages);
+fn changes_made_during_outages_are_all_archived_at_the_end() {
+    (0..12).for_each(check_history_with_outages);
 }
