--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -165,7 +165,9 @@
         let status = self.process_status(renew);
         let effects = &mut self.effects;
         self.terms.on_renew(now, from, renew, status, effects);
-        let update = self.register.on_newer_value_hint(now, renew.learned, effects);
+        let update = self
+            .register
+            .on_newer_value_hint(now, renew.learned, effects);
         self.on_view_update(update);
     }
 
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -256,7 +256,9 @@
         let timeout_ms = self.timeout_ms;
         self.reads.retain(|read| {
             let reply = match view.config() {
-                Some(config) if view.is_fresh(read.arrived) => json_reply(OK, config.document.to_vec()),
+                Some(config) if view.is_fresh(read.arrived) => {
+                    json_reply(OK, config.document.to_vec())
+                }
                 None if view.is_fresh(read.arrived) => json_reply(SERVICE_UNAVAILABLE, Vec::new()),
                 _ if now >= read.arrived.plus_millis(timeout_ms) => {
                     json_reply(SERVICE_UNAVAILABLE, Vec::new())
@@ -288,7 +290,9 @@
             return;
         };
         for waiter in in_flight.waiters {
-            effects.replies.push((waiter, json_reply(status, body.clone())));
+            effects
+                .replies
+                .push((waiter, json_reply(status, body.clone())));
         }
     }
 }
--- a/crates/cluster/control-plane/src/proposer.rs
+++ b/crates/cluster/control-plane/src/proposer.rs
@@ -286,14 +286,14 @@
         })
     }
 
-    /// The number of rounds that failed since the last one that succeeded, or since a read with an empty queue found
-    /// the value chosen.
+    /// The number of rounds that failed since the last one that succeeded, since a read found the value chosen while
+    /// the queue was empty, or since the change at the front of the queue was cancelled.
     pub(crate) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Handles a read that found the newest value chosen. With nothing to propose here, no process competes any more,
-    /// so the count of failed rounds is reset.
+    /// Handles a read that found the newest value chosen, so that no process competes any more: if nothing is queued
+    /// here, the number of failed rounds is reset.
     pub(crate) fn on_value_chosen(&mut self) {
         if self.queue.is_empty() {
             self.failures = 0;
--- a/crates/cluster/control-plane/src/quorum.rs
+++ b/crates/cluster/control-plane/src/quorum.rs
@@ -28,7 +28,11 @@
             format_nodes(&self.members)
         )?;
         if self.is_changing() {
-            write!(formatter, " next_members=[{}]", format_nodes(&self.next_members))?;
+            write!(
+                formatter,
+                " next_members=[{}]",
+                format_nodes(&self.next_members)
+            )?;
         }
         Ok(())
     }
--- a/crates/cluster/control-plane/src/reconfiguration.rs
+++ b/crates/cluster/control-plane/src/reconfiguration.rs
@@ -176,8 +176,8 @@
     }
 }
 
-/// The next list of members, which has at most `size` members; `None` if the list should stay as it is. While there are
-/// fewer members, a learner that holds everything is added; otherwise it replaces a member.
+/// The next list of members; `None` if the list should stay as it is. While there are fewer than `size` members, a
+/// learner that holds everything is added; otherwise it replaces a member that is shutting down or unreachable.
 fn next_members(
     now: Time,
     leadership: &Leadership,
--- a/crates/cluster/control-plane/src/register.rs
+++ b/crates/cluster/control-plane/src/register.rs
@@ -275,8 +275,7 @@
         let needs_round = self.acceptor.members_version > self.view.list.version && may_propose;
         match needs_round.then(|| self.accepted_value()).flatten() {
             Some(accepted) => {
-                self.proposer
-                    .observe_list(accepted.value.member_list());
+                self.proposer.observe_list(accepted.value.member_list());
                 self.proposer.push(ChangeFunction::Identity);
             }
             None => self.reader.start(now, &self.view.list, effects),
--- a/crates/cluster/control-plane/tests/accepted_changes.rs
+++ b/crates/cluster/control-plane/tests/accepted_changes.rs
@@ -79,7 +79,9 @@
             DiskOperation::Delete { key, .. } => {
                 disk.remove(&key);
             }
-            DiskOperation::Clear { .. } => panic!("the table must not be cleared: it holds other rows as well"),
+            DiskOperation::Clear { .. } => {
+                panic!("the table must not be cleared: it holds other rows as well")
+            }
         }
     }
 }
--- a/crates/cluster/control-plane/tests/concurrent_changes.rs
+++ b/crates/cluster/control-plane/tests/concurrent_changes.rs
@@ -256,7 +256,11 @@
         let one_member = seed.is_multiple_of(2);
         let numbers: Vec<u64> = (changes.iter().enumerate())
             .map(|(position, change)| {
-                operators.send(&mut cluster, if one_member { 1 } else { position % 3 }, change)
+                operators.send(
+                    &mut cluster,
+                    if one_member { 1 } else { position % 3 },
+                    change,
+                )
             })
             .collect();
         cluster.run(6_000);
@@ -324,7 +328,9 @@
 
 #[test]
 fn changes_accepted_by_a_minority_are_not_archived() {
-    let accepted = (0..60).filter(|seed| check_change_accepted_by_one(*seed)).count();
+    let accepted = (0..60)
+        .filter(|seed| check_change_accepted_by_one(*seed))
+        .count();
     assert!(
         accepted >= 10,
         "a single member accepted the change in only {accepted} of 60 schedules, expected at least 10"
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -82,7 +82,8 @@
     for (row_index, row) in ROWS.into_iter().enumerate() {
         for (damage_index, damage) in DAMAGES.into_iter().enumerate() {
             let context = format!("row {row_index}, damage {damage_index}");
-            let mut cluster = cluster_with_records(100 + 10 * row_index as u64 + damage_index as u64);
+            let mut cluster =
+                cluster_with_records(100 + 10 * row_index as u64 + damage_index as u64);
             (0..3).for_each(|index| cluster.power_off(index));
             let missing = cluster.machines[1]
                 .disk
--- a/crates/cluster/control-plane/tests/http_answers.rs
+++ b/crates/cluster/control-plane/tests/http_answers.rs
@@ -289,7 +289,8 @@
 fn an_unknown_outcome(transcript: &mut Transcript) {
     let mut isolated = (1..=LAST_ISOLATION_MS).map(isolated_after);
     let unknown = isolated.find(|(cluster, number)| cluster.status(*number) == OUTCOME_UNKNOWN);
-    let (cluster, number) = unknown.expect("no time of the isolation left the outcome of the change unknown");
+    let (cluster, number) =
+        unknown.expect("no time of the isolation left the outcome of the change unknown");
     add_answer(
         transcript,
         "cut off while the others may have taken it",
--- a/crates/cluster/control-plane/tests/member_replacement.rs
+++ b/crates/cluster/control-plane/tests/member_replacement.rs
@@ -63,7 +63,10 @@
 
 fn check_after_losses(cluster: &mut Cluster, successor: usize, context: &str) {
     cluster.run(3_000);
-    assert!(acknowledges_requests(cluster), "{context}: nothing is served");
+    assert!(
+        acknowledges_requests(cluster),
+        "{context}: nothing is served"
+    );
     assert_eq!(
         cluster.read_back(successor),
         Some(5),
@@ -229,7 +232,9 @@
         let started = cluster.now;
         cluster.run(1_000);
         let removed = [seed as usize % 5, (seed as usize + 2) % 5];
-        removed.into_iter().for_each(|index| cluster.terminate(index));
+        removed
+            .into_iter()
+            .for_each(|index| cluster.terminate(index));
         cluster.run(3_000);
         removed.into_iter().for_each(|index| cluster.wipe(index));
         let mut request = 2_000;
@@ -311,7 +316,10 @@
         assert_eq!(cluster.replace(successor, 5, 9), 200);
         cluster.start(removed, false);
         cluster.run(3_000);
-        assert!(!cluster.members(removed).contains(&id(removed)), "seed {seed}");
+        assert!(
+            !cluster.members(removed).contains(&id(removed)),
+            "seed {seed}"
+        );
         assert_eq!(cluster.read_back(removed), Some(9), "seed {seed}");
         assert!(acknowledges_requests(&mut cluster), "seed {seed}");
     }
--- a/crates/cluster/control-plane/tests/resubmission.rs
+++ b/crates/cluster/control-plane/tests/resubmission.rs
@@ -224,7 +224,10 @@
     let before = cluster.events;
     cluster.run(30_000);
     let rate = (cluster.events - before) / 90;
-    assert!(rate < 60, "{rate} events per second at each process, expected fewer than 60");
+    assert!(
+        rate < 60,
+        "{rate} events per second at each process, expected fewer than 60"
+    );
 }
 
 /// Sends changes while one member at a time is killed, loses power, is isolated or has its disk emptied, and checks at
