--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -165,7 +165,9 @@
         let status = self.process_status(renew);
         let effects = &mut self.effects;
         self.terms.on_renew(now, from, renew, status, effects);
-        let update = self.register.newer_value_hint(now, renew.learned, effects);
+        let update = self
+            .register
+            .on_newer_value_hint(now, renew.learned, effects);
         self.on_view_update(update);
     }
 
@@ -206,14 +208,14 @@
         let leader = self.terms.live_leader(now);
         let awaits_leader = leader.is_some_and(|leader| leader != self.node);
         self.operator
-            .change_completed(now, &completed, awaits_leader, &mut self.effects);
+            .on_change_completed(now, &completed, awaits_leader, &mut self.effects);
     }
 
     fn on_learned(&mut self, from: NodeId, learned: &Learned) {
         let leader = self.terms.live_leader(self.now.steady);
         if leader.is_none_or(|leader| leader == from) {
             self.operator
-                .leader_learned(learned.proposal, &mut self.effects);
+                .on_leader_learned(learned.proposal, &mut self.effects);
         }
     }
 
@@ -230,7 +232,7 @@
     fn on_vote_reply(&mut self, from: NodeId, reply: &VoteReply) {
         let now = self.now.steady;
         self.register
-            .members_version_reported(now, reply.members_version);
+            .on_members_version_reported(now, reply.members_version);
         let may_lead = self.may_lead();
         let members = self.register.members();
         self.terms
@@ -248,10 +250,10 @@
         let effects = &mut self.effects;
         match parse_request(endpoint, request, self.register.has_members()) {
             ApiRequest::Status(status) => effects.status(id, status),
-            ApiRequest::Read => self.operator.read(now, id, effects),
+            ApiRequest::Read => self.operator.submit_read(now, id, effects),
             ApiRequest::Change(change) => {
                 self.operator
-                    .change(now, id, change, &mut self.register, effects);
+                    .submit_change(now, id, change, &mut self.register, effects);
             }
         }
     }
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -45,7 +45,7 @@
         let wakes = [
             self.membership.next_wake(terminating, &self.register),
             self.register.next_wake(self.may_propose()),
-            self.register.changes_wake(),
+            self.register.next_changes_wake(),
             self.operator.next_wake(&self.register),
             self.terms.next_wake(self.may_stand()),
             self.terms.election_yield_until(now),
@@ -110,7 +110,7 @@
 
     fn on_members_changed(&mut self) {
         let members = self.register.members();
-        self.reconfiguration.members_changed(members);
+        self.reconfiguration.on_members_changed(members);
         if self.membership.is_active() {
             let operation = put_members(&StoredMembers::from(members));
             self.effects.write(vec![operation], Vec::new());
