--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -3,7 +3,7 @@
 //!
 //! The budget: a change counts as told 6 s after discovery had it and could be reached. A silent watch: `SILENT_S`,
 //! then at once a dial (`DIAL_S` at the most) and the answer. A dial that timed out has waited already: at once again.
-//! A call that failed quickly waits for its turn, which the decisions draw (`terms.rs`: 3.5 s, later 1.9 s).
+//! A call that failed quickly waits for its turn, which the decisions draw (`interface.rs`: 3.5 s, later 1.9 s).
 
 use crate::http::{next, wire, AskList, Fault, Watching, LINE_MOST};
 use crate::sockets::{Exchange, Mailbox};
--- a/crates/dispatcher/policy/src/lib.rs
+++ b/crates/dispatcher/policy/src/lib.rs
@@ -4,15 +4,15 @@
 #![allow(missing_docs)]
 
 mod chance;
+mod interface;
 mod pcg;
 mod policy;
-mod reading;
 mod ring;
+mod settings;
 mod state;
-mod terms;
 
 pub use chance::start_chance;
+pub use interface::*;
 pub use policy::{Dispatcher, WorkItem};
-pub use reading::{parse_policy_config, FlatSettings};
+pub use settings::{parse_policy_config, FlatSettings};
 pub use state::RunnerHandover;
-pub use terms::*;
--- a/crates/dispatcher/policy/src/policy.rs
+++ b/crates/dispatcher/policy/src/policy.rs
@@ -2,24 +2,24 @@
 //! list with `listed`, take work items with `take`, and tell each handle (`WorkItem`) what becomes of it:
 //! `started`, `progressed`, `outcome`, `left`. After a batch of news, and whenever a wake asked for comes
 //! due, call `decide`: it visits the runners and acts through the `Host`. Before a planned end, `end_by`. The
-//! interface (`Host`, `PolicyConfig`, `Job`, `ListedRunner`, `Outcome`) is defined in `terms.rs`.
+//! interface (`Host`, `PolicyConfig`, `Job`, `ListedRunner`, `Outcome`) is defined in `interface.rs`.
 
-mod cold;
+mod affinity;
+mod assignment;
 mod health;
-mod looks;
 mod membership;
-mod passes;
-mod places;
+mod periodic;
 mod probing;
 mod rules;
+mod slow_start;
 mod work_items;
 
 use crate::chance::start_chance;
+use crate::interface::*;
 use crate::pcg::pair_hash;
 use crate::ring::{median, Ring};
 pub use crate::state::Dispatcher;
 use crate::state::{Attempt, Runner, Work};
-use crate::terms::*;
 use std::collections::BTreeSet;
 pub use work_items::WorkItem;
 
--- a/crates/dispatcher/policy/src/reading.rs
+++ b/crates/dispatcher/policy/src/settings.rs
@@ -1,6 +1,6 @@
 //! Reads what is stated at start into the terms that the decisions know; the same for every host.
 
-use crate::terms::{Category, Placement, PolicyConfig, Repeat, Scope};
+use crate::interface::{Category, Placement, PolicyConfig, Repeat, Scope};
 use std::collections::BTreeMap;
 
 /// What is stated: a path and its value each, lists of plain values joined with commas.
--- a/crates/dispatcher/policy/src/state.rs
+++ b/crates/dispatcher/policy/src/state.rs
@@ -1,11 +1,11 @@
 //! What the decisions keep of each work item, attempt and runner.
 
+use crate::interface::*;
 use crate::pcg::{pair_hash, Pcg};
 use crate::policy::{
     ASKED, CAP_START, KEYS, KEY_AGE_S, LEAST, NEAR, OUTCOMES, REST_S, RUNS, WAITS,
 };
 use crate::ring::Ring;
-use crate::terms::*;
 use crate::WorkItem;
 use std::collections::{BTreeMap, VecDeque};
 
