--- a/crates/dispatcher/policy/src/policy/affinity.rs
+++ b/crates/dispatcher/policy/src/policy/affinity.rs
@@ -1,115 +1,150 @@
-//! Where a key belongs: the places that a work item looks at, and what each costs.
+//! Key affinity: the candidate runners of a work item, and the cost of each.
 
 use super::*;
 
 impl Dispatcher {
-    /// The first in a key's order.
-    pub(crate) fn highest(
+    /// The first of the given runners in the rendezvous order of a key.
+    pub(crate) fn rank_by_key(
         &self,
         key: u32,
-        among: impl Iterator<Item = usize>,
-    ) -> Ring<usize, NEAR> {
-        let mut all: Vec<_> = among
-            .map(|r| (std::cmp::Reverse(self.liking(key, r)), r))
+        runners: impl Iterator<Item = usize>,
+    ) -> Ring<usize, CANDIDATES> {
+        let mut ranked: Vec<_> = runners
+            .map(|runner| (std::cmp::Reverse(self.key_rank(key, runner)), runner))
             .collect();
-        all.sort_unstable();
-        let mut order = Ring::default();
-        all.iter().take(NEAR).for_each(|&(_, r)| order.push(r));
-        order
+        ranked.sort_unstable();
+        let mut first = Ring::default();
+        ranked
+            .iter()
+            .take(CANDIDATES)
+            .for_each(|&(_, runner)| first.push(runner));
+        first
     }
 
-    /// Guards against every dispatcher fetching a key to a runner of its own: where the table is thin, all
-    /// agree, without a word, on the ready runner where a key belongs (highest hash of both).
-    pub(super) fn find_home(&mut self, w: u32, now: f64) {
-        let key = self.works[w as usize].job.key;
-        let order = self.order(w);
-        let left = |d: &Self, r: usize| d.config.uses_load_probes && now < d.runners[r].left_until;
-        let fit = |d: &Self, r: usize| d.open_to(w, r) && d.may_go(w, r, now) && !left(d, r);
-        let mut near = Ring::default();
+    /// Selects the candidates of a work item and its home among them. All dispatchers take them from the same
+    /// rendezvous order, without any messages, so that each does not fetch a key to a runner of its own when
+    /// the key table knows no holder.
+    pub(super) fn select_candidates(&mut self, handle: u32, now: f64) {
+        let key = self.work_items[handle as usize].job.key;
+        let order = self.first_in_key_order(handle);
+        let is_unreachable = |dispatcher: &Self, runner: usize| {
+            dispatcher.config.uses_load_probes && now < dispatcher.runners[runner].backoff_until_s
+        };
+        let is_allowed = |dispatcher: &Self, runner: usize| {
+            dispatcher.is_placement_allowed(handle, runner)
+                && dispatcher.is_repeat_allowed(handle, runner, now)
+                && !is_unreachable(dispatcher, runner)
+        };
+        let mut candidates = Ring::default();
         order
             .samples()
             .iter()
-            .filter(|&&r| fit(self, r))
-            .for_each(|&r| near.push(r));
-        // Guards against a cut or a group that takes all of them: others come up in their stead.
-        if near.samples().is_empty() {
-            near = self.highest(key, self.chosen.iter().copied().filter(|&r| fit(self, r)));
+            .filter(|&&runner| is_allowed(self, runner))
+            .for_each(|&runner| candidates.push(runner));
+        // If a network partition or the retry scope excludes all of them, the next runners in the order take
+        // their place.
+        if candidates.samples().is_empty() {
+            candidates = self.rank_by_key(
+                key,
+                self.subset
+                    .iter()
+                    .copied()
+                    .filter(|&runner| is_allowed(self, runner)),
+            );
         }
-        let asked = self.asked.samples();
-        // The other arrivals tell: by its own a key met once would have places of its own in a large fleet.
-        let others = asked
+        let arrivals = self.recent_keys.samples();
+        // The work item's own arrival does not count: in a large fleet it would give a key that was requested
+        // once several runners of its own.
+        let others = arrivals
             .iter()
-            .filter(|&&k| k == key)
+            .filter(|&&arrived| arrived == key)
             .count()
             .saturating_sub(1) as f64;
-        let share = others / asked.len().max(1) as f64;
-        let work = &mut self.works[w as usize];
-        work.own = ((SPREAD * share * self.chosen.len() as f64).ceil() as usize).max(1);
-        (work.near, work.asked) = (near, 0);
-        self.best_place(w, now);
+        let share = others / arrivals.len().max(1) as f64;
+        let work_item = &mut self.work_items[handle as usize];
+        work_item.own_candidates =
+            ((KEY_SPREAD * share * self.subset.len() as f64).ceil() as usize).max(1);
+        (work_item.candidates, work_item.probed) = (candidates, 0);
+        self.choose_home(handle, now);
     }
 
-    /// A key's home is its place of least cost: its own places cost a wait, the others also a fetch.
-    /// Guards against dispatchers that bring each key to runners of their own: all agree on as many places as
-    /// its share of the arrivals asks for, and each prefers one of these by rank.
-    pub(super) fn best_place(&mut self, w: u32, now: f64) {
-        let work = &self.works[w as usize];
-        let (job, near) = (work.job, work.near.samples());
-        let size = self.cold_size(&job);
-        let takes = |r: usize| self.usable(w, r, now) && size <= self.cold_left(r, now);
-        let cost = |n: usize, r: usize| {
-            let fetch_s = if n < work.own || self.runners[r].holds(job.key, now) {
+    /// Chooses the candidate of least cost as the home of a work item's key. The key's own candidates cost
+    /// the wait there, the others a fetch as well. A key has as many own candidates as its share of the
+    /// arrivals requires, the same ones at all dispatchers, and each dispatcher prefers one of them by rank;
+    /// otherwise each dispatcher would bring the key to runners of its own.
+    pub(super) fn choose_home(&mut self, handle: u32, now: f64) {
+        let work_item = &self.work_items[handle as usize];
+        let (job, candidates) = (work_item.job, work_item.candidates.samples());
+        let cold_work = self.cold_work(&job);
+        let is_available = |runner: usize| {
+            self.is_eligible(handle, runner, now) && cold_work <= self.cold_budget_left(runner, now)
+        };
+        let cost_s = |position: usize, runner: usize| {
+            let fetch_s = if position < work_item.own_candidates
+                || self.runners[runner].served_recently(job.key, now)
+            {
                 0.0
             } else {
-                self.far_s
+                self.fetch_cost_s
             };
-            self.wait_at(r, now) + self.load_at(r, now) + fetch_s
+            self.expected_wait_s(runner, now) + self.own_load_wait_s(runner, now) + fetch_s
         };
-        let able = near
+        let available = candidates
             .iter()
             .enumerate()
-            .filter(|(_, r)| !self.config.uses_load_probes && takes(**r));
-        let able = able.map(|(n, &r)| (cost(n, r), n >= work.own, !self.runners[r].rank, r));
-        let least = able.min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
-        let home = least
-            .map(|(.., r)| r)
-            .or(near.first().copied())
+            .filter(|(_, runner)| !self.config.uses_load_probes && is_available(**runner));
+        let costs = available.map(|(position, &runner)| {
+            (
+                cost_s(position, runner),
+                position >= work_item.own_candidates,
+                !self.runners[runner].rank,
+                runner,
+            )
+        });
+        let cheapest = costs.min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
+        let home = cheapest
+            .map(|(.., runner)| runner)
+            .or(candidates.first().copied())
             .filter(|_| job.key != 0);
-        self.works[w as usize].home = home.unwrap_or(usize::MAX);
+        self.work_items[handle as usize].home = home.unwrap_or(usize::MAX);
     }
 
-    /// How much longer work is believed to wait at a runner than at one of which nothing is known: as long as
-    /// it did there, if that was of late. A cold one, as far as its budget goes, spares it the usual wait.
-    pub(crate) fn wait_at(&self, r: usize, now: f64) -> f64 {
-        let runner = &self.runners[r];
-        let (waited, at) = runner.wait;
+    /// By how many seconds the expected wait for a start at a runner exceeds that at a runner without a known
+    /// wait: its last start wait, if that is recent. A cold runner has no queue within its budget and so
+    /// saves the median wait.
+    pub(crate) fn expected_wait_s(&self, runner: usize, now: f64) -> f64 {
+        let runner = &self.runners[runner];
+        let (waited_s, at_s) = runner.start_wait;
         match () {
-            () if waited > PROMPT_S && now < at + REMEMBERED * waited => waited,
-            () if now < runner.born() + self.config.warm_up_s => -self.wait_s,
+            () if waited_s > PROMPT_START_S && now < at_s + WAIT_MEMORY * waited_s => waited_s,
+            () if now < runner.cold_since_s() + self.config.warm_up_s => -self.median_wait_s,
             () => 0.0,
         }
     }
 
-    /// What our own work there adds to the wait.
-    pub(super) fn load_at(&self, r: usize, now: f64) -> f64 {
-        let runner = &self.runners[r];
-        let full = runner.mine + 1.0 > runner.cap && now > self.crowded_at + 5.0;
-        let free = if full {
-            self.mean_run / runner.mine.max(1.0)
+    /// The seconds that this dispatcher's own work at a runner adds to the wait there.
+    pub(super) fn own_load_wait_s(&self, runner: usize, now: f64) -> f64 {
+        let runner = &self.runners[runner];
+        let is_at_cap = runner.own_slots + 1.0 > runner.slot_cap && now > self.congested_at_s + 5.0;
+        let until_free_s = if is_at_cap {
+            self.mean_run_s / runner.own_slots.max(1.0)
         } else {
             0.0
         };
-        LOAD * self.mean_run * runner.mine / runner.most.max(CAP_START) + free
+        OWN_LOAD_WEIGHT * self.mean_run_s * runner.own_slots
+            / runner.most_own_running.max(INITIAL_SLOT_CAP)
+            + until_free_s
     }
 
-    /// Who is liked better for a key: by a hash that all share, whatever the zone. Guards against a copy of
-    /// each key in each zone, where runners keep few.
-    pub(super) fn liking(&self, key: u32, r: usize) -> u64 {
-        let runner = &self.runners[r];
+    /// The rank of a runner for a key; the highest comes first. It is a rendezvous hash that all dispatchers
+    /// share and that ignores zones, because a copy of each key in each zone would exceed the few keys that a
+    /// runner keeps. Without a key it is the rank of this dispatcher at the runner.
+    pub(super) fn key_rank(&self, key: u32, runner: usize) -> u64 {
+        let runner = &self.runners[runner];
         if key == 0 {
             runner.rank
         } else {
-            pair_hash(key as u64, runner.at.id)
+            pair_hash(key as u64, runner.listing.id)
         }
     }
 }
--- a/crates/dispatcher/policy/src/policy/assignment.rs
+++ b/crates/dispatcher/policy/src/policy/assignment.rs
@@ -1,225 +1,293 @@
-//! The mechanism: what is held is priced, and goes to runners with room by P.
+//! The assignment of held work items: a pass prices them and sends them to runners with room, by the start
+//! probability P of Algorithm 1.
 
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn pass(&mut self, host: &mut impl Host) {
+    /// Runs a pass over the candidates of all held work items.
+    pub(super) fn assign_held(&mut self, host: &mut impl Host) {
         if self.held.is_empty() {
             return;
         }
         let now = host.now();
-        self.last_pass = now;
-        let mut open = std::mem::take(&mut self.open);
+        self.last_pass_at_s = now;
+        let mut open = std::mem::take(&mut self.open_runners);
         open.clear();
-        self.passes += 1;
-        for place in 0..self.held.len() {
-            for &r in self.works[self.held[place] as usize].near.samples() {
-                if std::mem::replace(&mut self.runners[r].pass, self.passes) != self.passes {
-                    self.runners[r].room = self.room(r, now);
-                    self.runners[r].cold_left = self.cold_left(r, now);
-                    open.extend(Some(r).filter(|&r| self.has_room(r, now)));
+        self.pass_count += 1;
+        for position in 0..self.held.len() {
+            for &runner in self.work_items[self.held[position] as usize]
+                .candidates
+                .samples()
+            {
+                if std::mem::replace(&mut self.runners[runner].last_pass, self.pass_count)
+                    != self.pass_count
+                {
+                    self.runners[runner].room = self.room(runner, now);
+                    self.runners[runner].cold_budget = self.cold_budget_left(runner, now);
+                    open.extend(Some(runner).filter(|&runner| self.has_room(runner, now)));
                 }
             }
         }
+        // Shuffles the runners.
         (1..open.len())
             .rev()
             .for_each(|i| open.swap(i, self.pcg.index_below(i + 1)));
         if !open.is_empty() || self.config.uses_load_probes {
-            self.price(&open, now);
+            self.price_held(&open, now);
         }
-        open.retain(|&r| {
-            while self.has_room(r, now) {
-                let Some((place, p)) = self.largest(r, now) else {
+        open.retain(|&runner| {
+            while self.has_room(runner, now) {
+                let Some((position, chance)) = self.best_held(runner, now) else {
                     return false;
                 };
-                if p < P_MIN || self.pcg.uniform() >= p {
+                if chance < MIN_START_CHANCE || self.pcg.uniform() >= chance {
                     return true;
                 }
-                self.send(host, place, r);
+                self.send(host, position, runner);
             }
             false
         });
-        // What every runner skipped takes its cheapest.
-        let mut place = 0;
-        while place < self.held.len() && !open.is_empty() {
-            let w = self.held[place];
-            let key = self.works[w as usize].job.key;
-            let fitting = open.iter().copied().filter(|&r| self.fits(w, r, now));
-            // Among equally cheap ones the one where all agree that the key belongs.
-            match fitting.max_by_key(|&r| (self.holds(w, r), self.liking(key, r))) {
-                Some(r) => {
-                    self.send(host, place, r);
-                    open.retain(|&r| self.has_room(r, now));
+        // A work item that every runner skipped goes to the runner where it costs least.
+        let mut position = 0;
+        while position < self.held.len() && !open.is_empty() {
+            let handle = self.held[position];
+            let key = self.work_items[handle as usize].job.key;
+            let fitting = open
+                .iter()
+                .copied()
+                .filter(|&runner| self.fits(handle, runner, now));
+            // Among runners of equal cost it is the one that comes first in the key's order, on which all
+            // dispatchers agree.
+            match fitting.max_by_key(|&runner| {
+                (
+                    self.is_key_holder(handle, runner),
+                    self.key_rank(key, runner),
+                )
+            }) {
+                Some(runner) => {
+                    self.send(host, position, runner);
+                    open.retain(|&runner| self.has_room(runner, now));
                 }
-                None => place += 1,
+                None => position += 1,
             }
         }
-        self.open = open;
+        self.open_runners = open;
     }
 
-    /// Prices what is held for one pass.
-    pub(super) fn price(&mut self, open: &[usize], now: f64) {
-        // Crowded: not all that is held can be in time; something has waited half its spare time.
-        let spent = |w: u32| now + self.wait_s - self.works[w as usize].taken;
-        let crowded = self
+    /// Prices the held work items for one pass.
+    pub(super) fn price_held(&mut self, open: &[usize], now: f64) {
+        // The dispatcher is congested if a held work item has used up half of its time: then not all can end
+        // in time.
+        let spent_s =
+            |handle: u32| now + self.median_wait_s - self.work_items[handle as usize].received_at_s;
+        let is_congested = self
             .held
             .iter()
-            .any(|&w| spent(w) > 0.5 * self.category(w).due_s);
-        self.crowded_at = if crowded { now } else { self.crowded_at };
-        let a_slots_second = |n: usize| {
+            .any(|&handle| spent_s(handle) > 0.5 * self.category(handle).due_s);
+        self.congested_at_s = if is_congested {
+            now
+        } else {
+            self.congested_at_s
+        };
+        let payoff_unit_s = |category: usize| {
             if self.config.payoff_per_work {
                 1.0
             } else {
-                self.usual[n].max(1e-3)
+                self.mean_run_times[category].max(1e-3)
             }
         };
-        let worth = |n: usize| self.config.categories[n].payoff / a_slots_second(n);
-        let best = (0..self.usual.len()).map(worth).fold(0.0, f64::max);
-        for &w in &self.held {
-            let work = &self.works[w as usize];
-            let category = self.category(w);
-            let worth = worth(work.job.category);
-            let ends = now + self.wait_s + self.pace * self.expected(&work.job);
-            // A repeat that asks and is turned away costs runners more than it can still earn.
-            let again = self.config.uses_load_probes && work.begun < work.taken - PROMPT_S;
-            let late = again || ends > self.due(w);
-            let value = if crowded {
-                worth * if late { category.tardy } else { 1.0 }
+        let worth =
+            |category: usize| self.config.categories[category].payoff / payoff_unit_s(category);
+        let best_worth = (0..self.mean_run_times.len())
+            .map(worth)
+            .fold(0.0, f64::max);
+        for &handle in &self.held {
+            let work_item = &self.work_items[handle as usize];
+            let category = self.category(handle);
+            let worth = worth(work_item.job.category);
+            let ends_at_s = now
+                + self.median_wait_s
+                + self.fleet_slowdown * self.expected_run_s(&work_item.job);
+            // A client's retry that is probed for and then refused costs runners more than it can still pay.
+            let is_client_retry = self.config.uses_load_probes
+                && work_item.first_requested_at_s < work_item.received_at_s - PROMPT_START_S;
+            let is_late = is_client_retry || ends_at_s > self.due_at_s(handle);
+            let value = if is_congested {
+                worth * if is_late { category.tardy } else { 1.0 }
             } else {
                 0.0
             };
-            // Guards against freed slots going round among cheap work while dear work waits elsewhere: in a
-            // crowd what is late, or pays under 0.4 of the best, leaves a slot free; where runners are
-            // asked, and dear work asks for a slot, what is late does so for 5 s more. What is late and then
-            // pays nothing is not sent at all in a jam: it would make others late, who come again.
-            let leaves = match self.config.uses_load_probes {
-                true => late && now < self.crowded_at + 5.0,
-                false => crowded && (late || worth < 0.4 * best),
+            // Work that leaves a slot free for others keeps slots from circulating among cheap work while
+            // valuable work waits elsewhere. During congestion that is work that is late or pays less than
+            // 0.4 of the best. If runners are probed, where valuable work must first ask for a slot, it is
+            // late work, until 5 s after congestion. Late work that pays nothing is not sent at all while
+            // starts are delayed: it would make other work late, whose clients would then retry.
+            let leaves_slot_free = match self.config.uses_load_probes {
+                true => is_late && now < self.congested_at_s + 5.0,
+                false => is_congested && (is_late || worth < 0.4 * best_worth),
+            };
+            let without_key = open
+                .iter()
+                .filter(|&&runner| !self.is_key_holder(handle, runner))
+                .count();
+            // If the shared store is the bottleneck, every fetch slows all work down. So work whose holders
+            // are healthy but full waits for them while it can still end in time.
+            let is_unhealthy = |runner: &Runner| {
+                runner.ejected_until_s.is_some()
+                    || runner.is_ejected_for(work_item.job.category, now)
             };
-            let others = open.iter().filter(|&&r| !self.holds(w, r)).count();
-            // Guards against the shared store: where it is the bottleneck, fetching a key once more costs
-            // everybody. Work whose holders are well but busy waits for them as long as it can end in time.
-            let ill = |r: &Runner| r.resting.is_some() || r.shunned(work.job.category, now);
-            let well = |r: &Runner| r.ready() && !ill(r);
-            let busy = others == open.len() && self.runners.get(work.home).is_some_and(well);
-            let waits = !self.config.uses_load_probes && !late && busy;
-            let odds = start_chance(others as f64 / open.len().max(1) as f64, FAR_COST);
-            let work = &mut self.works[w as usize];
-            (work.value, work.spare, work.waits, work.odds) =
-                (value, leaves as u8 as f64, waits, odds);
+            let is_usable = |runner: &Runner| runner.is_ready() && !is_unhealthy(runner);
+            let holders_are_full = without_key == open.len()
+                && self.runners.get(work_item.home).is_some_and(is_usable);
+            let waits_for_holder = !self.config.uses_load_probes && !is_late && holders_are_full;
+            let chance_elsewhere =
+                start_chance(without_key as f64 / open.len().max(1) as f64, FETCH_COST);
+            let work_item = &mut self.work_items[handle as usize];
+            (work_item.value, work_item.reserve_slots) = (value, leaves_slot_free as u8 as f64);
+            (work_item.waits_for_holder, work_item.chance_elsewhere) =
+                (waits_for_holder, chance_elsewhere);
         }
     }
 
-    /// The held work item with the largest P at a runner, among those of the largest value in a crowd; ties
-    /// to the longest held.
-    pub(super) fn largest(&self, r: usize, now: f64) -> Option<(usize, f64)> {
+    /// The held work item with the largest start probability P at a runner, as its position among the held
+    /// ones and that probability. During congestion only the work items of the highest value compete. Ties go
+    /// to the one that arrived first.
+    pub(super) fn best_held(&self, runner: usize, now: f64) -> Option<(usize, f64)> {
         let mut best: Option<(usize, f64, f64)> = None;
-        for (place, &w) in self.held.iter().enumerate() {
-            let work = &self.works[w as usize];
-            let p = if self.holds(w, r) { 1.0 } else { work.odds };
-            let ahead = best.is_none_or(|(_, v, q)| work.value > v || work.value == v && p > q);
-            if ahead && self.fits(w, r, now) {
-                best = Some((place, work.value, p));
+        for (position, &handle) in self.held.iter().enumerate() {
+            let work_item = &self.work_items[handle as usize];
+            let chance = if self.is_key_holder(handle, runner) {
+                1.0
+            } else {
+                work_item.chance_elsewhere
+            };
+            let is_better = best.is_none_or(|(_, best_value, best_chance)| {
+                work_item.value > best_value
+                    || work_item.value == best_value && chance > best_chance
+            });
+            if is_better && self.fits(handle, runner, now) {
+                best = Some((position, work_item.value, chance));
             }
         }
-        best.map(|(place, _, p)| (place, p))
+        best.map(|(position, _, chance)| (position, chance))
     }
 
-    pub(super) fn send(&mut self, host: &mut impl Host, place: usize, r: usize) {
+    /// Sends the held work item at a position to a runner.
+    pub(super) fn send(&mut self, host: &mut impl Host, position: usize, index: usize) {
         let now = host.now();
-        let w = self.held.remove(place);
-        let size = self.cold_size(&self.works[w as usize].job);
-        let Work {
-            job, own, ref near, ..
-        } = self.works[w as usize];
-        let own = near.samples()[..own.min(near.samples().len())].contains(&r);
-        let fetches = Some(!own).filter(|_| own == self.runners[r].holds(job.key, now));
-        let runner = &mut self.runners[r];
-        let work = &mut self.works[w as usize];
-        self.left
+        let handle = self.held.remove(position);
+        let cold_work = self.cold_work(&self.work_items[handle as usize].job);
+        let WorkItemState {
+            job,
+            own_candidates,
+            ref candidates,
+            ..
+        } = self.work_items[handle as usize];
+        let is_own_candidate =
+            candidates.samples()[..own_candidates.min(candidates.samples().len())].contains(&index);
+        let needs_fetch = Some(!is_own_candidate)
+            .filter(|_| is_own_candidate == self.runners[index].served_recently(job.key, now));
+        let runner = &mut self.runners[index];
+        let work_item = &mut self.work_items[handle as usize];
+        self.remaining_caps
             .get_mut(job.category)
             .into_iter()
-            .for_each(|left| *left -= 1.0);
-        self.resends -= if work.made > 0 { 1.0 } else { 0.0 };
-        runner.load(&work.job, 1.0);
-        runner.cold_left -= size;
-        if now < runner.born() + self.config.warm_up_s {
+            .for_each(|remaining| *remaining -= 1.0);
+        self.remaining_retries -= if work_item.attempts > 0 { 1.0 } else { 0.0 };
+        runner.count_attempt(&work_item.job, 1.0);
+        runner.cold_budget -= cold_work;
+        if now < runner.cold_since_s() + self.config.warm_up_s {
             runner
-                .cold_sent
+                .cold_sends
                 .retain(|(at, _)| now < at + self.config.overload_window_s);
-            runner.cold_sent.push_back((now, size));
+            runner.cold_sends.push_back((now, cold_work));
         }
-        runner.trial = runner.resting.map(|_| now + runner.rest_s);
-        work.out = Some(Attempt::new(
-            r,
-            work.made,
+        runner.trial_until_s = runner.ejected_until_s.map(|_| now + runner.ejection_s);
+        work_item.in_flight = Some(Attempt::new(
+            index,
+            work_item.attempts,
             now,
-            runner.mine >= runner.cap,
-            fetches,
+            runner.own_slots >= runner.slot_cap,
+            needs_fetch,
         ));
-        work.made += 1;
-        // Guards against clocks that differ: the client may wait longer than was told, and be answered then.
-        let drop_at = work.job.expires_at_s + self.config.expiry_error_s;
-        host.send_attempt(WorkItem(w), r, drop_at, self.repeat_by(w));
+        work_item.attempts += 1;
+        // If clocks differ, the client may wait longer than it said, and can still be answered then.
+        let drop_at_s = work_item.job.expires_at_s + self.config.expiry_error_s;
+        host.send_attempt(
+            WorkItem(handle),
+            index,
+            drop_at_s,
+            self.repeat_begin_by_s(handle),
+        );
     }
 
-    pub(super) fn room(&self, r: usize, now: f64) -> f64 {
-        let runner = &self.runners[r];
+    /// How many slots of a runner this dispatcher may fill now. If runners are probed, that is 0 without a
+    /// valid report.
+    pub(super) fn room(&self, runner: usize, now: f64) -> f64 {
+        let runner = &self.runners[runner];
         match self.config.uses_load_probes {
-            true if now < runner.reported + self.fresh_s => runner.free,
+            true if now < runner.reported_at_s + self.report_lifetime_s => runner.free_slots,
             true => 0.0,
-            false => runner.cap.floor() - runner.mine,
+            false => runner.slot_cap.floor() - runner.own_slots,
         }
     }
 
-    pub(super) fn has_room(&self, r: usize, now: f64) -> bool {
-        let runner = &self.runners[r];
-        let able = runner.ready() && runner.cold_left > self.fetch_s && now >= runner.left_until;
-        able && runner.tried(now)
-            && (runner.room >= 1.0 || runner.mine <= 0.0 && !self.config.uses_load_probes)
+    /// Whether a runner takes a work item of one slot in this pass. If runners are not probed, one without
+    /// any work of this dispatcher takes a work item of any size.
+    pub(super) fn has_room(&self, runner: usize, now: f64) -> bool {
+        let runner = &self.runners[runner];
+        let is_available =
+            runner.is_ready() && runner.cold_budget > self.fetch_s && now >= runner.backoff_until_s;
+        is_available
+            && runner.may_be_tried(now)
+            && (runner.room >= 1.0 || runner.own_slots <= 0.0 && !self.config.uses_load_probes)
     }
 
-    pub(super) fn fits(&self, w: u32, r: usize, now: f64) -> bool {
-        let (work, runner) = (&self.works[w as usize], &self.runners[r]);
-        // The cheap and frequent reasons first: on a bad day most of what is held fits nowhere. What waits
-        // has no holder among the runners with room.
-        let (job, probes) = (&work.job, self.config.uses_load_probes);
-        let jam = !probes && self.wait_s > PROMPT_S;
-        // Guards against a fetch for want of a question: its places come first, in their order.
-        let asked = || {
-            work.near
+    /// Whether a work item can be sent to a runner in this pass.
+    pub(super) fn fits(&self, handle: u32, index: usize, now: f64) -> bool {
+        let (work_item, runner) = (&self.work_items[handle as usize], &self.runners[index]);
+        // The cheap and frequent reasons come first, because under high load most held work fits nowhere. A
+        // work item that waits for a holder has none among the runners with room.
+        let (job, uses_probes) = (&work_item.job, self.config.uses_load_probes);
+        let starts_delayed = !uses_probes && self.median_wait_s > PROMPT_START_S;
+        // In the first round of probes a work item with a key goes only to candidates that were probed, in
+        // their order. Otherwise it would fetch its key elsewhere although a holder had not been probed yet.
+        let was_probed = || {
+            work_item
+                .candidates
                 .samples()
                 .iter()
-                .take(work.asked)
-                .any(|&asked| asked == r)
+                .take(work_item.probed)
+                .any(|&probed| probed == index)
         };
-        if work.waits
-            || probes && job.key != 0 && work.rounds == 0 && !asked()
-            || work.spare > 0.0
-                && (runner.room < job.slots + work.spare || jam && work.value <= 0.0)
-            || self.cold_size(job) > runner.cold_left
-            || !self.usable(w, r, now)
+        if work_item.waits_for_holder
+            || uses_probes && job.key != 0 && work_item.probe_rounds == 0 && !was_probed()
+            || work_item.reserve_slots > 0.0
+                && (runner.room < job.slots + work_item.reserve_slots
+                    || starts_delayed && work_item.value <= 0.0)
+            || self.cold_work(job) > runner.cold_budget
+            || !self.is_eligible(handle, index, now)
         {
             return false;
         }
         job.slots <= runner.room && job.memory <= runner.free_memory
-            || runner.mine <= 0.0 && !probes
+            || runner.own_slots <= 0.0 && !uses_probes
     }
 
-    /// A runner that a work item might use, whatever its room.
-    pub(super) fn usable(&self, w: u32, r: usize, now: f64) -> bool {
-        let (work, runner) = (&self.works[w as usize], &self.runners[r]);
-        runner.ready()
+    /// Whether a work item may be sent to a runner, whatever the runner's room.
+    pub(super) fn is_eligible(&self, handle: u32, index: usize, now: f64) -> bool {
+        let (work_item, runner) = (&self.work_items[handle as usize], &self.runners[index]);
+        runner.is_ready()
             && self
-                .left
-                .get(work.job.category)
-                .is_none_or(|left| *left >= 1.0)
-            && self.open_to(w, r)
-            && (work.avoid.0 != r || now >= work.avoid.1)
-            && !runner.shunned(work.job.category, now)
-            && now >= runner.left_until
-            && self.may_go(w, r, now)
-            && (runner.resting.is_none()
-                || runner.tried(now) && self.category(w).repeat == Repeat::Idempotent)
+                .remaining_caps
+                .get(work_item.job.category)
+                .is_none_or(|remaining| *remaining >= 1.0)
+            && self.is_placement_allowed(handle, index)
+            && (work_item.avoided.0 != index || now >= work_item.avoided.1)
+            && !runner.is_ejected_for(work_item.job.category, now)
+            && now >= runner.backoff_until_s
+            && self.is_repeat_allowed(handle, index, now)
+            && (runner.ejected_until_s.is_none()
+                || runner.may_be_tried(now) && self.category(handle).repeat == Repeat::Idempotent)
     }
 }
--- a/crates/dispatcher/policy/src/policy/health.rs
+++ b/crates/dispatcher/policy/src/policy/health.rs
@@ -1,201 +1,282 @@
-//! Which runners are well: the sequential test, and its signs.
+//! Outlier ejection: the sequential test that finds unhealthy runners, and the signs that it rests on.
 
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn learn(&mut self, job: &Job, attempt: &Attempt, now: f64, outcome: Outcome) {
-        let run = now - attempt.started.unwrap_or(attempt.sent);
-        let expected = self.expected(job);
-        let slow = self.slow_ratio();
+    /// Updates a runner's slot cap, its health evidence and the samples with the outcome of an attempt.
+    pub(super) fn record_outcome(
+        &mut self,
+        job: &Job,
+        attempt: &Attempt,
+        now: f64,
+        outcome: Outcome,
+    ) {
+        let run_s = now - attempt.started_at_s.unwrap_or(attempt.sent_at_s);
+        let expected_run_s = self.expected_run_s(job);
+        let slow_ratio = self.slow_ratio();
         let runner = &mut self.runners[attempt.runner];
         match outcome {
             Outcome::Finished => {
-                runner.heard = now;
-                let prompt = attempt.started.is_none_or(|s| s - attempt.sent < PROMPT_S);
-                let lid = if now < runner.ceiling.1 {
-                    runner.ceiling.0
+                runner.heard_at_s = now;
+                let started_promptly = attempt
+                    .started_at_s
+                    .is_none_or(|started| started - attempt.sent_at_s < PROMPT_START_S);
+                let cap_limit = if now < runner.slot_cap_limit.1 {
+                    runner.slot_cap_limit.0
                 } else {
                     f64::INFINITY
                 };
-                if attempt.at_cap && prompt && runner.cap < lid {
-                    runner.cap += job.slots;
+                if attempt.at_cap && started_promptly && runner.slot_cap < cap_limit {
+                    runner.slot_cap += job.slots;
                 }
-                self.errors.push((attempt.runner, false, job.key));
-                self.measured(job, attempt, run, expected);
-                // A slow finish is a weaker sign than silence or an error: a full store slows everyone's
-                // work, and large sizes come in runs. ln(0.4/0.11), one in nine of a well runner's.
-                self.weigh(
+                self.recent_results.push((attempt.runner, false, job.key));
+                self.record_run(job, attempt, run_s, expected_run_s);
+                // A slow run is a weaker sign than silence or an error, because an overloaded store slows all
+                // work down and large jobs come in bursts. 1.3 is ln(0.4/0.11), with one slow run in nine at
+                // a healthy runner.
+                self.add_evidence(
                     attempt.runner,
                     now,
-                    if run / expected > slow { 1.3 } else { -0.5 },
+                    if run_s / expected_run_s > slow_ratio {
+                        1.3
+                    } else {
+                        -0.5
+                    },
                 );
-                self.served(now, attempt.runner, job.key);
+                self.key_served(now, attempt.runner, job.key);
             }
             Outcome::Full | Outcome::MaybeFull => {
-                runner.cap = (runner.cap / 2.0).floor().max(1.0);
-                (runner.free, runner.reported, runner.refused) = (0.0, now, now);
-                // Guards against a runner full of others' work, or hung with a full queue: a mild bad sign.
-                self.weigh(attempt.runner, now, 1.0);
+                runner.slot_cap = (runner.slot_cap / 2.0).floor().max(1.0);
+                (runner.free_slots, runner.reported_at_s, runner.full_at_s) = (0.0, now, now);
+                // A weak bad sign: the runner may be full of the work of others, or hung with a full queue.
+                self.add_evidence(attempt.runner, now, 1.0);
             }
             Outcome::Error | Outcome::Reset => {
-                let sign = self.error_sign(attempt.runner);
-                self.errors.push((attempt.runner, true, job.key));
-                self.shun(attempt.runner, job.category, now, sign);
-                self.weigh(attempt.runner, now, sign);
+                let weight = self.error_weight(attempt.runner);
+                self.recent_results.push((attempt.runner, true, job.key));
+                self.add_category_evidence(attempt.runner, job.category, now, weight);
+                self.add_evidence(attempt.runner, now, weight);
             }
-            // Guards against a dead runner that is still listed: it looks idle and draws work. One failure
-            // alone may be the network's; it is left alone for a second even where it cannot rest.
+            // A dead runner that is still listed looks idle and so attracts work. A single failure may be the
+            // network's fault; the runner gets no work for 1 s even if it cannot be ejected.
             Outcome::NoConnection => {
-                runner.left_until = now + 1.0;
-                self.weigh(attempt.runner, now, 3.0);
+                runner.backoff_until_s = now + 1.0;
+                self.add_evidence(attempt.runner, now, 3.0);
             }
-            _ => self.weigh(attempt.runner, now, 0.0),
+            _ => self.add_evidence(attempt.runner, now, 0.0),
         }
-        self.runners[attempt.runner].trial = None;
+        self.runners[attempt.runner].trial_until_s = None;
     }
 
-    /// How much an error says against its runner: ln(0.4/p), p being the errors of late at all the others.
-    /// Guards against blaming runners for what fails anywhere: a lock or a store behind all, bad requests.
-    pub(super) fn error_sign(&self, r: usize) -> f64 {
-        let others = self.errors.samples().iter().filter(|(at, ..)| *at != r);
-        let (all, bad) = others.fold((0.0, 0.0), |(all, bad), (_, b, _)| {
-            (all + 1.0, bad + *b as u8 as f64)
+    /// The evidence that an error adds against its runner: ln(0.4/p), where p is the recent rate of errors at
+    /// all other runners. Errors that occur at any runner thus count little, such as those of a lock or store
+    /// that all share, or of bad requests.
+    pub(super) fn error_weight(&self, runner: usize) -> f64 {
+        let others = self
+            .recent_results
+            .samples()
+            .iter()
+            .filter(|(at, ..)| *at != runner);
+        let (total, failed) = others.fold((0.0, 0.0), |(total, failed), (_, has_failed, _)| {
+            (total + 1.0, failed + *has_failed as u8 as f64)
         });
-        // One in 33 where nothing is known, the rate of the test itself.
-        (0.4 * (all + 33.0) / (bad + 1.0)).ln().clamp(0.0, 3.0)
+        // Without samples p is one in 33, the rate at healthy runners in the sequential test.
+        (0.4 * (total + 33.0) / (failed + 1.0)).ln().clamp(0.0, 3.0)
     }
 
-    /// Of late all work of a key failed, at three runners or more. Guards against work that fails wherever it
-    /// goes: it takes slots, and attempts at runners that are well. It may hurt where just these three fail.
-    pub(super) fn fails_anywhere(&self, key: u32) -> bool {
+    /// Whether all recent work of a key failed, at three runners or more. Such work is not retried: it would
+    /// occupy slots, and count against healthy runners, wherever it goes. This can do harm if just these
+    /// three runners fail.
+    pub(super) fn fails_everywhere(&self, key: u32) -> bool {
         let of_key = self
-            .errors
+            .recent_results
             .samples()
             .iter()
-            .filter(|(.., k)| *k == key && key != 0);
-        let at: BTreeSet<usize> = of_key.clone().map(|(at, ..)| *at).collect();
-        at.len() >= 3 && of_key.clone().all(|(_, bad, _)| *bad)
+            .filter(|(.., result_key)| *result_key == key && key != 0);
+        let runners: BTreeSet<usize> = of_key.clone().map(|(runner, ..)| *runner).collect();
+        runners.len() >= 3 && of_key.clone().all(|(_, has_failed, _)| *has_failed)
     }
 
-    /// The same test for one category there, which then leaves the runner for a while. Guards against one
-    /// that fails this category alone.
-    pub(super) fn shun(&mut self, r: usize, category: usize, now: f64, sign: f64) {
-        let (evidence, _) = self.runners[r].shun(category);
-        *evidence = (*evidence + sign).min(6.0);
+    /// Applies the sequential test to a single category, and ejects the runner for that category if it fails.
+    /// This finds a runner that fails one category only.
+    pub(super) fn add_category_evidence(
+        &mut self,
+        runner: usize,
+        category: usize,
+        now: f64,
+        weight: f64,
+    ) {
+        let (evidence, _) = self.runners[runner].category_evidence_mut(category);
+        *evidence = (*evidence + weight).min(6.0);
         let evidence = *evidence;
-        let gone = |r: &&usize| {
-            self.runners[**r].shunned(category, now) || self.runners[**r].resting.is_some()
+        let is_out = |other: &&usize| {
+            self.runners[**other].is_ejected_for(category, now)
+                || self.runners[**other].ejected_until_s.is_some()
         };
-        if evidence > 4.5 && 2 * (self.chosen.iter().filter(gone).count() + 1) <= self.chosen.len()
+        if evidence > 4.5
+            && 2 * (self.subset.iter().filter(is_out).count() + 1) <= self.subset.len()
         {
-            *self.runners[r].shun(category) = (2.0, now + REST_S);
+            *self.runners[runner].category_evidence_mut(category) = (2.0, now + FIRST_EJECTION_S);
         }
     }
 
-    /// The sequential test: log odds of 'unwell' (4 in 10 bad) against 'well' (3 in 100 bad). A bad sign adds
-    /// ln(0.4/0.03) = 2.6, a good one ln(0.6/0.97) = -0.5; past ln(0.95/0.01) = 4.5 the runner rests, then
-    /// gets a trial, and another after each rest. At most half rest at once: beyond, it is not their trouble.
-    pub(super) fn weigh(&mut self, r: usize, now: f64, sign: f64) {
-        let runner = &mut self.runners[r];
-        runner.evidence = (runner.evidence + sign).clamp(0.0, 6.0);
-        if runner.resting.is_some() && runner.trial.is_some() {
-            if sign < 0.0 {
-                (runner.resting, runner.evidence) = (None, 2.0);
-            } else if sign > 0.0 {
-                runner.rest_s = (2.0 * runner.rest_s).min(6.0);
-                runner.resting = Some(now + runner.rest_s);
+    /// The sequential test. The evidence is the log odds of "unhealthy" (4 bad signs in 10) against "healthy"
+    /// (3 bad signs in 100). A bad sign adds ln(0.4/0.03) = 2.6, a good one adds ln(0.6/0.97) = -0.5. Above
+    /// ln(0.95/0.01) = 4.5 the runner is ejected; it gets a trial at the end of each ejection and is ejected
+    /// again if the trial fails. At most half of the ready runners are ejected at once: if more fail, the
+    /// fault is not theirs.
+    pub(super) fn add_evidence(&mut self, index: usize, now: f64, weight: f64) {
+        let runner = &mut self.runners[index];
+        runner.evidence = (runner.evidence + weight).clamp(0.0, 6.0);
+        if runner.ejected_until_s.is_some() && runner.trial_until_s.is_some() {
+            if weight < 0.0 {
+                (runner.ejected_until_s, runner.evidence) = (None, 2.0);
+            } else if weight > 0.0 {
+                runner.ejection_s = (2.0 * runner.ejection_s).min(6.0);
+                runner.ejected_until_s = Some(now + runner.ejection_s);
             }
-        } else if runner.resting.is_none() && runner.evidence > 4.5 {
-            let ready = || self.runners.iter().filter(|x| x.ready());
-            if 2 * (ready().filter(|x| x.resting.is_some()).count() + 1) <= ready().count() {
-                let runner = &mut self.runners[r];
-                runner.resting = Some(now + runner.rest_s);
+        } else if runner.ejected_until_s.is_none() && runner.evidence > 4.5 {
+            let ready = || self.runners.iter().filter(|other| other.is_ready());
+            if 2 * (ready()
+                .filter(|other| other.ejected_until_s.is_some())
+                .count()
+                + 1)
+                <= ready().count()
+            {
+                let runner = &mut self.runners[index];
+                runner.ejected_until_s = Some(now + runner.ejection_s);
             }
         } else if runner.evidence == 0.0 {
-            runner.rest_s = REST_S;
+            runner.ejection_s = FIRST_EJECTION_S;
         }
     }
 
-    /// What others saw of a runner, weighed by the host: a bad sign that outweighs the last good ones, or
-    /// that it serves others again, which ends its rest at a moment of this dispatcher's own.
-    pub fn apply_peer_verdict(&mut self, now: f64, r: usize, well: bool) {
-        match self.runners[r].resting {
-            None if !well => self.weigh(r, now, 6.0),
-            Some(until) if well && self.runners[r].trial.is_none() && until > now + LOOK_S => {
-                self.runners[r].resting = Some(now + LOOK_S * self.pcg.uniform());
+    /// Applies the other dispatchers' verdict on a runner, which the host has weighed. An unhealthy verdict
+    /// outweighs the last good signs. A healthy verdict ends the runner's ejection within 0.1 s, at a random
+    /// instant, so that the dispatchers do not all try the runner at once.
+    pub fn apply_peer_verdict(&mut self, now: f64, runner: usize, healthy: bool) {
+        match self.runners[runner].ejected_until_s {
+            None if !healthy => self.add_evidence(runner, now, 6.0),
+            Some(until)
+                if healthy
+                    && self.runners[runner].trial_until_s.is_none()
+                    && until > now + CHECK_INTERVAL_S =>
+            {
+                self.runners[runner].ejected_until_s =
+                    Some(now + CHECK_INTERVAL_S * self.pcg.uniform());
             }
             _ => {}
         }
     }
 
-    /// Silence and standing still are evidence too. Guards against runners that take work and answer nothing.
-    pub(super) fn doubt(&mut self, host: &mut impl Host, w: u32, now: f64) {
-        let work = &self.works[w as usize];
-        let Some(attempt) = work.out.as_ref().filter(|attempt| !attempt.cancelled) else {
+    /// Counts silence and missing progress of an attempt against its runner, and cancels the attempt if
+    /// another one can still end in time. This finds runners that accept work and never answer.
+    pub(super) fn check_progress(&mut self, host: &mut impl Host, handle: u32, now: f64) {
+        let work_item = &self.work_items[handle as usize];
+        let Some(attempt) = work_item
+            .in_flight
+            .as_ref()
+            .filter(|attempt| !attempt.cancelled)
+        else {
             return;
         };
-        let (r, run, category) = (attempt.runner, self.expected(&work.job), work.job.category);
-        // Guards against taking a wait behind our own long jobs for silence.
-        let full = self.runners[r].running >= self.runners[r].most.max(1.0);
-        let quiet_s = match attempt.started {
-            // Where others' work is not known, it may wait behind theirs as long as any did lately.
-            None if self.config.uses_load_probes => QUIET_S + 3.0 * run,
-            // Guards against others' queues, or a jam, taken for illness: twice the longest last wait.
-            None if self.config.reports_start && !full => {
-                let unknown =
-                    self.config.dispatcher_count > 1 && self.waits.samples().len() < WAITS;
-                QUIET_S + 2.0 * self.longest_wait + if unknown { 3.0 * run } else { 0.0 }
+        let (runner, expected_run_s, category) = (
+            attempt.runner,
+            self.expected_run_s(&work_item.job),
+            work_item.job.category,
+        );
+        // With as many jobs running as ever at once, the wait for a start may be one behind this dispatcher's
+        // own long jobs and is not silence.
+        let is_full =
+            self.runners[runner].own_running >= self.runners[runner].most_own_running.max(1.0);
+        let allowed_silence_s = match attempt.started_at_s {
+            // The load by other dispatchers is not known, so the attempt may wait for a run of theirs.
+            None if self.config.uses_load_probes => SILENCE_S + 3.0 * expected_run_s,
+            // Twice the longest recent wait, so that the queues of others or congestion are not taken for a
+            // fault.
+            None if self.config.reports_start && !is_full => {
+                let is_load_unknown = self.config.dispatcher_count > 1
+                    && self.start_waits.samples().len() < START_WAIT_SAMPLES;
+                SILENCE_S
+                    + 2.0 * self.longest_wait_s
+                    + if is_load_unknown {
+                        3.0 * expected_run_s
+                    } else {
+                        0.0
+                    }
             }
+            // Started jobs report at this interval.
             Some(_) if self.config.progress_interval_s > 0.0 => {
                 2.2 * self.config.progress_interval_s
-            } // Their own beat.
-            _ => QUIET_S + 3.0 * run,
+            }
+            _ => SILENCE_S + 3.0 * expected_run_s,
         };
-        // Guards against a queue that no report tells of: what waits there for its start says it is full.
-        let waits = self.config.uses_load_probes
-            && attempt.started.is_none()
-            && now > attempt.sent + PROMPT_S;
-        // Guards against an attempt never taken by a runner that is well otherwise: taking is said at once.
-        let unsaid = self.config.reports_acceptance
-            && attempt.moved <= attempt.sent
-            && now > attempt.sent + QUIET_S;
-        let spoke = self.runners[r]
-            .heard
-            .max(if unsaid { self.runners[r].took } else { 0.0 });
-        let heard = if attempt.started.is_some() {
-            attempt.moved
+        // An attempt that waits for its start shows that the runner is full, even if a queue is in no load
+        // report.
+        let shows_full = self.config.uses_load_probes
+            && attempt.started_at_s.is_none()
+            && now > attempt.sent_at_s + PROMPT_START_S;
+        // Runners report an acceptance at once, so an attempt without it was never accepted, even if the
+        // runner is healthy otherwise.
+        let never_accepted = self.config.reports_acceptance
+            && attempt.last_sign_at_s <= attempt.sent_at_s
+            && now > attempt.sent_at_s + SILENCE_S;
+        let runner_heard_at_s = self.runners[runner].heard_at_s.max(if never_accepted {
+            self.runners[runner].accepted_at_s
+        } else {
+            0.0
+        });
+        let heard_at_s = if attempt.started_at_s.is_some() {
+            attempt.last_sign_at_s
         } else {
-            attempt.moved.max(spoke)
+            attempt.last_sign_at_s.max(runner_heard_at_s)
         };
-        let silent = now - heard > quiet_s * (1.0 + attempt.doubts as f64);
-        let rerun = self.config.categories[category].repeat != Repeat::AtMostOnce;
-        if attempt.started.is_none() && now > attempt.sent + PROMPT_S {
-            self.runners[r].wait = (now - attempt.sent, now);
+        let is_silent = now - heard_at_s > allowed_silence_s * (1.0 + attempt.silences as f64);
+        let may_repeat = self.config.categories[category].repeat != Repeat::AtMostOnce;
+        if attempt.started_at_s.is_none() && now > attempt.sent_at_s + PROMPT_START_S {
+            self.runners[runner].start_wait = (now - attempt.sent_at_s, now);
         }
-        if silent {
-            self.works[w as usize].out.as_mut().unwrap().doubts += 1;
-            self.weigh(r, now, 2.6);
-            host.runner_silent(r);
+        if is_silent {
+            self.work_items[handle as usize]
+                .in_flight
+                .as_mut()
+                .unwrap()
+                .silences += 1;
+            self.add_evidence(runner, now, 2.6);
+            host.runner_silent(runner);
         }
-        if waits {
-            (self.runners[r].free, self.runners[r].reported) = (0.0, now);
+        if shows_full {
+            (
+                self.runners[runner].free_slots,
+                self.runners[runner].reported_at_s,
+            ) = (0.0, now);
         }
-        let out = self.works[w as usize].out.as_ref().unwrap();
-        let (left, still) = (out.left_s(), out.doubts > 0 && now - out.moved > quiet_s);
-        let stuck = still || left > 2.0 * run && now + left > self.due(w);
-        // Guards against answers lost on the way back: a started job tells each beat, so one beat and a half
-        // without word means that it has ended or stands still, be its runner well or not.
-        let beat = self.config.progress_interval_s;
-        let ended = out.started.is_some() && beat > 0.0 && now > out.moved + 1.5 * beat;
-        // Only off a runner judged unwell, or that never took it, while another try can still end in time.
-        if unsaid {
-            self.shun(r, category, now, 6.0);
+        let attempt = self.work_items[handle as usize].in_flight.as_ref().unwrap();
+        let (remaining_s, makes_no_progress) = (
+            attempt.remaining_s(),
+            attempt.silences > 0 && now - attempt.last_sign_at_s > allowed_silence_s,
+        );
+        let is_stuck = makes_no_progress
+            || remaining_s > 2.0 * expected_run_s && now + remaining_s > self.due_at_s(handle);
+        // A started job reports at each interval. One and a half intervals without a report mean that it has
+        // ended or makes no progress, whether or not its runner is healthy; its answer may have been lost on
+        // the way back.
+        let interval_s = self.config.progress_interval_s;
+        let stopped_reporting = attempt.started_at_s.is_some()
+            && interval_s > 0.0
+            && now > attempt.last_sign_at_s + 1.5 * interval_s;
+        if never_accepted {
+            self.add_category_evidence(runner, category, now, 6.0);
         }
-        if (unsaid || ended || stuck && self.runners[r].resting.is_some())
-            && rerun
-            && self.may_resend(w, now)
+        // A stuck attempt is cancelled only at an ejected runner. Any attempt is cancelled only while another
+        // one can still end in time.
+        if (never_accepted
+            || stopped_reporting
+            || is_stuck && self.runners[runner].ejected_until_s.is_some())
+            && may_repeat
+            && self.may_attempt(handle, now)
         {
-            self.cancel(host, w);
+            self.cancel_attempt(host, handle);
         }
     }
 }
--- a/crates/dispatcher/policy/src/policy/probing.rs
+++ b/crates/dispatcher/policy/src/policy/probing.rs
@@ -1,109 +1,123 @@
-//! Where runners report only to probes: which are asked, and what queues where all are full.
+//! Load probes, for runners that report their load in no other way, and the queues that work joins if all are
+//! full.
 
 use super::*;
 
 impl Dispatcher {
-    /// Held work that lacks a fresh view of a runner it might use asks a few at a time, best first; when all
-    /// are full it waits, longer after each round. One probe is out to a runner at most, and one that takes
-    /// long says that the runner is busy: the next are asked.
-    pub(super) fn seek(&mut self, host: &mut impl Host) {
+    /// Sends load probes for the held work items that lack a valid load report of an eligible candidate, one
+    /// at a time for each work item and best candidate first. After all candidates were found full the next
+    /// round follows after a wait that doubles with each round. At most one probe is in flight to a runner. A
+    /// probe that takes long shows that its runner is busy, so the next candidate is probed.
+    pub(super) fn send_probes(&mut self, host: &mut impl Host) {
         let now = host.now();
-        let wait_s = 3.0
+        let probe_wait_s = 3.0
             * self
                 .probe_times
                 .quantile(0.5)
-                .unwrap_or(QUIET_S / 3.0)
+                .unwrap_or(SILENCE_S / 3.0)
                 .max(1e-3);
-        self.next_seek = f64::INFINITY;
-        let mut again = false;
-        for place in 0..self.held.len() {
-            let w = self.held[place];
-            let work = &self.works[w as usize];
-            let (mut asked, mut at) = (work.asked, work.ask_at);
-            let places = &work.near.clone();
-            let places = &places.samples()[..places.samples().len().min(PLACES)];
-            let out = |r: &usize| {
-                self.runners[*r]
-                    .probed
-                    .map(|t| t + wait_s)
-                    .filter(|t| now < *t)
+        self.next_probe_at_s = f64::INFINITY;
+        let mut has_valid_report = false;
+        for position in 0..self.held.len() {
+            let handle = self.held[position];
+            let work_item = &self.work_items[handle as usize];
+            let (mut probed, mut next_at_s) = (work_item.probed, work_item.next_probe_at_s);
+            let candidates = &work_item.candidates.clone();
+            let candidates =
+                &candidates.samples()[..candidates.samples().len().min(PROBE_CANDIDATES)];
+            let probe_wait_ends_at_s = |runner: &usize| {
+                self.runners[*runner]
+                    .probe_sent_at_s
+                    .map(|sent_at_s| sent_at_s + probe_wait_s)
+                    .filter(|ends_at_s| now < *ends_at_s)
             };
-            let due = places[..asked.min(places.len())]
+            let in_flight_until_s = candidates[..probed.min(candidates.len())]
                 .iter()
-                .filter_map(out)
+                .filter_map(probe_wait_ends_at_s)
                 .fold(f64::NEG_INFINITY, f64::max);
-            at = at.max(due);
-            let mut sent = 0;
-            // Only one is asked in a later round: what has waited so long has learnt that all are full.
-            let most = if work.rounds > 0 {
-                (asked + 1).min(places.len())
+            next_at_s = next_at_s.max(in_flight_until_s);
+            let mut probes = 0;
+            // In a later round only one candidate is probed, since all were found full before.
+            let probe_limit = if work_item.probe_rounds > 0 {
+                (probed + 1).min(candidates.len())
             } else {
-                places.len()
+                candidates.len()
             };
-            while now >= at && sent == 0 && asked < most {
-                let r = places[asked];
-                asked += 1;
-                let fresh = now < self.runners[r].reported + self.fresh_s;
-                let room = self.runners[r].free >= self.works[w as usize].job.slots;
-                if !self.usable(w, r, now) || fresh && !room {
+            while now >= next_at_s && probes == 0 && probed < probe_limit {
+                let runner = candidates[probed];
+                probed += 1;
+                let is_report_valid =
+                    now < self.runners[runner].reported_at_s + self.report_lifetime_s;
+                let has_room =
+                    self.runners[runner].free_slots >= self.work_items[handle as usize].job.slots;
+                if !self.is_eligible(handle, runner, now) || is_report_valid && !has_room {
                     continue;
                 }
-                sent += 1;
-                again |= fresh;
-                if !fresh && self.runners[r].probed.is_none() {
-                    self.runners[r].probed = Some(now);
-                    host.probe(r);
+                probes += 1;
+                has_valid_report |= is_report_valid;
+                if !is_report_valid && self.runners[runner].probe_sent_at_s.is_none() {
+                    self.runners[runner].probe_sent_at_s = Some(now);
+                    host.probe(runner);
                 }
             }
-            // Guards against a cut that takes all its places: others come up in their stead.
-            if sent == 0 && now >= at && !places.iter().any(|&r| self.usable(w, r, now)) {
-                self.find_home(w, now);
+            // If a network partition makes all candidates ineligible, the next runners in the key's order
+            // take their place.
+            if probes == 0
+                && now >= next_at_s
+                && !candidates
+                    .iter()
+                    .any(|&runner| self.is_eligible(handle, runner, now))
+            {
+                self.select_candidates(handle, now);
             }
-            let work = &mut self.works[w as usize];
-            if sent > 0 {
-                at = now + wait_s;
-            } else if now >= at {
-                work.ask_at =
-                    now + (self.fresh_s / FRESH).max(wait_s) * 2f64.powi(work.rounds.min(8));
-                (at, work.rounds) = (work.ask_at, work.rounds + 1);
-                asked = if work.rounds == 1 || asked >= places.len() {
+            let work_item = &mut self.work_items[handle as usize];
+            if probes > 0 {
+                next_at_s = now + probe_wait_s;
+            } else if now >= next_at_s {
+                work_item.next_probe_at_s = now
+                    + (self.report_lifetime_s / REPORT_LIFETIME).max(probe_wait_s)
+                        * 2f64.powi(work_item.probe_rounds.min(8));
+                (next_at_s, work_item.probe_rounds) =
+                    (work_item.next_probe_at_s, work_item.probe_rounds + 1);
+                probed = if work_item.probe_rounds == 1 || probed >= candidates.len() {
                     0
                 } else {
-                    asked
+                    probed
                 };
             }
-            work.asked = asked;
-            self.next_seek = self.next_seek.min(at);
+            work_item.probed = probed;
+            self.next_probe_at_s = self.next_probe_at_s.min(next_at_s);
         }
-        if again {
-            self.pass(host);
+        if has_valid_report {
+            self.assign_held(host);
         }
     }
 
-    /// What has asked all its places and found none free takes the best of them as far as the cap allows: a
-    /// short queue at a holder costs less than a slot that waits to be asked.
-    pub(super) fn queue(&mut self, host: &mut impl Host) {
+    /// Sends work items whose candidates were all probed and found full to the least loaded of them, within
+    /// the slot cap: a short queue at a holder of the key costs less than a free slot that is found only by
+    /// the next probe.
+    pub(super) fn send_to_full_runners(&mut self, host: &mut impl Host) {
         let now = host.now();
-        let mut place = 0;
-        while place < self.held.len() {
-            let work = &self.works[self.held[place] as usize];
-            let queues = |r: &&usize| {
-                let runner = &self.runners[**r];
-                self.usable(self.held[place], **r, now)
-                    && work.job.slots <= runner.cap.floor() - runner.mine
-                    && now >= runner.refused + self.fresh_s
-                    && self.cold_size(&work.job) <= runner.cold_left
+        let mut position = 0;
+        while position < self.held.len() {
+            let work_item = &self.work_items[self.held[position] as usize];
+            let may_queue_at = |index: &&usize| {
+                let runner = &self.runners[**index];
+                self.is_eligible(self.held[position], **index, now)
+                    && work_item.job.slots <= runner.slot_cap.floor() - runner.own_slots
+                    && now >= runner.full_at_s + self.report_lifetime_s
+                    && self.cold_work(&work_item.job) <= runner.cold_budget
             };
-            let may = work.rounds > 0 && work.spare <= 0.0;
-            let idlest = |r: &usize| (10.0 * self.runners[*r].busy) as i64;
-            let places = work.near.samples().iter().take(PLACES);
-            match places
-                .filter(|r| may && queues(r))
+            let may_queue = work_item.probe_rounds > 0 && work_item.reserve_slots <= 0.0;
+            let tenths_of_load = |index: &usize| (10.0 * self.runners[*index].load) as i64;
+            let candidates = work_item.candidates.samples().iter().take(PROBE_CANDIDATES);
+            match candidates
+                .filter(|index| may_queue && may_queue_at(index))
                 .copied()
-                .min_by_key(idlest)
+                .min_by_key(tenths_of_load)
             {
-                Some(r) => self.send(host, place, r),
-                None => place += 1,
+                Some(runner) => self.send(host, position, runner),
+                None => position += 1,
             }
         }
     }
--- a/crates/dispatcher/policy/src/policy/work_items.rs
+++ b/crates/dispatcher/policy/src/policy/work_items.rs
@@ -1,100 +1,119 @@
-//! What becomes of a work item: taken, held, started, come back, left.
+//! The events of a work item: its arrival, the reports on its attempts, and the departure of its client.
 
 use super::*;
 
-/// A work item's handle.
+/// The handle of a work item. It may be assigned to another work item after `Host::release_handle`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct WorkItem(pub u32);
 
 impl WorkItem {
-    /// The attempt's job has started.
-    pub fn started(self, d: &mut Dispatcher, now: f64, no: u16) {
-        let first = |a: &&mut Attempt| a.no == no && a.started.is_none(); // A callback may come twice.
-        let Some(attempt) = d.works[self.0 as usize].out.as_mut().filter(first) else {
+    /// Applies that the job of an attempt has started. `attempt` counts the attempts of the work item from 0.
+    pub fn started(self, dispatcher: &mut Dispatcher, now: f64, attempt: u16) {
+        // The report may come twice.
+        let is_first_report = |in_flight: &&mut Attempt| {
+            in_flight.number == attempt && in_flight.started_at_s.is_none()
+        };
+        let Some(in_flight) = dispatcher.work_items[self.0 as usize]
+            .in_flight
+            .as_mut()
+            .filter(is_first_report)
+        else {
             return;
         };
-        (attempt.started, attempt.moved) = (Some(now), now);
-        let (waited, runner) = (now - attempt.sent, &mut d.runners[attempt.runner]);
-        d.waits.push((waited, now));
-        runner.heard = now;
-        runner.running += 1.0;
-        runner.wait = (waited, now);
-        runner.most = runner.most.max(runner.running);
-        // Guards against a cap past the slots: with no 'full' before a long queue, a late start is the first
-        // sign, a soft 'full'. Where more of ours ran before and nobody else sends, a lost job runs on.
-        if waited > PROMPT_S && runner.running < runner.cap {
-            let passing = d.config.dispatcher_count == 1 && runner.running < runner.most;
-            runner.cap = runner.running;
-            runner.ceiling = (runner.cap, now + if passing { 1.0 } else { 10.0 });
+        (in_flight.started_at_s, in_flight.last_sign_at_s) = (Some(now), now);
+        let (waited_s, runner) = (
+            now - in_flight.sent_at_s,
+            &mut dispatcher.runners[in_flight.runner],
+        );
+        dispatcher.start_waits.push((waited_s, now));
+        runner.heard_at_s = now;
+        runner.own_running += 1.0;
+        runner.start_wait = (waited_s, now);
+        runner.most_own_running = runner.most_own_running.max(runner.own_running);
+        // A late start limits the slot cap to the jobs that run now. If a runner only answers "full" after a
+        // long queue has formed, a late start is the first sign that the cap exceeds its slots. If more of
+        // this dispatcher's jobs ran there before and no other dispatcher sends, the cause is a lost job that
+        // still runs, and the limit holds for a shorter time.
+        if waited_s > PROMPT_START_S && runner.own_running < runner.slot_cap {
+            let is_temporary = dispatcher.config.dispatcher_count == 1
+                && runner.own_running < runner.most_own_running;
+            runner.slot_cap = runner.own_running;
+            runner.slot_cap_limit = (runner.slot_cap, now + if is_temporary { 1.0 } else { 10.0 });
         }
     }
 
-    /// The runner has said that it takes the attempt.
-    pub fn accepted(self, d: &mut Dispatcher, now: f64, no: u16) {
-        let Some(out) = d.works[self.0 as usize]
-            .out
+    /// Applies that the runner has accepted an attempt.
+    pub fn accepted(self, dispatcher: &mut Dispatcher, now: f64, attempt: u16) {
+        let Some(in_flight) = dispatcher.work_items[self.0 as usize]
+            .in_flight
             .as_mut()
-            .filter(|out| out.no == no)
+            .filter(|in_flight| in_flight.number == attempt)
         else {
             return;
         };
-        out.moved = out.moved.max(now);
-        d.runners[out.runner].took = now;
+        in_flight.last_sign_at_s = in_flight.last_sign_at_s.max(now);
+        dispatcher.runners[in_flight.runner].accepted_at_s = now;
     }
 
-    /// So much of the attempt's job is done.
-    pub fn progressed(self, d: &mut Dispatcher, now: f64, no: u16, share: f64) {
-        let Some(out) = d.works[self.0 as usize]
-            .out
+    /// Applies a progress report of an attempt's job; `progress` is the fraction that is done, 0 to 1.
+    pub fn progressed(self, dispatcher: &mut Dispatcher, now: f64, attempt: u16, progress: f64) {
+        let Some(in_flight) = dispatcher.work_items[self.0 as usize]
+            .in_flight
             .as_mut()
-            .filter(|out| out.no == no)
+            .filter(|in_flight| in_flight.number == attempt)
         else {
             return;
         };
-        (out.moved, out.share) = (now, share);
-        d.runners[out.runner].heard = now;
+        (in_flight.last_sign_at_s, in_flight.progress) = (now, progress);
+        dispatcher.runners[in_flight.runner].heard_at_s = now;
     }
 
-    /// The client has gone; nothing is owed any more.
-    pub fn client_left(self, d: &mut Dispatcher, host: &mut impl Host) {
-        d.held.retain(|&w| w != self.0);
-        d.works[self.0 as usize].ended = true;
-        d.cancel(host, self.0);
-        d.release(host, self.0);
+    /// Applies that the client has left, so that no answer is owed any more.
+    pub fn client_left(self, dispatcher: &mut Dispatcher, host: &mut impl Host) {
+        dispatcher.held.retain(|&handle| handle != self.0);
+        dispatcher.work_items[self.0 as usize].ended = true;
+        dispatcher.cancel_attempt(host, self.0);
+        dispatcher.release_if_done(host, self.0);
     }
 
-    /// A attempt has come back.
+    /// Applies the end of an attempt. `is_answered` tells that the client has been answered, so that there is
+    /// no retry.
     pub fn attempt_ended(
         self,
-        d: &mut Dispatcher,
+        dispatcher: &mut Dispatcher,
         host: &mut impl Host,
-        no: u16,
+        attempt: u16,
         outcome: Outcome,
-        settled: bool,
+        is_answered: bool,
     ) {
         let now = host.now();
-        let work = &mut d.works[self.0 as usize];
-        let Some(attempt) = work.out.take_if(|attempt| attempt.no == no) else {
+        let work_item = &mut dispatcher.work_items[self.0 as usize];
+        let Some(attempt) = work_item
+            .in_flight
+            .take_if(|in_flight| in_flight.number == attempt)
+        else {
             return;
         };
-        let job = work.job;
-        d.runners[attempt.runner].unload(&job, &attempt);
-        d.changed = true;
-        d.learn(&job, &attempt, now, outcome);
-        let work = &mut d.works[self.0 as usize];
-        work.ended |= settled;
+        let job = work_item.job;
+        dispatcher.runners[attempt.runner].count_ended(&job, &attempt);
+        dispatcher.needs_pass = true;
+        dispatcher.record_outcome(&job, &attempt, now, outcome);
+        let work_item = &mut dispatcher.work_items[self.0 as usize];
+        work_item.ended |= is_answered;
         if !outcome.proves_not_run() && outcome != Outcome::Finished {
-            work.ran.get_or_insert((attempt.sent, attempt.runner));
+            work_item
+                .may_have_run
+                .get_or_insert((attempt.sent_at_s, attempt.runner));
         }
-        if work.ended {
-            return d.release(host, self.0);
+        if work_item.ended {
+            return dispatcher.release_if_done(host, self.0);
         }
-        // 20 ms: a time-out trimmed to the expiry arrives within a batch or two of it.
+        // 20 ms, because an attempt that ends at the expiry is reported within a batch or two of it.
         if now > job.expires_at_s - 0.02 {
-            return d.end(host, self.0, false);
+            return dispatcher.give_up(host, self.0, false);
         }
-        // Guards against giving the same failing runner its work straight back.
-        work.avoid = (
+        // For 1 s the work item is not sent back to the runner that failed it.
+        work_item.avoided = (
             attempt.runner,
             if outcome == Outcome::StaleConnection {
                 now
@@ -102,51 +121,62 @@
                 now + 1.0
             },
         );
-        if !d.may_resend(self.0, now) {
-            return d.end(host, self.0, true);
+        if !dispatcher.may_attempt(self.0, now) {
+            return dispatcher.give_up(host, self.0, true);
         }
-        d.hold(now, self.0);
+        dispatcher.hold(now, self.0);
     }
 }
 
 impl Dispatcher {
-    /// Takes a work item of a known category; it is held until `decide` finds it a runner.
+    /// Accepts a work item, which is held until `decide` assigns it to a runner; `None` if its category is
+    /// unknown.
     pub fn submit(&mut self, now: f64, job: Job) -> Option<WorkItem> {
         self.config.categories.get(job.category)?;
-        self.asked.push(job.key);
-        // Guards against repeats that look fresh: a client gives up all tries at one time, so what is left of
-        // the longest wait seen tells when its first try came, by which it is due.
-        let begun = self.longest.get_mut(job.category).map_or(now, |longest| {
-            *longest = longest.max(job.expires_at_s - now);
-            now.min(job.expires_at_s - *longest)
-        });
-        let id = self.place(Work::new(job, begun, now));
-        // Guards against the loss of a site taking the next one along: what would not fit is not begun.
-        let part = self.admit.get(job.category).copied().unwrap_or(1.0);
-        self.works[id as usize].refused = part < 1.0 && self.pcg.uniform() >= part;
-        self.hold(now, id);
-        Some(WorkItem(id))
+        self.recent_keys.push(job.key);
+        // A client gives up all its tries at the same instant. So the difference between the longest wait
+        // seen and the wait that is left tells when the first try came, from which the due time counts.
+        let first_requested_at_s =
+            self.longest_expiries
+                .get_mut(job.category)
+                .map_or(now, |longest_s| {
+                    *longest_s = longest_s.max(job.expires_at_s - now);
+                    now.min(job.expires_at_s - *longest_s)
+                });
+        let handle = self.store(WorkItemState::new(job, first_requested_at_s, now));
+        // Work that the remaining sites have no capacity for is rejected, so that the loss of one site does
+        // not bring down the next.
+        let admitted = self
+            .admitted_fractions
+            .get(job.category)
+            .copied()
+            .unwrap_or(1.0);
+        self.work_items[handle as usize].rejected =
+            admitted < 1.0 && self.pcg.uniform() >= admitted;
+        self.hold(now, handle);
+        Some(WorkItem(handle))
     }
 
-    pub(super) fn hold(&mut self, now: f64, w: u32) {
-        self.changed = true;
-        self.find_home(w, now);
-        let Work {
-            taken,
+    /// Holds a work item, in the order of arrival, until it is assigned to a runner.
+    pub(super) fn hold(&mut self, now: f64, handle: u32) {
+        self.needs_pass = true;
+        self.select_candidates(handle, now);
+        let WorkItemState {
+            received_at_s,
             job,
-            refused,
+            rejected,
             ..
-        } = self.works[w as usize];
-        self.works[w as usize].holders = self.holders(w, now);
-        let place = self
+        } = self.work_items[handle as usize];
+        self.work_items[handle as usize].key_holders = self.find_key_holders(handle, now);
+        let position = self
             .held
-            .partition_point(|&h| self.works[h as usize].taken <= taken);
-        self.held.insert(place, w);
-        // Guards against work that arrives, or comes back, with its expiry already upon it.
-        self.next_look = self.next_look.min(if refused {
+            .partition_point(|&held| self.work_items[held as usize].received_at_s <= received_at_s);
+        self.held.insert(position, handle);
+        // A work item may arrive, or come back from an attempt, so late that it must be given up at once.
+        self.next_check_at_s = self.next_check_at_s.min(if rejected {
             now
         } else {
-            job.expires_at_s - 2.0 * LOOK_S
+            job.expires_at_s - 2.0 * CHECK_INTERVAL_S
         });
     }
 }
