--- a/crates/dispatcher/policy/src/policy.rs
+++ b/crates/dispatcher/policy/src/policy.rs
@@ -40,8 +40,8 @@
 /// The initial slot cap of a runner that does not report its load (see docs/design.md).
 pub(crate) const INITIAL_SLOT_CAP: f64 = 2.0;
 /// The subset has this many runners of a group for each running job of this dispatcher. Then each runner is
-/// heard of every few runs, and each runner is in the subsets of several dispatchers. 2 and 3 give fewer hits
-/// of runners that hold the key; with more, too little is heard of each runner.
+/// heard of every few runs, and each runner is in the subsets of several dispatchers. With 2 or 3, work finds
+/// a holder of its key less often; with more than 4, too little is heard of each runner.
 const SUBSET_PER_RUNNING_JOB: f64 = 4.0;
 /// The smallest subset size of a group: as many runners as a work item has candidates.
 pub(crate) const MIN_SUBSET_SIZE: f64 = CANDIDATES as f64;
--- a/crates/dispatcher/policy/src/policy/periodic.rs
+++ b/crates/dispatcher/policy/src/policy/periodic.rs
@@ -119,7 +119,7 @@
         } else {
             due_at_s - 1.4 * run_s - self.median_wait_s
         };
-        // It is at least two periodic checks before the expiry, so that the answer still arrives in time.
+        // It lies at least two periodic checks before the expiry, so that the answer still arrives in time.
         last_start_s
             .max(work_item.received_at_s + CHECK_INTERVAL_S)
             .min(work_item.job.expires_at_s - 2.0 * CHECK_INTERVAL_S)
--- a/crates/dispatcher/policy/src/policy/probing.rs
+++ b/crates/dispatcher/policy/src/policy/probing.rs
@@ -36,14 +36,15 @@
                 .filter_map(probe_wait_ends_at_s)
                 .fold(f64::NEG_INFINITY, f64::max);
             next_at_s = next_at_s.max(in_flight_until_s);
-            let mut probes = 0;
+            // How many candidates have room by a valid report, or were probed because theirs is not valid.
+            let mut promising = 0;
             // In a later round only one candidate is probed, since all were found full before.
             let probe_limit = if work_item.probe_rounds > 0 {
                 (probed + 1).min(candidates.len())
             } else {
                 candidates.len()
             };
-            while now >= next_at_s && probes == 0 && probed < probe_limit {
+            while now >= next_at_s && promising == 0 && probed < probe_limit {
                 let runner = candidates[probed];
                 probed += 1;
                 let is_report_valid =
@@ -53,7 +54,7 @@
                 if !self.is_eligible(handle, runner, now) || is_report_valid && !has_room {
                     continue;
                 }
-                probes += 1;
+                promising += 1;
                 has_valid_report |= is_report_valid;
                 if !is_report_valid && self.runners[runner].probe_sent_at_s.is_none() {
                     self.runners[runner].probe_sent_at_s = Some(now);
@@ -62,7 +63,7 @@
             }
             // If a network partition makes all candidates ineligible, the next runners in the key's order
             // take their place.
-            if probes == 0
+            if promising == 0
                 && now >= next_at_s
                 && !candidates
                     .iter()
@@ -71,7 +72,7 @@
                 self.select_candidates(handle, now);
             }
             let work_item = &mut self.work_items[handle as usize];
-            if probes > 0 {
+            if promising > 0 {
                 next_at_s = now + probe_wait_s;
             } else if now >= next_at_s {
                 work_item.next_probe_at_s = now
--- a/crates/dispatcher/policy/src/state.rs
+++ b/crates/dispatcher/policy/src/state.rs
@@ -12,9 +12,11 @@
 
 /// One attempt in flight.
 pub(crate) struct Attempt {
+    /// The index of the runner that it was sent to.
     pub runner: usize,
     /// The number of the attempt among those of its work item, from 0.
     pub number: u16,
+    /// When it was sent.
     pub sent_at_s: f64,
     /// When its job started; `None` if no start was reported.
     pub started_at_s: Option<f64>,
@@ -68,6 +70,7 @@
 
 /// The state of one work item.
 pub(crate) struct WorkItemState {
+    /// What was known of it at its arrival.
     pub job: Job,
     /// When it was first requested, as far as is known. That is earlier than its arrival for a client's retry.
     pub first_requested_at_s: f64,
@@ -81,6 +84,7 @@
     pub rejected: bool,
     /// How many attempts were sent.
     pub attempts: u16,
+    /// Its attempt in flight; `None` while it is held, and after the end of its last attempt.
     pub in_flight: Option<Attempt>,
     /// When, and to which runner, the first attempt was sent that may have run; `None` if none may have run.
     pub may_have_run: Option<(f64, usize)>,
@@ -199,7 +203,7 @@
     /// This dispatcher's share, 0 to 1, of what all dispatchers may send to it while it is cold; `None` if shares are
     /// not negotiated for it.
     pub cold_share: Option<f64>,
-    /// Whether its site is lost, or has not returned up to this runner.
+    /// Whether its site is lost, or is returning and does not use this runner again yet.
     pub unreachable: bool,
     /// Until when it gets no work because a connection to it failed.
     pub backoff_until_s: f64,
@@ -314,12 +318,14 @@
     }
 }
 
-/// The decisions of one dispatcher and the state that they rest on.
+/// One of the dispatchers: its configuration, its state and its decisions.
 pub struct Dispatcher {
     pub(crate) config: PolicyConfig,
+    /// The source of all random draws.
     pub(crate) pcg: Pcg,
     /// Whether room or work has come since the last pass.
     pub(crate) needs_pass: bool,
+    /// When the last pass was.
     pub(crate) last_pass_at_s: f64,
     /// How many passes there have been.
     pub(crate) pass_count: u64,
@@ -332,6 +338,7 @@
     pub(crate) free_handles: Vec<u32>,
     /// The handles of the work items without an attempt in flight, in the order of their arrival.
     pub(crate) held: Vec<u32>,
+    /// The runners by the index that the host assigned.
     pub(crate) runners: Vec<Runner>,
     /// The runners with room in the present pass; empty between passes and kept for its allocation.
     pub(crate) open_runners: Vec<usize>,
@@ -372,6 +379,7 @@
     pub(crate) fleet_slowdown: f64,
     /// When the dispatcher was last congested: a held work item had used up half of its time until due.
     pub(crate) congested_at_s: f64,
+    /// When the next periodic check is due.
     pub(crate) next_check_at_s: f64,
     /// How many seconds the last load probes took.
     pub(crate) probe_times: Ring<f64, 16>,
@@ -406,6 +414,7 @@
     pub(crate) remaining_retries: f64,
     /// The most jobs that all dispatchers together have running on one runner; 0 if it is not known.
     pub(crate) fleet_max_running: f64,
+    /// When the runner list is requested next; infinite while it is held or pushed.
     pub(crate) next_list_request_at_s: f64,
     /// The span over which the next list request after a failure is spread.
     pub(crate) list_retry_spread_s: f64,
@@ -521,6 +530,7 @@
         &mut self.category_evidence[category]
     }
 
+    /// Whether it is ejected for a category.
     pub(crate) fn is_ejected_for(&self, category: usize, now: f64) -> bool {
         self.category_evidence
             .get(category)
@@ -676,8 +686,8 @@
         self.remaining_retries = retries;
     }
 
-    /// Sets the runners, in ascending order, whose site is lost or has not returned up to them. They get no work.
-    /// Attempts in flight there are treated under the rule on effects.
+    /// Sets the runners, in ascending order, whose site is lost, or is returning and does not use them again yet. They
+    /// get no work. Attempts in flight there are treated under the rule on effects (see `policy/rules.rs`).
     pub fn set_unreachable(&mut self, now: f64, unreachable: &[usize]) {
         let mut any_changed = false;
         for (index, runner) in self.runners.iter_mut().enumerate() {
@@ -985,6 +995,7 @@
         }
     }
 
+    /// The category of a work item.
     pub(crate) fn category(&self, handle: u32) -> &Category {
         &self.config.categories[self.work_items[handle as usize].job.category]
     }
