--- a/crates/dispatcher/dispatch/src/exchange.rs
+++ b/crates/dispatcher/dispatch/src/exchange.rs
@@ -10,13 +10,13 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// A reported start is passed on this many seconds later, because it may have overtaken the end that made room for it.
-/// On loopback half of the starts overtake, by at most 0.2 ms. More than ten times as much allows for a real network and
-/// is still short compared with a job.
+/// On loopback half of the starts overtake, by at most 0.2 ms. More than ten times as much allows for a real network
+/// and is still short compared with a job.
 const START_DELAY_S: f64 = 0.005;
 
-/// Dispatch of work items. The host calls [`Exchange::set_now`] with the time, then makes the calls for the events at hand,
-/// each through [`Exchange::contain_panic`], then calls [`Exchange::process_due`]. It does so for each batch of events and
-/// whenever [`Exchange::next_due_s`] is reached.
+/// Dispatch of work items. For each batch of events, and whenever [`Exchange::next_due_s`] is reached, the host calls
+/// [`Exchange::set_now`] with the time, then makes the calls for the events, each through
+/// [`Exchange::contain_panic`], then calls [`Exchange::process_due`].
 pub struct Exchange<O: ExchangeHost> {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) state: ExchangeState<O>,
@@ -41,8 +41,8 @@
 }
 
 impl<O: ExchangeHost> Exchange<O> {
-    /// Creates an exchange without work items and without an endpoint list. `now` is in seconds on its clock.
-    pub fn new(dispatcher: Dispatcher, host: O, config: ExchangeConfig, now: f64) -> Self {
+    /// Creates an exchange without work items and without an endpoint list. `now_s` is the time on its clock.
+    pub fn new(dispatcher: Dispatcher, host: O, config: ExchangeConfig, now_s: f64) -> Self {
         let ExchangeConfig {
             unix_at_zero_s,
             connect_timeout_s,
@@ -54,7 +54,7 @@
         } = config;
         let state = ExchangeState {
             host,
-            now_s: now,
+            now_s,
             unix_at_zero_s,
             connect_timeout_s,
             drain_grace_s,
@@ -78,14 +78,15 @@
         Exchange { dispatcher, state }
     }
 
-    /// Adds `by_s` seconds to the Unix time at 0 on the exchange's clock: the wall clock was found to be off by that much.
+    /// Adds `by_s` seconds to the Unix time at 0 on the exchange's clock, because the wall clock was found to be off by
+    /// that much.
     pub fn clock_jumped(&mut self, by_s: f64) {
         self.state.unix_at_zero_s += by_s;
     }
 
     /// Sets the time, in seconds, at which the following calls happen.
-    pub fn set_now(&mut self, now: f64) {
-        self.state.now_s = now;
+    pub fn set_now(&mut self, now_s: f64) {
+        self.state.now_s = now_s;
     }
 
     /// When [`Exchange::process_due`] must be called again even without an event, in seconds.
@@ -99,7 +100,7 @@
             .state
             .pending_starts
             .front()
-            .map_or(f64::INFINITY, |(at, _)| at + START_DELAY_S);
+            .map_or(f64::INFINITY, |(at_s, _)| at_s + START_DELAY_S);
         self.state.wake_at_s.min(timer_s).min(start_s)
     }
 
@@ -107,7 +108,7 @@
     pub fn process_due(&mut self) {
         self.contain_panic(Exchange::handle_expired_timers);
         let due_until_s = self.state.now_s - START_DELAY_S;
-        self.contain_panic(|exchange| exchange.pass_on_starts(|_, at, _| at <= due_until_s));
+        self.contain_panic(|exchange| exchange.pass_on_starts(|_, at_s, _| at_s <= due_until_s));
         self.contain_panic(|exchange| {
             if exchange.state.wake_at_s <= exchange.state.now_s {
                 exchange.state.wake_at_s = f64::INFINITY;
@@ -177,7 +178,7 @@
     /// Accepts a work item from a client, or rejects it with a reply. `wait_s` is the time in seconds that the client
     /// waits; the expiry in `job` is ignored.
     pub fn accept(&mut self, request: WorkRequest, job: Job, wait_s: f64, client: O::Client) {
-        let now = self.state.now_s;
+        let now_s = self.state.now_s;
         if self.state.work_items_by_id.contains_key(&request.id) {
             return self
                 .state
@@ -192,9 +193,9 @@
             };
             return self.state.host.answer(client, reply);
         }
-        let expiry_s = (now + wait_s).min(self.state.shutdown_at_s);
+        let expiry_s = (now_s + wait_s).min(self.state.shutdown_at_s);
         let Some(work_item) = self.dispatcher.submit(
-            now,
+            now_s,
             Job {
                 expires_at_s: expiry_s,
                 ..job
@@ -220,7 +221,7 @@
         }
         let category = job.category;
         self.state.load.adjust_work_items(category, true);
-        self.state.host.record_arrival(now, category);
+        self.state.host.record_arrival(now_s, category);
         let client = Some(client);
         self.state.open_items[index] = Some(OpenItem {
             serial,
@@ -234,18 +235,22 @@
         });
     }
 
-    /// Shuts the exchange down: everything is settled at `at` seconds. Attempts are dropped a little earlier, so that
+    /// Shuts the exchange down: everything is settled at `at_s`. Attempts are dropped a little earlier, so that
     /// work items that may run again can still be deferred.
-    pub fn shut_down_by(&mut self, at: f64) {
-        self.state.shutdown_at_s = at;
-        self.dispatcher.set_shutdown_at(at);
+    pub fn shut_down_by(&mut self, at_s: f64) {
+        self.state.shutdown_at_s = at_s;
+        self.dispatcher.set_shutdown_at(at_s);
         for (index, open_item) in self.state.open_items.iter_mut().enumerate() {
             let Some(open_item) = open_item else { continue };
-            let mut timers = vec![(open_item.expiry_s + OVERDUE_S, at + OVERDUE_S, EXPIRY_TIMER)];
-            open_item.expiry_s = open_item.expiry_s.min(at);
+            let mut timers = vec![(
+                open_item.expiry_s + OVERDUE_S,
+                at_s + OVERDUE_S,
+                EXPIRY_TIMER,
+            )];
+            open_item.expiry_s = open_item.expiry_s.min(at_s);
             if let Some(attempt) = &mut open_item.attempt {
-                timers.push((attempt.drop_at_s, at - SHUTDOWN_MARGIN_S, attempt.number));
-                attempt.drop_at_s = attempt.drop_at_s.min(at - SHUTDOWN_MARGIN_S);
+                timers.push((attempt.drop_at_s, at_s - SHUTDOWN_MARGIN_S, attempt.number));
+                attempt.drop_at_s = attempt.drop_at_s.min(at_s - SHUTDOWN_MARGIN_S);
             }
             for (old_s, limit_s, number) in timers {
                 self.state
@@ -272,8 +277,8 @@
             open_item.client = None;
             work_item.client_left(&mut self.dispatcher, &mut self.state);
         }
-        // No attempt may begin once nobody waits for it. Where cancelling is not allowed, an attempt whose connection is
-        // still being established is held back all the same.
+        // No attempt may begin once nobody waits for it. Where cancelling is not allowed, an attempt whose connection
+        // is still being established is held back all the same.
         let Some(open_item) = self
             .state
             .open_item(work_item)
@@ -309,7 +314,7 @@
     }
 
     fn handle_callback(&mut self, work_item: WorkItem, callback: Callback) {
-        let now = self.state.now_s;
+        let now_s = self.state.now_s;
         let Some(serial) = self
             .state
             .open_item(work_item)
@@ -340,11 +345,11 @@
         if let Some(attempt) = self.state.attempt(id) {
             attempt.is_accepted = true;
         }
-        work_item.accepted(&mut self.dispatcher, now, number);
+        work_item.accepted(&mut self.dispatcher, now_s, number);
         match callback.state {
-            JobState::Started => self.state.pending_starts.push_back((now, id)),
+            JobState::Started => self.state.pending_starts.push_back((now_s, id)),
             JobState::Running { share } => {
-                work_item.progressed(&mut self.dispatcher, now, number, share.clamp(0.0, 1.0))
+                work_item.progressed(&mut self.dispatcher, now_s, number, share.clamp(0.0, 1.0))
             }
             JobState::Done { result } => {
                 self.state.reply(work_item, Reply::new(200, result));
@@ -448,9 +453,10 @@
     }
 
     /// Handles the end of a request to cancel an attempt. Where a work item must not be at two runners at once, a
-    /// cancellation without a response is repeated until the client gives up: the attempt may still run behind a network
-    /// partition, and a retry would be a second copy. A refused connection proves nothing, since a full runner refuses
-    /// connections too. If the runner's process died, its machine reports that, and the endpoint list reports a restart.
+    /// cancellation without a response is repeated until the client gives up: the attempt may still run behind a
+    /// network partition, and a retry would be a second copy. A refused connection proves nothing, since a full runner
+    /// refuses connections too. If the runner's process died, its machine reports that, and the endpoint list reports a
+    /// restart.
     fn cancel_request_ended(
         &mut self,
         id: AttemptId,
--- a/crates/dispatcher/dispatch/src/lib.rs
+++ b/crates/dispatcher/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
 //! Dispatch of work items as a state machine: who owns a work item, callbacks of runners, the endpoint list, operators'
 //! calls, and metrics. It has no socket, no task and no clock of its own. A host makes calls on [`Exchange`], sets the
-//! time with [`Exchange::set_now`], has it decide with [`Exchange::process_due`], and carries out what it asks for through
+//! time with [`Exchange::set_now`], has it decide with [`Exchange::process_due`], and does its I/O as an
 //! [`ExchangeHost`].
 
 mod endpoint_list;
--- a/crates/dispatcher/dispatch/src/membership.rs
+++ b/crates/dispatcher/dispatch/src/membership.rs
@@ -37,6 +37,7 @@
         self.apply_list(update, ListUpdate::Cached)
     }
 
+    /// Applies a list of this kind and returns the number of runners for which learned values were restored.
     fn apply_list(&mut self, update: DiscoveryUpdate, kind: ListUpdate) -> usize {
         // Attempts may begin during half of the grace only. The other half is for the time between the writing of the
         // list and its reading here.
@@ -79,14 +80,14 @@
 
     /// Takes the runner with this name out of service, whatever the endpoint list says, or puts it back. Returns false
     /// if no list ever named it.
-    pub fn set_out_of_service(&mut self, id: &str, out: bool) -> bool {
+    pub fn set_out_of_service(&mut self, id: &str, is_out: bool) -> bool {
         let Some(&index) = self.state.runner_indices.get(id) else {
             return false;
         };
         let endpoint = &self.state.load.endpoints[index];
-        if endpoint.out_of_service.replace(out) != out {
+        if endpoint.out_of_service.replace(is_out) != is_out {
             self.state.host.close_idle_connections(index);
-            let action = if out {
+            let action = if is_out {
                 "taken out of service"
             } else {
                 "put back into service"
@@ -97,18 +98,20 @@
                 endpoint.address.get()
             );
         }
-        self.dispatcher.set_disabled(self.state.now_s, index, out);
+        self.dispatcher
+            .set_disabled(self.state.now_s, index, is_out);
         true
     }
 
     /// Replaces the names of the runners that all dispatchers have agreed to take out of service. They may include
     /// runners that no list has named yet.
-    pub fn set_agreed_out_of_service(&mut self, out: BTreeSet<String>) {
-        let before = std::mem::replace(&mut self.state.agreed_out_of_service, out.clone());
+    pub fn set_agreed_out_of_service(&mut self, names: BTreeSet<String>) {
+        let before = std::mem::replace(&mut self.state.agreed_out_of_service, names.clone());
         before
-            .difference(&out)
+            .difference(&names)
             .for_each(|id| _ = self.set_out_of_service(id, false));
-        out.difference(&before)
+        names
+            .difference(&before)
             .for_each(|id| _ = self.set_out_of_service(id, true));
     }
 
@@ -156,11 +159,11 @@
             (0..self.state.load.endpoints.len())
                 .filter(|&r| self.state.load.endpoints[r].is_listed.get())
         };
-        let now = self.state.now_s;
+        let now_s = self.state.now_s;
         (
             listed().count(),
             listed()
-                .filter(|&r| self.dispatcher.is_avoided(r, now))
+                .filter(|&r| self.dispatcher.is_avoided(r, now_s))
                 .count(),
         )
     }
--- a/crates/dispatcher/dispatch/src/state.rs
+++ b/crates/dispatcher/dispatch/src/state.rs
@@ -21,14 +21,14 @@
     fn answer(&mut self, client: Self::Client, reply: Reply);
     /// Whether the client has disconnected.
     fn has_disconnected(client: &Self::Client) -> bool;
-    /// Sends a request to a runner and reports its end to `Exchange::request_ended` exactly once. `is_written` is set once
-    /// the last byte has been written. The request is abandoned at `deadline`.
+    /// Sends a request to a runner and reports its end to `Exchange::request_ended` exactly once. `is_written` is set
+    /// when the last byte has been written. The request is abandoned at `deadline_s`.
     fn send_request(
         &mut self,
         purpose: Purpose,
         runner: usize,
         request: RunnerRequest,
-        deadline: f64,
+        deadline_s: f64,
         is_written: Rc<Cell<bool>>,
     ) -> Self::RequestHandle;
     /// Abandons a request.
@@ -47,20 +47,20 @@
     // ---- state that dispatchers share; the defaults are for a dispatcher that shares none ----
 
     /// Counts a work item that has been accepted.
-    fn record_arrival(&mut self, _now: f64, _category: usize) {}
+    fn record_arrival(&mut self, _now_s: f64, _category: usize) {}
     /// Until when an attempt may begin. Then the leases of the budgets end that it counts towards. The time is checked
     /// just before the first byte is written, because the process may have been paused in between.
-    fn budget_usable_until(&self, _now: f64, _runner: usize, _category: usize) -> f64 {
+    fn budget_usable_until(&self, _now_s: f64, _runner: usize, _category: usize) -> f64 {
         f64::INFINITY
     }
     /// Counts an attempt that is sent. `is_retry` says that it is not the first of its work item.
-    fn record_attempt(&mut self, _now: f64, _is_retry: bool) {}
+    fn record_attempt(&mut self, _now_s: f64, _is_retry: bool) {}
     /// Records an observation of a runner.
-    fn record_observation(&mut self, _now: f64, _runner: usize, _observation: Observation) {}
+    fn record_observation(&mut self, _now_s: f64, _runner: usize, _observation: Observation) {}
     /// Called before the policy decides: passes on to it what other dispatchers share.
-    fn apply_shared_state(&mut self, _now: f64, _dispatcher: &mut Dispatcher, _load: &Load) {}
+    fn apply_shared_state(&mut self, _now_s: f64, _dispatcher: &mut Dispatcher, _load: &Load) {}
     /// Called after the policy has decided: reports what is used of the shared budgets.
-    fn report_budget_use(&mut self, _now: f64, _dispatcher: &Dispatcher, _load: &Load) {}
+    fn report_budget_use(&mut self, _now_s: f64, _dispatcher: &Dispatcher, _load: &Load) {}
 }
 
 /// Observation of a runner.
@@ -149,7 +149,7 @@
     /// Whether the runner has accepted the job, by a 202 or by a callback that came before the 202.
     pub is_accepted: bool,
     pub is_started: bool,
-    /// Whether the policy has cancelled the attempt.
+    /// Whether the attempt has been cancelled here, which the runner may not have confirmed yet.
     pub is_cancelled: bool,
     /// Whether it has been logged that the runner does not confirm the cancellation.
     pub is_unconfirmed_logged: bool,
@@ -186,7 +186,7 @@
     pub unix_at_zero_s: f64,
     /// Longest time in seconds for establishing a connection to a runner.
     pub connect_timeout_s: f64,
-    /// Longest time in seconds from the news that a runner drains to the last attempt that begins there.
+    /// Grace in seconds after the news that a runner drains, within which attempts may still begin there.
     pub drain_grace_s: f64,
     pub load: Load,
     /// Last entry of each runner in the endpoint list, by the runner's index.
@@ -227,6 +227,7 @@
 }
 
 impl<O: ExchangeHost> ExchangeState<O> {
+    /// The open work item with this handle.
     pub(crate) fn open_item(
         &mut self,
         work_item: WorkItem,
@@ -437,7 +438,7 @@
     }
 
     fn probe(&mut self, _: usize) {
-        // This protocol has no load probe, and the terms given to the policy say so.
+        // This protocol has no load probe, and the policy's configuration says so.
     }
 
     fn wake_in(&mut self, in_s: f64) {
--- a/crates/dispatcher/dispatch/tests/encoding.rs
+++ b/crates/dispatcher/dispatch/tests/encoding.rs
@@ -185,8 +185,8 @@
     assert_eq!(name_hash("runner-é 12.5"), 12_569_012_519_533_245_936);
 }
 
-/// Learned values are stored and handed over under these hashes. A hash depends on the names of the category's fields and
-/// variants in the code: if one of them is renamed, the hash changes and the learned values are dropped.
+/// Learned values are stored and handed over under these hashes. A hash depends on the names of the category's fields
+/// and variants in the code: if one of them is renamed, the hash changes and the learned values are dropped.
 #[test]
 fn hashes_of_category_terms_do_not_change() {
     let category = |repeat, placement| Category {
--- a/crates/dispatcher/dispatch/tests/scenarios.rs
+++ b/crates/dispatcher/dispatch/tests/scenarios.rs
@@ -35,13 +35,13 @@
         purpose: Purpose,
         runner: usize,
         _: RunnerRequest,
-        deadline: f64,
+        deadline_s: f64,
         is_written: Rc<Cell<bool>>,
     ) {
         self.0
             .borrow_mut()
             .requests
-            .push((purpose, runner, deadline, is_written));
+            .push((purpose, runner, deadline_s, is_written));
     }
     fn abort_request(&mut self, _: ()) {
         self.0.borrow_mut().aborted_requests += 1;
@@ -105,7 +105,7 @@
     (exchange, host)
 }
 
-fn take(exchange: &mut Exchange<FakeHost>, now: f64, id: &str, category: usize) {
+fn take(exchange: &mut Exchange<FakeHost>, now_s: f64, id: &str, category: usize) {
     let request = WorkRequest {
         id: id.into(),
         target: "/a".to_string(),
@@ -121,13 +121,13 @@
         slots: 1.0,
         memory: 0.0,
     };
-    exchange.set_now(now);
+    exchange.set_now(now_s);
     exchange.accept(request, job, 4.0, 1);
     exchange.process_due();
 }
 
-fn callback(exchange: &mut Exchange<FakeHost>, now: f64, from: &str, state: JobState) {
-    exchange.set_now(now);
+fn callback(exchange: &mut Exchange<FakeHost>, now_s: f64, from: &str, state: JobState) {
+    exchange.set_now(now_s);
     exchange.callback(Callback {
         id: "w".to_string(),
         from: from.to_string(),
@@ -154,10 +154,10 @@
         "the attempt has not been written to the runner yet"
     );
     is_written.set(true);
-    for now in [1.2, 1.3] {
+    for now_s in [1.2, 1.3] {
         callback(
             &mut exchange,
-            now,
+            now_s,
             "s-0",
             JobState::Done {
                 result: String::new(),
@@ -196,14 +196,14 @@
 fn at_its_expiry_a_work_item_is_dropped_and_answered_without_any_event() {
     let (mut exchange, host) = exchange(1);
     take(&mut exchange, 1.0, "w", 1);
-    let mut now = 1.0;
+    let mut now_s = 1.0;
     while exchange.next_due_s() < 8.0 && host.0.borrow().replies.is_empty() {
-        now = exchange.next_due_s().max(now + 1e-4);
-        exchange.set_now(now);
+        now_s = exchange.next_due_s().max(now_s + 1e-4);
+        exchange.set_now(now_s);
         exchange.process_due();
     }
     assert_eq!(host.0.borrow().replies, [(1, 502)]);
-    assert!(now <= 5.0 + 0.02, "at {now}");
+    assert!(now_s <= 5.0 + 0.02, "at {now_s}");
     assert_eq!(host.0.borrow().aborted_requests, 1);
 }
 
--- a/crates/dispatcher/failover/src/detect.rs
+++ b/crates/dispatcher/failover/src/detect.rs
@@ -65,19 +65,19 @@
 
 impl LastResults {
     /// Whether the later of two results was a success. `None` if it is no longer valid; a tie counts as a failure.
-    fn later_succeeded(success_s: f64, failure_s: f64, now: f64) -> Option<bool> {
+    fn later_succeeded(success_s: f64, failure_s: f64, now_s: f64) -> Option<bool> {
         match () {
-            () if failure_s >= success_s && now < failure_s + RESULT_VALID_S => Some(false),
-            () if success_s > failure_s && now < success_s + RESULT_VALID_S => Some(true),
+            () if failure_s >= success_s && now_s < failure_s + RESULT_VALID_S => Some(false),
+            () if success_s > failure_s && now_s < success_s + RESULT_VALID_S => Some(true),
             () => None,
         }
     }
 
     /// Whether the runner is healthy by this dispatcher's own results, or by the others' results if it has none that
     /// are valid. `None` if neither has any.
-    fn is_healthy(&self, now: f64) -> Option<bool> {
-        LastResults::later_succeeded(self.last_success_s, self.last_failure_s, now).or(
-            LastResults::later_succeeded(self.last_peer_success_s, self.last_peer_failure_s, now),
+    fn is_healthy(&self, now_s: f64) -> Option<bool> {
+        LastResults::later_succeeded(self.last_success_s, self.last_failure_s, now_s).or(
+            LastResults::later_succeeded(self.last_peer_success_s, self.last_peer_failure_s, now_s),
         )
     }
 }
@@ -148,16 +148,16 @@
         (runner.site, runner.is_listed) = (site, is_listed);
     }
 
-    /// Records the result of an attempt by this dispatcher at the runner with index `index`. `now` is in seconds. An
+    /// Records the result of an attempt by this dispatcher at the runner with index `index`. `now_s` is the present time. An
     /// unknown runner is ignored.
-    pub fn record_result(&mut self, now: f64, index: usize, succeeded: bool) {
+    pub fn record_result(&mut self, now_s: f64, index: usize, succeeded: bool) {
         let Some(runner) = self.runners.get_mut(&index) else {
             return;
         };
         if succeeded {
-            runner.results.last_success_s = now
+            runner.results.last_success_s = now_s
         } else {
-            runner.results.last_failure_s = now
+            runner.results.last_failure_s = now_s
         }
         let site = runner.site;
         let Some(failover) = self.failovers.get_mut(&site) else {
@@ -187,22 +187,22 @@
     }
 
     /// Listed runners of the selected sites that have a valid result: how many of them fail, and how many there are.
-    fn count_failed(&self, now: f64, is_selected: impl Fn(u16) -> bool) -> (usize, usize) {
+    fn count_failed(&self, now_s: f64, is_selected: impl Fn(u16) -> bool) -> (usize, usize) {
         let known = self
             .runners
             .values()
             .filter(|runner| runner.is_listed && is_selected(runner.site))
-            .filter_map(|runner| runner.results.is_healthy(now));
+            .filter_map(|runner| runner.results.is_healthy(now_s));
         known.fold((0, 0), |(failed, all), is_healthy| {
             (failed + usize::from(!is_healthy), all + 1)
         })
     }
 
     /// Natural logarithm of the odds that a site is lost, from the results of its runners compared with those of the
-    /// other sites. `now` is in seconds.
-    pub fn log_odds_of_loss(&self, now: f64, site: u16) -> f64 {
-        let (failed, all) = self.count_failed(now, |other| other == site);
-        let (failed_elsewhere, all_elsewhere) = self.count_failed(now, |other| other != site);
+    /// other sites. `now_s` is the present time.
+    pub fn log_odds_of_loss(&self, now_s: f64, site: u16) -> f64 {
+        let (failed, all) = self.count_failed(now_s, |other| other == site);
+        let (failed_elsewhere, all_elsewhere) = self.count_failed(now_s, |other| other != site);
         // Overload, or jobs that fail on every runner, must not count as a loss, so the failure rate of the other
         // sites is the baseline. Without results from the other sites the baseline is one half: nothing shows that
         // they are healthy.
@@ -212,8 +212,8 @@
             + (all - failed) as f64 * ((1.0 - LOST_FAILURE_RATE) / (1.0 - baseline)).ln()
     }
 
-    /// Checks all sites at `now` seconds. Returns the sites whose state has changed, with their health and stage.
-    pub fn update(&mut self, now: f64) -> Vec<(u16, SiteHealth, FailbackStage)> {
+    /// Checks all sites at `now_s`. Returns the sites whose state has changed, with their health and stage.
+    pub fn update(&mut self, now_s: f64) -> Vec<(u16, SiteHealth, FailbackStage)> {
         let mut sites: Vec<u16> = self
             .runners
             .values()
@@ -224,19 +224,19 @@
         sites.dedup();
         let mut changed = Vec::new();
         for site in sites {
-            let (failed, all) = self.count_failed(now, |other| other == site);
+            let (failed, all) = self.count_failed(now_s, |other| other == site);
             let looks_lost = failed >= MIN_FAILED_RUNNERS
                 && failed as f64 >= MIN_FAILED_SHARE * all as f64
-                && self.log_odds_of_loss(now, site) > LOST_LOG_ODDS;
+                && self.log_odds_of_loss(now_s, site) > LOST_LOG_ODDS;
             match self.failovers.get(&site) {
                 None if looks_lost => {
-                    let health = self.health(now, site);
-                    let pace = FailbackPacing::new(now, self.step_s);
+                    let health = self.health(now_s, site);
+                    let pace = FailbackPacing::new(now_s, self.step_s);
                     self.failovers.insert(
                         site,
                         SiteFailover {
                             health,
-                            since_s: now,
+                            since_s: now_s,
                             pace,
                             successes: 0,
                             failures: 0,
@@ -245,7 +245,7 @@
                     changed.push((site, health, FailbackStage::Lost));
                 }
                 Some(_) => {
-                    let health = self.health(now, site);
+                    let health = self.health(now_s, site);
                     let Some(failover) = self.failovers.get_mut(&site) else {
                         continue;
                     };
@@ -263,12 +263,12 @@
                         .values()
                         .filter(|runner| runner.site == site && runner.is_listed)
                         .count();
-                    if failover.pace.step(now, results, looks_lost, runner_count) {
+                    if failover.pace.step(now_s, results, looks_lost, runner_count) {
                         (failover.successes, failover.failures) = (0, 0);
                     }
                     let stage = failover.pace.stage();
                     let health = failover.health;
-                    if stage == FailbackStage::Complete && now >= failover.since_s + self.step_s {
+                    if stage == FailbackStage::Complete && now_s >= failover.since_s + self.step_s {
                         self.failovers.remove(&site);
                         changed.push((site, SiteHealth::Healthy, FailbackStage::Complete));
                     } else if stage != stage_before {
@@ -283,7 +283,7 @@
 
     /// Whether others reach a site that looks lost from here: they reached one of its runners after it failed here. A
     /// success from before that failure says nothing about the present.
-    fn health(&self, now: f64, site: u16) -> SiteHealth {
+    fn health(&self, now_s: f64, site: u16) -> SiteHealth {
         let is_reached_by_others = |runner: &Runner| {
             let LastResults {
                 last_failure_s,
@@ -293,7 +293,7 @@
             } = runner.results;
             last_peer_success_s > last_failure_s.max(last_peer_failure_s)
                 && last_failure_s.is_finite()
-                && now < last_peer_success_s + RESULT_VALID_S
+                && now_s < last_peer_success_s + RESULT_VALID_S
         };
         match self
             .runners
--- a/crates/dispatcher/failover/src/failback.rs
+++ b/crates/dispatcher/failover/src/failback.rs
@@ -45,11 +45,11 @@
 }
 
 impl FailbackPacing {
-    /// Starts with a site that was lost at `now` seconds. `step_s` is the shortest time in seconds between two steps.
-    pub fn new(now: f64, step_s: f64) -> FailbackPacing {
+    /// Starts with a site that was lost at `now_s`. `step_s` is the shortest time in seconds between two steps.
+    pub fn new(now_s: f64, step_s: f64) -> FailbackPacing {
         FailbackPacing {
             portion: 0.0,
-            changed_s: now,
+            changed_s: now_s,
             returned_s: f64::NEG_INFINITY,
             flaps: 0,
             step_s,
@@ -78,25 +78,25 @@
     }
 
     /// Changes the portion if the results allow or demand it, and returns whether it changed. The pair holds the
-    /// successes and failures since the last change, `lost` says whether the site looks lost at `now` seconds, and
+    /// successes and failures since the last change, `lost` says whether the site looks lost at `now_s`, and
     /// `runners` is the number of its listed runners.
     pub fn step(
         &mut self,
-        now: f64,
+        now_s: f64,
         (successes, failures): (u32, u32),
         lost: bool,
         runners: usize,
     ) -> bool {
         if lost && self.portion > 0.0 {
-            self.flaps = if now < self.returned_s + FLAP_WINDOW_S {
+            self.flaps = if now_s < self.returned_s + FLAP_WINDOW_S {
                 (self.flaps + 1).min(MAX_FLAPS)
             } else {
                 1
             };
-            (self.portion, self.changed_s) = (0.0, now);
+            (self.portion, self.changed_s) = (0.0, now_s);
             return true;
         }
-        let has_waited = now
+        let has_waited = now_s
             >= self.changed_s
                 + if self.portion > 0.0 {
                     self.step_s
@@ -116,14 +116,14 @@
             return false;
         }
         if self.portion <= 0.0 {
-            self.returned_s = now;
+            self.returned_s = now_s;
         }
         self.portion = if self.portion > 0.0 {
             (2.0 * self.portion).min(1.0)
         } else {
             FIRST_PORTION
         };
-        self.changed_s = now;
+        self.changed_s = now_s;
         true
     }
 }
--- a/crates/dispatcher/failover/src/plan.rs
+++ b/crates/dispatcher/failover/src/plan.rs
@@ -200,7 +200,8 @@
         findings
     }
 
-    /// The names of sites that form a cycle, each with the next as its only failover target; `None` if there is no cycle.
+    /// The names of sites that form a cycle, each with the next as its only failover target; `None` if there is no
+    /// cycle.
     fn cycle(&self) -> Option<Vec<String>> {
         for start in &self.sites {
             let (mut path, mut current) = (vec![start.name.clone()], start);
--- a/crates/dispatcher/failover/tests/scenarios.rs
+++ b/crates/dispatcher/failover/tests/scenarios.rs
@@ -11,11 +11,11 @@
 }
 
 /// One attempt at every runner in use. It fails at the sites in `failed_sites`.
-fn try_all(sites: &mut SiteFailureDetector, now: f64, failed_sites: &[u16]) {
+fn try_all(sites: &mut SiteFailureDetector, now_s: f64, failed_sites: &[u16]) {
     let away = sites.excluded_runners();
     (0..24)
         .filter(|n| !away.contains(n))
-        .for_each(|n| sites.record_result(now, n, !failed_sites.contains(&((n % 3) as u16))));
+        .for_each(|n| sites.record_result(now_s, n, !failed_sites.contains(&((n % 3) as u16))));
 }
 
 #[test]
@@ -111,26 +111,31 @@
     );
 }
 
-/// Plays attempts at all runners every 0.2 s from 2 s to `until`; those at site 1 fail while `fails` says so. Returns
+/// Plays attempts at all runners every 0.2 s from 2 s to `until_s`; those at site 1 fail while `fails` says so. Returns
 /// the detector and the stages that it reported with their times.
 fn play(
-    until: f64,
+    until_s: f64,
     fails: impl Fn(f64) -> bool,
 ) -> (SiteFailureDetector, Vec<(f64, FailbackStage)>) {
     let mut sites = sites();
     try_all(&mut sites, 1.0, &[]);
-    let (mut now, mut stages) = (2.0, Vec::new());
-    while now < until {
-        try_all(&mut sites, now, if fails(now) { &[1] } else { &[] });
-        stages.extend(sites.update(now).iter().map(|(_, _, stage)| (now, *stage)));
-        now += 0.2;
+    let (mut now_s, mut stages) = (2.0, Vec::new());
+    while now_s < until_s {
+        try_all(&mut sites, now_s, if fails(now_s) { &[1] } else { &[] });
+        stages.extend(
+            sites
+                .update(now_s)
+                .iter()
+                .map(|(_, _, stage)| (now_s, *stage)),
+        );
+        now_s += 0.2;
     }
     (sites, stages)
 }
 
 #[test]
 fn a_failback_steps_on_successes_and_its_portions_are_the_same_at_every_dispatcher() {
-    let (sites, stages) = play(12.0, |now| now < 4.0);
+    let (sites, stages) = play(12.0, |now_s| now_s < 4.0);
     let portions: Vec<FailbackStage> = stages.iter().map(|(_, stage)| *stage).collect();
     assert_eq!(
         portions,
@@ -151,9 +156,9 @@
         try_all(&mut sites, 1.5, &[1]);
         sites.update(1.6);
         for step in 0..8 {
-            let now = 3.0 + 0.4 * f64::from(step);
-            try_all(&mut sites, now, &[]);
-            sites.update(now);
+            let now_s = 3.0 + 0.4 * f64::from(step);
+            try_all(&mut sites, now_s, &[]);
+            sites.update(now_s);
         }
         sites.excluded_runners()
     };
@@ -172,7 +177,7 @@
 
 #[test]
 fn a_flapping_site_waits_longer_before_each_return() {
-    let (_, stages) = play(60.0, |now| (now as u32 / 3).is_multiple_of(2));
+    let (_, stages) = play(60.0, |now_s| (now_s as u32 / 3).is_multiple_of(2));
     let returns_s: Vec<f64> = stages
         .iter()
         .filter(|(_, stage)| *stage == FailbackStage::Returning(12))
--- a/crates/dispatcher/simulator-adapter/src/frame.rs
+++ b/crates/dispatcher/simulator-adapter/src/frame.rs
@@ -105,7 +105,8 @@
             .map(Fields)
     }
 
-    /// The bytes to which the tail reference at offset `at` of a record points. The reference counts items of `size` bytes.
+    /// The bytes to which the tail reference at offset `at` of a record points. The reference counts items of `size`
+    /// bytes.
     ///
     /// # Errors
     ///
