--- a/crates/dispatcher/failover/src/detect.rs
+++ b/crates/dispatcher/failover/src/detect.rs
@@ -4,6 +4,8 @@
 //! other sites at the same time. It differs from overload and from jobs that fail on every runner, where the other
 //! sites fail too; from a shorter endpoint list, where nothing failed; and, if other dispatchers share their results,
 //! from a network partition on this side, where others still reach the site.
+//!
+//! While a site is lost, a dispatcher sends attempts to a single runner there, its canary, to notice the recovery.
 
 use crate::failback::{FailbackPacing, FailbackStage};
 use siphasher::sip::SipHasher13;
--- a/crates/dispatcher/failover/src/failback.rs
+++ b/crates/dispatcher/failover/src/failback.rs
@@ -20,7 +20,8 @@
 /// How far a site has returned to service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailbackStage {
-    /// None of its runners is in use except each dispatcher's canary.
+    /// None of its runners is in use, except for the canary of each dispatcher: the one runner that it keeps sending
+    /// attempts to, to notice the recovery.
     Lost,
     /// This percentage of its runners is in use.
     Returning(u8),
