--- a/crates/cluster/agent/src/agent_lease.rs
+++ b/crates/cluster/agent/src/agent_lease.rs
@@ -1,13 +1,13 @@
-//! The agent's lease from the scheduler (Gray and Cheriton, 1989), on the agent's clock.
+//! The lease that the scheduler grants to the agent (Gray and Cheriton, 1989), measured on the agent's clock.
 
 use sagetrail_protocol::Time;
 
-/// An agent presses for an extension once less than this share of its lease is left, in hundredths.
+/// An agent requests an extension more often once less than this share of its lease is left, in percent.
 const RENEWAL_PERCENT: u64 = 70;
-/// Microseconds in a hundredth of a millisecond.
+/// The number of microseconds in one percent of a millisecond.
 const MICROS_PER_PERCENT_MS: u64 = 10;
 
-/// How long the agent may grant leases to its runner without the scheduler.
+/// The period during which the agent may grant leases to its runner without the scheduler.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) struct AgentLease {
     expires_at: Time,
@@ -15,8 +15,8 @@
 }
 
 impl AgentLease {
-    /// Extends the lease to `lease_ms` after `sent_at`, when the report was sent that the scheduler has answered. An
-    /// answer that would shorten it, or that names a time ahead of the clock, changes nothing.
+    /// Extends the lease to `lease_ms` after `sent_at`, the time at which the agent sent the report that the scheduler
+    /// has answered. An answer that would shorten the lease, or that names a time ahead of the clock, changes nothing.
     pub(crate) fn extend(&mut self, now: Time, sent_at: Time, lease_ms: u64) {
         let expires_at = sent_at.plus_millis(lease_ms);
         if sent_at > now || expires_at <= self.expires_at {
@@ -27,12 +27,12 @@
         self.renewal_due = Time(expires_at.0.saturating_sub(renewal_micros));
     }
 
-    /// What is left of the lease, in whole milliseconds; 0 once it has expired.
+    /// Returns the remaining time of the lease in whole milliseconds; 0 once it has expired.
     pub(crate) fn remaining_ms(&self, now: Time) -> u64 {
         self.expires_at.millis_since(now)
     }
 
-    /// From when on the agent presses for an extension.
+    /// Returns the time from which the agent requests an extension more often.
     pub(crate) fn renewal_due(&self) -> Time {
         self.renewal_due
     }
--- a/crates/cluster/agent/src/commands.rs
+++ b/crates/cluster/agent/src/commands.rs
@@ -1,4 +1,4 @@
-//! The scheduler's newest commands, the lease under which they are given, and whether they are resolved.
+//! The scheduler's newest commands, the agent's lease that comes with them, and whether the commands are resolved.
 
 use sagetrail_protocol::agent::{RunnerCommands, StartCommand, StopCommand};
 use sagetrail_protocol::{Incarnation, Term, Text, Time};
@@ -9,34 +9,35 @@
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Adoption {
-    /// They are newer than those before.
+    /// The commands are newer than the adopted ones and replace them.
     Adopted,
-    /// They are those already adopted.
+    /// The commands are already adopted.
     Known,
-    /// They are older than those adopted, and ignored.
+    /// The commands are older than the adopted ones and are ignored.
     Older,
 }
 
-/// The commands that the agent acts by: always the newest by term, then by revision.
+/// The commands on which the agent acts. They are always the newest ones, ordered by term and then by revision.
 #[derive(Debug)]
 pub(crate) struct AdoptedCommands {
-    /// This agent; only an answer to its own report extends the lease.
+    /// The incarnation of this agent; only an answer to one of its own reports extends the lease.
     agent: Incarnation,
     adopted: Option<RunnerCommands>,
     lease: AgentLease,
-    /// The runner has sent a heartbeat under the adopted commands after it had, or missed, every earlier answer.
+    /// Whether the runner has sent a heartbeat under the adopted commands after each earlier answer had either reached
+    /// it or been lost.
     is_resolved: bool,
-    /// When the runner's lease last expired, until the scheduler has answered a later report. The scheduler may have
-    /// given up the starts that it had commanded before.
+    /// The time at which the runner's lease last expired; `None` once the scheduler has answered a later report. Until
+    /// then the scheduler may have given up the starts that it commanded before.
     starts_void_since: Option<Time>,
-    /// The instance that `observed` belongs to.
+    /// The runner instance to which `observed` belongs.
     observed_instance: Text,
-    /// The highest number of an end that the scheduler has stored, 0 for none.
+    /// The highest number of an ended run that the scheduler has stored, 0 if there is none.
     observed: u64,
 }
 
 impl AdoptedCommands {
-    /// Without commands and without a lease.
+    /// Creates a state that has no commands and no lease.
     pub(crate) fn new(agent: Incarnation) -> AdoptedCommands {
         AdoptedCommands {
             agent,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Receives commands, and extends the lease where they answer a report of this agent.
+    /// Receives commands. Extends the lease if they answer a report of this agent.
     pub(crate) fn receive(&mut self, now: Time, commands: RunnerCommands) -> Adoption {
         let version = (commands.term, commands.revision);
         let order = version.cmp(&(self.term(), self.revision()));
@@ -70,8 +71,8 @@
         Adoption::Adopted
     }
 
-    /// Records a heartbeat that the runner sent after it had, or missed, every earlier answer; true where that resolves
-    /// the commands.
+    /// Records a heartbeat that the runner sent after each earlier answer had either reached it or been lost. Returns
+    /// whether the heartbeat resolves the commands, which it does once.
     pub(crate) fn resolve(&mut self) -> bool {
         if self.adopted.is_none() {
             return false;
@@ -79,8 +80,8 @@
         !std::mem::replace(&mut self.is_resolved, true)
     }
 
-    /// Withholds all starts: the runner's lease has expired, and the scheduler may count every run there as over, also
-    /// one that never started. Starts are valid again once the scheduler has answered a later report.
+    /// Withholds all starts because the runner's lease has expired: the scheduler may count every run of the runner as
+    /// over, even one that never started. Starts are valid again once the scheduler has answered a later report.
     pub(crate) fn void_starts(&mut self, now: Time) {
         self.starts_void_since = Some(now);
     }
@@ -94,34 +95,34 @@
         }
     }
 
-    /// Whether the adopted commands are resolved.
+    /// Returns whether the adopted commands are resolved.
     pub(crate) fn is_resolved(&self) -> bool {
         self.is_resolved
     }
 
-    /// The term of the adopted commands, 0 without any.
+    /// Returns the term of the adopted commands, 0 if there are none.
     pub(crate) fn term(&self) -> Term {
         self.adopted.as_ref().map_or(0, |commands| commands.term)
     }
 
-    /// The revision of the adopted commands, 0 without any.
+    /// Returns the revision of the adopted commands, 0 if there are none.
     pub(crate) fn revision(&self) -> u64 {
         self.adopted
             .as_ref()
             .map_or(0, |commands| commands.revision)
     }
 
-    /// The fencing token for the runner: the term of the adopted commands; `None` without any.
+    /// Returns the fencing token for the runner, which is the term of the adopted commands; `None` if there are none.
     pub(crate) fn fencing_token(&self) -> Option<Term> {
         self.adopted.as_ref().map(|commands| commands.term)
     }
 
-    /// The lease under which the agent acts.
+    /// Returns the agent's lease.
     pub(crate) fn lease(&self) -> &AgentLease {
         &self.lease
     }
 
-    /// The starts commanded for this instance.
+    /// Returns the commanded starts for this instance.
     pub(crate) fn starts(&self, instance: &str) -> &[StartCommand] {
         let commands = self
             .for_instance(instance)
@@ -129,19 +130,19 @@
         commands.map_or(&[], |commands| &commands.start)
     }
 
-    /// The stops commanded for this instance.
+    /// Returns the commanded stops for this instance.
     pub(crate) fn stops(&self, instance: &str) -> &[StopCommand] {
         self.for_instance(instance)
             .map_or(&[], |commands| &commands.stop)
     }
 
-    /// The number up to which this instance may forget its ends; `None` where none is stored.
+    /// Returns the number up to which this instance may forget its ended runs; `None` if the scheduler has stored none.
     pub(crate) fn observed(&self, instance: &str) -> Option<u64> {
         (self.observed > 0 && &*self.observed_instance == instance).then_some(self.observed)
     }
 
-    /// The delay until the next heartbeat that the scheduler wants, in milliseconds; `None` where it leaves that to the
-    /// agent.
+    /// Returns the delay until the next heartbeat that the scheduler requests, in milliseconds; `None` if the scheduler
+    /// leaves the delay to the agent.
     pub(crate) fn retry_after_ms(&self) -> Option<u64> {
         self.adopted
             .as_ref()
@@ -155,7 +156,8 @@
             .filter(|commands| &*commands.instance == instance)
     }
 
-    /// An end once observed stays so: the highest number of an instance counts.
+    /// Records the highest observed number of an instance. The number never decreases, because an end that the
+    /// scheduler has observed stays observed.
     fn record_observed(&mut self, commands: &RunnerCommands) {
         if self.observed_instance == commands.instance {
             self.observed = self.observed.max(commands.observed);
--- a/crates/cluster/agent/src/config_relay.rs
+++ b/crates/cluster/agent/src/config_relay.rs
@@ -1,13 +1,14 @@
-//! The agent's place in the relay tree: it receives configurations and relays them to the processes below it.
+//! The agent's part in the relay tree: the agent receives configurations and relays them to the processes below it.
 
 use sagetrail_config_distribution::Relay;
 use sagetrail_protocol::node::Outbox;
 use sagetrail_protocol::{Message, NodeId, Time};
 
-/// Time that a due renewal waits for another reason to wake, in milliseconds: an idle agent wakes for nothing else.
+/// The time by which a due renewal of the subscription may be delayed until the agent wakes for another reason, in
+/// milliseconds. Without this delay an idle agent would wake for the renewal alone.
 const WAKE_SLACK_MS: u64 = 300;
 
-/// A process of the relay tree, and the candidates for its parent that it was last given.
+/// A process of the relay tree, together with the latest candidates for its parent.
 #[derive(Debug)]
 pub(crate) struct ConfigRelay {
     relay: Relay,
@@ -16,7 +17,7 @@
 }
 
 impl ConfigRelay {
-    /// Without a configuration or a parent.
+    /// Creates a relay that has no configuration and no parent.
     pub(crate) fn new(node: NodeId, seed: u64) -> ConfigRelay {
         ConfigRelay {
             relay: Relay::new(node, seed),
@@ -25,12 +26,12 @@
         }
     }
 
-    /// The version of the configuration, 0 for none.
+    /// Returns the version of the newest configuration, 0 if there is none.
     pub(crate) fn version(&self) -> u64 {
         self.relay.newest().map_or(0, |(version, _)| version)
     }
 
-    /// Receives a message of the relay tree; ignores any other.
+    /// Receives a message of the relay tree and ignores any other message.
     pub(crate) fn receive(
         &mut self,
         now: Time,
@@ -50,7 +51,7 @@
         send_all(answers, outbox);
     }
 
-    /// Sets the processes that make up the tree.
+    /// Sets the core processes and relays that make up the tree.
     pub(crate) fn set_candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
         if self.core == core && self.relays == relays {
             return;
@@ -60,12 +61,12 @@
         self.relay.set_candidates(&self.core, &self.relays);
     }
 
-    /// Renews the subscription with the parent where that is due.
+    /// Renews the subscription with the parent if the renewal is due.
     pub(crate) fn send_due(&mut self, now: Time, outbox: &mut Outbox) {
         send_all(self.relay.wake(now), outbox);
     }
 
-    /// When `send_due` is due at the latest.
+    /// Returns the latest time at which `send_due` must be called.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.relay
             .next_wake()
--- a/crates/cluster/agent/src/heartbeat.rs
+++ b/crates/cluster/agent/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! A runner's heartbeat, read from JSON. Unknown fields are ignored, missing ones left out, and every length is bounded.
+//! A runner's heartbeat, parsed from JSON. Unknown fields are ignored, missing fields are allowed, and every length is
+//! bounded.
 
 use serde::Deserialize;
 use thiserror::Error;
@@ -8,67 +9,68 @@
 
 use crate::heartbeat_rows::{ActiveRow, FinishedRow};
 
-/// The longest body of a heartbeat, in bytes.
+/// The maximum length of a heartbeat's body, in bytes.
 pub const MAX_HEARTBEAT_BYTES: usize = 4 << 20;
-/// The most runs that a heartbeat may list as active.
+/// The maximum number of runs that a heartbeat may list as active.
 pub const MAX_ACTIVE_RUNS: usize = 16_384;
-/// The most ended runs that a heartbeat may list.
+/// The maximum number of ended runs that a heartbeat may list.
 pub const MAX_FINISHED_RUNS: usize = 16_384;
-/// The most labels of a runner.
+/// The maximum number of labels of a runner.
 const MAX_LABELS: usize = 1_024;
-/// The longest name in a heartbeat (task, service, address, zone, label), in bytes.
+/// The maximum length of a name in a heartbeat (task, service, address, zone, label), in bytes.
 const MAX_NAME_BYTES: usize = 1_024;
-/// The longest checkpoint, in bytes.
+/// The maximum length of a checkpoint, in bytes.
 const MAX_CHECKPOINT_BYTES: usize = 64 << 10;
-/// The progress of a run whose work is done, in hundredths.
+/// The progress of a run whose work is complete, in percent.
 const MAX_PERCENT: f64 = 100.0;
-/// The state of a runner that shuts down.
+/// The `state` value of a runner that is shutting down.
 const DRAINING: &str = "draining";
 
-/// Why a heartbeat is rejected.
+/// The reason why a heartbeat is rejected.
 #[derive(Debug, Error)]
 pub enum HeartbeatError {
-    /// The body is over [`MAX_HEARTBEAT_BYTES`].
-    #[error("heartbeat too long: {bytes} bytes")]
+    /// The body is longer than [`MAX_HEARTBEAT_BYTES`].
+    #[error("heartbeat too long: got {bytes} bytes, limit is {MAX_HEARTBEAT_BYTES}")]
     TooLong {
         /// The length of the body.
         bytes: usize,
     },
-    /// The body is not the JSON of a heartbeat.
-    #[error("not a heartbeat: {0}")]
+    /// The body is not the JSON document of a heartbeat.
+    #[error("body is not the JSON document of a heartbeat: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A list or a text is longer than its limit.
-    #[error("over the limit: {field}")]
+    /// A list or a string is longer than its limit.
+    #[error("heartbeat field exceeds its length limit: {field}")]
     OverLimit {
-        /// The field, as in the JSON.
+        /// The name of the field in the JSON document.
         field: &'static str,
     },
 }
 
-/// The content of a heartbeat. What a runner is may be left out once it was named, what it does may not.
+/// The content of a heartbeat. The optional fields describe the runner and may be left out once an earlier heartbeat
+/// has given them. The state and the lists of runs are needed in every heartbeat: a missing list counts as empty.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub(crate) struct Heartbeat {
-    /// The service whose runner it is.
+    /// The service to which the runner belongs.
     pub(crate) service: Option<Text>,
-    /// The address on which it accepts calls, `ip:port`.
+    /// The address on which the runner accepts calls, `ip:port`.
     pub(crate) address: Option<Text>,
-    /// Its failure domain.
+    /// The failure domain of the runner.
     pub(crate) zone: Option<Text>,
-    /// All of its resources, used or free.
+    /// All resources of the runner, used or free.
     pub(crate) capacity: Option<Resources>,
-    /// What placements may ask for.
+    /// The labels that placement constraints may require.
     pub(crate) labels: Option<Vec<Text>>,
-    /// It shuts down and starts nothing any more.
+    /// Whether the runner is shutting down and starts no more runs.
     pub(crate) is_draining: bool,
-    /// The rest of its slow start, in milliseconds.
+    /// The remaining time of the runner's slow start, in milliseconds.
     pub(crate) slow_start_remaining_ms: u64,
-    /// While it drains: the time it has left, in milliseconds.
+    /// The remaining time of a draining runner until it ends, in milliseconds.
     pub(crate) remaining_ms: u64,
-    /// Its number, which rises with each heartbeat of an instance.
+    /// The sequence number, which increases with each heartbeat of an instance.
     pub(crate) sequence: Option<u64>,
-    /// The runs that are active.
+    /// The active runs.
     pub(crate) active: Vec<ActiveRun>,
-    /// The ends that the scheduler has not observed.
+    /// The ended runs whose ends the scheduler has not yet observed.
     pub(crate) finished: Vec<FinishedRun>,
 }
 
@@ -97,11 +99,12 @@
 }
 
 impl Heartbeat {
-    /// Reads the body of a heartbeat.
+    /// Parses the body of a heartbeat.
     ///
     /// # Errors
     ///
-    /// For a body that is too long or is not the JSON of a heartbeat, and for a list or text over its limit.
+    /// Returns an error if the body is too long or is not the JSON document of a heartbeat, or if a list or a string
+    /// exceeds its limit.
     pub(crate) fn parse(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
         if body.len() > MAX_HEARTBEAT_BYTES {
             return Err(HeartbeatError::TooLong { bytes: body.len() });
@@ -110,7 +113,7 @@
         Heartbeat::try_from(document)
     }
 
-    /// Whether this run is listed, as active or as finished.
+    /// Returns whether the heartbeat lists this run as active or as finished.
     pub(crate) fn lists(&self, task: &str, attempt: u64) -> bool {
         self.lists_active(task, attempt)
             || self
@@ -119,7 +122,7 @@
                 .any(|run| run.attempt == attempt && &*run.task == task)
     }
 
-    /// Whether this run is listed as active.
+    /// Returns whether the heartbeat lists this run as active.
     pub(crate) fn lists_active(&self, task: &str, attempt: u64) -> bool {
         self.active
             .iter()
@@ -155,7 +158,7 @@
     }
 }
 
-/// Whole milliseconds; 0 where the number is missing, negative or not a number.
+/// Converts to whole milliseconds; returns 0 if the number is missing, negative or NaN.
 fn milliseconds(number: Option<f64>) -> u64 {
     number.unwrap_or_default() as u64
 }
@@ -218,7 +221,8 @@
     })
 }
 
-/// How a run ended. A value of a later protocol counts as `Stopped`: over, and no attempt lost.
+/// Converts the outcome of a run. An unknown value, perhaps of a later protocol version, counts as `Stopped`: the run
+/// is over, and no attempt is used up.
 fn run_end(how: &str) -> RunEnd {
     match how {
         "done" => RunEnd::Done,
--- a/crates/cluster/agent/src/heartbeat_reply.rs
+++ b/crates/cluster/agent/src/heartbeat_reply.rs
@@ -1,4 +1,4 @@
-//! The reply to a heartbeat, as JSON. What is empty or unknown is left out.
+//! The reply to a heartbeat, as JSON. Empty and unknown fields are left out.
 
 use serde::ser::{SerializeTuple, Serializer};
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use sagetrail_protocol::node::HttpReply;
 
 const OK: u16 = 200;
-/// A JSON document without content.
+/// A JSON document without fields.
 const EMPTY_DOCUMENT: &[u8] = b"{}";
 const START_FIELDS: usize = 4;
 const STOP_FIELDS: usize = 2;
@@ -14,41 +14,42 @@
 /// The reply to a heartbeat that was accepted.
 #[derive(Serialize, Default)]
 pub(crate) struct HeartbeatReply<'a> {
-    /// The runner's lease in milliseconds, from the sending of its heartbeat. Without it nothing is extended or started.
+    /// The runner's lease in milliseconds, counted from the time at which the runner sent its heartbeat. A reply
+    /// without this field extends no lease and starts nothing.
     #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
     pub(crate) lease_ms: Option<u64>,
-    /// The runner may forget its ends up to this number.
+    /// The runner may forget the ended runs up to this number.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) observed: Option<u64>,
     /// The term of the adopted commands; the runner ignores replies with a lower one.
     #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
     pub(crate) fencing_token: Option<u64>,
-    /// Runs to start.
+    /// The runs to start.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub(crate) start: Vec<StartRow<'a>>,
-    /// Runs to stop.
+    /// The runs to stop.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub(crate) stop: Vec<StopRow<'a>>,
-    /// The next heartbeat is wanted after this time, in milliseconds.
+    /// The delay until the next heartbeat, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) retry_after_ms: Option<u64>,
 }
 
 /// A run to start: `[task, run, spec, saved]`.
 pub(crate) struct StartRow<'a> {
-    /// ID.K.STEP.INDEX.
+    /// The name of the task, in the form `ID.K.STEP.INDEX`.
     pub(crate) task: &'a str,
     /// The attempt, `run` on the wire.
     pub(crate) attempt: u64,
-    /// The job's specification, word for word.
+    /// The unmodified text of the job's specification.
     pub(crate) spec: &'a str,
-    /// The checkpoint to resume from, `saved` on the wire; empty for none.
+    /// The checkpoint from which the run resumes, `saved` on the wire; empty if there is none.
     pub(crate) checkpoint: &'a str,
 }
 
 /// A run to stop: `[task, run]`.
 pub(crate) struct StopRow<'a> {
-    /// ID.K.STEP.INDEX.
+    /// The name of the task, in the form `ID.K.STEP.INDEX`.
     pub(crate) task: &'a str,
     /// The attempt, `run` on the wire.
     pub(crate) attempt: u64,
@@ -76,7 +77,7 @@
 
 impl From<HeartbeatReply<'_>> for HttpReply {
     fn from(reply: HeartbeatReply<'_>) -> HttpReply {
-        // Numbers, texts and lists of them always serialize.
+        // Serialization cannot fail, because the reply consists only of numbers, strings and lists of these.
         let body = serde_json::to_vec(&reply).unwrap_or_else(|_| EMPTY_DOCUMENT.to_vec());
         HttpReply {
             status: OK,
@@ -86,7 +87,7 @@
     }
 }
 
-/// A reply with a status and an empty document.
+/// Builds a reply with the given status and an empty JSON document.
 pub(crate) fn empty(status: u16) -> HttpReply {
     HttpReply {
         status,
--- a/crates/cluster/agent/src/heartbeat_rows.rs
+++ b/crates/cluster/agent/src/heartbeat_rows.rs
@@ -1,5 +1,5 @@
-//! The rows of a heartbeat's lists, read from JSON arrays. Elements behind the known ones are ignored, so that a later
-//! protocol can add some.
+//! The rows of the lists in a heartbeat, parsed from JSON arrays. Elements after the known ones are ignored, so that a
+//! later version of the protocol can add elements.
 
 use std::fmt;
 
@@ -7,25 +7,25 @@
 
 /// An active run: `[task, run, saved, percent]`.
 pub(crate) struct ActiveRow {
-    /// ID.K.STEP.INDEX.
+    /// The name of the task, in the form `ID.K.STEP.INDEX`.
     pub(crate) task: String,
     /// The attempt, `run` on the wire.
     pub(crate) attempt: u64,
     /// The newest checkpoint, `saved` on the wire; empty for none.
     pub(crate) checkpoint: String,
-    /// Progress in hundredths, any number.
+    /// The progress in percent; any number is accepted.
     pub(crate) percent: f64,
 }
 
 /// An ended run: `[number, task, run, how, saved]`.
 pub(crate) struct FinishedRow {
-    /// The runner's number of the end.
+    /// The number that the runner gave to this end.
     pub(crate) number: u64,
-    /// ID.K.STEP.INDEX.
+    /// The name of the task, in the form `ID.K.STEP.INDEX`.
     pub(crate) task: String,
     /// The attempt, `run` on the wire.
     pub(crate) attempt: u64,
-    /// How it ended, `how` on the wire.
+    /// The outcome of the run, `how` on the wire.
     pub(crate) end: String,
     /// The newest checkpoint, `saved` on the wire; empty for none.
     pub(crate) checkpoint: String,
@@ -55,8 +55,8 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut fields: A) -> Result<ActiveRow, A::Error> {
         let row = ActiveRow {
-            task: required(&mut fields, "a task")?,
-            attempt: required(&mut fields, "a run")?,
+            task: required(&mut fields, "task")?,
+            attempt: required(&mut fields, "run")?,
             checkpoint: fields.next_element()?.unwrap_or_default(),
             percent: fields.next_element()?.unwrap_or_default(),
         };
@@ -74,10 +74,10 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut fields: A) -> Result<FinishedRow, A::Error> {
         let row = FinishedRow {
-            number: required(&mut fields, "a number")?,
-            task: required(&mut fields, "a task")?,
-            attempt: required(&mut fields, "a run")?,
-            end: required(&mut fields, "how it ended")?,
+            number: required(&mut fields, "number")?,
+            task: required(&mut fields, "task")?,
+            attempt: required(&mut fields, "run")?,
+            end: required(&mut fields, "how")?,
             checkpoint: fields.next_element()?.unwrap_or_default(),
         };
         ignore_rest(fields)?;
@@ -87,11 +87,11 @@
 
 fn required<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(
     fields: &mut A,
-    what: &'static str,
+    name: &'static str,
 ) -> Result<T, A::Error> {
     fields
         .next_element()?
-        .ok_or_else(|| A::Error::missing_field(what))
+        .ok_or_else(|| A::Error::missing_field(name))
 }
 
 fn ignore_rest<'de, A: SeqAccess<'de>>(mut fields: A) -> Result<(), A::Error> {
--- a/crates/cluster/agent/src/leader_link.rs
+++ b/crates/cluster/agent/src/leader_link.rs
@@ -1,4 +1,5 @@
-//! The connection to the leader: who it is, who may know, and who relays messages while it cannot be reached directly.
+//! The link to the leader: which process is the leader, which processes may know it, and which processes relay messages
+//! while it cannot be reached directly.
 
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello, HELLO_INTERVAL_MS};
@@ -7,62 +8,65 @@
 use sagetrail_protocol::node::Outbox;
 use sagetrail_protocol::{Blob, Message, NodeId, Term, Time};
 
-/// Time without an answer to a report after which the leader is sought, in milliseconds.
+/// The time without an answer to a report after which a search for the leader starts, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 700;
-/// Interval of hellos while the leader is sought, in milliseconds.
+/// The interval of hellos during a search for the leader, in milliseconds.
 const SEARCH_INTERVAL_MS: u64 = 250;
-/// The number of processes that are sent a hello at once during a search.
+/// The number of processes that receive a hello at the same time during a search.
 const SEARCH_WIDTH: usize = 3;
-/// Time without a directory after which another core process is asked, in milliseconds.
+/// The time without a directory after which hellos go to another core process, in milliseconds.
 const CONTACT_TIMEOUT_MS: u64 = HELLO_INTERVAL_MS + SEARCH_INTERVAL_MS;
-/// Time without a directory after which hellos are relayed too, in milliseconds.
+/// The time without a directory after which hellos are also sent through relays, in milliseconds.
 const DIRECTORY_TIMEOUT_MS: u64 = 1_500;
-/// The most processes of a kind that are remembered.
-const MAX_KNOWN: usize = 1_024;
+/// The maximum number of core members, and of configuration relays, that are remembered.
+const MAX_KNOWN_NODES: usize = 1_024;
 
-/// The way by which a message came.
+/// The route by which a message arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Route {
-    /// From its author over a connection of its own.
+    /// The sender sent the message over its own connection.
     Direct,
-    /// Through a third process.
+    /// A third process relayed the message.
     Relayed {
-        /// That process.
+        /// The process that relayed the message.
         by: NodeId,
     },
 }
 
-/// Finds the leader, and sends reports to it.
+/// Finds the leader and sends reports to it.
 #[derive(Debug)]
 pub(crate) struct LeaderLink {
-    own: NodeId,
+    own_node: NodeId,
     hello: Hello,
     seeds: Vec<NodeId>,
     members: Vec<NodeId>,
     /// The version of `members`; an older list never replaces a newer one.
     members_version: u64,
     config_relays: Vec<NodeId>,
-    /// The newest term that was named.
+    /// The newest known term.
     term: Term,
     leader: Option<NodeId>,
+    /// The time at which the last hellos were sent.
     last_hello: Option<Time>,
-    /// The position among the core processes from which on hellos are sent.
+    /// The position in the list of core processes at which the next hellos start.
     hello_cursor: usize,
+    /// The time at which the last directory was received.
     last_directory: Option<Time>,
-    /// When the first report was sent since the leader's last answer.
+    /// The time at which the first report since the leader's last answer was sent.
     unanswered_since: Option<Time>,
-    /// The same since its last direct answer.
+    /// The time at which the first report since the leader's last direct answer was sent.
     unanswered_directly_since: Option<Time>,
     /// The process that relayed the last answer.
     working_relay: Option<NodeId>,
+    /// The position in the list of possible relays of the one that was used last.
     relay_cursor: usize,
 }
 
 impl LeaderLink {
-    /// A link that knows the seeds only.
-    pub(crate) fn new(own: NodeId, hello: Hello, seeds: Vec<NodeId>, seed: u64) -> LeaderLink {
+    /// Creates a link that knows only the seeds.
+    pub(crate) fn new(own_node: NodeId, hello: Hello, seeds: Vec<NodeId>, seed: u64) -> LeaderLink {
         LeaderLink {
-            own,
+            own_node,
             hello,
             seeds,
             members: Vec::new(),
@@ -80,17 +84,17 @@
         }
     }
 
-    /// The leader, if one is known.
+    /// Returns the leader, if it is known.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Replaces the seeds by those of changed settings.
+    /// Replaces the seeds after a change of the settings.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
     }
 
-    /// The members of the core, or the seeds before any are known.
+    /// Returns the core members, or the seeds while no members are known.
     pub(crate) fn core(&self) -> &[NodeId] {
         if self.members.is_empty() {
             &self.seeds
@@ -99,17 +103,17 @@
         }
     }
 
-    /// The processes that relay configurations, best first.
+    /// Returns the processes that relay configurations, best first.
     pub(crate) fn config_relays(&self) -> &[NodeId] {
         &self.config_relays
     }
 
-    /// Sets the configuration version that hellos name.
+    /// Sets the configuration version that hellos contain.
     pub(crate) fn set_config_version(&mut self, config_version: u64) {
         self.hello.config_version = config_version;
     }
 
-    /// Receives a core process's directory.
+    /// Receives the directory of a core process.
     pub(crate) fn receive_directory(&mut self, now: Time, directory: Directory) {
         self.last_directory = Some(now);
         if directory.members_version >= self.members_version && !directory.members.is_empty() {
@@ -121,22 +125,22 @@
         self.learn(directory.term, named);
     }
 
-    /// Receives the message of `from` that it is not the leader.
-    pub(crate) fn receive_not_leader(&mut self, from: NodeId, bounce: &NotLeader) {
-        if bounce.term >= self.term && self.leader == Some(from) {
+    /// Receives a message in which `from` says that it is not the leader.
+    pub(crate) fn receive_not_leader(&mut self, from: NodeId, not_leader: &NotLeader) {
+        if not_leader.term >= self.term && self.leader == Some(from) {
             self.leader = None;
         }
-        let named =
-            Some(bounce.leader).filter(|leader| *leader != NodeId::default() && *leader != from);
-        self.learn(bounce.term, named);
+        let named = Some(not_leader.leader)
+            .filter(|leader| *leader != NodeId::default() && *leader != from);
+        self.learn(not_leader.term, named);
     }
 
-    /// Learns from commands who the leader of a term is.
+    /// Records the leader of a term, which is the sender of commands of that term.
     pub(crate) fn learn_leader(&mut self, term: Term, leader: NodeId) {
         self.learn(term, Some(leader));
     }
 
-    /// Records an answer to a report, and by which route it came.
+    /// Records an answer to a report and the route by which it arrived.
     pub(crate) fn record_answer(&mut self, from: NodeId, route: Route) {
         if self.leader != Some(from) {
             return;
@@ -151,13 +155,13 @@
         }
     }
 
-    /// Sends a report to the leader, through a relay too where the direct connection is silent.
+    /// Sends a report to the leader. Also sends it through a relay if the direct connection gives no answers.
     pub(crate) fn send_report(&mut self, now: Time, report: Message, outbox: &mut Outbox) {
         let Some(leader) = self.leader else { return };
-        let directly_since = *self.unanswered_directly_since.get_or_insert(now);
-        let since = *self.unanswered_since.get_or_insert(now);
-        if is_timed_out(now, directly_since) {
-            if is_timed_out(now, since) {
+        let unanswered_directly_since = *self.unanswered_directly_since.get_or_insert(now);
+        let unanswered_since = *self.unanswered_since.get_or_insert(now);
+        if is_timed_out(now, unanswered_directly_since) {
+            if is_timed_out(now, unanswered_since) {
                 self.working_relay = None;
             }
             self.send_by_relay(leader, &report, outbox);
@@ -165,7 +169,7 @@
         outbox.send(leader, report);
     }
 
-    /// Sends the hellos that are due; they ask for the leader, and renew this process's entry in the directory.
+    /// Sends the hellos that are due. A hello asks for the leader and renews this process's entry in the directory.
     pub(crate) fn send_due_hellos(&mut self, now: Time, outbox: &mut Outbox) {
         if now < self.hello_due() {
             return;
@@ -183,7 +187,8 @@
         }
     }
 
-    /// When hellos are due: at the regular time, or once the leader has been silent for too long.
+    /// Returns the time at which hellos are due: the regular time, or earlier if the leader is unknown or has not
+    /// answered for too long.
     pub(crate) fn hello_due(&self) -> Time {
         let Some(last_hello) = self.last_hello else {
             return Time(0);
@@ -211,7 +216,7 @@
                 .is_some_and(|since| is_timed_out(now, since))
     }
 
-    /// Adopts a newer term and its leader, or a leader for the known term where it has none.
+    /// Adopts a newer term and its leader, or a leader of the known term if that term has none yet.
     fn learn(&mut self, term: Term, leader: Option<NodeId>) {
         if term < self.term || (term == self.term && (leader.is_none() || self.leader.is_some())) {
             return;
@@ -226,8 +231,8 @@
         self.working_relay = None;
     }
 
-    /// Sends a hello to the core process that answers; in a search to several in rotation, the seeds included, which
-    /// are also used where no members are known.
+    /// Sends a hello to the core process at the cursor, which stays at a process that answers. During a search, sends
+    /// hellos to several processes in rotation. The seeds are included during a search and while no members are known.
     fn send_hellos(&mut self, is_searching: bool, outbox: &mut Outbox) {
         let width = if is_searching { SEARCH_WIDTH } else { 1 };
         let mut targets = self.members.clone();
@@ -238,7 +243,7 @@
                 .filter(|seed| !self.members.contains(seed));
             targets.extend(seeds.copied());
         }
-        targets.retain(|target| *target != self.own);
+        targets.retain(|target| *target != self.own_node);
         for offset in 0..width.min(targets.len()) {
             let position = self.hello_cursor.wrapping_add(offset) % targets.len();
             outbox.send(targets[position], Message::Hello(self.hello.clone()));
@@ -254,7 +259,8 @@
         self.send_by_relay(target, &Message::Hello(self.hello.clone()), outbox);
     }
 
-    /// Sends a message through a process that may reach its receiver: the one that did last, or else each in rotation.
+    /// Sends a message through a process that may reach the receiver: the one that relayed the last answer, or else the
+    /// next one in rotation.
     fn send_by_relay(&mut self, to: NodeId, message: &Message, outbox: &mut Outbox) {
         let Some(relay) = self.working_relay.or_else(|| self.next_relay(to)) else {
             return;
@@ -263,7 +269,7 @@
             return;
         };
         let relayed = Relayed {
-            from: self.own,
+            from: self.own_node,
             to,
             payload: Blob(payload),
         };
@@ -278,7 +284,7 @@
             .chain(&self.seeds);
         let usable: Vec<NodeId> = known
             .copied()
-            .filter(|relay| *relay != to && *relay != self.own)
+            .filter(|relay| *relay != to && *relay != self.own_node)
             .collect();
         if usable.is_empty() {
             return None;
@@ -292,8 +298,8 @@
     now.millis_since(since) > ANSWER_TIMEOUT_MS
 }
 
-/// The processes that are remembered.
+/// Shortens a list of processes to [`MAX_KNOWN_NODES`].
 fn bounded(mut nodes: Vec<NodeId>) -> Vec<NodeId> {
-    nodes.truncate(MAX_KNOWN);
+    nodes.truncate(MAX_KNOWN_NODES);
     nodes
 }
--- a/crates/cluster/agent/src/lib.rs
+++ b/crates/cluster/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent: the process beside one runner. It grants the runner's lease and hands it the scheduler's commands.
+//! The agent is the process that runs beside one runner. It grants the runner's lease and passes the scheduler's
+//! commands on to it.
 //!
-//! A runner knows only its agent, on the same machine, and calls it by HTTP. The agent knows the scheduler, which is the
-//! leader of the control plane, and may be replaced by another at any time. Like every process of the cluster it is a
-//! state machine without sockets, [`AgentNode`], which the host process drives.
+//! A runner knows only its agent, which is on the same machine, and calls it over HTTP. The agent knows the scheduler,
+//! which is the leader of the control plane and may be replaced by another process at any time. Like every process of
+//! the cluster, the agent is a state machine without sockets, [`AgentNode`], which the host process drives.
 //!
 //! ```text
 //!   runner                          agent                                   leader (scheduler)
@@ -27,28 +28,30 @@
 //!
 //! # Heartbeats and leases
 //!
-//! There are two leases, one inside the other, both as in Gray and Cheriton (1989): the holder counts from the sending
-//! of its request, so its lease ends before the grantor's view of it does, whatever the network's delay.
+//! There are two nested leases, both as in Gray and Cheriton (1989): the holder counts its lease from the time at which
+//! it sent its request, so the lease ends for the holder before it ends for the grantor, whatever the network delay.
 //!
-//! - The *agent's lease* is granted by the scheduler with an answer to a report of this very agent, and counts from the
-//!   report's sending. While it lasts the agent acts without the scheduler.
-//! - The *runner's lease* (`hold_ms` on the wire) is granted by the agent with the answer to a heartbeat, and never
-//!   outlasts the agent's. The runner counts from the heartbeat's sending; without a lease it ends everything it runs.
+//! - The scheduler grants the *agent's lease* in its answer to a report of this agent incarnation. The lease counts
+//!   from the time at which the report was sent. While it lasts, the agent acts without the scheduler.
+//! - The agent grants the *runner's lease* (`hold_ms` on the wire) in its answer to a heartbeat. This lease never
+//!   outlasts the agent's. It counts from the time at which the runner sent the heartbeat. A runner without a lease
+//!   ends all of its runs.
 //!
 //! # Who decides that a lease has expired
 //!
-//! The runner decides for itself, on its clock, and stops its runs. The agent decides about the runner's lease, on its
-//! own clock and with a margin for drift, and reports `lease_expired`; a refused connection tells the same at once,
-//! because a dead process runs nothing (`health_check`). The scheduler decides about an agent that it no longer hears,
-//! after the agent's lease and a margin. Each waits longer than the one below it, so a run is started elsewhere only
-//! after it has ended here.
+//! The runner decides by its own clock and then stops its runs. The agent decides about the runner's lease by the
+//! agent's clock, with a margin for clock drift, and reports `lease_expired`. It also does so when the runner's machine
+//! refuses a connection, because a dead process runs nothing (`health_check`). The scheduler decides about an agent
+//! that no longer sends reports, after the agent's lease and a margin. Each of them waits longer than the one below it,
+//! so a run is started elsewhere only after it has ended here.
 //!
 //! # Fencing tokens and commands
 //!
-//! Commands carry the scheduler's term and a revision. The agent adopts only newer ones, and passes the term on as the
-//! fencing token, so the runner ignores what an earlier scheduler wanted. Commands are complete: each replaces the one
-//! before. They are *resolved* by the first heartbeat that the runner sends after it has had, or missed, every earlier
-//! answer; what is then neither active nor finished was not started under them, and never will be.
+//! Commands carry the scheduler's term and a revision. The agent adopts only newer commands and passes the term on as
+//! the fencing token, so the runner ignores the commands of an earlier scheduler. Commands are complete: each message
+//! replaces the one before. Commands are *resolved* by the first heartbeat that the runner sends after each earlier
+//! answer has either reached it or been lost. A run that such a heartbeat lists neither as active nor as finished was
+//! not started by the commands before, and will not be.
 
 mod agent_lease;
 mod commands;
--- a/crates/cluster/agent/src/node.rs
+++ b/crates/cluster/agent/src/node.rs
@@ -1,4 +1,4 @@
-//! The agent as a node: receives events, and leaves in an outbox what is to be sent and answered.
+//! The agent as a node: it receives events and puts its messages and replies into an outbox.
 
 use sagetrail_protocol::agent::RunnerCommands;
 use sagetrail_protocol::directory::Hello;
@@ -13,27 +13,28 @@
 use crate::runner_service::RunnerService;
 use crate::settings::{AgentSettings, Counters};
 
-/// Time for which the process serves on after the notice of its end, in milliseconds, if its grace period allows.
+/// The time for which the process continues to serve after a request to terminate, in milliseconds, if its grace period
+/// allows it.
 const SERVE_ON_MS: u64 = 800;
-/// The largest share of the grace period that is spent serving on.
+/// The maximum share of the grace period during which the process continues to serve.
 const SERVE_ON_SHARE: f64 = 0.5;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// An agent: the process beside one runner.
+/// An agent, the process that runs beside one runner.
 ///
-/// It spawns nothing and has no clock of its own; the host process calls [`Node::handle`] with each event, and with
-/// `Event::Wake` at [`Node::next_wake`].
+/// It spawns no threads or tasks and reads no clock. The host process calls [`Node::handle`] with each event, and with
+/// `Event::Wake` at the time that [`Node::next_wake`] returns.
 pub struct AgentNode {
     settings: AgentSettings,
     link: LeaderLink,
     service: RunnerService,
     config: ConfigRelay,
-    /// When the process ends, once it has been notified.
+    /// The time at which the process ends; `None` until it is asked to terminate.
     ends_at: Option<Time>,
 }
 
 impl AgentNode {
-    /// Starts, and sends hellos to the seeds.
+    /// Creates an agent and sends hellos to the seeds.
     pub fn new(settings: AgentSettings, now: Now, outbox: &mut Outbox) -> AgentNode {
         let hello = Hello {
             kind: NodeKind::Side,
@@ -52,12 +53,12 @@
         agent
     }
 
-    /// What has been counted so far.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         self.service.counters()
     }
 
-    /// The version of the configuration, 0 for none.
+    /// Returns the version of the newest configuration, 0 if there is none.
     pub fn config_version(&self) -> u64 {
         self.config.version()
     }
@@ -72,7 +73,7 @@
     ) {
         match message {
             Message::Directory(directory) => self.link.receive_directory(now, directory),
-            Message::NotLeader(bounce) => self.link.receive_not_leader(from, &bounce),
+            Message::NotLeader(not_leader) => self.link.receive_not_leader(from, &not_leader),
             Message::RunnerCommands(commands) => self.receive_commands(now, from, route, commands),
             Message::Relayed(relayed) if route == Route::Direct => {
                 self.receive_relayed(now, from, relayed, outbox);
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Opens a relayed message to this process; relays, once, what its author asks to be relayed.
+    /// Decodes a relayed message that is addressed to this process. Relays a message for another process if it comes
+    /// from its author, so that a message is relayed only once.
     fn receive_relayed(&mut self, now: Time, from: NodeId, relayed: Relayed, outbox: &mut Outbox) {
         if relayed.to == self.settings.node {
             let route = Route::Relayed { by: from };
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Does everything that is due.
+    /// Performs all actions that are due.
     fn run_due(&mut self, now: Time, outbox: &mut Outbox) {
         self.service.expire_lease(now);
         self.renew_subscription(now, outbox);
@@ -136,13 +138,13 @@
         self.config.send_due(now, outbox);
     }
 
-    /// When the next report is due; none without a leader.
+    /// Returns the time at which the next report is due; `None` if no leader is known.
     fn report_due(&self) -> Option<Time> {
         self.link.leader()?;
         Some(self.service.report_due())
     }
 
-    /// A leader that is new to this agent receives a report at once.
+    /// Makes a report due at once if the leader differs from `former`.
     fn expedite_report_to_new_leader(&mut self, former: Option<NodeId>) {
         if self.link.leader().is_some() && self.link.leader() != former {
             self.service.expedite_report();
@@ -182,13 +184,13 @@
     }
 
     fn next_wake(&self) -> Option<Time> {
-        let wakes = [
+        let wake_times = [
             Some(self.link.hello_due()),
             self.report_due(),
             self.config.next_wake(),
             self.service.next_wake(),
             self.ends_at,
         ];
-        wakes.into_iter().flatten().min()
+        wake_times.into_iter().flatten().min()
     }
 }
--- a/crates/cluster/agent/src/report.rs
+++ b/crates/cluster/agent/src/report.rs
@@ -1,4 +1,4 @@
-//! The report to the scheduler: everything that the agent knows of its runner.
+//! The report to the scheduler, which contains everything that the agent knows about its runner.
 
 use sagetrail_protocol::agent::{Resources, RunnerReport};
 use sagetrail_protocol::{Incarnation, List, Text, Time};
@@ -7,18 +7,18 @@
 use crate::runner::Runner;
 use crate::runner_registry::RunnerRegistry;
 
-/// What identifies a report.
+/// The fields that identify a report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportHeader {
-    /// The agent that sends it.
+    /// The incarnation of the agent that sends the report.
     pub(crate) agent: Incarnation,
-    /// Its number; rises by one with each report of the agent.
+    /// The sequence number of the report; it increases by one with each report of the agent.
     pub(crate) sequence: u64,
-    /// When it is sent; the answer counts the agent's lease from here.
+    /// The time at which the report is sent; the agent's lease in the answer counts from this time.
     pub(crate) sent_at: Time,
 }
 
-/// The report of what is known at its sending.
+/// Builds a report from the current commands and the current instance of the runner.
 pub(crate) fn build(
     header: ReportHeader,
     commands: &AdoptedCommands,
--- a/crates/cluster/agent/src/report_schedule.rs
+++ b/crates/cluster/agent/src/report_schedule.rs
@@ -1,30 +1,31 @@
-//! When the next report to the scheduler is due.
+//! The schedule of the reports to the scheduler.
 
 use sagetrail_protocol::agent::REPORT_INTERVAL_MS;
 use sagetrail_protocol::Time;
 
-/// The shortest time between two reports, in milliseconds.
+/// The minimum interval between two reports, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 10;
-/// The interval of reports while the agent's lease is to be renewed, in milliseconds.
+/// The interval of reports while the agent's lease is due for renewal, in milliseconds.
 const RENEWAL_INTERVAL_MS: u64 = 250;
 
 /// Schedules and numbers the reports of one agent.
 #[derive(Debug, Default)]
 pub(crate) struct ReportSchedule {
-    /// Something has changed since the last report.
+    /// Whether a change has been recorded since the last report.
     has_change: bool,
+    /// The time at which the last report was sent.
     last: Option<Time>,
-    /// The number of the last report, 0 for none.
+    /// The sequence number of the last report, 0 if there is none.
     sequence: u64,
 }
 
 impl ReportSchedule {
-    /// Records a change that the scheduler is to receive at once.
+    /// Records a change that must be reported to the scheduler at once.
     pub(crate) fn record_change(&mut self) {
         self.has_change = true;
     }
 
-    /// When the next report is due; from `lease_renewal_due` on they come more often.
+    /// Returns the time at which the next report is due. From `lease_renewal_due` on, reports are more frequent.
     pub(crate) fn due(&self, lease_renewal_due: Time) -> Time {
         let Some(last) = self.last else {
             return Time(0);
@@ -36,7 +37,7 @@
         renewal.min(last.plus_millis(REPORT_INTERVAL_MS))
     }
 
-    /// Records that a report is sent now; its number.
+    /// Records that a report is sent now and returns its sequence number.
     pub(crate) fn record_sent(&mut self, now: Time) -> u64 {
         self.has_change = false;
         self.last = Some(now);
--- a/crates/cluster/agent/src/runner.rs
+++ b/crates/cluster/agent/src/runner.rs
@@ -1,4 +1,4 @@
-//! One instance of the runner: what its newest heartbeat says, and until when its lease may last.
+//! One instance of the runner: the content of its newest heartbeat and the latest expiry of its lease.
 
 use sagetrail_protocol::agent::{ActiveRun, FinishedRun, Resources, RUNNER_LEASE_MS};
 use sagetrail_protocol::{Text, Time};
@@ -6,64 +6,65 @@
 use crate::heartbeat::Heartbeat;
 use crate::runner_lease::latest_expiry;
 
-/// What a runner is; named once, it may be left out of later heartbeats.
+/// The description of a runner. Once given, its fields may be left out of later heartbeats.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Profile {
-    /// The service whose runner it is.
+    /// The service to which the runner belongs.
     pub(crate) service: Text,
-    /// The address on which it accepts calls, `ip:port`.
+    /// The address on which the runner accepts calls, `ip:port`.
     pub(crate) address: Text,
-    /// Its failure domain.
+    /// The failure domain of the runner.
     pub(crate) zone: Text,
-    /// All of its resources, used or free.
+    /// All resources of the runner, used or free.
     pub(crate) capacity: Resources,
-    /// What placements may ask for.
+    /// The labels that placement constraints may require.
     pub(crate) labels: Vec<Text>,
 }
 
-/// The outcome of a heartbeat of a known instance.
+/// The effect of a heartbeat from a known instance.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum HeartbeatChange {
-    /// It is not newer than one received before, and ignored.
+    /// The heartbeat is not newer than one received before and is ignored.
     Stale,
-    /// It changes something that the scheduler is to receive at once.
+    /// The heartbeat contains a change that must be reported to the scheduler at once.
     Changed,
-    /// It changes nothing but the progress of runs.
+    /// The heartbeat changes at most the progress of runs.
     Unchanged,
 }
 
 /// An instance of the runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
-    /// Its id; a new one after each crash.
+    /// The id of the instance; a runner has a new id after each crash.
     pub(crate) instance: Text,
-    /// What it is.
+    /// The description of the runner.
     pub(crate) profile: Profile,
-    /// It shuts down and starts nothing any more; never reset.
+    /// Whether the runner is shutting down and starts no more runs; never reset.
     pub(crate) is_draining: bool,
-    /// While it drains: the time it has left at `last_heartbeat`, in milliseconds.
+    /// The remaining time of a draining runner until it ends, as of `last_heartbeat`, in milliseconds.
     pub(crate) remaining_ms: u64,
-    /// The rest of its slow start at `last_heartbeat`, in milliseconds.
+    /// The remaining time of the runner's slow start, as of `last_heartbeat`, in milliseconds.
     pub(crate) slow_start_remaining_ms: u64,
-    /// The runs that it lists as active; empty once its lease has expired.
+    /// The runs that the newest heartbeat lists as active; empty once the lease has expired.
     pub(crate) active: Vec<ActiveRun>,
-    /// The ends that it lists.
+    /// The ended runs that the newest heartbeat lists.
     pub(crate) finished: Vec<FinishedRun>,
-    /// Silent beyond its lease, or found dead: everything it ran is over.
+    /// Whether all runs are over, because the runner sent no heartbeat until its lease had expired or was found dead.
     pub(crate) lease_expired: bool,
-    /// When its newest heartbeat came.
+    /// The time at which the newest heartbeat was received.
     pub(crate) last_heartbeat: Time,
-    /// It has deregistered, and serves on until this time at least.
+    /// The earliest time at which a deregistered runner stops serving; `None` if it has not deregistered.
     serves_until: Option<Time>,
-    /// The number of its newest heartbeat, if it numbers them.
+    /// The sequence number of the newest heartbeat; `None` if the heartbeats have none.
     sequence: Option<u64>,
-    /// The latest time at which a lease granted to it may last.
+    /// The latest time at which a granted lease may still be valid.
     lease_expires_at: Time,
 }
 
 impl Runner {
-    /// An instance at its first call. An earlier agent may have granted it a complete lease until now.
+    /// Creates an instance at its first call. Its lease counts as granted in full at `now`, because an earlier agent
+    /// may have done so.
     pub(crate) fn new(now: Time, instance: &str) -> Runner {
         Runner {
             instance: Text::from(instance),
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Receives a heartbeat; takes the profile out of it.
+    /// Receives a heartbeat and moves the profile out of it.
     pub(crate) fn receive(&mut self, now: Time, heartbeat: &mut Heartbeat) -> HeartbeatChange {
         if self.is_stale(heartbeat) {
             return HeartbeatChange::Stale;
         }
         self.sequence = heartbeat.sequence.or(self.sequence);
         self.last_heartbeat = now;
-        self.remaining_ms = heartbeat.remaining_ms.max(self.serves_on_ms(now));
+        self.remaining_ms = heartbeat.remaining_ms.max(self.serving_remaining_ms(now));
         self.slow_start_remaining_ms = heartbeat.slow_start_remaining_ms;
         let changes = [
             std::mem::take(&mut self.lease_expired),
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Records its deregistration, after which it serves on for `serves_ms`; true where that is new. One that drains
-    /// already has named the time it has left.
+    /// Records the deregistration of the runner, after which it continues to serve for `serves_ms`. Returns whether
+    /// this is a change: a runner that drains already has reported its remaining time.
     pub(crate) fn deregister(&mut self, now: Time, serves_ms: u64) -> bool {
         if self.is_draining {
             return false;
@@ -123,30 +124,31 @@
         true
     }
 
-    /// Records a lease that was granted at the receipt of a heartbeat.
+    /// Records a lease that was granted when a heartbeat was received.
     pub(crate) fn grant_lease(&mut self, received: Time, lease_ms: u64) {
         let expiry = latest_expiry(received, lease_ms);
         self.lease_expires_at = self.lease_expires_at.max(expiry);
     }
 
-    /// When its lease counts as expired, unless a heartbeat comes before: at its latest expiry, and not before
-    /// `silence_timeout_ms` without a heartbeat. `None` once it has expired.
+    /// Returns the time at which the lease counts as expired unless a heartbeat arrives before: the latest expiry of
+    /// the lease, but not before `silence_timeout_ms` have passed without a heartbeat. Returns `None` once it has
+    /// expired.
     pub(crate) fn expiry_due(&self, silence_timeout_ms: u64) -> Option<Time> {
         let silent_at = self.last_heartbeat.plus_millis(silence_timeout_ms);
         (!self.lease_expired).then(|| self.lease_expires_at.max(silent_at))
     }
 
-    /// Ends everything it ran; true where that is new.
+    /// Marks the lease as expired and all runs as ended. Returns whether this is a change.
     pub(crate) fn expire(&mut self) -> bool {
         self.active.clear();
         !std::mem::replace(&mut self.lease_expired, true)
     }
 
-    fn serves_on_ms(&self, now: Time) -> u64 {
+    fn serving_remaining_ms(&self, now: Time) -> u64 {
         self.serves_until.map_or(0, |until| until.millis_since(now))
     }
 
-    /// Once it drains, a runner drains until its end.
+    /// Records that the runner drains, which it does until its end. Returns whether this is a change.
     fn update_draining(&mut self, is_draining: bool) -> bool {
         let has_changed = is_draining && !self.is_draining;
         self.is_draining |= is_draining;
@@ -184,7 +186,7 @@
     }
 }
 
-/// Takes over a value that is given; true where it differs from the known one.
+/// Replaces the known value by a given one. Returns whether the two differ.
 fn update<T: PartialEq>(known: &mut T, given: Option<T>) -> bool {
     match given {
         Some(given) if given != *known => {
@@ -195,7 +197,7 @@
     }
 }
 
-/// Whether two lists differ in nothing but the progress of the runs.
+/// Returns whether two lists differ at most in the progress of their runs.
 fn are_same_runs(known: &[ActiveRun], reported: &[ActiveRun]) -> bool {
     known.len() == reported.len()
         && known.iter().zip(reported).all(|(known, reported)| {
--- a/crates/cluster/agent/src/runner_call.rs
+++ b/crates/cluster/agent/src/runner_call.rs
@@ -1,33 +1,33 @@
-//! The paths on which a runner calls its agent.
+//! The HTTP paths on which a runner calls its agent.
 
-/// The longest id of a runner's instance, in bytes.
+/// The maximum length of a runner's instance id, in bytes.
 pub const MAX_INSTANCE_BYTES: usize = 256;
-/// The beginning of each path.
-const PREFIX: &str = "/v1/instances/";
-/// The end of the path of a heartbeat.
+/// The prefix of each path.
+const PATH_PREFIX: &str = "/v1/instances/";
+/// The last segment of the path of a heartbeat.
 const HEARTBEAT: &str = "heartbeat";
-/// The end of the path of a deregistration.
+/// The last segment of the path of a deregistration.
 const DEREGISTER: &str = "deregister";
 
-/// What a runner calls its agent for.
+/// A call from a runner to its agent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum RunnerCall<'a> {
-    /// The runner lives; the body is a heartbeat.
+    /// The runner is alive; the request body is its heartbeat.
     Heartbeat {
-        /// The runner's instance.
+        /// The id of the runner's instance.
         instance: &'a str,
     },
-    /// The runner shuts down, and may serve on for a while.
+    /// The runner shuts down; it may continue to serve for a while.
     Deregister {
-        /// The runner's instance.
+        /// The id of the runner's instance.
         instance: &'a str,
     },
 }
 
 impl RunnerCall<'_> {
-    /// The call that a path names; `None` for any other path.
+    /// Parses the path of a call; returns `None` if the path names no call.
     pub(crate) fn parse(path: &str) -> Option<RunnerCall<'_>> {
-        let (instance, verb) = path.strip_prefix(PREFIX)?.split_once('/')?;
+        let (instance, verb) = path.strip_prefix(PATH_PREFIX)?.split_once('/')?;
         if instance.is_empty() || instance.len() > MAX_INSTANCE_BYTES {
             return None;
         }
--- a/crates/cluster/agent/src/runner_registry.rs
+++ b/crates/cluster/agent/src/runner_registry.rs
@@ -1,4 +1,5 @@
-//! The runner of this machine through all its instances: which one is current, and which calls are late.
+//! The instances of the runner on this machine. The registry decides which instance is current and which calls are
+//! late.
 
 use std::collections::VecDeque;
 
@@ -9,27 +10,27 @@
 use crate::runner::{HeartbeatChange, Runner};
 use crate::runner_lease::latest_expiry;
 
-/// The number of former instances, and of those that deregistered early, that are remembered, so that late calls of
-/// theirs are recognized.
+/// The number of replaced instances, and likewise of instances that deregistered early, that are remembered so that
+/// late calls from them are recognized.
 const REMEMBERED_INSTANCES: usize = 64;
-/// A runner without a lease counts as silent after its heartbeat interval and this margin, in milliseconds.
+/// A runner without a lease counts as silent after its heartbeat interval plus this margin, in milliseconds.
 const SILENCE_MARGIN_MS: u64 = 1_000;
 
-/// Whether a heartbeat is accepted.
+/// The result of the check whether a heartbeat is accepted.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Admission {
-    /// It is the newest.
+    /// The heartbeat is the newest one.
     Accepted {
-        /// The scheduler is to receive it at once.
+        /// Whether the heartbeat contains a change that must be reported to the scheduler at once.
         has_change: bool,
     },
-    /// It is not newer than one accepted before.
+    /// The heartbeat is not newer than one accepted before.
     Stale,
-    /// It is of an unknown instance, perhaps a former one: another must follow without one of the current instance
-    /// between.
+    /// The heartbeat is from an unknown instance, perhaps a former one. The instance is accepted once it sends a second
+    /// heartbeat with none from the current instance in between.
     Unconfirmed,
-    /// It is of an instance that another has replaced.
+    /// The heartbeat is from an instance that another one has replaced.
     Replaced,
 }
 
@@ -43,26 +44,26 @@
     }
 }
 
-/// The current instance, and the others as far as they are remembered.
+/// The current instance and the remembered other instances.
 #[derive(Debug)]
 pub(crate) struct RunnerRegistry {
     current: Option<Runner>,
-    /// Instances that another has replaced, oldest first.
+    /// The instances that another one has replaced, oldest first.
     replaced: InstanceList,
-    /// Instances that deregistered before their first heartbeat, oldest first.
+    /// The instances that deregistered before their first heartbeat, oldest first.
     deregistered_early: InstanceList,
-    /// Time without a heartbeat after which a runner counts as silent, in milliseconds.
+    /// The time without a heartbeat after which a runner counts as silent, in milliseconds.
     silence_timeout_ms: u64,
     /// An unknown instance that has sent a heartbeat since the last one of the current instance.
     unconfirmed: Option<Text>,
-    /// The latest time at which a lease may last that an earlier agent granted.
+    /// The latest time at which a lease that an earlier agent granted may still be valid.
     former_lease_expires_at: Time,
-    /// No runner called before `former_lease_expires_at`.
+    /// Whether no runner called before `former_lease_expires_at`.
     has_no_runner: bool,
 }
 
 impl RunnerRegistry {
-    /// Without a runner. Runners send a heartbeat about every `heartbeat_ms`.
+    /// Creates a registry without a runner. Runners send a heartbeat about every `heartbeat_ms`.
     pub(crate) fn new(now: Time, heartbeat_ms: u64) -> RunnerRegistry {
         let silence_timeout_ms = heartbeat_ms
             .saturating_add(SILENCE_MARGIN_MS)
@@ -78,12 +79,12 @@
         }
     }
 
-    /// The current instance, if there is one.
+    /// Returns the current instance, if there is one.
     pub(crate) fn current(&self) -> Option<&Runner> {
         self.current.as_ref()
     }
 
-    /// Receives a heartbeat.
+    /// Receives a heartbeat and decides whether it is accepted.
     pub(crate) fn receive(
         &mut self,
         now: Time,
@@ -111,8 +112,8 @@
             .filter(|runner| &*runner.instance == instance)
     }
 
-    /// True at the second heartbeat in a row of an unknown instance. A single one may be late: sent by an instance that
-    /// crashed before its first one arrived, or known to an earlier agent only.
+    /// Returns whether this is the second heartbeat in a row from an unknown instance. A single one may be late: its
+    /// sender may have crashed before its first heartbeat arrived, or only an earlier agent may have known the sender.
     fn confirm(&mut self, instance: &str) -> bool {
         let is_confirmed = self
             .unconfirmed
@@ -133,8 +134,9 @@
         }
     }
 
-    /// Receives a deregistration; true where it changes what is known. A runner may serve on after it, for `serves_ms`
-    /// at least: it starts nothing any more, and its runs are over when its lease has expired or it is found dead.
+    /// Receives a deregistration and returns whether it changes the current instance. A runner may continue to serve
+    /// after it, for at least `serves_ms`. It starts no more runs, and its runs are over once its lease has expired or
+    /// it is found dead.
     pub(crate) fn deregister(&mut self, now: Time, instance: &str, serves_ms: u64) -> bool {
         if self.replaced.contains(instance) {
             return false;
@@ -154,19 +156,19 @@
         }
     }
 
-    /// Records a lease that was granted at the receipt of a heartbeat.
+    /// Records a lease that was granted when a heartbeat was received.
     pub(crate) fn grant_lease(&mut self, received: Time, lease_ms: u64) {
         if let Some(runner) = &mut self.current {
             runner.grant_lease(received, lease_ms);
         }
     }
 
-    /// Records that the runner has died; true where that is new.
+    /// Records that the runner has died. Returns whether this is a change.
     pub(crate) fn record_death(&mut self) -> bool {
         self.current.as_mut().is_some_and(Runner::expire)
     }
 
-    /// Lets the runner's lease expire where that is due; true where that is new.
+    /// Marks the runner's lease as expired if its expiry is due. Returns whether this is a change.
     pub(crate) fn expire_due(&mut self, now: Time) -> bool {
         if self.expiry_due().is_none_or(|due| now < due) {
             return false;
@@ -177,12 +179,12 @@
         }
     }
 
-    /// True where no runner called until every lease had expired that an earlier agent may have granted.
+    /// Returns whether no runner called before every lease that an earlier agent may have granted had expired.
     pub(crate) fn has_no_runner(&self) -> bool {
         self.has_no_runner
     }
 
-    /// When the runner's lease counts as expired, unless a heartbeat comes before.
+    /// Returns the time at which the runner's lease counts as expired unless a heartbeat arrives before.
     pub(crate) fn expiry_due(&self) -> Option<Time> {
         match &self.current {
             Some(runner) => runner.expiry_due(self.silence_timeout_ms),
@@ -191,7 +193,7 @@
     }
 }
 
-/// Ids of instances; the oldest gives way.
+/// A bounded list of instance ids. The oldest id is removed when the list is full.
 #[derive(Debug, Default)]
 struct InstanceList(VecDeque<Text>);
 
--- a/crates/cluster/agent/src/runner_service.rs
+++ b/crates/cluster/agent/src/runner_service.rs
@@ -1,5 +1,5 @@
-//! What the agent does for its runner: answers its calls, grants its lease, hands it commands, checks its health, and
-//! reports on it.
+//! The agent's service for its runner: it answers the runner's calls, grants its lease, passes commands on to it,
+//! checks its health and reports on it to the scheduler.
 
 use std::net::SocketAddrV4;
 
@@ -20,11 +20,11 @@
 use crate::runner_registry::{Admission, RunnerRegistry};
 use crate::settings::{AgentSettings, Counters};
 
-/// A lease that is shorter starts nothing, because the run would be over at once; in milliseconds.
+/// The minimum lease with which a run is started, in milliseconds. With a shorter lease the run would be over at once.
 const MIN_START_LEASE_MS: u64 = 500;
-/// Delay until the next heartbeat while anything runs or is to be started, in milliseconds.
+/// The delay until the next heartbeat while a run is active or must be started, in milliseconds.
 const BUSY_RETRY_MS: u64 = 100;
-/// Delay until the next heartbeat while nothing runs, in milliseconds.
+/// The delay until the next heartbeat while no run is active, in milliseconds.
 const IDLE_RETRY_MS: u64 = 200;
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
@@ -33,7 +33,7 @@
 const CONFLICT: u16 = 409;
 const PAYLOAD_TOO_LARGE: u16 = 413;
 
-/// The runner's side of an agent.
+/// The part of an agent that serves its runner.
 #[derive(Debug)]
 pub(crate) struct RunnerService {
     agent: Incarnation,
@@ -47,7 +47,7 @@
 }
 
 impl RunnerService {
-    /// Without a runner, commands or a lease.
+    /// Creates a service that has no runner, no commands and no lease.
     pub(crate) fn new(settings: &AgentSettings, now: Time) -> RunnerService {
         RunnerService {
             agent: settings.incarnation,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// What has been counted so far.
+    /// Returns the counters.
     pub(crate) fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Answers a call.
+    /// Answers an HTTP request.
     pub(crate) fn answer(
         &mut self,
         now: Time,
@@ -134,7 +134,7 @@
         heartbeat: &Heartbeat,
         has_change: bool,
     ) -> HttpReply {
-        // The first heartbeat may be one that an earlier agent has answered already: it resolves nothing.
+        // The first heartbeat resolves no commands, because an earlier agent may already have answered it.
         let has_resolved = self.counters.heartbeats > 0 && self.commands.resolve();
         self.counters.heartbeats += 1;
         if has_change || has_resolved {
@@ -151,7 +151,7 @@
         reply
     }
 
-    /// The lease that may be granted now, within the agent's own, in milliseconds; 0 for none.
+    /// Returns the lease that may be granted now, in milliseconds; 0 for none. It never outlasts the agent's own lease.
     fn grantable_lease_ms(&self, now: Time) -> u64 {
         let agent_lease_ms = self.commands.lease().remaining_ms(now);
         RUNNER_LEASE_MS
@@ -183,7 +183,8 @@
         }
     }
 
-    /// The commanded starts that this heartbeat does not list; none for a runner that drains, or with a short lease.
+    /// Returns the commanded starts that this heartbeat does not list; none if the runner drains or its lease is too
+    /// short.
     fn starts(&self, instance: &str, heartbeat: &Heartbeat, lease_ms: u64) -> Vec<StartRow<'_>> {
         let is_draining = self
             .registry
@@ -204,7 +205,7 @@
             .collect()
     }
 
-    /// The commanded stops of what this heartbeat lists as active.
+    /// Returns the commanded stops of the runs that this heartbeat lists as active.
     fn stops(&self, instance: &str, heartbeat: &Heartbeat) -> Vec<StopRow<'_>> {
         let commanded = self.commands.stops(instance).iter();
         commanded
@@ -216,7 +217,7 @@
             .collect()
     }
 
-    /// Receives commands of a scheduler.
+    /// Receives commands from a scheduler.
     pub(crate) fn receive_commands(&mut self, now: Time, commands: RunnerCommands) -> Adoption {
         let adoption = self.commands.receive(now, commands);
         if adoption == Adoption::Older {
@@ -225,7 +226,7 @@
         adoption
     }
 
-    /// Lets the runner's lease expire where that is due.
+    /// Marks the runner's lease as expired if its expiry is due.
     pub(crate) fn expire_lease(&mut self, now: Time) {
         if self.registry.expire_due(now) {
             self.record_expiry(now);
@@ -238,7 +239,7 @@
         self.reports.record_change();
     }
 
-    /// Checks the health of a runner whose heartbeat is overdue.
+    /// Sends a health check to a runner whose heartbeat is overdue.
     pub(crate) fn send_due_health_check(&mut self, now: Time, outbox: &mut Outbox) {
         if !self.health.is_due(now) {
             return;
@@ -250,7 +251,7 @@
         self.health.send(now, address, outbox);
     }
 
-    /// The address by the settings, or else by the heartbeats.
+    /// Returns the runner's address from the settings, or else from its heartbeats.
     fn health_check_address(&self) -> Option<SocketAddrV4> {
         let reported = self
             .registry
@@ -259,8 +260,8 @@
         self.runner_address.or(reported)
     }
 
-    /// Receives the result of a health check. A machine that refuses connections is up without its runner: nothing that
-    /// it ran goes on.
+    /// Receives the result of a health check. If the machine refuses connections, it is up but the runner's process is
+    /// not, so all of the runner's runs have ended.
     pub(crate) fn receive_health_check(
         &mut self,
         now: Time,
@@ -276,17 +277,17 @@
         }
     }
 
-    /// Makes a report due at once, for a leader that is new to this agent.
+    /// Makes a report due at once because this agent has learned of a new leader.
     pub(crate) fn expedite_report(&mut self) {
         self.reports.record_change();
     }
 
-    /// When the next report is due.
+    /// Returns the time at which the next report is due.
     pub(crate) fn report_due(&self) -> Time {
         self.reports.due(self.commands.lease().renewal_due())
     }
 
-    /// The report that is sent now.
+    /// Builds the report to be sent now and counts it as sent.
     pub(crate) fn report(&mut self, now: Time) -> RunnerReport {
         let header = ReportHeader {
             agent: self.agent,
@@ -297,7 +298,7 @@
         build(header, &self.commands, &self.registry)
     }
 
-    /// When the runner's lease expires, or a health check is due.
+    /// Returns the time of the next lease expiry or health check, whichever is earlier.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         let wakes = [self.registry.expiry_due(), self.health.due()];
         wakes.into_iter().flatten().min()
--- a/crates/cluster/agent/src/settings.rs
+++ b/crates/cluster/agent/src/settings.rs
@@ -5,42 +5,42 @@
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::{Incarnation, NodeId};
 
-/// What an agent is started with.
+/// The settings with which an agent is started.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
     /// The address of this process.
     pub node: NodeId,
     /// The incarnation of this process; no two processes at one address share it.
     pub incarnation: Incarnation,
-    /// Core processes to start from, by the settings file.
+    /// The core processes that the settings file names; the agent contacts these first.
     pub seeds: Vec<NodeId>,
     /// Time limits of the platform.
     pub bounds: Bounds,
-    /// The interval of heartbeats that the runner sends by itself, in milliseconds.
+    /// The interval at which the runner sends heartbeats if no reply sets another delay, in milliseconds.
     pub heartbeat_ms: u64,
-    /// The address on which the runner accepts calls; `None`: the one that its heartbeats name.
+    /// The address on which the runner accepts calls; `None` if its heartbeats name the address.
     pub runner_address: Option<SocketAddrV4>,
-    /// Drawn at random; spreads agents over core processes, relays and configuration parents.
+    /// A random number that spreads agents over core processes, relays and configuration parents.
     pub seed: u64,
 }
 
-/// What an agent has counted since its start.
+/// The counters of an agent since its start.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Counters {
-    /// Heartbeats that were accepted.
+    /// The number of accepted heartbeats.
     pub heartbeats: u64,
-    /// Heartbeats not newer than one accepted before.
+    /// The number of heartbeats that were not newer than one accepted before.
     pub stale_heartbeats: u64,
-    /// Heartbeats of replaced instances.
+    /// The number of heartbeats from replaced instances.
     pub replaced_heartbeats: u64,
-    /// Heartbeats that could not be read.
+    /// The number of heartbeats that could not be parsed or exceeded a limit.
     pub malformed_heartbeats: u64,
-    /// Commands older than those adopted.
+    /// The number of commands that were older than the adopted ones.
     pub older_commands: u64,
-    /// Reports sent.
+    /// The number of reports sent.
     pub reports: u64,
-    /// Health checks of the runner.
+    /// The number of health checks sent to the runner.
     pub health_checks: u64,
-    /// Health checks that found the runner dead.
+    /// The number of health checks that found the runner dead.
     pub dead_runners: u64,
 }
