--- a/crates/cluster/config-distribution/src/children.rs
+++ b/crates/cluster/config-distribution/src/children.rs
@@ -1,21 +1,22 @@
-//! The processes that are subscribed to this one.
+//! The child processes that are subscribed to this process.
 
 use sagetrail_protocol::distribution::SUBSCRIPTION_MS;
 use sagetrail_protocol::{NodeId, Time};
 use std::collections::BTreeMap;
 
-/// The most children of a relay; more go to other parents. A core process takes all.
+/// The maximum number of children of a relay. Further children subscribe to other parents. A core process accepts any
+/// number of children.
 pub const MAX_CHILDREN: usize = 64;
 
-/// Subscriptions of children.
+/// The subscriptions of the children.
 #[derive(Debug, Default)]
 pub(crate) struct Children {
-    /// When each subscription ends unless it is renewed.
+    /// The time at which each subscription expires unless it is renewed.
     expires_at: BTreeMap<NodeId, Time>,
 }
 
 impl Children {
-    /// Takes or renews a subscription; false if there are `max_children` others.
+    /// Accepts or renews a subscription. Returns false if there are already `max_children` others.
     pub(crate) fn subscribe(&mut self, child: NodeId, now: Time, max_children: usize) -> bool {
         self.remove_expired(now);
         if !self.expires_at.contains_key(&child) && self.expires_at.len() >= max_children {
@@ -26,7 +27,7 @@
         true
     }
 
-    /// The children with a subscription.
+    /// Returns the children whose subscription has not expired.
     pub(crate) fn current(&mut self, now: Time) -> impl Iterator<Item = NodeId> + '_ {
         self.remove_expired(now);
         self.expires_at.keys().copied()
--- a/crates/cluster/config-distribution/src/lib.rs
+++ b/crates/cluster/config-distribution/src/lib.rs
@@ -1,4 +1,4 @@
-//! The relay tree that brings configurations to every process.
+//! The relay tree that distributes configurations to every process.
 //!
 //! ```text
 //!   core process --+-- relay --+-- relay ...
@@ -6,9 +6,10 @@
 //!                  +-- relay ----- leaf
 //! ```
 //!
-//! Core processes are its roots. Every other process subscribes to one parent, renews that, and serves the children
-//! below it ([`Relay`]). Which parents a process may choose follows from the processes' names alone ([`parents`]), the
-//! same wherever it is computed. Versions never go back. The crate does no I/O: messages to send are returned.
+//! The core processes are the roots of the tree. Every other process subscribes to one parent, renews the subscription
+//! and serves the children below it ([`Relay`]). The possible parents of a process depend only on the addresses of the
+//! processes ([`parents`]), so every process computes the same result. The known version never decreases. The crate
+//! does no I/O: its functions return the messages to send.
 
 mod children;
 mod relay;
--- a/crates/cluster/config-distribution/src/relay.rs
+++ b/crates/cluster/config-distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! One process of the relay tree: its newest configuration, its parent and its children.
+//! One process of the relay tree, with its newest configuration, its parent and its children.
 
 use crate::children::{Children, MAX_CHILDREN};
 use crate::subscription::{Subscription, MAX_AGE_MS};
@@ -6,22 +6,22 @@
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe};
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
-/// The age in an answer of a process that does not know how old its configuration is.
+/// The age, in milliseconds, that a process sends if it does not know how old its configuration is.
 pub const UNKNOWN_AGE_MS: u64 = u64::MAX;
 
-/// That the newest version known here was the newest at the core `age_ms` before `at`.
+/// A confirmation that the newest version known here was the newest at the core `age_ms` milliseconds before `at`.
 #[derive(Clone, Copy, Debug)]
 struct Confirmation {
     at: Time,
     age_ms: u64,
 }
 
-/// A process of the relay tree. Messages go out as they are returned.
+/// A process of the relay tree. The caller sends the messages that its methods return.
 #[derive(Debug)]
 pub struct Relay {
     node: NodeId,
     is_core: bool,
-    /// It serves no children.
+    /// Whether the process serves no children.
     is_leaf: bool,
     newest: Option<ConfigUpdate>,
     confirmation: Option<Confirmation>,
@@ -30,7 +30,8 @@
 }
 
 impl Relay {
-    /// A process without configuration or parents. `seed` spreads its attempts to return to its best parent.
+    /// Creates a process that has no configuration and no parents. `seed` spreads its attempts to return to its best
+    /// parent over time.
     pub fn new(node: NodeId, seed: u64) -> Relay {
         Relay {
             node,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// The same for a process that serves no children.
+    /// Creates a process that has no configuration and no parents and serves no children. `seed` is as in
+    /// [`Relay::new`].
     pub fn leaf(node: NodeId, seed: u64) -> Relay {
         Relay {
             is_leaf: true,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Sets the processes that make up the tree.
+    /// Sets the core processes and relays that make up the tree.
     pub fn set_candidates(&mut self, core: &[NodeId], relays: &[NodeId]) {
         self.is_core = core.contains(&self.node);
         let parents = if self.is_leaf {
@@ -60,15 +62,16 @@
             tree::parents
         };
         self.subscription
-            .set_choices(parents(self.node, core, relays));
+            .set_candidates(parents(self.node, core, relays));
     }
 
-    /// The current parent; `None` for a core process, or before any candidates are known.
+    /// Returns the current parent; `None` for a core process, or while no candidates are known.
     pub fn parent(&self) -> Option<NodeId> {
         self.subscription.current()
     }
 
-    /// A core process has read a version from the register. The messages for its children.
+    /// Records a version that a core process has read from the replicated register. Returns the messages for its
+    /// children.
     pub fn publish(&mut self, version: u64, document: &Blob, now: Time) -> Vec<(NodeId, Message)> {
         self.accept(
             ConfigUpdate {
@@ -79,12 +82,12 @@
         )
     }
 
-    /// A core process has confirmed that it knows the newest version.
+    /// Records that a core process has confirmed that it knows the newest version.
     pub fn confirm(&mut self, now: Time) {
         self.confirmation = Some(Confirmation { at: now, age_ms: 0 });
     }
 
-    /// Takes or renews the subscription of a child. The messages that answer it; none when there are too many others.
+    /// Accepts or renews the subscription of a child. Returns the answers; none if there are already too many children.
     pub fn receive_subscribe(
         &mut self,
         from: NodeId,
@@ -112,7 +115,7 @@
             .collect()
     }
 
-    /// Takes a configuration. The messages for the children, if it is newer than the one known.
+    /// Receives a configuration. Returns the messages for the children if it is newer than the known one.
     pub fn receive_update(
         &mut self,
         from: NodeId,
@@ -120,13 +123,17 @@
         now: Time,
     ) -> Vec<(NodeId, Message)> {
         if update.version > self.version() {
-            log::debug!("{}: version {} from {from}", self.node, update.version);
+            log::debug!(
+                "configuration received: node={} version={} sender={from}",
+                self.node,
+                update.version
+            );
             self.subscription.record_answer(from, now);
         }
         self.accept(update, now)
     }
 
-    /// Takes a parent's answer: its version, and how old that is.
+    /// Receives a parent's answer with the parent's version and the age of that version.
     pub fn receive_current(&mut self, from: NodeId, current: &ConfigCurrent, now: Time) {
         if current.version < self.version() || current.age_ms > MAX_AGE_MS {
             return;
@@ -137,14 +144,14 @@
             return;
         }
         let (at, age_ms) = (Time(current.asked_at), current.age_ms);
-        let younger = |known_ms| age_ms + now.millis_since(at) < known_ms;
-        if at <= now && self.age_ms(now).is_none_or(younger) {
+        let is_younger = |known_age_ms| age_ms + now.millis_since(at) < known_age_ms;
+        if at <= now && self.age_ms(now).is_none_or(is_younger) {
             self.confirmation = Some(Confirmation { at, age_ms });
         }
         self.subscription.record_answer(from, now);
     }
 
-    /// Does what is due by now. The messages to send.
+    /// Renews the subscription or changes the parent if that is due. Returns the messages to send.
     pub fn wake(&mut self, now: Time) -> Vec<(NodeId, Message)> {
         let known_version = self.version();
         self.subscription
@@ -162,19 +169,20 @@
             .collect()
     }
 
-    /// When [`Relay::wake`] is to be called next.
+    /// Returns the time at which [`Relay::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Time> {
         self.subscription.next_wake()
     }
 
-    /// The newest version known, and its document.
+    /// Returns the newest known version and its document.
     pub fn newest(&self) -> Option<(u64, &Blob)> {
         self.newest
             .as_ref()
             .map(|newest| (newest.version, &newest.document))
     }
 
-    /// How many milliseconds ago, at most, the version known here was the newest at the core; `None` if unknown.
+    /// Returns the maximum time, in milliseconds, since the version known here was the newest at the core; `None` if
+    /// this is unknown.
     pub fn age_ms(&self, now: Time) -> Option<u64> {
         let confirmation = self.confirmation?;
         Some(
--- a/crates/cluster/config-distribution/src/subscription.rs
+++ b/crates/cluster/config-distribution/src/subscription.rs
@@ -1,44 +1,49 @@
-//! The subscription to a parent: which one, when it is renewed, and when another parent takes its place.
+//! The subscription to a parent: the choice of the parent, the renewal, and the replacement by another parent.
 
 use crate::tree::mix;
 use sagetrail_protocol::distribution::SUBSCRIBE_INTERVAL_MS;
 use sagetrail_protocol::{NodeId, Time};
 
-/// A parent without a useful answer for this long is replaced by the next, in milliseconds.
+/// The time without a useful answer after which a parent is replaced by the next one, in milliseconds.
 pub const ANSWER_TIMEOUT_MS: u64 = 900;
-/// A parent that has not answered at all is replaced after this long, in milliseconds.
+/// The time after which a parent that has never answered is replaced, in milliseconds.
 pub const FIRST_ANSWER_TIMEOUT_MS: u64 = 350;
-/// Answers about older configurations are not useful, in milliseconds.
+/// The maximum age of a configuration for which an answer is useful, in milliseconds.
 pub const MAX_AGE_MS: u64 = 1_400;
-/// A missing update is requested again after this long, in milliseconds.
+/// The time after which a missing update is requested again, in milliseconds.
 const REPEAT_MS: u64 = 50;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
-/// A process whose parent is not its best tries that again after this long and up to twice that, in milliseconds.
+/// A process whose parent is not its best one tries the best one again after a random time between this interval and
+/// twice this interval, in milliseconds.
 pub const RETURN_INTERVAL_MS: u64 = 5_000;
 
 /// The subscription of one process to a parent.
 #[derive(Debug)]
 pub(crate) struct Subscription {
-    /// Best first.
-    choices: Vec<NodeId>,
+    /// The possible parents, best first.
+    candidates: Vec<NodeId>,
+    /// The index of the current parent in `candidates`.
     position: usize,
-    /// Since when this parent is in use.
+    /// The time since which the current parent is in use.
     parent_since: Time,
-    /// When the parent gave a useful answer last.
+    /// The time of the parent's last useful answer.
     last_answer: Option<Time>,
+    /// The time of the last subscription request to the parent.
     last_request: Option<Time>,
+    /// The time of the next attempt to return to the best parent.
     return_at: Time,
-    /// Until then the best parent is asked beside the current one.
+    /// The end of the current attempt to return to the best parent, during which both parents are asked.
     trial_until: Option<Time>,
+    /// The state of the random numbers that spread the attempts to return.
     random: u64,
 }
 
 impl Subscription {
-    /// No parent yet.
+    /// Creates a subscription without a parent.
     pub(crate) fn new(seed: u64) -> Subscription {
         Subscription {
-            choices: Vec::new(),
+            candidates: Vec::new(),
             position: 0,
             parent_since: Time(0),
             last_answer: None,
@@ -49,32 +54,32 @@
         }
     }
 
-    /// Sets the parents to choose from, best first. The current parent is kept if it is among them.
-    pub(crate) fn set_choices(&mut self, choices: Vec<NodeId>) {
-        if choices == self.choices {
+    /// Sets the possible parents, best first. The current parent is kept if it is among them.
+    pub(crate) fn set_candidates(&mut self, candidates: Vec<NodeId>) {
+        if candidates == self.candidates {
             return;
         }
         let current = self.current();
-        self.choices = choices;
+        self.candidates = candidates;
         self.trial_until = None;
         match self
-            .choices
+            .candidates
             .iter()
-            .position(|choice| Some(*choice) == current)
+            .position(|candidate| Some(*candidate) == current)
         {
             Some(position) => self.position = position,
             None => self.reset_parent(),
         }
     }
 
-    /// The current parent.
+    /// Returns the current parent.
     pub(crate) fn current(&self) -> Option<NodeId> {
-        self.choices.get(self.position).copied()
+        self.candidates.get(self.position).copied()
     }
 
-    /// Records a useful answer.
+    /// Records a useful answer. An answer of the best parent during an attempt to return makes it the current parent.
     pub(crate) fn record_answer(&mut self, from: NodeId, now: Time) {
-        if self.trial_until.is_some() && self.choices.first() == Some(&from) {
+        if self.trial_until.is_some() && self.candidates.first() == Some(&from) {
             self.trial_until = None;
             self.position = 0;
             self.parent_since = now;
@@ -84,18 +89,20 @@
         }
     }
 
-    /// Requests a missing update again, after the time in which it may still arrive.
+    /// Schedules another request for a missing update after [`REPEAT_MS`], during which the update may still arrive.
     pub(crate) fn request_soon(&mut self, now: Time) {
-        let soon = now
+        let last_request_at = now
             .plus_millis(REPEAT_MS)
             .0
             .saturating_sub(SUBSCRIBE_INTERVAL_MS * MICROS_PER_MS);
-        self.last_request = self.last_request.map(|asked| asked.min(Time(soon)));
+        self.last_request = self
+            .last_request
+            .map(|requested_at| requested_at.min(Time(last_request_at)));
     }
 
-    /// Replaces the parent if it is time. The processes to send a subscription to now.
+    /// Replaces the parent if that is due. Returns the processes to which a subscription must be sent now.
     pub(crate) fn wake(&mut self, now: Time) -> Vec<NodeId> {
-        if self.leave_due().is_some_and(|due| due <= now) {
+        if self.switch_due().is_some_and(|due| due <= now) {
             self.switch_parent(now);
         }
         self.end_trial(now);
@@ -109,10 +116,10 @@
         receivers
     }
 
-    /// When `wake` is to be called next.
+    /// Returns the time at which `wake` must be called next.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         let due = [
-            self.leave_due(),
+            self.switch_due(),
             self.request_due(),
             self.trial_due(),
             self.trial_until,
@@ -130,14 +137,13 @@
 
     fn request_due(&self) -> Option<Time> {
         self.current()?;
-        Some(
-            self.last_request
-                .map_or(Time(0), |asked| asked.plus_millis(SUBSCRIBE_INTERVAL_MS)),
-        )
+        Some(self.last_request.map_or(Time(0), |requested_at| {
+            requested_at.plus_millis(SUBSCRIBE_INTERVAL_MS)
+        }))
     }
 
-    /// When the parent is replaced unless it answers before.
-    fn leave_due(&self) -> Option<Time> {
+    /// Returns the time at which the parent is replaced unless it answers before.
+    fn switch_due(&self) -> Option<Time> {
         self.current()?;
         self.last_request?;
         Some(self.last_answer.map_or(
@@ -146,9 +152,9 @@
         ))
     }
 
-    /// Takes the next parent; after the last one the first.
+    /// Switches to the next parent; the first parent follows the last one.
     fn switch_parent(&mut self, now: Time) {
-        self.position = (self.position + 1) % self.choices.len();
+        self.position = (self.position + 1) % self.candidates.len();
         self.reset_requests();
         self.parent_since = now;
         self.return_at = self.next_return_at(now);
@@ -166,13 +172,14 @@
     }
 
     fn trial_due(&self) -> Option<Time> {
-        let away = self.position > 0 && self.last_answer.is_some() && self.trial_until.is_none();
-        away.then_some(self.return_at)
+        let may_return =
+            self.position > 0 && self.last_answer.is_some() && self.trial_until.is_none();
+        may_return.then_some(self.return_at)
     }
 
     fn begin_trial(&mut self, now: Time) -> Option<NodeId> {
         self.trial_until = Some(now.plus_millis(FIRST_ANSWER_TIMEOUT_MS));
-        self.choices.first().copied()
+        self.candidates.first().copied()
     }
 
     fn end_trial(&mut self, now: Time) {
--- a/crates/cluster/config-distribution/src/tree.rs
+++ b/crates/cluster/config-distribution/src/tree.rs
@@ -1,72 +1,73 @@
-//! The shape of the tree: the same for all processes that know the same candidates, and without a circle whatever
-//! each of them knows.
+//! The shape of the tree. It is the same for all processes that know the same candidates, and it has no cycle even if
+//! the processes know different candidates.
 //!
-//! Relays are ranked by a hash of their names. The first `FAN_OUT` for each core process stand below the core, the
-//! next, `FAN_OUT` times as many, below these, and so on; in the level above, each process chooses its parent by
-//! rendezvous hashing. A parent ranks before its child, so there is no circle even where the lists differ; a relay
-//! that comes or goes moves few others.
+//! Relays are ranked by a hash of their addresses. The first level below the core has `FAN_OUT` relays for each core
+//! process, and each further level has `FAN_OUT` times as many relays as the level above it. Each process chooses its
+//! parent from the level above by rendezvous hashing. A parent ranks before its child, so there is no cycle even if the
+//! lists differ. A relay that joins or leaves changes the parents of few other processes.
 
 use sagetrail_protocol::directory::MAX_RELAYS;
 use sagetrail_protocol::NodeId;
 use std::cmp::Reverse;
 
-/// How many children a process has on average.
+/// The average number of children of a process.
 pub const FAN_OUT: usize = 8;
-/// How many relays of the level above are tried before the core.
-const RELAYS_TRIED: usize = 2;
-/// Tells ranks from choices.
+/// The maximum number of relays of the level above that are possible parents; core processes follow them.
+const MAX_RELAY_PARENTS: usize = 2;
+/// Makes the hashes of ranks independent of the hashes that choose parents.
 const RANK_SALT: u64 = 0x7261_6e6b;
 
-/// The parents that `node` may subscribe to, best first: relays of the level above, then core processes. Empty for a
-/// core process.
+/// Returns the parents to which `node` may subscribe, best first: relays of the level above, then core processes. The
+/// list is empty for a core process.
 pub fn parents(node: NodeId, core: &[NodeId], relays: &[NodeId]) -> Vec<NodeId> {
     if core.contains(&node) {
         return Vec::new();
     }
-    then_core(
+    with_core_fallback(
         node,
         core,
         level_above(core, ranked_before(node, core, relays)),
     )
 }
 
-/// The same for a process without children: it ranks after all relays.
+/// Returns the parents to which a process without children may subscribe, best first. Such a process ranks after all
+/// relays.
 pub fn leaf_parents(node: NodeId, core: &[NodeId], relays: &[NodeId]) -> Vec<NodeId> {
     let mut before = relays.to_vec();
     before.retain(|relay| *relay != node);
     let before = ranked(core, before);
-    let above = if before.len() < first_level(core) {
+    let above = if before.len() < first_level_size(core) {
         before
     } else {
         level_above(core, before)
     };
-    then_core(node, core, above)
+    with_core_fallback(node, core, above)
 }
 
-/// The best relays among `candidates`, at most `limit`: those that rank first, whoever chooses.
+/// Returns the at most `limit` candidates that rank first. The result is the same on every process.
 pub fn best_relays(candidates: Vec<NodeId>, limit: usize) -> Vec<NodeId> {
     let mut best = ranked(&[], candidates);
     best.truncate(limit);
     best
 }
 
-/// The best of the level above, then the core.
-fn then_core(node: NodeId, core: &[NodeId], above: Vec<NodeId>) -> Vec<NodeId> {
-    let mut chosen = by_choice(node, above);
-    chosen.truncate(RELAYS_TRIED);
-    chosen.extend(by_choice(node, core.to_vec()));
+/// Returns the preferred relays of the level above, followed by the core processes.
+fn with_core_fallback(node: NodeId, core: &[NodeId], above: Vec<NodeId>) -> Vec<NodeId> {
+    let mut chosen = by_preference(node, above);
+    chosen.truncate(MAX_RELAY_PARENTS);
+    chosen.extend(by_preference(node, core.to_vec()));
     chosen
 }
 
-/// How many relays stand directly below the core; no more than a directory names.
-fn first_level(core: &[NodeId]) -> usize {
+/// Returns the number of relays directly below the core, which is at most the number that a directory names.
+fn first_level_size(core: &[NodeId]) -> usize {
     (FAN_OUT * core.len().max(1)).min(MAX_RELAYS)
 }
 
-/// The last complete level among relays in their order; empty where that is the core.
+/// Returns the last complete level of relays that are sorted by rank; empty if the level above is the core.
 fn level_above(core: &[NodeId], before: Vec<NodeId>) -> Vec<NodeId> {
     let mut start = 0;
-    let mut size = first_level(core);
+    let mut size = first_level_size(core);
     let mut above = 0..0;
     while before.len() >= start + size {
         above = start..start + size;
@@ -76,20 +77,20 @@
     before[above].to_vec()
 }
 
-/// The relays that rank before `node`, in their order.
+/// Returns the relays that rank before `node`, sorted by rank.
 fn ranked_before(node: NodeId, core: &[NodeId], relays: &[NodeId]) -> Vec<NodeId> {
-    let own = rank(node);
+    let own_rank = rank(node);
     ranked(
         core,
         relays
             .iter()
             .copied()
-            .filter(|relay| rank(*relay) < own)
+            .filter(|relay| rank(*relay) < own_rank)
             .collect(),
     )
 }
 
-/// Relays in their order, each once, none of the core.
+/// Sorts relays by rank and removes duplicates and core processes.
 fn ranked(core: &[NodeId], mut relays: Vec<NodeId>) -> Vec<NodeId> {
     relays.retain(|relay| !core.contains(relay));
     relays.sort_by_cached_key(|relay| rank(*relay));
@@ -97,28 +98,28 @@
     relays
 }
 
-/// Candidates in the order in which `node` prefers them.
-fn by_choice(node: NodeId, mut candidates: Vec<NodeId>) -> Vec<NodeId> {
+/// Sorts candidates by the preference of `node` and removes duplicates.
+fn by_preference(node: NodeId, mut candidates: Vec<NodeId>) -> Vec<NodeId> {
     candidates.sort_by_cached_key(|candidate| Reverse((weight(node, *candidate), *candidate)));
     candidates.dedup();
     candidates
 }
 
-/// The place of a process in the order of all.
+/// Returns the sort key that determines the rank of a process.
 fn rank(node: NodeId) -> (u64, NodeId) {
-    (mix(number(node) ^ RANK_SALT), node)
+    (mix(address_bits(node) ^ RANK_SALT), node)
 }
 
-/// The weight by which `child` prefers `parent` (rendezvous hashing; Thaler and Ravishankar, 1998).
+/// Returns the weight with which `child` prefers `parent` (rendezvous hashing; Thaler and Ravishankar, 1998).
 fn weight(child: NodeId, parent: NodeId) -> u64 {
-    mix(mix(number(child)) ^ number(parent))
+    mix(mix(address_bits(child)) ^ address_bits(parent))
 }
 
-fn number(node: NodeId) -> u64 {
+fn address_bits(node: NodeId) -> u64 {
     u64::from(node.ip) << 16 | u64::from(node.port)
 }
 
-/// Spreads numbers evenly (the finaliser of splitmix64).
+/// Hashes a number (the finalizer of splitmix64).
 pub(crate) fn mix(number: u64) -> u64 {
     let mut bits = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
