--- a/crates/testing/test-support/src/lib.rs
+++ b/crates/testing/test-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! Tools that the tests of several crates share.
+//! Tools shared by the tests of several crates.
 //!
-//! [`SeededRandom`] drives the models that play a process against a bad network: a seed determines the whole schedule,
-//! so a failure is repeated by its seed. It is no generator for anything but tests; its stream is fixed, because the
-//! bounds of the tests were measured on it.
+//! [`SeededRandom`] drives the models that run a process on an unreliable network. A seed determines the whole
+//! schedule, so a failure is reproduced by its seed. The generator is for tests only. Its stream must not change,
+//! because the bounds of the tests were measured with it.
 
 mod random;
 
