--- a/crates/cluster/agent/tests/common/mod.rs
+++ b/crates/cluster/agent/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An agent driven by a script: the test sets its clock, its runner's calls and the leader's messages, and reads what it
-//! sends.
+//! An agent under the control of a test: the test sets the agent's clock, makes the runner's calls, delivers the
+//! leader's messages, and reads the messages that the agent sends.
 
 #![allow(dead_code)]
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -29,7 +29,7 @@
 pub(crate) const TASK: &str = "5c0e7a21d94b36f8.0.1.17";
 pub(crate) const INSTANCE: &str = "i-7f3a91c2";
 
-/// An agent, its clock, and what it has sent.
+/// An agent with its clock, its sent messages and its health checks.
 pub(crate) struct TestAgent {
     pub node: AgentNode,
     pub now: Time,
@@ -60,10 +60,10 @@
 
 impl TestAgent {
     pub(crate) fn new() -> TestAgent {
-        TestAgent::with(INCARNATION)
+        TestAgent::with_incarnation(INCARNATION)
     }
 
-    pub(crate) fn with(incarnation: Incarnation) -> TestAgent {
+    pub(crate) fn with_incarnation(incarnation: Incarnation) -> TestAgent {
         let mut outbox = Outbox::default();
         let time = Time(1_000);
         let node = AgentNode::new(settings(incarnation), clock(time), &mut outbox);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// An agent that knows the leader and has empty commands, whose runner has sent two heartbeats.
+    /// Creates an agent that knows the leader, has empty commands and has received two heartbeats from its runner.
     pub(crate) fn connected() -> TestAgent {
         let mut agent = TestAgent::new();
         agent.receive_directory(1, LEADER);
@@ -101,7 +101,7 @@
         outbox.replies.pop().map(|(_, reply)| reply)
     }
 
-    /// Advances the clock by `millis`, waking the agent whenever it asks for it.
+    /// Advances the clock by `millis` and wakes the agent at each time that it requests.
     pub(crate) fn advance(&mut self, millis: u64) {
         let end = self.now.plus_millis(millis);
         while let Some(wake) = self.node.next_wake().filter(|wake| *wake <= end) {
@@ -131,7 +131,7 @@
             endpoint: HttpEndpoint::Control,
             request,
         })
-        .expect("answered at once")
+        .expect("an immediate answer")
     }
 
     pub(crate) fn heartbeat_of(
@@ -153,7 +153,7 @@
         )
     }
 
-    /// Sends a heartbeat of the runner; the document that answers it.
+    /// Sends a heartbeat of the runner and returns the JSON document of the answer.
     pub(crate) fn heartbeat(&mut self, sequence: u64, extra: Value) -> Value {
         let reply = self.heartbeat_of(INSTANCE, sequence, extra);
         assert_eq!(reply.status, 200);
@@ -177,12 +177,12 @@
         self.receive(OTHER, Message::Directory(directory));
     }
 
-    /// Commands that the leader sends unasked, or as prepared by the test.
+    /// Delivers commands from the leader without changing them.
     pub(crate) fn receive_commands(&mut self, commands: RunnerCommands) {
         self.receive(LEADER, Message::RunnerCommands(commands));
     }
 
-    /// Commands of the leader that answer a report sent just now.
+    /// Delivers commands from the leader as the answer to a report that the agent sends now.
     pub(crate) fn receive_answer(&mut self, commands: RunnerCommands) {
         self.receive_commands(RunnerCommands {
             agent: INCARNATION,
--- a/crates/cluster/agent/tests/deregistration.rs
+++ b/crates/cluster/agent/tests/deregistration.rs
@@ -1,5 +1,5 @@
-//! Deregistration: a runner may serve on for seconds; its runs are not over, nothing starts there any more, and heartbeats
-//! that come late or out of order change neither.
+//! Guards against runs that are taken for ended, and against new starts, at a runner that has deregistered but
+//! continues to serve for seconds. Heartbeats that arrive late or out of order could cause both.
 
 mod common;
 mod model;
@@ -10,8 +10,8 @@
 use model::Cluster;
 
 const DEREGISTER: &str = "/v1/instances/i-7f3a91c2/deregister";
-/// `drain_ms` of the deployment.
-const SERVES_ON_MS: u64 = 2_000;
+/// The time for which a deregistered runner continues to serve: the default of `drain_ms`, in milliseconds.
+const DRAIN_MS: u64 = 2_000;
 
 fn agent_with_a_run() -> TestAgent {
     let mut agent = TestAgent::connected();
@@ -29,7 +29,7 @@
     assert!(report.draining && !report.lease_expired);
     assert_eq!(report.active.len(), 1);
     assert!(
-        (SERVES_ON_MS - 50..=SERVES_ON_MS).contains(&report.remaining_ms),
+        (DRAIN_MS - 50..=DRAIN_MS).contains(&report.remaining_ms),
         "{}",
         report.remaining_ms
     );
@@ -39,12 +39,15 @@
         let answer = agent.heartbeat(sequence, json!({"active":[[TASK, 1, "", 1]]}));
         assert_eq!(
             answer["hold_ms"], 2500,
-            "its lease is extended as long as it sends heartbeats"
+            "the lease is extended as long as the runner sends heartbeats"
         );
         assert!(!agent.last_report().lease_expired && agent.last_report().active.len() == 1);
     }
     agent.advance(2_650);
-    assert!(agent.last_report().lease_expired, "silent beyond its lease");
+    assert!(
+        agent.last_report().lease_expired,
+        "the runner was silent beyond its lease"
+    );
 }
 
 #[test]
@@ -69,7 +72,7 @@
     agent.receive_answer(commands_with_start(1, 3));
     assert!(
         agent.heartbeat(11, json!({}))["start"].is_null(),
-        "it has deregistered"
+        "the runner has deregistered"
     );
 }
 
@@ -86,7 +89,7 @@
     assert_eq!(agent.last_report().remaining_ms, 0);
     assert!(
         !agent.last_report().lease_expired,
-        "a health check tells when it is gone, or its lease"
+        "only a health check or the end of its lease shows that the runner has ended"
     );
 }
 
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn a_new_agent_expires_a_deregistered_runner_only_after_the_former_agents_lease() {
+fn a_new_agent_expires_a_deregistered_runner_only_after_a_lease_of_its_predecessor() {
     let mut agent = TestAgent::new();
     agent.receive_directory(1, LEADER);
     agent.post(DEREGISTER, Vec::new());
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn a_new_agent_without_calls_reports_no_runner_once_no_lease_can_last() {
+fn a_new_agent_without_calls_reports_no_runner_after_any_earlier_lease_has_expired() {
     let mut agent = TestAgent::new();
     agent.receive_directory(1, LEADER);
     agent.advance(2_600);
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn given_up_runs_never_run_with_departures_and_late_heartbeats() {
+fn given_up_runs_never_run_despite_departures_and_late_heartbeats() {
     let (mut starts, mut given_up, mut departed, mut late) = (0, 0, 0, 0);
     for seed in 1..=300 {
         let mut cluster = Cluster::with_departures(seed);
--- a/crates/cluster/agent/tests/health_checks.rs
+++ b/crates/cluster/agent/tests/health_checks.rs
@@ -1,4 +1,5 @@
-//! Health checks: a runner whose heartbeat is overdue is checked, and a dead one is reported at once.
+//! Guards against dead runners that are found late, and against live runners that are taken for dead. A runner whose
+//! heartbeat is overdue is checked, and a refused connection is reported at once.
 
 mod common;
 use serde_json::json;
@@ -10,7 +11,7 @@
 
 use common::*;
 
-/// Time after which a heartbeat is overdue that was wanted after 100 ms, in milliseconds.
+/// The time after which a heartbeat that was requested after 100 ms is overdue, in milliseconds.
 const OVERDUE_MS: u64 = 360;
 
 fn agent_with_a_run() -> TestAgent {
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn answers_and_silence_leave_the_lease() {
+fn answers_and_timeouts_do_not_end_the_lease() {
     for result in [
         HealthCheckResult::Status(200),
         HealthCheckResult::Status(503),
@@ -96,7 +97,7 @@
     assert_eq!(
         agent.health_checks.len(),
         3,
-        "at 350, 850 and 1850 ms, and none after the lease"
+        "checks are sent after 350, 850 and 1850 ms, and none after the lease has expired"
     );
 }
 
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn a_dead_runner_starts_nothing_until_a_later_answer() {
+fn a_dead_runner_gets_no_start_until_a_later_report_is_answered() {
     let mut agent = TestAgent::connected();
     agent.receive_answer(commands_with_start(1, 2));
     let before = agent.now.0;
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn an_idle_runner_has_the_time_that_it_was_given() {
+fn a_heartbeat_is_overdue_only_after_the_requested_delay() {
     let mut agent = TestAgent::connected();
     agent.receive_answer(RunnerCommands {
         retry_after_ms: 400,
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn without_a_setting_the_address_of_the_heartbeat_is_checked() {
+fn without_a_configured_address_the_address_in_the_heartbeat_is_checked() {
     let mut agent = TestAgent::new();
     let mut outbox = Outbox::default();
     let settings = sagetrail_agent::AgentSettings {
--- a/crates/cluster/agent/tests/heartbeats.rs
+++ b/crates/cluster/agent/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! What the agent answers to its runner's heartbeats.
+//! Guards against wrong answers to the runner's heartbeats: leases that outlast the agent's, starts that are lost or
+//! sent to the wrong instance, and effects of late, replaced or malformed heartbeats.
 
 mod common;
 use proptest::prelude::*;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn a_leased_agent_grants_a_lease_and_passes_commands_on() {
+fn an_agent_with_a_lease_grants_a_lease_and_passes_commands_on() {
     let mut agent = TestAgent::connected();
     let wanted = RunnerCommands {
         start: List(vec![
@@ -51,7 +52,7 @@
     for sequence in 3..6 {
         assert!(
             agent.heartbeat(sequence, json!({}))["start"].is_array(),
-            "the answer before was lost"
+            "the start is repeated because the previous answer was lost"
         );
     }
     let active = json!({"active":[[TASK, 1, "", 0]]});
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_runner_lease_ends_with_the_agents() {
+fn a_runner_lease_never_outlasts_the_agents_lease() {
     let mut agent = TestAgent::connected();
     agent.receive_answer(commands(1, 1));
     agent.receive_answer(RunnerCommands {
@@ -71,11 +72,14 @@
     agent.now = agent.now.plus_millis(900);
     let short = agent.heartbeat(4, json!({}));
     assert_eq!(short["hold_ms"], 300);
-    assert!(short["start"].is_null(), "a run would be over at once");
+    assert!(
+        short["start"].is_null(),
+        "a run would be over at once with so short a lease"
+    );
     agent.now = agent.now.plus_millis(300);
-    let over = agent.heartbeat(5, json!({}));
-    assert!(over["hold_ms"].is_null() && over["start"].is_null());
-    assert_eq!(over["fence_token"], 1);
+    let expired = agent.heartbeat(5, json!({}));
+    assert!(expired["hold_ms"].is_null() && expired["start"].is_null());
+    assert_eq!(expired["fence_token"], 1);
 }
 
 #[test]
--- a/crates/cluster/agent/tests/http_answers.rs
+++ b/crates/cluster/agent/tests/http_answers.rs
@@ -1,5 +1,5 @@
-//! What the agent answers to its runner, byte by byte: status, `Retry-After` and body of each outcome, as kept in
-//! `fixtures/http_answers.txt`.
+//! Guards against unintended changes of the agent's HTTP answers to its runner: the status, `Retry-After` and body of
+//! each answer must equal the transcript in `fixtures/http_answers.txt` byte by byte.
 
 mod common;
 
@@ -15,14 +15,14 @@
 
 use common::{commands, commands_with_start, start, stop, TestAgent, INSTANCE, TASK};
 
-const KEPT: &str = "tests/fixtures/http_answers.txt";
+const TRANSCRIPT_PATH: &str = "tests/fixtures/http_answers.txt";
 const HEARTBEAT: &str = "/v1/instances/i-7f3a91c2/heartbeat";
 const DEREGISTER: &str = "/v1/instances/i-7f3a91c2/deregister";
-/// A request whose number no other has.
-const OWN_REQUEST: HttpRequestId = HttpRequestId(900_000);
+/// A request id that no other request in this test has.
+const UNIQUE_REQUEST: HttpRequestId = HttpRequestId(900_000);
 
-/// Heartbeats that cannot be read.
-const BAD_HEARTBEATS: [&str; 10] = [
+/// Heartbeats that cannot be parsed.
+const MALFORMED_HEARTBEATS: [&str; 10] = [
     "",
     "[",
     "7",
@@ -39,9 +39,9 @@
     transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
 }
 
-/// The answer to a request of any kind.
-fn ask(agent: &mut TestAgent, endpoint: HttpEndpoint, method: Method, path: &str) -> HttpReply {
-    let request = HttpRequest {
+/// Sends a request with the given endpoint, method and path and returns the answer.
+fn request(agent: &mut TestAgent, endpoint: HttpEndpoint, method: Method, path: &str) -> HttpReply {
+    let http_request = HttpRequest {
         method,
         host: String::new(),
         path: path.to_owned(),
@@ -49,14 +49,14 @@
         deadline_ms: None,
         body: b"{}".to_vec(),
     };
-    let id = OWN_REQUEST;
+    let id = UNIQUE_REQUEST;
     agent
         .handle(Event::Http {
             id,
             endpoint,
-            request,
+            request: http_request,
         })
-        .expect("answered at once")
+        .expect("an immediate answer")
 }
 
 fn heartbeats_without_a_scheduler(transcript: &mut Transcript) {
@@ -74,14 +74,14 @@
     let mut agent = TestAgent::connected();
     let idle = agent.heartbeat_of(INSTANCE, 3, json!({}));
     add(transcript, "a lease, nothing runs", &idle);
-    let wanted = RunnerCommands {
+    let commands = RunnerCommands {
         start: List(vec![start("a.0.0.0", 3), start("b.0.0.0", 1)]),
         stop: List(vec![stop("d.0.0.0", 1), stop("e.0.0.0", 1)]),
         observed: 58,
         retry_after_ms: 70,
         ..commands(7, 1)
     };
-    agent.receive_answer(wanted);
+    agent.receive_answer(commands);
     let lists = json!({"active":[["b.0.0.0",1,"",0],["d.0.0.0",1,"",9.5],["e.0.0.0",1,"",1]],
         "finished":[[59,"c.0.0.0",1,"done",""]]});
     let answer = agent.heartbeat_of(INSTANCE, 4, lists);
@@ -92,7 +92,7 @@
     add(transcript, "a runner that drains", &draining);
 }
 
-fn heartbeats_as_a_lease_ends(transcript: &mut Transcript) {
+fn heartbeats_around_the_lease_expiry(transcript: &mut Transcript) {
     let mut agent = TestAgent::connected();
     agent.receive_answer(commands(1, 1));
     let short = RunnerCommands {
@@ -101,7 +101,7 @@
     };
     agent.receive_answer(short);
     agent.now = agent.now.plus_millis(12_000 - 1_200);
-    for (sequence, name, passes_ms) in [
+    for (sequence, name, advance_ms) in [
         (3, "1200 ms of a lease are left", 900),
         (4, "300 ms of a lease are left", 300),
         (5, "the lease is over", 0),
@@ -111,7 +111,7 @@
             name,
             &agent.heartbeat_of(INSTANCE, sequence, json!({})),
         );
-        agent.now = agent.now.plus_millis(passes_ms);
+        agent.now = agent.now.plus_millis(advance_ms);
     }
 }
 
@@ -125,9 +125,9 @@
     add(transcript, "the instance that it replaced", &replaced);
 }
 
-fn heartbeats_that_cannot_be_read(transcript: &mut Transcript) {
+fn malformed_heartbeats(transcript: &mut Transcript) {
     let mut agent = TestAgent::connected();
-    for body in BAD_HEARTBEATS {
+    for body in MALFORMED_HEARTBEATS {
         let reply = agent.post(HEARTBEAT, body.into());
         add(transcript, &format!("no heartbeat: {body}"), &reply);
     }
@@ -183,18 +183,18 @@
             _ => "PUT",
         };
         for path in [HEARTBEAT, DEREGISTER, "/v1/other"] {
-            let reply = ask(&mut agent, HttpEndpoint::Control, method, path);
+            let reply = request(&mut agent, HttpEndpoint::Control, method, path);
             add(transcript, &format!("{name} {path}"), &reply);
         }
     }
-    let reply = ask(
+    let reply = request(
         &mut agent,
         HttpEndpoint::Readiness,
         Method::Get,
         "/v1/readyz",
     );
     add(transcript, "the readiness address: GET /v1/readyz", &reply);
-    let reply = ask(&mut agent, HttpEndpoint::Frontend, Method::Post, HEARTBEAT);
+    let reply = request(&mut agent, HttpEndpoint::Frontend, Method::Post, HEARTBEAT);
     add(
         transcript,
         &format!("the clients' address: POST {HEARTBEAT}"),
@@ -203,14 +203,14 @@
 }
 
 #[test]
-fn every_answer_is_the_one_kept() {
+fn every_answer_equals_the_stored_transcript() {
     let mut transcript = Transcript::default();
     heartbeats_without_a_scheduler(&mut transcript);
     heartbeats_under_a_lease(&mut transcript);
-    heartbeats_as_a_lease_ends(&mut transcript);
+    heartbeats_around_the_lease_expiry(&mut transcript);
     heartbeats_of_other_instances(&mut transcript);
-    heartbeats_that_cannot_be_read(&mut transcript);
+    malformed_heartbeats(&mut transcript);
     deregistration(&mut transcript);
     paths_and_methods(&mut transcript);
-    transcript.assert_kept(KEPT);
+    transcript.assert_kept(TRANSCRIPT_PATH);
 }
--- a/crates/cluster/agent/tests/model/cluster.rs
+++ b/crates/cluster/agent/tests/model/cluster.rs
@@ -1,4 +1,5 @@
-//! The three on their network, millisecond by millisecond, and the invariants that hold at each.
+//! A simulation of the runner, the agent and the scheduler in steps of one millisecond, with a check of the invariants
+//! after each step.
 
 use sagetrail_agent::AgentNode;
 use sagetrail_protocol::directory::Directory;
@@ -16,7 +17,7 @@
 
 const TASKS: [&str; 3] = ["a.0.0.0", "b.0.0.0", "c.0.0.0"];
 
-/// The agent's process; it restarts at once with another incarnation.
+/// The agent's process, which restarts with another incarnation after it was stopped.
 #[derive(Default)]
 struct AgentProcess {
     /// `None` while the process is down.
@@ -28,7 +29,7 @@
     deregistered: Vec<String>,
 }
 
-/// The whole model, and what has happened in it.
+/// The whole model, with counters of its events.
 pub(crate) struct Cluster {
     random: SeededRandom,
     now_ms: u64,
@@ -36,22 +37,22 @@
     agent: AgentProcess,
     runner: Runner,
     scheduler: Scheduler,
-    /// The agent cannot reach the scheduler until then.
+    /// The time until which the agent cannot reach the scheduler.
     partitioned_until_ms: u64,
-    /// Runners deregister first and serve on; heartbeats come seconds late at times.
+    /// Whether runners deregister and continue to serve before they end, and some heartbeats arrive seconds late.
     has_departures: bool,
-    /// Runs that runners started.
+    /// The number of runs that runners started.
     pub starts: u64,
-    /// Dead runners that health checks found.
+    /// The number of dead runners that health checks found.
     pub deaths_found: u64,
-    /// Runners that deregistered and ended.
+    /// The number of runners that deregistered and ended.
     pub departed: u64,
-    /// Heartbeats that were seconds late.
+    /// The number of heartbeats that were seconds late.
     pub late_heartbeats: u64,
 }
 
 impl Cluster {
-    /// Crashes, restarts, partitions and elections.
+    /// Creates a model with crashes, restarts, partitions and elections.
     pub(crate) fn new(seed: u64) -> Cluster {
         Cluster {
             random: SeededRandom::new(seed),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The same with departures of runners and late heartbeats.
+    /// Creates a model that also has departures of runners and late heartbeats.
     pub(crate) fn with_departures(seed: u64) -> Cluster {
         Cluster {
             has_departures: true,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The number of runs that the scheduler has given up.
+    /// Returns the number of runs that the scheduler has given up.
     pub(crate) fn given_up(&self) -> usize {
         self.scheduler.given_up.len()
     }
@@ -94,7 +95,7 @@
             self.send_heartbeat();
             self.deliver();
             self.scheduler.tick(self.now_ms);
-            self.decide();
+            self.change_runs();
             self.check_invariants();
         }
         self.starts += self.runner.starts;
@@ -123,7 +124,7 @@
         self.agent.restart_ms = self.now_ms + 50 + self.random.below(max_down_ms);
     }
 
-    /// The runner ends, and comes back as another instance.
+    /// Ends the runner, which restarts later as another instance.
     fn replace_runner(&mut self) {
         self.starts += self.runner.starts;
         let up_ms = self.now_ms + 300 + self.random.below(1_500);
@@ -158,7 +159,7 @@
         }
         let time = self.agent_time();
         let wake = self.agent.node.as_ref().and_then(Node::next_wake);
-        // One wake in ten is late.
+        // One wake-up in ten is delayed.
         if wake.is_some_and(|wake| wake <= time) && !self.random.one_in(10) {
             self.handle(Event::Wake);
         }
@@ -172,7 +173,7 @@
         let node = AgentNode::new(settings, clock(self.agent_time()), &mut outbox);
         self.agent.node = Some(node);
         self.agent.deregistered.clear();
-        self.carry_out(outbox);
+        self.process_outbox(outbox);
     }
 
     fn handle(&mut self, event: Event) -> Option<HttpReply> {
@@ -181,11 +182,11 @@
         let mut outbox = Outbox::default();
         node.handle(clock(time), event, &mut outbox);
         let reply = outbox.replies.pop().map(|(_, reply)| reply);
-        self.carry_out(outbox);
+        self.process_outbox(outbox);
         reply
     }
 
-    fn carry_out(&mut self, outbox: Outbox) {
+    fn process_outbox(&mut self, outbox: Outbox) {
         for (to, message) in outbox.sends {
             if to == LEADER && self.now_ms >= self.partitioned_until_ms {
                 let term = self.scheduler.term;
@@ -200,7 +201,7 @@
         }
     }
 
-    /// A health check finds the runner as it is at its arrival; the result may come late.
+    /// Sends the result of a health check, which depends on the runner's state now. The result may arrive late.
     fn check_health(&mut self, agent: u64, id: HealthCheckId) {
         let result = match self.random.below(10) {
             0 => HealthCheckResult::NoAnswer,
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Delivers to the agent, runner or scheduler that is meant, if it is still there.
+    /// Delivers a transmission to its receiver if that agent, runner or scheduler still exists.
     fn deliver_one(&mut self, transmission: Transmission) {
         match transmission {
             Transmission::Heartbeat(call) => self.deliver_heartbeat(call),
@@ -333,7 +334,7 @@
         })
     }
 
-    /// An agent starts nothing at a runner whose deregistration it has acknowledged.
+    /// Checks that an agent starts no run at a runner whose deregistration it has acknowledged.
     fn check_no_start_after_deregistration(&self, instance: &str, body: &[u8]) {
         let answer: serde_json::Value = serde_json::from_slice(body).unwrap();
         let is_deregistered = self
@@ -343,7 +344,7 @@
             .any(|known| known == instance);
         assert!(
             !is_deregistered || answer["start"].is_null(),
-            "a start at {instance}, which has deregistered: {answer}"
+            "a start was sent to {instance}, which has deregistered: {answer}"
         );
     }
 
@@ -369,8 +370,9 @@
         });
     }
 
-    /// The scheduler assigns and withdraws runs, and sends commands unasked; the runner ends some.
-    fn decide(&mut self) {
+    /// Lets the scheduler assign and withdraw runs and send commands that answer no report, and lets the runner end
+    /// runs.
+    fn change_runs(&mut self) {
         let task = TASKS[self.random.below(3) as usize];
         if self.random.one_in(300) {
             self.scheduler.assign(task);
@@ -388,19 +390,19 @@
         }
     }
 
-    /// No run runs that was given up, and none starts at a runner that drains.
+    /// Checks that no given-up run is running and that no run was started at a draining runner.
     fn check_invariants(&self) {
         for run in &self.scheduler.given_up {
             let is_running = self.runner.running.get(&run.task) == Some(&run.attempt);
             assert!(
                 !is_running,
-                "{run:?} was given up and runs at {} ms",
+                "{run:?} was given up but is running at {} ms",
                 self.now_ms
             );
         }
         assert!(
             !self.runner.started_while_draining,
-            "a start after a heartbeat with `draining` was acknowledged"
+            "a run was started after a heartbeat with `draining` had been acknowledged"
         );
     }
 }
--- a/crates/cluster/agent/tests/model/mod.rs
+++ b/crates/cluster/agent/tests/model/mod.rs
@@ -1,7 +1,7 @@
-//! A runner, an agent and a scheduler on a bad network, by a seed. The model shares no code with the agent but its
-//! messages.
+//! A model of a runner, an agent and a scheduler on an unreliable network, determined by a seed. The model shares only
+//! the message types with the agent.
 
-// Each test file uses a part of the model.
+// Each test file uses only a part of the model.
 #![allow(dead_code)]
 
 mod cluster;
--- a/crates/cluster/agent/tests/model/network.rs
+++ b/crates/cluster/agent/tests/model/network.rs
@@ -1,4 +1,4 @@
-//! The network between runner, agent and scheduler: loses, delays and reorders what is sent.
+//! The network between runner, agent and scheduler, which loses, delays and reorders transmissions.
 
 use sagetrail_protocol::node::{HealthCheckId, HealthCheckResult};
 use sagetrail_protocol::Message;
@@ -11,9 +11,9 @@
     late_spread_ms: 1_400,
 };
 
-/// A heartbeat on its way.
+/// A heartbeat in transit.
 pub(crate) struct HeartbeatCall {
-    /// The incarnation of the agent that it is meant for; `None` for whichever it meets.
+    /// The incarnation of the agent to which the heartbeat is addressed; `None` for whichever incarnation is running.
     pub agent: Option<u64>,
     pub runner: u64,
     pub sequence: u64,
@@ -21,7 +21,7 @@
     pub body: Vec<u8>,
 }
 
-/// What is on its way; agents by their incarnation, runners by their number.
+/// A transmission in transit. Agents are identified by their incarnation, runners by their number.
 pub(crate) enum Transmission {
     Heartbeat(HeartbeatCall),
     HeartbeatAnswer {
@@ -66,7 +66,7 @@
 }
 
 impl Network {
-    /// Sends, unless it is lost.
+    /// Sends a transmission, which may be lost.
     pub(crate) fn send(
         &mut self,
         now_ms: u64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sends so that it arrives at a given time.
+    /// Sends a transmission that arrives at a given time.
     pub(crate) fn send_at(&mut self, due_ms: u64, transmission: Transmission) {
         self.in_transit.push(InTransit {
             due_ms,
@@ -86,7 +86,7 @@
         });
     }
 
-    /// What arrives by now.
+    /// Returns the transmissions that have arrived by now.
     pub(crate) fn arrivals(&mut self, now_ms: u64) -> Vec<Transmission> {
         self.in_transit
             .extract_if(.., |in_transit| in_transit.due_ms <= now_ms)
--- a/crates/cluster/agent/tests/model/runner.rs
+++ b/crates/cluster/agent/tests/model/runner.rs
@@ -1,31 +1,32 @@
-//! A runner as the protocol has it: one heartbeat at a time, a lease on its own slow clock, fencing tokens.
+//! A runner that follows the protocol: it has one heartbeat in flight at a time, measures its lease on its own slow
+//! clock and checks fencing tokens.
 
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
 
-/// Its clock is slow: a lease lasts this many hundredths of its time.
+/// The time that a lease lasts on the runner's slow clock, in percent of the granted time.
 const CLOCK_PERCENT: u64 = 102;
-/// A later answer is dropped, in milliseconds.
+/// The time after which an answer is dropped, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 1000;
 
-/// A heartbeat without an answer yet.
+/// A heartbeat that has not been answered yet.
 pub(crate) struct PendingHeartbeat {
     pub sequence: u64,
     pub sent_ms: u64,
     is_draining: bool,
 }
 
-/// A planned end: the runner deregisters first and serves on.
+/// A planned end of the runner, which first deregisters and continues to serve.
 struct Departure {
     ends_ms: u64,
-    /// When it deregisters next; `None` once that was acknowledged.
+    /// The time of the next deregistration call; `None` once a call has been acknowledged.
     deregisters_ms: Option<u64>,
 }
 
 pub(crate) struct Runner {
     pub number: u64,
-    /// Before, its machine refuses connections.
+    /// The time before which the runner's machine refuses connections.
     pub up_ms: u64,
     pub running: BTreeMap<String, u64>,
     finished: Vec<(u64, String, u64, &'static str)>,
@@ -37,9 +38,9 @@
     pub pending: Option<PendingHeartbeat>,
     pub next_heartbeat_ms: u64,
     pub is_draining: bool,
-    /// A heartbeat with `draining` was acknowledged.
+    /// Whether a heartbeat with `draining` has been acknowledged.
     has_announced_draining: bool,
-    /// A run was started after that.
+    /// Whether a run was started after a heartbeat with `draining` had been acknowledged.
     pub started_while_draining: bool,
     pub starts: u64,
     departure: Option<Departure>,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Begins to shut down without ever sending `draining`.
+    /// Begins to shut down without sending `draining` in any heartbeat.
     pub(crate) fn depart(&mut self, now_ms: u64, serves_on_ms: u64) {
         let ends_ms = now_ms + serves_on_ms;
         self.departure.get_or_insert(Departure {
@@ -76,7 +77,7 @@
         });
     }
 
-    /// True where it deregisters now; it does so again until that is acknowledged.
+    /// Returns whether the runner deregisters now. It repeats the call until one is acknowledged.
     pub(crate) fn deregisters(&mut self, now_ms: u64) -> bool {
         let Some(departure) = &mut self.departure else {
             return false;
@@ -90,7 +91,7 @@
         due
     }
 
-    /// True once its planned end has come.
+    /// Returns whether the planned end has been reached.
     pub(crate) fn has_departed(&self, now_ms: u64) -> bool {
         self.departure
             .as_ref()
@@ -107,7 +108,7 @@
         format!("i-{}", self.number)
     }
 
-    /// Ends its runs once its lease has expired, and a heartbeat that waited too long.
+    /// Ends all runs once the lease has expired, and drops a pending heartbeat that has timed out.
     pub(crate) fn tick(&mut self, now_ms: u64) {
         if now_ms >= self.lease_end_ms {
             let tasks: Vec<String> = self.running.keys().cloned().collect();
@@ -133,7 +134,7 @@
         self.next_end += 1;
     }
 
-    /// The next heartbeat, where one is due.
+    /// Returns the body of the next heartbeat if one is due.
     pub(crate) fn heartbeat(&mut self, now_ms: u64) -> Option<Vec<u8>> {
         if self.pending.is_some() || now_ms < self.next_heartbeat_ms {
             return None;
@@ -159,7 +160,7 @@
         Some(serde_json::to_vec(&document).unwrap())
     }
 
-    /// Receives an answer to the pending heartbeat.
+    /// Receives an answer; ignores it if it does not answer the pending heartbeat.
     pub(crate) fn receive_answer(&mut self, now_ms: u64, sequence: u64, body: &[u8]) {
         let answered = self.pending.take_if(|pending| pending.sequence == sequence);
         let Some(answered) = answered else { return };
@@ -176,10 +177,10 @@
             self.lease_end_ms = self.lease_end_ms.max(end_ms);
         }
         self.has_announced_draining |= answered.is_draining;
-        self.carry_out(now_ms, &answer);
+        self.execute_commands(now_ms, &answer);
     }
 
-    fn carry_out(&mut self, now_ms: u64, answer: &Value) {
+    fn execute_commands(&mut self, now_ms: u64, answer: &Value) {
         for stop in answer["stop"].as_array().into_iter().flatten() {
             let task = stop[0].as_str().unwrap();
             if self.running.get(task) == stop[1].as_u64().as_ref() {
@@ -188,8 +189,8 @@
         }
         for start in answer["start"].as_array().into_iter().flatten() {
             let (task, run) = (start[0].as_str().unwrap(), start[1].as_u64().unwrap());
-            let past = self.ended.get(task).copied().unwrap_or(0);
-            if now_ms < self.lease_end_ms && run > past && !self.running.contains_key(task) {
+            let last_ended = self.ended.get(task).copied().unwrap_or(0);
+            if now_ms < self.lease_end_ms && run > last_ended && !self.running.contains_key(task) {
                 self.started_while_draining |= self.has_announced_draining;
                 self.running.insert(task.to_owned(), run);
                 self.starts += 1;
--- a/crates/cluster/agent/tests/model/scheduler.rs
+++ b/crates/cluster/agent/tests/model/scheduler.rs
@@ -1,11 +1,12 @@
-//! A scheduler as designed: it gives a run up only when invariant 3 of the design says that it is over for sure.
+//! A scheduler that follows the design: it gives up a run only if the run is certainly over by invariant 3 of the
+//! design.
 
 use sagetrail_protocol::agent::{
     RunnerCommands, RunnerReport, StartCommand, StopCommand, AGENT_LEASE_MS,
 };
 use sagetrail_protocol::List;
 
-/// Time without an extension after which an agent's lease has expired by any clock, in milliseconds.
+/// The time without an extension after which an agent's lease has expired on any clock, in milliseconds.
 const LEASE_EXPIRY_MS: u64 = AGENT_LEASE_MS * 103 / 100 + 500;
 
 /// An attempt at a task.
@@ -22,7 +23,7 @@
     is_wanted: bool,
 }
 
-/// Identifies a report: the agent's incarnation, and the report's number.
+/// The identity of a report, which consists of the agent's incarnation and the report's sequence number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 struct ReportId {
     agent: u64,
@@ -33,18 +34,18 @@
     pub term: u64,
     revision: u64,
     assignments: Vec<Assignment>,
-    /// Runs that are over for sure.
+    /// The runs that the scheduler has given up because they are certainly over.
     pub given_up: Vec<Run>,
     attempts: u64,
-    /// The runner's instance by the newest report, empty for none.
+    /// The runner's instance in the newest report, empty if there is none.
     instance: String,
     active: Vec<Run>,
-    /// The highest number of an end that was reported.
+    /// The highest reported number of an ended run.
     observed: u64,
     last_extension_ms: u64,
     /// The newest commands.
-    content: Option<RunnerCommands>,
-    /// The agent's commands of this term are resolved.
+    newest_commands: Option<RunnerCommands>,
+    /// Whether the commands of this term are resolved.
     is_resolved: bool,
     newest_report: ReportId,
 }
@@ -61,17 +62,17 @@
             active: Vec::new(),
             observed: 0,
             last_extension_ms: 0,
-            content: None,
+            newest_commands: None,
             is_resolved: false,
             newest_report: ReportId::default(),
         }
     }
 
-    /// Another process is elected: it knows the assignments and nothing of the agent.
+    /// Elects another process as the scheduler. It knows the assignments but has received no report from the agent.
     pub(crate) fn elect(&mut self, now_ms: u64) {
         self.term += 1;
         self.revision = 0;
-        self.content = None;
+        self.newest_commands = None;
         self.is_resolved = false;
         self.last_extension_ms = now_ms;
         self.active.clear();
@@ -97,7 +98,7 @@
         });
     }
 
-    /// A run is no longer wanted; commands without it get a revision of their own.
+    /// Marks a run as no longer wanted. The commands without this run get a new revision.
     pub(crate) fn withdraw(&mut self, task: &str) {
         for assignment in &mut self.assignments {
             if assignment.run.task == task {
@@ -120,7 +121,7 @@
         self.given_up.extend(over.map(|assignment| assignment.run));
     }
 
-    /// Receives a report; the commands that answer it. Only a newer report extends the lease.
+    /// Receives a report and returns the commands that answer it. Only a newer report extends the lease.
     pub(crate) fn answer(&mut self, now_ms: u64, report: &RunnerReport) -> RunnerCommands {
         let id = ReportId {
             agent: report.agent,
@@ -152,7 +153,7 @@
         let is_current =
             report.term == self.term && (report.starts_resolved || report.lease_expired);
         if is_other && !is_current {
-            return; // A new agent may know of an instance that is no more.
+            return; // A new agent may report an instance that no longer exists.
         }
         if instance != self.instance {
             self.observed = 0;
@@ -184,7 +185,8 @@
         }
     }
 
-    /// The newest commands, unasked; a change gets a new revision.
+    /// Returns the newest commands, which answer no report. Commands that differ from the previous ones get a new
+    /// revision.
     pub(crate) fn commands(&mut self) -> RunnerCommands {
         let mut commands = RunnerCommands {
             term: self.term,
@@ -198,15 +200,15 @@
             observed: self.observed,
             retry_after_ms: 0,
         };
-        if self.content.as_ref() != Some(&commands) {
+        if self.newest_commands.as_ref() != Some(&commands) {
             self.revision += 1;
             commands.revision = self.revision;
-            self.content = Some(commands.clone());
+            self.newest_commands = Some(commands.clone());
         }
         commands
     }
 
-    /// The wanted runs of the instance that are not active.
+    /// Returns start commands for the wanted runs of the instance that are not active.
     fn starts(&self) -> Vec<StartCommand> {
         let wanted = self.assignments.iter().filter(|assignment| {
             assignment.is_wanted
@@ -223,7 +225,7 @@
             .collect()
     }
 
-    /// The active runs that are not wanted.
+    /// Returns stop commands for the active runs that are not wanted.
     fn stops(&self) -> Vec<StopCommand> {
         let is_wanted = |run: &Run| {
             self.assignments
--- a/crates/cluster/agent/tests/partition.rs
+++ b/crates/cluster/agent/tests/partition.rs
@@ -1,5 +1,6 @@
-//! An agent that is partitioned from the scheduler, or suspended, for up to twenty seconds: what its runner's heartbeats
-//! are answered, also when late answers of the scheduler arrive and when another scheduler follows.
+//! Guards against runner leases that outlast the agent's lease, and against outdated commands in answers to heartbeats.
+//! Both could come about when the agent is partitioned from the scheduler or suspended for up to 22 s, when answers of
+//! the scheduler arrive late, and when another scheduler is elected.
 
 mod common;
 
@@ -13,37 +14,37 @@
 use common::{commands, start, TestAgent, INCARNATION, LEADER, OTHER, TASK};
 
 const SCHEDULES: u64 = 300;
-/// The longest time between two heartbeats of the runner, in milliseconds.
-const HEARTBEAT_MS: u64 = 100;
+/// The maximum interval between two heartbeats of the runner, in milliseconds.
+const MAX_HEARTBEAT_INTERVAL_MS: u64 = 100;
 const MICROS_PER_MS: u64 = 1_000;
 
-/// The time from which the scheduler's answer extends the lease, for the test of the checker.
+/// The time from which the scheduler's answer extends the agent's lease.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum LeaseStart {
-    /// The sending of the report, as it must be.
-    Report,
-    /// The arrival of the answer.
-    Arrival,
+    /// The lease counts from the time at which the report was sent, which is correct.
+    ReportSent,
+    /// The lease counts from the arrival of the answer, which is wrong; the checker must flag it.
+    AnswerArrival,
 }
 
-/// An answer of the scheduler on its way.
+/// An answer of the scheduler in transit.
 struct Answer {
     arrival_ms: u64,
     from: NodeId,
     commands: RunnerCommands,
 }
 
-/// An agent, its runner, and the connection to the scheduler.
+/// An agent, its runner and its connection to the scheduler.
 struct Connection {
     agent: TestAgent,
     random: SeededRandom,
     lease_start: LeaseStart,
     term: Term,
     is_partitioned: bool,
-    /// Answers on their way; a partition may delay them.
+    /// The answers in transit; some of them arrive during a partition.
     in_transit: Vec<Answer>,
     sequence: u64,
-    /// When the latest report was sent that has been answered, in microseconds.
+    /// The time at which the latest answered report was sent, in microseconds.
     answered_report_sent_at: u64,
     fencing_token: u64,
     observed: u64,
@@ -74,7 +75,7 @@
         self.agent.now.0 / MICROS_PER_MS
     }
 
-    /// The scheduler answers each report that reaches it; some answers are late.
+    /// Answers each report that reaches the scheduler; some answers are late.
     fn answer_reports(&mut self) {
         for (to, message) in std::mem::take(&mut self.agent.sends) {
             let Message::RunnerReport(report) = message else {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// In the first term one process schedules, in the second another.
+    /// Returns the leader of the current term; the two terms have different leaders.
     fn leader(&self) -> NodeId {
         if self.term == 1 {
             LEADER
@@ -122,7 +123,7 @@
         for mut answer in arrivals {
             let sent_at = answer.commands.sent_at;
             self.answered_report_sent_at = self.answered_report_sent_at.max(sent_at);
-            if self.lease_start == LeaseStart::Arrival {
+            if self.lease_start == LeaseStart::AnswerArrival {
                 answer.commands.sent_at = self.agent.now.0;
             }
             self.agent
@@ -142,25 +143,25 @@
         let agent_lease_end = Time(self.answered_report_sent_at).plus_millis(AGENT_LEASE_MS);
         if lease_ms > 0 && now.plus_millis(lease_ms) > agent_lease_end {
             self.violations.push(format!(
-                "a lease of {lease_ms} ms at {now:?}, the agent's ends at {agent_lease_end:?}"
+                "a lease of {lease_ms} ms was granted at {now:?}, but the agent's ends at {agent_lease_end:?}"
             ));
         }
         if lease_ms == 0 && !answer["start"].is_null() {
             self.violations
-                .push(format!("a start without a lease at {now:?}"));
+                .push(format!("a start was sent without a lease at {now:?}"));
         }
         let token = answer["fence_token"].as_u64().unwrap_or(self.fencing_token);
         let observed = answer["observed"].as_u64().unwrap_or(self.observed);
         if token < self.fencing_token || observed < self.observed {
             self.violations.push(format!(
-                "{answer} after token {} and {}",
+                "{answer} came after fencing token {} and observed {}",
                 self.fencing_token, self.observed
             ));
         }
         let attempt = answer["start"][0][1].as_u64().unwrap_or(token);
         if attempt != token {
             self.violations
-                .push(format!("a start of another term: {answer}"));
+                .push(format!("a start of another term was sent: {answer}"));
         }
         self.fencing_token = token;
         self.observed = observed;
@@ -169,8 +170,8 @@
     fn run(&mut self, span_ms: u64) {
         let end_ms = self.now_ms() + span_ms;
         while self.now_ms() < end_ms {
-            let pause = self.random.below(HEARTBEAT_MS) + 1;
-            self.agent.advance(pause);
+            let interval_ms = self.random.below(MAX_HEARTBEAT_INTERVAL_MS) + 1;
+            self.agent.advance(interval_ms);
             self.answer_reports();
             self.deliver();
             self.send_heartbeat();
@@ -178,15 +179,15 @@
         }
     }
 
-    /// Suspends the process; messages wait meanwhile.
+    /// Suspends the agent's process; messages wait until it resumes.
     fn suspend(&mut self, span_ms: u64) {
         self.agent.now = self.agent.now.plus_millis(span_ms);
         self.deliver();
         self.send_heartbeat();
     }
 
-    /// Partitions or suspends the agent once; what was wrong.
-    fn check_once(mut self) -> Vec<String> {
+    /// Partitions or suspends the agent once and returns the violations.
+    fn find_violations(mut self) -> Vec<String> {
         self.run(1_500);
         self.is_partitioned = true;
         let span_ms = 1_000 + self.random.below(21_000);
@@ -199,35 +200,37 @@
             self.sequence += 1;
             let answer = self.agent.heartbeat(self.sequence, json!({}));
             if !answer["hold_ms"].is_null() {
-                self.violations.push(format!("a lease after {span_ms} ms"));
+                self.violations.push(format!(
+                    "a lease was granted after {span_ms} ms without contact"
+                ));
             }
         }
         self.is_partitioned = false;
         if self.random.one_in(2) {
             self.term = 2;
             // The former leader resigns; another core process names the new one.
-            let bounce = NotLeader {
+            let not_leader = NotLeader {
                 request: 0,
                 term: 1,
                 leader: NodeId::default(),
             };
-            self.agent.receive(LEADER, Message::NotLeader(bounce));
+            self.agent.receive(LEADER, Message::NotLeader(not_leader));
             self.agent.receive_directory(2, OTHER);
         }
         self.run(3_000);
         self.sequence += 1;
         if self.agent.heartbeat(self.sequence, json!({}))["hold_ms"].is_null() {
             self.violations
-                .push("no lease 3 s after the partition".to_owned());
+                .push("no lease was granted 3 s after the partition".to_owned());
         }
         self.violations
     }
 }
 
 #[test]
-fn no_runner_lease_outlasts_the_agents_and_no_old_command_is_passed_on() {
+fn runner_leases_end_before_the_agents_lease_and_old_commands_are_not_passed_on() {
     for seed in 0..SCHEDULES {
-        let violations = Connection::new(seed, LeaseStart::Report).check_once();
+        let violations = Connection::new(seed, LeaseStart::ReportSent).find_violations();
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -236,8 +239,8 @@
 fn the_checker_flags_a_lease_that_is_counted_from_the_arrival_of_an_answer() {
     let flagged = (0..40)
         .filter(|seed| {
-            !Connection::new(*seed, LeaseStart::Arrival)
-                .check_once()
+            !Connection::new(*seed, LeaseStart::AnswerArrival)
+                .find_violations()
                 .is_empty()
         })
         .count();
@@ -245,12 +248,12 @@
 }
 
 #[test]
-fn heartbeats_are_answered_throughout_and_leases_granted_until_the_agents_expires() {
+fn heartbeats_are_answered_and_leases_granted_until_the_agents_lease_expires() {
     let mut agent = TestAgent::connected();
     let began = agent.now;
     let mut last_lease_ms = 0;
     for sequence in 10..210 {
-        agent.advance(HEARTBEAT_MS);
+        agent.advance(MAX_HEARTBEAT_INTERVAL_MS);
         let answer = agent.heartbeat(sequence, json!({}));
         if !answer["hold_ms"].is_null() {
             last_lease_ms = agent.now.millis_since(began);
@@ -258,6 +261,6 @@
     }
     assert!(
         (AGENT_LEASE_MS - 200..AGENT_LEASE_MS).contains(&last_lease_ms),
-        "{last_lease_ms} ms"
+        "the last lease was granted after {last_lease_ms} ms"
     );
 }
--- a/crates/cluster/agent/tests/reports.rs
+++ b/crates/cluster/agent/tests/reports.rs
@@ -1,4 +1,5 @@
-//! Reports: what the scheduler receives, when, and by which route.
+//! Guards against missing, late or too frequent reports to the scheduler, and against leases or commands that the agent
+//! accepts although they are outdated. Checks the content, the time and the route of the reports.
 
 mod common;
 use serde_json::json;
@@ -13,20 +14,20 @@
 use common::*;
 
 #[test]
-fn an_agent_asks_its_seeds_and_reports_once_it_knows_the_leader() {
+fn an_agent_contacts_its_seeds_and_reports_once_it_knows_the_leader() {
     let mut agent = TestAgent::new();
-    let asked = |agent: &TestAgent, node| agent.sends.iter().any(|(to, _)| *to == node);
+    let has_contacted = |agent: &TestAgent, node| agent.sends.iter().any(|(to, _)| *to == node);
     agent.advance(1000);
     assert!([LEADER, OTHER, THIRD]
         .iter()
-        .all(|seed| asked(&agent, *seed)));
+        .all(|seed| has_contacted(&agent, *seed)));
     assert!(agent.reports().is_empty());
     agent.receive_directory(1, LEADER);
     assert!(!agent.last_report().has_runner);
 }
 
 #[test]
-fn changes_are_reported_at_once_and_progress_is_not() {
+fn changes_are_reported_at_once_but_progress_is_not() {
     let mut agent = TestAgent::connected();
     agent.advance(20);
     agent.heartbeat(3, json!({"active":[[TASK, 1, "", 1]]}));
@@ -39,7 +40,7 @@
         6,
         json!({"active":[[TASK, 1, "cp", 50]],"finished":[[1,"t.0.0.0",1,"done",""]]}),
     );
-    assert_eq!(agent.reports().len(), 2, "reports have a shortest interval");
+    assert_eq!(agent.reports().len(), 2, "reports have a minimum interval");
     agent.advance(10);
     assert_eq!(agent.reports().len(), 3);
     assert_eq!(agent.last_report().finished.len(), 1);
@@ -56,12 +57,15 @@
     assert_eq!(agent.reports().len(), 4);
     agent.sends.clear();
     agent.advance(3600);
-    let early = agent.reports().len();
-    assert!((7..=8).contains(&early), "{early}");
+    let regular_count = agent.reports().len();
+    assert!((7..=8).contains(&regular_count), "{regular_count} reports");
     agent.sends.clear();
     agent.advance(4000);
-    let pressing = agent.reports().len();
-    assert!((15..=17).contains(&pressing), "{pressing}");
+    let renewal_count = agent.reports().len();
+    assert!(
+        (15..=17).contains(&renewal_count),
+        "{renewal_count} reports"
+    );
 }
 
 #[test]
@@ -114,7 +118,7 @@
     agent.now = agent.now.plus_millis(6000);
     assert!(
         agent.heartbeat(5, json!({}))["hold_ms"].is_null(),
-        "older commands extend no lease"
+        "older commands must not extend the lease"
     );
 }
 
@@ -202,7 +206,7 @@
     let report = agent.last_report();
     assert!(
         report.draining && !report.lease_expired && report.active.len() == 1,
-        "it may serve on"
+        "the runner may continue to serve"
     );
     agent.advance(2_700);
     assert!(agent.last_report().lease_expired && agent.last_report().active.is_empty());
@@ -215,17 +219,17 @@
 }
 
 #[test]
-fn a_silent_leader_is_sought_and_reached_through_relays() {
+fn an_unresponsive_leader_is_searched_for_and_reached_through_relays() {
     let mut agent = TestAgent::connected();
     agent.receive_answer(commands(1, 1));
     agent.advance(3000);
-    let relayed = |agent: &TestAgent| -> Vec<NodeId> {
+    let used_relays = |agent: &TestAgent| -> Vec<NodeId> {
         let to_leader = agent.sends.iter().filter(
             |(_, message)| matches!(message, Message::Relayed(relayed) if relayed.to == LEADER && relayed.from == AGENT),
         );
         to_leader.map(|(relay, _)| *relay).collect()
     };
-    let relays = relayed(&agent);
+    let relays = used_relays(&agent);
     assert!(
         [OTHER, THIRD, RELAY]
             .iter()
@@ -245,18 +249,22 @@
     agent.receive(THIRD, Message::Relayed(answer));
     agent.sends.clear();
     agent.advance(600);
-    assert_eq!(relayed(&agent), [THIRD], "the relay that worked is kept");
+    assert_eq!(
+        used_relays(&agent),
+        [THIRD],
+        "the relay of the last answer is kept"
+    );
     agent.receive_answer(commands(1, 2));
     agent.sends.clear();
     agent.advance(600);
     assert!(
-        relayed(&agent).is_empty(),
+        used_relays(&agent).is_empty(),
         "the direct connection works again"
     );
 }
 
 #[test]
-fn messages_of_others_are_relayed_once() {
+fn messages_between_other_processes_are_relayed_only_once() {
     let mut agent = TestAgent::connected();
     let relayed = Relayed {
         from: OTHER,
@@ -279,12 +287,12 @@
 #[test]
 fn a_new_leader_gets_a_report_at_once() {
     let mut agent = TestAgent::connected();
-    let bounce = NotLeader {
+    let not_leader = NotLeader {
         request: 0,
         term: 2,
         leader: THIRD,
     };
-    agent.receive(LEADER, Message::NotLeader(bounce));
+    agent.receive(LEADER, Message::NotLeader(not_leader));
     let (to, message) = agent.sends.last().unwrap();
     assert!(*to == THIRD && matches!(message, Message::RunnerReport(_)));
     agent.sends.clear();
@@ -297,7 +305,7 @@
 }
 
 #[test]
-fn a_bounce_without_a_leader_starts_a_search() {
+fn a_not_leader_message_without_a_leader_starts_a_search() {
     let mut agent = TestAgent::connected();
     agent.receive(
         LEADER,
@@ -317,7 +325,7 @@
 }
 
 #[test]
-fn a_terminated_agent_serves_on_for_a_while() {
+fn an_agent_asked_to_terminate_continues_to_serve_for_a_while() {
     let mut agent = TestAgent::connected();
     agent.handle(Event::Terminate);
     agent.advance(790);
@@ -328,7 +336,7 @@
 }
 
 #[test]
-fn an_idle_agent_wakes_seldom() {
+fn an_idle_agent_wakes_rarely() {
     let mut agent = TestAgent::connected();
     let mut wakes = 0;
     let end = agent.now.plus_millis(10_000);
