--- a/crates/cluster/config-distribution/tests/cut_off.rs
+++ b/crates/cluster/config-distribution/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! A relay that is cut off from the core, or stands still, while answers of the core are held up on their way: it
-//! never says that its knowledge is younger than it is.
+//! Guards against a relay that understates the age of its configuration. This could come about when the relay is cut
+//! off from the core, or its process is suspended, while answers of the core are delayed on the network.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,11 +8,12 @@
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 
 const SCHEDULES: u64 = 300;
+/// The step of the simulated time, in milliseconds.
 const TICK_MS: u64 = 5;
-/// A configuration is taken this often, in milliseconds.
-const CHANGE_MS: u64 = 700;
-/// A core process hands out what it made sure of so long ago, at most, in milliseconds.
-const HANDOUT_MS: u64 = 1_000;
+/// The interval at which the core adopts a new configuration, in milliseconds.
+const CHANGE_INTERVAL_MS: u64 = 700;
+/// The maximum age of the confirmation on which a core process bases its answers, in milliseconds.
+const MAX_CONFIRMATION_AGE_MS: u64 = 1_000;
 
 fn node(number: u32) -> NodeId {
     NodeId {
@@ -21,44 +22,50 @@
     }
 }
 
-/// A relay, its core processes 1 to 3, and a child that asks it.
-struct Line {
+/// A relay, its core processes 1 to 3, and a child that sends it subscriptions.
+struct RelayModel {
     relay: Relay,
     now: Time,
     random: Pcg64Mcg,
-    cut: bool,
-    /// After the return nothing more is held up.
-    returned: bool,
-    /// Answers of the core on their way.
-    coming: Vec<(Time, NodeId, Message)>,
-    /// When each version, from 1 on, was taken.
-    taken: Vec<Time>,
+    /// Whether the relay is cut off from the core.
+    is_cut_off: bool,
+    /// Whether the outage is over; no further answer is delayed after it.
+    has_returned: bool,
+    /// The answers of the core in transit, with their arrival times.
+    in_transit: Vec<(Time, NodeId, Message)>,
+    /// The time at which the core adopted each version, from version 1 on.
+    adopted_at: Vec<Time>,
     violations: Vec<String>,
 }
 
-impl Line {
-    fn new(seed: u64) -> Line {
+impl RelayModel {
+    fn new(seed: u64) -> RelayModel {
         let mut relay = Relay::new(node(9), seed);
         relay.set_candidates(&[node(1), node(2), node(3)], &[]);
-        Line {
+        RelayModel {
             relay,
             now: Time(1),
             random: Pcg64Mcg::seed_from_u64(seed),
-            cut: false,
-            returned: false,
-            coming: Vec::new(),
-            taken: vec![Time(1)],
+            is_cut_off: false,
+            has_returned: false,
+            in_transit: Vec::new(),
+            adopted_at: vec![Time(1)],
             violations: Vec::new(),
         }
     }
 
-    fn newest_at(&self, moment: Time) -> u64 {
-        self.taken.iter().filter(|taken| **taken <= moment).count() as u64
+    /// Returns the newest version at `time`.
+    fn newest_at(&self, time: Time) -> u64 {
+        self.adopted_at
+            .iter()
+            .filter(|adopted| **adopted <= time)
+            .count() as u64
     }
 
-    /// A core process answers by what it made sure of a while ago; some answers are held up for long.
-    fn serve(&mut self, core: NodeId, subscribe: &Subscribe) {
-        let age_ms = self.random.random_range(0..HANDOUT_MS);
+    /// Answers a subscription as a core process whose confirmation is up to [`MAX_CONFIRMATION_AGE_MS`] old. Some
+    /// answers are delayed for a long time.
+    fn answer_subscribe(&mut self, core: NodeId, subscribe: &Subscribe) {
+        let age_ms = self.random.random_range(0..MAX_CONFIRMATION_AGE_MS);
         let version = self.newest_at(Time(self.now.0.saturating_sub(age_ms * 1_000)));
         let answer = if version > subscribe.known_version {
             Message::ConfigUpdate(ConfigUpdate {
@@ -72,17 +79,17 @@
                 asked_at: subscribe.asked_at,
             })
         };
-        let held = !self.returned && self.random.random_bool(0.15);
-        let way_ms = if held {
+        let is_delayed = !self.has_returned && self.random.random_bool(0.15);
+        let delay_ms = if is_delayed {
             self.random.random_range(1..22_000)
         } else {
             5
         };
-        self.coming
-            .push((self.now.plus_millis(way_ms), core, answer));
+        self.in_transit
+            .push((self.now.plus_millis(delay_ms), core, answer));
     }
 
-    fn take(&mut self, from: NodeId, message: Message) {
+    fn receive(&mut self, from: NodeId, message: Message) {
         match message {
             Message::ConfigUpdate(update) => {
                 drop(self.relay.receive_update(from, update, self.now))
@@ -95,13 +102,14 @@
     fn deliver(&mut self) {
         let now = self.now;
         let due: Vec<_> = self
-            .coming
+            .in_transit
             .extract_if(.., |(at, _, _)| *at <= now)
             .collect();
         due.into_iter()
-            .for_each(|(_, from, message)| self.take(from, message));
+            .for_each(|(_, from, message)| self.receive(from, message));
     }
 
+    /// Records a violation if the relay tells its child an age at which the core had a newer version.
     fn check(&mut self) {
         let answers = self.relay.receive_subscribe(
             node(20),
@@ -114,11 +122,13 @@
         let Some((_, Message::ConfigCurrent(current))) = answers.last() else {
             return;
         };
-        let told_us = current.age_ms.saturating_add(1).saturating_mul(1_000);
-        let newest = self.newest_at(Time(self.now.0.saturating_sub(told_us)));
+        let reported_age_us = current.age_ms.saturating_add(1).saturating_mul(1_000);
+        let newest = self.newest_at(Time(self.now.0.saturating_sub(reported_age_us)));
         if current.version < newest {
-            self.violations
-                .push(format!("{current:?} at {:?}, {newest} was there", self.now));
+            self.violations.push(format!(
+                "{current:?} at {:?}, but the core had version {newest}",
+                self.now
+            ));
         }
     }
 
@@ -127,49 +137,50 @@
         while self.now < end {
             self.now = self.now.plus_millis(TICK_MS);
             if self
-                .taken
+                .adopted_at
                 .last()
-                .is_some_and(|last| self.now >= last.plus_millis(CHANGE_MS))
+                .is_some_and(|last| self.now >= last.plus_millis(CHANGE_INTERVAL_MS))
             {
-                self.taken.push(self.now);
+                self.adopted_at.push(self.now);
             }
             self.deliver();
             for (core, message) in self.relay.wake(self.now) {
-                if let (false, Message::Subscribe(subscribe)) = (self.cut, message) {
-                    self.serve(core, &subscribe);
+                if let (false, Message::Subscribe(subscribe)) = (self.is_cut_off, message) {
+                    self.answer_subscribe(core, &subscribe);
                 }
             }
             self.check();
         }
     }
 
-    /// The relay stands still, and goes on with what waited.
-    fn freeze(&mut self, span_ms: u64) {
+    /// Suspends the relay; the answers that arrive meanwhile are delivered afterwards.
+    fn suspend(&mut self, span_ms: u64) {
         let end = self.now.plus_millis(span_ms);
         while self
-            .taken
+            .adopted_at
             .last()
-            .is_some_and(|last| end >= last.plus_millis(CHANGE_MS))
+            .is_some_and(|last| end >= last.plus_millis(CHANGE_INTERVAL_MS))
         {
-            let last = *self.taken.last().unwrap();
-            self.taken.push(last.plus_millis(CHANGE_MS));
+            let last = *self.adopted_at.last().unwrap();
+            self.adopted_at.push(last.plus_millis(CHANGE_INTERVAL_MS));
         }
         self.now = end;
         self.deliver();
         self.check();
     }
 
-    fn play(mut self) -> Vec<String> {
+    /// Suspends the relay or cuts it off once and returns the violations.
+    fn find_violations(mut self) -> Vec<String> {
         self.run(3_000);
         let span_ms = self.random.random_range(1_000..22_000);
         if self.random.random_bool(0.5) {
-            self.freeze(span_ms);
+            self.suspend(span_ms);
         } else {
-            self.cut = true;
+            self.is_cut_off = true;
             self.run(span_ms);
-            self.cut = false;
+            self.is_cut_off = false;
         }
-        self.returned = true;
+        self.has_returned = true;
         self.run(3_000);
         let newest = self.newest_at(self.now);
         if self
@@ -178,22 +189,22 @@
             .is_none_or(|(version, _)| version + 2 < newest)
         {
             self.violations
-                .push("behind 3 s after the return".to_owned());
+                .push("an old version 3 s after the return".to_owned());
         }
         self.violations
     }
 }
 
 #[test]
-fn a_relay_never_says_that_its_knowledge_is_younger_than_it_is() {
-    let broken: Vec<(u64, Vec<String>)> = (0..SCHEDULES)
-        .map(|seed| (seed, Line::new(seed).play()))
+fn a_relay_never_understates_the_age_of_its_configuration() {
+    let failed: Vec<(u64, Vec<String>)> = (0..SCHEDULES)
+        .map(|seed| (seed, RelayModel::new(seed).find_violations()))
         .filter(|(_, found)| !found.is_empty())
         .collect();
     assert!(
-        broken.is_empty(),
-        "{} of {SCHEDULES} schedules; the first: {:?}",
-        broken.len(),
-        broken[0]
+        failed.is_empty(),
+        "{} of {SCHEDULES} schedules have violations; the first: {:?}",
+        failed.len(),
+        failed[0]
     );
 }
--- a/crates/cluster/config-distribution/tests/leaves.rs
+++ b/crates/cluster/config-distribution/tests/leaves.rs
@@ -1,4 +1,5 @@
-//! Processes that serve nobody, below the relays that a directory names.
+//! Guards against an uneven load of the relays that a directory names, and against lists of relays that differ between
+//! processes. Leaves serve no children and subscribe to these relays.
 
 mod network;
 use network::{node, nodes};
@@ -9,18 +10,18 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn the_best_relays_are_the_same_whoever_merges_the_lists() {
+fn the_best_relays_do_not_depend_on_how_lists_are_merged() {
     let all = nodes(3..303);
     let best = best_relays(all.clone(), MAX_RELAYS);
     assert_eq!(best.len(), MAX_RELAYS);
-    let (one, other) = all.split_at(120);
-    let mut merged = best_relays(other.to_vec(), MAX_RELAYS);
-    merged.extend(best_relays(one.to_vec(), MAX_RELAYS));
+    let (first, second) = all.split_at(120);
+    let mut merged = best_relays(second.to_vec(), MAX_RELAYS);
+    merged.extend(best_relays(first.to_vec(), MAX_RELAYS));
     assert_eq!(best_relays(merged, MAX_RELAYS), best);
 }
 
 #[test]
-fn leaves_and_relays_that_are_not_named_spread_over_those_that_are() {
+fn leaves_and_unlisted_relays_spread_evenly_over_the_listed_relays() {
     for cores in [3, 9] {
         let core = nodes(0..cores);
         let others = nodes(cores..cores + 300);
@@ -43,14 +44,14 @@
 }
 
 #[test]
-fn a_leaf_uses_the_few_relays_there_are() {
+fn a_leaf_uses_relays_even_if_there_are_few() {
     let (core, relays) = (nodes(0..9), nodes(9..13));
     assert!(relays.contains(&leaf_parents(node(50), &core, &relays)[0]));
     assert!(core.contains(&leaf_parents(node(50), &core, &[])[0]));
 }
 
 #[test]
-fn a_leaf_serves_nobody() {
+fn a_leaf_accepts_no_subscription() {
     let mut leaf = Relay::leaf(node(50), 1);
     leaf.set_candidates(&nodes(0..3), &nodes(3..35));
     assert_eq!(
--- a/crates/cluster/config-distribution/tests/network/mod.rs
+++ b/crates/cluster/config-distribution/tests/network/mod.rs
@@ -1,16 +1,17 @@
-//! Processes of a relay tree on a simulated network, by a seed.
+//! A simulated network of processes of a relay tree. A seed determines delays and losses.
 
 #![allow(dead_code)]
 use sagetrail_config_distribution::Relay;
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The network's time goes in steps of so many milliseconds.
+/// The step of the simulated time, in milliseconds.
 const TICK_MS: u64 = 4;
 
-pub(crate) struct Chance(pub u64);
+/// A small random number generator (xorshift).
+pub(crate) struct TestRandom(pub u64);
 
-impl Chance {
+impl TestRandom {
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -30,7 +31,8 @@
     numbers.map(node).collect()
 }
 
-struct Letter {
+/// A message in transit.
+struct InTransit {
     at: Time,
     from: NodeId,
     to: NodeId,
@@ -39,42 +41,45 @@
 
 pub(crate) struct Network {
     pub now: Time,
-    pub chance: Chance,
+    pub random: TestRandom,
     pub relays: BTreeMap<NodeId, Relay>,
     pub dead: BTreeSet<NodeId>,
     pub core: Vec<NodeId>,
-    /// One message in so many is lost; 0: none.
+    /// One message in `lost_one_in` is lost; 0 means that none is lost.
     pub lost_one_in: u64,
-    pub confirmed: bool,
+    /// Whether the core processes confirm that they know the newest version.
+    pub is_core_confirming: bool,
+    /// The last seen version of each process.
     versions: BTreeMap<NodeId, u64>,
-    letters: Vec<Letter>,
+    in_transit: Vec<InTransit>,
+    /// The number of sent messages, including lost ones.
     pub sent: u64,
 }
 
 impl Network {
-    /// `core` core processes and so many others that each may be asked to relay.
-    pub(crate) fn new(seed: u64, core: u32, others: u32) -> Network {
+    /// Creates a network of core processes and relays.
+    pub(crate) fn new(seed: u64, core_count: u32, relay_count: u32) -> Network {
         let mut network = Network {
             now: Time(1),
-            chance: Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+            random: TestRandom(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             relays: BTreeMap::new(),
             dead: BTreeSet::new(),
-            core: nodes(0..core),
+            core: nodes(0..core_count),
             lost_one_in: 0,
-            confirmed: true,
+            is_core_confirming: true,
             versions: BTreeMap::new(),
-            letters: Vec::new(),
+            in_transit: Vec::new(),
             sent: 0,
         };
-        for name in nodes(0..core + others) {
-            let mut relay = Relay::new(name, network.chance.below(1 << 40));
-            relay.set_candidates(&network.core, &nodes(core..core + others));
+        for name in nodes(0..core_count + relay_count) {
+            let mut relay = Relay::new(name, network.random.below(1 << 40));
+            relay.set_candidates(&network.core, &nodes(core_count..core_count + relay_count));
             network.relays.insert(name, relay);
         }
         network
     }
 
-    /// A core process learns a version.
+    /// Publishes a version at one core process.
     pub(crate) fn publish(&mut self, at: NodeId, version: u64) {
         let now = self.now;
         let document = Blob(version.to_be_bytes().to_vec());
@@ -83,10 +88,11 @@
             .get_mut(&at)
             .unwrap()
             .publish(version, &document, now);
-        self.post(at, out);
+        self.send(at, out);
     }
 
-    pub(crate) fn play(&mut self, millis: u64) {
+    /// Advances the simulated time by `millis`.
+    pub(crate) fn run(&mut self, millis: u64) {
         for _ in 0..millis / TICK_MS {
             self.now = self.now.plus_millis(TICK_MS);
             self.confirm();
@@ -101,7 +107,7 @@
         let live = self
             .core
             .iter()
-            .filter(|name| self.confirmed && !dead.contains(name));
+            .filter(|name| self.is_core_confirming && !dead.contains(name));
         for name in live {
             self.relays.get_mut(name).unwrap().confirm(self.now);
         }
@@ -119,22 +125,22 @@
                 out.push((*name, relay.wake(now)));
                 assert!(
                     relay.next_wake().is_none_or(|due| due > now),
-                    "a wake that does nothing"
+                    "a wake-up left its cause pending"
                 );
             }
         }
         out.into_iter()
-            .for_each(|(name, messages)| self.post(name, messages));
+            .for_each(|(name, messages)| self.send(name, messages));
     }
 
-    fn post(&mut self, from: NodeId, out: Vec<(NodeId, Message)>) {
+    fn send(&mut self, from: NodeId, out: Vec<(NodeId, Message)>) {
         for (to, message) in out {
             self.sent += 1;
-            if self.lost_one_in > 0 && self.chance.below(self.lost_one_in) == 0 {
+            if self.lost_one_in > 0 && self.random.below(self.lost_one_in) == 0 {
                 continue;
             }
-            let at = self.now.plus_millis(1 + self.chance.below(30));
-            self.letters.push(Letter {
+            let at = self.now.plus_millis(1 + self.random.below(30));
+            self.in_transit.push(InTransit {
                 at,
                 from,
                 to,
@@ -145,36 +151,41 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let mut due: Vec<Letter> = self
-            .letters
-            .extract_if(.., |letter| letter.at <= now)
+        let mut due: Vec<InTransit> = self
+            .in_transit
+            .extract_if(.., |transmission| transmission.at <= now)
             .collect();
-        due.retain(|letter| !self.dead.contains(&letter.to));
-        for letter in due {
-            let relay = self.relays.get_mut(&letter.to).unwrap();
-            let out = match letter.message {
+        due.retain(|transmission| !self.dead.contains(&transmission.to));
+        for transmission in due {
+            let relay = self.relays.get_mut(&transmission.to).unwrap();
+            let out = match transmission.message {
                 Message::Subscribe(subscribe) => {
-                    relay.receive_subscribe(letter.from, subscribe, now)
+                    relay.receive_subscribe(transmission.from, subscribe, now)
+                }
+                Message::ConfigUpdate(update) => {
+                    relay.receive_update(transmission.from, update, now)
                 }
-                Message::ConfigUpdate(update) => relay.receive_update(letter.from, update, now),
                 Message::ConfigCurrent(current) => {
-                    relay.receive_current(letter.from, &current, now);
+                    relay.receive_current(transmission.from, &current, now);
                     Vec::new()
                 }
-                _ => panic!("no message of the relay tree"),
+                _ => panic!("expected a message of the relay tree"),
             };
-            self.post(letter.to, out);
+            self.send(transmission.to, out);
         }
     }
 
-    /// No version goes back, and each document is its version's.
+    /// Checks that no process returns to an older version and that each document belongs to its version.
     fn check(&mut self) {
         for (name, relay) in &self.relays {
             let Some((version, document)) = relay.newest() else {
                 continue;
             };
             let last = self.versions.insert(*name, version).unwrap_or(0);
-            assert!(version >= last, "{name} went back from {last} to {version}");
+            assert!(
+                version >= last,
+                "{name} returned from version {last} to {version}"
+            );
             assert_eq!(document.0, version.to_be_bytes());
         }
     }
@@ -185,15 +196,15 @@
             .filter(|(name, _)| !self.dead.contains(name))
     }
 
-    /// Live processes that do not hold `version`.
-    pub(crate) fn behind(&self, version: u64) -> Vec<NodeId> {
-        let behind = self
+    /// Returns the live processes whose version is older than `version`.
+    pub(crate) fn outdated(&self, version: u64) -> Vec<NodeId> {
+        let outdated = self
             .live()
             .filter(|(_, relay)| relay.newest().is_none_or(|newest| newest.0 < version));
-        behind.map(|(name, _)| *name).collect()
+        outdated.map(|(name, _)| *name).collect()
     }
 
-    /// Relays by how many live processes ask them, most first.
+    /// Returns the relays with live children, those with the most children first.
     pub(crate) fn inner(&self) -> Vec<NodeId> {
         let mut children: BTreeMap<NodeId, usize> = BTreeMap::new();
         for parent in self.live().filter_map(|(_, relay)| relay.parent()) {
