--- a/crates/cluster/agent/src/config_relay.rs
+++ b/crates/cluster/agent/src/config_relay.rs
@@ -4,8 +4,8 @@
 use sagetrail_protocol::node::Outbox;
 use sagetrail_protocol::{Message, NodeId, Time};
 
-/// The time by which a due renewal of the subscription may be delayed until the agent wakes for another reason, in
-/// milliseconds. Without this delay an idle agent would wake for the renewal alone.
+/// The time by which a due action of the relay, such as the renewal of its subscription, may be delayed until the agent
+/// wakes for another reason, in milliseconds. Without this delay an idle agent would wake for the renewal alone.
 const WAKE_SLACK_MS: u64 = 300;
 
 /// A process of the relay tree, together with the latest candidates for its parent.
@@ -61,7 +61,7 @@
         self.relay.set_candidates(&self.core, &self.relays);
     }
 
-    /// Renews the subscription with the parent if the renewal is due.
+    /// Renews the subscription or changes the parent if that is due.
     pub(crate) fn send_due(&mut self, now: Time, outbox: &mut Outbox) {
         send_all(self.relay.wake(now), outbox);
     }
--- a/crates/cluster/agent/tests/partition.rs
+++ b/crates/cluster/agent/tests/partition.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn runner_leases_end_before_the_agents_lease_and_old_commands_are_not_passed_on() {
+fn runner_leases_never_outlast_the_agents_lease_and_old_commands_are_not_passed_on() {
     for seed in 0..SCHEDULES {
         let violations = Connection::new(seed, LeaseStart::ReportSent).find_violations();
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
