--- a/crates/dispatcher/policy/tests/cold.rs
+++ b/crates/dispatcher/policy/tests/cold.rs
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct Machine {
-    born: Option<f64>,
+    started_at_s: Option<f64>,
     runs: Vec<(f64, Sent)>,
     waits: VecDeque<Sent>,
     /// When something came, while it was cold.
@@ -51,8 +51,8 @@
 }
 
 struct Member {
-    d: Dispatcher,
-    host: Fake,
+    dispatcher: Dispatcher,
+    host: RecordingHost,
     attempts: BTreeMap<u32, u16>,
     sizes: BTreeMap<u32, f64>,
     /// When it hears of each start.
@@ -66,13 +66,13 @@
         slow_start_fraction: 0.12,
         warm_up_s: 24.0,
         reports_acceptance: true,
-        ..terms()
+        ..default_config()
     }
 }
 
-fn warmth(age: f64, terms: &PolicyConfig) -> f64 {
-    terms.slow_start_fraction
-        + (1.0 - terms.slow_start_fraction) * (age / terms.warm_up_s).clamp(0.0, 1.0)
+fn warmth(age: f64, config: &PolicyConfig) -> f64 {
+    config.slow_start_fraction
+        + (1.0 - config.slow_start_fraction) * (age / config.warm_up_s).clamp(0.0, 1.0)
 }
 
 /// The most that any cold runner got within the rule's span, beside its budget N and 2 x root of N + 2 for chance, and beside
@@ -80,32 +80,32 @@
 fn play(days: &Days) -> (f64, f64) {
     const RUNNERS: usize = 12;
     let mut pcg = Chance(days.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-    let terms = fleet_terms(0);
-    let listed = |r: usize, born: f64| {
+    let config = fleet_terms(0);
+    let listed = |runner: usize, started_at_s: f64| {
         (
-            r,
+            runner,
             Some(ListedRunner {
-                started_at_s: born,
-                ..runner(r as u64)
+                started_at_s,
+                ..listed_runner(runner as u64)
             }),
         )
     };
     let fresh = |me: usize, now: f64, seed: u64, machines: &[Machine]| {
-        let mut d = Dispatcher::new(fleet_terms(me), seed, now);
-        d.begin_without_history(now);
-        let born = |m: &Machine| m.born.unwrap_or(f64::NEG_INFINITY);
+        let mut dispatcher = Dispatcher::new(fleet_terms(me), seed, now);
+        dispatcher.begin_without_history(now);
+        let started_at_s = |m: &Machine| m.started_at_s.unwrap_or(f64::NEG_INFINITY);
         let all: Vec<_> = machines
             .iter()
             .enumerate()
-            .map(|(r, m)| listed(r, born(m)))
+            .map(|(runner, m)| listed(runner, started_at_s(m)))
             .collect();
-        d.update_list(now, ListUpdate::Full, &all);
-        let host = Fake {
+        dispatcher.update_list(now, ListUpdate::Full, &all);
+        let host = RecordingHost {
             now,
-            ..Fake::default()
+            ..RecordingHost::default()
         };
         Member {
-            d,
+            dispatcher,
             host,
             attempts: BTreeMap::new(),
             sizes: BTreeMap::new(),
@@ -117,7 +117,7 @@
         .map(|me| fresh(me, 100.0, days.seed * 100 + me as u64, &machines))
         .collect();
     let mut starts: Vec<(f64, usize)> = (0..days.replaced)
-        .map(|r| (RELEASE_S + 3.0 * pcg.next(), r))
+        .map(|runner| (RELEASE_S + 3.0 * pcg.next(), runner))
         .collect();
     let mut restarts: Vec<(f64, usize)> = (0..FLEET)
         .filter(|me| days.restarts && me % 10 < 7)
@@ -127,15 +127,15 @@
     let (mut now, mut worst, mut used) = (100.0, 0.0f64, 0.0f64);
     while now < END_S {
         now += TICK_S;
-        for (_, r) in starts.extract_if(.., |(at, _)| *at <= now) {
-            machines[r] = Machine {
-                born: Some(now),
+        for (_, runner) in starts.extract_if(.., |(at, _)| *at <= now) {
+            machines[runner] = Machine {
+                started_at_s: Some(now),
                 ..Machine::default()
             };
             // Lists come late, to each at another time.
             members
                 .iter_mut()
-                .for_each(|m| m.hears.push((now + 2.0 * pcg.next(), r)));
+                .for_each(|m| m.hears.push((now + 2.0 * pcg.next(), runner)));
         }
         for (_, me) in restarts.extract_if(.., |(at, _)| *at <= now) {
             members[me] = fresh(me, now, days.seed * 100 + 50 + me as u64, &machines);
@@ -154,11 +154,13 @@
         };
         for (me, member) in members.iter_mut().enumerate() {
             member.host.now = now;
-            for (_, r) in member.hears.extract_if(.., |(at, _)| *at <= now) {
-                let born = machines[r].born.unwrap_or(f64::NEG_INFINITY);
-                member
-                    .d
-                    .update_list(now, ListUpdate::Changes, &[listed(r, born)]);
+            for (_, runner) in member.hears.extract_if(.., |(at, _)| *at <= now) {
+                let started_at_s = machines[runner].started_at_s.unwrap_or(f64::NEG_INFINITY);
+                member.dispatcher.update_list(
+                    now,
+                    ListUpdate::Changes,
+                    &[listed(runner, started_at_s)],
+                );
             }
             // Some see several times the mean.
             let own = if me % 10 == 0 { 3.0 } else { 0.8 };
@@ -167,69 +169,90 @@
                     expires_at_s: now + 6.0,
                     ..job(IDEMPOTENT, 0)
                 };
-                let work_item = member.d.submit(now, job).unwrap();
+                let work_item = member.dispatcher.submit(now, job).unwrap();
                 member.attempts.insert(work_item.0, 0);
                 member
                     .sizes
                     .insert(work_item.0, -days.mean_s * (1.0 - pcg.next()).ln());
             }
-            member.d.decide(&mut member.host);
-            for asked in std::mem::take(&mut member.host.asked) {
+            member.dispatcher.decide(&mut member.host);
+            for asked in std::mem::take(&mut member.host.calls) {
                 match asked {
                     // Who has not heard yet finds nobody at the former one's address.
-                    Attempt(work_item, r) if member.hears.iter().any(|(_, other)| *other == r) => {
-                        let no = member.attempts[&work_item.0];
-                        member.attempts.insert(work_item.0, no + 1);
-                        member
-                            .host
-                            .come(&mut member.d, work_item, no, Outcome::NoConnection);
+                    Attempt(work_item, runner)
+                        if member.hears.iter().any(|(_, other)| *other == runner) =>
+                    {
+                        let attempt = member.attempts[&work_item.0];
+                        member.attempts.insert(work_item.0, attempt + 1);
+                        member.host.end_attempt(
+                            &mut member.dispatcher,
+                            work_item,
+                            attempt,
+                            Outcome::NoConnection,
+                        );
                     }
-                    Attempt(work_item, r) => {
-                        let (no, size) =
+                    Attempt(work_item, runner) => {
+                        let (attempt, size) =
                             (member.attempts[&work_item.0], member.sizes[&work_item.0]);
-                        member.attempts.insert(work_item.0, no + 1);
-                        machines[r].waits.push_back((me, work_item, no, size));
-                        if machines[r].born.is_some() {
-                            machines[r].sent.push(now);
+                        member.attempts.insert(work_item.0, attempt + 1);
+                        machines[runner]
+                            .waits
+                            .push_back((me, work_item, attempt, size));
+                        if machines[runner].started_at_s.is_some() {
+                            machines[runner].sent.push(now);
                         }
-                        work_item.accepted(&mut member.d, now, no);
+                        work_item.accepted(&mut member.dispatcher, now, attempt);
                     }
-                    Cancel(work_item, no) => {
+                    Cancel(work_item, attempt) => {
                         machines.iter_mut().for_each(|m| {
                             m.waits
-                                .retain(|job| (job.0, job.1, job.2) != (me, work_item, no));
-                            m.runs
-                                .retain(|(_, job)| (job.0, job.1, job.2) != (me, work_item, no));
+                                .retain(|job| (job.0, job.1, job.2) != (me, work_item, attempt));
+                            m.runs.retain(|(_, job)| {
+                                (job.0, job.1, job.2) != (me, work_item, attempt)
+                            });
                         });
-                        member
-                            .host
-                            .come(&mut member.d, work_item, no, Outcome::Cancelled);
+                        member.host.end_attempt(
+                            &mut member.dispatcher,
+                            work_item,
+                            attempt,
+                            Outcome::Cancelled,
+                        );
                     }
                     _ => {}
                 }
             }
         }
         for machine in &mut machines {
-            let pace = machine.born.map_or(1.0, |born| warmth(now - born, &terms));
-            for (_, (me, work_item, no, _)) in machine.runs.extract_if(.., |(ends, _)| *ends <= now)
+            let pace = machine
+                .started_at_s
+                .map_or(1.0, |started_at_s| warmth(now - started_at_s, &config));
+            for (_, (me, work_item, attempt, _)) in
+                machine.runs.extract_if(.., |(ends, _)| *ends <= now)
             {
-                if let Some(Member { d, host, .. }) = members.get_mut(me) {
-                    host.come(d, work_item, no, Outcome::Finished);
+                if let Some(Member {
+                    dispatcher, host, ..
+                }) = members.get_mut(me)
+                {
+                    host.end_attempt(dispatcher, work_item, attempt, Outcome::Finished);
                 }
             }
             while machine.runs.len() < days.slots {
                 let Some(job) = machine.waits.pop_front() else {
                     break;
                 };
-                job.1.started(&mut members[job.0].d, now, job.2);
+                job.1.started(&mut members[job.0].dispatcher, now, job.2);
                 machine.runs.push((now + job.3 / pace, job));
             }
-            let Some(born) = machine.born else { continue };
-            machine.sent.retain(|at| now < at + terms.overload_window_s);
-            let allowed = terms.overload_multiple
+            let Some(started_at_s) = machine.started_at_s else {
+                continue;
+            };
+            machine
+                .sent
+                .retain(|at| now < at + config.overload_window_s);
+            let allowed = config.overload_multiple
                 * days.slots as f64
-                * warmth(now - born, &terms)
-                * terms.overload_window_s
+                * warmth(now - started_at_s, &config)
+                * config.overload_window_s
                 / days.mean_s;
             let got = machine.sent.len() as f64;
             worst = worst.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
--- a/crates/dispatcher/policy/tests/drawn/mod.rs
+++ b/crates/dispatcher/policy/tests/drawn/mod.rs
@@ -6,7 +6,7 @@
 mod trouble;
 mod work;
 
-use crate::fake::{runner, terms};
+use crate::fake::{default_config, listed_runner};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use recorder::Recorder;
@@ -52,14 +52,14 @@
 
     fn terms(self) -> PolicyConfig {
         match self {
-            Way::Unreported => terms(),
+            Way::Unreported => default_config(),
             Way::Probing => PolicyConfig {
                 uses_load_probes: true,
                 free_slots_index: Some(0),
                 free_memory_index: Some(1),
                 load_index: Some(2),
                 dispatcher_count: 5,
-                ..terms()
+                ..default_config()
             },
             Way::ByWork => PolicyConfig {
                 payoff_per_work: true,
@@ -67,8 +67,8 @@
                 unlisted_may_serve: true,
                 dispatcher_count: 3,
                 dispatcher_index: 1,
-                categories: bound(terms().categories),
-                ..terms()
+                categories: bound(default_config().categories),
+                ..default_config()
             },
             Way::Shared => PolicyConfig {
                 dispatcher_count: 30,
@@ -77,7 +77,7 @@
                 reports_acceptance: true,
                 start_time_error_s: 0.2,
                 expiry_error_s: 0.1,
-                ..terms()
+                ..default_config()
             },
         }
     }
@@ -215,7 +215,7 @@
         kind: u8::from(index.is_multiple_of(2)),
         cell: index as u16 / 2,
         zone: u16::from(index >= RUNNERS / 2),
-        ..runner(index as u64)
+        ..listed_runner(index as u64)
     };
     Machine {
         listed: Some(listed),
--- a/crates/dispatcher/policy/tests/fake/mod.rs
+++ b/crates/dispatcher/policy/tests/fake/mod.rs
@@ -1,57 +1,69 @@
-//! One tiny host that writes down what it is asked to do, and short ways to say things to a dispatcher.
+//! A host that records the calls of a dispatcher, and helpers that pass events to the dispatcher.
 
 use sagetrail_policy::*;
 
+/// A call of the dispatcher to its host.
 #[derive(Debug, PartialEq, Clone)]
-pub(crate) enum Asked {
+pub(crate) enum HostCall {
+    /// The work item and the index of the runner that it is sent to.
     Attempt(WorkItem, usize),
+    /// The work item and the seconds after which the client may retry.
     Defer(WorkItem, f64),
     WriteOff(WorkItem),
+    /// The work item and its attempt, counted from 0.
     Cancel(WorkItem, u16),
-    Watch,
+    /// A request for the runner list.
+    RequestList,
+    /// A load probe to the runner with this index.
     Probe(usize),
 }
-pub(crate) use Asked::*;
+pub(crate) use HostCall::*;
 
+/// Records the calls of a dispatcher. Its clock moves only when a test moves it.
 #[derive(Default)]
-pub(crate) struct Fake {
+pub(crate) struct RecordingHost {
+    /// The present instant in seconds.
     pub now: f64,
-    pub asked: Vec<Asked>,
-    pub wake: f64,
+    /// The calls in their order, since a test last cleared them.
+    pub calls: Vec<HostCall>,
+    /// The instant of the last requested wake-up, in seconds.
+    pub wake_at_s: f64,
+    /// The logged lines, each after the index of its runner.
     pub logged: Vec<String>,
 }
 
-impl Host for Fake {
+impl Host for RecordingHost {
     fn now(&self) -> f64 {
         self.now
     }
     fn send_attempt(&mut self, work_item: WorkItem, runner: usize, _: f64, _: f64) {
-        self.asked.push(Attempt(work_item, runner));
+        self.calls.push(Attempt(work_item, runner));
     }
     fn defer(&mut self, work_item: WorkItem, retry_after_s: f64) {
-        self.asked.push(Defer(work_item, retry_after_s));
+        self.calls.push(Defer(work_item, retry_after_s));
     }
     fn write_off(&mut self, work_item: WorkItem) {
-        self.asked.push(WriteOff(work_item));
+        self.calls.push(WriteOff(work_item));
     }
     fn cancel(&mut self, work_item: WorkItem, attempt: u16) {
-        self.asked.push(Cancel(work_item, attempt));
+        self.calls.push(Cancel(work_item, attempt));
     }
     fn probe(&mut self, runner: usize) {
-        self.asked.push(Probe(runner));
+        self.calls.push(Probe(runner));
     }
     fn release_handle(&mut self, _: WorkItem) {}
     fn wake_in(&mut self, in_s: f64) {
-        self.wake = self.now + in_s;
+        self.wake_at_s = self.now + in_s;
     }
     fn request_list(&mut self) {
-        self.asked.push(Watch);
+        self.calls.push(RequestList);
     }
     fn log(&mut self, runner: usize, line: &str) {
         self.logged.push(format!("{runner} {line}"));
     }
 }
 
+/// How the work of each category may be repeated; the index is the category.
 pub(crate) const CATEGORIES: [Repeat; 4] = [
     Repeat::Idempotent,
     Repeat::Keyed(Scope::Cell),
@@ -59,7 +71,8 @@
     Repeat::Keyed(Scope::All),
 ];
 
-pub(crate) fn terms() -> PolicyConfig {
+/// One dispatcher and four categories, which differ in `Category::repeat` only.
+pub(crate) fn default_config() -> PolicyConfig {
     let category = |repeat| Category {
         due_s: 0.5,
         stretch: 3.0,
@@ -86,7 +99,8 @@
     }
 }
 
-pub(crate) fn runner(id: u64) -> ListedRunner {
+/// A ready, warm runner of kind 0 and zone 0 in a cell of its own.
+pub(crate) fn listed_runner(id: u64) -> ListedRunner {
     ListedRunner {
         id,
         kind: 0,
@@ -97,20 +111,26 @@
     }
 }
 
-/// A dispatcher with so many ready runners, each a cell of its own, at 100 s.
-pub(crate) fn start(terms: PolicyConfig, runners: usize) -> (Dispatcher, Fake) {
-    let mut d = Dispatcher::new(terms.clone(), 7 + terms.dispatcher_index as u64, 100.0);
-    let entries: Vec<_> = (0..runners).map(|r| (r, Some(runner(r as u64)))).collect();
-    d.update_list(100.0, ListUpdate::Cached, &entries);
+/// Starts a dispatcher at 100 s that knows `runners` ready runners, each in a cell of its own.
+pub(crate) fn start_dispatcher(
+    config: PolicyConfig,
+    runners: usize,
+) -> (Dispatcher, RecordingHost) {
+    let mut dispatcher = Dispatcher::new(config.clone(), 7 + config.dispatcher_index as u64, 100.0);
+    let entries: Vec<_> = (0..runners)
+        .map(|runner| (runner, Some(listed_runner(runner as u64))))
+        .collect();
+    dispatcher.update_list(100.0, ListUpdate::Cached, &entries);
     (
-        d,
-        Fake {
+        dispatcher,
+        RecordingHost {
             now: 100.0,
-            ..Fake::default()
+            ..RecordingHost::default()
         },
     )
 }
 
+/// A job of one slot and unknown size that expires at 110 s.
 pub(crate) fn job(category: usize, key: u32) -> Job {
     Job {
         category,
@@ -122,36 +142,43 @@
     }
 }
 
-impl Fake {
-    /// Work of other keys, in pairs whose second takes longer away from home: what a fetch costs is known.
-    /// Then all runners are new processes, warm.
-    pub(crate) fn learn_fetches(&mut self, d: &mut Dispatcher, runners: usize) {
+impl RecordingHost {
+    /// Lets the dispatcher learn the cost of a fetch: pairs of work items of the keys 100 to 163 run, of which the
+    /// second one takes 0.8 s instead of 0.1 s. Afterwards every runner is listed as a new process that is warm
+    /// already.
+    pub(crate) fn learn_fetch_cost(&mut self, dispatcher: &mut Dispatcher, runners: usize) {
         for n in 0..64 {
-            let both = [0, 0].map(|category| self.take(d, category, 100 + n));
-            for (work_item, takes_s) in both.into_iter().zip([0.1, 0.8]) {
-                self.now += takes_s;
-                self.come(d, work_item, 0, Outcome::Finished);
+            let pair = [0, 0].map(|category| self.submit(dispatcher, category, 100 + n));
+            for (work_item, run_s) in pair.into_iter().zip([0.1, 0.8]) {
+                self.now += run_s;
+                self.end_attempt(dispatcher, work_item, 0, Outcome::Finished);
             }
         }
-        self.asked.clear();
-        let fresh = |r| {
+        self.calls.clear();
+        let restarted = |runner| {
             (
-                r,
+                runner,
                 Some(ListedRunner {
                     started_at_s: self.now - 50.0,
-                    ..runner(r as u64)
+                    ..listed_runner(runner as u64)
                 }),
             )
         };
-        d.update_list(
+        dispatcher.update_list(
             self.now,
             ListUpdate::Changes,
-            &(0..runners).map(fresh).collect::<Vec<_>>(),
+            &(0..runners).map(restarted).collect::<Vec<_>>(),
         );
     }
-    pub(crate) fn take(&mut self, d: &mut Dispatcher, category: usize, key: u32) -> WorkItem {
+    /// Submits a work item that expires in 10 s and lets the dispatcher decide.
+    pub(crate) fn submit(
+        &mut self,
+        dispatcher: &mut Dispatcher,
+        category: usize,
+        key: u32,
+    ) -> WorkItem {
         let expiry = self.now + 10.0;
-        let work_item = d
+        let work_item = dispatcher
             .submit(
                 self.now,
                 Job {
@@ -160,43 +187,58 @@
                 },
             )
             .unwrap();
-        d.decide(self);
+        dispatcher.decide(self);
         work_item
     }
-    pub(crate) fn come(
+    /// Ends an attempt, counted from 0, with the outcome and lets the dispatcher decide.
+    pub(crate) fn end_attempt(
         &mut self,
-        d: &mut Dispatcher,
+        dispatcher: &mut Dispatcher,
         work_item: WorkItem,
-        no: u16,
+        attempt: u16,
         outcome: Outcome,
     ) {
-        work_item.attempt_ended(d, self, no, outcome, outcome == Outcome::Finished);
-        d.decide(self);
+        work_item.attempt_ended(
+            dispatcher,
+            self,
+            attempt,
+            outcome,
+            outcome == Outcome::Finished,
+        );
+        dispatcher.decide(self);
     }
-    pub(crate) fn probed(&mut self, d: &mut Dispatcher, runner: usize, report: &[f32]) {
-        d.probe_ended(self.now, runner, Outcome::Finished, report);
-        d.decide(self);
+    /// Answers a load probe with the report and lets the dispatcher decide.
+    pub(crate) fn answer_probe(
+        &mut self,
+        dispatcher: &mut Dispatcher,
+        runner: usize,
+        report: &[f32],
+    ) {
+        dispatcher.probe_ended(self.now, runner, Outcome::Finished, report);
+        dispatcher.decide(self);
     }
-    /// Lets time pass in looks.
-    pub(crate) fn pass(&mut self, d: &mut Dispatcher, seconds: f64) {
+    /// Advances the clock in steps of 0.1 s and lets the dispatcher decide after each.
+    pub(crate) fn advance(&mut self, dispatcher: &mut Dispatcher, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
             self.now += 0.1;
-            d.decide(self);
+            dispatcher.decide(self);
         }
     }
-    pub(crate) fn sent_to(&self, work_item: WorkItem) -> Vec<usize> {
-        let to = |a: &Asked| {
-            if let Attempt(w, r) = a {
-                (*w == work_item).then_some(*r)
+    /// The runners that a work item was sent to, in the order of its attempts.
+    pub(crate) fn attempted_runners(&self, work_item: WorkItem) -> Vec<usize> {
+        let runner_of = |call: &HostCall| {
+            if let Attempt(sent, runner) = call {
+                (*sent == work_item).then_some(*runner)
             } else {
                 None
             }
         };
-        self.asked.iter().filter_map(to).collect()
+        self.calls.iter().filter_map(runner_of).collect()
     }
-    pub(crate) fn ends(&self, work_item: WorkItem) -> Vec<Asked> {
-        let end = |a: &&Asked| matches!(a, Defer(w, _) | WriteOff(w) if *w == work_item);
-        self.asked.iter().filter(end).cloned().collect()
+    /// The answers that the client of a work item got: `Defer` or `WriteOff`.
+    pub(crate) fn final_answers(&self, work_item: WorkItem) -> Vec<HostCall> {
+        let is_answer = |call: &&HostCall| matches!(call, Defer(answered, _) | WriteOff(answered) if *answered == work_item);
+        self.calls.iter().filter(is_answer).cloned().collect()
     }
 }
--- a/crates/dispatcher/policy/tests/placement.rs
+++ b/crates/dispatcher/policy/tests/placement.rs
@@ -40,44 +40,46 @@
 }
 
 /// Zones take turns, kinds change after each pair.
-fn placed(r: usize) -> ListedRunner {
+fn placed(runner: usize) -> ListedRunner {
     ListedRunner {
-        zone: (r % ZONES) as u16,
-        kind: (r / ZONES % 2) as u8,
-        ..runner(r as u64)
+        zone: (runner % ZONES) as u16,
+        kind: (runner / ZONES % 2) as u8,
+        ..listed_runner(runner as u64)
     }
 }
 
-fn fleet(terms: PolicyConfig) -> (Dispatcher, Fake) {
-    let mut d = Dispatcher::new(terms, 7, 100.0);
-    let entries: Vec<_> = (0..RUNNERS).map(|r| (r, Some(placed(r)))).collect();
-    d.update_list(100.0, ListUpdate::Cached, &entries);
+fn fleet(config: PolicyConfig) -> (Dispatcher, RecordingHost) {
+    let mut dispatcher = Dispatcher::new(config, 7, 100.0);
+    let entries: Vec<_> = (0..RUNNERS)
+        .map(|runner| (runner, Some(placed(runner))))
+        .collect();
+    dispatcher.update_list(100.0, ListUpdate::Cached, &entries);
     (
-        d,
-        Fake {
+        dispatcher,
+        RecordingHost {
             now: 100.0,
-            ..Fake::default()
+            ..RecordingHost::default()
         },
     )
 }
 
 /// Sixty work items of many keys, each answered as said until it is ended or served; where all went.
 fn all_sent_to(
-    d: &mut Dispatcher,
-    host: &mut Fake,
+    dispatcher: &mut Dispatcher,
+    host: &mut RecordingHost,
     category: usize,
     outcome: Outcome,
 ) -> Vec<usize> {
     let mut sent = Vec::new();
     for key in 0..60 {
-        let work_item = host.take(d, category, key);
-        for no in 0..5 {
-            host.pass(d, 0.3);
-            if host.sent_to(work_item).len() > no as usize {
-                host.come(d, work_item, no, outcome);
+        let work_item = host.submit(dispatcher, category, key);
+        for attempt in 0..5 {
+            host.advance(dispatcher, 0.3);
+            if host.attempted_runners(work_item).len() > attempt as usize {
+                host.end_attempt(dispatcher, work_item, attempt, outcome);
             }
         }
-        sent.extend(host.sent_to(work_item));
+        sent.extend(host.attempted_runners(work_item));
     }
     sent
 }
@@ -91,11 +93,11 @@
         Outcome::Full,
         Outcome::Reset,
     ] {
-        let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-        let sent = all_sent_to(&mut d, &mut host, BOUND, outcome);
+        let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
+        let sent = all_sent_to(&mut dispatcher, &mut host, BOUND, outcome);
         assert!(!sent.is_empty());
         assert!(
-            sent.iter().all(|r| placed(*r).zone == 1),
+            sent.iter().all(|runner| placed(*runner).zone == 1),
             "{outcome:?}: {sent:?}"
         );
     }
@@ -110,12 +112,12 @@
             vec![1],
         ),
     ] {
-        let (mut d, mut host) = fleet(told(&settings).unwrap());
-        let sent = all_sent_to(&mut d, &mut host, BOUND, Outcome::Error);
+        let (mut dispatcher, mut host) = fleet(told(&settings).unwrap());
+        let sent = all_sent_to(&mut dispatcher, &mut host, BOUND, Outcome::Error);
         assert!(!sent.is_empty());
         assert!(
             sent.iter()
-                .all(|r| placed(*r).kind == 0 && zones.contains(&placed(*r).zone)),
+                .all(|runner| placed(*runner).kind == 0 && zones.contains(&placed(*runner).zone)),
             "{sent:?}"
         );
     }
@@ -123,37 +125,50 @@
 
 #[test]
 fn bound_work_whose_runners_are_all_full_is_held_and_then_ended() {
-    let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-    let all: Vec<WorkItem> = (0..40).map(|_| host.take(&mut d, BOUND, 0)).collect();
-    host.pass(&mut d, 10.0);
-    let sent: Vec<usize> = all.iter().flat_map(|w| host.sent_to(*w)).collect();
-    assert!(sent.iter().all(|r| placed(*r).zone == 1), "{sent:?}");
-    let held = all.iter().filter(|w| host.sent_to(**w).is_empty());
+    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
+    let all: Vec<WorkItem> = (0..40)
+        .map(|_| host.submit(&mut dispatcher, BOUND, 0))
+        .collect();
+    host.advance(&mut dispatcher, 10.0);
+    let sent: Vec<usize> = all
+        .iter()
+        .flat_map(|w| host.attempted_runners(*w))
+        .collect();
+    assert!(
+        sent.iter().all(|runner| placed(*runner).zone == 1),
+        "{sent:?}"
+    );
+    let held = all
+        .iter()
+        .filter(|w| host.attempted_runners(**w).is_empty());
     assert!(held.clone().count() > 0);
-    held.for_each(|w| assert_eq!(host.ends(*w).len(), 1));
+    held.for_each(|w| assert_eq!(host.final_answers(*w).len(), 1));
 }
 
 #[test]
 fn bound_work_with_none_of_its_runners_left_is_ended_at_once_and_the_rest_goes_on() {
-    let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
+    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
     let gone: Vec<_> = (0..RUNNERS)
-        .filter(|r| placed(*r).zone == 1)
-        .map(|r| (r, None))
+        .filter(|runner| placed(*runner).zone == 1)
+        .map(|runner| (runner, None))
         .collect();
-    d.update_list(host.now, ListUpdate::Changes, &gone);
-    let unbound = host.take(&mut d, UNBOUND, 5);
-    let bound = host.take(&mut d, BOUND, 5);
-    host.pass(&mut d, 0.1);
-    assert!(host.sent_to(bound).is_empty());
-    assert_eq!(host.ends(bound).len(), 1);
-    assert_eq!(placed(host.sent_to(unbound)[0]).zone, 0);
+    dispatcher.update_list(host.now, ListUpdate::Changes, &gone);
+    let unbound = host.submit(&mut dispatcher, UNBOUND, 5);
+    let bound = host.submit(&mut dispatcher, BOUND, 5);
+    host.advance(&mut dispatcher, 0.1);
+    assert!(host.attempted_runners(bound).is_empty());
+    assert_eq!(host.final_answers(bound).len(), 1);
+    assert_eq!(placed(host.attempted_runners(unbound)[0]).zone, 0);
 }
 
 #[test]
 fn work_that_is_not_bound_uses_all_runners() {
-    let (mut d, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-    let sent = all_sent_to(&mut d, &mut host, UNBOUND, Outcome::Finished);
-    assert!((0..RUNNERS).all(|r| sent.contains(&r)), "{sent:?}");
+    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
+    let sent = all_sent_to(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
+    assert!(
+        (0..RUNNERS).all(|runner| sent.contains(&runner)),
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -177,48 +192,52 @@
             "Safety.DroppedStayOpen",
             if binds { "false" } else { "true" },
         );
-        let (mut d, mut host) = fleet(told(&[stays_open]).unwrap());
-        d.update_list(host.now, ListUpdate::Full, &[]);
-        let work_item = host.take(&mut d, UNBOUND, 5);
-        host.pass(&mut d, 0.1);
-        assert_eq!(host.sent_to(work_item).is_empty(), binds);
+        let (mut dispatcher, mut host) = fleet(told(&[stays_open]).unwrap());
+        dispatcher.update_list(host.now, ListUpdate::Full, &[]);
+        let work_item = host.submit(&mut dispatcher, UNBOUND, 5);
+        host.advance(&mut dispatcher, 0.1);
+        assert_eq!(host.attempted_runners(work_item).is_empty(), binds);
         if !binds {
-            let more = host.take(&mut d, UNBOUND, 5);
+            let more = host.submit(&mut dispatcher, UNBOUND, 5);
             assert_ne!(
-                host.sent_to(more),
-                host.sent_to(work_item),
+                host.attempted_runners(more),
+                host.attempted_runners(work_item),
                 "one try at a time"
             );
-            host.come(&mut d, work_item, 0, Outcome::Finished);
-            let next = host.take(&mut d, UNBOUND, 5);
-            assert_eq!(host.sent_to(next), host.sent_to(work_item), "it serves");
+            host.end_attempt(&mut dispatcher, work_item, 0, Outcome::Finished);
+            let next = host.submit(&mut dispatcher, UNBOUND, 5);
+            assert_eq!(
+                host.attempted_runners(next),
+                host.attempted_runners(work_item),
+                "it serves"
+            );
         }
     }
 }
 
 #[test]
 fn one_listed_as_draining_gets_nothing_new_though_it_is_gone_later() {
-    let (mut d, mut host) = fleet(told(&[("Safety.DroppedStayOpen", "true")]).unwrap());
-    let drains = |r| {
+    let (mut dispatcher, mut host) = fleet(told(&[("Safety.DroppedStayOpen", "true")]).unwrap());
+    let drains = |runner| {
         (
-            r,
+            runner,
             Some(ListedRunner {
                 ready: false,
-                ..placed(r)
+                ..placed(runner)
             }),
         )
     };
-    d.update_list(host.now, ListUpdate::Changes, &[drains(0), drains(1)]);
-    d.update_list(host.now, ListUpdate::Changes, &[(0, None)]);
-    d.update_list(
+    dispatcher.update_list(host.now, ListUpdate::Changes, &[drains(0), drains(1)]);
+    dispatcher.update_list(host.now, ListUpdate::Changes, &[(0, None)]);
+    dispatcher.update_list(
         host.now,
         ListUpdate::Full,
         &(2..RUNNERS)
-            .map(|r| (r, Some(placed(r))))
+            .map(|runner| (runner, Some(placed(runner))))
             .collect::<Vec<_>>(),
     );
-    let sent = all_sent_to(&mut d, &mut host, UNBOUND, Outcome::Finished);
-    assert!(sent.iter().all(|r| *r >= 2), "{sent:?}");
+    let sent = all_sent_to(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
+    assert!(sent.iter().all(|runner| *runner >= 2), "{sent:?}");
 }
 
 #[test]
@@ -230,15 +249,15 @@
             ("Penalties.Origin", fetch),
         ];
         let home = |me: usize| {
-            let (mut d, mut host) = start(
+            let (mut dispatcher, mut host) = start_dispatcher(
                 PolicyConfig {
                     dispatcher_index: me,
                     ..told(&prices).unwrap()
                 },
                 100,
             );
-            let work_item = host.take(&mut d, UNBOUND, 42);
-            host.sent_to(work_item)[0]
+            let work_item = host.submit(&mut dispatcher, UNBOUND, 42);
+            host.attempted_runners(work_item)[0]
         };
         (0..30)
             .map(home)
