--- a/crates/dispatcher/policy/tests/placement.rs
+++ b/crates/dispatcher/policy/tests/placement.rs
@@ -1,20 +1,21 @@
-//! The rule on placement, and what a list that proves nothing may be taken for. Settings are read as told, so
-//! that what is shown is what a deployment gets.
+//! The placement of bound categories, and the use of runners that the list drops. The configurations are parsed from
+//! settings, as in a deployment.
 
-#[allow(dead_code)] // Other stories use more of it.
+#[allow(dead_code)] // Other tests use the remaining helpers.
 mod fake;
 use fake::*;
 use sagetrail_policy::*;
 
+/// The category that the settings of a test may bind.
 const BOUND: usize = 0;
 const UNBOUND: usize = 1;
 const ZONES: usize = 2;
 const RUNNERS: usize = 8;
 
-/// Two categories, both safe to repeat, the first bound as said.
-fn told(settings: &[(&str, &str)]) -> Result<PolicyConfig, String> {
-    let mut stated = FlatSettings::default();
-    let usual = [
+/// Parses settings with two idempotent categories. A test adds its own settings, such as the placement of the first one.
+fn parse_config(settings: &[(&str, &str)]) -> Result<PolicyConfig, String> {
+    let mut all_settings = FlatSettings::default();
+    let common = [
         ("Categories.count", "2"),
         ("Dcs", "north,south"),
         ("Kinds", "fast,slow"),
@@ -23,24 +24,24 @@
         ("Safety.MustAskInUs", "10000000"),
         ("Domain.TellsStart", "true"),
     ];
-    usual
+    common
         .iter()
         .chain(settings)
-        .for_each(|(path, value)| stated.insert(path, value));
+        .for_each(|(path, value)| all_settings.insert(path, value));
     for n in [BOUND, UNBOUND] {
         for (leaf, value) in [
             ("Repeat", "read_like"),
             ("DueTimeUs", "1000000"),
             ("Payoff", "1"),
         ] {
-            stated.insert(&format!("Categories.{n}.{leaf}"), value);
+            all_settings.insert(&format!("Categories.{n}.{leaf}"), value);
         }
     }
-    parse_policy_config(&stated)
+    parse_policy_config(&all_settings)
 }
 
-/// Zones take turns, kinds change after each pair.
-fn placed(runner: usize) -> ListedRunner {
+/// The listing of a runner: zones alternate, and the kind changes after every second runner.
+fn listing_of(runner: usize) -> ListedRunner {
     ListedRunner {
         zone: (runner % ZONES) as u16,
         kind: (runner / ZONES % 2) as u8,
@@ -48,10 +49,11 @@
     }
 }
 
-fn fleet(config: PolicyConfig) -> (Dispatcher, RecordingHost) {
+/// Starts a dispatcher at 100 s with eight runners of two zones and two kinds.
+fn start_fleet(config: PolicyConfig) -> (Dispatcher, RecordingHost) {
     let mut dispatcher = Dispatcher::new(config, 7, 100.0);
     let entries: Vec<_> = (0..RUNNERS)
-        .map(|runner| (runner, Some(placed(runner))))
+        .map(|runner| (runner, Some(listing_of(runner))))
         .collect();
     dispatcher.update_list(100.0, ListUpdate::Cached, &entries);
     (
@@ -63,8 +65,9 @@
     )
 }
 
-/// Sixty work items of many keys, each answered as said until it is ended or served; where all went.
-fn all_sent_to(
+/// Submits sixty work items of different keys, ends up to five attempts of each with the outcome, and returns the
+/// runners of all attempts.
+fn run_and_list_attempts(
     dispatcher: &mut Dispatcher,
     host: &mut RecordingHost,
     category: usize,
@@ -84,8 +87,9 @@
     sent
 }
 
+/// Guards against an attempt outside the allowed zone, in particular a retry after a failure.
 #[test]
-fn work_bound_to_a_zone_goes_to_no_other_at_every_attempt() {
+fn every_attempt_of_work_bound_to_a_zone_stays_in_the_zone() {
     for outcome in [
         Outcome::Finished,
         Outcome::Error,
@@ -93,18 +97,20 @@
         Outcome::Full,
         Outcome::Reset,
     ] {
-        let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-        let sent = all_sent_to(&mut dispatcher, &mut host, BOUND, outcome);
+        let (mut dispatcher, mut host) =
+            start_fleet(parse_config(&[("Categories.0.DcsOnly", "1")]).unwrap());
+        let sent = run_and_list_attempts(&mut dispatcher, &mut host, BOUND, outcome);
         assert!(!sent.is_empty());
         assert!(
-            sent.iter().all(|runner| placed(*runner).zone == 1),
+            sent.iter().all(|runner| listing_of(*runner).zone == 1),
             "{outcome:?}: {sent:?}"
         );
     }
 }
 
+/// Guards against an attempt at another kind of machine, also if kind and zone are both bound.
 #[test]
-fn work_bound_to_a_kind_or_to_both_goes_to_no_other() {
+fn work_bound_to_a_kind_or_to_kind_and_zone_stays_there() {
     for (settings, zones) in [
         (vec![("Categories.0.BoundTo", "0")], vec![0, 1]),
         (
@@ -112,44 +118,49 @@
             vec![1],
         ),
     ] {
-        let (mut dispatcher, mut host) = fleet(told(&settings).unwrap());
-        let sent = all_sent_to(&mut dispatcher, &mut host, BOUND, Outcome::Error);
+        let (mut dispatcher, mut host) = start_fleet(parse_config(&settings).unwrap());
+        let sent = run_and_list_attempts(&mut dispatcher, &mut host, BOUND, Outcome::Error);
         assert!(!sent.is_empty());
         assert!(
             sent.iter()
-                .all(|runner| placed(*runner).kind == 0 && zones.contains(&placed(*runner).zone)),
+                .all(|runner| listing_of(*runner).kind == 0
+                    && zones.contains(&listing_of(*runner).zone)),
             "{sent:?}"
         );
     }
 }
 
+/// Guards against bound work that moves to another zone, or stays without an answer, when its own runners are full.
 #[test]
-fn bound_work_whose_runners_are_all_full_is_held_and_then_ended() {
-    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-    let all: Vec<WorkItem> = (0..40)
+fn bound_work_whose_runners_are_all_full_is_held_and_then_answered() {
+    let (mut dispatcher, mut host) =
+        start_fleet(parse_config(&[("Categories.0.DcsOnly", "1")]).unwrap());
+    let work_items: Vec<WorkItem> = (0..40)
         .map(|_| host.submit(&mut dispatcher, BOUND, 0))
         .collect();
     host.advance(&mut dispatcher, 10.0);
-    let sent: Vec<usize> = all
+    let sent: Vec<usize> = work_items
         .iter()
-        .flat_map(|w| host.attempted_runners(*w))
+        .flat_map(|work_item| host.attempted_runners(*work_item))
         .collect();
     assert!(
-        sent.iter().all(|runner| placed(*runner).zone == 1),
+        sent.iter().all(|runner| listing_of(*runner).zone == 1),
         "{sent:?}"
     );
-    let held = all
+    let held = work_items
         .iter()
-        .filter(|w| host.attempted_runners(**w).is_empty());
+        .filter(|work_item| host.attempted_runners(**work_item).is_empty());
     assert!(held.clone().count() > 0);
-    held.for_each(|w| assert_eq!(host.final_answers(*w).len(), 1));
+    held.for_each(|work_item| assert_eq!(host.final_answers(*work_item).len(), 1));
 }
 
+/// Guards against bound work that is held until its expiry, or blocks other work, when all its runners have left.
 #[test]
-fn bound_work_with_none_of_its_runners_left_is_ended_at_once_and_the_rest_goes_on() {
-    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
+fn bound_work_without_runners_is_answered_at_once_while_other_work_is_sent() {
+    let (mut dispatcher, mut host) =
+        start_fleet(parse_config(&[("Categories.0.DcsOnly", "1")]).unwrap());
     let gone: Vec<_> = (0..RUNNERS)
-        .filter(|runner| placed(*runner).zone == 1)
+        .filter(|runner| listing_of(*runner).zone == 1)
         .map(|runner| (runner, None))
         .collect();
     dispatcher.update_list(host.now, ListUpdate::Changes, &gone);
@@ -158,101 +169,111 @@
     host.advance(&mut dispatcher, 0.1);
     assert!(host.attempted_runners(bound).is_empty());
     assert_eq!(host.final_answers(bound).len(), 1);
-    assert_eq!(placed(host.attempted_runners(unbound)[0]).zone, 0);
+    assert_eq!(listing_of(host.attempted_runners(unbound)[0]).zone, 0);
 }
 
+/// Guards against a binding of one category that restricts another one.
 #[test]
-fn work_that_is_not_bound_uses_all_runners() {
-    let (mut dispatcher, mut host) = fleet(told(&[("Categories.0.DcsOnly", "1")]).unwrap());
-    let sent = all_sent_to(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
+fn unbound_work_uses_all_runners() {
+    let (mut dispatcher, mut host) =
+        start_fleet(parse_config(&[("Categories.0.DcsOnly", "1")]).unwrap());
+    let sent = run_and_list_attempts(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
     assert!(
         (0..RUNNERS).all(|runner| sent.contains(&runner)),
         "{sent:?}"
     );
 }
 
+/// Guards against a placement setting that is silently ignored because it names an unknown zone or kind, or
+/// contradicts itself.
 #[test]
-fn places_are_told_by_number_or_by_name_and_what_is_neither_is_refused() {
+fn placements_are_set_by_index_or_name_and_others_are_refused() {
     let zones = |value| {
-        told(&[("Categories.0.DcsOnly", value)])
-            .map(|t| t.categories[BOUND].placement.zones.clone())
+        parse_config(&[("Categories.0.DcsOnly", value)])
+            .map(|config| config.categories[BOUND].placement.zones.clone())
     };
     assert_eq!(zones("south"), Ok(vec![1]));
     assert_eq!(zones("0,south"), Ok(vec![0, 1]));
     assert_eq!(zones(""), Ok(vec![]));
     assert!(zones("west").is_err());
-    assert!(told(&[("Categories.0.BoundTo", "900")]).is_err());
-    assert!(told(&[("Categories.0.BoundTo", "0"), ("Domain.ClassKind", "1,-1")]).is_err());
+    assert!(parse_config(&[("Categories.0.BoundTo", "900")]).is_err());
+    assert!(parse_config(&[("Categories.0.BoundTo", "0"), ("Domain.ClassKind", "1,-1")]).is_err());
 }
 
+/// Guards against an outage when the list loses runners that still serve, and against sending much work to runners
+/// that are really gone.
 #[test]
-fn gone_without_draining_binds_nobody_where_so_stated_and_one_try_shows_what_is_so() {
-    for binds in [true, false] {
-        let stays_open = (
+fn runners_dropped_without_draining_may_serve_if_configured_and_get_one_trial_first() {
+    for drop_is_final in [true, false] {
+        let unlisted_may_serve = (
             "Safety.DroppedStayOpen",
-            if binds { "false" } else { "true" },
+            if drop_is_final { "false" } else { "true" },
         );
-        let (mut dispatcher, mut host) = fleet(told(&[stays_open]).unwrap());
+        let (mut dispatcher, mut host) = start_fleet(parse_config(&[unlisted_may_serve]).unwrap());
         dispatcher.update_list(host.now, ListUpdate::Full, &[]);
         let work_item = host.submit(&mut dispatcher, UNBOUND, 5);
         host.advance(&mut dispatcher, 0.1);
-        assert_eq!(host.attempted_runners(work_item).is_empty(), binds);
-        if !binds {
-            let more = host.submit(&mut dispatcher, UNBOUND, 5);
+        assert_eq!(host.attempted_runners(work_item).is_empty(), drop_is_final);
+        if !drop_is_final {
+            let second = host.submit(&mut dispatcher, UNBOUND, 5);
             assert_ne!(
-                host.attempted_runners(more),
+                host.attempted_runners(second),
                 host.attempted_runners(work_item),
-                "one try at a time"
+                "an unlisted runner gets one trial at a time"
             );
             host.end_attempt(&mut dispatcher, work_item, 0, Outcome::Finished);
             let next = host.submit(&mut dispatcher, UNBOUND, 5);
             assert_eq!(
                 host.attempted_runners(next),
                 host.attempted_runners(work_item),
-                "it serves"
+                "a successful trial shows that the runner serves"
             );
         }
     }
 }
 
+/// Guards against taking a drained runner for one that the list has lost: it must get no work, whether a change or
+/// a full list drops it.
 #[test]
-fn one_listed_as_draining_gets_nothing_new_though_it_is_gone_later() {
-    let (mut dispatcher, mut host) = fleet(told(&[("Safety.DroppedStayOpen", "true")]).unwrap());
-    let drains = |runner| {
+fn a_runner_listed_as_draining_gets_no_work_after_the_list_drops_it() {
+    let (mut dispatcher, mut host) =
+        start_fleet(parse_config(&[("Safety.DroppedStayOpen", "true")]).unwrap());
+    let draining = |runner| {
         (
             runner,
             Some(ListedRunner {
                 ready: false,
-                ..placed(runner)
+                ..listing_of(runner)
             }),
         )
     };
-    dispatcher.update_list(host.now, ListUpdate::Changes, &[drains(0), drains(1)]);
+    dispatcher.update_list(host.now, ListUpdate::Changes, &[draining(0), draining(1)]);
     dispatcher.update_list(host.now, ListUpdate::Changes, &[(0, None)]);
     dispatcher.update_list(
         host.now,
         ListUpdate::Full,
         &(2..RUNNERS)
-            .map(|runner| (runner, Some(placed(runner))))
+            .map(|runner| (runner, Some(listing_of(runner))))
             .collect::<Vec<_>>(),
     );
-    let sent = all_sent_to(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
+    let sent = run_and_list_attempts(&mut dispatcher, &mut host, UNBOUND, Outcome::Finished);
     assert!(sent.iter().all(|runner| *runner >= 2), "{sent:?}");
 }
 
+/// Guards against fetching a key at many runners when a fetch costs more than crossing zones.
 #[test]
-fn where_a_fetch_is_dear_all_dispatchers_bring_a_key_to_the_same_runner_of_many() {
-    let homes = |fetch: &str| {
+fn with_a_dominant_fetch_price_all_dispatchers_send_a_key_to_the_same_runner() {
+    let count_homes = |fetch_price: &str| {
         let prices = [
             ("ReplicasOfMe", "30"),
             ("Penalties.CrossZone", "0.02"),
-            ("Penalties.Origin", fetch),
+            ("Penalties.Origin", fetch_price),
         ];
-        let home = |me: usize| {
+        let home = |dispatcher_index: usize| {
             let (mut dispatcher, mut host) = start_dispatcher(
                 PolicyConfig {
-                    dispatcher_index: me,
-                    ..told(&prices).unwrap()
+                    dispatcher_index,
+                    ..parse_config(&prices).unwrap()
                 },
                 100,
             );
@@ -264,6 +285,6 @@
             .collect::<std::collections::BTreeSet<usize>>()
             .len()
     };
-    assert_eq!(homes("0.1"), 1);
-    assert!(homes("0") > 1, "each has its own few");
+    assert_eq!(count_homes("0.1"), 1);
+    assert!(count_homes("0") > 1, "each dispatcher uses its own subset");
 }
