--- a/crates/dispatcher/policy/tests/digests.rs
+++ b/crates/dispatcher/policy/tests/digests.rs
@@ -1,49 +1,58 @@
-//! Drawn histories whose decisions are kept as digests: code that means to change none leaves each as it is.
+//! Random histories whose decisions are compared with recorded digests. A change of code that is not meant to change
+//! decisions leaves every digest as it is.
 //!
-//! A line of the fixture is a way of working, a seed and the digest of all decisions in a history drawn by that seed.
+//! A line of the fixture holds the name of a mode, a seed, and the digest of all decisions in that history.
+
 mod drawn;
-#[allow(dead_code)] // Other tests use more of it.
+#[allow(dead_code)] // Other tests use the remaining helpers.
 mod fake;
 
 use drawn::recorder::{Kind, KINDS};
-use drawn::{History, Way};
+use drawn::{History, Mode};
 use sha2::{Digest, Sha256};
 
-const KEPT: &str = include_str!("fixtures/decision-digests.txt");
+const EXPECTED: &str = include_str!("fixtures/decision-digests.txt");
+/// The histories of each mode have the seeds from 1 to this one.
 const SEEDS: u64 = 20;
 
+/// The SHA-256 digest in hexadecimal digits.
 fn digest(decisions: &[u8]) -> String {
     let digest = Sha256::digest(decisions);
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn played(way: Way, seed: u64) -> History {
-    let mut history = History::new(way, seed);
-    history.play();
+fn run_history(mode: Mode, seed: u64) -> History {
+    let mut history = History::new(mode, seed);
+    history.run();
     history
 }
 
+/// Guards against an unintended change of a decision, down to the last bit of its numbers.
 #[test]
-fn decisions_are_the_same_to_the_last_digit() {
-    let line = |way: Way, seed| {
-        let history = played(way, seed);
+fn decisions_match_the_recorded_digests() {
+    let line = |mode: Mode, seed| {
+        let history = run_history(mode, seed);
         format!(
             "{} {seed} {}\n",
-            way.name(),
+            mode.name(),
             digest(&history.host.decisions)
         )
     };
     let line = &line;
-    let now: String = Way::ALL
+    let actual: String = Mode::ALL
         .into_iter()
-        .flat_map(|way| (1..=SEEDS).map(move |seed| line(way, seed)))
+        .flat_map(|mode| (1..=SEEDS).map(move |seed| line(mode, seed)))
         .collect();
-    assert!(now == KEPT, "these are the decisions now:\n{now}");
+    assert!(
+        actual == EXPECTED,
+        "the digests of the present decisions:\n{actual}"
+    );
 }
 
+/// Guards against histories that miss a kind of decision, so that the digests would not show its change.
 #[test]
-fn each_kind_of_decision_is_among_those_kept() {
-    let usual = [
+fn every_kind_of_decision_occurs_in_the_histories() {
+    let common = [
         Kind::Attempt,
         Kind::Defer,
         Kind::WriteOff,
@@ -54,29 +63,29 @@
         Kind::Log,
         Kind::Figure,
     ];
-    for way in Way::ALL {
+    for mode in Mode::ALL {
         let mut counts = [0; KINDS];
         for seed in 1..=SEEDS {
-            let history = played(way, seed);
+            let history = run_history(mode, seed);
             counts
                 .iter_mut()
                 .zip(history.host.counts)
                 .for_each(|(sum, count)| *sum += count);
         }
-        let of = |kind: Kind| counts[kind as usize];
+        let count_of = |kind: Kind| counts[kind as usize];
         assert!(
-            usual.into_iter().all(|kind| of(kind) > 0),
-            "{way:?}: {counts:?}"
+            common.into_iter().all(|kind| count_of(kind) > 0),
+            "{mode:?}: {counts:?}"
         );
         assert_eq!(
-            of(Kind::Probe) > 0,
-            way == Way::Probing,
-            "{way:?}: {counts:?}"
+            count_of(Kind::Probe) > 0,
+            mode == Mode::Probing,
+            "{mode:?}: {counts:?}"
         );
         assert_eq!(
-            of(Kind::Watch) > 0,
-            way == Way::Shared,
-            "{way:?}: {counts:?}"
+            count_of(Kind::Watch) > 0,
+            mode == Mode::Shared,
+            "{mode:?}: {counts:?}"
         );
     }
 }
--- a/crates/dispatcher/policy/tests/drawn/handover.rs
+++ b/crates/dispatcher/policy/tests/drawn/handover.rs
@@ -1,74 +1,83 @@
-//! The end of a process: what it says of itself, and what the next one takes up.
+//! The replacement of a dispatcher's process, and the state that the new process takes over.
 use super::{History, BEGIN_S, RUNNERS, STEPS, STEP_S};
 use rand::Rng;
 use sagetrail_policy::Dispatcher;
 
 impl History {
-    /// A new process takes over; work in hand stays with the one before, which is not played on.
+    /// Replaces the dispatcher by a new process. The work items stay with the old process, whose history ends here.
     pub(super) fn hand_over(&mut self) {
-        self.note_figures();
+        self.record_figures();
         let now = self.host.now;
-        let kept: Vec<_> = (0..RUNNERS)
+        let handover: Vec<_> = (0..RUNNERS)
             .map(|r| (r, self.dispatcher.runner_handover(r)))
             .collect();
-        let learnt: Vec<_> = (0..RUNNERS)
+        let learned: Vec<_> = (0..RUNNERS)
             .filter_map(|r| Some((r, self.dispatcher.learned_runner(r)?)))
             .collect();
-        let usual: Vec<_> = (0..4)
+        let usual_runs: Vec<_> = (0..4)
             .map(|category| self.dispatcher.usual_run_s(category))
             .collect();
-        self.dispatcher = Dispatcher::new(self.way.terms(), self.random.random(), now);
+        self.dispatcher = Dispatcher::new(self.mode.config(), self.random.random(), now);
         self.dispatcher.begin_without_history(now);
-        self.tell_whole_list(sagetrail_policy::ListUpdate::Cached);
-        for (category, seconds) in usual.into_iter().enumerate() {
-            seconds
+        self.send_full_list(sagetrail_policy::ListUpdate::Cached);
+        for (category, usual_run_s) in usual_runs.into_iter().enumerate() {
+            usual_run_s
                 .into_iter()
-                .for_each(|seconds| self.dispatcher.restore_usual_run(category, seconds));
+                .for_each(|usual_run_s| self.dispatcher.restore_usual_run(category, usual_run_s));
         }
-        for (runner, (_, slots, pace)) in learnt {
-            self.dispatcher.restore_runner(runner, slots, pace);
+        for (runner, (_, slots, slowdown)) in learned {
+            self.dispatcher.restore_runner(runner, slots, slowdown);
         }
-        self.dispatcher.inherit(now, kept);
+        self.dispatcher.inherit(now, handover);
         self.dispatcher.yield_cold_runners(now, false);
         self.dispatcher
             .set_shutdown_at(BEGIN_S + STEPS as f64 * STEP_S);
         self.held.clear();
-        self.coming.clear();
-        self.host.wanted.clear();
-        self.host.wake_at = Some(now);
+        self.pending_events.clear();
+        self.host.actions.clear();
+        self.host.wake_at_s = Some(now);
         self.machines
             .iter_mut()
             .for_each(|machine| machine.running = 0);
     }
 
-    /// Keeps what the dispatcher says of categories, runners and cold runners.
-    pub(super) fn note_figures(&mut self) {
+    /// Records the dispatcher's figures on categories, runners and cold runners.
+    pub(super) fn record_figures(&mut self) {
         for category in 0..4 {
             let (usual_s, payoff) = self.dispatcher.usual_run_and_worth(category);
             let measured = self.dispatcher.usual_run_s(category).unwrap_or(-1.0);
-            self.host.figures(&[usual_s, payoff, measured]);
+            self.host.record_figures(&[usual_s, payoff, measured]);
         }
         for runner in 0..RUNNERS {
-            let (born, slots, pace) = self
+            let (started_at_s, slots, slowdown) = self
                 .dispatcher
                 .learned_runner(runner)
                 .unwrap_or((-1.0, -1.0, -1.0));
-            self.host.figures(&[born, slots, pace]);
-            let kept = self.dispatcher.runner_handover(runner);
-            let times = [kept.disabled_at_s, kept.enabled_at_s, kept.ejected_until_s]
-                .map(|at| at.unwrap_or(-1.0));
-            self.host
-                .figures(&[times[0], times[1], times[2], kept.evidence, kept.ejection_s]);
-            let spent: Vec<f64> = kept
+            self.host.record_figures(&[started_at_s, slots, slowdown]);
+            let handover = self.dispatcher.runner_handover(runner);
+            let times = [
+                handover.disabled_at_s,
+                handover.enabled_at_s,
+                handover.ejected_until_s,
+            ]
+            .map(|at_s| at_s.unwrap_or(-1.0));
+            self.host.record_figures(&[
+                times[0],
+                times[1],
+                times[2],
+                handover.evidence,
+                handover.ejection_s,
+            ]);
+            let cold_work: Vec<f64> = handover
                 .cold_sends
                 .iter()
-                .flat_map(|(at, size)| [*at, *size])
+                .flat_map(|(at_s, size)| [*at_s, *size])
                 .collect();
-            self.host.figures(&spent);
+            self.host.record_figures(&cold_work);
         }
-        for (runner, spent, wanted) in self.dispatcher.cold_usage(self.host.now) {
+        for (runner, cold_work, wanted) in self.dispatcher.cold_usage(self.host.now) {
             self.host
-                .figures(&[runner as f64, spent, f64::from(u8::from(wanted))]);
+                .record_figures(&[runner as f64, cold_work, f64::from(u8::from(wanted))]);
         }
     }
 }
--- a/crates/dispatcher/policy/tests/drawn/mod.rs
+++ b/crates/dispatcher/policy/tests/drawn/mod.rs
@@ -1,10 +1,10 @@
-//! A drawn history: work arrives, runners serve, fail, fall silent, restart and drain, and the list tells of it late.
-mod carried_out;
+//! A random history: work arrives; runners serve, fail, hang, restart and drain, and the list reports it late.
+mod actions;
+mod arrivals;
+mod events;
+mod faults;
 mod handover;
 pub(crate) mod recorder;
-mod told;
-mod trouble;
-mod work;
 
 use crate::fake::{default_config, listed_runner};
 use rand::{Rng, SeedableRng};
@@ -13,47 +13,52 @@
 use sagetrail_policy::*;
 use std::collections::BTreeMap;
 
-/// Seconds of the clock; whole steps, so that every instant is the same number in each play.
+/// The instant in seconds at which a history begins. The clock advances in whole steps, so that every instant is the
+/// same number in each run.
 const BEGIN_S: f64 = 100.0;
+/// The length of a step in seconds.
 const STEP_S: f64 = 0.01;
+/// The number of steps in a history.
 const STEPS: u64 = 6_000;
-/// The process is replaced by another one at this step, where it hands on what it knows.
+/// At this step of a `Mode::Shared` history a new process replaces the dispatcher, which hands over its state.
 const HANDOVER_STEP: u64 = 4_000;
 const RUNNERS: usize = 10;
+/// The slots of each runner.
 const SLOTS: usize = 3;
-/// One in so many arrivals is left by its client within its time.
-const LEAVERS: u32 = 25;
+/// One in this many work items has a client that leaves before the work item ends.
+const ITEMS_PER_LEAVING_CLIENT: u32 = 25;
 
-/// How a dispatcher works.
+/// The configuration and surroundings of a dispatcher.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum Way {
-    /// Nothing is told of load.
+pub(crate) enum Mode {
+    /// Runners do not report their load.
     Unreported,
-    /// Load is told to probes.
+    /// Runners report their load to load probes.
     Probing,
-    /// Payoff by work, dear fetches, bound categories, load and memory in no report.
+    /// The payoff counts for each second of work, fetches are expensive, two categories are bound, and runners report
+    /// neither load nor memory.
     ByWork,
-    /// Many dispatchers that share budgets and ask for the list; one hands over to a new process.
+    /// Many dispatchers share budgets and request the list; this one hands over to a new process.
     Shared,
 }
 
-impl Way {
-    pub(crate) const ALL: [Way; 4] = [Way::Unreported, Way::Probing, Way::ByWork, Way::Shared];
+impl Mode {
+    pub(crate) const ALL: [Mode; 4] = [Mode::Unreported, Mode::Probing, Mode::ByWork, Mode::Shared];
 
-    /// Its name in the fixture.
+    /// The name of the mode in the fixture.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Way::Unreported => "unreported",
-            Way::Probing => "probing",
-            Way::ByWork => "by-work",
-            Way::Shared => "shared",
+            Mode::Unreported => "unreported",
+            Mode::Probing => "probing",
+            Mode::ByWork => "by-work",
+            Mode::Shared => "shared",
         }
     }
 
-    fn terms(self) -> PolicyConfig {
+    fn config(self) -> PolicyConfig {
         match self {
-            Way::Unreported => default_config(),
-            Way::Probing => PolicyConfig {
+            Mode::Unreported => default_config(),
+            Mode::Probing => PolicyConfig {
                 uses_load_probes: true,
                 free_slots_index: Some(0),
                 free_memory_index: Some(1),
@@ -61,7 +66,7 @@
                 dispatcher_count: 5,
                 ..default_config()
             },
-            Way::ByWork => PolicyConfig {
+            Mode::ByWork => PolicyConfig {
                 payoff_per_work: true,
                 fetch_cost_dominates: true,
                 unlisted_may_serve: true,
@@ -70,7 +75,7 @@
                 categories: bound(default_config().categories),
                 ..default_config()
             },
-            Way::Shared => PolicyConfig {
+            Mode::Shared => PolicyConfig {
                 dispatcher_count: 30,
                 dispatcher_index: 4,
                 requests_list: true,
@@ -83,75 +88,86 @@
     }
 }
 
-/// The second category runs on one kind, the third in one zone.
+/// Binds the second category to a kind and the third one to a zone.
 fn bound(mut categories: Vec<Category>) -> Vec<Category> {
     categories[1].placement.kinds = vec![1];
     categories[2].placement.zones = vec![0];
     categories
 }
 
-/// News on its way to the dispatcher.
-enum News {
-    Accepted(Sent),
-    Started(Sent),
-    Progressed(Sent, f64),
-    Came(Sent, Outcome),
-    Left(Owed),
-    Probed(usize, Outcome, [f32; 3]),
-    Listed(usize, Option<ListedRunner>),
-    WholeList,
+/// An event that is on its way to the dispatcher.
+enum Event {
+    Accepted(AttemptRef),
+    Started(AttemptRef),
+    /// The attempt and its progress as a fraction of the run.
+    Progressed(AttemptRef, f64),
+    AttemptEnded(AttemptRef, Outcome),
+    ClientLeft(ItemRef),
+    /// The runner, the outcome and the load report: free slots, free memory, load.
+    ProbeEnded(usize, Outcome, [f32; 3]),
+    /// The runner and its new listing.
+    ListChanged(usize, Option<ListedRunner>),
+    FullList,
     ListFailed,
 }
 
-/// A work item; its handle may be given out again, the number may not.
+/// A work item. Its handle may be reused for a later one, its number is unique.
 #[derive(Clone, Copy, PartialEq)]
-struct Owed {
+struct ItemRef {
     work_item: WorkItem,
     number: u64,
 }
 
-/// One attempt.
+/// An attempt, counted from 0 for each work item.
 #[derive(Clone, Copy)]
-struct Sent {
-    owed: Owed,
-    no: u16,
+struct AttemptRef {
+    item: ItemRef,
+    attempt: u16,
 }
 
-struct Held {
+/// A work item that the dispatcher has not answered yet.
+struct HeldItem {
     number: u64,
-    made: u16,
-    left: bool,
-    /// The attempt that is out.
-    out: Option<(u16, usize)>,
+    /// The number of attempts so far.
+    attempt_count: u16,
+    client_has_left: bool,
+    /// The attempt in flight and its runner.
+    in_flight: Option<(u16, usize)>,
 }
 
+/// A simulated runner.
 struct Machine {
-    listed: Option<ListedRunner>,
+    /// Its listing; `None` while it is gone.
+    listing: Option<ListedRunner>,
+    /// The number of its running jobs.
     running: usize,
-    /// Until then it answers nothing.
-    silent_until: f64,
-    pace: f64,
+    /// The instant in seconds until which it answers nothing.
+    silent_until_s: f64,
+    /// A factor on the longest run time of its jobs, which is 1.2 s.
+    run_factor: f64,
 }
 
 pub(crate) struct History {
-    way: Way,
+    mode: Mode,
     dispatcher: Dispatcher,
     pub(crate) host: Recorder,
     random: Pcg64Mcg,
     machines: Vec<Machine>,
-    held: BTreeMap<u32, Held>,
-    /// By step, then by the order of asking.
-    coming: BTreeMap<(u64, u64), News>,
+    /// The held work items by handle.
+    held: BTreeMap<u32, HeldItem>,
+    /// The events by the step of their delivery, then by their number.
+    pending_events: BTreeMap<(u64, u64), Event>,
     step: u64,
-    asked: u64,
+    /// The last number given to a work item or an event.
+    last_number: u64,
 }
 
 impl History {
-    pub(crate) fn new(way: Way, seed: u64) -> History {
+    pub(crate) fn new(mode: Mode, seed: u64) -> History {
         let machines: Vec<Machine> = (0..RUNNERS).map(machine).collect();
         let mut history = History {
-            way,
-            dispatcher: Dispatcher::new(way.terms(), seed, BEGIN_S),
+            mode,
+            dispatcher: Dispatcher::new(mode.config(), seed, BEGIN_S),
             host: Recorder {
                 now: BEGIN_S,
                 ..Recorder::default()
@@ -159,68 +175,73 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             machines,
             held: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            pending_events: BTreeMap::new(),
             step: 0,
-            asked: 0,
+            last_number: 0,
         };
-        history.tell_whole_list(sagetrail_policy::ListUpdate::Cached);
+        history.send_full_list(sagetrail_policy::ListUpdate::Cached);
         history
     }
 
-    /// Plays it to its end.
-    pub(crate) fn play(&mut self) {
+    /// Runs all steps of the history.
+    pub(crate) fn run(&mut self) {
         while self.step < STEPS {
             self.step += 1;
             self.host.now = BEGIN_S + self.step as f64 * STEP_S;
-            self.trouble();
-            self.share();
-            let arrived = self.arrive();
-            let told = self.tell();
-            if arrived || told || self.is_woken() {
+            self.inject_faults();
+            self.share_fleet_state();
+            let arrived = self.submit_work();
+            let delivered = self.deliver_events();
+            if arrived || delivered || self.is_woken() {
                 self.dispatcher.decide(&mut self.host);
             }
-            self.carry_out();
-            if self.step == HANDOVER_STEP && self.way == Way::Shared {
+            self.perform_actions();
+            if self.step == HANDOVER_STEP && self.mode == Mode::Shared {
                 self.hand_over();
             }
         }
-        self.note_figures();
+        self.record_figures();
     }
 
+    /// Whether the requested wake-up is due, which is then cleared. The tolerance of 1 ns covers rounding errors.
     fn is_woken(&mut self) -> bool {
         self.host
-            .wake_at
+            .wake_at_s
             .take_if(|at| *at <= self.host.now + 1e-9)
             .is_some()
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        self.random.random::<f64>() < share
+    /// Draws whether an event of this probability occurs.
+    fn chance(&mut self, probability: f64) -> bool {
+        self.random.random::<f64>() < probability
     }
 
-    /// A span in steps, drawn evenly.
-    fn span(&mut self, from_s: f64, to_s: f64) -> u64 {
+    /// Draws a number of steps, at least 1, from a uniform distribution of the duration.
+    fn draw_steps(&mut self, from_s: f64, to_s: f64) -> u64 {
         let seconds = from_s + (to_s - from_s) * self.random.random::<f64>();
         (seconds / STEP_S).round().max(1.0) as u64
     }
 
-    fn expect(&mut self, in_steps: u64, news: News) {
-        self.asked += 1;
-        self.coming.insert((self.step + in_steps, self.asked), news);
+    /// Schedules the delivery of an event.
+    fn schedule(&mut self, in_steps: u64, event: Event) {
+        self.last_number += 1;
+        self.pending_events
+            .insert((self.step + in_steps, self.last_number), event);
     }
 }
 
+/// The runner with this index as it is at the beginning of a history.
 fn machine(index: usize) -> Machine {
-    let listed = ListedRunner {
+    let listing = ListedRunner {
         kind: u8::from(index.is_multiple_of(2)),
         cell: index as u16 / 2,
         zone: u16::from(index >= RUNNERS / 2),
         ..listed_runner(index as u64)
     };
     Machine {
-        listed: Some(listed),
+        listing: Some(listing),
         running: 0,
-        silent_until: 0.0,
-        pace: [0.5, 1.0, 2.0][index % 3],
+        silent_until_s: 0.0,
+        run_factor: [0.5, 1.0, 2.0][index % 3],
     }
 }
--- a/crates/dispatcher/policy/tests/fake/mod.rs
+++ b/crates/dispatcher/policy/tests/fake/mod.rs
@@ -228,8 +228,8 @@
     /// The runners that a work item was sent to, in the order of its attempts.
     pub(crate) fn attempted_runners(&self, work_item: WorkItem) -> Vec<usize> {
         let runner_of = |call: &HostCall| {
-            if let Attempt(sent, runner) = call {
-                (*sent == work_item).then_some(*runner)
+            if let Attempt(item, runner) = call {
+                (*item == work_item).then_some(*runner)
             } else {
                 None
             }
@@ -238,7 +238,7 @@
     }
     /// The answers that the client of a work item got: `Defer` or `WriteOff`.
     pub(crate) fn final_answers(&self, work_item: WorkItem) -> Vec<HostCall> {
-        let is_answer = |call: &&HostCall| matches!(call, Defer(answered, _) | WriteOff(answered) if *answered == work_item);
+        let is_answer = |call: &&HostCall| matches!(call, Defer(item, _) | WriteOff(item) if *item == work_item);
         self.calls.iter().filter(is_answer).cloned().collect()
     }
 }
--- a/crates/dispatcher/policy/tests/placement.rs
+++ b/crates/dispatcher/policy/tests/placement.rs
@@ -12,7 +12,8 @@
 const ZONES: usize = 2;
 const RUNNERS: usize = 8;
 
-/// Parses settings with two idempotent categories. A test adds its own settings, such as the placement of the first one.
+/// Parses settings with two idempotent categories. A test adds its own settings, such as the placement of the first
+/// category.
 fn parse_config(settings: &[(&str, &str)]) -> Result<PolicyConfig, String> {
     let mut all_settings = FlatSettings::default();
     let common = [
--- a/crates/dispatcher/policy/tests/scenarios.rs
+++ b/crates/dispatcher/policy/tests/scenarios.rs
@@ -1148,8 +1148,8 @@
 /// Guards against overloading a runner that may have restarted while it was disabled by hand.
 #[test]
 fn a_reenabled_runner_is_cold_unless_the_list_states_a_start_while_it_was_disabled() {
-    // Each case is the start that the list states and the number of work items that may be sent at once afterwards. The
-    // list states no start, one before the runner is disabled at 100.5 s, or one while it is disabled.
+    // Each case is the start that the list states and the number of work items that may be sent at once afterwards.
+    // The list states no start, one before the runner is disabled at 100.5 s, or one while it is disabled.
     for (started_at_s, sent) in [(None, 1), (Some(90.0), 1), (Some(101.0), 2)] {
         let (mut dispatcher, mut host) = start_dispatcher(
             PolicyConfig {
@@ -1295,8 +1295,8 @@
     dispatcher.update_list(host.now, ListUpdate::Changes, &[of_kind(9, host.now)]);
     host.advance(&mut dispatcher, 0.2);
     host.calls.clear();
-    // The runner is estimated at four slots, so the budget is 0.7 x 3 x (0.75 x 4 x 0.2) x 1 s = 1.3 s of work. That is
-    // six work items of 0.2 s, of which the slot cap allows two.
+    // The runner is estimated at four slots, so the budget is 0.7 x 3 x (0.75 x 4 x 0.2) x 1 s = 1.3 s of work. That
+    // is six work items of 0.2 s, of which the slot cap allows two.
     let work_items: Vec<WorkItem> = (0..6)
         .map(|_| host.submit(&mut dispatcher, IDEMPOTENT, 0))
         .collect();
