--- a/crates/cluster/gateway/src/admission.rs
+++ b/crates/cluster/gateway/src/admission.rs
@@ -1,40 +1,40 @@
-//! Admission: requests that are rejected at once, before anything is sent.
+//! Admission control: rejects requests on arrival, before a copy is sent to the scheduler.
 
 use sagetrail_protocol::client::ClientMethod;
 
 use crate::error::GatewayError;
 
-/// What a request is admitted by, at the moment of its arrival.
+/// The gateway state that decides whether an arriving request is admitted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Admission {
-    /// The longest body, in bytes.
+    /// The longest body that is accepted, in bytes.
     pub(crate) max_body_bytes: u64,
-    /// The graceful shutdown is over.
+    /// True once the graceful shutdown is over.
     pub(crate) is_shut_down: bool,
-    /// No further request can be kept.
+    /// True if the table of pending requests has no room for another request.
     pub(crate) is_full: bool,
-    /// A configuration has been seen.
+    /// True once a configuration version has been received.
     pub(crate) has_configuration: bool,
-    /// What is known of the leader.
+    /// The status of the leader, which determines whether a new job can be accepted.
     pub(crate) leader: LeaderStatus,
 }
 
-/// The leader, as a new request finds it.
+/// The status of the leader when a request arrives.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum LeaderStatus {
-    /// None is known; a request waits for one for a short time.
+    /// No leader is known; an admitted request waits a short time for one.
     Unknown,
-    /// Known, and in contact recently enough for a new job.
+    /// The leader is known and has sent a message recently enough to be given a new job.
     Responsive,
-    /// Known, and silent for too long for a new job.
+    /// The leader is known but has been silent for too long to be given a new job.
     Unresponsive,
 }
 
 impl Admission {
-    /// Checks a request.
+    /// Checks whether a request with this method and body length, in bytes, is admitted.
     ///
     /// # Errors
-    /// The reason of the rejection. Nothing was sent: the request has no effect, now or later.
+    /// Returns the reason for the rejection. No copy of the request has been sent, so it has no effect now or later.
     pub(crate) fn check(
         &self,
         method: ClientMethod,
--- a/crates/cluster/gateway/src/contact.rs
+++ b/crates/cluster/gateway/src/contact.rs
@@ -1,100 +1,101 @@
-//! When the leader was last in contact, and what follows from its silence.
+//! Tracks when the leader last sent a message, and derives from its silence whether it is reachable.
 
 use sagetrail_protocol::Time;
 
-/// Silence on the direct connection after which messages to the leader also go through a relay, and the leader is
-/// sought among all core processes, in milliseconds.
-const DIRECT_SILENCE_MS: u64 = 700;
-/// Silence after which new jobs are rejected, in milliseconds.
-const UNRESPONSIVE_MS: u64 = 1500;
-/// Time after its last message for which the leader counts as answering, for readiness, in milliseconds.
-const ANSWERING_MS: u64 = 2500;
+/// Time without a message on the direct connection, in milliseconds, after which messages to the leader also go through
+/// a relay and hellos go to all known core processes.
+const DIRECT_SILENCE_TIMEOUT_MS: u64 = 700;
+/// Time without any message of the leader, in milliseconds, after which new jobs are rejected.
+const UNRESPONSIVE_TIMEOUT_MS: u64 = 1500;
+/// Time after its last message, in milliseconds, for which the readiness check treats the leader as answering.
+const ANSWERING_TIMEOUT_MS: u64 = 2500;
 
-/// The way by which a message came.
+/// The route by which a message arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Route {
-    /// From its author over a connection of its own.
+    /// The author sent the message over its own connection to this process.
     Direct,
-    /// Through a third process.
+    /// A third process relayed the message.
     Relayed,
 }
 
-/// The contact with one leader.
+/// The times of the last messages from the current leader.
 #[derive(Debug)]
 pub(crate) struct LeaderContact {
-    /// When this leader was adopted: its silence counts from here until its first message.
+    /// When this leader was adopted; its silence is measured from this time until its first message arrives.
     adopted_at: Time,
-    /// The last message of the leader, by any route.
-    received_at: Option<Time>,
-    /// The last message of the leader by the direct route.
-    received_directly_at: Option<Time>,
-    /// A message that arrives before this time may have waited in a socket, and proves nothing.
-    valid_from: Time,
+    /// When the last message of the leader arrived by any route.
+    last_message_at: Option<Time>,
+    /// When the last message of the leader arrived by the direct route.
+    last_direct_message_at: Option<Time>,
+    /// A message that arrives before this time is not counted as contact, because it may have been queued in a socket
+    /// while this process was suspended.
+    counted_from: Time,
 }
 
 impl LeaderContact {
-    /// No contact yet.
+    /// Creates a record without any message from a leader that is adopted at `now`.
     pub(crate) fn new(now: Time) -> LeaderContact {
         LeaderContact {
             adopted_at: now,
-            received_at: None,
-            received_directly_at: None,
-            valid_from: now,
+            last_message_at: None,
+            last_direct_message_at: None,
+            counted_from: now,
         }
     }
 
-    /// Begins anew for a leader that was adopted at `now`.
+    /// Discards the recorded messages and starts to track a leader that is adopted at `now`.
     pub(crate) fn adopt(&mut self, now: Time) {
         self.adopted_at = now;
         self.forget();
     }
 
-    /// Forgets the messages of a leader that has resigned.
+    /// Discards the recorded messages of a leader that has resigned.
     pub(crate) fn forget(&mut self) {
-        self.received_at = None;
-        self.received_directly_at = None;
+        self.last_message_at = None;
+        self.last_direct_message_at = None;
     }
 
-    /// Ignores messages that arrive before `until`.
+    /// Excludes messages that arrive before `until` from contact tracking.
     pub(crate) fn ignore_until(&mut self, until: Time) {
-        self.valid_from = until;
+        self.counted_from = until;
     }
 
-    /// Records a message of the leader.
+    /// Records that a message of the leader arrived at `now`.
     pub(crate) fn record(&mut self, now: Time, route: Route) {
-        if now < self.valid_from {
+        if now < self.counted_from {
             return;
         }
-        self.received_at = Some(now);
+        self.last_message_at = Some(now);
         if route == Route::Direct {
-            self.received_directly_at = Some(now);
+            self.last_direct_message_at = Some(now);
         }
     }
 
-    /// True while the leader has not been silent for too long to be given a new job.
+    /// Returns whether the leader has sent a message, or was adopted, recently enough to be given a new job.
     pub(crate) fn is_responsive(&self, now: Time) -> bool {
-        self.silent_ms(now, self.received_at) <= UNRESPONSIVE_MS
+        self.silence_ms(now, self.last_message_at) <= UNRESPONSIVE_TIMEOUT_MS
     }
 
-    /// True while the leader has sent a message recently enough for readiness.
+    /// Returns whether the leader has sent a message recently enough for this process to be ready.
     pub(crate) fn is_answering(&self, now: Time) -> bool {
-        self.received_at
-            .is_some_and(|received| now.millis_since(received) <= ANSWERING_MS)
+        self.last_message_at
+            .is_some_and(|received| now.millis_since(received) <= ANSWERING_TIMEOUT_MS)
     }
 
-    /// True once the direct connection has been silent for too long.
+    /// Returns whether no message has arrived on the direct connection for too long.
     pub(crate) fn is_directly_silent(&self, now: Time) -> bool {
-        self.silent_ms(now, self.received_directly_at) > DIRECT_SILENCE_MS
+        self.silence_ms(now, self.last_direct_message_at) > DIRECT_SILENCE_TIMEOUT_MS
     }
 
-    /// When the direct connection counts as silent unless a message comes before.
+    /// Returns the time from which the direct connection is treated as silent unless a direct message arrives earlier.
     pub(crate) fn directly_silent_from(&self) -> Time {
-        self.received_directly_at
+        self.last_direct_message_at
             .unwrap_or(self.adopted_at)
-            .plus_millis(DIRECT_SILENCE_MS + 1)
+            .plus_millis(DIRECT_SILENCE_TIMEOUT_MS + 1)
     }
 
-    fn silent_ms(&self, now: Time, received: Option<Time>) -> u64 {
+    fn silence_ms(&self, now: Time, received: Option<Time>) -> u64 {
         now.millis_since(received.unwrap_or(self.adopted_at))
     }
 }
--- a/crates/cluster/gateway/src/deadline.rs
+++ b/crates/cluster/gateway/src/deadline.rs
@@ -2,27 +2,28 @@
 
 use sagetrail_protocol::Time;
 
-/// Time that a client waits if it names none, in milliseconds.
+/// The client time-out that is assumed if the request does not specify one, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 3000;
-/// The longest time that a client is served, in milliseconds.
+/// The longest client time-out that is honoured, in milliseconds; a longer one is reduced to this.
 const MAX_TIMEOUT_MS: u64 = 30_000;
-/// The answer is sent this long before the client stops waiting, in milliseconds: it has to travel back.
+/// The margin before the client's time-out at which the gateway answers, in milliseconds. It covers the time that the
+/// answer takes to reach the client.
 const ANSWER_MARGIN_MS: u64 = 150;
 
-/// Until when a request makes sense.
+/// The times by which a request must be answered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Deadlines {
-    /// When the client stops waiting; the scheduler learns how long that is.
+    /// When the client stops waiting; the remaining time is sent to the scheduler with the request.
     pub(crate) client: Time,
-    /// When the gateway answers at the latest; before `client`.
+    /// The latest time at which the gateway answers; it is never later than `client`.
     pub(crate) answer_by: Time,
 }
 
 impl Deadlines {
-    /// The deadlines of a request that arrives at `now` from a client that waits for `timeout_ms`.
+    /// Computes the deadlines of a request that arrives at `now` from a client that waits for `timeout_ms`.
     pub(crate) fn new(now: Time, timeout_ms: Option<u64>) -> Deadlines {
         let timeout_ms = timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS).min(MAX_TIMEOUT_MS);
-        // A client with a short timeout still leaves half of it for the scheduler.
+        // With a short time-out the scheduler still gets half of it.
         let answer_ms = timeout_ms
             .saturating_sub(ANSWER_MARGIN_MS)
             .max(timeout_ms / 2);
--- a/crates/cluster/gateway/src/error.rs
+++ b/crates/cluster/gateway/src/error.rs
@@ -1,8 +1,8 @@
-//! Why the gateway itself answers a request with an error.
+//! The errors with which the gateway itself answers a request.
 
 use thiserror::Error;
 
-/// Time after which a rejected client may retry, in seconds.
+/// The `Retry-After` time that a rejected client is given, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 const NOT_FOUND: u16 = 404;
 const METHOD_NOT_ALLOWED: u16 = 405;
@@ -10,19 +10,19 @@
 const SERVICE_UNAVAILABLE: u16 = 503;
 const GATEWAY_TIMEOUT: u16 = 504;
 
-/// An error that the gateway answers without the scheduler. Its `Display` is the text that the client reads.
+/// An error that the gateway answers without the scheduler. Its `Display` text is sent to the client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum GatewayError {
-    /// The process does not accept clients yet, or any more.
+    /// The readiness check fails because the process does not accept clients yet, or no longer does.
     #[error("not ready")]
     NotReady,
-    /// Nothing is served at this path.
+    /// No resource is served at this path.
     #[error("not found")]
     NotFound,
-    /// No job or queue has this method.
+    /// Jobs and queues do not support this HTTP method.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// The body is over the configuration's limit.
+    /// The body exceeds the limit in the configuration.
     #[error("body too large")]
     BodyTooLarge,
     /// The process has finished its graceful shutdown.
@@ -31,22 +31,22 @@
     /// The table of pending requests is full.
     #[error("too many requests under way")]
     TooManyPending,
-    /// Neither a leader nor a configuration is known.
+    /// Neither a leader nor a configuration is known yet.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// The leader is known and has been silent for too long to be given a new job.
+    /// The leader is known but has been silent for too long to be given a new job.
     #[error("the scheduler does not answer")]
     LeaderUnresponsive,
-    /// No leader was found in time, and no copy of the request is in flight.
+    /// No leader was found in time and no copy of the request is in flight, so the request has no effect.
     #[error("no scheduler")]
     NoLeader,
-    /// A copy of the request was sent, and its outcome is not known.
+    /// A copy of the request was sent and its outcome is unknown.
     #[error("no answer in time")]
     OutcomeUnknown,
 }
 
 impl GatewayError {
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     pub(crate) fn status(self) -> u16 {
         match self {
             GatewayError::NotFound => NOT_FOUND,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The value of `Retry-After`, in seconds: given where the request was not accepted and may be repeated as it is.
+    /// Returns the value of the `Retry-After` header, in seconds. It is set for errors after which the request was not
+    /// accepted and may be repeated unchanged.
     pub(crate) fn retry_after_s(self) -> Option<u32> {
         match self {
             GatewayError::ShuttingDown
--- a/crates/cluster/gateway/src/leader_link.rs
+++ b/crates/cluster/gateway/src/leader_link.rs
@@ -1,4 +1,4 @@
-//! The connection to the leader: directly, and through a relay while the direct connection is silent.
+//! Sends messages to the leader: directly, and also through a relay while the direct connection is silent.
 
 use sagetrail_protocol::directory::Hello;
 use sagetrail_protocol::node::Outbox;
@@ -8,28 +8,29 @@
 use crate::relay::{self, RelayRotation};
 use crate::settings::GatewaySettings;
 
-/// Finds the leader and sends messages to it.
+/// Finds the leader by discovery and sends messages to it.
 #[derive(Debug)]
 pub(crate) struct LeaderLink {
-    own: NodeId,
+    own_node: NodeId,
     incarnation: Incarnation,
-    /// Who the leader is.
+    /// The discovery that determines the leader.
     pub(crate) discovery: LeaderDiscovery,
-    rotation: RelayRotation,
+    relay_rotation: RelayRotation,
 }
 
 impl LeaderLink {
-    /// A link that knows the seeds only.
+    /// Creates a link whose discovery knows only the seeds.
     pub(crate) fn new(settings: &GatewaySettings, now: Time) -> LeaderLink {
         LeaderLink {
-            own: settings.node,
+            own_node: settings.node,
             incarnation: settings.incarnation,
             discovery: LeaderDiscovery::new(settings.node, settings.seeds.clone(), now),
-            rotation: RelayRotation::new(settings.seed),
+            relay_rotation: RelayRotation::new(settings.seed),
         }
     }
 
-    /// Sends a message to the leader, through a relay too if it is silent; the number of copies that left.
+    /// Sends a message to the leader, and a second copy through a relay if the direct connection is silent. Returns the
+    /// number of copies that were sent.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -39,8 +40,8 @@
     ) -> u32 {
         let mut copies = 1;
         if self.discovery.needs_relay(now) {
-            let relay = self.rotation.next(&self.discovery.message_relays());
-            let wrapped = relay::wrap(self.own, leader, &message);
+            let relay = self.relay_rotation.next(&self.discovery.message_relays());
+            let wrapped = relay::wrap_message(self.own_node, leader, &message);
             if let (Some(relay), Some(wrapped)) = (relay, wrapped) {
                 outbox.send(relay, wrapped);
                 copies += 1;
@@ -50,7 +51,8 @@
         copies
     }
 
-    /// Sends the hellos that are due; they name the configuration version that this process holds, 0 for none.
+    /// Sends the hellos that are due. Each contains the configuration version that this process has, or 0 if it has
+    /// none.
     pub(crate) fn send_due_hellos(&mut self, now: Time, config_version: u64, outbox: &mut Outbox) {
         for target in self.discovery.hello_targets(now) {
             let hello = Message::Hello(Hello {
--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! The gateway as a node: receives events, and leaves in an outbox what is to be sent and answered.
+//! The gateway as a `Node`: receives events, and writes messages and HTTP replies to an outbox.
 
 use sagetrail_protocol::message::Relayed;
 use sagetrail_protocol::node::{
@@ -10,41 +10,41 @@
 use crate::drain::Drain;
 use crate::error::GatewayError;
 use crate::forwarder::Forwarder;
-use crate::leader_discovery::Discovery;
+use crate::leader_discovery::LeaderChange;
 use crate::leader_link::LeaderLink;
 use crate::relay;
 use crate::response;
 use crate::settings::GatewaySettings;
 use crate::subscription::Subscription;
 
-/// The end of the path of the platform's readiness check.
-const READINESS_PATH_END: &str = "readyz";
-/// A process with longer pauses between its events than this was suspended, in milliseconds: hellos alone come more
-/// often.
-const SUSPENDED_MS: u64 = 1_500;
-/// Time in which a process that was suspended has read what waited in its sockets, in milliseconds. Those messages are
-/// no sign of life.
-const SOCKET_BACKLOG_MS: u64 = 100;
+/// The suffix of the path at which the platform checks readiness.
+const READINESS_PATH_SUFFIX: &str = "readyz";
+/// The longest pause between two events, in milliseconds, before the process is assumed to have been suspended. In a
+/// running process the hellos alone cause events more often.
+const SUSPENSION_THRESHOLD_MS: u64 = 1_500;
+/// The time that a resumed process needs to read the messages queued in its sockets, in milliseconds. Those messages do
+/// not show that their sender is alive now.
+const SOCKET_BACKLOG_READ_MS: u64 = 100;
 
-/// A gateway: one process that forwards clients' requests.
+/// The logic of a gateway process, which forwards clients' requests to the scheduler.
 ///
-/// It spawns nothing and has no clock of its own; the host process calls [`Node::handle`] with each event, and with
-/// `Event::Wake` at [`Node::next_wake`].
+/// It starts no threads or tasks and reads no clock. The host process calls [`Node::handle`] with each event, and with
+/// `Event::Wake` at the time that [`Node::next_wake`] returns.
 #[derive(Debug)]
 pub struct GatewayNode {
     settings: GatewaySettings,
     link: LeaderLink,
     subscription: Subscription,
     forwarder: Forwarder,
-    /// The graceful shutdown, once it has begun.
+    /// The graceful shutdown; `None` until it has begun.
     drain: Option<Drain>,
-    /// The graceful shutdown is over, and the process may end.
+    /// True once the graceful shutdown is over and the process may end.
     is_finished: bool,
-    last_event: Time,
+    last_event_at: Time,
 }
 
 impl GatewayNode {
-    /// Starts, and sends hellos to the seeds.
+    /// Creates the logic of a gateway and sends hellos to the seeds.
     pub fn new(settings: GatewaySettings, now: Now, outbox: &mut Outbox) -> GatewayNode {
         let mut node = GatewayNode {
             link: LeaderLink::new(&settings, now.steady),
@@ -52,22 +52,22 @@
             forwarder: Forwarder::new(settings.incarnation),
             drain: None,
             is_finished: false,
-            last_event: now.steady,
+            last_event_at: now.steady,
             settings,
         };
         node.run_due(now.steady, outbox);
         node
     }
 
-    /// True while clients may be sent here: the configuration is current, the leader answers, and the process is not
-    /// draining.
+    /// Returns whether clients may be sent to this process: the configuration is current, the leader answers, and the
+    /// process is not draining.
     pub fn is_ready(&self, now: Time) -> bool {
         self.drain.is_none()
             && self.subscription.is_current(now)
             && self.link.discovery.is_leader_answering(now)
     }
 
-    /// The newest configuration version seen, 0 for none.
+    /// Returns the newest configuration version seen, or 0 if there is none.
     pub fn config_version(&self) -> u64 {
         self.forwarder.config_version()
     }
@@ -84,7 +84,7 @@
             Message::Directory(directory) => {
                 let discovery = &mut self.link.discovery;
                 let change = discovery.receive_directory(now, from, route, directory);
-                if change == Discovery::NewLeader {
+                if change == LeaderChange::NewLeader {
                     self.forwarder.resend_all(now, &mut self.link, outbox);
                 }
             }
@@ -92,10 +92,10 @@
                 self.link.discovery.record_contact(now, from, route);
                 self.forwarder.receive_reply(reply, outbox);
             }
-            Message::NotLeader(bounce) => {
+            Message::NotLeader(not_leader) => {
                 let link = &mut self.link;
                 self.forwarder
-                    .receive_not_leader(now, link, from, &bounce, outbox);
+                    .receive_not_leader(now, link, from, &not_leader, outbox);
             }
             Message::ConfigUpdate(update) => {
                 self.subscription.receive_update(now, from, update);
@@ -106,17 +106,17 @@
                 self.subscription.receive_current(now, from, &current);
             }
             Message::Relayed(relayed) => self.receive_relayed(now, relayed, outbox),
-            other => log::debug!("unexpected message: node={from} message={other:?}"),
+            other => log::debug!("received unexpected message: node={from} message={other:?}"),
         }
     }
 
-    /// Opens a relayed message to this process; sends one to another process on, unopened.
+    /// Decodes a relayed message whose destination is this process; forwards one for another process unchanged.
     fn receive_relayed(&mut self, now: Time, relayed: Relayed, outbox: &mut Outbox) {
         if relayed.to != self.settings.node {
             return outbox.send(relayed.to, Message::Relayed(relayed));
         }
-        let Some(message) = relay::unwrap(&relayed) else {
-            return log::debug!("relayed message cannot be decoded: node={}", relayed.from);
+        let Some(message) = relay::unwrap_message(&relayed) else {
+            return log::debug!("relayed message decoding failed: node={}", relayed.from);
         };
         self.receive_message(now, relayed.from, Route::Relayed, message, outbox);
     }
@@ -141,7 +141,7 @@
     }
 
     fn readiness(&self, now: Time, request: &HttpRequest) -> HttpReply {
-        if request.method != Method::Get || !request.path.ends_with(READINESS_PATH_END) {
+        if request.method != Method::Get || !request.path.ends_with(READINESS_PATH_SUFFIX) {
             return HttpReply::from(GatewayError::NotFound);
         }
         if self.is_ready(now) {
@@ -151,17 +151,18 @@
         }
     }
 
-    /// After a suspension, the messages that waited in the sockets are older than they appear.
+    /// Detects a suspension of the process by the time since the last event. After one, messages that were queued in
+    /// the sockets do not count as contact or confirmation, because they are older than their arrival suggests.
     fn detect_suspension(&mut self, now: Time) {
-        if now.millis_since(self.last_event) > SUSPENDED_MS {
-            let until = now.plus_millis(SOCKET_BACKLOG_MS);
+        if now.millis_since(self.last_event_at) > SUSPENSION_THRESHOLD_MS {
+            let until = now.plus_millis(SOCKET_BACKLOG_READ_MS);
             self.link.discovery.ignore_contact_until(until);
             self.subscription.ignore_confirmations_until(until);
         }
-        self.last_event = now;
+        self.last_event_at = now;
     }
 
-    /// Does everything that is due.
+    /// Sends the hellos, subscription renewals and retries that are due, and advances the drain.
     fn run_due(&mut self, now: Time, outbox: &mut Outbox) {
         let config_version = self.subscription.version();
         self.link.send_due_hellos(now, config_version, outbox);
@@ -184,10 +185,10 @@
 
     fn run_drain(&mut self, now: Time, outbox: &mut Outbox) {
         let Some(drain) = self.drain else { return };
-        if now >= drain.latest {
-            self.forwarder.give_up_all(outbox);
+        if now >= drain.latest_end {
+            self.forwarder.fail_all_pending(outbox);
         }
-        if now >= drain.earliest && self.forwarder.is_idle() {
+        if now >= drain.earliest_end && self.forwarder.is_idle() {
             self.is_finished = true;
             self.forwarder.shut_down();
         }
@@ -197,9 +198,9 @@
     fn drain_wake(&self) -> Option<Time> {
         let drain = self.drain.filter(|_| !self.is_finished)?;
         Some(if self.forwarder.is_idle() {
-            drain.earliest
+            drain.earliest_end
         } else {
-            drain.latest
+            drain.latest_end
         })
     }
 }
--- a/crates/cluster/gateway/src/pending.rs
+++ b/crates/cluster/gateway/src/pending.rs
@@ -1,4 +1,5 @@
-//! The requests that are not answered yet: each with its number, copies in flight, deadline and next retry.
+//! The table of requests that are not answered yet: each has a number, a count of copies in flight, deadlines and the
+//! time of its next retry.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,61 +11,62 @@
 use crate::backoff::RetryBackoff;
 use crate::deadline::Deadlines;
 
-/// The most requests that are kept at once.
+/// The maximum number of requests that are pending at once.
 const MAX_REQUESTS: usize = 8192;
-/// The most bytes of bodies that are kept at once.
+/// The total size of the pending requests' bodies, in bytes, from which no further request is admitted.
 const MAX_BODY_BYTES: usize = 24 << 20;
-/// Bits of a number that count the requests of one incarnation; the bits above hold the incarnation.
+/// The number of low bits of a request number that count the requests of one incarnation; the higher bits hold the
+/// incarnation.
 const COUNTER_BITS: u32 = 24;
-/// Time that a request without a copy in flight waits for a leader, in milliseconds. A cancellation waits until its
-/// deadline.
+/// The time for which a request without a copy in flight waits for a leader, in milliseconds. A cancellation waits
+/// until its deadline instead.
 const LEADERLESS_TIMEOUT_MS: u64 = 300;
-/// A time that is never reached.
+/// A time that is never reached; it marks a request that waits for a leader instead of a retry.
 const NEVER: Time = Time(u64::MAX);
 
-/// What the client asks.
+/// The part of a client's request that is forwarded to the scheduler.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) struct RequestContent {
-    /// The HTTP request to answer.
+    /// The id of the HTTP request to answer.
     pub(crate) id: HttpRequestId,
-    /// What is to be done.
+    /// The requested operation.
     pub(crate) method: ClientMethod,
-    /// The host, which selects the route.
+    /// The host of the request, which selects the route together with the path.
     pub(crate) host: Text,
-    /// The path: the queue and the job.
+    /// The path of the request, which names the queue and the job.
     pub(crate) path: Text,
-    /// The job of a submission; empty for other methods.
+    /// The job specification of a submission; empty for other methods.
     pub(crate) body: Blob,
 }
 
 /// A request that is not answered yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// What the client asks.
+    /// The part that is forwarded to the scheduler.
     pub(crate) content: RequestContent,
-    /// Copies sent of which it is not known that they had no effect. Only at 0 is a rejection safe.
+    /// The number of copies that were sent and are not known to have had no effect. A rejection is safe only at 0.
     pub(crate) copies_in_flight: u32,
     deadlines: Deadlines,
-    /// Since when no copy has been in flight.
+    /// The time since which no copy has been in flight.
     leaderless_since: Time,
-    last_sent: Option<Time>,
+    last_sent_at: Option<Time>,
     backoff: RetryBackoff,
-    /// When it is looked at next; its entry in `PendingTable::due`.
+    /// When the request is next retried or expires; this time is its entry in `PendingTable::due`.
     due: Time,
 }
 
 impl PendingRequest {
-    /// True once it is to be answered without the scheduler.
+    /// Returns whether the request must now be answered without the scheduler.
     pub(crate) fn has_expired(&self, now: Time) -> bool {
         now >= self.expires_at()
     }
 
-    /// When it was last sent.
-    pub(crate) fn last_sent(&self) -> Option<Time> {
-        self.last_sent
+    /// Returns when the request was last sent.
+    pub(crate) fn last_sent_at(&self) -> Option<Time> {
+        self.last_sent_at
     }
 
-    /// The message to the scheduler.
+    /// Builds the message to the scheduler.
     pub(crate) fn message(&self, now: Time, number: u64, config_version: u64) -> ClientRequest {
         let remaining_ms = self.deadlines.client.millis_since(now);
         ClientRequest {
@@ -89,21 +91,21 @@
     }
 }
 
-/// All pending requests by number, and the order in which they are due.
+/// The pending requests by number, and the order in which they are due.
 #[derive(Debug)]
 pub(crate) struct PendingTable {
     next_number: u64,
     requests: BTreeMap<u64, PendingRequest>,
     numbers: HashMap<HttpRequestId, u64>,
-    /// One entry for each request: its `due` and its number.
+    /// The `due` time and the number of each request.
     due: BTreeSet<(Time, u64)>,
-    /// The sum over all kept bodies.
+    /// The total size of the pending requests' bodies, in bytes.
     body_bytes: usize,
 }
 
 impl PendingTable {
-    /// An empty table. Its numbers differ from those of other incarnations, so that a late answer to an earlier
-    /// incarnation matches no request.
+    /// Creates an empty table. Its request numbers differ from those of other incarnations, so that a late answer to an
+    /// earlier incarnation matches no request.
     pub(crate) fn new(incarnation: Incarnation) -> PendingTable {
         PendingTable {
             next_number: (incarnation << COUNTER_BITS) | 1,
@@ -114,17 +116,17 @@
         }
     }
 
-    /// True where no further request may be kept.
+    /// Returns whether no further request may be added.
     pub(crate) fn is_full(&self) -> bool {
         self.requests.len() >= MAX_REQUESTS || self.body_bytes >= MAX_BODY_BYTES
     }
 
-    /// True where nothing is pending.
+    /// Returns whether no request is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Adds a request that is due at once; its number.
+    /// Adds a request that is due immediately, and returns its number.
     pub(crate) fn insert(
         &mut self,
         now: Time,
@@ -140,7 +142,7 @@
             copies_in_flight: 0,
             deadlines,
             leaderless_since: now,
-            last_sent: None,
+            last_sent_at: None,
             backoff: RetryBackoff::default(),
             due: now,
         };
@@ -149,12 +151,12 @@
         number
     }
 
-    /// The request with this number.
+    /// Returns the request with this number.
     pub(crate) fn get(&self, number: u64) -> Option<&PendingRequest> {
         self.requests.get(&number)
     }
 
-    /// Removes the request with this number.
+    /// Removes and returns the request with this number.
     pub(crate) fn remove(&mut self, number: u64) -> Option<PendingRequest> {
         let request = self.requests.remove(&number)?;
         self.body_bytes -= request.content.body.len();
@@ -170,24 +172,24 @@
         }
     }
 
-    /// The numbers of all requests, in the order of their arrival.
+    /// Returns the numbers of all requests in the order of their arrival.
     pub(crate) fn numbers(&self) -> Vec<u64> {
         self.requests.keys().copied().collect()
     }
 
-    /// Records that copies were sent, and schedules the next retry.
+    /// Records that `copies` copies of a request were sent, and schedules its next retry.
     pub(crate) fn record_sent(&mut self, now: Time, number: u64, copies: u32) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         request.copies_in_flight += copies;
-        request.last_sent = Some(now);
+        request.last_sent_at = Some(now);
         let retry_at = now.plus_millis(request.backoff.next_delay_ms());
         self.reschedule(number, retry_at);
     }
 
-    /// Records that one copy reached a process that is not the leader, and had no effect there.
-    pub(crate) fn record_bounced(&mut self, now: Time, number: u64) {
+    /// Records that one copy reached a process that is not the leader and had no effect there.
+    pub(crate) fn record_not_leader(&mut self, now: Time, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -199,14 +201,14 @@
         self.reschedule(number, due);
     }
 
-    /// Begins again with short delays, for another leader.
+    /// Restarts the backoff of a request at the shortest delay, for a new leader.
     pub(crate) fn reset_backoff(&mut self, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.backoff = RetryBackoff::default();
         }
     }
 
-    /// Makes a request due at `wanted`, or when it expires if that is sooner.
+    /// Makes a request due at `wanted`, or at its expiry if that is earlier.
     pub(crate) fn reschedule(&mut self, number: u64, wanted: Time) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -216,12 +218,12 @@
         self.due.insert((request.due, number));
     }
 
-    /// Lets a request wait for a leader until it expires.
+    /// Stops retrying a request until a leader is known; the request stays pending until it expires.
     pub(crate) fn await_leader(&mut self, number: u64) {
         self.reschedule(number, NEVER);
     }
 
-    /// The next request that is due by `now`.
+    /// Returns the number of the next request that is due by `now`.
     pub(crate) fn next_due(&self, now: Time) -> Option<u64> {
         self.due
             .first()
@@ -229,7 +231,7 @@
             .map(|(_, number)| *number)
     }
 
-    /// When the next request is due.
+    /// Returns the time at which the next request is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.due.first().map(|(due, _)| *due)
     }
--- a/crates/cluster/gateway/src/response.rs
+++ b/crates/cluster/gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! HTTP replies: the gateway's own, and the scheduler's as it is forwarded.
+//! Builds HTTP replies: the gateway's own errors, and the scheduler's answers that are forwarded to clients.
 
 use serde_json::json;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The process accepts clients.
+/// Returns the reply to a readiness check of a process that accepts clients.
 pub(crate) fn ready() -> HttpReply {
     HttpReply {
         status: OK,
@@ -34,12 +34,12 @@
     }
 }
 
-/// True for a status that promises that the submitted job never runs.
+/// Returns whether this status guarantees to the client that the submitted job never runs.
 pub(crate) fn is_rejection(status: u16) -> bool {
     matches!(status, NOT_FOUND | TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE)
 }
 
-/// The scheduler's answer as the client gets it; `Retry-After` is rounded up to whole seconds.
+/// Converts the scheduler's answer to the client's HTTP reply; `Retry-After` is rounded up to whole seconds.
 pub(crate) fn forwarded(reply: ClientReply) -> HttpReply {
     let retry_after_s = match reply.retry_after_ms {
         0 => None,
--- a/crates/cluster/gateway/src/settings.rs
+++ b/crates/cluster/gateway/src/settings.rs
@@ -1,19 +1,19 @@
-//! The settings of a gateway.
+//! The settings with which a gateway process is started.
 
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::{Incarnation, NodeId};
 
-/// What a gateway is started with.
+/// The settings with which a gateway process is started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// The address of this process.
     pub node: NodeId,
-    /// The incarnation of this process; no two processes at one address share it.
+    /// The incarnation of this process; it differs between any two processes that run at the same address.
     pub incarnation: Incarnation,
-    /// Core processes to start from, by the settings file.
+    /// The core processes listed in the settings file, to which the first hellos are sent.
     pub seeds: Vec<NodeId>,
-    /// Time limits of the platform; `grace_s` bounds the graceful shutdown.
+    /// The time limits of the platform; `grace_s` limits the graceful shutdown.
     pub bounds: Bounds,
-    /// Drawn at random; spreads gateways over configuration parents and relays.
+    /// A random number that spreads gateways over configuration parents and relays.
     pub seed: u64,
 }
