--- a/crates/cluster/gateway/tests/answer_delivery.rs
+++ b/crates/cluster/gateway/tests/answer_delivery.rs
@@ -1,5 +1,6 @@
-//! Each answer reaches the client that asked, and a rejection is a promise: with gateways that restart, clients that
-//! close, leaders that are deposed before they have committed what they accepted, relays, lost and late messages.
+//! Guards against an answer that reaches the wrong client, and against a job that runs although its submission was
+//! rejected. Both can come about when gateways restart, clients close their connections, leaders are deposed before
+//! they commit the jobs they accepted, messages are relayed, or messages are lost or late.
 
 mod common;
 mod model;
@@ -16,23 +17,28 @@
 
 #[test]
 fn each_answer_reaches_its_client_and_no_rejected_submission_is_accepted() {
-    let mut all = Outcomes::default();
+    let mut totals = Outcomes::default();
     for seed in 1..=SCHEDULES {
         let mut cluster = Cluster::new(seed);
         cluster.run(SCHEDULE_MS);
         let outcomes = cluster.outcomes();
-        all.accepted += outcomes.accepted;
-        all.rejected += outcomes.rejected;
-        all.unknown += outcomes.unknown;
-        all.closed += outcomes.closed;
+        totals.accepted += outcomes.accepted;
+        totals.rejected += outcomes.rejected;
+        totals.unknown += outcomes.unknown;
+        totals.closed += outcomes.closed;
     }
-    let least = [all.accepted, all.rejected, all.unknown, all.closed]
-        .into_iter()
-        .min();
-    assert!(least > Some(5_000), "{all:?}");
+    let smallest_count = [
+        totals.accepted,
+        totals.rejected,
+        totals.unknown,
+        totals.closed,
+    ]
+    .into_iter()
+    .min();
+    assert!(smallest_count > Some(5_000), "{totals:?}");
 }
 
-/// Restarts the gateway at its address as another incarnation, whose request numbers must differ.
+/// Restarts the gateway at the same address with another incarnation, so that its request numbers must differ.
 fn restart(gateway: &mut TestGateway, incarnation: u64) {
     let seeds = CORE.to_vec();
     let settings = GatewaySettings {
@@ -53,19 +59,19 @@
 fn an_answer_to_an_earlier_incarnation_is_dropped() {
     let mut gateway = TestGateway::connected();
     gateway.submit();
-    let former = gateway.requests()[0].1.request;
+    let former_number = gateway.requests()[0].1.request;
     restart(&mut gateway, 78);
     let client = gateway.submit();
-    gateway.receive_reply(CORE[0], former, 200);
-    gateway.receive_not_leader(CORE[0], former, 1, CORE[0]);
+    gateway.receive_reply(CORE[0], former_number, 200);
+    gateway.receive_not_leader(CORE[0], former_number, 1, CORE[0]);
     assert_eq!(gateway.status_of(client), None);
-    let own = gateway.requests().last().unwrap().1.request;
-    assert_ne!(own, former);
+    let own_number = gateway.requests().last().unwrap().1.request;
+    assert_ne!(own_number, former_number);
     gateway.advance(2_850);
     assert_eq!(
         gateway.status_of(client),
         Some(504),
-        "its own copies are in flight, whatever bounced before"
+        "copies of the new incarnation's request are in flight; NotLeader answered an earlier request"
     );
 }
 
@@ -85,7 +91,7 @@
 }
 
 #[test]
-fn a_bounced_copy_proves_nothing_about_another_copy() {
+fn a_not_leader_answer_to_one_copy_does_not_settle_another_copy() {
     let mut gateway = TestGateway::connected();
     let client = gateway.submit();
     let number = gateway.requests()[0].1.request;
@@ -104,12 +110,15 @@
     let mut gateway = TestGateway::connected();
     let in_flight = gateway.submit();
     gateway.handle(Event::Terminate);
-    let bounced = gateway.submit();
+    let answered_by_non_leader = gateway.submit();
     let number = gateway.requests()[1].1.request;
     gateway.receive_not_leader(CORE[0], number, 1, Default::default());
     gateway.advance(4_600);
     assert_eq!(
-        (gateway.status_of(in_flight), gateway.status_of(bounced)),
+        (
+            gateway.status_of(in_flight),
+            gateway.status_of(answered_by_non_leader)
+        ),
         (Some(504), Some(503))
     );
 }
--- a/crates/cluster/gateway/tests/common/mod.rs
+++ b/crates/cluster/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway driven by a script: the test sets its clock and its messages, and reads what it sends.
+//! A gateway whose clock and incoming messages the test controls, and whose outgoing messages the test reads.
 
 #![allow(dead_code)]
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
@@ -13,19 +13,19 @@
 };
 use sagetrail_protocol::{frame, Message, NodeId, Time};
 
-/// The gateway itself.
+/// The address of the gateway.
 pub(crate) const GATEWAY: NodeId = NodeId { ip: 1, port: 7 };
-/// Three core processes.
+/// The addresses of the three core processes.
 pub(crate) const CORE: [NodeId; 3] = [
     NodeId { ip: 11, port: 7 },
     NodeId { ip: 12, port: 7 },
     NodeId { ip: 13, port: 7 },
 ];
-/// A configuration with small limits.
+/// A configuration of version 5 with a small limit on the body length.
 pub(crate) const DOCUMENT: &str =
     r#"{"version":5,"routes":[],"services":[],"limits":{"max_body_bytes":100}}"#;
 
-/// A gateway, its clock, and everything it has sent and answered since the last `clear_outbox`.
+/// A gateway, its clock, and all messages and replies that it has sent since the last `clear_outbox`.
 pub(crate) struct TestGateway {
     pub node: GatewayNode,
     pub now_ms: u64,
@@ -34,7 +34,7 @@
 }
 
 impl TestGateway {
-    /// A gateway that has just started; its first messages are in the outbox.
+    /// Creates a gateway that has just started; its first messages are in the outbox.
     pub(crate) fn new() -> TestGateway {
         TestGateway::with_bounds(Bounds::default())
     }
@@ -57,7 +57,8 @@
         }
     }
 
-    /// A gateway in contact with the leader (the first core process, term 1) that has configuration 5.
+    /// Creates a gateway that is in contact with the leader (the first core process, in term 1) and has the
+    /// configuration of version 5.
     pub(crate) fn connected() -> TestGateway {
         let mut gateway = TestGateway::new();
         gateway.receive_directory(CORE[0], 1, CORE[0]);
@@ -80,7 +81,7 @@
         self.handle(Event::Message { from, message });
     }
 
-    /// Advances the clock by `millis`, waking the node exactly when it asks for it.
+    /// Advances the clock by `millis` and wakes the node exactly at the times that it requests.
     pub(crate) fn advance(&mut self, millis: u64) {
         let end = self.now_ms + millis;
         while let Some(wake) = self.node.next_wake() {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A configuration parent answers a subscription of this moment.
+    /// Delivers a configuration parent's answer to a subscription that was sent at the current time.
     pub(crate) fn receive_current(&mut self, from: NodeId, version: u64, age_ms: u64) {
         let asked_at = self.now_ms * 1000;
         self.receive(
@@ -224,7 +225,7 @@
         self.reply_to(id).map(|reply| reply.status)
     }
 
-    /// Requests sent directly since the last `clear_outbox`.
+    /// Returns the requests that were sent directly since the last `clear_outbox`, each with its receiver.
     pub(crate) fn requests(&self) -> Vec<(NodeId, ClientRequest)> {
         let request = |(to, message): &(NodeId, Message)| match message {
             Message::ClientRequest(request) => Some((*to, request.clone())),
@@ -233,7 +234,7 @@
         self.outbox.sends.iter().filter_map(request).collect()
     }
 
-    /// Relayed messages since the last `clear_outbox`: through whom, and what.
+    /// Returns the relayed messages that were sent since the last `clear_outbox`, each with its relay.
     pub(crate) fn relayed(&self) -> Vec<(NodeId, Relayed)> {
         let relayed = |(to, message): &(NodeId, Message)| match message {
             Message::Relayed(relayed) => Some((*to, relayed.clone())),
@@ -257,7 +258,7 @@
     }
 }
 
-/// The clocks at `millis`.
+/// Returns the steady and the wall clock at `millis` milliseconds after the start of the test.
 pub(crate) fn clock(millis: u64) -> Now {
     Now {
         steady: Time(millis * 1000),
@@ -288,7 +289,7 @@
     })
 }
 
-/// `message` as a third process relays it to the gateway.
+/// Wraps `message` of `from` as a third process relays it to the gateway.
 pub(crate) fn relayed_to_gateway(from: NodeId, message: &Message) -> Message {
     Message::Relayed(Relayed {
         from,
--- a/crates/cluster/gateway/tests/discovery.rs
+++ b/crates/cluster/gateway/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: hellos to the core processes, and the parent in the relay tree of configurations.
+//! Guards against a gateway that never finds the leader or a configuration parent, that floods the core with hellos
+//! or subscriptions once it is connected, or that stays with a configuration parent that has gone silent.
 
 mod common;
 
--- a/crates/cluster/gateway/tests/drain.rs
+++ b/crates/cluster/gateway/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: the process serves on, answers every request, and ends within its grace period.
+//! Guards against a graceful shutdown that stops serving too early, leaves a request unanswered, or outlasts the grace
+//! period, after which the platform kills the process.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use common::{TestGateway, CORE};
 
 #[test]
-fn an_idle_gateway_drains_and_ends() {
+fn a_draining_gateway_ends_once_no_request_is_pending() {
     let mut gateway = TestGateway::connected();
     gateway.handle(Event::Terminate);
     assert_eq!(gateway.readiness(), 503);
@@ -21,8 +22,8 @@
     gateway.receive_reply(CORE[0], number, 200);
     assert_eq!(gateway.status_of(id), Some(200));
     assert!(gateway.outbox.finished);
-    let late = gateway.submit();
-    assert_eq!(gateway.status_of(late), Some(503));
+    let late_request = gateway.submit();
+    assert_eq!(gateway.status_of(late_request), Some(503));
 }
 
 #[test]
--- a/crates/cluster/gateway/tests/event_order.rs
+++ b/crates/cluster/gateway/tests/event_order.rs
@@ -1,4 +1,5 @@
-//! Whatever arrives in whatever order: each request is answered once, and rejected only if no copy is in flight.
+//! Guards against a request that is answered twice or never, or rejected while a copy of it is in flight, when
+//! messages, requests and timer wakes arrive in an arbitrary order.
 
 mod common;
 
@@ -11,7 +12,7 @@
 
 use common::{TestGateway, CORE};
 
-/// Positions beyond the three core processes stand for no process.
+/// An input of the gateway. `from` and `leader` are positions in `CORE`; a position past its end names no process.
 #[derive(Clone, Debug)]
 enum Step {
     Advance {
@@ -70,7 +71,7 @@
     CORE.get(position).copied().unwrap_or_default()
 }
 
-/// The number of the request sent at `position`, if there is one.
+/// Returns the number of the request at `position` in the order of sending, if there is one.
 fn number(gateway: &TestGateway, position: usize) -> Option<u64> {
     let mut numbers: Vec<u64> = gateway
         .requests()
@@ -81,11 +82,11 @@
     numbers.get(position).copied()
 }
 
-/// A gateway, what clients asked of it, and the numbers of the requests that bounced.
+/// A gateway, the HTTP requests that it received, and the numbers of the requests answered with `NotLeader`.
 struct Run {
     gateway: TestGateway,
-    asked: Vec<HttpRequestId>,
-    bounced: HashSet<u64>,
+    received: Vec<HttpRequestId>,
+    answered_not_leader: HashSet<u64>,
 }
 
 impl Run {
@@ -99,7 +100,7 @@
             } => {
                 let method = [Method::Post, Method::Get, Method::Delete][*method];
                 let id = gateway.http(method, Vec::new(), Some(*deadline_ms));
-                self.asked.push(id);
+                self.received.push(id);
             }
             Step::Directory { from, term, leader } => {
                 gateway.receive_directory(core(*from), *term, core(*leader));
@@ -113,7 +114,7 @@
                 let Some(number) = number(gateway, *request) else {
                     return;
                 };
-                self.bounced.insert(number);
+                self.answered_not_leader.insert(number);
                 gateway.receive_not_leader(core(*from), number, *term, core(*leader));
             }
             Step::Reply { from, request } => {
@@ -129,21 +130,21 @@
 proptest! {
     #[test]
     fn each_request_is_answered_once(steps in proptest::collection::vec(step(), 1..80)) {
-        let mut run = Run { gateway: TestGateway::new(), asked: Vec::new(), bounced: HashSet::new() };
+        let mut run = Run { gateway: TestGateway::new(), received: Vec::new(), answered_not_leader: HashSet::new() };
         for step in &steps {
             run.apply(step);
         }
-        let Run { mut gateway, asked, bounced } = run;
+        let Run { mut gateway, received, answered_not_leader } = run;
         gateway.advance(5000);
-        for id in &asked {
+        for id in &received {
             let status = gateway.status_of(*id);
             prop_assert!(matches!(status, Some(200 | 503 | 504)), "{:?}", status);
         }
         let sent: Vec<u64> = gateway.requests().iter().map(|(_, request)| request.request).collect();
-        let mut numbers: Vec<u64> = sent.into_iter().filter(|number| !bounced.contains(number)).collect();
+        let mut numbers: Vec<u64> = sent.into_iter().filter(|number| !answered_not_leader.contains(number)).collect();
         numbers.sort_unstable();
         numbers.dedup();
-        let not_rejected = asked.iter().filter(|id| gateway.status_of(**id) != Some(503)).count();
+        let not_rejected = received.iter().filter(|id| gateway.status_of(**id) != Some(503)).count();
         prop_assert!(numbers.len() <= not_rejected, "a request with a copy in flight was rejected");
     }
 }
--- a/crates/cluster/gateway/tests/forwarding.rs
+++ b/crates/cluster/gateway/tests/forwarding.rs
@@ -1,4 +1,5 @@
-//! Forwarding: clients' requests are sent to the leader, retried, answered, rejected, given up.
+//! Guards against requests that are not forwarded to the current leader, are not retried after a loss, are retried too
+//! often, or are answered with a rejection although a copy of them may still be accepted.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use common::{TestGateway, CORE};
 
 #[test]
-fn a_request_is_forwarded_to_the_leader_and_its_answer_back() {
+fn a_request_is_forwarded_to_the_leader_and_its_answer_to_the_client() {
     let mut gateway = TestGateway::connected();
     let id = gateway.submit();
     let (to, request) = gateway.requests().remove(0);
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_lost_request_is_retried_under_the_same_number() {
+fn a_lost_request_is_retried_with_the_same_number() {
     let mut gateway = TestGateway::connected();
     let id = gateway.submit();
     gateway.advance(249);
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn bounces_cause_no_retry_storm() {
+fn not_leader_answers_cause_no_retry_storm() {
     let mut gateway = TestGateway::connected();
     gateway.http(Method::Get, Vec::new(), None);
     for _ in 0..100 {
@@ -241,15 +242,18 @@
 }
 
 #[test]
-fn a_request_that_bounced_everywhere_is_rejected_and_others_end_with_504() {
+fn a_request_without_a_copy_in_flight_is_rejected_and_others_end_with_504() {
     let mut gateway = TestGateway::connected();
-    let bounced = gateway.submit();
+    let answered_by_non_leader = gateway.submit();
     let number = gateway.requests()[0].1.request;
     let other = gateway.submit();
     gateway.receive_not_leader(CORE[0], number, 1, NodeId::default());
     gateway.advance(300);
     assert_eq!(
-        (gateway.status_of(bounced), gateway.status_of(other)),
+        (
+            gateway.status_of(answered_by_non_leader),
+            gateway.status_of(other)
+        ),
         (Some(503), None)
     );
     gateway.advance(2600);
@@ -259,20 +263,20 @@
 #[test]
 fn bodies_over_the_limit_are_rejected() {
     let mut gateway = TestGateway::connected();
-    let over = gateway.http(Method::Post, vec![b' '; 101], None);
-    let just = gateway.http(Method::Post, vec![b' '; 100], None);
+    let over_limit = gateway.http(Method::Post, vec![b' '; 101], None);
+    let at_limit = gateway.http(Method::Post, vec![b' '; 100], None);
     assert_eq!(
-        (gateway.status_of(over), gateway.status_of(just)),
+        (gateway.status_of(over_limit), gateway.status_of(at_limit)),
         (Some(413), None)
     );
     let mut gateway = TestGateway::new();
     gateway.receive_directory(CORE[0], 1, CORE[0]);
-    let over = gateway.http(Method::Post, vec![b' '; 262_145], None);
-    assert_eq!(gateway.status_of(over), Some(413));
+    let over_limit = gateway.http(Method::Post, vec![b' '; 262_145], None);
+    assert_eq!(gateway.status_of(over_limit), Some(413));
 }
 
 #[test]
-fn an_abandoned_request_is_forgotten() {
+fn a_request_of_a_closed_connection_is_neither_retried_nor_answered() {
     let mut gateway = TestGateway::connected();
     let id = gateway.submit();
     let number = gateway.requests()[0].1.request;
--- a/crates/cluster/gateway/tests/http_answers.rs
+++ b/crates/cluster/gateway/tests/http_answers.rs
@@ -1,5 +1,5 @@
-//! What the gateway answers to clients and to the platform's readiness check, byte by byte: status, `Retry-After`
-//! and body of each outcome, as kept in `fixtures/http_answers.txt`.
+//! Guards against an unintended change of the gateway's HTTP answers to clients and to the platform's readiness check:
+//! the status, `Retry-After` and body of each outcome are compared with `fixtures/http_answers.txt`, byte by byte.
 
 mod common;
 
@@ -12,20 +12,20 @@
 
 use common::{TestGateway, CORE};
 
-const KEPT: &str = "tests/fixtures/http_answers.txt";
-/// A request whose number no other has.
-const OWN_REQUEST: HttpRequestId = HttpRequestId(900_000);
+const FIXTURE: &str = "tests/fixtures/http_answers.txt";
+/// The id of requests that do not come from `TestGateway::http`; no other request has it.
+const EXTRA_REQUEST: HttpRequestId = HttpRequestId(900_000);
 
-/// Adds the answer that a request has got by now.
-fn add(transcript: &mut Transcript, name: &str, gateway: &TestGateway, id: HttpRequestId) {
+/// Adds the answer to a request, which must have been sent by now.
+fn add_answer(transcript: &mut Transcript, name: &str, gateway: &TestGateway, id: HttpRequestId) {
     let reply = gateway
         .reply_to(id)
         .unwrap_or_else(|| panic!("no answer: {name}"));
     transcript.add_answer(name, reply.status, reply.retry_after_s, &reply.body);
 }
 
-/// Adds the answer to a request at another address than the clients', answered at once.
-fn add_at(
+/// Sends a request to an endpoint other than the clients' one and adds its answer, which must be immediate.
+fn add_answer_at(
     transcript: &mut Transcript,
     name: &str,
     gateway: &mut TestGateway,
@@ -42,17 +42,17 @@
         deadline_ms: None,
         body: Vec::new(),
     };
-    let id = OWN_REQUEST;
+    let id = EXTRA_REQUEST;
     gateway.handle(Event::Http {
         id,
         endpoint,
         request,
     });
-    add(transcript, name, gateway, id);
+    add_answer(transcript, name, gateway, id);
 }
 
-/// A gateway whose leader answered a request of the client like this; what the client gets.
-fn add_forwarded(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
+/// Adds the client's answer to a request that the leader answered with this status, `retry_after_ms` and body.
+fn add_forwarded_answer(transcript: &mut Transcript, method: Method, answer: (u16, u32, &str)) {
     let mut gateway = TestGateway::connected();
     let id = gateway.http(method, b"{}".to_vec(), None);
     let (status, retry_after_ms, body) = answer;
@@ -68,13 +68,13 @@
         }),
     );
     let name = format!("the scheduler says {status}, again after {retry_after_ms} ms: {body}");
-    add(transcript, &name, &gateway, id);
+    add_answer(transcript, &name, &gateway, id);
 }
 
-fn rejected_before_anything_is_sent(transcript: &mut Transcript) {
+fn add_rejections_on_arrival(transcript: &mut Transcript) {
     let mut gateway = TestGateway::new();
     let id = gateway.submit();
-    add(
+    add_answer(
         transcript,
         "no scheduler and no configuration",
         &gateway,
@@ -83,12 +83,12 @@
 
     let mut gateway = TestGateway::connected();
     let id = gateway.http(Method::Other, Vec::new(), None);
-    add(transcript, "a method that is none of a job's", &gateway, id);
+    add_answer(transcript, "a method that is none of a job's", &gateway, id);
     let id = gateway.http(Method::Post, vec![b' '; 101], None);
-    add(transcript, "a body over the configured limit", &gateway, id);
+    add_answer(transcript, "a body over the configured limit", &gateway, id);
     gateway.advance(1501);
     let id = gateway.submit();
-    add(
+    add_answer(
         transcript,
         "a new job while the scheduler is silent",
         &gateway,
@@ -99,7 +99,7 @@
     let last = (0..8193)
         .map(|_| gateway.http(Method::Get, Vec::new(), None))
         .last();
-    add(
+    add_answer(
         transcript,
         "one request over those held at once",
         &gateway,
@@ -107,12 +107,12 @@
     );
 }
 
-fn given_up(transcript: &mut Transcript) {
+fn add_answers_without_scheduler(transcript: &mut Transcript) {
     let mut gateway = TestGateway::new();
     gateway.receive_update(CORE[1], 5);
     let id = gateway.submit();
     gateway.advance(300);
-    add(transcript, "a job that nobody was sent", &gateway, id);
+    add_answer(transcript, "a job that nobody was sent", &gateway, id);
 
     for (method, name) in [
         (Method::Post, "job"),
@@ -122,7 +122,7 @@
         let mut gateway = TestGateway::connected();
         let id = gateway.http(method, Vec::new(), Some(2000));
         gateway.advance(1850);
-        add(
+        add_answer(
             transcript,
             &format!("a {name} without an answer in time"),
             &gateway,
@@ -135,7 +135,7 @@
     let number = gateway.requests()[0].1.request;
     gateway.receive_not_leader(CORE[0], number, 1, NodeId::default());
     gateway.advance(300);
-    add(
+    add_answer(
         transcript,
         "a job that came back unread from everywhere",
         &gateway,
@@ -147,7 +147,7 @@
     gateway.advance(250);
     let number = gateway.requests()[0].1.request;
     gateway.receive_reply(CORE[0], number, 503);
-    add(
+    add_answer(
         transcript,
         "a job refused while a second copy is out",
         &gateway,
@@ -155,7 +155,7 @@
     );
 }
 
-fn while_draining(transcript: &mut Transcript) {
+fn add_answers_while_draining(transcript: &mut Transcript) {
     let mut gateway = TestGateway::with_bounds(Bounds {
         grace_s: 6.0,
         ..Bounds::default()
@@ -165,20 +165,20 @@
     let pending = gateway.http(Method::Get, Vec::new(), Some(30_000));
     gateway.handle(Event::Terminate);
     gateway.advance(4_500);
-    add(
+    add_answer(
         transcript,
         "a read under way at the end of the grace",
         &gateway,
         pending,
     );
     let id = gateway.submit();
-    add(transcript, "a job after that", &gateway, id);
+    add_answer(transcript, "a job after that", &gateway, id);
 }
 
-fn readiness(transcript: &mut Transcript) {
+fn add_readiness_answers(transcript: &mut Transcript) {
     let ready = (Method::Get, "/v1/readyz");
     let mut gateway = TestGateway::new();
-    add_at(
+    add_answer_at(
         transcript,
         "not ready: GET /v1/readyz",
         &mut gateway,
@@ -186,35 +186,35 @@
         ready,
     );
     let mut gateway = TestGateway::connected();
-    add_at(
+    add_answer_at(
         transcript,
         "ready: GET /v1/readyz",
         &mut gateway,
         HttpEndpoint::Readiness,
         ready,
     );
-    add_at(
+    add_answer_at(
         transcript,
         "ready: GET /readyz",
         &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Get, "/readyz"),
     );
-    add_at(
+    add_answer_at(
         transcript,
         "ready: POST /v1/readyz",
         &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Post, "/v1/readyz"),
     );
-    add_at(
+    add_answer_at(
         transcript,
         "ready: GET /other",
         &mut gateway,
         HttpEndpoint::Readiness,
         (Method::Get, "/other"),
     );
-    add_at(
+    add_answer_at(
         transcript,
         "the operator's address: GET /v1/config/get",
         &mut gateway,
@@ -222,7 +222,7 @@
         (Method::Get, "/v1/config/get"),
     );
     gateway.handle(Event::Terminate);
-    add_at(
+    add_answer_at(
         transcript,
         "told to end: GET /v1/readyz",
         &mut gateway,
@@ -232,11 +232,11 @@
 }
 
 #[test]
-fn every_answer_is_the_one_kept() {
+fn every_answer_matches_the_fixture() {
     let mut transcript = Transcript::default();
-    rejected_before_anything_is_sent(&mut transcript);
-    given_up(&mut transcript);
-    while_draining(&mut transcript);
+    add_rejections_on_arrival(&mut transcript);
+    add_answers_without_scheduler(&mut transcript);
+    add_answers_while_draining(&mut transcript);
     for answer in [
         (200, 0, ""),
         (200, 0, r#"{"state":"queued"}"#),
@@ -247,10 +247,10 @@
         (429, 1001, ""),
         (503, 1, ""),
     ] {
-        add_forwarded(&mut transcript, Method::Post, answer);
+        add_forwarded_answer(&mut transcript, Method::Post, answer);
     }
-    add_forwarded(&mut transcript, Method::Get, (200, 0, r#"{"pending":3}"#));
-    add_forwarded(&mut transcript, Method::Delete, (410, 0, ""));
-    readiness(&mut transcript);
-    transcript.assert_kept(KEPT);
+    add_forwarded_answer(&mut transcript, Method::Get, (200, 0, r#"{"pending":3}"#));
+    add_forwarded_answer(&mut transcript, Method::Delete, (410, 0, ""));
+    add_readiness_answers(&mut transcript);
+    transcript.assert_kept(FIXTURE);
 }
--- a/crates/cluster/gateway/tests/model/cluster.rs
+++ b/crates/cluster/gateway/tests/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes on their network, millisecond by millisecond, and the invariants.
+//! Runs the gateways, the core processes and the clients in steps of one millisecond, and checks the invariants.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     incarnation: u64,
     started_ms: u64,
     restart_ms: u64,
-    /// Counts from one in each incarnation, as the HTTP server does.
+    /// The id of the next HTTP request; the ids start at 1 in each incarnation, as in the HTTP server.
     next_id: u64,
 }
 
@@ -41,27 +41,28 @@
     }
 }
 
-/// The whole model.
+/// The model of the gateways, the core processes, the clients and the network between them.
 pub(crate) struct Cluster {
     random: SeededRandom,
     now_ms: u64,
     gateways: Vec<Gateway>,
     core: CoreProcesses,
-    /// For a core process and a gateway, who relayed the gateway's last message: answers return by it.
+    /// The process that relayed a gateway's last message to a core process, by (core process, gateway). Answers are
+    /// sent back through it; there is no entry if the last message was direct.
     return_routes: BTreeMap<(NodeId, NodeId), NodeId>,
     clients: Clients,
     network: Network,
-    /// Jobs submitted so far, each with a path of its own.
+    /// The number of distinct jobs submitted so far; each has its own path.
     jobs: u64,
 }
 
-/// The outcomes of submissions.
+/// The number of submissions by outcome.
 #[derive(Default, Debug)]
 pub(crate) struct Outcomes {
     pub accepted: usize,
     pub rejected: usize,
     pub unknown: usize,
-    /// The client has closed the connection, or its gateway has ended.
+    /// Submissions without an answer, because the client closed the connection or its gateway ended.
     pub closed: usize,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Runs for `millis`, checking answers as they come and the invariants at the end.
+    /// Runs for `millis` milliseconds; checks each answer on arrival and the rejections at the end.
     pub(crate) fn run(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now_ms += 1;
@@ -167,7 +168,7 @@
         gateway.started_ms = self.now_ms;
         gateway.next_id = 1;
         gateway.node = Some(GatewayNode::new(settings, clock(0), &mut outbox));
-        self.carry_out(number, outbox);
+        self.process_outbox(number, outbox);
     }
 
     fn handle(&mut self, number: usize, event: Event) {
@@ -177,11 +178,11 @@
         };
         let mut outbox = Outbox::default();
         node.handle(clock(self.now_ms - gateway.started_ms), event, &mut outbox);
-        self.carry_out(number, outbox);
+        self.process_outbox(number, outbox);
     }
 
     /// Sends the messages of a gateway, and checks its answers.
-    fn carry_out(&mut self, number: usize, outbox: Outbox) {
+    fn process_outbox(&mut self, number: usize, outbox: Outbox) {
         for (to, message) in outbox.sends {
             self.send(gateway_address(number), to, message);
         }
@@ -209,7 +210,7 @@
             .send(self.now_ms, &mut self.random, connection, transmission);
     }
 
-    /// A core process answers a gateway, by whoever relayed its message.
+    /// Sends a core process's answer to a gateway, through the relay by which the gateway's last message came, if any.
     fn send_back(&mut self, CoreMessage { from, to, message }: CoreMessage) {
         let Some(relay) = self.return_routes.get(&(from, to)).copied() else {
             return self.send(from, to, message);
@@ -258,7 +259,7 @@
             Message::ClientRequest(request) => {
                 let random = &mut self.random;
                 self.core
-                    .request(self.now_ms, process, gateway, request, random)
+                    .handle_request(self.now_ms, process, gateway, request, random)
             }
             _ => None,
         };
@@ -273,17 +274,17 @@
 
     fn run_clients(&mut self) {
         if self.random.one_in(15) {
-            self.ask();
+            self.send_client_request();
         }
         if self.random.one_in(60) && !self.clients.attempts.is_empty() {
             let count = self.clients.attempts.len() as u64;
-            let back = self.random.below(count.min(20));
-            self.close(count - 1 - back);
+            let distance = self.random.below(count.min(20));
+            self.close(count - 1 - distance);
         }
     }
 
-    /// A client asks: for a new job, one of the last again, or the state or cancellation of one of them.
-    fn ask(&mut self) {
+    /// Sends a client's request: submits, reads or cancels either a new job or one of the last jobs.
+    fn send_client_request(&mut self) {
         let number = self.random.below(GATEWAYS as u64) as usize;
         if self.gateways[number].node.is_none() {
             return;
@@ -299,7 +300,7 @@
             incarnation: gateway.incarnation,
             id,
         };
-        let attempt = self.clients.ask(method, path.clone(), key);
+        let attempt = self.clients.record_request(method, path.clone(), key);
         let request = HttpRequest {
             method,
             host: "a.example".to_owned(),
@@ -316,7 +317,7 @@
         self.handle(number, event);
     }
 
-    /// The number of a new job, or of one of the last.
+    /// Returns the number of a new job or, at random, of one of the last jobs.
     fn pick_job(&mut self) -> u64 {
         if self.jobs > 0 && self.random.one_in(3) {
             return self.jobs - self.random.below(self.jobs.min(6));
@@ -331,7 +332,7 @@
         }
     }
 
-    /// A submission that was rejected was never accepted, whatever became of its copies.
+    /// Asserts that no rejected submission was ever accepted by any of its copies.
     fn check_rejections(&self) {
         for attempt in &self.clients.attempts {
             let is_rejected =
--- a/crates/cluster/gateway/tests/model/core_processes.rs
+++ b/crates/cluster/gateway/tests/model/core_processes.rs
@@ -1,5 +1,5 @@
-//! The core processes: one of them is the leader and accepts requests, commits them a little later, and may be deposed
-//! before that.
+//! The model's core processes. One of them is the leader; it accepts jobs and commits each after a short delay, and may
+//! be deposed before the commit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 const MAX_VACANCY_MS: u64 = 900;
 const MAX_COMMIT_MS: u64 = 60;
 
-/// A job that was accepted and is not committed yet: who is answered, once it is.
+/// A job that was accepted and is not committed yet, and the gateway's request that is answered after the commit.
 struct Uncommitted {
     path: String,
     gateway: NodeId,
@@ -36,16 +36,16 @@
 pub(crate) struct CoreProcesses {
     term: u64,
     leader: Option<NodeId>,
-    /// When the next leader is elected.
+    /// The time at which the next leader is elected, in milliseconds.
     vacant_until_ms: u64,
     uncommitted: Vec<Uncommitted>,
     committed: BTreeSet<String>,
-    /// The attempts of clients by which each job was accepted.
+    /// The numbers of the clients' attempts by which each job was accepted, by the job's path.
     accepted_by: BTreeMap<String, Vec<u64>>,
 }
 
 impl CoreProcesses {
-    /// The leader is deposed; what it had accepted and not committed is committed by chance.
+    /// Deposes the leader. Each job that it accepted and did not commit is committed or lost at random.
     pub(crate) fn depose(&mut self, now_ms: u64, random: &mut SeededRandom) {
         self.leader = None;
         self.vacant_until_ms = now_ms + random.below(MAX_VACANCY_MS);
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Elects where there is no leader; answers what is committed now.
+    /// Elects a leader if there is none and the vacancy is over. Commits the jobs that are due and returns their
+    /// answers.
     pub(crate) fn tick(&mut self, now_ms: u64, random: &mut SeededRandom) -> Vec<CoreMessage> {
         if self.leader.is_none() && now_ms >= self.vacant_until_ms {
             self.term += 1;
@@ -94,8 +95,8 @@
         })
     }
 
-    /// What `process` answers at once, if anything.
-    pub(crate) fn request(
+    /// Handles a request at `process` and returns its immediate answer, if there is one.
+    pub(crate) fn handle_request(
         &mut self,
         now_ms: u64,
         process: NodeId,
@@ -138,8 +139,11 @@
             return Some(reply(request.request, status, &path));
         }
         if !is_accepted {
-            let attempt =
-                u64::from_le_bytes(request.body[..].try_into().expect("an attempt's number"));
+            let attempt = u64::from_le_bytes(
+                request.body[..]
+                    .try_into()
+                    .expect("the body is the number of an attempt"),
+            );
             self.accepted_by
                 .entry(path.clone())
                 .or_default()
@@ -154,12 +158,12 @@
         None
     }
 
-    /// True where the job is committed.
+    /// Returns whether the job is committed.
     pub(crate) fn has_committed(&self, path: &str) -> bool {
         self.committed.contains(path)
     }
 
-    /// True where the job was accepted by this attempt, committed or not.
+    /// Returns whether the job was accepted by this attempt, committed or not.
     pub(crate) fn has_accepted(&self, path: &str, attempt: u64) -> bool {
         self.accepted_by
             .get(path)
@@ -167,7 +171,7 @@
     }
 }
 
-/// An answer that names in its body what was asked.
+/// Builds an answer whose body is the path of the request.
 fn reply(request: u64, status: u16, path: &str) -> Message {
     Message::ClientReply(ClientReply {
         request,
--- a/crates/cluster/gateway/tests/model/mod.rs
+++ b/crates/cluster/gateway/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! Gateways, the core processes behind them and their clients on a bad network, by a seed. Messages are lost, late, out
-//! of order, and reach whatever process runs at their address. The model shares no code with the gateway but its
-//! messages.
+//! A seeded model of gateways, the core processes and the clients on an unreliable network. Messages are lost, delayed
+//! or reordered, and reach whichever process then runs at their address. The model shares only the message types with
+//! the gateway.
 
 mod clients;
 mod cluster;
--- a/crates/cluster/gateway/tests/model/network.rs
+++ b/crates/cluster/gateway/tests/model/network.rs
@@ -1,4 +1,5 @@
-//! The network between gateways and core processes: loses, delays and reorders messages, and is partitioned at times.
+//! The model's network between gateways and core processes: it loses, delays and reorders messages, and cuts
+//! connections for limited times.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Network {
     in_transit: Vec<Transmission>,
-    /// The connections that are cut, and until when.
+    /// The time until which each cut connection loses all messages, in milliseconds.
     cut_until_ms: BTreeMap<Connection, u64>,
 }
 
@@ -39,7 +40,7 @@
         self.cut_until_ms.insert(connection, until_ms);
     }
 
-    /// Sends a message over a connection, unless that is cut or the message is lost.
+    /// Sends a message over a connection. The message is dropped if the connection is cut or the loss is drawn.
     pub(crate) fn send(
         &mut self,
         now_ms: u64,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The messages that arrive by now.
+    /// Removes and returns the messages that arrive by `now_ms`.
     pub(crate) fn arrivals(&mut self, now_ms: u64) -> Vec<Transmission> {
         self.in_transit
             .extract_if(.., |transmission| transmission.due_ms <= now_ms)
--- a/crates/cluster/gateway/tests/partition.rs
+++ b/crates/cluster/gateway/tests/partition.rs
@@ -1,5 +1,5 @@
-//! A gateway that is partitioned from the core, or suspended, for up to twenty seconds: what clients and the readiness
-//! check are answered.
+//! Guards against a gateway that rejects a request whose copy was sent, answers in place of the scheduler, or reports
+//! itself ready, while it is partitioned from the core or after it was suspended for up to twenty seconds.
 
 mod common;
 
@@ -14,12 +14,12 @@
 
 use common::{directory, reply, TestGateway, CORE};
 
-/// Time without contact to the leader, or without a confirmed configuration, after which a gateway is not ready, in
-/// milliseconds.
+/// The time without contact to the leader, or without a confirmed configuration, after which a gateway must not be
+/// ready, in milliseconds.
 const READINESS_TIMEOUT_MS: u64 = 2_500;
-/// Silence of the leader after which submissions are rejected, in milliseconds.
+/// The time without a message of the leader after which submissions are rejected, in milliseconds.
 const UNRESPONSIVE_MS: u64 = 1_500;
-/// Delay of a message, in milliseconds.
+/// The delay of each message to the gateway, in milliseconds.
 const DELAY_MS: u64 = 5;
 const SCHEDULES: u64 = 150;
 
@@ -31,14 +31,15 @@
     Inbound,
 }
 
-/// A gateway that may answer for the scheduler, for the test of the checker.
+/// The alteration of the gateway's answers. The altered variants act as if the gateway answered in place of the
+/// scheduler, which the checker must detect.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Variant {
     Correct,
-    /// Answers 503 instead of 504.
-    RejectsAlone,
-    /// Answers 410 instead of 504.
-    DeniesAlone,
+    /// Replaces each 504 with 503, a rejection.
+    RejectsUnknownOutcome,
+    /// Replaces each 504 with 410, which states that the job is gone.
+    AnswersUnknownOutcomeWithGone,
 }
 
 struct ClientRequest {
@@ -48,21 +49,21 @@
     status: Option<u16>,
 }
 
-/// A message on its way to the gateway.
+/// A message in transit to the gateway.
 struct Incoming {
     arrival_ms: u64,
     from: NodeId,
     message: Message,
 }
 
-/// A gateway, three core processes of which the first is the leader, and a network that is partitioned for a while.
+/// A gateway, three core processes of which the first is the leader, and a network that is partitioned for some time.
 struct Network {
     gateway: TestGateway,
     random: Pcg64Mcg,
     partition: Option<Partition>,
     requests: BTreeMap<HttpRequestId, ClientRequest>,
     incoming: Vec<Incoming>,
-    /// Copies of requests that left the gateway, lost ones too.
+    /// The number of copies of requests that the gateway sent, including copies that were lost.
     copies_sent: usize,
     variant: Variant,
     violations: Vec<String>,
@@ -88,8 +89,8 @@
             .is_some_and(|partition| partitions.contains(&partition))
     }
 
-    /// A client asks for something.
-    fn ask(&mut self) -> HttpRequestId {
+    /// Sends a client's request with a random method and deadline to the gateway.
+    fn send_request(&mut self) -> HttpRequestId {
         let method = [Method::Post, Method::Get, Method::Delete][self.random.random_range(0..3)];
         let deadline_ms = self.random.random_range(300..4_000);
         let body = if method == Method::Post {
@@ -111,10 +112,10 @@
         id
     }
 
-    /// Goes on by a millisecond.
+    /// Advances the model by one millisecond.
     fn tick(&mut self) {
         self.gateway.advance(1);
-        self.take_sends();
+        self.process_sends();
         let now_ms = self.gateway.now_ms;
         let arrivals: Vec<Incoming> = self
             .incoming
@@ -125,11 +126,11 @@
                 self.gateway.receive(incoming.from, incoming.message);
             }
         }
-        self.take_sends();
-        self.take_replies();
+        self.process_sends();
+        self.record_replies();
     }
 
-    fn take_sends(&mut self) {
+    fn process_sends(&mut self) {
         for (to, message) in std::mem::take(&mut self.gateway.outbox.sends) {
             if matches!(message, Message::ClientRequest(_)) {
                 self.copies_sent += 1;
@@ -161,26 +162,27 @@
         }
     }
 
-    fn take_replies(&mut self) {
+    fn record_replies(&mut self) {
         for (id, reply) in std::mem::take(&mut self.gateway.outbox.replies) {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
             let status = match (self.variant, reply.status) {
-                (Variant::RejectsAlone, 504) => 503,
-                (Variant::DeniesAlone, 504) => 410,
+                (Variant::RejectsUnknownOutcome, 504) => 503,
+                (Variant::AnswersUnknownOutcomeWithGone, 504) => 410,
                 (_, status) => status,
             };
             request.status = Some(status);
         }
     }
 
-    /// One client asks, and is followed to its answer before the next one asks: what is sent meanwhile is its request.
-    fn follow_one(&mut self) {
-        let before = self.copies_sent;
-        let id = self.ask();
-        self.take_replies();
-        self.take_sends();
+    /// Sends one request and runs the model until it is answered. No other request is pending in this time, so every
+    /// copy that is sent belongs to this request.
+    fn check_one_request(&mut self) {
+        let copies_before = self.copies_sent;
+        let id = self.send_request();
+        self.record_replies();
+        self.process_sends();
         while self.requests[&id].status.is_none() {
             self.tick();
             let request = &self.requests[&id];
@@ -190,7 +192,7 @@
                 return;
             }
         }
-        let was_sent = self.copies_sent > before;
+        let was_sent = self.copies_sent > copies_before;
         let request = &self.requests[&id];
         let status = request.status.unwrap_or_default();
         let allowed: &[u16] = match (self.partition, was_sent) {
@@ -207,26 +209,26 @@
         }
     }
 
-    /// Partitions the network once, and heals it; what was wrong.
+    /// Partitions the network once and heals it. Returns the violations that were found.
     fn run(mut self) -> Vec<String> {
         (0..1_000).for_each(|_| self.tick());
         assert_eq!(self.gateway.readiness(), 200);
         let partitions = [Partition::Both, Partition::Outbound, Partition::Inbound];
         let partition = partitions[self.random.random_range(0..3)];
         self.partition = Some(partition);
-        // Messages in transit are lost.
+        // The start of the partition loses the messages in transit.
         self.incoming.clear();
-        let began_ms = self.gateway.now_ms;
-        let span_ms = self.random.random_range(1_000..20_000);
-        while self.gateway.now_ms < began_ms + span_ms {
-            self.follow_one();
-            let partition_ms = self.gateway.now_ms - began_ms;
+        let start_ms = self.gateway.now_ms;
+        let duration_ms = self.random.random_range(1_000..20_000);
+        while self.gateway.now_ms < start_ms + duration_ms {
+            self.check_one_request();
+            let partition_ms = self.gateway.now_ms - start_ms;
             if partition_ms > READINESS_TIMEOUT_MS && self.gateway.readiness() != 503 {
                 self.violations
                     .push(format!("ready after {partition_ms} ms of {partition:?}"));
             }
-            let pause = self.random.random_range(0..400);
-            (0..pause).for_each(|_| self.tick());
+            let pause_ms = self.random.random_range(0..400);
+            (0..pause_ms).for_each(|_| self.tick());
         }
         self.partition = None;
         (0..900).for_each(|_| self.tick());
@@ -234,7 +236,7 @@
             self.violations
                 .push("not ready 900 ms after the partition".to_owned());
         }
-        self.follow_one();
+        self.check_one_request();
         self.violations
     }
 }
@@ -249,7 +251,10 @@
 
 #[test]
 fn the_checker_flags_gateways_that_answer_for_the_scheduler() {
-    for variant in [Variant::RejectsAlone, Variant::DeniesAlone] {
+    for variant in [
+        Variant::RejectsUnknownOutcome,
+        Variant::AnswersUnknownOutcomeWithGone,
+    ] {
         let flagged = (0..20)
             .filter(|seed| !Network::new(*seed, variant).run().is_empty())
             .count();
@@ -276,12 +281,12 @@
 }
 
 #[test]
-fn a_resumed_gateway_is_not_ready_by_messages_from_its_sockets() {
+fn a_resumed_gateway_does_not_become_ready_by_messages_queued_in_its_sockets() {
     for suspended_ms in [3_000, 8_000, 20_000] {
         let mut gateway = TestGateway::connected();
         gateway.advance_in_contact(2_000, CORE[0], 1, 5);
         assert_eq!(gateway.readiness(), 200);
-        // It is suspended, and resumes partitioned, with the answers of that time in its sockets.
+        // The gateway is suspended and resumes partitioned, with the answers of the suspended time in its sockets.
         let asked_at = gateway.now_ms * 1000;
         gateway.now_ms += suspended_ms;
         gateway.receive_directory(CORE[0], 1, CORE[0]);
@@ -303,14 +308,15 @@
 }
 
 #[test]
-fn a_partitioned_core_process_keeps_no_gateway_ready() {
+fn a_partitioned_core_process_does_not_keep_a_gateway_ready() {
     let mut gateway = TestGateway::connected();
     gateway.advance_in_contact(1_000, CORE[0], 1, 5);
-    // The former leader, without its lease, names nobody; partitioned core processes give out no configuration.
+    // The former leader has lost its lease and names no leader; partitioned core processes send no configuration
+    // updates.
     for _ in 0..40 {
         gateway.advance(100);
-        let nobody = NodeId::default();
-        gateway.receive_directory(CORE[0], 1, nobody);
+        let no_leader = NodeId::default();
+        gateway.receive_directory(CORE[0], 1, no_leader);
         gateway.receive_current(CORE[1], 5, 0);
     }
     assert_eq!(gateway.readiness(), 503);
--- a/crates/cluster/gateway/tests/readiness.rs
+++ b/crates/cluster/gateway/tests/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness: only with a leader that answers and a configuration that was confirmed recently.
+//! Guards against a gateway that reports itself ready without a leader that answers or without a recently confirmed
+//! configuration, so that the platform would send it clients that it cannot serve.
 
 mod common;
 
--- a/crates/cluster/gateway/tests/relaying.rs
+++ b/crates/cluster/gateway/tests/relaying.rs
@@ -1,4 +1,5 @@
-//! Relaying: messages through a third process, to the leader and for others.
+//! Guards against a leader that is reachable only through other processes and gets no requests, against relayed
+//! messages for other processes that are altered, and against undecodable ones that are processed.
 
 mod common;
 
@@ -30,19 +31,19 @@
     assert!(relayed
         .iter()
         .all(|(_, relayed)| relayed.to == CORE[0] && relayed.from == GATEWAY));
-    assert!(relayed.iter().all(|(through, _)| *through != CORE[0]));
+    assert!(relayed.iter().all(|(relay, _)| *relay != CORE[0]));
     let hello =
         |relayed: &Relayed| matches!(frame::decode(&relayed.payload), Ok(Message::Hello(_)));
     assert!(relayed.iter().any(|(_, relayed)| hello(relayed)));
     gateway.advance(500);
-    let through: Vec<NodeId> = gateway
+    let relays: Vec<NodeId> = gateway
         .relayed()
         .into_iter()
-        .map(|(through, _)| through)
+        .map(|(relay, _)| relay)
         .collect();
     assert!(
-        through.contains(&CORE[1]) && through.contains(&CORE[2]),
-        "{through:?}"
+        relays.contains(&CORE[1]) && relays.contains(&CORE[2]),
+        "{relays:?}"
     );
     gateway.receive(CORE[1], relayed_to_gateway(CORE[0], &directory(1, CORE[0])));
     let number = gateway.requests()[0].1.request;
@@ -86,11 +87,11 @@
             payload: Blob(vec![250]),
         }),
     );
-    let twice = relayed_to_gateway(
+    let relayed_twice = relayed_to_gateway(
         CORE[0],
         &relayed_to_gateway(CORE[0], &directory(9, CORE[1])),
     );
-    gateway.receive(CORE[1], twice);
+    gateway.receive(CORE[1], relayed_twice);
     gateway.submit();
     assert_eq!(gateway.requests()[0].0, CORE[0]);
 }
