--- a/crates/cluster/cluster-config/src/change.rs
+++ b/crates/cluster/cluster-config/src/change.rs
@@ -1,29 +1,31 @@
-//! Changes of a configuration: a replacement, or a patch of named items.
+//! Changes to a configuration: replacing the full document, or patching named items.
 
 use crate::document::ConfigDocument;
 use crate::error::ConfigError;
-use crate::raw_patch::patched;
+use crate::raw_patch::apply_patch;
 use crate::read::{self, Object};
 
 impl ConfigDocument {
-    /// Parses the full configuration in `body`, which replaces one of version `current`; 0 for none.
+    /// Parses the full configuration in `body`, which replaces the one of version `current`; `current` is 0 if there is
+    /// none.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::OldVersion`] where its version is not above the current one, otherwise as [`ConfigDocument::parse`].
+    /// Returns [`ConfigError::OldVersion`] if its version is not above the current one, otherwise the errors of
+    /// [`ConfigDocument::parse`].
     pub fn replace(current: u64, body: &[u8]) -> Result<ConfigDocument, ConfigError> {
         let json = read::object(body)?;
         check_version(current, &json)?;
         ConfigDocument::from_json(json)
     }
 
-    /// Applies the patch in `body` to `current`: first the items under `remove` are removed, then those under `upsert`
-    /// replace the items of the same name, or are appended.
+    /// Applies the patch in `body` to `current`. The items named under `remove` are removed first; then each item under
+    /// `upsert` replaces the item of the same name, or is appended if there is none.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::NothingToPatch`] without a current configuration, [`ConfigError::Invalid`] for an invalid patch,
-    /// otherwise as [`ConfigDocument::replace`].
+    /// Returns [`ConfigError::NothingToPatch`] if there is no current configuration, [`ConfigError::Invalid`] for an
+    /// invalid patch, otherwise the errors of [`ConfigDocument::replace`].
     pub fn patch(
         current: Option<&StoredDocument>,
         body: &[u8],
@@ -31,39 +33,39 @@
         let patch = read::object(body)?;
         check_version(current.map_or(0, |current| current.version), &patch)?;
         let current = current.ok_or(ConfigError::NothingToPatch)?;
-        ConfigDocument::parse_stored(&patched(current.json, &patch)?)
+        ConfigDocument::parse_stored(&apply_patch(current.json, &patch)?)
     }
 }
 
-/// A configuration as it is stored, not parsed.
+/// A configuration in its stored form, which is not parsed yet.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StoredDocument<'a> {
-    /// Its version, above 0.
+    /// The version of the configuration; always above 0.
     pub version: u64,
-    /// The JSON that [`ConfigDocument::to_bytes`] made.
+    /// The JSON that [`ConfigDocument::to_bytes`] returned.
     pub json: &'a [u8],
 }
 
-/// Applies the patch in `body` to the document in `current`, without the checks of a valid configuration: for a change
-/// that was checked elsewhere and whose result is compared with what came of it there. The same bytes as those of
-/// [`ConfigDocument::patch`].
+/// Applies the patch in `body` to the document in `current` without checking that the result is a valid configuration.
+/// It serves a change that another process has checked, where the caller compares the result with that of the other
+/// process. The resulting bytes equal those of [`ConfigDocument::patch`].
 ///
 /// # Errors
 ///
-/// [`ConfigError`] where either is not readable, or the patch has another form.
+/// Returns a [`ConfigError`] if the document or the patch is not readable JSON, or if the patch has an invalid form.
 pub fn patch_unchecked(current: &[u8], body: &[u8]) -> Result<PatchedDocument, ConfigError> {
     let patch = read::object(body)?;
     let version = read::version(&patch)?;
-    let document = patched(current, &patch)?;
+    let document = apply_patch(current, &patch)?;
     Ok(PatchedDocument { version, document })
 }
 
-/// What [`patch_unchecked`] makes.
+/// The result of [`patch_unchecked`].
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PatchedDocument {
-    /// The version that the patch names.
+    /// The version that the patch specifies.
     pub version: u64,
-    /// The document's JSON.
+    /// The JSON of the patched document.
     pub document: Vec<u8>,
 }
 
--- a/crates/cluster/cluster-config/src/document.rs
+++ b/crates/cluster/cluster-config/src/document.rs
@@ -1,4 +1,4 @@
-//! A full configuration.
+//! The full configuration document: parsing, checks, and lookup of routes and services.
 
 use std::collections::HashMap;
 
@@ -10,11 +10,11 @@
 use crate::item::{Limits, Route, ServiceEntry};
 use crate::read::{self, Object};
 
-/// A valid configuration: typed fields beside the JSON, each value as it was sent. Items have unique names, each route names a
-/// service of the document, and no two routes share host and prefix.
+/// A valid configuration. It holds typed fields and, next to them, the JSON with every value as it was sent. Items have
+/// unique names, each route names a service of the document, and no two routes share host and prefix.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ConfigDocument {
-    /// The version; rises with each change.
+    /// The version, which increases with each change.
     pub version: u64,
     /// The routes, in the document's order.
     pub routes: Vec<Route>,
@@ -22,7 +22,7 @@
     pub services: Vec<ServiceEntry>,
     /// Limits on clients' requests.
     pub limits: Limits,
-    /// The JSON, the source of the fields above.
+    /// The JSON from which the fields above were parsed.
     json: Vec<u8>,
     route_index: RouteIndex,
     route_positions: HashMap<String, usize>,
@@ -34,33 +34,33 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Unreadable`] or [`ConfigError::Invalid`], for the first fault found.
+    /// Returns [`ConfigError::Unreadable`] or [`ConfigError::Invalid`] for the first fault found.
     pub fn parse(body: &[u8]) -> Result<ConfigDocument, ConfigError> {
         ConfigDocument::from_json(read::object(body)?)
     }
 
-    /// Parses and checks a configuration that [`ConfigDocument::to_bytes`] made, or a patch of one. Other than
-    /// [`ConfigDocument::parse`] it does not look into fields that are not typed.
+    /// Parses and checks a configuration that [`ConfigDocument::to_bytes`] returned, or the result of patching one.
+    /// Unlike [`ConfigDocument::parse`], it does not parse the contents of untyped fields.
     ///
     /// # Errors
     ///
-    /// As [`ConfigDocument::parse`].
+    /// Returns the errors of [`ConfigDocument::parse`].
     pub fn parse_stored(json: &[u8]) -> Result<ConfigDocument, ConfigError> {
         let typed: Option<TypedFields> = serde_json::from_slice(json).ok();
         let document = typed
             .filter(TypedFields::has_valid_items)
             .and_then(|typed| typed.into_document(json.to_vec()).ok());
-        // The slow way names the path of the fault.
+        // On failure the slower parser runs, because its errors name the path of the fault.
         document.map_or_else(|| ConfigDocument::parse(json), Ok)
     }
 
-    /// The configuration as JSON, each value as it was sent.
+    /// Returns the configuration as JSON, with each value as it was sent.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         self.json.clone()
     }
 
-    /// The route of a request: `host` without a port, `path` without a query.
+    /// Returns the route of a request. `host` is given without a port and `path` without a query.
     #[must_use]
     pub fn route<'a>(&'a self, host: &str, path: &'a str) -> Option<RouteMatch<'a>> {
         let route = &self.routes[self.route_index.find(host, path)?];
@@ -70,7 +70,7 @@
         })
     }
 
-    /// The route with this name.
+    /// Returns the route with this name.
     #[must_use]
     pub fn route_named(&self, name: &str) -> Option<&Route> {
         self.route_positions
@@ -78,7 +78,7 @@
             .map(|position| &self.routes[*position])
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
         self.service_positions
@@ -97,7 +97,7 @@
     }
 }
 
-/// The fields that have types.
+/// The fields of the document that are parsed into types.
 #[derive(Deserialize)]
 struct TypedFields {
     version: u64,
@@ -108,17 +108,18 @@
 }
 
 impl TypedFields {
-    /// Whether each item keeps the rules for itself.
+    /// Returns whether each item is valid by itself, without regard to the other items.
     fn has_valid_items(&self) -> bool {
-        let routes = self.routes.iter().all(|route| route.validate().is_ok());
-        routes
+        let routes_are_valid = self.routes.iter().all(|route| route.validate().is_ok());
+        routes_are_valid
             && self
                 .services
                 .iter()
                 .all(|service| service.validate().is_ok())
     }
 
-    /// The document of valid items, where they keep the rules together; `json`: their source.
+    /// Builds the document from items that are valid by themselves, and checks the rules that span several items.
+    /// `json` is the source of the items.
     fn into_document(self, json: Vec<u8>) -> Result<ConfigDocument, ConfigError> {
         let TypedFields {
             version,
@@ -126,14 +127,14 @@
             services,
             limits,
         } = self;
-        read::unique_names("routes", routes.iter().map(|route| route.name.as_str()))?;
-        read::unique_names(
+        read::check_unique_names("routes", routes.iter().map(|route| route.name.as_str()))?;
+        read::check_unique_names(
             "services",
             services.iter().map(|service| service.name.as_str()),
         )?;
         let route_index = RouteIndex::build(&routes)?;
-        let route_positions = positions(routes.iter().map(|route| &route.name));
-        let service_positions = positions(services.iter().map(|service| &service.name));
+        let route_positions = positions_by_name(routes.iter().map(|route| &route.name));
+        let service_positions = positions_by_name(services.iter().map(|service| &service.name));
         check_services(&routes, &service_positions)?;
         Ok(ConfigDocument {
             version,
@@ -148,7 +149,7 @@
     }
 }
 
-fn positions<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<String, usize> {
+fn positions_by_name<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<String, usize> {
     names
         .enumerate()
         .map(|(position, name)| (name.clone(), position))
--- a/crates/cluster/cluster-config/src/error.rs
+++ b/crates/cluster/cluster-config/src/error.rs
@@ -1,20 +1,21 @@
-//! Why a configuration is rejected.
+//! The reasons for which a configuration is rejected.
 
-/// Why a configuration or a change of one is rejected. The texts are part of the operator's HTTP answers.
+/// The reason for which a configuration or a change to one is rejected. The texts are sent in the HTTP answers to the
+/// operator.
 #[derive(thiserror::Error, Clone, PartialEq, Eq, Debug)]
 pub enum ConfigError {
-    /// The body is not JSON, or is cut off.
+    /// The body is not a JSON object, or is truncated.
     #[error("unreadable: {reason}")]
     Unreadable {
-        /// What the parser reports.
+        /// The parser's error message.
         reason: String,
     },
     /// A field or an item is invalid or missing.
     #[error("{path}: {reason}")]
     Invalid {
-        /// Where it is in the document, as in `routes[1].timeout_ms`.
+        /// The path of the field or item in the document, for example `routes[1].timeout_ms`.
         path: String,
-        /// What is wrong with it.
+        /// The rule that the field or item violates.
         reason: String,
     },
     /// The version is not above the current one.
@@ -22,16 +23,16 @@
     OldVersion {
         /// The version in the body.
         version: u64,
-        /// The version of the current configuration; 0 where there is none.
+        /// The version of the current configuration; 0 if there is none.
         current: u64,
     },
-    /// A patch, and there is no configuration yet.
+    /// A patch was sent but there is no configuration yet.
     #[error("there is no configuration to patch")]
     NothingToPatch,
 }
 
 impl ConfigError {
-    /// A field or item at `path` is invalid.
+    /// Builds the error for an invalid field or item at `path`.
     pub(crate) fn at(path: impl Into<String>, reason: impl Into<String>) -> ConfigError {
         ConfigError::Invalid {
             path: path.into(),
--- a/crates/cluster/cluster-config/src/index.rs
+++ b/crates/cluster/cluster-config/src/index.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request: host first, then the longest prefix.
+//! Finds the route of a request by its host and then by the longest matching path prefix.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -6,32 +6,32 @@
 use crate::error::ConfigError;
 use crate::item::Route;
 
-/// The route of a request, and the rest of its path.
+/// The route that matches a request, and the rest of the request's path.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RouteMatch<'a> {
-    /// The route.
+    /// The matching route.
     pub route: &'a Route,
     /// The path after the route's prefix.
     pub rest: &'a str,
 }
 
-/// The prefixes of one host.
+/// The path prefixes of one host.
 #[derive(Clone, PartialEq, Debug, Default)]
 struct HostRoutes {
-    /// Lengths of the prefixes, longest first, each once.
+    /// The distinct lengths of the prefixes in bytes, longest first.
     lengths: Vec<usize>,
-    /// Positions in the document's list of routes, by prefix.
+    /// The position of each route in the document's list, by prefix.
     by_prefix: HashMap<String, usize>,
 }
 
-/// Positions of routes by host and prefix.
+/// The positions of routes in the document's list, by host and prefix.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub(crate) struct RouteIndex {
     hosts: HashMap<String, HostRoutes>,
 }
 
 impl RouteIndex {
-    /// Indexes `routes`; an error where two share host and prefix.
+    /// Builds the index of `routes`; returns an error if two of them share host and prefix.
     pub(crate) fn build(routes: &[Route]) -> Result<RouteIndex, ConfigError> {
         let mut index = RouteIndex::default();
         for (position, route) in routes.iter().enumerate() {
@@ -49,7 +49,7 @@
         Ok(index)
     }
 
-    /// The position of the route for `path` at `host`.
+    /// Returns the position of the route for `path` at `host`.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<usize> {
         let host = self.hosts.get(host)?;
         host.lengths
--- a/crates/cluster/cluster-config/src/lib.rs
+++ b/crates/cluster/cluster-config/src/lib.rs
@@ -1,10 +1,10 @@
 //! The operator's configuration document: its types, checks and changes, and the routing of requests by it.
 //!
-//! [`ConfigDocument`] keeps the JSON as it was sent beside the typed items, so that a read returns the same values,
-//! unknown fields included. [`ConfigDocument::parse`] takes a full document; [`ConfigDocument::replace`] and
-//! [`ConfigDocument::patch`] make the next one from the current one. A document is valid by construction;
-//! [`ConfigError`] names the path of the first fault. [`ConfigDocument::route`] finds a request's route: host first,
-//! then the longest prefix. [`ConfigSummary`] is the part that processes outside the core use.
+//! [`ConfigDocument`] stores the JSON as it was sent in addition to the typed items, so that a read returns the same
+//! values, including unknown fields. [`ConfigDocument::parse`] parses a full document; [`ConfigDocument::replace`] and
+//! [`ConfigDocument::patch`] build the document that follows the current one. A document is valid by construction;
+//! [`ConfigError`] contains the path of the first fault. [`ConfigDocument::route`] finds a request's route by its host
+//! and then by the longest matching path prefix. [`ConfigSummary`] is the part that processes outside the core use.
 
 mod change;
 mod document;
--- a/crates/cluster/cluster-config/src/raw_patch.rs
+++ b/crates/cluster/cluster-config/src/raw_patch.rs
@@ -1,7 +1,7 @@
 //! Patches a stored document without parsing its items.
 //!
-//! A document may hold thousands of routes, of which a patch names a few. The others are passed on as they stand: only
-//! their names are read.
+//! A document may contain thousands of routes, of which a patch names only a few. The other items are copied unchanged,
+//! and only their names are parsed.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -13,57 +13,60 @@
 use crate::error::ConfigError;
 use crate::read::{self, Object};
 
-/// A field of the document.
+/// The state of one field of the document while a patch is applied.
 enum Field<'a> {
-    /// As it is stored.
+    /// The patch does not change the field, or has not reached it yet; it is kept as stored.
     Stored(&'a RawValue),
-    /// A list that the patch changes.
+    /// The patch changes the list; each item is given as JSON text.
     List(Vec<Cow<'a, str>>),
-    /// An object, or the version, that the patch changes.
+    /// The patch has changed the object or the version.
     Changed(Value),
 }
 
 /// The fields of the document by name, in the order in which they are written.
 type Fields<'a> = BTreeMap<String, Field<'a>>;
 
-/// The name of an item; the other fields are skipped.
+/// The name of an item; the item's other fields are not parsed.
 #[derive(Deserialize)]
-struct Named<'a> {
+struct ItemName<'a> {
     #[serde(borrow)]
     name: Cow<'a, str>,
 }
 
-/// Applies `patch` to the stored document `current`; the JSON of the result.
+/// Applies `patch` to the stored document `current` and returns the JSON of the result.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] where the document is not readable, or the patch has another form.
-pub(crate) fn patched(current: &[u8], patch: &Object) -> Result<Vec<u8>, ConfigError> {
+/// Returns a [`ConfigError`] if the document is not readable or the patch has an invalid form.
+pub(crate) fn apply_patch(current: &[u8], patch: &Object) -> Result<Vec<u8>, ConfigError> {
     let stored: BTreeMap<String, &RawValue> =
-        serde_json::from_slice(current).map_err(unreadable)?;
+        serde_json::from_slice(current).map_err(unreadable_error)?;
     let mut fields: Fields = stored
         .into_iter()
         .map(|(key, value)| (key, Field::Stored(value)))
         .collect();
     let version = Value::from(read::version(patch)?);
     fields.insert("version".to_owned(), Field::Changed(version));
-    for (key, change) in section(patch, "remove")? {
-        remove(&mut fields, key, change)?;
+    for (key, change) in patch_fields(patch, "remove")? {
+        remove_items(&mut fields, key, change)?;
     }
-    for (key, change) in section(patch, "upsert")? {
+    for (key, change) in patch_fields(patch, "upsert")? {
         upsert(&mut fields, key, change)?;
     }
-    write(&fields).map_err(unreadable)
+    write_document(&fields).map_err(unreadable_error)
 }
 
-fn unreadable(error: serde_json::Error) -> ConfigError {
+fn unreadable_error(error: serde_json::Error) -> ConfigError {
     ConfigError::Unreadable {
         reason: error.to_string(),
     }
 }
 
-/// The fields of the object `key` of a patch; empty where it is missing.
-fn section<'a>(patch: &'a Object, key: &str) -> Result<Vec<(&'a String, &'a Value)>, ConfigError> {
+/// Returns the fields of the object `key` of a patch, or an empty list if the patch has no such object.
+fn patch_fields<'a>(
+    patch: &'a Object,
+    key: &str,
+) -> Result<Vec<(&'a String, &'a Value)>, ConfigError> {
     match patch.get(key) {
         None => Ok(Vec::new()),
         Some(Value::Object(fields)) => Ok(fields.iter().collect()),
@@ -71,7 +74,7 @@
     }
 }
 
-fn remove(fields: &mut Fields, key: &str, change: &Value) -> Result<(), ConfigError> {
+fn remove_items(fields: &mut Fields, key: &str, change: &Value) -> Result<(), ConfigError> {
     let path = format!("remove.{key}");
     let names = change
         .as_array()
@@ -83,7 +86,7 @@
             .ok_or_else(|| ConfigError::at(format!("{path}[{position}]"), "must be a name"))?;
         removed.insert(name);
     }
-    if let Some(items) = fields.get_mut(key).and_then(list) {
+    if let Some(items) = fields.get_mut(key).and_then(list_items) {
         items.retain(|item| name_of(item).is_none_or(|name| !removed.contains(&*name)));
     }
     Ok(())
@@ -107,14 +110,14 @@
     let field = fields
         .entry(key.to_owned())
         .or_insert_with(|| Field::List(Vec::new()));
-    let items = list(field).ok_or_else(|| ConfigError::at(path, "does not change a list"))?;
+    let items = list_items(field).ok_or_else(|| ConfigError::at(path, "does not change a list"))?;
     let mut positions = positions_by_name(items);
-    let mut seen = HashSet::with_capacity(changes.len());
+    let mut seen_names = HashSet::with_capacity(changes.len());
     for (position, change) in changes.iter().enumerate() {
         let path = || format!("{path}[{position}]");
         let name = change.get("name").and_then(Value::as_str);
         let name = name.ok_or_else(|| ConfigError::at(path(), "must have a name"))?;
-        if !seen.insert(name) {
+        if !seen_names.insert(name) {
             return Err(ConfigError::at(path(), format!("{name} is there twice")));
         }
         let item = Cow::Owned(change.to_string());
@@ -126,8 +129,8 @@
     Ok(())
 }
 
-/// The position of the first item of each name: a patch may hold as many items as the document, and a search of the list
-/// for each would take as long as the product of both.
+/// Returns the position of the first item with each name. A patch may contain as many items as the document; a linear
+/// search for each of them would take time proportional to the product of both counts.
 fn positions_by_name(items: &[Cow<str>]) -> HashMap<String, usize> {
     let mut positions = HashMap::with_capacity(items.len());
     for (position, item) in items.iter().enumerate() {
@@ -138,7 +141,7 @@
     positions
 }
 
-/// Sets fields of an object without a name, such as `limits`; the others stay.
+/// Sets fields of an object that is not a named item, such as `limits`; its other fields are not changed.
 fn upsert_fields(
     fields: &mut Fields,
     key: &str,
@@ -157,8 +160,8 @@
     Ok(())
 }
 
-/// The items of a list, from now on to be changed; `None` where the field is no list.
-fn list<'f, 'a>(field: &'f mut Field<'a>) -> Option<&'f mut Vec<Cow<'a, str>>> {
+/// Converts a stored list to a changeable one and returns its items; returns `None` if the field is not a list.
+fn list_items<'f, 'a>(field: &'f mut Field<'a>) -> Option<&'f mut Vec<Cow<'a, str>>> {
     if let Field::Stored(raw) = *field {
         let items: Vec<&RawValue> = serde_json::from_str(raw.get()).ok()?;
         *field = Field::List(items.into_iter().map(|item| item.get().into()).collect());
@@ -170,12 +173,12 @@
 }
 
 fn name_of(item: &str) -> Option<Cow<'_, str>> {
-    let named: Named = serde_json::from_str(item).ok()?;
-    Some(named.name)
+    let item: ItemName = serde_json::from_str(item).ok()?;
+    Some(item.name)
 }
 
-/// Writes the document compactly, as `serde_json` writes a map.
-fn write(fields: &Fields) -> Result<Vec<u8>, serde_json::Error> {
+/// Serializes the document as compact JSON, in the format in which `serde_json` writes a map.
+fn write_document(fields: &Fields) -> Result<Vec<u8>, serde_json::Error> {
     let mut json = Vec::new();
     for (key, field) in fields {
         json.push(if json.is_empty() { b'{' } else { b',' });
--- a/crates/cluster/cluster-config/src/read.rs
+++ b/crates/cluster/cluster-config/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads typed items from a document's JSON; errors name the path of the fault.
+//! Reads typed items from a document's JSON; the errors contain the path of the fault.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 /// A JSON object.
 pub(crate) type Object = Map<String, Value>;
 
-/// Parses the object in `body`.
+/// Parses the JSON object in `body`.
 pub(crate) fn object(body: &[u8]) -> Result<Object, ConfigError> {
     let value: Value = serde_json::from_slice(body).map_err(|error| ConfigError::Unreadable {
         reason: error.to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// The field `version`.
+/// Returns the field `version` of a document or patch.
 pub(crate) fn version(object: &Object) -> Result<u64, ConfigError> {
     let field = object
         .get("version")
@@ -35,7 +35,7 @@
         .ok_or_else(|| ConfigError::at("version", "must be a whole number"))
 }
 
-/// The field `limits`, or the defaults without it.
+/// Returns the field `limits`, or the default limits if the document has none.
 pub(crate) fn limits(object: &Object) -> Result<Limits, ConfigError> {
     match object.get("limits") {
         None => Ok(Limits::default()),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The items of the list `key`, each parsed and checked by itself.
+/// Returns the items of the list `key`; each is parsed and checked without regard to the others.
 pub(crate) fn items<'a, T>(object: &'a Object, key: &str) -> Result<Vec<T>, ConfigError>
 where
     T: Deserialize<'a> + Validate,
@@ -85,14 +85,14 @@
     ConfigError::at(format!("{path}.{field}"), reason)
 }
 
-/// Rejects a list in which two items have the same name.
-pub(crate) fn unique_names<'a>(
+/// Returns an error if two items of the list `key` have the same name.
+pub(crate) fn check_unique_names<'a>(
     key: &str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<(), ConfigError> {
-    let mut seen = HashSet::new();
+    let mut seen_names = HashSet::new();
     for (position, name) in names.enumerate() {
-        if !seen.insert(name) {
+        if !seen_names.insert(name) {
             return Err(ConfigError::at(
                 format!("{key}[{position}].name"),
                 format!("{name} is there twice"),
--- a/crates/cluster/cluster-config/tests/change.rs
+++ b/crates/cluster/cluster-config/tests/change.rs
@@ -1,4 +1,5 @@
-//! Replacing a configuration, and changing named items of it.
+//! Guards against replacements and patches that lose or alter values, change other items than they name, or leave an
+//! invalid configuration.
 
 mod common;
 
@@ -15,8 +16,8 @@
     ConfigDocument::replace(0, &body(&document(5))).unwrap()
 }
 
-/// The document with a patch put on its stored form.
-fn patched(config: &ConfigDocument, patch: &[u8]) -> Result<ConfigDocument, ConfigError> {
+/// Applies a patch to the stored form of a document.
+fn apply_patch(config: &ConfigDocument, patch: &[u8]) -> Result<ConfigDocument, ConfigError> {
     let stored = StoredDocument {
         version: config.version,
         json: &config.to_bytes(),
@@ -24,8 +25,8 @@
     ConfigDocument::patch(Some(&stored), patch)
 }
 
-/// What a patch of parsed JSON leaves: a model of the patch of stored JSON.
-fn patched_tree(config: &ConfigDocument, patch: &Value) -> Value {
+/// Applies a patch to the parsed JSON of a document, as a model of the implementation, which patches stored JSON.
+fn patch_parsed_json(config: &ConfigDocument, patch: &Value) -> Value {
     let mut tree = read_back(config);
     tree["version"] = patch["version"].clone();
     for (key, names) in patch["remove"].as_object().into_iter().flatten() {
@@ -70,8 +71,8 @@
         json!({"version": 2, "remove": {"notes": ["n \"1\""]}, "upsert": {"notes": [{"name": "n2"}]}}),
     ];
     for patch in patches {
-        let tree = patched_tree(&config, &patch);
-        let document = patched(&config, &body(&patch)).unwrap();
+        let tree = patch_parsed_json(&config, &patch);
+        let document = apply_patch(&config, &body(&patch)).unwrap();
         assert_eq!(read_back(&document), tree, "{patch}");
         assert_eq!(document.to_bytes(), serde_json::to_vec(&tree).unwrap());
         let unchecked = patch_unchecked(&config.to_bytes(), &body(&patch)).unwrap();
@@ -102,15 +103,18 @@
 fn versions_must_rise() {
     let old = current();
     for version in [4, 5] {
-        let refused = Err(ConfigError::OldVersion {
+        let rejected = Err(ConfigError::OldVersion {
             version,
             current: 5,
         });
         assert_eq!(
             ConfigDocument::replace(old.version, &body(&document(version))),
-            refused
+            rejected
+        );
+        assert_eq!(
+            apply_patch(&old, &body(&json!({"version": version}))),
+            rejected
         );
-        assert_eq!(patched(&old, &body(&json!({"version": version}))), refused);
     }
     assert_eq!(
         ConfigDocument::replace(old.version, &body(&document(9)))
@@ -119,7 +123,7 @@
         9
     );
     assert_eq!(
-        patched(&old, &body(&json!({"version": 6})))
+        apply_patch(&old, &body(&json!({"version": 6})))
             .unwrap()
             .version,
         6
@@ -136,8 +140,8 @@
 
 #[test]
 fn a_patch_needs_a_current_configuration() {
-    let refused = ConfigDocument::patch(None, &body(&json!({"version": 6})));
-    assert_eq!(refused, Err(ConfigError::NothingToPatch));
+    let rejected = ConfigDocument::patch(None, &body(&json!({"version": 6})));
+    assert_eq!(rejected, Err(ConfigError::NothingToPatch));
 }
 
 #[test]
@@ -149,7 +153,7 @@
         "upsert": {"routes": [changed, added], "services": [{"name": "three", "tls": true}]},
         "remove": {"routes": ["r-two", "r-unknown"], "services": ["one"], "unknown": ["x"]},
     });
-    let config = patched(&current(), &body(&patch)).unwrap();
+    let config = apply_patch(&current(), &body(&patch)).unwrap();
     let mut expected = document(8);
     expected["routes"] = json!([changed, added]);
     expected["services"] = json!([common::service("two"), {"name": "three", "tls": true}]);
@@ -164,9 +168,9 @@
 #[test]
 fn limits_are_changed_field_by_field() {
     let patch = json!({"version": 8, "upsert": {"limits": {"max_body_bytes": 7}}});
-    let first = patched(&current(), &body(&patch)).unwrap();
+    let first = apply_patch(&current(), &body(&patch)).unwrap();
     let patch = json!({"version": 9, "upsert": {"limits": {"idle_timeout_ms": 8}}});
-    let second = patched(&first, &body(&patch)).unwrap();
+    let second = apply_patch(&first, &body(&patch)).unwrap();
     assert_eq!(
         (second.limits.max_body_bytes, second.limits.idle_timeout_ms),
         (7, 8)
@@ -174,7 +178,7 @@
 }
 
 #[test]
-fn a_patch_is_checked_by_its_outcome() {
+fn a_patch_with_an_invalid_result_is_rejected() {
     let bad = [
         json!({"version": 8, "remove": {"services": ["one"]}}),
         json!({"version": 8, "upsert": {"routes": [route("x", "a.example", "/one/", "one")]}}),
@@ -188,10 +192,10 @@
         json!({"upsert": {}}),
     ];
     for patch in bad {
-        let refused = patched(&current(), &body(&patch));
+        let rejected = apply_patch(&current(), &body(&patch));
         assert!(
-            matches!(refused, Err(ConfigError::Invalid { .. })),
-            "{patch} gave {refused:?}"
+            matches!(rejected, Err(ConfigError::Invalid { .. })),
+            "{patch} gave {rejected:?}"
         );
     }
 }
@@ -222,7 +226,8 @@
 }
 
 proptest! {
-    /// Any run of patches leaves what a plain map of names leaves, and a replace by its read-back is the same.
+    /// Any sequence of patches must give the same items as a map keyed by name, and parsing the resulting JSON must
+    /// give the same document.
     #[test]
     fn patches_agree_with_a_map(changes in proptest::collection::vec(change(), 1..40)) {
         let mut first = document(1);
@@ -242,27 +247,27 @@
                 }
             };
             let unchecked = patch_unchecked(&config.to_bytes(), &body(&patch)).unwrap();
-            let tree = patched_tree(&config, &patch);
-            config = patched(&config, &body(&patch)).unwrap();
+            let tree = patch_parsed_json(&config, &patch);
+            config = apply_patch(&config, &body(&patch)).unwrap();
             prop_assert_eq!(unchecked.version, config.version);
             prop_assert_eq!(unchecked.document, config.to_bytes());
             prop_assert_eq!(config.to_bytes(), serde_json::to_vec(&tree).unwrap());
-            let held = read_back(&config)["routes"].as_array().unwrap().clone();
-            let held = held.into_iter().map(|item| (item["name"].as_str().unwrap().to_owned(), item));
-            prop_assert_eq!(held.collect::<BTreeMap<_, _>>(), model.clone());
+            let items = read_back(&config)["routes"].as_array().unwrap().clone();
+            let items = items.into_iter().map(|item| (item["name"].as_str().unwrap().to_owned(), item));
+            prop_assert_eq!(items.collect::<BTreeMap<_, _>>(), model.clone());
         }
         let again = ConfigDocument::parse(&config.to_bytes()).unwrap();
         prop_assert_eq!(again, config);
     }
 
-    /// No bytes make the reader panic.
+    /// The parser must not panic on any input.
     #[test]
     fn arbitrary_bytes_are_parsed_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = ConfigDocument::parse(&bytes);
-        let _ = patched(&current(), &bytes);
+        let _ = apply_patch(&current(), &bytes);
     }
 
-    /// A document cut short anywhere is refused.
+    /// A document that is truncated at any position must be rejected.
     #[test]
     fn truncated_bodies_are_rejected(cut in 0_usize..300) {
         let whole = body(&document(1));
--- a/crates/cluster/cluster-config/tests/common/mod.rs
+++ b/crates/cluster/cluster-config/tests/common/mod.rs
@@ -1,18 +1,18 @@
-//! Documents for the tests.
+//! Builders of configuration documents for the tests.
 
 use serde_json::{json, Value};
 
-/// A route with the fields that must be there.
+/// Builds a route with only the mandatory fields.
 pub(crate) fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
     json!({"name": name, "host": host, "path_prefix": prefix, "service": service, "timeout_ms": 3000})
 }
 
-/// A service as the operator sends it.
+/// Builds a service with typical fields, two of which have no type in the crate.
 pub(crate) fn service(name: &str) -> Value {
     json!({"name": name, "health_path": "/healthz", "max_conns": 64})
 }
 
-/// A configuration of two routes and two services.
+/// Builds a configuration of two routes and two services.
 pub(crate) fn document(version: u64) -> Value {
     json!({
         "version": version,
@@ -22,7 +22,7 @@
     })
 }
 
-/// `value` as a body.
+/// Serializes `value` as an HTTP body.
 pub(crate) fn body(value: &Value) -> Vec<u8> {
     serde_json::to_vec(value).unwrap()
 }
--- a/crates/cluster/cluster-config/tests/document.rs
+++ b/crates/cluster/cluster-config/tests/document.rs
@@ -1,4 +1,5 @@
-//! Reading, checking and looking up in a configuration.
+//! Guards against configurations that lose unknown fields, are accepted although they are invalid, or route a request
+//! by a prefix other than the longest one at its host.
 
 mod common;
 
@@ -10,7 +11,7 @@
 
 fn error_of(value: &Value) -> String {
     ConfigDocument::parse(&body(value))
-        .expect_err("must be refused")
+        .expect_err("the configuration must be rejected")
         .to_string()
 }
 
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn read_back_keeps_unknown_fields_and_numbers() {
+fn to_bytes_keeps_unknown_fields_and_number_formats() {
     let mut sent = document(3);
     sent["colour"] = json!({"deep": [1, 2.0, null]});
     sent["routes"][0]["extension"] = json!(4.0);
@@ -142,8 +143,11 @@
     for (fault, expected) in faults {
         let mut sent = document(1);
         fault(&mut sent);
-        let said = error_of(&sent);
-        assert!(said.starts_with(expected), "{said} instead of {expected}");
+        let message = error_of(&sent);
+        assert!(
+            message.starts_with(expected),
+            "expected an error that starts with {expected}, got {message}"
+        );
     }
     for missing in ["version", "routes", "services"] {
         let mut sent = document(1);
@@ -158,7 +162,7 @@
 }
 
 #[test]
-fn four_hundred_routes_are_distinguished() {
+fn each_of_four_hundred_routes_is_found_by_its_prefix() {
     let mut sent = document(1);
     sent["routes"] = (0..400)
         .map(|number| {
--- a/crates/cluster/cluster-config/tests/summary.rs
+++ b/crates/cluster/cluster-config/tests/summary.rs
@@ -1,4 +1,5 @@
-//! The part of a configuration that is sent to processes outside the core.
+//! Guards against a summary whose limits differ from those of its document, or whose size grows with the number of
+//! routes, so that it would occupy the link of a frontend for too long.
 
 mod common;
 
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn what_is_cut_off_or_has_no_version_is_rejected() {
+fn a_truncated_summary_or_one_without_a_version_is_rejected() {
     let whole = body(&document(7));
     assert!(ConfigSummary::parse(&whole[..whole.len() - 1]).is_err());
     assert!(ConfigSummary::parse(b"{\"limits\":{}}").is_err());
