--- a/crates/cluster/protocol/src/agent.rs
+++ b/crates/cluster/protocol/src/agent.rs
@@ -1,57 +1,57 @@
-//! Between the agent beside a runner and the scheduler.
+//! The messages between the scheduler and an agent, the process that runs next to one runner.
 //!
-//! Both sides send complete states, never changes: the scheduler all that is wanted of a runner
-//! ([`RunnerCommands`]), the agent all that it knows of the runner ([`RunnerReport`]). A lost message therefore
-//! costs time and nothing else. Commands are named by (term, revision); later ones replace earlier ones. The agent
-//! puts all starts and stops of the newest commands into each answer to the runner, until they are replaced.
+//! Both sides send complete states, never changes: the scheduler sends all commands for a runner
+//! ([`RunnerCommands`]), and the agent sends all that it knows about the runner ([`RunnerReport`]). A lost message
+//! therefore only delays the next state. Commands are identified by (term, revision); later ones replace earlier ones.
+//! The agent includes all starts and stops of the newest commands in each answer to the runner until they are replaced.
 
 use deku::prelude::*;
 
 use crate::collections::{List, Text};
 use crate::id::{Incarnation, Term};
 
-/// An agent sends a report at least this often, in milliseconds.
+/// The longest interval between two reports of an agent, in milliseconds.
 pub const REPORT_INTERVAL_MS: u64 = 500;
-/// The lease of an agent, in milliseconds: its runner goes on without the scheduler for this time.
+/// The lease of an agent, in milliseconds. Its runner continues without contact to the scheduler for this time.
 pub const AGENT_LEASE_MS: u64 = 12_000;
-/// The lease (`hold_ms`) that an agent grants its runner with each heartbeat, in milliseconds, cut to what is left of
-/// the agent's own.
+/// The lease (`hold_ms`) that an agent grants its runner with each heartbeat, in milliseconds. It is shortened to the
+/// remaining time of the agent's own lease.
 pub const RUNNER_LEASE_MS: u64 = 2_500;
 
-/// What a runner has, or a task asks for.
+/// The resources that a runner has or that a task requires.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// The processor time, in thousandths of a core.
     pub cpu: u64,
-    /// Memory, in megabytes.
+    /// The memory, in megabytes.
     pub mem_mb: u64,
-    /// Graphics processors.
+    /// The number of graphics processors (GPUs).
     pub gpu: u64,
 }
 
-/// How a run ended.
+/// The reason for which a run ended.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum RunEnd {
-    /// It has done its work.
+    /// The run completed its work.
     #[deku(id = 0)]
     Done,
-    /// By its own fault or the runner's; counts against the limit of attempts.
+    /// The run failed by a fault of its own or of the runner; this counts against the limit of attempts.
     #[deku(id = 1)]
     Failed,
-    /// By a [`StopCommand`].
+    /// The run was stopped by a [`StopCommand`].
     #[deku(id = 2)]
     Stopped,
-    /// The runner's lease was over (`lapsed` in a heartbeat).
+    /// The runner's lease expired (`lapsed` in a heartbeat).
     #[deku(id = 3)]
     LeaseExpired,
     /// Another member of its gang ended (`broken` in a heartbeat).
     #[deku(id = 4)]
     GangMemberEnded,
-    /// It waited in vain for the other members of its gang (`alone` in a heartbeat).
+    /// The run timed out waiting for the other members of its gang (`alone` in a heartbeat).
     #[deku(id = 5)]
     GangTimedOut,
-    /// The runner did not start it (`refused` in a heartbeat).
+    /// The runner rejected the start (`refused` in a heartbeat).
     #[deku(id = 6)]
     Rejected,
 }
@@ -59,124 +59,129 @@
 /// A run that the runner lists as active.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ActiveRun {
-    /// The task, ID.K.STEP.INDEX as in a heartbeat.
+    /// The task, in the format ID.K.STEP.INDEX as in a heartbeat.
     pub task: Text,
-    /// The number of this attempt of the task, its fencing token.
+    /// The number of this attempt of the task, which is its fencing token.
     pub attempt: u64,
-    /// The newest checkpoint; empty for none.
+    /// The newest checkpoint; empty if there is none.
     pub checkpoint: Text,
-    /// The share of its work that is done, in hundredths, as the runner reports it.
+    /// The completed share of the run's work, in percent, as the runner reports it.
     pub percent: u8,
 }
 
-/// An ended run that the runner lists until its end is observed.
+/// An ended run that the runner lists until the scheduler has observed its end.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct FinishedRun {
-    /// The runner's number of the end; rises from 1 in each incarnation of the runner.
+    /// The runner's sequence number of the end, which increases from 1 in each incarnation of the runner.
     pub number: u64,
-    /// The task, ID.K.STEP.INDEX as in a heartbeat.
+    /// The task, in the format ID.K.STEP.INDEX as in a heartbeat.
     pub task: Text,
     /// The number of this attempt of the task.
     pub attempt: u64,
-    /// How it ended.
+    /// The reason for which the run ended.
     pub end: RunEnd,
-    /// The last checkpoint; empty for none.
+    /// The last checkpoint; empty if there is none.
     pub checkpoint: Text,
 }
 
-/// What an agent knows of its runner. Sent to the scheduler when anything but `percent` has changed, and at least
-/// every [`REPORT_INTERVAL_MS`]; answered by [`RunnerCommands`], or by [`NotLeader`](crate::client::NotLeader).
+/// The state of a runner as its agent knows it. The agent sends it to the scheduler when any field other than `percent`
+/// has changed, and at least every [`REPORT_INTERVAL_MS`]. It is answered with [`RunnerCommands`] or
+/// [`NotLeader`](crate::client::NotLeader).
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RunnerReport {
-    /// The agent's own incarnation.
+    /// The incarnation of the agent.
     pub agent: Incarnation,
-    /// Rises by one with each report of this agent.
+    /// The sequence number of the report, which increases by one with each report of this agent.
     pub sequence: u64,
-    /// The agent's steady clock at the sending, in microseconds; comes back in the answer.
+    /// The agent's steady clock when it sent the report, in microseconds; the answer returns it.
     pub sent_at: u64,
     /// The term of the newest commands that the agent has adopted.
     pub term: Term,
-    /// Their revision.
+    /// The revision of the newest commands that the agent has adopted.
     pub revision: u64,
-    /// Whether a heartbeat has come that the runner sent after it took, or dropped, every answer given under earlier
-    /// commands: what is then neither active nor finished was not started under them and never will be.
+    /// True once a heartbeat has arrived that the runner sent after it had processed or dropped every answer given
+    /// under earlier commands. A run that is then neither active nor finished was not started under those commands and
+    /// never will be.
     pub starts_resolved: bool,
-    /// Whether a runner is known. The fields below are empty otherwise, but for `lease_expired`.
+    /// True if a runner is known. Otherwise the fields below are empty, except `lease_expired`.
     pub has_runner: bool,
-    /// The runner's id; a new one after each crash.
+    /// The runner's id, which changes after each crash.
     pub instance: Text,
     /// The service to which the runner belongs.
     pub service: Text,
-    /// Where the runner serves, as it registered.
+    /// The address at which the runner serves, as registered by it.
     pub address: Text,
     /// The failure domain of the runner's machine.
     pub zone: Text,
-    /// Whether the runner drains and takes no start.
+    /// True while the runner drains and accepts no starts.
     pub draining: bool,
-    /// While it drains: the least time that is left to it, in milliseconds.
+    /// The minimum time that remains until a draining runner ends, in milliseconds.
     pub remaining_ms: u64,
-    /// How long the runner is still in slow start, in milliseconds.
+    /// The remaining time of the runner's slow start, in milliseconds.
     pub slow_start_remaining_ms: u64,
-    /// All that the runner has, in use or not.
+    /// The total resources of the runner, whether in use or not.
     pub capacity: Resources,
-    /// Labels that tasks may require.
+    /// The labels of the runner, which tasks may require.
     pub labels: List<Text>,
-    /// All runs under way.
+    /// All active runs.
     pub active: List<ActiveRun>,
-    /// All ended runs whose end is not observed yet.
+    /// All ended runs whose end the scheduler has not observed yet.
     pub finished: List<FinishedRun>,
-    /// Whether every lease granted to the runner is over, by silence, or it was found dead: whatever it ran is over,
-    /// and `active` is empty. A runner that has deregistered may still serve: it is `draining`, no more. Where no
-    /// runner is known: every lease of an earlier agent is over, and no runner has registered.
+    /// True if every lease granted to the runner has expired without a heartbeat, or the runner was found dead. All of
+    /// its runs have then ended, and `active` is empty. A runner that has deregistered may still serve; it is only
+    /// reported as `draining`. If no runner is known, true means that every lease granted by an earlier agent has
+    /// expired and no runner has registered.
     pub lease_expired: bool,
-    /// Since the runner's last heartbeat, in milliseconds.
+    /// The time since the runner's last heartbeat, in milliseconds.
     pub since_heartbeat_ms: u64,
 }
 
-/// A start that is wanted.
+/// A command to start a run of a task.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct StartCommand {
-    /// The task, ID.K.STEP.INDEX as in a heartbeat.
+    /// The task, in the format ID.K.STEP.INDEX as in a heartbeat.
     pub task: Text,
-    /// The number of the attempt, its fencing token; above those of all earlier attempts.
+    /// The number of the attempt, which is its fencing token; it is above those of all earlier attempts.
     pub attempt: u64,
-    /// The job's specification as the client sent it.
+    /// The job's specification, as the client sent it.
     pub spec: Text,
-    /// The checkpoint to resume from; empty for none.
+    /// The checkpoint from which the run resumes; empty if it starts from the beginning.
     pub checkpoint: Text,
 }
 
-/// A stop that is wanted.
+/// A command to stop a run of a task.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct StopCommand {
-    /// The task, ID.K.STEP.INDEX as in a heartbeat.
+    /// The task, in the format ID.K.STEP.INDEX as in a heartbeat.
     pub task: Text,
-    /// The number of the attempt.
+    /// The number of the attempt to stop.
     pub attempt: u64,
 }
 
-/// All that the scheduler wants of a runner. Answers a [`RunnerReport`], or comes unasked after a change.
+/// All current commands of the scheduler for a runner. It is sent as the answer to a [`RunnerReport`], and unsolicited
+/// after a change.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RunnerCommands {
-    /// The scheduler's term.
+    /// The term of the scheduler.
     pub term: Term,
-    /// Rises with each change of what is wanted; unchanged commands keep it.
+    /// The revision of the commands, which increases with each change to them.
     pub revision: u64,
-    /// The agent whose report this answers; 0 where it answers none.
+    /// The incarnation of the agent whose report this answers; 0 if it answers no report.
     pub agent: Incarnation,
-    /// `sent_at` of the report that this answers; 0 where it answers none. Only an answer extends the agent's lease,
-    /// to `sent_at` + `lease_ms` on the agent's clock.
+    /// The `sent_at` of the report that this answers, in microseconds; 0 if it answers no report. Only an answer
+    /// extends the agent's lease, to `sent_at` plus `lease_ms` on the agent's clock.
     pub sent_at: u64,
-    /// The lease, in milliseconds. While it lasts the agent extends the runner's lease by itself, never beyond its end.
+    /// The agent's lease, in milliseconds. Until it expires the agent extends the runner's lease without the scheduler,
+    /// but never beyond the end of its own lease.
     pub lease_ms: u64,
-    /// The runner that is commanded; one with another id gets none of these commands.
+    /// The id of the runner to which the commands apply; a runner with another id receives none of them.
     pub instance: Text,
-    /// Every run that is wanted and is neither active nor finished by the newest report.
+    /// The runs that must be started: those that are neither active nor finished in the newest report.
     pub start: List<StartCommand>,
-    /// Every run that is active and not wanted.
+    /// The active runs that must be stopped.
     pub stop: List<StopCommand>,
-    /// Ends up to this number are committed at a quorum; the runner may forget them.
+    /// The number up to which ends of runs are committed at a quorum; the runner may discard those ends.
     pub observed: u64,
-    /// The time until the runner's next heartbeat, in milliseconds.
+    /// The time after which the runner sends its next heartbeat, in milliseconds.
     pub retry_after_ms: u64,
 }
--- a/crates/cluster/protocol/src/client.rs
+++ b/crates/cluster/protocol/src/client.rs
@@ -1,70 +1,70 @@
-//! Between the clients' gateway and the scheduler. The gateway retries lost messages; the job's id makes a retry
-//! idempotent.
+//! The messages between a clients' gateway and the scheduler. The gateway retries lost messages; the job's id makes a
+//! retry idempotent.
 
 use deku::prelude::*;
 
 use crate::collections::{Blob, Text};
 use crate::id::{NodeId, Term};
 
-/// What a client requests of a job or a queue.
+/// The operation that a client requests on a job or a queue.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum ClientMethod {
-    /// Submit a job (POST).
+    /// Submits a job (POST).
     #[deku(id = 0)]
     Submit,
-    /// Read a job's state, or a queue's count (GET).
+    /// Reads a job's state or a queue's count (GET).
     #[deku(id = 1)]
     Read,
-    /// Cancel a job (DELETE).
+    /// Cancels a job (DELETE).
     #[deku(id = 2)]
     Cancel,
 }
 
-/// A client's request. Sent by a gateway to the scheduler, which routes it, so that one configuration decides;
-/// answered by [`ClientReply`] or [`NotLeader`].
+/// A client's request, which a gateway sends to the scheduler. The scheduler selects the route, so that a single
+/// configuration determines it. It is answered with [`ClientReply`] or [`NotLeader`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ClientRequest {
-    /// Names the request at the gateway that sent it; the same in each repeat.
+    /// The number that identifies the request at the gateway that sent it; every retry has the same number.
     pub request: u64,
-    /// The request's kind.
+    /// The requested operation.
     pub method: ClientMethod,
-    /// The `Host` header without a port.
+    /// The `Host` header of the HTTP request, without a port.
     pub host: Text,
-    /// The path without a query.
+    /// The path of the HTTP request, without a query.
     pub path: Text,
-    /// The body as received (JSON); empty for `Read` and `Cancel`.
+    /// The body as received, which is JSON; empty for `Read` and `Cancel`.
     pub body: Blob,
-    /// The newest version of the configuration that the gateway has seen: the scheduler must know
-    /// it, or a newer one, before it answers.
+    /// The newest version of the configuration that the gateway has seen. The scheduler must have this or a newer
+    /// version before it answers.
     pub config_version: u64,
-    /// The time until the client's deadline, in milliseconds.
+    /// The time that remains until the client's deadline, in milliseconds.
     pub remaining_ms: u32,
 }
 
 /// The scheduler's answer to a [`ClientRequest`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ClientReply {
-    /// As in the request.
+    /// The number of the request, as in [`ClientRequest`].
     pub request: u64,
-    /// The HTTP status.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// The client may retry after this time, in milliseconds; 0: no `Retry-After`.
+    /// The time after which the client may retry, in milliseconds; at 0 the answer has no `Retry-After` header.
     pub retry_after_ms: u32,
-    /// JSON, or empty.
+    /// The body of the answer, which is JSON or empty.
     pub body: Blob,
-    /// The version of the configuration by which it was answered.
+    /// The version of the configuration on which the answer is based.
     pub config_version: u64,
 }
 
-/// The receiver of a [`ClientRequest`] or a [`RunnerReport`](crate::agent::RunnerReport) leads no term and did
-/// nothing. The sender tries the leader that is named, or another core process.
+/// Reports that the receiver of a [`ClientRequest`] or a [`RunnerReport`](crate::agent::RunnerReport) is not the leader
+/// and that the message had no effect. The sender then tries the leader named here, or another core process.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct NotLeader {
-    /// The request; zero for a report.
+    /// The number of the request; 0 if this answers a report.
     pub request: u64,
-    /// The newest term known.
+    /// The newest term known to the sender.
     pub term: Term,
-    /// Its leader; `NodeId::default()` where none is known.
+    /// The leader of `term`; `NodeId::default()` if none is known.
     pub leader: NodeId,
 }
--- a/crates/cluster/protocol/src/collections.rs
+++ b/crates/cluster/protocol/src/collections.rs
@@ -1,5 +1,5 @@
-//! Texts, byte strings and lists. On the wire the length comes first, as a `u32`; it is checked against a limit
-//! before anything is allocated.
+//! Texts, byte strings and lists. On the wire each starts with its length as a `u32`, which is checked against a limit
+//! before memory is allocated.
 
 use std::fmt;
 use std::ops::Deref;
@@ -9,31 +9,32 @@
 use deku::reader::Reader;
 use deku::writer::Writer;
 
-/// The longest byte string taken from a frame, in bytes.
+/// The longest byte string that is decoded from a frame, in bytes.
 pub const MAX_BLOB_BYTES: usize = 16 << 20;
-/// The longest list taken from a frame, in items.
+/// The longest list that is decoded from a frame, in items.
 pub const MAX_LIST_ITEMS: usize = 1 << 20;
-/// Items (or bytes) allocated before they are read: a false length in a frame costs no memory.
-const ALLOCATED_AHEAD: usize = 1024;
+/// The maximum number of items (or bytes) for which memory is allocated before they are read, so that a wrong length in
+/// a frame does not allocate much memory.
+const MAX_PREALLOCATED_ITEMS: usize = 1024;
 
 /// A byte string.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Blob(
-    /// The bytes; at most [`MAX_BLOB_BYTES`] in a frame.
+    /// The bytes, of which a frame contains at most [`MAX_BLOB_BYTES`].
     pub Vec<u8>,
 );
 
 /// A text in UTF-8.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Text(
-    /// The text; at most [`MAX_BLOB_BYTES`] in a frame.
+    /// The text, which has at most [`MAX_BLOB_BYTES`] bytes in a frame.
     pub String,
 );
 
 /// A list of items of one type.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct List<T>(
-    /// The items; at most [`MAX_LIST_ITEMS`] in a frame.
+    /// The items, of which a frame contains at most [`MAX_LIST_ITEMS`].
     pub Vec<T>,
 );
 
@@ -112,7 +113,7 @@
 fn read_length<R: Read + Seek>(reader: &mut Reader<R>, limit: usize) -> Result<usize, DekuError> {
     let length = u32::from_reader_with_ctx(reader, ())? as usize;
     if length > limit {
-        return Err(DekuError::Assertion("a length over the limit"));
+        return Err(DekuError::Assertion("length exceeds the limit"));
     }
     Ok(length)
 }
@@ -123,12 +124,16 @@
         _: (),
     ) -> Result<Self, DekuError> {
         let length = read_length(reader, MAX_BLOB_BYTES)?;
-        let mut bytes = Vec::with_capacity(length.min(ALLOCATED_AHEAD));
-        let mut chunk = [0; ALLOCATED_AHEAD];
+        let mut bytes = Vec::with_capacity(length.min(MAX_PREALLOCATED_ITEMS));
+        let mut chunk = [0; MAX_PREALLOCATED_ITEMS];
         while bytes.len() < length {
-            let wanted = (length - bytes.len()).min(ALLOCATED_AHEAD);
-            reader.read_bytes(wanted, &mut chunk[..wanted], deku::ctx::Order::Msb0)?;
-            bytes.extend_from_slice(&chunk[..wanted]);
+            let chunk_bytes = (length - bytes.len()).min(MAX_PREALLOCATED_ITEMS);
+            reader.read_bytes(
+                chunk_bytes,
+                &mut chunk[..chunk_bytes],
+                deku::ctx::Order::Msb0,
+            )?;
+            bytes.extend_from_slice(&chunk[..chunk_bytes]);
         }
         Ok(Blob(bytes))
     }
@@ -149,7 +154,7 @@
         let bytes = Blob::from_reader_with_ctx(reader, ())?.0;
         String::from_utf8(bytes)
             .map(Text)
-            .map_err(|_| DekuError::Parse("a text that is no UTF-8"))
+            .map_err(|_| DekuError::Parse("text is not valid UTF-8"))
     }
 }
 
@@ -166,7 +171,7 @@
         _: (),
     ) -> Result<Self, DekuError> {
         let length = read_length(reader, MAX_LIST_ITEMS)?;
-        let mut items = Vec::with_capacity(length.min(ALLOCATED_AHEAD));
+        let mut items = Vec::with_capacity(length.min(MAX_PREALLOCATED_ITEMS));
         for _ in 0..length {
             items.push(T::from_reader_with_ctx(reader, ())?);
         }
--- a/crates/cluster/protocol/src/control.rs
+++ b/crates/cluster/protocol/src/control.rs
@@ -1,5 +1,5 @@
-//! Messages among core processes, a file a concern: the register of configurations, elections, replicated records,
-//! recovery of an emptied disk, leases of membership, the history of accepted changes.
+//! Messages among core processes. Each concern has its own file: the register of configurations, elections, replicated
+//! records, recovery after the loss of the disk's contents, membership leases, and the history of accepted changes.
 
 mod accepted_changes;
 mod election;
@@ -27,46 +27,46 @@
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum ControlMessage {
-    /// Phase 1 of a proposal.
+    /// Starts phase 1 of a proposal.
     #[deku(id = 0)]
     Prepare(Prepare),
-    /// Grants [`Prepare`].
+    /// Grants a [`Prepare`].
     #[deku(id = 1)]
     Promise(Promise),
-    /// Phase 2 of a proposal.
+    /// Starts phase 2 of a proposal with the full value.
     #[deku(id = 2)]
     Accept(Accept),
-    /// Grants [`Accept`] or [`AcceptChange`].
+    /// Grants an [`Accept`] or [`AcceptChange`].
     #[deku(id = 3)]
     Accepted(Accepted),
-    /// A higher number was promised.
+    /// Rejects a proposal because a higher number was promised.
     #[deku(id = 4)]
     Rejected(Rejected),
-    /// Reads the accepted value.
+    /// Requests the number of the accepted value, and optionally the value.
     #[deku(id = 5)]
     Read(Read),
     /// Answers [`Read`].
     #[deku(id = 6)]
     ReadReply(ReadReply),
-    /// A value is chosen.
+    /// Announces that a value is chosen.
     #[deku(id = 7)]
     Learn(Learn),
     /// Answers [`Learn`].
     #[deku(id = 8)]
     Learned(Learned),
-    /// The cluster's first value.
+    /// Transfers the cluster's first value.
     #[deku(id = 9)]
     Bootstrap(Bootstrap),
     /// Answers [`Bootstrap`].
     #[deku(id = 10)]
     StateSynced(StateSynced),
-    /// Asks for the highest promises.
+    /// Requests the highest promises, for recovery.
     #[deku(id = 11)]
     Recover(Recover),
     /// Answers [`Recover`].
     #[deku(id = 12)]
     RecoverReply(RecoverReply),
-    /// Stands for a term.
+    /// Requests a vote for the leadership of a term.
     #[deku(id = 13)]
     VoteRequest(VoteRequest),
     /// Answers [`VoteRequest`].
@@ -78,38 +78,38 @@
     /// Answers [`Renew`].
     #[deku(id = 16)]
     RenewAck(RenewAck),
-    /// The leader steps down.
+    /// Announces that the leader has stepped down.
     #[deku(id = 17)]
     Resign(Resign),
-    /// Changes of the records.
+    /// Replicates changes to the records.
     #[deku(id = 18)]
     RecordBatch(RecordBatch),
     /// Answers [`RecordBatch`].
     #[deku(id = 19)]
     RecordsSynced(RecordsSynced),
-    /// Asks for a piece of a snapshot.
+    /// Requests one chunk of a snapshot.
     #[deku(id = 20)]
     FetchSnapshot(FetchSnapshot),
     /// Answers [`FetchSnapshot`].
     #[deku(id = 21)]
     SnapshotChunk(SnapshotChunk),
-    /// Leases of processes outside the core.
+    /// Shares the membership leases of processes outside the core.
     #[deku(id = 22)]
     MemberLeases(MemberLeases),
-    /// Asks for accepted changes.
+    /// Requests accepted configuration changes.
     #[deku(id = 23)]
     ChangesRequest(ChangesRequest),
     /// Answers [`ChangesRequest`].
     #[deku(id = 24)]
     ChangesReply(ChangesReply),
-    /// Asks for a [`Directory`](crate::directory::Directory); unlike a [`Hello`](crate::directory::Hello) it renews no
-    /// lease.
+    /// Requests a [`Directory`](crate::directory::Directory). Unlike a [`Hello`](crate::directory::Hello), it does not
+    /// renew a lease.
     #[deku(id = 25)]
     DirectoryRequest,
-    /// Phase 2 of a proposal, by the change alone.
+    /// Starts phase 2 of a proposal with only the change to the accepted value.
     #[deku(id = 26)]
     AcceptChange(AcceptChange),
-    /// Asks for [`Accept`] in place of [`AcceptChange`].
+    /// Requests an [`Accept`] instead of an [`AcceptChange`].
     #[deku(id = 27)]
     ValueNeeded(ValueNeeded),
 }
--- a/crates/cluster/protocol/src/control/accepted_changes.rs
+++ b/crates/cluster/protocol/src/control/accepted_changes.rs
@@ -1,36 +1,36 @@
-//! The history of accepted configuration changes, by which a repeated change is recognized.
+//! The history of accepted configuration changes, which is used to detect that an operator repeats a change.
 
 use deku::prelude::*;
 
 use crate::collections::List;
 
-/// A configuration change that was chosen. Between `base` and `version` there never was another version.
+/// A configuration change that was chosen. No other version ever existed between `base` and `version`.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AcceptedChange {
-    /// The version of the configuration on which the change was made; 0 for the first configuration.
+    /// The version of the configuration to which the change was applied; 0 for the first configuration.
     pub base: u64,
-    /// The version that resulted; above `base`.
+    /// The version of the resulting configuration, which is above `base`.
     pub version: u64,
-    /// SHA-256 of the change's kind and content.
+    /// The SHA-256 digest of the change's kind and content.
     pub digest: [u8; 32],
 }
 
-/// Asks another core process for the accepted changes whose base is `after` or a later version. Sent by a core
-/// process that lacks some; answered by [`ChangesReply`].
+/// Requests the accepted changes whose base is `after` or a later version. A core process that lacks some changes sends
+/// it to another core process, which answers with [`ChangesReply`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ChangesRequest {
-    /// The lowest base that is wanted, a version of the configuration.
+    /// The lowest requested base, which is a version of the configuration.
     pub after: u64,
 }
 
-/// Accepted changes known to the sender, in order of their base. They are chosen values and never change, so that
-/// it doesn't matter which process they come from.
+/// Accepted changes known to the sender, in the order of their base. They are chosen values and never change, so they
+/// can be requested from any process. Answers a [`ChangesRequest`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ChangesReply {
-    /// As in the request.
+    /// The lowest requested base, as in [`ChangesRequest`].
     pub after: u64,
-    /// The changes, sorted by `base`; cut off at the sender's limit.
+    /// The changes, sorted by `base`; their number is limited by the sender.
     pub changes: List<AcceptedChange>,
-    /// Whether the sender knows later ones as well.
+    /// True if the sender knows further changes after the last one in `changes`.
     pub more: bool,
 }
--- a/crates/cluster/protocol/src/control/election.rs
+++ b/crates/cluster/protocol/src/control/election.rs
@@ -1,89 +1,89 @@
 //! Elections of the leader and the renewal of its lease.
 //!
 //! Terms and votes follow Raft (Ongaro and Ousterhout, 2014, section 5.2) with a pre-vote (Ongaro's thesis, 2014,
-//! section 9.6). A vote and an acknowledged renewal grant a lease (Gray and Cheriton, 1989) that the leader counts
-//! from the instant at which it sent the request, on its own steady clock; hence `sent_at` comes back in each answer.
+//! section 9.6). A vote and an acknowledged renewal grant a lease (Gray and Cheriton, 1989). The leader measures the
+//! lease on its own steady clock, from the time at which it sent the request; therefore each answer returns `sent_at`.
 
 use deku::prelude::*;
 
 use super::{ProposalNumber, RecordsPosition};
 use crate::id::{Incarnation, NodeId, Term};
 
-/// Asks for the promise of a term. Sent by a candidate to all members; answered by [`VoteReply`].
+/// Requests the promise of a term. A candidate sends it to all members, which answer with [`VoteReply`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct VoteRequest {
-    /// The term for which the candidate stands.
+    /// The term for which the candidate requests votes.
     pub term: Term,
-    /// The candidate's own.
+    /// The incarnation of the candidate.
     pub incarnation: Incarnation,
     /// The version of the member list by which the candidate counts votes.
     pub members_version: u64,
-    /// Whether this is a pre-vote: it asks only if the term would be promised, and nothing is.
+    /// True for a pre-vote, which only asks whether the term would be promised; no promise is made.
     pub pre_vote: bool,
-    /// The candidate's steady clock at the sending, in microseconds; comes back in the answer.
+    /// The candidate's steady clock when it sent the request, in microseconds; the answer returns it.
     pub sent_at: u64,
 }
 
-/// Answers [`VoteRequest`].
+/// The answer to a [`VoteRequest`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct VoteReply {
-    /// As in the request.
+    /// The term of the request.
     pub term: Term,
-    /// The candidate's own, as in the request.
+    /// The incarnation of the candidate, as in the request.
     pub incarnation: Incarnation,
-    /// As in the request.
+    /// True if the request was a pre-vote.
     pub pre_vote: bool,
-    /// Whether the term is promised, or would be for a pre-vote.
+    /// True if the term is promised, or would be promised in the case of a pre-vote.
     pub granted: bool,
-    /// As in the request.
+    /// The `sent_at` of the request, in microseconds of the candidate's steady clock.
     pub sent_at: u64,
-    /// The highest term promised by the answering process.
+    /// The highest term that the answering process has promised.
     pub promised: Term,
     /// The version of the answering process's member list.
     pub members_version: u64,
-    /// The state of the answering process's records: the new term builds on the newest of a quorum.
+    /// The position of the answering process's records. The new term starts from the newest position in a quorum.
     pub position: RecordsPosition,
 }
 
-/// The leader of a term renews its lease and announces the position of its records. Sent to all members at a
-/// regular interval; answered by [`RenewAck`].
+/// Renews the lease of the leader of a term and announces the position of its records. The leader sends it to all
+/// members at a regular interval; they answer with [`RenewAck`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Renew {
     /// The leader's term.
     pub term: Term,
-    /// The leader's steady clock at the sending, in microseconds; comes back in the answer.
+    /// The leader's steady clock when it sent the renewal, in microseconds; the answer returns it.
     pub sent_at: u64,
-    /// The state on which the term builds; equals batch 0 of the term.
+    /// The position of the records from which the term started; it equals batch 0 of the term.
     pub base: RecordsPosition,
-    /// A process whose records are complete, from which a replica that lags fetches a snapshot.
+    /// A process whose records are complete, from which a lagging replica fetches a snapshot.
     pub source: NodeId,
-    /// The newest batch of the term.
+    /// The number of the newest batch of the term.
     pub number: u64,
-    /// The newest value of the register known to the leader.
+    /// The proposal number of the newest value of the register known to the leader.
     pub learned: ProposalNumber,
 }
 
-/// Grants the lease, or reports a higher term. Answers [`Renew`].
+/// Grants the lease or reports a higher term. Answers a [`Renew`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RenewAck {
-    /// As in the renewal.
+    /// The term of the renewal.
     pub term: Term,
-    /// As in the renewal.
+    /// The `sent_at` of the renewal, in microseconds of the leader's steady clock.
     pub sent_at: u64,
-    /// The highest term promised by the sender; the lease is granted where it is not above `term`.
+    /// The highest term that the sender has promised; the lease is granted if it is not above `term`.
     pub promised: Term,
-    /// The newest synced state of the records.
+    /// The newest position of the records that the sender has synced to disk.
     pub position: RecordsPosition,
-    /// Whether the sender shuts down; its place may go to a learner.
+    /// True if the sender is shutting down; a learner may replace it as a member.
     pub leaving: bool,
-    /// Whether the sender knows the register's newest chosen value and the accepted changes before it.
+    /// True if the sender knows the register's newest chosen value and the accepted changes before it.
     pub caught_up: bool,
 }
 
-/// The leader has given up its lease. Sent to all members by a leader that steps down, so that they needn't wait
-/// for the lease's end; no answer.
+/// Announces that the leader has released its lease. A leader that steps down sends it to all members, so that they do
+/// not have to wait for the lease to expire. It is not answered.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Resign {
-    /// The term that is over.
+    /// The term that the leader has ended.
     pub term: Term,
 }
--- a/crates/cluster/protocol/src/control/records.rs
+++ b/crates/cluster/protocol/src/control/records.rs
@@ -1,7 +1,7 @@
-//! Replicated records: batches from the leader, and snapshots for a replica that lags.
+//! Replicated records: batches from the leader, and snapshots for a lagging replica.
 //!
 //! The leader of a term sends each change as a [`RecordBatch`]; a replica answers with [`RecordsSynced`] once the
-//! batch is on its disk. A replica that can't go on from its own state fetches all records in pieces
+//! batch is on its disk. A replica that cannot continue from its own state fetches all records in chunks
 //! ([`FetchSnapshot`], [`SnapshotChunk`]) from the process that [`Renew`](super::Renew) names as the source.
 
 use deku::prelude::*;
@@ -9,30 +9,31 @@
 use crate::collections::{Blob, List};
 use crate::id::Term;
 
-/// Names a state of the replicated records. Ordered by term, then batch, as log positions in Raft (section 5.4.1).
+/// Identifies a state of the replicated records. Positions are ordered by term and then by batch, like log positions in
+/// Raft (section 5.4.1).
 #[derive(
     DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
 )]
 pub struct RecordsPosition {
     /// The term whose leader wrote the batch.
     pub term: Term,
-    /// The number of the batch within the term, from 1; 0 is the state on which the term builds.
+    /// The number of the batch within the term, counted from 1; 0 is the state from which the term started.
     pub number: u64,
 }
 
-/// A change of one record.
+/// A change to one record.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum RecordChange {
-    /// Sets a record, whether it was there or not.
+    /// Sets a record, whether or not it exists.
     #[deku(id = 0)]
     Put {
         /// The record's key.
         key: Blob,
-        /// Its new value.
+        /// The record's new value.
         value: Blob,
     },
-    /// Removes a record; no error where there is none.
+    /// Removes a record; it is no error if the record does not exist.
     #[deku(id = 1)]
     Delete {
         /// The record's key.
@@ -40,59 +41,61 @@
     },
 }
 
-/// Changes that are committed together. Sent by the leader to each replica, and again until [`RecordsSynced`]
-/// answers.
+/// Changes that are committed together. The leader sends the batch to each replica and repeats it until the replica
+/// answers with [`RecordsSynced`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecordBatch {
     /// The leader's term.
     pub term: Term,
-    /// Rises by one from 1 within a term; a replica applies batches in this order, without a gap.
+    /// The number of the batch, which increases by one from 1 within a term. A replica applies batches in this order
+    /// and without gaps.
     pub number: u64,
     /// The changes, applied in this order.
     pub changes: List<RecordChange>,
 }
 
-/// The sender has synced the records up to this state. Answers [`RecordBatch`].
+/// Reports that the sender has synced the records up to a position. Answers a [`RecordBatch`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecordsSynced {
-    /// The newest state on the sender's disk.
+    /// The position of the newest state on the sender's disk.
     pub position: RecordsPosition,
 }
 
-/// Asks the source for one piece of a snapshot. Answered by [`SnapshotChunk`].
+/// Requests one chunk of a snapshot from the source, which answers with [`SnapshotChunk`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct FetchSnapshot {
     /// The term that the sender follows.
     pub term: Term,
-    /// The state that the earlier pieces had; with the first the oldest state that is of use to the sender.
+    /// The position of the snapshot from which the earlier chunks came. In the request for the first chunk, it is the
+    /// oldest position that the sender can use.
     pub position: RecordsPosition,
-    /// The piece that is wanted, from 0.
+    /// The index of the requested chunk, counted from 0.
     pub index: u32,
 }
 
 /// A record in a snapshot.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecordEntry {
-    /// The record's key; rises from entry to entry.
+    /// The record's key; the keys increase from entry to entry.
     pub key: Blob,
-    /// Its value at the snapshot's position.
+    /// The record's value at the snapshot's position.
     pub value: Blob,
 }
 
-/// A piece of a snapshot. Answers [`FetchSnapshot`]. Snapshots of one state are cut in the same way by each process,
-/// so that a transfer can go on from another source.
+/// One chunk of a snapshot. Answers a [`FetchSnapshot`]. Every process divides a snapshot of the same state into the
+/// same chunks, so that a transfer can continue from another source.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct SnapshotChunk {
-    /// As in the request.
+    /// The term of the request.
     pub term: Term,
-    /// The state that the snapshot holds.
+    /// The position of the state that the snapshot contains.
     pub position: RecordsPosition,
-    /// The number of this piece, from 0.
+    /// The index of this chunk, counted from 0.
     pub index: u32,
-    /// Whether this is the snapshot's last piece.
+    /// True if this is the last chunk of the snapshot.
     pub last: bool,
-    /// CRC-32 over position, index, `last` and all entries of the snapshot up to and including this piece.
+    /// The CRC-32 over position, index, `last` and all entries of the snapshot up to and including this chunk.
     pub checksum: u32,
-    /// The records in this piece.
+    /// The records in this chunk.
     pub entries: List<RecordEntry>,
 }
--- a/crates/cluster/protocol/src/control/recovery.rs
+++ b/crates/cluster/protocol/src/control/recovery.rs
@@ -1,23 +1,23 @@
-//! Recovery of a process with an emptied disk: before it takes part again it learns the highest numbers that it may
-//! have promised in an earlier incarnation.
+//! Recovery of a process that has lost the contents of its disk. Before it participates again, it learns the highest
+//! numbers that it may have promised in an earlier incarnation.
 
 use deku::prelude::*;
 
 use super::ProposalNumber;
 use crate::id::Term;
 
-/// Asks for the highest promises known. Sent by a recovering core process to all other members; answered by
+/// Requests the highest promises known. A recovering core process sends it to all other members, which answer with
 /// [`RecoverReply`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Recover {
-    /// Matches replies with this recovery; replies with another number are dropped.
+    /// A number that matches replies to this recovery; replies with a different number are dropped.
     pub nonce: u64,
 }
 
-/// Answers [`Recover`].
+/// The highest numbers that the sender has promised. Answers a [`Recover`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct RecoverReply {
-    /// As in the request.
+    /// The nonce of the request.
     pub nonce: u64,
     /// The highest proposal number that the sender has promised or accepted.
     pub promised: ProposalNumber,
--- a/crates/cluster/protocol/src/control/register.rs
+++ b/crates/cluster/protocol/src/control/register.rs
@@ -1,57 +1,57 @@
 //! The register of configurations: both phases of a proposal, reads, and learning of the chosen value.
 //!
-//! The register is a CASPaxos register (Rystsov, 2018, section 2.2): a proposer prepares a proposal number at a
-//! quorum, applies its change to the accepted value with the highest number among the promises, and has the result
-//! accepted. Messages can be lost and repeated; each is answered for the proposal number that it names.
+//! The register is a CASPaxos register (Rystsov, 2018, section 2.2). A proposer prepares a proposal number at a quorum,
+//! applies its change to the accepted value with the highest number among the promises, and proposes the result to the
+//! acceptors. Messages can be lost and repeated; each answer refers to the proposal number in the message.
 
 use deku::prelude::*;
 
 use crate::collections::Blob;
 use crate::id::{Incarnation, NodeId};
 
-/// A proposal number (a ballot number in CASPaxos): ordered by counter, then process, then incarnation. The
-/// incarnation separates the numbers that one process draws before and after a restart. The default, all zero,
-/// stands for none.
+/// A proposal number (a ballot number in CASPaxos). Numbers are ordered by counter, then process, then incarnation. The
+/// incarnation distinguishes the numbers that one process chooses before and after a restart. The default, all zero,
+/// means that there is no number.
 #[derive(
     DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash,
 )]
 pub struct ProposalNumber {
-    /// Above each counter that the proposer has seen.
+    /// The counter, which is above every counter that the proposer has seen.
     pub counter: u64,
-    /// The proposer.
+    /// The address of the proposer.
     pub node: NodeId,
-    /// The proposer's incarnation.
+    /// The incarnation of the proposer.
     pub incarnation: Incarnation,
 }
 
-/// Phase 1: asks an acceptor to promise that it accepts nothing below `proposal`. Sent by a proposer to all
-/// members; answered by [`Promise`] or [`Rejected`].
+/// Starts phase 1: requests the promise of an acceptor that it accepts no number below `proposal`. A proposer sends it
+/// to all members, which answer with [`Promise`] or [`Rejected`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Prepare {
-    /// The number to be promised.
+    /// The proposal number to be promised.
     pub proposal: ProposalNumber,
-    /// The number of the value that the proposer holds already and that need not be sent; zero for none.
+    /// The number of the value that the proposer already has, which need not be sent; zero if it has none.
     pub known: ProposalNumber,
 }
 
-/// Promises a proposal number. Answers [`Prepare`], once the promise is synced.
+/// Promises a proposal number. Answers a [`Prepare`] once the promise is synced to disk.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Promise {
-    /// The number that is promised.
+    /// The promised proposal number.
     pub proposal: ProposalNumber,
-    /// The number of the sender's accepted value; zero for none.
+    /// The number of the sender's accepted value; zero if it has none.
     pub accepted: ProposalNumber,
-    /// The accepted value; empty where the proposer has it or there is none.
+    /// The accepted value; empty if the proposer already has it or there is none.
     pub value: Blob,
 }
 
-/// Phase 2: asks an acceptor to accept a value. Sent by a proposer whose number a quorum has promised; answered by
-/// [`Accepted`] or [`Rejected`].
+/// Starts phase 2: requests that an acceptor accepts a value. A proposer sends it once a quorum has promised its
+/// number; it is answered with [`Accepted`] or [`Rejected`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Accept {
     /// The number under which the value is proposed.
     pub proposal: ProposalNumber,
-    /// The register's new value in full.
+    /// The full new value of the register.
     pub value: Blob,
 }
 
@@ -59,106 +59,106 @@
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug)]
 #[deku(id_type = "u8")]
 pub enum ChangeKind {
-    /// A full configuration.
+    /// The change replaces the full configuration.
     #[deku(id = 1)]
     Replace,
-    /// Changes of named items.
+    /// The change patches named items.
     #[deku(id = 2)]
     Patch,
 }
 
-/// Phase 2 for an acceptor that holds the value on which the change builds: the change in place of the value.
-/// Answered by [`Accepted`], [`Rejected`] or [`ValueNeeded`].
+/// Starts phase 2 at an acceptor that already has the value to which the change is applied. It contains the change
+/// instead of the resulting value, and is answered with [`Accepted`], [`Rejected`] or [`ValueNeeded`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct AcceptChange {
     /// The number under which the value is proposed.
     pub proposal: ProposalNumber,
     /// The number of the accepted value to which the change is applied.
     pub base_proposal: ProposalNumber,
-    /// How `body` is applied.
+    /// The kind of change, which determines how `body` is applied.
     pub kind: ChangeKind,
-    /// The version of the configuration on which the change builds.
+    /// The version of the configuration to which the change is applied.
     pub base_version: u64,
-    /// The change as the operator sent it (JSON).
+    /// The change as the operator sent it, which is JSON.
     pub body: Blob,
-    /// SHA-256 of the value that results: an acceptor that computes another one asks for the value.
+    /// The SHA-256 digest of the resulting value. An acceptor whose result has a different digest requests the value.
     pub result: [u8; 32],
 }
 
-/// The sender can't compute the value of this proposal from the change. Answers [`AcceptChange`]; the proposer
-/// sends [`Accept`].
+/// Reports that the sender cannot compute the value of a proposal from the change. Answers an [`AcceptChange`]; the
+/// proposer then sends an [`Accept`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ValueNeeded {
     /// The number under which the change was proposed.
     pub proposal: ProposalNumber,
 }
 
-/// The value of this proposal was accepted and synced. Answers [`Accept`] and [`AcceptChange`].
+/// Reports that the value of a proposal was accepted and synced to disk. Answers an [`Accept`] or [`AcceptChange`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Accepted {
     /// The number under which the value was proposed.
     pub proposal: ProposalNumber,
 }
 
-/// A higher number was promised. Answers [`Prepare`], [`Accept`] and [`AcceptChange`].
+/// Rejects a proposal because a higher number was promised. Answers a [`Prepare`], [`Accept`] or [`AcceptChange`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Rejected {
-    /// The number that is rejected.
+    /// The rejected proposal number.
     pub proposal: ProposalNumber,
     /// The highest number that the sender has promised.
     pub promised: ProposalNumber,
 }
 
-/// Asks for the number of the accepted value without a promise, and for the value itself only where the reader names it.
-/// Sent by a core process that reads the configuration at a quorum; answered by [`ReadReply`].
+/// Requests the number of the accepted value without a promise, and the value itself only if its number is `wanted`. A
+/// core process that reads the configuration at a quorum sends it; it is answered with [`ReadReply`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Read {
-    /// Matches replies with this read.
+    /// A number that matches replies to this read.
     pub nonce: u64,
-    /// The number of the value that the reader wants to be sent; zero for none.
+    /// The number of the value that the reader requests; zero if it requests none.
     pub wanted: ProposalNumber,
 }
 
-/// What the sender has accepted. Answers [`Read`].
+/// The number of the value that the sender has accepted, and the value if it was requested. Answers a [`Read`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct ReadReply {
-    /// As in the request.
+    /// The nonce of the request.
     pub nonce: u64,
-    /// The number of the sender's accepted value; zero for none.
+    /// The number of the sender's accepted value; zero if it has none.
     pub accepted: ProposalNumber,
-    /// The accepted value where it is the one that the reader wants; else empty.
+    /// The accepted value if the reader requested it; otherwise empty.
     pub value: Blob,
 }
 
-/// The value of this proposal is chosen: a quorum has accepted it. Sent by the proposer to all members; answered by
-/// [`Learned`].
+/// Announces that the value of a proposal is chosen, which means that a quorum has accepted it. The proposer sends it
+/// to all members, which answer with [`Learned`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Learn {
     /// The number of the chosen value.
     pub proposal: ProposalNumber,
 }
 
-/// The sender acts by the value of this proposal, or a newer one. Answers [`Learn`].
+/// Reports that the sender uses the value of a proposal, or a newer value. Answers a [`Learn`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Learned {
     /// The number of the chosen value, as in [`Learn`].
     pub proposal: ProposalNumber,
 }
 
-/// The cluster's first value. Sent by the bootstrapping process to the other members of a new cluster; answered by
-/// [`StateSynced`].
+/// Transfers the cluster's first value. The bootstrapping process sends it to the other members of a new cluster, which
+/// answer with [`StateSynced`].
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Bootstrap {
     /// The number of the first value.
     pub proposal: ProposalNumber,
-    /// The first value, which names the members.
+    /// The first value of the register, which contains the member list.
     pub value: Blob,
 }
 
-/// The sender has synced the state that it needs to take part. Answers [`Bootstrap`]; a process also sends it to
-/// itself, to learn that a value of its register is synced.
+/// Reports that the sender has synced the state that it needs to participate. Answers a [`Bootstrap`]; a process also
+/// sends it to itself, to be notified that a value of its register is synced.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct StateSynced {
-    /// The number of the value that the sender holds.
+    /// The number of the value that the sender has stored.
     pub proposal: ProposalNumber,
 }
--- a/crates/cluster/protocol/src/frame.rs
+++ b/crates/cluster/protocol/src/frame.rs
@@ -1,47 +1,47 @@
-//! Frames on a TCP connection between two processes: a preamble names protocol and sender once, then each message
-//! follows with its length in front.
+//! The frames on a TCP connection between two processes. A preamble identifies the protocol and the sender once; then
+//! each message follows, prefixed with its length.
 
 use deku::prelude::*;
 
 use crate::id::{Incarnation, NodeId};
 use crate::message::Message;
 
-/// The protocol's version; a connection with another one is closed.
+/// The version of the protocol; a connection with a different version is closed.
 pub const PROTOCOL_VERSION: u16 = 1;
 /// The first four bytes of each connection, `sage` in ASCII.
 pub const MAGIC: u32 = 0x7361_6765;
 /// The longest payload of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
-/// The length prefix of a payload, in bytes.
+/// The size of a payload's length prefix, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// The first bytes on each connection, from the side that opened it; no answer.
+/// The first bytes on each connection, sent by the side that opened it. It is not answered.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug)]
 pub struct Preamble {
-    /// [`MAGIC`].
+    /// The protocol's identifier, which must equal [`MAGIC`].
     pub magic: u32,
-    /// [`PROTOCOL_VERSION`].
+    /// The version of the protocol, which must equal [`PROTOCOL_VERSION`].
     pub version: u16,
     /// The process that opened the connection.
     pub from: NodeId,
-    /// Its incarnation: connections of an earlier one are closed.
+    /// The incarnation of that process; connections of its earlier incarnations are closed.
     pub incarnation: Incarnation,
 }
 
-/// The length of a preamble, in bytes.
+/// The size of a preamble, in bytes.
 pub const PREAMBLE_BYTES: usize = 4 + 2 + 6 + 8;
 
-/// Why a frame was not encoded or decoded.
+/// The reason for which a frame was not encoded or decoded.
 #[derive(thiserror::Error, Debug, PartialEq)]
 pub enum FrameError {
-    /// Not this protocol, or another version of it.
-    #[error("another protocol or version")]
+    /// The preamble is of another protocol, or of another version of this protocol.
+    #[error("preamble of another protocol or version")]
     Foreign,
-    /// A payload longer than [`MAX_FRAME_BYTES`]; its length, in bytes.
-    #[error("a frame of {0} bytes")]
+    /// The payload is longer than [`MAX_FRAME_BYTES`]. The field is its length, in bytes.
+    #[error("frame too long: got {0} bytes, expected at most {MAX_FRAME_BYTES}")]
     TooLong(usize),
     /// The payload is not a message.
-    #[error("no message: {0}")]
+    #[error("frame does not contain a valid message: {0}")]
     Malformed(DekuError),
 }
 
@@ -49,8 +49,8 @@
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLong`] for a payload above [`MAX_FRAME_BYTES`], [`FrameError::Malformed`] for a message that can't
-/// be encoded.
+/// Returns [`FrameError::TooLong`] if the payload is longer than [`MAX_FRAME_BYTES`], and [`FrameError::Malformed`] if
+/// the message cannot be encoded.
 pub fn encode(message: &Message) -> Result<Vec<u8>, FrameError> {
     let bytes = message.to_bytes().map_err(FrameError::Malformed)?;
     if bytes.len() > MAX_FRAME_BYTES {
@@ -59,12 +59,12 @@
     Ok(bytes)
 }
 
-/// Decodes the message that a payload holds. Bytes after the message are ignored.
+/// Decodes the message in a payload. Bytes after the message are ignored.
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLong`] for a payload above [`MAX_FRAME_BYTES`], [`FrameError::Malformed`] for one that holds no
-/// message.
+/// Returns [`FrameError::TooLong`] if the payload is longer than [`MAX_FRAME_BYTES`], and [`FrameError::Malformed`] if
+/// it does not contain a valid message.
 pub fn decode(payload: &[u8]) -> Result<Message, FrameError> {
     if payload.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(payload.len()));
--- a/crates/cluster/protocol/src/id.rs
+++ b/crates/cluster/protocol/src/id.rs
@@ -1,11 +1,11 @@
-//! Names of a process, its incarnation and a term.
+//! The identifiers of a process, of its incarnations and of a term.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use deku::prelude::*;
 
-/// A process of the cluster, named by the address at which it listens for other processes.
+/// A process of the cluster, identified by the address at which it listens for other processes.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct NodeId {
     /// The IPv4 address as a number, most significant byte first.
@@ -15,7 +15,7 @@
 }
 
 impl NodeId {
-    /// The process that listens at `address`.
+    /// Returns the id of the process that listens at `address`.
     #[must_use]
     pub fn from_address(address: SocketAddrV4) -> NodeId {
         NodeId {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Where the process listens.
+    /// Returns the address at which the process listens.
     #[must_use]
     pub fn address(self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.ip), self.port)
@@ -43,24 +43,25 @@
     }
 }
 
-/// The class of machine that a process runs on.
+/// The kind of a process, which follows from the class of machine on which it runs.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Hash)]
 #[deku(id_type = "u8")]
 pub enum NodeKind {
-    /// Takes clients' requests.
+    /// A gateway, which serves clients' requests.
     #[deku(id = 0)]
     Frontend,
-    /// The agent beside one runner.
+    /// An agent, which runs next to one runner.
     #[deku(id = 1)]
     Side,
-    /// Has a disk and takes part in the control plane's quorums.
+    /// A core process, which has a disk and participates in the control plane's quorums.
     #[deku(id = 2)]
     Core,
 }
 
 impl NodeKind {
-    /// The weight with which a process of this kind is chosen as a relay; 0: never. A frontend's link is narrow, and
-    /// core processes are the source.
+    /// Returns the weight with which a process of this kind is chosen as a relay; a process with weight 0 is never
+    /// chosen. Frontends are not chosen because their links have little bandwidth, and core processes because they are
+    /// the source of the configurations.
     #[must_use]
     pub fn relay_weight(self) -> u32 {
         match self {
@@ -70,8 +71,8 @@
     }
 }
 
-/// A term of the leader, as in Raft; rises with each election.
+/// A term of the leader, as in Raft. It increases with each election.
 pub type Term = u64;
 
-/// Tells apart the starts of one process: drawn at random at each start, never zero.
+/// A number that distinguishes the starts of one process. It is drawn at random at each start and never zero.
 pub type Incarnation = u64;
--- a/crates/cluster/protocol/src/lib.rs
+++ b/crates/cluster/protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! The contract between the processes of a cluster: typed messages, their frames on TCP, and the interface by which the
-//! logic of a process is driven.
+//! The protocol between the processes of a cluster: typed messages, their frames on TCP, and the interface by which a
+//! driver runs the logic of a process.
 //!
-//! # Who speaks with whom
+//! # Communication between processes
 //!
-//! Core processes agree on configurations and elect a leader, which runs the scheduler. A frontend holds the gateway
-//! for clients, a side process the agent beside one runner.
+//! Core processes agree on configurations and elect a leader, which runs the scheduler. A frontend process runs the
+//! gateway for clients; a side process runs the agent of one runner.
 //!
 //! ```text
 //!   client --HTTP--> frontend                                        side <--HTTP-- runner
@@ -20,23 +20,26 @@
 //!                           ConfigUpdate or ConfigCurrent
 //! ```
 //!
-//! - [`directory`]: discovery of the core and the leader, leases of membership; every process with the core.
-//! - [`control`]: the register, elections, replicated records; core processes among each other.
-//! - [`client`]: requests of clients; gateway and scheduler.
-//! - [`agent`]: state and commands of a runner; agent and scheduler.
-//! - [`distribution`]: configurations down a relay tree; every process and its parent.
+//! - [`directory`] contains discovery of the core and the leader, and membership leases, between every process and the
+//!   core.
+//! - [`control`] contains the register, elections and replicated records, among core processes.
+//! - [`client`] contains clients' requests, between gateway and scheduler.
+//! - [`agent`] contains the state of a runner and the commands for it, between agent and scheduler.
+//! - [`distribution`] contains configurations that are sent through a relay tree, between every process and its parent.
 //!
-//! # On TCP
+//! # Transport over TCP
 //!
-//! Two processes share one connection where they can. It begins with a [`frame::Preamble`]; each [`Message`] follows
-//! as a frame: its length, then its bytes in the order of the fields (`deku`). The order of fields and the numbers of
-//! variants are the wire format: `tests/fixtures/wire.txt` pins them, names are free. A message may be lost, and no
-//! order between two messages is promised; whoever needs an answer retries.
+//! Two processes share one connection if possible. It starts with a [`frame::Preamble`]; each [`Message`] follows as a
+//! frame, which consists of the length and the bytes of the message in the order of its fields (`deku`). The order of
+//! fields and the numbers of variants are the wire format, which `tests/fixtures/wire.txt` pins; names of types and
+//! fields are not part of it. A message may be lost, and the order of two messages is not guaranteed; a process that
+//! needs an answer retries.
 //!
 //! # Driving a process
 //!
-//! [`node::Node`] is the logic of a process as a state machine without sockets, disk or clock, [`service::Service`] what
-//! the control plane runs on the leader. [`bounds::Bounds`] are the figures of the deployment on which they act.
+//! [`node::Node`] is the logic of a process as a state machine without sockets, disk or clock. [`service::Service`] is
+//! the interface of the service that the control plane runs on the leader. [`bounds::Bounds`] contains the time limits
+//! and factors of the deployment that both use.
 
 pub mod agent;
 pub mod bounds;
--- a/crates/cluster/protocol/src/node.rs
+++ b/crates/cluster/protocol/src/node.rs
@@ -1,9 +1,10 @@
 //! The interface between the logic of a process and its driver.
 //!
-//! A process is a [`Node`]: a state machine that takes one [`Event`] at a time, with the clocks at that moment
-//! ([`Now`]), and fills an [`Outbox`] with what it wants done. It reads no clock, opens no socket and touches no disk.
-//! The driver performs the outbox and turns what comes of it into further events: `cluster-node` with sockets and a
-//! disk, the simulation with a network, clock and disk of its own, so that whole clusters run in one process.
+//! A process is a [`Node`]: a state machine that handles one [`Event`] at a time, given the clocks at that time
+//! ([`Now`]), and writes the actions to perform to an [`Outbox`]. It reads no clock, opens no socket and accesses no
+//! disk. The driver performs these actions and turns their results into further events. The driver in `cluster-node`
+//! uses sockets and a disk; the simulation uses its own network, clock and disk, so that whole clusters run in one
+//! process.
 //!
 //! ```text
 //!            Event, Now                              sends, replies
@@ -14,7 +15,7 @@
 //!         Terminate
 //! ```
 //!
-//! The driver calls [`Node::handle`] for one event after the other and asks for [`Node::next_wake`] after each.
+//! The driver calls [`Node::handle`] for one event after the other and calls [`Node::next_wake`] after each.
 
 mod disk;
 mod event;
@@ -30,20 +31,22 @@
 
 use crate::time::Time;
 
-/// The clocks at an event.
+/// The clocks at the time of an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Now {
-    /// The steady clock; never goes back.
+    /// The steady clock, which never goes back.
     pub steady: Time,
-    /// The time of day, in milliseconds since 1970; may jump either way.
+    /// The wall clock, in milliseconds since 1970; it may jump forwards or backwards.
     pub wall_ms: i64,
 }
 
 /// The logic of a process, driven by events.
 pub trait Node {
-    /// Takes one event and adds to `outbox` what is to be done. Never blocks. The driver performs each entry once.
+    /// Handles one event and adds the actions to perform to `outbox`. It never blocks. The driver performs each action
+    /// once.
     fn handle(&mut self, now: Now, event: Event, outbox: &mut Outbox);
 
-    /// When [`Event::Wake`] is due next; `None` for never. Read after each event.
+    /// Returns the time at which the next [`Event::Wake`] is due, or `None` if none is. The driver calls this after
+    /// each event.
     fn next_wake(&self) -> Option<Time>;
 }
--- a/crates/cluster/protocol/src/node/disk.rs
+++ b/crates/cluster/protocol/src/node/disk.rs
@@ -1,4 +1,4 @@
-//! Writes to the disk of a core process, and what it holds at the start.
+//! Writes to the disk of a core process, and the contents of that disk when the process starts.
 
 use crate::id::NodeId;
 use crate::message::Message;
@@ -12,19 +12,19 @@
     Records,
 }
 
-/// A change of one table on disk.
+/// A change to one table on disk.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum DiskOperation {
-    /// Sets a row, whether it was there or not.
+    /// Sets a row, whether or not it exists.
     Put {
         /// The row's table.
         table: Table,
         /// The row's key.
         key: Vec<u8>,
-        /// Its new value.
+        /// The row's new value.
         value: Vec<u8>,
     },
-    /// Removes a row; no error where there is none.
+    /// Removes a row; it is no error if the row does not exist.
     Delete {
         /// The row's table.
         table: Table,
@@ -33,24 +33,25 @@
     },
     /// Removes all rows of a table.
     Clear {
-        /// The table.
+        /// The table whose rows are removed.
         table: Table,
     },
 }
 
-/// An atomic write, and what waits until it is synced. Writes of one process reach the disk in the order of the
-/// outboxes; the driver may sync several at once.
+/// An atomic write, and the actions that wait until it is synced. The writes of one process reach the disk in the order
+/// in which the outboxes contain them; the driver may sync several writes at once.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct DiskWrite {
     /// The changes, applied in this order.
     pub operations: Vec<DiskOperation>,
-    /// Messages that are sent once the changes are synced: promises that must survive a crash.
+    /// The messages that are sent once the changes are synced. They contain promises that must survive a crash.
     pub send_when_synced: Vec<(NodeId, Message)>,
-    /// Comes back in [`Event::Synced`](super::Event::Synced) once the changes are synced.
+    /// The token that [`Event::Synced`](super::Event::Synced) returns once the changes are synced; `None` if no event
+    /// is needed.
     pub token: Option<u64>,
 }
 
-/// What was on disk when the process started.
+/// The contents of the disk when the process started.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct DiskImage {
     /// The rows of [`Table::Control`] as (key, value), sorted by key.
--- a/crates/cluster/protocol/src/node/event.rs
+++ b/crates/cluster/protocol/src/node/event.rs
@@ -1,50 +1,51 @@
-//! Events: the inputs of the logic.
+//! The events, which are the inputs of a process's logic.
 
 use super::{HealthCheckId, HealthCheckResult, HttpEndpoint, HttpRequest, HttpRequestId};
 use crate::id::NodeId;
 use crate::message::Message;
 
-/// An input of the logic.
+/// An input of a process's logic.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Another process sent a message; a process also sends messages to itself.
+    /// A message arrived from another process, or from this process, which can send messages to itself.
     Message {
-        /// The sender.
+        /// The sender of the message.
         from: NodeId,
-        /// The message.
+        /// The message itself.
         message: Message,
     },
-    /// An HTTP request. It must be answered exactly once with [`Outbox::reply`](super::Outbox::reply), unless it is
-    /// abandoned.
+    /// An HTTP request arrived. It must be answered exactly once with [`Outbox::reply`](super::Outbox::reply), unless
+    /// it is abandoned.
     Http {
-        /// Names the request in the reply.
+        /// The id that identifies the request in the reply.
         id: HttpRequestId,
-        /// Where it arrived.
+        /// The endpoint at which the request arrived.
         endpoint: HttpEndpoint,
-        /// The request.
+        /// The request itself.
         request: HttpRequest,
     },
-    /// The caller has closed its connection; no reply is needed.
+    /// The client of an HTTP request has closed its connection, so no reply is needed.
     HttpAbandoned {
-        /// The request.
+        /// The id of the abandoned request.
         id: HttpRequestId,
     },
     /// A disk write has been synced.
     Synced {
-        /// The write's token.
+        /// The token of the write.
         token: u64,
     },
-    /// The result of a health check, once for each.
+    /// A health check has ended; each health check has exactly one result.
     HealthCheck {
-        /// The health check.
+        /// The id of the health check.
         id: HealthCheckId,
-        /// Its result.
+        /// The result of the health check.
         result: HealthCheckResult,
     },
-    /// The instant of [`Node::next_wake`](super::Node::next_wake) has come; may come early.
+    /// The time returned by [`Node::next_wake`](super::Node::next_wake) has been reached. The event may also arrive
+    /// early.
     Wake,
-    /// The settings were read again: these are the seeds now.
+    /// The settings were reloaded; the field contains the new seeds.
     SeedsChanged(Vec<NodeId>),
-    /// SIGTERM or SIGINT: the process drains and ends within its grace.
+    /// SIGTERM or SIGINT was received; the process drains and ends within its grace period.
     Terminate,
 }
--- a/crates/cluster/protocol/src/node/health_check.rs
+++ b/crates/cluster/protocol/src/node/health_check.rs
@@ -1,22 +1,22 @@
-//! Health checks of another process.
+//! Health checks that a process performs on another process.
 
 use std::net::SocketAddrV4;
 
-/// Names a health check until its result comes; chosen by the logic.
+/// The id of a health check until its result arrives. The logic chooses it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct HealthCheckId(
-    /// Unique in one run of a process.
+    /// A number that is unique within one run of a process.
     pub u64,
 );
 
-/// A health check of another process: one GET on a connection of its own.
+/// A health check of another process, which consists of one GET request on a separate connection.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HealthCheck {
-    /// Comes back with the result.
+    /// The id that is returned with the result.
     pub id: HealthCheckId,
-    /// Where the other process listens.
+    /// The address at which the other process listens.
     pub address: SocketAddrV4,
-    /// The path of the GET.
+    /// The path of the GET request.
     pub path: String,
 }
 
@@ -26,10 +26,10 @@
 /// The result of a health check.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum HealthCheckResult {
-    /// The machine is up and nothing listens at the address.
+    /// The connection was refused: the machine is up, but no process listens at the address.
     Refused,
-    /// It was answered with this status.
+    /// The other process answered with this HTTP status.
     Status(u16),
-    /// No answer in time, or a connection that broke off.
+    /// No answer arrived within the time-out, or the connection was closed before one.
     NoAnswer,
 }
--- a/crates/cluster/protocol/src/node/http.rs
+++ b/crates/cluster/protocol/src/node/http.rs
@@ -1,60 +1,60 @@
-//! HTTP requests and replies as the logic sees them.
+//! HTTP requests and replies in the form that a process's logic handles.
 
-/// Names an HTTP request until it is answered; unique in one run of a process.
+/// The id of an HTTP request until it is answered; it is unique within one run of a process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct HttpRequestId(
-    /// Chosen by the driver.
+    /// The number that the driver has chosen.
     pub u64,
 );
 
 /// The listening address at which an HTTP request arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum HttpEndpoint {
-    /// For clients.
+    /// The endpoint for clients.
     Frontend,
-    /// For the platform's readiness check.
+    /// The endpoint for the platform's readiness check.
     Readiness,
-    /// For the operator on core machines, for the runner on side machines.
+    /// The endpoint for the operator on core machines and for the runner on side machines.
     Control,
 }
 
 /// An HTTP method.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum Method {
-    /// GET.
+    /// The method GET.
     Get,
-    /// POST.
+    /// The method POST.
     Post,
-    /// DELETE.
+    /// The method DELETE.
     Delete,
-    /// Any other.
+    /// Any other method.
     Other,
 }
 
 /// An HTTP request with its full body.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HttpRequest {
-    /// The method.
+    /// The method of the request.
     pub method: Method,
-    /// The `Host` header without a port; empty where there is none.
+    /// The `Host` header without a port; empty if the header is missing.
     pub host: String,
-    /// The path without a query.
+    /// The path of the request, without a query.
     pub path: String,
-    /// The `Base-Version` header, a version of the configuration; `None` where it is missing or no number.
+    /// The `Base-Version` header, which is a version of the configuration; `None` if it is missing or not a number.
     pub base_version: Option<u64>,
-    /// The `Deadline-Ms` header, in milliseconds; `None` where it is missing or no number.
+    /// The `Deadline-Ms` header, in milliseconds; `None` if it is missing or not a number.
     pub deadline_ms: Option<u64>,
-    /// The body; empty where there is none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 /// An HTTP reply.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HttpReply {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The `Retry-After` header, in whole seconds, rounded up by whoever sets it.
+    /// The `Retry-After` header, in whole seconds; `None` if it is not sent. The code that sets it rounds it up.
     pub retry_after_s: Option<u32>,
-    /// JSON; empty for no body.
+    /// The body, which is JSON; empty if there is none.
     pub body: Vec<u8>,
 }
--- a/crates/cluster/protocol/src/node/outbox.rs
+++ b/crates/cluster/protocol/src/node/outbox.rs
@@ -1,36 +1,36 @@
-//! The outbox: the outputs of the logic.
+//! The outbox, which contains the outputs of a process's logic.
 
 use super::{DiskWrite, HealthCheck, HttpReply, HttpRequestId};
 use crate::id::NodeId;
 use crate::message::Message;
 
-/// What the logic wants done, performed by the driver after [`Node::handle`](super::Node::handle).
+/// The actions that the logic requests. The driver performs them after [`Node::handle`](super::Node::handle) returns.
 #[derive(Default, Debug)]
 pub struct Outbox {
-    /// Messages that are sent at once, in this order; each may be lost.
+    /// The messages that are sent immediately, in this order, each with its receiver; each may be lost.
     pub sends: Vec<(NodeId, Message)>,
-    /// Replies to HTTP requests.
+    /// The replies to HTTP requests.
     pub replies: Vec<(HttpRequestId, HttpReply)>,
-    /// Writes to the disk, in this order; only a core process has any.
+    /// The writes to the disk, in this order; only a core process has a disk.
     pub writes: Vec<DiskWrite>,
-    /// Health checks to start.
+    /// The health checks that are started.
     pub health_checks: Vec<HealthCheck>,
-    /// Whether the process may end, after [`Event::Terminate`](super::Event::Terminate): nothing is in flight.
+    /// True if the process may end after [`Event::Terminate`](super::Event::Terminate), because no work is in flight.
     pub finished: bool,
 }
 
 impl Outbox {
-    /// Sends a message at once.
+    /// Adds a message that is sent immediately.
     pub fn send(&mut self, to: NodeId, message: Message) {
         self.sends.push((to, message));
     }
 
-    /// Answers an HTTP request.
+    /// Adds the reply to an HTTP request.
     pub fn reply(&mut self, id: HttpRequestId, reply: HttpReply) {
         self.replies.push((id, reply));
     }
 
-    /// Starts a health check; [`Event::HealthCheck`](super::Event::HealthCheck) brings its result.
+    /// Adds a health check to start; [`Event::HealthCheck`](super::Event::HealthCheck) returns its result.
     pub fn health_check(&mut self, health_check: HealthCheck) {
         self.health_checks.push(health_check);
     }
--- a/crates/cluster/protocol/src/service.rs
+++ b/crates/cluster/protocol/src/service.rs
@@ -1,5 +1,5 @@
-//! The interface between the control plane and the service that runs on the leader, on replicated records: the
-//! scheduler.
+//! The interface between the control plane and the service that runs on the leader and stores its state in replicated
+//! records. This service is the scheduler.
 
 use std::sync::Arc;
 
@@ -8,38 +8,38 @@
 use crate::node::Now;
 use crate::time::Time;
 
-/// A change of the replicated records.
+/// A change to the replicated records.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RecordOperation {
-    /// Sets a record, whether it was there or not.
+    /// Sets a record, whether or not it exists.
     Put {
         /// The record's key.
         key: Vec<u8>,
-        /// Its new value.
+        /// The record's new value.
         value: Vec<u8>,
     },
-    /// Removes a record; no error where there is none.
+    /// Removes a record; it is no error if the record does not exist.
     Delete {
         /// The record's key.
         key: Vec<u8>,
     },
 }
 
-/// Changes that are committed at a quorum together or not at all.
+/// Changes that are committed at a quorum atomically: all of them or none.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Batch {
-    /// Rises by one from 1 within a term.
+    /// The number of the batch, which increases by one from 1 within a term.
     pub number: u64,
     /// The changes, applied in this order.
     pub operations: Vec<RecordOperation>,
 }
 
-/// A configuration in force.
+/// A configuration that is in force.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ConfigInForce {
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
-    /// JSON, as the operator reads it.
+    /// The document as JSON, in the form in which the operator reads it.
     pub document: Arc<Vec<u8>>,
 }
 
@@ -47,34 +47,35 @@
 pub struct Restored {
     /// The term for which this process was elected.
     pub term: Term,
-    /// This process.
+    /// The id of this process.
     pub node: NodeId,
-    /// Every record that may have been committed, as (key, value), sorted by key.
+    /// All records that may have been committed, as (key, value), sorted by key.
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
-    /// The newest configuration, read at a quorum after the election; `None` before the first.
+    /// The newest configuration, read at a quorum after the election; `None` if there is no configuration yet.
     pub config: Option<ConfigInForce>,
-    /// Drawn anew for each term; seeds the service's random numbers.
+    /// The seed of the service's random numbers, which is drawn anew for each term.
     pub seed: u64,
 }
 
-/// Runs on the leader for one term; the control plane drops it at the term's end and sends its messages only while
-/// the term's lease holds. The service itself holds back what must wait until a batch is committed.
+/// A service that runs on the leader for one term. The control plane drops it at the end of the term, and sends its
+/// messages only while the term's lease is valid. The service itself must delay messages that depend on a batch until
+/// that batch is committed.
 pub trait Service {
-    /// A message from outside the control plane (`ClientRequest`, `RunnerReport`).
+    /// Handles a message from outside the control plane (`ClientRequest` or `RunnerReport`).
     fn message(&mut self, now: Now, from: NodeId, message: Message);
-    /// A newer configuration is in force.
+    /// Notifies the service that a newer configuration is in force.
     fn config(&mut self, now: Now, config: ConfigInForce);
-    /// A quorum has synced the batch with this number, and all before it.
+    /// Notifies the service that a quorum has synced the batch with this number and all batches before it.
     fn committed(&mut self, now: Now, number: u64);
-    /// The instant of [`next_wake`](Service::next_wake) has come.
+    /// Notifies the service that the time returned by [`next_wake`](Service::next_wake) has been reached.
     fn wake(&mut self, now: Now);
-    /// When [`wake`](Service::wake) is due; `None` for never.
+    /// Returns the time at which the next [`wake`](Service::wake) is due, or `None` if none is.
     fn next_wake(&self) -> Option<Time>;
-    /// Takes all changes since the last call as one batch; `None` where there are none.
+    /// Removes and returns all changes since the last call as one batch, or `None` if there are no changes.
     fn take_batch(&mut self) -> Option<Batch>;
-    /// Takes all messages that may be sent now, as (receiver, message).
+    /// Removes and returns all messages that may be sent now, as (receiver, message).
     fn take_sends(&mut self) -> Vec<(NodeId, Message)>;
 }
 
-/// Makes the service at the start of a term.
+/// A function that creates the service at the start of a term.
 pub type ServiceFactory = Box<dyn FnMut(Now, Restored) -> Box<dyn Service + Send> + Send>;
