--- a/crates/cluster/protocol/tests/encoding.rs
+++ b/crates/cluster/protocol/tests/encoding.rs
@@ -1,6 +1,7 @@
-//! The bytes on the wire. `fixtures/wire.txt` has one example or more of each type, with its name and its bytes as
-//! hex; the names are the fixture's own. Processes of different releases speak to each other: a difference from the
-//! fixture is a new protocol version, never a new fixture alone.
+//! Guards against unintended changes of the wire format. `fixtures/wire.txt` contains at least one example of each
+//! type, with a name, which exists only in the fixture, and the bytes in hexadecimal. Processes of different releases
+//! communicate with each other, so a difference from the fixture requires a new protocol version and not only a new
+//! fixture.
 
 mod examples;
 
@@ -17,24 +18,24 @@
 
 const FIXTURE: &str = include_str!("fixtures/wire.txt");
 
-/// The fixture's bytes of an example.
+/// Returns the bytes that the fixture contains for an example.
 fn fixture_bytes(name: &str) -> Vec<u8> {
     Fixture::read(FIXTURE).bytes(name)
 }
 
 #[test]
-fn all_types_are_written_as_the_fixture_says() {
-    let mut written = Fixture::default();
+fn all_types_are_encoded_as_in_the_fixture() {
+    let mut encoded = Fixture::default();
     for example in examples::all() {
-        written.add_bytes(&example.name, &example.bytes);
+        encoded.add_bytes(&example.name, &example.bytes);
     }
-    Fixture::assert_keeps(FIXTURE, &written);
+    Fixture::assert_keeps(FIXTURE, &encoded);
 }
 
 #[test]
-fn all_types_are_read_from_the_bytes_of_the_fixture() {
+fn all_types_are_decoded_from_the_bytes_of_the_fixture() {
     for example in examples::all() {
-        (example.reads_back)(&fixture_bytes(&example.name));
+        (example.assert_decodes)(&fixture_bytes(&example.name));
     }
 }
 
@@ -47,9 +48,9 @@
     assert_eq!(names.len(), count);
 }
 
-/// `encode` and `decode` put nothing around the bytes of a message.
+/// `encode` and `decode` must not add bytes around those of a message.
 #[test]
-fn frames_carry_a_message_as_it_is() {
+fn a_frame_payload_is_exactly_the_encoded_message() {
     let messages = examples::all()
         .into_iter()
         .filter(|example| example.name.starts_with("message/"));
@@ -62,9 +63,14 @@
             "{}",
             example.name
         );
-        // What follows a message is passed over.
-        let longer = [payload, vec![0xee]].concat();
-        assert_eq!(frame::decode(&longer).unwrap(), message, "{}", example.name);
+        // Bytes after the message are ignored.
+        let payload_with_trailing_byte = [payload, vec![0xee]].concat();
+        assert_eq!(
+            frame::decode(&payload_with_trailing_byte).unwrap(),
+            message,
+            "{}",
+            example.name
+        );
     }
 }
 
@@ -85,7 +91,7 @@
     }
 }
 
-/// Which first bytes name a variant, where zeros follow.
+/// Returns the first bytes that are decoded as the id of a variant if all following bytes are zero.
 fn known_ids<T: for<'a> DekuContainerRead<'a>>() -> Vec<u8> {
     (0..=u8::MAX)
         .filter(|id| {
@@ -97,7 +103,7 @@
 }
 
 #[test]
-fn no_other_ids_are_taken() {
+fn no_other_ids_are_decoded() {
     assert_eq!(known_ids::<Message>(), (1..=12).collect::<Vec<u8>>());
     assert_eq!(known_ids::<NodeKind>(), [0, 1, 2]);
     assert_eq!(known_ids::<ClientMethod>(), [0, 1, 2]);
@@ -106,9 +112,9 @@
     assert_eq!(known_ids::<RecordChange>(), [0, 1]);
 }
 
-/// One of them has a kind of change within that is never zero.
+/// Id 26 (`AcceptChange`) is missing in the list because it contains a `ChangeKind`, which has no variant with id 0.
 #[test]
-fn no_other_ids_of_control_messages_are_taken() {
+fn no_other_ids_of_control_messages_are_decoded() {
     let all: Vec<u8> = (0..=27).filter(|id| *id != 26).collect();
     assert_eq!(known_ids::<ControlMessage>(), all);
 }
--- a/crates/cluster/protocol/tests/examples/control.rs
+++ b/crates/cluster/protocol/tests/examples/control.rs
@@ -1,10 +1,10 @@
-//! Messages among core processes.
+//! Examples of the messages among core processes.
 
 use sagetrail_protocol::control::*;
 use sagetrail_protocol::{Blob, List};
 
 use super::members::process;
-use super::{complete, variants, Example};
+use super::{examples_of_all_variants, variants, Example};
 
 variants!(CONTROL_MESSAGES, control_message, ControlMessage, {
     ControlMessage::Prepare(_) => "prepare",
@@ -42,7 +42,7 @@
     RecordChange::Delete { .. } => "delete",
 });
 
-/// A proposal number with this byte in each of its fields.
+/// Builds a proposal number that has the byte `mark` in each of its fields.
 pub(crate) fn proposal(mark: u8) -> ProposalNumber {
     ProposalNumber {
         counter: 0x0100 + u64::from(mark),
@@ -73,7 +73,7 @@
     RecordChange::Delete { key: blob("gone") }
 }
 
-/// A digest whose bytes all differ.
+/// Builds a digest whose bytes all differ, starting with `first`.
 fn digest(first: u8) -> [u8; 32] {
     std::array::from_fn(|at| first + at as u8)
 }
@@ -84,9 +84,10 @@
     values.extend(election());
     values.extend(records());
     values.extend(accepted_changes());
-    let mut examples = complete("control", CONTROL_MESSAGES, control_message, values);
+    let mut examples =
+        examples_of_all_variants("control", CONTROL_MESSAGES, control_message, values);
     let changes = vec![put(), delete()];
-    examples.extend(complete(
+    examples.extend(examples_of_all_variants(
         "record-change",
         RECORD_CHANGES,
         record_change,
--- a/crates/cluster/protocol/tests/examples/members.rs
+++ b/crates/cluster/protocol/tests/examples/members.rs
@@ -1,4 +1,4 @@
-//! What names a process, the opening of a connection, and the enums without fields.
+//! Examples of process identifiers, of the preamble of a connection, and of the enums without fields.
 
 use sagetrail_protocol::agent::RunEnd;
 use sagetrail_protocol::client::ClientMethod;
@@ -6,7 +6,7 @@
 use sagetrail_protocol::frame::Preamble;
 use sagetrail_protocol::{NodeId, NodeKind};
 
-use super::{complete, variants, Example};
+use super::{examples_of_all_variants, variants, Example};
 
 variants!(NODE_KINDS, node_kind, NodeKind, {
     NodeKind::Frontend => "frontend",
@@ -35,7 +35,7 @@
     ChangeKind::Patch => "patch",
 });
 
-/// A process with this last byte in its address.
+/// Builds the id of a process whose address ends with the byte `last`.
 pub(crate) fn process(last: u8) -> NodeId {
     NodeId {
         ip: 0x0a12_4a00 + u32::from(last),
@@ -54,13 +54,13 @@
         Example::of("preamble", preamble),
         Example::of("node-id", process(9)),
     ];
-    examples.extend(complete(
+    examples.extend(examples_of_all_variants(
         "node-kind",
         NODE_KINDS,
         node_kind,
         vec![NodeKind::Frontend, NodeKind::Side, NodeKind::Core],
     ));
-    examples.extend(complete(
+    examples.extend(examples_of_all_variants(
         "client-method",
         CLIENT_METHODS,
         client_method,
@@ -70,7 +70,7 @@
             ClientMethod::Cancel,
         ],
     ));
-    examples.extend(complete(
+    examples.extend(examples_of_all_variants(
         "run-end",
         RUN_ENDS,
         run_end,
@@ -84,7 +84,7 @@
             RunEnd::Rejected,
         ],
     ));
-    examples.extend(complete(
+    examples.extend(examples_of_all_variants(
         "change-kind",
         CHANGE_KINDS,
         change_kind,
--- a/crates/cluster/protocol/tests/examples/messages.rs
+++ b/crates/cluster/protocol/tests/examples/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between processes, other than those among core processes.
+//! Examples of the messages between processes, except those among core processes.
 
 use sagetrail_protocol::agent::{
     ActiveRun, FinishedRun, Resources, RunEnd, RunnerCommands, RunnerReport, StartCommand,
@@ -12,7 +12,7 @@
 use sagetrail_protocol::{Blob, List, Message, NodeKind, Text};
 
 use super::members::process;
-use super::{complete, variants, Example};
+use super::{examples_of_all_variants, variants, Example};
 
 variants!(MESSAGES, message, Message, {
     Message::Hello(_) => "hello",
@@ -62,7 +62,7 @@
             payload: Blob(vec![0x36, 0x37, 0x38]),
         }),
     ];
-    complete("message", MESSAGES, message, values)
+    examples_of_all_variants("message", MESSAGES, message, values)
 }
 
 fn hello() -> Message {
@@ -163,7 +163,8 @@
     })
 }
 
-/// A runner that drains. With the other two reports no two flags are always the same.
+/// Builds a report about a draining runner. Together with the other two reports, every pair of flags differs in at
+/// least one report.
 fn report_of_draining_runner() -> Message {
     Message::RunnerReport(RunnerReport {
         agent: 0x2701,
@@ -193,7 +194,7 @@
     })
 }
 
-/// No runner is known, and all that one may have run is over.
+/// Builds a report without a known runner, in which every run of an earlier runner has ended.
 fn report_without_runner() -> Message {
     Message::RunnerReport(RunnerReport {
         agent: 0x2501,
--- a/crates/cluster/protocol/tests/examples/mod.rs
+++ b/crates/cluster/protocol/tests/examples/mod.rs
@@ -1,5 +1,5 @@
-//! One example or more of each type on the wire. All fields of an example differ, so that two swapped ones show;
-//! each struct is written out in full, so that a new field must be given a value here.
+//! At least one example of each type of the wire format. All fields of an example have different values, so that
+//! swapped fields are detected. Each struct is written out in full, so that a new field must be given a value here.
 
 mod control;
 mod members;
@@ -10,17 +10,17 @@
 
 use deku::{DekuContainerRead, DekuContainerWrite};
 
-/// Panics unless bytes are read as the value that it knows.
-type ReadsBack = Box<dyn Fn(&[u8])>;
+/// A function that panics unless the bytes are decoded as the expected value.
+type DecodeAssertion = Box<dyn Fn(&[u8])>;
 
-/// An encoded value, and how to read its kind back.
+/// An encoded value, and a check that its bytes are decoded as the same value.
 pub(crate) struct Example {
-    /// Its name in the fixture.
+    /// The name of the example in the fixture.
     pub name: String,
-    /// What the program writes.
+    /// The bytes of the encoded value.
     pub bytes: Vec<u8>,
-    /// Panics unless these bytes are read as the value.
-    pub reads_back: ReadsBack,
+    /// Panics unless the given bytes are decoded as the value.
+    pub assert_decodes: DecodeAssertion,
 }
 
 impl Example {
@@ -32,17 +32,21 @@
         Example {
             name: name.to_owned(),
             bytes: value.to_bytes().unwrap(),
-            reads_back: Box::new(move |bytes| {
+            assert_decodes: Box::new(move |bytes| {
                 let ((rest, bit), read) = T::from_bytes((bytes, 0)).unwrap();
-                assert_eq!((rest.len(), bit), (0, 0), "{label}: not read to its end");
+                assert_eq!(
+                    (rest.len(), bit),
+                    (0, 0),
+                    "{label}: bytes remain after decoding"
+                );
                 assert_eq!(read, value, "{label}");
             }),
         }
     }
 }
 
-/// Declares the names of all variants of an enum. The match has no wildcard: a variant that is not named here does
-/// not compile.
+/// Declares the names of all variants of an enum. The match has no wildcard, so that a variant without a name here is a
+/// compile error.
 macro_rules! variants {
     ($all:ident, $name:ident, $enumeration:ty, { $($pattern:pat => $label:literal,)+ }) => {
         pub(crate) const $all: &[&str] = &[$($label),+];
@@ -56,8 +60,8 @@
 }
 pub(crate) use variants;
 
-/// Examples of the values of one enum; a variant without one is an error.
-fn complete<T>(
+/// Builds the examples of one enum; panics if a variant has no example.
+fn examples_of_all_variants<T>(
     group: &str,
     all: &[&'static str],
     name: fn(&T) -> &'static str,
@@ -67,8 +71,8 @@
     T: DekuContainerWrite + for<'a> DekuContainerRead<'a> + PartialEq + Debug + 'static,
 {
     let named: BTreeSet<&str> = values.iter().map(name).collect();
-    let wanted: BTreeSet<&str> = all.iter().copied().collect();
-    assert_eq!(named, wanted, "variants of {group} with an example");
+    let expected: BTreeSet<&str> = all.iter().copied().collect();
+    assert_eq!(named, expected, "variants of {group} with an example");
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     let label = |value: &T| {
         let variant = name(value);
@@ -87,7 +91,7 @@
         .collect()
 }
 
-/// Every example, in the order of the fixture.
+/// Returns all examples in the order of the fixture.
 pub(crate) fn all() -> Vec<Example> {
     let mut examples = members::examples();
     examples.extend(messages::examples());
