--- a/crates/cluster/cluster-node/src/transport/frames.rs
+++ b/crates/cluster/cluster-node/src/transport/frames.rs
@@ -54,7 +54,7 @@
 pub(super) fn read_preamble(bytes: &[u8]) -> Result<Preamble, FrameError> {
     let (_, preamble) = Preamble::from_bytes((bytes, 0)).map_err(FrameError::Malformed)?;
     if preamble.magic != MAGIC || preamble.version != PROTOCOL_VERSION {
-        return Err(FrameError::Foreign);
+        return Err(FrameError::ProtocolMismatch);
     }
     Ok(preamble)
 }
--- a/crates/cluster/protocol/src/frame.rs
+++ b/crates/cluster/protocol/src/frame.rs
@@ -36,7 +36,7 @@
 pub enum FrameError {
     /// The preamble is of another protocol, or of another version of this protocol.
     #[error("preamble of another protocol or version")]
-    Foreign,
+    ProtocolMismatch,
     /// The payload is longer than [`MAX_FRAME_BYTES`]. The field is its length, in bytes.
     #[error("frame too long: got {0} bytes, expected at most {MAX_FRAME_BYTES}")]
     TooLong(usize),
