--- a/crates/cluster/gateway/src/node.rs
+++ b/crates/cluster/gateway/src/node.rs
@@ -116,7 +116,7 @@
             return outbox.send(relayed.to, Message::Relayed(relayed));
         }
         let Some(message) = relay::unwrap_message(&relayed) else {
-            return log::debug!("relayed message decoding failed: node={}", relayed.from);
+            return log::debug!("relayed message cannot be decoded: node={}", relayed.from);
         };
         self.receive_message(now, relayed.from, Route::Relayed, message, outbox);
     }
