--- a/crates/cluster/control-plane/src/batch_window.rs
+++ b/crates/cluster/control-plane/src/batch_window.rs
@@ -3,27 +3,30 @@
 use sagetrail_protocol::control::{RecordBatch, RecordChange};
 use std::collections::VecDeque;
 
-/// So many batches stay in any case.
+/// The number of batches above which the oldest ones are dropped, unless an active replica lacks them.
 const MAX_BATCHES: usize = 1024;
-/// And so many bytes of them.
+/// The size of the batches, in bytes of keys and values, above which the oldest ones are dropped, unless an active
+/// replica lacks them.
 const MAX_BYTES: usize = 2 << 20;
-/// So many stay while an active replica lacks them: it may be fetching a snapshot that is as old as they are.
+/// The number of batches that are retained while an active replica lacks them. The replica may be fetching a snapshot
+/// that is as old as these batches.
 const MAX_MISSED_BATCHES: usize = 8192;
-/// And so many bytes of them.
+/// The size, in bytes of keys and values, of the batches that are retained while an active replica lacks them.
 const MAX_MISSED_BYTES: usize = 16 << 20;
-/// The newest batches stay whatever their size.
+/// The number of newest batches that are retained regardless of their size.
 const MIN_BATCHES: usize = 2;
 
-/// The newest batches, with consecutive numbers.
+/// The newest batches of a term, in the order of their consecutive numbers.
 #[derive(Debug, Default)]
 pub(crate) struct BatchWindow {
+    /// The retained batches, oldest first.
     batches: VecDeque<RecordBatch>,
-    /// Bytes of keys and values in `batches`.
+    /// The size of the keys and values in `batches`, in bytes.
     bytes: usize,
 }
 
 impl BatchWindow {
-    /// Adds the next batch. `first_missing`: the first batch that an active replica may lack.
+    /// Adds the next batch and drops surplus ones. `first_missing` is the first batch that an active replica may lack.
     pub(crate) fn push(&mut self, batch: RecordBatch, first_missing: u64) {
         self.bytes += batch_bytes(&batch);
         self.batches.push_back(batch);
@@ -35,18 +38,18 @@
         }
     }
 
-    /// The number of the oldest batch.
+    /// Returns the number of the oldest retained batch.
     pub(crate) fn first(&self) -> Option<u64> {
         self.batches.front().map(|batch| batch.number)
     }
 
-    /// The batch of this number, unless it has been dropped or is yet to come.
+    /// Returns the batch with this number, or `None` if it has been dropped or does not exist yet.
     pub(crate) fn get(&self, number: u64) -> Option<&RecordBatch> {
         let index = number.checked_sub(self.first()?)?;
         self.batches.get(index as usize)
     }
 
-    /// Whether the oldest batch is to be dropped.
+    /// Returns whether the oldest batch has to be dropped.
     fn has_surplus(&self, first_missing: u64) -> bool {
         let exceeds = |batches: usize, bytes: usize| {
             self.batches.len() > batches || (self.bytes > bytes && self.batches.len() > MIN_BATCHES)
--- a/crates/cluster/control-plane/src/bootstrap.rs
+++ b/crates/cluster/control-plane/src/bootstrap.rs
@@ -4,7 +4,7 @@
 
 use sagetrail_protocol::{List, NodeId, Time};
 
-use crate::timing::{BOOTSTRAP_ALONE_MS, BOOTSTRAP_PATIENCE_MS, BOOTSTRAP_QUIET_MS};
+use crate::timing::{BOOTSTRAP_QUIET_MS, BOOTSTRAP_SINGLE_NODE_WAIT_MS, BOOTSTRAP_WAIT_MS};
 use crate::value::RegisterValue;
 
 /// With two or more candidates but fewer than this, the bootstrapping process waits without a time limit, since so few
@@ -54,10 +54,10 @@
             return self.last_found_at.plus_millis(BOOTSTRAP_QUIET_MS);
         }
         if found >= MIN_CANDIDATES {
-            return self.started.plus_millis(BOOTSTRAP_PATIENCE_MS);
+            return self.started.plus_millis(BOOTSTRAP_WAIT_MS);
         }
         if found == 1 {
-            return self.started.plus_millis(BOOTSTRAP_ALONE_MS);
+            return self.started.plus_millis(BOOTSTRAP_SINGLE_NODE_WAIT_MS);
         }
         Time(u64::MAX)
     }
--- a/crates/cluster/control-plane/src/election.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -1,5 +1,5 @@
-//! Elections: a process whose granted lease is over first asks whether it would be promised a term (pre-vote, Ongaro's
-//! thesis, 9.6), then for the term itself.
+//! Elections. After the lease that it granted has expired, a process first asks the members whether they would promise it
+//! a term (pre-vote, Ongaro's thesis, 9.6), and then requests the promise of the term itself.
 
 use crate::effects::Effects;
 use crate::quorum::MemberList;
@@ -14,30 +14,30 @@
 use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A vote that was granted.
+/// A granted vote or pre-vote.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Vote {
-    /// The voter's newest records.
+    /// The position of the voter's newest records.
     pub position: RecordsPosition,
-    /// When it was requested, in microseconds of the candidate's steady clock.
+    /// When the vote was requested, in microseconds of the candidate's steady clock.
     pub sent_at: u64,
 }
 
-/// An election that was won.
+/// The result of an election that this process has won.
 #[derive(Debug)]
 pub(crate) struct Elected {
-    /// The term that the process leads from now on.
+    /// The term that this process leads from now on.
     pub term: Term,
-    /// The newest records among the voters, on which the term builds.
+    /// The position of the newest records among the voters. The term builds on these records.
     pub base: RecordsPosition,
-    /// A voter that has them; this process where it has them itself.
+    /// A voter that has these records. It is this process if this process has them.
     pub source: NodeId,
-    /// The votes that won it, by voter.
+    /// The votes that won the election, by voter.
     pub votes: BTreeMap<NodeId, Vote>,
 }
 
 impl Elected {
-    /// Voters with the newest records besides the source.
+    /// Returns the voters other than the source that have the newest records.
     pub(crate) fn other_sources(&self) -> Vec<NodeId> {
         let with_base = self
             .votes
@@ -47,46 +47,56 @@
     }
 }
 
-/// What a candidate requests.
+/// The kind of the vote that a candidate requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum VoteKind {
-    /// Whether the voter would promise the term; nothing is promised.
+    /// The voter tells whether it would promise the term, and promises nothing.
     PreVote,
-    /// The promise of the term.
+    /// The voter promises the term.
     Vote,
 }
 
-/// A candidacy under way.
+/// A candidacy in progress.
 #[derive(Debug)]
 struct Candidacy {
+    /// The term that is requested.
     term: Term,
+    /// The kind of votes that are requested.
     kind: VoteKind,
-    /// The member list's version at the start: an election is not won by votes of two lists.
+    /// The version of the member list at the start of the candidacy. An election cannot be won by votes under two
+    /// different member lists.
     members_version: u64,
+    /// When the candidacy started.
     started: Time,
+    /// When requests were last sent.
     sent_at: Time,
+    /// The granted votes, by voter.
     votes: BTreeMap<NodeId, Vote>,
-    /// Members that promised the term, or a higher one, to another candidate.
+    /// The members that did not grant the vote.
     rejections: BTreeSet<NodeId>,
 }
 
 /// The elections of one process.
 #[derive(Debug)]
 pub(crate) struct Elections {
+    /// The address of this process.
     node: NodeId,
+    /// The incarnation of this process. Votes for a former incarnation do not count.
     incarnation: Incarnation,
+    /// The random numbers for the delays of candidacies.
     random: Pcg64Mcg,
-    /// From the end of the granted lease to the next candidacy.
+    /// The delay between the end of the granted lease and the next candidacy, in milliseconds.
     jitter_ms: u64,
-    /// No candidacy begins before.
+    /// The earliest time at which the next candidacy may begin.
     not_before: Time,
-    /// The highest term that was seen promised or was stood for.
-    highest: Term,
+    /// The highest term that this process has seen promised or has requested for itself.
+    highest_term: Term,
+    /// The candidacy in progress.
     candidacy: Option<Candidacy>,
 }
 
 impl Elections {
-    /// Without a candidacy.
+    /// Creates the elections of a process without a candidacy. `seed` is the seed of the random delays.
     pub(crate) fn new(node: NodeId, incarnation: Incarnation, seed: u64) -> Elections {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let jitter_ms = random.random_range(0..ELECTION_JITTER_MS);
@@ -96,12 +106,13 @@
             random,
             jitter_ms,
             not_before: Time::default(),
-            highest: 0,
+            highest_term: 0,
             candidacy: None,
         }
     }
 
-    /// When an election or its next step is due, with the granted lease running until `lease_until`.
+    /// Returns when the next candidacy, or the next step of the candidacy in progress, is due. `lease_until` is the end of
+    /// the lease that this process has granted.
     pub(crate) fn next_wake(&self, lease_until: Time) -> Time {
         match &self.candidacy {
             Some(candidacy) => candidacy
@@ -112,24 +123,24 @@
         }
     }
 
-    /// The leader gave its lease up: the next election comes soon.
+    /// Shortens the delay of the next candidacy after the leader has resigned its lease.
     pub(crate) fn hasten_next(&mut self) {
         self.jitter_ms = self.random.random_range(0..RESIGNED_JITTER_MS);
     }
 
-    /// A term was promised somewhere: the next candidacy is for a higher one.
+    /// Records a term that some process has promised, so that the next candidacy requests a higher one.
     pub(crate) fn observe_term(&mut self, term: Term) {
-        self.highest = self.highest.max(term);
+        self.highest_term = self.highest_term.max(term);
     }
 
-    /// Ends a candidacy, if there is one, and puts the next off by a random delay.
+    /// Ends the candidacy, if there is one, and delays the next one by a random time.
     pub(crate) fn withdraw(&mut self, now: Time) {
         self.candidacy = None;
         self.jitter_ms = self.random.random_range(0..ELECTION_JITTER_MS);
         self.not_before = now.plus_millis(self.jitter_ms);
     }
 
-    /// Ends a candidacy and frees those who promised its term.
+    /// Ends the candidacy and releases the members that promised its term from the lease that they granted with it.
     fn give_up(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
         let requested_term = self
             .candidacy
@@ -142,7 +153,7 @@
         }
     }
 
-    /// Begins a candidacy, sends its requests again, or gives it up.
+    /// Begins a candidacy, sends the requests of the current one again, or gives it up, if one of these is due.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -164,9 +175,9 @@
     }
 
     fn begin(&mut self, now: Time, kind: VoteKind, list: &MemberList, effects: &mut Effects) {
-        let term = self.highest + 1;
+        let term = self.highest_term + 1;
         if kind == VoteKind::Vote {
-            self.highest = term;
+            self.highest_term = term;
         }
         let candidacy = Candidacy {
             term,
@@ -181,7 +192,7 @@
         self.candidacy = Some(candidacy);
     }
 
-    /// A voter has answered; the election where this vote wins it.
+    /// Handles a reply to a request for a vote. Returns the result of the election if this vote wins it.
     pub(crate) fn on_vote_reply(
         &mut self,
         now: Time,
@@ -218,11 +229,11 @@
         self.on_vote_granted(now, list, effects)
     }
 
-    /// A majority would vote. Where the term has been promised to another candidate meanwhile, that one may have been
-    /// elected already, and a vote for a higher term would end its term: as in Raft (Ongaro's thesis, 3.4 and 9.6), a
-    /// candidate that learns of such a term withdraws.
+    /// Requests the votes after a quorum has granted the pre-vote. If a member has promised the term to another candidate
+    /// in the meantime, that candidate may already have been elected, and votes for a higher term would end its term. As
+    /// in Raft (Ongaro's thesis, 3.4 and 9.6), a candidate that learns of such a term withdraws.
     fn after_pre_vote(&mut self, now: Time, term: Term, list: &MemberList, effects: &mut Effects) {
-        if self.highest >= term {
+        if self.highest_term >= term {
             self.withdraw(now);
         } else {
             self.begin(now, VoteKind::Vote, list, effects);
@@ -255,14 +266,15 @@
 
 impl Candidacy {
     fn ends_at(&self) -> Time {
-        let span_ms = match self.kind {
+        let duration_ms = match self.kind {
             VoteKind::PreVote => PRE_VOTE_MS,
             VoteKind::Vote => LEADER_LEASE_MS,
         };
-        self.started.plus_millis(span_ms)
+        self.started.plus_millis(duration_ms)
     }
 
-    /// Whether the reply is to a request of this candidacy. Pre-votes count for whichever term they were asked.
+    /// Returns whether the reply answers a request of this candidacy. A pre-vote counts regardless of the term for which it
+    /// was requested.
     fn is_answered_by(&self, reply: &VoteReply) -> bool {
         match self.kind {
             VoteKind::PreVote => reply.pre_vote,
@@ -270,7 +282,7 @@
         }
     }
 
-    /// Sends the request to each member that has not granted it.
+    /// Sends the request to each member that has not granted its vote.
     fn send_requests(&self, incarnation: Incarnation, list: &MemberList, effects: &mut Effects) {
         let request = VoteRequest {
             term: self.term,
@@ -286,7 +298,8 @@
         effects.broadcast(without_vote, &ControlMessage::VoteRequest(request));
     }
 
-    /// The term builds on the newest records among the voters; of equally new ones, on those of `node`, this process.
+    /// Returns the result of the election. The term builds on the newest records among the voters. If several voters have
+    /// the newest records, those of this process, `node`, are preferred.
     fn into_elected(self, node: NodeId) -> Elected {
         let newest = self
             .votes
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -1,8 +1,8 @@
 //! The state of a leader during its term: its lease, and the replication of records.
 //!
-//! The lease is one of Gray and Cheriton (1989): the leader asks all replicas to renew it, and counts on it for less
-//! time than a majority has granted. Batches of records go to each replica by its `Progress`; one is committed once
-//! a majority has synced it.
+//! The lease is that of Gray and Cheriton (1989): the leader asks all replicas to renew it, and relies on it for less
+//! time than a majority has granted. The leader sends batches of records to each replica according to its `Progress`. A
+//! batch is committed once a majority has synced it.
 
 use crate::batch_window::BatchWindow;
 use crate::effects::Effects;
@@ -11,7 +11,7 @@
 use crate::progress::Progress;
 use crate::quorum::MemberList;
 use crate::records::to_changes;
-use crate::timing::{LEADER_LEASE_MS, RENEW_INTERVAL_MS, WINDOW_PATIENCE_MS};
+use crate::timing::{LEADER_LEASE_MS, MISSED_BATCH_RETENTION_MS, RENEW_INTERVAL_MS};
 use sagetrail_protocol::control::{
     ControlMessage, ProposalNumber, RecordBatch, RecordsPosition, Renew, RenewAck, Resign,
 };
@@ -20,13 +20,14 @@
 use sagetrail_protocol::{Incarnation, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
-/// So many batches may be uncommitted at once.
+/// The maximum number of uncommitted batches.
 const MAX_UNCOMMITTED: u64 = 2;
 
 /// Whether a term is still the newest one known.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[must_use]
 pub(crate) enum TermStatus {
+    /// No higher term is known.
     Current,
     /// A replica has promised a higher term.
     Superseded,
@@ -34,36 +35,39 @@
 
 /// The leader's state in its term.
 pub(crate) struct Leadership {
+    /// The address of this process.
     node: NodeId,
-    /// The term, won by this process.
+    /// The term that this process leads.
     pub term: Term,
-    /// When it was won.
+    /// When this process won the election.
     pub elected_at: Time,
-    /// The term ends at this moment, unless a majority grants the lease again.
+    /// When the lease expires and the term ends, unless a majority grants the lease again.
     pub lease_until: Time,
-    /// The state on which the term builds: the newest among the voters.
+    /// The position of the records on which the term builds, which is the newest position among the voters.
     base: RecordsPosition,
-    /// The replica from which the others get the base.
+    /// The replica from which the others fetch the base.
     source: NodeId,
-    /// Other voters with the term's base.
+    /// Other voters that have the term's base.
     other_sources: Vec<NodeId>,
-    /// Of members and learners.
+    /// The progress of each member and learner.
     progress: BTreeMap<NodeId, Progress>,
-    /// Processes that hold the records as members do and count in no quorum.
+    /// The processes that replicate the records like members but count in no quorum.
     learners: BTreeMap<NodeId, Learner>,
+    /// The newest batches of the term, for replicas that lack them.
     window: BatchWindow,
-    /// The number of the newest batch; 0 before the first.
-    last: u64,
-    /// One more than the newest committed batch; 0 before the base is committed.
-    committed: u64,
-    /// When the lease is renewed next.
+    /// The number of the newest batch, or 0 before the first batch.
+    last_batch: u64,
+    /// The number of committed states: the base and each batch count as one. It is one more than the number of the newest
+    /// committed batch, and 0 before the base is committed.
+    committed_states: u64,
+    /// When the next renewal of the lease is due.
     renew_at: Time,
-    /// The scheduler, once the base is committed and the register has been read.
+    /// The scheduler, which runs once the base is committed and the register has been read.
     pub service: Option<Box<dyn Service + Send>>,
 }
 
 impl Leadership {
-    /// Begins with the votes as first grants of the lease.
+    /// Begins the term. The votes count as the first grants of the lease.
     pub(crate) fn new(node: NodeId, now: Time, elected: Elected, list: &MemberList) -> Leadership {
         let voted_at = |member: &NodeId| elected.votes.get(member).map(|vote| vote.sent_at);
         let progress = list
@@ -83,8 +87,8 @@
             progress,
             learners: BTreeMap::new(),
             window: BatchWindow::default(),
-            last: 0,
-            committed: 0,
+            last_batch: 0,
+            committed_states: 0,
             renew_at: now,
             service: None,
         };
@@ -92,12 +96,12 @@
         leadership
     }
 
-    /// Whether the term's base is committed.
+    /// Returns whether the term's base is committed.
     pub(crate) fn base_is_committed(&self) -> bool {
-        self.committed > 0
+        self.committed_states > 0
     }
 
-    /// This process has the term's base now: the others get it from here.
+    /// Makes this process, which has the term's base now, the source from which the others fetch the base.
     pub(crate) fn become_source(&mut self, now: Time) {
         if self.source != self.node {
             self.source = self.node;
@@ -105,7 +109,7 @@
         }
     }
 
-    /// The base is to come from another voter that has it; false where there is none.
+    /// Makes another voter that has the base its source. Returns false if no voter is left.
     pub(crate) fn try_next_source(&mut self, now: Time) -> bool {
         let Some(source) = self.other_sources.pop() else {
             return false;
@@ -115,14 +119,15 @@
         true
     }
 
-    /// When something is due, the service's own times apart.
+    /// Returns when the next step is due, without the times of the service itself.
     pub(crate) fn next_wake(&self) -> Time {
         let resends = self.progress.values().filter_map(Progress::resend_at);
         let timers = resends.chain([self.renew_at, self.lease_until]);
         timers.min().unwrap_or(self.lease_until)
     }
 
-    /// Renews the lease where that is due. `learned`: the newest chosen value of the register that the leader knows.
+    /// Requests a renewal of the lease if it is due. `learned` is the proposal number of the newest chosen value of the
+    /// register that the leader knows.
     pub(crate) fn renew(
         &mut self,
         now: Time,
@@ -139,7 +144,7 @@
             sent_at: now.0,
             base: self.base,
             source: self.source,
-            number: self.last,
+            number: self.last_batch,
             learned,
         };
         let mut followers = list.all();
@@ -147,7 +152,7 @@
         effects.broadcast(followers, &ControlMessage::Renew(renew));
     }
 
-    /// A replica has answered a renewal.
+    /// Handles a replica's answer to a renewal.
     pub(crate) fn on_renew_ack(
         &mut self,
         now: Time,
@@ -176,6 +181,7 @@
         TermStatus::Current
     }
 
+    /// Extends the lease according to the grants of a quorum.
     fn extend_lease(&mut self, list: &MemberList) {
         let granted = |member: &NodeId| {
             self.progress
@@ -190,7 +196,7 @@
         }
     }
 
-    /// A replica has synced its records up to a position.
+    /// Handles the report of a replica that has synced its records up to a position.
     pub(crate) fn on_records_synced(
         &mut self,
         now: Time,
@@ -203,6 +209,7 @@
         }
     }
 
+    /// Records that a replica is active and has synced its records up to `position`.
     fn observe_replica(
         &mut self,
         now: Time,
@@ -223,22 +230,22 @@
         }
     }
 
-    /// The newest committed batch, where that has moved.
+    /// Advances the commit position. Returns the number of the newest committed batch if the position has advanced.
     pub(crate) fn advance_commit(&mut self, list: &MemberList) -> Option<u64> {
-        let committed = self.synced_by_quorum(list);
-        if committed <= self.committed {
+        let committed_states = self.synced_by_quorum(list);
+        if committed_states <= self.committed_states {
             return None;
         }
-        self.committed = committed;
-        Some(committed - 1)
+        self.committed_states = committed_states;
+        Some(committed_states - 1)
     }
 
-    /// Whether a quorum of this list has everything that was ever committed in this term.
+    /// Returns whether a quorum of this member list has synced everything that was committed in this term.
     pub(crate) fn is_committed_by(&self, list: &MemberList) -> bool {
-        self.base_is_committed() && self.synced_by_quorum(list) >= self.committed
+        self.base_is_committed() && self.synced_by_quorum(list) >= self.committed_states
     }
 
-    /// One more than the newest batch that a quorum has synced.
+    /// Returns the number of states that a quorum has synced, which is one more than the number of the newest such batch.
     fn synced_by_quorum(&self, list: &MemberList) -> u64 {
         let synced_states = |member: &NodeId| {
             self.progress
@@ -249,9 +256,11 @@
         list.quorum_value(synced_states).unwrap_or_default()
     }
 
-    /// Takes batches from the service and sends each replica what it lacks.
+    /// Takes batches from the service and sends each replica the batches that it lacks.
     pub(crate) fn replicate(&mut self, now: Time, list: &MemberList, effects: &mut Effects) {
-        while self.base_is_committed() && self.last + 1 - self.committed < MAX_UNCOMMITTED {
+        while self.base_is_committed()
+            && self.last_batch + 1 - self.committed_states < MAX_UNCOMMITTED
+        {
             let Some(batch) = self
                 .service
                 .as_mut()
@@ -270,7 +279,7 @@
     }
 
     fn append(&mut self, now: Time, batch: Batch) {
-        self.last = batch.number;
+        self.last_batch = batch.number;
         let changes = to_changes(batch.operations);
         let first_missing = self.first_missing(now);
         self.window.push(
@@ -283,48 +292,48 @@
         );
     }
 
-    /// The first batch that a replica which was active lately has not synced. One that fetches a snapshot, or that was
-    /// frozen for a while, goes on from there.
+    /// Returns the number of the first batch that some recently active replica has not synced. A replica that fetches a
+    /// snapshot, or that was suspended for a while, continues from there.
     fn first_missing(&self, now: Time) -> u64 {
         let active = self
             .progress
             .values()
-            .filter(|progress| now < progress.last_active.plus_millis(WINDOW_PATIENCE_MS));
+            .filter(|progress| now < progress.last_active.plus_millis(MISSED_BATCH_RETENTION_MS));
         active
             .map(Progress::first_missing)
             .min()
             .unwrap_or(u64::MAX)
     }
 
-    /// The processes that are to learn. One that has started anew learns from the beginning.
+    /// Sets the learners to `candidates`. A learner with a new incarnation has restarted and starts over.
     pub(crate) fn set_learners(&mut self, now: Time, candidates: &BTreeMap<NodeId, Incarnation>) {
-        let mut former = std::mem::take(&mut self.learners);
+        let mut former_learners = std::mem::take(&mut self.learners);
         for (node, incarnation) in candidates {
-            let same = former
+            let unchanged = former_learners
                 .remove(node)
                 .filter(|learner| learner.incarnation == *incarnation);
-            if same.is_none() {
+            if unchanged.is_none() {
                 self.progress.insert(*node, Progress::new(now, None));
                 self.renew_at = now;
             }
             self.learners.insert(
                 *node,
-                same.unwrap_or_else(|| Learner::new(now, *incarnation)),
+                unchanged.unwrap_or_else(|| Learner::new(now, *incarnation)),
             );
         }
     }
 
-    /// A learner that has everything a member has.
+    /// Returns a learner that has caught up with the members.
     pub(crate) fn ready_learner(&self) -> Option<NodeId> {
-        let is_ready = |learner: &Learner| learner.holds(self.term, self.last);
+        let is_ready = |learner: &Learner| learner.holds(self.term, self.last_batch);
         self.learners
             .iter()
             .find(|(_, learner)| is_ready(learner))
             .map(|(node, _)| *node)
     }
 
-    /// The member that a learner should replace: one that is about to end, else the one that has been silent for longest,
-    /// at least since `silent_since`.
+    /// Returns the member that a learner should replace: a member that is about to end, otherwise the member that has been
+    /// silent for the longest time and at least since `silent_since`.
     pub(crate) fn member_to_replace(
         &self,
         list: &MemberList,
@@ -346,7 +355,7 @@
         leaving.or_else(longest_silent).map(|(member, _)| *member)
     }
 
-    /// Gives the lease up and says so.
+    /// Ends the term and notifies the members that the lease is resigned.
     pub(crate) fn resign(self, list: &MemberList, effects: &mut Effects) {
         effects.broadcast(
             list.all(),
@@ -354,7 +363,7 @@
         );
     }
 
-    /// Wakes the service where that is due.
+    /// Wakes the service if its wake time has come.
     pub(crate) fn wake_service(&mut self, now: Now) {
         let Some(service) = &mut self.service else {
             return;
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,5 +1,6 @@
-//! Leases of membership (Gray and Cheriton, 1989) of the processes outside the core. Each of these says hello to one
-//! core process, so core processes notify each other, in a message whose size does not grow with the number of leases.
+//! The membership leases (Gray and Cheriton, 1989) of the processes outside the core. Each of these processes says hello
+//! to one core process only, so the core processes report their leases to each other. The size of a report does not grow
+//! with the number of leases.
 
 use crate::timing::SHARE_INTERVAL_MS;
 use sagetrail_config_distribution::best_relays;
@@ -8,42 +9,48 @@
 use sagetrail_protocol::{List, NodeId, NodeKind, Time};
 use std::collections::BTreeMap;
 
-/// One process holds so many leases.
+/// The maximum number of leases that one core process holds.
 const MAX_LEASES: usize = 4_096;
-/// The core serves configurations to so many processes for each of its own before it names relays.
+/// The number of processes outside the core, for each core process, above which the core names relays to distribute
+/// configurations.
 pub(crate) const DIRECT_CHILDREN: u64 = 16;
-/// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
 
 /// The lease of a process that says hello to this one.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
+    /// The kind of the process, which determines whether it can be a relay.
     kind: NodeKind,
+    /// When the lease expires, unless it is renewed.
     expires_at: Time,
 }
 
 /// The leases at another core process, as it last reported them.
 #[derive(Debug)]
 struct PeerLeases {
+    /// The number of leases at the peer.
     count: u32,
-    /// The report counts until then.
+    /// When the report expires.
     expires_at: Time,
-    /// The peer's best relays, and when the lease of each expires.
+    /// The peer's best relays, each with the time at which its lease expires.
     relays: BTreeMap<NodeId, Time>,
 }
 
 /// The leases at this process, and the reports of other core processes.
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
+    /// The leases at this process.
     own: BTreeMap<NodeId, Lease>,
+    /// The latest report of each other core process.
     peers: BTreeMap<NodeId, PeerLeases>,
-    /// The best relays of all, best first, and when the lease of each expires.
-    best: Vec<(NodeId, Time)>,
+    /// The best relays of this process and its peers, best first, each with the time at which its lease expires.
+    best_relays: Vec<(NodeId, Time)>,
+    /// When the next report is due.
     report_at: Time,
 }
 
 impl Leases {
-    /// A process outside the core said hello.
+    /// Handles a hello of a process outside the core, which renews its lease.
     pub(crate) fn renew(&mut self, now: Time, node: NodeId, kind: NodeKind) {
         if self.own.contains_key(&node) || self.own.len() < MAX_LEASES {
             self.own.insert(
@@ -56,7 +63,7 @@
         }
     }
 
-    /// Another core process has reported its leases.
+    /// Handles the report of another core process.
     pub(crate) fn on_report(&mut self, now: Time, from: NodeId, leases: &MemberLeases) {
         let expires_at = |lease: &MemberLease| {
             now.plus_millis(u64::from(lease.remaining_ms).min(MEMBER_LEASE_MS))
@@ -74,7 +81,7 @@
         self.peers.insert(from, peer);
     }
 
-    /// The report to the other core processes, once that is due; `None` also where this process has no leases.
+    /// Returns the report to the other core processes, or `None` if no report is due or this process has no leases.
     pub(crate) fn take_report(&mut self, now: Time) -> Option<MemberLeases> {
         if now < self.report_at {
             return None;
@@ -82,27 +89,31 @@
         self.report_at = now.plus_millis(SHARE_INTERVAL_MS);
         self.own.retain(|_, lease| lease.expires_at > now);
         self.peers.retain(|_, peer| peer.expires_at > now);
-        self.best = self.best_of_all(now);
+        self.best_relays = self.select_best_relays(now);
         (!self.own.is_empty()).then(|| self.report(now))
     }
 
-    /// When the next report is due.
+    /// Returns when the next report is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         let idle = self.own.is_empty() && self.peers.is_empty();
         (!idle).then_some(self.report_at)
     }
 
-    /// The relays that have a lease, best first; none while `core` processes serve all themselves.
-    pub(crate) fn relays(&self, now: Time, core: usize) -> Vec<NodeId> {
-        if self.count(now) <= DIRECT_CHILDREN * core as u64 {
+    /// Returns the relays that have a lease, best first, or none while the `core_size` core processes serve all other
+    /// processes directly.
+    pub(crate) fn relays(&self, now: Time, core_size: usize) -> Vec<NodeId> {
+        if self.lease_count(now) <= DIRECT_CHILDREN * core_size as u64 {
             return Vec::new();
         }
-        let live = self.best.iter().filter(|(_, expires_at)| *expires_at > now);
+        let live = self
+            .best_relays
+            .iter()
+            .filter(|(_, expires_at)| *expires_at > now);
         live.map(|(node, _)| *node).collect()
     }
 
-    /// The number of leases, here and at the peers; one that was renewed at two processes counts twice.
-    fn count(&self, now: Time) -> u64 {
+    /// Returns the number of leases at this process and its peers. A lease that was renewed at two processes counts twice.
+    fn lease_count(&self, now: Time) -> u64 {
         let peers = self.peers.values().filter(|peer| peer.expires_at > now);
         self.own.len() as u64 + peers.map(|peer| u64::from(peer.count)).sum::<u64>()
     }
@@ -120,7 +131,7 @@
         }
     }
 
-    fn best_of_all(&self, now: Time) -> Vec<(NodeId, Time)> {
+    fn select_best_relays(&self, now: Time) -> Vec<(NodeId, Time)> {
         let mut all = self.own_relays();
         for (node, expires_at) in self.peers.values().flat_map(|peer| &peer.relays) {
             let known = all.entry(*node).or_insert(*expires_at);
--- a/crates/cluster/control-plane/src/membership.rs
+++ b/crates/cluster/control-plane/src/membership.rs
@@ -22,7 +22,7 @@
 use crate::register::{Register, ViewUpdate};
 use crate::settings::CoreSettings;
 use crate::terms::Terms;
-use crate::timing::{OUT_OF_TOUCH_MS, UNREADY_HELLO_MS};
+use crate::timing::{UNREADY_HELLO_MS, VIEW_OUTDATED_MS};
 
 /// The maximum number of core processes outside the member list that a process remembers.
 const MAX_UNLISTED_CONTACTS: usize = 16;
@@ -213,7 +213,7 @@
 
     fn view_outdated_at(&self, register: &Register) -> Time {
         let fresh_as_of = register.view().fresh_as_of.unwrap_or(self.started);
-        fresh_as_of.plus_millis(OUT_OF_TOUCH_MS)
+        fresh_as_of.plus_millis(VIEW_OUTDATED_MS)
     }
 
     /// Handles a contact by another core process. A process that is not in the known member list may know a newer list:
--- a/crates/cluster/control-plane/src/membership/bootstrapping.rs
+++ b/crates/cluster/control-plane/src/membership/bootstrapping.rs
@@ -81,7 +81,7 @@
             accepted: proposal,
         };
         register.adopt(proposals, bootstrap.value);
-        terms.records_are_complete();
+        terms.mark_records_complete();
         register.adopt_members(value.member_list());
         self.write_state(proposal, sender, register, terms, effects);
     }
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -29,7 +29,7 @@
 use crate::settings::CoreSettings;
 use crate::subscribers::Subscribers;
 use crate::termination::{Succession, Termination};
-use crate::terms::{Terms, TermsStart};
+use crate::terms::{Terms, TermsOptions};
 
 /// Spreads seeds (the fraction of the golden ratio, odd).
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -114,7 +114,7 @@
             accepted_changes,
             now: started,
         });
-        let terms = Terms::new(TermsStart {
+        let terms = Terms::new(TermsOptions {
             node,
             incarnation,
             started,
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -103,7 +103,7 @@
         }
         if update.config {
             if let Some(config) = self.register.view().config().cloned() {
-                self.terms.config_changed(self.now, config);
+                self.terms.on_config_changed(self.now, config);
             }
         }
     }
--- a/crates/cluster/control-plane/src/progress.rs
+++ b/crates/cluster/control-plane/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one replica: how far its records go, what is on its way to it, and its grants of the lease.
+//! A leader's view of one replica: the batches it has synced, the batches in flight to it, and its grants of the lease.
 //!
 //! `matched` and `next` are Raft's `matchIndex` and `nextIndex` (Ongaro and Ousterhout, 2014, figure 2), with the
 //! difference that a replica has no `matched` batch before it has the state on which the term builds.
@@ -9,28 +9,29 @@
 use sagetrail_protocol::control::{ControlMessage, RenewAck};
 use sagetrail_protocol::{NodeId, Time};
 
-/// So many batches are in flight to one replica at once.
+/// The maximum number of batches in flight to one replica.
 const MAX_IN_FLIGHT: u64 = 64;
 
 /// The progress of one replica in one term.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
-    /// The newest batch that it has synced in this term; `None` before it has the term's base.
+    /// The newest batch that the replica has synced in this term; `None` until it has the term's base.
     matched: Option<u64>,
-    /// The next batch to send; always greater than `matched`.
+    /// The number of the next batch to send, which is always greater than `matched`.
     next: u64,
-    /// When `matched` last grew, or the last time that nothing was in flight.
+    /// When `matched` last increased, or when no batch was in flight for the last time.
     progressed_at: Time,
-    /// When the newest lease that it granted was requested, in microseconds of the leader's steady clock.
+    /// When the newest lease that the replica granted was requested, in microseconds of the leader's steady clock.
     lease_sent_at: Option<u64>,
-    /// When its last message arrived.
+    /// When the last message of the replica arrived.
     pub last_active: Time,
-    /// It has said that it is about to end.
+    /// Whether the replica has reported that it is about to end.
     pub leaving: bool,
 }
 
 impl Progress {
-    /// Of a replica whose state is not known yet.
+    /// Creates the progress of a replica whose state is not known yet. `lease_sent_at` is the time, in microseconds of the
+    /// leader's steady clock, of the request with which the replica granted a lease, if it granted one.
     pub(crate) fn new(now: Time, lease_sent_at: Option<u64>) -> Progress {
         Progress {
             matched: None,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// It has synced the term's records up to this batch.
+    /// Handles the report that the replica has synced the term's records up to batch `number`.
     pub(crate) fn on_synced(&mut self, now: Time, number: u64) {
         if Some(number) <= self.matched {
             return;
@@ -52,28 +53,29 @@
         self.progressed_at = now;
     }
 
-    /// It has granted the lease.
+    /// Handles a grant of the lease by the replica.
     pub(crate) fn on_lease_granted(&mut self, ack: &RenewAck) {
         self.lease_sent_at = self.lease_sent_at.max(Some(ack.sent_at));
         self.leaving = ack.leaving;
     }
 
-    /// When the newest lease that it granted was requested; 0 where it granted none.
+    /// Returns when the newest lease that the replica granted was requested, in microseconds of the leader's steady clock,
+    /// or 0 if it granted none.
     pub(crate) fn lease_sent_at(&self) -> u64 {
         self.lease_sent_at.unwrap_or_default()
     }
 
-    /// How many states of the term it has synced: the base and each batch count as one.
+    /// Returns the number of states of the term that the replica has synced. The base and each batch count as one state.
     pub(crate) fn synced_states(&self) -> u64 {
         self.matched.map_or(0, |number| number + 1)
     }
 
-    /// The first batch that it may lack.
+    /// Returns the number of the first batch that the replica may lack.
     pub(crate) fn first_missing(&self) -> u64 {
         self.matched.map_or(1, |matched| matched + 1)
     }
 
-    /// When batches that are in flight are sent again; `None` where there are none.
+    /// Returns when the batches in flight are sent again, or `None` if no batch is in flight.
     pub(crate) fn resend_at(&self) -> Option<Time> {
         self.has_in_flight()
             .then(|| self.progressed_at.plus_millis(RESEND_MS))
@@ -83,7 +85,7 @@
         self.matched.is_some_and(|matched| self.next > matched + 1)
     }
 
-    /// Sends the batches of `window` that `replica` lacks, as far as may be in flight at once.
+    /// Sends `replica` the batches of `window` that it lacks, with at most `MAX_IN_FLIGHT` batches in flight.
     pub(crate) fn send_missing(
         &mut self,
         now: Time,
--- a/crates/cluster/control-plane/src/resignation.rs
+++ b/crates/cluster/control-plane/src/resignation.rs
@@ -1,5 +1,5 @@
-//! A restarted process gives up the term that its former incarnation led or stood for: nobody has to wait for that term's
-//! lease to expire.
+//! The resignation of a term by a restarted process. It resigns the term in which its former incarnation was the leader
+//! or a candidate, so that no other process has to wait until the lease of that term expires.
 
 use sagetrail_protocol::control::Resign;
 use sagetrail_protocol::{NodeId, Term, Time};
@@ -7,44 +7,48 @@
 use crate::persisted::TermPromise;
 use crate::timing::{RESIGN_FORMER_TERM_MS, RESIGN_INTERVAL_MS};
 
-/// A term that is being given up.
+/// The resignation of a former incarnation's term.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FormerTermResignation {
+    /// The term that is resigned.
     term: Term,
-    until: Time,
-    next: Time,
+    /// When the process stops sending resignations.
+    ends_at: Time,
+    /// When the next resignation is sent.
+    send_at: Time,
 }
 
 impl FormerTermResignation {
-    /// At the start, with the promise on disk: it may have been made to this very process.
-    pub(crate) fn of(
+    /// Creates the resignation of the promised term that was on disk at the start of the process. Returns `None` if the
+    /// promise was not made to this process.
+    pub(crate) fn of_promise(
         promise: TermPromise,
         node: NodeId,
         started: Time,
     ) -> Option<FormerTermResignation> {
         (promise.term > 0 && promise.node == node).then(|| FormerTermResignation {
             term: promise.term,
-            until: started.plus_millis(RESIGN_FORMER_TERM_MS),
-            next: started,
+            ends_at: started.plus_millis(RESIGN_FORMER_TERM_MS),
+            send_at: started,
         })
     }
 
-    /// Whether there is nothing to give up any more, with `promised` as the highest term known.
+    /// Returns whether no further resignation has to be sent. `promised` is the highest term that this process knows.
     pub(crate) fn is_over(&self, now: Time, promised: Term) -> bool {
-        promised != self.term || now >= self.until
+        promised != self.term || now >= self.ends_at
     }
 
-    /// The message, where it is due. It is repeated: other processes may restart later.
-    pub(crate) fn due(&mut self, now: Time) -> Option<Resign> {
-        if now < self.next {
+    /// Returns the message if it is due. It is sent repeatedly because other processes may restart later.
+    pub(crate) fn take_due(&mut self, now: Time) -> Option<Resign> {
+        if now < self.send_at {
             return None;
         }
-        self.next = now.plus_millis(RESIGN_INTERVAL_MS);
+        self.send_at = now.plus_millis(RESIGN_INTERVAL_MS);
         Some(Resign { term: self.term })
     }
 
-    /// When the message is due.
+    /// Returns when the next message is due.
     pub(crate) fn next_wake(&self) -> Time {
-        self.next
+        self.send_at
     }
 }
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -4,7 +4,7 @@
 
 use crate::effects::Effects;
 use crate::register_view::RegisterView;
-use crate::timing::HANDOUT_MS;
+use crate::timing::MAX_DISTRIBUTED_VIEW_AGE_MS;
 use sagetrail_cluster_config::ConfigSummary;
 use sagetrail_protocol::distribution::{ConfigCurrent, ConfigUpdate, Subscribe, SUBSCRIPTION_MS};
 use sagetrail_protocol::service::ConfigInForce;
@@ -59,7 +59,7 @@
     pub(crate) fn serve(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         let Some(age_ms) = register_view
             .age_ms(now)
-            .filter(|age_ms| *age_ms <= HANDOUT_MS)
+            .filter(|age_ms| *age_ms <= MAX_DISTRIBUTED_VIEW_AGE_MS)
         else {
             return;
         };
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -1,9 +1,9 @@
-//! The terms as one process takes part in them: its replica, which promises terms and grants leases, its candidacies, and
-//! the term that it leads.
+//! One process's participation in terms: its replica, which promises terms and grants leases, its candidacies, and the
+//! term that it leads.
 //!
 //! Elections follow Raft with pre-vote (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 3 and 9.6). A
 //! leader acts only under a lease that a quorum grants (Gray and Cheriton, "Leases", SOSP 1989), so at most one process
-//! schedules at any moment.
+//! schedules at any time.
 
 mod messages;
 
@@ -26,87 +26,95 @@
 use crate::resignation::FormerTermResignation;
 use crate::timing::ELECTION_YIELD_MS;
 
-/// The newest term that a process knows, and who schedules in it; the default node where that is unknown.
+/// The newest term that a process knows and the leader of that term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct KnownLeader {
-    /// 0 before the first term.
+    /// The term, or 0 before the first term.
     pub term: Term,
-    /// Under whose lease the scheduler runs.
+    /// The process under whose lease the scheduler runs, or the default node if it is unknown.
     pub leader: NodeId,
 }
 
-/// With what a process starts to take part in terms.
-pub(crate) struct TermsStart {
-    /// This process.
+/// The initial state and the parts with which a process starts to participate in terms.
+pub(crate) struct TermsOptions {
+    /// The address of this process.
     pub node: NodeId,
-    /// Its incarnation: votes of a former one do not count.
+    /// The incarnation of this process. Votes for a former incarnation do not count.
     pub incarnation: Incarnation,
-    /// When the process started, by its steady clock.
+    /// When the process started, on its steady clock.
     pub started: Time,
-    /// The records as the disk holds them.
+    /// The records that were read from the disk.
     pub records: Records,
-    /// Seeds the jitter of elections.
+    /// The seed of the random delays of elections.
     pub election_seed: u64,
-    /// Makes the scheduler of a term.
+    /// Creates the scheduler of a term.
     pub factory: ServiceFactory,
-    /// Seeds the schedulers.
+    /// The random numbers from which the schedulers are seeded.
     pub random: Pcg64Mcg,
 }
 
-/// The terms at one process.
+/// The state of one process in terms.
 pub(crate) struct Terms {
+    /// The address of this process.
     node: NodeId,
+    /// When the process started, on its steady clock.
     started: Time,
+    /// The replica of this process.
     replica: Replica,
+    /// The candidacies of this process.
     elections: Elections,
-    /// The term that this process leads.
+    /// The state of the term that this process leads; `None` if it leads none.
     leadership: Option<Leadership>,
-    /// The term of this process's former incarnation, while it is being given up.
+    /// The resignation of the term of this process's former incarnation, while it is sent.
     former_term: Option<FormerTermResignation>,
+    /// Creates the scheduler of a term.
     factory: ServiceFactory,
+    /// The random numbers from which the schedulers are seeded.
     random: Pcg64Mcg,
 }
 
 impl Terms {
-    /// A process that has promised no term.
-    pub(crate) fn new(start: TermsStart) -> Terms {
+    /// Creates the state of a process that has promised no term.
+    pub(crate) fn new(options: TermsOptions) -> Terms {
         let state = ReplicaState::default();
         Terms {
-            node: start.node,
-            started: start.started,
-            replica: Replica::new(start.node, start.started, state, start.records),
-            elections: Elections::new(start.node, start.incarnation, start.election_seed),
+            node: options.node,
+            started: options.started,
+            replica: Replica::new(options.node, options.started, state, options.records),
+            elections: Elections::new(options.node, options.incarnation, options.election_seed),
             leadership: None,
             former_term: None,
-            factory: start.factory,
-            random: start.random,
+            factory: options.factory,
+            random: options.random,
         }
     }
 
-    /// Takes up what was on disk, and begins to give up the term of the former incarnation.
+    /// Restores the state that was on disk and begins to resign the term of the former incarnation.
     pub(crate) fn restore(&mut self, state: ReplicaState) {
         self.elections.observe_term(state.promise.term);
         let records = std::mem::take(&mut self.replica.records);
         self.replica = Replica::new(self.node, self.started, state, records);
-        self.former_term = FormerTermResignation::of(state.promise, self.node, self.started);
+        self.former_term =
+            FormerTermResignation::of_promise(state.promise, self.node, self.started);
         if self.former_term.is_some() {
-            // The process granted this lease to its own incarnation that has ended.
+            // The process granted this lease to its own former incarnation, which has ended.
             self.replica.lease_until = self.started;
             self.elections.hasten_next();
         }
     }
 
-    /// What the replica has promised and holds.
+    /// Returns the state of the replica, with its promise and the position of its records.
     pub(crate) fn replica_state(&self) -> &ReplicaState {
         &self.replica.state
     }
 
-    /// The cluster starts: without any records, this process has all of them.
-    pub(crate) fn records_are_complete(&mut self) {
+    /// Marks the records of this process as complete. At the bootstrap of the cluster there are no records, so a process
+    /// without records has all of them.
+    pub(crate) fn mark_records_complete(&mut self) {
         self.replica.state.complete = true;
     }
 
-    /// The members know that this process has promised no higher term.
+    /// Adopts the highest term that this process may have promised, as the members know it.
     pub(crate) fn adopt_promised_term(&mut self, term: Term) {
         self.replica.state.promise = TermPromise {
             term,
@@ -114,12 +122,12 @@
         };
     }
 
-    /// The term that this process leads.
+    /// Returns the state of the term that this process leads.
     pub(crate) fn leadership_mut(&mut self) -> Option<&mut Leadership> {
         self.leadership.as_mut()
     }
 
-    /// Whether this process leads a term and its scheduler runs.
+    /// Returns whether this process leads a term and its scheduler runs.
     pub(crate) fn is_serving(&self) -> bool {
         self.service().is_some()
     }
@@ -128,20 +136,20 @@
         self.leadership.as_ref()?.service.as_deref()
     }
 
-    /// The scheduler, while it runs here.
+    /// Returns the scheduler if it runs at this process.
     pub(crate) fn service_mut(&mut self) -> Option<&mut Box<dyn Service + Send>> {
         self.leadership.as_mut()?.service.as_mut()
     }
 
-    /// Hands a newer configuration to the scheduler.
-    pub(crate) fn config_changed(&mut self, now: Now, config: ConfigInForce) {
+    /// Passes a newer configuration to the scheduler.
+    pub(crate) fn on_config_changed(&mut self, now: Now, config: ConfigInForce) {
         if let Some(service) = self.service_mut() {
             service.config(now, config);
         }
     }
 
-    /// The newest term known, and who schedules in it. This process names itself only under its lease: its replica
-    /// goes on following the term after the lease has expired.
+    /// Returns the newest known term and its leader. A process names itself as the leader only while it holds the lease,
+    /// because its replica continues to follow the term after the lease has expired.
     pub(crate) fn known_leader(&self) -> KnownLeader {
         if let Some(leadership) = &self.leadership {
             let leader = if leadership.service.is_some() {
@@ -161,19 +169,20 @@
         KnownLeader { term, leader }
     }
 
-    /// The leader, while its lease may be running.
+    /// Returns the leader while its lease may not have expired.
     pub(crate) fn live_leader(&self, now: Time) -> Option<NodeId> {
         self.replica.live_leader(now)
     }
 
-    /// While no leader is live: until when rounds of the register wait for the election. A change of a long configuration
-    /// takes a small core machine a tenth of a second, at each member; votes that wait behind it come too late.
+    /// Returns the time until which rounds of the register wait for the election, or `None` if a leader is live or the wait
+    /// is over. A change of a long configuration takes a small core machine a tenth of a second at each member. Votes
+    /// that are queued behind such a change would arrive too late.
     pub(crate) fn election_yield_until(&self, now: Time) -> Option<Time> {
         let until = self.replica.lease_until.plus_millis(ELECTION_YIELD_MS);
         (self.replica.live_leader(now).is_none() && now < until).then_some(until)
     }
 
-    /// The moment as of which the register has to be known before the scheduler of this process's term may start.
+    /// Returns the time as of which the register has to be known before the scheduler of this process's term may start.
     pub(crate) fn fresh_as_of(&self) -> Option<Time> {
         self.leadership
             .as_ref()
@@ -181,7 +190,7 @@
             .map(|leadership| leadership.elected_at)
     }
 
-    /// A term whose lease has expired ends before anything else is done.
+    /// Ends the term if its lease has expired. This has to run before any other step.
     pub(crate) fn end_expired_term(&mut self, now: Time) {
         if self
             .leadership
@@ -193,7 +202,7 @@
         }
     }
 
-    /// Gives the term up and lets the others elect at once.
+    /// Resigns the term, so that the other members can elect a leader at once.
     pub(crate) fn step_down(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
         if let Some(leadership) = self.leadership.take() {
             leadership.resign(members, effects);
@@ -202,9 +211,9 @@
     }
 }
 
-/// What is due by time.
+/// The steps that are due at a given time.
 impl Terms {
-    /// Everything that is due. `may_stand`: this process is an active member that may lead.
+    /// Runs the steps that are due. `may_stand` tells whether this process is an active member that may lead.
     pub(crate) fn step(
         &mut self,
         now: Now,
@@ -220,7 +229,7 @@
         self.step_leadership(now, view, effects);
     }
 
-    /// When something is due.
+    /// Returns when the next step is due.
     pub(crate) fn next_wake(&self, may_stand: bool) -> Option<Time> {
         let election = self
             .is_candidate(may_stand)
@@ -237,17 +246,23 @@
         wakes.into_iter().flatten().min()
     }
 
+    /// Sends the resignation of the former incarnation's term if it is due.
     fn resign_former_term(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
         let promised = self.replica.state.promise.term;
         let leads = self.leadership.is_some();
         self.former_term = self
             .former_term
             .filter(|former| !leads && !former.is_over(now, promised));
-        if let Some(resign) = self.former_term.as_mut().and_then(|former| former.due(now)) {
+        if let Some(resign) = self
+            .former_term
+            .as_mut()
+            .and_then(|former| former.take_due(now))
+        {
             effects.broadcast(members.all(), &ControlMessage::Resign(resign));
         }
     }
 
+    /// Returns whether this process may start or continue a candidacy.
     fn is_candidate(&self, may_stand: bool) -> bool {
         may_stand && self.replica.state.complete && self.leadership.is_none()
     }
@@ -265,14 +280,14 @@
         }
     }
 
-    /// Whether this process leads a term and holds its base, or more.
+    /// Returns whether this process leads a term and has the term's base, possibly with batches of the term.
     fn holds_base(&self) -> bool {
         let term = self.leadership.as_ref().map(|leadership| leadership.term);
         term == Some(self.replica.state.position.term) && self.replica.state.complete
     }
 
-    /// The records on which the term builds come from another voter with the same state where their source is silent.
-    /// Without one the term ends: the next voters may know the newest state without that source.
+    /// Replaces the source of the term's base by another voter with the same state if the source is silent. If there is no
+    /// such voter, the term ends: the voters of the next election may have the newest state without that source.
     fn check_base_source(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
         let silent = !self.holds_base() && self.replica.source_is_silent(now);
         let Some(leadership) = self.leadership.as_mut().filter(|_| silent) else {
@@ -285,6 +300,7 @@
         }
     }
 
+    /// Renews the lease, advances the commit position, and starts and runs the scheduler.
     fn step_leadership(&mut self, now: Now, view: &RegisterView, effects: &mut Effects) {
         let holds_base = self.holds_base();
         let Some(leadership) = &mut self.leadership else {
@@ -302,14 +318,14 @@
         self.run_service(now, view, effects);
     }
 
-    /// Starts the scheduler once the term's base is at a quorum and the register is known as of the election.
+    /// Starts the scheduler once a quorum has the term's base and the register is known as of the election.
     fn start_service(&mut self, now: Now, holds_base: bool, view: &RegisterView) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let is_fresh = view.is_fresh(leadership.elected_at);
-        let is_based = holds_base && leadership.base_is_committed();
-        if leadership.service.is_some() || !is_based || !is_fresh {
+        let is_base_committed = holds_base && leadership.base_is_committed();
+        if leadership.service.is_some() || !is_base_committed || !is_fresh {
             return;
         }
         let records = &self.replica.records.0;
@@ -331,6 +347,7 @@
         leadership.service = Some((self.factory)(now, restored));
     }
 
+    /// Wakes the scheduler, replicates its batches and sends its messages.
     fn run_service(&mut self, now: Now, view: &RegisterView, effects: &mut Effects) {
         let Some(leadership) = &mut self.leadership else {
             return;
--- a/crates/cluster/control-plane/src/terms/messages.rs
+++ b/crates/cluster/control-plane/src/terms/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of terms: requests to the replica, replies to the candidate and to the leader.
+//! The handlers of the messages of terms: requests to the replica, and replies to the candidate and the leader.
 
 use sagetrail_protocol::control::{
     FetchSnapshot, RecordBatch, RecordsSynced, Renew, RenewAck, Resign, SnapshotChunk, VoteReply,
@@ -12,9 +12,10 @@
 use crate::quorum::MemberList;
 use crate::replica::ProcessStatus;
 
-/// Messages to the replica. Only a process that knows what it has promised may answer them.
+/// Handlers of messages to the replica. Only a process that knows its own promises may answer these messages.
 impl Terms {
-    /// A candidate requests a vote. `members_version`: the newest member list that this process has accepted.
+    /// Handles a candidate's request for a vote. `members_version` is the version of the newest member list that this
+    /// process has accepted.
     pub(crate) fn on_vote_request(
         &mut self,
         now: Time,
@@ -27,7 +28,7 @@
             .on_vote_request(now, from, request, members_version, effects);
     }
 
-    /// A leader renews its lease.
+    /// Handles a leader's request to renew its lease.
     pub(crate) fn on_renew(
         &mut self,
         now: Time,
@@ -39,26 +40,26 @@
         self.replica.on_renew(now, from, renew, status, effects);
     }
 
-    /// A leader gave its lease up, or a candidate its candidacy.
+    /// Handles the resignation of a leader or of a candidate.
     pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, resign: &Resign) {
         if self.replica.on_resign(now, from, resign.term) {
             self.elections.hasten_next();
         }
     }
 
-    /// A core process that does not take part yet said hello: the lease of its former incarnation is void.
+    /// Handles a hello of a core process that does not participate yet, which voids the lease of its former incarnation.
     pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
         if self.replica.on_hello_of_lease_holder(now, from) {
             self.elections.hasten_next();
         }
     }
 
-    /// The leader sent a batch of changes.
+    /// Handles a batch of changes from the leader.
     pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
         self.replica.on_batch(from, batch, effects);
     }
 
-    /// Another process fetches a snapshot.
+    /// Handles another process's request for a chunk of a snapshot.
     pub(crate) fn on_fetch(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         self.replica.on_fetch_snapshot(now, from, fetch, effects);
     }
 
-    /// A chunk of a snapshot that this process fetches.
+    /// Handles a chunk of the snapshot that this process fetches.
     pub(crate) fn on_chunk(
         &mut self,
         now: Time,
@@ -81,9 +82,10 @@
     }
 }
 
-/// Replies to the candidate and to the leader.
+/// Handlers of replies to the candidate and to the leader.
 impl Terms {
-    /// A member answered a request for a vote; it may win the election.
+    /// Handles a member's reply to a request for a vote. If the vote wins the election and `may_lead` is true, this process
+    /// leads the term.
     pub(crate) fn on_vote_reply(
         &mut self,
         now: Time,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A replica answered a renewal of the lease.
+    /// Handles a replica's answer to a renewal of the lease.
     pub(crate) fn on_renew_ack(
         &mut self,
         now: Time,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A replica has synced its records up to a position.
+    /// Handles the report of a replica that has synced its records up to a position.
     pub(crate) fn on_records_synced(
         &mut self,
         now: Time,
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -1,4 +1,5 @@
-//! The replica's votes: a term is promised, and synced, only when no lease that was granted may still run.
+//! The votes of a replica. A replica promises a term only when every lease that it granted has expired, and syncs the
+//! promise before it replies.
 
 use crate::effects::Effects;
 use crate::persisted::{put_replica, TermPromise};
@@ -8,7 +9,8 @@
 use sagetrail_protocol::{NodeId, Term, Time};
 
 impl Replica {
-    /// Answers a candidate. `members_version`: the newest member list that this process has accepted.
+    /// Answers a candidate's request for a vote. `members_version` is the version of the newest member list that this
+    /// process has accepted.
     pub(crate) fn on_vote_request(
         &mut self,
         now: Time,
@@ -46,6 +48,8 @@
         }
     }
 
+    /// Returns whether the replica may promise the requested term to the candidate `from`. The promise of a term to the
+    /// same incarnation of the same candidate may be repeated.
     fn may_promise(&self, now: Time, from: NodeId, request: &VoteRequest) -> bool {
         if !self.state.complete {
             return false;
@@ -58,7 +62,7 @@
         now >= self.lease_until && (request.pre_vote || request.term > promise.term)
     }
 
-    /// A leader gave its lease up, or a candidate its candidacy; true where the term was promised to it.
+    /// Handles the resignation of a leader or of a candidate. Returns whether the term was promised to that process.
     pub(crate) fn on_resign(&mut self, now: Time, from: NodeId, term: Term) -> bool {
         let followed = self.followed.filter(|followed| followed.term == term);
         let lease_holder = followed.map_or(self.state.promise.node, |followed| followed.leader);
@@ -69,8 +73,8 @@
         true
     }
 
-    /// A process that does not take part yet said hello. Where the term promised by this replica was that process's,
-    /// and the replica has had no message of the term since its own start, the term is over; true then.
+    /// Handles a hello of a process that does not participate yet. If this replica promised its term to that process and
+    /// has received no message of the term since its own start, the term is over. Returns whether that is so.
     pub(crate) fn on_hello_of_lease_holder(&mut self, now: Time, from: NodeId) -> bool {
         if self.followed.is_some() || self.state.promise.node != from {
             return false;
