--- a/crates/cluster/control-plane/src/acceptor.rs
+++ b/crates/cluster/control-plane/src/acceptor.rs
@@ -100,7 +100,9 @@
         };
         match value {
             Some(value) => self.on_accept(node, from, Accept { proposal, value }, effects),
-            None => effects.control(from, ControlMessage::ValueNeeded(ValueNeeded { proposal })),
+            None => {
+                effects.send_control(from, ControlMessage::ValueNeeded(ValueNeeded { proposal }))
+            }
         }
     }
 
@@ -123,7 +125,7 @@
             value: self.value_if(read.wanted),
         });
         if self.synced == self.proposals.accepted {
-            return effects.control(from, reply);
+            return effects.send_control(from, reply);
         }
         effects.write(Vec::new(), vec![(from, reply)]);
     }
@@ -159,7 +161,7 @@
             proposal,
             promised: self.proposals.promised,
         };
-        effects.control(from, ControlMessage::Rejected(rejection));
+        effects.send_control(from, ControlMessage::Rejected(rejection));
     }
 }
 
--- a/crates/cluster/control-plane/src/changes_fetch.rs
+++ b/crates/cluster/control-plane/src/changes_fetch.rs
@@ -91,7 +91,7 @@
             .into_iter()
             .find_map(|after| self.next_request(now, after, &others));
         if let Some(Request { member, after, .. }) = self.request {
-            effects.control(
+            effects.send_control(
                 member,
                 ControlMessage::ChangesRequest(ChangesRequest { after }),
             );
--- a/crates/cluster/control-plane/src/effects.rs
+++ b/crates/cluster/control-plane/src/effects.rs
@@ -1,63 +1,69 @@
-//! The effects of an event: what the parts of a core process want sent, stored and answered, before it is addressed.
+//! The effects of an event: the messages, disk writes and HTTP replies of the parts of a core process, before the
+//! router addresses them.
 //!
-//! Effects of one kind keep their order. A message that depends on a write is sent once that write has been synced.
+//! Effects of the same kind keep their order. A message that depends on a write is sent once that write has been
+//! synced.
 
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::node::{DiskOperation, HttpReply, HttpRequestId};
 use sagetrail_protocol::{Message, NodeId};
 
-/// Changes on disk, and the messages that are sent once they are synced.
+/// A write to the disk, and the messages that are sent once it is synced.
 #[derive(Debug, Default)]
 pub(crate) struct PlannedWrite {
-    /// Applied together; none where only the sync of earlier writes is awaited.
+    /// The operations, which are applied together. They are empty if the messages wait only for the sync of earlier
+    /// writes.
     pub operations: Vec<DiskOperation>,
-    /// Sent after the sync, in this order.
-    pub then: Vec<(NodeId, Message)>,
+    /// The messages to send after the sync, in this order.
+    pub send_when_synced: Vec<(NodeId, Message)>,
 }
 
-/// Collects sends, writes and replies. A message to the process itself is handled by it before the next event.
+/// The collected messages, writes and replies. A message of the process to itself is handled before the next event.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
-    /// Messages to be sent at once.
+    /// The messages to send at once.
     pub sends: Vec<(NodeId, Message)>,
-    /// Writes, in order.
+    /// The writes, in order.
     pub writes: Vec<PlannedWrite>,
-    /// Replies to HTTP requests.
+    /// The replies to HTTP requests.
     pub replies: Vec<(HttpRequestId, HttpReply)>,
 }
 
 impl Effects {
-    /// Sends to a core process.
-    pub(crate) fn control(&mut self, to: NodeId, message: ControlMessage) {
+    /// Sends a control message to a core process.
+    pub(crate) fn send_control(&mut self, to: NodeId, message: ControlMessage) {
         self.sends.push((to, Message::Control(message)));
     }
 
-    /// Sends the same to several core processes.
+    /// Sends the same control message to several core processes.
     pub(crate) fn broadcast(
         &mut self,
         to: impl IntoIterator<Item = NodeId>,
         message: &ControlMessage,
     ) {
         for node in to {
-            self.control(node, message.clone());
+            self.send_control(node, message.clone());
         }
     }
 
-    /// Writes, and sends to core processes once that is synced.
+    /// Writes to the disk and sends control messages once the write is synced.
     pub(crate) fn write(
         &mut self,
         operations: Vec<DiskOperation>,
-        then: Vec<(NodeId, ControlMessage)>,
+        send_when_synced: Vec<(NodeId, ControlMessage)>,
     ) {
-        let then = then
+        let send_when_synced = send_when_synced
             .into_iter()
             .map(|(to, message)| (to, Message::Control(message)))
             .collect();
-        self.writes.push(PlannedWrite { operations, then });
+        self.writes.push(PlannedWrite {
+            operations,
+            send_when_synced,
+        });
     }
 
-    /// Answers an HTTP request with a status and no body.
-    pub(crate) fn status(&mut self, id: HttpRequestId, status: u16) {
+    /// Answers an HTTP request with a status and an empty body.
+    pub(crate) fn reply_status(&mut self, id: HttpRequestId, status: u16) {
         self.replies.push((
             id,
             HttpReply {
--- a/crates/cluster/control-plane/src/election.rs
+++ b/crates/cluster/control-plane/src/election.rs
@@ -1,5 +1,5 @@
-//! Elections. After the lease that it granted has expired, a process first asks the members whether they would promise it
-//! a term (pre-vote, Ongaro's thesis, 9.6), and then requests the promise of the term itself.
+//! Elections. After the lease that it granted has expired, a process first asks the members whether they would promise
+//! it a term (pre-vote, Ongaro's thesis, 9.6), and then requests the promise of the term itself.
 
 use crate::effects::Effects;
 use crate::quorum::MemberList;
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Returns when the next candidacy, or the next step of the candidacy in progress, is due. `lease_until` is the end of
-    /// the lease that this process has granted.
+    /// Returns when the next candidacy, or the next step of the candidacy in progress, is due. `lease_until` is the end
+    /// of the lease that this process has granted.
     pub(crate) fn next_wake(&self, lease_until: Time) -> Time {
         match &self.candidacy {
             Some(candidacy) => candidacy
@@ -229,9 +229,9 @@
         self.on_vote_granted(now, list, effects)
     }
 
-    /// Requests the votes after a quorum has granted the pre-vote. If a member has promised the term to another candidate
-    /// in the meantime, that candidate may already have been elected, and votes for a higher term would end its term. As
-    /// in Raft (Ongaro's thesis, 3.4 and 9.6), a candidate that learns of such a term withdraws.
+    /// Requests the votes after a quorum has granted the pre-vote. If a member has promised the term to another
+    /// candidate in the meantime, that candidate may already have been elected, and votes for a higher term would end
+    /// its term. As in Raft (Ongaro's thesis, 3.4 and 9.6), a candidate that learns of such a term withdraws.
     fn after_pre_vote(&mut self, now: Time, term: Term, list: &MemberList, effects: &mut Effects) {
         if self.highest_term >= term {
             self.withdraw(now);
@@ -273,8 +273,8 @@
         self.started.plus_millis(duration_ms)
     }
 
-    /// Returns whether the reply answers a request of this candidacy. A pre-vote counts regardless of the term for which it
-    /// was requested.
+    /// Returns whether the reply answers a request of this candidacy. A pre-vote counts regardless of the term for
+    /// which it was requested.
     fn is_answered_by(&self, reply: &VoteReply) -> bool {
         match self.kind {
             VoteKind::PreVote => reply.pre_vote,
@@ -298,8 +298,8 @@
         effects.broadcast(without_vote, &ControlMessage::VoteRequest(request));
     }
 
-    /// Returns the result of the election. The term builds on the newest records among the voters. If several voters have
-    /// the newest records, those of this process, `node`, are preferred.
+    /// Returns the result of the election. The term builds on the newest records among the voters. If several voters
+    /// have the newest records, those of this process, `node`, are preferred.
     fn into_elected(self, node: NodeId) -> Elected {
         let newest = self
             .votes
--- a/crates/cluster/control-plane/src/leadership.rs
+++ b/crates/cluster/control-plane/src/leadership.rs
@@ -57,8 +57,8 @@
     window: BatchWindow,
     /// The number of the newest batch, or 0 before the first batch.
     last_batch: u64,
-    /// The number of committed states: the base and each batch count as one. It is one more than the number of the newest
-    /// committed batch, and 0 before the base is committed.
+    /// The number of committed states: the base and each batch count as one. It is one more than the number of the
+    /// newest committed batch, and 0 before the base is committed.
     committed_states: u64,
     /// When the next renewal of the lease is due.
     renew_at: Time,
@@ -245,7 +245,8 @@
         self.base_is_committed() && self.synced_by_quorum(list) >= self.committed_states
     }
 
-    /// Returns the number of states that a quorum has synced, which is one more than the number of the newest such batch.
+    /// Returns the number of states that a quorum has synced, which is one more than the number of the newest such
+    /// batch.
     fn synced_by_quorum(&self, list: &MemberList) -> u64 {
         let synced_states = |member: &NodeId| {
             self.progress
@@ -332,8 +333,8 @@
             .map(|(node, _)| *node)
     }
 
-    /// Returns the member that a learner should replace: a member that is about to end, otherwise the member that has been
-    /// silent for the longest time and at least since `silent_since`.
+    /// Returns the member that a learner should replace: a member that is about to end, otherwise the member that has
+    /// been silent for the longest time and at least since `silent_since`.
     pub(crate) fn member_to_replace(
         &self,
         list: &MemberList,
--- a/crates/cluster/control-plane/src/leases.rs
+++ b/crates/cluster/control-plane/src/leases.rs
@@ -1,6 +1,6 @@
-//! The membership leases (Gray and Cheriton, 1989) of the processes outside the core. Each of these processes says hello
-//! to one core process only, so the core processes report their leases to each other. The size of a report does not grow
-//! with the number of leases.
+//! The membership leases (Gray and Cheriton, 1989) of the processes outside the core. Each of these processes says
+//! hello to one core process only, so the core processes report their leases to each other. The size of a report does
+//! not grow with the number of leases.
 
 use crate::timing::SHARE_INTERVAL_MS;
 use sagetrail_config_distribution::best_relays;
@@ -112,7 +112,8 @@
         live.map(|(node, _)| *node).collect()
     }
 
-    /// Returns the number of leases at this process and its peers. A lease that was renewed at two processes counts twice.
+    /// Returns the number of leases at this process and its peers. A lease that was renewed at two processes counts
+    /// twice.
     fn lease_count(&self, now: Time) -> u64 {
         let peers = self.peers.values().filter(|peer| peer.expires_at > now);
         self.own.len() as u64 + peers.map(|peer| u64::from(peer.count)).sum::<u64>()
--- a/crates/cluster/control-plane/src/membership/bootstrapping.rs
+++ b/crates/cluster/control-plane/src/membership/bootstrapping.rs
@@ -56,7 +56,7 @@
             let synced = ControlMessage::StateSynced(StateSynced {
                 proposal: bootstrap.proposal,
             });
-            return effects.control(from, synced);
+            return effects.send_control(from, synced);
         }
         let is_busy = self.sync_pending || self.recovery.is_some();
         if self.may_bootstrap && !is_busy {
--- a/crates/cluster/control-plane/src/node.rs
+++ b/crates/cluster/control-plane/src/node.rs
@@ -1,8 +1,8 @@
-//! One core process: its parts, and the order in which an event goes through them.
+//! One core process: its parts, and the order in which they handle an event.
 //!
-//! Each part owns its state and reaches the others only by what the methods here pass to it: this file and its submodules
-//! are the only ones that know all parts. A part writes what it wants sent, stored and answered into [`Effects`]; once an
-//! event is done, [`MessageRouter`] addresses these.
+//! Each part owns its state and accesses other parts only through the arguments that the methods here pass to it. Only
+//! this file and its submodules know all parts. A part adds its messages, writes and replies to [`Effects`]. After an
+//! event has been handled, [`MessageRouter`] addresses them.
 
 mod messages;
 mod non_members;
@@ -31,36 +31,41 @@
 use crate::termination::{Succession, Termination};
 use crate::terms::{Terms, TermsOptions};
 
-/// Spreads seeds (the fraction of the golden ratio, odd).
+/// An odd multiplier that spreads similar seeds: the fractional part of the golden ratio, in units of 2^-64.
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The logic of one core process.
 pub struct CoreNode {
+    /// The address of this process.
     node: NodeId,
+    /// The time of the current event.
     now: Now,
-    /// The compare-and-swap register: acceptor, proposer, reader, register view.
+    /// The compare-and-swap register with its acceptor, proposer, reader and register view.
     register: Register,
-    /// Whether the process takes part, and how it comes to.
+    /// Whether the process participates, and the steps until it does.
     membership: Membership,
-    /// Replica, elections, and the term that this process leads.
+    /// The replica, the elections, and the term that this process leads.
     terms: Terms,
-    /// The changes of members that this process proposes as a leader.
+    /// The membership changes that this process proposes as the leader.
     reconfiguration: Reconfiguration,
     /// The operator's requests.
     operator: OperatorRequests,
-    /// Requests that wait until the register was read again.
+    /// The requests that wait until the register has been read again.
     pending: PendingRequests,
-    /// Leases of membership of the processes outside the core.
+    /// The membership leases of the processes outside the core.
     leases: Leases,
-    /// Who is sent each new configuration.
+    /// The processes that are sent each new configuration.
     subscribers: Subscribers,
+    /// The state of the termination after SIGTERM.
     termination: Termination,
+    /// The effects of the current event.
     effects: Effects,
+    /// Addresses the effects.
     router: MessageRouter,
 }
 
 impl CoreNode {
-    /// A process that starts with `image` on its disk.
+    /// Starts a process with `image` as the content of its disk.
     pub fn new(
         mut settings: CoreSettings,
         image: DiskImage,
@@ -90,7 +95,7 @@
         core
     }
 
-    /// Whether this process knows the register's value and, as far as the members can tell, all accepted changes.
+    /// Returns whether this process has the register's value and all accepted changes that the members know.
     pub fn changes_caught_up(&self) -> bool {
         self.register.is_caught_up()
     }
@@ -105,7 +110,7 @@
         let node = settings.node;
         let incarnation = settings.incarnation;
         let started = now.steady;
-        let mut random = Pcg64Mcg::seed_from_u64(own_seed(settings));
+        let mut random = Pcg64Mcg::seed_from_u64(process_seed(settings));
         let register = Register::new(RegisterOptions {
             node,
             incarnation,
@@ -146,14 +151,14 @@
         self.terms.restore(state.replica);
     }
 
-    /// Runs everything that is due until no message of this process to itself is left.
+    /// Runs the due steps until no message of this process to itself is left.
     fn run_until_idle(&mut self, outbox: &mut Outbox) {
         loop {
             self.step();
             self.router
                 .flush(self.now.steady, &mut self.effects, outbox);
             let mut received = false;
-            while let Some(message) = self.router.next_own() {
+            while let Some(message) = self.router.next_own_message() {
                 received = true;
                 self.on_message(self.node, message);
             }
@@ -164,7 +169,7 @@
         outbox.finished |= self.is_finished();
     }
 
-    /// SIGTERM was received.
+    /// Handles SIGTERM.
     fn terminate(&mut self) {
         let now = self.now.steady;
         let successor_waits = self.succession().has_joiner(now);
@@ -174,7 +179,7 @@
         }
     }
 
-    /// On what it depends whether this member may leave.
+    /// Returns the member list and the joining processes, which determine whether this member may leave.
     fn succession(&self) -> Succession<'_> {
         Succession {
             members: self.register.members(),
@@ -193,7 +198,7 @@
             .is_finished(self.now.steady, is_idle, self.succession())
     }
 
-    /// Gives the term up and lets the others elect at once.
+    /// Resigns the term, so that the other members can elect a leader at once.
     fn step_down(&mut self) {
         let members = self.register.members();
         self.terms
@@ -201,8 +206,9 @@
     }
 }
 
-/// Differs between processes and between their incarnations, also where they were given the same seed.
-fn own_seed(settings: &CoreSettings) -> u64 {
+/// Returns a seed that differs between processes and between their incarnations, even if their settings have the same
+/// seed.
+fn process_seed(settings: &CoreSettings) -> u64 {
     let address = (u64::from(settings.node.ip) << 16) | u64::from(settings.node.port);
     settings
         .seed
@@ -223,7 +229,7 @@
                 request,
             } => self.on_http(id, endpoint, request),
             Event::HttpAbandoned { id } => self.operator.on_abandoned(id),
-            Event::Synced { token } => self.router.synced(token),
+            Event::Synced { token } => self.router.on_synced(token),
             Event::HealthCheck { .. } | Event::Wake => {}
             Event::SeedsChanged(seeds) => self.membership.set_seeds(seeds),
             Event::Terminate => self.terminate(),
--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which part handles each message among core processes and each HTTP request.
+//! The dispatch of messages between core processes and of HTTP requests to the parts that handle them.
 
 use sagetrail_protocol::control::{
     ControlMessage, Learned, MemberLeases, Promise, Recover, RecoverReply, Rejected, Renew,
@@ -13,7 +13,7 @@
 use crate::replica::ProcessStatus;
 
 impl CoreNode {
-    /// A message, by whatever route it came.
+    /// Handles a message, regardless of the route on which it arrived.
     pub(super) fn on_message(&mut self, from: NodeId, message: Message) {
         let now = self.now.steady;
         match message {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Messages to the proposer, the reader and the learner of the register.
+    /// Handles a message to the proposer, the reader or the learner of the register.
     fn on_register_message(&mut self, from: NodeId, message: ControlMessage) {
         let now = self.now.steady;
         let effects = &mut self.effects;
@@ -171,7 +171,7 @@
         self.on_view_update(update);
     }
 
-    /// What this process reports of itself to the leader of the term.
+    /// Returns the status that this process reports to the leader of the term.
     fn process_status(&self, renew: &Renew) -> ProcessStatus {
         let knows_newest = self.register.view().proposal() >= renew.learned;
         ProcessStatus {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// While this process recovers it has no rounds of its own.
+    /// Handles a promise. A recovering process runs no rounds of its own, so the promise belongs to the recovery.
     fn on_promise(&mut self, from: NodeId, promise: Promise) {
         let effects = &mut self.effects;
         if self.membership.is_recovering() {
@@ -219,7 +219,7 @@
         }
     }
 
-    /// A member recovers. The reply waits until everything that was promised before is on disk.
+    /// Handles the request of a member that recovers. The reply waits until all earlier promises are on disk.
     fn on_recover(&mut self, from: NodeId, recover: &Recover) {
         let reply = ControlMessage::RecoverReply(RecoverReply {
             nonce: recover.nonce,
@@ -239,7 +239,7 @@
             .on_vote_reply(now, from, reply, may_lead, members, &mut self.effects);
     }
 
-    /// An HTTP request.
+    /// Handles an HTTP request.
     pub(super) fn on_http(
         &mut self,
         id: HttpRequestId,
@@ -249,7 +249,7 @@
         let now = self.now.steady;
         let effects = &mut self.effects;
         match parse_request(endpoint, request, self.register.has_members()) {
-            ApiRequest::Status(status) => effects.status(id, status),
+            ApiRequest::Status(status) => effects.reply_status(id, status),
             ApiRequest::Read => self.operator.submit_read(now, id, effects),
             ApiRequest::Change(change) => {
                 self.operator
--- a/crates/cluster/control-plane/src/node/non_members.rs
+++ b/crates/cluster/control-plane/src/node/non_members.rs
@@ -1,4 +1,4 @@
-//! Processes outside the core: directory, relayed messages, requests to the scheduler.
+//! The messages of processes outside the core: hellos, relayed messages, and requests to the scheduler.
 
 use sagetrail_protocol::client::NotLeader;
 use sagetrail_protocol::directory::{Directory, Hello};
@@ -10,7 +10,7 @@
 use crate::terms::KnownLeader;
 
 impl CoreNode {
-    /// A message from another process.
+    /// Handles a message from another process.
     pub(super) fn on_remote_message(&mut self, from: NodeId, message: Message) {
         match message {
             Message::Relayed(relayed) => self.on_relayed(from, relayed),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A process renews its lease of membership and is sent the directory.
+    /// Handles a hello, which renews the membership lease of its sender, and sends the directory in reply.
     pub(super) fn on_hello(&mut self, from: NodeId, hello: &Hello) {
         let now = self.now.steady;
         if hello.kind == NodeKind::Core {
@@ -53,7 +53,7 @@
         self.send_directory(from);
     }
 
-    /// Sends the directory: members, leader, relays.
+    /// Sends the directory, which names the members, the leader and the relays.
     pub(super) fn send_directory(&mut self, to: NodeId) {
         let now = self.now.steady;
         let KnownLeader { term, leader } = self.terms.known_leader();
@@ -71,7 +71,7 @@
         self.effects.sends.push((to, Message::Directory(directory)));
     }
 
-    /// Another core process sent its directory.
+    /// Handles the directory of another core process.
     pub(super) fn on_directory(&mut self, directory: &Directory) {
         let list = MemberList {
             version: directory.members_version,
@@ -81,7 +81,8 @@
         self.register.on_members_reported(self.now.steady, list);
     }
 
-    /// Hands a message to the scheduler, at once or once the register was read again.
+    /// Passes a message to the scheduler, either at once or after the register has been read again. The latter is
+    /// necessary if the sender has seen a newer configuration than this process.
     pub(super) fn on_scheduler_message(&mut self, from: NodeId, message: Message) {
         if self.terms.is_serving() && self.names_newer_config(&message) {
             return self.pending.push(self.now.steady, from, message);
@@ -89,7 +90,7 @@
         self.deliver(from, message);
     }
 
-    /// Whether the sender has seen a newer configuration than this process.
+    /// Returns whether the sender has seen a newer configuration than this process.
     fn names_newer_config(&self, message: &Message) -> bool {
         match message {
             Message::ClientRequest(request) => {
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Hands a message to the scheduler, or replies where it runs.
+    /// Passes a message to the scheduler, or replies with the known leader if the scheduler does not run at this
+    /// process.
     pub(super) fn deliver(&mut self, from: NodeId, message: Message) {
         match self.terms.service_mut() {
             Some(service) => service.message(self.now, from, message),
--- a/crates/cluster/control-plane/src/node/steps.rs
+++ b/crates/cluster/control-plane/src/node/steps.rs
@@ -1,4 +1,4 @@
-//! What is due by time, in the order in which the parts run.
+//! The steps that are due at a given time, in the order in which the parts run.
 
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::Time;
@@ -8,7 +8,7 @@
 use crate::register::{RegisterDemand, ViewUpdate};
 
 impl CoreNode {
-    /// Everything that is due.
+    /// Runs the steps of all parts that are due.
     pub(super) fn step(&mut self) {
         let now = self.now.steady;
         self.membership.step(
@@ -21,7 +21,7 @@
         self.step_register(now);
         self.register.fetch_changes(now, &mut self.effects);
         if self.membership.is_active() {
-            // A process that never took part keeps nothing on disk.
+            // A process that has never participated stores nothing on disk.
             self.register.write_changes(&mut self.effects);
         }
         let may_stand = self.may_stand();
@@ -37,7 +37,7 @@
         self.step_termination(now);
     }
 
-    /// When something is due next.
+    /// Returns when the next step is due.
     pub(super) fn earliest_wake(&self) -> Option<Time> {
         let now = self.now.steady;
         let terminating = self.termination.is_requested();
@@ -57,19 +57,20 @@
         wakes.into_iter().flatten().min()
     }
 
-    /// Whether this process may run rounds of the register: it knows what it promised, or it is no acceptor.
+    /// Returns whether this process may run rounds of the register. It may if it knows its own promises or is not an
+    /// acceptor. A member also waits for an election that is in progress.
     fn may_propose(&self) -> bool {
         let is_outsider = self.register.has_members() && !self.is_member();
         let yields = self.terms.election_yield_until(self.now.steady).is_some();
         is_outsider || (self.membership.is_active() && !yields)
     }
 
-    /// Whether this process may become a candidate, as far as its membership goes.
+    /// Returns whether the membership of this process allows it to become a candidate.
     fn may_stand(&self) -> bool {
         self.membership.is_active() && self.is_member() && self.may_lead()
     }
 
-    /// Whether this process is in the member list.
+    /// Returns whether this process is in the member list.
     fn is_member(&self) -> bool {
         self.register.members().contains(self.node)
     }
@@ -85,7 +86,7 @@
             .tick(now, &mut self.register, &mut self.effects);
     }
 
-    /// The moment as of which a part of this process needs to know the register.
+    /// Returns the latest time as of which a part of this process has to know the register.
     fn required_freshness(&self) -> Option<Time> {
         let required = [
             self.terms.fresh_as_of(),
@@ -95,7 +96,7 @@
         required.into_iter().flatten().max()
     }
 
-    /// Passes on what a newly learned value changed.
+    /// Passes the changes of a newly learned value to the parts.
     pub(super) fn on_view_update(&mut self, update: Option<ViewUpdate>) {
         let Some(update) = update else { return };
         if update.members {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Reports to the other members of the core which leases this process holds.
+    /// Reports the leases that this process holds to the other members of the core.
     fn share_leases(&mut self, now: Time) {
         let Some(leases) = self.leases.take_report(now) else {
             return;
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Answers what is left, and gives the term up at the end.
+    /// Answers the remaining requests once the time for them is over, and resigns the term if this process may no
+    /// longer lead.
     fn step_termination(&mut self, now: Time) {
         if !self.termination.is_requested() {
             return;
--- a/crates/cluster/control-plane/src/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -96,7 +96,7 @@
             return same.waiters.push(id);
         }
         if self.changes.len() >= MAX_IN_FLIGHT {
-            return effects.status(id, SERVICE_UNAVAILABLE);
+            return effects.reply_status(id, SERVICE_UNAVAILABLE);
         }
         self.last_number += 1;
         let number = self.last_number;
@@ -117,7 +117,7 @@
     /// Takes a configuration read, which is answered once the register view includes every value chosen before `now`.
     pub(crate) fn submit_read(&mut self, now: Time, id: HttpRequestId, effects: &mut Effects) {
         if self.reads.len() >= MAX_IN_FLIGHT {
-            return effects.status(id, SERVICE_UNAVAILABLE);
+            return effects.reply_status(id, SERVICE_UNAVAILABLE);
         }
         self.reads.push(ReadInFlight { id, arrived: now });
     }
@@ -186,7 +186,7 @@
     /// Answers all requests at once, because the process is shutting down.
     pub(crate) fn close(&mut self, register: &mut Register, effects: &mut Effects) {
         for read in std::mem::take(&mut self.reads) {
-            effects.status(read.id, SERVICE_UNAVAILABLE);
+            effects.reply_status(read.id, SERVICE_UNAVAILABLE);
         }
         let numbers: Vec<u64> = self.changes.keys().copied().collect();
         for number in numbers {
--- a/crates/cluster/control-plane/src/persisted.rs
+++ b/crates/cluster/control-plane/src/persisted.rs
@@ -15,20 +15,20 @@
 /// The acceptor's proposal numbers on disk.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AcceptorNumbers {
-    /// The highest number that was promised.
+    /// The highest proposal number that was promised.
     pub promised: ProposalNumber,
-    /// The number of the accepted value; at most `promised`.
+    /// The proposal number of the accepted value, which is at most `promised`.
     pub accepted: ProposalNumber,
 }
 
-/// The highest term that was promised, and the process to which it was.
+/// The highest promised term and the process to which it was promised.
 #[derive(DekuRead, DekuWrite, Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TermPromise {
     /// The highest term that was promised.
     pub term: Term,
     /// The candidate to which it was promised.
     pub node: NodeId,
-    /// 0 where the process is known as the term's leader only.
+    /// The incarnation of the candidate, or 0 if the process is known only as the leader of the term.
     pub incarnation: Incarnation,
 }
 
@@ -37,20 +37,21 @@
 pub struct ReplicaState {
     /// The newest promise of a term.
     pub promise: TermPromise,
-    /// Of the newest batch that was applied.
+    /// The position of the newest batch that was applied.
     pub position: RecordsPosition,
-    /// False after the disk was emptied, until a complete snapshot was installed.
+    /// Whether the records are complete. This is false after the disk was emptied, until a complete snapshot is
+    /// installed.
     pub complete: bool,
 }
 
 /// A member list on disk.
 #[derive(DekuRead, DekuWrite, Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoredMembers {
-    /// The list's version.
+    /// The version of the list.
     pub version: u64,
-    /// The members; of a change under way, those before it.
+    /// The members. During a membership change, these are the members before the change.
     pub members: List<NodeId>,
-    /// Empty unless a change of members is under way.
+    /// The members after the membership change in progress; empty if there is none.
     pub next_members: List<NodeId>,
 }
 
@@ -77,29 +78,30 @@
 /// The state of a core process on its disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlState {
-    /// What the acceptor has promised and accepted.
+    /// The proposal numbers that the acceptor has promised and accepted.
     pub proposals: AcceptorNumbers,
     /// The accepted value, encoded.
     pub value: Blob,
-    /// What the replica has promised and holds.
+    /// The promise of the replica and the position of its records.
     pub replica: ReplicaState,
-    /// The newest member list that was known.
+    /// The newest member list that the process knew.
     pub members: StoredMembers,
 }
 
 /// The content of a disk at the start of the process.
 #[derive(Debug)]
 pub(crate) enum DiskContent {
-    /// Nothing: the disk is fresh, or was emptied.
+    /// The disk has no content because it is new or was emptied.
     Empty,
+    /// The state was read in full.
     State(Box<ControlState>),
-    /// Rows that cannot be read. What the process promised is lost, as with an emptied disk, but it did take part:
-    /// whatever its settings say, it must not bootstrap a cluster.
+    /// Some rows cannot be read. The promises of the process are lost, as with an emptied disk. Unlike with a new disk,
+    /// the process has participated in a cluster, so it must not bootstrap one, whatever its settings say.
     Damaged,
 }
 
 impl ControlState {
-    /// Reads what the disk holds.
+    /// Reads the state from the content of the disk.
     pub(crate) fn load(image: &DiskImage) -> DiskContent {
         if image.control.is_empty() && image.records.is_empty() {
             return DiskContent::Empty;
@@ -109,7 +111,7 @@
         })
     }
 
-    /// `None` where a row is missing or cannot be read in full.
+    /// Reads the rows of `Table::Control`. Returns `None` if a row is missing or cannot be decoded in full.
     fn read(rows: &[(Vec<u8>, Vec<u8>)]) -> Option<ControlState> {
         let find = |key: &[u8]| {
             rows.iter()
@@ -130,28 +132,28 @@
     }
 }
 
-/// The item that bytes hold, and nothing besides.
+/// Decodes an item. Returns `None` if the bytes are malformed or contain more than the item.
 fn decode<T: for<'a> DekuContainerRead<'a>>(bytes: &[u8]) -> Option<T> {
     let ((rest, _), item) = T::from_bytes((bytes, 0)).ok()?;
     rest.is_empty().then_some(item)
 }
 
-/// Writes the register's proposal numbers.
+/// Returns the operation that writes the acceptor's proposal numbers.
 pub(crate) fn put_proposals(proposals: &AcceptorNumbers) -> DiskOperation {
     put(ACCEPTOR_KEY, proposals.to_bytes().unwrap_or_default())
 }
 
-/// Writes the accepted value.
+/// Returns the operation that writes the accepted value.
 pub(crate) fn put_value(value: &Blob) -> DiskOperation {
     put(VALUE_KEY, value.0.clone())
 }
 
-/// Writes the replica's state.
+/// Returns the operation that writes the replica's state.
 pub(crate) fn put_replica(state: &ReplicaState) -> DiskOperation {
     put(REPLICA_KEY, state.to_bytes().unwrap_or_default())
 }
 
-/// Writes the member list.
+/// Returns the operation that writes the member list.
 pub(crate) fn put_members(members: &StoredMembers) -> DiskOperation {
     put(MEMBERS_KEY, members.to_bytes().unwrap_or_default())
 }
--- a/crates/cluster/control-plane/src/progress.rs
+++ b/crates/cluster/control-plane/src/progress.rs
@@ -30,8 +30,8 @@
 }
 
 impl Progress {
-    /// Creates the progress of a replica whose state is not known yet. `lease_sent_at` is the time, in microseconds of the
-    /// leader's steady clock, of the request with which the replica granted a lease, if it granted one.
+    /// Creates the progress of a replica whose state is not known yet. `lease_sent_at` is the time, in microseconds of
+    /// the leader's steady clock, of the request with which the replica granted a lease, if it granted one.
     pub(crate) fn new(now: Time, lease_sent_at: Option<u64>) -> Progress {
         Progress {
             matched: None,
@@ -59,13 +59,14 @@
         self.leaving = ack.leaving;
     }
 
-    /// Returns when the newest lease that the replica granted was requested, in microseconds of the leader's steady clock,
-    /// or 0 if it granted none.
+    /// Returns when the newest lease that the replica granted was requested, in microseconds of the leader's steady
+    /// clock, or 0 if it granted none.
     pub(crate) fn lease_sent_at(&self) -> u64 {
         self.lease_sent_at.unwrap_or_default()
     }
 
-    /// Returns the number of states of the term that the replica has synced. The base and each batch count as one state.
+    /// Returns the number of states of the term that the replica has synced. The base and each batch count as one
+    /// state.
     pub(crate) fn synced_states(&self) -> u64 {
         self.matched.map_or(0, |number| number + 1)
     }
@@ -107,7 +108,7 @@
             let Some(batch) = window.get(self.next) else {
                 break;
             };
-            effects.control(replica, ControlMessage::RecordBatch(batch.clone()));
+            effects.send_control(replica, ControlMessage::RecordBatch(batch.clone()));
             self.next += 1;
         }
     }
--- a/crates/cluster/control-plane/src/quorum_read.rs
+++ b/crates/cluster/control-plane/src/quorum_read.rs
@@ -254,6 +254,6 @@
             nonce,
             wanted: self.proposal,
         });
-        effects.control(source, read);
+        effects.send_control(source, read);
     }
 }
--- a/crates/cluster/control-plane/src/records.rs
+++ b/crates/cluster/control-plane/src/records.rs
@@ -1,4 +1,4 @@
-//! The replicated records in memory, and the operations that bring the disk to the same state.
+//! The replicated records in memory, and the disk operations that bring the disk to the same state.
 
 use sagetrail_protocol::control::{RecordChange, RecordEntry};
 use sagetrail_protocol::node::{DiskOperation, Table};
@@ -11,7 +11,7 @@
 pub(crate) struct Records(pub BTreeMap<Vec<u8>, Vec<u8>>);
 
 impl Records {
-    /// Applies a batch and gives the operations for the disk.
+    /// Applies the changes of a batch and returns the operations for the disk.
     pub(crate) fn apply(&mut self, changes: &[RecordChange]) -> Vec<DiskOperation> {
         changes
             .iter()
@@ -19,7 +19,7 @@
             .collect()
     }
 
-    /// The operations that replace whatever is on disk by all records.
+    /// Returns the operations that replace all records on disk by these records.
     pub(crate) fn rewrite(&self) -> Vec<DiskOperation> {
         let clear = DiskOperation::Clear {
             table: Table::Records,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A service's operations as changes in a batch.
+/// Converts a service's operations to the changes of a batch.
 pub(crate) fn to_changes(operations: Vec<RecordOperation>) -> List<RecordChange> {
     operations.into_iter().map(to_change).collect()
 }
--- a/crates/cluster/control-plane/src/register/messages.rs
+++ b/crates/cluster/control-plane/src/register/messages.rs
@@ -150,7 +150,7 @@
         let known = self.view.proposal();
         if known >= proposal {
             let learned = ControlMessage::Learned(Learned { proposal: known });
-            effects.control(from, learned);
+            effects.send_control(from, learned);
         } else if self.learn_waiters.len() < MAX_LEARN_WAITERS {
             self.learn_waiters.push(LearnWaiter {
                 node: from,
@@ -199,7 +199,7 @@
             changes: List(changes),
             more,
         };
-        effects.control(from, ControlMessage::ChangesReply(reply));
+        effects.send_control(from, ControlMessage::ChangesReply(reply));
     }
 
     /// Handles a member's reply with accepted changes.
--- a/crates/cluster/control-plane/src/replica.rs
+++ b/crates/cluster/control-plane/src/replica.rs
@@ -14,7 +14,7 @@
 use sagetrail_protocol::{List, NodeId, Term, Time};
 use std::collections::BTreeMap;
 
-/// So many batches are buffered until an earlier batch or the complete records arrive.
+/// The maximum number of batches that are buffered until an earlier batch or the complete records arrive.
 const MAX_BUFFERED: usize = 256;
 
 /// The term that this replica follows.
@@ -24,48 +24,51 @@
     pub term: Term,
     /// The process that leads it.
     pub leader: NodeId,
-    /// The state on which the term builds.
+    /// The position of the records on which the term builds.
     base: RecordsPosition,
     /// The process from which the base can be fetched.
     source: NodeId,
 }
 
-/// What the process reports of itself with each acknowledgement of a lease.
+/// The status that a process reports with each acknowledgement of a lease renewal.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessStatus {
-    /// It was asked to end.
+    /// Whether the process has been requested to terminate.
     pub leaving: bool,
-    /// It knows the register's newest value and all accepted changes.
+    /// Whether the process has the register's newest value and all accepted changes.
     pub caught_up: bool,
 }
 
 /// The replica of one process.
 #[derive(Debug)]
 pub(crate) struct Replica {
+    /// The address of this process.
     node: NodeId,
-    /// As on disk, or being written there.
+    /// The state that is on disk or is being written to it.
     pub state: ReplicaState,
-    /// The newest position that is surely on disk; at most `state.position`.
+    /// The newest position that is known to be synced to disk, which is at most `state.position`.
     pub synced: RecordsPosition,
     /// The records, with all batches up to `state.position` applied.
     pub records: Records,
-    /// No term is promised before: a lease may be running.
+    /// The time before which no other term is promised, because a granted lease may not have expired.
     pub lease_until: Time,
+    /// The term whose leader this replica follows; `None` until a renewal has arrived since the start.
     pub(crate) followed: Option<FollowedTerm>,
-    /// The term whose leader is surely named on disk: only then is a lease granted to it.
+    /// The term whose leader is known to be recorded on disk. Only then does the replica grant a lease to that leader.
     leader_on_disk: Option<Term>,
-    /// Batches of the followed term after `state.position`, by number.
+    /// The batches of the followed term after `state.position`, by number.
     buffered: BTreeMap<u64, List<RecordChange>>,
     /// The snapshot that is being fetched.
     transfer: Option<SnapshotTransfer>,
-    /// Since when the leader has had newer batches than this replica, without a pause.
+    /// The time since which the leader has continuously had newer batches than this replica.
     behind_since: Option<Time>,
-    /// Snapshots for other replicas.
+    /// The snapshots for other replicas.
     snapshots: SnapshotStore,
 }
 
 impl Replica {
-    /// A replica that has just started and may have granted a lease in its former incarnation.
+    /// Creates a replica that has just started. It may have granted a lease in its former incarnation, so it promises
+    /// no term for the duration of a lease.
     pub(crate) fn new(node: NodeId, now: Time, state: ReplicaState, records: Records) -> Replica {
         Replica {
             node,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// The highest term known and its leader, if that is known.
+    /// Returns the highest known term and its leader, or the default node if the leader is unknown.
     pub(crate) fn promised_term(&self) -> (Term, NodeId) {
         match &self.followed {
             Some(followed) if followed.term == self.state.promise.term => {
@@ -92,13 +95,13 @@
         }
     }
 
-    /// The leader, while its lease may be running.
+    /// Returns the leader while its lease may not have expired.
     pub(crate) fn live_leader(&self, now: Time) -> Option<NodeId> {
         let (_, leader) = self.promised_term();
         (now < self.lease_until && leader != NodeId::default()).then_some(leader)
     }
 
-    /// The leader renews its lease.
+    /// Handles a leader's request to renew its lease.
     pub(crate) fn on_renew(
         &mut self,
         now: Time,
@@ -109,14 +112,14 @@
     ) {
         if renew.term < self.state.promise.term {
             let ack = self.renew_ack(renew, status);
-            return effects.control(from, ack);
+            return effects.send_control(from, ack);
         }
         self.lease_until = now.plus_millis(LEASE_MS);
         self.follow(from, renew);
         self.record_leader(from, renew.term);
         let ack = self.renew_ack(renew, status);
         if self.leader_on_disk == Some(renew.term) {
-            effects.control(from, ack);
+            effects.send_control(from, ack);
         } else {
             let mut then = vec![(self.node, ack.clone())];
             then.extend((from != self.node).then_some((from, ack)));
@@ -125,7 +128,8 @@
         self.catch_up(now, renew.number, effects);
     }
 
-    /// After a restart the promise alone tells who may hold a lease. It may have been made to a candidate that lost.
+    /// Records the leader in the promise. After a restart only the promise tells which process may hold a lease, and
+    /// the promise may have been made to a candidate that lost the election.
     fn record_leader(&mut self, leader: NodeId, term: Term) {
         if (self.state.promise.term, self.state.promise.node) != (term, leader) {
             self.state.promise = TermPromise {
@@ -136,12 +140,12 @@
         }
     }
 
-    /// The leader of the term has been synced as the holder of the lease.
+    /// Handles the sync of the state that records the term's leader as the holder of the lease.
     pub(crate) fn on_leader_synced(&mut self, term: Term) {
         self.leader_on_disk = self.leader_on_disk.max(Some(term));
     }
 
-    /// Drops batches and chunks of an earlier term.
+    /// Drops the buffered batches and the snapshot transfer of an earlier term.
     pub(crate) fn drop_transfers(&mut self) {
         self.transfer = None;
         self.buffered.clear();
@@ -174,8 +178,8 @@
         });
     }
 
-    /// Enters the followed term where this replica has its base, else fetches a snapshot. `newest`: the number of the
-    /// leader's newest batch.
+    /// Enters the followed term if this replica has the term's base, and fetches a snapshot otherwise. `newest` is the
+    /// number of the leader's newest batch.
     fn catch_up(&mut self, now: Time, newest: u64, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
@@ -197,8 +201,8 @@
         self.fetch_snapshot(now, followed, newest, effects);
     }
 
-    /// Whether batches have been missing for `BEHIND_MS`. The leader sends more once it is notified of what was synced: a
-    /// replica that waits for its disk is not behind.
+    /// Returns whether batches have been missing for `BEHIND_MS`. The leader sends further batches once it is notified
+    /// of the synced ones, so a replica that waits for its disk is not behind.
     fn is_long_behind(&mut self, now: Time, newest: u64) -> bool {
         let behind = newest > self.state.position.number && self.synced == self.state.position;
         self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
@@ -206,7 +210,7 @@
             .is_some_and(|since| now >= since.plus_millis(BEHIND_MS))
     }
 
-    /// A transfer goes on from the source with which it began, while that one sends.
+    /// Starts the transfer of a snapshot. A transfer in progress continues from its source until that source is silent.
     fn fetch_snapshot(
         &mut self,
         now: Time,
@@ -236,8 +240,9 @@
         }
     }
 
-    /// The oldest position of which a snapshot is of use. With its disk a replica may have lost what it acknowledged,
-    /// which is no newer than the leader's newest batch; otherwise its own state holds all of that.
+    /// Returns the oldest position at which a snapshot is useful. A replica whose disk was emptied may have lost
+    /// batches that it had acknowledged. These are no newer than the leader's newest batch. Any other replica still has
+    /// everything that it acknowledged.
     fn oldest_useful(&self, term: Term, newest: u64) -> RecordsPosition {
         if !self.state.complete && newest > 0 {
             return RecordsPosition {
@@ -254,14 +259,14 @@
         RecordsPosition::default()
     }
 
-    /// Whether a snapshot is being fetched from a source that sends nothing.
+    /// Returns whether a snapshot is being fetched from a source that is silent.
     pub(crate) fn source_is_silent(&self, now: Time) -> bool {
         self.transfer
             .as_ref()
             .is_some_and(|transfer| transfer.source_is_silent(now))
     }
 
-    /// A batch has arrived.
+    /// Handles a batch from the leader.
     pub(crate) fn on_batch(&mut self, from: NodeId, batch: RecordBatch, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
@@ -275,7 +280,7 @@
                 let synced = RecordsSynced {
                     position: self.synced,
                 };
-                effects.control(from, ControlMessage::RecordsSynced(synced));
+                effects.send_control(from, ControlMessage::RecordsSynced(synced));
             }
             return;
         }
@@ -285,6 +290,7 @@
         self.apply_buffered(effects);
     }
 
+    /// Applies the buffered batches that can be applied and writes them to disk.
     fn apply_buffered(&mut self, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
@@ -297,14 +303,14 @@
         let number = self.state.position.number;
         self.buffered.retain(|buffered, _| *buffered > number);
         if number > before {
-            // Where batches arrive there is no need for a snapshot.
+            // No snapshot is needed as long as batches arrive.
             self.behind_since = None;
             self.transfer = None;
             self.write(operations, effects);
         }
     }
 
-    /// Applies the buffered batches that follow the position without a gap, and gives what is to be written.
+    /// Applies the buffered batches that follow the position without a gap. Returns the operations for the disk.
     fn apply_consecutive(&mut self) -> Vec<DiskOperation> {
         let mut operations = Vec::new();
         while let Some(changes) = self.buffered.remove(&(self.state.position.number + 1)) {
@@ -314,7 +320,7 @@
         operations
     }
 
-    /// Writes the operations and the state; once they are synced the leader and this process are notified.
+    /// Writes the operations and the state. The leader and this process are notified once they are synced.
     fn write(&mut self, mut operations: Vec<DiskOperation>, effects: &mut Effects) {
         operations.push(put_replica(&self.state));
         let synced = ControlMessage::RecordsSynced(RecordsSynced {
@@ -330,12 +336,12 @@
         effects.write(operations, then);
     }
 
-    /// The records have been synced up to this position.
+    /// Handles the sync of the records up to `position`.
     pub(crate) fn on_synced(&mut self, position: RecordsPosition) {
         self.synced = self.synced.max(position);
     }
 
-    /// Another replica fetches a snapshot.
+    /// Handles another replica's request for a chunk of a snapshot.
     pub(crate) fn on_fetch_snapshot(
         &mut self,
         now: Time,
@@ -350,11 +356,11 @@
             self.snapshots
                 .requested_chunk(now, from, fetch, self.state.position, &self.records);
         if let Some(chunk) = chunk {
-            effects.control(from, ControlMessage::SnapshotChunk(chunk));
+            effects.send_control(from, ControlMessage::SnapshotChunk(chunk));
         }
     }
 
-    /// A chunk of the snapshot that this replica fetches has arrived.
+    /// Handles a chunk of the snapshot that this replica fetches.
     pub(crate) fn on_snapshot_chunk(
         &mut self,
         now: Time,
@@ -372,6 +378,7 @@
         self.install(snapshot, effects);
     }
 
+    /// Replaces the records by a transferred snapshot if that is newer and its term is the promised one.
     fn install(&mut self, snapshot: TransferredSnapshot, effects: &mut Effects) {
         let Some(followed) = self.followed else {
             return;
@@ -394,7 +401,8 @@
         self.write(self.records.rewrite(), effects);
     }
 
-    /// Sends requests again and drops old snapshots. Chunks stay while there is no leader: its term may go on.
+    /// Sends requests again if due and drops expired snapshots. Received chunks are retained while there is no leader,
+    /// because its term may continue.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) {
         if let Some(transfer) = self.transfer.as_mut().filter(|_| now < self.lease_until) {
             transfer.tick(now, effects);
@@ -402,7 +410,7 @@
         self.snapshots.tick(now);
     }
 
-    /// When something is due.
+    /// Returns when the next step is due.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         let transfer = self.transfer.as_ref().map(SnapshotTransfer::next_wake);
         let transfer = transfer.filter(|due| *due < self.lease_until);
--- a/crates/cluster/control-plane/src/round.rs
+++ b/crates/cluster/control-plane/src/round.rs
@@ -222,14 +222,14 @@
         effects: &mut Effects,
     ) {
         if self.need_value.insert(from) {
-            effects.control(from, self.message(proposal, from));
+            effects.send_control(from, self.message(proposal, from));
         }
     }
 
     fn send(&self, proposal: ProposalNumber, effects: &mut Effects) {
         let members: BTreeSet<NodeId> = self.quorums.iter().flat_map(MemberList::all).collect();
         for member in members.difference(&self.accepted_by) {
-            effects.control(*member, self.message(proposal, *member));
+            effects.send_control(*member, self.message(proposal, *member));
         }
     }
 
--- a/crates/cluster/control-plane/src/routing.rs
+++ b/crates/cluster/control-plane/src/routing.rs
@@ -1,6 +1,7 @@
-//! Addresses the messages of the parts: to this process itself, directly, or by the process that forwards.
+//! The router of a process, which delivers the messages of its parts to the process itself, directly to another
+//! process, or through a forwarding process.
 //!
-//! A process that cannot be reached directly is reached by the route over which its latest message came.
+//! A process that cannot be reached directly is reached over the route on which its latest message arrived.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,66 +12,77 @@
 use crate::effects::{Effects, PlannedWrite};
 use crate::timing::ROUTE_MS;
 
-/// The most routes that are remembered.
+/// The maximum number of stored routes.
 const MAX_ROUTES: usize = 1024;
 
-/// The forwarder by which a process is reached.
+/// The route to a process.
 #[derive(Debug)]
 struct Route {
+    /// The process that forwards messages on this route.
     forwarder: NodeId,
-    until: Time,
+    /// When the route expires.
+    expires_at: Time,
 }
 
 /// The router of one process.
 #[derive(Debug)]
 pub(crate) struct MessageRouter {
+    /// The address of this process.
     node: NodeId,
+    /// The routes to processes that cannot be reached directly.
     routes: BTreeMap<NodeId, Route>,
-    /// Messages of this process to itself.
-    own: VecDeque<Message>,
-    /// Messages of this process to itself that wait for a sync of the disk, by its token.
+    /// The messages of this process to itself that can be delivered.
+    own_messages: VecDeque<Message>,
+    /// The messages of this process to itself that wait for a sync of the disk, by the token of the write.
     unsynced: BTreeMap<u64, Vec<Message>>,
+    /// The token of the next write with such messages.
     next_token: u64,
 }
 
 impl MessageRouter {
-    /// Without any routes.
+    /// Creates a router without routes.
     pub(crate) fn new(node: NodeId) -> MessageRouter {
         MessageRouter {
             node,
             routes: BTreeMap::new(),
-            own: VecDeque::new(),
+            own_messages: VecDeque::new(),
             unsynced: BTreeMap::new(),
             next_token: 1,
         }
     }
 
-    /// The next message of this process to itself.
-    pub(crate) fn next_own(&mut self) -> Option<Message> {
-        self.own.pop_front()
+    /// Returns the next message of this process to itself.
+    pub(crate) fn next_own_message(&mut self) -> Option<Message> {
+        self.own_messages.pop_front()
     }
 
-    /// A write has been synced.
-    pub(crate) fn synced(&mut self, token: u64) {
+    /// Handles the sync of the write with this token.
+    pub(crate) fn on_synced(&mut self, token: u64) {
         let messages = self.unsynced.remove(&token).unwrap_or_default();
-        self.own.extend(messages);
+        self.own_messages.extend(messages);
     }
 
-    /// A message of `from` came by a forwarder.
+    /// Stores the route to `from`, whose message arrived through a forwarder.
     pub(crate) fn learn_route(&mut self, now: Time, from: NodeId, forwarder: NodeId) {
-        self.routes.retain(|_, route| route.until > now);
+        self.routes.retain(|_, route| route.expires_at > now);
         if self.routes.len() < MAX_ROUTES {
-            let until = now.plus_millis(ROUTE_MS);
-            self.routes.insert(from, Route { forwarder, until });
+            let expires_at = now.plus_millis(ROUTE_MS);
+            self.routes.insert(
+                from,
+                Route {
+                    forwarder,
+                    expires_at,
+                },
+            );
         }
     }
 
-    /// A message of `from` came directly.
+    /// Removes the route to `from`, whose message arrived directly.
     pub(crate) fn forget_route(&mut self, from: NodeId) {
         self.routes.remove(&from);
     }
 
-    /// Moves all effects to the outbox, but for the messages of this process to itself.
+    /// Moves all effects to the outbox, except the messages of this process to itself.
     pub(crate) fn flush(&mut self, now: Time, effects: &mut Effects, outbox: &mut Outbox) {
         for write in effects.writes.drain(..) {
             let write = self.disk_write(now, write);
@@ -78,7 +90,7 @@
         }
         for (to, message) in effects.sends.drain(..) {
             if to == self.node {
-                self.own.push_back(message);
+                self.own_messages.push_back(message);
             } else if let Some((to, message)) = self.address(now, to, message) {
                 outbox.send(to, message);
             }
@@ -86,22 +98,25 @@
         outbox.replies.append(&mut effects.replies);
     }
 
+    /// Converts a planned write to a write of the outbox, with addressed messages.
     fn disk_write(&mut self, now: Time, write: PlannedWrite) -> DiskWrite {
-        let (own, others): (Vec<_>, Vec<_>) =
-            write.then.into_iter().partition(|(to, _)| *to == self.node);
-        let then = others
+        let (own, others): (Vec<_>, Vec<_>) = write
+            .send_when_synced
+            .into_iter()
+            .partition(|(to, _)| *to == self.node);
+        let send_when_synced = others
             .into_iter()
             .filter_map(|(to, message)| self.address(now, to, message))
             .collect();
         let own: Vec<Message> = own.into_iter().map(|(_, message)| message).collect();
         DiskWrite {
             operations: write.operations,
-            send_when_synced: then,
+            send_when_synced,
             token: (!own.is_empty()).then(|| self.await_sync(own)),
         }
     }
 
-    /// The token with whose sync these messages are delivered.
+    /// Holds the messages back until a write is synced. Returns the token of that write.
     fn await_sync(&mut self, own: Vec<Message>) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
@@ -109,9 +124,10 @@
         token
     }
 
-    /// Where a message goes, wrapped for the forwarder where there is one; `None` where it cannot be wrapped.
+    /// Returns the process to which a message is sent and the message, wrapped for the forwarder if there is one.
+    /// Returns `None` if the message cannot be encoded.
     fn address(&self, now: Time, to: NodeId, message: Message) -> Option<(NodeId, Message)> {
-        let route = self.routes.get(&to).filter(|route| route.until > now);
+        let route = self.routes.get(&to).filter(|route| route.expires_at > now);
         let Some(route) = route.filter(|_| !matches!(message, Message::Relayed(_))) else {
             return Some((to, message));
         };
--- a/crates/cluster/control-plane/src/snapshot.rs
+++ b/crates/cluster/control-plane/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the records, cut into chunks, for replicas that fetch them.
+//! Snapshots of the records, divided into chunks, for replicas that fetch them.
 
 use crate::records::Records;
 use crate::snapshot_checksum::SnapshotChecksum;
@@ -7,46 +7,54 @@
 use sagetrail_protocol::{Blob, List, NodeId, Time};
 use std::collections::BTreeMap;
 
-/// At most about so many bytes go into a chunk.
+/// The maximum size of the entries of a chunk, in bytes. Only a single entry that is larger exceeds it.
 const CHUNK_BYTES: usize = 256 << 10;
-/// A replica that begins to fetch is given a snapshot of at most this age, if the snapshot is recent enough for it.
+/// The maximum age at which a snapshot is reused for a replica that begins a transfer, provided that the position of
+/// the snapshot is recent enough for that replica.
 const MAX_REUSE_AGE_MS: u64 = 300;
-/// So many snapshots exist at once.
+/// The maximum number of snapshots.
 const MAX_SNAPSHOTS: usize = 3;
-/// No further snapshot is made while the others hold so many bytes.
+/// The total size of the snapshots, in bytes of keys and values, at which no further snapshot is created.
 const MAX_SNAPSHOT_BYTES: usize = 32 << 20;
 
-/// A part of a snapshot that travels in one message.
+/// A part of a snapshot that is sent in one message.
 #[derive(Debug)]
 struct Chunk {
+    /// The records in this chunk.
     entries: List<RecordEntry>,
-    /// Over all entries up to the end of this chunk.
+    /// The checksum over all entries of the snapshot up to the end of this chunk.
     checksum: u32,
 }
 
-/// The records as they were at one position.
+/// The records at one position.
 #[derive(Debug)]
 struct Snapshot {
+    /// The position of the records.
     position: RecordsPosition,
+    /// When the snapshot was created.
     created_at: Time,
+    /// When a chunk was last requested, or the snapshot was created.
     last_used_at: Time,
-    /// Bytes of all keys and values.
+    /// The size of all keys and values, in bytes.
     bytes: usize,
-    /// At least one, also without records.
+    /// The chunks, of which there is at least one even if there are no records.
     chunks: Vec<Chunk>,
-    /// Replicas that fetch it, and when each last requested a chunk.
+    /// The replicas that fetch the snapshot, each with the time of its last request for a chunk.
     fetchers: BTreeMap<NodeId, Time>,
 }
 
-/// The snapshots of one process. One that a replica fetches stays, so that no other replica makes it begin again.
+/// The snapshots of one process. A snapshot that a replica is fetching is retained, so that requests of other replicas
+/// do not force that replica to start its transfer again.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotStore {
+    /// The snapshots, oldest first.
     snapshots: Vec<Snapshot>,
 }
 
 impl SnapshotStore {
-    /// The requested chunk; the first one where `from` holds chunks of a snapshot that was dropped. `None` where `from`
-    /// has to ask again later. `position` and `records`: the newest state.
+    /// Returns the requested chunk, or the first chunk of another snapshot if `from` has chunks of a snapshot that was
+    /// dropped. Returns `None` if `from` has to ask again later. `position` and `records` are the newest state of this
+    /// replica.
     pub(crate) fn requested_chunk(
         &mut self,
         now: Time,
@@ -68,25 +76,25 @@
         self.snapshots[index].requested_chunk(now, from, fetch)
     }
 
-    /// Drops the snapshots of which no chunk was requested lately.
+    /// Drops the snapshots of which no chunk was requested within `SNAPSHOT_MS`.
     pub(crate) fn tick(&mut self, now: Time) {
         self.snapshots
             .retain(|snapshot| now < snapshot.expires_at());
     }
 
-    /// When the next snapshot expires.
+    /// Returns when the next snapshot expires.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.snapshots.iter().map(Snapshot::expires_at).min()
     }
 
-    /// The snapshot of which the requesting replica holds chunks.
+    /// Returns the index of the snapshot of which the requesting replica already has chunks.
     fn in_transfer(&self, fetch: &FetchSnapshot) -> Option<usize> {
         self.snapshots
             .iter()
             .position(|snapshot| fetch.index > 0 && snapshot.position == fetch.position)
     }
 
-    /// A snapshot that is recent enough for a transfer that begins.
+    /// Returns the index of a snapshot that is recent enough for a new transfer.
     fn reusable(
         &self,
         now: Time,
@@ -99,7 +107,7 @@
             .then_some(index)
     }
 
-    /// The newest snapshot, unless it is older than what was requested.
+    /// Returns the index of the newest snapshot, unless it is older than the requested position.
     fn newest(&self, fetch: &FetchSnapshot) -> Option<usize> {
         let (index, snapshot) = self
             .snapshots
@@ -109,7 +117,8 @@
         (snapshot.position >= fetch.position).then_some(index)
     }
 
-    /// Drops the oldest snapshots that no replica fetches, as far as needed; false where there is no capacity for one more.
+    /// Drops the oldest snapshots that no replica fetches until there is capacity for one more. Returns false if there
+    /// is no such capacity.
     fn free_capacity(&mut self, now: Time) -> bool {
         while !self.has_capacity() {
             let Some(index) = self
@@ -138,7 +147,7 @@
             .map(|(key, value)| key.len() + value.len())
             .sum();
         let mut checksum = SnapshotChecksum::default();
-        let chunk_entries = cut_into_chunks(records);
+        let chunk_entries = split_into_chunks(records);
         let last = chunk_entries.len() - 1;
         let chunk = |(index, entries): (usize, Vec<RecordEntry>)| {
             checksum.update(&entries);
@@ -199,8 +208,9 @@
     }
 }
 
-/// The entries of each chunk, of which there is at least one. Equal records are cut alike.
-fn cut_into_chunks(records: &Records) -> Vec<Vec<RecordEntry>> {
+/// Divides the records into the entries of at least one chunk. Equal records are always divided in the same way, so
+/// that a transfer can continue from another source.
+fn split_into_chunks(records: &Records) -> Vec<Vec<RecordEntry>> {
     let mut chunks = Vec::new();
     let mut chunk = Vec::new();
     let mut bytes = 0;
--- a/crates/cluster/control-plane/src/snapshot_transfer.rs
+++ b/crates/cluster/control-plane/src/snapshot_transfer.rs
@@ -1,4 +1,5 @@
-//! The transfer of a snapshot to a replica that lacks the records: chunks, in order, from one source.
+//! The transfer of a snapshot to a replica that lacks the records. The replica requests the chunks in order, from one
+//! source at a time.
 
 use crate::effects::Effects;
 use crate::records::Records;
@@ -7,43 +8,46 @@
 use sagetrail_protocol::control::{ControlMessage, FetchSnapshot, RecordsPosition, SnapshotChunk};
 use sagetrail_protocol::{NodeId, Term, Time};
 
-/// The interval between requests doubles so many times: a chunk may take longer than the first one on a slow link.
+/// The maximum number of times that the interval between requests for a chunk doubles. On a slow link a chunk may take
+/// longer than the first interval.
 const MAX_DOUBLINGS: u32 = 2;
 
 /// The complete records of a snapshot that was transferred.
 #[derive(Debug)]
 pub(crate) struct TransferredSnapshot {
-    /// The newest batch in it.
+    /// The position of the newest batch in the snapshot.
     pub position: RecordsPosition,
-    /// All records.
+    /// All records of the snapshot.
     pub records: Records,
 }
 
-/// A transfer under way, at the replica that fetches.
+/// A transfer in progress, at the replica that fetches the snapshot.
 #[derive(Debug)]
 pub(crate) struct SnapshotTransfer {
+    /// The term for which the snapshot is fetched.
     term: Term,
-    /// The process that is asked for chunks.
+    /// The process from which chunks are requested.
     pub source: NodeId,
-    /// A snapshot of an older position is of no use.
+    /// The oldest position at which a snapshot is useful.
     oldest: RecordsPosition,
-    /// The position of the snapshot whose chunks arrive; the default before the first chunk.
+    /// The position of the snapshot that is being transferred, or the default before the first chunk.
     position: RecordsPosition,
-    /// The index of the next chunk.
+    /// The index of the next chunk to request.
     index: u32,
     /// The entries of all chunks before `index`.
     records: Records,
-    /// Over these entries.
+    /// The checksum over these entries.
     checksum: SnapshotChecksum,
+    /// When the next chunk was last requested.
     requested_at: Time,
-    /// How often the request for the next chunk was sent again.
+    /// The number of times that the request for the next chunk was sent again.
     repeats: u32,
-    /// When the last chunk arrived, or the source was first asked.
+    /// When the last chunk arrived, or when the current source was first asked.
     progressed_at: Time,
 }
 
 impl SnapshotTransfer {
-    /// Requests the first chunk.
+    /// Starts a transfer and requests the first chunk.
     pub(crate) fn start(
         now: Time,
         term: Term,
@@ -67,25 +71,26 @@
         transfer
     }
 
-    /// Whether the source has sent nothing for `SOURCE_SILENT_MS`.
+    /// Returns whether the source has sent no usable chunk for `SOURCE_SILENT_MS`.
     pub(crate) fn source_is_silent(&self, now: Time) -> bool {
         now >= self.progressed_at.plus_millis(SOURCE_SILENT_MS)
     }
 
-    /// Requests the rest from another source. Snapshots of one position are cut in the same way everywhere.
+    /// Requests the remaining chunks from another source. All processes divide the snapshot of a position into the same
+    /// chunks.
     pub(crate) fn change_source(&mut self, now: Time, source: NodeId, effects: &mut Effects) {
         self.source = source;
         self.progressed_at = now;
         self.request_next(now, effects);
     }
 
-    /// When the request is sent again.
+    /// Returns when the request is sent again.
     pub(crate) fn next_wake(&self) -> Time {
         self.requested_at
             .plus_millis(RESEND_MS << self.repeats.min(MAX_DOUBLINGS))
     }
 
-    /// Sends the request again where no chunk came.
+    /// Sends the request again if no chunk has arrived in time.
     pub(crate) fn tick(&mut self, now: Time, effects: &mut Effects) {
         if now >= self.next_wake() {
             self.requested_at = now;
@@ -94,7 +99,7 @@
         }
     }
 
-    /// A chunk has arrived; gives the complete snapshot after the last one.
+    /// Handles a chunk. Returns the complete snapshot after the last chunk.
     pub(crate) fn on_chunk(
         &mut self,
         now: Time,
@@ -113,11 +118,11 @@
         }
         if !self.checksum_matches(&chunk) {
             log::warn!(
-                "snapshot chunk {} of {:?} from {from}: checksum differs; the transfer starts again",
+                "snapshot chunk has a wrong checksum, the transfer starts again: source={from} chunk={} position={:?}",
                 chunk.index,
                 chunk.position
             );
-            // The first chunk is requested after the usual interval.
+            // The first chunk is requested again after the usual interval.
             self.restart_at(RecordsPosition::default());
             return None;
         }
@@ -134,7 +139,7 @@
         None
     }
 
-    /// Adds the chunk's entries to the checksum and compares it with the chunk's.
+    /// Adds the chunk's entries to the checksum and returns whether the result equals the chunk's checksum.
     fn checksum_matches(&mut self, chunk: &SnapshotChunk) -> bool {
         self.checksum.update(&chunk.entries);
         let checksum = self
@@ -143,6 +148,7 @@
         chunk.checksum == checksum
     }
 
+    /// Discards the received chunks and expects the first chunk of the snapshot at `position`.
     fn restart_at(&mut self, position: RecordsPosition) {
         self.position = position;
         self.index = 0;
@@ -167,6 +173,6 @@
             position,
             index: self.index,
         };
-        effects.control(self.source, ControlMessage::FetchSnapshot(fetch));
+        effects.send_control(self.source, ControlMessage::FetchSnapshot(fetch));
     }
 }
--- a/crates/cluster/control-plane/src/subscribers.rs
+++ b/crates/cluster/control-plane/src/subscribers.rs
@@ -1,6 +1,7 @@
-//! Subscriptions to configurations. A process sends only what it has lately confirmed at a majority, together with the
-//! age of that knowledge: cut off from the majority it sends nothing, and subscribers turn to another process. What is
-//! sent is the summary, not the document: its size does not grow with the number of routes.
+//! Subscriptions to configurations. A process sends a configuration only if a majority has recently confirmed that it
+//! is the newest one, together with the age of that confirmation. A process that cannot reach the majority sends
+//! nothing, and its subscribers turn to another process. The configuration is sent as its summary, whose size does not
+//! grow with the number of routes, unlike that of the document.
 
 use crate::effects::Effects;
 use crate::register_view::RegisterView;
@@ -11,32 +12,35 @@
 use sagetrail_protocol::{Blob, Message, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many processes are subscribed at once.
+/// The maximum number of subscribed processes.
 const MAX_SUBSCRIBERS: usize = 4096;
 
+/// The subscription of one process.
 #[derive(Debug)]
 struct Subscription {
     /// The newest version that the subscriber has or was sent.
     known_version: u64,
+    /// When the subscription expires, unless it is renewed.
     expires_at: Time,
-    /// The subscriber's time at its last request; returned with the answer.
+    /// The subscriber's time at its last request, which is returned with the answer.
     asked_at: u64,
 }
 
 /// All subscriptions at this process.
 #[derive(Debug, Default)]
 pub(crate) struct Subscribers {
+    /// The subscriptions, by subscriber.
     subscriptions: BTreeMap<NodeId, Subscription>,
-    /// Subscribers whose last request has no answer yet.
+    /// The subscribers whose last request has not been answered yet.
     unanswered: BTreeSet<NodeId>,
     /// The newest version that was sent to all subscribers.
-    published: u64,
-    /// The newest configuration, as it is sent.
+    published_version: u64,
+    /// The newest configuration in the form in which it is sent.
     newest: Option<ConfigUpdate>,
 }
 
 impl Subscribers {
-    /// A process requests what is newer than it has.
+    /// Handles a request for a configuration that is newer than the subscriber's.
     pub(crate) fn on_subscribe(&mut self, now: Time, from: NodeId, subscribe: &Subscribe) {
         self.subscriptions
             .retain(|_, subscription| subscription.expires_at > now);
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Answers requests and sends a newer configuration to all, where what is known here is fresh enough.
+    /// Answers requests and sends a newer configuration to all subscribers, if the register view is fresh enough.
     pub(crate) fn serve(&mut self, now: Time, register_view: &RegisterView, effects: &mut Effects) {
         let Some(age_ms) = register_view
             .age_ms(now)
@@ -89,11 +93,12 @@
         }
     }
 
-    /// The version that is sent, 0 before the first.
+    /// Returns the version that is sent, or 0 before the first configuration.
     fn version(&self) -> u64 {
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
+    /// Answers a request with the newest configuration, or with a confirmation if the subscriber has that one.
     fn answer(&mut self, node: NodeId, age_ms: u64, effects: &mut Effects) {
         let version = self.version();
         let Some(subscription) = self.subscriptions.get_mut(&node) else {
@@ -121,11 +126,11 @@
         let Some(newest) = self
             .newest
             .as_ref()
-            .filter(|newest| newest.version > self.published)
+            .filter(|newest| newest.version > self.published_version)
         else {
             return;
         };
-        self.published = newest.version;
+        self.published_version = newest.version;
         for (node, subscription) in &mut self.subscriptions {
             if subscription.expires_at > now && subscription.known_version < newest.version {
                 subscription.known_version = newest.version;
--- a/crates/cluster/control-plane/src/termination.rs
+++ b/crates/cluster/control-plane/src/termination.rs
@@ -37,8 +37,8 @@
 }
 
 impl Termination {
-    /// Creates the state of a process that has not received SIGTERM. `grace_s` is the time between SIGTERM and SIGKILL, in
-    /// seconds.
+    /// Creates the state of a process that has not received SIGTERM. `grace_s` is the time between SIGTERM and SIGKILL,
+    /// in seconds.
     pub(crate) fn new(node: NodeId, grace_s: f64) -> Termination {
         let grace_ms = (grace_s * MILLIS_PER_SECOND) as u64;
         let handover_ms = grace_ms
@@ -71,8 +71,8 @@
             .is_some_and(|requested_at| now >= requested_at.plus_millis(TERMINATE_MS))
     }
 
-    /// Returns whether the process may lead a term. A terminating process may lead only if it is the only member and waits
-    /// for a successor, because no other process can then replace it in the member list.
+    /// Returns whether the process may lead a term. A terminating process may lead only if it is the only member and
+    /// waits for a successor, because no other process can then replace it in the member list.
     pub(crate) fn may_lead(&self, now: Time, succession: Succession) -> bool {
         let is_only_member = succession.members.members == [self.node];
         self.requested_at.is_none() || (is_only_member && self.awaits_successor(now, succession))
--- a/crates/cluster/control-plane/src/terms.rs
+++ b/crates/cluster/control-plane/src/terms.rs
@@ -108,13 +108,13 @@
         &self.replica.state
     }
 
-    /// Marks the records of this process as complete. At the bootstrap of the cluster there are no records, so a process
-    /// without records has all of them.
+    /// Marks the records of this process as complete. At the bootstrap of the cluster there are no records, so a
+    /// process without records has all of them.
     pub(crate) fn mark_records_complete(&mut self) {
         self.replica.state.complete = true;
     }
 
-    /// Adopts the highest term that this process may have promised, as the members know it.
+    /// Adopts `term` as the promised term. The members know that this process has promised no higher term.
     pub(crate) fn adopt_promised_term(&mut self, term: Term) {
         self.replica.state.promise = TermPromise {
             term,
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Returns the newest known term and its leader. A process names itself as the leader only while it holds the lease,
-    /// because its replica continues to follow the term after the lease has expired.
+    /// Returns the newest known term and its leader. A process names itself as the leader only while it holds the
+    /// lease, because its replica continues to follow the term after the lease has expired.
     pub(crate) fn known_leader(&self) -> KnownLeader {
         if let Some(leadership) = &self.leadership {
             let leader = if leadership.service.is_some() {
@@ -174,9 +174,9 @@
         self.replica.live_leader(now)
     }
 
-    /// Returns the time until which rounds of the register wait for the election, or `None` if a leader is live or the wait
-    /// is over. A change of a long configuration takes a small core machine a tenth of a second at each member. Votes
-    /// that are queued behind such a change would arrive too late.
+    /// Returns the time until which rounds of the register wait for the election, or `None` if a leader is live or the
+    /// wait is over. A change of a long configuration takes a small core machine a tenth of a second at each member.
+    /// Votes that are queued behind such a change would arrive too late.
     pub(crate) fn election_yield_until(&self, now: Time) -> Option<Time> {
         let until = self.replica.lease_until.plus_millis(ELECTION_YIELD_MS);
         (self.replica.live_leader(now).is_none() && now < until).then_some(until)
@@ -286,8 +286,8 @@
         term == Some(self.replica.state.position.term) && self.replica.state.complete
     }
 
-    /// Replaces the source of the term's base by another voter with the same state if the source is silent. If there is no
-    /// such voter, the term ends: the voters of the next election may have the newest state without that source.
+    /// Replaces the source of the term's base by another voter with the same state if the source is silent. If there is
+    /// no such voter, the term ends: the voters of the next election may have the newest state without that source.
     fn check_base_source(&mut self, now: Time, members: &MemberList, effects: &mut Effects) {
         let silent = !self.holds_base() && self.replica.source_is_silent(now);
         let Some(leadership) = self.leadership.as_mut().filter(|_| silent) else {
--- a/crates/cluster/control-plane/src/terms/messages.rs
+++ b/crates/cluster/control-plane/src/terms/messages.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Handles a hello of a core process that does not participate yet, which voids the lease of its former incarnation.
+    /// Handles a hello of a core process that does not participate yet, which voids the lease of its former
+    /// incarnation.
     pub(crate) fn on_hello(&mut self, now: Time, from: NodeId) {
         if self.replica.on_hello_of_lease_holder(now, from) {
             self.elections.hasten_next();
@@ -84,8 +85,8 @@
 
 /// Handlers of replies to the candidate and to the leader.
 impl Terms {
-    /// Handles a member's reply to a request for a vote. If the vote wins the election and `may_lead` is true, this process
-    /// leads the term.
+    /// Handles a member's reply to a request for a vote. If the vote wins the election and `may_lead` is true, this
+    /// process leads the term.
     pub(crate) fn on_vote_reply(
         &mut self,
         now: Time,
--- a/crates/cluster/control-plane/src/voting.rs
+++ b/crates/cluster/control-plane/src/voting.rs
@@ -44,7 +44,7 @@
         if promises {
             effects.write(vec![put_replica(&self.state)], vec![(from, reply)]);
         } else {
-            effects.control(from, reply);
+            effects.send_control(from, reply);
         }
     }
 
@@ -73,8 +73,8 @@
         true
     }
 
-    /// Handles a hello of a process that does not participate yet. If this replica promised its term to that process and
-    /// has received no message of the term since its own start, the term is over. Returns whether that is so.
+    /// Handles a hello of a process that does not participate yet. If this replica promised its term to that process
+    /// and has received no message of the term since its own start, the term is over. Returns whether that is so.
     pub(crate) fn on_hello_of_lease_holder(&mut self, now: Time, from: NodeId) -> bool {
         if self.followed.is_some() || self.state.promise.node != from {
             return false;
