--- a/crates/cluster/control-plane/tests/accept_phase.rs
+++ b/crates/cluster/control-plane/tests/accept_phase.rs
@@ -9,7 +9,7 @@
 use sagetrail_protocol::node::{Event, Method};
 use sagetrail_protocol::{Blob, Message};
 use support::cluster::{Cluster, CLIENT};
-use support::operators::{patch, read_back, Answering, Operators};
+use support::operators::{patch, read_config, AnswerMode, Operators};
 use support::requests::large_config;
 
 const ROUTES: usize = 400;
@@ -34,15 +34,18 @@
 #[test]
 fn a_small_change_of_a_large_configuration_sends_few_bytes() {
     let mut cluster = with_large_config(1);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     let before = cluster.sent_bytes;
-    assert_eq!(operators.ask(&mut cluster, 1, &patch(1, 2, "small")), 200);
+    assert_eq!(
+        operators.send_and_wait(&mut cluster, 1, &patch(1, 2, "small")),
+        200
+    );
     cluster.run(1_000);
     let bytes = cluster.sent_bytes - before;
     assert!(bytes < SMALL_CHANGE_BYTES, "{bytes} bytes for one change");
     for index in 0..3 {
         assert_eq!(
-            read_back(&mut cluster, index).map(|(version, _)| version),
+            read_config(&mut cluster, index).map(|(version, _)| version),
             Some(2)
         );
     }
@@ -57,7 +60,7 @@
 #[test]
 fn a_member_that_missed_changes_is_sent_the_full_value() {
     let mut cluster = with_large_config(2);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     cluster.isolate(2);
     for version in 2..6 {
         assert_eq!(
@@ -76,7 +79,7 @@
         operators.send_until_answered(&mut cluster, 2, &patch(6, 7, "last")),
         200
     );
-    let read = read_back(&mut cluster, 2);
+    let read = read_config(&mut cluster, 2);
     assert_eq!(operators.check(&cluster, &read), Ok(()));
 }
 
@@ -194,7 +197,7 @@
         "{bytes} bytes after the loss of power"
     );
     for index in 0..3 {
-        assert_eq!(cluster.read_back(index), Some(1));
+        assert_eq!(cluster.read_version(index), Some(1));
     }
 }
 
@@ -202,7 +205,7 @@
 fn a_member_that_lacks_the_value_is_sent_it_only_once() {
     let mut cluster = with_large_config(5);
     cluster.power_off(2);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     let changed = operators.send_until_answered(&mut cluster, 0, &patch(1, 2, "away"));
     assert_eq!(changed, 200);
     cluster.run(1_000);
@@ -212,5 +215,5 @@
     let bytes = cluster.sent_bytes - before;
     let limit = CATCH_UP_VALUES * value_bytes(&cluster, 0);
     assert!(bytes < limit, "{bytes} bytes, {limit} allowed");
-    assert_eq!(cluster.read_back(2), Some(2));
+    assert_eq!(cluster.read_version(2), Some(2));
 }
--- a/crates/cluster/control-plane/tests/catch_up.rs
+++ b/crates/cluster/control-plane/tests/catch_up.rs
@@ -1,24 +1,26 @@
-//! Members that come back to a long history catch up in a stated time, while writes go on.
+//! Guards against members that return to a cluster with many records and do not catch up within the stated time while
+//! writes continue.
 
 mod support;
 use sagetrail_protocol::control::ControlMessage;
 use std::sync::{Arc, Mutex};
 use support::cluster::{id, Cluster};
 use support::histories::{control, History};
-use support::network::{Conditions, CALM};
+use support::network::{Conditions, FAULT_FREE};
 use support::speeds::{Speeds, SMALL_SITE};
 
-/// Milliseconds within which a member of a small site has to have caught up.
+/// The time within which a member of a small site has to catch up, in milliseconds.
 const CATCH_UP_MS: u64 = 4_000;
-/// The same on the grown sites.
+/// The time within which a member of a grown site has to catch up, in milliseconds.
 const GROWN_CATCH_UP_MS: u64 = 6_000;
-/// Ways of 15 ms: the chunks of a snapshot take longer than snapshots were once used again.
-const FAR: Conditions = Conditions {
+/// One-way delays of about 15 ms. With these, the transfer of a snapshot takes longer than the time for which an
+/// earlier version reused snapshots.
+const SLOW_LINKS: Conditions = Conditions {
     delay_us: (14_000, 15_000),
-    ..CALM
+    ..FAULT_FREE
 };
 
-fn emptied(history: &mut History, members: &[usize], pause_ms: u64) {
+fn empty_disks(history: &mut History, members: &[usize], pause_ms: u64) {
     members
         .iter()
         .for_each(|member| history.cluster.wipe(*member));
@@ -34,20 +36,24 @@
     let mut history = History::new(5, 1, 20_000, 1_000, Some(SMALL_SITE));
     history.rate = 2_000;
     history.run(500);
-    let late = history.followers()[0];
-    // The snapshot needs two seconds on its way to this disk; the leader makes 2 MiB of batches in one.
+    let behind = history.followers()[0];
+    // The snapshot takes two seconds to be written to this disk. The leader produces 2 MiB of batches in one second.
     let slow = Speeds {
         disk_bytes_per_us: 10,
         ..SMALL_SITE
     };
-    history.cluster.busy.others.insert(late, slow);
-    emptied(&mut history, &[late], 0);
-    let times = history.catch_up(&[late], 6_000);
+    history
+        .cluster
+        .device_queues
+        .speed_overrides
+        .insert(behind, slow);
+    empty_disks(&mut history, &[behind], 0);
+    let times = history.catch_up(&[behind], 6_000);
     assert!(times[0].is_some(), "never caught up");
     history.finish("slow disk");
 }
 
-/// How often the first chunk of a snapshot was sent from now on.
+/// Counts how often the first chunk of a snapshot is sent from now on.
 fn count_first_chunks(history: &mut History) -> Arc<Mutex<usize>> {
     let count = Arc::new(Mutex::new(0));
     let counted = count.clone();
@@ -64,19 +70,19 @@
 fn concurrent_snapshot_transfers_do_not_restart_each_other() {
     for (count, lost, limit_ms) in [(5, 2, CATCH_UP_MS), (9, 4, GROWN_CATCH_UP_MS)] {
         let mut history = History::new(count, 2, 20_000, 500, None);
-        history.cluster.conditions = FAR;
+        history.cluster.conditions = SLOW_LINKS;
         history.rate = 500;
         history.run(500);
-        // One of the first three stays: processes with emptied disks turn to these.
-        let late = history.followers()[count - lost - 1..].to_vec();
+        // One of the first three members, the seeds, stays: processes with emptied disks contact the seeds.
+        let behind = history.followers()[count - lost - 1..].to_vec();
         let first_chunks = count_first_chunks(&mut history);
-        emptied(&mut history, &late, 400);
-        let times = history.catch_up(&late, limit_ms);
+        empty_disks(&mut history, &behind, 400);
+        let times = history.catch_up(&behind, limit_ms);
         assert!(times.iter().all(Option::is_some), "{times:?}");
         assert_eq!(
             *first_chunks.lock().unwrap(),
             lost,
-            "one first chunk for each"
+            "a transfer was restarted"
         );
         history.finish("at once");
     }
@@ -103,9 +109,9 @@
             .cluster
             .leader()
             .is_some_and(|leader| !seeds.contains(&leader)),
-        "no owner besides the seeds"
+        "the leader is one of the seeds"
     );
-    emptied(&mut history, &seeds, 0);
+    empty_disks(&mut history, &seeds, 0);
     let times = history.catch_up(&seeds, GROWN_CATCH_UP_MS);
     assert!(times.iter().all(Option::is_some), "{times:?}");
     history.finish("seeds");
@@ -114,26 +120,31 @@
 #[test]
 fn a_member_isolated_for_a_second_resumes_its_transfer() {
     let mut history = History::new(5, 5, 20_000, 500, None);
-    history.cluster.conditions = FAR;
+    history.cluster.conditions = SLOW_LINKS;
     history.rate = 200;
-    let late = history.followers()[0];
+    let behind = history.followers()[0];
     let first_chunks = count_first_chunks(&mut history);
-    emptied(&mut history, &[late], 0);
+    empty_disks(&mut history, &[behind], 0);
     while *first_chunks.lock().unwrap() == 0 {
         history.run(5);
     }
     history.run(300);
-    history.cluster.isolate(late);
+    history.cluster.isolate(behind);
     history.run(1_300);
     history.cluster.heal_network();
-    let times = history.catch_up(&[late], CATCH_UP_MS);
+    let times = history.catch_up(&[behind], CATCH_UP_MS);
     assert!(times[0].is_some(), "never caught up");
-    assert_eq!(*first_chunks.lock().unwrap(), 1, "began again");
+    assert_eq!(
+        *first_chunks.lock().unwrap(),
+        1,
+        "the transfer was restarted"
+    );
     history.finish("isolated");
 }
 
-/// A cluster in which one follower has batches that no other live member has, and the leader is gone for good.
-fn newest_at_one(seed: u64) -> (Cluster, usize) {
+/// Returns a cluster in which one follower has batches that no other running member has, and the leader is off
+/// permanently. Also returns that follower.
+fn cluster_with_newest_batches_at_one(seed: u64) -> (Cluster, usize) {
     let mut cluster = Cluster::bootstrapped(5, seed);
     let leader = cluster.leader().unwrap();
     let holder = (leader + 1) % 5;
@@ -152,13 +163,13 @@
 #[test]
 fn a_source_that_dies_after_its_vote_is_replaced() {
     for seed in 0..20 {
-        let (mut cluster, holder) = newest_at_one(seed);
+        let (mut cluster, holder) = cluster_with_newest_batches_at_one(seed);
         let terms = cluster.terms();
         let source = id(holder);
         let voted = Arc::new(Mutex::new(false));
         let vote = voted.clone();
         cluster.tamper = Some(Box::new(move |from, _, message| match control(message) {
-            // It votes and does not stand itself; not one chunk of a snapshot leaves it.
+            // The source votes but does not become a candidate, and it sends no snapshot chunk.
             Some(ControlMessage::VoteRequest(_) | ControlMessage::SnapshotChunk(_)) => {
                 from != source
             }
@@ -168,7 +179,7 @@
                 *vote.lock().unwrap() = true;
                 true
             }
-            // No majority is complete without the source.
+            // There is no majority without the source.
             Some(ControlMessage::VoteReply(reply)) => reply.pre_vote || *vote.lock().unwrap(),
             _ => true,
         }));
@@ -184,7 +195,7 @@
         cluster.run(4_000);
         assert!(
             cluster.terms() > terms,
-            "seed {seed}: nobody schedules without the source"
+            "seed {seed}: no leader without the source"
         );
         let (leader, acked) = (cluster.leader().unwrap(), cluster.acked());
         cluster.submit(leader, 1_000);
@@ -200,19 +211,19 @@
 #[test]
 fn a_transfer_continues_from_another_source_with_the_same_state() {
     let mut history = History::new(5, 3, 20_000, 500, None);
-    history.cluster.conditions = FAR;
+    history.cluster.conditions = SLOW_LINKS;
     let leader = history.cluster.leader().unwrap();
-    let late = history.followers()[0];
-    history.cluster.power_off(late);
+    let behind = history.followers()[0];
+    history.cluster.power_off(behind);
     history.rate = 200;
     history.run(500);
     history.rate = 0;
     history.run(500);
-    // Everybody but this member has the newest state; it alone may stand, so it has to fetch the term's base.
-    history.cluster.start(late, false);
-    history.cluster.isolate(late);
+    // All other members have the newest state. Only this member may be a candidate, so it has to fetch the term's base.
+    history.cluster.start(behind, false);
+    history.cluster.isolate(behind);
     history.cluster.power_off(leader);
-    let candidate = id(late);
+    let candidate = id(behind);
     let source = Arc::new(Mutex::new(None));
     let seen = source.clone();
     history.cluster.tamper = Some(Box::new(move |from, _, message| match control(message) {
@@ -232,27 +243,30 @@
             break;
         }
     }
-    let source = source.lock().unwrap().expect("no snapshot on its way");
+    let source = source
+        .lock()
+        .unwrap()
+        .expect("no snapshot transfer in progress");
     history.cluster.power_off((source.ip - 1) as usize);
     history.run(3_500);
-    assert!(history.cluster.terms() > terms, "nobody schedules");
-    assert_eq!(history.cluster.leader(), Some(late));
+    assert!(history.cluster.terms() > terms, "no leader");
+    assert_eq!(history.cluster.leader(), Some(behind));
 }
 
 #[test]
 fn a_member_frozen_during_a_snapshot_transfer_catches_up() {
     for seed in 0..5 {
         let mut history = History::new(5, 10 + seed, 10_000, 500, None);
-        history.cluster.conditions = FAR;
+        history.cluster.conditions = SLOW_LINKS;
         history.rate = 500;
         history.run(300);
-        let late = history.followers()[seed as usize % 4];
-        emptied(&mut history, &[late], 0);
+        let behind = history.followers()[seed as usize % 4];
+        empty_disks(&mut history, &[behind], 0);
         history.run(1_200 + 50 * seed);
-        history.cluster.freeze(late);
+        history.cluster.freeze(behind);
         history.run(2_000 + 500 * seed);
-        history.cluster.thaw(late);
-        let times = history.catch_up(&[late], CATCH_UP_MS);
+        history.cluster.thaw(behind);
+        let times = history.catch_up(&[behind], CATCH_UP_MS);
         assert!(times[0].is_some(), "seed {seed}: never caught up");
         history.finish("frozen");
     }
@@ -263,8 +277,8 @@
     let mut history = History::new(5, 4, 20_000, 500, Some(SMALL_SITE));
     history.rate = 2_000;
     history.run(300);
-    let late = history.followers()[0];
-    history.cluster.freeze(late);
+    let behind = history.followers()[0];
+    history.cluster.freeze(behind);
     history.run(4_500);
     let snapshots = Arc::new(Mutex::new(0));
     let counted = snapshots.clone();
@@ -273,8 +287,8 @@
         *counted.lock().unwrap() += usize::from(chunk);
         true
     }));
-    history.cluster.thaw(late);
-    let times = history.catch_up(&[late], CATCH_UP_MS);
+    history.cluster.thaw(behind);
+    let times = history.catch_up(&[behind], CATCH_UP_MS);
     assert!(times[0].is_some(), "never caught up");
     assert_eq!(
         *snapshots.lock().unwrap(),
@@ -293,7 +307,7 @@
         let holder = (leader + 1) % 5;
         let voter = id(holder);
         cluster.speeds = Some(SMALL_SITE);
-        cluster.busy.others.insert(
+        cluster.device_queues.speed_overrides.insert(
             holder,
             Speeds {
                 sync_us: 700_000 + 100_000 * seed,
@@ -323,7 +337,7 @@
                 continue;
             };
             voted += 1;
-            // Batches of the first term put one record each at least; a later term's base holds them all.
+            // Each batch of the first term adds at least one record. The base of a later term includes all of them.
             let rows = cluster.machines[holder].disk.records.len() as u64;
             assert!(
                 position.term > 1 || rows >= position.number,
@@ -337,7 +351,7 @@
 #[test]
 fn a_source_that_loses_power_after_its_vote_still_has_the_records_it_reported() {
     for seed in 0..20 {
-        let (mut cluster, holder) = newest_at_one(100 + seed);
+        let (mut cluster, holder) = cluster_with_newest_batches_at_one(100 + seed);
         let source = id(holder);
         let reported = Arc::new(Mutex::new(None));
         let report = reported.clone();
@@ -369,11 +383,11 @@
         cluster.run(200);
         cluster.start(holder, false);
         cluster.run(4_000);
-        assert!(cluster.leader().is_some(), "seed {seed}: nobody schedules");
+        assert!(cluster.leader().is_some(), "seed {seed}: no leader");
         let rows = cluster.journal.lock().unwrap().records_restored;
         assert!(
             rows >= newest.len(),
-            "seed {seed}: {rows} records after {}",
+            "seed {seed}: {rows} records restored, expected at least {}",
             newest.len()
         );
     }
--- a/crates/cluster/control-plane/tests/competing_rounds.rs
+++ b/crates/cluster/control-plane/tests/competing_rounds.rs
@@ -60,7 +60,7 @@
             bytes < MAX_VALUES * value,
             "seed {seed}: {bytes} bytes sent with a value of {value} bytes"
         );
-        let versions: Vec<Option<u64>> = (1..MEMBERS).map(|i| cluster.read_back(i)).collect();
+        let versions: Vec<Option<u64>> = (1..MEMBERS).map(|i| cluster.read_version(i)).collect();
         assert!(versions.iter().all(|version| *version == versions[0]));
         assert!(versions[0] >= Some(1), "seed {seed}: {versions:?}");
     }
--- a/crates/cluster/control-plane/tests/concurrent_changes.rs
+++ b/crates/cluster/control-plane/tests/concurrent_changes.rs
@@ -5,9 +5,9 @@
 mod support;
 use rand::Rng;
 use support::cluster::Cluster;
-use support::network::{Conditions, CALM};
+use support::network::{Conditions, FAULT_FREE};
 use support::operators::{
-    abandon, is_clear, patch, read_back, replacement, Answering, Change, Operators,
+    abandon, is_definite, patch, read_config, replacement, AnswerMode, Change, Operators,
 };
 
 const LOSSY_NETWORK: Conditions = Conditions {
@@ -62,7 +62,7 @@
         let mut answers = numbers
             .iter()
             .map(|number| operators.status(cluster, *number));
-        open.retain(|_| !answers.next().is_some_and(is_clear));
+        open.retain(|_| !answers.next().is_some_and(is_definite));
         if open.is_empty() {
             return;
         }
@@ -72,9 +72,9 @@
 
 /// Two operators send different changes with the same base and version to two members. A member fails meanwhile, and
 /// the first answers are lost.
-fn check_two_operators(answering: Answering, count: usize, seed: u64) -> Result<(), String> {
+fn check_two_operators(answer_mode: AnswerMode, count: usize, seed: u64) -> Result<(), String> {
     let mut cluster = Cluster::bootstrapped(count, 10_000 + seed);
-    let mut operators = Operators::new(answering);
+    let mut operators = Operators::new(answer_mode);
     let base = if seed.is_multiple_of(6) {
         LONG_HISTORY
     } else {
@@ -82,7 +82,7 @@
     };
     for former in 0..base {
         assert_eq!(
-            operators.ask(&mut cluster, 0, &replacement(former, former + 1, "former")),
+            operators.send_and_wait(&mut cluster, 0, &replacement(former, former + 1, "former")),
             200
         );
     }
@@ -122,7 +122,7 @@
         for change in &changes {
             operators.send_until_answered(&mut cluster, index, change);
         }
-        let read = read_back(&mut cluster, index);
+        let read = read_config(&mut cluster, index);
         operators.check(&cluster, &read)?;
         if read.is_none_or(|(version, _)| version != base + 2) {
             return Err("neither content is in force".to_owned());
@@ -135,7 +135,7 @@
 fn one_of_two_changes_on_the_same_base_is_in_force_after_a_failure_of_one_of_three() {
     for seed in 0..FAILURE_SEEDS {
         assert_eq!(
-            check_two_operators(Answering::Sound, 3, seed),
+            check_two_operators(AnswerMode::Unmodified, 3, seed),
             Ok(()),
             "seed {seed}"
         );
@@ -146,7 +146,7 @@
 fn one_of_two_changes_on_the_same_base_is_in_force_after_a_failure_of_one_of_five() {
     for seed in 0..FAILURE_SEEDS / 4 {
         assert_eq!(
-            check_two_operators(Answering::Sound, 5, 50_000 + seed),
+            check_two_operators(AnswerMode::Unmodified, 5, 50_000 + seed),
             Ok(()),
             "seed {seed}"
         );
@@ -156,9 +156,9 @@
 #[test]
 fn the_checker_finds_a_process_that_rejects_repeats() {
     for seed in 0..20 {
-        let found = check_two_operators(Answering::RefusesRepeats, 3, seed).unwrap_err();
+        let found = check_two_operators(AnswerMode::RejectsRepeats, 3, seed).unwrap_err();
         assert!(
-            found.contains("was taken and refused"),
+            found.contains("was confirmed and rejected"),
             "seed {seed}: {found}"
         );
     }
@@ -167,7 +167,7 @@
 #[test]
 fn the_checker_finds_a_process_that_confirms_by_version() {
     for seed in 0..20 {
-        let found = check_two_operators(Answering::ConfirmsByVersion, 3, seed).unwrap_err();
+        let found = check_two_operators(AnswerMode::ConfirmsByVersion, 3, seed).unwrap_err();
         assert!(
             found.contains("two changes on top of"),
             "seed {seed}: {found}"
@@ -179,9 +179,9 @@
 fn a_repeated_change_keeps_its_outcome_while_a_newer_change_is_in_flight() {
     for seed in 0..300 {
         let mut cluster = Cluster::bootstrapped(3, 20_000 + seed);
-        let mut operators = Operators::new(Answering::Sound);
+        let mut operators = Operators::new(AnswerMode::Unmodified);
         let (taken, lost) = (replacement(0, 5, "taken"), replacement(0, 5, "lost"));
-        assert_eq!(operators.ask(&mut cluster, 0, &taken), 200);
+        assert_eq!(operators.send_and_wait(&mut cluster, 0, &taken), 200);
         let newer = replacement(5, 8, "newer");
         let at = cluster.random.random_range(0..3);
         let newest = operators.send(&mut cluster, at, &newer);
@@ -200,7 +200,7 @@
         for number in losers {
             assert_eq!(operators.status(&cluster, number), 412, "seed {seed}");
         }
-        let read = read_back(&mut cluster, 1);
+        let read = read_config(&mut cluster, 1);
         assert_eq!(operators.check(&cluster, &read), Ok(()), "seed {seed}");
     }
 }
@@ -209,9 +209,9 @@
 fn one_of_eight_concurrent_changes_on_the_same_base_is_confirmed() {
     for seed in 0..100 {
         let mut cluster = Cluster::bootstrapped(3, 30_000 + seed);
-        let mut operators = Operators::new(Answering::Sound);
+        let mut operators = Operators::new(AnswerMode::Unmodified);
         assert_eq!(
-            operators.ask(&mut cluster, 0, &replacement(0, 5, "first")),
+            operators.send_and_wait(&mut cluster, 0, &replacement(0, 5, "first")),
             200
         );
         let kind = |position: u64| {
@@ -240,7 +240,7 @@
         taken.dedup();
         assert_eq!(taken.len(), 1, "seed {seed}");
         send_all_until_answered(&mut cluster, &mut operators, &changes, 3);
-        let read = read_back(&mut cluster, 2);
+        let read = read_config(&mut cluster, 2);
         assert_eq!(operators.check(&cluster, &read), Ok(()), "seed {seed}");
     }
 }
@@ -249,7 +249,7 @@
 fn confirmed_changes_of_a_chain_that_was_sent_at_once_are_in_force() {
     for seed in 0..100 {
         let mut cluster = Cluster::bootstrapped(3, 40_000 + seed);
-        let mut operators = Operators::new(Answering::Sound);
+        let mut operators = Operators::new(AnswerMode::Unmodified);
         let changes: Vec<Change> = (0..8)
             .map(|base| replacement(base, base + 1, "a"))
             .collect();
@@ -271,7 +271,7 @@
         if one_member {
             assert_eq!(statuses, [200; 8], "seed {seed}");
         }
-        let read = read_back(&mut cluster, 0);
+        let read = read_config(&mut cluster, 0);
         assert_eq!(operators.check(&cluster, &read), Ok(()), "seed {seed}");
         let version = read.map(|(version, _)| version);
         let confirmed = statuses.iter().filter(|status| **status == 200).count() as u64;
@@ -287,9 +287,9 @@
 /// change. Returns whether the isolated member had accepted the first change and the second one was confirmed.
 fn check_change_accepted_by_one(seed: u64) -> bool {
     let mut cluster = Cluster::bootstrapped(3, 80_000 + seed);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     assert_eq!(
-        operators.ask(&mut cluster, 0, &replacement(0, 5, "first")),
+        operators.send_and_wait(&mut cluster, 0, &replacement(0, 5, "first")),
         200
     );
     let changes = [replacement(5, 7, "lonely"), replacement(5, 6, "common")];
@@ -297,7 +297,7 @@
     operators.send(&mut cluster, 0, &changes[0]);
     cluster.run(14 + seed % 15);
     cluster.isolate(0);
-    cluster.conditions = CALM;
+    cluster.conditions = FAULT_FREE;
     cluster.run(1_000);
     let value = &cluster.machines[0].disk.control[&b"value"[..]];
     let accepted = value.windows(6).any(|bytes| bytes == b"lonely");
@@ -314,13 +314,13 @@
     cluster.run(2_000);
     for index in 0..3 {
         changes.iter().for_each(|change| {
-            assert!(is_clear(operators.send_until_answered(
+            assert!(is_definite(operators.send_until_answered(
                 &mut cluster,
                 index,
                 change
             )))
         });
-        let read = read_back(&mut cluster, index);
+        let read = read_config(&mut cluster, index);
         assert_eq!(operators.check(&cluster, &read), Ok(()), "seed {seed}");
     }
     accepted && common == 200
@@ -360,9 +360,9 @@
 /// faults.
 fn check_long_race(count: usize, seed: u64) {
     let mut cluster = Cluster::bootstrapped(count, seed);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     assert_eq!(
-        operators.ask(&mut cluster, 0, &replacement(0, 1, "first")),
+        operators.send_and_wait(&mut cluster, 0, &replacement(0, 1, "first")),
         200
     );
     cluster.conditions = LOSSY_NETWORK;
@@ -413,7 +413,7 @@
     send_all_until_answered(&mut cluster, &mut operators, &changes, count);
     send_all_until_answered(&mut cluster, &mut operators, &changes, count);
     for index in 0..count {
-        let read = read_back(&mut cluster, index);
+        let read = read_config(&mut cluster, index);
         assert_eq!(
             operators.check(&cluster, &read),
             Ok(()),
--- a/crates/cluster/control-plane/tests/damaged_disks.rs
+++ b/crates/cluster/control-plane/tests/damaged_disks.rs
@@ -51,7 +51,7 @@
     cluster.start(1, false);
     cluster.start(2, false);
     cluster.run(6_000);
-    assert_eq!(cluster.read_back(0), Some(5), "{context}");
+    assert_eq!(cluster.read_version(0), Some(5), "{context}");
     submit_requests(cluster, 1_001..1_011);
     assert_eq!(cluster.acked(), 60, "{context}");
     assert_eq!(
@@ -106,7 +106,7 @@
             );
             cluster.start(0, false);
             cluster.run(5_000);
-            assert_eq!(cluster.read_back(1), Some(5), "{context}");
+            assert_eq!(cluster.read_version(1), Some(5), "{context}");
             assert_eq!(
                 cluster.machines[1].disk.records, cluster.machines[0].disk.records,
                 "{context}"
--- a/crates/cluster/control-plane/tests/distribution.rs
+++ b/crates/cluster/control-plane/tests/distribution.rs
@@ -1,4 +1,5 @@
-//! Configurations reach a hundred processes and more, whichever of the inner ones end.
+//! Guards against configurations that reach some process too late in a fleet of a hundred or more processes, in
+//! particular after processes that serve as relays have ended.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -12,48 +13,52 @@
 use sagetrail_protocol::directory::{MAX_RELAYS, MEMBER_LEASE_MS};
 use sagetrail_protocol::NodeId;
 
-/// A hundred processes: three of the core, ten gateways, the others agents.
-fn hundred(seed: u64) -> Fleet {
+/// Creates a fleet of a hundred processes: three core processes, ten gateways, and agents.
+fn fleet_of_hundred(seed: u64) -> Fleet {
     Fleet::settled(seed, 3, 10, 87)
 }
 
 #[test]
-fn a_calm_fleet_has_every_change_in_time() {
+fn a_fault_free_fleet_receives_every_change_in_time() {
     for seed in 1..=5 {
-        let mut fleet = hundred(seed);
+        let mut fleet = fleet_of_hundred(seed);
         fleet.replace(1, 2);
         fleet.run_until_acknowledged(2);
         fleet.run(100);
-        assert_eq!(fleet.behind(2), [], "seed {seed}");
-        assert!(!fleet.inner().is_empty(), "no tree");
+        assert_eq!(fleet.outdated_processes(2), [], "seed {seed}");
+        assert!(!fleet.relays_in_use().is_empty(), "no relay is used");
     }
 }
 
 #[test]
-fn inner_processes_that_end_delay_no_change_beyond_the_bound() {
+fn relays_that_end_delay_no_change_beyond_the_bound() {
     for seed in 1..=20 {
-        let mut fleet = hundred(seed);
+        let mut fleet = fleet_of_hundred(seed);
         let wait_ms = fleet.random.random_range(0..1_500);
         fleet.run(wait_ms);
-        let doomed = fleet.random.random_range(1..12);
-        let ended: Vec<NodeId> = fleet.inner().into_iter().take(doomed).collect();
-        ended.iter().for_each(|node| fleet.end(*node));
+        let ended_count = fleet.random.random_range(1..12);
+        let ended: Vec<NodeId> = fleet
+            .relays_in_use()
+            .into_iter()
+            .take(ended_count)
+            .collect();
+        ended.iter().for_each(|node| fleet.remove_process(*node));
         let wait_ms = fleet.random.random_range(0..1_500);
         fleet.run(wait_ms);
         fleet.replace(1, 2);
         fleet.run_until_acknowledged(2);
         fleet.run(Bounds::default().config_apply_ms);
-        assert_eq!(fleet.behind(2), [], "seed {seed}");
+        assert_eq!(fleet.outdated_processes(2), [], "seed {seed}");
     }
 }
 
 #[test]
-fn gateways_stay_ready_while_inner_processes_end() {
+fn gateways_stay_ready_while_relays_end() {
     for seed in 1..=5 {
-        let mut fleet = hundred(seed);
+        let mut fleet = fleet_of_hundred(seed);
         for _ in 0..4 {
-            let ended: Vec<NodeId> = fleet.inner().into_iter().take(3).collect();
-            ended.iter().for_each(|node| fleet.end(*node));
+            let ended: Vec<NodeId> = fleet.relays_in_use().into_iter().take(3).collect();
+            ended.iter().for_each(|node| fleet.remove_process(*node));
             for _ in 0..25 {
                 fleet.run(100);
                 assert_eq!(fleet.not_ready(), [], "seed {seed}");
@@ -65,7 +70,7 @@
 #[test]
 fn a_small_fleet_is_served_by_the_core_alone() {
     let fleet = Fleet::settled(1, 3, 4, 12);
-    assert_eq!(fleet.inner(), []);
+    assert_eq!(fleet.relays_in_use(), []);
     assert!(fleet
         .directories
         .values()
@@ -74,7 +79,7 @@
 
 #[test]
 fn relay_lists_agree_and_are_bounded() {
-    let mut fleet = hundred(3);
+    let mut fleet = fleet_of_hundred(3);
     let lists: Vec<Vec<NodeId>> = fleet
         .directories
         .values()
@@ -87,19 +92,19 @@
         .iter()
         .all(|node| !is_gateway(*node) && !is_core(*node)));
     let ended = lists[0][0];
-    fleet.end(ended);
+    fleet.remove_process(ended);
     fleet.run(2 * MEMBER_LEASE_MS + 1_000);
     let named = fleet
         .directories
         .values()
         .any(|directory| directory.relays.contains(&ended));
-    assert!(!named, "a process without a lease is named");
+    assert!(!named, "a process without a lease is named as a relay");
 }
 
 #[test]
-fn gateways_serve_nobody() {
-    let fleet = hundred(4);
-    assert!(fleet.inner().iter().all(|node| !is_gateway(*node)));
+fn gateways_are_not_used_as_relays() {
+    let fleet = fleet_of_hundred(4);
+    assert!(fleet.relays_in_use().iter().all(|node| !is_gateway(*node)));
 }
 
 #[test]
--- a/crates/cluster/control-plane/tests/faults.rs
+++ b/crates/cluster/control-plane/tests/faults.rs
@@ -1,11 +1,11 @@
-//! Single faults: kills, freezes, cuts, lost power, emptied disks, replaced machines.
+//! Tests single faults: killed, frozen and isolated processes, losses of power, emptied disks and replaced machines.
 
 mod support;
 use sagetrail_protocol::node::Method;
 use support::cluster::{id, Cluster};
 use support::requests::config;
 
-fn busy(count: usize, seed: u64) -> Cluster {
+fn cluster_with_records(count: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::bootstrapped(count, seed);
     assert_eq!(cluster.replace(0, 0, 5), 200);
     submit_requests(&mut cluster, 0..200);
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_killed_leader_is_replaced() {
-    let mut cluster = busy(3, 1);
+    let mut cluster = cluster_with_records(3, 1);
     let leader = cluster.leader().unwrap();
     cluster.kill(leader);
     cluster.run(2_500);
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_frozen_leader_is_replaced_and_silent_when_thawed() {
-    let mut cluster = busy(3, 2);
+    let mut cluster = cluster_with_records(3, 2);
     let leader = cluster.leader().unwrap();
     cluster.submit(leader, 900);
     cluster.freeze(leader);
@@ -52,7 +52,7 @@
 
 #[test]
 fn an_isolated_leader_is_replaced() {
-    let mut cluster = busy(5, 3);
+    let mut cluster = cluster_with_records(5, 3);
     let leader = cluster.leader().unwrap();
     cluster.isolate(leader);
     cluster.run(2_500);
@@ -74,23 +74,23 @@
 }
 
 #[test]
-fn a_whole_core_without_power_comes_back() {
+fn a_core_recovers_from_a_loss_of_power_at_all_members() {
     for seed in 0..20 {
-        let mut cluster = busy(3, 40 + seed);
+        let mut cluster = cluster_with_records(3, 40 + seed);
         assert_eq!(cluster.replace(1, 5, 9), 200);
         (0..3).for_each(|index| cluster.power_off(index));
         cluster.run(5_000);
         (0..3).for_each(|index| cluster.start(index, false));
         cluster.run(3_000);
         assert_eq!(cluster.terms(), 2, "seed {seed}");
-        assert_eq!(cluster.read_back(0), Some(9));
+        assert_eq!(cluster.read_version(0), Some(9));
     }
 }
 
 #[test]
 fn an_emptied_disk_is_restored() {
     for seed in 0..20 {
-        let mut cluster = busy(3, 60 + seed);
+        let mut cluster = cluster_with_records(3, 60 + seed);
         let victim = seed as usize % 3;
         cluster.wipe(victim);
         cluster.run(500);
@@ -103,16 +103,16 @@
         );
         cluster.kill(healthy);
         cluster.run(3_000);
-        assert_eq!(cluster.read_back(victim), Some(5), "seed {seed}");
+        assert_eq!(cluster.read_version(victim), Some(5), "seed {seed}");
         submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 250, "seed {seed}");
     }
 }
 
 #[test]
-fn an_emptied_disk_while_the_others_lose_power() {
+fn a_member_with_an_emptied_disk_recovers_while_the_others_lose_power() {
     for seed in 0..20 {
-        let mut cluster = busy(3, 80 + seed);
+        let mut cluster = cluster_with_records(3, 80 + seed);
         assert_eq!(cluster.replace(2, 5, 9), 200);
         cluster.wipe(0);
         cluster.power_off(1);
@@ -120,32 +120,32 @@
         cluster.run(2_000);
         (0..3).for_each(|index| cluster.start(index, false));
         cluster.run(5_000);
-        assert_eq!(cluster.read_back(0), Some(9), "seed {seed}");
-        assert_eq!(cluster.read_back(1), Some(9), "seed {seed}");
+        assert_eq!(cluster.read_version(0), Some(9), "seed {seed}");
+        assert_eq!(cluster.read_version(1), Some(9), "seed {seed}");
         submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 250, "seed {seed}");
     }
 }
 
 #[test]
-fn a_replaced_machine_takes_its_place() {
-    let mut cluster = busy(3, 4);
-    let gone = (cluster.leader().unwrap() + 1) % 3;
-    cluster.wipe(gone);
+fn a_successor_takes_the_place_of_a_lost_machine() {
+    let mut cluster = cluster_with_records(3, 4);
+    let lost = (cluster.leader().unwrap() + 1) % 3;
+    cluster.wipe(lost);
     let successor = cluster.add_machine();
     cluster.start(successor, false);
     cluster.run(8_000);
-    let remaining = (0..3).find(|index| *index != gone).unwrap();
+    let remaining = (0..3).find(|index| *index != lost).unwrap();
     cluster.kill(remaining);
     cluster.run(4_000);
-    assert_eq!(cluster.read_back(successor), Some(5));
+    assert_eq!(cluster.read_version(successor), Some(5));
     submit_requests(&mut cluster, 1_000..1_050);
     assert_eq!(cluster.acked(), 250);
 }
 
 #[test]
 fn a_replica_that_missed_many_batches_catches_up() {
-    let mut cluster = busy(3, 5);
+    let mut cluster = cluster_with_records(3, 5);
     let behind = (cluster.leader().unwrap() + 1) % 3;
     cluster.isolate(behind);
     submit_requests(&mut cluster, 1_000..4_000);
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn a_change_without_a_majority_is_left_open() {
-    let mut cluster = busy(3, 6);
+fn a_change_without_a_majority_is_answered_503_and_can_be_repeated() {
+    let mut cluster = cluster_with_records(3, 6);
     cluster.kill(1);
     cluster.kill(2);
     cluster.run(100);
@@ -170,12 +170,12 @@
     cluster.start(1, false);
     cluster.run(3_000);
     assert_eq!(cluster.replace(0, 5, 9), 200);
-    assert_eq!(cluster.read_back(1), Some(9));
+    assert_eq!(cluster.read_version(1), Some(9));
 }
 
 #[test]
 fn after_a_loss_of_all_power_no_election_waits_for_an_old_lease() {
-    let mut cluster = busy(5, 11);
+    let mut cluster = cluster_with_records(5, 11);
     let terms = cluster.terms();
     (0..5).for_each(|index| cluster.power_off(index));
     cluster.run(500);
@@ -189,7 +189,7 @@
 #[test]
 fn after_a_loss_of_all_power_the_first_leader_keeps_its_term() {
     for seed in 0..60 {
-        let mut cluster = busy(5, 400 + seed);
+        let mut cluster = cluster_with_records(5, 400 + seed);
         cluster.conditions.delay_us = (1_000, 40_000);
         let terms = cluster.terms();
         (0..5).for_each(|index| cluster.power_off(index));
@@ -202,7 +202,7 @@
 
 #[test]
 fn a_leader_that_returns_with_an_empty_disk_delays_no_election() {
-    let mut cluster = busy(5, 12);
+    let mut cluster = cluster_with_records(5, 12);
     let leader = cluster.leader().unwrap();
     (0..5).for_each(|index| cluster.power_off(index));
     cluster.wipe(leader);
@@ -216,10 +216,10 @@
 
 #[test]
 fn a_scheduler_that_is_not_notified_of_a_change_reads_it_in_time() {
-    let mut cluster = busy(5, 13);
+    let mut cluster = cluster_with_records(5, 13);
     let leader = cluster.leader().unwrap();
     let proposer = (leader + 1) % 5;
-    // Whoever could notify the leader of the change cannot reach it; it reaches them.
+    // The proposer, which would notify the leader of the change, cannot reach it. The leader can reach the proposer.
     cluster.partition.insert((id(proposer), id(leader)));
     let number = cluster.http(
         proposer,
--- a/crates/cluster/control-plane/tests/isolation/checker.rs
+++ b/crates/cluster/control-plane/tests/isolation/checker.rs
@@ -1,4 +1,4 @@
-//! What was sent and answered in a schedule, and the rules that it must keep.
+//! The requests and answers of a schedule, and the rules that they must not violate.
 
 use crate::support::cluster::id;
 use crate::support::machine::TRUE_RATE_PPM;
@@ -12,17 +12,19 @@
 pub(crate) const UNAVAILABLE: u16 = 503;
 pub(crate) const UNKNOWN: u16 = 504;
 pub(crate) const MICROS_PER_MS: u64 = 1_000;
-/// Each clock may be wrong by so much, so two of them differ by up to twice that; in millionths.
+/// The maximum drift of a clock, in parts per million. Two clocks differ by up to twice as much.
 pub(crate) const DRIFT_PPM: u64 = 20_000;
-/// A member may publish what it confirmed at a majority so long ago, in milliseconds.
-pub(crate) const HANDOUT_MS: u64 = 1_000;
-/// The leader's lease by its own clock, in milliseconds.
+/// The maximum age of the majority's confirmation at which a member publishes a configuration, in milliseconds.
+pub(crate) const MAX_PUBLISHED_AGE_MS: u64 = 1_000;
+/// The duration of the leader's lease on its own clock, in milliseconds.
 pub(crate) const LEADER_LEASE_MS: u64 = 765;
-/// What is in transit when an isolation begins, in milliseconds.
+/// The time after the beginning of an isolation during which earlier messages may still arrive, in milliseconds.
 pub(crate) const IN_TRANSIT_MS: u64 = 60;
-/// The bound on an answer is by the member's clock, and its wakes are late by a little; in milliseconds.
-pub(crate) const SLACK_MS: u64 = 150;
+/// The tolerance on the time limit of an answer, in milliseconds. The limit is measured by the member's clock, and the
+/// member may wake slightly late.
+pub(crate) const LATENESS_MS: u64 = 150;
 
+/// A change that was sent to a member. Times are in microseconds of true time.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) member: usize,
@@ -30,32 +32,39 @@
     pub(crate) version: u64,
     pub(crate) content: String,
     pub(crate) sent_at: u64,
+    /// The status and the time of the answer.
     pub(crate) answer: Option<(u16, u64)>,
+    /// The number of the HTTP request; `None` if the answer was made up.
     pub(crate) number: Option<u64>,
-    /// Can only be rejected in the light of the current configuration.
+    /// Whether the change is invalid in a way that only the current configuration shows.
     pub(crate) needs_current: bool,
 }
 
+/// A read of the configuration at a member. Times are in microseconds of true time.
 #[derive(Clone, Debug)]
-pub(crate) struct ReadBack {
+pub(crate) struct ReadAttempt {
     pub(crate) member: usize,
     pub(crate) sent_at: u64,
+    /// The status and the time of the answer.
     pub(crate) answer: Option<(u16, u64)>,
+    /// The number of the HTTP request; `None` if the answer was made up.
     pub(crate) number: Option<u64>,
+    /// The version that was read.
     pub(crate) version: Option<u64>,
-    /// The path of its route, which names the change that brought it.
+    /// The path of the route that was read, which identifies the change that set it.
     pub(crate) route: Option<String>,
 }
 
-/// Everything that callers were answered, with true times.
+/// All requests and answers, with times in microseconds of true time.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) changes: Vec<Change>,
-    pub(crate) reads: Vec<ReadBack>,
-    /// Messages to the child of the relay tree and to the client: when, from whom.
+    pub(crate) reads: Vec<ReadAttempt>,
+    /// The messages to the child of the relay tree and to the client, each with its time and sender.
     pub(crate) received: Vec<(u64, NodeId, Message)>,
+    /// The time and the process at which the service of each term started.
     pub(crate) term_starts: Vec<(u64, NodeId)>,
-    /// The members that were without a majority, from when and until when.
+    /// The members that could not reach a majority, and the beginning and the end of that time.
     pub(crate) isolated: Option<(Range<usize>, u64, u64)>,
 }
 
@@ -63,47 +72,47 @@
     micros / MICROS_PER_MS
 }
 
-/// A span by some clock is at most so long in truth, in microseconds.
-pub(crate) fn longest(span_ms: u64) -> u64 {
+/// Returns the maximum true duration of a time span measured by any clock, in microseconds.
+pub(crate) fn max_true_us(span_ms: u64) -> u64 {
     span_ms * MICROS_PER_MS * TRUE_RATE_PPM / (TRUE_RATE_PPM - 2 * DRIFT_PPM)
 }
 
-/// A rule that may be broken.
+/// A rule that a schedule may violate.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Rule {
-    /// A read-back gives the newest.
+    /// A read returns the newest configuration.
     NewestIsRead,
-    /// One change on top of each version.
+    /// At most one change on each base version is confirmed.
     OneWinner,
-    /// What is invalid is not taken.
-    InvalidIsNotTaken,
-    /// What was rejected, or answered with 503, is not in force.
-    RefusedIsNotInForce,
-    /// What was acknowledged stays.
-    NothingIsLost,
+    /// An invalid change is not confirmed.
+    InvalidIsRejected,
+    /// A change that was rejected or answered with 503 is not in force.
+    RejectedIsNotInForce,
+    /// A confirmed change is not lost.
+    NoConfirmedChangeIsLost,
     /// A valid change on the newest version is not rejected.
-    NoRefusal,
-    /// Without a majority nothing is confirmed, rejected or read.
-    NothingAlone,
-    /// There is an answer in time.
+    NoWrongRejection,
+    /// A member without a majority confirms and rejects no change and answers no read.
+    NoAnswerWithoutMajority,
+    /// Requests are answered within the time limit.
     AnswerInTime,
-    /// No old configuration is sent to subscribers.
-    NothingOldPublished,
-    /// Knowledge is no older than it is said to be.
-    TrueAge,
-    /// Only the scheduler calls itself that.
+    /// No outdated configuration is sent to subscribers.
+    NoStaleUpdateIsPublished,
+    /// A configuration that is reported as current is no older than the reported age.
+    AgeIsCorrect,
+    /// Only the leader names itself as the leader.
     OnlyLeaderNamesItself,
-    /// Only the scheduler answers clients.
+    /// Only the leader answers clients.
     OnlyLeaderAnswers,
-    /// Clients are answered by the configuration in force.
+    /// Clients are answered according to the configuration in force.
     AnswersByNewest,
 }
 
-/// A rule and how it was broken.
+/// A violated rule and the description of the violation.
 pub(crate) type Violation = (Rule, String);
 
 impl History {
-    /// What breaks a rule; empty where all holds.
+    /// Returns all violations of rules.
     pub(crate) fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         self.check_reads(&mut violations);
@@ -114,14 +123,14 @@
         violations
     }
 
-    /// The newest version acknowledged, or read, before a moment.
+    /// Returns the newest version that was confirmed or read before a time.
     pub(crate) fn newest_before(&self, moment: u64) -> u64 {
         let acknowledged = self
             .changes
             .iter()
             .filter(|change| change.acknowledged_before(moment));
         let acknowledged = acknowledged.map(|change| change.version);
-        let known = |read: &&ReadBack| read.answer.is_some_and(|(_, at)| at < moment);
+        let known = |read: &&ReadAttempt| read.answer.is_some_and(|(_, at)| at < moment);
         let read = self
             .reads
             .iter()
@@ -136,13 +145,13 @@
             if read.version < Some(newest) {
                 violations.push((
                     Rule::NewestIsRead,
-                    format!("an old read-back, {newest} was there: {read:?}"),
+                    format!("read an old version, expected at least {newest}: {read:?}"),
                 ));
             }
         }
     }
 
-    /// What is in force was sent under its number, and was not rejected.
+    /// Checks that each configuration that was read had been sent under its version and had not been rejected.
     pub(crate) fn check_in_force(&self, violations: &mut Vec<Violation>) {
         for read in &self.reads {
             let (Some(version), Some(route)) = (read.version, &read.route) else {
@@ -158,8 +167,8 @@
             };
             if senders.iter().all(rejected) {
                 violations.push((
-                    Rule::RefusedIsNotInForce,
-                    format!("{read:?} brought by {senders:?}"),
+                    Rule::RejectedIsNotInForce,
+                    format!("{read:?} was set only by rejected changes: {senders:?}"),
                 ));
             }
         }
@@ -173,8 +182,8 @@
             };
             if status == OK && change.needs_current {
                 violations.push((
-                    Rule::InvalidIsNotTaken,
-                    format!("invalid and taken: {change:?}"),
+                    Rule::InvalidIsRejected,
+                    format!("invalid change was confirmed: {change:?}"),
                 ));
             }
             if status == OK {
@@ -183,28 +192,34 @@
                     violations.push((
                         Rule::OneWinner,
                         format!(
-                            "two changes on top of {}: {winner:?}, {change:?}",
+                            "two changes on base {} were confirmed: {winner:?}, {change:?}",
                             change.base
                         ),
                     ));
                 }
             }
-            if (400..500).contains(&status) && !self.may_be_refused(change, answered_at) {
-                violations.push((Rule::NoRefusal, format!("rejected: {change:?}")));
+            if (400..500).contains(&status) && !self.may_be_rejected(change, answered_at) {
+                violations.push((
+                    Rule::NoWrongRejection,
+                    format!("change was rejected wrongly: {change:?}"),
+                ));
             }
         }
         let last = self.reads.iter().rev().find_map(|read| read.version);
         let newest = winners.values().map(|change| change.version).max();
         if last < newest {
             violations.push((
-                Rule::NothingIsLost,
-                format!("{newest:?} was acknowledged and lost; the last read-back gives {last:?}"),
+                Rule::NoConfirmedChangeIsLost,
+                format!(
+                    "version {newest:?} was confirmed and lost, the last read returned {last:?}"
+                ),
             ));
         }
     }
 
-    /// Only 412, only for what was not taken before, and only where another change may have been.
-    pub(crate) fn may_be_refused(&self, change: &Change, answered_at: u64) -> bool {
+    /// Returns whether a change may be rejected: only with 412, only if the same change was not confirmed before, and
+    /// only if another change may have been accepted.
+    pub(crate) fn may_be_rejected(&self, change: &Change, answered_at: u64) -> bool {
         if change.needs_current {
             return true;
         }
@@ -217,7 +232,7 @@
         {
             return false;
         }
-        // 503 is a promise as well: such a change was accepted nowhere.
+        // 503 also guarantees that the change was not accepted anywhere.
         let other_change = |other: &&Change| {
             let given_back = other
                 .answer
@@ -232,13 +247,13 @@
                 .is_some_and(|(status, _)| status == PRECONDITION_FAILED)
     }
 
-    /// Without a majority the member answers 503 or 504, and does answer.
+    /// Checks that a member without a majority answers in time, with 503 or 504.
     pub(crate) fn check_isolated(&self, violations: &mut Vec<Violation>) {
         let Some((members, from, until)) = self.isolated.clone() else {
             return;
         };
         let inside = |sent_at: u64| sent_at >= from + IN_TRANSIT_MS * MICROS_PER_MS;
-        let longest = longest(Bounds::default().ack_ms - 300) + SLACK_MS * MICROS_PER_MS;
+        let longest = max_true_us(Bounds::default().ack_ms - 300) + LATENESS_MS * MICROS_PER_MS;
         let changes = self
             .changes
             .iter()
@@ -253,20 +268,20 @@
             match answer {
                 Some((status, at)) if at < until && !matches!(status, UNAVAILABLE | UNKNOWN) => {
                     violations.push((
-                        Rule::NothingAlone,
+                        Rule::NoAnswerWithoutMajority,
                         format!("answered {status} without a majority at {} ms", millis(at)),
                     ));
                 }
                 Some((_, at)) if at > sent_at + longest => {
                     violations.push((
                         Rule::AnswerInTime,
-                        format!("answered only after {} ms", millis(at - sent_at)),
+                        format!("answered after {} ms", millis(at - sent_at)),
                     ));
                 }
                 None if sent_at + longest < until => {
                     violations.push((
                         Rule::AnswerInTime,
-                        format!("no answer to what came at {} ms", millis(sent_at)),
+                        format!("no answer to the request sent at {} ms", millis(sent_at)),
                     ));
                 }
                 _ => {}
@@ -274,26 +289,31 @@
         }
     }
 
-    /// What a member sends to others without a majority is no older than it claims.
+    /// Checks the messages to subscribers and clients: configurations are not outdated, reported ages are correct, and
+    /// only the leader names itself or answers clients.
     pub(crate) fn check_received(&self, violations: &mut Vec<Violation>) {
         for (at, from, message) in &self.received {
             match message {
                 Message::ConfigUpdate(update) => {
-                    let newest = self.newest_before(at.saturating_sub(longest(HANDOUT_MS)));
+                    let newest =
+                        self.newest_before(at.saturating_sub(max_true_us(MAX_PUBLISHED_AGE_MS)));
                     if update.version < newest {
                         let version = update.version;
                         violations.push((
-                            Rule::NothingOldPublished,
-                            format!("{from} published {version}, {newest} was there"),
+                            Rule::NoStaleUpdateIsPublished,
+                            format!(
+                                "{from} published version {version}, expected at least {newest}"
+                            ),
                         ));
                     }
                 }
                 Message::ConfigCurrent(current) => {
-                    let newest = self.newest_before(at.saturating_sub(longest(current.age_ms + 1)));
+                    let newest =
+                        self.newest_before(at.saturating_sub(max_true_us(current.age_ms + 1)));
                     if current.version < newest {
                         violations.push((
-                            Rule::TrueAge,
-                            format!("{from} called {current:?} current, {newest} was there"),
+                            Rule::AgeIsCorrect,
+                            format!("{from} reported {current:?} as current, expected at least version {newest}"),
                         ));
                     }
                 }
@@ -303,7 +323,7 @@
                     violations.push((
                         Rule::OnlyLeaderNamesItself,
                         format!(
-                            "{from} names itself at {} ms in a term that is over",
+                            "{from} named itself as the leader at {} ms, after the end of its term",
                             millis(*at)
                         ),
                     ));
@@ -311,22 +331,24 @@
                 Message::NotLeader(refusal) if refusal.leader == *from => {
                     violations.push((
                         Rule::OnlyLeaderNamesItself,
-                        format!("{from} refuses and names itself"),
+                        format!("{from} rejected a request as not the leader and named itself as the leader"),
                     ));
                 }
                 Message::ClientReply(reply) => {
                     if !self.leads(*from, *at) {
                         violations.push((
                             Rule::OnlyLeaderAnswers,
-                            format!("{from} answers a client in a term that is over"),
+                            format!("{from} answered a client after the end of its term"),
                         ));
                     }
-                    let applied = at.saturating_sub(longest(Bounds::default().config_apply_ms));
+                    let applied = at.saturating_sub(max_true_us(Bounds::default().config_apply_ms));
                     let newest = self.newest_before(applied);
                     if reply.config_version < newest {
                         violations.push((
                             Rule::AnswersByNewest,
-                            format!("{from} answers a client by an old configuration"),
+                            format!(
+                                "{from} answered a client according to an outdated configuration"
+                            ),
                         ));
                     }
                 }
@@ -335,8 +357,8 @@
         }
     }
 
-    /// Whether the lease of the newest term may be with this process: nobody started a later one, and it has not
-    /// been without a majority for longer than a lease.
+    /// Returns whether the process may hold the lease of the newest term: no later term has started, and the process
+    /// has not been without a majority for longer than a lease.
     pub(crate) fn leads(&self, node: NodeId, at: u64) -> bool {
         let newest = self
             .term_starts
@@ -348,7 +370,7 @@
             .as_ref()
             .is_some_and(|(members, from, until)| {
                 members.clone().any(|member| id(member) == node)
-                    && at > from + longest(LEADER_LEASE_MS)
+                    && at > from + max_true_us(LEADER_LEASE_MS)
                     && at < *until
             });
         newest.is_some_and(|(_, leader)| *leader == node) && !isolated
--- a/crates/cluster/control-plane/tests/isolation/main.rs
+++ b/crates/cluster/control-plane/tests/isolation/main.rs
@@ -1,5 +1,6 @@
-//! A member of the core that is isolated, frozen or runs by a wrong clock for some twenty seconds: what it answers to the
-//! operator, to clients and to those that take configurations from it, then and right after its return.
+//! Guards against wrong answers of a core member that is isolated or frozen, or whose clock is wrong, for up to 22
+//! seconds. The checker examines its answers to the operator, to clients and to subscribers of configurations, during
+//! the fault and right after it.
 
 mod checker;
 #[path = "../support/mod.rs"]
@@ -10,13 +11,14 @@
 use std::ops::Range;
 use trial::{Fault, Trial, Variant};
 
-/// What schedules of a fault led to.
+/// The results of the schedules of one fault.
 #[derive(Default, Debug)]
 struct Tally {
-    /// Schedules that broke a rule.
+    /// The number of schedules that violated a rule.
     broken: usize,
-    /// How often each rule was broken.
+    /// The number of violations of each rule.
     rules: BTreeMap<Rule, usize>,
+    /// The first violation, with its seed.
     first: Option<String>,
 }
 
@@ -38,60 +40,60 @@
     tally
 }
 
-fn assert_sound(fault: Fault) {
-    let tally = tally(Variant::Sound, fault, 0..SCHEDULES);
+fn assert_rules_hold(fault: Fault) {
+    let tally = tally(Variant::Correct, fault, 0..SCHEDULES);
     assert_eq!(tally.broken, 0, "{fault:?}: {tally:?}");
 }
 
-/// So many schedules for each fault.
+/// The number of schedules for each fault.
 const SCHEDULES: u64 = 150;
 
 #[test]
-fn isolated_in_both_directions() {
-    assert_sound(Fault::BothDirections);
+fn rules_hold_for_a_member_isolated_in_both_directions() {
+    assert_rules_hold(Fault::BothDirections);
 }
 
 #[test]
-fn isolated_outbound() {
-    assert_sound(Fault::Outbound);
+fn rules_hold_for_a_member_whose_messages_are_lost() {
+    assert_rules_hold(Fault::Outbound);
 }
 
 #[test]
-fn isolated_inbound() {
-    assert_sound(Fault::Inbound);
+fn rules_hold_for_a_member_that_receives_no_messages() {
+    assert_rules_hold(Fault::Inbound);
 }
 
 #[test]
-fn isolated_from_the_core_only() {
-    assert_sound(Fault::CoreOnly);
+fn rules_hold_for_a_member_isolated_from_the_core_only() {
+    assert_rules_hold(Fault::CoreOnly);
 }
 
 #[test]
-fn isolated_from_the_core_with_the_operator_on_its_side() {
-    assert_sound(Fault::OperatorOnSide);
+fn rules_hold_for_a_member_isolated_from_the_core_together_with_the_operator() {
+    assert_rules_hold(Fault::CoreOnlyOthersUnreachable);
 }
 
 #[test]
-fn isolated_from_the_operator_only() {
-    assert_sound(Fault::OperatorOnly);
+fn rules_hold_for_a_member_isolated_from_the_operator_only() {
+    assert_rules_hold(Fault::OperatorOnly);
 }
 
 #[test]
-fn all_members_isolated_from_each_other() {
-    assert_sound(Fault::AllIsolated);
+fn rules_hold_for_members_that_are_all_isolated_from_each_other() {
+    assert_rules_hold(Fault::AllIsolated);
 }
 
 #[test]
-fn frozen_and_thawed() {
-    assert_sound(Fault::Frozen);
+fn rules_hold_for_a_frozen_and_resumed_member() {
+    assert_rules_hold(Fault::Frozen);
 }
 
 #[test]
-fn the_checker_flags_members_that_answer_without_a_majority() {
+fn the_checker_detects_members_that_answer_without_a_majority() {
     let variants = [
-        (Variant::ReadsAlone, Rule::NewestIsRead),
-        (Variant::ConfirmsAlone, Rule::NothingAlone),
-        (Variant::RefusesAlone, Rule::NoRefusal),
+        (Variant::ReadsLocally, Rule::NewestIsRead),
+        (Variant::ConfirmsLocally, Rule::NoAnswerWithoutMajority),
+        (Variant::RejectsLocally, Rule::NoWrongRejection),
     ];
     for (variant, rule) in variants {
         let tally = tally(variant, Fault::CoreOnly, 0..12);
@@ -103,10 +105,10 @@
 }
 
 #[test]
-fn the_journal_flags_a_lease_by_a_clock_that_stops() {
+fn the_journal_detects_a_lease_on_a_stopped_clock() {
     let play = |seed| Trial::new(seed, Variant::ClockStops, Fault::Frozen).run_to_end();
     let panics = |seed: &u64| std::panic::catch_unwind(|| play(*seed)).is_err();
-    // With even seeds it is the scheduler that is frozen.
+    // With even seeds the frozen member is the leader.
     let flagged = (0..12).map(|half| 2 * half).filter(panics).count();
     assert!(flagged >= 9, "{flagged} of 12 schedules were flagged");
 }
--- a/crates/cluster/control-plane/tests/isolation/trial.rs
+++ b/crates/cluster/control-plane/tests/isolation/trial.rs
@@ -1,12 +1,12 @@
-//! One member with one fault: how it is brought about, and the requests of operators and clients meanwhile.
+//! A schedule in which one member has one fault, under the requests of operators and clients.
 
 use crate::checker::{
-    Change, History, ReadBack, DRIFT_PPM, MICROS_PER_MS, OK, PRECONDITION_FAILED,
+    Change, History, ReadAttempt, DRIFT_PPM, MICROS_PER_MS, OK, PRECONDITION_FAILED,
 };
 use crate::support::cluster::{id, Cluster, CLIENT};
 use crate::support::journal::READ;
 use crate::support::machine::TRUE_RATE_PPM;
-use crate::support::network::{Conditions, CALM};
+use crate::support::network::{Conditions, FAULT_FREE};
 use crate::support::requests::config;
 use rand::Rng;
 use sagetrail_control_plane::RegisterValue;
@@ -17,61 +17,65 @@
 use sagetrail_protocol::node::{Event, Method};
 use sagetrail_protocol::{frame, Blob, Message, NodeId, NodeKind, Text};
 
-/// A process that reaches the members only by another.
-const FAR: NodeId = NodeId { ip: 98, port: 1 };
-/// A child of the relay tree asks this often; the clients a little more often. In milliseconds.
-const ASK_MS: u64 = 150;
-/// After its return the member answers a read-back within this, in milliseconds.
-const RETURN_READ_MS: u64 = 1_200;
-const ROUGH: Conditions = Conditions {
+/// A process that reaches the members only through another process.
+const RELAYED_PROCESS: NodeId = NodeId { ip: 98, port: 1 };
+/// The interval between the requests of the child of the relay tree and of the client, in milliseconds. Intervals are
+/// random between half and twice this value.
+const REQUEST_INTERVAL_MS: u64 = 150;
+/// The time within which the member answers a read after the end of its fault, in milliseconds.
+const READ_AFTER_RETURN_MS: u64 = 1_200;
+const LOSSY: Conditions = Conditions {
     loss: 0.02,
     duplication: 0.02,
     delay_us: (200, 20_000),
     sync_us: (1_000, 12_000),
 };
 
-/// What happens to the member.
+/// The fault of the member.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Fault {
-    /// Neither the others nor the operator reach it.
+    /// Neither the other members nor the operator and clients reach the member.
     BothDirections,
-    /// Messages reach it, its own are lost.
+    /// The member receives messages, and its own messages to other members are lost.
     Outbound,
-    /// Its messages arrive, those to it are lost.
+    /// The messages of the member arrive, and those of other members to it are lost.
     Inbound,
-    /// The operator and clients reach it, the others do not.
+    /// The operator and clients reach the member, the other members do not.
     CoreOnly,
-    /// The operator and clients reach it alone, and the others do not reach it.
-    OperatorOnSide,
-    /// The operator does not reach it, the others do.
+    /// The operator and clients reach only the member, and the other members do not reach it.
+    CoreOnlyOthersUnreachable,
+    /// The other members reach the member, the operator and clients do not.
     OperatorOnly,
-    /// No member reaches another; there is no majority anywhere.
+    /// No member reaches another one, so that there is no majority.
     AllIsolated,
-    /// SIGSTOP, then SIGCONT; what was sent to it waits.
+    /// The member is suspended by SIGSTOP and resumed by SIGCONT. Messages to it wait.
     Frozen,
 }
 
-/// Ways in which a member may be wrong; the checker must flag each but the first.
+/// The behaviours of the member. The checker must detect each of them except the first.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Variant {
-    Sound,
-    /// Answers a read-back from its own disk.
-    ReadsAlone,
-    /// Answers a change with 200 at once.
-    ConfirmsAlone,
-    /// Compares a change with the version on its own disk and refuses.
-    RefusesAlone,
-    /// Its steady clock stands still while it is frozen, so that a lease seems to last.
+    /// The member is unmodified.
+    Correct,
+    /// The member answers a read from its own disk.
+    ReadsLocally,
+    /// The member answers a change with 200 at once.
+    ConfirmsLocally,
+    /// The member rejects a change whose base differs from the version on its own disk.
+    RejectsLocally,
+    /// The steady clock of the member stands still while it is frozen, so that a lease appears not to expire.
     ClockStops,
 }
 
-/// One member with one fault, under the requests of operators and clients.
+/// A schedule in which one member has one fault.
 pub(crate) struct Trial {
     cluster: Cluster,
     history: History,
     variant: Variant,
     fault: Fault,
+    /// The member that has the fault.
     member: usize,
+    /// The number of members.
     count: usize,
     fault_active: bool,
 }
@@ -85,8 +89,12 @@
             cluster.machines[index]
                 .set_rate(cluster.now, TRUE_RATE_PPM + DRIFT_PPM - steps * DRIFT_PPM);
         }
-        cluster.conditions = if seed.is_multiple_of(3) { ROUGH } else { CALM };
-        // Every other time it is the scheduler that is in fault.
+        cluster.conditions = if seed.is_multiple_of(3) {
+            LOSSY
+        } else {
+            FAULT_FREE
+        };
+        // With even seeds the member with the fault is the leader.
         let leader = cluster.leader().unwrap();
         let member = (leader + if seed.is_multiple_of(2) { 0 } else { 1 }) % count;
         let history = History::default();
@@ -101,7 +109,7 @@
         }
     }
 
-    fn healthy(&mut self) -> usize {
+    fn random_other_member(&mut self) -> usize {
         (self.member + self.cluster.random.random_range(1..self.count)) % self.count
     }
 
@@ -109,7 +117,7 @@
         self.history.newest_before(self.cluster.now)
     }
 
-    /// Sends a change as one of several operators does: all of them know what was acknowledged or read.
+    /// Sends a change on the newest version that any operator has had confirmed or has read.
     fn change(&mut self, member: usize, needs_current: bool) -> usize {
         let base = self.newest();
         let step = self.cluster.random.random_range(1..4);
@@ -135,8 +143,8 @@
         if self.fault_active && member == self.member {
             let now = sent_at;
             answer = match self.variant {
-                Variant::ConfirmsAlone => Some((OK, now)),
-                Variant::RefusesAlone if self.own_version() != base => {
+                Variant::ConfirmsLocally => Some((OK, now)),
+                Variant::RejectsLocally if self.own_version() != base => {
                     Some((PRECONDITION_FAILED, now))
                 }
                 _ => None,
@@ -167,9 +175,9 @@
         self.history.changes.len() - 1
     }
 
-    fn read_back(&mut self, member: usize) -> usize {
+    fn send_read(&mut self, member: usize) -> usize {
         let sent_at = self.cluster.now;
-        let mut read = ReadBack {
+        let mut read = ReadAttempt {
             member,
             sent_at,
             answer: None,
@@ -177,7 +185,7 @@
             version: None,
             route: None,
         };
-        if self.fault_active && member == self.member && self.variant == Variant::ReadsAlone {
+        if self.fault_active && member == self.member && self.variant == Variant::ReadsLocally {
             read.answer = Some((OK, sent_at));
             read.version = Some(self.own_version());
         } else {
@@ -190,7 +198,7 @@
         self.history.reads.len() - 1
     }
 
-    /// The version in the value that the member accepted last.
+    /// Returns the version in the value that the member accepted last.
     fn own_version(&self) -> u64 {
         let rows = self.cluster.machines[self.member].disk.control.values();
         let values = rows.filter_map(|row| RegisterValue::decode(row).ok());
@@ -200,7 +208,7 @@
             .unwrap_or_default()
     }
 
-    /// Runs on and notes the answers.
+    /// Runs the cluster and records the answers.
     fn run(&mut self, span_ms: u64) {
         self.cluster.run(span_ms);
         let cluster = &self.cluster;
@@ -232,9 +240,9 @@
         }
     }
 
-    /// A child of the relay tree and a client ask a process.
-    fn send_questions(&mut self, member: usize) {
-        let have = if self.cluster.random.random_bool(0.3) {
+    /// Sends the requests of the child of the relay tree and of the client to a member.
+    fn send_requests(&mut self, member: usize) {
+        let known_version = if self.cluster.random.random_bool(0.3) {
             0
         } else {
             self.newest()
@@ -242,10 +250,10 @@
         let hello = Hello {
             kind: NodeKind::Side,
             incarnation: 5,
-            config_version: have,
+            config_version: known_version,
         };
         let subscribe = Subscribe {
-            known_version: have,
+            known_version,
             asked_at: self.cluster.now,
         };
         let relayed_by_third = self.cluster.random.random_bool(0.25);
@@ -265,42 +273,45 @@
         }
     }
 
-    /// The operators and clients go on for a while.
-    fn work(&mut self, span_ms: u64) {
+    /// Runs the cluster for `span_ms` with requests of operators and clients.
+    fn run_with_requests(&mut self, span_ms: u64) {
         let end = self.cluster.now + span_ms * MICROS_PER_MS;
         while self.cluster.now < end {
-            let healthy = self.healthy();
-            let reached = self.reached();
-            if reached != Reached::MemberAlone {
-                self.send_questions(healthy);
+            let other = self.random_other_member();
+            let reachable = self.reachable();
+            if reachable != Reachable::MemberOnly {
+                self.send_requests(other);
                 match self.cluster.random.random_range(0..6) {
-                    0 | 1 => drop(self.change(healthy, false)),
-                    2 => drop(self.read_back(healthy)),
+                    0 | 1 => drop(self.change(other, false)),
+                    2 => drop(self.send_read(other)),
                     _ => {}
                 }
             }
-            if reached != Reached::OthersAlone {
-                self.send_questions(self.member);
+            if reachable != Reachable::OthersOnly {
+                self.send_requests(self.member);
                 match self.cluster.random.random_range(0..8) {
                     0 => drop(self.change(self.member, false)),
                     1 => drop(self.change(self.member, true)),
-                    2 => drop(self.read_back(self.member)),
+                    2 => drop(self.send_read(self.member)),
                     _ => {}
                 }
             }
             let jump: i64 = self.cluster.random.random_range(-9_000..9_000);
             self.cluster.machines[self.member].wall_ms += jump;
-            let pause = self.cluster.random.random_range(ASK_MS / 2..2 * ASK_MS);
+            let pause = self
+                .cluster
+                .random
+                .random_range(REQUEST_INTERVAL_MS / 2..2 * REQUEST_INTERVAL_MS);
             self.run(pause);
         }
     }
 
-    fn reached(&self) -> Reached {
+    fn reachable(&self) -> Reachable {
         match self.fault {
-            _ if !self.fault_active => Reached::All,
-            Fault::BothDirections | Fault::OperatorOnly => Reached::OthersAlone,
-            Fault::OperatorOnSide => Reached::MemberAlone,
-            _ => Reached::All,
+            _ if !self.fault_active => Reachable::All,
+            Fault::BothDirections | Fault::OperatorOnly => Reachable::OthersOnly,
+            Fault::CoreOnlyOthersUnreachable => Reachable::MemberOnly,
+            _ => Reachable::All,
         }
     }
 
@@ -312,7 +323,7 @@
             .map(id)
             .collect();
         match self.fault {
-            Fault::BothDirections | Fault::CoreOnly | Fault::OperatorOnSide => {
+            Fault::BothDirections | Fault::CoreOnly | Fault::CoreOnlyOthersUnreachable => {
                 self.cluster.isolate(member)
             }
             Fault::Outbound => self
@@ -344,36 +355,36 @@
     pub(crate) fn run_to_end(mut self) -> History {
         self.change(0, false);
         self.run(400);
-        self.work(1_500);
+        self.run_with_requests(1_500);
         let since = self.cluster.now;
         self.begin_fault();
         let span_ms = self.cluster.random.random_range(1_000..22_000);
-        self.work(span_ms);
+        self.run_with_requests(span_ms);
         if !matches!(self.fault, Fault::OperatorOnly | Fault::Frozen) {
-            let alone = self.member..self.member + 1;
+            let one_member = self.member..self.member + 1;
             let members = if self.fault == Fault::AllIsolated {
                 0..self.count
             } else {
-                alone
+                one_member
             };
             self.history.isolated = Some((members, since, self.cluster.now));
         }
         self.end_fault(since);
         self.check_return();
-        self.work(2_000);
+        self.run_with_requests(2_000);
         self.finish();
         self.collect()
     }
 
-    /// Right after its return the member is asked for the newest, and a change is built on that.
+    /// Reads the newest configuration at the member right after the end of the fault, and sends a change on it.
     fn check_return(&mut self) {
-        let read = self.read_back(self.member);
-        self.send_questions(self.member);
-        let limit = self.cluster.now + RETURN_READ_MS * MICROS_PER_MS;
+        let read = self.send_read(self.member);
+        self.send_requests(self.member);
+        let limit = self.cluster.now + READ_AFTER_RETURN_MS * MICROS_PER_MS;
         while self.history.reads[read].answer.is_none() && self.cluster.now < limit {
             self.run(5);
         }
-        if self.variant == Variant::Sound {
+        if self.variant == Variant::Correct {
             let answer = self.history.reads[read].answer;
             assert!(
                 answer.is_some_and(|(status, _)| status == OK),
@@ -385,17 +396,17 @@
         self.run(100);
     }
 
-    /// Acknowledged changes are sent again at the member, and every member is read at the end.
+    /// Sends confirmed changes to the member again, and reads the configuration at every member at the end.
     fn finish(&mut self) {
-        self.cluster.conditions = CALM;
+        self.cluster.conditions = FAULT_FREE;
         self.run(4_500);
-        let taken = self
+        let confirmed = self
             .history
             .changes
             .iter()
             .filter(|change| change.acknowledged_before(self.cluster.now));
-        let again: Vec<Change> = taken.rev().take(3).cloned().collect();
-        for change in again {
+        let repeated: Vec<Change> = confirmed.rev().take(3).cloned().collect();
+        for change in repeated {
             self.send_change(
                 self.member,
                 change.base,
@@ -405,11 +416,11 @@
             );
             self.run(100);
         }
-        self.read_back(self.member);
+        self.send_read(self.member);
         self.run(1_000);
         let change = self.change(self.member, false);
         self.run(1_500);
-        if self.variant == Variant::Sound {
+        if self.variant == Variant::Correct {
             let answer = self.history.changes[change].answer;
             assert!(
                 answer.is_some_and(|(status, _)| status == OK),
@@ -418,7 +429,7 @@
             );
         }
         for member in 0..self.count {
-            self.read_back(member);
+            self.send_read(member);
             self.run(1_000);
         }
     }
@@ -437,20 +448,20 @@
 
 /// The processes that the operators and clients reach.
 #[derive(Clone, Copy, PartialEq)]
-enum Reached {
+enum Reachable {
     All,
-    OthersAlone,
-    MemberAlone,
+    OthersOnly,
+    MemberOnly,
 }
 
-/// A patch that only the current configuration shows to be invalid: its service is unknown.
+/// Returns a patch that is invalid because its service is unknown, which only the current configuration shows.
 fn patch_with_unknown_service(version: u64, mark: u32) -> String {
     format!(
         r#"{{"version":{version},"upsert":{{"routes":[{{"name":"n{mark}","host":"n.example","path_prefix":"/n/","kind":"non_idempotent","timeout_ms":3000,"target_latency_ms":800,"priority":0,"service":"none","max_attempts":4,"extension":1.5}}]}}}}"#
     )
 }
 
-/// A client's question that is answered at once under the lease.
+/// Returns a read of a client, which the leader answers at once under its lease.
 fn read() -> Message {
     Message::ClientRequest(ClientRequest {
         request: READ,
@@ -463,17 +474,17 @@
     })
 }
 
-/// A message of `FAR` that the client passes on.
+/// Returns a message of `RELAYED_PROCESS` that the client forwards.
 fn relayed(member: usize, message: &Message) -> Message {
     let payload = Blob(frame::encode(message).unwrap());
     Message::Relayed(Relayed {
-        from: FAR,
+        from: RELAYED_PROCESS,
         to: id(member),
         payload,
     })
 }
 
-/// A message without the frame of a relay.
+/// Returns the message inside a relayed message, or the message itself.
 fn unwrapped(message: Message) -> Message {
     match message {
         Message::Relayed(relayed) => frame::decode(&relayed.payload).unwrap(),
@@ -481,7 +492,7 @@
     }
 }
 
-/// The version and the path of the only route.
+/// Returns the version of a document and the path of its only route.
 fn document_in(body: &[u8]) -> Option<(u64, String)> {
     let json: serde_json::Value = serde_json::from_slice(body).ok()?;
     Some((
--- a/crates/cluster/control-plane/tests/leases.rs
+++ b/crates/cluster/control-plane/tests/leases.rs
@@ -1,4 +1,5 @@
-//! What a replica grants a lease to is named on its disk first, so that a restart cannot forget it.
+//! Guards against a replica that forgets in a restart to which process it has granted a lease. A replica therefore
+//! records the holder of a lease on disk before it grants the lease.
 
 mod support;
 use sagetrail_protocol::control::{
@@ -7,12 +8,12 @@
 use sagetrail_protocol::node::Event;
 use sagetrail_protocol::{Message, NodeId, Term};
 use support::cluster::{Cluster, CLIENT};
-use support::network::{Conditions, CALM};
+use support::network::{Conditions, FAULT_FREE};
 
 const TERM: Term = 9;
 
-/// A replica that is isolated from the others, long after any lease.
-fn lonely_replica(seed: u64) -> (Cluster, usize, NodeId) {
+/// Returns a cluster with a replica that has been isolated for longer than any lease, and the address of the leader.
+fn isolated_replica(seed: u64) -> (Cluster, usize, NodeId) {
     let mut cluster = Cluster::bootstrapped(3, seed);
     let leader = cluster.leader().unwrap();
     let replica = (leader + 1) % 3;
@@ -22,7 +23,7 @@
     (cluster, replica, leader)
 }
 
-fn say(cluster: &mut Cluster, replica: usize, from: NodeId, message: ControlMessage) {
+fn send(cluster: &mut Cluster, replica: usize, from: NodeId, message: ControlMessage) {
     cluster.event(
         replica,
         Event::Message {
@@ -32,7 +33,7 @@
     );
 }
 
-fn ask_for_vote(cluster: &mut Cluster, replica: usize, term: Term, pre_vote: bool) -> bool {
+fn request_vote(cluster: &mut Cluster, replica: usize, term: Term, pre_vote: bool) -> bool {
     cluster.client_messages.clear();
     let request = VoteRequest {
         term,
@@ -41,7 +42,7 @@
         pre_vote,
         sent_at: 1,
     };
-    say(
+    send(
         cluster,
         replica,
         CLIENT,
@@ -53,7 +54,7 @@
         Message::Control(ControlMessage::VoteReply(reply)) => Some(reply.granted),
         _ => None,
     });
-    granted.next_back().expect("an answer")
+    granted.next_back().expect("no reply to the vote request")
 }
 
 fn renew(sent_at: u64, source: NodeId) -> ControlMessage {
@@ -68,7 +69,7 @@
     })
 }
 
-fn grants(cluster: &Cluster) -> usize {
+fn count_grants(cluster: &Cluster) -> usize {
     let is_grant =
         |message: &&Message| matches!(message, Message::Control(ControlMessage::RenewAck(_)));
     cluster.client_messages.iter().filter(is_grant).count()
@@ -76,43 +77,43 @@
 
 #[test]
 fn a_losing_candidate_cannot_resign_the_lease_of_the_leader() {
-    let (mut cluster, replica, leader) = lonely_replica(1);
-    // The loser of the term, here the client, had this replica's vote.
-    assert!(ask_for_vote(&mut cluster, replica, TERM, false));
-    say(&mut cluster, replica, leader, renew(1, leader));
+    let (mut cluster, replica, leader) = isolated_replica(1);
+    // The replica voted for the losing candidate of the term, which is the client here.
+    assert!(request_vote(&mut cluster, replica, TERM, false));
+    send(&mut cluster, replica, leader, renew(1, leader));
     cluster.run(50);
     cluster.kill(replica);
     cluster.start(replica, false);
-    say(
+    send(
         &mut cluster,
         replica,
         CLIENT,
         ControlMessage::Resign(Resign { term: TERM }),
     );
     assert!(
-        !ask_for_vote(&mut cluster, replica, TERM + 1, true),
-        "the leader's lease may be running"
+        !request_vote(&mut cluster, replica, TERM + 1, true),
+        "a vote was granted although the lease of the leader may not have expired"
     );
     cluster.run(1_000);
-    assert!(ask_for_vote(&mut cluster, replica, TERM + 1, true));
+    assert!(request_vote(&mut cluster, replica, TERM + 1, true));
 }
 
 #[test]
 fn no_lease_is_granted_before_its_holder_is_on_disk() {
-    let (mut cluster, replica, _) = lonely_replica(2);
+    let (mut cluster, replica, _) = isolated_replica(2);
     cluster.conditions = Conditions {
         sync_us: (50_000, 60_000),
-        ..CALM
+        ..FAULT_FREE
     };
     cluster.client_messages.clear();
-    say(&mut cluster, replica, CLIENT, renew(1, CLIENT));
+    send(&mut cluster, replica, CLIENT, renew(1, CLIENT));
     cluster.run(2);
-    say(&mut cluster, replica, CLIENT, renew(2, CLIENT));
+    send(&mut cluster, replica, CLIENT, renew(2, CLIENT));
     cluster.run(30);
-    assert_eq!(grants(&cluster), 0);
+    assert_eq!(count_grants(&cluster), 0);
     cluster.run(100);
-    assert_eq!(grants(&cluster), 2);
-    say(&mut cluster, replica, CLIENT, renew(3, CLIENT));
+    assert_eq!(count_grants(&cluster), 2);
+    send(&mut cluster, replica, CLIENT, renew(3, CLIENT));
     cluster.run(5);
-    assert_eq!(grants(&cluster), 3);
+    assert_eq!(count_grants(&cluster), 3);
 }
--- a/crates/cluster/control-plane/tests/long_histories.rs
+++ b/crates/cluster/control-plane/tests/long_histories.rs
@@ -1,5 +1,6 @@
-//! Long histories of records and configurations in mixed faults, many schedules, each from a seed. In every term that
-//! starts the service of the tests checks that nothing acknowledged is missing and no configuration goes back.
+//! Guards against lost records and configurations under mixed faults in clusters with many of them. Each schedule is
+//! drawn from a seed. At the start of every term, the service of the tests checks that no acknowledged request is
+//! missing and that the configuration version has not decreased.
 
 mod support;
 use rand::Rng;
@@ -13,22 +14,24 @@
 use support::requests::config;
 
 const STEPS: usize = 14;
-/// Few large records make a snapshot of several chunks.
+/// The number of preloaded records. A few large records are enough for a snapshot of several chunks.
 const ROWS: usize = 40;
 const ROW_BYTES: usize = 15_000;
-const ROUGH: Conditions = Conditions {
+const LOSSY: Conditions = Conditions {
     loss: 0.02,
     duplication: 0.03,
     delay_us: (200, 15_000),
     sync_us: (1_000, 15_000),
 };
-/// After the last fault: an election, and the time to catch up.
-const HEALED_MS: u64 = 1_500 + 4_000;
+/// The time for an election and for catching up after the last fault, in milliseconds.
+const CATCH_UP_AFTER_FAULTS_MS: u64 = 1_500 + 4_000;
 
-/// Changes of the configuration, one on top of the other, each sent until it is acknowledged.
+/// A chain of changes of the configuration, each of which is sent until it is confirmed.
 #[derive(Default)]
 struct Changes {
+    /// The newest confirmed version.
     acknowledged: u64,
+    /// The numbers of the requests for the next version.
     sent: Vec<u64>,
 }
 
@@ -52,25 +55,27 @@
     }
 }
 
+/// A schedule of faults on a cluster with many records.
 struct Schedule {
     history: History,
     changes: Changes,
-    /// Members whose disks were emptied and that do not hold everything again.
+    /// The members whose disks were emptied and that do not have all records again yet.
     lost: BTreeSet<usize>,
     context: String,
 }
 
-/// A request is acknowledged within this after the last member has caught up.
+/// The time within which a request is acknowledged after the last member has caught up, in milliseconds.
 const SERVED_MS: u64 = 500;
-/// A lease that runs out, the longest pause before a candidacy, its two rounds and a read of the register.
+/// The time for the expiry of a lease, the longest delay of a candidacy, its two rounds and a read of the register, in
+/// milliseconds.
 const ELECTION_MS: u64 = 2_000;
 const SERVED_STEP_MS: u64 = 100;
 
-/// A change is acknowledged within this.
+/// The time within which a change is confirmed, in milliseconds.
 const CHANGE_MS: u64 = 25;
 const CHANGES: u64 = 700;
 
-/// How long after the last member had caught up a request was acknowledged.
+/// The time between the catching up of the last member and the acknowledgement of a request, for one seed.
 struct Served {
     seed: u64,
     after_ms: u64,
@@ -80,7 +85,7 @@
     fn new(members: usize, seed: u64) -> Schedule {
         let mut history = History::new(members, seed, ROWS, ROW_BYTES, None);
         history.rate = 150;
-        history.cluster.conditions = ROUGH;
+        history.cluster.conditions = LOSSY;
         let (changes, lost) = (Changes::default(), BTreeSet::new());
         Schedule {
             history,
@@ -117,8 +122,9 @@
         }
     }
 
-    /// How long after the last member has caught up a request is acknowledged.
-    fn play(mut self) -> u64 {
+    /// Runs the schedule. Returns the time between the catching up of the last member and the acknowledgement of a
+    /// request, in milliseconds.
+    fn run(mut self) -> u64 {
         for _ in 0..STEPS {
             self.inject_fault();
             for _ in 0..4 {
@@ -127,14 +133,15 @@
                 self.history.run(pause);
             }
             let history = &self.history;
-            let complete = |member: &usize| {
-                history.cluster.machines[*member].node.is_none() || !holds_all(history, *member)
+            let is_incomplete = |member: &usize| {
+                history.cluster.machines[*member].node.is_none()
+                    || !has_all_records(history, *member)
             };
-            self.lost.retain(complete);
+            self.lost.retain(is_incomplete);
         }
         let members: Vec<usize> = (0..self.history.cluster.machines.len()).collect();
         self.history.cluster.end_faults(members.iter().copied());
-        let times = self.history.catch_up(&members, HEALED_MS);
+        let times = self.history.catch_up(&members, CATCH_UP_AFTER_FAULTS_MS);
         assert!(
             times.iter().all(Option::is_some),
             "{}: {times:?}",
@@ -148,17 +155,17 @@
         }
         assert!(
             self.history.cluster.acked() > before,
-            "{}: the service stands still",
+            "{}: no request is acknowledged",
             self.context
         );
         self.history.finish(&self.context);
         self.changes.step(&mut self.history.cluster);
         for member in members {
-            let version = self.history.cluster.read_back(member);
+            let version = self.history.cluster.read_version(member);
             let newest = Some(self.changes.acknowledged).filter(|newest| *newest > 0);
             assert!(
                 version >= newest,
-                "{}: {version:?} after {newest:?}",
+                "{}: read version {version:?}, expected at least {newest:?}",
                 self.context
             );
         }
@@ -166,23 +173,23 @@
     }
 }
 
-/// Whether a member has on disk everything that was acknowledged, and says so: it votes again.
-fn holds_all(history: &History, member: usize) -> bool {
+/// Returns whether a member has all acknowledged records on disk. Such a member reports them and votes again.
+fn has_all_records(history: &History, member: usize) -> bool {
     history.cluster.machines[member].disk.records.len() >= ROWS + history.cluster.acked()
 }
 
 fn run_all(members: usize, seeds: Range<u64>) -> Vec<Served> {
-    let play = |seed| Served {
+    let run = |seed| Served {
         seed,
-        after_ms: Schedule::new(members, seed).play(),
+        after_ms: Schedule::new(members, seed).run(),
     };
-    seeds.map(play).collect()
+    seeds.map(run).collect()
 }
 
-/// The schedules of three members, played once for all tests.
-fn of_three() -> &'static [Served] {
-    static PLAYED: OnceLock<Vec<Served>> = OnceLock::new();
-    PLAYED.get_or_init(|| run_all(3, 10_000..10_200))
+/// Returns the results of the schedules with three members, which are run once for all tests.
+fn schedules_of_three() -> &'static [Served] {
+    static SCHEDULES: OnceLock<Vec<Served>> = OnceLock::new();
+    SCHEDULES.get_or_init(|| run_all(3, 10_000..10_200))
 }
 
 fn assert_served_in_time<'a>(schedules: impl Iterator<Item = &'a Served>) {
@@ -195,22 +202,22 @@
 }
 
 #[test]
-fn long_histories_of_three_members_with_mixed_faults() {
-    assert_served_in_time(of_three().iter());
+fn three_members_keep_long_histories_under_mixed_faults() {
+    assert_served_in_time(schedules_of_three().iter());
 }
 
 #[test]
 fn three_members_serve_500_ms_after_the_last_has_caught_up() {
-    assert_served_in_time(of_three().iter());
+    assert_served_in_time(schedules_of_three().iter());
 }
 
 #[test]
-fn long_histories_of_five_members_with_mixed_faults() {
+fn five_members_keep_long_histories_under_mixed_faults() {
     assert_served_in_time(run_all(5, 20_000..20_100).iter());
 }
 
-/// Five members with thousands of records, under a steady rate of requests; two of them are off.
-fn without_two() -> (History, Vec<usize>) {
+/// Returns five members with thousands of records under a steady rate of requests, and the two members that are off.
+fn history_with_two_members_off() -> (History, Vec<usize>) {
     let mut history = History::new(5, 7, 2_000, 200, None);
     history.rate = 300;
     let late = history.followers()[..2].to_vec();
@@ -220,7 +227,7 @@
     (history, late)
 }
 
-/// Changes the configuration many times, each change on top of the one before and acknowledged within `CHANGE_MS`.
+/// Changes the configuration many times. Each change is based on the one before and is confirmed within `CHANGE_MS`.
 fn change_many(history: &mut History) {
     let leader = history.cluster.leader().unwrap();
     for version in 1..=CHANGES {
@@ -238,16 +245,17 @@
 
 #[test]
 fn each_of_700_changes_is_acknowledged_within_25_ms() {
-    let (mut history, _) = without_two();
+    let (mut history, _) = history_with_two_members_off();
     change_many(&mut history);
 }
 
 #[test]
 fn a_member_that_missed_hundreds_of_configurations_and_thousands_of_records_leads_with_the_newest()
 {
-    let (mut history, late) = without_two();
+    let (mut history, late) = history_with_two_members_off();
     change_many(&mut history);
-    // One of the two also loses its disk; the majority then consists of these two and one that knows everything.
+    // One of the two members also loses its disk. The majority then consists of these two and one member with all
+    // state.
     history.cluster.wipe(late[0]);
     late.iter()
         .for_each(|member| history.cluster.start(*member, false));
@@ -257,7 +265,7 @@
     history.cluster.power_off(others[1]);
     history.run(3_000);
     for member in late.iter().chain([&others[2]]) {
-        assert_eq!(history.cluster.read_back(*member), Some(CHANGES));
+        assert_eq!(history.cluster.read_version(*member), Some(CHANGES));
     }
     history.finish("after 700 configurations");
 }
--- a/crates/cluster/control-plane/tests/member_replacement.rs
+++ b/crates/cluster/control-plane/tests/member_replacement.rs
@@ -68,7 +68,7 @@
         "{context}: nothing is served"
     );
     assert_eq!(
-        cluster.read_back(successor),
+        cluster.read_version(successor),
         Some(5),
         "{context}: the configuration is not read back"
     );
@@ -283,7 +283,7 @@
         );
         for former in 0..3 {
             assert_eq!(
-                cluster.read_back(former),
+                cluster.read_version(former),
                 None,
                 "seed {seed}: a former member answered a configuration read"
             );
@@ -294,7 +294,7 @@
         }
         cluster.heal_network();
         cluster.run(5_000);
-        assert_eq!(cluster.read_back(0), Some(9), "seed {seed}");
+        assert_eq!(cluster.read_version(0), Some(9), "seed {seed}");
         assert!(acknowledges_requests(&mut cluster), "seed {seed}");
         assert_eq!(
             cluster.members(4),
@@ -320,7 +320,7 @@
             !cluster.members(removed).contains(&id(removed)),
             "seed {seed}"
         );
-        assert_eq!(cluster.read_back(removed), Some(9), "seed {seed}");
+        assert_eq!(cluster.read_version(removed), Some(9), "seed {seed}");
         assert!(acknowledges_requests(&mut cluster), "seed {seed}");
     }
 }
--- a/crates/cluster/control-plane/tests/membership.rs
+++ b/crates/cluster/control-plane/tests/membership.rs
@@ -26,7 +26,7 @@
         cluster.run(3_000);
         (0..5).for_each(|index| cluster.start(index, false));
         cluster.run(6_000);
-        assert_eq!(cluster.read_back(first), Some(5), "seed {seed}");
+        assert_eq!(cluster.read_version(first), Some(5), "seed {seed}");
         submit_requests(&mut cluster, 1_000..1_050);
         assert_eq!(cluster.acked(), 150, "seed {seed}");
     }
@@ -40,7 +40,7 @@
     cluster.start(spare, false);
     cluster.run(3_000);
     assert_eq!(cluster.replace(spare, 5, 7), 200);
-    assert_eq!(cluster.read_back(spare), Some(7));
+    assert_eq!(cluster.read_version(spare), Some(7));
     for index in 0..=spare {
         assert_eq!(
             cluster.members(index),
@@ -64,11 +64,11 @@
     assert_eq!(cluster.replace(4, 5, 9), 200);
     cluster.thaw(2);
     cluster.run(5_000);
-    assert_ne!(cluster.read_back(2), Some(5));
+    assert_ne!(cluster.read_version(2), Some(5));
     let seeds = cluster.seeds.clone();
     cluster.set_seeds(seeds);
     cluster.run(4_000);
-    assert_eq!(cluster.read_back(2), Some(9));
+    assert_eq!(cluster.read_version(2), Some(9));
 }
 
 #[test]
@@ -86,8 +86,8 @@
         cluster.run(1_000);
         cluster.start(emptied, false);
         cluster.run(4_000);
-        assert_eq!(cluster.read_back(emptied), Some(5), "seed {seed}");
-        assert_eq!(cluster.read_back(4), Some(5), "seed {seed}");
+        assert_eq!(cluster.read_version(emptied), Some(5), "seed {seed}");
+        assert_eq!(cluster.read_version(4), Some(5), "seed {seed}");
     }
 }
 
@@ -126,7 +126,7 @@
             "after machine {removed}"
         );
     }
-    assert_eq!(cluster.read_back(3), Some(5));
+    assert_eq!(cluster.read_version(3), Some(5));
 }
 
 #[test]
--- a/crates/cluster/control-plane/tests/non_member_messages.rs
+++ b/crates/cluster/control-plane/tests/non_member_messages.rs
@@ -1,4 +1,5 @@
-//! Messages of processes that are no members: directory, subscriptions, relayed messages, the leader's name.
+//! Tests the messages of processes that are not members: hellos, subscriptions, relayed messages, and requests to a
+//! process that is not the leader.
 
 mod support;
 use sagetrail_protocol::client::{ClientMethod, ClientRequest};
@@ -25,9 +26,9 @@
     })
 }
 
-fn subscribe(have: u64) -> Message {
+fn subscribe(known_version: u64) -> Message {
     Message::Subscribe(Subscribe {
-        known_version: have,
+        known_version,
         asked_at: 7,
     })
 }
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn another_process_names_the_leader() {
+fn a_process_that_is_not_the_leader_names_the_leader() {
     let mut cluster = Cluster::bootstrapped(3, 2);
     let leader = cluster.leader().unwrap();
     send(&mut cluster, (leader + 1) % 3, CLIENT, request(0));
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_subscriber_gets_what_is_newer_and_what_comes() {
+fn a_subscriber_receives_newer_and_later_configurations() {
     let mut cluster = Cluster::bootstrapped(3, 3);
     send(&mut cluster, 1, CLIENT, subscribe(0));
     assert!(matches!(
--- a/crates/cluster/control-plane/tests/normal_operation.rs
+++ b/crates/cluster/control-plane/tests/normal_operation.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: bootstrap, the configuration, records.
+//! Tests normal operation without faults: bootstrap, changes of the configuration, and records.
 
 mod support;
 use sagetrail_protocol::node::{Event, Method};
@@ -33,7 +33,7 @@
     assert_eq!(cluster.replace(1, 5, 7), 200);
     assert_eq!(cluster.replace(2, 5, 9), 412);
     assert_eq!(cluster.replace(2, 7, 7), 400);
-    assert_eq!(cluster.read_back(2), Some(7));
+    assert_eq!(cluster.read_version(2), Some(7));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     assert_eq!(cluster.replace(1, 5, 7), 200);
     assert_eq!(cluster.replace(2, 0, 5), 200);
     assert_eq!(cluster.replace(0, 5, 7), 200);
-    assert_eq!(cluster.read_back(0), Some(7));
+    assert_eq!(cluster.read_version(0), Some(7));
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let number = cluster.http(1, Method::Post, "/v1/config/patch", Some(5), patch);
     cluster.run(1_000);
     assert_eq!(cluster.status(number), 200);
-    assert_eq!(cluster.read_back(2), Some(6));
+    assert_eq!(cluster.read_version(2), Some(6));
 }
 
 #[test]
@@ -86,7 +86,7 @@
         })
         .collect();
     cluster.run(4_000);
-    let taken = numbers
+    let confirmed = numbers
         .iter()
         .filter(|number| cluster.status(**number) == 200)
         .count();
@@ -94,7 +94,7 @@
         .iter()
         .filter(|number| cluster.status(**number) == 412)
         .count();
-    assert_eq!((taken, rejected), (1, 7));
+    assert_eq!((confirmed, rejected), (1, 7));
 }
 
 #[test]
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn an_idle_core_wakes_seldom() {
+fn an_idle_core_handles_fewer_than_60_events_a_second() {
     let mut cluster = Cluster::bootstrapped(3, 11);
     let before = cluster.events;
     cluster.run(10_000);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn sigterm_hands_over_quickly() {
+fn a_terminated_leader_hands_over_within_450_ms() {
     let mut cluster = Cluster::bootstrapped(3, 12);
     let leader = cluster.leader().unwrap();
     cluster.event(leader, Event::Terminate);
--- a/crates/cluster/control-plane/tests/processor_quota.rs
+++ b/crates/cluster/control-plane/tests/processor_quota.rs
@@ -1,5 +1,6 @@
-//! A share of a core given as a quota: a process runs at full speed until the quota of a period is spent, and then stands
-//! still for the rest of it. On a quiet day no election may come of that.
+//! Guards against elections that are caused by a processor quota. A process runs at full speed until it has used the
+//! quota of a period, and then does not run for the rest of the period. Without other faults this must not cause an
+//! election.
 
 mod support;
 use rand::Rng;
@@ -8,34 +9,37 @@
 
 const MEMBERS: usize = 5;
 const SEEDS: u64 = 10;
-/// The platform's period, in milliseconds.
+/// The quota period of the platform, in milliseconds.
 const PERIOD_MS: u64 = 100;
+/// The number of periods in a schedule.
 const PERIODS: usize = 300;
-/// What is left of a period where a process uses hardly anything, and where it spends all at once, in milliseconds.
+/// The shortest and the longest time for which a process runs in a period, in milliseconds. The time is short if the
+/// process uses the quota all at once, and long if it uses hardly any of it.
 const SHORTEST_RUN_MS: u64 = 5;
 const LONGEST_RUN_MS: u64 = 60;
 
-/// The moments of one period at which something changes, in milliseconds from its start, with the machine concerned.
+/// One period.
 struct Period {
+    /// The times at which machines stop running, in milliseconds from the start of the period, with the machine.
     pauses: Vec<(u64, usize)>,
 }
 
 impl Period {
-    /// Every machine runs for a while and stands still until the period ends.
-    fn draw(cluster: &mut Cluster) -> Period {
+    /// Returns a period in which every machine runs for a random time and then stands still.
+    fn random(cluster: &mut Cluster) -> Period {
         let mut pauses: Vec<(u64, usize)> = (0..MEMBERS)
             .map(|machine| {
-                let runs_ms = cluster
+                let run_ms = cluster
                     .random
                     .random_range(SHORTEST_RUN_MS..=LONGEST_RUN_MS);
-                (runs_ms, machine)
+                (run_ms, machine)
             })
             .collect();
         pauses.sort_unstable();
         Period { pauses }
     }
 
-    fn play(self, cluster: &mut Cluster) {
+    fn run(self, cluster: &mut Cluster) {
         let mut elapsed_ms = 0;
         for (at_ms, machine) in self.pauses {
             cluster.run(at_ms - elapsed_ms);
@@ -48,14 +52,14 @@
 }
 
 #[test]
-fn a_quiet_day_under_a_quota_has_no_election() {
+fn a_processor_quota_causes_no_election() {
     for seed in 1..=SEEDS {
         let mut cluster = Cluster::bootstrapped(MEMBERS, seed);
         let terms = cluster.terms();
         for request in 0..PERIODS as u64 {
-            let leader = cluster.leader().expect("a leader");
+            let leader = cluster.leader().expect("no leader");
             cluster.submit(leader, request);
-            Period::draw(&mut cluster).play(&mut cluster);
+            Period::random(&mut cluster).run(&mut cluster);
         }
         cluster.run(1_000);
         assert_eq!(cluster.terms(), terms, "seed {seed}: an election");
@@ -73,7 +77,7 @@
             let body = config(version);
             let number = cluster.http(0, method, path, Some(version - 1), &body);
             for _ in 0..10 {
-                Period::draw(&mut cluster).play(&mut cluster);
+                Period::random(&mut cluster).run(&mut cluster);
             }
             assert_eq!(
                 cluster.status(number),
--- a/crates/cluster/control-plane/tests/random_faults.rs
+++ b/crates/cluster/control-plane/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Hundreds of schedules of mixed faults, each from a seed: loss, delay, reordering, crashes with unsynced writes, members
-//! that are replaced meanwhile.
+//! Guards against lost or contradicting answers under random faults: loss, delay and reordering of messages, crashes
+//! with unsynced writes, and the replacement of members. Each of the hundreds of schedules is drawn from a seed.
 
 mod support;
 use rand::Rng;
@@ -11,35 +11,36 @@
 use support::requests::config;
 
 const STEPS: usize = 60;
-/// With odd seeds fault comes only at each so many steps.
-const CALM_STEPS: usize = 5;
-const ROUGH: Conditions = Conditions {
+/// The number of steps between faults with odd seeds. With even seeds a fault may occur in each step.
+const FAULT_INTERVAL_STEPS: usize = 5;
+const LOSSY: Conditions = Conditions {
     loss: 0.05,
     duplication: 0.05,
     delay_us: (200, 30_000),
     sync_us: (1_000, 20_000),
 };
 
-/// Machines that come and go for good.
+/// The replacement of machines, which are removed permanently.
 #[derive(Default)]
 struct Replacements {
-    /// Asked to end, and not gone yet.
+    /// The machine whose process was sent SIGTERM and has not been removed yet.
     leaving: Option<usize>,
+    /// The machines that were removed.
     retired: BTreeSet<usize>,
 }
 
-/// The platform names machines that serve as seeds: members by the word of the scheduler, or of `other` where none is up.
+/// Sets the seeds to members as the leader reports them, or as `other` reports them if there is no leader.
 fn set_members_as_seeds(cluster: &mut Cluster, other: usize) {
-    let teller = cluster.leader().unwrap_or(other);
-    let members: Vec<NodeId> = cluster.members(teller).into_iter().take(3).collect();
+    let informant = cluster.leader().unwrap_or(other);
+    let members: Vec<NodeId> = cluster.members(informant).into_iter().take(3).collect();
     if !members.is_empty() {
         cluster.set_seeds(members);
     }
 }
 
 impl Replacements {
-    /// Starts a successor and asks a member to end; once that one has ended, it is gone with its disk if it was a member
-    /// no more, and restarts otherwise.
+    /// Starts a successor and sends SIGTERM to a member. Once the process has ended, its machine is removed with its
+    /// disk if it is no longer a member, and is restarted otherwise.
     fn step(&mut self, cluster: &mut Cluster) {
         let Some(leaving) = self.leaving else {
             return self.begin(cluster);
@@ -72,7 +73,7 @@
         self.leaving = Some(index);
     }
 
-    /// All machines that are there for the cluster.
+    /// Returns all machines that have not been removed.
     fn present(&self, cluster: &Cluster) -> Vec<usize> {
         (0..cluster.machines.len())
             .filter(|index| !self.retired.contains(index))
@@ -147,21 +148,21 @@
     json["version"].as_u64()
 }
 
-fn play(count: usize, seed: u64, replacing: bool) {
+fn run_schedule(count: usize, seed: u64, replacing: bool) {
     let mut cluster = Cluster::bootstrapped(count, seed);
-    cluster.conditions = ROUGH;
+    cluster.conditions = LOSSY;
     let mut changes: Vec<Change> = Vec::new();
     let mut newest = 0;
     let mut request = 0;
     let mut wiped = 0;
-    let mut read_back = None;
+    let mut last_read = None;
     let mut replacements = Replacements::default();
     for step in 0..STEPS {
         if replacing {
             replacements.step(&mut cluster);
         }
         let present = replacements.present(&cluster);
-        if seed.is_multiple_of(2) || step.is_multiple_of(CALM_STEPS) {
+        if seed.is_multiple_of(2) || step.is_multiple_of(FAULT_INTERVAL_STEPS) {
             inject_fault(&mut cluster, &present, &mut wiped);
         }
         for _ in 0..10 {
@@ -173,8 +174,8 @@
             cluster.run(pause);
         }
         changes.push(change(&mut cluster, &present, newest));
-        if let Some(again) = changes.iter().rev().nth(3) {
-            let (base, content) = (again.base, again.content.clone());
+        if let Some(repeated) = changes.iter().rev().nth(3) {
+            let (base, content) = (repeated.base, repeated.content.clone());
             let index = pick(&mut cluster, &present);
             cluster.http(
                 index,
@@ -187,12 +188,12 @@
         let pause = cluster.random.random_range(10..400);
         cluster.run(pause);
         newest = newest.max(
-            read_back
+            last_read
                 .and_then(|number| version_read(&cluster, number))
                 .unwrap_or(0),
         );
         let index = pick(&mut cluster, &present);
-        read_back = Some(cluster.http(index, Method::Get, "/v1/config/get", None, ""));
+        last_read = Some(cluster.http(index, Method::Get, "/v1/config/get", None, ""));
         let acked = changes
             .iter()
             .filter(|change| cluster.status(change.number) == 200);
@@ -206,7 +207,7 @@
     cluster.end_faults(present.iter().copied());
     cluster.run(6_000);
     if replacements.leaving.is_some() {
-        // The one that was asked to end has ended by now.
+        // The process that was sent SIGTERM has ended by now.
         replacements.step(&mut cluster);
         let present = replacements.present(&cluster);
         cluster.end_faults(present.iter().copied());
@@ -221,13 +222,13 @@
     let before = cluster.acked();
     let leader = cluster
         .leader()
-        .unwrap_or_else(|| panic!("seed {seed}: nobody schedules"));
+        .unwrap_or_else(|| panic!("seed {seed}: no leader"));
     cluster.submit(leader, 1_000_000);
     cluster.run(500);
     assert_eq!(
         cluster.acked(),
         before + 1,
-        "seed {seed}: the service stands still"
+        "seed {seed}: no request is acknowledged"
     );
     let members = cluster.members(leader);
     assert_eq!(members.len(), count, "seed {seed}: {members:?}");
@@ -249,7 +250,7 @@
         let winner = by_base.entry(change.base).or_insert(&change.content);
         assert_eq!(
             *winner, change.content,
-            "seed {seed}: two changes on top of {}",
+            "seed {seed}: two changes on base {} were confirmed",
             change.base
         );
     }
@@ -259,17 +260,17 @@
         .map(|change| change.version)
         .max();
     for index in present.iter().copied() {
-        let read = cluster.read_back(index);
+        let read = cluster.read_version(index);
         assert!(
             read >= newest,
-            "seed {seed}: {read:?} is older than {newest:?}"
+            "seed {seed}: read version {read:?}, expected at least {newest:?}"
         );
     }
-    let taken: Vec<&Change> = changes
+    let confirmed: Vec<&Change> = changes
         .iter()
         .filter(|change| cluster.status(change.number) == 200)
         .collect();
-    for change in taken {
+    for change in confirmed {
         let index = present[0];
         let number = cluster.http(
             index,
@@ -289,21 +290,21 @@
 }
 
 #[test]
-fn three_members_with_random_faults() {
-    (0..150).for_each(|seed| play(3, 1_000 + seed, false));
+fn three_members_stay_consistent_under_random_faults() {
+    (0..150).for_each(|seed| run_schedule(3, 1_000 + seed, false));
 }
 
 #[test]
-fn five_members_with_random_faults() {
-    (0..60).for_each(|seed| play(5, 5_000 + seed, false));
+fn five_members_stay_consistent_under_random_faults() {
+    (0..60).for_each(|seed| run_schedule(5, 5_000 + seed, false));
 }
 
 #[test]
 fn three_members_are_replaced_under_random_faults() {
-    (0..150).for_each(|seed| play(3, 9_000 + seed, true));
+    (0..150).for_each(|seed| run_schedule(3, 9_000 + seed, true));
 }
 
 #[test]
 fn five_members_are_replaced_under_random_faults() {
-    (0..60).for_each(|seed| play(5, 13_000 + seed, true));
+    (0..60).for_each(|seed| run_schedule(5, 13_000 + seed, true));
 }
--- a/crates/cluster/control-plane/tests/resubmission.rs
+++ b/crates/cluster/control-plane/tests/resubmission.rs
@@ -5,7 +5,7 @@
 mod support;
 use rand::Rng;
 use support::cluster::Cluster;
-use support::operators::{patch, read_back, replacement, Answering, Change, Operators};
+use support::operators::{patch, read_config, replacement, AnswerMode, Change, Operators};
 
 /// A number of changes far above that of the recent changes in the register's value.
 const MANY_CHANGES: u64 = 2_100;
@@ -39,7 +39,7 @@
 
 fn with_many_changes(seed: u64, through: &[usize]) -> (Cluster, Operators) {
     let mut cluster = Cluster::bootstrapped(3, seed);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     send_changes(&mut cluster, &mut operators, 0..MANY_CHANGES, through);
     (cluster, operators)
 }
@@ -61,7 +61,7 @@
             );
         }
     }
-    let read = read_back(cluster, through[0]);
+    let read = read_config(cluster, through[0]);
     assert_eq!(operators.check(cluster, &read), Ok(()));
 }
 
@@ -90,13 +90,13 @@
 #[test]
 fn accepted_changes_are_confirmed_by_a_member_that_missed_them() {
     let mut cluster = Cluster::bootstrapped(3, 2);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     cluster.isolate(2);
     send_changes(&mut cluster, &mut operators, 0..MANY_CHANGES, &[0, 1]);
     cluster.heal_network();
     // Until the missing changes have arrived, the outcome may be unknown, but an accepted change is never rejected.
     for base in TESTED_BASES {
-        let status = operators.ask(&mut cluster, 2, &change(base, "a"));
+        let status = operators.send_and_wait(&mut cluster, 2, &change(base, "a"));
         assert!([200, 503, 504].contains(&status), "base {base}: {status}");
     }
     cluster.run(3_000);
@@ -168,14 +168,20 @@
     cluster.run(4_000);
     for index in 0..3 {
         assert!(is_caught_up(&cluster, index));
-        assert_eq!(operators.ask(&mut cluster, index, &change(0, "a")), 504);
-        assert_eq!(operators.ask(&mut cluster, index, &change(0, "b")), 504);
         assert_eq!(
-            operators.ask(&mut cluster, index, &change(MANY_CHANGES - 1, "a")),
+            operators.send_and_wait(&mut cluster, index, &change(0, "a")),
+            504
+        );
+        assert_eq!(
+            operators.send_and_wait(&mut cluster, index, &change(0, "b")),
+            504
+        );
+        assert_eq!(
+            operators.send_and_wait(&mut cluster, index, &change(MANY_CHANGES - 1, "a")),
             200
         );
     }
-    let read = read_back(&mut cluster, 0);
+    let read = read_config(&mut cluster, 0);
     assert_eq!(operators.check(&cluster, &read), Ok(()));
 }
 
@@ -234,7 +240,7 @@
 /// the end that repeated changes keep their outcome.
 fn check_history_with_outages(seed: u64) {
     let mut cluster = Cluster::bootstrapped(3, 500 + seed);
-    let mut operators = Operators::new(Answering::Sound);
+    let mut operators = Operators::new(AnswerMode::Unmodified);
     let mut down = None;
     for base in 0..400 {
         if base % 20 == 0 {
@@ -266,7 +272,7 @@
             "seed {seed}, base {base}"
         );
     }
-    let read = read_back(&mut cluster, 0);
+    let read = read_config(&mut cluster, 0);
     assert_eq!(operators.check(&cluster, &read), Ok(()), "seed {seed}");
 }
 
--- a/crates/cluster/control-plane/tests/snapshots.rs
+++ b/crates/cluster/control-plane/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! Chunks of snapshots that are damaged, old or of another term are rejected, and the transfer still completes.
+//! Guards against the installation of snapshot chunks that are damaged, outdated or of another term. Such chunks are
+//! rejected, and the transfer still completes.
 
 mod support;
 use rand::{Rng, SeedableRng};
@@ -10,8 +11,8 @@
 
 const ROWS: usize = 3_000;
 const BYTES: usize = 500;
-/// So many chunks are spoilt before all arrive as they were sent.
-const SPOILT: usize = 8;
+/// The number of chunks that are damaged before the remaining ones arrive unchanged.
+const DAMAGED_CHUNKS: usize = 8;
 
 /// Ways in which a chunk is damaged.
 const DAMAGES: [fn(&mut SnapshotChunk, &mut Pcg64Mcg); 7] = [
@@ -38,7 +39,7 @@
     |chunk, _| chunk.last = !chunk.last,
     |chunk, _| chunk.position.number += 1,
     |chunk, random| {
-        // The same bytes, cut elsewhere between key and value.
+        // The bytes stay the same, and the boundary between key and value moves.
         let place = random.random_range(0..chunk.entries.0.len());
         let entry = &mut chunk.entries.0[place];
         let first = entry.value.0.remove(0);
@@ -50,29 +51,32 @@
     matches!(message, ControlMessage::SnapshotChunk(_))
 }
 
-/// Empties the disk of a follower; `spoil` sees all messages of the transfer that fills it.
-fn refill(history: &mut History, spoil: impl FnMut(&mut ControlMessage) + 'static) -> usize {
-    let late = history.followers()[0];
-    let mut spoil = spoil;
+/// Empties the disk of a follower and restarts it. `damage_message` may modify all control messages from then on.
+fn refill(
+    history: &mut History,
+    damage_message: impl FnMut(&mut ControlMessage) + 'static,
+) -> usize {
+    let emptied = history.followers()[0];
+    let mut damage_message = damage_message;
     history.cluster.tamper = Some(Box::new(move |_, _, message| {
         if let Some(message) = control(message) {
-            spoil(message);
+            damage_message(message);
         }
         true
     }));
-    history.cluster.wipe(late);
+    history.cluster.wipe(emptied);
     history.run(300);
-    history.cluster.start(late, false);
-    late
+    history.cluster.start(emptied, false);
+    emptied
 }
 
-/// Lets a function see the chunks alone.
-fn chunks(
-    mut spoil: impl FnMut(&mut SnapshotChunk) + 'static,
+/// Applies a function to the snapshot chunks only.
+fn on_chunks(
+    mut damage_message: impl FnMut(&mut SnapshotChunk) + 'static,
 ) -> impl FnMut(&mut ControlMessage) + 'static {
     move |message| {
         if let ControlMessage::SnapshotChunk(chunk) = message {
-            spoil(chunk);
+            damage_message(chunk);
         }
     }
 }
@@ -85,15 +89,15 @@
             let mut history = History::new(3, seed, ROWS, BYTES, None);
             history.rate = 100;
             let mut random = Pcg64Mcg::seed_from_u64(seed);
-            let mut left = SPOILT;
-            let spoil = chunks(move |chunk| {
+            let mut left = DAMAGED_CHUNKS;
+            let damage_message = on_chunks(move |chunk| {
                 if left > 0 && random.random_bool(0.3) {
                     left -= 1;
                     damage(chunk, &mut random);
                 }
             });
-            let late = refill(&mut history, spoil);
-            let times = history.catch_up(&[late], 8_000);
+            let emptied = refill(&mut history, damage_message);
+            let times = history.catch_up(&[emptied], 8_000);
             assert!(times[0].is_some(), "{context}: never caught up");
             history.finish(&context);
         }
@@ -106,9 +110,10 @@
         let mut history = History::new(3, 50 + seed, ROWS, BYTES, None);
         history.rate = 500;
         let old = first_transfer(&mut history);
-        // Chunks of the next snapshot have the entries of the first one, which were complete as well.
-        let mut left = SPOILT;
-        let spoil = chunks(move |chunk| {
+        // Some chunks of the next snapshot are given the entries and the checksum of the first snapshot, which was
+        // valid too.
+        let mut left = DAMAGED_CHUNKS;
+        let damage_message = on_chunks(move |chunk| {
             let other = old.iter().find(|chunk| chunk.index == chunk.index);
             if let Some(other) = other.filter(|_| left > 0 && chunk.index % 2 == 1) {
                 left -= 1;
@@ -116,16 +121,16 @@
                 chunk.checksum = other.checksum;
             }
         });
-        let late = refill(&mut history, spoil);
+        let emptied = refill(&mut history, damage_message);
         assert!(
-            history.catch_up(&[late], 8_000)[0].is_some(),
+            history.catch_up(&[emptied], 8_000)[0].is_some(),
             "seed {seed}: never caught up"
         );
         history.finish(&format!("seed {seed}"));
     }
 }
 
-/// Sends the chunks of an earlier transfer, as they were, in the place of the next ones: whichever is asked for.
+/// Replaces the next chunks by the requested chunks of an earlier transfer. Only their term is changed.
 fn replay(old: Vec<SnapshotChunk>) -> impl FnMut(&mut ControlMessage) {
     let mut left = old.len();
     let mut wanted = 0;
@@ -149,32 +154,38 @@
     }
 }
 
-/// Fills a follower, keeping the chunks that it was sent.
+/// Empties the disk of a follower, lets it catch up, and returns the chunks that were sent to it.
 fn first_transfer(history: &mut History) -> Vec<SnapshotChunk> {
-    let committed: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
-    let sent = committed.clone();
-    let late = refill(
+    let received: Arc<Mutex<Vec<SnapshotChunk>>> = Arc::default();
+    let sent = received.clone();
+    let emptied = refill(
         history,
-        chunks(move |chunk| sent.lock().unwrap().push(chunk.clone())),
+        on_chunks(move |chunk| sent.lock().unwrap().push(chunk.clone())),
     );
     assert!(
-        history.catch_up(&[late], 8_000)[0].is_some(),
-        "the first transfer"
+        history.catch_up(&[emptied], 8_000)[0].is_some(),
+        "the first transfer did not complete"
     );
     history.cluster.tamper = None;
-    let chunks = committed.lock().unwrap().clone();
+    let chunks = received.lock().unwrap().clone();
     assert!(chunks.last().is_some_and(|chunk| chunk.last), "no transfer");
     chunks
 }
 
-/// Runs and sees that a member never holds less than before, from the moment on at which it holds anything.
-fn never_goes_back(history: &mut History, member: usize, least: usize, millis: u64, context: &str) {
+/// Runs the cluster and checks that a member has either no records or at least `min_records` records on disk.
+fn assert_records_never_shrink(
+    history: &mut History,
+    member: usize,
+    min_records: usize,
+    millis: u64,
+    context: &str,
+) {
     for _ in 0..millis / 5 {
         history.run(5);
         let rows = history.cluster.machines[member].disk.records.len();
         assert!(
-            rows == 0 || rows >= least,
-            "{context}: {rows} records after {least}"
+            rows == 0 || rows >= min_records,
+            "{context}: {rows} records, expected at least {min_records}"
         );
     }
 }
@@ -186,10 +197,16 @@
         history.rate = 200;
         let old = first_transfer(&mut history);
         history.run(1_000);
-        let late = history.followers()[0];
-        let least = history.cluster.machines[late].disk.records.len();
+        let emptied = history.followers()[0];
+        let min_records = history.cluster.machines[emptied].disk.records.len();
         refill(&mut history, replay(old));
-        never_goes_back(&mut history, late, least, 4_000, &format!("seed {seed}"));
+        assert_records_never_shrink(
+            &mut history,
+            emptied,
+            min_records,
+            4_000,
+            &format!("seed {seed}"),
+        );
         history.finish(&format!("seed {seed}"));
     }
 }
@@ -201,23 +218,29 @@
         history.rate = 500;
         let old = first_transfer(&mut history);
         history.run(500);
-        let late = history.followers()[0];
-        // Batches do not come to it, so it has to fetch a snapshot; what it is sent is the old one.
-        let name = history.cluster.machines[late].id;
-        let mut spoil = replay(old);
+        let behind = history.followers()[0];
+        // Batches to this member are lost, so that it has to fetch a snapshot. It is sent the old one.
+        let name = history.cluster.machines[behind].id;
+        let mut damage_message = replay(old);
         let mut batches_lost = 400;
         history.cluster.tamper = Some(Box::new(move |_, to, message| {
             let Some(message) = control(message) else {
                 return true;
             };
-            spoil(message);
+            damage_message(message);
             let lost =
                 to == name && batches_lost > 0 && matches!(message, ControlMessage::RecordBatch(_));
             batches_lost -= usize::from(lost);
             !lost
         }));
-        let least = history.cluster.machines[late].disk.records.len();
-        never_goes_back(&mut history, late, least, 4_000, &format!("seed {seed}"));
+        let min_records = history.cluster.machines[behind].disk.records.len();
+        assert_records_never_shrink(
+            &mut history,
+            behind,
+            min_records,
+            4_000,
+            &format!("seed {seed}"),
+        );
         history.finish(&format!("seed {seed}"));
     }
 }
@@ -245,26 +268,32 @@
                     .unwrap()
                     .0
         );
-        let late = history.followers()[0];
-        let least = history.cluster.machines[late].disk.records.len();
+        let emptied = history.followers()[0];
+        let min_records = history.cluster.machines[emptied].disk.records.len();
         refill(&mut history, replay(old));
-        never_goes_back(&mut history, late, least, 4_000, &format!("seed {seed}"));
+        assert_records_never_shrink(
+            &mut history,
+            emptied,
+            min_records,
+            4_000,
+            &format!("seed {seed}"),
+        );
         history.finish(&format!("seed {seed}"));
     }
 }
 
 #[test]
-fn no_chunk_goes_to_a_member_that_has_everything() {
+fn no_chunk_is_sent_to_a_member_that_has_all_records() {
     let mut history = History::new(3, 400, ROWS, BYTES, None);
     history.rate = 1_000;
     let count = Arc::new(Mutex::new(0));
-    let counted = count.clone();
+    let counter = count.clone();
     history.cluster.tamper = Some(Box::new(move |_, _, message| {
-        *counted.lock().unwrap() +=
+        *counter.lock().unwrap() +=
             usize::from(control(message).is_some_and(|control| is_chunk(control)));
         true
     }));
     history.run(5_000);
     assert_eq!(*count.lock().unwrap(), 0);
-    history.finish("calm");
+    history.finish("without faults");
 }
--- a/crates/cluster/control-plane/tests/stale_fences.rs
+++ b/crates/cluster/control-plane/tests/stale_fences.rs
@@ -1,8 +1,9 @@
-//! A process that was refused because another had used a higher fence does not go on with the lower one.
+//! Guards against a process that keeps using a fence after it was refused because another process had used a higher
+//! one.
 //!
-//! Fences are the term (renewals, batches of records, requests for votes) and the number of a proposal (both phases of
-//! the register). The checker reads messages only: who was refused under which fence, and what that one sent under it
-//! later than the longest lease after the refusal.
+//! A fence is a term (of renewals, batches of records and requests for votes) or a proposal number (of both phases of
+//! the register). The checker uses messages only. It records which process was refused under which fence, and detects
+//! messages of that process under the same fence that are sent later than the longest lease after the refusal.
 
 mod support;
 use rand::Rng;
@@ -21,27 +22,28 @@
 const STEP_MS: u64 = 250;
 /// The longest lease among core processes, in microseconds.
 const LEASE_US: u64 = 600_000;
-const ROUGH: Conditions = Conditions {
+const LOSSY: Conditions = Conditions {
     loss: 0.02,
     duplication: 0.02,
     delay_us: (200, 20_000),
     sync_us: (1_000, 12_000),
 };
 
-/// What a process orders under, where another may use a higher one.
+/// A fence under which a process sends a request. Another process may use a higher one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Fence {
     Term(Term),
     Proposal(ProposalNumber),
 }
 
-/// Refusals that reached their receiver, and what was sent in spite of them.
+/// The refusals that reached their receiver, and the messages that were sent in spite of them.
 #[derive(Default)]
 struct Trace {
-    /// When a process first learnt that it was refused under a fence, in microseconds.
+    /// When each process first received a refusal under a fence, in microseconds of true time.
     refused: BTreeMap<(NodeId, Fence), u64>,
-    /// What was sent under a refused fence, too late.
+    /// The messages that were sent under a refused fence later than a lease after the refusal.
     stale: Vec<String>,
+    /// The number of refusals.
     refusals: u64,
 }
 
@@ -51,20 +53,22 @@
             return;
         };
         match passage {
-            Passage::Received => self.note_refusal(now, to, message),
-            Passage::Sent => self.check_order(now, from, message),
+            Passage::Received => self.record_refusal(now, to, message),
+            Passage::Sent => self.check_fenced_message(now, from, message),
         }
     }
 
-    fn note_refusal(&mut self, now: u64, refused: NodeId, message: &ControlMessage) {
-        if let Some(fence) = refusal(message) {
+    fn record_refusal(&mut self, now: u64, refused: NodeId, message: &ControlMessage) {
+        if let Some(fence) = refused_fence(message) {
             self.refusals += 1;
             self.refused.entry((refused, fence)).or_insert(now);
         }
     }
 
-    fn check_order(&mut self, now: u64, from: NodeId, message: &ControlMessage) {
-        let Some(fence) = order(message) else { return };
+    fn check_fenced_message(&mut self, now: u64, from: NodeId, message: &ControlMessage) {
+        let Some(fence) = used_fence(message) else {
+            return;
+        };
         let refused_at = self.refused.get(&(from, fence));
         if refused_at.is_some_and(|at| now > at + LEASE_US) {
             self.stale.push(format!("{now} us: {from} {fence:?}"));
@@ -72,8 +76,8 @@
     }
 }
 
-/// The fence that a message refuses, because of a higher one.
-fn refusal(message: &ControlMessage) -> Option<Fence> {
+/// Returns the fence that a message refuses because of a higher one.
+fn refused_fence(message: &ControlMessage) -> Option<Fence> {
     match message {
         ControlMessage::RenewAck(ack) if ack.promised > ack.term => Some(Fence::Term(ack.term)),
         ControlMessage::VoteReply(reply) if !reply.pre_vote && reply.promised > reply.term => {
@@ -84,8 +88,8 @@
     }
 }
 
-/// The fence under which a message orders something.
-fn order(message: &ControlMessage) -> Option<Fence> {
+/// Returns the fence under which a message is sent.
+fn used_fence(message: &ControlMessage) -> Option<Fence> {
     match message {
         ControlMessage::Renew(renew) => Some(Fence::Term(renew.term)),
         ControlMessage::RecordBatch(batch) => Some(Fence::Term(batch.term)),
@@ -114,10 +118,11 @@
     (cluster, trace)
 }
 
-/// Leaders that lose touch one way, freeze and lose power, and changes of the configuration at several members at once.
+/// Runs a schedule in which leaders are isolated in one direction, freeze and lose power, while the configuration is
+/// changed at several members at once.
 fn play(seed: u64) -> SharedTrace {
     let (mut cluster, trace) = observed_cluster(seed);
-    cluster.conditions = ROUGH;
+    cluster.conditions = LOSSY;
     for version in 1..=STEPS as u64 {
         for member in [0, 1] {
             let body = config(version).replace("/p", &format!("/m{member}p"));
@@ -148,11 +153,11 @@
         4..=6 => cluster.end_faults(0..MEMBERS),
         _ => {}
     }
-    cluster.conditions = ROUGH;
+    cluster.conditions = LOSSY;
 }
 
 #[test]
-fn no_fence_is_used_again_a_lease_after_it_was_refused() {
+fn no_fence_is_used_longer_than_a_lease_after_its_refusal() {
     let mut refusals = 0;
     for seed in 1..=SEEDS {
         let trace = play(seed);
@@ -163,12 +168,13 @@
     assert!(refusals > SEEDS, "only {refusals} refusals");
 }
 
-/// How a leader misreads what it receives.
+/// A modification of the messages that a leader receives.
 type Misreading = fn(&mut Message);
 
-/// Seeds with which the trace notices a leader whose goes on with a misreading after it was frozen for longer than its lease.
-fn noticed_seeds(misread: Misreading) -> usize {
-    let is_noticed = |seed: &u64| {
+/// Returns the number of seeds with which the trace detects a leader that receives modified messages after it was
+/// frozen for longer than its lease.
+fn count_detected(misread: Misreading) -> usize {
+    let is_detected = |seed: &u64| {
         let (mut cluster, trace) = observed_cluster(*seed);
         let leader = cluster.leader().unwrap();
         let frozen_at = cluster.now;
@@ -185,10 +191,10 @@
         let trace = trace.lock().unwrap();
         !trace.stale.is_empty()
     };
-    (1..=SEEDS).filter(is_noticed).count()
+    (1..=SEEDS).filter(is_detected).count()
 }
 
-/// Takes the refusal of a renewal for a grant, and no notice of other leaders and candidates.
+/// Turns the refusal of a renewal into a grant and hides other leaders and candidates.
 fn ignore_higher_terms(message: &mut Message) {
     let Message::Control(message) = message else {
         return;
@@ -202,13 +208,13 @@
 }
 
 #[test]
-fn a_leader_that_ignores_higher_terms_is_noticed() {
-    assert!(noticed_seeds(ignore_higher_terms) > 0);
-    assert_eq!(noticed_seeds(|_| ()), 0);
+fn the_trace_detects_a_leader_that_ignores_higher_terms() {
+    assert!(count_detected(ignore_higher_terms) > 0);
+    assert_eq!(count_detected(|_| ()), 0);
 }
 
 #[test]
-fn the_trace_notices_a_proposal_that_is_sent_again() {
+fn the_trace_detects_a_proposal_number_that_is_used_after_its_refusal() {
     let mut trace = Trace::default();
     let proposal = ProposalNumber {
         counter: 3,
--- a/crates/cluster/control-plane/tests/support/cluster.rs
+++ b/crates/cluster/control-plane/tests/support/cluster.rs
@@ -1,9 +1,9 @@
-//! A core cluster in simulated time: its machines, network and disks, driven by one queue of actions.
+//! A core cluster in simulated time. One queue of actions drives its machines, network and disks.
 
 use super::journal::{factory, Journal, SharedJournal};
 use super::machine::{apply, DiskMode, Machine};
-use super::network::{Conditions, Observer, Passage, Tamper, CALM};
-use super::speeds::{Busy, Speeds};
+use super::network::{Conditions, Observer, Passage, Tamper, FAULT_FREE};
+use super::speeds::{DeviceQueues, Speeds};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sagetrail_control_plane::{CoreNode, CoreSettings};
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-/// What is due at a moment.
+/// An action that is due at a certain time.
 enum Action {
     Deliver {
         from: NodeId,
@@ -35,33 +35,42 @@
     pub now: u64,
     pub machines: Vec<Machine>,
     pub conditions: Conditions,
-    /// Messages of these senders to these receivers are lost.
+    /// The pairs of sender and receiver whose messages are lost.
     pub partition: BTreeSet<(NodeId, NodeId)>,
+    /// The replies to HTTP requests, by the number of the request.
     pub replies: BTreeMap<u64, HttpReply>,
-    /// When each request of HTTP was answered.
+    /// When each HTTP request was answered.
     pub replied_at: BTreeMap<u64, u64>,
+    /// The journal of the services of all terms.
     pub journal: SharedJournal,
+    /// The messages to the client.
     pub client_messages: Vec<Message>,
-    /// When each of these left, and whom.
+    /// The time and the sender of each message to the client.
     pub client_sources: Vec<(u64, NodeId)>,
-    /// When each term's service started, and where.
+    /// The time and the process at which the service of each term started.
     pub term_starts: Vec<(u64, NodeId)>,
-    /// Events that were handled.
+    /// The number of events that were handled.
     pub events: u64,
-    /// What all processes have sent each other, in bytes.
+    /// The size of all messages between processes, in bytes.
     pub sent_bytes: u64,
-    /// Speeds of links and disks; `None`: links carry any amount at once, each write is synced by itself.
+    /// The speeds of links and disks. With `None`, links have no limit and each write is synced by itself.
     pub speeds: Option<Speeds>,
-    pub busy: Busy,
+    /// The queues of links and disks, which are used if `speeds` is set.
+    pub device_queues: DeviceQueues,
+    /// Modifies or drops messages in transit.
     pub tamper: Option<Tamper>,
+    /// Observes all messages.
     pub observer: Option<Observer>,
-    /// Changes messages as their receiver reads them, after the observer has seen them.
+    /// Modifies messages before their receiver handles them and after the observer has seen them.
     pub misreading: Option<Tamper>,
+    /// The scheduled actions, by due time and sequence number.
     actions: BTreeMap<(u64, u64), Action>,
+    /// The sequence number of the latest scheduled action.
     sequence: u64,
     pub(super) next_http: u64,
+    /// The number of machines whose loss the settings tolerate.
     tolerated: u32,
-    /// The seeds in the settings of a process that starts.
+    /// The seeds in the settings of processes that are started.
     pub seeds: Vec<NodeId>,
     pub random: Pcg64Mcg,
 }
@@ -69,7 +78,7 @@
 /// The process outside the cluster that sends requests and receives the replies.
 pub(crate) const CLIENT: NodeId = NodeId { ip: 99, port: 1 };
 
-/// The name of the process on a machine.
+/// Returns the address of the process on a machine.
 pub(crate) fn id(index: usize) -> NodeId {
     NodeId {
         ip: index as u32 + 1,
@@ -78,12 +87,12 @@
 }
 
 impl Cluster {
-    /// `count` machines without processes.
+    /// Creates a cluster of `count` machines without processes.
     pub(crate) fn new(count: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             now: 1_000_000,
             machines: Vec::new(),
-            conditions: CALM,
+            conditions: FAULT_FREE,
             partition: BTreeSet::new(),
             replies: BTreeMap::new(),
             replied_at: BTreeMap::new(),
@@ -94,7 +103,7 @@
             events: 0,
             sent_bytes: 0,
             speeds: None,
-            busy: Busy::default(),
+            device_queues: DeviceQueues::default(),
             tamper: None,
             observer: None,
             misreading: None,
@@ -111,7 +120,7 @@
         cluster
     }
 
-    /// A cluster whose members have bootstrapped it and elected a leader.
+    /// Creates a cluster that has been bootstrapped and has elected a leader.
     pub(crate) fn bootstrapped(count: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(count, seed);
         for index in 0..count {
@@ -127,7 +136,7 @@
         self.machines.len() - 1
     }
 
-    /// Starts a process on the machine; `bootstrap` is the setting of that name.
+    /// Starts a process on a machine. `bootstrap` is the value of the setting of that name.
     pub(crate) fn start(&mut self, index: usize, bootstrap: bool) {
         let seed: u64 = self.random.random();
         let now = self.now;
@@ -166,7 +175,7 @@
         self.apply_outbox(index, outbox);
     }
 
-    /// The platform names other processes to start from, to everybody that runs and at each start.
+    /// Changes the seeds of all running processes and of processes that are started later.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
         for index in 0..self.machines.len() {
@@ -174,7 +183,7 @@
         }
     }
 
-    /// Hands an event to the machine's process, later where the machine is frozen.
+    /// Passes an event to the machine's process, or defers it if the machine is frozen.
     pub(crate) fn event(&mut self, index: usize, mut event: Event) {
         if self.machines[index].frozen {
             self.machines[index].deferred.push(event);
@@ -205,13 +214,13 @@
         }
         for (request, reply) in outbox.replies {
             let before = self.replies.insert(request.0, reply);
-            assert!(before.is_none(), "answered twice");
+            assert!(before.is_none(), "a request was answered twice");
             self.replied_at.insert(request.0, self.now);
         }
         for write in outbox.writes {
             let (least, most) = self.conditions.sync_us;
             let due = match self.speeds {
-                Some(site) => self.busy.synced(self.now, index, &write, site),
+                Some(site) => self.device_queues.sync_time(self.now, index, &write, site),
                 None => self.now + self.random.random_range(least..=most),
             };
             self.machines[index].unsynced.push_back(write);
@@ -261,14 +270,14 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, mut message: Message) {
-        assert_ne!(from, to, "a message to itself");
+        assert_ne!(from, to, "a process sent a message to itself");
         if to == CLIENT {
             self.client_messages.push(message);
             self.client_sources.push((self.now, from));
             return;
         }
         self.observe(Passage::Sent, from, to, &message);
-        // Each message must survive its encoding.
+        // Each message must be equal to its decoded encoding.
         let payload = sagetrail_protocol::frame::encode(&message).unwrap();
         assert_eq!(
             sagetrail_protocol::frame::decode(&payload).unwrap(),
@@ -286,7 +295,10 @@
             return;
         }
         let leaves = match self.speeds {
-            Some(site) => self.busy.sent(self.now, from, payload.len() as u64, site),
+            Some(site) => {
+                self.device_queues
+                    .departure_time(self.now, from, payload.len() as u64, site)
+            }
             None => self.now,
         };
         let times = if self.random.random_bool(self.conditions.duplication) {
@@ -313,7 +325,7 @@
         self.actions.insert((due, self.sequence), action);
     }
 
-    /// Runs for so many milliseconds.
+    /// Runs the cluster for `millis` milliseconds of true time.
     pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1000;
         while let Some(entry) = self
@@ -323,12 +335,12 @@
         {
             let ((due, _), action) = entry.remove_entry();
             self.now = self.now.max(due);
-            self.act(action);
+            self.perform(action);
         }
         self.now = end;
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Deliver { from, to, message } => {
                 let index = (to.ip - 1) as usize;
@@ -350,22 +362,23 @@
                 machine,
                 incarnation,
             } => {
-                let place = &mut self.machines[machine];
-                if place.incarnation != incarnation || place.wake.is_none_or(|wake| wake > self.now)
+                let target = &mut self.machines[machine];
+                if target.incarnation != incarnation
+                    || target.wake.is_none_or(|wake| wake > self.now)
                 {
                     return;
                 }
-                place.wake = None;
-                if !place.frozen {
+                target.wake = None;
+                if !target.frozen {
                     self.event(machine, Event::Wake);
                 }
             }
         }
     }
 
-    /// Syncs everything that a disk has refused.
+    /// Makes a disk healthy and syncs all writes that it has refused.
     pub(crate) fn free_disk(&mut self, index: usize) {
-        self.machines[index].disk_mode = DiskMode::Sound;
+        self.machines[index].disk_mode = DiskMode::Healthy;
         let incarnation = self.machines[index].incarnation;
         for _ in 0..self.machines[index].unsynced.len() {
             self.sync(index, incarnation);
@@ -382,7 +395,7 @@
         let Some(write) = self.machines[machine].unsynced.pop_front() else {
             return;
         };
-        if self.machines[machine].disk_mode == DiskMode::Sound {
+        if self.machines[machine].disk_mode == DiskMode::Healthy {
             apply(&mut self.machines[machine].disk, write.operations);
         }
         let from = self.machines[machine].id;
--- a/crates/cluster/control-plane/tests/support/faults.rs
+++ b/crates/cluster/control-plane/tests/support/faults.rs
@@ -1,16 +1,16 @@
-//! Faults of machines, processes and links in a simulated cluster, and their ends.
+//! The injection and the end of faults of machines, processes and links in a simulated cluster.
 
 use super::cluster::{id, Cluster};
 use super::machine::{apply, Disk};
-use super::network::CALM;
+use super::network::FAULT_FREE;
 use rand::Rng;
 use sagetrail_protocol::node::{DiskWrite, Event};
 
-/// From SIGTERM to SIGKILL.
+/// The time between SIGTERM and SIGKILL, in milliseconds.
 const GRACE_MS: u64 = 6_000;
 
 impl Cluster {
-    /// A process is killed: what it wrote reaches the disk.
+    /// Kills a process. All of its writes reach the disk.
     pub(crate) fn kill(&mut self, index: usize) {
         while let Some(write) = self.machines[index].unsynced.pop_front() {
             apply(&mut self.machines[index].disk, write.operations);
@@ -18,7 +18,7 @@
         self.power_off(index);
     }
 
-    /// A machine loses power: of what was not synced a part from the front may be there.
+    /// Cuts the power of a machine. A random number of the oldest unsynced writes reaches the disk.
     pub(crate) fn power_off(&mut self, index: usize) {
         let written = self
             .random
@@ -33,14 +33,14 @@
         }
     }
 
-    /// A machine loses power and its disk.
+    /// Cuts the power of a machine and empties its disk.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.power_off(index);
         self.machines[index].disk = Disk::default();
     }
 
-    /// The platform asks a process to end, and waits for it as long as its grace lasts. The machine then leaves with
-    /// its disk.
+    /// Sends SIGTERM to a process and waits until it ends, or until the grace period is over. The machine is then
+    /// removed together with its disk.
     pub(crate) fn remove(&mut self, index: usize) {
         self.terminate(index);
         let end = self.now + GRACE_MS * 1000;
@@ -50,17 +50,17 @@
         self.wipe(index);
     }
 
-    /// The platform asks a process to end.
+    /// Sends SIGTERM to a process.
     pub(crate) fn terminate(&mut self, index: usize) {
         self.event(index, Event::Terminate);
     }
 
-    /// A machine stops, as by SIGSTOP; what is sent to it waits.
+    /// Suspends a machine, as SIGSTOP does. Its events wait until it is resumed.
     pub(crate) fn freeze(&mut self, index: usize) {
         self.machines[index].frozen = true;
     }
 
-    /// A frozen machine goes on, as by SIGCONT.
+    /// Resumes a frozen machine, as SIGCONT does.
     pub(crate) fn thaw(&mut self, index: usize) {
         self.machines[index].frozen = false;
         for event in std::mem::take(&mut self.machines[index].deferred) {
@@ -69,7 +69,8 @@
         self.event(index, Event::Wake);
     }
 
-    /// Thaws a machine whose steady clock stood still while it was frozen since `since`, as none may.
+    /// Resumes a machine whose steady clock has stood still since `since`, when it was frozen. A steady clock must not
+    /// do that.
     pub(crate) fn thaw_with_stopped_clock(&mut self, index: usize, since: u64) {
         self.machines[index].started += self.now - since;
         self.thaw(index);
@@ -88,7 +89,7 @@
         self.partition.clear();
     }
 
-    /// Starts the machine's process where none runs, thaws it where it is frozen.
+    /// Starts the machine's process if none runs, and resumes the machine if it is frozen.
     pub(crate) fn revive(&mut self, index: usize) {
         if self.machines[index].node.is_none() {
             self.start(index, false);
@@ -97,10 +98,10 @@
         }
     }
 
-    /// Ends all faults of the network and of these machines.
+    /// Ends all faults of the network and of the given machines.
     pub(crate) fn end_faults(&mut self, machines: impl IntoIterator<Item = usize>) {
         self.heal_network();
-        self.conditions = CALM;
+        self.conditions = FAULT_FREE;
         for index in machines {
             self.revive(index);
         }
--- a/crates/cluster/control-plane/tests/support/fleet.rs
+++ b/crates/cluster/control-plane/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Core processes, gateways and agents in simulated time, without fault but that processes end for good.
+//! Core processes, gateways and agents in simulated time. The only fault is that processes end permanently.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,11 +12,11 @@
 use sagetrail_protocol::{frame, Message, NodeId, Time};
 use std::collections::BTreeMap;
 
-/// One way between processes, in microseconds, at least and at most.
-const WAY_US: (u64, u64) = (500, 5_000);
-/// A sync of a disk, in microseconds.
+/// The shortest and the longest one-way delay between processes, in microseconds.
+const ONE_WAY_DELAY_US: (u64, u64) = (500, 5_000);
+/// The duration of a sync of a disk, in microseconds.
 const SYNC_US: u64 = 6_000;
-/// Core processes, gateways and agents have addresses in different networks.
+/// The networks of the addresses of core processes, gateways and agents, which differ.
 const CORE_NETWORK: u32 = 0x0a00_0000;
 const GATEWAY_NETWORK: u32 = 0x0a01_0000;
 const AGENT_NETWORK: u32 = 0x0a02_0000;
@@ -57,11 +57,11 @@
     pub processes: BTreeMap<NodeId, Process>,
     pub random: Pcg64Mcg,
     pub replies: BTreeMap<u64, u16>,
-    /// Whom each process asked last for configurations.
+    /// The process that each process asked last for configurations.
     pub parents: BTreeMap<NodeId, NodeId>,
     /// The last directory of each core process.
     pub directories: BTreeMap<NodeId, Directory>,
-    /// Messages received by each process.
+    /// The number of messages received by each process.
     pub received: BTreeMap<NodeId, u64>,
     versions: BTreeMap<NodeId, u64>,
     wakes: BTreeMap<NodeId, u64>,
@@ -69,7 +69,7 @@
     sequence: u64,
 }
 
-fn names(network: u32, count: u32) -> Vec<NodeId> {
+fn addresses(network: u32, count: u32) -> Vec<NodeId> {
     (1..=count)
         .map(|number| NodeId {
             ip: network + number,
@@ -87,7 +87,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has just started.
+    /// Creates a fleet that has just started.
     pub(crate) fn new(seed: u64, core: u32, gateways: u32, agents: u32) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000_000,
@@ -102,26 +102,26 @@
             actions: BTreeMap::new(),
             sequence: 0,
         };
-        let seeds = names(CORE_NETWORK, core);
+        let seeds = addresses(CORE_NETWORK, core);
         seeds
             .iter()
             .for_each(|node| fleet.start_core(*node, &seeds));
-        names(GATEWAY_NETWORK, gateways)
+        addresses(GATEWAY_NETWORK, gateways)
             .into_iter()
             .for_each(|node| fleet.start_gateway(node, &seeds));
-        names(AGENT_NETWORK, agents)
+        addresses(AGENT_NETWORK, agents)
             .into_iter()
             .for_each(|node| fleet.start_agent(node, &seeds));
         fleet
     }
 
-    /// A fleet in which a first configuration is in force.
+    /// Creates a fleet in which a first configuration is in force.
     pub(crate) fn settled(seed: u64, core: u32, gateways: u32, agents: u32) -> Fleet {
         let mut fleet = Fleet::new(seed, core, gateways, agents);
         fleet.run(6_000);
         fleet.replace(0, 1);
         fleet.run(9_000);
-        assert_eq!(fleet.behind(1), [], "seed {seed}");
+        assert_eq!(fleet.outdated_processes(1), [], "seed {seed}");
         fleet
     }
 
@@ -132,13 +132,13 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, node: NodeId, process: Process, outbox: Outbox) {
+    pub(crate) fn add_process(&mut self, node: NodeId, process: Process, outbox: Outbox) {
         self.processes.insert(node, process);
-        self.take(node, outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    /// Ends a process for good.
-    pub(crate) fn end(&mut self, node: NodeId) {
+    /// Ends a process permanently.
+    pub(crate) fn remove_process(&mut self, node: NodeId) {
         self.processes.remove(&node);
         self.parents.remove(&node);
     }
@@ -161,7 +161,7 @@
             endpoint: HttpEndpoint::Control,
             request,
         };
-        self.event(names(CORE_NETWORK, 1)[0], event);
+        self.event(addresses(CORE_NETWORK, 1)[0], event);
     }
 
     /// Runs until the change to `version` is acknowledged.
@@ -173,21 +173,21 @@
         assert_eq!(self.replies.get(&version), Some(&200));
     }
 
-    /// Live processes outside the core that hold less than `version`.
-    pub(crate) fn behind(&self, version: u64) -> Vec<NodeId> {
+    /// Returns the running processes outside the core whose configuration is older than `version`.
+    pub(crate) fn outdated_processes(&self, version: u64) -> Vec<NodeId> {
         let holds = |process: &Process| match process {
             Process::Core(_) => u64::MAX,
             Process::Gateway(node) => node.config_version(),
             Process::Agent(node) => node.config_version(),
         };
-        let behind = self
+        let outdated = self
             .processes
             .iter()
             .filter(|(_, process)| holds(process) < version);
-        behind.map(|(node, _)| *node).collect()
+        outdated.map(|(node, _)| *node).collect()
     }
 
-    /// Gateways that call themselves not ready.
+    /// Returns the gateways that report that they are not ready.
     pub(crate) fn not_ready(&self) -> Vec<NodeId> {
         let now = Time(self.now);
         let mut gateways = Vec::new();
@@ -199,20 +199,20 @@
         gateways
     }
 
-    /// Processes outside the core that others ask for configurations, most asked first.
-    pub(crate) fn inner(&self) -> Vec<NodeId> {
+    /// Returns the processes outside the core that others ask for configurations, those with most children first.
+    pub(crate) fn relays_in_use(&self) -> Vec<NodeId> {
         let mut children: BTreeMap<NodeId, usize> = BTreeMap::new();
         let parents = self.parents.values().filter(|parent| !is_core(**parent));
         parents.for_each(|parent| *children.entry(*parent).or_default() += 1);
-        let mut inner: Vec<(usize, NodeId)> = children
+        let mut relays: Vec<(usize, NodeId)> = children
             .into_iter()
             .map(|(node, count)| (count, node))
             .collect();
-        inner.sort_unstable_by(|left, right| right.cmp(left));
-        inner.into_iter().map(|(_, node)| node).collect()
+        relays.sort_unstable_by(|left, right| right.cmp(left));
+        relays.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// How many processes ask a core process.
+    /// Returns the number of processes that ask a core process for configurations.
     pub(crate) fn children_of_core(&self) -> usize {
         self.parents
             .values()
@@ -229,12 +229,12 @@
         {
             let ((due, _), action) = entry.remove_entry();
             self.now = self.now.max(due);
-            self.act(action);
+            self.perform(action);
         }
         self.now = end;
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Message { from, to, message } => {
                 *self.received.entry(to).or_default() += 1;
@@ -263,11 +263,11 @@
         };
         let mut outbox = Outbox::default();
         process.node().handle(clock, event, &mut outbox);
-        self.take(node, outbox);
+        self.apply_outbox(node, outbox);
         self.check_version(node);
     }
 
-    /// No process goes back in version.
+    /// Checks that the configuration version of a process never decreases.
     fn check_version(&mut self, node: NodeId) {
         let version = match &self.processes[&node] {
             Process::Core(_) => return,
@@ -275,12 +275,15 @@
             Process::Agent(agent) => agent.config_version(),
         };
         let last = self.versions.insert(node, version).unwrap_or(0);
-        assert!(version >= last, "{node} went back from {last} to {version}");
+        assert!(
+            version >= last,
+            "{node} went back from version {last} to {version}"
+        );
     }
 
-    fn take(&mut self, node: NodeId, outbox: Outbox) {
+    fn apply_outbox(&mut self, node: NodeId, outbox: Outbox) {
         for (to, message) in outbox.sends {
-            self.post(node, to, message);
+            self.send(node, to, message);
         }
         for (id, reply) in outbox.replies {
             self.replies.insert(id.0, reply.status);
@@ -297,12 +300,12 @@
             let actions: Vec<Action> = token.into_iter().chain(sends).collect();
             actions
                 .into_iter()
-                .for_each(|action| self.plan(synced_at, action));
+                .for_each(|action| self.schedule(synced_at, action));
         }
-        self.plan_wake(node);
+        self.schedule_wake(node);
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, message: Message) {
+    fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         match &message {
             Message::Subscribe(_) => drop(self.parents.insert(from, to)),
             Message::Directory(directory) => drop(self.directories.insert(from, directory.clone())),
@@ -310,8 +313,11 @@
         }
         let payload = frame::encode(&message).unwrap();
         assert_eq!(frame::decode(&payload).unwrap(), message);
-        let at = self.now + self.random.random_range(WAY_US.0..=WAY_US.1);
-        self.plan(
+        let at = self.now
+            + self
+                .random
+                .random_range(ONE_WAY_DELAY_US.0..=ONE_WAY_DELAY_US.1);
+        self.schedule(
             at,
             Action::Message {
                 from,
@@ -321,7 +327,7 @@
         );
     }
 
-    fn plan_wake(&mut self, node: NodeId) {
+    fn schedule_wake(&mut self, node: NodeId) {
         let Some(process) = self.processes.get_mut(&node) else {
             return;
         };
@@ -331,11 +337,11 @@
         let due = due.0.max(self.now + 20);
         if due < u64::MAX / 2 && self.wakes.get(&node) != Some(&due) {
             self.wakes.insert(node, due);
-            self.plan(due, Action::Wake { node });
+            self.schedule(due, Action::Wake { node });
         }
     }
 
-    fn plan(&mut self, at: u64, action: Action) {
+    fn schedule(&mut self, at: u64, action: Action) {
         self.sequence += 1;
         self.actions.insert((at, self.sequence), action);
     }
--- a/crates/cluster/control-plane/tests/support/histories.rs
+++ b/crates/cluster/control-plane/tests/support/histories.rs
@@ -1,34 +1,39 @@
-//! Long histories: many records, a steady rate of requests, and when a member holds what was acknowledged.
+//! Clusters with many records under a steady rate of requests, and the time at which a member has all acknowledged
+//! ones.
 
 use super::cluster::Cluster;
-use super::network::CALM;
+use super::network::FAULT_FREE;
 use super::speeds::Speeds;
 use sagetrail_protocol::control::ControlMessage;
 use sagetrail_protocol::Message;
 use std::collections::VecDeque;
 
-/// Keys of preloaded records begin here; requests are numbered from 1.
+/// The first key of the preloaded records. Requests are numbered from 1.
 const PRELOADED: u64 = 1 << 40;
-/// A member that holds what was acknowledged so long ago keeps up, in milliseconds.
+/// A member counts as caught up if it has all records that were acknowledged this long ago, in milliseconds.
 const LAG_MS: u64 = 200;
+/// The duration of a step, in milliseconds.
 const STEP_MS: u64 = 5;
 
-/// A core with a history, under a steady rate of requests.
+/// A cluster with preloaded records, under a steady rate of requests.
 pub(crate) struct History {
     pub cluster: Cluster,
-    /// Requests a second.
+    /// The number of requests per second.
     pub rate: u64,
-    /// Bytes of a request.
+    /// The size of a request's body, in bytes.
     pub bytes: usize,
+    /// The number of requests that were sent.
     sent: u64,
+    /// The requests that are due and not sent yet, in millionths of a request.
     accrued_us: u64,
+    /// The number of preloaded records.
     rows: usize,
-    /// How many requests were acknowledged at the end of each of the last steps.
+    /// The number of acknowledged requests at the end of each of the last steps.
     acked: VecDeque<usize>,
 }
 
 impl History {
-    /// `count` members with so many records of so many bytes on their disks, which have elected a leader.
+    /// Creates `count` members that have `rows` records of `bytes` bytes each on their disks and have elected a leader.
     pub(crate) fn new(
         count: usize,
         seed: u64,
@@ -52,10 +57,10 @@
             .for_each(|machine| machine.disk.records.extend(table.iter().cloned()));
         cluster.run(1_000);
         (0..count).for_each(|index| cluster.start(index, false));
-        cluster.conditions = CALM;
+        cluster.conditions = FAULT_FREE;
         cluster.speeds = speeds;
         cluster.run(3_000);
-        assert!(cluster.leader().is_some(), "nobody schedules");
+        assert!(cluster.leader().is_some(), "no leader");
         History {
             cluster,
             rate: 0,
@@ -67,7 +72,7 @@
         }
     }
 
-    /// Runs for so long under the rate.
+    /// Runs for at least `millis` milliseconds under the rate of requests.
     pub(crate) fn run(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(STEP_MS) {
             self.step();
@@ -90,19 +95,20 @@
         }
     }
 
-    /// Whether a member has on disk all that was acknowledged a little ago.
-    pub(crate) fn keeps_up(&self, index: usize) -> bool {
+    /// Returns whether a member has all records on disk that were acknowledged `LAG_MS` ago.
+    pub(crate) fn is_caught_up(&self, index: usize) -> bool {
         let wanted = self.rows + self.acked.front().copied().unwrap_or_default();
         self.cluster.machines[index].disk.records.len() >= wanted
     }
 
-    /// Runs until these members keep up; for each the time that took, `None` where it took longer than the limit.
+    /// Runs until the given members have caught up. Returns the time in milliseconds that each of them took, or `None`
+    /// if it took longer than the limit.
     pub(crate) fn catch_up(&mut self, members: &[usize], limit_ms: u64) -> Vec<Option<u64>> {
         let mut times = vec![None; members.len()];
         for at in (STEP_MS..=limit_ms).step_by(STEP_MS as usize) {
             self.step();
             for (place, member) in members.iter().enumerate() {
-                if times[place].is_none() && self.keeps_up(*member) {
+                if times[place].is_none() && self.is_caught_up(*member) {
                     times[place] = Some(at);
                 }
             }
@@ -113,14 +119,14 @@
         times
     }
 
-    /// Ends the load; then all members that run hold the same.
+    /// Ends the load and checks that all running members then have the same records.
     pub(crate) fn finish(&mut self, context: &str) {
         self.rate = 0;
         self.cluster.run(6_000);
         let leader = self
             .cluster
             .leader()
-            .unwrap_or_else(|| panic!("{context}: nobody schedules"));
+            .unwrap_or_else(|| panic!("{context}: no leader"));
         let wanted = self.cluster.machines[leader].disk.records.clone();
         assert!(
             wanted.len() >= self.rows + self.cluster.acked(),
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Members other than the leader, in order.
+    /// Returns the members other than the leader, in order.
     pub(crate) fn followers(&self) -> Vec<usize> {
         let leader = self.cluster.leader().unwrap();
         (0..self.cluster.machines.len())
@@ -149,7 +155,7 @@
     }
 }
 
-/// The message among core processes, if it is one.
+/// Returns the control message in a message, if it is one.
 pub(crate) fn control(message: &mut Message) -> Option<&mut ControlMessage> {
     match message {
         Message::Control(control) => Some(control),
--- a/crates/cluster/control-plane/tests/support/journal.rs
+++ b/crates/cluster/control-plane/tests/support/journal.rs
@@ -1,4 +1,5 @@
-//! The service of the tests, and a journal of what it did in all terms: each new term checks what must hold across them.
+//! The service of the tests and a journal of its actions in all terms. Each new term checks the invariants that hold
+//! across terms.
 
 use sagetrail_protocol::client::{ClientMethod, ClientReply, ClientRequest};
 use sagetrail_protocol::node::Now;
@@ -9,18 +10,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-/// The number of reads, which are answered at once under the lease.
+/// The request number of reads, which are answered at once under the lease.
 pub(crate) const READ: u64 = u64::MAX;
 
-/// What the services of all terms have done.
+/// The actions of the services of all terms.
 #[derive(Default, Debug)]
 pub(crate) struct Journal {
-    /// Terms in which a service started, in order.
+    /// The terms in which a service started, with the process, in order.
     pub terms: Vec<(Term, NodeId)>,
-    /// Requests that were acknowledged.
+    /// The requests that were acknowledged.
     pub acked: BTreeSet<u64>,
-    /// The newest configuration that a service was given.
+    /// The version of the newest configuration that a service received.
     pub config_version: u64,
+    /// The number of records with which the latest service started.
     pub records_restored: usize,
 }
 
@@ -34,18 +36,22 @@
 
 pub(crate) type SharedJournal = Arc<Mutex<Journal>>;
 
+/// A service that stores each request as a record and acknowledges it once it is committed.
 struct Counter {
     journal: SharedJournal,
     term: Term,
+    /// The number of the latest batch.
     number: u64,
+    /// The operations of the next batch.
     batch: Vec<RecordOperation>,
-    /// Replies that wait for a batch.
+    /// The requests whose replies wait for the commit of a batch, by the number of the batch.
     waiting: BTreeMap<u64, Vec<(NodeId, u64)>>,
+    /// The replies to send.
     ready: Vec<(NodeId, Message)>,
     config_version: u64,
 }
 
-/// Makes services that write into `journal`.
+/// Returns a factory of services that write to `journal`.
 pub(crate) fn factory(journal: SharedJournal) -> ServiceFactory {
     Box::new(move |_, restored| Box::new(Counter::start(journal.clone(), restored)))
 }
@@ -72,16 +78,24 @@
             .map(|(key, _)| number_of(key))
             .collect();
         let lost: Vec<&u64> = journal.acked.difference(&committed).collect();
-        assert!(lost.is_empty(), "term {} lost {lost:?}", restored.term);
+        assert!(
+            lost.is_empty(),
+            "acknowledged requests are missing in term {}: {lost:?}",
+            restored.term
+        );
         if let Some((term, _)) = journal.terms.last() {
-            assert!(restored.term > *term, "term {} after {term}", restored.term);
+            assert!(
+                restored.term > *term,
+                "term {} started after term {term}",
+                restored.term
+            );
         }
         journal.terms.push((restored.term, restored.node));
         journal.records_restored = committed.len();
         let config_version = restored.config.map_or(0, |config| config.version);
         assert!(
             config_version >= journal.config_version,
-            "the configuration went back"
+            "the configuration version decreased"
         );
         journal.config_version = config_version;
         drop(journal);
@@ -168,7 +182,7 @@
             assert_eq!(
                 journal.terms.last().unwrap().0,
                 self.term,
-                "an old term still sends"
+                "the service of an old term sent messages"
             );
         }
         for (_, message) in &sends {
--- a/crates/cluster/control-plane/tests/support/mod.rs
+++ b/crates/cluster/control-plane/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Core processes in simulated time: machines with clocks and disks, a network with faults, a service that counts what
-//! it acknowledged, and operators with a checker of their answers.
+//! Core processes in simulated time: machines with clocks and disks, a network with faults, a service that records its
+//! acknowledgements, and operators with a checker of their answers.
 
-// Each test file uses another part of this.
+// Each test file uses a different part of this module.
 #![allow(dead_code)]
 
 pub(crate) mod cluster;
--- a/crates/cluster/control-plane/tests/support/network.rs
+++ b/crates/cluster/control-plane/tests/support/network.rs
@@ -1,39 +1,39 @@
-//! How messages travel between simulated machines.
+//! The network between simulated machines.
 
 use sagetrail_protocol::{Message, NodeId};
 
-/// How the network and the disks behave.
+/// The faults and delays of the network and the disks.
 #[derive(Clone, Copy)]
 pub(crate) struct Conditions {
-    /// The part of messages that is lost.
+    /// The fraction of messages that is lost.
     pub loss: f64,
-    /// The part of messages that arrives twice.
+    /// The fraction of messages that arrives twice.
     pub duplication: f64,
-    /// The least and the longest delay of a message.
+    /// The shortest and the longest delay of a message, in microseconds.
     pub delay_us: (u64, u64),
-    /// The least and the longest duration of a sync.
+    /// The shortest and the longest duration of a sync, in microseconds.
     pub sync_us: (u64, u64),
 }
 
-/// Without loss, and fast.
-pub(crate) const CALM: Conditions = Conditions {
+/// A fast network and fast disks, without loss or duplication.
+pub(crate) const FAULT_FREE: Conditions = Conditions {
     loss: 0.0,
     duplication: 0.0,
     delay_us: (300, 900),
     sync_us: (1_000, 4_000),
 };
 
-/// Changes a message in transit; false loses it.
+/// Modifies a message in transit, given its sender and receiver. Returns false to drop the message.
 pub(crate) type Tamper = Box<dyn FnMut(NodeId, NodeId, &mut Message) -> bool>;
 
-/// Where a message is observed.
+/// The point at which a message is observed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Passage {
-    /// Its sender has handed it to the network.
+    /// The sender has passed the message to the network.
     Sent,
-    /// Its receiver is about to handle it.
+    /// The receiver is about to handle the message.
     Received,
 }
 
-/// Sees each message with the true time, its sender and its receiver.
+/// Observes each message, given the true time in microseconds, the point, the sender and the receiver.
 pub(crate) type Observer = Box<dyn FnMut(u64, Passage, NodeId, NodeId, &Message)>;
--- a/crates/cluster/control-plane/tests/support/operators.rs
+++ b/crates/cluster/control-plane/tests/support/operators.rs
@@ -1,16 +1,16 @@
-//! Operators who send changes through any process, and a checker of all the answers that they were given.
+//! Operators that send changes through any process, and a checker of all answers that they received.
 
 use super::cluster::Cluster;
 use super::requests::config;
 use sagetrail_protocol::node::{Event, HttpRequestId, Method};
 use std::collections::BTreeMap;
 
-/// The longest wait for an answer, in milliseconds.
-const PATIENCE_MS: u64 = 5_000;
-/// A change that was left open is sent this often before a test gives up.
+/// The maximum time that an operator waits for an answer, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 5_000;
+/// The maximum number of times that a request without a definite answer is sent.
 const MAX_TRIES: usize = 20;
 
-/// A change of the operator.
+/// A change of the configuration by an operator.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct Change {
     pub path: &'static str,
@@ -19,7 +19,7 @@
     pub content: String,
 }
 
-/// A full configuration; `mark` tells apart the contents under one number.
+/// Returns a change that replaces the full configuration. `mark` distinguishes contents with the same version.
 pub(crate) fn replacement(base: u64, version: u64, mark: &str) -> Change {
     let content = config(version).replace("/p", &format!("/{mark}p"));
     Change {
@@ -30,7 +30,7 @@
     }
 }
 
-/// A change of the only route, with the same effect as `replacement`.
+/// Returns a patch of the only route, which has the same effect as `replacement`.
 pub(crate) fn patch(base: u64, version: u64, mark: &str) -> Change {
     let complete: serde_json::Value =
         serde_json::from_str(&replacement(base, version, mark).content).unwrap();
@@ -44,36 +44,39 @@
     }
 }
 
-/// How the processes answer: as they do, or as one that a checker must find out.
+/// The answers that the checker sees: those of the processes, or wrong ones that the checker must detect.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Answering {
-    Sound,
-    /// A change that was confirmed before is rejected.
-    RefusesRepeats,
-    /// Any change is confirmed whose number a confirmed one had.
+pub(crate) enum AnswerMode {
+    /// The answers of the processes are not modified.
+    Unmodified,
+    /// A repeated change that was confirmed before is rejected.
+    RejectsRepeats,
+    /// A rejected change is confirmed if a change with the same version was confirmed before.
     ConfirmsByVersion,
 }
 
+/// A request that sent a change.
 struct Attempt {
     change: Change,
+    /// The number of the HTTP request.
     number: u64,
 }
 
-/// All changes sent in one cluster.
+/// The operators of a cluster, with all requests that they have sent.
 pub(crate) struct Operators {
-    answering: Answering,
+    answer_mode: AnswerMode,
     attempts: Vec<Attempt>,
 }
 
 impl Operators {
-    pub(crate) fn new(answering: Answering) -> Operators {
+    pub(crate) fn new(answer_mode: AnswerMode) -> Operators {
         Operators {
-            answering,
+            answer_mode,
             attempts: Vec::new(),
         }
     }
 
-    /// Sends a change and gives the request's number.
+    /// Sends a change and returns the number of the request.
     pub(crate) fn send(&mut self, cluster: &mut Cluster, index: usize, change: &Change) -> u64 {
         let number = cluster.http(
             index,
@@ -89,17 +92,22 @@
         number
     }
 
-    /// Sends a change and waits for the answer; 0 where there is none.
-    pub(crate) fn ask(&mut self, cluster: &mut Cluster, index: usize, change: &Change) -> u16 {
+    /// Sends a change and waits for the answer. Returns its status, or 0 if there is none.
+    pub(crate) fn send_and_wait(
+        &mut self,
+        cluster: &mut Cluster,
+        index: usize,
+        change: &Change,
+    ) -> u16 {
         let number = self.send(cluster, index, change);
-        let end = cluster.now + PATIENCE_MS * 1000;
+        let end = cluster.now + ANSWER_TIMEOUT_MS * 1000;
         while cluster.status(number) == 0 && cluster.now < end {
             cluster.run(1);
         }
         self.status(cluster, number)
     }
 
-    /// Sends a change again and again, as the operator does, until the answer is clear.
+    /// Sends a change repeatedly, as operators do, until the answer is definite. Returns its status.
     pub(crate) fn send_until_answered(
         &mut self,
         cluster: &mut Cluster,
@@ -107,16 +115,19 @@
         change: &Change,
     ) -> u16 {
         for _ in 0..MAX_TRIES {
-            let status = self.ask(cluster, index, change);
-            if is_clear(status) {
+            let status = self.send_and_wait(cluster, index, change);
+            if is_definite(status) {
                 return status;
             }
             cluster.run(300);
         }
-        panic!("no clear answer to {} on {}", change.version, change.base);
+        panic!(
+            "no definite answer to the change to version {} on base {}",
+            change.version, change.base
+        );
     }
 
-    /// All changes that were ever sent, each once.
+    /// Returns all changes that were sent, each once.
     pub(crate) fn changes(&self) -> Vec<Change> {
         let mut changes: Vec<Change> = self
             .attempts
@@ -128,7 +139,7 @@
         changes
     }
 
-    /// The answer to one request.
+    /// Returns the status of the answer to a request, or 0 if there is none.
     pub(crate) fn status(&self, cluster: &Cluster, number: u64) -> u16 {
         let answers = self.answers(cluster);
         let place = self
@@ -138,7 +149,7 @@
         place.map_or(0, |place| answers[place].1)
     }
 
-    /// Each attempt's change and the answer to it, 0 where there is none.
+    /// Returns the change of each request with the status of its answer, or 0 if there is none.
     fn answers(&self, cluster: &Cluster) -> Vec<(&Change, u16)> {
         let mut answers: Vec<(&Change, u16)> = Vec::new();
         for attempt in &self.attempts {
@@ -148,13 +159,13 @@
                     .iter()
                     .any(|(change, status)| *status == 200 && wanted(change))
             };
-            let answer = match self.answering {
-                Answering::RefusesRepeats
+            let answer = match self.answer_mode {
+                AnswerMode::RejectsRepeats
                     if status == 200 && confirmed(&|change| *change == attempt.change) =>
                 {
                     412
                 }
-                Answering::ConfirmsByVersion
+                AnswerMode::ConfirmsByVersion
                     if status == 412
                         && confirmed(&|change| change.version == attempt.change.version) =>
                 {
@@ -167,20 +178,21 @@
         answers
     }
 
-    /// What must hold of all answers that were given, and of the configuration read back last.
+    /// Checks the rules for all answers, and for the configuration that was read last. The first rule is that at most
+    /// one change on each base is confirmed.
     pub(crate) fn check(
         &self,
         cluster: &Cluster,
-        read_back: &Option<(u64, String)>,
+        final_read: &Option<(u64, String)>,
     ) -> Result<(), String> {
         let answers = self.answers(cluster);
-        let taken: Vec<&Change> = answers
+        let confirmed_changes: Vec<&Change> = answers
             .iter()
             .filter(|answer| answer.1 == 200)
             .map(|answer| answer.0)
             .collect();
         let mut by_base: BTreeMap<u64, &Change> = BTreeMap::new();
-        for change in taken {
+        for change in confirmed_changes {
             let winner = by_base.entry(change.base).or_insert(change);
             if *winner != change {
                 return Err(format!(
@@ -192,17 +204,17 @@
         for (change, status) in &answers {
             if (400..500).contains(status) && by_base.get(&change.base) == Some(change) {
                 return Err(format!(
-                    "{} on {} was taken and refused with {status}",
+                    "{} on {} was confirmed and rejected with {status}",
                     change.version, change.base
                 ));
             }
         }
         check_chain(&by_base)?;
-        check_read_back(&by_base, read_back)
+        check_final_read(&by_base, final_read)
     }
 }
 
-/// Every confirmed change ends before the next one begins.
+/// Checks that the version of each confirmed change is at most the base of the next one.
 fn check_chain(by_base: &BTreeMap<u64, &Change>) -> Result<(), String> {
     for (former, later) in by_base.values().zip(by_base.values().skip(1)) {
         if former.version > later.base {
@@ -215,32 +227,35 @@
     Ok(())
 }
 
-/// What is read back is the newest confirmed change, or one without a clear answer on top of it.
-fn check_read_back(
+/// Checks that the configuration that was read last is that of the newest confirmed change, or of a later change
+/// without a definite answer.
+fn check_final_read(
     by_base: &BTreeMap<u64, &Change>,
-    read_back: &Option<(u64, String)>,
+    final_read: &Option<(u64, String)>,
 ) -> Result<(), String> {
     let Some(newest) = by_base.values().next_back() else {
         return Ok(());
     };
-    match read_back {
-        Some((version, _)) if *version < newest.version => {
-            Err(format!("{version} read back is too old"))
-        }
+    match final_read {
+        Some((version, _)) if *version < newest.version => Err(format!(
+            "version {version} that was read is older than the newest confirmed one"
+        )),
         Some((version, mark)) if *version == newest.version && !newest.content.contains(mark) => {
-            Err(format!("{version} read back is not what was confirmed"))
+            Err(format!(
+                "version {version} that was read differs from the confirmed one"
+            ))
         }
         Some(_) => Ok(()),
-        None => Err("nothing was read back".to_owned()),
+        None => Err("no configuration was read".to_owned()),
     }
 }
 
-/// Whether an operator does not send the change again after this answer.
-pub(crate) fn is_clear(status: u16) -> bool {
+/// Returns whether a status is definite, so that an operator does not send the change again.
+pub(crate) fn is_definite(status: u16) -> bool {
     (200..500).contains(&status)
 }
 
-/// The caller closes its connection: the answer is lost.
+/// Closes the connection of a request, so that its answer is lost.
 pub(crate) fn abandon(cluster: &mut Cluster, number: u64) {
     for index in 0..cluster.machines.len() {
         cluster.event(
@@ -252,8 +267,8 @@
     }
 }
 
-/// The path prefix of the only route in the configuration read back, with its version.
-pub(crate) fn read_back(cluster: &mut Cluster, index: usize) -> Option<(u64, String)> {
+/// Reads the configuration and returns its version and the path prefix of its only route.
+pub(crate) fn read_config(cluster: &mut Cluster, index: usize) -> Option<(u64, String)> {
     for _ in 0..MAX_TRIES {
         let number = cluster.http(index, Method::Get, "/v1/config/get", None, "");
         cluster.run(300);
--- a/crates/cluster/control-plane/tests/support/requests.rs
+++ b/crates/cluster/control-plane/tests/support/requests.rs
@@ -1,4 +1,4 @@
-//! What operators, clients and other callers request from the processes of a simulated cluster.
+//! The requests of operators, clients and other callers to the processes of a simulated cluster.
 
 use super::cluster::{Cluster, CLIENT};
 use super::journal::READ;
@@ -10,6 +10,7 @@
 use std::ops::Range;
 
 impl Cluster {
+    /// Sends an HTTP request and returns its number.
     pub(crate) fn http(
         &mut self,
         index: usize,
@@ -39,7 +40,7 @@
         number
     }
 
-    /// Sends a configuration and waits; the status, 0 where there was no answer.
+    /// Replaces the configuration and waits. Returns the status of the answer, or 0 if there was none.
     pub(crate) fn replace(&mut self, index: usize, base: u64, version: u64) -> u16 {
         let number = self.http(
             index,
@@ -52,12 +53,13 @@
         self.status(number)
     }
 
+    /// Returns the status of the answer to a request, or 0 if there is none.
     pub(crate) fn status(&self, number: u64) -> u16 {
         self.replies.get(&number).map_or(0, |reply| reply.status)
     }
 
-    /// The version that a read-back gives.
-    pub(crate) fn read_back(&mut self, index: usize) -> Option<u64> {
+    /// Reads the configuration and returns its version.
+    pub(crate) fn read_version(&mut self, index: usize) -> Option<u64> {
         let number = self.http(index, Method::Get, "/v1/config/get", None, "");
         self.run(4_000);
         let reply = self
@@ -68,12 +70,12 @@
         json["version"].as_u64()
     }
 
-    /// Hands a request to a process, as a gateway does.
+    /// Submits a request to a process, as a gateway does.
     pub(crate) fn submit(&mut self, index: usize, request: u64) {
         self.submit_bytes(index, request, 100);
     }
 
-    /// Submits requests one after the other, each where there is a leader at that moment.
+    /// Submits requests one after the other, each to the leader at that time if there is one.
     pub(crate) fn submit_all(&mut self, requests: Range<u64>, interval_ms: u64) {
         for request in requests {
             if let Some(leader) = self.leader() {
@@ -83,17 +85,23 @@
         }
     }
 
-    /// Submits a request with a body of so many bytes.
+    /// Submits a request with a body of `bytes` bytes.
     pub(crate) fn submit_bytes(&mut self, index: usize, request: u64, bytes: usize) {
-        self.ask(index, request, ClientMethod::Submit, bytes);
+        self.send_client_request(index, request, ClientMethod::Submit, bytes);
     }
 
-    /// Asks a process for something that it answers at once under its lease.
+    /// Sends a read to a process, which answers it at once under its lease.
     pub(crate) fn read(&mut self, index: usize) {
-        self.ask(index, READ, ClientMethod::Read, 0);
+        self.send_client_request(index, READ, ClientMethod::Read, 0);
     }
 
-    fn ask(&mut self, index: usize, request: u64, method: ClientMethod, bytes: usize) {
+    fn send_client_request(
+        &mut self,
+        index: usize,
+        request: u64,
+        method: ClientMethod,
+        bytes: usize,
+    ) {
         let message = Message::ClientRequest(ClientRequest {
             request,
             method,
@@ -112,7 +120,7 @@
         );
     }
 
-    /// The members in the directory that a process sends.
+    /// Returns the members in the directory that a process sends.
     pub(crate) fn members(&mut self, index: usize) -> BTreeSet<NodeId> {
         self.client_messages.clear();
         let hello = Hello {
@@ -138,11 +146,12 @@
         directory.unwrap_or_default()
     }
 
+    /// Returns the number of acknowledged requests.
     pub(crate) fn acked(&self) -> usize {
         self.journal.lock().unwrap().acked.len()
     }
 
-    /// The machine whose service started last, where it still runs.
+    /// Returns the machine whose service started last, if a process runs on it.
     pub(crate) fn leader(&self) -> Option<usize> {
         let journal = self.journal.lock().unwrap();
         let (_, node) = journal.terms.last()?;
@@ -150,6 +159,7 @@
         self.machines[index].node.as_ref().map(|_| index)
     }
 
+    /// Returns the number of terms in which a service started.
     pub(crate) fn terms(&self) -> usize {
         self.journal.lock().unwrap().terms.len()
     }
@@ -161,7 +171,7 @@
     )
 }
 
-/// A configuration with so many further routes, and with the one that `patch` changes among them.
+/// Returns a configuration with `routes` routes in addition to the one that `patch` changes.
 pub(crate) fn large_config(version: u64, routes: usize) -> String {
     let mut complete: serde_json::Value = serde_json::from_str(&config(version)).unwrap();
     let route = complete["routes"][0].clone();
--- a/crates/cluster/control-plane/tests/support/starts.rs
+++ b/crates/cluster/control-plane/tests/support/starts.rs
@@ -1,4 +1,4 @@
-//! How the processes of a fleet start.
+//! The start of the processes of a fleet.
 
 use crate::fleet::{Fleet, Process};
 use crate::journal::{factory, Journal};
@@ -31,7 +31,7 @@
             self.clock(),
             &mut outbox,
         );
-        self.begin(node, Process::Core(Box::new(process)), outbox);
+        self.add_process(node, Process::Core(Box::new(process)), outbox);
     }
 
     pub(crate) fn start_gateway(&mut self, node: NodeId, seeds: &[NodeId]) {
@@ -45,7 +45,7 @@
         };
         let mut outbox = Outbox::default();
         let process = GatewayNode::new(settings, self.clock(), &mut outbox);
-        self.begin(node, Process::Gateway(Box::new(process)), outbox);
+        self.add_process(node, Process::Gateway(Box::new(process)), outbox);
     }
 
     pub(crate) fn start_agent(&mut self, node: NodeId, seeds: &[NodeId]) {
@@ -60,6 +60,6 @@
         };
         let mut outbox = Outbox::default();
         let process = AgentNode::new(settings, self.clock(), &mut outbox);
-        self.begin(node, Process::Agent(Box::new(process)), outbox);
+        self.add_process(node, Process::Agent(Box::new(process)), outbox);
     }
 }
