--- a/crates/cluster/control-plane/src/node/messages.rs
+++ b/crates/cluster/control-plane/src/node/messages.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Replies to this process as a candidate or a leader.
+    /// Handles a reply to this process as a candidate or a leader.
     fn on_term_reply(&mut self, from: NodeId, message: ControlMessage) {
         let now = self.now.steady;
         let members = self.register.members();
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Requests that only a process may answer that knows what it promised.
+    /// Handles a request that only a process that knows its own promises may answer.
     fn on_request(&mut self, from: NodeId, message: ControlMessage) {
         let now = self.now.steady;
         let effects = &mut self.effects;
--- a/crates/cluster/control-plane/tests/support/fleet.rs
+++ b/crates/cluster/control-plane/tests/support/fleet.rs
@@ -21,6 +21,7 @@
 const GATEWAY_NETWORK: u32 = 0x0a01_0000;
 const AGENT_NETWORK: u32 = 0x0a02_0000;
 
+/// A process of a fleet.
 pub(crate) enum Process {
     Core(Box<CoreNode>),
     Gateway(Box<GatewayNode>),
@@ -37,6 +38,7 @@
     }
 }
 
+/// An action that is due at a certain time.
 enum Action {
     Message {
         from: NodeId,
@@ -52,10 +54,12 @@
     },
 }
 
+/// A simulated fleet. Times are in microseconds of true time.
 pub(crate) struct Fleet {
     pub now: u64,
     pub processes: BTreeMap<NodeId, Process>,
     pub random: Pcg64Mcg,
+    /// The status of the reply to each HTTP request, by the number of the request.
     pub replies: BTreeMap<u64, u16>,
     /// The process that each process asked last for configurations.
     pub parents: BTreeMap<NodeId, NodeId>,
@@ -63,9 +67,13 @@
     pub directories: BTreeMap<NodeId, Directory>,
     /// The number of messages received by each process.
     pub received: BTreeMap<NodeId, u64>,
+    /// The last known configuration version of each process outside the core.
     versions: BTreeMap<NodeId, u64>,
+    /// The next wake of each process.
     wakes: BTreeMap<NodeId, u64>,
+    /// The scheduled actions, by due time and sequence number.
     actions: BTreeMap<(u64, u64), Action>,
+    /// The sequence number of the latest scheduled action.
     sequence: u64,
 }
 
--- a/crates/cluster/control-plane/tests/support/operators.rs
+++ b/crates/cluster/control-plane/tests/support/operators.rs
@@ -178,8 +178,8 @@
         answers
     }
 
-    /// Checks the rules for all answers, and for the configuration that was read last. The first rule is that at most
-    /// one change on each base is confirmed.
+    /// Checks all answers and the configuration that was read last: at most one change on each base is confirmed, no
+    /// confirmed change is rejected, the confirmed changes form a chain, and the configuration follows from them.
     pub(crate) fn check(
         &self,
         cluster: &Cluster,
