--- a/crates/cluster/control-plane/src/membership/bootstrapping.rs
+++ b/crates/cluster/control-plane/src/membership/bootstrapping.rs
@@ -56,7 +56,7 @@
             let synced = ControlMessage::StateSynced(StateSynced {
                 proposal: bootstrap.proposal,
             });
-            return effects.control(from, synced);
+            return effects.send_control(from, synced);
         }
         let is_busy = self.sync_pending || self.recovery.is_some();
         if self.may_bootstrap && !is_busy {
@@ -81,7 +81,7 @@
             accepted: proposal,
         };
         register.adopt(proposals, bootstrap.value);
-        terms.records_are_complete();
+        terms.mark_records_complete();
         register.adopt_members(value.member_list());
         self.write_state(proposal, sender, register, terms, effects);
     }
