--- a/crates/dispatcher/dispatcher/src/admin_api.rs
+++ b/crates/dispatcher/dispatcher/src/admin_api.rs
@@ -237,7 +237,7 @@
             .ask(|exchange| exchange.listed_and_avoided())
             .await
         {
-            Some((listed, avoided)) => Reply::new(OK, context.figures.render(listed, avoided)),
+            Some((listed, avoided)) => Reply::new(OK, context.metrics.render(listed, avoided)),
             None => Reply::new(UNAVAILABLE, "the list cannot be asked\n"),
         }
     }
--- a/crates/dispatcher/dispatcher/src/client_context.rs
+++ b/crates/dispatcher/dispatcher/src/client_context.rs
@@ -26,7 +26,7 @@
     /// Names of the categories, in the order of the configuration.
     pub categories: Vec<String>,
     /// Counters.
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     /// The other process at this address, during an upgrade.
     pub handover: Handover,
     /// How long a client of each category waits at the most where it does not say, in seconds.
@@ -68,7 +68,7 @@
     pub mailbox: Mailbox,
     pub store: Option<Rc<Store>>,
     pub categories: Vec<String>,
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     pub expiries: Vec<f64>,
     pub has_endpoints: Rc<Cell<bool>>,
     pub retry_after_s: f64,
@@ -82,7 +82,7 @@
             mailbox: parts.mailbox,
             store: parts.store,
             categories: parts.categories,
-            figures: parts.figures,
+            metrics: parts.metrics,
             handover: Handover::default(),
             expiries: parts.expiries,
             shutting_down: Cell::new(false),
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -1,8 +1,8 @@
-//! The clients' side, and the runners' call-backs, which come to the same address.
+//! Connections of clients, and callbacks of runners, which come to the same address.
 
 use crate::client_context::ClientContext;
 use crate::handover::{PeerReply, PeerRequest};
-use crate::http::{next, wire, Fault, Method, Request, Serving, BODY_MOST, HEAD_MOST};
+use crate::http::{next, wire, Fault, Method, Request, Serving, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::sockets::Mailbox;
 use crate::store::Store;
 use futures_util::{SinkExt, Stream};
@@ -24,48 +24,54 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tokio_util::codec::Framed;
 
+/// A connection from a client or runner, with its HTTP codec.
 pub(crate) type Wire = Framed<TcpStream, Serving>;
 
-/// Where runners bring their news.
+/// Path to which runners post their callbacks.
 const CALLBACKS: &str = "/_jobs/news";
 
-/// An idle connection is kept this long: longer than clients pause, short of for ever.
-const IDLE_S: f64 = 75.0;
-/// A new connection's first request is on its way this long at the most: a few round trips and a pause.
-const FRESH_S: f64 = 0.5;
-/// A request once begun must be whole after this, an answer written: many times a slow client's need.
-const SLOW_S: f64 = 5.0;
-/// A connection that is closed is read this long for what was under way: several round trips.
+/// Time in seconds after which an idle connection is closed: longer than the pauses of clients.
+const IDLE_TIMEOUT_S: f64 = 75.0;
+/// Time in seconds within which the first request on a new connection is expected to begin: a few round trips and a
+/// pause.
+const FIRST_REQUEST_TIMEOUT_S: f64 = 0.5;
+/// Time-out in seconds for reading a request that has begun and for writing a response: many times what a slow client
+/// needs.
+const TRANSFER_TIMEOUT_S: f64 = 5.0;
+/// Time in seconds for which a connection that is closed is still read, for requests that are under way: several round
+/// trips.
 pub(crate) const LINGER_S: f64 = 0.5;
-/// A work item expires this much before its client gives up: the way there and back, and a moment in which
-/// this process had no core.
-const WAY_S: f64 = 0.025;
+/// A work item expires this many seconds before its client's deadline: the network's delay in both directions, and a
+/// moment in which this process did not run.
+const REPLY_MARGIN_S: f64 = 0.025;
 
-/// Counts something as long as it lives, also through a panic.
-struct Counted<'a>(&'a Cell<usize>);
+/// Counts one in a counter until it is dropped, also by a panic.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(cell: &'a Cell<usize>) -> Self {
         cell.set(cell.get() + 1);
-        Counted(cell)
+        CountGuard(cell)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
+/// Accepts connections and serves each in a task of its own. Runs until the task is aborted.
 pub(crate) async fn listen(listener: TcpListener, client_context: Rc<ClientContext>) {
-    let places = Arc::new(Semaphore::new(
+    let permits = Arc::new(Semaphore::new(
         client_context.budget.clients + client_context.budget.rejected_clients,
     ));
     loop {
-        // Guards against clients that keep many connections: the longest idle makes room.
-        let place = loop {
-            match timeout(Duration::from_millis(10), places.clone().acquire_owned()).await {
-                Ok(Ok(place)) => break place,
+        // Clients that keep many connections open must not block others: the connection that has been idle longest is
+        // closed to make room.
+        let permit = loop {
+            match timeout(Duration::from_millis(10), permits.clone().acquire_owned()).await {
+                Ok(Ok(permit)) => break permit,
                 Ok(Err(_)) => return,
                 Err(_) => {
                     client_context.close_longest_idle();
@@ -79,14 +85,17 @@
                 }
                 let client_context = client_context.clone();
                 spawn_local(async move {
-                    let (_place, _placed) = (place, Counted::new(&client_context.placed));
-                    let open = Counted::new(&client_context.open);
-                    let Ok(Some((wire, within_s))) = connection(stream, &client_context).await
+                    let (_permit, _placed_count) =
+                        (permit, CountGuard::new(&client_context.placed));
+                    let open = CountGuard::new(&client_context.open);
+                    let Ok(Some((wire, within_s))) =
+                        serve_connection(stream, &client_context).await
                     else {
                         return;
                     };
-                    // It keeps its place, but takes nobody's: no work is turned away for one that is on its way out.
-                    let _unsettled = Counted::new(&client_context.unsettled);
+                    // A closing connection keeps its permit, but does not count as open: no work item is rejected
+                    // because of it.
+                    let _unsettled = CountGuard::new(&client_context.unsettled);
                     drop(open);
                     let _ = linger(wire, within_s).await;
                 });
@@ -99,48 +108,51 @@
     }
 }
 
-/// What comes next on a connection.
-enum Come {
+/// The next event on a connection.
+enum ConnectionEvent {
+    /// A complete request.
     Request(Request),
-    /// One that cannot be read, or is never whole.
+    /// A request that cannot be read or did not arrive completely in time.
     Fault(Fault),
-    /// Its client has closed it.
-    Gone,
-    /// It is this one's turn to be closed.
+    /// The client has closed the connection.
+    Disconnected,
+    /// The dispatcher closes the connection.
     Close,
 }
 
-impl Come {
-    fn read(read: Option<Result<Request, Fault>>) -> Come {
+impl ConnectionEvent {
+    /// The event for what the codec has read; `None` for the end of the connection.
+    fn from_read(read: Option<Result<Request, Fault>>) -> ConnectionEvent {
         match read {
-            Some(Ok(request)) => Come::Request(request),
-            Some(Err(fault)) => Come::Fault(fault),
-            None => Come::Gone,
+            Some(Ok(request)) => ConnectionEvent::Request(request),
+            Some(Err(fault)) => ConnectionEvent::Fault(fault),
+            None => ConnectionEvent::Disconnected,
         }
     }
 }
 
-/// A connection's life up to its close: what is left to be read to its end and for how long, if anybody is there.
-async fn connection(
+/// Serves a connection until it is to be closed. Returns the connection and for how many seconds it is still to be
+/// read, or `None` if the client has disconnected.
+async fn serve_connection(
     stream: TcpStream,
     client_context: &ClientContext,
 ) -> Result<Option<(Wire, f64)>, Fault> {
     let mut wire = wire(stream, Serving::default());
-    let mut fresh = Some(Instant::now());
-    let mut ahead = Ahead::default();
-    let mut callback = false;
+    let mut opened_at = Some(Instant::now());
+    let mut read_ahead = ReadAhead::default();
+    let mut for_callbacks = false;
     loop {
-        let come = match ahead.read.take() {
-            Some(read) => Come::read(Some(read)),
-            None => request(&mut wire, fresh.take(), callback, client_context).await,
+        let event = match read_ahead.read.take() {
+            Some(read) => ConnectionEvent::from_read(Some(read)),
+            None => next_event(&mut wire, opened_at.take(), for_callbacks, client_context).await,
         };
-        let unsettled = Counted::new(&client_context.unsettled);
-        let overrun = std::mem::take(&mut ahead.overrun);
-        let (mut reply, open, keep) = match come {
-            Come::Gone => return Ok(None),
-            // Guards against a reset over a request that crosses the close: it is read and left, and its client, who
-            // sees a plain end, sends it once more elsewhere.
-            Come::Close => {
+        let unsettled = CountGuard::new(&client_context.unsettled);
+        let is_overrun = std::mem::take(&mut read_ahead.is_overrun);
+        let (mut reply, open, keep) = match event {
+            ConnectionEvent::Disconnected => return Ok(None),
+            // A request that crosses the close must not lead to a reset: it is read and discarded. Its client sees a
+            // regular end of the connection and sends the request again elsewhere.
+            ConnectionEvent::Close => {
                 let within_s = if client_context.is_full() {
                     0.0
                 } else {
@@ -148,13 +160,13 @@
                 };
                 return Ok(Some((wire, within_s)));
             }
-            Come::Request(request) => {
-                let _busy = Counted::new(&client_context.busy);
-                let keep = request.keep && !overrun;
-                callback = request.target == CALLBACKS;
+            ConnectionEvent::Request(request) => {
+                let _busy = CountGuard::new(&client_context.busy);
+                let keep = request.keep_alive && !is_overrun;
+                for_callbacks = request.target == CALLBACKS;
                 let headers_only = request.method == Method::Head;
                 let Some((reply, open)) =
-                    answer(request, &mut wire, &mut ahead, client_context).await
+                    answer(request, &mut wire, &mut read_ahead, client_context).await
                 else {
                     return Ok(None);
                 };
@@ -167,19 +179,23 @@
                     keep,
                 )
             }
-            Come::Fault(fault) => {
+            ConnectionEvent::Fault(fault) => {
                 let Some(status) = fault.status() else {
                     return Err(fault);
                 };
                 (Reply::new(status, format!("{fault}\n")), None, false)
             }
         };
-        let busy = Counted::new(&client_context.busy);
+        let busy = CountGuard::new(&client_context.busy);
         reply.close_connection = !keep
-            || client_context.closes_after_answer(callback)
+            || client_context.closes_after_answer(for_callbacks)
             || client_context.open.get() > client_context.budget.clients;
         let (close, status) = (reply.close_connection, reply.status);
-        let sent = timeout(Duration::from_secs_f64(SLOW_S), wire.send(reply)).await;
+        let sent = timeout(
+            Duration::from_secs_f64(TRANSFER_TIMEOUT_S),
+            wire.send(reply),
+        )
+        .await;
         sent.map_err(|_| Fault::Unfinished)??;
         open.into_iter().for_each(|open| open.answered(status));
         drop(busy);
@@ -190,75 +206,80 @@
     }
 }
 
-/// Waits for the next request.
-async fn request(
+/// Waits for the next event. `opened_at` is the time of the connection while it has had no request; `for_callbacks`
+/// tells that its last request was a callback.
+async fn next_event(
     wire: &mut Wire,
-    fresh: Option<Instant>,
-    callback: bool,
+    opened_at: Option<Instant>,
+    for_callbacks: bool,
     client_context: &ClientContext,
-) -> Come {
-    // Guards against shutting a new connection whose first request is under way: its client takes that for a
-    // request lost, and sends nothing again, unlike on a connection that has served.
-    let until = fresh.map(|opened| opened + Duration::from_secs_f64(FRESH_S));
-    let come = match until {
+) -> ConnectionEvent {
+    // A new connection is not closed while its first request is under way: the client would take the request for lost
+    // and would not send it again, as it does on a connection that has already served one.
+    let until = opened_at.map(|opened| opened + Duration::from_secs_f64(FIRST_REQUEST_TIMEOUT_S));
+    let event = match until {
         Some(until) => {
-            let _unsettled = Counted::new(&client_context.unsettled);
-            timeout_at(until, begun(wire)).await.ok()
+            let _unsettled = CountGuard::new(&client_context.unsettled);
+            timeout_at(until, wait_for_bytes(wire)).await.ok()
         }
         None => None,
     };
-    let come = match come {
-        Some(come) => Some(come),
-        None => idle(wire, callback, client_context).await,
+    let event = match event {
+        Some(event) => Some(event),
+        None => wait_idle(wire, for_callbacks, client_context).await,
     };
-    match come {
-        None => Come::Close,
-        Some(Some(read)) => Come::read(read),
+    match event {
+        None => ConnectionEvent::Close,
+        Some(Some(read)) => ConnectionEvent::from_read(read),
         Some(None) => {
-            // Guards against an end of the process in the middle of a request.
-            let _unsettled = Counted::new(&client_context.unsettled);
-            let read = timeout(Duration::from_secs_f64(SLOW_S), next(wire)).await;
-            Come::read(read.unwrap_or(Some(Err(Fault::Unfinished))))
+            // The process does not end in the middle of a request.
+            let _unsettled = CountGuard::new(&client_context.unsettled);
+            let read = timeout(Duration::from_secs_f64(TRANSFER_TIMEOUT_S), next(wire)).await;
+            ConnectionEvent::from_read(read.unwrap_or(Some(Err(Fault::Unfinished))))
         }
     }
 }
 
-/// Waits as one of the idle connections; `None` if it is this one's turn to be closed.
-async fn idle(wire: &mut Wire, callback: bool, client_context: &ClientContext) -> Option<Begun> {
+/// Waits on an idle connection. `None` if it is to be closed.
+async fn wait_idle(
+    wire: &mut Wire,
+    for_callbacks: bool,
+    client_context: &ClientContext,
+) -> Option<FirstRead> {
     let (idle_key, close) = (client_context.next_idle_key(), Rc::new(Notify::new()));
     client_context
         .idle
         .borrow_mut()
         .insert(idle_key, close.clone());
     let mut closing = client_context.closing.subscribe();
-    let come = tokio::select! {
+    let event = tokio::select! {
         biased;
-        come = begun(wire) => Some(come),
+        event = wait_for_bytes(wire) => Some(event),
         () = close.notified() => None,
-        _ = closing.wait_for(|closing| *closing && client_context.may_close(callback)) => None,
-        () = sleep(Duration::from_secs_f64(IDLE_S)) => None,
+        _ = closing.wait_for(|closing| *closing && client_context.may_close(for_callbacks)) => None,
+        () = sleep(Duration::from_secs_f64(IDLE_TIMEOUT_S)) => None,
     };
     client_context.idle.borrow_mut().remove(&idle_key);
-    if come.is_some() {
-        return come;
+    if event.is_some() {
+        return event;
     }
-    // What came in the same moment, and was not read yet, is a request like any.
+    // A request that arrived at the same moment and has not been read yet is served as any other.
     yield_now().await;
     tokio::select! {
         biased;
-        come = begun(wire) => Some(come),
+        event = wait_for_bytes(wire) => Some(event),
         () = ready(()) => None,
     }
 }
 
-/// What came first: nothing whole yet, or all that `next` says.
-type Begun = Option<Option<Result<Request, Fault>>>;
+/// What arrived first: `None` for part of a request, otherwise the result of `next`.
+type FirstRead = Option<Option<Result<Request, Fault>>>;
 
 /// Waits for the first bytes of a request.
-async fn begun(wire: &mut Wire) -> Begun {
+async fn wait_for_bytes(wire: &mut Wire) -> FirstRead {
     poll_fn(|cx| match Pin::new(&mut *wire).poll_next(cx) {
         Poll::Ready(read) => Poll::Ready(Some(read)),
-        Poll::Pending if !wire.read_buffer().is_empty() || !wire.codec().between() => {
+        Poll::Pending if !wire.read_buffer().is_empty() || !wire.codec().is_between_messages() => {
             Poll::Ready(None)
         }
         Poll::Pending => Poll::Pending,
@@ -266,13 +287,14 @@
     .await
 }
 
-/// Ends a connection so that the answer is still read: says the end, then reads what was under way, for so long.
-pub(crate) async fn linger(wire: Wire, most_s: f64) -> Result<(), Fault> {
+/// Closes a connection so that the client still reads the response: shuts the writing side down, then reads what is
+/// under way for at most `max_s` seconds.
+pub(crate) async fn linger(wire: Wire, max_s: f64) -> Result<(), Fault> {
     let mut stream = wire.into_inner();
     stream.shutdown().await?;
     let mut rest = [0; 1024];
-    if most_s <= 0.0 {
-        // At once: a timer would hold its place for a moment, and whole rounds of idle connections with it.
+    if max_s <= 0.0 {
+        // Without a timer, which would delay the release of the permit and hold up whole rounds of idle connections.
         for _ in 0..64 {
             if !matches!(stream.try_read(&mut rest), Ok(1..)) {
                 break;
@@ -281,34 +303,37 @@
         return Ok(());
     }
     let read = async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} };
-    let _ = timeout(Duration::from_secs_f64(most_s), read).await;
+    let _ = timeout(Duration::from_secs_f64(max_s), read).await;
     Ok(())
 }
 
-/// What came while an answer was awaited: the next request, and whether there was more behind it than is kept.
+/// What was read while the client waits for a response.
 #[derive(Default)]
-struct Ahead {
+struct ReadAhead {
+    /// The next request.
     read: Option<Result<Request, Fault>>,
-    overrun: bool,
+    /// Whether more followed than is buffered.
+    is_overrun: bool,
 }
 
-impl Ahead {
-    /// Reads on while an answer is awaited; ends when the client has gone. Guards against one that sends much at once and
-    /// goes: unread bytes would hide its leaving. What is behind the next request stays in the wire's own buffer, as
-    /// much as one request may be long; who sends more has its connection closed after the next answer.
-    async fn until_gone(&mut self, wire: &mut Wire) {
+impl ReadAhead {
+    /// Reads while the client waits for a response, and ends when it has disconnected. Unread bytes of a client that
+    /// sends much and disconnects would hide the disconnection. What follows the next request stays in the buffer of
+    /// the connection, up to the length of one request; if more comes, the connection is closed after the next
+    /// response.
+    async fn read_until_disconnected(&mut self, wire: &mut Wire) {
         loop {
             if self.read.is_none() {
                 match next(wire).await {
                     None | Some(Err(Fault::Broken(_))) => return,
-                    // One that cannot be read says nothing about the one that waits.
+                    // A request that cannot be read is no reason to abandon the one that waits.
                     read => self.read = read,
                 }
-            } else if wire.read_buffer().len() > HEAD_MOST + BODY_MOST {
+            } else if wire.read_buffer().len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
                 wire.read_buffer_mut().clear();
-                self.overrun = true;
+                self.is_overrun = true;
             } else {
-                // Nothing is held across the wait: it may be dropped there, when the answer comes.
+                // No data is held across the wait, because the future may be dropped there when the response is ready.
                 let mut more = [0; 4096];
                 let readable = wire.get_ref().readable().await;
                 match readable.and_then(|()| wire.get_ref().try_read(&mut more)) {
@@ -321,41 +346,42 @@
     }
 }
 
-/// The answer to a request, and the work item that it ends; `None` if its client has gone.
+/// Answers a request. Returns the reply and the record of an open request that ends with it; `None` if the client has
+/// disconnected.
 async fn answer(
     request: Request,
     wire: &mut Wire,
-    ahead: &mut Ahead,
+    read_ahead: &mut ReadAhead,
     client_context: &ClientContext,
 ) -> Option<(Reply, Option<OpenRequest>)> {
     let path = request.target.split('?').next().unwrap_or_default();
-    let looks = matches!(request.method, Method::Get | Method::Head);
+    let is_read = matches!(request.method, Method::Get | Method::Head);
     let reply = match path {
         "/health/ready"
-            if looks
+            if is_read
                 && client_context.shutting_down.get()
                 && !client_context.handing_over.get() =>
         {
             Reply::new(503, "ending\n")
         }
-        "/health/ready" if looks && client_context.drained.get() => {
+        "/health/ready" if is_read && client_context.drained.get() => {
             Reply::new(503, "drained by hand\n")
         }
-        "/health/ready" if looks && !client_context.has_endpoints.get() => {
+        "/health/ready" if is_read && !client_context.has_endpoints.get() => {
             Reply::new(503, "no list yet\n")
         }
-        "/health/ready" | "/health/live" if looks => Reply::new(200, "ok\n"),
+        "/health/ready" | "/health/live" if is_read => Reply::new(200, "ok\n"),
         CALLBACKS if request.method == Method::Post => {
             match serde_json::from_slice::<Callback>(&request.body) {
-                Ok(told) => callback(told, client_context).await,
+                Ok(message) => handle_callback(message, client_context).await,
                 Err(error) => Reply::new(400, format!("{error}\n")),
             }
         }
         "/health/ready" | "/health/live" | CALLBACKS => Reply::new(405, "not with this method\n"),
         _ if request.method != Method::Post => Reply::new(405, "jobs come by POST\n"),
-        _ => match job(&request, client_context) {
+        _ => match parse_job(&request, client_context) {
             Ok((job, wait_s)) => {
-                let open = OpenRequest::new(&client_context.figures, job.category);
+                let open = OpenRequest::new(&client_context.metrics, job.category);
                 let reply = match client_context.is_overloaded() {
                     true => {
                         let retry_after_s = client_context.retry_after_s;
@@ -364,20 +390,20 @@
                             ..Reply::new(503, "too many connections\n")
                         }
                     }
-                    false => work(request, job, wait_s, wire, ahead, client_context).await?,
+                    false => submit(request, job, wait_s, wire, read_ahead, client_context).await?,
                 };
                 return Some((reply, Some(open)));
             }
-            Err((status, why)) => Reply::new(status, format!("{why}\n")),
+            Err((status, reason)) => Reply::new(status, format!("{reason}\n")),
         },
     };
     Some((reply, None))
 }
 
-/// What a runner tells. Guards against news that come to the other process at this address: they go to the one
-/// that holds the work item, and the runner tells again what that did not hear.
-async fn callback(callback: Callback, client_context: &ClientContext) -> Reply {
-    if !client_context.handover.linked() {
+/// Handles a callback of a runner. During an upgrade it may arrive at the other process of this address: it is passed
+/// on to the process that holds the work item. If that process does not answer, the runner is asked to repeat it.
+async fn handle_callback(callback: Callback, client_context: &ClientContext) -> Reply {
+    if !client_context.handover.has_peer() {
         client_context
             .mailbox
             .call(move |exchange| _ = exchange.callback(callback))
@@ -401,8 +427,8 @@
     Reply::new(204, "")
 }
 
-/// A number and a unit: milliseconds or microseconds.
-fn seconds(text: &str) -> Option<f64> {
+/// Seconds of a duration given as a number and its unit: `m` for milliseconds, `u` for microseconds.
+fn parse_duration_s(text: &str) -> Option<f64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: f64 = number
         .parse()
@@ -415,14 +441,14 @@
     }
 }
 
-/// The work item that a request asks for, and how long its client waits.
-fn job(
+/// The work item that a request submits, and for how many seconds its client waits.
+fn parse_job(
     request: &Request,
     client_context: &ClientContext,
 ) -> Result<(Job, f64), (u16, &'static str)> {
     let id = request.id.as_deref().ok_or((400, "no Req-Id"))?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
-    if id.is_empty() || id.len() > 128 || !id.bytes().all(plain) {
+    let is_path_safe = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
+    if id.is_empty() || id.len() > 128 || !id.bytes().all(is_path_safe) {
         return Err((400, "this Req-Id cannot stand in a path"));
     }
     let (path, query) = request
@@ -443,8 +469,8 @@
         .iter()
         .position(|c| c == name)
         .ok_or((404, "unknown category"))?;
-    let wait_s = match &request.waits {
-        Some(text) => seconds(text).ok_or((400, "Req-Deadline cannot be read"))?,
+    let wait_s = match &request.deadline {
+        Some(text) => parse_duration_s(text).ok_or((400, "Req-Deadline cannot be read"))?,
         None => client_context.expiries[category],
     };
     let key = query
@@ -458,19 +484,19 @@
         .flat_map(|extra| extra.split(','))
         .filter(|pair| !pair.trim().is_empty())
     {
-        let (name, figure) = pair
+        let (name, number) = pair
             .split_once('=')
             .ok_or((400, "Req-Extra cannot be read"))?;
-        let figure: f64 = figure
+        let number: f64 = number
             .trim()
             .parse()
             .map_err(|_| (400, "Req-Extra cannot be read"))?;
-        if !(figure.is_finite() && figure >= 0.0) {
+        if !(number.is_finite() && number >= 0.0) {
             return Err((400, "Req-Extra cannot be read"));
         }
         match name.trim() {
-            "slots" => slots = figure,
-            "memory" => memory = figure,
+            "slots" => slots = number,
+            "memory" => memory = number,
             _ => {}
         }
     }
@@ -484,49 +510,54 @@
         slots,
         memory,
     };
-    Ok((job, (wait_s - WAY_S).max(0.0)))
+    Ok((job, (wait_s - REPLY_MARGIN_S).max(0.0)))
 }
 
-/// Tells the exchange when a client leaves, also through a panic.
-struct Waiting<'a> {
+/// Reports to the exchange that a client has disconnected, unless the reply came first; also after a panic.
+struct DisconnectGuard<'a> {
     mailbox: &'a Mailbox,
+    /// Id of the work item; `None` once it has been answered.
     id: Option<Rc<str>>,
-    gone: Rc<Cell<bool>>,
+    has_disconnected: Rc<Cell<bool>>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            self.gone.set(true);
+            self.has_disconnected.set(true);
             self.mailbox.put(move |exchange| exchange.client_left(&id));
         }
     }
 }
 
-/// A work item that others know of; left without an answer, it may have run.
+/// A work item that is recorded at other dispatchers. If it is dropped without a reply, the work item is recorded as
+/// one that may have run.
 struct Claim<'a> {
     store: &'a Store,
-    no: u64,
-    exclusive: bool,
-    told: bool,
+    /// Number of the claim in the store.
+    number: u64,
+    /// Whether the work item may run at most once.
+    is_exclusive: bool,
+    is_completed: bool,
 }
 
 impl Claim<'_> {
-    fn ended(mut self, reply: &Reply) {
-        self.told = true;
+    fn complete(mut self, reply: &Reply) {
+        self.is_completed = true;
         let (status, body) = (reply.status, Some(reply.body.to_vec()));
-        // At-most-once work is deferred only if it never ran; what was refused at the door was never taken.
-        let ran = !(status == 503 && self.exclusive || matches!(status, 400 | 404));
+        // A work item that may run at most once gets a 503 only if it never ran; one that was rejected with 400 or 404
+        // was never accepted.
+        let may_have_run = !(status == 503 && self.is_exclusive || matches!(status, 400 | 404));
         let status = if matches!(status, 400 | 404) {
             503
         } else {
             status
         };
         self.store.complete_claim(
-            self.no,
+            self.number,
             Completion {
                 status,
-                may_have_run: ran,
+                may_have_run,
                 body,
             },
         );
@@ -535,9 +566,9 @@
 
 impl Drop for Claim<'_> {
     fn drop(&mut self) {
-        if !self.told {
+        if !self.is_completed {
             self.store.complete_claim(
-                self.no,
+                self.number,
                 Completion {
                     status: 502,
                     may_have_run: true,
@@ -548,9 +579,9 @@
     }
 }
 
-/// Makes known to others what its category says is to be known before it is handed off; what is answered at once
-/// where another has had it, or too few could be told.
-async fn record<'a>(
+/// Records a work item at other dispatchers before it is sent to a runner, if its category requires it. Returns the
+/// reply if it is answered at once, because another dispatcher has had it or too few dispatchers could be reached.
+async fn claim<'a>(
     request: &Request,
     job: &Job,
     client_context: &'a ClientContext,
@@ -566,21 +597,21 @@
         .split_once('?')
         .unwrap_or((&request.target, ""));
     let key = query.split('&').find_map(|pair| pair.strip_prefix("key="));
-    let called = match recorded.by_key {
+    let name = match recorded.by_key {
         true => key.filter(|key| !key.is_empty()),
         false => request.name.as_deref(),
     };
-    let called = called.or(request.id.as_deref()).unwrap_or_default();
-    let exclusive = recorded.window_s.is_none();
+    let name = name.or(request.id.as_deref()).unwrap_or_default();
+    let is_exclusive = recorded.window_s.is_none();
     match store
-        .claim(&client_context.categories[job.category], called, recorded)
+        .claim(&client_context.categories[job.category], name, recorded)
         .await
     {
-        Ok(no) => Ok(no.map(|no| Claim {
+        Ok(number) => Ok(number.map(|number| Claim {
             store,
-            no,
-            exclusive,
-            told: false,
+            number,
+            is_exclusive,
+            is_completed: false,
         })),
         Err(RetryAnswer::Repeat { status, body }) => Err(Reply::new(status, body)),
         Err(RetryAnswer::WriteOff) => {
@@ -596,16 +627,17 @@
     }
 }
 
-/// Hands a work item in and waits for its answer, reading on: a client that closes has left.
-async fn work(
+/// Submits a work item and waits for its reply. Meanwhile the connection is read, because its end means that the client
+/// has disconnected.
+async fn submit(
     request: Request,
     job: Job,
     wait_s: f64,
     wire: &mut Wire,
-    ahead: &mut Ahead,
+    read_ahead: &mut ReadAhead,
     client_context: &ClientContext,
 ) -> Option<Reply> {
-    let claimed = match record(&request, &job, client_context).await {
+    let claimed = match claim(&request, &job, client_context).await {
         Ok(claimed) => claimed,
         Err(reply) => return Some(reply),
     };
@@ -616,34 +648,34 @@
         body,
         ..
     } = request;
-    let gone = Rc::new(Cell::new(false));
+    let has_disconnected = Rc::new(Cell::new(false));
     let work_request = WorkRequest {
         id: id.clone(),
         target,
         headers,
         body,
-        client_left: gone.clone(),
+        client_left: has_disconnected.clone(),
     };
-    let mut waiting = Waiting {
+    let mut disconnect_guard = DisconnectGuard {
         mailbox: &client_context.mailbox,
         id: Some(id),
-        gone,
+        has_disconnected,
     };
-    let (tell, mut told) = oneshot::channel();
+    let (reply_sender, mut reply_receiver) = oneshot::channel();
     client_context
         .mailbox
-        .call(move |exchange| exchange.accept(work_request, job, wait_s, tell))
+        .call(move |exchange| exchange.accept(work_request, job, wait_s, reply_sender))
         .await;
     tokio::select! {
         biased;
-        reply = &mut told => {
-            waiting.id = None;
+        reply = &mut reply_receiver => {
+            disconnect_guard.id = None;
             let reply = reply.unwrap_or_else(|_| Reply::new(502, "written off\n"));
-            claimed.into_iter().for_each(|claim| claim.ended(&reply));
+            claimed.into_iter().for_each(|claim| claim.complete(&reply));
             Some(reply)
         }
-        () = ahead.until_gone(wire) => {
-            drop(told);
+        () = read_ahead.read_until_disconnected(wire) => {
+            drop(reply_receiver);
             None
         }
     }
--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -1,11 +1,12 @@
-//! The list of runners: one watch, opened when the decisions ask for it; two while one list takes over from
-//! another, or while one that had a flaw is asked again.
+//! Watch on the endpoint list. There is one, opened when the exchange asks for the list; there are two while one list
+//! replaces another, or while a list that had a fault is read again.
 //!
-//! The budget: a change counts as told 6 s after discovery had it and could be reached. A silent watch: `SILENT_S`,
-//! then at once a dial (`DIAL_S` at the most) and the answer. A dial that timed out has waited already: at once again.
-//! A call that failed quickly waits for its turn, which the decisions draw (`interface.rs`: 3.5 s, later 1.9 s).
+//! A change must be known 6 s after discovery had it and could be reached. A silent watch is noticed after
+//! `SILENCE_TIMEOUT_S`; then follow at once a connection attempt (at most `CONNECT_TIMEOUT_S`) and the response. After
+//! a connection attempt that timed out the next one follows at once. A call that failed quickly waits for its turn,
+//! which the policy draws (`interface.rs`: 3.5 s, later 1.9 s).
 
-use crate::http::{next, wire, AskList, Fault, Watching, LINE_MOST};
+use crate::http::{next, wire, Fault, WatchRequest, Watching, MAX_LINE_BYTES};
 use crate::sockets::{Exchange, Mailbox};
 use crate::trial::Broken;
 use futures_util::SinkExt;
@@ -21,57 +22,67 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A line comes every 2 s even if nothing changes; one missed, and most of another, are the end of the watch. Guards
-/// against a list cut off, whose connection stays open and silent; two missed (4.5 s) left too little of the 6 s.
-const SILENT_S: f64 = 3.3;
-const DIAL_S: f64 = 1.0;
-/// After a flaw the list is asked again so soon; twice as late after each further one, up to the most.
-const MEND_S: f64 = 0.1;
-const MEND_MOST_S: f64 = 30.0;
+/// Time in seconds without a line after which the watch has ended: a line comes every 2 s even without a change, so one
+/// was missed and another is late. A list that is cut off keeps its connection open and silent. Waiting for two missed
+/// lines (4.5 s) left too little of the 6 s.
+const SILENCE_TIMEOUT_S: f64 = 3.3;
+/// Time-out in seconds for connecting to discovery.
+const CONNECT_TIMEOUT_S: f64 = 1.0;
+/// Time in seconds after which a list with a fault is read again. It doubles with each further fault up to the maximum.
+const REREAD_DELAY_S: f64 = 0.1;
+const MAX_REREAD_DELAY_S: f64 = 30.0;
 
-/// One list: where it is, and the last of its versions that was read without a flaw.
-struct Place {
-    at: SocketAddr,
-    after: Cell<u64>,
-    /// Rung when it has told of runners.
-    spoke: Notify,
-    /// Rung when a line had a flaw; and how many watches in a row had one.
-    flawed: Notify,
-    flaws: Cell<i32>,
+/// An endpoint list: its address and the last version that was read without a fault.
+struct ListSource {
+    address: SocketAddr,
+    /// The last version that was read without a fault.
+    version: Cell<u64>,
+    /// Notified when an update has been read.
+    updated: Notify,
+    /// Notified when a line had a fault.
+    faulty: Notify,
+    /// Number of watches in a row that had a fault.
+    fault_count: Cell<i32>,
 }
 
-impl Place {
-    fn new(at: SocketAddr, after: u64) -> Rc<Place> {
-        Rc::new(Place {
-            at,
-            after: Cell::new(after),
-            spoke: Notify::new(),
-            flawed: Notify::new(),
-            flaws: Cell::new(0),
+impl ListSource {
+    fn new(address: SocketAddr, version: u64) -> Rc<ListSource> {
+        Rc::new(ListSource {
+            address,
+            version: Cell::new(version),
+            updated: Notify::new(),
+            faulty: Notify::new(),
+            fault_count: Cell::new(0),
         })
     }
 }
 
+/// The watch on the endpoint list.
 pub(crate) struct Watch {
-    /// Changes when the dispatcher is told of another list.
-    pub at: watch::Receiver<SocketAddr>,
+    /// Address of discovery; changes with the configuration.
+    pub address: watch::Receiver<SocketAddr>,
     pub names: ListNames,
     pub mailbox: Mailbox,
-    /// Rung when the decisions ask for the list.
+    /// Notified when the exchange asks for the list.
     pub ask: Rc<Notify>,
-    /// The version that the dispatcher starts from.
-    pub after: u64,
-    /// The list of before the start, where it holds only if nobody can be asked.
-    pub known: Cell<Option<DiscoveryUpdate>>,
-    /// This dispatcher's turn among all that have read the same flaw.
-    pub turn_s: f64,
-    pub failing: Cell<bool>,
+    /// Version of the list that the dispatcher starts with.
+    pub version: u64,
+    /// The list from before the start. It is used only if discovery cannot be reached; `None` once it has been applied
+    /// or is superseded.
+    pub cached_list: Cell<Option<DiscoveryUpdate>>,
+    /// Delay in seconds of this dispatcher after a fault, so that dispatchers that read the same fault do not ask at
+    /// once.
+    pub reread_offset_s: f64,
+    /// Whether the last watch ended and no line has come since.
+    pub is_failing: Cell<bool>,
     pub broken: Option<Broken>,
 }
 
-type Open<'a> = Pin<Box<dyn Future<Output = Fault> + 'a>>;
+/// A watch that is under way; it resolves to the reason of its end.
+type OpenWatch<'a> = Pin<Box<dyn Future<Output = Fault> + 'a>>;
 
-async fn ended(open: &mut Option<Open<'_>>) -> Fault {
+/// Waits for the end of a watch; forever if there is none.
+async fn watch_ended(open: &mut Option<OpenWatch<'_>>) -> Fault {
     let fault = match open {
         Some(open) => open.await,
         None => pending().await,
@@ -80,204 +91,217 @@
     fault
 }
 
-async fn due(at: Option<Instant>) {
+/// Waits until the given time; forever if there is none.
+async fn sleep_until_set(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => pending().await,
     }
 }
 
-/// What is read of a change that comes on several lines.
+/// Collects a change that comes on several lines.
 #[derive(Default)]
-struct Indented {
+struct MultilineChange {
     text: Vec<u8>,
-    margin: usize,
+    /// Indentation of the first line, in bytes.
+    indentation: usize,
 }
 
-impl Indented {
-    /// The change that ends with this line; `None` while more is to come. `Err` of one that broke off, with what this
-    /// line says by itself.
+impl MultilineChange {
+    /// Adds a line. Returns the change that ends with it, or `None` while more lines are expected. `Err` stands for a
+    /// change that broke off, with the change that this line holds by itself, if any.
     fn add(&mut self, line: &[u8]) -> Option<Result<serde_json::Value, Option<serde_json::Value>>> {
-        let margin = line.iter().take_while(|b| b.is_ascii_whitespace()).count();
+        let indentation = line.iter().take_while(|b| b.is_ascii_whitespace()).count();
         if self.text.is_empty() {
             return match serde_json::from_slice(line) {
                 Ok(value) => Some(Ok(value)),
                 Err(error) if error.is_eof() => {
-                    *self = Indented {
+                    *self = MultilineChange {
                         text: line.to_vec(),
-                        margin,
+                        indentation,
                     };
                     None
                 }
                 Err(_) => Some(Err(None)),
             };
         }
-        // Only a line that is no further in can be its last, or another change: it is not parsed again with each.
-        let ends = margin <= self.margin && line.trim_ascii_end().ends_with(b"}");
-        let alone = ends.then(|| serde_json::from_slice(line).ok()).flatten();
+        // Only a line that is not indented further can end the change or be another one. So the text is not parsed
+        // again with each line.
+        let may_end = indentation <= self.indentation && line.trim_ascii_end().ends_with(b"}");
+        let alone = may_end.then(|| serde_json::from_slice(line).ok()).flatten();
         let alone = alone.filter(|value: &serde_json::Value| value.get("generation").is_some());
         self.text.push(b'\n');
         self.text.extend_from_slice(line);
-        let read = match (alone, ends.then(|| serde_json::from_slice(&self.text))) {
+        let read = match (alone, may_end.then(|| serde_json::from_slice(&self.text))) {
             (Some(alone), _) => Err(Some(alone)),
             (_, Some(Ok(value))) => Ok(value),
             (_, Some(Err(error))) if !error.is_eof() => Err(None),
-            _ if self.text.len() > LINE_MOST => Err(None),
+            _ if self.text.len() > MAX_LINE_BYTES => Err(None),
             _ => return None,
         };
         self.text.clear();
         Some(read)
     }
 
-    /// It ends here; true if it had begun.
-    fn breaks_off(&mut self) -> bool {
+    /// Discards the collected lines; true if there were any.
+    fn discard(&mut self) -> bool {
         !std::mem::take(&mut self.text).is_empty()
     }
 }
 
 impl Watch {
-    pub(crate) async fn keep(self) {
-        let mut told = self.at.clone();
-        let at = *told.borrow_and_update();
-        let mut place = Place::new(at, self.after);
-        let (mut open, mut predecessor): (Option<Open>, Option<Open>) = (None, None);
-        let mut mend_at = None;
+    /// Keeps a watch open and passes its updates to the exchange, as long as the process lasts.
+    pub(crate) async fn run(self) {
+        let mut address_changes = self.address.clone();
+        let address = *address_changes.borrow_and_update();
+        let mut source = ListSource::new(address, self.version);
+        let (mut open, mut previous): (Option<OpenWatch>, Option<OpenWatch>) = (None, None);
+        let mut reread_at = None;
         loop {
             tokio::select! {
                 biased;
-                Ok(()) = told.changed() => {
-                    // Guards against a gap between two lists: the one that spoke last is read on until the
-                    // new one has spoken. Asked from the beginning, since their versions are not alike.
-                    predecessor = predecessor.or(open);
-                    let at = *told.borrow_and_update();
-                    (place, mend_at) = (Place::new(at, 0), None);
-                    open = Some(self.open(place.clone()));
+                Ok(()) = address_changes.changed() => {
+                    // The previous list is read until the new one has been read, so that there is no gap between them.
+                    // The new one is read from the beginning, since the versions of two lists are unrelated.
+                    previous = previous.or(open);
+                    let address = *address_changes.borrow_and_update();
+                    (source, reread_at) = (ListSource::new(address, 0), None);
+                    open = Some(self.open(source.clone()));
                 }
-                // Guards against waiting twice for what was missed: until silence is noticed, and then for this
-                // dispatcher's turn among all that ask.
-                fault = ended(&mut open) => {
-                    let waited = matches!(&fault, Fault::Broken(error) if error.kind() == ErrorKind::TimedOut);
-                    if waited {
-                        tracing::info!("the list says nothing; it is asked anew");
-                        open = Some(self.open(place.clone()));
-                    } else if !self.failing.replace(true) {
-                        tracing::warn!("the list's watch ended, the last list holds: {fault}");
+                // A watch that timed out is opened again at once: the time-out has already been waited for, so this
+                // dispatcher does not also wait for its turn among all that ask.
+                fault = watch_ended(&mut open) => {
+                    let timed_out = matches!(&fault, Fault::Broken(error) if error.kind() == ErrorKind::TimedOut);
+                    if timed_out {
+                        tracing::info!("endpoint list watch timed out, reconnecting");
+                        open = Some(self.open(source.clone()));
+                    } else if !self.is_failing.replace(true) {
+                        tracing::warn!("endpoint list watch ended, keeping the last list: {fault}");
                     }
-                    let known = self.known.take();
-                    let failed = move |exchange: &mut Exchange| {
-                        known.into_iter().for_each(|known| _ = exchange.apply_cached_list(known));
-                        if !waited {
+                    let cached_list = self.cached_list.take();
+                    let report_failure = move |exchange: &mut Exchange| {
+                        cached_list.into_iter().for_each(|cached| _ = exchange.apply_cached_list(cached));
+                        if !timed_out {
                             exchange.discovery_failed();
                         }
                     };
-                    self.mailbox.call(failed).await;
+                    self.mailbox.call(report_failure).await;
                 }
-                () = place.spoke.notified() => predecessor = None,
-                _ = ended(&mut predecessor) => {}
-                // Guards against what a flaw kept from us until the watch happens to end. It is read on meanwhile.
-                () = place.flawed.notified() => {
-                    let pause_s = (MEND_S * 2f64.powi(place.flaws.get())).min(MEND_MOST_S);
-                    place.flaws.set((place.flaws.get() + 1).min(16));
-                    mend_at = Some(Instant::now() + Duration::from_secs_f64(self.turn_s + pause_s));
+                () = source.updated.notified() => previous = None,
+                _ = watch_ended(&mut previous) => {}
+                // The changes that a fault hid are read with a new watch, not only when this one happens to end.
+                // Meanwhile this one is read on.
+                () = source.faulty.notified() => {
+                    let pause_s = (REREAD_DELAY_S * 2f64.powi(source.fault_count.get())).min(MAX_REREAD_DELAY_S);
+                    source.fault_count.set((source.fault_count.get() + 1).min(16));
+                    reread_at = Some(Instant::now() + Duration::from_secs_f64(self.reread_offset_s + pause_s));
                 }
-                () = due(mend_at) => {
-                    mend_at = None;
-                    predecessor = open.take().or(predecessor);
-                    open = Some(self.open(place.clone()));
+                () = sleep_until_set(reread_at) => {
+                    reread_at = None;
+                    previous = open.take().or(previous);
+                    open = Some(self.open(source.clone()));
                 }
-                // A call that waits for its answer goes on: given up, it would lose its turn.
+                // A request that waits for its response goes on; a new one would lose its turn.
                 () = self.ask.notified() => {
                     if open.is_none() {
-                        open = Some(self.open(place.clone()));
+                        open = Some(self.open(source.clone()));
                     }
                 }
             }
         }
     }
 
-    /// One watch, until it ends.
-    fn open(&self, place: Rc<Place>) -> Open<'_> {
+    /// Opens a watch and reads it until it ends.
+    fn open(&self, source: Rc<ListSource>) -> OpenWatch<'_> {
         Box::pin(async move {
-            match self.lines(&place).await {
+            match self.read_updates(&source).await {
                 Err(fault) => fault,
-                Ok(()) => Fault::Malformed("it was closed"),
+                Ok(()) => Fault::Malformed("the connection was closed"),
             }
         })
     }
 
-    async fn lines(&self, place: &Place) -> Result<(), Fault> {
-        let late = |_| std::io::Error::from(ErrorKind::TimedOut);
+    /// Reads updates and passes them to the exchange. `Ok` if discovery closes the connection.
+    async fn read_updates(&self, source: &ListSource) -> Result<(), Fault> {
+        let timed_out = |_| std::io::Error::from(ErrorKind::TimedOut);
         let dial = timeout(
-            Duration::from_secs_f64(DIAL_S),
-            TcpStream::connect(place.at),
+            Duration::from_secs_f64(CONNECT_TIMEOUT_S),
+            TcpStream::connect(source.address),
         );
-        let stream = dial.await.map_err(late)??;
-        let mut wire = wire(stream, Watching::new(place.at.to_string()));
-        wire.send(AskList {
-            after: place.after.get(),
+        let stream = dial.await.map_err(timed_out)??;
+        let mut wire = wire(stream, Watching::new(source.address.to_string()));
+        wire.send(WatchRequest {
+            after: source.version.get(),
         })
         .await?;
-        let (mut first, mut sound, mut indented) = (true, true, Indented::default());
+        let (mut is_first, mut is_sound, mut multiline) = (true, true, MultilineChange::default());
         loop {
-            let line = timeout(Duration::from_secs_f64(SILENT_S), next(&mut wire)).await;
-            let Some(line) = line.map_err(late)?.transpose()? else {
+            let line = timeout(Duration::from_secs_f64(SILENCE_TIMEOUT_S), next(&mut wire)).await;
+            let Some(line) = line.map_err(timed_out)?.transpose()? else {
                 return Ok(());
             };
-            let mut told = DiscoveryUpdate::default();
-            let beat = line.trim_ascii().is_empty();
-            if !beat {
-                let Some(read) = indented.add(&line) else {
+            let mut update = DiscoveryUpdate::default();
+            let is_heartbeat = line.trim_ascii().is_empty();
+            if !is_heartbeat {
+                let Some(read) = multiline.add(&line) else {
                     continue;
                 };
                 let broke_off = read.is_err();
                 let value = read
                     .map_or_else(|alone| alone, Some)
-                    .ok_or("it is broken".to_string());
+                    .ok_or("not valid JSON".to_string());
                 match value.and_then(|value| DiscoveryUpdate::parse(value, &self.names)) {
-                    Ok(read) => told = read,
-                    Err(why) => {
-                        tracing::warn!("a line of the list is passed over: {why}");
-                        told.has_invalid_entries = true;
+                    Ok(read) => update = read,
+                    Err(error) => {
+                        tracing::warn!("endpoint list line ignored: {error}");
+                        update.has_invalid_entries = true;
                     }
                 }
-                told.has_invalid_entries |= broke_off;
-            } else if indented.breaks_off() {
-                tracing::warn!("a line of the list is passed over: it breaks off");
-                told.has_invalid_entries = true;
-            } else if !first {
+                update.has_invalid_entries |= broke_off;
+            } else if multiline.discard() {
+                tracing::warn!("endpoint list line ignored: a change is incomplete");
+                update.has_invalid_entries = true;
+            } else if !is_first {
                 continue;
             }
-            first = false;
-            // Guards against a change lost with a bad line: the next watch asks from before it, and soon.
-            if sound && told.has_invalid_entries {
-                place.flawed.notify_one();
+            is_first = false;
+            // A change in a line that could not be read is not lost: a new watch soon asks for the changes since before
+            // it.
+            if is_sound && update.has_invalid_entries {
+                source.faulty.notify_one();
             }
-            sound = (sound || told.is_full) && !told.has_invalid_entries;
-            // Guards against late word of before: what it still names as ready may drain by now.
-            if !told.is_full && told.generation < place.after.get() {
-                told.entries
+            is_sound = (is_sound || update.is_full) && !update.has_invalid_entries;
+            // A late update of an earlier version may name a runner as ready that drains by now, so its ready entries
+            // are dropped.
+            if !update.is_full && update.generation < source.version.get() {
+                update
+                    .entries
                     .retain(|entry| entry.lifecycle != Lifecycle::Ready);
             }
-            if sound && !beat {
-                place.flaws.set(0);
-                let before = if told.is_full { 0 } else { place.after.get() };
-                place.after.set(told.generation.max(before));
-                place.spoke.notify_one();
+            if is_sound && !is_heartbeat {
+                source.fault_count.set(0);
+                let before = if update.is_full {
+                    0
+                } else {
+                    source.version.get()
+                };
+                source.version.set(update.generation.max(before));
+                source.updated.notify_one();
             }
-            if self.failing.take() {
-                tracing::info!("the list is watched again");
+            if self.is_failing.take() {
+                tracing::info!("endpoint list watch restored");
             }
             self.broken
                 .into_iter()
-                .for_each(|broken| broken.hears(&mut told));
-            let known = self.known.take().filter(|_| !told.is_full);
-            let listed = move |exchange: &mut Exchange| {
-                known
+                .for_each(|broken| broken.hears(&mut update));
+            let cached_list = self.cached_list.take().filter(|_| !update.is_full);
+            let apply = move |exchange: &mut Exchange| {
+                cached_list
                     .into_iter()
-                    .for_each(|known| _ = exchange.apply_cached_list(known));
-                exchange.apply_update(told);
+                    .for_each(|cached| _ = exchange.apply_cached_list(cached));
+                exchange.apply_update(update);
             };
-            self.mailbox.call(listed).await;
+            self.mailbox.call(apply).await;
         }
     }
 }
--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -29,9 +29,9 @@
 pub(crate) struct Fleet {
     pub node: RefCell<Node>,
     /// Rung when a part is short, or there is nothing to wait for.
-    pub kick: Notify,
+    pub lease_wake: Notify,
     /// Where each member is reached.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     pub listen: SocketAddr,
     sites: Vec<String>,
     sharing: bool,
@@ -161,8 +161,8 @@
         node.budgets.set_started_at(began);
         Rc::new(Fleet {
             node: RefCell::new(node),
-            kick: Notify::new(),
-            at: said.members.iter().map(|member| member.at).collect(),
+            lease_wake: Notify::new(),
+            addresses: said.members.iter().map(|member| member.at).collect(),
             listen: said.listen,
             sites: sites.iter().map(ToString::to_string).collect(),
             sharing: said.sharing,
@@ -179,7 +179,7 @@
     }
 
     /// Takes up limits that a changed page says: here they bind at once.
-    pub(crate) fn limits(&self, said: &Said, categories: &[String]) {
+    pub(crate) fn set_limits(&self, said: &Said, categories: &[String]) {
         let new = caps(said, categories);
         if *self.caps.borrow() != new || self.resends.get() != said.resends {
             tracing::info!("the page names other limits to share");
@@ -188,11 +188,11 @@
         self.resends.set(said.resends);
     }
 
-    pub(crate) fn took(&self, now: f64, category: usize) {
+    pub(crate) fn record_arrival(&self, now: f64, category: usize) {
         self.node.borrow_mut().record_arrival(now, category);
     }
 
-    pub(crate) fn saw(&self, now: f64, gate: &Endpoint, what: Observation) {
+    pub(crate) fn record_observation(&self, now: f64, endpoint: &Endpoint, what: Observation) {
         let good = match what {
             Observation::Finished => true,
             Observation::Failed | Observation::NoResponse => false,
@@ -201,11 +201,11 @@
         self.node
             .borrow_mut()
             .observations
-            .record(now, name_hash(&gate.name), good);
+            .record(now, name_hash(&endpoint.name), good);
     }
 
     /// What others saw of runners in the last seconds: when, at which place, whether good.
-    pub(crate) fn sights(&self, now: f64, mut tell: impl FnMut(f64, usize, bool)) {
+    pub(crate) fn for_each_peer_result(&self, now: f64, mut tell: impl FnMut(f64, usize, bool)) {
         if !self.sharing {
             return;
         }
@@ -236,13 +236,13 @@
         self.node.borrow().reports.arrivals(now, category).sum
     }
 
-    pub(crate) fn goes(&self, now: f64, again: bool) {
+    pub(crate) fn record_attempt(&self, now: f64, again: bool) {
         if again {
             self.resent.borrow_mut().push_back(now);
         }
     }
 
-    pub(crate) fn spend_by(&self, now: f64, runner: usize, category: usize) -> f64 {
+    pub(crate) fn budget_usable_until(&self, now: f64, runner: usize, category: usize) -> f64 {
         let node = self.node.borrow();
         let cold = self
             .cold
@@ -261,16 +261,16 @@
     }
 
     /// Whether parts are lent from here.
-    pub(crate) fn lends(&self, yes: bool) {
+    pub(crate) fn set_lending(&self, yes: bool) {
         self.node.borrow_mut().budgets.lends = yes;
     }
 
     /// Tells the decisions what this member holds at this moment and what is heard.
-    pub(crate) fn advise(&self, now: f64, d: &mut Dispatcher, load: &Load) {
+    pub(crate) fn apply_shared_state(&self, now: f64, d: &mut Dispatcher, load: &Load) {
         if !self.sharing {
             return;
         }
-        self.spent(now, d, load);
+        self.report_budget_use(now, d, load);
         let mut node = self.node.borrow_mut();
         for (&r, &key) in self.cold.borrow().iter() {
             let usable = if self.broken == Some(Broken::WholeForEach) {
@@ -341,7 +341,7 @@
     }
 
     /// Tells the node what is spent now and what could be used.
-    pub(crate) fn spent(&self, now: f64, d: &Dispatcher, load: &Load) {
+    pub(crate) fn report_budget_use(&self, now: f64, d: &Dispatcher, load: &Load) {
         if !self.sharing {
             return;
         }
@@ -350,12 +350,16 @@
         cold.clear();
         let mut short = false;
         for (r, spent, wants) in d.cold_usage(now) {
-            let Some(gate) = load.endpoints.get(r) else {
+            let Some(endpoint) = load.endpoints.get(r) else {
                 continue;
             };
             let key = BudgetKey {
                 kind: BudgetKind::SlowStart,
-                subject: name_hash(&format!("{} {}", gate.name, gate.started_unix_s.get())),
+                subject: name_hash(&format!(
+                    "{} {}",
+                    endpoint.name,
+                    endpoint.started_unix_s.get()
+                )),
             };
             if !node.budgets.set_limit(now, key, WHOLE) {
                 continue;
@@ -391,7 +395,7 @@
                 .record_use(now, RESENDS, resent.len() as u64, want);
         }
         if short {
-            self.kick.notify_one();
+            self.lease_wake.notify_one();
         }
     }
 
--- a/crates/dispatcher/dispatcher/src/http.rs
+++ b/crates/dispatcher/dispatcher/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 on the wire, as codecs: heads by httparse, bodies by length or in chunks. Each message is decoded
-//! once into a small typed value and encoded once.
+//! Codecs for HTTP/1.1: httparse parses the headers, and bodies come with a length or in chunks. Each message is
+//! decoded once into a typed value and encoded once.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use futures_util::Stream;
@@ -13,24 +13,27 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// Several times what any client or runner here sends.
-pub(crate) const HEAD_MOST: usize = 16 << 10;
-const HEADERS_MOST: usize = 64;
-/// The protocol's bound on bodies.
-pub(crate) const BODY_MOST: usize = 64 << 10;
-/// One line of the list: thousands of runners.
-pub(crate) const LINE_MOST: usize = 4 << 20;
+/// Longest header section in bytes: several times what the clients and runners of this protocol send.
+pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Largest number of headers in a message.
+const MAX_HEADERS: usize = 64;
+/// Longest body in bytes, set by the protocol.
+pub(crate) const MAX_BODY_BYTES: usize = 64 << 10;
+/// Longest change of the endpoint list in bytes: enough for thousands of runners.
+pub(crate) const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// Why a message could not be read.
+/// Reason why a message could not be read.
 #[derive(Debug)]
 pub(crate) enum Fault {
+    /// It violates the protocol, for the reason given.
     Malformed(&'static str),
     HeadTooLong,
     BodyTooLong,
-    /// It was begun and did not come to its end.
+    /// It began, but did not arrive completely in time.
     Unfinished,
-    /// The answer was another than hoped for.
+    /// The response has another status than 200.
     Answer(u16),
+    /// The connection failed.
     Broken(io::Error),
 }
 
@@ -43,7 +46,7 @@
 impl std::fmt::Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Malformed(what) => f.write_str(what),
+            Fault::Malformed(reason) => f.write_str(reason),
             Fault::HeadTooLong => f.write_str("the head is too long"),
             Fault::BodyTooLong => f.write_str("the body is too long"),
             Fault::Unfinished => f.write_str("it does not come to its end"),
@@ -54,7 +57,7 @@
 }
 
 impl Fault {
-    /// What a request that could not be read is answered with; `None` where nobody is there to read it.
+    /// Status of the response to a request that could not be read; `None` if the client cannot be reached.
     pub(crate) fn status(&self) -> Option<u16> {
         match self {
             Fault::BodyTooLong => Some(413),
@@ -66,53 +69,59 @@
     }
 }
 
-fn malformed<T>(what: &'static str) -> Result<T, Fault> {
-    Err(Fault::Malformed(what))
+fn malformed<T>(reason: &'static str) -> Result<T, Fault> {
+    Err(Fault::Malformed(reason))
 }
 
 // ---- bodies ----
 
+/// How the length of a body is given, and how far it has been read.
 enum Framing {
+    /// This many bytes are left.
     Length(usize),
     ChunkSize,
+    /// This many bytes of the chunk are left.
     ChunkData(usize),
+    /// The line break after the data of a chunk is expected.
     ChunkEnd,
     Trailers,
+    /// The body ends with the connection.
     UntilClosed,
 }
 
-/// A body on its way in.
+/// A body that is being received.
 struct Body {
     framing: Framing,
-    got: BytesMut,
-    most: usize,
+    received: BytesMut,
+    /// Longest body in bytes.
+    max_bytes: usize,
 }
 
 impl Body {
-    fn new(framing: Framing, most: usize) -> Result<Self, Fault> {
+    fn new(framing: Framing, max_bytes: usize) -> Result<Self, Fault> {
         match framing {
-            Framing::Length(length) if length > most => Err(Fault::BodyTooLong),
+            Framing::Length(length) if length > max_bytes => Err(Fault::BodyTooLong),
             framing => Ok(Body {
                 framing,
-                got: BytesMut::new(),
-                most,
+                received: BytesMut::new(),
+                max_bytes,
             }),
         }
     }
 
-    /// Moves what has come from `src`; true once the body is whole.
+    /// Takes received bytes from `src`; true once the body is complete.
     fn read(&mut self, src: &mut BytesMut) -> Result<bool, Fault> {
         loop {
             match &mut self.framing {
                 Framing::Length(left) => {
                     let part = src.split_to(src.len().min(*left));
                     *left -= part.len();
-                    self.got.extend_from_slice(&part);
+                    self.received.extend_from_slice(&part);
                     return Ok(*left == 0);
                 }
                 Framing::UntilClosed => {
-                    self.got.extend_from_slice(&src.split());
-                    return if self.got.len() > self.most {
+                    self.received.extend_from_slice(&src.split());
+                    return if self.received.len() > self.max_bytes {
                         Err(Fault::BodyTooLong)
                     } else {
                         Ok(false)
@@ -121,19 +130,20 @@
                 Framing::ChunkSize => match httparse::parse_chunk_size(src) {
                     Ok(Status::Complete((length, size))) => {
                         src.advance(length);
-                        if size > (self.most - self.got.len().min(self.most)) as u64 {
+                        if size > (self.max_bytes - self.received.len().min(self.max_bytes)) as u64
+                        {
                             return Err(Fault::BodyTooLong);
                         }
                         let data = Framing::ChunkData(size as usize);
                         self.framing = if size == 0 { Framing::Trailers } else { data };
                     }
-                    Ok(Status::Partial) if src.len() < HEAD_MOST => return Ok(false),
+                    Ok(Status::Partial) if src.len() < MAX_HEAD_BYTES => return Ok(false),
                     _ => return malformed("a chunk's size cannot be read"),
                 },
                 Framing::ChunkData(left) => {
                     let part = src.split_to(src.len().min(*left));
                     *left -= part.len();
-                    self.got.extend_from_slice(&part);
+                    self.received.extend_from_slice(&part);
                     if *left > 0 {
                         return Ok(false);
                     }
@@ -154,7 +164,7 @@
                             return Ok(true);
                         }
                     }
-                    None if src.len() < HEAD_MOST => return Ok(false),
+                    None if src.len() < MAX_HEAD_BYTES => return Ok(false),
                     None => return Err(Fault::HeadTooLong),
                 },
             }
@@ -162,20 +172,23 @@
     }
 }
 
-/// What the headers of any message say of its framing.
-struct Said {
+/// What the headers of a message say about its body and its connection.
+struct FramingHeaders {
     length: Option<usize>,
     chunked: bool,
+    /// `Connection: close` was given.
     close: bool,
-    keep: bool,
+    /// `Connection: keep-alive` was given.
+    keep_alive: bool,
 }
 
-fn said(headers: &[Header]) -> Result<Said, Fault> {
-    let mut said = Said {
+/// Reads the headers that determine the length of the body and the end of the connection.
+fn framing_headers(headers: &[Header]) -> Result<FramingHeaders, Fault> {
+    let mut framing_headers = FramingHeaders {
         length: None,
         chunked: false,
         close: false,
-        keep: false,
+        keep_alive: false,
     };
     for header in headers {
         let name = header.name;
@@ -185,35 +198,36 @@
             let Some(length) = digits.and_then(|text| text.parse().ok()) else {
                 return malformed("the length is no number");
             };
-            if said.length.is_some_and(|other| other != length) {
+            if framing_headers.length.is_some_and(|other| other != length) {
                 return malformed("two lengths");
             }
-            said.length = Some(length);
+            framing_headers.length = Some(length);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            if !header.value.eq_ignore_ascii_case(b"chunked") || said.chunked {
+            if !header.value.eq_ignore_ascii_case(b"chunked") || framing_headers.chunked {
                 return malformed("a transfer encoding other than chunked");
             }
-            said.chunked = true;
+            framing_headers.chunked = true;
         } else if name.eq_ignore_ascii_case("connection") {
             for word in header.value.split(|b| *b == b',') {
-                said.close |= word.trim_ascii().eq_ignore_ascii_case(b"close");
-                said.keep |= word.trim_ascii().eq_ignore_ascii_case(b"keep-alive");
+                framing_headers.close |= word.trim_ascii().eq_ignore_ascii_case(b"close");
+                framing_headers.keep_alive |= word.trim_ascii().eq_ignore_ascii_case(b"keep-alive");
             }
         }
     }
-    if said.chunked && said.length.is_some() {
+    if framing_headers.chunked && framing_headers.length.is_some() {
         return malformed("both a length and chunks");
     }
-    Ok(said)
+    Ok(framing_headers)
 }
 
-impl Said {
-    fn keeps(&self, version: Option<u8>) -> bool {
-        !self.close && (version == Some(1) || self.keep)
+impl FramingHeaders {
+    /// Whether the connection stays open after the message; `version` is the minor version of HTTP/1.
+    fn keeps_alive(&self, version: Option<u8>) -> bool {
+        !self.close && (version == Some(1) || self.keep_alive)
     }
 }
 
-/// A header's value, if it is there once and is text.
+/// Value of a header that must occur at most once and be text; `None` if it is absent.
 fn value(headers: &[Header], name: &str) -> Result<Option<String>, Fault> {
     let mut found = headers
         .iter()
@@ -228,21 +242,21 @@
     }
 }
 
-/// The length of a whole head, `None` while more must come.
-fn whole(
+/// Length in bytes of a complete header section; `None` while more is expected.
+fn head_length(
     parsed: Result<Status<usize>, httparse::Error>,
-    has: usize,
+    available: usize,
 ) -> Result<Option<usize>, Fault> {
     match parsed {
-        Ok(Status::Complete(length)) if length <= HEAD_MOST => Ok(Some(length)),
-        Ok(Status::Partial) if has < HEAD_MOST => Ok(None),
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
+        Ok(Status::Partial) if available < MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Fault::HeadTooLong),
         Err(_) => malformed("the head cannot be read"),
     }
 }
 
-/// Headers between two neighbours (RFC 9110, 7.6.1), and those that are written anew for a runner.
-const NOT_PASSED_ON: [&str; 13] = [
+/// Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the dispatcher sets itself in the request to a runner.
+const NOT_FORWARDED: [&str; 13] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -258,10 +272,10 @@
     "req-deadline",
 ];
 
-/// The headers that go on with a request to its runner, as they came: what a client says to the runner, such as the
-/// key by which that drops a repeat, is not the dispatcher's to leave out.
+/// The headers that are forwarded to the runner, unchanged. Headers such as the key by which the runner drops a
+/// duplicate are is_between_messages client and runner, so the dispatcher must not leave them out.
 fn end_to_end(headers: &[Header]) -> Bytes {
-    let named = |name: &str| {
+    let is_connection_option = |name: &str| {
         let connection = headers
             .iter()
             .filter(|header| header.name.eq_ignore_ascii_case("connection"));
@@ -270,10 +284,10 @@
     };
     let mut lines = BytesMut::new();
     for Header { name, value } in headers {
-        if !NOT_PASSED_ON
+        if !NOT_FORWARDED
             .iter()
             .any(|other| name.eq_ignore_ascii_case(other))
-            && !named(name)
+            && !is_connection_option(name)
         {
             [name.as_bytes(), b": ", value, b"\r\n"]
                 .iter()
@@ -283,8 +297,9 @@
     lines.freeze()
 }
 
-// ---- what clients and runners send here ----
+// ---- requests of clients and runners ----
 
+/// Method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Method {
     Get,
@@ -293,41 +308,48 @@
     Other,
 }
 
+/// A request of a client or runner.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub method: Method,
     pub target: String,
+    /// Value of `Req-Id`.
     pub id: Option<String>,
+    /// Value of `Req-Kind`.
     pub category: Option<String>,
-    /// How long the client will wait, as it says it.
-    pub waits: Option<String>,
+    /// Value of `Req-Deadline`: how long the client deadline, a number with its unit.
+    pub deadline: Option<String>,
+    /// Value of `Req-Extra`.
     pub extra: Option<String>,
-    /// What a recorded work item goes by, the same at each try.
+    /// Value of `Req-Name`: the name of a recorded work item, the same in each of its requests.
     pub name: Option<String>,
-    /// What goes on to the runner, header lines as they came.
+    /// Header lines that are forwarded to the runner, unchanged.
     pub headers: Bytes,
     pub body: Bytes,
-    pub keep: bool,
+    /// Whether the client keeps the connection open after the response.
+    pub keep_alive: bool,
 }
 
+/// Codec of the serving side: reads requests and writes replies.
 #[derive(Default)]
 pub(crate) struct Serving {
+    /// The request whose body is being received.
     reading: Option<(Request, Body)>,
 }
 
 impl Serving {
-    fn head(src: &mut BytesMut) -> Result<Option<(Request, Body)>, Fault> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    fn read_head(src: &mut BytesMut) -> Result<Option<(Request, Body)>, Fault> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let parsed = head.parse(src);
-        let Some(length) = whole(parsed, src.len())? else {
+        let Some(length) = head_length(parsed, src.len())? else {
             return Ok(None);
         };
-        let said = said(head.headers)?;
-        let framing = if said.chunked {
+        let framing_headers = framing_headers(head.headers)?;
+        let framing = if framing_headers.chunked {
             Framing::ChunkSize
         } else {
-            Framing::Length(said.length.unwrap_or(0))
+            Framing::Length(framing_headers.length.unwrap_or(0))
         };
         let method = match head.method {
             Some("GET") => Method::Get,
@@ -340,15 +362,15 @@
             target: head.path.unwrap_or_default().to_string(),
             id: value(head.headers, "req-id")?,
             category: value(head.headers, "req-kind")?,
-            waits: value(head.headers, "req-deadline")?,
+            deadline: value(head.headers, "req-deadline")?,
             extra: value(head.headers, "req-extra")?,
             name: value(head.headers, "req-name")?,
             headers: end_to_end(head.headers),
             body: Bytes::new(),
-            keep: said.keeps(head.version),
+            keep_alive: framing_headers.keeps_alive(head.version),
         };
         src.advance(length);
-        Ok(Some((request, Body::new(framing, BODY_MOST)?)))
+        Ok(Some((request, Body::new(framing, MAX_BODY_BYTES)?)))
     }
 }
 
@@ -358,7 +380,7 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Request>, Fault> {
         if self.reading.is_none() {
-            self.reading = Self::head(src)?;
+            self.reading = Self::read_head(src)?;
         }
         let Some((_, body)) = &mut self.reading else {
             return Ok(None);
@@ -367,20 +389,20 @@
             return Ok(None);
         }
         Ok(self.reading.take().map(|(request, body)| Request {
-            body: body.got.freeze(),
+            body: body.received.freeze(),
             ..request
         }))
     }
 }
 
 impl Serving {
-    /// Nothing of a further request has come.
-    pub(crate) fn between(&self) -> bool {
+    /// Whether no part of a further request has been decoded.
+    pub(crate) fn is_between_messages(&self) -> bool {
         self.reading.is_none()
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
@@ -400,7 +422,11 @@
     type Error = Fault;
 
     fn encode(&mut self, reply: Reply, dst: &mut BytesMut) -> Result<(), Fault> {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", reply.status, reason(reply.status));
+        let mut head = format!(
+            "HTTP/1.1 {} {}\r\n",
+            reply.status,
+            reason_phrase(reply.status)
+        );
         if reply.status != 204 {
             let _ = write!(head, "Content-Length: {}\r\n", reply.body.len());
         }
@@ -421,25 +447,30 @@
     }
 }
 
-// ---- what goes to runners and what they answer ----
+// ---- requests to runners and their responses ----
 
+/// Codec of the calling side: writes requests to a runner and reads its responses.
 pub(crate) struct Calling {
-    at: SocketAddr,
+    /// Address of the runner.
+    address: SocketAddr,
     reading: Option<(RunnerResponse, Body)>,
 }
 
 impl Calling {
-    pub(crate) fn new(at: SocketAddr) -> Self {
-        Calling { at, reading: None }
+    pub(crate) fn new(address: SocketAddr) -> Self {
+        Calling {
+            address,
+            reading: None,
+        }
     }
 
-    /// Where the connection leads.
-    pub(crate) fn at(&self) -> SocketAddr {
-        self.at
+    /// Address of the runner.
+    pub(crate) fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// Nothing of an answer has come.
-    pub(crate) fn between(&self) -> bool {
+    /// Whether no part of a response has been decoded.
+    pub(crate) fn is_between_messages(&self) -> bool {
         self.reading.is_none()
     }
 }
@@ -448,7 +479,7 @@
     type Error = Fault;
 
     fn encode(&mut self, message: RunnerRequest, dst: &mut BytesMut) -> Result<(), Fault> {
-        let host = self.at;
+        let host = self.address;
         match message {
             RunnerRequest::Work {
                 target,
@@ -457,9 +488,9 @@
                 body,
                 ..
             } => {
-                let wait = (time_left_s * 1e3).max(0.0) as u64;
+                let time_left_ms = (time_left_s * 1e3).max(0.0) as u64;
                 let head = format!(
-                    "POST {target} HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {wait}m\r\nContent-Length: {}\r\n",
+                    "POST {target} HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {time_left_ms}m\r\nContent-Length: {}\r\n",
                     body.len()
                 );
                 dst.reserve(head.len() + headers.len() + 2 + body.len());
@@ -478,25 +509,29 @@
     }
 }
 
-/// An answer's head, past any interim ones: its status, headers and framing.
-fn answer(src: &mut BytesMut, most: usize) -> Result<Option<(RunnerResponse, Body)>, Fault> {
+/// Reads the header section of a response and skips interim responses.
+fn read_response_head(
+    src: &mut BytesMut,
+    max_body_bytes: usize,
+) -> Result<Option<(RunnerResponse, Body)>, Fault> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let parsed = head.parse(src);
-        let Some(length) = whole(parsed, src.len())? else {
+        let Some(length) = head_length(parsed, src.len())? else {
             return Ok(None);
         };
         let status = head.code.unwrap_or(0);
-        let said = said(head.headers)?;
-        let is_declined = value(head.headers, "srv-declined")?.is_some_and(|said| said == "1");
-        let framing = match said.length {
+        let framing_headers = framing_headers(head.headers)?;
+        let is_declined = value(head.headers, "srv-declined")?.is_some_and(|text| text == "1");
+        let framing = match framing_headers.length {
             _ if matches!(status, 204 | 304) => Framing::Length(0),
-            _ if said.chunked => Framing::ChunkSize,
+            _ if framing_headers.chunked => Framing::ChunkSize,
             Some(length) => Framing::Length(length),
             None => Framing::UntilClosed,
         };
-        let keep_alive = said.keeps(head.version) && !matches!(framing, Framing::UntilClosed);
+        let keep_alive =
+            framing_headers.keeps_alive(head.version) && !matches!(framing, Framing::UntilClosed);
         src.advance(length);
         if !(100..200).contains(&status) {
             return Ok(Some((
@@ -506,7 +541,7 @@
                     may_be_duplicate: false,
                     keep_alive,
                 },
-                Body::new(framing, most)?,
+                Body::new(framing, max_body_bytes)?,
             )));
         }
     }
@@ -518,7 +553,7 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<RunnerResponse>, Fault> {
         if self.reading.is_none() {
-            self.reading = answer(src, BODY_MOST)?;
+            self.reading = read_response_head(src, MAX_BODY_BYTES)?;
         }
         let Some((_, body)) = &mut self.reading else {
             return Ok(None);
@@ -526,40 +561,42 @@
         if !body.read(src)? {
             return Ok(None);
         }
-        Ok(self.reading.take().map(|(answer, _)| answer))
+        Ok(self.reading.take().map(|(response, _)| response))
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<RunnerResponse>, Fault> {
-        if let Some(answer) = self.decode(src)? {
-            return Ok(Some(answer));
+        if let Some(response) = self.decode(src)? {
+            return Ok(Some(response));
         }
         match self.reading.take() {
             Some((
-                answer,
+                response,
                 Body {
                     framing: Framing::UntilClosed,
                     ..
                 },
-            )) => Ok(Some(answer)),
+            )) => Ok(Some(response)),
             None if src.is_empty() => Ok(None),
             _ => malformed("the answer breaks off"),
         }
     }
 }
 
-// ---- the list's watch ----
+// ---- the watch on the endpoint list ----
 
-/// Asks for the changes after a version.
-pub(crate) struct AskList {
+/// Request for the changes of the endpoint list after a version.
+pub(crate) struct WatchRequest {
+    /// The last version that is known.
     pub after: u64,
 }
 
-/// Lines as they come, the empty ones too.
+/// Codec of the watch on the endpoint list: reads its lines, also the empty ones that serve as heartbeats.
 #[derive(Default)]
 pub(crate) struct Watching {
     host: String,
     reading: Option<Body>,
-    whole: bool,
+    /// Whether the body is complete.
+    is_complete: bool,
 }
 
 impl Watching {
@@ -571,11 +608,11 @@
     }
 }
 
-impl Encoder<AskList> for Watching {
+impl Encoder<WatchRequest> for Watching {
     type Error = Fault;
 
-    fn encode(&mut self, ask: AskList, dst: &mut BytesMut) -> Result<(), Fault> {
-        let (after, host) = (ask.after, &self.host);
+    fn encode(&mut self, request: WatchRequest, dst: &mut BytesMut) -> Result<(), Fault> {
+        let (after, host) = (request.after, &self.host);
         let head = format!(
             "GET /registry/instances?stream=1&index={after} HTTP/1.1\r\nHost: {host}\r\n\r\n"
         );
@@ -590,38 +627,40 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
         if self.reading.is_none() {
-            match answer(src, LINE_MOST)? {
+            match read_response_head(src, MAX_LINE_BYTES)? {
                 Some((RunnerResponse { status: 200, .. }, body)) => self.reading = Some(body),
-                Some((answer, _)) => return Err(Fault::Answer(answer.status)),
+                Some((response, _)) => return Err(Fault::Answer(response.status)),
                 None => return Ok(None),
             }
         }
         let Some(body) = &mut self.reading else {
             return Ok(None);
         };
-        if !self.whole {
-            self.whole = body.read(src)?;
+        if !self.is_complete {
+            self.is_complete = body.read(src)?;
         }
-        match body.got.iter().position(|b| *b == b'\n') {
-            Some(end) => Ok(Some(body.got.split_to(end + 1).freeze().slice(..end))),
-            None if self.whole && !body.got.is_empty() => Ok(Some(body.got.split().freeze())),
+        match body.received.iter().position(|b| *b == b'\n') {
+            Some(end) => Ok(Some(body.received.split_to(end + 1).freeze().slice(..end))),
+            None if self.is_complete && !body.received.is_empty() => {
+                Ok(Some(body.received.split().freeze()))
+            }
             None => Ok(None),
         }
     }
 }
 
-/// The next message of a connection; `None` once it is closed.
+/// Reads the next message; `None` once the connection is closed.
 pub(crate) async fn next<C: Decoder>(
     wire: &mut Framed<TcpStream, C>,
 ) -> Option<Result<C::Item, C::Error>> {
     poll_fn(|cx| Pin::new(&mut *wire).poll_next(cx)).await
 }
 
-/// A connection as a wire of messages. Guards against a system that refuses to set the option: without it small
-/// messages go out a little later, and nothing else is lost.
+/// Wraps a connection with its codec. If the option cannot be set, small messages are delayed a little and nothing else
+/// is lost.
 pub(crate) fn wire<C>(stream: TcpStream, codec: C) -> Framed<TcpStream, C> {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!("a connection's small messages may be held back: {error}");
+        tracing::debug!("cannot set TCP_NODELAY, small messages may be delayed: {error}");
     }
     Framed::new(stream, codec)
 }
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -49,7 +49,7 @@
     async fn send(&self, out: Vec<(usize, Vec<u8>)>) {
         for (to, frame) in out {
             // Lost is lost: a full buffer or a port that nobody listens on is the network's.
-            let _ = self.datagrams.try_send_to(&frame, self.fleet.at[to]);
+            let _ = self.datagrams.try_send_to(&frame, self.fleet.addresses[to]);
         }
     }
 
@@ -71,7 +71,7 @@
                     tokio::task::yield_now().await;
                 }
                 () = self.clock.sleep_until(due) => {}
-                () = self.fleet.kick.notified() => {
+                () = self.fleet.lease_wake.notified() => {
                     let mut out = Vec::new();
                     self.fleet.node.borrow_mut().request_leases(self.clock.now(), &mut out);
                     self.send(out).await;
@@ -111,7 +111,7 @@
 /// A whole exchange with one other: asks, takes up, tells the rest.
 async fn ask(fleet: Rc<Fleet>, clock: Clock, to: usize, have: Vec<u8>) {
     let exchange = async {
-        let mut stream = framed(TcpStream::connect(fleet.at[to]).await.ok()?);
+        let mut stream = framed(TcpStream::connect(fleet.addresses[to]).await.ok()?);
         stream.send(Bytes::from(have)).await.ok()?;
         let give = stream.next().await?.ok()?;
         let rest = fleet
@@ -165,7 +165,9 @@
     listener: TcpListener,
     store: Option<Rc<Store>>,
 ) {
-    let more = store.as_ref().map_or(0, |_| store_streams(fleet.at.len()));
+    let more = store
+        .as_ref()
+        .map_or(0, |_| store_streams(fleet.addresses.len()));
     let places = Arc::new(Semaphore::new(STREAMS + more));
     loop {
         let Ok(place) = places.clone().acquire_owned().await else {
--- a/crates/dispatcher/dispatcher/src/runners.rs
+++ b/crates/dispatcher/dispatcher/src/runners.rs
@@ -1,4 +1,4 @@
-//! The runners' side: connections, and one errand at a time on each.
+//! Connections to runners. Each carries one request at a time.
 
 use crate::clock::Clock;
 use crate::http::{next, wire, Calling, Fault};
@@ -19,46 +19,51 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Framed;
 
+/// A connection to a runner, with its HTTP codec.
 type Wire = Framed<TcpStream, Calling>;
 
-/// For so long after an answer, or after giving up by closing a connection, another may still be on its way: some ten
-/// times what it takes across zones.
+/// Time in seconds after a response, or after the closing of a connection, within which another response may still be
+/// under way: about ten times the delay between zones.
 const CROSSING_S: f64 = 0.1;
 
-/// A runner, as far as sockets go.
+/// A runner and its idle connections.
 pub(crate) struct Runner {
-    pub gate: Rc<Endpoint>,
-    idle: RefCell<Vec<oneshot::Sender<Errand>>>,
+    pub endpoint: Rc<Endpoint>,
+    /// Idle connections, the one used last at the end. A call that is sent to one is carried out there.
+    idle: RefCell<Vec<oneshot::Sender<RunnerCall>>>,
 }
 
 impl Runner {
-    pub(crate) fn new(gate: Rc<Endpoint>) -> Rc<Self> {
+    pub(crate) fn new(endpoint: Rc<Endpoint>) -> Rc<Self> {
         Rc::new(Runner {
-            gate,
+            endpoint,
             idle: RefCell::default(),
         })
     }
 
-    /// Closes the idle connections: they lead to a process that is no more.
-    pub(crate) fn drop_idle(&self) {
+    /// Closes the idle connections, because the process at their other end is no longer in use.
+    pub(crate) fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 }
 
-/// What all connections to runners share.
+/// State that all connections to runners share.
 pub(crate) struct Pool {
     pub clock: Clock,
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
+    /// One permit for each connection that may be open.
     pub permits: Arc<Semaphore>,
-    pub dial_s: f64,
-    pub idle_s: f64,
-    /// The runners that have had a connection, to find an idle one to spare.
+    /// Time-out in seconds for establishing a connection.
+    pub connect_timeout_s: f64,
+    /// Time in seconds after which an idle connection is closed.
+    pub idle_timeout_s: f64,
+    /// All runners by their index.
     pub runners: RefCell<Vec<Rc<Runner>>>,
 }
 
 impl Pool {
-    /// Closes the idle connection that has rested longest at the runner with the most of them.
-    fn spare_one(&self) {
+    /// Closes the connection that has been idle longest at the runner with the most idle connections.
+    fn close_one_idle(&self) {
         let runners = self.runners.borrow();
         if let Some(runner) = runners
             .iter()
@@ -72,73 +77,79 @@
     }
 }
 
-type Tell = Box<dyn FnOnce(Result<RunnerResponse, RequestFailure>)>;
+/// Receives the result of a call.
+type OnResult = Box<dyn FnOnce(Result<RunnerResponse, RequestFailure>)>;
 
-/// Tells how an errand ended, exactly once. Guards against a panic or a task dropped on the way:
-/// what it carried is settled by how far it had come.
-struct Ending {
-    whole: Rc<Cell<bool>>,
-    tell: Option<Tell>,
+/// Reports the result of a call exactly once. If a panic or the end of a task drops it, it reports what is known then.
+struct ResultReporter {
+    /// Whether the message has been written completely.
+    is_written: Rc<Cell<bool>>,
+    /// `None` once the result has been reported.
+    on_result: Option<OnResult>,
 }
 
-impl Ending {
-    fn tell(&mut self, ended: Result<RunnerResponse, RequestFailure>) {
-        if let Some(tell) = self.tell.take() {
-            tell(ended);
+impl ResultReporter {
+    fn report(&mut self, result: Result<RunnerResponse, RequestFailure>) {
+        if let Some(on_result) = self.on_result.take() {
+            on_result(result);
         }
     }
 
-    fn broken(&self, so_far: RequestFailure) -> RequestFailure {
-        if self.whole.get() {
+    /// The failure to report for an interrupted call: `NoResponse` if the message has been written, otherwise
+    /// `if_unwritten`.
+    fn failure(&self, if_unwritten: RequestFailure) -> RequestFailure {
+        if self.is_written.get() {
             RequestFailure::NoResponse
         } else {
-            so_far
+            if_unwritten
         }
     }
 }
 
-impl Drop for Ending {
+impl Drop for ResultReporter {
     fn drop(&mut self) {
-        let broken = self.broken(RequestFailure::NotDelivered);
-        self.tell(Err(broken));
+        let failure = self.failure(RequestFailure::NotDelivered);
+        self.report(Err(failure));
     }
 }
 
-/// One message to a runner and the wait for its answer.
-pub(crate) struct Errand {
+/// A request to a runner whose response is awaited.
+pub(crate) struct RunnerCall {
     message: RunnerRequest,
-    /// None once the exchange has lost interest.
+    /// Resolves when the exchange abandons the call; `None` once the exchange has dropped its handle.
     stop: Option<oneshot::Receiver<()>>,
-    until: f64,
-    ending: Ending,
+    /// When the call is abandoned, in seconds on the clock.
+    deadline_s: f64,
+    reporter: ResultReporter,
 }
 
-impl Errand {
-    /// The errand, and what stops it; `whole` is set once it has been written whole.
+impl RunnerCall {
+    /// Creates a call, and the sender that abandons it. `is_written` is set once the message has been written
+    /// completely.
     pub(crate) fn new(
         message: RunnerRequest,
-        until: f64,
-        whole: Rc<Cell<bool>>,
-        tell: impl FnOnce(Result<RunnerResponse, RequestFailure>) + 'static,
-    ) -> (Errand, oneshot::Sender<()>) {
-        let (stopper, stop) = oneshot::channel();
-        let ending = Ending {
-            whole,
-            tell: Some(Box::new(tell)),
+        deadline_s: f64,
+        is_written: Rc<Cell<bool>>,
+        on_result: impl FnOnce(Result<RunnerResponse, RequestFailure>) + 'static,
+    ) -> (RunnerCall, oneshot::Sender<()>) {
+        let (stop_sender, stop) = oneshot::channel();
+        let reporter = ResultReporter {
+            is_written,
+            on_result: Some(Box::new(on_result)),
         };
         (
-            Errand {
+            RunnerCall {
                 message,
                 stop: Some(stop),
-                until,
-                ending,
+                deadline_s,
+                reporter,
             },
-            stopper,
+            stop_sender,
         )
     }
 
-    /// What forbids that it begins now, though it did not when its connection was asked for.
-    fn held_back(&self, runner: &Runner, at: SocketAddr, now: f64) -> Option<RequestFailure> {
+    /// Reason why the message must not be written now, although it was allowed when the connection was requested.
+    fn start_refusal(&self, runner: &Runner, at: SocketAddr, now: f64) -> Option<RequestFailure> {
         let RunnerRequest::Work {
             start_by_s,
             client_left,
@@ -147,64 +158,70 @@
         else {
             return None;
         };
-        let gate = &runner.gate;
+        let endpoint = &runner.endpoint;
         match () {
-            // Guards against a runner told to drain while its connection was coming up.
-            () if now >= gate.closed_from_s.get() => Some(RequestFailure::NotDelivered),
-            // Guards against one taken out by hand meanwhile, or that has moved to another address; a client that has
-            // left; the end of a part of a budget, of the time in which its runners drop a repeat, of its own.
-            () if gate.out_of_service.get() || gate.address.get() != at || client_left.get() => {
+            // The runner was told to drain while its connection was being established.
+            () if now >= endpoint.closed_from_s.get() => Some(RequestFailure::NotDelivered),
+            // Meanwhile the runner was taken out of service or moved to another address, or the client disconnected;
+            // below: a lease of a budget, the time within which its runners drop a duplicate, or the deadline of the
+            // call has ended.
+            () if endpoint.out_of_service.get()
+                || endpoint.address.get() != at
+                || client_left.get() =>
+            {
                 Some(RequestFailure::NotSent)
             }
-            () if now >= *start_by_s || now >= self.until => Some(RequestFailure::NotSent),
+            () if now >= *start_by_s || now >= self.deadline_s => Some(RequestFailure::NotSent),
             () => None,
         }
     }
 
-    /// Writes the message and waits for the answer; true if the connection can carry another. `rested`: since when it
-    /// has, after an earlier answer.
-    async fn carry(
+    /// Writes the message and waits for the response; true if the connection can be used again. `idle_since` is when an
+    /// earlier response ended on the connection, `None` for a new connection.
+    async fn execute(
         &mut self,
         wire: &mut Wire,
         runner: &Runner,
         pool: &Pool,
-        rested: Option<Instant>,
+        idle_since: Option<Instant>,
     ) -> bool {
         let now = pool.clock.now();
         let mut message = self.message.clone();
-        let hands_off = matches!(message, RunnerRequest::Work { .. });
-        if let Some(why) = self.held_back(runner, wire.codec().at(), now) {
-            self.ending.tell(Err(why));
-            return !runner.gate.out_of_service.get();
+        let is_attempt = matches!(message, RunnerRequest::Work { .. });
+        if let Some(why) = self.start_refusal(runner, wire.codec().address(), now) {
+            self.reporter.report(Err(why));
+            return !runner.endpoint.out_of_service.get();
         }
         if let RunnerRequest::Work { time_left_s, .. } = &mut message {
-            *time_left_s = self.until - now;
+            *time_left_s = self.deadline_s - now;
         }
-        let soon = rested.is_some_and(|since| since.elapsed().as_secs_f64() < CROSSING_S);
-        let whole = self.ending.whole.clone();
-        let exchanged = async {
+        let may_cross = idle_since.is_some_and(|since| since.elapsed().as_secs_f64() < CROSSING_S);
+        let is_written = self.reporter.is_written.clone();
+        let exchange = async {
             wire.send(message)
                 .await
                 .map_err(|_| RequestFailure::NotDelivered)?;
-            whole.set(true);
-            if hands_off {
-                pool.figures.count_relayed();
+            is_written.set(true);
+            if is_attempt {
+                pool.metrics.count_relayed();
             }
             let answer = match next(wire).await {
                 Some(Ok(answer)) => answer,
-                // Not one byte came: it may have been dead before.
-                None | Some(Err(Fault::Broken(_))) if rested.is_some() && !stirs(wire) => {
-                    // Guards against one dead connection after another: the other idle ones rested longer.
-                    runner.drop_idle();
+                // No byte came on a connection that was idle: it may have been closed before the request.
+                None | Some(Err(Fault::Broken(_)))
+                    if idle_since.is_some() && !has_received(wire) =>
+                {
+                    // The other idle connections have been idle longer, so they are probably closed too.
+                    runner.close_idle();
                     return Err(RequestFailure::StaleConnection);
                 }
                 _ => return Err(RequestFailure::NoResponse),
             };
-            if !soon || answer.status == 202 {
+            if !may_cross || answer.status == 202 {
                 return Ok(answer);
             }
-            // Guards against a second answer to the request before taken for one to this: this one's own would follow,
-            // and until it does nothing proves that it never ran.
+            // The response may be a second one to the previous request. In that case its own response follows; until
+            // then nothing proves that the request never ran.
             match timeout(Duration::from_secs_f64(CROSSING_S), next(wire)).await {
                 Ok(Some(Ok(own))) => Ok(RunnerResponse {
                     keep_alive: false,
@@ -217,55 +234,55 @@
                 }),
             }
         };
-        let ended = {
-            tokio::pin!(exchanged);
-            let ended = tokio::select! {
+        let result = {
+            tokio::pin!(exchange);
+            let result = tokio::select! {
                 biased;
-                ended = &mut exchanged => Some(ended),
+                result = &mut exchange => Some(result),
                 () = async { tokio::select! {
-                    () = stopped(&mut self.stop) => {}
-                    () = pool.clock.sleep_until(self.until) => {}
+                    () = abandoned(&mut self.stop) => {}
+                    () = pool.clock.sleep_until(self.deadline_s) => {}
                 }} => None,
             };
-            match ended {
-                Some(ended) => Some(ended),
+            match result {
+                Some(result) => Some(result),
                 None => {
-                    // Guards against giving up, by closing the connection, what its runner has taken: the answer may be
-                    // here and not read yet, as long as the sockets were not asked in this turn.
+                    // A response may have arrived that has not been read yet, because the sockets were not polled in
+                    // this turn. Without this second look an attempt that its runner has accepted would be abandoned.
                     yield_now().await;
                     tokio::select! {
                         biased;
-                        ended = &mut exchanged => Some(ended),
+                        result = &mut exchange => Some(result),
                         () = ready(()) => None,
                     }
                 }
             }
         };
-        let ended = match ended {
-            Some(ended) => ended,
+        let result = match result {
+            Some(result) => result,
             None => {
-                // Guards against a machine that vanished: its other connections stand open and silent too, and only a
-                // new one tells.
-                runner.drop_idle();
-                match hands_off && self.ending.whole.get() {
-                    true => given_up(wire).await,
-                    false => Err(self.ending.broken(RequestFailure::NotSent)),
+                // If the machine has failed, its other connections also stay open and silent; only a new one shows
+                // that.
+                runner.close_idle();
+                match is_attempt && self.reporter.is_written.get() {
+                    true => close_and_read(wire).await,
+                    false => Err(self.reporter.failure(RequestFailure::NotSent)),
                 }
             }
         };
-        let keep = ended.as_ref().is_ok_and(|answer| answer.keep_alive);
-        self.ending.tell(ended);
+        let keep = result.as_ref().is_ok_and(|answer| answer.keep_alive);
+        self.reporter.report(result);
         keep
     }
 }
 
-/// Gives up by closing, and hears what crosses that. Guards against a second copy beside one whose 202 was on its way:
-/// its runner has to be told by word.
-async fn given_up(wire: &mut Wire) -> Result<RunnerResponse, RequestFailure> {
+/// Closes the connection and reads a response that crosses the close. If that is a 202, the job must be cancelled by a
+/// request; otherwise a second copy would run beside it.
+async fn close_and_read(wire: &mut Wire) -> Result<RunnerResponse, RequestFailure> {
     let closed = wire.get_mut().shutdown().await.is_ok();
-    let crossing = timeout(Duration::from_secs_f64(CROSSING_S), next(wire));
+    let response = timeout(Duration::from_secs_f64(CROSSING_S), next(wire));
     match closed {
-        true => match crossing.await {
+        true => match response.await {
             Ok(Some(Ok(answer))) => Ok(RunnerResponse {
                 keep_alive: false,
                 ..answer
@@ -276,57 +293,59 @@
     }
 }
 
-/// Something has come, if only a part of an answer.
-fn stirs(wire: &Wire) -> bool {
-    !wire.read_buffer().is_empty() || !wire.codec().between()
+/// Whether at least a part of a response has been received.
+fn has_received(wire: &Wire) -> bool {
+    !wire.read_buffer().is_empty() || !wire.codec().is_between_messages()
 }
 
-/// Ends with the first byte that comes on a connection at rest, or with its end.
-async fn stray(wire: &mut Wire) {
+/// Waits for data on an idle connection, or for its end.
+async fn wait_for_input(wire: &mut Wire) {
     poll_fn(|cx| match Pin::new(&mut *wire).poll_next(cx) {
-        Poll::Pending if !stirs(wire) => Poll::Pending,
+        Poll::Pending if !has_received(wire) => Poll::Pending,
         _ => Poll::Ready(()),
     })
     .await
 }
 
-/// Ends when the exchange says stop; never, if it has lost interest. Guards against asking a second time, on the
-/// connection, what was told once while that came up: a panic, and the runner's answer lost.
-async fn stopped(stop: &mut Option<oneshot::Receiver<()>>) {
-    if let Some(word) = stop {
-        let said = word.await;
+/// Waits until the exchange abandons the call; forever if the exchange has dropped its handle. The receiver is not
+/// polled again after it has resolved while the connection was being established: that would panic, and the response
+/// would be lost.
+async fn abandoned(stop: &mut Option<oneshot::Receiver<()>>) {
+    if let Some(receiver) = stop {
+        let outcome = receiver.await;
         *stop = None;
-        if said.is_ok() {
+        if outcome.is_ok() {
             return;
         }
     }
     pending().await
 }
 
-/// Takes an errand to a runner: on an idle connection, the last used first, or on a new one.
-pub(crate) async fn run(pool: Rc<Pool>, runner: Rc<Runner>, mut errand: Errand) {
+/// Carries out a call on the idle connection that was used last, or on a new one.
+pub(crate) async fn run(pool: Rc<Pool>, runner: Rc<Runner>, mut call: RunnerCall) {
     loop {
         let idle = runner.idle.borrow_mut().pop();
         let Some(idle) = idle else {
-            return dial(pool, runner, errand).await;
+            return run_on_new_connection(pool, runner, call).await;
         };
-        match idle.send(errand) {
+        match idle.send(call) {
             Ok(()) => return,
-            Err(back) => errand = back,
+            Err(back) => call = back,
         }
     }
 }
 
+/// Establishes a connection and returns it with its permit.
 async fn open(
     pool: &Pool,
     at: SocketAddr,
 ) -> Result<(TcpStream, OwnedSemaphorePermit), RequestFailure> {
-    let within = Duration::from_secs_f64(pool.dial_s);
+    let within = Duration::from_secs_f64(pool.connect_timeout_s);
     let permit = match pool.permits.clone().try_acquire_owned() {
         Ok(permit) => permit,
         Err(_) => {
-            // All connections are in use or idle somewhere: one of the idle makes room.
-            pool.spare_one();
+            // The limit of connections is reached: an idle one is closed to make room.
+            pool.close_one_idle();
             let freed = timeout(within, pool.permits.clone().acquire_owned()).await;
             freed
                 .ok()
@@ -340,75 +359,76 @@
     }
 }
 
-async fn dial(pool: Rc<Pool>, runner: Rc<Runner>, mut errand: Errand) {
-    let at = runner.gate.address.get();
+/// Carries out a call on a new connection.
+async fn run_on_new_connection(pool: Rc<Pool>, runner: Rc<Runner>, mut call: RunnerCall) {
+    let at = runner.endpoint.address.get();
     let opened = tokio::select! {
         biased;
-        () = stopped(&mut errand.stop) => Err(RequestFailure::NotSent),
+        () = abandoned(&mut call.stop) => Err(RequestFailure::NotSent),
         opened = open(&pool, at) => opened,
     };
     match opened {
         Ok((stream, permit)) => {
-            serve(pool, runner, wire(stream, Calling::new(at)), permit, errand).await
+            serve(pool, runner, wire(stream, Calling::new(at)), permit, call).await
         }
-        Err(broken) => errand.ending.tell(Err(broken)),
+        Err(broken) => call.reporter.report(Err(broken)),
     }
 }
 
-/// A connection's life: errand after errand, idle in between.
+/// Serves a connection: carries out one call after another and is idle in between.
 async fn serve(
     pool: Rc<Pool>,
     runner: Rc<Runner>,
     mut wire: Wire,
     _permit: OwnedSemaphorePermit,
-    mut errand: Errand,
+    mut call: RunnerCall,
 ) {
-    let mut rested = None;
+    let mut idle_since = None;
     loop {
-        // Guards against beginning on what was true a turn ago: all sockets are asked first, so that a client that has
-        // left, a list that has spoken and a runner that has closed are heard of.
+        // All sockets are polled first. A client that has disconnected, an update of the endpoint list or a connection
+        // that the runner has closed is noticed before the call begins.
         yield_now().await;
-        if rested.is_some() {
-            let elsewhere = tokio::select! {
+        if idle_since.is_some() {
+            let is_unusable = tokio::select! {
                 biased;
-                () = stray(&mut wire) => true,
+                () = wait_for_input(&mut wire) => true,
                 () = ready(()) => false,
             };
-            if elsewhere {
-                // Nothing of it has been written.
-                spawn_local(run(pool, runner.clone(), errand));
+            if is_unusable {
+                // No byte of the call has been written, so another connection can carry it out.
+                spawn_local(run(pool, runner.clone(), call));
                 return;
             }
         }
-        if !errand.carry(&mut wire, &runner, &pool, rested).await
-            || wire.codec().at() != runner.gate.address.get()
+        if !call.execute(&mut wire, &runner, &pool, idle_since).await
+            || wire.codec().address() != runner.endpoint.address.get()
         {
             return;
         }
-        drop(errand);
-        rested = Some(Instant::now());
-        let (idle, mut rest) = oneshot::channel();
+        drop(call);
+        idle_since = Some(Instant::now());
+        let (call_sender, mut next_call) = oneshot::channel();
         {
-            let mut resting = runner.idle.borrow_mut();
-            resting.retain(|other| !other.is_closed());
-            resting.push(idle);
+            let mut idle = runner.idle.borrow_mut();
+            idle.retain(|other| !other.is_closed());
+            idle.push(call_sender);
         }
-        // Read while idle, so that a close by the runner is seen at once.
-        errand = tokio::select! {
+        // The connection is read while it is idle, so that its closing by the runner is noticed at once.
+        call = tokio::select! {
             biased;
-            // An errand already laid in goes elsewhere: nothing of it has been written.
-            () = stray(&mut wire) => {
-                rest.close();
-                if let Ok(errand) = rest.try_recv() {
-                    spawn_local(run(pool, runner.clone(), errand));
+            // A call that was already passed to this connection goes to another one: no byte of it has been written.
+            () = wait_for_input(&mut wire) => {
+                next_call.close();
+                if let Ok(call) = next_call.try_recv() {
+                    spawn_local(run(pool, runner.clone(), call));
                 }
                 return;
             }
-            again = &mut rest => match again {
-                Ok(errand) => errand,
+            received = &mut next_call => match received {
+                Ok(call) => call,
                 Err(_) => return,
             },
-            () = sleep(Duration::from_secs_f64(pool.idle_s)) => return,
+            () = sleep(Duration::from_secs_f64(pool.idle_timeout_s)) => return,
         };
     }
 }
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -34,21 +34,21 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// An address that a predecessor still holds is tried again this often.
+/// Interval at which binding an address is retried while a predecessor still holds it.
 const BIND_RETRY: Duration = Duration::from_millis(20);
-/// And for so long after the start.
-const BIND_PATIENCE_S: f64 = 3.0;
-/// While clients cannot be accepted yet, it is looked this often whether they can.
+/// Time in seconds after the start for which binding is retried.
+const BIND_TIMEOUT_S: f64 = 3.0;
+/// Interval at which is checked whether clients can be accepted.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// A rejected client is told to come back after at most so long: capacity is taken for as long as jobs run, and those
-/// take about one second.
-const LONGEST_RETRY_AFTER_S: f64 = 1.0;
+/// Longest retry time in seconds given to a rejected client: capacity is occupied for as long as jobs run, which is
+/// about one second.
+const MAX_RETRY_AFTER_S: f64 = 1.0;
 
-/// Guards against a predecessor under the same address that has not quite ended.
+/// Binds an address. It is retried while a predecessor at the same address is still ending.
 async fn bind(at: SocketAddr, clock: Clock) -> std::io::Result<TcpListener> {
     loop {
         match TcpListener::bind(at).await {
-            Err(error) if error.kind() == ErrorKind::AddrInUse && clock.now() < BIND_PATIENCE_S => {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && clock.now() < BIND_TIMEOUT_S => {
                 sleep(BIND_RETRY).await;
             }
             bound => return bound,
@@ -56,12 +56,12 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP. A running process takes up the address of discovery and the fleet's
-/// limits; the rest waits for a restart.
+/// Reads the configuration again at each SIGHUP. A running process applies the address of discovery and the limits of
+/// the fleet; other changes need a restart. `running_page` is the configuration of this process.
 async fn reload(
     mut hangup: Signal,
     source: Source,
-    ours: Value,
+    running_page: Value,
     discovery_at: watch::Sender<SocketAddr>,
     fleet: Option<Rc<Fleet>>,
     store: Option<Rc<Store>>,
@@ -71,30 +71,32 @@
             .as_ref()
             .map_or(String::new(), |store| store.settings());
         match source.open_on(&agreed) {
-            Ok(page) => {
-                if let (Some(fleet), Some(said)) = (&fleet, &page.fleet) {
-                    fleet.limits(said, &page.categories);
+            Ok(start) => {
+                if let (Some(fleet), Some(settings)) = (&fleet, &start.fleet) {
+                    fleet.set_limits(settings, &start.categories);
                 }
-                let rest = start::needs_restart(&ours, &page.page);
-                if !rest.is_empty() {
+                let changed = start::needs_restart(&running_page, &start.page);
+                if !changed.is_empty() {
                     tracing::warn!(
-                        "configuration changed in what only a restart takes up: {}",
-                        rest.join(", ")
+                        "configuration change needs a restart: keys={}",
+                        changed.join(", ")
                     );
                 }
                 if discovery_at.send_if_modified(|at| {
-                    std::mem::replace(at, page.discovery_at) != page.discovery_at
+                    std::mem::replace(at, start.discovery_at) != start.discovery_at
                 }) {
-                    tracing::info!("discovery is at another address: {}", page.discovery_at);
+                    tracing::info!("discovery address changed: address={}", start.discovery_at);
                 }
             }
-            Err(why) => tracing::warn!("configuration cannot be used, the old one stays: {why}"),
+            Err(error) => {
+                tracing::warn!("configuration cannot be used, the old one stays: {error}")
+            }
         }
     }
 }
 
-/// Accepts clients; where the platform holds their socket, not before this process can serve: until then they
-/// are its predecessor's.
+/// Accepts clients. If the platform holds their socket, this begins only when this process has endpoints; until then
+/// its predecessor serves them.
 async fn accept_clients(
     listener: TcpListener,
     client_context: Rc<ClientContext>,
@@ -106,13 +108,13 @@
         while !client_context.has_endpoints.get() {
             sleep(ACCEPT_CHECK_INTERVAL).await;
         }
-        spawn_local(handover_socket.keep(client_context.clone(), deployment, terms));
+        spawn_local(handover_socket.serve(client_context.clone(), deployment, terms));
     }
     client_context.accepts_clients.set(true);
     clients::listen(listener, client_context).await
 }
 
-/// The signals that the program listens to. Until it does, each of them ends the process on the spot.
+/// The signals that the program handles. Before they are registered, each of them ends the process at once.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -130,11 +132,13 @@
     }
 }
 
-/// The addresses that clients and operators call.
+/// The listeners for clients and operators.
 struct Listeners {
     clients: TcpListener,
+    /// Listener of the admin API, if it is configured.
     operators: Option<TcpListener>,
-    /// Where an upgrade's two processes meet; only where the platform holds the clients' socket.
+    /// Socket by which the two processes of an upgrade find each other; only if the platform holds the socket of the
+    /// clients.
     handover_socket: Option<Rc<HandoverSocket>>,
 }
 
@@ -169,7 +173,7 @@
         .map_err(|error| format!("listening on {at}: {error}"))
 }
 
-/// What the platform's settings for tests change.
+/// Faults that the settings for tests inject.
 struct TestSettings {
     broken: Option<Broken>,
     disk: disk::DiskDefect,
@@ -187,11 +191,11 @@
     }
 }
 
-/// Runs the dispatcher until SIGTERM or SIGINT and all that it has taken is answered.
+/// Runs the dispatcher until SIGTERM or SIGINT, and then until its accepted work items are answered.
 ///
 /// # Errors
 ///
-/// Says in a line what of the start failed: descriptors, addresses, the store.
+/// One line if the start fails, because of descriptors, addresses or the store.
 pub(crate) async fn serve(
     mut start: Start,
     source: Source,
@@ -208,9 +212,9 @@
     let budget = DescriptorBudget::share_out(&start, inherited.is_some())?;
     let listeners = Listeners::bind(&start, inherited, clock).await?;
     let (mailbox, calls) = Mailbox::new();
-    let (ask_discovery, has_list) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
-    let figures = Metrics::new(&start.categories);
-    let pool = runner_pool(&start, clock, figures.clone(), budget);
+    let (ask_discovery, has_endpoints) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
+    let metrics = Metrics::new(&start.categories);
+    let pool = runner_pool(&start, clock, metrics.clone(), budget);
     let (discovery_at, at) = watch::channel(start.discovery_at);
     let discovery = discovery_watch(&mut start, at, &mailbox, &ask_discovery, broken);
     let longest_expiry_s = start.expiries.iter().copied().fold(0.0, f64::max);
@@ -232,32 +236,32 @@
         budget,
         mailbox.clone(),
         store.clone(),
-        figures,
-        has_list.clone(),
+        metrics,
+        has_endpoints.clone(),
     );
     if start.probes_allowed {
-        tracing::warn!("load probes are allowed, this protocol has none: no runner is probed");
+        tracing::warn!("load probes are enabled, but this protocol has none: no runner is probed");
     }
     let (terms, deployment) = (
-        Rc::new(term_numbers(&client_context, &start)),
+        Rc::new(term_hashes(&client_context, &start)),
         start.deployment,
     );
     if let Some(fleet) = &fleet {
         open_links(fleet, clock, store.clone()).await?;
     }
-    let outside = Sockets {
+    let host = Sockets {
         mailbox: mailbox.clone(),
         pool,
         ask_discovery,
-        has_list,
+        has_endpoints,
         fleet: fleet.clone(),
         siting: failover(&mut start, &client_context, fleet.as_ref(), broken),
         broken,
         answered: 0,
     };
-    let alone = start.terms.dispatcher_count <= 1;
-    let mut exchange = new_exchange(&mut start, outside, client_context.retry_after_s, clock);
-    take_up_former_state(
+    let has_no_peers = start.terms.dispatcher_count <= 1;
+    let mut exchange = new_exchange(&mut start, host, client_context.retry_after_s, clock);
+    apply_earlier_state(
         &mut exchange,
         &mut start,
         listeners.handover_socket.as_deref(),
@@ -269,7 +273,7 @@
         run_store(open, &mailbox, &client_context);
     }
     tracing::info!("{} serves on {}", start.name, start.listen);
-    spawn_local(discovery.keep());
+    spawn_local(discovery.run());
     spawn_local(reload(
         signals.hangup,
         source,
@@ -298,33 +302,35 @@
         clock,
         client_context,
         mailbox,
-        alone,
+        has_no_peers,
         longest_expiry_s,
         accept_task,
     };
     shutdown.settle().await;
     if let Some(path) = &start.learnt {
-        shutdown.keep_learned_state(path, deployment, terms).await;
+        shutdown.save_learned_state(path, deployment, terms).await;
     }
     if let Some(handover_socket) = listeners.handover_socket {
-        handover_socket.leave();
+        handover_socket.remove();
     }
     shutdown.finish().await;
     Ok(())
 }
 
+/// Creates the pool of connections to runners. Its idle time-out is half that of the runners, so that they do not close
+/// a connection first.
 fn runner_pool(
     start: &Start,
     clock: Clock,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     budget: DescriptorBudget,
 ) -> Rc<runners::Pool> {
     Rc::new(runners::Pool {
         clock,
-        figures,
+        metrics,
         permits: Arc::new(Semaphore::new(budget.runners)),
-        dial_s: start.dial_s,
-        idle_s: 0.5 * start.runner_idle_s,
+        connect_timeout_s: start.connect_timeout_s,
+        idle_timeout_s: 0.5 * start.runner_idle_s,
         runners: RefCell::default(),
     })
 }
@@ -338,20 +344,20 @@
 ) -> discovery::Watch {
     let terms = &start.terms;
     discovery::Watch {
-        at,
+        address: at,
         names: start.names.clone(),
         mailbox: mailbox.clone(),
         ask: ask.clone(),
-        after: start.known.generation,
-        turn_s: terms.list_request_spread_s() * terms.dispatcher_index as f64
+        version: start.known.generation,
+        reread_offset_s: terms.list_request_spread_s() * terms.dispatcher_index as f64
             / terms.dispatcher_count as f64,
-        // What an agent says goes before the configuration's endpoints, from the first moment.
-        known: Cell::new(
+        // A list from an agent takes precedence over the configuration's endpoints from the start.
+        cached_list: Cell::new(
             terms
                 .list_from_agent
                 .then(|| std::mem::take(&mut start.known)),
         ),
-        failing: Cell::new(false),
+        is_failing: Cell::new(false),
         broken,
     }
 }
@@ -374,8 +380,8 @@
     )
 }
 
-/// Opens the store, where the configuration names one beside a fleet. What all have agreed on goes before the
-/// configuration file, where it can be used.
+/// Opens the store if it and a fleet are configured. Settings that all dispatchers have agreed on take precedence over
+/// the configuration file, if they can be used.
 fn open_store(
     start: &mut Start,
     fleet: Option<(&FleetSettings, &Rc<Fleet>)>,
@@ -400,13 +406,13 @@
     let open = Store::open(parts).map_err(|error| error.to_string())?;
     match source.open_on(&open.store.settings()) {
         Ok(agreed) => {
-            fleet.limits(agreed.fleet.as_ref().unwrap_or(members), &agreed.categories);
+            fleet.set_limits(agreed.fleet.as_ref().unwrap_or(members), &agreed.categories);
             start.plan = agreed.plan;
             discovery_at.send_replace(agreed.discovery_at);
         }
-        Err(why) => tracing::warn!(
-            "the agreed settings cannot be used: {}",
-            why.replace('\n', "; ")
+        Err(error) => tracing::warn!(
+            "agreed settings cannot be used, using the configuration file: {}",
+            error.replace('\n', "; ")
         ),
     }
     Ok(Some(open))
@@ -417,23 +423,23 @@
     budget: DescriptorBudget,
     mailbox: Mailbox,
     store: Option<Rc<Store>>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     has_endpoints: Rc<Cell<bool>>,
 ) -> Rc<ClientContext> {
     ClientContext::new(ClientContextParts {
         mailbox,
         store,
         categories: std::mem::take(&mut start.categories),
-        figures,
+        metrics,
         expiries: std::mem::take(&mut start.expiries),
         has_endpoints,
-        retry_after_s: start.terms.max_retry_after_s.min(LONGEST_RETRY_AFTER_S),
+        retry_after_s: start.terms.max_retry_after_s.min(MAX_RETRY_AFTER_S),
         budget,
     })
 }
 
-/// A number for each category's terms, by which figures learned under other terms are told apart.
-fn term_numbers(client_context: &ClientContext, start: &Start) -> Vec<u64> {
+/// A hash of the terms of each category, by which values that were learned under other terms are recognized.
+fn term_hashes(client_context: &ClientContext, start: &Start) -> Vec<u64> {
     client_context
         .categories
         .iter()
@@ -442,14 +448,14 @@
         .collect()
 }
 
-/// Opens the links to the other members and keeps them in tasks that last as long as the process.
+/// Opens the links to the other members and serves them in tasks that last as long as the process.
 async fn open_links(
     fleet: &Rc<Fleet>,
     clock: Clock,
     store: Option<Rc<Store>>,
 ) -> Result<(), String> {
     let at = fleet.listen;
-    let failed = |error| format!("the fleet's links on {at}: {error}");
+    let failed = |error| format!("cannot listen for the fleet on {at}: {error}");
     let datagrams = UdpSocket::bind(at).await.map_err(failed)?;
     let listener = bind(at, clock).await.map_err(failed)?;
     spawn_local(links::listen(fleet.clone(), clock, listener, store));
@@ -459,19 +465,22 @@
         datagrams,
     };
     spawn_local(links.keep());
-    tracing::info!("one of {} members, links on {at}", fleet.at.len());
+    tracing::info!(
+        "listens for the fleet: members={} address={at}",
+        fleet.addresses.len()
+    );
     Ok(())
 }
 
-/// The host of the failover logic, where there are several zones and the configuration asks for it.
+/// Host of the failover logic, if there are several zones and it is enabled.
 fn failover(
     start: &mut Start,
     client_context: &ClientContext,
     fleet: Option<&Rc<Fleet>>,
     broken: Option<Broken>,
 ) -> Option<Siting> {
-    let wanted = start.zones.len() > 1 && start.siting;
-    wanted.then(|| {
+    let is_enabled = start.zones.len() > 1 && start.siting;
+    is_enabled.then(|| {
         Siting::new(
             (name_hash(&start.name), start.terms.zone),
             std::mem::take(&mut start.plan),
@@ -483,23 +492,24 @@
     })
 }
 
-fn new_exchange(start: &mut Start, outside: Sockets, retry_after_s: f64, clock: Clock) -> Exchange {
+fn new_exchange(start: &mut Start, host: Sockets, retry_after_s: f64, clock: Clock) -> Exchange {
     let config = ExchangeConfig {
         unix_at_zero_s: clock.unix,
-        connect_timeout_s: start.dial_s,
-        drain_grace_s: start.drain_s,
-        max_open_work_items: start.most_held,
+        connect_timeout_s: start.connect_timeout_s,
+        drain_grace_s: start.drain_grace_s,
+        max_open_work_items: start.max_open_work_items,
         retry_after_s,
-        allow_concurrent_attempts: start.two_at_once,
+        allow_concurrent_attempts: start.allow_concurrent_attempts,
         may_cancel: start.terms.may_cancel,
     };
     let mut dispatcher = Dispatcher::new(start.terms.clone(), start.seed, clock.now());
     dispatcher.begin_without_history(clock.now());
-    Exchange::new(dispatcher, outside, config, clock.now())
+    Exchange::new(dispatcher, host, config, clock.now())
 }
 
-/// Takes up what a running predecessor passes on, or else what an earlier process left in a file.
-async fn take_up_former_state(
+/// Applies the state that a running predecessor passes on, or otherwise the learned state that an earlier process saved
+/// in a file.
+async fn apply_earlier_state(
     exchange: &mut Exchange,
     start: &mut Start,
     handover_socket: Option<&HandoverSocket>,
@@ -514,7 +524,7 @@
         client_context.drain(state.is_draining);
         exchange.inherit(state, start.deployment, terms);
         start.known = Default::default();
-        spawn_local(predecessor.keep(client_context.clone()));
+        spawn_local(predecessor.serve(client_context.clone()));
     } else if let Some(path) = start.learnt.clone() {
         match learnt::read(&path, start.deployment) {
             Ok(learned) => {
@@ -524,8 +534,8 @@
                     "took up learned state of {categories} categories and {runners} runners"
                 );
             }
-            Err(why) => tracing::warn!(
-                "learned state is not taken up from {}: {why}",
+            Err(error) => tracing::warn!(
+                "learned state is not taken up from {}: {error}",
                 path.display()
             ),
         }
@@ -546,6 +556,7 @@
     );
 }
 
+/// Serves the admin API.
 fn serve_operators(
     listener: TcpListener,
     client_context: &Rc<ClientContext>,
--- a/crates/dispatcher/dispatcher/src/shutdown.rs
+++ b/crates/dispatcher/dispatcher/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The graceful shutdown: clients are sent elsewhere, what has been taken is answered, what was learned is kept.
+//! Graceful shutdown: clients are moved to other dispatchers, accepted work items are answered, and learned state is
+//! saved.
 
 use crate::client_context::ClientContext;
 use crate::clock::Clock;
@@ -11,105 +12,112 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// New connections go on coming for up to 0.4 s after the request to end; twice that, for what was slow on the way.
+/// Time in seconds for which new connections may still arrive: up to 0.4 s after SIGTERM, doubled for delays in the
+/// network.
 const LATE_CONNECTIONS_S: f64 = 0.8;
-/// The kill comes no sooner than the longest expiry, at most this, and 0.7 s more.
+/// Upper bound in seconds on the expiry that is waited for. SIGKILL comes no earlier than the longest expiry, at most
+/// this, plus 0.7 s.
 const LONGEST_EXPIRY_S: f64 = 3.0;
-/// Everything is answered so long after the longest expiry.
+/// All work items are answered within this many seconds after the longest expiry.
 const ANSWERED_AFTER_S: f64 = 0.4;
-/// A dispatcher without peers keeps connections until so long before all must be answered, the decisions' own margin.
+/// A dispatcher without peers keeps connections until this many seconds before all work items must be answered, which
+/// is the margin of the policy.
 const CLOSE_ALONE_S: f64 = 0.2;
-/// One with peers closes them so long before that: twice what a usual job takes.
+/// A dispatcher with peers closes connections this many seconds before that: twice the duration of a usual job.
 const CLOSE_WITH_PEERS_S: f64 = 2.0;
-/// What is unsettled is waited for until so long after all must be answered.
+/// Unsettled connections are waited for until this many seconds after all work items must be answered.
 const UNSETTLED_GRACE_S: f64 = 0.2;
-/// How often a condition is looked at again.
+/// Interval at which a condition is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The exchange answers at once or never.
+/// Time-out for the learned state: the exchange answers immediately or never.
 const LEARNED_STATE_TIMEOUT: Duration = Duration::from_millis(100);
-/// For the last bytes, and for runners that are told to give a job up.
+/// Time for the last bytes to be sent, and for requests that cancel jobs at runners.
 const LAST_BYTES: Duration = Duration::from_millis(50);
 
-/// The shutdown of one process, from SIGTERM or SIGINT on.
+/// Shutdown of the process after SIGTERM or SIGINT.
 pub(crate) struct Shutdown {
     pub clock: Clock,
     pub client_context: Rc<ClientContext>,
     pub mailbox: Mailbox,
-    /// No other dispatcher serves these clients.
-    pub alone: bool,
+    /// Whether no other dispatcher serves these clients.
+    pub has_no_peers: bool,
     /// The longest expiry of a category, in seconds.
     pub longest_expiry_s: f64,
-    /// Accepts clients until it is aborted.
+    /// The task that accepts clients, until it is aborted.
     pub accept_task: JoinHandle<()>,
 }
 
 impl Shutdown {
-    /// Answers what has been taken and closes the clients' connections. Returns once nothing is unsettled, or when the
-    /// time for that is over.
+    /// Answers the accepted work items and closes the connections of clients. Returns when no connection is unsettled,
+    /// or after the time for that.
     pub(crate) async fn settle(&self) {
-        let since = self.clock.now();
+        let started_at_s = self.clock.now();
         self.client_context.shutting_down.set(true);
-        let end_at = since + self.longest_expiry_s.min(LONGEST_EXPIRY_S) + ANSWERED_AFTER_S;
+        let end_at_s =
+            started_at_s + self.longest_expiry_s.min(LONGEST_EXPIRY_S) + ANSWERED_AFTER_S;
         self.mailbox
-            .call(move |exchange| exchange.shut_down_by(end_at))
+            .call(move |exchange| exchange.shut_down_by(end_at_s))
             .await;
         self.hand_over();
-        self.wait_for_clients(since, end_at).await;
+        self.wait_for_clients(started_at_s, end_at_s).await;
         self.client_context.closing.send_replace(true);
-        self.wait_for_unsettled(since, end_at).await;
+        self.wait_for_unsettled(started_at_s, end_at_s).await;
     }
 
-    /// A newer process accepts clients at the same socket, which stays open and keeps its queue.
+    /// Stops accepting if a newer process accepts clients at the same socket, which stays open and keeps its queue.
     fn hand_over(&self) {
         let client_context = &self.client_context;
         client_context
             .handing_over
-            .set(client_context.handover.succeeded());
+            .set(client_context.handover.has_successor());
         if client_context.handing_over.get() {
             self.accept_task.abort();
         }
     }
 
-    /// Guards against rejecting clients whom nobody else serves: they go on with the connections that they have as long
-    /// as these stay open. Clients that have others to go to are sent there while nearly any job still ends here.
-    async fn wait_for_clients(&self, since: f64, end_at: f64) {
-        let last_call = if self.alone && !self.client_context.handing_over.get() {
-            end_at - CLOSE_ALONE_S
+    /// Waits for clients to disconnect. Clients without another dispatcher are not rejected: they keep their
+    /// connections as long as possible. Clients that have another dispatcher are moved there while nearly every job can
+    /// still finish here.
+    async fn wait_for_clients(&self, started_at_s: f64, end_at_s: f64) {
+        let close_at_s = if self.has_no_peers && !self.client_context.handing_over.get() {
+            end_at_s - CLOSE_ALONE_S
         } else {
-            end_at - CLOSE_WITH_PEERS_S
+            end_at_s - CLOSE_WITH_PEERS_S
         };
-        let connections_may_come = || self.clock.now() < since + LATE_CONNECTIONS_S;
-        while self.clock.now() < last_call
-            && (connections_may_come() || self.client_context.open.get() > 0)
+        let may_accept_late = || self.clock.now() < started_at_s + LATE_CONNECTIONS_S;
+        while self.clock.now() < close_at_s
+            && (may_accept_late() || self.client_context.open.get() > 0)
         {
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Guards against a restart in the middle of an upgrade: to the platform both processes are one dispatcher, which has
-    /// ended when this process has, and what the one before it has in flight would be lost.
-    async fn wait_for_unsettled(&self, since: f64, end_at: f64) {
-        let unsettled =
-            || self.client_context.unsettled.get() > 0 || self.client_context.handover.preceded();
-        while self.clock.now() < since + LATE_CONNECTIONS_S
-            || unsettled() && self.clock.now() < end_at + UNSETTLED_GRACE_S
+    /// Waits for unsettled connections, and during an upgrade for the predecessor: to the platform both processes are
+    /// one dispatcher that ends with this process, so what the predecessor has in flight would be lost.
+    async fn wait_for_unsettled(&self, started_at_s: f64, end_at_s: f64) {
+        let unsettled = || {
+            self.client_context.unsettled.get() > 0
+                || self.client_context.handover.has_predecessor()
+        };
+        while self.clock.now() < started_at_s + LATE_CONNECTIONS_S
+            || unsettled() && self.clock.now() < end_at_s + UNSETTLED_GRACE_S
         {
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Writes what was learned to `path`; `terms` are the numbers of the categories' terms.
-    pub(crate) async fn keep_learned_state(
+    /// Writes the learned state to `path`. `terms` has a hash of the terms of each category.
+    pub(crate) async fn save_learned_state(
         &self,
         path: &Path,
         deployment: u64,
         terms: Rc<Vec<u64>>,
     ) {
-        let (give, got) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.mailbox
-            .call(move |exchange| drop(give.send(exchange.learned_state(&terms))))
+            .call(move |exchange| drop(sender.send(exchange.learned_state(&terms))))
             .await;
-        let learned = timeout(LEARNED_STATE_TIMEOUT, got)
+        let learned = timeout(LEARNED_STATE_TIMEOUT, receiver)
             .await
             .ok()
             .and_then(Result::ok);
@@ -122,7 +130,7 @@
         }
     }
 
-    /// The end, once all else is done.
+    /// Logs the end and waits for the last bytes.
     pub(crate) async fn finish(&self) {
         tracing::info!(
             "ends with {} unanswered requests",
--- a/crates/dispatcher/dispatcher/src/siting.rs
+++ b/crates/dispatcher/dispatcher/src/siting.rs
@@ -60,11 +60,11 @@
     }
 
     /// Another plan is in force.
-    pub(crate) fn plan(&mut self, plan: FailoverPlan) {
+    pub(crate) fn set_plan(&mut self, plan: FailoverPlan) {
         self.plan = plan;
     }
 
-    pub(crate) fn saw(&mut self, now: f64, runner: usize, what: Observation) {
+    pub(crate) fn record_observation(&mut self, now: f64, runner: usize, what: Observation) {
         self.sites
             .record_result(now, runner, what != Observation::NoResponse);
         // A sign of silence is looked at soon: the next would be spent on the same loss.
@@ -79,7 +79,7 @@
             .map_or("a site without a name", String::as_str)
     }
 
-    pub(crate) fn advise(&mut self, now: f64, d: &mut Dispatcher, load: &Load) {
+    pub(crate) fn apply_shared_state(&mut self, now: f64, d: &mut Dispatcher, load: &Load) {
         if now < self.next {
             return;
         }
@@ -88,14 +88,14 @@
             .endpoints
             .iter()
             .skip(self.numbers.len())
-            .map(|gate| name_hash(&gate.name));
+            .map(|endpoint| name_hash(&endpoint.name));
         self.numbers.extend(fresh);
-        for (place, (gate, of)) in load.endpoints.iter().zip(&self.numbers).enumerate() {
+        for (place, (endpoint, of)) in load.endpoints.iter().zip(&self.numbers).enumerate() {
             self.sites
-                .set_runner(place, *of, gate.zone.get(), gate.is_listed.get());
+                .set_runner(place, *of, endpoint.zone.get(), endpoint.is_listed.get());
         }
         if let Some(fleet) = &self.fleet {
-            fleet.sights(now, |at, place, good| {
+            fleet.for_each_peer_result(now, |at, place, good| {
                 self.sites.record_peer_result(at, place, good)
             });
         }
--- a/crates/dispatcher/dispatcher/src/sockets.rs
+++ b/crates/dispatcher/dispatcher/src/sockets.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::fleet::Fleet;
 use crate::mailbox;
-use crate::runners::{self, Errand, Pool, Runner};
+use crate::runners::{self, Pool, Runner, RunnerCall};
 use crate::siting::Siting;
 use crate::trial::Broken;
 use sagetrail_dispatch::{
@@ -23,7 +23,7 @@
     pub mailbox: Mailbox,
     pub pool: Rc<Pool>,
     pub ask_discovery: Rc<Notify>,
-    pub has_list: Rc<Cell<bool>>,
+    pub has_endpoints: Rc<Cell<bool>>,
     /// The other members, where it has any.
     pub fleet: Option<Rc<Fleet>>,
     /// The sites, where there are several.
@@ -66,8 +66,8 @@
             self.pool.runners.borrow()[runner].clone(),
         );
         let told = move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
-        let (errand, stop) = Errand::new(request, deadline, is_written, told);
-        spawn_local(runners::run(self.pool.clone(), to, errand));
+        let (call, stop) = RunnerCall::new(request, deadline, is_written, told);
+        spawn_local(runners::run(self.pool.clone(), to, call));
         stop
     }
 
@@ -78,7 +78,7 @@
     fn schedule_retry(&mut self, purpose: Purpose) {
         let (mailbox, pause) = (
             self.mailbox.clone(),
-            Duration::from_secs_f64(self.pool.dial_s),
+            Duration::from_secs_f64(self.pool.connect_timeout_s),
         );
         spawn_local(async move {
             tokio::time::sleep(pause).await;
@@ -91,7 +91,7 @@
     }
 
     fn close_idle_connections(&mut self, runner: usize) {
-        self.pool.runners.borrow()[runner].drop_idle();
+        self.pool.runners.borrow()[runner].close_idle();
     }
 
     fn ask_discovery(&mut self) {
@@ -99,48 +99,52 @@
     }
 
     fn set_has_endpoints(&mut self, has_endpoints: bool) {
-        self.has_list.set(has_endpoints);
+        self.has_endpoints.set(has_endpoints);
     }
 
     fn record_arrival(&mut self, now: f64, category: usize) {
         if let Some(fleet) = &self.fleet {
-            fleet.took(now, category);
+            fleet.record_arrival(now, category);
         }
     }
 
     fn budget_usable_until(&self, now: f64, runner: usize, category: usize) -> f64 {
-        self.fleet
-            .as_ref()
-            .map_or(f64::INFINITY, |fleet| fleet.spend_by(now, runner, category))
+        self.fleet.as_ref().map_or(f64::INFINITY, |fleet| {
+            fleet.budget_usable_until(now, runner, category)
+        })
     }
 
     fn record_attempt(&mut self, now: f64, is_retry: bool) {
         if let Some(fleet) = &self.fleet {
-            fleet.goes(now, is_retry);
+            fleet.record_attempt(now, is_retry);
         }
     }
 
     fn record_observation(&mut self, now: f64, runner: usize, observation: Observation) {
         if let Some(fleet) = &self.fleet {
-            fleet.saw(now, &self.pool.runners.borrow()[runner].gate, observation);
+            fleet.record_observation(
+                now,
+                &self.pool.runners.borrow()[runner].endpoint,
+                observation,
+            );
         }
         if let Some(siting) = &mut self.siting {
-            siting.saw(now, runner, observation);
+            siting.record_observation(now, runner, observation);
         }
     }
 
     fn apply_shared_state(&mut self, now: f64, dispatcher: &mut Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
-            fleet.advise(now, dispatcher, load);
+            fleet.apply_shared_state(now, dispatcher, load);
         }
         if let Some(siting) = &mut self.siting {
-            siting.advise(now, dispatcher, load);
+            siting.apply_shared_state(now, dispatcher, load);
         }
     }
 
     fn report_budget_use(&mut self, now: f64, dispatcher: &Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
-            fleet.spent(now, dispatcher, load);
+            fleet.report_budget_use(now, dispatcher, load);
         }
     }
 }
@@ -160,7 +164,7 @@
         if let Some(call) = call {
             exchange.contain_panic(call);
         }
-        while let Some(call) = calls.at_hand() {
+        while let Some(call) = calls.try_next() {
             exchange.contain_panic(call);
         }
         exchange.process_due();
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -37,7 +37,7 @@
     /// Where the admin API is, if there is one.
     pub console: Option<SocketAddr>,
     pub seed: u64,
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     pub known: DiscoveryUpdate,
     /// Where what was learnt is kept over a planned restart, if anywhere, and a number for the deployment.
     pub learnt: Option<PathBuf>,
@@ -48,11 +48,11 @@
     /// How long a client of each waits at the most, where it does not say.
     pub expiries: Vec<f64>,
     pub names: ListNames,
-    pub dial_s: f64,
+    pub connect_timeout_s: f64,
     pub runner_idle_s: f64,
-    pub drain_s: f64,
-    pub most_held: usize,
-    pub two_at_once: bool,
+    pub drain_grace_s: f64,
+    pub max_open_work_items: usize,
+    pub allow_concurrent_attempts: bool,
     /// The whole of it, to compare a later one with.
     pub page: Value,
     /// The members it talks to; none by the platform's page, whatever that says.
@@ -262,7 +262,7 @@
         },
         seed: u64::from_str_radix(&seed, 16)
             .map_err(|_| format!("seed '{seed}' is not a number"))?,
-        descriptors: page
+        max_descriptors: page
             .limits
             .and_then(|limits| limits.sockets)
             .unwrap_or(1024),
@@ -274,11 +274,11 @@
         categories,
         expiries: expiries?,
         names,
-        dial_s: or(stated.seconds("Limits.DialTimeoutUs")?, 0.25),
+        connect_timeout_s: or(stated.seconds("Limits.DialTimeoutUs")?, 0.25),
         runner_idle_s: or(stated.seconds("Limits.ConnIdleUs")?, 10.0),
-        drain_s: stated.seconds("Safety.StopSendingWithinUs")?,
-        two_at_once: stated.flag("Limits.MayDuplicate")?,
-        most_held: (or(stated.number("Limits.MostHeld")?, 10_000.0)) as usize,
+        drain_grace_s: stated.seconds("Safety.StopSendingWithinUs")?,
+        allow_concurrent_attempts: stated.flag("Limits.MayDuplicate")?,
+        max_open_work_items: (or(stated.number("Limits.MostHeld")?, 10_000.0)) as usize,
         page: whole,
         fleet: None,
         store: None,
--- a/crates/dispatcher/dispatcher/src/store/apply.rs
+++ b/crates/dispatcher/dispatcher/src/store/apply.rs
@@ -81,7 +81,7 @@
         *self.rejected_settings.borrow_mut() = None;
         tracing::info!("settings in force version={version}");
         if let Some(members) = &start.fleet {
-            self.fleet.limits(members, &start.categories);
+            self.fleet.set_limits(members, &start.categories);
         }
         self.discovery_at
             .send_if_modified(|at| std::mem::replace(at, start.discovery_at) != start.discovery_at);
@@ -91,7 +91,7 @@
                 .host()
                 .siting
                 .iter_mut()
-                .for_each(|siting| siting.plan(plan.clone()));
+                .for_each(|siting| siting.set_plan(plan.clone()));
         });
     }
 }
--- a/crates/dispatcher/dispatcher/src/store/event_loop.rs
+++ b/crates/dispatcher/dispatcher/src/store/event_loop.rs
@@ -118,7 +118,7 @@
         }
         self.send_and_write();
         self.answer_all_claims();
-        self.fleet.lends(self.may_lend(now));
+        self.fleet.set_lending(self.may_lend(now));
         let (changed, is_behind) = {
             let mut node = self.node.borrow_mut();
             (std::mem::take(&mut node.changed), node.is_behind())
--- a/crates/dispatcher/dispatcher/src/trial.rs
+++ b/crates/dispatcher/dispatcher/src/trial.rs
@@ -69,7 +69,7 @@
                 .iter_mut()
                 .filter(|category| matches!(category.repeat, Repeat::Keyed(_)))
                 .for_each(|category| category.repeat = Repeat::Idempotent),
-            TwoAtOnce => start.two_at_once = true,
+            TwoAtOnce => start.allow_concurrent_attempts = true,
             IgnoresCold => start.terms.warm_up_s = 0.0,
             _ => {}
         }
