--- a/crates/dispatcher/dispatcher/src/admin_api.rs
+++ b/crates/dispatcher/dispatcher/src/admin_api.rs
@@ -1,4 +1,4 @@
-//! The admin API: a second address for operators, one call to a connection. `docs/operators.md` lists the calls.
+//! Admin API: a second address for operators, with one call on each connection. `docs/operators.md` lists the calls.
 
 use crate::client_context::ClientContext;
 use crate::clients::{linger, Wire, LINGER_S};
@@ -20,15 +20,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// So many callers at once: a few people, their monitors, and some that never say a word.
+/// Largest number of callers at once: a few people, their monitors, and some that never send anything.
 const MAX_CALLERS: usize = 16;
-/// What the API needs: its callers, its listener, and one for a caller that is just accepted.
+/// Descriptors for the API: its callers, its listener, and a caller that is just being accepted.
 pub(crate) const DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// A call must be complete, and its answer written, within this each; a caller waits no longer.
+/// Time-out for reading a call, and for writing its reply.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// With all places taken, a new caller waits so long before a silent one is closed.
-const PLACE_PATIENCE: Duration = Duration::from_millis(10);
-/// After a failed accept the listener rests for so long.
+/// Time for which a new caller waits for a permit before a silent caller is closed.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(10);
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 const OK: u16 = 200;
@@ -38,21 +38,23 @@
 const METHOD_NOT_ALLOWED: u16 = 405;
 const UNAVAILABLE: u16 = 503;
 
-const STANDSTILL: &str = "it decides nothing\n";
+/// Text of the reply if the exchange does not answer.
+const EXCHANGE_STALLED: &str = "it decides nothing\n";
+/// Path of the call that changes the clock, in tests.
 const CLOCK_PATH: &str = "/trial/clock/";
 
-/// What the calls of the admin API act on.
+/// State on which the calls of the admin API act.
 pub(crate) struct AdminApi {
     client_context: Rc<ClientContext>,
     fleet: Option<Rc<Fleet>>,
-    /// Calls that only tests make are allowed.
+    /// Whether calls for tests are allowed.
     trial: bool,
-    /// Callers whose call is not complete, the longest waiting first; notifying one closes its connection.
+    /// Callers whose call is not complete, the one that has waited longest first. Notifying one closes its connection.
     incomplete: RefCell<BTreeMap<u64, Rc<Notify>>>,
 }
 
 impl AdminApi {
-    /// Without any caller.
+    /// Creates the API without callers.
     pub(crate) fn new(
         client_context: Rc<ClientContext>,
         fleet: Option<Rc<Fleet>>,
@@ -76,38 +78,40 @@
 
 /// Accepts callers as long as the process lasts; each is served by a task that ends with its connection.
 pub(crate) async fn listen(listener: TcpListener, api: Rc<AdminApi>) {
-    let places = Arc::new(Semaphore::new(MAX_CALLERS));
+    let permits = Arc::new(Semaphore::new(MAX_CALLERS));
     for caller in 0.. {
-        let Some(place) = free_place(&places, &api).await else {
+        let Some(permit) = acquire_permit(&permits, &api).await else {
             return;
         };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let api = api.clone();
                 spawn_local(async move {
-                    let _place = place;
+                    let _permit = permit;
                     let _ = serve_call(stream, caller, &api).await;
                 });
             }
             Err(error) => {
-                tracing::warn!("an operator's call was not accepted: {error}");
+                tracing::warn!("cannot accept an admin API connection: {error}");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Guards against callers that sit on their connections: the one that has been silent longest is closed.
-async fn free_place(places: &Arc<Semaphore>, api: &AdminApi) -> Option<OwnedSemaphorePermit> {
+/// Acquires a permit. Callers that keep silent connections open must not block others: the one that has been silent
+/// longest is closed.
+async fn acquire_permit(permits: &Arc<Semaphore>, api: &AdminApi) -> Option<OwnedSemaphorePermit> {
     loop {
-        match timeout(PLACE_PATIENCE, places.clone().acquire_owned()).await {
-            Ok(Ok(place)) => return Some(place),
+        match timeout(PERMIT_TIMEOUT, permits.clone().acquire_owned()).await {
+            Ok(Ok(permit)) => return Some(permit),
             Ok(Err(_)) => return None,
             Err(_) => api.close_longest_silent(),
         }
     }
 }
 
+/// Reads one call, answers it and closes the connection.
 async fn serve_call(stream: TcpStream, caller: u64, api: &AdminApi) -> Result<(), Fault> {
     let mut wire: Wire = wire(stream, Serving::default());
     let close = Rc::new(Notify::new());
@@ -144,7 +148,7 @@
     linger(wire, LINGER_S).await
 }
 
-/// What a call asks for.
+/// A call of the admin API.
 enum Call {
     Health,
     Counters,
@@ -157,7 +161,7 @@
     Unknown,
 }
 
-/// A runner is to be out of service, or back.
+/// Takes a runner out of service (`out`) or puts it back.
 struct Maintenance {
     runner: String,
     out: bool,
@@ -177,7 +181,7 @@
 }
 
 impl Call {
-    fn parse(path: &str, api: &AdminApi, posts: bool) -> Call {
+    fn parse(path: &str, api: &AdminApi, is_post: bool) -> Call {
         match path {
             "/healthcheck" => Call::Health,
             "/stats" => Call::Counters,
@@ -185,7 +189,7 @@
             "/healthcheck/ok" => Call::Drain(false),
             "/members" => Call::Members,
             "/shared" => Call::SharedState,
-            _ if api.trial && posts && path.starts_with(CLOCK_PATH) => Call::JumpClock,
+            _ if api.trial && is_post && path.starts_with(CLOCK_PATH) => Call::JumpClock,
             _ if path == "/store" || path.starts_with("/store/") => Call::Store,
             _ => Maintenance::parse(path).map_or(Call::Unknown, Call::Maintenance),
         }
@@ -194,17 +198,17 @@
 
 async fn answer(request: Request, api: &AdminApi) -> Reply {
     let path = request.target.split('?').next().unwrap_or_default();
-    let reads = matches!(request.method, Method::Get | Method::Head);
-    let posts = request.method == Method::Post;
-    match Call::parse(path, api, posts) {
-        Call::Health if reads => api.health().await,
-        Call::Counters if reads => api.counters().await,
-        Call::Drain(on) if posts => api.drain(on).await,
-        Call::Members if reads => api.members().await,
-        Call::SharedState if reads => api.shared_state().await,
+    let is_read = matches!(request.method, Method::Get | Method::Head);
+    let is_post = request.method == Method::Post;
+    match Call::parse(path, api, is_post) {
+        Call::Health if is_read => api.health().await,
+        Call::Counters if is_read => api.counters().await,
+        Call::Drain(on) if is_post => api.drain(on).await,
+        Call::Members if is_read => api.members().await,
+        Call::SharedState if is_read => api.shared_state().await,
         Call::JumpClock => api.jump_clock(&path[CLOCK_PATH.len()..]).await,
-        Call::Store => api.store(path, &request, reads, posts).await,
-        Call::Maintenance(maintenance) if posts => api.maintain(maintenance).await,
+        Call::Store => api.store(path, &request, is_read, is_post).await,
+        Call::Maintenance(maintenance) if is_post => api.maintain(maintenance).await,
         Call::Unknown => Reply::new(NOT_FOUND, "no such call\n"),
         _ => method_not_allowed(),
     }
@@ -223,10 +227,11 @@
         if !(context.accepts_clients.get() && context.has_endpoints.get()) {
             return Reply::new(UNAVAILABLE, "not yet\n");
         }
-        // Asked of the exchange itself: guards against a yes from a process whose decisions stand still.
+        // The exchange itself is asked, so that a process that no longer makes decisions does not report that it is
+        // healthy.
         match context.mailbox.ask(|_| ()).await {
             Some(()) => Reply::new(OK, "ok\n"),
-            None => Reply::new(UNAVAILABLE, STANDSTILL),
+            None => Reply::new(UNAVAILABLE, EXCHANGE_STALLED),
         }
     }
 
@@ -242,7 +247,8 @@
         }
     }
 
-    /// With a store all dispatchers are to know of a drain: it begins here at once, and ends once that is agreed.
+    /// Begins or ends a drain. With a store all dispatchers are to know of it: it begins here at once, and ends when
+    /// the end is committed.
     async fn drain(&self, on: bool) -> Reply {
         let context = &self.client_context;
         if let Some(store) = &context.store {
@@ -250,10 +256,10 @@
                 context.drain(true);
             }
             let target = OverrideTarget::Dispatcher(store.name().to_string());
-            return self.agree(store, target, on).await;
+            return self.commit_override(store, target, on).await;
         }
         context.drain(on);
-        self.tell_peer(true, PeerRequest::Drain(on)).await
+        self.forward_to_peer(true, PeerRequest::Drain(on)).await
     }
 
     async fn members(&self) -> Reply {
@@ -267,7 +273,7 @@
             .await
         {
             Some(now) => Reply::new(OK, fleet.members(now)),
-            None => Reply::new(UNAVAILABLE, STANDSTILL),
+            None => Reply::new(UNAVAILABLE, EXCHANGE_STALLED),
         }
     }
 
@@ -282,11 +288,11 @@
             .await;
         match asked {
             Some((now, named)) => Reply::new(OK, fleet.shared(now, &context.categories, &named)),
-            None => Reply::new(UNAVAILABLE, STANDSTILL),
+            None => Reply::new(UNAVAILABLE, EXCHANGE_STALLED),
         }
     }
 
-    /// Only in tests: Unix time is found to be off by so many seconds.
+    /// Only in tests: changes the Unix time by a number of seconds.
     async fn jump_clock(&self, seconds: &str) -> Reply {
         let by_s = seconds.parse::<f64>().ok().filter(|by_s| by_s.is_finite());
         let Some(by_s) = by_s else {
@@ -299,14 +305,14 @@
             .await;
         match jumped {
             Some(()) => Reply::new(OK, "ok\n"),
-            None => Reply::new(UNAVAILABLE, STANDSTILL),
+            None => Reply::new(UNAVAILABLE, EXCHANGE_STALLED),
         }
     }
 
-    async fn store(&self, path: &str, request: &Request, reads: bool, posts: bool) -> Reply {
+    async fn store(&self, path: &str, request: &Request, is_read: bool, is_post: bool) -> Reply {
         match &self.client_context.store {
-            Some(store) if reads || posts => {
-                let reply = store.admin_call(path, posts, &request.body).await;
+            Some(store) if is_read || is_post => {
+                let reply = store.admin_call(path, is_post, &request.body).await;
                 Reply::new(reply.status, reply.text)
             }
             Some(_) => method_not_allowed(),
@@ -317,18 +323,21 @@
     async fn maintain(&self, maintenance: Maintenance) -> Reply {
         let Maintenance { runner: id, out } = maintenance;
         if let Some(store) = &self.client_context.store {
-            return self.agree(store, OverrideTarget::Runner(id), out).await;
+            return self
+                .commit_override(store, OverrideTarget::Runner(id), out)
+                .await;
         }
         match self.set_maintenance(id.clone(), out).await {
             Some(known) => {
                 let request = PeerRequest::SetMaintenance { id, out };
-                self.tell_peer(known, request).await
+                self.forward_to_peer(known, request).await
             }
-            None => Reply::new(UNAVAILABLE, STANDSTILL),
+            None => Reply::new(UNAVAILABLE, EXCHANGE_STALLED),
         }
     }
 
-    /// Whether the runner is known here; `None` where nothing is decided any more.
+    /// Sets whether a runner is out of service. Returns whether it is known here; `None` if the exchange does not
+    /// answer.
     async fn set_maintenance(&self, id: String, out: bool) -> Option<bool> {
         self.client_context
             .mailbox
@@ -336,8 +345,8 @@
             .await
     }
 
-    /// A command that all dispatchers are to know: out of service holds here at once, and is agreed by the store.
-    async fn agree(&self, store: &Store, target: OverrideTarget, out: bool) -> Reply {
+    /// Commits a command that all dispatchers are to know. Taking out of service takes effect here at once.
+    async fn commit_override(&self, store: &Store, target: OverrideTarget, out: bool) -> Reply {
         let agreed = store.set_out_of_service(target.clone(), out).await;
         if let (OverrideTarget::Runner(id), true) = (target, out) {
             self.set_maintenance(id, true).await;
@@ -351,8 +360,8 @@
         }
     }
 
-    /// The answer once the other process of an upgrade has taken the command too, if there is one.
-    async fn tell_peer(&self, known: bool, request: PeerRequest) -> Reply {
+    /// Passes a command on to the other process of an upgrade, if there is one, and replies after that.
+    async fn forward_to_peer(&self, known: bool, request: PeerRequest) -> Reply {
         match self.client_context.handover.request(request).await {
             PeerReply::TimedOut => Reply::new(UNAVAILABLE, "the other process does not answer\n"),
             reply if known || reply == PeerReply::Yes => Reply::new(OK, "ok\n"),
--- a/crates/dispatcher/dispatcher/src/cli.rs
+++ b/crates/dispatcher/dispatcher/src/cli.rs
@@ -1,17 +1,16 @@
-//! The command line. Without a command it is `run` by the platform's page.
+//! The command line. Without a command the program runs as the platform starts it.
 
+use crate::forecast;
 use crate::start::{self, Source};
-use crate::whatif;
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use sagetrail_settings as setup;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The door answers within a second; as much again for the way.
-const CALL: Duration = Duration::from_secs(2);
+/// Time-out of a call of the admin API: it answers within a second, and as much again is allowed for the network.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A dispatcher beside each submitter of jobs, pushing them to workers.
 #[derive(Parser)]
@@ -24,9 +23,9 @@
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Serves; by the page that $RELAY_CONFIG names, unless a file is given.
-    Run(Given),
+    Run(ConfigArgs),
     /// The same with settings for tests: clocks that are off, broken variants.
-    Trial(Given),
+    Trial(ConfigArgs),
     /// Says all that is wrong with a configuration; opens nothing.
     Check {
         file: PathBuf,
@@ -34,7 +33,7 @@
         set: Vec<String>,
     },
     /// The configuration as it would be used, with where each value came from.
-    ShowConfig(Given),
+    ShowConfig(ConfigArgs),
     /// The reference page of the configuration, or its JSON schema.
     Reference {
         #[arg(long)]
@@ -64,19 +63,19 @@
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
         #[command(subcommand)]
-        what: Stored,
+        what: StoreCommand,
     },
     /// What the loss of each site, and of each two, would come to.
     Plan {
         #[command(subcommand)]
-        look: Look,
+        look: PlanCommand,
     },
     /// Completions for a shell, on standard output.
     Completions { shell: Shell },
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Stored {
+pub(crate) enum StoreCommand {
     /// Role, leader, voters, version, who is out, what differs.
     Status {
         /// Also asks a majority whether all that was agreed by now is here.
@@ -107,7 +106,7 @@
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Look {
+pub(crate) enum PlanCommand {
     /// All that is wrong or unwise about a configuration's plan.
     Check { file: PathBuf },
     /// A table: where load goes, what is refused at which load, when all is back.
@@ -120,7 +119,7 @@
 }
 
 #[derive(clap::Args, Default)]
-pub(crate) struct Given {
+pub(crate) struct ConfigArgs {
     /// TOML of the project's own, or the platform's page if it ends in .json.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
@@ -129,7 +128,7 @@
     pub set: Vec<String>,
 }
 
-impl Given {
+impl ConfigArgs {
     pub(crate) fn source(self, trial: bool) -> Source {
         Source {
             file: self.config,
@@ -139,22 +138,24 @@
     }
 }
 
-/// One call at a door; the answer's body, or why there is none.
+/// Makes a call of the admin API and returns its status and body, or why there is no reply.
 fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<(u16, String), String> {
-    let said = |error: std::io::Error| format!("the door at {at}: {error}");
-    let mut stream = TcpStream::connect_timeout(&at, CALL).map_err(said)?;
-    stream.set_read_timeout(Some(CALL)).map_err(said)?;
-    let plain = |text: &str| text.bytes().all(|b| b.is_ascii_graphic());
-    if !plain(method) || !plain(path) {
+    let describe = |error: std::io::Error| format!("the door at {at}: {error}");
+    let mut stream = TcpStream::connect_timeout(&at, CALL_TIMEOUT).map_err(describe)?;
+    stream
+        .set_read_timeout(Some(CALL_TIMEOUT))
+        .map_err(describe)?;
+    let is_plain = |text: &str| text.bytes().all(|b| b.is_ascii_graphic());
+    if !is_plain(method) || !is_plain(path) {
         return Err("a call is a method and a path".to_string());
     }
     let length = body.len();
     let head =
         format!("{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: {length}\r\n\r\n");
-    write!(stream, "{head}{body}").map_err(said)?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).map_err(said)?;
-    let (head, body) = answer
+    write!(stream, "{head}{body}").map_err(describe)?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).map_err(describe)?;
+    let (head, body) = response
         .split_once("\r\n\r\n")
         .ok_or(format!("the door at {at} does not answer"))?;
     let status = head
@@ -167,30 +168,32 @@
     ))
 }
 
-fn ask(at: SocketAddr, method: &str, path: &str) -> Result<u8, String> {
-    say(at, method, path, "")
+/// Makes a call without a body and prints the response; the exit code.
+fn call_and_print(at: SocketAddr, method: &str, path: &str) -> Result<u8, String> {
+    send_and_print(at, method, path, "")
 }
 
-fn say(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<u8, String> {
+/// Makes a call with a body and prints the response; the exit code.
+fn send_and_print(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<u8, String> {
     let (status, body) = call(at, method, path, body)?;
     print!("{body}");
     Ok(u8::from(!(200..300).contains(&status)))
 }
 
-/// What two dispatchers' copies say otherwise. Each has figures of its own, which are no difference.
-fn copies(at: SocketAddr, with: SocketAddr) -> Result<u8, String> {
+/// Prints in what the copies of the state at two dispatchers differ. Each dispatcher's own counters are left out.
+fn diff_copies(at: SocketAddr, with: SocketAddr) -> Result<u8, String> {
     let state = |at| -> Result<Vec<String>, String> {
         let (_, status) = call(at, "GET", "/store", "")?;
-        let (_, kept) = call(at, "GET", "/store/backup", "")?;
-        let same = |line: &&str| {
+        let (_, backup) = call(at, "GET", "/store/backup", "")?;
+        let is_shared = |line: &&str| {
             ["voters", "settings", "out ", "words "]
                 .iter()
                 .any(|word| line.starts_with(word))
         };
         Ok(status
             .lines()
-            .filter(same)
-            .chain(kept.lines())
+            .filter(is_shared)
+            .chain(backup.lines())
             .map(str::to_string)
             .collect())
     };
@@ -205,18 +208,21 @@
     Ok(u8::from(ours != theirs))
 }
 
-fn store(at: SocketAddr, what: Stored) -> Result<u8, String> {
+/// Carries out a command on the store; the exit code.
+fn store(at: SocketAddr, what: StoreCommand) -> Result<u8, String> {
     let read = |file: &PathBuf| {
         std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))
     };
     match what {
-        Stored::Status { fresh: false } => ask(at, "GET", "/store"),
-        Stored::Status { fresh: true } => ask(at, "GET", "/store/fresh"),
-        Stored::Propose { file } => say(at, "POST", "/store/propose", &read(&file)?),
-        Stored::Diff { with: None } => ask(at, "GET", "/store/diff"),
-        Stored::Diff { with: Some(with) } => copies(at, with),
-        Stored::Back => ask(at, "POST", "/store/back"),
-        Stored::Backup { file } => {
+        StoreCommand::Status { fresh: false } => call_and_print(at, "GET", "/store"),
+        StoreCommand::Status { fresh: true } => call_and_print(at, "GET", "/store/fresh"),
+        StoreCommand::Propose { file } => {
+            send_and_print(at, "POST", "/store/propose", &read(&file)?)
+        }
+        StoreCommand::Diff { with: None } => call_and_print(at, "GET", "/store/diff"),
+        StoreCommand::Diff { with: Some(with) } => diff_copies(at, with),
+        StoreCommand::Back => call_and_print(at, "POST", "/store/back"),
+        StoreCommand::Backup { file } => {
             let (status, body) = call(at, "GET", "/store/backup", "")?;
             if status != 200 {
                 return Err(body.trim_end().to_string());
@@ -224,24 +230,31 @@
             std::fs::write(&file, body).map_err(|error| format!("{}: {error}", file.display()))?;
             Ok(0)
         }
-        Stored::Restore { file } => say(at, "POST", "/store/restore", &read(&file)?),
-        Stored::Add { name } => ask(at, "POST", &format!("/store/add/{name}")),
-        Stored::Remove { name } => ask(at, "POST", &format!("/store/remove/{name}")),
-        Stored::Lend { name, what } => ask(at, "POST", &format!("/store/lend/{name}/{what}")),
-        Stored::Trust => ask(at, "POST", "/store/trust"),
+        StoreCommand::Restore { file } => {
+            send_and_print(at, "POST", "/store/restore", &read(&file)?)
+        }
+        StoreCommand::Add { name } => call_and_print(at, "POST", &format!("/store/add/{name}")),
+        StoreCommand::Remove { name } => {
+            call_and_print(at, "POST", &format!("/store/remove/{name}"))
+        }
+        StoreCommand::Lend { name, what } => {
+            call_and_print(at, "POST", &format!("/store/lend/{name}/{what}"))
+        }
+        StoreCommand::Trust => call_and_print(at, "POST", "/store/trust"),
     }
 }
 
-fn show(given: &Given) -> Result<u8, String> {
+/// Prints the configuration with the origin of each value; the exit code.
+fn show(given: &ConfigArgs) -> Result<u8, String> {
     let Some(file) = &given.config else {
         return Err("show-config needs --config FILE".to_string());
     };
-    let read =
-        setup::read(&start::layers(file, &given.set)?).map_err(|faults| faults.join("\n"))?;
+    let read = sagetrail_settings::read(&start::layers(file, &given.set)?)
+        .map_err(|faults| faults.join("\n"))?;
     for (path, value) in &read.values {
         println!("{path} = {}  # {}", value.value, value.origin);
     }
-    for key in setup::KEYS
+    for key in sagetrail_settings::KEYS
         .iter()
         .filter(|key| !key.path.contains("[]") && !read.values.contains_key(key.path))
     {
@@ -252,7 +265,7 @@
     Ok(0)
 }
 
-/// All commands but those that serve; the exit code.
+/// Carries out all commands except those that run the dispatcher; the exit code.
 pub(crate) fn run(command: Command) -> Result<u8, String> {
     match command {
         Command::Run(_) | Command::Trial(_) => Ok(0),
@@ -272,20 +285,20 @@
         }
         Command::ShowConfig(given) => show(&given),
         Command::Reference { schema: true } => {
-            println!("{:#}", setup::schema());
+            println!("{:#}", sagetrail_settings::schema());
             Ok(0)
         }
         Command::Reference { schema: false } => {
-            print!("{}", setup::page());
+            print!("{}", sagetrail_settings::reference_page());
             Ok(0)
         }
-        Command::Console { at, method, path } => ask(at, &method.to_uppercase(), &path),
-        Command::Members { at } => ask(at, "GET", "/members"),
-        Command::Shared { at } => ask(at, "GET", "/shared"),
+        Command::Console { at, method, path } => call_and_print(at, &method.to_uppercase(), &path),
+        Command::Members { at } => call_and_print(at, "GET", "/members"),
+        Command::Shared { at } => call_and_print(at, "GET", "/shared"),
         Command::Store { at, what } => store(at, what),
         Command::Plan {
-            look: Look::Check { file },
-        } => match setup::read(&start::layers(&file, &[])?) {
+            look: PlanCommand::Check { file },
+        } => match sagetrail_settings::read(&start::layers(&file, &[])?) {
             Ok(read) => {
                 read.warnings
                     .iter()
@@ -298,17 +311,17 @@
             }
         },
         Command::Plan {
-            look: Look::WhatIf { file, html },
+            look: PlanCommand::WhatIf { file, html },
         } => {
-            let read =
-                setup::read(&start::layers(&file, &[])?).map_err(|faults| faults.join("\n"))?;
+            let read = sagetrail_settings::read(&start::layers(&file, &[])?)
+                .map_err(|faults| faults.join("\n"))?;
             let losses = read.plan.forecast_all();
             if losses.is_empty() {
                 return Err("the plan names no two sites: there is nothing to lose".to_string());
             }
-            print!("{}", whatif::table(&losses));
+            print!("{}", forecast::table(&losses));
             if let Some(path) = html {
-                let page = whatif::page(&losses);
+                let page = forecast::page(&losses);
                 std::fs::write(&path, page)
                     .map_err(|error| format!("{}: {error}", path.display()))?;
             }
--- a/crates/dispatcher/dispatcher/src/client_context.rs
+++ b/crates/dispatcher/dispatcher/src/client_context.rs
@@ -1,4 +1,4 @@
-//! What all client connections share: limits on connections, the state of a drain or shutdown, idle connections.
+//! State that all client connections share: limits on connections, a drain or shutdown, idle connections.
 
 use crate::descriptors::DescriptorBudget;
 use crate::handover::Handover;
@@ -13,15 +13,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// So long after the begin of a drain the platform's health check has seen it and sends nobody new: it asks every 0.1 s and
-/// goes on for 0.2 s, and as much again for a slow check. A client that is sent away sooner comes straight back.
+/// Time after the beginning of a drain when the platform has noticed it and sends no new clients: its health check runs
+/// every 0.1 s and clients keep coming for another 0.2 s, and as much again is added for a slow check. A client that is
+/// moved earlier comes straight back.
 const DRAIN_SEEN_AFTER: Duration = Duration::from_millis(500);
 
-/// What all client connections share. One task each reads and writes it, on one thread.
+/// State that all client connections share. Their tasks read and write it on one thread.
 pub(crate) struct ClientContext {
-    /// Where calls to the dispatch state are put.
+    /// Queue of calls on the exchange.
     pub mailbox: Mailbox,
-    /// State that outlives the process, where there is a store.
+    /// The store, if one is configured.
     pub store: Option<Rc<Store>>,
     /// Names of the categories, in the order of the configuration.
     pub categories: Vec<String>,
@@ -29,54 +30,55 @@
     pub metrics: Rc<Metrics>,
     /// The other process at this address, during an upgrade.
     pub handover: Handover,
-    /// How long a client of each category waits at the most where it does not say, in seconds.
-    pub expiries: Vec<f64>,
-    /// SIGTERM or SIGINT was received.
+    /// Longest time in seconds that a client of each category waits, unless its request says otherwise.
+    pub expiries_s: Vec<f64>,
+    /// Whether SIGTERM or SIGINT was received.
     pub shutting_down: Cell<bool>,
-    /// A newer process serves here: clients move there with their next answer.
+    /// Whether a newer process serves at this address. Clients move there after their next reply.
     pub handing_over: Cell<bool>,
-    /// The operators drain this dispatcher.
+    /// Whether an operator drains this dispatcher.
     pub drained: Cell<bool>,
-    /// Rises with each begin and end of a drain.
+    /// Number of beginnings and ends of drains so far.
     drain_changes: Cell<u64>,
-    /// Connections are being closed.
+    /// Whether client connections are being closed.
     pub closing: watch::Sender<bool>,
-    /// Clients are accepted.
+    /// Whether clients are accepted.
     pub accepts_clients: Cell<bool>,
-    /// Discovery has named endpoints, be it in an old list.
+    /// Whether there is an endpoint list, be it an old one.
     pub has_endpoints: Rc<Cell<bool>>,
-    /// When a rejected client should come back, in seconds; 0 where clients are not told.
+    /// Retry time in seconds for a rejected client; 0 to give none.
     pub retry_after_s: f64,
-    /// Numbers of connections that may be open.
+    /// Limits on the number of open connections.
     pub budget: DescriptorBudget,
-    /// Connections on which clients are served.
+    /// Number of connections on which clients are served.
     pub open: Cell<usize>,
-    /// Connections that count against the budget, closing ones too.
+    /// Number of connections that count towards the budget, including those that are closing.
     pub placed: Cell<usize>,
-    /// Connections with a request in flight.
+    /// Number of connections with a request in flight.
     pub busy: Cell<usize>,
-    /// Connections that a shutdown waits for: with a request under way or in flight, or answered and not closed yet.
+    /// Number of connections that a shutdown waits for: a request is being received or in flight, or has been answered
+    /// and the connection is not closed yet.
     pub unsettled: Cell<usize>,
-    /// Idle connections, longest idle first; notifying one closes it.
+    /// Idle connections, the one that has been idle longest first. Notifying one closes it.
     pub idle: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    /// The key of the connection that turned idle last.
+    /// Key of the connection that became idle last.
     last_idle_key: Cell<u64>,
 }
 
-/// What a client context is made of; the rest begins empty.
+/// Parts from which a client context is made.
 pub(crate) struct ClientContextParts {
     pub mailbox: Mailbox,
     pub store: Option<Rc<Store>>,
     pub categories: Vec<String>,
     pub metrics: Rc<Metrics>,
-    pub expiries: Vec<f64>,
+    pub expiries_s: Vec<f64>,
     pub has_endpoints: Rc<Cell<bool>>,
     pub retry_after_s: f64,
     pub budget: DescriptorBudget,
 }
 
 impl ClientContext {
-    /// Without any connection, not accepting clients yet.
+    /// Creates a context without connections, which does not accept clients yet.
     pub(crate) fn new(parts: ClientContextParts) -> Rc<ClientContext> {
         Rc::new(ClientContext {
             mailbox: parts.mailbox,
@@ -84,7 +86,7 @@
             categories: parts.categories,
             metrics: parts.metrics,
             handover: Handover::default(),
-            expiries: parts.expiries,
+            expiries_s: parts.expiries_s,
             shutting_down: Cell::new(false),
             handing_over: Cell::new(false),
             drained: Cell::new(false),
@@ -109,27 +111,29 @@
         longest.map(|(_, close)| close.notify_one()).is_some()
     }
 
-    /// Whether another connection waits for capacity, or soon will.
+    /// Whether the limit of connections is reached, so that another connection may wait for a permit.
     pub(crate) fn is_full(&self) -> bool {
         self.placed.get() >= self.budget.clients
     }
 
-    /// Whether a drain or handover concerns a connection; one that brings runners' callbacks (`callback`) only at the end.
-    pub(crate) fn may_close(&self, callback: bool) -> bool {
-        !callback || self.shutting_down.get()
+    /// Whether a drain or handover closes this connection. A connection for callbacks (`for_callbacks`) is closed only
+    /// by a shutdown.
+    pub(crate) fn may_close(&self, for_callbacks: bool) -> bool {
+        !for_callbacks || self.shutting_down.get()
     }
 
-    /// Whether a connection is to be closed with its next answer.
-    pub(crate) fn closes_after_answer(&self, callback: bool) -> bool {
-        (self.handing_over.get() || *self.closing.borrow()) && self.may_close(callback)
+    /// Whether the connection is to be closed after its next reply.
+    pub(crate) fn closes_after_answer(&self, for_callbacks: bool) -> bool {
+        (self.handing_over.get() || *self.closing.borrow()) && self.may_close(for_callbacks)
     }
 
-    /// Whether there is no capacity for one more work item: all connections are busy.
+    /// Whether there is no capacity for another work item, because all connections are busy. An idle connection is
+    /// closed otherwise.
     pub(crate) fn is_overloaded(&self) -> bool {
         self.open.get() > self.budget.clients && !self.close_longest_idle()
     }
 
-    /// The operators begin a drain (`on`) or end it. A command that is repeated has no second effect.
+    /// Begins a drain (`on`) or ends it. Repeating a command has no further effect.
     pub(crate) fn drain(self: &Rc<Self>, on: bool) {
         if self.drained.replace(on) == on {
             return;
@@ -137,16 +141,16 @@
         let change = self.drain_changes.get() + 1;
         self.drain_changes.set(change);
         if !on {
-            tracing::info!("drain by an operator is over");
+            tracing::info!("operator drain ended");
             self.closing.send_replace(self.shutting_down.get());
             return;
         }
-        tracing::info!("drain by an operator: clients are sent elsewhere");
+        tracing::info!("operator drain started, client connections will be closed");
         spawn_local(self.clone().close_once_seen(change));
     }
 
-    /// Closes connections once the platform has seen the drain. Guards against an end of the drain, or an end and another
-    /// drain, in between: `change` is the drain's number.
+    /// Closes connections once the platform has noticed the drain, unless the drain has ended in between. `change` is
+    /// the number of the drain, which tells it from a later one.
     async fn close_once_seen(self: Rc<Self>, change: u64) {
         sleep(DRAIN_SEEN_AFTER).await;
         if self.drained.get() && self.drain_changes.get() == change {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// A key for a connection that turns idle, higher than all before.
+    /// Key for a connection that becomes idle, higher than all earlier ones.
     pub(crate) fn next_idle_key(&self) -> u64 {
         self.last_idle_key.set(self.last_idle_key.get() + 1);
         self.last_idle_key.get()
--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -471,7 +471,7 @@
         .ok_or((404, "unknown category"))?;
     let wait_s = match &request.deadline {
         Some(text) => parse_duration_s(text).ok_or((400, "Req-Deadline cannot be read"))?,
-        None => client_context.expiries[category],
+        None => client_context.expiries_s[category],
     };
     let key = query
         .split('&')
@@ -597,7 +597,7 @@
         .split_once('?')
         .unwrap_or((&request.target, ""));
     let key = query.split('&').find_map(|pair| pair.strip_prefix("key="));
-    let name = match recorded.by_key {
+    let name = match recorded.is_named_by_key {
         true => key.filter(|key| !key.is_empty()),
         false => request.name.as_deref(),
     };
--- a/crates/dispatcher/dispatcher/src/descriptors.rs
+++ b/crates/dispatcher/dispatcher/src/descriptors.rs
@@ -27,8 +27,8 @@
 }
 
 impl DescriptorBudget {
-    /// Shares out the descriptors that `start` allows. During an upgrade (`upgrading`) each of the two processes holds at most half, so
-    /// that both together stay within the limit.
+    /// Shares out the descriptors that `start` allows. During an upgrade (`upgrading`) each of the two processes holds
+    /// at most half, so that both together stay within the limit.
     ///
     /// # Errors
     ///
--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -293,7 +293,7 @@
             }
             self.broken
                 .into_iter()
-                .for_each(|broken| broken.hears(&mut update));
+                .for_each(|broken| broken.alter_update(&mut update));
             let cached_list = self.cached_list.take().filter(|_| !update.is_full);
             let apply = move |exchange: &mut Exchange| {
                 cached_list
--- a/crates/dispatcher/dispatcher/src/disk.rs
+++ b/crates/dispatcher/dispatcher/src/disk.rs
@@ -1,5 +1,5 @@
-//! The store's folder, and the thread that writes it: jobs in order, synced before they are reported. The loop never
-//! waits for the disk.
+//! Folder of the store, and the thread that writes it. Jobs are carried out in order and synced before they are
+//! reported; the event loop never waits for the disk.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -14,22 +14,22 @@
 
 use crate::store::DiskError;
 
-/// Largest journal that is read, bytes: it is compacted long before.
+/// Largest journal in bytes that is read. It is compacted long before.
 const MAX_JOURNAL_BYTES: u64 = 256 << 20;
-/// Jobs that are synced together, besides the first.
+/// Number of jobs, besides the first, that are synced together.
 const MAX_FURTHER_JOBS: usize = 255;
 const JOURNAL_FILE: &str = "log";
 const MERGED_STATE_FILE: &str = "merged";
 
-/// A job for the thread that writes.
+/// A job for the writing thread.
 pub(crate) enum WriteJob {
-    /// Appends to the journal; without bytes it only keeps its place in the order.
+    /// Appends to the journal. A job without bytes only keeps its place in the order.
     AppendToJournal(Vec<u8>),
     /// Replaces the journal.
     ReplaceJournal(Vec<u8>),
-    /// Puts the journal aside for study, and begins a new one with these bytes.
+    /// Renames the journal so that it can be examined, and begins a new one with these bytes.
     PutJournalAside(Vec<u8>),
-    /// Saves the merged state; nothing is acknowledged by it.
+    /// Saves the merged state. Nothing is acknowledged on its account.
     SaveMergedState(Vec<u8>),
 }
 
@@ -38,7 +38,7 @@
 pub(crate) struct DiskDefect {
     /// Delay of each sync.
     pub sync_delay: Duration,
-    /// Bytes that it still takes.
+    /// Bytes that the disk still accepts; `None` for no limit.
     pub free_bytes: Option<u64>,
 }
 
@@ -55,30 +55,30 @@
     }
 }
 
-/// The number of further journal jobs that are synced, or why none will be any more.
+/// Number of further journal jobs that are synced, or the error after which no more will be.
 pub(crate) type WriteOutcome = Result<usize, DiskError>;
 
 /// A saved copy of the merged state.
 pub(crate) struct SavedMergedState {
-    /// The bytes.
+    /// Encoded state.
     pub bytes: Vec<u8>,
-    /// Time since it was saved, seconds.
+    /// Time in seconds since it was saved.
     pub age_s: f64,
 }
 
 /// The content of a folder.
 pub(crate) struct FolderContent {
-    /// The identity of the disk.
+    /// Identity of the disk.
     pub disk: u64,
-    /// The journal's records.
+    /// Records of the journal.
     pub records: Vec<DiskRecord>,
-    /// Number of records that the disk has ever held.
+    /// Number of records ever written to the disk.
     pub records_written: u64,
-    /// The merged state, if it was saved.
+    /// Merged state, if it was saved.
     pub merged: Option<SavedMergedState>,
 }
 
-/// Reads the folder, which is created if it is absent. A journal that cannot be used is put aside. `new_disk` is the
+/// Reads the folder and creates it if it does not exist. A journal that cannot be used is renamed. `new_disk` is the
 /// identity for a blank disk.
 ///
 /// # Errors
@@ -156,7 +156,7 @@
         return Ok(());
     }
     tracing::warn!(
-        "journal in {} ends with an incomplete record: cut off",
+        "journal truncated at an incomplete record: folder={}",
         folder.display()
     );
     let file = OpenOptions::new()
@@ -168,14 +168,14 @@
 
 fn put_folder_aside(folder: &Path, error: StoreError) -> io::Result<()> {
     tracing::warn!(
-        "journal in {} is put aside, joining again blank: {error}",
+        "journal cannot be used, it is renamed and this member rejoins without state: folder={}: {error}",
         folder.display()
     );
     put_aside(&folder.join(JOURNAL_FILE))?;
     put_aside(&folder.join(MERGED_STATE_FILE))
 }
 
-/// Renames a file to a free name beside it; no effect if it does not exist.
+/// Renames a file to a free name beside it. A file that does not exist is ignored.
 fn put_aside(path: &Path) -> io::Result<()> {
     if !path.exists() {
         return Ok(());
@@ -189,7 +189,8 @@
     free_name.map_or(Ok(()), |name| fs::rename(path, name))
 }
 
-/// Replaces a file atomically: written under another name, synced, then renamed. A reader finds the old or the new one.
+/// Replaces a file atomically: the content is written under another name, synced and renamed, so that a reader finds
+/// the old or the new file.
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = path.with_extension("new");
     let mut file = File::create(&new)?;
@@ -200,13 +201,13 @@
         .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
 }
 
-/// The handle of the thread that writes. The thread ends when the handle is dropped, or after a failed write.
+/// Handle of the writing thread. The thread ends when the handle is dropped, or after a failed write.
 pub(crate) struct Disk {
     jobs: std_mpsc::Sender<WriteJob>,
 }
 
 impl Disk {
-    /// Starts the thread. Outcomes of jobs on the journal come back in order.
+    /// Starts the thread. The outcomes of jobs on the journal are returned in order.
     ///
     /// # Errors
     ///
@@ -230,8 +231,8 @@
     }
 }
 
-/// Writes jobs until the handle is dropped or a write fails: a failed sync has lost what it stood for, and no later one
-/// makes up for it.
+/// Writes jobs until the handle is dropped or a write fails: the data of a failed sync is lost, and no later sync makes
+/// up for that.
 fn write_jobs(
     folder: &Path,
     defect: DiskDefect,
@@ -240,7 +241,7 @@
 ) {
     let mut writer = FolderWriter::new(folder, defect);
     while let Ok(first) = queue.recv() {
-        // Jobs that wait already are synced together with the first.
+        // Jobs that are already queued are synced together with the first.
         let further = std::iter::from_fn(|| queue.try_recv().ok()).take(MAX_FURTHER_JOBS);
         let mut jobs = vec![first];
         jobs.extend(further);
@@ -258,7 +259,7 @@
     merged_state_path: PathBuf,
     /// The journal, open for appending.
     journal: Option<File>,
-    /// The journal holds appended bytes that are not synced.
+    /// Whether the journal has appended bytes that are not synced.
     is_unsynced: bool,
     defect: DiskDefect,
 }
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Writes jobs and syncs the journal once; the number of batches that are synced now.
+    /// Writes jobs and syncs the journal once. Returns the number of batches that are synced by this.
     fn write(&mut self, jobs: Vec<WriteJob>) -> io::Result<usize> {
         let mut batches = 0;
         for job in jobs {
@@ -292,7 +293,7 @@
                     put_aside(&self.journal_path)?;
                     self.replace_journal(&bytes)?;
                 }
-                // The state can be fetched from other members, so a failure is no failure of the disk.
+                // The state can be fetched from other members, so this failure does not count as a failure of the disk.
                 WriteJob::SaveMergedState(bytes) => drop(replace(&self.merged_state_path, &bytes)),
             }
         }
@@ -317,7 +318,7 @@
         Ok(())
     }
 
-    /// Replaces the journal; the new one is synced.
+    /// Replaces the journal by a new one that is synced.
     fn replace_journal(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.journal = None;
         replace(&self.journal_path, bytes)?;
--- a/crates/dispatcher/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/dispatcher/src/fleet.rs
@@ -1,11 +1,11 @@
-//! Between the exchange and the other members: what was seen and spent goes to the node, what is shared to the
-//! decisions. No socket here; `links` carries the frames.
+//! Shared state of the fleet: passes observations and the use of budgets from the exchange to the node, and what other
+//! members share to the policy. `links` sends and receives the frames.
 
 use crate::trial::Broken;
 use rand::{Rng, SeedableRng};
 use sagetrail_dispatch::{name_hash, Endpoint, Load, Observation};
 use sagetrail_policy::Dispatcher;
-use sagetrail_settings::Fleet as Said;
+use sagetrail_settings::Fleet as FleetSettings;
 use sagetrail_shared_state::{
     BudgetKey, BudgetKind, EvidenceRules, LendingTerms, Node, NodeConfig, RunnerVerdict,
 };
@@ -17,69 +17,86 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A cold runner's whole, in millionths.
-const WHOLE: u64 = 1_000_000;
-/// What is heard of runners is weighed this often.
-const HEAR_S: f64 = 0.1;
-/// Jobs elsewhere count as running for so long after they were told.
-const TOLD_S: f64 = 2.0;
-/// Resends are limited within any second.
-const RESENDS_S: f64 = 1.0;
+/// Limit of the budget of a cold runner, in millionths of what all dispatchers together may send it.
+const COLD_BUDGET_LIMIT: u64 = 1_000_000;
+/// Interval in seconds at which the evidence of all members about runners is evaluated.
+const EVALUATION_INTERVAL_S: f64 = 0.1;
+/// Reports of other members are used for this many seconds.
+const REPORT_VALID_S: f64 = 2.0;
+/// Length in seconds of the window within which resends are limited.
+const RESEND_WINDOW_S: f64 = 1.0;
 
+/// State that this dispatcher shares with the other members of the fleet. Times are in seconds on the process clock.
 pub(crate) struct Fleet {
     pub node: RefCell<Node>,
-    /// Rung when a part is short, or there is nothing to wait for.
+    /// Notified when a lease is needed at once.
     pub lease_wake: Notify,
-    /// Where each member is reached.
+    /// Address of each member, by its index.
     pub addresses: Vec<SocketAddr>,
+    /// Address at which this member listens to the others.
     pub listen: SocketAddr,
+    /// Names of the sites, sorted.
     sites: Vec<String>,
-    sharing: bool,
+    /// Whether budgets and evidence are shared.
+    is_sharing: bool,
+    /// Budget and limit of each category; `None` for a category without a cap.
     caps: RefCell<Vec<Option<(BudgetKey, u64)>>>,
-    resends: Cell<Option<u64>>,
-    resent: RefCell<VecDeque<f64>>,
-    /// The budget of each cold runner in use.
+    /// Limit of the resends of the whole fleet within a window.
+    max_resends: Cell<Option<u64>>,
+    /// Times of the own resends within the window.
+    resent_at: RefCell<VecDeque<f64>>,
+    /// Budget of each cold runner in use, by the index of the runner.
     cold: RefCell<BTreeMap<usize, BudgetKey>>,
-    places: RefCell<BTreeMap<u64, usize>>,
-    /// Jobs of ours that run at each runner, in the mean.
-    runs: RefCell<Vec<f64>>,
-    next_hear: Cell<f64>,
-    believed: RefCell<BTreeMap<usize, f64>>,
+    /// Index of each runner, by the hash of its name.
+    runner_indices: RefCell<BTreeMap<u64, usize>>,
+    /// Mean number of own jobs that run at each runner.
+    mean_running: RefCell<Vec<f64>>,
+    /// When the evidence is evaluated next.
+    next_evaluation_s: Cell<f64>,
+    /// Only in a broken variant: until when each runner is shut out.
+    shut_out_until: RefCell<BTreeMap<usize, f64>>,
     broken: Option<Broken>,
 }
 
-fn caps(said: &Said, categories: &[String]) -> Vec<Option<(BudgetKey, u64)>> {
+/// Budget and limit of each category; `None` for a category without a cap.
+fn category_budgets(
+    settings: &FleetSettings,
+    categories: &[String],
+) -> Vec<Option<(BudgetKey, u64)>> {
     let cap = |name: &String| {
-        said.caps.get(name).map(|most| {
+        settings.caps.get(name).map(|limit| {
             (
                 BudgetKey {
                     kind: BudgetKind::Category,
                     subject: name_hash(name),
                 },
-                *most,
+                *limit,
             )
         })
     };
     categories.iter().map(cap).collect()
 }
 
+/// Budget of the resends.
 const RESENDS: BudgetKey = BudgetKey {
     kind: BudgetKind::Resubmissions,
     subject: 0,
 };
 
 impl Fleet {
-    /// `longest_s`: how long a work item may be out at the most; `span_s`: of the rule on cold runners.
+    /// Creates the shared state. `max_work_item_s` is the longest time in seconds that a work item may be open,
+    /// `overload_window_s` the time span of the rule on cold runners, `unix_s` the Unix time and `now` the present time
+    /// on the process clock.
     pub(crate) fn new(
-        said: &Said,
+        settings: &FleetSettings,
         categories: &[String],
-        longest_s: f64,
-        span_s: f64,
-        unix: f64,
+        max_work_item_s: f64,
+        overload_window_s: f64,
+        unix_s: f64,
         now: f64,
         broken: Option<Broken>,
     ) -> Rc<Fleet> {
-        let mut sites: Vec<&str> = said
+        let mut sites: Vec<&str> = settings
             .members
             .iter()
             .map(|member| member.site.as_str())
@@ -92,39 +109,39 @@
             number: name_hash(&member.name),
             site: site(&member.site),
         };
-        let all = said.members.len();
-        let hold_s = if broken == Some(Broken::LendsTooSoon) {
+        let member_count = settings.members.len();
+        let category_spend_s = if broken == Some(Broken::LendsTooSoon) {
             0.0
         } else {
-            longest_s
+            max_work_item_s
         };
         let lending = [
             (
                 BudgetKind::SlowStart,
                 LendingTerms {
-                    lease_s: said.lease_s,
-                    spend_s: span_s,
-                    owner_count: said.owners,
+                    lease_s: settings.lease_s,
+                    spend_s: overload_window_s,
+                    owner_count: settings.owner_count,
                 },
             ),
             (
                 BudgetKind::Resubmissions,
                 LendingTerms {
-                    lease_s: said.lease_s,
-                    spend_s: RESENDS_S,
-                    owner_count: all,
+                    lease_s: settings.lease_s,
+                    spend_s: RESEND_WINDOW_S,
+                    owner_count: member_count,
                 },
             ),
             (
                 BudgetKind::Category,
                 LendingTerms {
-                    lease_s: said.lease_s,
-                    spend_s: hold_s,
-                    owner_count: all,
+                    lease_s: settings.lease_s,
+                    spend_s: category_spend_s,
+                    owner_count: member_count,
                 },
             ),
         ];
-        let judge = match broken {
+        let evidence_rules = match broken {
             Some(Broken::BelievesOne) => EvidenceRules {
                 reporters: 1,
                 sites: 1,
@@ -136,64 +153,75 @@
             },
             _ => EvidenceRules::default(),
         };
-        let terms = NodeConfig {
-            fleet: said.name.clone(),
-            roster: said.members.iter().map(peer).collect(),
-            own_index: said.me,
+        let config = NodeConfig {
+            fleet: settings.name.clone(),
+            roster: settings.members.iter().map(peer).collect(),
+            own_index: settings.own_index,
             swim: SwimConfig {
-                probe_interval_s: said.probe_s,
-                ack_timeout_s: said.ack_s,
-                indirect_probes: said.helpers,
+                probe_interval_s: settings.probe_interval_s,
+                ack_timeout_s: settings.ack_timeout_s,
+                indirect_probes: settings.indirect_probes,
             },
             lending: lending.into(),
-            evidence_rules: judge,
+            evidence_rules,
             category_count: categories.len(),
-            incarnation: (unix * 1e3) as u64,
+            incarnation: (unix_s * 1e3) as u64,
             process: rand_pcg::Pcg64Mcg::from_os_rng().random(),
         };
-        // Long ago, to a process that forgets when it started.
-        let began = if broken == Some(Broken::ForgetsItsStart) {
+        // The broken variant behaves as if it had started long ago.
+        let started_at_s = if broken == Some(Broken::ForgetsItsStart) {
             now - 1e6
         } else {
             now
         };
-        let mut node = Node::new(terms, now);
-        node.budgets.set_started_at(began);
+        let mut node = Node::new(config, now);
+        node.budgets.set_started_at(started_at_s);
         Rc::new(Fleet {
             node: RefCell::new(node),
             lease_wake: Notify::new(),
-            addresses: said.members.iter().map(|member| member.at).collect(),
-            listen: said.listen,
+            addresses: settings
+                .members
+                .iter()
+                .map(|member| member.address)
+                .collect(),
+            listen: settings.listen,
             sites: sites.iter().map(ToString::to_string).collect(),
-            sharing: said.sharing,
-            caps: RefCell::new(caps(said, categories)),
-            resends: Cell::new(said.resends),
-            resent: RefCell::default(),
+            is_sharing: settings.sharing,
+            caps: RefCell::new(category_budgets(settings, categories)),
+            max_resends: Cell::new(settings.max_resends),
+            resent_at: RefCell::default(),
             cold: RefCell::default(),
-            places: RefCell::default(),
-            runs: RefCell::default(),
-            next_hear: Cell::new(0.0),
-            believed: RefCell::default(),
+            runner_indices: RefCell::default(),
+            mean_running: RefCell::default(),
+            next_evaluation_s: Cell::new(0.0),
+            shut_out_until: RefCell::default(),
             broken,
         })
     }
 
-    /// Takes up limits that a changed page says: here they bind at once.
-    pub(crate) fn set_limits(&self, said: &Said, categories: &[String]) {
-        let new = caps(said, categories);
-        if *self.caps.borrow() != new || self.resends.get() != said.resends {
-            tracing::info!("the page names other limits to share");
+    /// Applies the limits of changed settings. They are binding at once.
+    pub(crate) fn set_limits(&self, settings: &FleetSettings, categories: &[String]) {
+        let new_caps = category_budgets(settings, categories);
+        if *self.caps.borrow() != new_caps || self.max_resends.get() != settings.max_resends {
+            tracing::info!("limits of the fleet changed");
         }
-        self.caps.replace(new);
-        self.resends.set(said.resends);
+        self.caps.replace(new_caps);
+        self.max_resends.set(settings.max_resends);
     }
 
+    /// Counts a work item that has been accepted.
     pub(crate) fn record_arrival(&self, now: f64, category: usize) {
         self.node.borrow_mut().record_arrival(now, category);
     }
 
-    pub(crate) fn record_observation(&self, now: f64, endpoint: &Endpoint, what: Observation) {
-        let good = match what {
+    /// Records the result of an attempt as evidence for the other members. An accepted attempt is no evidence.
+    pub(crate) fn record_observation(
+        &self,
+        now: f64,
+        endpoint: &Endpoint,
+        observation: Observation,
+    ) {
+        let succeeded = match observation {
             Observation::Finished => true,
             Observation::Failed | Observation::NoResponse => false,
             Observation::Responded => return,
@@ -201,47 +229,54 @@
         self.node
             .borrow_mut()
             .observations
-            .record(now, name_hash(&endpoint.name), good);
+            .record(now, name_hash(&endpoint.name), succeeded);
     }
 
-    /// What others saw of runners in the last seconds: when, at which place, whether good.
-    pub(crate) fn for_each_peer_result(&self, now: f64, mut tell: impl FnMut(f64, usize, bool)) {
-        if !self.sharing {
+    /// Calls `on_result` with each recent result that another member reported: its time, the index of the runner, and
+    /// whether it succeeded.
+    pub(crate) fn for_each_peer_result(
+        &self,
+        now: f64,
+        mut on_result: impl FnMut(f64, usize, bool),
+    ) {
+        if !self.is_sharing {
             return;
         }
-        let (node, places) = (self.node.borrow(), self.places.borrow());
-        let me = node.membership.roster()[node.membership.own_index()].number;
+        let (node, runner_indices) = (self.node.borrow(), self.runner_indices.borrow());
+        let own_id = node.membership.roster()[node.membership.own_index()].number;
         for (report, age_s) in node
             .reports
-            .fresh(now, TOLD_S)
-            .filter(|(report, _)| report.member != me)
+            .fresh(now, REPORT_VALID_S)
+            .filter(|(report, _)| report.member != own_id)
         {
-            for seen in &report.evidence {
-                let Some(&place) = places.get(&seen.runner) else {
+            for evidence in &report.evidence {
+                let Some(&index) = runner_indices.get(&evidence.runner) else {
                     continue;
                 };
-                let at = |ago: u16| now - age_s - f64::from(ago) / 100.0;
-                if seen.last_success_ago < u16::MAX {
-                    tell(at(seen.last_success_ago), place, true);
+                let at = |ago_cs: u16| now - age_s - f64::from(ago_cs) / 100.0;
+                if evidence.last_success_ago < u16::MAX {
+                    on_result(at(evidence.last_success_ago), index, true);
                 }
-                if seen.last_failure_ago < u16::MAX {
-                    tell(at(seen.last_failure_ago), place, false);
+                if evidence.last_failure_ago < u16::MAX {
+                    on_result(at(evidence.last_failure_ago), index, false);
                 }
             }
         }
     }
 
-    /// Work items of a category that all took so far, as far as is known.
+    /// Number of work items of a category that all members have accepted, as far as they are reported.
     pub(crate) fn arrivals(&self, now: f64, category: usize) -> u64 {
         self.node.borrow().reports.arrivals(now, category).sum
     }
 
-    pub(crate) fn record_attempt(&self, now: f64, again: bool) {
-        if again {
-            self.resent.borrow_mut().push_back(now);
+    /// Counts an attempt that is sent; only a resend counts towards a budget.
+    pub(crate) fn record_attempt(&self, now: f64, is_retry: bool) {
+        if is_retry {
+            self.resent_at.borrow_mut().push_back(now);
         }
     }
 
+    /// Until when an attempt may begin: the earlier end of the leases for the cold runner and for the category.
     pub(crate) fn budget_usable_until(&self, now: f64, runner: usize, category: usize) -> f64 {
         let node = self.node.borrow();
         let cold = self
@@ -260,97 +295,110 @@
             .min(cap.unwrap_or(f64::INFINITY))
     }
 
-    /// Whether parts are lent from here.
-    pub(crate) fn set_lending(&self, yes: bool) {
-        self.node.borrow_mut().budgets.lends = yes;
+    /// Sets whether this member grants leases.
+    pub(crate) fn set_lending(&self, is_lending: bool) {
+        self.node.borrow_mut().budgets.lends = is_lending;
     }
 
-    /// Tells the decisions what this member holds at this moment and what is heard.
-    pub(crate) fn apply_shared_state(&self, now: f64, d: &mut Dispatcher, load: &Load) {
-        if !self.sharing {
+    /// Passes to the policy what this member may use of the budgets now, and what other members share.
+    pub(crate) fn apply_shared_state(&self, now: f64, dispatcher: &mut Dispatcher, load: &Load) {
+        if !self.is_sharing {
             return;
         }
-        self.report_budget_use(now, d, load);
+        self.report_budget_use(now, dispatcher, load);
         let mut node = self.node.borrow_mut();
-        for (&r, &key) in self.cold.borrow().iter() {
+        for (&runner, &key) in self.cold.borrow().iter() {
             let usable = if self.broken == Some(Broken::WholeForEach) {
-                WHOLE
+                COLD_BUDGET_LIMIT
             } else {
                 node.budgets.usable(now, key)
             };
-            d.set_cold_share(r, Some(usable as f64 / WHOLE as f64));
+            dispatcher.set_cold_share(runner, Some(usable as f64 / COLD_BUDGET_LIMIT as f64));
         }
-        let out = |category: usize| f64::from(load.attempts.get(category).copied().unwrap_or(0));
-        let left = |(category, cap): (usize, &Option<(BudgetKey, u64)>)| match cap {
-            Some((_, most)) if self.broken == Some(Broken::CapForEach) => {
-                *most as f64 - out(category)
+        let in_flight =
+            |category: usize| f64::from(load.attempts.get(category).copied().unwrap_or(0));
+        let remaining = |(category, cap): (usize, &Option<(BudgetKey, u64)>)| match cap {
+            Some((_, limit)) if self.broken == Some(Broken::CapForEach) => {
+                *limit as f64 - in_flight(category)
             }
-            Some((key, _)) => node.budgets.usable(now, *key) as f64 - out(category),
+            Some((key, _)) => node.budgets.usable(now, *key) as f64 - in_flight(category),
             None => f64::INFINITY,
         };
-        let left: Vec<f64> = self.caps.borrow().iter().enumerate().map(left).collect();
-        let resends = match self.resends.get() {
+        let remaining: Vec<f64> = self
+            .caps
+            .borrow()
+            .iter()
+            .enumerate()
+            .map(remaining)
+            .collect();
+        let remaining_resends = match self.max_resends.get() {
             Some(_) if self.broken != Some(Broken::ResendsFreely) => {
-                node.budgets.usable(now, RESENDS) as f64 - self.resent.borrow().len() as f64
+                node.budgets.usable(now, RESENDS) as f64 - self.resent_at.borrow().len() as f64
             }
             _ => f64::INFINITY,
         };
-        d.set_remaining_budgets(&left, resends);
-        if now < self.next_hear.get() {
+        dispatcher.set_remaining_budgets(&remaining, remaining_resends);
+        if now < self.next_evaluation_s.get() {
             return;
         }
-        self.next_hear.set(now + HEAR_S);
-        let mut places = self.places.borrow_mut();
-        for place in places.len()..load.endpoints.len() {
-            places.insert(name_hash(&load.endpoints[place].name), place);
+        self.next_evaluation_s.set(now + EVALUATION_INTERVAL_S);
+        let mut runner_indices = self.runner_indices.borrow_mut();
+        for index in runner_indices.len()..load.endpoints.len() {
+            runner_indices.insert(name_hash(&load.endpoints[index].name), index);
         }
-        let mut believed = self.believed.borrow_mut();
-        for (of, heard) in node.verdicts(now) {
-            let Some(&place) = places.get(&of) else {
+        let mut shut_out_until = self.shut_out_until.borrow_mut();
+        for (id, verdict) in node.verdicts(now) {
+            let Some(&index) = runner_indices.get(&id) else {
                 continue;
             };
             match self.broken == Some(Broken::BelievesOne) {
-                true if heard == RunnerVerdict::Unhealthy => _ = believed.insert(place, now + 10.0),
+                true if verdict == RunnerVerdict::Unhealthy => {
+                    _ = shut_out_until.insert(index, now + 10.0)
+                }
                 true => {}
-                false => d.apply_peer_verdict(now, place, heard == RunnerVerdict::Healthy),
+                false => {
+                    dispatcher.apply_peer_verdict(now, index, verdict == RunnerVerdict::Healthy)
+                }
             }
         }
         // Only in the broken variant: a verdict that outlasts its evidence.
-        believed.retain(|_, until| now < *until);
+        shut_out_until.retain(|_, until| now < *until);
         if self.broken == Some(Broken::BelievesOne) {
-            d.set_unreachable(now, &believed.keys().copied().collect::<Vec<usize>>());
+            dispatcher
+                .set_unreachable(now, &shut_out_until.keys().copied().collect::<Vec<usize>>());
         }
-        // In the mean of the last second: what several tell at moments of their own does not add up otherwise.
-        let mut runs = self.runs.borrow_mut();
-        runs.resize(load.endpoints.len(), 0.0);
-        for (mean, now) in runs
+        // The mean of the last second is reported, because counts that members take at different moments cannot be
+        // added up.
+        let mut mean_running = self.mean_running.borrow_mut();
+        mean_running.resize(load.endpoints.len(), 0.0);
+        for (mean, running) in mean_running
             .iter_mut()
             .zip(load.running_jobs.iter().chain(std::iter::repeat(&0)))
         {
-            *mean += HEAR_S * (f64::from(*now) - *mean);
+            *mean += EVALUATION_INTERVAL_S * (f64::from(*running) - *mean);
         }
-        let told = |(of, place): (&u64, &usize)| {
-            let sixteenths = (16.0 * runs[*place]).round() as u16;
-            (sixteenths > 0).then_some((*of, sixteenths))
+        let to_report = |(id, index): (&u64, &usize)| {
+            let sixteenths = (16.0 * mean_running[*index]).round() as u16;
+            (sixteenths > 0).then_some((*id, sixteenths))
         };
-        let running: Vec<(u64, u16)> = places.iter().filter_map(told).collect();
+        let running: Vec<(u64, u16)> = runner_indices.iter().filter_map(to_report).collect();
         node.set_running(running);
         if !self.cold.borrow().is_empty() {
-            d.set_fleet_max_running(node.max_running(now, TOLD_S) as f64 / 16.0);
+            dispatcher.set_fleet_max_running(node.max_running(now, REPORT_VALID_S) as f64 / 16.0);
         }
     }
 
-    /// Tells the node what is spent now and what could be used.
-    pub(crate) fn report_budget_use(&self, now: f64, d: &Dispatcher, load: &Load) {
-        if !self.sharing {
+    /// Reports to the node what is used of the budgets, and what could be used.
+    pub(crate) fn report_budget_use(&self, now: f64, dispatcher: &Dispatcher, load: &Load) {
+        if !self.is_sharing {
             return;
         }
         let mut node = self.node.borrow_mut();
         let mut cold = self.cold.borrow_mut();
         cold.clear();
-        let mut short = false;
-        for (r, spent, wants) in d.cold_usage(now) {
-            let Some(endpoint) = load.endpoints.get(r) else {
+        let mut is_short = false;
+        for (runner, spent, wants_more) in dispatcher.cold_usage(now) {
+            let Some(endpoint) = load.endpoints.get(runner) else {
                 continue;
             };
             let key = BudgetKey {
@@ -361,62 +409,76 @@
                     endpoint.started_unix_s.get()
                 )),
             };
-            if !node.budgets.set_limit(now, key, WHOLE) {
+            if !node.budgets.set_limit(now, key, COLD_BUDGET_LIMIT) {
                 continue;
             }
-            let occupied = (spent * WHOLE as f64).ceil() as u64;
-            short |= wants && node.budgets.usable(now, key) < WHOLE / 2;
-            node.budgets
-                .record_use(now, key, occupied, if wants { WHOLE } else { 0 });
-            cold.insert(r, key);
+            let occupied = (spent * COLD_BUDGET_LIMIT as f64).ceil() as u64;
+            is_short |= wants_more && node.budgets.usable(now, key) < COLD_BUDGET_LIMIT / 2;
+            node.budgets.record_use(
+                now,
+                key,
+                occupied,
+                if wants_more { COLD_BUDGET_LIMIT } else { 0 },
+            );
+            cold.insert(runner, key);
         }
         let count = |counts: &[u32], n: usize| u64::from(counts.get(n).copied().unwrap_or(0));
-        for (n, (key, most)) in self
+        for (n, (key, limit)) in self
             .caps
             .borrow()
             .iter()
             .enumerate()
             .filter_map(|(n, cap)| Some((n, (*cap)?)))
         {
-            node.budgets.set_limit(now, key, most);
-            let (out, taken) = (count(&load.attempts, n), count(&load.open_work_items, n));
-            short |= taken > node.budgets.usable(now, key);
-            node.budgets.record_use(now, key, out, taken.max(out));
+            node.budgets.set_limit(now, key, limit);
+            let (in_flight, open) = (count(&load.attempts, n), count(&load.open_work_items, n));
+            is_short |= open > node.budgets.usable(now, key);
+            node.budgets
+                .record_use(now, key, in_flight, open.max(in_flight));
         }
-        if let Some(most) = self.resends.get() {
-            node.budgets.set_limit(now, RESENDS, most);
-            let mut resent = self.resent.borrow_mut();
-            while resent.front().is_some_and(|at| now >= at + RESENDS_S) {
-                resent.pop_front();
+        if let Some(limit) = self.max_resends.get() {
+            node.budgets.set_limit(now, RESENDS, limit);
+            let mut resent_at = self.resent_at.borrow_mut();
+            while resent_at
+                .front()
+                .is_some_and(|at| now >= at + RESEND_WINDOW_S)
+            {
+                resent_at.pop_front();
             }
-            let busy = load.attempts.iter().any(|n| *n > 0);
-            let want = if busy { 2 * resent.len() as u64 + 2 } else { 0 };
+            let has_attempts = load.attempts.iter().any(|n| *n > 0);
+            let wanted = if has_attempts {
+                2 * resent_at.len() as u64 + 2
+            } else {
+                0
+            };
             node.budgets
-                .record_use(now, RESENDS, resent.len() as u64, want);
+                .record_use(now, RESENDS, resent_at.len() as u64, wanted);
         }
-        if short {
+        if is_short {
             self.lease_wake.notify_one();
         }
     }
 
     // ---- for operators ----
 
+    /// Text of the admin API about the members: state, traffic and rejected frames.
     pub(crate) fn members(&self, now: f64) -> String {
         let node = self.node.borrow();
         let mut lines = String::from("member site life incarnation since_s heard_s report_s\n");
-        for s in node.member_statuses(now) {
-            let told = |age: Option<f64>| age.map_or("-".to_string(), |age| format!("{age:.1}"));
-            let heard = Some(s.received_s).filter(|age| age.is_finite());
-            let life = s.state.as_str();
+        for status in node.member_statuses(now) {
+            let format_age =
+                |age: Option<f64>| age.map_or("-".to_string(), |age| format!("{age:.1}"));
+            let heard = Some(status.received_s).filter(|age| age.is_finite());
+            let state = status.state.as_str();
             let _ = writeln!(
                 lines,
-                "{} {} {life} {} {:.1} {} {}",
-                s.name,
-                self.sites[usize::from(s.site)],
-                s.incarnation,
-                s.since_s,
-                told(heard),
-                told(s.report_s)
+                "{} {} {state} {} {:.1} {} {}",
+                status.name,
+                self.sites[usize::from(status.site)],
+                status.incarnation,
+                status.since_s,
+                format_age(heard),
+                format_age(status.report_s)
             );
         }
         let counters = node.membership.counters;
@@ -442,11 +504,13 @@
         lines
     }
 
+    /// Text of the admin API about shared budgets, counts and runners with a bad verdict. `runner_starts` has the name
+    /// and start of each runner.
     pub(crate) fn shared(
         &self,
         now: f64,
         categories: &[String],
-        gates: &[(String, f64)],
+        runner_starts: &[(String, f64)],
     ) -> String {
         let mut node = self.node.borrow_mut();
         let name = |key: BudgetKey| match key.kind {
@@ -460,35 +524,35 @@
                 let of = |(name, started): &&(String, f64)| {
                     name_hash(&format!("{name} {started}")) == key.subject
                 };
-                gates
+                runner_starts
                     .iter()
                     .find(of)
                     .map_or("?".to_string(), |(name, _)| name.clone())
             }
         };
-        let mut lines = format!("sharing {}\n", if self.sharing { "on" } else { "off" });
+        let mut lines = format!("sharing {}\n", if self.is_sharing { "on" } else { "off" });
         lines.push_str("budget of limit right lent borrowed spent usable\n");
-        for h in node.budgets.status(now) {
-            let kind = h.key.kind.as_str();
+        for budget in node.budgets.status(now) {
+            let kind = budget.key.kind.as_str();
             let _ = writeln!(
                 lines,
                 "{kind} {} {} {} {} {} {} {}",
-                name(h.key),
-                h.limit,
-                h.right,
-                h.lent,
-                h.borrowed,
-                h.in_use,
-                h.usable
+                name(budget.key),
+                budget.limit,
+                budget.right,
+                budget.lent,
+                budget.borrowed,
+                budget.in_use,
+                budget.usable
             );
         }
         lines.push_str("category taken_by_all off_by_at_most oldest_s members\n");
         for (n, category) in categories.iter().enumerate() {
-            let t = node.reports.arrivals(now, n);
+            let count = node.reports.arrivals(now, n);
             let _ = writeln!(
                 lines,
                 "{category} {} {} {:.1} {}",
-                t.sum, t.max_error, t.oldest_s, t.members
+                count.sum, count.max_error, count.oldest_s, count.members
             );
         }
         lines.push_str("runner heard\n");
@@ -497,7 +561,7 @@
             .into_iter()
             .filter(|(_, heard)| *heard == RunnerVerdict::Unhealthy)
         {
-            let runner = gates.iter().find(|(name, _)| name_hash(name) == of);
+            let runner = runner_starts.iter().find(|(name, _)| name_hash(name) == of);
             let runner = runner.map_or("?", |(name, _)| name);
             let _ = writeln!(lines, "{runner} {}", heard.as_str());
         }
--- a/crates/dispatcher/dispatcher/src/links.rs
+++ b/crates/dispatcher/dispatcher/src/links.rs
@@ -1,5 +1,5 @@
-//! The links among members: datagrams for probes, parts and reports, streams for whole exchanges. Plain: they belong
-//! on a private network.
+//! Connections between the members: datagrams for probes, leases and reports, TCP streams for full exchanges. They are
+//! not encrypted, so they belong on a private network.
 
 use crate::clock::Clock;
 use crate::fleet::Fleet;
@@ -19,17 +19,19 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Whole exchanges answered at once; more wait, or are given up by who asked.
-const STREAMS: usize = 4;
-/// A descriptor each for datagrams and the listener, one for an exchange asked for, one just let in.
-pub(crate) const DESCRIPTORS: usize = STREAMS + 4;
-/// A whole exchange is done by then or not at all.
-const WHOLE_S: f64 = 2.0;
-/// Datagrams read in one turn: others of this process have theirs in between.
-const TURN: usize = 64;
-/// What was passed over is told of at the most this often.
-const TELL_S: f64 = 60.0;
+/// Full exchanges that are served at once. Further ones wait, or the member that asked gives up.
+const MAX_EXCHANGES: usize = 4;
+/// Descriptors: one each for datagrams and the listener, one for an exchange that this member starts, and one for a
+/// connection that has just been accepted.
+pub(crate) const DESCRIPTORS: usize = MAX_EXCHANGES + 4;
+/// Time-out in seconds for a full exchange.
+const EXCHANGE_TIMEOUT_S: f64 = 2.0;
+/// Datagrams that are read before other tasks of the process get a turn.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// Interval in seconds at which rejected frames are logged at most.
+const REJECTED_LOG_INTERVAL_S: f64 = 60.0;
 
+/// A TCP connection that carries frames with their length in front.
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
 fn framed(stream: TcpStream) -> Stream {
@@ -39,6 +41,7 @@
     Framed::new(stream, codec)
 }
 
+/// The socket for datagrams and what it serves.
 pub(crate) struct Links {
     pub fleet: Rc<Fleet>,
     pub clock: Clock,
@@ -46,35 +49,36 @@
 }
 
 impl Links {
-    async fn send(&self, out: Vec<(usize, Vec<u8>)>) {
+    async fn send_datagrams(&self, out: Vec<(usize, Vec<u8>)>) {
         for (to, frame) in out {
-            // Lost is lost: a full buffer or a port that nobody listens on is the network's.
+            // A datagram that cannot be sent is lost, as in the network: the buffer is full or nobody listens at the
+            // port.
             let _ = self.datagrams.try_send_to(&frame, self.fleet.addresses[to]);
         }
     }
 
-    /// Reads, ticks and sends until the process ends.
-    pub(crate) async fn keep(self) {
+    /// Receives, sends and runs the timers of the node until the process ends.
+    pub(crate) async fn run(self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
-        let mut told: (f64, BTreeMap<FrameError, u64>) = (0.0, BTreeMap::new());
+        let mut logged: (f64, BTreeMap<FrameError, u64>) = (0.0, BTreeMap::new());
         loop {
             let due = self.fleet.node.borrow().due();
             tokio::select! {
                 _ = self.datagrams.readable() => {
-                    for _ in 0..TURN {
+                    for _ in 0..MAX_DATAGRAMS_PER_TURN {
                         let Ok((length, _)) = self.datagrams.try_recv_from(&mut buffer) else { break };
                         let mut out = Vec::new();
                         self.fleet.node.borrow_mut().receive_datagram(self.clock.now(), &buffer[..length], &mut out);
-                        self.send(out).await;
+                        self.send_datagrams(out).await;
                     }
-                    // Guards against a flood of them keeping all else from its turn.
+                    // A flood of datagrams must not keep other tasks from running.
                     tokio::task::yield_now().await;
                 }
                 () = self.clock.sleep_until(due) => {}
                 () = self.fleet.lease_wake.notified() => {
                     let mut out = Vec::new();
                     self.fleet.node.borrow_mut().request_leases(self.clock.now(), &mut out);
-                    self.send(out).await;
+                    self.send_datagrams(out).await;
                 }
             }
             let now = self.clock.now();
@@ -84,32 +88,34 @@
                 node.tick(now, &mut out);
                 node.start_exchange(now)
             };
-            self.send(out).await;
+            self.send_datagrams(out).await;
             if let Some((to, have)) = exchange {
-                spawn_local(ask(self.fleet.clone(), self.clock, to, have));
+                spawn_local(exchange_with(self.fleet.clone(), self.clock, to, have));
             }
-            self.tell(now, &mut told);
+            self.log_rejected(now, &mut logged);
         }
     }
 
-    fn tell(&self, now: f64, told: &mut (f64, BTreeMap<FrameError, u64>)) {
-        let (next, before) = told;
+    /// Logs the frames that were rejected since the last line. `logged` holds the time of the next line and the counts
+    /// of the last one.
+    fn log_rejected(&self, now: f64, logged: &mut (f64, BTreeMap<FrameError, u64>)) {
+        let (next_s, before) = logged;
         let node = self.fleet.node.borrow();
-        if now < *next || node.rejected == *before {
+        if now < *next_s || node.rejected == *before {
             return;
         }
-        let more = |(why, n): (&FrameError, &u64)| {
-            let new = n - before.get(why).copied().unwrap_or(0);
-            (new > 0).then(|| format!("{why} {new}"))
+        let new_count = |(reason, n): (&FrameError, &u64)| {
+            let new = n - before.get(reason).copied().unwrap_or(0);
+            (new > 0).then(|| format!("{reason} {new}"))
         };
-        let reasons: Vec<String> = node.rejected.iter().filter_map(more).collect();
-        tracing::warn!("frames passed over: {}", reasons.join(", "));
-        (*next, *before) = (now + TELL_S, node.rejected.clone());
+        let reasons: Vec<String> = node.rejected.iter().filter_map(new_count).collect();
+        tracing::warn!("frames rejected: {}", reasons.join(", "));
+        (*next_s, *before) = (now + REJECTED_LOG_INTERVAL_S, node.rejected.clone());
     }
 }
 
-/// A whole exchange with one other: asks, takes up, tells the rest.
-async fn ask(fleet: Rc<Fleet>, clock: Clock, to: usize, have: Vec<u8>) {
+/// Carries out a full exchange with another member: asks for its state, applies it, and sends the rest.
+async fn exchange_with(fleet: Rc<Fleet>, clock: Clock, to: usize, have: Vec<u8>) {
     let exchange = async {
         let mut stream = framed(TcpStream::connect(fleet.addresses[to]).await.ok()?);
         stream.send(Bytes::from(have)).await.ok()?;
@@ -120,29 +126,34 @@
             .receive_exchange(clock.now(), &give)?;
         stream.send(Bytes::from(rest)).await.ok()
     };
-    let _ = timeout(Duration::from_secs_f64(WHOLE_S), exchange).await;
+    let _ = timeout(Duration::from_secs_f64(EXCHANGE_TIMEOUT_S), exchange).await;
 }
 
-/// So long a write to a member may take; then the link is made anew.
-const WRITE_S: f64 = 2.0;
-/// A link that is not up is tried again after this.
-const DIAL_AGAIN_S: f64 = 0.2;
-const DIAL_S: f64 = 1.0;
+/// Time-out in seconds for a write to a member; then the connection is established again.
+const WRITE_TIMEOUT_S: f64 = 2.0;
+/// Time in seconds after which a failed connection is tried again.
+const RECONNECT_DELAY_S: f64 = 0.2;
+/// Time-out in seconds for connecting to a member.
+const CONNECT_TIMEOUT_S: f64 = 1.0;
 
-/// Sends the store's frames to one member, over one link as long as that is good.
-pub(crate) async fn send(at: SocketAddr, mut frames: mpsc::Receiver<Bytes>) {
+/// Sends the frames of the store to one member, over one connection as long as that is usable.
+pub(crate) async fn send_frames(at: SocketAddr, mut frames: mpsc::Receiver<Bytes>) {
     loop {
-        let dial = timeout(Duration::from_secs_f64(DIAL_S), TcpStream::connect(at)).await;
-        let Ok(Ok(stream)) = dial else {
-            // What waited is old by the time that the link is up.
+        let connected = timeout(
+            Duration::from_secs_f64(CONNECT_TIMEOUT_S),
+            TcpStream::connect(at),
+        )
+        .await;
+        let Ok(Ok(stream)) = connected else {
+            // Frames that waited are outdated by the time the connection is established.
             while frames.try_recv().is_ok() {}
-            sleep(Duration::from_secs_f64(DIAL_AGAIN_S)).await;
+            sleep(Duration::from_secs_f64(RECONNECT_DELAY_S)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let mut stream = framed(stream);
         while let Some(frame) = frames.recv().await {
-            let sent = timeout(Duration::from_secs_f64(WRITE_S), stream.send(frame)).await;
+            let sent = timeout(Duration::from_secs_f64(WRITE_TIMEOUT_S), stream.send(frame)).await;
             if !matches!(sent, Ok(Ok(()))) {
                 break;
             }
@@ -153,24 +164,24 @@
     }
 }
 
-/// Streams of the store from each member: an old one may still be there when the next comes.
+/// Connections for the store from the other members: an old one may still be open when its successor is accepted.
 pub(crate) fn store_streams(members: usize) -> usize {
     2 * members
 }
 
-/// Answers whole exchanges, and takes in the store's frames.
+/// Serves full exchanges and receives the frames of the store.
 pub(crate) async fn listen(
     fleet: Rc<Fleet>,
     clock: Clock,
     listener: TcpListener,
     store: Option<Rc<Store>>,
 ) {
-    let more = store
+    let store_stream_count = store
         .as_ref()
         .map_or(0, |_| store_streams(fleet.addresses.len()));
-    let places = Arc::new(Semaphore::new(STREAMS + more));
+    let permits = Arc::new(Semaphore::new(MAX_EXCHANGES + store_stream_count));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
@@ -179,10 +190,10 @@
         };
         let (fleet, store) = (fleet.clone(), store.clone());
         spawn_local(async move {
-            let _place = place;
+            let _permit = permit;
             let mut stream = framed(stream);
             let Ok(Some(Ok(first))) =
-                timeout(Duration::from_secs_f64(WHOLE_S), stream.next()).await
+                timeout(Duration::from_secs_f64(EXCHANGE_TIMEOUT_S), stream.next()).await
             else {
                 return;
             };
@@ -208,7 +219,7 @@
                 }
                 Some(())
             };
-            let _ = timeout(Duration::from_secs_f64(WHOLE_S), exchange).await;
+            let _ = timeout(Duration::from_secs_f64(EXCHANGE_TIMEOUT_S), exchange).await;
         });
     }
 }
--- a/crates/dispatcher/dispatcher/src/logger.rs
+++ b/crates/dispatcher/dispatcher/src/logger.rs
@@ -1,4 +1,4 @@
-//! Log lines to standard error: seconds since the start, how grave, and what; or the same as JSON.
+//! Writes log lines to standard error: seconds since the start, level and message, or the same as JSON.
 
 use std::fmt;
 use std::io::Write;
@@ -9,22 +9,23 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
+/// Format of the log lines.
 struct Lines {
     start: Instant,
-    json: bool,
+    is_json: bool,
 }
 
-/// The words of an event, and its figures.
+/// Message and fields of an event.
 #[derive(Default)]
-struct Said {
-    words: String,
+struct EventContent {
+    message: String,
     fields: serde_json::Map<String, serde_json::Value>,
 }
 
-impl Visit for Said {
+impl Visit for EventContent {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
-            "message" => self.words = format!("{value:?}"),
+            "message" => self.message = format!("{value:?}"),
             name => {
                 _ = self
                     .fields
@@ -49,18 +50,24 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut said = Said::default();
-        event.record(&mut said);
-        let (after, level) = (self.start.elapsed().as_secs_f64(), event.metadata().level());
-        let Said { words, mut fields } = said;
-        if self.json {
-            fields.insert("after_s".to_string(), ((after * 1e3).round() / 1e3).into());
+        let mut content = EventContent::default();
+        event.record(&mut content);
+        let (after_s, level) = (self.start.elapsed().as_secs_f64(), event.metadata().level());
+        let EventContent {
+            message,
+            mut fields,
+        } = content;
+        if self.is_json {
+            fields.insert(
+                "after_s".to_string(),
+                ((after_s * 1e3).round() / 1e3).into(),
+            );
             fields.insert("level".to_string(), level.as_str().into());
             fields.insert("part".to_string(), event.metadata().target().into());
-            fields.insert("message".to_string(), words.into());
+            fields.insert("message".to_string(), message.into());
             return writeln!(writer, "{}", serde_json::Value::Object(fields));
         }
-        write!(writer, "{after:.3} {level} {words}")?;
+        write!(writer, "{after_s:.3} {level} {message}")?;
         for (name, value) in fields {
             write!(writer, " {name}={value}")?;
         }
@@ -68,10 +75,10 @@
     }
 }
 
-/// A log that nobody reads any more is no reason to stop.
-struct Deaf;
+/// Writes to standard error and ignores errors, so that a log that nobody reads does not end the process.
+struct IgnoreErrors;
 
-impl Write for Deaf {
+impl Write for IgnoreErrors {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let _ = std::io::stderr().lock().write_all(line);
         Ok(line.len())
@@ -82,14 +89,15 @@
     }
 }
 
-pub(crate) fn start(json: bool) {
+/// Installs the logger for the process.
+pub(crate) fn start(is_json: bool) {
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(Level::INFO)
         .event_format(Lines {
             start: Instant::now(),
-            json,
+            is_json,
         })
-        .with_writer(|| Deaf)
+        .with_writer(|| IgnoreErrors)
         .finish();
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
--- a/crates/dispatcher/dispatcher/src/main.rs
+++ b/crates/dispatcher/dispatcher/src/main.rs
@@ -1,4 +1,4 @@
-//! The real dispatcher: reads what it is told, binds its address and starts the parts.
+//! The dispatcher: reads the configuration, binds its addresses and starts its parts.
 
 mod admin_api;
 mod cli;
@@ -9,31 +9,31 @@
 mod discovery;
 mod disk;
 mod fleet;
+mod forecast;
 mod handover;
 mod handover_socket;
 mod http;
-mod learnt;
+mod learned_state;
 mod links;
 mod logger;
 mod mailbox;
 mod runners;
 mod serve;
 mod shutdown;
-mod siting;
+mod site_failover;
 mod sockets;
 mod start;
 mod store;
 mod trial;
-mod whatif;
 
 use clap::Parser;
-use cli::{Cli, Command, Given};
+use cli::{Cli, Command, ConfigArgs};
 use start::Source;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
 fn run(source: Source) -> Result<(), String> {
-    // Before anything opens a descriptor that might be taken for it.
+    // This comes before anything opens a descriptor that might be taken for the inherited one.
     let inherited = handover::inherited()?;
     let start = source.open()?;
     logger::start(start.json_log);
@@ -44,29 +44,30 @@
     LocalSet::new().block_on(&runtime, serve::serve(start, source, inherited))
 }
 
-/// The platform's way ends with 1, as ever; a file that cannot be used with 2.
-fn serves(given: Given, trial: bool) -> ExitCode {
-    let fault = if given.config.is_some() { 2 } else { 1 };
+/// Runs the dispatcher. Exits with 1 on a failure if it is started by the platform, and with 2 if the configuration
+/// file of a command line cannot be used.
+fn run_and_report(given: ConfigArgs, trial: bool) -> ExitCode {
+    let failure_code = if given.config.is_some() { 2 } else { 1 };
     match run(given.source(trial)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             message
                 .lines()
                 .for_each(|line| eprintln!("sagetrail: {line}"));
-            fault.into()
+            failure_code.into()
         }
     }
 }
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        None => serves(Given::default(), false),
-        Some(Command::Run(given)) => serves(given, false),
-        Some(Command::Trial(given)) => serves(given, true),
+        None => run_and_report(ConfigArgs::default(), false),
+        Some(Command::Run(given)) => run_and_report(given, false),
+        Some(Command::Trial(given)) => run_and_report(given, true),
         Some(command) => match cli::run(command) {
             Ok(code) => code.into(),
-            Err(why) => {
-                eprintln!("sagetrail: {why}");
+            Err(error) => {
+                eprintln!("sagetrail: {error}");
                 ExitCode::FAILURE
             }
         },
--- a/crates/dispatcher/dispatcher/src/serve.rs
+++ b/crates/dispatcher/dispatcher/src/serve.rs
@@ -9,11 +9,11 @@
 use crate::disk;
 use crate::fleet::Fleet;
 use crate::handover_socket::HandoverSocket;
-use crate::learnt;
+use crate::learned_state;
 use crate::links::{self, Links};
 use crate::runners;
 use crate::shutdown::Shutdown;
-use crate::siting::Siting;
+use crate::site_failover::SiteFailover;
 use crate::sockets::{self, Exchange, Mailbox, Sockets};
 use crate::start::{self, Source, Start};
 use crate::store::{OpenStore, Store, StoreParts};
@@ -182,10 +182,10 @@
 impl TestSettings {
     fn new(trial: Option<&Trial>) -> TestSettings {
         TestSettings {
-            broken: trial.and_then(|trial| Broken::named(trial.broken.as_deref()?)),
+            broken: trial.and_then(|trial| Broken::from_name(trial.broken.as_deref()?)),
             disk: trial.map_or(disk::DiskDefect::default(), |trial| disk::DiskDefect {
-                sync_delay: Duration::from_secs_f64(trial.disk_slow_s),
-                free_bytes: trial.disk_full,
+                sync_delay: Duration::from_secs_f64(trial.sync_delay_s),
+                free_bytes: trial.free_disk_bytes,
             }),
         }
     }
@@ -217,7 +217,7 @@
     let pool = runner_pool(&start, clock, metrics.clone(), budget);
     let (discovery_at, at) = watch::channel(start.discovery_at);
     let discovery = discovery_watch(&mut start, at, &mailbox, &ask_discovery, broken);
-    let longest_expiry_s = start.expiries.iter().copied().fold(0.0, f64::max);
+    let longest_expiry_s = start.expiries_s.iter().copied().fold(0.0, f64::max);
     let members = start.fleet.take();
     let fleet = members
         .as_ref()
@@ -255,11 +255,11 @@
         ask_discovery,
         has_endpoints,
         fleet: fleet.clone(),
-        siting: failover(&mut start, &client_context, fleet.as_ref(), broken),
+        site_failover: failover(&mut start, &client_context, fleet.as_ref(), broken),
         broken,
         answered: 0,
     };
-    let has_no_peers = start.terms.dispatcher_count <= 1;
+    let has_no_peers = start.policy.dispatcher_count <= 1;
     let mut exchange = new_exchange(&mut start, host, client_context.retry_after_s, clock);
     apply_earlier_state(
         &mut exchange,
@@ -307,7 +307,7 @@
         accept_task,
     };
     shutdown.settle().await;
-    if let Some(path) = &start.learnt {
+    if let Some(path) = &start.learned_state_path {
         shutdown.save_learned_state(path, deployment, terms).await;
     }
     if let Some(handover_socket) = listeners.handover_socket {
@@ -342,20 +342,20 @@
     ask: &Rc<Notify>,
     broken: Option<Broken>,
 ) -> discovery::Watch {
-    let terms = &start.terms;
+    let terms = &start.policy;
     discovery::Watch {
         address: at,
         names: start.names.clone(),
         mailbox: mailbox.clone(),
         ask: ask.clone(),
-        version: start.known.generation,
+        version: start.known_endpoints.generation,
         reread_offset_s: terms.list_request_spread_s() * terms.dispatcher_index as f64
             / terms.dispatcher_count as f64,
         // A list from an agent takes precedence over the configuration's endpoints from the start.
         cached_list: Cell::new(
             terms
                 .list_from_agent
-                .then(|| std::mem::take(&mut start.known)),
+                .then(|| std::mem::take(&mut start.known_endpoints)),
         ),
         is_failing: Cell::new(false),
         broken,
@@ -373,8 +373,8 @@
         settings,
         &start.categories,
         longest_expiry_s,
-        start.terms.overload_window_s,
-        clock.unix,
+        start.policy.overload_window_s,
+        clock.unix_s,
         clock.now(),
         broken,
     )
@@ -431,9 +431,9 @@
         store,
         categories: std::mem::take(&mut start.categories),
         metrics,
-        expiries: std::mem::take(&mut start.expiries),
+        expiries_s: std::mem::take(&mut start.expiries_s),
         has_endpoints,
-        retry_after_s: start.terms.max_retry_after_s.min(MAX_RETRY_AFTER_S),
+        retry_after_s: start.policy.max_retry_after_s.min(MAX_RETRY_AFTER_S),
         budget,
     })
 }
@@ -443,7 +443,7 @@
     client_context
         .categories
         .iter()
-        .zip(&start.terms.categories)
+        .zip(&start.policy.categories)
         .map(|(name, category)| category_terms_hash(name, category))
         .collect()
 }
@@ -464,7 +464,7 @@
         clock,
         datagrams,
     };
-    spawn_local(links.keep());
+    spawn_local(links.run());
     tracing::info!(
         "listens for the fleet: members={} address={at}",
         fleet.addresses.len()
@@ -478,11 +478,11 @@
     client_context: &ClientContext,
     fleet: Option<&Rc<Fleet>>,
     broken: Option<Broken>,
-) -> Option<Siting> {
-    let is_enabled = start.zones.len() > 1 && start.siting;
+) -> Option<SiteFailover> {
+    let is_enabled = start.zones.len() > 1 && start.detects_site_loss;
     is_enabled.then(|| {
-        Siting::new(
-            (name_hash(&start.name), start.terms.zone),
+        SiteFailover::new(
+            (name_hash(&start.name), start.policy.zone),
             std::mem::take(&mut start.plan),
             std::mem::take(&mut start.zones),
             client_context.categories.clone(),
@@ -494,15 +494,15 @@
 
 fn new_exchange(start: &mut Start, host: Sockets, retry_after_s: f64, clock: Clock) -> Exchange {
     let config = ExchangeConfig {
-        unix_at_zero_s: clock.unix,
+        unix_at_zero_s: clock.unix_s,
         connect_timeout_s: start.connect_timeout_s,
         drain_grace_s: start.drain_grace_s,
         max_open_work_items: start.max_open_work_items,
         retry_after_s,
         allow_concurrent_attempts: start.allow_concurrent_attempts,
-        may_cancel: start.terms.may_cancel,
+        may_cancel: start.policy.may_cancel,
     };
-    let mut dispatcher = Dispatcher::new(start.terms.clone(), start.seed, clock.now());
+    let mut dispatcher = Dispatcher::new(start.policy.clone(), start.seed, clock.now());
     dispatcher.begin_without_history(clock.now());
     Exchange::new(dispatcher, host, config, clock.now())
 }
@@ -523,13 +523,14 @@
     if let Some((state, predecessor)) = predecessor {
         client_context.drain(state.is_draining);
         exchange.inherit(state, start.deployment, terms);
-        start.known = Default::default();
+        start.known_endpoints = Default::default();
         spawn_local(predecessor.serve(client_context.clone()));
-    } else if let Some(path) = start.learnt.clone() {
-        match learnt::read(&path, start.deployment) {
+    } else if let Some(path) = start.learned_state_path.clone() {
+        match learned_state::read(&path, start.deployment) {
             Ok(learned) => {
                 let categories = exchange.restore_learned_state(learned, terms);
-                let runners = exchange.apply_cached_list(std::mem::take(&mut start.known));
+                let runners =
+                    exchange.apply_cached_list(std::mem::take(&mut start.known_endpoints));
                 tracing::info!(
                     "took up learned state of {categories} categories and {runners} runners"
                 );
@@ -540,15 +541,15 @@
             ),
         }
     }
-    if !start.known.entries.is_empty() {
-        exchange.apply_cached_list(std::mem::take(&mut start.known));
+    if !start.known_endpoints.entries.is_empty() {
+        exchange.apply_cached_list(std::mem::take(&mut start.known_endpoints));
     }
 }
 
 /// Starts the store's tasks; they last as long as the process.
 fn run_store(open: OpenStore, mailbox: &Mailbox, client_context: &Rc<ClientContext>) {
     for (at, frames) in open.queues {
-        spawn_local(links::send(at, frames));
+        spawn_local(links::send_frames(at, frames));
     }
     spawn_local(
         open.store
--- a/crates/dispatcher/dispatcher/src/shutdown.rs
+++ b/crates/dispatcher/dispatcher/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::client_context::ClientContext;
 use crate::clock::Clock;
-use crate::learnt;
+use crate::learned_state;
 use crate::sockets::Mailbox;
 use std::path::Path;
 use std::rc::Rc;
@@ -124,7 +124,7 @@
         let Some(learned) = learned else {
             return tracing::warn!("learned state is not kept: the exchange did not answer");
         };
-        match learnt::write(path, deployment, learned) {
+        match learned_state::write(path, deployment, learned) {
             Ok(()) => tracing::info!("learned state is kept in {}", path.display()),
             Err(why) => tracing::warn!("learned state is not kept in {}: {why}", path.display()),
         }
--- a/crates/dispatcher/dispatcher/src/sockets.rs
+++ b/crates/dispatcher/dispatcher/src/sockets.rs
@@ -1,10 +1,10 @@
-//! What the exchange asks of the world, carried out on sockets; and the task that owns it.
+//! Host of the exchange: carries out its I/O on sockets, and the task that owns it.
 
 use crate::clock::Clock;
 use crate::fleet::Fleet;
 use crate::mailbox;
 use crate::runners::{self, Pool, Runner, RunnerCall};
-use crate::siting::Siting;
+use crate::site_failover::SiteFailover;
 use crate::trial::Broken;
 use sagetrail_dispatch::{
     Endpoint, ExchangeHost, Load, Observation, Purpose, Reply, RunnerRequest,
@@ -19,16 +19,19 @@
 pub(crate) type Exchange = sagetrail_dispatch::Exchange<Sockets>;
 pub(crate) type Mailbox = mailbox::Mailbox<Exchange>;
 
+/// Sockets and shared state of the exchange.
 pub(crate) struct Sockets {
     pub mailbox: Mailbox,
     pub pool: Rc<Pool>,
     pub ask_discovery: Rc<Notify>,
     pub has_endpoints: Rc<Cell<bool>>,
-    /// The other members, where it has any.
+    /// State shared with the other members, if a fleet is configured.
     pub fleet: Option<Rc<Fleet>>,
-    /// The sites, where there are several.
-    pub siting: Option<Siting>,
+    /// Failover between sites, if it is enabled.
+    pub site_failover: Option<SiteFailover>,
+    /// Broken variant, for tests.
     pub broken: Option<Broken>,
+    /// Number of replies so far.
     pub answered: u64,
 }
 
@@ -65,8 +68,9 @@
             self.mailbox.clone(),
             self.pool.runners.borrow()[runner].clone(),
         );
-        let told = move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
-        let (call, stop) = RunnerCall::new(request, deadline, is_written, told);
+        let on_result =
+            move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
+        let (call, stop) = RunnerCall::new(request, deadline, is_written, on_result);
         spawn_local(runners::run(self.pool.clone(), to, call));
         stop
     }
@@ -128,8 +132,8 @@
                 observation,
             );
         }
-        if let Some(siting) = &mut self.siting {
-            siting.record_observation(now, runner, observation);
+        if let Some(site_failover) = &mut self.site_failover {
+            site_failover.record_observation(now, runner, observation);
         }
     }
 
@@ -137,8 +141,8 @@
         if let Some(fleet) = &self.fleet {
             fleet.apply_shared_state(now, dispatcher, load);
         }
-        if let Some(siting) = &mut self.siting {
-            siting.apply_shared_state(now, dispatcher, load);
+        if let Some(site_failover) = &mut self.site_failover {
+            site_failover.apply_shared_state(now, dispatcher, load);
         }
     }
 
@@ -149,7 +153,7 @@
     }
 }
 
-/// Takes all news at hand, then decides once; until the mailbox is gone.
+/// Applies all queued calls, then has the policy decide once. Ends when the mailbox is closed.
 pub(crate) async fn run(mut exchange: Exchange, mut calls: mailbox::Calls<Exchange>, clock: Clock) {
     loop {
         let call = tokio::select! {
--- a/crates/dispatcher/dispatcher/src/start.rs
+++ b/crates/dispatcher/dispatcher/src/start.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told at its start.
+//! Start parameters of a dispatcher, from the page of the platform or a configuration file.
 
 use sagetrail_dispatch::{name_hash, DiscoveryUpdate, ListNames};
 use sagetrail_failover::FailoverPlan;
@@ -9,9 +9,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// More is no configuration.
-const MOST_BYTES: u64 = 1 << 20;
+/// Largest configuration file in bytes.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
+/// The page of the platform, as it stands in the file.
 #[derive(Deserialize)]
 struct Page {
     name: Option<String>,
@@ -25,76 +26,97 @@
     settings: Value,
 }
 
+/// Limits on the page.
 #[derive(Deserialize)]
 struct Limits {
     sockets: Option<usize>,
 }
 
+/// Start parameters.
 pub(crate) struct Start {
     pub name: String,
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery_at: SocketAddr,
-    /// Where the admin API is, if there is one.
+    /// Address of the admin API, if it is enabled.
     pub console: Option<SocketAddr>,
+    /// Seed of the random numbers of the policy.
     pub seed: u64,
+    /// Number of file descriptors that the process may use.
     pub max_descriptors: usize,
-    pub known: DiscoveryUpdate,
-    /// Where what was learnt is kept over a planned restart, if anywhere, and a number for the deployment.
-    pub learnt: Option<PathBuf>,
+    /// The endpoint list with which the dispatcher starts.
+    pub known_endpoints: DiscoveryUpdate,
+    /// File for the learned state, if it is kept over a planned restart.
+    pub learned_state_path: Option<PathBuf>,
+    /// Hash of the categories and kinds, by which state of another deployment is recognized.
     pub deployment: u64,
+    /// Whether the settings enable load probes.
     pub probes_allowed: bool,
-    pub terms: PolicyConfig,
+    /// Configuration of the policy.
+    pub policy: PolicyConfig,
+    /// Names of the categories.
     pub categories: Vec<String>,
-    /// How long a client of each waits at the most, where it does not say.
-    pub expiries: Vec<f64>,
+    /// Longest time in seconds that a client of each category waits, unless its request says otherwise.
+    pub expiries_s: Vec<f64>,
+    /// Names of zones and kinds in the endpoint list.
     pub names: ListNames,
+    /// Time-out in seconds for connecting to a runner.
     pub connect_timeout_s: f64,
+    /// Time in seconds after which runners close idle connections.
     pub runner_idle_s: f64,
+    /// Grace in seconds after the news that a runner drains, within which attempts may still begin there.
     pub drain_grace_s: f64,
+    /// Limit of the number of open work items.
     pub max_open_work_items: usize,
+    /// Whether a work item may be at two runners at once.
     pub allow_concurrent_attempts: bool,
-    /// The whole of it, to compare a later one with.
+    /// The whole page, to compare a later one with.
     pub page: Value,
-    /// The members it talks to; none by the platform's page, whatever that says.
+    /// The fleet, if one is configured; always `None` with the page of the platform.
     pub fleet: Option<Fleet>,
-    /// State that outlives it; none by the platform's page, whatever that says.
+    /// The store, if one is configured; always `None` with the page of the platform.
     pub store: Option<Store>,
-    /// The zones that the list names; whether their loss is looked for; what operators said of it beforehand.
+    /// Names of the zones in the endpoint list.
     pub zones: Vec<String>,
-    pub siting: bool,
+    /// Whether the loss of a whole site is detected.
+    pub detects_site_loss: bool,
+    /// Plan of the operators for the loss of a site.
     pub plan: FailoverPlan,
     pub trial: Option<Trial>,
     pub json_log: bool,
 }
 
-/// Where the page is: the platform's, or a file of the project's own with flags on top.
+/// Source of the configuration: the page of the platform, or a configuration file with command-line settings that take
+/// precedence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Source {
     pub file: Option<PathBuf>,
     pub flags: Vec<String>,
+    /// Whether settings for tests are allowed.
     pub trial: bool,
 }
 
-/// What a later page says otherwise, and a running process does not take up. The list it was started from and
-/// the seed are for the next start anyhow.
-pub(crate) fn needs_restart(now: &Value, later: &Value) -> Vec<String> {
+/// Names of the parts in which a later page differs and which a running process does not apply. The endpoint list and
+/// the seed are left out, since they only matter at a start.
+pub(crate) fn needs_restart(running: &Value, later: &Value) -> Vec<String> {
     let parts = |page: &Value| page.as_object().cloned().unwrap_or_default();
-    let (ours, mut parted) = (parts(now), parts(later));
-    ours.iter()
-        .for_each(|(name, value)| match parted.get(name) == Some(value) {
-            true => drop(parted.remove(name)),
-            false => drop(parted.insert(name.clone(), Value::Null)),
+    let (running, mut changed) = (parts(running), parts(later));
+    running
+        .iter()
+        .for_each(|(name, value)| match changed.get(name) == Some(value) {
+            true => drop(changed.remove(name)),
+            false => drop(changed.insert(name.clone(), Value::Null)),
         });
-    parted
+    changed
         .into_iter()
         .map(|(name, _)| name)
         .filter(|name| !["discovery", "known", "seed"].contains(&&**name))
         .collect()
 }
 
-/// Nested values as paths, the way the simulator writes them.
+/// Flattens nested values to paths, in the form of the simulator.
 fn flatten(path: &str, value: &Value, into: &mut FlatSettings) {
-    let below = |leaf: &str| {
+    let child_path = |leaf: &str| {
         if path.is_empty() {
             leaf.to_string()
         } else {
@@ -104,23 +126,23 @@
     match value {
         Value::Object(fields) => fields
             .iter()
-            .for_each(|(leaf, value)| flatten(&below(leaf), value, into)),
+            .for_each(|(leaf, value)| flatten(&child_path(leaf), value, into)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.insert(&below("count"), &items.len().to_string());
+            into.insert(&child_path("count"), &items.len().to_string());
             items
                 .iter()
                 .enumerate()
-                .for_each(|(n, item)| flatten(&below(&n.to_string()), item, into));
+                .for_each(|(n, item)| flatten(&child_path(&n.to_string()), item, into));
         }
         Value::Array(items) => {
-            let words: Vec<String> = items.iter().map(plain).collect();
+            let words: Vec<String> = items.iter().map(to_text).collect();
             into.insert(path, &words.join(","));
         }
-        value => into.insert(path, &plain(value)),
+        value => into.insert(path, &to_text(value)),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn to_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace(',', "_"),
         Value::Null => String::new(),
@@ -135,22 +157,22 @@
         .collect()
 }
 
-fn address(said: Option<String>, variable: &str, what: &str) -> Result<SocketAddr, String> {
-    let text = said
+fn address(given: Option<String>, variable: &str, name: &str) -> Result<SocketAddr, String> {
+    let text = given
         .or_else(|| std::env::var(variable).ok())
-        .ok_or_else(|| format!("no {what} is given"))?;
+        .ok_or_else(|| format!("no {name} is given"))?;
     text.parse()
-        .map_err(|_| format!("{what} '{text}' is not an address and port"))
+        .map_err(|_| format!("{name} '{text}' is not an address and port"))
 }
 
-/// What a configuration of the project's own is read from.
+/// The layers from which a configuration file is read.
 pub(crate) fn layers(path: &Path, flags: &[String]) -> Result<Layers, String> {
     let file = path.display().to_string();
     let size = std::fs::metadata(path).map_err(|error| format!("{file}: {error}"))?;
     if size.is_dir() {
         return Err(format!("{file}: it is a directory"));
     }
-    if size.len() > MOST_BYTES {
+    if size.len() > MAX_FILE_BYTES {
         return Err(format!("{file}: {} bytes are no configuration", size.len()));
     }
     let text = std::fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
@@ -167,12 +189,16 @@
 }
 
 impl Source {
-    /// The page as it stands now; otherwise all that is wrong with it, a line each.
+    /// Reads the present configuration.
+    ///
+    /// # Errors
+    ///
+    /// One line for each fault.
     pub(crate) fn open(&self) -> Result<Start, String> {
         self.open_on("")
     }
 
-    /// The same with settings that all dispatchers have agreed on.
+    /// Reads the present configuration with settings that all dispatchers have agreed on.
     pub(crate) fn open_on(&self, agreed: &str) -> Result<Start, String> {
         let Some(path) = self
             .file
@@ -185,22 +211,29 @@
             agreed: agreed.to_string(),
             ..layers(path, &self.flags)?
         };
-        let told = sagetrail_settings::read(&layers).map_err(|faults| faults.join("\n"))?;
-        let mut start = read(told.page).map_err(|why| format!("{}: {why}", layers.file))?;
-        if told.trial.is_some() && !self.trial {
+        let configuration =
+            sagetrail_settings::read(&layers).map_err(|faults| faults.join("\n"))?;
+        let mut start =
+            parse_page(configuration.page).map_err(|why| format!("{}: {why}", layers.file))?;
+        if configuration.trial.is_some() && !self.trial {
             return Err(format!(
                 "{}: trial: only `sagetrail trial` takes such settings",
                 layers.file
             ));
         }
-        (start.fleet, start.trial, start.json_log) = (told.fleet, told.trial, told.json_log);
-        start.store = told.store;
-        (start.siting, start.plan) = (told.siting, told.plan);
+        (start.fleet, start.trial, start.json_log) = (
+            configuration.fleet,
+            configuration.trial,
+            configuration.json_log,
+        );
+        start.store = configuration.store;
+        (start.detects_site_loss, start.plan) =
+            (configuration.detects_site_loss, configuration.plan);
         Ok(start)
     }
 }
 
-/// The platform's page, as it stands in the file that is named at the start.
+/// Reads the page of the platform from `file`, or from the file that `RELAY_CONFIG` names.
 fn open(file: Option<&Path>) -> Result<Start, String> {
     let path = match file {
         Some(path) => path.display().to_string(),
@@ -210,41 +243,42 @@
     };
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?;
     let whole = serde_json::from_str(&text).map_err(|error| format!("{path}: {error}"))?;
-    read(whole).map_err(|why| format!("{path}: {why}"))
+    parse_page(whole).map_err(|why| format!("{path}: {why}"))
 }
 
-fn read(whole: Value) -> Result<Start, String> {
+/// Reads the start parameters from a page.
+fn parse_page(whole: Value) -> Result<Start, String> {
     let page = Page::deserialize(&whole).map_err(|error| error.to_string())?;
     if !page.settings.is_object() {
         return Err("settings are not an object".to_string());
     }
-    let mut stated = FlatSettings::default();
-    flatten("", &page.settings, &mut stated);
-    let mut terms = parse_policy_config(&stated)?;
-    if terms.categories.is_empty() {
+    let mut settings = FlatSettings::default();
+    flatten("", &page.settings, &mut settings);
+    let mut policy = parse_policy_config(&settings)?;
+    if policy.categories.is_empty() {
         return Err("settings name no category".to_string());
     }
-    // This protocol has one way to the list, a watch, whatever the deployment's was, and a 202.
-    terms.list_from_agent = !terms.requests_list;
-    terms.requests_list = true;
-    terms.reports_acceptance = true;
-    let probes_allowed = std::mem::replace(&mut terms.uses_load_probes, false);
-    if terms.list_request_limit_s <= 0.0 {
-        terms.list_request_limit_s = 10.0;
+    // This protocol always watches the endpoint list, whatever the settings say, and runners accept attempts by a 202.
+    policy.list_from_agent = !policy.requests_list;
+    policy.requests_list = true;
+    policy.reports_acceptance = true;
+    let probes_allowed = std::mem::replace(&mut policy.uses_load_probes, false);
+    if policy.list_request_limit_s <= 0.0 {
+        policy.list_request_limit_s = 10.0;
     }
     let names = ListNames {
         zones: strings(&page.settings["Dcs"]),
         kinds: strings(&page.settings["Kinds"]),
     };
-    let of = |leaf: &str, n: usize| format!("Categories.{n}.{leaf}");
-    let count = terms.categories.len();
+    let key = |leaf: &str, n: usize| format!("Categories.{n}.{leaf}");
+    let count = policy.categories.len();
     let categories: Vec<String> = (0..count)
-        .map(|n| stated.text(&of("Name", n)).to_string())
+        .map(|n| settings.text(&key("Name", n)).to_string())
         .collect();
-    let expiries: Result<_, _> = (0..count)
-        .map(|n| stated.seconds(&of("ExpiryUs", n)))
+    let expiries_s: Result<_, _> = (0..count)
+        .map(|n| settings.seconds(&key("ExpiryUs", n)))
         .collect();
-    let or = |said: f64, usual: f64| if said > 0.0 { said } else { usual };
+    let or_default = |given: f64, default: f64| if given > 0.0 { given } else { default };
     let seed = page.seed.unwrap_or_default();
     let known = match page.known {
         Some(known) => {
@@ -266,25 +300,25 @@
             .limits
             .and_then(|limits| limits.sockets)
             .unwrap_or(1024),
-        known,
-        learnt: page.learnt,
+        known_endpoints: known,
+        learned_state_path: page.learnt,
         deployment: name_hash(&format!("{categories:?} {:?}", names.kinds)),
         probes_allowed,
-        terms,
+        policy,
         categories,
-        expiries: expiries?,
+        expiries_s: expiries_s?,
         names,
-        connect_timeout_s: or(stated.seconds("Limits.DialTimeoutUs")?, 0.25),
-        runner_idle_s: or(stated.seconds("Limits.ConnIdleUs")?, 10.0),
-        drain_grace_s: stated.seconds("Safety.StopSendingWithinUs")?,
-        allow_concurrent_attempts: stated.flag("Limits.MayDuplicate")?,
-        max_open_work_items: (or(stated.number("Limits.MostHeld")?, 10_000.0)) as usize,
+        connect_timeout_s: or_default(settings.seconds("Limits.DialTimeoutUs")?, 0.25),
+        runner_idle_s: or_default(settings.seconds("Limits.ConnIdleUs")?, 10.0),
+        drain_grace_s: settings.seconds("Safety.StopSendingWithinUs")?,
+        allow_concurrent_attempts: settings.flag("Limits.MayDuplicate")?,
+        max_open_work_items: (or_default(settings.number("Limits.MostHeld")?, 10_000.0)) as usize,
         page: whole,
         fleet: None,
         store: None,
         zones: strings(&page.settings["Dcs"]),
-        // By the platform's page as it was: no day gained by it (docs/site-loss.md).
-        siting: false,
+        // Off with the page of the platform: it brought no gain there (docs/site-loss.md).
+        detects_site_loss: false,
         plan: FailoverPlan::default(),
         trial: None,
         json_log: false,
--- a/crates/dispatcher/dispatcher/src/store.rs
+++ b/crates/dispatcher/dispatcher/src/store.rs
@@ -1,7 +1,7 @@
-//! The host of the replicated store's node: frames go out on the links, bytes to the disk, committed and merged state to
-//! the exchange, the fleet and the admin API. No decision is made here.
+//! Host of the node of the replicated store: sends its frames on the links, writes its records to the disk, and applies
+//! its committed and merged state to the exchange, the fleet and the admin API. No decision is made here.
 //!
-//! One task runs [`Store::run`] until the process ends; one thread writes the disk ([`crate::disk`]) and ends when the
+//! One task runs [`Store::run`] until the process ends. One thread writes the disk ([`crate::disk`]) and ends when the
 //! store is dropped.
 
 mod admin_calls;
@@ -35,37 +35,38 @@
 
 pub(crate) use error::DiskError;
 
-/// Frames that may wait for one member; further ones are dropped, and sent again when they matter.
-const QUEUE_FRAMES: usize = 1024;
+/// Capacity in frames of the queue to a member. Further frames are dropped; those that matter are sent again.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// Settings that are committed, but cannot be used here.
+/// Committed settings that cannot be used here.
 struct RejectedSettings {
     version: u64,
-    /// Why, in one line.
+    /// Reason, in one line.
     reason: String,
 }
 
 /// The host of the replicated store's node.
 pub(crate) struct Store {
     node: RefCell<Node>,
-    /// Wakes the loop.
+    /// Wakes the event loop.
     wake: Notify,
     clock: Clock,
     config: StoreSettings,
     fleet: Rc<Fleet>,
-    /// The name of each member, by its number.
+    /// Name of each member, by its number.
     names: BTreeMap<u64, String>,
-    /// This member's number and name.
+    /// Number of this member, a hash of its name.
     member: u64,
+    /// Name of this member.
     name: String,
     /// CRC-32 of the fleet's name.
     fleet_checksum: u32,
-    /// Frames for each other member; the links send them.
+    /// Queues of frames to the other members, which the links send.
     queues: BTreeMap<u64, mpsc::Sender<Bytes>>,
     disk: Disk,
-    /// Batches that the disk is writing, in order.
+    /// Batches that are being written to the disk, in order.
     writing: RefCell<VecDeque<Batch>>,
-    /// Who waits for the outcome of a claim, by its number.
+    /// Senders for the outcomes of claims, by the number of the claim.
     waiting_claims: RefCell<BTreeMap<u64, oneshot::Sender<ClaimOutcome>>>,
     /// Counts changes of the committed and merged state.
     changes: watch::Sender<u64>,
@@ -73,22 +74,22 @@
     /// Runners that are out of service, as last applied.
     runners_out: RefCell<BTreeSet<String>>,
     /// Whether this dispatcher is drained, as last applied.
-    drained: Cell<bool>,
-    /// The version of the settings in force here.
+    is_drained: Cell<bool>,
+    /// Version of the settings that are in force here.
     version: Cell<u64>,
     rejected_settings: RefCell<Option<RejectedSettings>>,
-    /// When the merged state may be saved next, seconds.
-    next_save: Cell<f64>,
-    /// The merged state may differ from the saved one.
+    /// Earliest time of the next save of the merged state, in seconds on the process clock.
+    next_save_s: Cell<f64>,
+    /// Whether the merged state may differ from the saved one.
     needs_save: Cell<bool>,
     broken: Option<Broken>,
     discovery_at: watch::Sender<SocketAddr>,
 }
 
-/// The frames for each other member's address, for the links to send.
+/// Queues of frames, by the address of the member to which the links send them.
 pub(crate) type Queues = Vec<(SocketAddr, mpsc::Receiver<Bytes>)>;
 
-/// What a store is opened with.
+/// Parts from which a store is opened.
 pub(crate) struct StoreParts<'a> {
     /// The store's settings.
     pub config: StoreSettings,
@@ -96,11 +97,11 @@
     pub members: &'a Members,
     /// The shared budgets and evidence.
     pub fleet: Rc<Fleet>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Where settings come from.
+    /// Source of the configuration.
     pub source: Source,
-    /// The address of discovery; follows the committed settings.
+    /// Address of discovery, which follows the committed settings.
     pub discovery_at: watch::Sender<SocketAddr>,
     /// A defect of the disk, for tests.
     pub disk_defect: DiskDefect,
@@ -108,26 +109,26 @@
     pub broken: Option<Broken>,
 }
 
-/// A store and what its tasks need.
+/// An open store and what its tasks need.
 pub(crate) struct OpenStore {
     /// The store.
     pub store: Rc<Store>,
-    /// What became of the batches on the disk, in order.
+    /// Outcomes of the batches on the disk, in order.
     pub write_outcomes: mpsc::UnboundedReceiver<WriteOutcome>,
-    /// The frames to send.
+    /// Queues of frames to send.
     pub queues: Queues,
 }
 
 impl Store {
-    /// Opens the folder, and starts the node and the thread that writes.
+    /// Opens the folder, and starts the node and the writing thread.
     ///
     /// # Errors
     ///
-    /// The [`DiskError`] that makes the folder unusable. A damaged journal is none: it is put aside.
+    /// The [`DiskError`] that makes the folder unusable. A damaged journal is no error: it is renamed.
     pub(crate) fn open(parts: StoreParts<'_>) -> Result<OpenStore, DiskError> {
         let mut random = rand_pcg::Pcg64Mcg::from_os_rng();
         let members = parts.members;
-        let name = members.members[members.me].name.clone();
+        let name = members.members[members.own_index].name.clone();
         let member = name_hash(&name);
         let fleet_checksum = crc32fast::hash(members.name.as_bytes());
         let folder = &parts.config.folder;
@@ -157,10 +158,10 @@
             changes: watch::Sender::new(0),
             source: parts.source,
             runners_out: RefCell::default(),
-            drained: Cell::new(false),
+            is_drained: Cell::new(false),
             version: Cell::new(0),
             rejected_settings: RefCell::default(),
-            next_save: Cell::new(0.0),
+            next_save_s: Cell::new(0.0),
             needs_save: Cell::new(false),
             broken: parts.broken,
             discovery_at: parts.discovery_at,
@@ -172,7 +173,7 @@
         })
     }
 
-    /// The committed settings; the last version that can be used here.
+    /// The committed settings, in the last version that can be used here.
     pub(crate) fn settings(&self) -> String {
         let node = self.node.borrow();
         match self.rejected_settings.borrow().as_ref() {
@@ -204,7 +205,7 @@
     }
 }
 
-/// Starts the node on what the folder holds.
+/// Starts the node with the content of the folder.
 fn start_node(parts: &StoreParts<'_>, member: u64, process: u64, content: FolderContent) -> Node {
     let StoreParts {
         config,
@@ -227,23 +228,23 @@
             .collect(),
         initial_voters: config.voters.iter().map(|name| name_hash(name)).collect(),
         timing: Timing {
-            heartbeat_s: config.beat_s,
-            election_timeout_s: config.patience_s,
+            heartbeat_s: config.heartbeat_s,
+            election_timeout_s: config.election_timeout_s,
         },
-        incarnation: (clock.unix * 1e3) as u64,
+        incarnation: (clock.unix_s * 1e3) as u64,
         process,
         disk: content.disk,
         records,
         records_written: content.records_written,
-        tombstone_retention_s: config.marks_s,
-        record_retention_s: config.records_s,
+        tombstone_retention_s: config.tombstone_retention_s,
+        record_retention_s: config.record_retention_s,
     };
     let mut node = Node::new(node_config, clock.now());
     if *broken == Some(Broken::TakesClaimsEarly) {
         node.record_replica.skip_recovery();
     }
     if let Some(merged) = content.merged {
-        // Without a usable copy the state comes from other members.
+        // Without a usable copy the state is fetched from other members.
         let _ = node
             .merged
             .restore(clock.now(), &merged.bytes, merged.age_s);
@@ -251,15 +252,15 @@
     node
 }
 
-/// A queue of frames for each other member.
+/// Creates a queue of frames for each other member.
 fn queues(members: &Members, own: u64) -> (BTreeMap<u64, mpsc::Sender<Bytes>>, Queues) {
     let (mut senders, mut receivers) = (BTreeMap::new(), Vec::new());
     for member in &members.members {
         let member_number = name_hash(&member.name);
         if member_number != own {
-            let (sender, receiver) = mpsc::channel(QUEUE_FRAMES);
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             senders.insert(member_number, sender);
-            receivers.push((member.at, receiver));
+            receivers.push((member.address, receiver));
         }
     }
     (senders, receivers)
--- a/crates/dispatcher/dispatcher/src/store/admin_calls.rs
+++ b/crates/dispatcher/dispatcher/src/store/admin_calls.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The reply for what came of a command.
+    /// The reply for the outcome of a command.
     fn for_outcome(outcome: Option<bool>) -> CallReply {
         match outcome {
             Some(true) => CallReply::new(200, "agreed\n"),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Proposes the version before the one in force anew.
+    /// Proposes again the version before the one in force.
     async fn revert_settings(&self) -> CallReply {
         match self.previous_settings() {
             Some(text) => self.propose_settings(text).await,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// The text before the one in force. Before the first version there were no committed settings.
+    /// Text of the version before the one in force; empty for the first version, because nothing was committed before
+    /// it.
     fn previous_settings(&self) -> Option<String> {
         let versions = &self.node.borrow().committed.versions;
         match versions.as_slice() {
@@ -125,7 +126,7 @@
         self.commit_voters(self.voters_without(member)).await
     }
 
-    /// The committed voters, or the configured ones before any were committed, without a member.
+    /// The voters without one member: those that are committed, or the configured ones if none are.
     fn voters_without(&self, member: u64) -> Vec<u64> {
         let committed = self.node.borrow().committed.voters.clone();
         let mut voters = match committed.is_empty() {
@@ -152,7 +153,7 @@
         reply
     }
 
-    /// `names` are separated by commas.
+    /// Sets the voters. `names` are separated by commas.
     async fn set_voters(&self, names: &str) -> CallReply {
         let voters: Option<Vec<u64>> = names
             .split(',')
@@ -175,7 +176,7 @@
     }
 }
 
-/// The body as text, if it is at most as long as settings may be.
+/// The body as text, unless it is longer than settings may be.
 fn text(body: &[u8]) -> Option<String> {
     String::from_utf8(body.to_vec())
         .ok()
--- a/crates/dispatcher/dispatcher/src/store/agreement.rs
+++ b/crates/dispatcher/dispatcher/src/store/agreement.rs
@@ -9,13 +9,13 @@
 use super::Store;
 use crate::trial::Broken;
 
-/// How long a caller of the admin API waits for a commit.
+/// Time-out for a call of the admin API that waits for a commit.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A read completes without a change of state, so it is checked this often.
+/// Interval at which a read is checked: it completes without a change of state that would be reported.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Store {
-    /// Waits until `check` finds something; `None` after the time-out.
+    /// Waits until `check` returns a value; `None` after the time-out.
     async fn wait_for<T>(&self, mut check: impl FnMut(&mut Node) -> Option<T>) -> Option<T> {
         let mut changes = self.changes.subscribe();
         let wait = async {
@@ -29,7 +29,8 @@
         timeout(COMMIT_TIMEOUT, wait).await.ok()
     }
 
-    /// Has a command committed. Whether it was accepted; `None` if that is not known in time, or too many wait.
+    /// Proposes a command and waits for its commit. Returns whether it was accepted; `None` if that is not known in
+    /// time, or if too many proposals wait.
     pub(super) async fn commit(&self, command: Command) -> Option<bool> {
         let sequence = self
             .node
@@ -45,8 +46,8 @@
         outcome
     }
 
-    /// Takes a target out of service for all, or puts it back; whether that is committed. Out of service holds at
-    /// once, committed or not.
+    /// Takes a target out of service at all dispatchers, or puts it back. Returns whether this is committed. Out of
+    /// service takes effect at once, before the commit.
     pub(crate) async fn set_out_of_service(
         &self,
         target: OverrideTarget,
@@ -75,13 +76,15 @@
         };
         let outcome = self.wait_for(|node| node.proposal_outcome(sequence)).await;
         if outcome.is_none() && !out_of_service {
-            // If it were committed later, it could put back what was taken out again meanwhile.
+            // The proposal is abandoned, because a later commit could put back what has been taken out of service again
+            // meanwhile.
             self.node.borrow_mut().abandon_proposal(sequence);
         }
         outcome == Some(true)
     }
 
-    /// Whether a linearizable read completed: everything committed before the call is here.
+    /// Makes a linearizable read. Returns whether it completed, so that everything committed before the call is known
+    /// here.
     pub(super) async fn confirm_current(&self) -> bool {
         let number = self.node.borrow_mut().read(self.clock.now());
         self.send_and_write();
--- a/crates/dispatcher/dispatcher/src/store/apply.rs
+++ b/crates/dispatcher/dispatcher/src/store/apply.rs
@@ -1,4 +1,4 @@
-//! Committed and merged state put into effect: runners out of service, draining, settings.
+//! Applies committed and merged state: runners out of service, the drain, settings.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use crate::start::Start;
 
 impl Store {
-    /// Puts the state into effect. A member that is behind only takes out of service: it may lack the override that
-    /// explains why something is.
+    /// Applies the state. A member that is behind only takes targets out of service, because it may lack the override
+    /// that puts one back.
     pub(super) fn apply_state(
         &self,
         is_behind: bool,
@@ -41,18 +41,18 @@
         let mut applied = self.runners_out.borrow_mut();
         if is_behind {
             runners.extend(applied.iter().cloned());
-            drained |= self.drained.get();
+            drained |= self.is_drained.get();
         }
         if runners != *applied {
             applied.clone_from(&runners);
             mailbox.put(move |exchange| exchange.set_agreed_out_of_service(runners));
         }
-        if self.drained.replace(drained) != drained {
+        if self.is_drained.replace(drained) != drained {
             client_context.drain(drained);
         }
     }
 
-    /// Puts the last version of the settings in force, unless it is, or was tried and rejected.
+    /// Applies the last version of the settings, unless it is in force or has been rejected.
     fn apply_settings(&self, mailbox: &Mailbox) {
         let (version, text) = {
             let committed = &self.node.borrow().committed;
@@ -89,9 +89,9 @@
         mailbox.put(move |exchange| {
             exchange
                 .host()
-                .siting
+                .site_failover
                 .iter_mut()
-                .for_each(|siting| siting.set_plan(plan.clone()));
+                .for_each(|site_failover| site_failover.set_plan(plan.clone()));
         });
     }
 }
--- a/crates/dispatcher/dispatcher/src/store/backup.rs
+++ b/crates/dispatcher/dispatcher/src/store/backup.rs
@@ -13,12 +13,12 @@
 use super::admin_calls::CallReply;
 use super::Store;
 
-/// The version of the form.
+/// Version of the form of a backup.
 const BACKUP_VERSION: &str = "1";
 const RUNNER: &str = "runner";
 const DISPATCHER: &str = "dispatcher";
 
-/// Why a backup cannot be restored.
+/// Reason why a backup cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 enum BackupError {
     #[error("not a backup")]
@@ -29,7 +29,7 @@
     OtherFleet,
     #[error("an altered backup")]
     Altered,
-    /// The settings cannot be used here; says why, in one line.
+    /// The settings cannot be used here, for the reason given in one line.
     #[error("{0}")]
     InvalidSettings(String),
 }
@@ -41,7 +41,7 @@
 }
 
 impl Store {
-    /// The backup of the committed state.
+    /// Text of a backup of the committed state.
     pub(super) fn backup(&self) -> String {
         let node = self.node.borrow();
         let out: Vec<(&str, &str)> = node
@@ -63,7 +63,7 @@
         )
     }
 
-    /// Has the content of a backup committed on top of what is committed.
+    /// Commits the content of a backup on top of the committed state.
     pub(super) async fn restore(&self, text: &str) -> CallReply {
         let backup = match self.check_backup(text) {
             Ok(backup) => backup,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads a backup, and checks that it is this fleet's and its settings can be used here.
+    /// Reads a backup, and checks that it belongs to this fleet and that its settings can be used here.
     fn check_backup(&self, text: &str) -> Result<Backup, BackupError> {
         let backup = parse_backup(text, self.fleet_checksum)?;
         self.source
--- a/crates/dispatcher/dispatcher/src/store/claims.rs
+++ b/crates/dispatcher/dispatcher/src/store/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of recorded work items, for the clients' side.
+//! Claims of recorded work items, for the client connections.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::trial::Broken;
 
 impl Store {
-    /// How work items of a category are recorded, by its place in the configuration; `None` if they are not.
+    /// How work items of a category are recorded; `None` if they are not. `category` is its index in the configuration.
     pub(crate) fn recorded(&self, category: usize) -> Option<&Recorded> {
         self.config.recorded.get(category)?.as_ref()
     }
@@ -55,7 +55,7 @@
             .ok()
             .and_then(Result::ok);
         self.waiting_claims.borrow_mut().remove(&number);
-        // A claim must not be granted when nobody waits for it any more.
+        // The claim is abandoned, so that it is not granted when nobody waits for it.
         let outcome = outcome.unwrap_or_else(|| {
             self.node
                 .borrow_mut()
@@ -64,7 +64,7 @@
         });
         match outcome {
             ClaimOutcome::Owned { .. } => Ok(Some(number)),
-            ClaimOutcome::NoQuorum if recorded.send => Ok(None),
+            ClaimOutcome::NoQuorum if recorded.may_send_unrecorded => Ok(None),
             outcome => {
                 let policy = RetryPolicy {
                     window_s: recorded.window_s,
@@ -83,13 +83,13 @@
         self.wake.notify_one();
     }
 
-    /// Answers the waiting claims among those that have got a reply.
+    /// Reports the outcomes of waiting claims to which a member has replied.
     pub(super) fn answer_replied_claims(&self) {
         let replied = std::mem::take(&mut self.node.borrow_mut().answered_claims);
         self.answer_claims(replied);
     }
 
-    /// Answers all waiting claims whose outcome is known, by replies or by time.
+    /// Reports the outcomes of all waiting claims that are decided, by replies or by time-outs.
     pub(super) fn answer_all_claims(&self) {
         self.node.borrow_mut().answered_claims.clear();
         let waiting = self.waiting_claims.borrow().keys().copied().collect();
@@ -104,7 +104,7 @@
                 continue;
             };
             if let Some(sender) = self.waiting_claims.borrow_mut().remove(&number) {
-                // Its client may have gone in the meantime.
+                // The client may have disconnected meanwhile.
                 let _ = sender.send(outcome);
             }
         }
--- a/crates/dispatcher/dispatcher/src/store/error.rs
+++ b/crates/dispatcher/dispatcher/src/store/error.rs
@@ -5,7 +5,7 @@
 
 use thiserror::Error;
 
-/// Why the store cannot be opened, or its disk is not used any more.
+/// Reason why the store cannot be opened, or why its disk is no longer used.
 #[derive(Debug, Error)]
 pub(crate) enum DiskError {
     /// The folder or a file in it cannot be read or written.
@@ -17,23 +17,23 @@
         source: io::Error,
     },
     /// The journal is larger than any that this program writes.
-    #[error("{}: {size_bytes} bytes are no log of ours", .path.display())]
+    #[error("{}: journal has {size_bytes} bytes, more than this program writes", .path.display())]
     JournalTooLarge {
         /// The file.
         path: PathBuf,
-        /// Its size, bytes.
+        /// Its size in bytes.
         size_bytes: u64,
     },
-    /// The thread that writes cannot be started.
-    #[error("the store's thread: {0}")]
+    /// The writing thread cannot be started.
+    #[error("cannot start the thread of the store: {0}")]
     Thread(io::Error),
-    /// A write or sync failed: the records that it stood for are lost.
+    /// A write or sync failed, so its records are lost.
     #[error("{0}")]
     Write(#[from] io::Error),
     /// Too many batches wait for the disk.
-    #[error("it is too slow: {waiting_batches} batches wait")]
+    #[error("disk too slow: {waiting_batches} batches wait")]
     TooSlow {
-        /// Batches that wait.
+        /// Number of batches that wait.
         waiting_batches: usize,
     },
 }
--- a/crates/dispatcher/dispatcher/src/store/event_loop.rs
+++ b/crates/dispatcher/dispatcher/src/store/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop: timers of the node, frames to the links, batches to the disk.
+//! Event loop of the store: runs the timers of the node, sends frames to the links and batches to the disk.
 
 use std::rc::Rc;
 
@@ -14,9 +14,9 @@
 use crate::disk::{WriteJob, WriteOutcome};
 use crate::sockets::Mailbox;
 
-/// Batches that may wait for the disk; with more it counts as failed.
+/// Largest number of batches that wait for the disk. With more the disk counts as failed.
 const MAX_WAITING_BATCHES: usize = 4096;
-/// Shortest interval at which the merged state is saved, seconds.
+/// Shortest interval in seconds at which the merged state is saved.
 const SAVE_INTERVAL_S: f64 = 2.0;
 
 impl Store {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes a frame from another member.
+    /// Receives a frame from another member.
     pub(crate) fn receive_frame(&self, frame: &[u8]) {
         self.node.borrow_mut().receive(self.clock.now(), frame);
         self.wake.notify_one();
@@ -68,7 +68,7 @@
                 }
             }
             Err(error) => {
-                tracing::error!("store disk failed, nothing is acknowledged any more: {error}");
+                tracing::error!("store disk failed, no writes are acknowledged any more: {error}");
                 self.writing.borrow_mut().clear();
                 self.node.borrow_mut().fail_disk();
             }
@@ -78,13 +78,14 @@
     fn send(&self, frames: Vec<OutboundFrame>) {
         for OutboundFrame { to, bytes } in frames {
             if let Some(queue) = self.queues.get(&to) {
-                // A frame that finds no room is lost, as on a link; what matters is sent again.
+                // A frame that does not fit into the queue is lost, as on the network. Frames that matter are sent
+                // again.
                 let _ = queue.try_send(Bytes::from(bytes));
             }
         }
     }
 
-    /// Sends the node's frames and hands its batches to the disk.
+    /// Sends the frames of the node and passes its batches to the disk.
     pub(super) fn send_and_write(&self) {
         let outbound = std::mem::take(&mut self.node.borrow_mut().outbound);
         self.send(outbound);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Does everything that the node asks for after a change.
+    /// Does what the node requires after a change.
     fn process_output(&self, mailbox: &Mailbox, client_context: &Rc<ClientContext>) {
         let now = self.clock.now();
         let fault = self.node.borrow().fault();
@@ -131,9 +132,9 @@
         self.save_merged_state(now);
     }
 
-    /// Puts the journal aside, and joins again with a blank disk.
+    /// Renames the journal, and rejoins the cluster with a blank disk.
     fn restart_blank(&self, now: f64, fault: RaftError) {
-        tracing::error!("the replicated log is put aside, joining again blank: {fault}");
+        tracing::error!("replicated log cannot be used, it is renamed and this member rejoins without state: {fault}");
         let disk = rand_pcg::Pcg64Mcg::from_os_rng().random();
         self.writing.borrow_mut().clear();
         let header = encode_header(self.fleet_checksum, self.member, disk, 0);
@@ -141,8 +142,8 @@
         self.node.borrow_mut().restart_blank(now, disk);
     }
 
-    /// Whether this member may lend parts of budgets: it is in contact with a leader, complete, and not excluded by an
-    /// operator.
+    /// Whether this member may grant leases of budgets: it has contact with a leader, is not behind, and is not
+    /// excluded by an operator.
     fn may_lend(&self, now: f64) -> bool {
         let node = self.node.borrow();
         let status = node.status(now);
@@ -152,9 +153,9 @@
     }
 
     fn save_merged_state(&self, now: f64) {
-        if self.needs_save.get() && now >= self.next_save.get() {
+        if self.needs_save.get() && now >= self.next_save_s.get() {
             self.needs_save.set(false);
-            self.next_save.set(now + SAVE_INTERVAL_S);
+            self.next_save_s.set(now + SAVE_INTERVAL_S);
             let bytes = self.node.borrow().merged.encode();
             self.disk.submit(WriteJob::SaveMergedState(bytes));
         }
--- a/crates/dispatcher/dispatcher/src/store/status.rs
+++ b/crates/dispatcher/dispatcher/src/store/status.rs
@@ -1,4 +1,4 @@
-//! The status of the store as text, for operators. The words and their order are an interface.
+//! Status of the store as text for operators. Its words and their order are an interface.
 
 use std::fmt::Write;
 
@@ -7,11 +7,11 @@
 
 use super::Store;
 
-/// The longest time without a leader that is printed, seconds: before the first leader it is infinite.
+/// Longest time in seconds without a leader that is printed: before the first leader it is infinite.
 const MAX_PRINTED_S: f64 = 99_999.0;
 
 impl Store {
-    /// The status page. `is_current` is the outcome of a linearizable read, if one was asked for.
+    /// Text of the status. `is_current` is the outcome of a linearizable read, if one was requested.
     pub(super) fn status_page(&self, is_current: Option<bool>) -> String {
         let now = self.clock.now();
         let node = self.node.borrow();
@@ -133,7 +133,7 @@
         names.join(" ")
     }
 
-    /// The version in force against the one before it, line by line.
+    /// Difference between the version in force and the one before it, line by line.
     pub(super) fn settings_diff(&self) -> String {
         let node = self.node.borrow();
         let (previous, current) = match node.committed.versions.as_slice() {
--- a/crates/dispatcher/dispatcher/src/trial.rs
+++ b/crates/dispatcher/dispatcher/src/trial.rs
@@ -1,11 +1,11 @@
-//! Settings for tests of several processes: clocks that are off or jump, and broken variants that a referee must
-//! catch. `run` refuses them.
+//! Settings for tests of several processes: clocks that are off or jump, and broken variants that the checker must
+//! find. The command `run` refuses them.
 
 use crate::start::Start;
 use sagetrail_dispatch::{DiscoveryUpdate, Lifecycle};
 use sagetrail_policy::Repeat;
 
-/// A program that breaks one rule or passes one bound.
+/// A variant of the program that breaks a rule or exceeds a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Broken {
     LosesAnswers,
@@ -32,7 +32,8 @@
 use Broken::*;
 
 impl Broken {
-    pub(crate) fn named(name: &str) -> Option<Broken> {
+    /// The variant with this name in the settings.
+    pub(crate) fn from_name(name: &str) -> Option<Broken> {
         Some(match name {
             "loses-answers" => LosesAnswers,
             "makes-up-answers" => MakesUpAnswers,
@@ -57,9 +58,9 @@
         })
     }
 
-    /// Breaks what lies in the terms.
+    /// Applies a variant that differs in the settings.
     pub(crate) fn apply(self, start: &mut Start) {
-        let categories = &mut start.terms.categories;
+        let categories = &mut start.policy.categories;
         match self {
             RerunsExclusive => categories
                 .iter_mut()
@@ -70,15 +71,15 @@
                 .filter(|category| matches!(category.repeat, Repeat::Keyed(_)))
                 .for_each(|category| category.repeat = Repeat::Idempotent),
             TwoAtOnce => start.allow_concurrent_attempts = true,
-            IgnoresCold => start.terms.warm_up_s = 0.0,
+            IgnoresCold => start.policy.warm_up_s = 0.0,
             _ => {}
         }
     }
 
-    /// Breaks what the list says.
-    pub(crate) fn hears(self, told: &mut DiscoveryUpdate) {
+    /// Applies a variant that differs in the updates of the endpoint list.
+    pub(crate) fn alter_update(self, update: &mut DiscoveryUpdate) {
         if self == IgnoresDrains {
-            let draining = told
+            let draining = update
                 .entries
                 .iter_mut()
                 .filter(|entry| entry.lifecycle == Lifecycle::Draining);
--- a/crates/dispatcher/dispatcher/tests/operators/mod.rs
+++ b/crates/dispatcher/dispatcher/tests/operators/mod.rs
@@ -431,7 +431,10 @@
     platform.ended();
     platform.upgrade();
     platform.children[0].0.kill().unwrap();
-    assert!(platform.ended().1.contains("starts afresh"));
+    assert!(platform
+        .ended()
+        .1
+        .contains("no predecessor responded, starting without its state"));
 }
 
 #[test]
--- a/crates/dispatcher/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/dispatcher/tests/sockets.rs
@@ -412,7 +412,8 @@
         "{log}"
     );
     assert_eq!(
-        log.matches("only a restart takes up: limits").count(),
+        log.matches("configuration change needs a restart: keys=limits")
+            .count(),
         1,
         "{log}"
     );
--- a/crates/dispatcher/settings/src/broken.rs
+++ b/crates/dispatcher/settings/src/broken.rs
@@ -1,7 +1,7 @@
-//! Broken variants of the program, which the checker of fault testing must catch.
+//! Broken variants of the program, which the checker of the fault tests must find.
 
-/// Each variant's name, the rule or bound that it breaks, and how.
-pub const BROKEN: &[(&str, &str, &str)] = &[
+/// Name of each variant, the rule or bound that it violates, and how.
+pub const BROKEN_VARIANTS: &[(&str, &str, &str)] = &[
     (
         "loses-answers",
         "rule 1",
--- a/crates/dispatcher/settings/src/configuration.rs
+++ b/crates/dispatcher/settings/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The checked configuration that `read` yields.
+//! The checked configuration that `read` returns.
 
 use crate::layers::Value;
 use sagetrail_failover::FailoverPlan;
@@ -6,89 +6,89 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// One dispatcher of the fleet.
+/// A dispatcher of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     pub name: String,
-    /// The site it runs at.
+    /// Site at which it runs.
     pub site: String,
-    /// Where the others reach it.
-    pub at: SocketAddr,
+    /// Address at which the other members reach it.
+    pub address: SocketAddr,
 }
 
-/// The members that this one talks to, and what is shared.
+/// The fleet: its members and what they share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub name: String,
-    /// Where this member listens to the others.
+    /// Address at which this member listens to the others.
     pub listen: SocketAddr,
     /// Whether evidence and budgets are shared.
     pub sharing: bool,
     /// All members, this one included.
     pub members: Vec<Member>,
     /// This member's index in `members`.
-    pub me: usize,
-    /// Interval of failure-detector probes, seconds.
-    pub probe_s: f64,
-    /// Time an acknowledgement may take, seconds.
-    pub ack_s: f64,
-    /// Members asked to probe indirectly.
-    pub helpers: usize,
-    /// Length of a lease, seconds.
+    pub own_index: usize,
+    /// Interval of the probes of the failure detector, in seconds.
+    pub probe_interval_s: f64,
+    /// Time-out for an acknowledgement, in seconds.
+    pub ack_timeout_s: f64,
+    /// Number of members that are asked to probe indirectly.
+    pub indirect_probes: usize,
+    /// Length of a lease, in seconds.
     pub lease_s: f64,
-    /// Owners of each budget.
-    pub owners: usize,
-    /// By category, the most work items out at once in the whole fleet.
+    /// Number of owners of each budget.
+    pub owner_count: usize,
+    /// Largest number of work items in flight at once in the whole fleet, by category.
     pub caps: BTreeMap<String, u64>,
-    /// The fleet's limit on resends, if there is one.
-    pub resends: Option<u64>,
+    /// Limit of the resends per second in the whole fleet, if there is one.
+    pub max_resends: Option<u64>,
 }
 
-/// How a category's hand-offs are recorded at other members.
+/// How the attempts of a category are recorded at other members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recorded {
-    /// Copies beside this member's own.
+    /// Number of copies in addition to the one of this member.
     pub copies: usize,
-    /// Named by the client's key, not by the work item.
-    pub by_key: bool,
-    /// Sent unrecorded where too few others can be told.
-    pub send: bool,
-    /// Ticketed with a group of all: so long a retry may be deferred, seconds.
+    /// Whether the name of a record is the key that the client gives, not the id of the work item.
+    pub is_named_by_key: bool,
+    /// Whether a work item is sent without a record if too few other members can be reached.
+    pub may_send_unrecorded: bool,
+    /// Time in seconds within which a retry may be deferred, if the category is ticketed and its group is all runners.
     pub window_s: Option<f64>,
 }
 
-/// State that outlives a dispatcher.
+/// The store, whose state outlives a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// Where the journal lies.
+    /// Folder of the journal.
     pub folder: PathBuf,
-    /// Names of the members that vote at first.
+    /// Names of the initial voters.
     pub voters: Vec<String>,
-    /// Interval of a leader's heartbeats, seconds.
-    pub beat_s: f64,
-    /// Election timeout, seconds.
-    pub patience_s: f64,
-    /// Tombstones of merged state are kept for so long, seconds.
-    pub marks_s: f64,
-    /// Agreed state without a word from a leader counts as stale after so long, seconds.
+    /// Interval of the heartbeats of a leader, in seconds.
+    pub heartbeat_s: f64,
+    /// Election time-out, in seconds.
+    pub election_timeout_s: f64,
+    /// Retention of the tombstones of merged state, in seconds.
+    pub tombstone_retention_s: f64,
+    /// Time in seconds without contact to a leader after which committed state counts as stale.
     pub stale_s: f64,
-    /// By category.
+    /// How each category is recorded; `None` for a category that is not.
     pub recorded: Vec<Option<Recorded>>,
-    /// Records are kept for so long: a client's whole wait, and as much again or the window; seconds.
-    pub records_s: f64,
+    /// Retention of records, in seconds: the longest wait of a client, plus the same again or the window.
+    pub record_retention_s: f64,
 }
 
 /// Faults injected for tests of several processes only.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
-    /// Offset of this process's clock, seconds.
+    /// Offset of the clock of this process, in seconds.
     pub clock_off_s: f64,
-    /// Delay of each write to the disk, seconds.
-    pub disk_slow_s: f64,
-    /// The disk is full after so many bytes.
-    pub disk_full: Option<u64>,
+    /// Delay of each sync of the disk, in seconds.
+    pub sync_delay_s: f64,
+    /// Number of bytes after which the disk is full.
+    pub free_disk_bytes: Option<u64>,
     /// Name of a broken variant.
     pub broken: Option<String>,
 }
@@ -96,22 +96,22 @@
 /// A configuration that can be used.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// The platform's page with the same content.
+    /// The page of the platform with the same content.
     pub page: serde_json::Value,
-    /// Log lines are JSON.
+    /// Whether log lines are JSON.
     pub json_log: bool,
     /// The fleet, if this dispatcher belongs to one.
     pub fleet: Option<Fleet>,
     /// The store, if there is one.
     pub store: Option<Store>,
-    /// A site's loss is looked for, by this plan.
-    pub siting: bool,
-    /// What is done when a site is lost.
+    /// Whether the loss of a site is detected.
+    pub detects_site_loss: bool,
+    /// Plan for the loss of a site.
     pub plan: FailoverPlan,
-    /// What is only unwise about it.
+    /// Warnings about the plan.
     pub warnings: Vec<String>,
     /// Injected faults, if any are configured.
     pub trial: Option<Trial>,
-    /// Every key by its path, list items by number.
+    /// Value of each key, by its path; items of lists have their number in it.
     pub values: BTreeMap<String, Value>,
 }
--- a/crates/dispatcher/settings/src/keys.rs
+++ b/crates/dispatcher/settings/src/keys.rs
@@ -1,42 +1,42 @@
-//! Every key there is, with what it means: the reader, the reference page and the schema come from this one table.
+//! Table of all keys with their meaning. The reader, the reference page and the schema are made from it.
 
-/// What a key holds.
+/// Kind of the value of a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// Text that is not empty.
     Text,
-    /// One of these words.
+    /// One of the given words.
     OneOf(&'static [&'static str]),
     /// True or false.
     Bool,
-    /// A whole number, from and to.
+    /// A whole number within the given bounds.
     Integer(u64, u64),
-    /// A number, from and to.
+    /// A number within the given bounds.
     Number(f64, f64),
-    /// A length of time as text, from and to in seconds.
+    /// A duration as text, within the given bounds in seconds.
     Duration(f64, f64),
-    /// IPv4 or IPv6 and a port.
+    /// An IPv4 or IPv6 address with a port.
     Address,
-    /// The same, of loopback or a private range only.
+    /// An address with a port, of loopback or a private range only.
     PrivateAddress,
     /// A list of text.
     TextList,
-    /// A table of whole numbers, from and to, under names of the user's.
+    /// A table of whole numbers within the given bounds, under names that the user chooses.
     IntegerTable(u64, u64),
-    /// The platform's own settings object, passed on as it is.
+    /// The settings object of the platform, passed on unchanged.
     Settings,
 }
 
 /// A key of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Its path, with `[]` where a list of tables stands.
+    /// Path of the key, with `[]` in place of the index in a list of tables.
     pub path: &'static str,
-    /// What it holds.
+    /// Kind of its value.
     pub kind: Kind,
-    /// Its default as text; empty if there is none.
+    /// Default value as text; empty if there is none.
     pub default: &'static str,
-    /// What it means.
+    /// Meaning, as shown in the reference.
     pub what: &'static str,
 }
 
--- a/crates/dispatcher/settings/src/layers.rs
+++ b/crates/dispatcher/settings/src/layers.rs
@@ -1,19 +1,19 @@
-//! The sources a configuration is read from, and the origin kept with each value.
+//! Sources of a configuration, and the origin that is kept with each value.
 
 use std::fmt;
 
-/// Where a value came from.
+/// Origin of a value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
-    /// The file's line, from 1.
+    /// Line of the file, from 1.
     File(usize),
-    /// An environment variable, by name.
+    /// Environment variable with this name.
     Environment(String),
     /// A command-line flag.
     Flag,
     /// The settings that all dispatchers have agreed on.
     Agreed,
-    /// Not given anywhere.
+    /// The value is not given; the default applies.
     Default,
 }
 
@@ -32,23 +32,23 @@
 /// A checked value with its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
-    /// The value in JSON; durations in seconds.
+    /// Value in JSON; durations are in seconds.
     pub value: serde_json::Value,
-    /// The layer that gave it.
+    /// Layer that the value comes from.
     pub origin: Origin,
 }
 
-/// What a configuration is read from.
+/// Sources from which a configuration is read.
 #[derive(Clone, Debug, Default)]
 pub struct Layers {
-    /// The file's name, for findings.
+    /// Name of the file, for findings.
     pub file: String,
-    /// The file's text.
+    /// Text of the file.
     pub text: String,
-    /// Name and value of variables that begin with `SAGETRAIL_`; `__` stands for a dot.
+    /// Names and values of the environment variables that begin with `SAGETRAIL_`; `__` stands for a dot.
     pub environment: Vec<(String, String)>,
-    /// `key=value`, in TOML or plain text.
+    /// Command-line settings as `key=value`, where the value is TOML or plain text.
     pub flags: Vec<String>,
-    /// TOML that all dispatchers have agreed on, over the file's.
+    /// TOML text that all dispatchers have agreed on. It takes precedence over the file.
     pub agreed: String,
 }
--- a/crates/dispatcher/settings/src/lib.rs
+++ b/crates/dispatcher/settings/src/lib.rs
@@ -1,11 +1,12 @@
-//! The project's own configuration: TOML in layers (file, environment, flags; the later one wins), with units in the
-//! text. Unknown keys are refused with the nearest known one, and each finding says where it stands.
+//! Configuration of the dispatcher: TOML in layers (file, environment, flags; the later one takes precedence), with
+//! units in the text. Unknown keys are rejected with a hint at the nearest known one, and each finding has its
+//! position.
 //!
 //! ```text
 //!   Layers (file, environment, flags, agreed settings) ──► read ──► Configuration
-//!                                                          │          page: the deploy platform's form, for the
-//!   KEYS: every key, its kind, default and bounds ─────────┘                one reader in the program
-//!     └──► reference and schema, from the same table                  the parts that form has not
+//!                                                          │          page: the form of the deploy platform, for the
+//!   KEYS: every key, its kind, default and bounds ─────────┘                one reader of the program
+//!     └──► reference and schema, from the same table                  the parts that this form lacks
 //! ```
 
 mod broken;
@@ -17,11 +18,11 @@
 mod reference;
 mod units;
 
-pub use broken::BROKEN;
+pub use broken::BROKEN_VARIANTS;
 pub use configuration::{Configuration, Fleet, Member, Recorded, Store, Trial};
 pub use keys::{Key, Kind, KEYS};
 pub use layers::{Layers, Origin, Value};
 pub use paths::nearest;
 pub use read::read;
-pub use reference::{page, schema};
-pub use units::{bytes, seconds};
+pub use reference::{reference_page, schema};
+pub use units::{parse_bytes, parse_seconds};
--- a/crates/dispatcher/settings/src/paths.rs
+++ b/crates/dispatcher/settings/src/paths.rs
@@ -1,8 +1,8 @@
-//! Paths of keys: the pattern a path is an instance of, look-up in the table of keys, and near misses.
+//! Paths of keys: their patterns, look-up in the table of keys, and suggestions for unknown names.
 
 use crate::keys::{Key, KEYS};
 
-/// The known word nearest to one that is not known, if any is near.
+/// The known word nearest to an unknown one; `None` if none is near.
 pub fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let ranked = known.map(|candidate| (strsim::damerau_levenshtein(word, candidate), candidate));
     let (distance, candidate) = ranked.min()?;
@@ -15,8 +15,8 @@
         Ok(_) => "[]".to_string(),
         Err(_) => format!(".{part}"),
     };
-    let whole: String = path.split('.').map(component).collect();
-    whole.trim_start_matches('.').to_string()
+    let pattern: String = path.split('.').map(component).collect();
+    pattern.trim_start_matches('.').to_string()
 }
 
 /// The key with exactly this pattern.
@@ -47,7 +47,7 @@
     )
 }
 
-/// The name right below `parent` on the way to `path`.
+/// Name of the level directly below `parent` on the way to `path`.
 fn child_name(parent: &str, path: &'static str) -> Option<&'static str> {
     let rest = match parent {
         "" => path,
--- a/crates/dispatcher/settings/src/read.rs
+++ b/crates/dispatcher/settings/src/read.rs
@@ -1,4 +1,5 @@
-//! Reads a file, the environment and flags into one configuration, or lists all that is wrong with it.
+//! Reads a file, the environment and command-line settings into one configuration, or lists all that is wrong with
+//! them.
 
 mod caps;
 mod categories;
@@ -17,16 +18,20 @@
 use serde_json::{json, Map};
 use toml::de::DeTable;
 
-/// A longer file is refused.
+/// Largest file in bytes that is accepted.
 const MAX_FILE_BYTES: usize = 1 << 20;
 /// Environment variables with this prefix are a layer.
 const ENVIRONMENT_PREFIX: &str = "SAGETRAIL_";
-/// This dispatcher's name where none is given.
+/// Name of this dispatcher if none is given.
 const DEFAULT_NAME: &str = "sagetrail";
-/// Keys copied to the platform's page as they are.
+/// Keys that are copied unchanged to the page of the platform.
 const PAGE_KEYS: [&str; 6] = ["name", "listen", "discovery", "console", "seed", "learnt"];
 
-/// The configuration, or one line for each finding.
+/// Reads a configuration.
+///
+/// # Errors
+///
+/// One line for each finding.
 pub fn read(layers: &Layers) -> Result<Configuration, Vec<String>> {
     let mut reader = read_file(layers)?;
     reader.read_agreed(&layers.agreed);
@@ -83,7 +88,7 @@
     let (plan, warnings) = plan::plan(&mut reader, &settings, &categories);
     let page = page(&reader, settings);
     let trial = trial(&reader);
-    let siting = reader.flag("sites.look", true);
+    let detects_site_loss = reader.flag("sites.look", true);
     let json_log = reader.text("log").as_deref() == Some("json");
     if !reader.faults.is_empty() {
         return Err(reader.faults);
@@ -94,7 +99,7 @@
         json_log,
         fleet,
         store,
-        siting,
+        detects_site_loss,
         plan,
         warnings,
         trial,
@@ -110,7 +115,7 @@
         .collect()
 }
 
-/// The platform's page with the same content.
+/// The page of the platform with the same content.
 fn page(reader: &Reader, settings: serde_json::Value) -> serde_json::Value {
     let mut page = Map::new();
     for key in PAGE_KEYS {
@@ -131,8 +136,8 @@
     }
     Some(Trial {
         clock_off_s: reader.number("trial.clock_off", 0.0),
-        disk_slow_s: reader.number("trial.disk_slow", 0.0),
-        disk_full: reader.integer("trial.disk_full"),
+        sync_delay_s: reader.number("trial.disk_slow", 0.0),
+        free_disk_bytes: reader.integer("trial.disk_full"),
         broken: reader.text("trial.break"),
     })
 }
--- a/crates/dispatcher/settings/src/read/caps.rs
+++ b/crates/dispatcher/settings/src/read/caps.rs
@@ -1,4 +1,4 @@
-//! The fleet's caps by category.
+//! Caps of the fleet by category.
 
 use super::reader::Reader;
 use crate::paths::nearest;
@@ -6,7 +6,7 @@
 
 const CAPS: &str = "fleet.caps";
 
-/// The caps; a name that is no category's is a fault.
+/// Reads the caps. A name that is not a category is reported as a fault.
 pub(super) fn caps(reader: &mut Reader, categories: &[String]) -> BTreeMap<String, u64> {
     let table = reader
         .get(CAPS)
--- a/crates/dispatcher/settings/src/read/categories.rs
+++ b/crates/dispatcher/settings/src/read/categories.rs
@@ -1,23 +1,23 @@
-//! The categories in the platform's form.
+//! Categories in the form of the platform.
 
 use super::reader::Reader;
 use super::settings::microseconds;
 use crate::layers::Origin;
 use serde_json::{json, Value};
 
-/// Work is due so long after it came in where nothing is said, seconds.
+/// Default due time of a work item, in seconds after its arrival.
 const DEFAULT_DUE_S: f64 = 1.0;
-/// Work expires so long after it came in where nothing is said, seconds.
+/// Default expiry of a work item, in seconds after its arrival.
 pub(super) const DEFAULT_EXPIRY_S: f64 = 10.0;
-/// Window of ticketed work where nothing is said, seconds.
+/// Default window of a ticketed category, in seconds.
 pub(super) const DEFAULT_WINDOW_S: f64 = 5.0;
-/// Group of ticketed work where nothing is said: all runners.
+/// Default group of a ticketed category: all runners.
 pub(super) const GROUP_OF_ALL: &str = "all";
-/// Payoff of work that ends in time where nothing is said.
+/// Default payoff of a work item that is answered by its due time.
 pub(super) const DEFAULT_PAYOFF: f64 = 1.0;
-/// Payoff of work that ends after its due time where nothing is said.
+/// Default payoff of a work item that is answered after its due time, as a fraction of the full payoff.
 const DEFAULT_TARDY_PAYOFF: f64 = 0.2;
-/// The platform's word for a category without a kind of machine.
+/// Value that stands for a category without a kind of machine.
 const NO_KIND: i64 = -1;
 
 /// All categories, with the kind and stretch of each in the same order.
@@ -28,12 +28,12 @@
     pub(super) stretches: Vec<f64>,
 }
 
-/// The path of a category's key.
+/// Path of a key of a category.
 pub(super) fn category_key(n: usize, key: &str) -> String {
     format!("categories.{n}.{key}")
 }
 
-/// Reads all categories; `kinds` are the known kinds of machines.
+/// Reads all categories. `kinds` are the known kinds of machines.
 pub(super) fn categories(reader: &mut Reader, kinds: &[String]) -> Categories {
     let mut all = Categories::default();
     for n in 0..reader.count("categories") {
@@ -53,12 +53,12 @@
 
 fn category(reader: &mut Reader, n: usize, earlier: &[Value]) -> Value {
     let at = |key: &str| category_key(n, key);
-    let due = reader.number(&at("due"), DEFAULT_DUE_S);
-    let expiry = reader.number(&at("expiry"), DEFAULT_EXPIRY_S);
-    if due > expiry {
+    let due_s = reader.number(&at("due"), DEFAULT_DUE_S);
+    let expiry_s = reader.number(&at("expiry"), DEFAULT_EXPIRY_S);
+    if due_s > expiry_s {
         reader.fault_at(
             &at("due"),
-            &format!("{due} s is after the expiry, {expiry} s"),
+            &format!("{due_s} s is after the expiry, {expiry_s} s"),
         );
     }
     let name = reader.text(&at("name")).unwrap_or_default();
@@ -70,14 +70,14 @@
         "Repeat": repeat(reader, n),
         "DedupScope": reader.text(&at("group")).unwrap_or(GROUP_OF_ALL.to_string()),
         "WindowUs": microseconds(reader.number(&at("window"), DEFAULT_WINDOW_S)),
-        "DueTimeUs": microseconds(due),
-        "ExpiryUs": microseconds(expiry),
+        "DueTimeUs": microseconds(due_s),
+        "ExpiryUs": microseconds(expiry_s),
         "Payoff": reader.number(&at("payoff"), DEFAULT_PAYOFF),
         "TardyPayoff": reader.number(&at("tardy"), DEFAULT_TARDY_PAYOFF),
     })
 }
 
-/// The platform's word for how work of a category may be repeated.
+/// Value that stands for how work items of a category may be repeated.
 fn repeat(reader: &Reader, n: usize) -> &'static str {
     match reader.text(&category_key(n, "repeat")).as_deref() {
         Some("rerunnable") => "read_like",
--- a/crates/dispatcher/settings/src/read/check.rs
+++ b/crates/dispatcher/settings/src/read/check.rs
@@ -5,10 +5,10 @@
 use serde_json::{json, Value};
 use std::net::{IpAddr, SocketAddr};
 
-/// Longer text is refused.
+/// Longest text in bytes that is accepted.
 const MAX_TEXT_BYTES: usize = 1024;
 
-/// The value in its normal form (durations in seconds, addresses as parsed), or what is wrong with it.
+/// Returns the value in its normal form (durations in seconds, addresses as parsed), or why it is rejected.
 pub(super) fn check(kind: Kind, value: &Value) -> Result<Value, String> {
     match kind {
         Kind::Text => check_text(value),
@@ -66,8 +66,10 @@
 }
 
 fn check_duration(value: &Value, from: f64, to: f64) -> Result<Value, String> {
-    match units::seconds(text(value)?) {
-        Some(seconds) => in_range(value, seconds, from, to).map_err(|why| format!("{why} seconds")),
+    match units::parse_seconds(text(value)?) {
+        Some(seconds) => {
+            in_range(value, seconds, from, to).map_err(|reason| format!("{reason} seconds"))
+        }
         None => Err(format!("{value} is no length of time, such as \"250ms\"")),
     }
 }
@@ -95,7 +97,8 @@
     }
 }
 
-/// Whether an address is of loopback or a private range: the links have no sign-in and no encryption.
+/// Whether an address is of loopback or a private range. The links between members have no authentication and no
+/// encryption.
 fn is_private(address: &SocketAddr) -> bool {
     match address.ip() {
         IpAddr::V4(ip) => ip.is_loopback() || ip.is_private(),
@@ -118,7 +121,7 @@
         .as_object()
         .ok_or_else(|| format!("{value} is not a table"))?;
     for (name, number) in fields {
-        check_integer(number, from, to).map_err(|why| format!("{name}: {why}"))?;
+        check_integer(number, from, to).map_err(|reason| format!("{name}: {reason}"))?;
     }
     Ok(value.clone())
 }
--- a/crates/dispatcher/settings/src/read/fleet.rs
+++ b/crates/dispatcher/settings/src/read/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: members, and what is shared among them.
+//! Fleet: its members, and what is shared among them.
 
 use super::caps::caps;
 use super::reader::Reader;
@@ -8,7 +8,7 @@
 
 const MIN_MEMBERS: usize = 2;
 const MAX_MEMBERS: usize = 1000;
-/// In place of an address that is missing, which is a fault already.
+/// Placeholder for a missing address, which has been reported as a fault.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// The fleet, if any key of it is given.
@@ -21,21 +21,21 @@
     let members = members(reader);
     let origin = reader.origin("fleet.");
     check_size(reader, &origin, members.len());
-    let me = my_index(reader, &origin, name, &members);
+    let own_index = own_index_of(reader, &origin, name, &members);
     let caps = caps(reader, categories);
     Some(Fleet {
         name: reader.text("fleet.name").unwrap_or_default(),
         listen: address(reader, "fleet.listen"),
         sharing: reader.flag("fleet.sharing", true),
         members,
-        me,
-        probe_s: reader.number("fleet.probe", 0.3),
-        ack_s: reader.number("fleet.ack", 0.1),
-        helpers: reader.number("fleet.helpers", 3.0) as usize,
+        own_index,
+        probe_interval_s: reader.number("fleet.probe", 0.3),
+        ack_timeout_s: reader.number("fleet.ack", 0.1),
+        indirect_probes: reader.number("fleet.helpers", 3.0) as usize,
         lease_s: reader.number("fleet.lease", 3.0),
-        owners: reader.number("fleet.owners", 3.0) as usize,
+        owner_count: reader.number("fleet.owners", 3.0) as usize,
         caps,
-        resends: reader.integer("fleet.resends"),
+        max_resends: reader.integer("fleet.resends"),
     })
 }
 
@@ -61,7 +61,7 @@
     Member {
         name,
         site,
-        at: address(reader, &at("at")),
+        address: address(reader, &at("at")),
     }
 }
 
@@ -74,12 +74,12 @@
 
 fn check_size(reader: &mut Reader, origin: &Origin, members: usize) {
     if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&members) {
-        let why = format!("{members} are not from {MIN_MEMBERS} to {MAX_MEMBERS}");
-        reader.fault(origin, "fleet.members", &why);
+        let reason = format!("{members} are not from {MIN_MEMBERS} to {MAX_MEMBERS}");
+        reader.fault(origin, "fleet.members", &reason);
     }
 }
 
-fn my_index(reader: &mut Reader, origin: &Origin, name: &str, members: &[Member]) -> usize {
+fn own_index_of(reader: &mut Reader, origin: &Origin, name: &str, members: &[Member]) -> usize {
     let index = members.iter().position(|member| member.name == name);
     if index.is_none() {
         reader.fault(
--- a/crates/dispatcher/settings/src/read/plan.rs
+++ b/crates/dispatcher/settings/src/read/plan.rs
@@ -1,4 +1,4 @@
-//! The plan for the loss of a site.
+//! Plan for the loss of a site.
 
 use super::categories::DEFAULT_PAYOFF;
 use super::reader::Reader;
@@ -6,19 +6,19 @@
 use sagetrail_failover::{FailoverPlan, PlannedSite};
 use serde_json::{json, Value};
 
-/// The plan, and the warnings about it.
+/// Reads the plan. Returns it with its warnings.
 pub(super) fn plan(
     reader: &mut Reader,
     settings: &Value,
     categories: &[String],
 ) -> (FailoverPlan, Vec<String>) {
-    let usual = FailoverPlan::default();
+    let default = FailoverPlan::default();
     let plan = FailoverPlan {
         sites: sites(reader),
-        headroom: reader.number("plan.headroom", usual.headroom),
-        floor: reader.number("plan.floor", usual.floor),
+        headroom: reader.number("plan.headroom", default.headroom),
+        floor: reader.number("plan.floor", default.floor),
         shed_order: reader.texts("plan.order"),
-        failback_step_s: reader.number("plan.step", usual.failback_step_s),
+        failback_step_s: reader.number("plan.step", default.failback_step_s),
         load: load(reader, settings),
     };
     let warnings = check(reader, &plan, settings, categories);
@@ -42,7 +42,7 @@
     }
 }
 
-/// By category: its name, the slots it takes, and its payoff.
+/// Load by category: its name, the slots that it occupies, and its payoff.
 fn load(reader: &Reader, settings: &Value) -> Vec<(String, f64, f64)> {
     let entry = |n: usize| {
         let name = reader
@@ -63,7 +63,7 @@
         .unwrap_or(DEFAULT_PAYOFF)
 }
 
-/// Notes the plan's faults; its warnings.
+/// Reports the faults of the plan and returns its warnings.
 fn check(
     reader: &mut Reader,
     plan: &FailoverPlan,
--- a/crates/dispatcher/settings/src/read/reader.rs
+++ b/crates/dispatcher/settings/src/read/reader.rs
@@ -1,4 +1,4 @@
-//! Collects the values of all layers, each checked against the table of keys, and the faults found on the way.
+//! Collects the values of all layers, each checked against the table of keys, and the faults found in them.
 
 use super::check;
 use super::toml_json;
@@ -10,19 +10,19 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What may be agreed on: what a running process takes up in one step, and no other key.
+/// Keys that may be agreed on: those that a running process can apply in one step.
 const AGREED_PREFIXES: [&str; 4] = ["fleet.caps", "fleet.resends", "plan.", "discovery"];
-/// Lists that replace the file's as a whole where they are agreed on.
+/// Lists that replace the list of the file as a whole if they are agreed on.
 const AGREED_LISTS: [&str; 2] = ["plan.sites.", "plan.load."];
 const NOT_AGREED: &str =
     "only a restart takes it up; agreed are fleet.caps, fleet.resends, plan and discovery";
 
-/// The values read so far and their faults.
+/// The values read so far and the faults found in them.
 pub(super) struct Reader<'a> {
     file: &'a str,
     text: &'a str,
-    /// The table at hand is of the agreed settings, not of the file.
-    reading_agreed: bool,
+    /// Whether the table that is being read belongs to the agreed settings, not to the file.
+    is_reading_agreed: bool,
     pub(super) values: BTreeMap<String, Value>,
     pub(super) faults: Vec<String>,
 }
@@ -32,34 +32,34 @@
         Reader {
             file,
             text,
-            reading_agreed: false,
+            is_reading_agreed: false,
             values: BTreeMap::new(),
             faults: Vec::new(),
         }
     }
 
-    /// The line of a byte offset in the file, from 1.
+    /// Line of a byte offset in the file, from 1.
     pub(super) fn line(&self, offset: usize) -> usize {
         let before = &self.text.as_bytes()[..offset.min(self.text.len())];
         1 + before.iter().filter(|byte| **byte == b'\n').count()
     }
 
-    /// Notes a fault of the value at `path`.
-    pub(super) fn fault(&mut self, origin: &Origin, path: &str, why: &str) {
-        let place = match origin {
+    /// Reports a fault of the value at `path`.
+    pub(super) fn fault(&mut self, origin: &Origin, path: &str, reason: &str) {
+        let position = match origin {
             Origin::File(line) => format!("{}:{line}", self.file),
             other => other.to_string(),
         };
-        self.faults.push(format!("{place}: {path}: {why}"));
+        self.faults.push(format!("{position}: {path}: {reason}"));
     }
 
-    /// Notes a fault at the origin of the value at `path`, or of the first one below it.
-    pub(super) fn fault_at(&mut self, path: &str, why: &str) {
+    /// Reports a fault at the origin of the value at `path`, or of the first value below it.
+    pub(super) fn fault_at(&mut self, path: &str, reason: &str) {
         let origin = self.origin(path);
-        self.fault(&origin, path, why);
+        self.fault(&origin, path, reason);
     }
 
-    /// Notes a fault if there is no value at `path`.
+    /// Reports a fault if there is no value at `path`.
     pub(super) fn require(&mut self, path: &str) {
         if self.get(path).is_none() {
             let parent = path.rsplit_once('.').map_or("", |(parent, _)| parent);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Reads a table whose keys stand below `path`.
+    /// Reads a table whose keys are below `path`.
     pub(super) fn read_table(&mut self, path: &str, table: &DeTable) {
         for (name, value) in table.iter() {
             let below = match path {
@@ -80,7 +80,7 @@
     }
 
     fn read_value(&mut self, path: &str, offset: usize, value: &Spanned<DeValue>) {
-        let origin = match self.reading_agreed {
+        let origin = match self.is_reading_agreed {
             true => Origin::Agreed,
             false => Origin::File(self.line(offset)),
         };
@@ -105,16 +105,16 @@
         }
     }
 
-    /// Reads the agreed settings, over what stands in the file.
+    /// Reads the agreed settings, which take precedence over the file.
     pub(super) fn read_agreed(&mut self, text: &str) {
         let table = match DeTable::parse(text) {
             Ok(table) => table,
             Err(error) => return self.fault(&Origin::Agreed, "settings", error.message()),
         };
         let file_values = std::mem::take(&mut self.values);
-        self.reading_agreed = true;
+        self.is_reading_agreed = true;
         self.read_table("", table.get_ref());
-        self.reading_agreed = false;
+        self.is_reading_agreed = false;
         let agreed = std::mem::replace(&mut self.values, file_values);
         self.refuse_not_agreed(&agreed);
         self.drop_replaced_lists(&agreed);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Reads a flag's or variable's value: TOML where it parses as that, plain text otherwise.
+    /// Reads the value of a command-line setting or variable: as TOML if it parses as that, otherwise as plain text.
     pub(super) fn read_override(&mut self, origin: Origin, path: &str, text: &str) {
         let wants_text = find(&pattern(path)).is_some_and(|key| is_written_as_text(key.kind));
         let parsed = toml_json::parse_value(text).filter(|value| value.is_string() || !wants_text);
@@ -159,7 +159,7 @@
                     .values
                     .insert(path.to_string(), Value { value, origin })
             }
-            Err(why) => self.fault(&origin, path, &why),
+            Err(reason) => self.fault(&origin, path, &reason),
         }
     }
 
--- a/crates/dispatcher/settings/src/read/settings.rs
+++ b/crates/dispatcher/settings/src/read/settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings from the project's own keys.
+//! Settings of the platform, made from the keys of the configuration.
 
 use super::categories::{categories, Categories};
 use super::reader::Reader;
 use serde_json::{json, Value};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Keys that the platform's settings say in its own words.
+/// Prefixes of keys whose values are also in the platform's settings.
 const SETTINGS_PREFIXES: [&str; 9] = [
     "categories",
     "cold.",
@@ -20,12 +20,12 @@
 const CONTRADICTION: &str =
     "it contradicts 'settings', which says the same in the platform's words";
 
-/// Seconds as the platform's whole microseconds.
+/// Converts seconds to whole microseconds, the unit of the platform.
 pub(super) fn microseconds(seconds: f64) -> Value {
     json!((seconds * MICROSECONDS_PER_SECOND).round() as u64)
 }
 
-/// The platform's settings: given as they are, or made from the project's own keys.
+/// The settings of the platform: given as they are, or made from the other keys.
 pub(super) fn settings(reader: &mut Reader) -> Value {
     match reader.get("settings").cloned() {
         Some(settings) => {
--- a/crates/dispatcher/settings/src/read/store.rs
+++ b/crates/dispatcher/settings/src/read/store.rs
@@ -1,4 +1,4 @@
-//! The store: where it lies, who votes, and which hand-offs are recorded.
+//! Store: its folder, its voters, and which attempts are recorded.
 
 use super::categories::{category_key, DEFAULT_EXPIRY_S, DEFAULT_WINDOW_S, GROUP_OF_ALL};
 use super::reader::Reader;
@@ -6,28 +6,29 @@
 use crate::layers::Origin;
 use std::collections::BTreeSet;
 
-/// So many of the first members vote where nothing is said, in a fleet that is large enough.
+/// Default number of voters in a fleet that is large enough: its first members.
 const DEFAULT_VOTERS: usize = 3;
-/// An election timeout of fewer heartbeats is refused.
+/// Smallest ratio of the election time-out to the heartbeat interval.
 const MIN_HEARTBEATS_PER_TIMEOUT: f64 = 3.0;
-/// Records are kept at least so long, seconds.
+/// Shortest retention of records, in seconds.
 const MIN_RECORDS_S: f64 = 1.0;
 
-/// What is recorded of a category, and for how long.
+/// How a category is recorded, and for how long.
 struct Recording {
     recorded: Recorded,
-    keep_s: f64,
+    /// Retention of its records, in seconds.
+    retention_s: f64,
 }
 
-/// The store, if any key of it is given and there is a fleet.
+/// Reads the store. `None` if no key of it is given or there is no fleet.
 pub(super) fn store(
     reader: &mut Reader,
     fleet: Option<&Fleet>,
     settings: &serde_json::Value,
 ) -> Option<Store> {
-    let enabled = reader.has_below("store.");
-    let recordings = recordings(reader, fleet, enabled);
-    if !enabled {
+    let is_enabled = reader.has_below("store.");
+    let recordings = recordings(reader, fleet, is_enabled);
+    if !is_enabled {
         return None;
     }
     reader.require("store.folder");
@@ -44,19 +45,19 @@
         return None;
     }
     let voters = voters(reader, &origin, fleet);
-    let (beat_s, patience_s) = election_times(reader, &origin);
-    let keeps = recordings
+    let (heartbeat_s, election_timeout_s) = election_times(reader, &origin);
+    let retentions_s = recordings
         .iter()
         .flatten()
-        .map(|recording| recording.keep_s);
+        .map(|recording| recording.retention_s);
     Some(Store {
         folder: reader.text("store.folder").unwrap_or_default().into(),
         voters,
-        beat_s,
-        patience_s,
-        marks_s: reader.number("store.marks", 3600.0),
+        heartbeat_s,
+        election_timeout_s,
+        tombstone_retention_s: reader.number("store.marks", 3600.0),
         stale_s: reader.number("store.stale", 60.0),
-        records_s: keeps.fold(MIN_RECORDS_S, f64::max),
+        record_retention_s: retentions_s.fold(MIN_RECORDS_S, f64::max),
         recorded: recordings
             .into_iter()
             .map(|recording| recording.map(|r| r.recorded))
@@ -64,10 +65,14 @@
     })
 }
 
-fn recordings(reader: &mut Reader, fleet: Option<&Fleet>, store: bool) -> Vec<Option<Recording>> {
+fn recordings(
+    reader: &mut Reader,
+    fleet: Option<&Fleet>,
+    has_store: bool,
+) -> Vec<Option<Recording>> {
     let count = reader.count("categories");
     (0..count)
-        .map(|n| recording(reader, n, fleet, store))
+        .map(|n| recording(reader, n, fleet, has_store))
         .collect()
 }
 
@@ -75,7 +80,7 @@
     reader: &mut Reader,
     n: usize,
     fleet: Option<&Fleet>,
-    store: bool,
+    has_store: bool,
 ) -> Option<Recording> {
     let at = |key: &str| category_key(n, key);
     let copies = reader.number(&at("record"), 0.0) as usize;
@@ -85,27 +90,27 @@
     let repeat = reader
         .text(&at("repeat"))
         .unwrap_or("exclusive".to_string());
-    check_recording(reader, &at("record"), &repeat, copies, fleet, store);
+    check_recording(reader, &at("record"), &repeat, copies, fleet, has_store);
     let window_s = reader.number(&at("window"), DEFAULT_WINDOW_S);
     let expiry_s = reader.number(&at("expiry"), DEFAULT_EXPIRY_S);
-    let ticketed = repeat == "ticketed";
+    let is_ticketed = repeat == "ticketed";
     let group_of_all = reader
         .text(&at("group"))
         .is_none_or(|group| group == GROUP_OF_ALL);
     let recorded = Recorded {
         copies,
-        by_key: reader.text(&at("named")).as_deref() == Some("key"),
-        send: reader.text(&at("unrecorded")).as_deref() == Some("send"),
-        window_s: (ticketed && group_of_all).then_some(window_s),
+        is_named_by_key: reader.text(&at("named")).as_deref() == Some("key"),
+        may_send_unrecorded: reader.text(&at("unrecorded")).as_deref() == Some("send"),
+        window_s: (is_ticketed && group_of_all).then_some(window_s),
     };
-    let again_s = if ticketed {
+    let retry_s = if is_ticketed {
         expiry_s.max(window_s)
     } else {
         expiry_s
     };
     Some(Recording {
         recorded,
-        keep_s: expiry_s + again_s,
+        retention_s: expiry_s + retry_s,
     })
 }
 
@@ -115,7 +120,7 @@
     repeat: &str,
     copies: usize,
     fleet: Option<&Fleet>,
-    store: bool,
+    has_store: bool,
 ) {
     if repeat == "rerunnable" {
         reader.fault_at(
@@ -123,7 +128,7 @@
             "rerunnable work needs no record: it runs again freely",
         );
     }
-    if !store {
+    if !has_store {
         reader.fault_at(path, "it needs a store: no store.folder is given");
     }
     if fleet.is_some_and(|fleet| fleet.members.len() <= copies) {
@@ -165,7 +170,7 @@
         .collect()
 }
 
-/// Heartbeat interval and election timeout, seconds.
+/// Heartbeat interval and election time-out, in seconds.
 fn election_times(reader: &mut Reader, origin: &Origin) -> (f64, f64) {
     let heartbeat_s = reader.number("store.beat", 0.1);
     let timeout_s = reader.number("store.patience", 0.5);
--- a/crates/dispatcher/settings/src/read/toml_json.rs
+++ b/crates/dispatcher/settings/src/read/toml_json.rs
@@ -1,9 +1,9 @@
-//! TOML values as JSON.
+//! Converts TOML values to JSON.
 
 use serde_json::{json, Value};
 use toml::de::{DeInteger, DeTable, DeValue};
 
-/// The same value in JSON; numbers that do not fit are null.
+/// Converts a value; numbers that do not fit become null.
 pub(super) fn to_json(value: &DeValue) -> Value {
     match value {
         DeValue::String(text) => json!(text),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A single value written in TOML, if `text` is one.
+/// Parses a single TOML value; `None` if `text` is none.
 pub(super) fn parse_value(text: &str) -> Option<Value> {
     let document = format!("v = {text}");
     let table = DeTable::parse(&document).ok()?;
--- a/crates/dispatcher/settings/src/read/values.rs
+++ b/crates/dispatcher/settings/src/read/values.rs
@@ -30,7 +30,7 @@
         self.get(path).and_then(Value::as_bool).unwrap_or(default)
     }
 
-    /// How many tables a list has.
+    /// Number of tables in a list.
     pub(super) fn count(&self, list: &str) -> usize {
         let index = |path: &String| -> Option<usize> {
             let rest = path.strip_prefix(list)?.strip_prefix('.')?;
@@ -54,7 +54,7 @@
         first.map_or(Origin::File(1), |(_, value)| value.origin.clone())
     }
 
-    /// The index of the word at `path` in `known`; a word that is not there is a fault.
+    /// Index of the word at `path` in `known`. A word that is not in it is reported as a fault.
     pub(super) fn index_in(&mut self, path: &str, known: &[String], list: &str) -> Option<usize> {
         let word = self.text(path)?;
         let index = known.iter().position(|candidate| *candidate == word);
--- a/crates/dispatcher/settings/src/reference.rs
+++ b/crates/dispatcher/settings/src/reference.rs
@@ -1,4 +1,4 @@
-//! The reference page and the schema, from the table of keys.
+//! Reference page and JSON schema, made from the table of keys.
 
 use crate::keys::{Key, Kind, KEYS};
 use serde_json::{json, Map, Value};
@@ -20,8 +20,8 @@
     }
 }
 
-/// The reference page, in Markdown.
-pub fn page() -> String {
+/// Reference page in Markdown.
+pub fn reference_page() -> String {
     let mut page = String::from(
         "# Configuration\n\nMade by `sagetrail reference`. TOML; a later layer goes before an earlier one: the file, \
          the environment\n(`SAGETRAIL_` and the key in capitals, `__` for a dot), `--set KEY=VALUE`. Times are text \
@@ -66,7 +66,7 @@
     let (name, rest) = path
         .split_once('.')
         .map_or((path, None), |(name, rest)| (name, Some(rest)));
-    let (name, list) = name
+    let (name, is_list) = name
         .strip_suffix("[]")
         .map_or((name, false), |name| (name, true));
     let Some(rest) = rest else {
@@ -76,19 +76,19 @@
         return;
     };
     let table = json!({"type": "object", "additionalProperties": false, "properties": {}});
-    let fresh = if list {
+    let new_node = if is_list {
         json!({"type": "array", "items": table})
     } else {
         table
     };
-    let below = into.entry(name).or_insert(fresh);
-    let below = if list { &mut below["items"] } else { below };
-    if let Some(properties) = below["properties"].as_object_mut() {
+    let child = into.entry(name).or_insert(new_node);
+    let child = if is_list { &mut child["items"] } else { child };
+    if let Some(properties) = child["properties"].as_object_mut() {
         insert(properties, rest, key);
     }
 }
 
-/// A JSON schema of the same.
+/// JSON schema of the configuration.
 pub fn schema() -> Value {
     let mut properties = Map::new();
     KEYS.iter()
--- a/crates/dispatcher/settings/src/units.rs
+++ b/crates/dispatcher/settings/src/units.rs
@@ -1,11 +1,11 @@
-//! Figures with units as text.
+//! Numbers with units in text.
 
-/// A length of time in seconds: '250ms', '1.5s', '2m', '1h', '40us'.
-pub fn seconds(text: &str) -> Option<f64> {
+/// Parses a duration and returns seconds: '250ms', '1.5s', '2m', '1h', '40us'.
+pub fn parse_seconds(text: &str) -> Option<f64> {
     let text = text.trim();
-    let at = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let number: f64 = text[..at].trim().parse().ok()?;
-    let unit = match text[at..].trim() {
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let number: f64 = text[..unit_start].trim().parse().ok()?;
+    let unit = match text[unit_start..].trim() {
         "us" => 1e-6,
         "ms" => 1e-3,
         "s" => 1.0,
@@ -17,14 +17,14 @@
     (seconds.is_finite() && seconds >= 0.0).then_some(seconds)
 }
 
-/// A size in bytes: '48MiB', '64KiB', '512'.
-pub fn bytes(text: &str) -> Option<u64> {
+/// Parses a size and returns bytes: '48MiB', '64KiB', '512'.
+pub fn parse_bytes(text: &str) -> Option<u64> {
     let text = text.trim();
-    let at = text
+    let unit_start = text
         .find(|c: char| c.is_ascii_alphabetic())
         .unwrap_or(text.len());
-    let number: f64 = text[..at].trim().parse().ok()?;
-    let unit = match text[at..].trim() {
+    let number: f64 = text[..unit_start].trim().parse().ok()?;
+    let unit = match text[unit_start..].trim() {
         "" | "B" => 1.0,
         "KiB" => 1024.0,
         "MiB" => 1048576.0,
