--- a/crates/dispatcher/settings/tests/stories.rs
+++ b/crates/dispatcher/settings/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories of configurations, good and bad.
+//! Valid and invalid configurations: their values, findings, layers and units.
 
 use sagetrail_settings::*;
 use serde_json::json;
@@ -36,7 +36,7 @@
 at = "10.0.0.2:7001"
 "#;
 
-fn told(text: &str) -> Result<Configuration, Vec<String>> {
+fn read_text(text: &str) -> Result<Configuration, Vec<String>> {
     read(&Layers {
         file: "f".to_string(),
         text: text.to_string(),
@@ -46,12 +46,12 @@
 
 fn faults(from: &str, to: &str) -> Vec<String> {
     assert!(GOOD.contains(from), "{from}");
-    told(&GOOD.replacen(from, to, 1)).expect_err(to)
+    read_text(&GOOD.replacen(from, to, 1)).expect_err(to)
 }
 
 #[test]
-fn a_good_one_is_the_platforms_page_in_other_words() {
-    let read = told(GOOD).unwrap();
+fn a_valid_configuration_yields_the_page_of_the_platform() {
+    let read = read_text(GOOD).unwrap();
     let settings = &read.page["settings"];
     assert_eq!(read.page["limits"], json!({"sockets": 512}));
     assert_eq!(settings["Limits"]["DialTimeoutUs"], json!(500_000));
@@ -65,10 +65,10 @@
     let fleet = read.fleet.unwrap();
     assert_eq!(
         (
-            fleet.me,
+            fleet.own_index,
             fleet.members.len(),
             fleet.caps["pay"],
-            fleet.resends
+            fleet.max_resends
         ),
         (0, 2, 3, Some(20))
     );
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_with_place_and_reason_and_all_of_it_at_once() {
+fn all_faults_are_reported_at_once_with_position_and_reason() {
     assert_eq!(
         faults("dial =", "dail ="),
         ["f:9: limits.dail: not a key; did you mean 'dial'?"]
@@ -85,18 +85,18 @@
         faults("[limits]", "[limit]")[0],
         "f:7: limit: not a key; did you mean 'limits'?"
     );
-    let wrong = faults(
+    let findings = faults(
         "sockets = 512\ndial = \"0.5s\"",
         "sockets = \"x\"\ndial = \"0.5 parsec\"",
     );
-    assert_eq!(wrong.len(), 2, "{wrong:?}");
+    assert_eq!(findings.len(), 2, "{findings:?}");
     assert!(
-        wrong[0].starts_with("f:9: limits.dial: \"0.5 parsec\" is no length of time"),
-        "{wrong:?}"
+        findings[0].starts_with("f:9: limits.dial: \"0.5 parsec\" is no length of time"),
+        "{findings:?}"
     );
     assert!(
-        wrong[1].starts_with("f:8: limits.sockets: \"x\" is not a whole number"),
-        "{wrong:?}"
+        findings[1].starts_with("f:8: limits.sockets: \"x\" is not a whole number"),
+        "{findings:?}"
     );
     assert!(faults("zone = \"south\"", "zone = \"west\"")[0].contains("'west' is not in zones"));
     assert!(faults("due = \"500ms\"", "due = \"5s\"")[0].contains("after the expiry"));
@@ -109,27 +109,27 @@
         faults("name = \"render\"", "name = \"render\"\nname = \"again\"")[0].starts_with("f:12:")
     );
     assert!(faults("[limits]", "[limits")[0].starts_with("f:7:"));
-    assert!(told("")
+    assert!(read_text("")
         .unwrap_err()
         .iter()
         .any(|line| line.contains("listen: it is missing")));
-    assert!(told(&"#".repeat(2 << 20)).unwrap_err()[0].contains("no configuration"));
+    assert!(read_text(&"#".repeat(2 << 20)).unwrap_err()[0].contains("no configuration"));
 }
 
 #[test]
-fn settings_in_the_platforms_words_and_own_keys_contradict_each_other() {
+fn platform_settings_together_with_other_keys_are_rejected() {
     let both = GOOD.replacen("[fleet]", "[settings]\nKinds = []\n[fleet]", 1);
-    let wrong = told(&both).unwrap_err();
+    let findings = read_text(&both).unwrap_err();
     assert!(
-        wrong
+        findings
             .iter()
             .any(|line| line.contains("contradicts 'settings'")),
-        "{wrong:?}"
+        "{findings:?}"
     );
 }
 
 #[test]
-fn a_later_layer_goes_before_an_earlier_one() {
+fn a_later_layer_takes_precedence() {
     let layers = |environment: &[(&str, &str)], flags: &[&str]| Layers {
         agreed: String::new(),
         file: "f".to_string(),
@@ -153,16 +153,15 @@
     assert_eq!(read.values["listen"].origin, Origin::Flag);
     assert_eq!(read.page["limits"]["sockets"], json!(99));
     assert!(!read.fleet.unwrap().sharing);
-    let wrong =
+    let findings =
         sagetrail_settings::read(&layers(&[("SAGETRAIL_LISEN", "x")], &["limits"])).unwrap_err();
-    assert!(
-        wrong[0].contains("environment SAGETRAIL_LISEN: lisen: not a key; did you mean 'listen'?")
-    );
-    assert!(wrong[1].contains("it is not KEY=VALUE"), "{wrong:?}");
+    assert!(findings[0]
+        .contains("environment SAGETRAIL_LISEN: lisen: not a key; did you mean 'listen'?"));
+    assert!(findings[1].contains("it is not KEY=VALUE"), "{findings:?}");
 }
 
 #[test]
-fn units_are_read_and_nothing_else() {
+fn only_known_units_are_accepted() {
     for (text, s) in [
         ("250ms", Some(0.25)),
         ("1.5 s", Some(1.5)),
@@ -172,7 +171,7 @@
         ("ms", None),
         ("1d", None),
     ] {
-        assert_eq!(seconds(text), s, "{text}");
+        assert_eq!(parse_seconds(text), s, "{text}");
     }
     for (text, n) in [
         ("48MiB", Some(48 << 20)),
@@ -180,13 +179,13 @@
         ("1kb", None),
         ("-3", None),
     ] {
-        assert_eq!(bytes(text), n, "{text}");
+        assert_eq!(parse_bytes(text), n, "{text}");
     }
 }
 
 #[test]
-fn page_and_schema_name_every_key() {
-    let (page, schema) = (page(), schema());
+fn reference_page_and_schema_contain_every_key() {
+    let (page, schema) = (reference_page(), schema());
     for key in KEYS {
         assert!(
             page.contains(&format!("| `{}` |", key.path)),
--- a/crates/testing/fault-testing/src/main.rs
+++ b/crates/testing/fault-testing/src/main.rs
@@ -169,7 +169,7 @@
                 .iter()
                 .for_each(|(name, on, what)| println!("  {name:<14} {on:<11} {what}"));
             println!("broken variants:");
-            let all = sagetrail_settings::BROKEN.iter();
+            let all = sagetrail_settings::BROKEN_VARIANTS.iter();
             all.for_each(|(name, breaks, how)| println!("  {name:<18} {breaks:<15} {how}"));
             Ok(0)
         }
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -159,11 +159,13 @@
         }
     }
     if let Some(broken) = &options.broken {
-        if !sagetrail_settings::BROKEN
+        if !sagetrail_settings::BROKEN_VARIANTS
             .iter()
             .any(|(name, ..)| name == broken)
         {
-            let names = sagetrail_settings::BROKEN.iter().map(|(name, ..)| *name);
+            let names = sagetrail_settings::BROKEN_VARIANTS
+                .iter()
+                .map(|(name, ..)| *name);
             let hint = sagetrail_settings::nearest(broken, names)
                 .map(|hint| format!("; did you mean '{hint}'?"));
             return Err(Bad(format!(
--- a/crates/testing/fault-testing/src/scenario.rs
+++ b/crates/testing/fault-testing/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::names::{Cast, MOST_DISPATCHERS, MOST_RUNNERS};
 use crate::schedule::{schedule, WHATS};
-use sagetrail_settings::{nearest, seconds};
+use sagetrail_settings::{nearest, parse_seconds};
 use serde::{Deserialize, Deserializer};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -28,7 +28,7 @@
         let said = |_| {
             serde::de::Error::custom(format!("'{text}' is no length of time, such as \"250ms\""))
         };
-        seconds(&text).map(Time).ok_or(()).map_err(said)
+        parse_seconds(&text).map(Time).ok_or(()).map_err(said)
     }
 }
 
