--- a/crates/dispatcher/dispatcher/src/clients.rs
+++ b/crates/dispatcher/dispatcher/src/clients.rs
@@ -294,7 +294,7 @@
     stream.shutdown().await?;
     let mut rest = [0; 1024];
     if max_s <= 0.0 {
-        // Without a timer, which would delay the release of the permit and hold up whole rounds of idle connections.
+        // No timer is used here: it would delay the release of the permit and hold up whole rounds of idle connections.
         for _ in 0..64 {
             if !matches!(stream.try_read(&mut rest), Ok(1..)) {
                 break;
--- a/crates/dispatcher/dispatcher/src/discovery.rs
+++ b/crates/dispatcher/dispatcher/src/discovery.rs
@@ -92,7 +92,7 @@
 }
 
 /// Waits until the given time; forever if there is none.
-async fn sleep_until_set(at: Option<Instant>) {
+async fn sleep_until_due(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => pending().await,
@@ -196,7 +196,7 @@
                     source.fault_count.set((source.fault_count.get() + 1).min(16));
                     reread_at = Some(Instant::now() + Duration::from_secs_f64(self.reread_offset_s + pause_s));
                 }
-                () = sleep_until_set(reread_at) => {
+                () = sleep_until_due(reread_at) => {
                     reread_at = None;
                     previous = open.take().or(previous);
                     open = Some(self.open(source.clone()));
--- a/crates/dispatcher/dispatcher/tests/broken_files/mod.rs
+++ b/crates/dispatcher/dispatcher/tests/broken_files/mod.rs
@@ -1,4 +1,4 @@
-//! What makes a good file a bad one: a text that it holds, and what stands in its place.
+//! Changes that make a valid file invalid: a text in the file, and its replacement.
 
 /// Changes of `examples/fleet/d1.toml`, one for each kind of value and rule.
 pub(crate) const BROKEN: [(&str, &str); 39] = [
--- a/crates/dispatcher/dispatcher/tests/cli_output.rs
+++ b/crates/dispatcher/dispatcher/tests/cli_output.rs
@@ -1,5 +1,5 @@
-//! What each command of the program prints and how it ends, by the committed examples, as kept in `fixtures/cli/`.
-//! All commands run in the repository's root, so that files are named as a reader would name them.
+//! Output and exit status of each command of the program with the committed examples. The expected texts are in
+//! `fixtures/cli/`. All commands run in the root of the repository, so that files have the same names as for a reader.
 
 mod broken_files;
 
@@ -14,7 +14,7 @@
 const REFERENCE: &str = "docs/configuration.md";
 const EXAMPLE: &str = "examples/fleet/d1.toml";
 const PLAN: &str = "examples/plan.toml";
-/// Files that a dispatcher can be started by, and one that belongs to another program.
+/// Files with which a dispatcher can be started, and one that belongs to another program.
 const FILES: [&str; 7] = [
     "examples/fleet/d1.toml",
     "examples/fleet/d2.toml",
@@ -24,7 +24,7 @@
     "deploy/fleet.toml",
     "examples/rig/calm.toml",
 ];
-/// The commands, and those below them.
+/// All commands and their subcommands.
 const COMMANDS: [&str; 26] = [
     "",
     "run",
@@ -59,7 +59,7 @@
     Path::new(KEPT).join(name)
 }
 
-/// The program with these words and settings of the environment, and nothing of the test's own environment.
+/// Runs the program with these arguments and environment variables, and none of the environment of the test.
 fn run_in(environment: &[(&str, &str)], words: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sagetrail"))
         .args(words)
@@ -74,7 +74,7 @@
     run_in(&[], words)
 }
 
-/// What was printed and the exit status.
+/// Output and exit status as text.
 fn told(output: &Output) -> String {
     format!(
         "exit status {}\n-- standard output\n{}-- standard error\n{}",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_check_of_each_committed_file() {
+fn check_of_each_committed_file() {
     let mut transcript = Transcript::default();
     for file in FILES {
         add(&mut transcript, &["check", file]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_configuration_in_force_by_each_committed_file() {
+fn show_config_of_each_committed_file() {
     let mut transcript = Transcript::default();
     for file in FILES {
         add(&mut transcript, &["show-config", "--config", file]);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_check_of_each_broken_file() {
+fn check_of_each_broken_file() {
     let folder = own_folder();
     let mut transcript = Transcript::default();
     for (n, (from, to)) in BROKEN.iter().enumerate() {
@@ -185,12 +185,12 @@
     format!("check with '{to}' in place of '{from}'")
 }
 
-/// A text with the folder of a test's own files masked.
+/// Masks the folder of the files of a test.
 fn without_folder(text: &str, folder: &Path) -> String {
     text.replace(folder.to_str().unwrap(), "(folder)")
 }
 
-/// An empty folder for a test's own files.
+/// Creates an empty folder for the files of a test.
 fn own_folder() -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("broken-files");
     let _ = std::fs::remove_dir_all(&folder);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn the_reference_is_the_page_in_the_docs() {
+fn reference_equals_the_page_in_the_docs() {
     let output = run(&["reference"]);
     assert_kept(
         Path::new(ROOT).join(REFERENCE),
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn the_schema_is_the_one_in_deploy() {
+fn schema_equals_the_one_in_deploy() {
     let output = run(&["reference", "--schema"]);
     assert_kept(
         Path::new(ROOT).join(SCHEMA),
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn the_help_of_each_command() {
+fn help_of_each_command() {
     let mut transcript = Transcript::default();
     for command in COMMANDS {
         let words: Vec<&str> = command.split_whitespace().chain(["--help"]).collect();
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn the_completions_for_two_shells() {
+fn completions_for_two_shells() {
     for shell in SHELLS {
         let mut transcript = Transcript::default();
         add(&mut transcript, &["completions", shell]);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_plan_of_each_committed_file() {
+fn plan_of_each_committed_file() {
     let page = Path::new(env!("CARGO_TARGET_TMPDIR")).join("plan.html");
     let mut transcript = Transcript::default();
     for file in [PLAN, EXAMPLE, "deploy/fleet.toml"] {
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_start_that_cannot_be() {
+fn starts_that_fail() {
     let mut transcript = Transcript::default();
     for words in [
         &[][..],
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_door_that_is_not_there() {
+fn calls_of_an_unreachable_admin_api() {
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = free.local_addr().unwrap().to_string();
     drop(free);
--- a/crates/dispatcher/dispatcher/tests/crossings/attempts.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: what reaches a runner, and what is made of its answer.
+//! Attempts: what reaches a runner, and how its response is treated.
 
 use crate::stage::*;
 
 #[test]
-fn what_a_client_says_to_the_runner_goes_on_with_every_attempt() {
+fn end_to_end_headers_are_forwarded_with_every_attempt() {
     let stage = Stage::start(2);
     let mut client = stage.client();
     client.send(
@@ -38,7 +38,7 @@
     }
 }
 
-/// A stage that knows no runner yet, and whose connections may take long to come up.
+/// Starts a stage without known runners, where establishing a connection may take long.
 fn slow_dials(change: impl Fn(String) -> String) -> (Stage, Watch) {
     let dials = |page: String| {
         change(page.replace(r#""DialTimeoutUs":250000"#, r#""DialTimeoutUs":4000000"#))
@@ -49,17 +49,17 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_begins_nothing_for_a_client_that_left() {
+fn a_late_connection_sends_nothing_for_a_disconnected_client() {
     for may_cancel in ["true", "false"] {
         let says = format!(r#""MayCancel":{may_cancel}"#);
         let (stage, watch) = slow_dials(|page| page.replace(r#""MayCancel":true"#, &says));
-        let late = Late::start("s-0");
+        let late = UnreachableRunner::start("s-0");
         watch.tell(42, true, &[late.entry("Ready")]);
         pause(100);
         let (mut leaves, mut stays) = (stage.client(), stage.client());
-        leaves.hand_in("rerun", "8000m");
+        leaves.submit("rerun", "8000m");
         pause(100);
-        let id = stays.hand_in("rerun", "8000m");
+        let id = stays.submit("rerun", "8000m");
         pause(100);
         drop(leaves);
         let runner = late.open();
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_begins_nothing_at_an_address_left_behind() {
+fn a_late_connection_sends_nothing_to_a_former_address() {
     let (stage, watch) = slow_dials(|page| page);
-    let (late, moved) = (Late::start("s-0"), Runner::start("s-0"));
+    let (late, moved) = (UnreachableRunner::start("s-0"), Runner::start("s-0"));
     watch.tell(42, true, &[late.entry("Ready")]);
     pause(100);
     let mut client = stage.client();
-    let id = client.hand_in("once", "9000m");
+    let id = client.submit("once", "9000m");
     pause(100);
     watch.tell(43, false, &[moved.entry("Ready", 0)]);
     pause(100);
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_begins_nothing_at_a_runner_that_drains() {
+fn a_late_connection_sends_nothing_to_a_draining_runner() {
     let (stage, watch) = slow_dials(|page| page);
-    let late = Late::start("s-0");
+    let late = UnreachableRunner::start("s-0");
     watch.tell(42, true, &[late.entry("Ready")]);
     pause(100);
     let mut client = stage.client();
-    client.hand_in("rerun", "9000m");
+    client.submit("rerun", "9000m");
     pause(100);
     watch.tell(43, false, &[late.entry("Terminating")]);
     pause(200);
@@ -104,25 +104,25 @@
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_begun() {
+fn a_late_connection_sends_no_retry_after_the_deduplication_window() {
     let keyed = |page: String| {
         let page = page.replace("non_idempotent", "idempotency_key");
         let page = page.replace(r#""WindowUs":5000000"#, r#""WindowUs":900000"#);
-        // Two attempts: silence does not end the second.
+        // With two attempts silence does not end the second one.
         page.replace(r#""MostHandOffs":6"#, r#""MostHandOffs":2"#)
     };
     let (stage, watch) = slow_dials(keyed);
-    let (first, late) = (Runner::start("s-0"), Late::start("s-1"));
+    let (first, late) = (Runner::start("s-0"), UnreachableRunner::start("s-1"));
     watch.tell(42, true, &[first.entry("Ready", 0)]);
     pause(100);
     let mut client = stage.client();
-    client.hand_in("once", "9000m");
+    client.submit("once", "9000m");
     let handed = first.next();
     watch.tell(43, false, &[late.entry("Ready")]);
     pause(100);
     handed.close();
     pause(100);
-    // It comes up at the system's next try, a second after the first.
+    // The connection is established at the next try of the system, a second after the first.
     let other = late.open();
     assert_eq!(
         client.answer().status(),
@@ -133,15 +133,16 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_proves_nothing_about_the_next_request() {
+fn a_late_second_response_is_not_taken_for_one_to_the_next_request() {
     let stage = Stage::start(1);
     let (a, b) = (&stage.runners[0], Runner::start("s-9"));
     let (mut one, mut two) = (stage.client(), stage.client());
-    let first = one.hand_in("once", "6000m");
+    let first = one.submit("once", "6000m");
     let handed = a.next();
-    let decline = |handed: &Handed| handed.answer("503 Service Unavailable", "Srv-Declined: 1\r\n");
+    let decline =
+        |handed: &ReceivedRequest| handed.answer("503 Service Unavailable", "Srv-Declined: 1\r\n");
     decline(&handed);
-    let second = two.hand_in("once", "6000m");
+    let second = two.submit("once", "6000m");
     let next = a.next();
     assert_eq!(
         (next.id(), a.connections()),
@@ -160,18 +161,18 @@
 }
 
 #[test]
-fn half_a_line_at_rest_closes_the_connection_before_it_can_spoil_an_answer() {
+fn part_of_a_line_on_an_idle_connection_closes_it() {
     let stage = Stage::start(1);
     let runner = &stage.runners[0];
     let mut client = stage.client();
-    let id = client.hand_in("once", "6000m");
+    let id = client.submit("once", "6000m");
     let handed = runner.next();
     handed.take();
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(client.answer().body, "a");
     handed.say("HTTP/1.1 2");
     assert!(handed.is_closed());
-    let id = client.hand_in("once", "6000m");
+    let id = client.submit("once", "6000m");
     runner.next().take();
     assert_eq!(runner.connections(), 2);
     stage.news(&id, "s-0", r#""done","result":"b""#);
@@ -179,29 +180,29 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_on_a_kept_connection_is_no_sign_that_it_was_dead() {
+fn an_incomplete_response_does_not_count_as_a_stale_connection() {
     let stage = Stage::start(1);
     let runner = &stage.runners[0];
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "6000m");
+    let id = client.submit("rerun", "6000m");
     runner.next().take();
     stage.news(&id, "s-0", r#""done","result":"a""#);
     client.answer();
-    client.hand_in("rerun", "6000m");
+    client.submit("rerun", "6000m");
     let handed = runner.next();
     assert_eq!(runner.connections(), 1, "on the kept one");
     handed.say("HTTP/1.1 202 Acc");
     handed.close();
-    // The runner was there: it is passed over for a moment, as after any reset.
+    // The runner was reachable. It is avoided for a moment, as after any reset.
     runner.nothing(500);
-    // What may have run and may not run twice is written off.
+    // A work item that may have run and must not run twice is written off.
     let mut other = stage.client();
     runner.next().take();
-    let id = other.hand_in("once", "6000m");
+    let id = other.submit("once", "6000m");
     runner.next().take();
     stage.news(&id, "s-0", r#""done","result":"a""#);
     other.answer();
-    other.hand_in("once", "6000m");
+    other.submit("once", "6000m");
     let handed = runner.next();
     handed.say("HTTP/1.1 503 Service Unavailable\r\nSrv-Decli");
     handed.close();
@@ -209,10 +210,10 @@
 }
 
 #[test]
-fn a_202_that_crosses_the_giving_up_is_answered_with_a_word_before_another_attempt() {
+fn a_202_that_crosses_the_close_leads_to_a_cancellation_before_a_retry() {
     let stage = Stage::start(2);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "6000m");
+    let id = client.submit("rerun", "6000m");
     let (handed, slow, other) = match stage.runners[0].poll(300) {
         Some(handed) => (handed, &stage.runners[0], &stage.runners[1]),
         None => (
@@ -234,13 +235,13 @@
 }
 
 #[test]
-fn a_word_that_comes_once_more_does_not_end_the_next_attempt_at_the_same_runner() {
+fn a_repeated_callback_does_not_end_the_next_attempt_at_the_same_runner() {
     let stage = Stage::of(1, 1024, |page| {
         page.replace(r#""DueTimeUs":600000"#, r#""DueTimeUs":3000000"#)
     });
     let runner = &stage.runners[0];
     let mut client = stage.client();
-    let id = client.hand_in("once", "9000m");
+    let id = client.submit("once", "9000m");
     runner.next().take();
     assert_eq!(stage.news(&id, "s-0", r#""returned""#), 204);
     let again = runner.next();
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn a_new_process_sends_nothing_to_a_cold_runner_until_what_went_before_is_past() {
+fn a_new_process_sends_nothing_to_a_cold_runner_until_earlier_work_has_ended() {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
@@ -265,7 +266,7 @@
         page.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{now}"#))
     });
     let mut client = stage.client();
-    client.hand_in("rerun", "9000m");
+    client.submit("rerun", "9000m");
     stage.runners[0].nothing(600);
     stage.runners[0].next();
 }
--- a/crates/dispatcher/dispatcher/tests/crossings/clients.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/clients.rs
@@ -1,10 +1,10 @@
-//! Clients: what they send too early, and how their leaving is heard of.
+//! Clients: pipelined requests, and how a disconnection is noticed.
 
 use crate::stage::*;
 use std::net::Shutdown;
 
 #[test]
-fn a_request_read_ahead_that_cannot_be_read_leaves_the_one_in_hand_its_answer() {
+fn an_invalid_pipelined_request_does_not_affect_the_one_before() {
     let stage = Stage::start(1);
     let mut client = stage.client();
     let (id, text) = job("rerun", "6000m");
@@ -20,12 +20,13 @@
     assert!(client.read().is_none());
 }
 
+/// Unread bytes would hide the end of the connection, and the attempt would go on.
 #[test]
-fn a_client_that_sends_much_and_goes_has_left() {
+fn a_client_that_pipelines_much_and_disconnects_is_noticed() {
     let stage = Stage::start(1);
     for more in [1, 30, 3000] {
         let mut client = stage.client();
-        client.hand_in("rerun", "9000m");
+        client.submit("rerun", "9000m");
         let handed = stage.runners[0].next();
         for _ in 0..more {
             client.send(&job("rerun", "9000m").1);
@@ -37,10 +38,10 @@
 }
 
 #[test]
-fn a_client_that_says_the_end_has_left() {
+fn a_half_closed_connection_counts_as_disconnected() {
     let stage = Stage::start(1);
     let mut client = stage.client();
-    client.hand_in("rerun", "9000m");
+    client.submit("rerun", "9000m");
     let handed = stage.runners[0].next();
     client.stream.shutdown(Shutdown::Write).unwrap();
     assert!(handed.is_closed());
@@ -48,10 +49,10 @@
 }
 
 #[test]
-fn a_flood_behind_a_request_costs_its_sender_the_connection_and_nobody_else() {
+fn a_flood_of_pipelined_requests_closes_only_its_own_connection() {
     let stage = Stage::start(1);
     let (mut floods, mut other) = (stage.client(), stage.client());
-    let id = floods.hand_in("rerun", "9000m");
+    let id = floods.submit("rerun", "9000m");
     let runner = &stage.runners[0];
     runner.next().take();
     let (second, text) = job("rerun", "9000m");
@@ -59,7 +60,7 @@
     for _ in 0..40 {
         floods.send(&"GET /health/live HTTP/1.1\r\n\r\n".repeat(1000));
     }
-    let theirs = other.hand_in("once", "6000m");
+    let theirs = other.submit("once", "6000m");
     runner.next().take();
     stage.news(&theirs, "s-0", r#""done","result":"other""#);
     assert_eq!(other.answer().body, "other");
@@ -76,19 +77,19 @@
 }
 
 #[test]
-fn many_that_leave_while_their_work_is_held_cost_no_attempt() {
+fn work_items_of_disconnected_clients_are_not_sent() {
     let stage = Stage::start(1);
     let runner = &stage.runners[0];
     let mut stays = stage.client();
-    let id = stays.hand_in("once", "9000m");
+    let id = stays.submit("once", "9000m");
     runner.next().take();
     let mut held: Vec<Client> = (0..40).map(|_| stage.client()).collect();
     held.iter_mut()
-        .for_each(|client| _ = client.hand_in("once", "9000m"));
-    let mut out: Vec<Handed> = std::iter::from_fn(|| runner.poll(300)).collect();
+        .for_each(|client| _ = client.submit("once", "9000m"));
+    let mut out: Vec<ReceivedRequest> = std::iter::from_fn(|| runner.poll(300)).collect();
     assert!(out.len() < 40, "some are held");
     out.drain(..).for_each(|handed| handed.take());
-    // The word that makes room and all who leave are there at once when the process goes on.
+    // The callback that frees a slot and the disconnections are all there when the process resumes.
     let mut news = stage.client();
     stage.signal("-STOP");
     let body = format!(r#"{{"id":"{id}","from":"s-0","state":"done","result":"a"}}"#);
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn requests_behind_the_next_wait_their_turn_whole() {
+fn pipelined_requests_are_answered_in_order_and_completely() {
     let stage = Stage::start(1);
     let runner = &stage.runners[0];
     let mut client = stage.client();
@@ -119,7 +120,7 @@
     let (first, rest) = jobs.split_first().unwrap();
     client.send(&first.1);
     let handed = runner.next();
-    // The last one is half there when the first answer comes.
+    // Half of the last request has arrived when the first response is sent.
     let behind: String = rest.iter().map(|(_, text)| text.as_str()).collect();
     let (now, later) = behind.split_at(behind.len() - 30);
     client.send(now);
--- a/crates/dispatcher/dispatcher/tests/crossings/idle.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections: bytes that cross their close, and many of them.
+//! Idle connections: requests that cross their close, and a large number of them.
 
 use crate::stage::*;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 const READY: &str = "GET /health/ready HTTP/1.1\r\n\r\n";
 
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_meets_a_plain_end() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_gets_no_reset() {
     let stage = Stage::of(1, 1024, |page| {
         page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#)
     });
@@ -14,17 +14,17 @@
     assert_eq!(idle.send(READY).answer().status(), 200);
     stage.term();
     assert!(idle.read().is_none(), "it ends between two requests");
-    idle.hand_in("rerun", "4000m");
-    // A reset would be here by now, and would take along what its client had not read yet.
+    idle.submit("rerun", "4000m");
+    // A reset would have arrived by now, and would have discarded what the client had not read yet.
     pause(50);
     assert!(idle.stream.take_error().unwrap().is_none());
-    idle.hand_in("rerun", "4000m");
+    idle.submit("rerun", "4000m");
     assert!(idle.read().is_none());
     stage.runners[0].nothing(100);
 }
 
 #[test]
-fn idle_clients_that_fill_all_places_keep_nobody_out_while_discovery_is_down() {
+fn idle_connections_block_nobody_while_discovery_is_down() {
     let mut stage = Stage::with(1, 64);
     let down = free();
     let former = stage.list.watch();
@@ -36,14 +36,14 @@
     );
     pause(200);
     drop(former);
-    // Idle on purpose: each has served once.
+    // Each connection is idle after one request.
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..100 {
         idle.push(stage.client());
         idle.last_mut().unwrap().send(READY).read();
     }
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "9000m");
+    let id = client.submit("rerun", "9000m");
     stage.runners[0].next().take();
     assert_eq!(
         stage.news(&id, "s-0", r#""done","result":"a""#),
@@ -58,7 +58,7 @@
     assert!(back.elapsed().as_secs_f64() < 5.5, "{:?}", back.elapsed());
     pause(200);
     let mut client = stage.client();
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     assert_eq!(client.answer().status(), 503);
     stage.term();
     let (_, log) = stage.ended();
--- a/crates/dispatcher/dispatcher/tests/crossings/shutdown.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/shutdown.rs
@@ -1,9 +1,9 @@
-//! The end of the process, and what crosses it.
+//! Shutdown of the process, and events that cross it.
 
 use crate::stage::*;
 use std::time::Instant;
 
-/// One of two: it sends its clients away while nearly any job still ends here.
+/// Starts one of two dispatchers, which moves its clients away while nearly every job can still finish here.
 fn one_of_two() -> Stage {
     Stage::of(1, 1024, |page| {
         page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#)
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_request_half_read_when_connections_are_let_go_is_served() {
+fn a_partly_read_request_is_served_during_shutdown() {
     let mut stage = one_of_two();
     let (mut idle, mut half) = (stage.client(), stage.client());
     let (id, text) = job("rerun", "9000m");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_request_never_whole_does_not_hold_the_end_up_past_its_time() {
+fn an_incomplete_request_does_not_delay_the_shutdown_beyond_its_limit() {
     let mut stage = one_of_two();
     let mut half = stage.client();
     half.send("POST /rerun HTTP/1.1\r\nReq-Id: ab\r\n");
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn a_second_word_to_end_and_one_to_read_anew_change_nothing() {
+fn further_sigterm_and_sighup_signals_do_not_affect_a_shutdown() {
     let mut stage = Stage::start(1);
     let mut client = stage.client();
-    let id = client.hand_in("once", "9000m");
+    let id = client.submit("once", "9000m");
     stage.runners[0].next().take();
     ["-HUP", "-TERM", "-TERM", "-HUP", "-TERM"]
         .iter()
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn told_to_end_before_the_first_list_it_answers_what_it_has_and_ends() {
+fn shutdown_before_the_first_endpoint_list_answers_its_requests() {
     let mut stage = Stage::of(0, 1024, |page| page);
     let mut client = stage.client();
     assert_eq!(
@@ -82,10 +82,10 @@
             .status(),
         503
     );
-    client.hand_in("once", "9000m");
+    client.submit("once", "9000m");
     stage.term();
     assert_eq!(client.answer().status(), 503);
-    client.hand_in("once", "9000m");
+    client.submit("once", "9000m");
     assert_eq!(
         client.answer().status(),
         503,
@@ -96,11 +96,13 @@
     assert_eq!(code, Some(0), "{log}");
 }
 
+/// A request that arrives while the connection is being closed would cause a reset, which discards a response that the
+/// client has not read yet.
 #[test]
-fn an_answer_half_read_at_the_end_is_read_whole() {
+fn a_partly_read_response_is_complete_after_the_shutdown() {
     let mut stage = one_of_two();
     let (mut slow, mut idle) = (stage.client(), stage.client());
-    let id = slow.hand_in("rerun", "9000m");
+    let id = slow.submit("rerun", "9000m");
     stage.runners[0].next().take();
     stage.term();
     assert!(idle.read().is_none());
@@ -109,8 +111,8 @@
         stage.news(&id, "s-0", &format!(r#""done","result":"{long}""#)),
         204
     );
-    // Sent in the moment in which the connection is closed: a reset would take the answer along.
-    slow.hand_in("rerun", "9000m");
+    // This is sent while the connection is being closed: a reset would discard the response.
+    slow.submit("rerun", "9000m");
     let (code, log) = stage.ended();
     assert_eq!(code, Some(0), "{log}");
     assert_eq!(slow.answer().body, long);
--- a/crates/dispatcher/dispatcher/tests/crossings/watch.rs
+++ b/crates/dispatcher/dispatcher/tests/crossings/watch.rs
@@ -1,4 +1,4 @@
-//! Discovery: how soon what changed is heard of, whatever becomes of a call.
+//! Discovery: how soon a change is known, whatever happens to a call.
 
 use crate::stage::*;
 use std::time::{Duration, Instant};
@@ -7,15 +7,15 @@
     page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":300"#)
 }
 
-/// Whether what is handed in now finds no runner.
-fn nowhere_to_go(stage: &Stage) -> bool {
+/// Whether a work item that is submitted now finds no runner.
+fn has_no_runner(stage: &Stage) -> bool {
     let mut client = stage.client();
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     client.answer().status() == 503
 }
 
 #[test]
-fn a_change_that_comes_on_several_lines_is_read() {
+fn a_change_on_several_lines_is_read() {
     let stage = Stage::start(1);
     let watch = stage.list.watch();
     let entry = stage.runners[0]
@@ -29,13 +29,13 @@
         watch.say(line);
     }
     pause(150);
-    assert!(nowhere_to_go(&stage));
+    assert!(has_no_runner(&stage));
     drop(watch);
     assert!(stage.list.watch().asked.contains("index=42 "));
 }
 
 #[test]
-fn a_change_lost_with_a_broken_line_is_asked_for_at_once_while_the_watch_is_read_on() {
+fn a_change_lost_in_an_invalid_line_is_requested_at_once() {
     let stage = Stage::start(1);
     let (watch, start) = (stage.list.watch(), Instant::now());
     watch.say(r#"{"generation":42,"reset":false,"instances":[{"instanceId":"s-"#);
@@ -43,16 +43,16 @@
     let again = stage.list.watch();
     assert!(again.asked.contains("index=41 "), "{}", again.asked);
     assert!(start.elapsed().as_secs_f64() < 1.0, "{:?}", start.elapsed());
-    // Until the new one speaks the old one is heard.
+    // The old watch is read until the new one has been read.
     watch.tell(43, false, &[stage.runners[0].entry("Terminating", 0)]);
     pause(150);
-    assert!(nowhere_to_go(&stage));
+    assert!(has_no_runner(&stage));
     again.tell(43, false, &[stage.runners[0].entry("Terminating", 0)]);
     assert!(watch.is_closed());
 }
 
 #[test]
-fn a_line_that_can_never_be_read_is_not_asked_for_without_end() {
+fn an_invalid_line_does_not_cause_endless_requests() {
     let stage = Stage::start(1);
     let start = Instant::now();
     let mut asked = 0;
@@ -67,19 +67,19 @@
 }
 
 #[test]
-fn late_word_of_before_does_not_make_a_runner_ready_again() {
+fn a_late_update_of_an_earlier_version_does_not_make_a_runner_ready() {
     let stage = Stage::start(1);
     let (watch, runner) = (stage.list.watch(), &stage.runners[0]);
     watch.tell(50, false, &[runner.entry("Terminating", 0)]);
     watch.tell(45, false, &[runner.entry("Ready", 0)]);
     pause(150);
-    assert!(nowhere_to_go(&stage));
+    assert!(has_no_runner(&stage));
     drop(watch);
     assert!(stage.list.watch().asked.contains("index=50 "));
 }
 
 #[test]
-fn a_watch_silent_from_its_first_moment_is_opened_again_without_end_and_without_a_turn() {
+fn a_watch_that_is_silent_from_the_start_is_opened_again_at_once() {
     let stage = Stage::of(1, 1024, of_many);
     let mut held = vec![stage.list.watch()];
     for _ in 0..2 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn among_three_hundred_calls_that_fail_are_made_again_in_time() {
+fn failed_calls_are_repeated_in_time_among_300_dispatchers() {
     let stage = Stage::of(1, 1024, of_many);
     drop(stage.list.watch());
     for most in [3.7, 2.2, 2.2, 2.2] {
@@ -105,8 +105,9 @@
 }
 
 #[test]
-fn a_call_that_waits_for_its_answer_is_not_given_up_for_another() {
-    // Asked again by the settings after 0.6 to 1 s; the answer takes 2.5 s, and comes before it is held for silent.
+fn a_call_that_waits_for_its_response_is_not_replaced() {
+    // The settings have it ask again after 0.6 to 1 s. The response takes 2.5 s and comes before the watch counts as
+    // silent.
     let soon = |page: String| page.replace(r#""MustAskInUs":10000000"#, r#""MustAskInUs":2000000"#);
     let stage = Stage::of(0, 1024, soon);
     let watch = stage.list.watch();
@@ -115,13 +116,13 @@
     watch.tell(42, true, &[runner.entry("Ready", 0)]);
     let mut client = stage.client();
     pause(100);
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     runner.next();
     assert!(!watch.has_ended());
 }
 
 #[test]
-fn where_lists_are_pushed_an_agent_is_asked_before_an_old_list_is_used() {
+fn with_pushed_lists_the_agent_is_asked_before_an_old_list_is_used() {
     let pushed =
         |page: String| page.replace(r#""Discovery":"on_request""#, r#""Discovery":"pushed""#);
     let stage = Stage::of(1, 1024, pushed);
@@ -136,7 +137,7 @@
     );
     watch.tell(42, false, &[stage.runners[0].entry("Terminating", 0)]);
     pause(100);
-    assert!(nowhere_to_go(&stage));
+    assert!(has_no_runner(&stage));
     assert_eq!(
         client
             .send("GET /health/ready HTTP/1.1\r\n\r\n")
@@ -144,7 +145,7 @@
             .status(),
         200
     );
-    // It comes back, and what it has counts at once.
+    // The agent returns, and its updates count at once.
     drop(watch);
     for _ in 0..5 {
         let start = Instant::now();
@@ -155,7 +156,7 @@
             start.elapsed()
         );
     }
-    // Nobody there to ask: the old list is all there is.
+    // No agent can be asked, so the old list is used.
     let stage = Stage::of(1, 1024, |page| {
         let at = page
             .split(r#""discovery":""#)
@@ -169,12 +170,12 @@
     });
     let mut client = stage.client();
     pause(300);
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     stage.runners[0].next();
 }
 
 #[test]
-fn a_new_list_that_is_down_leaves_the_old_one_heard_and_a_third_is_asked_at_once() {
+fn an_unreachable_new_list_leaves_the_old_one_in_use() {
     let stage = Stage::start(2);
     let old = stage.list.watch();
     old.tell(42, false, &[]);
@@ -191,11 +192,11 @@
     stage.reload(&to(third.at));
     let new = third.watch();
     assert!(new.asked.contains("index=0 "));
-    // In the middle of a line the old one is still heard, until the new one has spoken.
+    // In the middle of a line of the new list the old one is still read, until the new one has been read.
     new.say(r#"{"generation":1,"#);
     old.tell(44, false, &[stage.runners[1].entry("Terminating", 0)]);
     pause(100);
-    assert!(nowhere_to_go(&stage));
+    assert!(has_no_runner(&stage));
     new.say(r#""reset":true,"instances":[]}"#);
     assert!(old.is_closed());
 }
--- a/crates/dispatcher/dispatcher/tests/fleet_answers.rs
+++ b/crates/dispatcher/dispatcher/tests/fleet_answers.rs
@@ -1,6 +1,6 @@
-//! What the console of a dispatcher answers that shares with others and keeps a store, as kept in
-//! `fixtures/http/fleet.txt`. It is the only voter, so that all is agreed at once; the
-//! other member is never there.
+//! Replies of the admin API of a dispatcher with a fleet and a store. The expected texts are in
+//! `fixtures/http/fleet.txt`. The dispatcher is the only voter, so every proposal is committed at once; the other
+//! member is never reachable.
 
 #[allow(dead_code)] // Other tests use more of it.
 mod raw;
@@ -14,11 +14,11 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// How the end of a head is shown.
+/// Form in which the end of a header section is shown.
 const HEAD_END: &str = "\\r\\n\n\\r\\n\n";
 const KEPT: &str = "tests/fixtures/http/fleet.txt";
 
-/// The program by a file of the project's own, ended with the test.
+/// The program with a configuration file; it ends with the test.
 struct Program {
     child: Child,
     folder: PathBuf,
@@ -103,7 +103,7 @@
     format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// A text with each number masked, of a disk, a process, a time or a place in the log: they differ from run to run.
+/// Masks each number of a disk, a process, a time or a log position, since they differ from run to run.
 fn without_numbers(text: &str) -> String {
     let line = |line: &str| {
         let words: Vec<String> = line.split(' ').map(without_number).collect();
@@ -112,7 +112,7 @@
     text.split('\n').map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// A word without its number, where it is one, in decimal or hex.
+/// Masks a word that is a number, in decimal or hexadecimal.
 fn without_number(word: &str) -> String {
     let core = word.trim_end_matches(',');
     let has_digit = core.chars().any(|letter| letter.is_ascii_digit());
@@ -123,7 +123,7 @@
     }
 }
 
-/// The length that an answer tells, where its body holds numbers.
+/// Masks the length of a body that holds masked numbers.
 fn without_length(head: &str) -> String {
     let line = |line: &str| match line.strip_prefix("Content-Length: ") {
         Some(_) => "Content-Length: #\\r".to_owned() + "\\n",
@@ -143,13 +143,13 @@
     transcript.add(name, &format!("{head}{HEAD_END}{masked_body}"));
 }
 
-/// Waits until this call's answer holds this text.
+/// Waits until the response to a call contains a text.
 fn until_told(program: &Program, request: &str, text: &str) {
     raw::until(|| exchanged(program.console, request).contains(text));
 }
 
 #[test]
-fn the_console_of_a_lone_voter() {
+fn replies_of_the_admin_api_of_a_single_voter() {
     let program = start();
     program
         .list
--- a/crates/dispatcher/dispatcher/tests/handover.rs
+++ b/crates/dispatcher/dispatcher/tests/handover.rs
@@ -1,7 +1,7 @@
-//! The bytes between the old and the new process of one address. The test plays the one or the other process itself,
-//! on the Unix socket where they meet. Two releases speak to each other in an upgrade.
+//! Bytes between the old and the new process of an address. The test plays one of the two on their Unix socket. Two
+//! releases use this protocol with each other in an upgrade.
 
-#[allow(dead_code)] // The other stories use more of it.
+#[allow(dead_code)] // Other tests use more of it.
 mod stage;
 use sagetrail_dispatch::HandoverState;
 use stage::*;
@@ -14,8 +14,8 @@
 use std::time::Instant;
 
 const HELLO: &str = r#"{"Hello":{"version":1}}"#;
-/// Of the categories and kinds of the page that the stage writes. It comes from the names of their fields and variants
-/// as the code has them: another spelling is another number, and what was learnt is dropped.
+/// Hash of the categories and kinds on the page that the stage writes. It is made from the names of fields and variants
+/// in the code: if one is renamed, the hash differs and learned state is dropped.
 const DEPLOYMENT: u64 = 1_584_305_202_429_849_701;
 
 /// A frame: the length of the text as four bytes, most significant first, and the text.
@@ -33,11 +33,11 @@
     String::from_utf8(text).unwrap()
 }
 
-/// The program beside a socket of its platform, with a list and a runner.
+/// The program with a socket that its platform holds, a list and a runner.
 struct Process {
     child: Child,
     socket: TcpListener,
-    door: SocketAddr,
+    admin_address: SocketAddr,
     folder: PathBuf,
     runner: Runner,
     _list: List,
@@ -51,27 +51,27 @@
     }
 }
 
-/// Where the processes of one address meet.
-fn meeting_place(folder: &std::path::Path, socket: &TcpListener) -> PathBuf {
+/// Path of the socket by which the processes of an address find each other.
+fn socket_path(folder: &std::path::Path, socket: &TcpListener) -> PathBuf {
     folder.join(format!("sagetrail-{}", socket.local_addr().unwrap()))
 }
 
 impl Process {
-    /// `before` is told where the processes meet before the program is started.
+    /// Starts the program. `before` is called first with the path of the socket.
     fn start<T>(before: impl FnOnce(PathBuf) -> T) -> (Process, T) {
         let (list, runner) = (List::start(), Runner::start("s-0"));
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let folder = file().with_extension("tmp");
         std::fs::create_dir(&folder).unwrap();
-        let prepared = before(meeting_place(&folder, &socket));
-        let door = free();
+        let prepared = before(socket_path(&folder, &socket));
+        let admin_address = free();
         let known = [runner.entry("Ready", 0)];
         let page = page(socket.local_addr().unwrap(), list.at, 256, &known);
-        let page = page.replacen('{', &format!(r#"{{"console":"{door}","#), 1);
+        let page = page.replacen('{', &format!(r#"{{"console":"{admin_address}","#), 1);
         let process = Process {
             child: launch_with(Some(socket.as_raw_fd()), &page, &folder),
             socket,
-            door,
+            admin_address,
             folder,
             runner,
             _list: list,
@@ -80,36 +80,36 @@
     }
 
     fn link(&self) -> UnixStream {
-        let (at, start) = (meeting_place(&self.folder, &self.socket), Instant::now());
+        let (at, start) = (socket_path(&self.folder, &self.socket), Instant::now());
         let link = loop {
             match UnixStream::connect(&at) {
                 Ok(link) => break link,
-                Err(why) => assert!(start.elapsed() < LONG, "the program listens: {why}"),
+                Err(why) => assert!(start.elapsed() < MAX_WAIT, "the program listens: {why}"),
             }
             pause(5);
         };
-        link.set_read_timeout(Some(LONG)).unwrap();
+        link.set_read_timeout(Some(MAX_WAIT)).unwrap();
         link
     }
 
-    /// What the platform hears when it asks whether clients may come.
+    /// Status of the readiness check of the platform.
     fn ready(&self) -> u16 {
         let mut client = Client::to(self.socket.local_addr().unwrap());
         client.send("GET /health/ready HTTP/1.1\r\n\r\n");
         client.answer().status()
     }
 
-    /// An operator's call, whose answer is to be read.
+    /// Makes a call of the admin API and returns its response to be read.
     fn call(&self, line: &str) -> BufReader<TcpStream> {
         let start = Instant::now();
         let mut stream = loop {
-            match TcpStream::connect(self.door) {
+            match TcpStream::connect(self.admin_address) {
                 Ok(stream) => break stream,
-                Err(why) => assert!(start.elapsed() < LONG, "a door: {why}"),
+                Err(why) => assert!(start.elapsed() < MAX_WAIT, "a door: {why}"),
             }
             pause(5);
         };
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         let text = format!("{line} HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(text.as_bytes()).unwrap();
         BufReader::new(stream)
@@ -120,7 +120,7 @@
     read(&mut answer).expect("an answer").status()
 }
 
-/// The state of a process that has just started, but for its runner's address.
+/// State of a process that has just started, with the address of its runner.
 fn fresh_state(drained: bool, runner: SocketAddr) -> String {
     format!(
         r#"{{"State":{{"drained":{drained},"deployment":{DEPLOYMENT},"learnt":{{"version":0,"deployment":0,"written":0.0,"usuals":[],"runners":[]}},"runners":[{{"member":{{"id":"s-0","address":"{runner}","kind":0,"zone":0,"cell":0,"started":0.0,"life":"Ready"}},"out":null,"back":null,"spent":[],"evidence":0.0,"resting":null,"rest_s":1.5}}]}}}}"#
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_old_process_tells_its_state_and_does_what_the_new_one_asks() {
+fn the_old_process_sends_its_state_and_carries_out_requests() {
     let (process, ()) = Process::start(|_| ());
     let mut link = process.link();
     send(&mut link, HELLO);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn the_old_process_asks_the_new_one() {
+fn the_old_process_sends_requests_to_the_new_one() {
     let (process, ()) = Process::start(|_| ());
     let mut link = process.link();
     send(&mut link, HELLO);
@@ -198,15 +198,15 @@
 }
 
 #[test]
-fn a_new_process_greets_and_takes_over_what_it_is_told() {
+fn a_new_process_sends_hello_and_applies_the_state() {
     let (process, meeting) = Process::start(|at| UnixListener::bind(at).unwrap());
     let (mut link, _) = meeting.accept().unwrap();
-    link.set_read_timeout(Some(LONG)).unwrap();
+    link.set_read_timeout(Some(MAX_WAIT)).unwrap();
     assert_eq!(receive(&mut link), HELLO);
     let state = fresh_state(true, process.runner.at);
     let state = state.replace(r#""out":null"#, r#""out":1700000000.5"#);
     send(&mut link, &state);
-    // As the process before it, it is drained and its runner is out.
+    // Like its predecessor it is drained, and its runner is out of service.
     assert_eq!(process.ready(), 503);
     let mut next = process.link();
     send(&mut next, HELLO);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn other_versions_are_not_answered() {
+fn other_protocol_versions_get_no_response() {
     let (process, ()) = Process::start(|_| ());
     let mut link = process.link();
     send(&mut link, r#"{"Hello":{"version":2}}"#);
@@ -223,7 +223,7 @@
 
 /// The state on the link is what `sagetrail_dispatch` reads; its own form has a fixture there.
 #[test]
-fn the_state_is_read_by_the_core() {
+fn the_state_is_readable_by_the_dispatch_crate() {
     let state = fresh_state(true, SocketAddr::from(([10, 0, 0, 1], 80)));
     let state = state.strip_prefix(r#"{"State":"#).unwrap();
     let passed: HandoverState = serde_json::from_str(state.strip_suffix('}').unwrap()).unwrap();
--- a/crates/dispatcher/dispatcher/tests/http_answers.rs
+++ b/crates/dispatcher/dispatcher/tests/http_answers.rs
@@ -1,5 +1,5 @@
-//! HTTP of the dispatcher as it stands on the wire: its answers to clients and to runners' call-backs, its health
-//! pages, its operators' console, and its requests to runners and to the list; as kept in `fixtures/http/`.
+//! HTTP of the dispatcher byte by byte: its replies to clients and callbacks, health paths, admin API, and its requests
+//! to runners and discovery. The expected texts are in `fixtures/http/`.
 
 mod raw;
 #[allow(dead_code)] // Other tests use more of it.
@@ -10,7 +10,7 @@
 use stage::{entry, free, Stage};
 use std::net::SocketAddr;
 
-/// The runner of the tests, by the list.
+/// Name of the runner in the endpoint list.
 const RUNNER: &str = "s-0";
 const DONE: &str = r#""done","result":"calm \"sea\"""#;
 
@@ -22,7 +22,7 @@
     page.replacen('{', &format!(r#"{{"console":"{console}","#), 1)
 }
 
-/// A dispatcher that knows one runner, which the test plays byte by byte.
+/// A dispatcher with one runner, which the test plays byte by byte.
 struct Play {
     stage: Stage,
     console: SocketAddr,
@@ -49,7 +49,7 @@
     play_with(|page| page)
 }
 
-/// A work item as a client hands it in.
+/// Request of a client that submits a work item.
 fn work(category: &str, id: &str) -> String {
     format!("POST /{category}?key=7f3a HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nReq-Deadline: 6000m\r\nContent-Length: 5\r\n\r\nwaves")
 }
@@ -82,8 +82,8 @@
 
 const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-/// Hands in a work item on a connection of its own, has its runner answer so and, where a state is given, tell that;
-/// adds what runner and client are answered.
+/// Submits a work item on its own connection. The runner responds with `runner_answers` and, if `state` is given,
+/// reports it. Adds the replies to runner and client.
 fn add_work(transcript: &mut Transcript, request: &str, runner_answers: &str, state: Option<&str>) {
     let play = play();
     let mut client = Connection::to(play.stage.at);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn answers_to_work_by_how_it_ended() {
+fn replies_to_work_items_by_outcome() {
     let mut transcript = Transcript::default();
     let (rerun, once) = (work("rerun", "a1"), work("once", "a1"));
     add_work(&mut transcript, &rerun, TAKEN, Some(DONE));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn answers_to_work_that_is_not_taken() {
+fn replies_to_work_items_that_are_not_accepted() {
     let mut transcript = Transcript::default();
     let play = play_with(|page| page.replace(r#""MostHeld":20000"#, r#""MostHeld":1"#));
     let mut busy = Connection::to(play.stage.at);
@@ -148,7 +148,7 @@
     transcript.assert_kept(kept("deferred"));
 }
 
-/// Requests of clients that are turned down, by name.
+/// Invalid requests of clients, by name.
 fn bad_requests() -> Vec<(&'static str, String)> {
     let item = "POST /rerun HTTP/1.1\r\nReq-Id: ab\r\nReq-Kind: rerun\r\n";
     let long = "x".repeat(20_000);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn answers_to_requests_that_are_turned_down() {
+fn replies_to_rejected_requests() {
     let play = play();
     let mut transcript = Transcript::default();
     for (name, request) in bad_requests() {
@@ -246,14 +246,14 @@
     transcript.assert_kept(kept("turned_down"));
 }
 
-/// Waits until a list's word has been taken up: the console then counts so many runners.
+/// Waits until an update of the endpoint list has been applied: the admin API then counts this number of runners.
 fn until_listed(console: SocketAddr, runners: usize) {
     let line = format!("registry_entries:{runners}|g");
     raw::until(|| exchanged(console, &get("/stats")).contains(&line));
 }
 
 #[test]
-fn health_pages() {
+fn replies_of_the_health_paths() {
     let mut transcript = Transcript::default();
     let (stage, console) = {
         let console = free();
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn the_console() {
+fn replies_of_the_admin_api() {
     let play = play();
     let mut transcript = Transcript::default();
     let at = play.console;
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn the_figures_after_some_work() {
+fn counters_after_some_work() {
     let play = play();
     let mut client = Connection::to(play.stage.at);
     let mut runner = play.runner.connection();
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn requests_to_the_list() {
+fn requests_to_discovery() {
     let list = Listener::start();
     let at = list.at;
     let console = free();
--- a/crates/dispatcher/dispatcher/tests/operators/mod.rs
+++ b/crates/dispatcher/dispatcher/tests/operators/mod.rs
@@ -1,23 +1,26 @@
-//! Stories of the operators' door and what is done through it.
+//! Calls of the admin API and their effects.
 
 use crate::stage::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The program with a door, and where that is.
-fn with_door(runners: usize) -> (Stage, SocketAddr) {
-    let door = free();
-    (Stage::of(runners, 1024, |page| door_in(page, door)), door)
+/// Starts the program with an admin API. Returns its address as well.
+fn start_with_admin_api(runners: usize) -> (Stage, SocketAddr) {
+    let admin_address = free();
+    (
+        Stage::of(runners, 1024, |page| with_admin_api(page, admin_address)),
+        admin_address,
+    )
 }
 
-fn door_in(page: String, door: SocketAddr) -> String {
-    page.replacen('{', &format!(r#"{{"console":"{door}","#), 1)
+fn with_admin_api(page: String, admin_address: SocketAddr) -> String {
+    page.replacen('{', &format!(r#"{{"console":"{admin_address}","#), 1)
 }
 
-/// One call; its answer within the second that a caller waits.
-fn call(door: SocketAddr, line: &str) -> Message {
-    let mut stream = TcpStream::connect(door).unwrap();
+/// Makes a call and returns its response, which must come within a second.
+fn call(admin_address: SocketAddr, line: &str) -> Message {
+    let mut stream = TcpStream::connect(admin_address).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(1)))
         .unwrap();
@@ -43,12 +46,14 @@
 }
 
 #[test]
-fn the_door_answers_while_callers_sit_on_their_connections() {
-    let (stage, door) = with_door(1);
+fn the_admin_api_answers_while_silent_callers_hold_connections() {
+    let (stage, admin_address) = start_with_admin_api(1);
     let start = Instant::now();
-    let silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(door).unwrap()).collect();
+    let silent: Vec<TcpStream> = (0..40)
+        .map(|_| TcpStream::connect(admin_address).unwrap())
+        .collect();
     (&silent[39]).write_all(b"GET /healthcheck HT").unwrap();
-    assert_eq!(call(door, "GET /healthcheck").status(), 200);
+    assert_eq!(call(admin_address, "GET /healthcheck").status(), 200);
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "{:?}",
@@ -61,19 +66,19 @@
         "BAD\u{1} /healthcheck",
     ];
     assert_eq!(
-        lines.map(|line| call(door, line).status()),
+        lines.map(|line| call(admin_address, line).status()),
         [404, 405, 405, 400]
     );
-    // A call that is never whole ends with a word, if nobody has needed its place before.
-    let half = TcpStream::connect(door).unwrap();
+    // A call that is not completed gets a 408, unless its connection was closed to make room before.
+    let half = TcpStream::connect(admin_address).unwrap();
     (&half).write_all(b"GET /healthcheck HT").unwrap();
-    half.set_read_timeout(Some(LONG)).unwrap();
+    half.set_read_timeout(Some(MAX_WAIT)).unwrap();
     assert_eq!(read(&mut BufReader::new(half)).unwrap().status(), 408);
     drop(stage);
 }
 
 #[test]
-fn a_door_that_cannot_be_opened_ends_the_start_with_one_line() {
+fn an_unusable_admin_address_ends_the_start_with_one_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for at in [
         "nowhere".to_string(),
@@ -88,11 +93,11 @@
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_keeps_what_they_are_owed() {
-    let (stage, door) = with_door(1);
+fn a_drain_moves_clients_away_and_answers_their_work_items() {
+    let (stage, admin_address) = start_with_admin_api(1);
     let (mut busy, mut idle) = (stage.client(), stage.client());
     for client in [&mut busy, &mut idle] {
-        let id = client.hand_in("rerun", "4000m");
+        let id = client.submit("rerun", "4000m");
         stage.runners[0].next().take();
         stage.news(&id, "s-0", r#""done","result":"a""#);
         assert_eq!(client.answer().status(), 200);
@@ -107,13 +112,13 @@
         );
     };
     tell(&mut news, "unknown");
-    let id = busy.hand_in("once", "4000m");
+    let id = busy.submit("once", "4000m");
     stage.runners[0].next().take();
     let start = Instant::now();
-    // A word said twice is one word, and a quick change of mind does no harm.
+    // A repeated command has no further effect, and commands in quick succession do no harm.
     for word in ["fail", "fail", "ok", "ok", "fail"] {
         assert_eq!(
-            call(door, &format!("POST /healthcheck/{word}")).status(),
+            call(admin_address, &format!("POST /healthcheck/{word}")).status(),
             200
         );
     }
@@ -141,13 +146,13 @@
         (answer.body.as_str(), answer.header("connection")),
         ("b", Some("close"))
     );
-    // Who comes all the same is served and sent away.
+    // A client that connects nevertheless is served and moved away.
     let mut late = stage.client();
-    let id = late.hand_in("rerun", "4000m");
+    let id = late.submit("rerun", "4000m");
     stage.runners[0].next().take();
     tell(&mut news, &id);
     assert_eq!(late.answer().header("connection"), Some("close"));
-    assert_eq!(call(door, "POST /healthcheck/ok").status(), 200);
+    assert_eq!(call(admin_address, "POST /healthcheck/ok").status(), 200);
     assert_eq!(ready(&stage), 200);
     let mut again = stage.client();
     assert_eq!(
@@ -160,24 +165,24 @@
 }
 
 #[test]
-fn told_to_end_while_drained_it_settles_what_it_has() {
-    let (mut stage, door) = with_door(1);
+fn shutdown_during_a_drain_answers_accepted_work_items() {
+    let (mut stage, admin_address) = start_with_admin_api(1);
     let mut client = stage.client();
-    let id = client.hand_in("once", "4000m");
+    let id = client.submit("once", "4000m");
     stage.runners[0].next().take();
-    call(door, "POST /healthcheck/fail");
+    call(admin_address, "POST /healthcheck/fail");
     stage.term();
     pause(100);
-    call(door, "POST /healthcheck/ok");
+    call(admin_address, "POST /healthcheck/ok");
     assert_eq!(ready(&stage), 503, "the end stays the end");
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(client.answer().status(), 200);
     assert_eq!(stage.ended().0, Some(0));
 }
 
-/// A figure as it is read at the door.
-fn figure(door: SocketAddr, name: &str) -> u64 {
-    let text = call(door, "GET /stats").body;
+/// Value of a counter, read from the admin API.
+fn counter(admin_address: SocketAddr, name: &str) -> u64 {
+    let text = call(admin_address, "GET /stats").body;
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(&format!("edge_relay.{name}:")));
@@ -186,17 +191,17 @@
 }
 
 #[test]
-fn the_figures_agree_with_what_clients_and_runners_saw() {
-    let (stage, door) = with_door(2);
-    let lines = call(door, "GET /stats").body;
+fn counters_agree_with_what_clients_and_runners_observed() {
+    let (stage, admin_address) = start_with_admin_api(2);
+    let lines = call(admin_address, "GET /stats").body;
     assert_eq!(
         lines.lines().filter(|line| line.ends_with(":0|c")).count(),
         7,
         "from the first read on: {lines}"
     );
     let mut seen = 0;
-    let mut hand_in = |client: &mut Client, category, end: Option<&str>| {
-        let id = client.hand_in(category, "6000m");
+    let mut submit = |client: &mut Client, category, end: Option<&str>| {
+        let id = client.submit(category, "6000m");
         let (handed, from) = match stage.runners[0].poll(300) {
             Some(handed) => (handed, "s-0"),
             None => (stage.runners[1].next(), "s-1"),
@@ -209,20 +214,21 @@
     let done = Some(r#""done","result":"a""#);
     let mut clients: Vec<Client> = (0..5).map(|_| stage.client()).collect();
     for client in &mut clients[..3] {
-        hand_in(client, "rerun", done);
+        submit(client, "rerun", done);
         assert_eq!(client.answer().status(), 200);
     }
-    hand_in(&mut clients[3], "once", Some(r#""failed""#));
+    submit(&mut clients[3], "once", Some(r#""failed""#));
     assert_eq!(clients[3].answer().status(), 502);
-    hand_in(&mut clients[4], "once", None);
-    assert_eq!(figure(door, "open_requests"), 1);
-    // Who goes away is no longer in hand; what is no job was never taken.
+    submit(&mut clients[4], "once", None);
+    assert_eq!(counter(admin_address, "open_requests"), 1);
+    // The work item of a client that disconnects is no longer open. A request without a known category was never
+    // accepted.
     clients.pop();
     clients[0].send("POST /nothing HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(clients[0].answer().status(), 404);
     pause(100);
-    assert_eq!(figure(door, "open_requests"), 0);
-    assert_eq!(figure(door, "registry_entries"), 2);
+    assert_eq!(counter(admin_address, "open_requests"), 0);
+    assert_eq!(counter(admin_address, "registry_entries"), 2);
     let drains = [
         stage.runners[0].entry("Ready", 0),
         stage.runners[1].entry("Terminating", 0),
@@ -232,8 +238,8 @@
     pause(150);
     assert_eq!(
         (
-            figure(door, "registry_entries"),
-            figure(door, "out_of_rotation")
+            counter(admin_address, "registry_entries"),
+            counter(admin_address, "out_of_rotation")
         ),
         (2, 1)
     );
@@ -241,13 +247,13 @@
     pause(150);
     assert_eq!(
         (
-            figure(door, "registry_entries"),
-            figure(door, "out_of_rotation")
+            counter(admin_address, "registry_entries"),
+            counter(admin_address, "out_of_rotation")
         ),
         (0, 0)
     );
     let mut client = stage.client();
-    client.hand_in("once", "4000m");
+    client.submit("once", "4000m");
     assert_eq!(client.answer().status(), 503);
     let ends = [
         "rerun.fulfilled",
@@ -257,15 +263,17 @@
         "once.faulted",
     ];
     assert_eq!(
-        ends.map(|end| figure(door, &format!("operations.{end}"))),
+        ends.map(|end| counter(admin_address, &format!("operations.{end}"))),
         [3, 0, 0, 1, 1]
     );
-    assert_eq!(figure(door, "relayed"), seen);
+    assert_eq!(counter(admin_address, "relayed"), seen);
 }
 
+/// A list that names the runner again must not put it back into service, and neither may a connection that is still
+/// open.
 #[test]
-fn a_runner_taken_out_by_hand_gets_not_one_byte_until_it_is_put_back() {
-    let (stage, door) = with_door(2);
+fn a_runner_out_of_service_gets_no_byte_until_it_is_put_back() {
+    let (stage, admin_address) = start_with_admin_api(2);
     let watch = stage.list.watch();
     let name = |call: &str| format!("POST /runners/{call}");
     for unknown in [
@@ -275,13 +283,17 @@
         "s-%ff/maint",
         "/maint",
     ] {
-        assert_eq!(call(door, &name(unknown)).status(), 404, "{unknown}");
+        assert_eq!(
+            call(admin_address, &name(unknown)).status(),
+            404,
+            "{unknown}"
+        );
     }
-    assert_eq!(call(door, "GET /runners/s-0/maint").status(), 405);
+    assert_eq!(call(admin_address, "GET /runners/s-0/maint").status(), 405);
     // A kept connection to each.
     let serve = |only: Option<usize>| {
         let mut client = stage.client();
-        let id = client.hand_in("rerun", "6000m");
+        let id = client.submit("rerun", "6000m");
         let first = only.unwrap_or(0);
         let (handed, from) = match stage.runners[first].poll(300) {
             Some(handed) => (handed, first),
@@ -294,12 +306,15 @@
     };
     let out = serve(None);
     let ban = stage.runners[out].name.replace('-', "%2D");
-    assert_eq!(call(door, &name(&format!("{ban}/maint"))).status(), 200);
+    assert_eq!(
+        call(admin_address, &name(&format!("{ban}/maint"))).status(),
+        200
+    );
     let listed = |started| [0, 1].map(|r| stage.runners[r].entry("Ready", started));
     for generation in 42..45 {
         watch.tell(generation, true, &listed(0));
         assert_eq!(
-            call(door, &name(&format!("{ban}/maint"))).status(),
+            call(admin_address, &name(&format!("{ban}/maint"))).status(),
             200,
             "it may be repeated"
         );
@@ -307,25 +322,30 @@
         for _ in 0..3 {
             assert_eq!(serve(Some(1 - out)), 1 - out);
         }
-        assert_eq!(figure(door, "out_of_rotation"), 1);
+        assert_eq!(counter(admin_address, "out_of_rotation"), 1);
     }
     stage.runners[out].nothing(50);
-    assert_eq!(call(door, &name(&format!("{ban}/ready"))).status(), 200);
-    assert_eq!(figure(door, "out_of_rotation"), 0);
+    assert_eq!(
+        call(admin_address, &name(&format!("{ban}/ready"))).status(),
+        200
+    );
+    assert_eq!(counter(admin_address, "out_of_rotation"), 0);
     assert_eq!(serve(Some(out)), out, "its keys come back");
 }
 
 const DONE: &str = r#""done","result":"a""#;
 
+/// During an upgrade both processes accept connections at the same address, so a callback may reach the process that
+/// does not have the work item.
 #[test]
-fn an_upgrade_loses_no_work_whichever_process_its_news_reach() {
+fn an_upgrade_loses_no_work_item_whichever_process_gets_a_callback() {
     let mut platform = Platform::start(2, 256);
-    // Two upgrades in a row: the second takes over from one that took over itself.
+    // Two successive upgrades: the process that the second one replaces has itself replaced another.
     for _ in 0..2 {
         let mut old = platform.client();
         let mut runner = platform.client();
         assert_eq!(runner.tell("unknown", "s-0", DONE).status(), 204);
-        let first = old.hand_in("once", "6000m");
+        let first = old.submit("once", "6000m");
         let from = |platform: &Platform| match platform.runners[0].poll(300) {
             Some(handed) => (handed.take(), "s-0").1,
             None => (platform.runners[1].next().take(), "s-1").1,
@@ -335,9 +355,10 @@
         platform.upgrade();
         platform.term();
         pause(50);
-        // New clients come to the new process, the old one's stay; each one's news come to the other.
+        // New clients connect to the new process, and those of the old one stay. The callback for each reaches the
+        // other process.
         let mut new = platform.client();
-        let second = new.hand_in("once", "6000m");
+        let second = new.submit("once", "6000m");
         let second_at = from(&platform);
         assert_eq!(
             runner.tell(&second, second_at, DONE).header("connection"),
@@ -361,7 +382,7 @@
 }
 
 #[test]
-fn what_operators_said_holds_over_an_upgrade_and_binds_both_processes() {
+fn operator_commands_persist_over_an_upgrade_and_apply_to_both_processes() {
     let mut platform = Platform::start(2, 256);
     let old = platform.children[0].1;
     platform
@@ -390,20 +411,20 @@
     assert!((0..8).all(|_| ready(&platform) == 200));
     platform.term();
     platform.ended();
-    assert_eq!(figure(new, "out_of_rotation"), 1);
+    assert_eq!(counter(new, "out_of_rotation"), 1);
     let mut client = platform.client();
-    client.hand_in("rerun", "1000m");
+    client.submit("rerun", "1000m");
     assert_eq!(client.answer().status(), 503);
     platform.runners[0].nothing(50);
     assert_eq!(call(new, "POST /runners/s-0/ready").status(), 200);
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     platform.runners[0].next().take();
     platform.client().tell(&id, "s-0", DONE);
     assert_eq!(client.answer().status(), 200);
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_as_it_was() {
+fn the_old_process_keeps_serving_when_the_new_one_dies() {
     let mut platform = Platform::start(1, 256);
     for _ in 0..2 {
         platform.upgrade();
@@ -412,12 +433,12 @@
         new.wait().unwrap();
         pause(50);
         let mut client = platform.client();
-        let id = client.hand_in("once", "6000m");
+        let id = client.submit("once", "6000m");
         platform.runners[0].next().take();
         assert_eq!(platform.client().tell(&id, "s-0", DONE).status(), 204);
         assert_eq!(client.answer().status(), 200);
     }
-    // Who comes next finds it all the same; who comes after a kill starts afresh.
+    // The next process finds the old one all the same; a process that starts after a kill starts without state.
     platform.upgrade();
     platform.term();
     let (code, log) = platform.ended();
@@ -438,7 +459,7 @@
 }
 
 #[test]
-fn two_processes_stay_under_one_limit_of_descriptors() {
+fn two_processes_share_one_limit_of_descriptors() {
     let mut platform = Platform::start(1, 128);
     let mut clients: Vec<Client> = (0..100).map(|_| platform.client()).collect();
     platform.upgrade();
@@ -457,7 +478,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line() {
+fn a_descriptor_that_is_not_a_listening_socket_ends_the_start_with_one_line() {
     use std::os::fd::AsRawFd;
     let connected = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let file_of = std::fs::File::open("/dev/null").unwrap();
@@ -469,11 +490,13 @@
     }
 }
 
+/// To the platform both processes are one dispatcher. If the new process ended first, the work items of its predecessor
+/// would be lost.
 #[test]
-fn a_new_process_told_to_end_outlives_the_one_before_it() {
+fn a_new_process_shuts_down_only_after_its_predecessor() {
     let mut platform = Platform::start(1, 256);
     let mut client = platform.client();
-    let id = client.hand_in("once", "6000m");
+    let id = client.submit("once", "6000m");
     platform.runners[0].next().take();
     platform.upgrade();
     platform.term();
@@ -484,7 +507,7 @@
         .status()
         .unwrap()
         .success());
-    // Longer than it would stay for work of its own.
+    // This is longer than the process would stay for its own work.
     pause(1800);
     assert!(
         platform.children[1].0.try_wait().unwrap().is_none(),
--- a/crates/dispatcher/dispatcher/tests/raw/mod.rs
+++ b/crates/dispatcher/dispatcher/tests/raw/mod.rs
@@ -1,30 +1,30 @@
-//! Connections on which a test sees every byte of HTTP, and the masks of what differs from run to run.
+//! Connections on which a test sees every byte of HTTP, and masks for what differs from run to run.
 
-use crate::stage::LONG;
+use crate::stage::MAX_WAIT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// What is waited for is looked at this often.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// Interval at which a condition is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// One connection, from either side.
+/// A connection that the test has opened or accepted.
 pub(crate) struct Connection {
     stream: Option<TcpStream>,
     read: Vec<u8>,
 }
 
 impl Connection {
-    /// A connection to `at`.
+    /// Connects to `at`.
     pub(crate) fn to(at: SocketAddr) -> Connection {
         Connection::over(TcpStream::connect(at).unwrap())
     }
 
     fn over(stream: TcpStream) -> Connection {
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Connection {
             stream: Some(stream),
@@ -41,7 +41,7 @@
         self.stream().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next message, byte by byte as it came: its head, and a body of the length that it tells.
+    /// Reads the next message byte by byte: its header section and a body of the length that this gives.
     pub(crate) fn message(&mut self) -> String {
         let mut bytes = vec![0; 4096];
         while message_length(&self.read).is_none() {
@@ -54,7 +54,8 @@
         String::from_utf8(std::mem::replace(&mut self.read, rest)).unwrap()
     }
 
-    /// The next message to a listener of the test's, on this connection or, the first time, on the one that comes.
+    /// Reads the next message to a listener of the test, on this connection or, the first time, on the next one that is
+    /// accepted.
     pub(crate) fn next(&mut self, from: &Listener) -> String {
         if self.stream.is_none() {
             *self = from.accepted();
@@ -63,7 +64,7 @@
     }
 }
 
-/// The length of the message that the bytes begin with, once it is whole.
+/// Length of the first message in the bytes, if it is complete.
 fn message_length(bytes: &[u8]) -> Option<usize> {
     let head_end = bytes
         .windows(HEAD_END.len())
@@ -77,8 +78,7 @@
     (bytes.len() >= length).then_some(length)
 }
 
-/// All that is answered to `request` on a connection of its own: up to its end where the other side closes it, the
-/// first answer otherwise.
+/// Sends `request` on its own connection and returns the response.
 pub(crate) fn exchanged(at: SocketAddr, request: &str) -> String {
     let mut connection = Connection::to(at);
     connection.send(request);
@@ -88,13 +88,13 @@
     connection.message()
 }
 
-/// Whether the answer to a request has no body, whatever length it tells.
+/// Whether the response to a request has no body, whatever length it gives.
 fn is_bare(request: &str) -> bool {
     request.starts_with("HEAD ")
 }
 
 impl Connection {
-    /// The next message where it is a head only; nothing may follow it.
+    /// Reads a message without a body, which nothing may follow.
     fn bare_message(&mut self) -> String {
         self.stream().shutdown(std::net::Shutdown::Write).unwrap();
         let mut text = String::new();
@@ -103,7 +103,7 @@
     }
 }
 
-/// A listener of the test's.
+/// A listener of the test.
 pub(crate) struct Listener {
     pub at: SocketAddr,
     came: Receiver<TcpStream>,
@@ -124,7 +124,7 @@
         Listener { at, came }
     }
 
-    /// The next connection that comes, once it is asked for its first message.
+    /// The next connection, accepted when its first message is read.
     pub(crate) fn connection(&self) -> Connection {
         Connection {
             stream: None,
@@ -133,26 +133,30 @@
     }
 
     fn accepted(&self) -> Connection {
-        Connection::over(self.came.recv_timeout(LONG).expect("a connection comes"))
+        Connection::over(
+            self.came
+                .recv_timeout(MAX_WAIT)
+                .expect("a connection comes"),
+        )
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub(crate) fn until(holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LONG, "it comes about");
-        std::thread::sleep(LOOK_AGAIN);
+        assert!(start.elapsed() < MAX_WAIT, "it comes about");
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// A message with its line ends visible and what differs from run to run masked.
+/// Makes line ends visible and masks what differs from run to run.
 pub(crate) fn masked(message: &str) -> String {
     let message = without_ports(&without_times(message));
     message.replace("\r\n", "\\r\\n\n")
 }
 
-/// The ports of loopback addresses are those that the system had free.
+/// Masks the ports of loopback addresses, which the system assigns.
 fn without_ports(text: &str) -> String {
     const LOOPBACK: &str = "127.0.0.1:";
     let mut parts = text.split(LOOPBACK);
@@ -165,8 +169,8 @@
     masked
 }
 
-/// What is left of a deadline, and when to come back, depend on the moment: their digits are masked, one run of them
-/// by one mark before the point and each by its own after it.
+/// Masks the digits of remaining times and retry times, which depend on the moment: those before the point by one mark,
+/// and each one after it by its own.
 fn without_times(text: &str) -> String {
     const TIMES: [&str; 2] = ["Req-Deadline: ", "Retry-After: "];
     let line = |line: &str| match TIMES.iter().find(|name| line.starts_with(**name)) {
--- a/crates/dispatcher/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/dispatcher/tests/sockets.rs
@@ -1,7 +1,7 @@
-//! Stories of the program on its sockets.
+//! The program on real sockets, with a list, runners and clients that the test plays.
 
 mod operators;
-#[allow(dead_code)] // The crossings use more of it.
+#[allow(dead_code)] // Other tests use more of it.
 mod stage;
 use stage::*;
 use std::net::TcpStream;
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 #[test]
-fn a_job_goes_to_a_runner_and_its_result_comes_back() {
+fn a_work_item_is_sent_to_a_runner_and_its_result_is_returned() {
     let stage = Stage::start(1);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     let handed = stage.runners[0].next();
     assert_eq!(handed.message.first, "POST /rerun?key=7f3a HTTP/1.1");
     assert_eq!(
@@ -42,16 +42,18 @@
         (200, "calm \"sea\"")
     );
     // Both connections serve again.
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     stage.runners[0].next();
     assert_eq!(stage.runners[0].connections(), 1);
 }
 
+/// Callbacks travel on another connection than the 202, so they may arrive first, and a runner repeats a callback whose
+/// response it missed.
 #[test]
-fn news_may_come_before_the_202_and_twice() {
+fn callbacks_before_the_202_and_repeated_callbacks_are_accepted() {
     let stage = Stage::start(1);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     let handed = stage.runners[0].next();
     assert_eq!(stage.news(&id, "s-0", r#""started""#), 204);
     assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204);
@@ -59,7 +61,7 @@
     assert_eq!(stage.news(&id, "s-0", r#""done","result":"b""#), 204);
     handed.take();
     assert_eq!(stage.news(&id, "s-0", r#""lost""#), 204);
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     stage.runners[0].next().take();
     stage.news(&id, "s-0", r#""done","result":"c""#);
     assert_eq!(client.answer().body, "c");
@@ -70,11 +72,12 @@
     );
 }
 
+/// Guards against a work item that is ended by a runner that does not have it.
 #[test]
-fn news_from_another_runner_than_the_hand_offs_means_nothing() {
+fn a_callback_from_another_runner_is_ignored() {
     let stage = Stage::start(1);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     stage.runners[0].next().take();
     assert_eq!(stage.news(&id, "s-9", r#""done","result":"stray""#), 204);
     assert_eq!(stage.news("feed", "s-0", r#""failed""#), 204);
@@ -82,25 +85,26 @@
     assert_eq!(client.answer().body, "own");
 }
 
+/// Guards against a connection that is lost because the system refuses to set TCP_NODELAY.
 #[test]
-fn a_connection_that_refuses_an_option_serves_like_any() {
+fn connections_without_tcp_options_are_served() {
     let stage = Stage::without_tcp_options();
     stage.list.watch().tell(42, false, &[]);
     let mut client = stage.client();
-    let id = client.hand_in("once", "4000m");
+    let id = client.submit("once", "4000m");
     stage.runners[0].next().take();
     assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204);
     assert_eq!(client.answer().status(), 200);
 }
 
-type First<'a> = &'a dyn Fn(&Stage, &Handed, &str, &str);
+type First<'a> = &'a dyn Fn(&Stage, &ReceivedRequest, &str, &str);
 
-/// Hands in a job, lets the first runner that gets it do something, and says whether the other gets it next
-/// and what becomes of it.
+/// Submits a work item and lets the first runner that gets it react with `first`. `Ok` has the reply if the other
+/// runner gets it next, `Err` if not.
 fn after(category: &str, first: First) -> Result<Message, Message> {
     let stage = Stage::start(2);
     let mut client = stage.client();
-    let id = client.hand_in(category, "3000m");
+    let id = client.submit(category, "3000m");
     let (a, b) = (&stage.runners[0], &stage.runners[1]);
     let (handed, from, other) = match a.poll(400) {
         Some(handed) => (handed, a, b),
@@ -118,13 +122,13 @@
 }
 
 #[test]
-fn what_never_ran_goes_elsewhere_even_if_exclusive() {
+fn a_work_item_that_never_ran_is_retried_in_every_category() {
     for category in ["rerun", "once"] {
-        let declined = |_: &Stage, handed: &Handed, _: &str, _: &str| {
+        let declined = |_: &Stage, handed: &ReceivedRequest, _: &str, _: &str| {
             handed.answer("503 Service Unavailable", "Srv-Declined: 1\r\n");
         };
         assert_eq!(after(category, &declined).unwrap().body, "second");
-        let returned = |stage: &Stage, handed: &Handed, id: &str, from: &str| {
+        let returned = |stage: &Stage, handed: &ReceivedRequest, id: &str, from: &str| {
             handed.take();
             stage.news(id, from, r#""returned""#);
         };
@@ -133,15 +137,16 @@
 }
 
 #[test]
-fn what_may_have_run_goes_elsewhere_only_if_rerunnable() {
-    let broken = |_: &Stage, handed: &Handed, _: &str, _: &str| handed.close();
-    let error = |_: &Stage, handed: &Handed, _: &str, _: &str| handed.answer("500 Oops", "");
-    let shy = |_: &Stage, handed: &Handed, _: &str, _: &str| handed.answer("503 Busy", "");
-    let lost = |stage: &Stage, handed: &Handed, id: &str, from: &str| {
+fn a_work_item_that_may_have_run_is_retried_only_if_rerunnable() {
+    let broken = |_: &Stage, handed: &ReceivedRequest, _: &str, _: &str| handed.close();
+    let error =
+        |_: &Stage, handed: &ReceivedRequest, _: &str, _: &str| handed.answer("500 Oops", "");
+    let shy = |_: &Stage, handed: &ReceivedRequest, _: &str, _: &str| handed.answer("503 Busy", "");
+    let lost = |stage: &Stage, handed: &ReceivedRequest, id: &str, from: &str| {
         handed.take();
         stage.news(id, from, r#""lost""#);
     };
-    let failed = |stage: &Stage, handed: &Handed, id: &str, from: &str| {
+    let failed = |stage: &Stage, handed: &ReceivedRequest, id: &str, from: &str| {
         stage.news(id, from, r#""failed""#);
         handed.take();
     };
@@ -157,35 +162,37 @@
 }
 
 #[test]
-fn a_runner_that_cannot_be_reached_costs_no_work() {
+fn an_unreachable_runner_loses_no_work_item() {
     let stage = Stage::start(1);
     let watch = stage.list.watch();
     watch.tell(42, false, &[entry("s-dead", free(), "Ready", 0)]);
     pause(150);
     for _ in 0..6 {
         let mut client = stage.client();
-        let id = client.hand_in("once", "4000m");
+        let id = client.submit("once", "4000m");
         stage.runners[0].next().take();
         stage.news(&id, "s-0", r#""done","result":"a""#);
         assert_eq!(client.answer().status(), 200);
     }
 }
 
+/// Guards against work for a client that has disconnected: the attempt is cancelled by closing its connection before
+/// the 202, and by a request to the runner after it.
 #[test]
-fn a_client_that_closes_has_left() {
+fn closing_the_connection_cancels_the_work_item() {
     let stage = Stage::start(1);
     let mut client = stage.client();
-    client.hand_in("rerun", "9000m");
+    client.submit("rerun", "9000m");
     let handed = stage.runners[0].next();
     drop(client);
     assert!(
         handed.is_closed(),
         "before the 202 the connection is closed"
     );
-    // After it, or after news that came before it, the runner is told.
+    // After the 202, or after a callback that came before it, the runner is told.
     for early in [false, true] {
         let mut client = stage.client();
-        let id = client.hand_in("rerun", "9000m");
+        let id = client.submit("rerun", "9000m");
         let handed = stage.runners[0].next();
         match early {
             false => handed.take(),
@@ -200,12 +207,12 @@
 }
 
 #[test]
-fn a_hand_off_is_dropped_and_written_off_when_its_client_gives_up() {
+fn an_attempt_is_cancelled_and_written_off_at_the_deadline_of_the_client() {
     let mut stage = Stage::start(1);
     let mut client = stage.client();
     let start = Instant::now();
-    let id = client.hand_in("once", "600m");
-    // The connection is not kept, so the word to give up needs another.
+    let id = client.submit("once", "600m");
+    // The connection is closed, so the cancellation needs another one.
     stage.runners[0]
         .next()
         .answer("202 Accepted", "Connection: close\r\n");
@@ -224,12 +231,12 @@
 }
 
 #[test]
-fn what_no_runner_can_take_is_deferred_and_told_when_to_come_back() {
+fn work_items_without_a_usable_runner_get_503_with_a_retry_time() {
     let stage = Stage::start(1);
     stage.list.watch().tell(42, true, &[]);
     pause(150);
     let mut client = stage.client();
-    client.hand_in("once", "4000m");
+    client.submit("once", "4000m");
     let answer = client.answer();
     assert_eq!(answer.status(), 503);
     assert!(
@@ -243,7 +250,7 @@
 }
 
 #[test]
-fn a_draining_runner_gets_nothing_new_and_what_it_has_is_awaited() {
+fn a_draining_runner_gets_no_new_work_and_finishes_its_own() {
     let stage = Stage::start(2);
     let (a, b) = (&stage.runners[0], &stage.runners[1]);
     let watch = stage.list.watch();
@@ -257,12 +264,12 @@
     watch.tell(42, false, &[b.entry("Terminating", 0)]);
     pause(150);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     a.next().take();
     watch.tell(43, false, &[a.entry("Terminating", 0), b.entry("Ready", 0)]);
     pause(150);
     let mut other = stage.client();
-    other.hand_in("rerun", "4000m");
+    other.submit("rerun", "4000m");
     b.next();
     stage.news(&id, "s-0", r#""done","result":"kept""#);
     assert_eq!(client.answer().body, "kept");
@@ -270,11 +277,11 @@
 }
 
 #[test]
-fn an_address_may_change_and_a_name_stays() {
+fn a_runner_keeps_its_identity_when_its_address_changes() {
     let stage = Stage::start(1);
     let moved = Runner::start("s-0");
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     stage.runners[0].next().take();
     stage
         .list
@@ -283,12 +290,12 @@
     pause(150);
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(client.answer().body, "a");
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     moved.next();
 }
 
 #[test]
-fn a_watch_that_ends_or_falls_silent_is_opened_again() {
+fn a_closed_or_silent_watch_is_opened_again() {
     let stage = Stage::start(1);
     let watch = stage.list.watch();
     watch.tell(44, false, &[]);
@@ -305,7 +312,7 @@
     );
     pause(150);
     let mut client = stage.client();
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     assert_eq!(
         client.answer().status(),
         503,
@@ -313,8 +320,10 @@
     );
 }
 
+/// Guards against waiting twice: first for the time-out of the silent watch, then for the turn of this dispatcher. A
+/// change must be known after 6 s.
 #[test]
-fn among_three_hundred_a_silent_watch_is_opened_again_without_waiting_its_turn() {
+fn a_silent_watch_is_opened_again_at_once_among_300_dispatchers() {
     let many = |page: String| page.replacen(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":300"#, 1);
     let stage = Stage::of(1, 1024, many);
     let silent = stage.list.watch();
@@ -329,8 +338,9 @@
     );
 }
 
+/// Guards against a line that cannot be read hiding the valid entries beside it, or the changes that it held.
 #[test]
-fn a_bad_line_of_the_list_is_passed_over() {
+fn an_invalid_line_of_the_list_is_skipped() {
     let stage = Stage::start(1);
     let watch = stage.list.watch();
     watch.say("what is this");
@@ -345,7 +355,7 @@
     );
     pause(150);
     let mut client = stage.client();
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     assert_eq!(client.answer().status(), 503, "the good entry counts");
     drop(watch);
     assert!(
@@ -354,12 +364,14 @@
     );
 }
 
+/// A reload names another discovery address. The old watch must be read until the new one has been read, since there
+/// would be a gap otherwise.
 #[test]
-fn another_list_is_watched_before_the_old_is_let_go_and_nothing_in_hand_is_disturbed() {
+fn a_new_list_replaces_the_old_one_without_disturbing_open_work_items() {
     let mut stage = Stage::start(2);
     let (mut client, mut second) = (stage.client(), stage.client());
-    let id = client.hand_in("rerun", "7000m");
-    let (first, handed) = stage.next_at_any();
+    let id = client.submit("rerun", "7000m");
+    let (first, handed) = stage.next_request_at_any();
     handed.take();
     let (has, other) = (&stage.runners[first], &stage.runners[1 - first]);
     let (old, list) = (stage.list.watch(), List::start());
@@ -375,10 +387,10 @@
         "versions of two lists are not alike: {}",
         new.asked
     );
-    // Until the new one speaks the old one is heard.
+    // The old list is read until the new one has been read.
     old.tell(91, false, &[has.entry("Terminating", 0)]);
     pause(150);
-    let moved = second.hand_in("rerun", "7000m");
+    let moved = second.submit("rerun", "7000m");
     other.next().take();
     new.tell(
         3,
@@ -390,18 +402,18 @@
         assert_eq!(stage.news(id, &from.name, r#""done","result":"kept""#), 204);
         assert_eq!(client.answer().body, "kept");
     }
-    client.hand_in("rerun", "7000m");
+    client.submit("rerun", "7000m");
     has.next().take();
     drop(new);
     assert!(list.watch().asked.contains("index=3 "));
-    // What cannot be used, or only by a restart, changes nothing.
+    // A page that cannot be used, or a change that needs a restart, changes nothing.
     stage.reload("{");
     pause(100);
     stage.reload(&stage.page.replace("read_like", "sometimes"));
     pause(100);
     stage.reload(&stage.page.replace(r#""sockets":1024"#, r#""sockets":512"#));
     stage.list.watch();
-    second.hand_in("rerun", "7000m");
+    second.submit("rerun", "7000m");
     has.next();
     stage.term();
     let (code, log) = stage.ended();
@@ -420,15 +432,15 @@
 }
 
 #[test]
-fn a_dispatcher_told_to_end_settles_what_it_has() {
+fn shutdown_answers_all_accepted_work_items() {
     let mut stage = Stage::start(1);
     let ready = "GET /health/ready HTTP/1.1\r\n\r\n";
     let mut idle = stage.client();
     assert_eq!(idle.send(ready).answer().status(), 200);
     let (mut quick, mut stuck) = (stage.client(), stage.client());
-    let id = quick.hand_in("rerun", "9000m");
+    let id = quick.submit("rerun", "9000m");
     stage.runners[0].next().take();
-    stuck.hand_in("rerun", "9000m");
+    stuck.submit("rerun", "9000m");
     stage.runners[0].next().take();
     let start = Instant::now();
     stage.term();
@@ -436,10 +448,11 @@
     assert_eq!(idle.send(ready).answer().status(), 503);
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(quick.answer().status(), 200);
-    // Nobody else could serve them: who has a connection is served on it, who comes late too.
+    // No other dispatcher can serve these clients, so those that have a connection and those that connect late are
+    // served here.
     for (client, after) in [(&mut stage.client(), 0), (&mut idle, 1500)] {
         pause(after);
-        let id = client.hand_in("rerun", "9000m");
+        let id = client.submit("rerun", "9000m");
         let handed = stage.runners[0].next();
         assert!(
             handed.message.first.starts_with("POST /rerun"),
@@ -451,7 +464,7 @@
         assert_eq!(client.answer().body, "b");
     }
     let mut late = stage.client();
-    late.hand_in("once", "9000m");
+    late.submit("once", "9000m");
     stage.runners[0].next().take();
     let answer = stuck.answer();
     assert_eq!(
@@ -468,12 +481,12 @@
 }
 
 #[test]
-fn with_peers_a_dispatcher_told_to_end_sends_its_clients_there_in_time() {
+fn shutdown_with_peers_moves_clients_to_them_in_time() {
     let stage = Stage::of(1, 1024, |page| {
         page.replace(r#""ReplicasOfMe":1"#, r#""ReplicasOfMe":2"#)
     });
     let (mut idle, mut busy) = (stage.client(), stage.client());
-    let id = busy.hand_in("rerun", "9000m");
+    let id = busy.submit("rerun", "9000m");
     stage.runners[0].next().take();
     let start = Instant::now();
     stage.term();
@@ -488,10 +501,10 @@
 }
 
 #[test]
-fn bad_requests_are_turned_down_and_touch_nothing_else() {
+fn invalid_requests_are_rejected_without_side_effects() {
     let stage = Stage::start(1);
     let mut bystander = stage.client();
-    let id = bystander.hand_in("rerun", "6000m");
+    let id = bystander.submit("rerun", "6000m");
     stage.runners[0].next().take();
     let job = "POST /rerun HTTP/1.1\r\nReq-Id: ab\r\nReq-Kind: rerun\r\n";
     let long = "x".repeat(20_000);
@@ -544,7 +557,7 @@
 }
 
 #[test]
-fn a_chunked_job_and_one_sent_byte_by_byte_are_jobs_like_any() {
+fn chunked_requests_and_requests_sent_byte_by_byte_are_served() {
     let stage = Stage::start(1);
     let mut client = stage.client();
     let text = "POST /rerun HTTP/1.1\r\nReq-Id: ab\r\nReq-Deadline: 4000000u\r\n\
@@ -563,20 +576,20 @@
 }
 
 #[test]
-fn many_connections_never_use_up_the_descriptors() {
+fn many_connections_do_not_exhaust_the_descriptors() {
     let mut stage = Stage::with(1, 64);
     let idle: Vec<TcpStream> = (0..100)
         .map(|_| TcpStream::connect(stage.at).unwrap())
         .collect();
     pause(100);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "6000m");
+    let id = client.submit("rerun", "6000m");
     stage.runners[0].next().take();
     let mut turned_away = 0;
     let mut held: Vec<Client> = Vec::new();
     for _ in 0..40 {
         held.push(stage.client());
-        held.last_mut().unwrap().hand_in("rerun", "3000m");
+        held.last_mut().unwrap().submit("rerun", "3000m");
         pause(2);
     }
     for client in &mut held {
@@ -600,7 +613,7 @@
 }
 
 #[test]
-fn a_bad_page_at_the_start_ends_with_one_plain_line() {
+fn an_invalid_page_ends_the_start_with_one_line() {
     let good = page(free(), free(), 1024, &[]);
     let cases = [
         ("{".to_string(), "EOF"),
@@ -630,12 +643,12 @@
 }
 
 #[test]
-fn work_at_a_silent_runner_moves_on_only_once_it_is_given_up() {
+fn work_at_a_silent_runner_is_retried_only_after_its_cancellation() {
     let stage = Stage::start(2);
     let (mut one, mut two) = (stage.client(), stage.client());
-    let id = one.hand_in("rerun", "6000m");
-    two.hand_in("rerun", "6000m");
-    // Both have the same key, so both are at the same runner. It takes them and says nothing more.
+    let id = one.submit("rerun", "6000m");
+    two.submit("rerun", "6000m");
+    // Both work items have the same key, so they are at the same runner. It accepts them and sends nothing more.
     let (silent, well) = match stage.runners[0].poll(300) {
         Some(handed) => {
             handed.take();
@@ -658,10 +671,10 @@
 }
 
 #[test]
-fn a_runner_that_started_again_has_lost_its_jobs() {
+fn a_restarted_runner_has_lost_its_jobs() {
     let stage = Stage::start(2);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "6000m");
+    let id = client.submit("rerun", "6000m");
     let (old, other) = match stage.runners[0].poll(300) {
         Some(handed) => {
             handed.take();
@@ -682,27 +695,29 @@
     assert_eq!(other.next().message.header("req-id"), Some(id.as_str()));
 }
 
+/// Guards against a machine that has failed: its other connections stay open and silent too, and only a new connection
+/// shows that.
 #[test]
-fn after_silence_a_runner_is_tried_on_a_new_connection() {
+fn a_silent_runner_is_tried_on_a_new_connection() {
     let stage = Stage::start(1);
     let mut clients = [stage.client(), stage.client()];
     let ids = clients
         .each_mut()
-        .map(|client| client.hand_in("rerun", "6000m"));
+        .map(|client| client.submit("rerun", "6000m"));
     [stage.runners[0].next(), stage.runners[0].next()]
         .iter()
-        .for_each(Handed::take);
+        .for_each(ReceivedRequest::take);
     for (client, id) in clients.iter_mut().zip(&ids) {
         stage.news(id, "s-0", r#""done","result":"a""#);
         assert_eq!(client.answer().status(), 200);
     }
     assert_eq!(stage.runners[0].connections(), 2);
     let [mut leaves, mut stays] = clients;
-    leaves.hand_in("rerun", "6000m");
+    leaves.submit("rerun", "6000m");
     let unanswered = stage.runners[0].next();
     drop(leaves);
     assert!(unanswered.is_closed());
-    stays.hand_in("rerun", "6000m");
+    stays.submit("rerun", "6000m");
     stage.runners[0].next();
     assert_eq!(
         stage.runners[0].connections(),
@@ -711,12 +726,13 @@
     );
 }
 
+/// A runner may close an idle connection at the moment of a request. That must not count as a failure of the runner.
 #[test]
-fn a_kept_connection_that_died_costs_one_more_and_no_verdict() {
+fn a_stale_connection_costs_one_retry_and_no_bad_verdict() {
     let mut stage = Stage::start(2);
     let mut client = stage.client();
-    let mut id = client.hand_in("rerun", "6000m");
-    let (at, first) = stage.next_at_any();
+    let mut id = client.submit("rerun", "6000m");
+    let (at, first) = stage.next_request_at_any();
     first.take();
     for _ in 0..6 {
         assert_eq!(
@@ -724,7 +740,7 @@
             204
         );
         assert_eq!(client.answer().status(), 200);
-        id = client.hand_in("rerun", "6000m");
+        id = client.submit("rerun", "6000m");
         stage.runners[at].next().close();
         let again = stage.runners[at].next();
         assert_eq!(again.message.header("req-id"), Some(id.as_str()));
@@ -736,17 +752,17 @@
 }
 
 #[test]
-fn work_on_a_connection_that_fell_silent_goes_elsewhere() {
+fn work_on_a_silent_connection_is_retried_elsewhere() {
     let stage = Stage::start(2);
     let mut one = stage.client();
-    let lost = one.hand_in("rerun", "6000m");
-    let (at, silent) = stage.next_at_any();
+    let lost = one.submit("rerun", "6000m");
+    let (at, silent) = stage.next_request_at_any();
     // On another connection the same runner works on; what the other one got meanwhile ends.
     let (mut clients, mut elsewhere) = (Vec::new(), Vec::new());
     let id = (0..8).find_map(|_| {
         clients.push(stage.client());
-        let id = clients.last_mut().unwrap().hand_in("rerun", "6000m");
-        let (place, handed) = stage.next_at_any();
+        let id = clients.last_mut().unwrap().submit("rerun", "6000m");
+        let (place, handed) = stage.next_request_at_any();
         handed.take();
         if place == at {
             return Some(id);
@@ -768,14 +784,14 @@
 }
 
 #[test]
-fn peers_that_fall_silent_are_not_waited_for() {
+fn silent_peers_do_not_hold_up_the_dispatcher() {
     let stage = Stage::start(1);
     let mut half = stage.client();
     half.send("POST /rerun HTTP/1.1\r\nReq-Id: ab\r\nContent-Length: 5\r\n\r\nwa");
     // A runner that takes a connection and says nothing, for a client that waits 1 s.
     let mut client = stage.client();
     let start = Instant::now();
-    client.hand_in("once", "1000m");
+    client.submit("once", "1000m");
     let handed = stage.runners[0].next();
     assert_eq!(client.answer().status(), 502);
     assert!(
@@ -789,7 +805,7 @@
 }
 
 #[test]
-fn it_is_ready_once_it_has_a_list() {
+fn the_dispatcher_is_ready_once_it_has_an_endpoint_list() {
     let stage = Stage::start(0);
     let ready = || {
         stage
@@ -804,17 +820,19 @@
     assert_eq!(ready(), 200);
 }
 
+/// The callbacks for the end of one job and the start of the next use different connections and may arrive in the other
+/// order. Then a runner with one slot must not be taken for one with two.
 #[test]
-fn a_start_that_overtakes_an_end_does_not_count_as_one_more_slot() {
+fn a_start_reported_before_an_earlier_end_does_not_add_a_slot() {
     let stage = Stage::start(1);
     let mut clients = [stage.client(), stage.client(), stage.client()];
     let ids = clients
         .each_mut()
-        .map(|client| client.hand_in("rerun", "6000m"));
+        .map(|client| client.submit("rerun", "6000m"));
     // Requests on three connections may be read in another order than they were sent in.
     let handed = [stage.runners[0].next(), stage.runners[0].next()];
-    handed.iter().for_each(Handed::take);
-    let [first, second] = handed.each_ref().map(Handed::id);
+    handed.iter().for_each(ReceivedRequest::take);
+    let [first, second] = handed.each_ref().map(ReceivedRequest::id);
     stage.runners[0].nothing(50);
     // The runner has one slot: the second job starts when the first ends, 0.2 s later.
     stage.news(first, "s-0", r#""started""#);
@@ -838,13 +856,13 @@
 fn serves(at: std::net::SocketAddr) {
     let start = Instant::now();
     while TcpStream::connect(at).is_err() {
-        assert!(start.elapsed() < LONG, "the program listens");
+        assert!(start.elapsed() < MAX_WAIT, "the program listens");
         pause(5);
     }
 }
 
 #[test]
-fn what_was_learnt_survives_a_planned_restart_and_the_rest_is_fresh() {
+fn learned_state_survives_a_planned_restart() {
     let kept = file();
     let with = |page: String| page.replacen('{', &format!(r#"{{"learnt":{kept:?},"#), 1);
     let mut stage = Stage::of(1, 1024, with);
@@ -852,7 +870,7 @@
         let mut clients: Vec<Client> = (0..3).map(|_| stage.client()).collect();
         let ids: Vec<String> = clients
             .iter_mut()
-            .map(|client| client.hand_in("rerun", "9000m"))
+            .map(|client| client.submit("rerun", "9000m"))
             .collect();
         let mut handed = 0;
         while let Some(job) = stage.runners[0].poll(250) {
@@ -902,8 +920,9 @@
     assert!(log.contains(says) && !log.contains("learned"), "{log}");
 }
 
+/// The file may be missing, cut off, too large, too old, or of another version or deployment.
 #[test]
-fn a_file_of_what_was_learnt_that_cannot_be_used_is_a_fresh_start() {
+fn an_unusable_file_of_learned_state_is_ignored() {
     let whole = r#"{"version":1,"deployment":1,"written":0,"usuals":[],"runners":[]}"#;
     let bad = [
         "",
@@ -942,7 +961,7 @@
 }
 
 #[test]
-fn a_setting_that_makes_no_sense_ends_the_start_with_one_line_that_names_it() {
+fn an_invalid_setting_ends_the_start_with_one_line_that_names_it() {
     let changes = [
         (r#""ColdFrom":0.2"#, r#""ColdFrom":-0.2"#, "Safety.ColdFrom"),
         (r#""How":"off""#, r#""How":"sometimes""#, "Report.How"),
@@ -982,7 +1001,7 @@
 }
 
 #[test]
-fn where_the_page_allows_probes_the_program_says_that_there_are_none() {
+fn enabled_probes_are_reported_as_unavailable() {
     let allowed = |page: String| {
         let page = page.replace(r#""MayCancel":true"#, r#""MayCancel":true,"Probes":true"#);
         let report = r#"{"Fields":["x0"],"How":"on_probe"}"#;
@@ -994,7 +1013,7 @@
     };
     let mut stage = Stage::of(1, 1024, allowed);
     let mut client = stage.client();
-    let id = client.hand_in("rerun", "4000m");
+    let id = client.submit("rerun", "4000m");
     stage.runners[0].next().take();
     stage.news(&id, "s-0", r#""done","result":"a""#);
     assert_eq!(client.answer().body, "a", "room is the cap's, as it was");
@@ -1003,7 +1022,7 @@
     assert_eq!(log.matches("no runner is probed").count(), 1, "{log}");
 }
 
-/// The inodes of a process's sockets.
+/// Inodes of the sockets of a process.
 fn sockets_of(pid: u32) -> Vec<String> {
     let all = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
     let links = all.filter_map(|fd| std::fs::read_link(fd.unwrap().path()).ok());
@@ -1018,7 +1037,7 @@
     links.filter_map(inode).collect()
 }
 
-/// Of these, those in a table of the kernel's, with the state that it gives.
+/// States of those sockets that are in a table of the kernel.
 fn in_table(table: &str, inodes: &[String]) -> Vec<String> {
     let text = std::fs::read_to_string(format!("/proc/net/{table}")).unwrap_or_default();
     let fields = text
@@ -1033,8 +1052,9 @@
     ours.map(|fields| fields[3].to_string()).collect()
 }
 
+/// Guards against a fleet, a store or test settings taking effect from the page of the platform.
 #[test]
-fn by_the_platforms_page_nothing_is_opened_but_its_own_listener_and_its_watch() {
+fn with_the_platform_page_only_the_listener_and_the_watch_are_opened() {
     let fleet = r#"{"fleet":{"name":"f","listen":"127.0.0.1:1","members":[]},"store":{"folder":"STORE"},
         "trial":{"break":"two-at-once"},"name""#;
     let folder = std::env::temp_dir().join(format!("sagetrail-no-store-{}", std::process::id()));
@@ -1042,7 +1062,7 @@
     let stage = Stage::of(1, 1024, |page| page.replacen(r#"{"name""#, &fleet, 1));
     stage.list.watch().tell(42, false, &[]);
     let mut client = stage.client();
-    client.hand_in("rerun", "4000m");
+    client.submit("rerun", "4000m");
     stage.runners[0].next().take();
     assert!(!folder.exists(), "no disk that lasts");
     let pid = stage.child.id();
@@ -1054,7 +1074,7 @@
         1,
         "the clients' address"
     );
-    // The listener, the list's watch, this client, a runner; and a call or two that are just ending.
+    // The listener, the watch, this client, a runner, and one or two connections that are just ending.
     assert!(
         (3..=6).contains(&in_table("tcp", &inodes).len()),
         "{:?}",
--- a/crates/dispatcher/dispatcher/tests/stage/mod.rs
+++ b/crates/dispatcher/dispatcher/tests/stage/mod.rs
@@ -1,5 +1,4 @@
-//! The program on a stage: a list, runners and clients played by the test, all over loopback. Every wait is
-//! bounded.
+//! Runs the program with a list, runners and clients that the test plays over loopback. Every wait has a limit.
 
 use seccompiler::{
     apply_filter, BpfProgram, SeccompAction, SeccompCmpArgLen, SeccompCmpOp, SeccompCondition,
@@ -16,14 +15,14 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// No story waits longer than this for anything.
-pub(crate) const LONG: Duration = Duration::from_secs(8);
+/// Longest time for which a test waits for anything.
+pub(crate) const MAX_WAIT: Duration = Duration::from_secs(8);
 
 pub(crate) fn pause(ms: u64) {
     sleep(Duration::from_millis(ms));
 }
 
-/// One message as it came: its first line, its headers in lower case, its body.
+/// A message: its first line, its headers in lower case, and its body.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub first: String,
@@ -72,13 +71,13 @@
     Some(message)
 }
 
-/// Something handed to a runner, and the connection to answer on.
-pub(crate) struct Handed {
+/// A request that a runner received, and the connection for the response.
+pub(crate) struct ReceivedRequest {
     pub message: Message,
     stream: TcpStream,
 }
 
-impl Handed {
+impl ReceivedRequest {
     pub(crate) fn answer(&self, status: &str, headers: &str) {
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{headers}\r\n");
         (&self.stream).write_all(head.as_bytes()).unwrap();
@@ -100,7 +99,7 @@
     }
 }
 
-/// The other side closes, or has closed.
+/// Whether the other side closes the connection, or has closed it.
 pub(crate) fn is_closed(stream: &TcpStream) -> bool {
     stream
         .set_read_timeout(Some(Duration::from_secs(2)))
@@ -108,24 +107,25 @@
     matches!(stream.peek(&mut [0]), Ok(0))
 }
 
-/// A runner: what it is handed comes out here.
+/// A runner that the test plays. The requests that it receives are queued.
 pub(crate) struct Runner {
     pub name: String,
     pub at: SocketAddr,
-    got: Receiver<Handed>,
+    got: Receiver<ReceivedRequest>,
     connections: Receiver<()>,
 }
 
-/// A runner to which no connection comes up until the test says: the queue of its listener is full.
-pub(crate) struct Late {
+/// A runner to which no connection can be established until the test allows it, because the queue of its listener is
+/// full.
+pub(crate) struct UnreachableRunner {
     name: String,
     pub at: SocketAddr,
     listener: TcpListener,
     queue: Vec<TcpStream>,
 }
 
-impl Late {
-    pub(crate) fn start(name: &str) -> Late {
+impl UnreachableRunner {
+    pub(crate) fn start(name: &str) -> UnreachableRunner {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket
@@ -138,14 +138,14 @@
         while let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) {
             queue.push(stream);
         }
-        Late {
+        UnreachableRunner {
             name: name.to_string(),
             at,
             listener,
             queue,
         }
     }
-    /// Lets connections come up: those asked for do at their system's next try.
+    /// Lets connections be established: pending ones are at the next try of their system.
     pub(crate) fn open(self) -> Runner {
         self.queue
             .iter()
@@ -172,7 +172,7 @@
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(message) = read(&mut reader) {
-                        let handed = Handed {
+                        let handed = ReceivedRequest {
                             message,
                             stream: stream.try_clone().unwrap(),
                         };
@@ -190,12 +190,12 @@
             connections,
         }
     }
-    pub(crate) fn next(&self) -> Handed {
+    pub(crate) fn next(&self) -> ReceivedRequest {
         self.got
-            .recv_timeout(LONG)
+            .recv_timeout(MAX_WAIT)
             .expect("the runner is handed something")
     }
-    pub(crate) fn poll(&self, ms: u64) -> Option<Handed> {
+    pub(crate) fn poll(&self, ms: u64) -> Option<ReceivedRequest> {
         self.got.recv_timeout(Duration::from_millis(ms)).ok()
     }
     pub(crate) fn nothing(&self, ms: u64) {
@@ -222,7 +222,7 @@
     .replace('\n', " ")
 }
 
-/// The list: each watch asked for comes out here, to be written to.
+/// The endpoint list. Each watch that is requested is queued, so that the test can write to it.
 pub(crate) struct List {
     pub at: SocketAddr,
     watches: Receiver<(String, TcpStream)>,
@@ -252,11 +252,11 @@
         });
         List { at, watches }
     }
-    /// The next watch, its answer's head written.
+    /// Accepts the next watch and writes the header section of its response.
     pub(crate) fn watch(&self) -> Watch {
         let (asked, stream) = self
             .watches
-            .recv_timeout(LONG)
+            .recv_timeout(MAX_WAIT)
             .expect("the list is watched");
         (&stream)
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -273,7 +273,7 @@
     pub(crate) fn is_closed(&self) -> bool {
         is_closed(&self.stream)
     }
-    /// Whether it has ended by now.
+    /// Whether the watch has ended by now.
     pub(crate) fn has_ended(&self) -> bool {
         self.stream
             .set_read_timeout(Some(Duration::from_millis(1)))
@@ -288,7 +288,7 @@
     }
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub(crate) struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -299,12 +299,12 @@
 impl Client {
     pub(crate) fn to(at: SocketAddr) -> Client {
         let stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.set_nodelay(true).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Client { stream, reader }
     }
-    /// A runner's call-back, on this connection; the answer.
+    /// Sends a callback of a runner on this connection and returns the response.
     pub(crate) fn tell(&mut self, id: &str, from: &str, state: &str) -> Message {
         let body = format!(r#"{{"id":"{id}","from":"{from}","state":{state}}}"#);
         self.send(&format!(
@@ -317,8 +317,8 @@
         self.stream.write_all(text.as_bytes()).unwrap();
         self
     }
-    /// Hands in a work item of a category; its id.
-    pub(crate) fn hand_in(&mut self, category: &str, wait: &str) -> String {
+    /// Submits a work item of a category and returns its id.
+    pub(crate) fn submit(&mut self, category: &str, wait: &str) -> String {
         let (id, text) = job(category, wait);
         self.send(&text);
         id
@@ -331,7 +331,7 @@
     }
 }
 
-/// A work item's request, and its id.
+/// Id and request of a new work item.
 pub(crate) fn job(category: &str, wait: &str) -> (String, String) {
     let id = format!("{:016x}", IDS.fetch_add(1, Ordering::Relaxed));
     let text = format!(
@@ -373,7 +373,7 @@
     command.spawn().unwrap()
 }
 
-/// What a dispatcher is told: one category of each kind, `exclusive` being the last.
+/// Page of the platform with one category of each kind; the last one is `exclusive`.
 pub(crate) fn page(
     listen: SocketAddr,
     list: SocketAddr,
@@ -405,8 +405,8 @@
     )
 }
 
-/// An address that nothing listens on; under the ports that the system gives out, since one of those may go to
-/// another story's listener or connection before the program takes it.
+/// An unused address. Its port is below those that the system assigns, since one of these may be given to another test
+/// before the program binds it.
 pub(crate) fn free() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -448,13 +448,14 @@
         };
         let start = Instant::now();
         while TcpStream::connect(at).is_err() {
-            assert!(start.elapsed() < LONG, "the program listens");
+            assert!(start.elapsed() < MAX_WAIT, "the program listens");
             pause(5);
         }
         stage
     }
 
-    /// Where the system refuses all TCP options: a thread's filter goes on to the program that it starts.
+    /// Starts a stage where the system refuses all TCP options. The filter of a thread is inherited by the program that
+    /// it starts.
     pub(crate) fn without_tcp_options() -> Stage {
         let (level, tcp) = (SeccompCmpArgLen::Dword, libc::IPPROTO_TCP as u64);
         let tcp = SeccompCondition::new(1, level, SeccompCmpOp::Eq, tcp).unwrap();
@@ -482,10 +483,11 @@
         spawn(start).join().unwrap()
     }
 
-    /// The next that any runner is handed, and the runner's place. Which one it is does not depend on how soon it comes.
-    pub(crate) fn next_at_any(&self) -> (usize, Handed) {
+    /// The next request that any runner receives, and the index of the runner. Which one it is does not depend on
+    /// timing.
+    pub(crate) fn next_request_at_any(&self) -> (usize, ReceivedRequest) {
         let start = Instant::now();
-        while start.elapsed() < LONG {
+        while start.elapsed() < MAX_WAIT {
             let mut runners = self.runners.iter().enumerate();
             let handed = runners.find_map(|(at, runner)| Some((at, runner.poll(5)?)));
             if let Some(handed) = handed {
@@ -499,7 +501,7 @@
         Client::to(self.at)
     }
 
-    /// A runner's call-back; the status it is answered with.
+    /// Sends a callback of a runner and returns the status of the response.
     pub(crate) fn news(&self, id: &str, from: &str, state: &str) -> u16 {
         self.post(&format!(
             r#"{{"id":"{id}","from":"{from}","state":{state}}}"#
@@ -519,7 +521,7 @@
         self.signal("-TERM");
     }
 
-    /// Puts another page in the place of the first and has the program read it.
+    /// Replaces the page and has the program read it.
     pub(crate) fn reload(&self, page: &str) {
         let new = file();
         std::fs::write(&new, page).unwrap();
@@ -536,7 +538,7 @@
             .success());
     }
 
-    /// How the program ended, and what it logged.
+    /// Exit status of the program and its log.
     pub(crate) fn ended(&mut self) -> (Option<i32>, String) {
         ended(&mut self.child)
     }
@@ -545,7 +547,7 @@
 pub(crate) fn ended(child: &mut Child) -> (Option<i32>, String) {
     let start = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        assert!(start.elapsed() < LONG, "the program ends");
+        assert!(start.elapsed() < MAX_WAIT, "the program ends");
         pause(5);
     }
     let mut log = String::new();
@@ -558,14 +560,14 @@
     (child.wait().unwrap().code(), log)
 }
 
-/// A platform that holds the clients' socket and starts the program beside itself.
+/// A platform that holds the socket of the clients and starts processes of the program.
 pub(crate) struct Platform {
     socket: TcpListener,
     folder: PathBuf,
     page: String,
     pub list: List,
     pub runners: Vec<Runner>,
-    /// The processes that run, oldest first, and their doors.
+    /// Running processes, oldest first, and the addresses of their admin APIs.
     pub children: Vec<(Child, SocketAddr)>,
 }
 
@@ -579,7 +581,7 @@
     }
 }
 
-/// The program with a descriptor 3 as it is given, or none.
+/// Starts the program with `fd` as descriptor 3, or without one.
 pub(crate) fn launch_with(fd: Option<i32>, page: &str, folder: &Path) -> Child {
     let path = file();
     std::fs::write(&path, page).unwrap();
@@ -589,11 +591,11 @@
         .env("RELAY_FD", "3")
         .env("TMPDIR", folder);
     command.stdout(Stdio::null()).stderr(Stdio::piped());
-    // SAFETY: both calls may be made between fork and exec.
+    // SAFETY: both calls are permitted between fork and exec.
     unsafe {
         command.pre_exec(move || {
             match fd {
-                // On to itself it would keep its mark to be closed.
+                // A descriptor duplicated to itself would keep its close-on-exec flag.
                 Some(3) => libc::fcntl(3, libc::F_SETFD, 0),
                 Some(fd) => libc::dup2(fd, 3),
                 None => libc::close(3),
@@ -629,7 +631,7 @@
         platform
     }
 
-    /// Starts the program once more and waits for its yes; its door.
+    /// Starts another process, waits until it is healthy, and returns the address of its admin API.
     pub(crate) fn upgrade(&mut self) -> SocketAddr {
         let door = free();
         let page = self
@@ -654,7 +656,7 @@
             .success());
     }
 
-    /// How the oldest process ended, and what it logged.
+    /// Exit status of the oldest process and its log.
     pub(crate) fn ended(&mut self) -> (Option<i32>, String) {
         ended(&mut self.children.remove(0).0)
     }
--- a/crates/dispatcher/dispatcher/tests/stored.rs
+++ b/crates/dispatcher/dispatcher/tests/stored.rs
@@ -1,11 +1,11 @@
-//! What a dispatcher keeps over a planned restart: a file that an earlier build wrote is taken up, and what is written
-//! at the end has the same form.
+//! Learned state that a dispatcher keeps over a planned restart: a file that an earlier build wrote is read, and what
+//! is written at the end has the same form.
 //!
-//! `fixtures/learnt.json` is such a file, with words in the place of the runner's address and the time of writing,
-//! which differ from run to run. `WRITE_STORED=1 cargo test -p sagetrail-dispatcher --test stored` writes it again, where the
-//! form has to change on purpose; what changed then stands in the commit.
+//! `fixtures/learnt.json` is such a file, with placeholders for the address of the runner and the time of writing,
+//! which differ from run to run. `WRITE_STORED=1 cargo test -p sagetrail-dispatcher --test stored` writes it again if
+//! the form has to change on purpose; the commit then says what changed.
 
-#[allow(dead_code)] // Other stories use more of it.
+#[allow(dead_code)] // Other tests use more of it.
 mod stage;
 use stage::{file, Client, Stage};
 use std::path::{Path, PathBuf};
@@ -18,13 +18,13 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/learnt.json")
 }
 
-/// What stands between two texts.
+/// Text between two others.
 fn between<'a>(text: &'a str, before: &str, after: &str) -> &'a str {
     let rest = text.split_once(before).unwrap().1;
     rest.split_once(after).unwrap().0
 }
 
-/// The file with words in the place of what differs from run to run.
+/// The file with placeholders for what differs from run to run.
 fn stored_form(kept: &Path, address: &str) -> String {
     let text = std::fs::read_to_string(kept).unwrap();
     let written = between(&text, r#""written":"#, ",");
@@ -35,11 +35,11 @@
     page.replacen('{', &format!(r#"{{"learnt":{kept:?},"#), 1)
 }
 
-/// A runner takes a work item of each category and tells that it is done.
+/// A runner accepts a work item of each category and reports that it is done.
 fn work(stage: &Stage) {
     for category in ["rerun", "once"] {
         let mut client: Client = stage.client();
-        let id = client.hand_in(category, "4000m");
+        let id = client.submit(category, "4000m");
         stage.runners[0].next().take();
         stage.news(&id, "s-0", r#""started""#);
         assert_eq!(stage.news(&id, "s-0", r#""done","result":"a""#), 204);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_an_earlier_build_learnt_is_taken_up_and_kept_on() {
+fn learned_state_of_an_earlier_build_is_read_and_written_again() {
     if std::env::var_os("WRITE_STORED").is_some() {
         write_fixture();
     }
