--- a/crates/dispatcher/dispatcher/src/sockets.rs
+++ b/crates/dispatcher/dispatcher/src/sockets.rs
@@ -1,10 +1,10 @@
-//! What the exchange asks of the world, carried out on sockets; and the task that owns it.
+//! Host of the exchange: carries out its I/O on sockets, and the task that owns it.
 
 use crate::clock::Clock;
 use crate::fleet::Fleet;
 use crate::mailbox;
-use crate::runners::{self, Errand, Pool, Runner};
-use crate::siting::Siting;
+use crate::runners::{self, Pool, Runner, RunnerCall};
+use crate::site_failover::SiteFailover;
 use crate::trial::Broken;
 use sagetrail_dispatch::{
     Endpoint, ExchangeHost, Load, Observation, Purpose, Reply, RunnerRequest,
@@ -19,16 +19,19 @@
 pub(crate) type Exchange = sagetrail_dispatch::Exchange<Sockets>;
 pub(crate) type Mailbox = mailbox::Mailbox<Exchange>;
 
+/// Sockets and shared state of the exchange.
 pub(crate) struct Sockets {
     pub mailbox: Mailbox,
     pub pool: Rc<Pool>,
     pub ask_discovery: Rc<Notify>,
-    pub has_list: Rc<Cell<bool>>,
-    /// The other members, where it has any.
+    pub has_endpoints: Rc<Cell<bool>>,
+    /// State shared with the other members, if a fleet is configured.
     pub fleet: Option<Rc<Fleet>>,
-    /// The sites, where there are several.
-    pub siting: Option<Siting>,
+    /// Failover between sites, if it is enabled.
+    pub site_failover: Option<SiteFailover>,
+    /// Broken variant, for tests.
     pub broken: Option<Broken>,
+    /// Number of replies so far.
     pub answered: u64,
 }
 
@@ -65,9 +68,10 @@
             self.mailbox.clone(),
             self.pool.runners.borrow()[runner].clone(),
         );
-        let told = move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
-        let (errand, stop) = Errand::new(request, deadline, is_written, told);
-        spawn_local(runners::run(self.pool.clone(), to, errand));
+        let on_result =
+            move |ended| mailbox.put(move |exchange| exchange.request_ended(purpose, ended));
+        let (call, stop) = RunnerCall::new(request, deadline, is_written, on_result);
+        spawn_local(runners::run(self.pool.clone(), to, call));
         stop
     }
 
@@ -78,7 +82,7 @@
     fn schedule_retry(&mut self, purpose: Purpose) {
         let (mailbox, pause) = (
             self.mailbox.clone(),
-            Duration::from_secs_f64(self.pool.dial_s),
+            Duration::from_secs_f64(self.pool.connect_timeout_s),
         );
         spawn_local(async move {
             tokio::time::sleep(pause).await;
@@ -91,7 +95,7 @@
     }
 
     fn close_idle_connections(&mut self, runner: usize) {
-        self.pool.runners.borrow()[runner].drop_idle();
+        self.pool.runners.borrow()[runner].close_idle();
     }
 
     fn ask_discovery(&mut self) {
@@ -99,53 +103,57 @@
     }
 
     fn set_has_endpoints(&mut self, has_endpoints: bool) {
-        self.has_list.set(has_endpoints);
+        self.has_endpoints.set(has_endpoints);
     }
 
     fn record_arrival(&mut self, now: f64, category: usize) {
         if let Some(fleet) = &self.fleet {
-            fleet.took(now, category);
+            fleet.record_arrival(now, category);
         }
     }
 
     fn budget_usable_until(&self, now: f64, runner: usize, category: usize) -> f64 {
-        self.fleet
-            .as_ref()
-            .map_or(f64::INFINITY, |fleet| fleet.spend_by(now, runner, category))
+        self.fleet.as_ref().map_or(f64::INFINITY, |fleet| {
+            fleet.budget_usable_until(now, runner, category)
+        })
     }
 
     fn record_attempt(&mut self, now: f64, is_retry: bool) {
         if let Some(fleet) = &self.fleet {
-            fleet.goes(now, is_retry);
+            fleet.record_attempt(now, is_retry);
         }
     }
 
     fn record_observation(&mut self, now: f64, runner: usize, observation: Observation) {
         if let Some(fleet) = &self.fleet {
-            fleet.saw(now, &self.pool.runners.borrow()[runner].gate, observation);
+            fleet.record_observation(
+                now,
+                &self.pool.runners.borrow()[runner].endpoint,
+                observation,
+            );
         }
-        if let Some(siting) = &mut self.siting {
-            siting.saw(now, runner, observation);
+        if let Some(site_failover) = &mut self.site_failover {
+            site_failover.record_observation(now, runner, observation);
         }
     }
 
     fn apply_shared_state(&mut self, now: f64, dispatcher: &mut Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
-            fleet.advise(now, dispatcher, load);
+            fleet.apply_shared_state(now, dispatcher, load);
         }
-        if let Some(siting) = &mut self.siting {
-            siting.advise(now, dispatcher, load);
+        if let Some(site_failover) = &mut self.site_failover {
+            site_failover.apply_shared_state(now, dispatcher, load);
         }
     }
 
     fn report_budget_use(&mut self, now: f64, dispatcher: &Dispatcher, load: &Load) {
         if let Some(fleet) = &self.fleet {
-            fleet.spent(now, dispatcher, load);
+            fleet.report_budget_use(now, dispatcher, load);
         }
     }
 }
 
-/// Takes all news at hand, then decides once; until the mailbox is gone.
+/// Applies all queued calls, then has the policy decide once. Ends when the mailbox is closed.
 pub(crate) async fn run(mut exchange: Exchange, mut calls: mailbox::Calls<Exchange>, clock: Clock) {
     loop {
         let call = tokio::select! {
@@ -160,7 +168,7 @@
         if let Some(call) = call {
             exchange.contain_panic(call);
         }
-        while let Some(call) = calls.at_hand() {
+        while let Some(call) = calls.try_next() {
             exchange.contain_panic(call);
         }
         exchange.process_due();
