--- a/crates/cluster/cluster-node/src/settings.rs
+++ b/crates/cluster/cluster-node/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings file (TOML): its fields and their checks. Unknown fields are ignored; field names are the file's keys.
+//! The settings file (TOML): its fields and their checks. The field names are the keys of the file; unknown keys are
+//! ignored.
 
 mod check;
 mod error;
@@ -17,65 +18,65 @@
 
 use number::Number;
 
-/// Ports of a machine that a cluster uses, counted from the first of `port_range`: one for each kind of process, so
-/// that two kinds can run on one machine.
+/// The number of ports that a cluster uses on a machine, starting with the first of `port_range`. Each kind of process
+/// has its own port, so that two kinds can run on one machine.
 pub const PORTS_USED: u16 = 3;
 
 /// The settings of a process.
 #[derive(Deserialize, Validate, Clone, Debug)]
 pub struct Settings {
-    /// The machine's name, for log lines.
+    /// The machine's name, which appears in log lines.
     #[serde(default)]
     pub node_name: String,
-    /// The machine's own address, at which other processes connect.
+    /// The machine's own address, to which other processes connect.
     #[validate(custom(function = check::is_specified))]
     pub ip: Ipv4Addr,
     /// The machine's failure domain.
     #[serde(default)]
     pub zone: String,
-    /// First and last port for messages between processes.
+    /// The first and the last port for messages between processes.
     #[validate(custom(function = check::has_enough_ports))]
     pub port_range: [u16; 2],
-    /// `control` addresses of core machines.
+    /// The `control` addresses of core machines.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether this is the first start of the whole system: the core processes found the cluster.
+    /// Whether this is the first start of the whole system, at which the core processes bootstrap the cluster.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The folder of the state on disk; core machines only.
+    /// The folder for the state on disk; used by core processes only, which require it.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// The time between two heartbeats of a runner, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     #[validate(custom(function = check::is_positive))]
     pub heartbeat_ms: Number,
-    /// Where the machine's runner listens; side machines only.
+    /// The address at which the machine's runner listens; used by side processes only.
     #[serde(default)]
     pub app: Option<SocketAddrV4>,
-    /// Where the process listens for HTTP.
+    /// The addresses at which the process listens for HTTP requests.
     #[serde(default)]
     pub bind_addrs: BindAddresses,
-    /// The resources of the process.
+    /// The resources that the process may use.
     #[serde(default)]
     #[validate(nested)]
     pub limits: Limits,
-    /// The losses that the cluster must survive.
+    /// The number of simultaneous losses that the cluster must survive.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// The deployment's bounds.
+    /// The time limits and tolerances of the deployment.
     #[serde(default)]
     #[validate(nested)]
     pub bounds: BoundsSettings,
 }
 
-/// Where the process listens for HTTP.
+/// The addresses at which the process listens for HTTP requests.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 pub struct BindAddresses {
-    /// For clients; required on frontend machines.
+    /// The address for requests of clients; required by frontend processes.
     pub frontend: Option<SocketAddrV4>,
-    /// For the platform's readiness check.
+    /// The address for the platform's readiness check.
     pub readiness: Option<SocketAddrV4>,
-    /// For the operator or the runner; required on core and side machines.
+    /// The address for requests of the operator or the runner; required by core and side processes.
     pub control: Option<SocketAddrV4>,
 }
 
@@ -83,10 +84,10 @@
 #[derive(Deserialize, Validate, Clone, Copy, Debug)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in megabytes; above 0.
+    /// The memory, in megabytes; above 0.
     #[validate(custom(function = check::is_positive))]
     pub memory_mb: Number,
-    /// File descriptors; at least 64.
+    /// The number of file descriptors; at least 64.
     #[validate(range(min = 64))]
     pub max_fds: u32,
 }
@@ -100,11 +101,11 @@
     }
 }
 
-/// The losses at one time that the cluster must survive.
+/// The number of simultaneous losses that the cluster must survive.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Core machines that may be lost at once.
+    /// The number of core machines that may be lost at once.
     pub machines: u32,
 }
 
@@ -118,21 +119,21 @@
 
 macro_rules! bounds_settings {
     (milliseconds: $($millis:ident),*; fractions: $($fraction:ident),*;) => {
-        /// The deployment's bounds as the file gives them; a missing key has the value of [`Bounds::default`]. Units are
-        /// those of [`Bounds`].
+        /// The time limits and tolerances of the deployment as the file gives them. A missing key has the value of
+        /// [`Bounds::default`]. The units are those of [`Bounds`].
         #[derive(Deserialize, Validate, Clone, Copy, Debug, Default)]
         #[serde(default)]
         pub struct BoundsSettings {
-            $(/// As in [`Bounds`], in milliseconds.
+            $(/// The value of the field of this name in [`Bounds`], in milliseconds.
             #[validate(custom(function = check::is_not_negative))]
             pub $millis: Option<Number>,)*
-            $(/// As in [`Bounds`].
+            $(/// The value of the field of this name in [`Bounds`].
             #[validate(custom(function = check::is_not_negative))]
             pub $fraction: Option<Number>,)*
         }
 
         impl BoundsSettings {
-            /// The bounds as the logic takes them.
+            /// Converts the settings to the bounds that the logic takes.
             pub fn to_bounds(self) -> Bounds {
                 let default = Bounds::default();
                 Bounds {
@@ -151,11 +152,12 @@
 }
 
 impl Settings {
-    /// Reads and checks the file for a kind of process.
+    /// Reads the settings file and checks it for a kind of process.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`]: the file can't be read, or its first invalid field.
+    /// [`SettingsError::Unreadable`] if the file can't be read, else [`SettingsError::Field`] with the first invalid
+    /// field.
     pub fn load(path: &Path, kind: NodeKind) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -168,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Field`]: the first invalid field.
+    /// [`SettingsError::Field`] with the first invalid field.
     pub fn parse(text: &str, kind: NodeKind) -> Result<Settings, SettingsError> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError::from_toml(text, &error))?;
@@ -179,7 +181,7 @@
         Ok(settings)
     }
 
-    /// The first port for messages between processes.
+    /// Returns the first port for messages between processes.
     pub fn first_port(&self) -> u16 {
         self.port_range[0]
     }
--- a/crates/cluster/cluster-node/src/settings/error.rs
+++ b/crates/cluster/cluster-node/src/settings/error.rs
@@ -1,32 +1,32 @@
-//! Why settings are invalid, in one line that names the field.
+//! The errors of a settings file. Each is one line that names the field or the file.
 
 use std::path::PathBuf;
 
 use validator::{ValidationErrors, ValidationErrorsKind};
 
-/// Why settings are invalid.
+/// An error of a settings file.
 #[derive(thiserror::Error, Debug)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it could not be read.
+        /// The error of reading it.
         error: std::io::Error,
     },
     /// A field is invalid or missing.
     #[error("{}{reason}", prefix(field))]
     Field {
-        /// The key with its section; empty where the file is not TOML.
+        /// The key with its section; empty if the error belongs to no key, for example if the file is not TOML.
         field: String,
-        /// What is wrong with its value.
+        /// The reason for which the value is invalid.
         reason: String,
     },
 }
 
 impl SettingsError {
-    /// A field that this kind of process requires is missing.
+    /// Creates the error for a missing field that this kind of process requires.
     pub(super) fn missing(field: &str) -> SettingsError {
         SettingsError::Field {
             field: field.to_owned(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// An error of reading the text.
+    /// Converts an error of parsing the text.
     pub(super) fn from_toml(text: &str, error: &toml::de::Error) -> SettingsError {
         let field = error
             .span()
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The first field, in alphabetical order, that failed its check.
+    /// Creates the error for the first field, in alphabetical order, that failed its check.
     pub(super) fn from_validation(errors: &ValidationErrors) -> SettingsError {
         let mut found = Vec::new();
         collect("", errors, &mut found);
@@ -63,6 +63,7 @@
     reason: String,
 }
 
+/// Adds the failed checks of all fields below `prefix` to `found`.
 fn collect(prefix: &str, errors: &ValidationErrors, found: &mut Vec<Finding>) {
     for (name, kind) in errors.errors() {
         let field = if prefix.is_empty() {
@@ -88,10 +89,10 @@
     }
 }
 
-/// The key, with its section, on the line that holds the byte at `offset`.
+/// Returns the key, with its section, of the line that contains the byte at `offset`.
 fn field_at(text: &str, offset: usize) -> String {
-    let upto = text.get(..offset).unwrap_or(text);
-    let line_start = upto.rfind('\n').map_or(0, |newline| newline + 1);
+    let text_before = text.get(..offset).unwrap_or(text);
+    let line_start = text_before.rfind('\n').map_or(0, |newline| newline + 1);
     let line = text[line_start..].lines().next().unwrap_or("");
     let Some((key, _)) = line.split_once('=') else {
         return String::new();
@@ -107,7 +108,7 @@
     line.trim().strip_prefix('[')?.strip_suffix(']')
 }
 
-/// The field before its reason, as in `field: reason`.
+/// Returns the field as the prefix of its reason, as in `field: reason`.
 fn prefix(field: &str) -> String {
     if field.is_empty() {
         String::new()
--- a/crates/cluster/cluster-node/src/settings/number.rs
+++ b/crates/cluster/cluster-node/src/settings/number.rs
@@ -1,4 +1,4 @@
-//! A number that the settings may give as an integer or as a fraction.
+//! A number that the settings file may give as an integer or as a fraction.
 
 use std::fmt;
 
@@ -8,12 +8,12 @@
 /// A finite number.
 #[derive(Serialize, Clone, Copy, PartialEq, Debug)]
 pub struct Number(
-    /// The value; finite.
+    /// The value, which is finite.
     pub f64,
 );
 
 impl Number {
-    /// The nearest integer; zero for a negative number.
+    /// Returns the nearest integer, or zero for a negative number.
     #[must_use]
     pub fn rounded(self) -> u64 {
         self.0.round().max(0.0) as u64
@@ -39,7 +39,9 @@
 
     fn visit_f64<E: Error>(self, value: f64) -> Result<Number, E> {
         if !value.is_finite() {
-            return Err(E::custom("not a finite number"));
+            return Err(E::custom(format_args!(
+                "expected a finite number, got {value}"
+            )));
         }
         Ok(Number(value))
     }
