--- a/crates/cluster/cluster-node/src/disk.rs
+++ b/crates/cluster/cluster-node/src/disk.rs
@@ -1,8 +1,9 @@
-//! The disk of a core process: one file of `redb`, written by one thread that syncs many writes at once.
+//! The disk of a core process: one `redb` file, written by one thread that syncs many writes in one transaction.
 //!
-//! [`Store`] is the file, [`Disk`] the thread's sending side. A write that is refused, as a full disk does, is held and
-//! written again until it succeeds; nothing that waits for it is said meanwhile, as with a disk that hangs. A failed sync
-//! ends the process: what the file holds is known only once another process has read it.
+//! [`Store`] is the file, [`Disk`] the sending side of the thread's queue. A write that the disk refuses, for example
+//! because it is full, is held and retried until it succeeds. Messages that wait for this write are not sent meanwhile,
+//! as with a disk that hangs. A failed sync ends the process: only a process that reads the file again knows its
+//! content.
 
 mod error;
 mod file;
--- a/crates/cluster/cluster-node/src/disk/file.rs
+++ b/crates/cluster/cluster-node/src/disk/file.rs
@@ -1,5 +1,5 @@
-//! The file as `redb` uses it: plain reads and writes at an offset. In place of locks on ranges, which not every file
-//! system has, one lock on the file excludes a second process.
+//! The file that `redb` reads and writes at offsets. One lock on the whole file excludes a second process; locks on
+//! ranges are not used, since not every file system supports them.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -10,23 +10,23 @@
 
 use redb::StorageBackend;
 
-/// A file that the database can be kept in.
+/// A file that can hold the database.
 pub trait DiskFile: StorageBackend + Sized {
-    /// Opens the file, or creates it.
+    /// Opens the file and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Any error of opening; `ResourceBusy` where another process has it open.
+    /// Any error of opening the file; `ResourceBusy` if another process has it open.
     fn open(path: &Path) -> io::Result<Self>;
 }
 
-/// A file of the file system, locked against a second process.
+/// A file of the file system that is locked so that no second process can open it.
 #[derive(Debug)]
 pub struct LockedFile {
     file: File,
 }
 
-/// A file whose failed syncs are remembered: after one, nothing that was written before can be counted on.
+/// A file that records whether a sync has failed. After a failed sync, data written before it may be lost.
 #[derive(Debug)]
 pub(super) struct WatchedFile<F> {
     file: F,
@@ -34,7 +34,7 @@
 }
 
 impl<F: DiskFile> WatchedFile<F> {
-    /// Opens the file. The flag is set with the first failed sync.
+    /// Opens the file. The returned flag is set by the first failed sync.
     pub(super) fn open(path: &Path) -> io::Result<(WatchedFile<F>, Arc<AtomicBool>)> {
         let sync_failed = Arc::new(AtomicBool::new(false));
         let watched = WatchedFile {
@@ -82,7 +82,7 @@
         match file.try_lock() {
             Ok(()) => Ok(LockedFile { file }),
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::ResourceBusy.into()),
-            // Without locks a second process goes unnoticed; the platform starts only one.
+            // Without file locks a second process is not detected, but the platform starts only one.
             Err(TryLockError::Error(error)) if error.kind() == io::ErrorKind::Unsupported => {
                 Ok(LockedFile { file })
             }
--- a/crates/cluster/cluster-node/src/disk/store.rs
+++ b/crates/cluster/cluster-node/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! The file: opening it, reading all of it, writing many changes in one transaction.
+//! The database file: opens it, reads all rows, and applies many writes in one transaction.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -14,13 +14,14 @@
 use super::file::{DiskFile, LockedFile, WatchedFile};
 use super::DiskError;
 
-/// The file in the data folder.
+/// The name of the database file in the data folder.
 const FILE_NAME: &str = "state.redb";
-/// A replacement of a corrupted file, before its rename.
+/// The name of the file that replaces a corrupted one, until it is renamed.
 const NEW_FILE_NAME: &str = "state.redb.new";
-/// A row of a file that replaced a corrupted one, so that the disk never counts as fresh again.
+/// The key of a row that is written to a file that replaces a corrupted one, so that the disk is never taken for a new
+/// one at a later start.
 const REPLACED_KEY: &[u8] = b"replaced";
-/// The cache of the database: the file is small, and what is read often fits.
+/// The size of the database's cache, in bytes. The file is small, and the rows that are read often fit.
 const CACHE_BYTES: usize = 4 << 20;
 
 type Definition = TableDefinition<'static, &'static [u8], &'static [u8]>;
@@ -29,54 +30,55 @@
 const CONTROL: Definition = TableDefinition::new("control");
 const RECORDS: Definition = TableDefinition::new("records");
 
-/// Opens the database in a file of some kind.
+/// Opens the database in a file of one type of [`DiskFile`].
 type OpenDatabase = fn(&Path) -> Result<OpenFile, DiskError>;
 
-/// The open file.
+/// The open database file of a data folder.
 pub struct Store {
     folder: PathBuf,
     file: OpenFile,
     open: OpenDatabase,
 }
 
-/// The database and what is known of its file.
+/// The open database.
 struct OpenFile {
     database: Database,
+    /// Whether a sync of the file has failed.
     sync_failed: Arc<AtomicBool>,
 }
 
-/// The open file and what was in it.
+/// The open file and its rows.
 pub struct Opened {
     /// The open file.
     pub store: Store,
-    /// All rows at the start; empty for a new file.
+    /// All rows at the time of opening; empty for a new file.
     pub image: DiskImage,
-    /// Whether a corrupted file was replaced: whatever the disk held is lost.
+    /// Whether a corrupted file was replaced, so that all earlier rows are lost.
     pub emptied: bool,
 }
 
 impl Store {
-    /// Opens the file in `folder`, or creates it. One corrupted beyond repair is replaced, as if the disk had been lost.
+    /// Opens the file in `folder` and creates it if it does not exist. A file that is corrupted beyond repair is
+    /// replaced by an empty one, as if the disk had been lost. Blocks the thread until the file is read.
     ///
     /// # Errors
     ///
-    /// [`DiskError::Refused`] or [`DiskError::Io`] where the disk can't be used now, or another process has the file
-    /// open. Blocks the thread until the file is read.
+    /// [`DiskError::Refused`] or [`DiskError::Io`] if the disk can't be used now, or another process has the file open.
     pub fn open(folder: &Path) -> Result<Opened, DiskError> {
         Store::open_in::<LockedFile>(folder)
     }
 
-    /// The same with a file of another kind.
+    /// Does the same as [`Store::open`] with another type of file.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`].
+    /// The errors of [`Store::open`].
     pub fn open_in<F: DiskFile>(folder: &Path) -> Result<Opened, DiskError> {
         let open = open_database::<F>;
         match Store::open_existing(folder, open) {
             Err(error) if error.is_corruption() => {
                 log::warn!(
-                    "disk file replaced: folder={} error={error}",
+                    "corrupted disk file replaced by an empty one: folder={} error={error}",
                     folder.display()
                 );
                 let store = Store::replace(folder, open)?;
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Replaces a corrupted file by a new one, by rename: until the new one is synced, the corrupted one stays.
+    /// Replaces a corrupted file by a new one. The new file is synced before it is renamed, so that the corrupted file
+    /// stays until then.
     fn replace(folder: &Path, open: OpenDatabase) -> Result<Store, DiskError> {
         let path = folder.join(NEW_FILE_NAME);
         match std::fs::remove_file(&path) {
@@ -126,7 +129,7 @@
         };
         let image = match store.read_image()? {
             Some(image) => image,
-            None => store.make_tables(folder)?,
+            None => store.create_tables(folder)?,
         };
         Ok(Opened {
             store,
@@ -135,13 +138,13 @@
         })
     }
 
-    fn make_tables(&self, folder: &Path) -> Result<DiskImage, DiskError> {
+    fn create_tables(&self, folder: &Path) -> Result<DiskImage, DiskError> {
         self.write(&[])?;
         sync_folder(folder)?;
         Ok(DiskImage::default())
     }
 
-    /// Both tables, or nothing where they have not been made.
+    /// Reads both tables; `None` if they have not been created.
     fn read_image(&self) -> Result<Option<DiskImage>, DiskError> {
         let transaction = self
             .file
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Closes the file. It can be opened again with [`ClosedStore::reopen`].
+    /// Closes the file, which can be opened again with [`ClosedStore::reopen`].
     pub fn close(self) -> ClosedStore {
         ClosedStore {
             folder: self.folder,
@@ -175,8 +178,8 @@
     ///
     /// # Errors
     ///
-    /// [`DiskError::Refused`]: nothing more can be written before the file is opened again.
-    /// [`DiskError::SyncFailed`]: nothing that was written since the last sync can be counted on.
+    /// [`DiskError::Refused`]: the file must be opened again before the next write.
+    /// [`DiskError::SyncFailed`]: all data written since the last sync may be lost.
     pub fn write(&self, writes: &[DiskWrite]) -> Result<(), DiskError> {
         let written = self.write_transaction(writes);
         let sync_failed = self.file.sync_failed.load(Ordering::Relaxed);
@@ -198,19 +201,20 @@
     }
 }
 
-/// A store whose file is closed, after a refused write.
+/// A store whose file was closed after a refused write.
 pub struct ClosedStore {
     folder: PathBuf,
     open: OpenDatabase,
 }
 
 impl ClosedStore {
-    /// Opens the file again. It holds what was synced before, and no part of the refused write or all of it.
+    /// Opens the file again. It holds all rows that were synced before, and either the whole refused write or no part
+    /// of it.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`]. A file that cannot be repaired is not replaced here, since this process still counts on what
-    /// it held.
+    /// The errors of [`Store::open`]. A file that cannot be repaired is not replaced here, since this process still
+    /// depends on the rows that the file held.
     pub fn reopen(&self) -> Result<Store, DiskError> {
         Ok(Store {
             folder: self.folder.clone(),
@@ -229,7 +233,7 @@
     Ok(rows)
 }
 
-/// Applies the operations on one table, in their order. Tables do not depend on each other.
+/// Applies the operations on one table in their order. Operations on different tables do not depend on each other.
 fn apply(
     transaction: &WriteTransaction,
     definition: Definition,
@@ -275,7 +279,7 @@
     })
 }
 
-/// Makes a created or renamed file's name durable.
+/// Syncs the folder, so that the name of a created or renamed file is durable.
 fn sync_folder(folder: &Path) -> Result<(), DiskError> {
     Ok(File::open(folder)?.sync_all()?)
 }
--- a/crates/cluster/cluster-node/src/disk/writer.rs
+++ b/crates/cluster/cluster-node/src/disk/writer.rs
@@ -1,9 +1,10 @@
-//! The disk's thread: takes all pending writes, syncs them as one, reports what waited for them.
+//! The disk's thread: it writes all pending writes in one transaction, syncs it, and reports the messages and tokens
+//! that waited for the sync.
 //!
-//! A refused write is held, with all that comes behind it, until the disk takes it. The logic needs no notice of that:
-//! to it the disk is slow, and nothing counts before its sync. The thread ends when its [`Disk`] is dropped, when the
-//! receiver of the inputs is dropped, with a failed sync, with a file that is corrupted when it is opened again, and when
-//! too much waits.
+//! A refused write is held together with all later writes until the disk accepts it. The logic is not notified: it
+//! handles this as a slow disk, because it relies on no write before its sync. The thread ends when its [`Disk`] is
+//! dropped, when the receiver of the inputs is dropped, after a failed sync, when the file turns out to be corrupted as
+//! it is opened again, and when the held writes exceed [`MAX_PENDING_BYTES`].
 
 use std::sync::mpsc::{channel, Sender};
 use std::time::{Duration, Instant};
@@ -14,14 +15,14 @@
 use super::{ClosedStore, DiskError, Store};
 use crate::input::{Input, Inputs};
 
-/// The pause before a refused write is tried again.
+/// The pause before a refused write is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The most that waits for a disk that takes no writes, in bytes: more would use up the process's memory.
+/// The limit on the writes that are held while the disk refuses them, in bytes. More would use up the process's memory.
 const MAX_PENDING_BYTES: usize = 32 << 20;
 const THREAD_NAME: &str = "disk";
 const THREAD_STACK_BYTES: usize = 1 << 20;
 
-/// The sending side of the disk's thread.
+/// The sending side of the queue of the disk's thread.
 pub struct Disk {
     writes: Sender<DiskWrite>,
 }
@@ -31,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// [`DiskError::Io`] where no thread can be started.
+    /// [`DiskError::Io`] if no thread can be started.
     pub fn start(store: Store, inputs: Inputs) -> Result<Disk, DiskError> {
         let (sender, receiver) = channel();
         let mut pending = PendingWrites::new(receiver);
@@ -46,13 +47,13 @@
         Ok(Disk { writes: sender })
     }
 
-    /// Queues a write behind all earlier ones. After a failure nothing is written any more.
+    /// Queues a write behind all earlier ones. After a failure of the disk the write is dropped.
     pub fn submit(&self, write: DiskWrite) {
         let _ = self.writes.send(write);
     }
 }
 
-/// Writes until the queue is closed.
+/// Writes and reports until the queue is closed.
 fn run(mut store: Store, pending: &mut PendingWrites, inputs: &Inputs) -> Result<(), DiskError> {
     while pending.collect() == QueueState::Open {
         if let Err(error) = store.write(pending.group()) {
@@ -61,15 +62,15 @@
             };
             store = reopened;
         }
-        if inputs.send(report(pending.take_synced())).is_err() {
+        if inputs.send(synced_input(pending.take_synced())).is_err() {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// Holds the refused writes and tries them again until they are synced. `None` where the queue was closed meanwhile:
-/// nobody waits for them any more.
+/// Holds the refused writes and retries them until they are synced. Returns `None` if the queue was closed meanwhile,
+/// since no task waits for the writes any more.
 fn retry(
     store: Store,
     pending: &mut PendingWrites,
@@ -99,8 +100,9 @@
     }
 }
 
-/// Opens the file and writes what is held; `None` where that is refused again. Writing it a second time changes nothing:
-/// rows are set and removed, never changed by what they held.
+/// Opens the file and writes the held writes; returns `None` if that is refused again. If the refused transaction did
+/// reach the disk, a second write has no further effect: operations set or remove rows and do not depend on their
+/// earlier values.
 fn try_again(closed: &ClosedStore, pending: &PendingWrites) -> Result<Option<Store>, DiskError> {
     let store = match closed.reopen() {
         Ok(store) => store,
@@ -114,7 +116,8 @@
     }
 }
 
-fn report(group: Vec<DiskWrite>) -> Input {
+/// Builds the input that reports these writes as synced.
+fn synced_input(group: Vec<DiskWrite>) -> Input {
     let mut send_when_synced = Vec::new();
     let mut tokens = Vec::new();
     for write in group {
