--- a/crates/cluster/cluster-node/src/health_check.rs
+++ b/crates/cluster/cluster-node/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one GET on a connection of its own, with a time-out.
+//! Health checks: each sends one GET request on a new connection and has a time-out.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -15,33 +15,33 @@
 
 use crate::input::{Input, Inputs};
 
-/// Why a health check got no status.
+/// The error of a health check that got no HTTP status.
 #[derive(thiserror::Error, Debug)]
 enum HealthCheckError {
-    /// No connection was made.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened.
+    #[error("connection not opened: {0}")]
     Unconnected(std::io::Error),
-    /// The path is invalid.
+    /// The path is not a valid request target.
     #[error("invalid request: {0}")]
     BadRequest(hyper::http::Error),
-    /// The connection was closed before the answer.
-    #[error("connection closed: {0}")]
+    /// The connection failed or was closed before the response.
+    #[error("connection closed before the response: {0}")]
     Closed(hyper::Error),
 }
 
 impl HealthCheckError {
-    /// Only a connection that was refused proves that nothing listens.
+    /// Whether the connection was refused. Only this proves that no process listens at the address.
     fn is_refusal(&self) -> bool {
         matches!(self, HealthCheckError::Unconnected(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-/// Starts a health check. Its task sends one [`Input::HealthChecked`] and ends, at the latest after
+/// Starts a health check in a task, which sends one [`Input::HealthChecked`] and ends after at most
 /// [`HEALTH_CHECK_TIMEOUT_MS`].
 pub fn start(health_check: HealthCheck, inputs: Inputs) {
     tokio::spawn(async move {
         let result = check(&health_check).await;
-        // An error: the process is ending.
+        // The send fails only while the process is ending.
         let _ = inputs.send(Input::HealthChecked {
             id: health_check.id,
             result,
@@ -51,7 +51,7 @@
 
 async fn check(health_check: &HealthCheck) -> HealthCheckResult {
     let timeout = Duration::from_millis(HEALTH_CHECK_TIMEOUT_MS);
-    match tokio::time::timeout(timeout, status(health_check)).await {
+    match tokio::time::timeout(timeout, request_status(health_check)).await {
         Ok(Ok(status)) => HealthCheckResult::Status(status.as_u16()),
         Ok(Err(error)) => {
             log::debug!(
@@ -68,7 +68,7 @@
     }
 }
 
-async fn status(health_check: &HealthCheck) -> Result<StatusCode, HealthCheckError> {
+async fn request_status(health_check: &HealthCheck) -> Result<StatusCode, HealthCheckError> {
     let request = Request::get(health_check.path.as_str())
         .header(HOST, health_check.address.to_string())
         .header(CONNECTION, "close")
@@ -81,9 +81,9 @@
         .await
         .map_err(HealthCheckError::Closed)?;
     let driver = tokio::spawn(connection);
-    let answered = sender.send_request(request).await;
+    let response = sender.send_request(request).await;
     driver.abort();
-    answered
+    response
         .map(|response| response.status())
         .map_err(HealthCheckError::Closed)
 }
--- a/crates/cluster/cluster-node/src/http.rs
+++ b/crates/cluster/cluster-node/src/http.rs
@@ -1,8 +1,9 @@
-//! The HTTP server: listening addresses, connections within a limit, requests handed to the logic with their full body.
+//! The HTTP server: it listens at addresses, limits the open connections, and passes each request with its full body to
+//! the logic.
 //!
-//! Tasks: one accepts for each address and ends at [`Phase::Closing`](crate::lifecycle::Phase); one serves each
-//! connection and ends when the caller closes it, when another connection evicts it while it is idle, or at `Closing`
-//! once its answer is sent. All are dropped with the runtime.
+//! One task for each address accepts connections and ends at [`Phase::Closing`](crate::lifecycle::Phase). One task
+//! serves each connection and ends when the caller closes it, when it is evicted for another connection while it is
+//! idle, or at `Closing` once its response is sent. All tasks are dropped with the runtime.
 
 mod connection_limit;
 mod convert;
--- a/crates/cluster/cluster-node/src/http/convert.rs
+++ b/crates/cluster/cluster-node/src/http/convert.rs
@@ -13,14 +13,14 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Converts a request for the logic.
+/// Converts a request to the type that the logic takes.
 pub(super) fn to_request(parts: &Parts, body: Vec<u8>) -> HttpRequest {
     HttpRequest {
         method: method(&parts.method),
         host: host(parts),
         path: parts.uri.path().to_owned(),
-        base_version: number(parts, BASE_VERSION),
-        deadline_ms: number(parts, DEADLINE_MS),
+        base_version: numeric_header(parts, BASE_VERSION),
+        deadline_ms: numeric_header(parts, DEADLINE_MS),
         body,
     }
 }
@@ -39,8 +39,8 @@
         .headers
         .get(HOST)
         .and_then(|value| value.to_str().ok());
-    let named = header.or_else(|| parts.uri.authority().map(|authority| authority.as_str()));
-    without_port(named.unwrap_or("")).to_owned()
+    let host = header.or_else(|| parts.uri.authority().map(|authority| authority.as_str()));
+    without_port(host.unwrap_or("")).to_owned()
 }
 
 fn without_port(host: &str) -> &str {
@@ -50,11 +50,11 @@
     }
 }
 
-fn number(parts: &Parts, name: &str) -> Option<u64> {
+fn numeric_header(parts: &Parts, name: &str) -> Option<u64> {
     parts.headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Converts the logic's reply; `close` asks the caller to reconnect for its next request.
+/// Converts the logic's reply. With `close`, the response asks the caller to reconnect for its next request.
 pub(super) fn to_response(reply: HttpReply, close: bool) -> Response<Full<Bytes>> {
     let has_body = !reply.body.is_empty();
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
@@ -73,7 +73,7 @@
     response
 }
 
-/// A reply of the server itself without a body, after which the connection closes.
+/// Creates a response of the server itself. It has no body, and the connection is closed after it.
 pub(super) fn error_response(status: StatusCode) -> Response<Full<Bytes>> {
     let reply = HttpReply {
         status: status.as_u16(),
--- a/crates/cluster/cluster-node/src/http/listener.rs
+++ b/crates/cluster/cluster-node/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! Listening addresses and their connections.
+//! The HTTP listeners and their connections.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -19,40 +19,40 @@
 use crate::lifecycle::{reached, Phase, PhaseReceiver};
 use crate::transport::bind_listener;
 
-/// The pause after a failed accept (no descriptor, for instance).
+/// The pause after a failed accept, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The most that a connection buffers of a request's head, in bytes.
+/// The limit on a connection's buffer for the head of a request, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What all listening addresses share.
+/// The context that all HTTP listeners of a process share.
 #[derive(Clone)]
 pub struct ServerContext {
-    /// Where requests go.
+    /// The channel that requests are sent to.
     pub inputs: Inputs,
     /// The phase of the process.
     pub phase: PhaseReceiver,
-    /// The limit on connections of all addresses together.
+    /// The limit on the connections of all listeners together.
     pub connection_limit: Arc<ConnectionLimit>,
-    /// The id of the next request.
+    /// The id of the next request; ids are unique across all listeners.
     pub next_id: Arc<AtomicU64>,
 }
 
-/// A listening address that is served.
+/// An HTTP endpoint that is being served.
 #[derive(Clone, Copy, Debug)]
 pub struct ListeningEndpoint {
-    /// The bound address, with the actual port where 0 was given.
+    /// The bound address. If the requested port was 0, this is the port that the system chose.
     pub address: SocketAddr,
 }
 
-/// Listens at an address and serves it until [`Phase::Closing`].
+/// Listens at an address and serves requests until [`Phase::Closing`].
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// An error if the address can't be bound.
 ///
 /// # Panics
 ///
-/// Outside a Tokio runtime.
+/// Panics outside a Tokio runtime.
 pub fn serve(
     address: SocketAddr,
     endpoint: HttpEndpoint,
@@ -107,7 +107,7 @@
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), handler));
     tokio::select! {
         _ = connection.as_mut() => return,
-        // A request may have been read in the same poll: it is answered first.
+        // A request may have been read in the same poll. It is answered before the connection closes.
         () = slot.evicted() => {
             if !slot.is_busy() {
                 return;
--- a/crates/cluster/cluster-node/src/http/service.rs
+++ b/crates/cluster/cluster-node/src/http/service.rs
@@ -1,4 +1,4 @@
-//! One request: its body is read within limits, the logic answers it.
+//! Handles one request: reads its body within a size limit and a time-out, and returns the logic's reply.
 
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,14 +18,14 @@
 use crate::input::{Input, Inputs};
 use crate::lifecycle::{Phase, PhaseReceiver};
 
-/// The time-out of a request's body.
+/// The time-out for reading a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest body of a client's request, in bytes.
+/// The size limit for the body of a client's request, in bytes.
 const CLIENT_BODY_BYTES: usize = 1 << 20;
-/// The longest configuration or heartbeat, in bytes.
+/// The size limit for the body of a request at the control endpoint (a configuration or a heartbeat), in bytes.
 const CONTROL_BODY_BYTES: usize = 4 << 20;
 
-/// What the requests of one listening address share; see [`ServerContext`](super::ServerContext).
+/// The context that the requests of one listener share; see [`ServerContext`](super::ServerContext).
 pub(super) struct ServiceContext {
     pub(super) endpoint: HttpEndpoint,
     pub(super) inputs: Inputs,
@@ -33,22 +33,23 @@
     pub(super) next_id: Arc<AtomicU64>,
 }
 
-/// Sends [`Input::HttpAbandoned`] when dropped before the answer: `hyper` drops the handler with the connection.
+/// Sends [`Input::HttpAbandoned`] if it is dropped before the reply, since `hyper` drops the handler together with the
+/// connection.
 struct AbandonGuard {
     id: HttpRequestId,
     inputs: Inputs,
-    answered: bool,
+    is_answered: bool,
 }
 
 impl Drop for AbandonGuard {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.is_answered {
             let _ = self.inputs.send(Input::HttpAbandoned { id: self.id });
         }
     }
 }
 
-/// Marks the connection idle again when dropped.
+/// Marks the connection as idle when dropped.
 struct BusyGuard<'a>(&'a ConnectionSlot);
 
 impl Drop for BusyGuard<'_> {
@@ -61,7 +62,7 @@
 ///
 /// # Cancel safety
 ///
-/// Cancel safe: dropped, it marks the connection idle and tells the logic that the request is abandoned.
+/// Cancel safe: dropping the future marks the connection as idle and reports the request as abandoned to the logic.
 pub(super) async fn answer(
     context: &ServiceContext,
     slot: &ConnectionSlot,
@@ -70,7 +71,7 @@
     slot.set_busy(true);
     let _busy = BusyGuard(slot);
     let (parts, body) = request.into_parts();
-    let body = match read_body(body, limit(context.endpoint)).await {
+    let body = match read_body(body, body_limit(context.endpoint)).await {
         Ok(body) => body,
         Err(status) => return Ok(error_response(status)),
     };
@@ -90,19 +91,20 @@
     let mut abandon_guard = AbandonGuard {
         id,
         inputs: context.inputs.clone(),
-        answered: false,
+        is_answered: false,
     };
     let reply = replied.await;
-    abandon_guard.answered = true;
+    abandon_guard.is_answered = true;
     let close = *context.phase.borrow() > Phase::Serving;
-    // The process ended without an answer: the outcome is unknown.
+    // The process ended without a reply, so the outcome of the request is unknown.
     Ok(reply.map_or_else(
         |_| error_response(StatusCode::GATEWAY_TIMEOUT),
         |reply| to_response(reply, close),
     ))
 }
 
-fn limit(endpoint: HttpEndpoint) -> usize {
+/// Returns the size limit for a body, in bytes.
+fn body_limit(endpoint: HttpEndpoint) -> usize {
     match endpoint {
         HttpEndpoint::Frontend | HttpEndpoint::Readiness => CLIENT_BODY_BYTES,
         HttpEndpoint::Control => CONTROL_BODY_BYTES,
@@ -116,8 +118,8 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let whole = Limited::new(body, limit).collect();
-    let collected = tokio::time::timeout(BODY_TIMEOUT, whole).await;
+    let collecting = Limited::new(body, limit).collect();
+    let collected = tokio::time::timeout(BODY_TIMEOUT, collecting).await;
     match collected {
         Err(_) => Err(StatusCode::REQUEST_TIMEOUT),
         Ok(Ok(collected)) => Ok(Vec::from(collected.to_bytes())),
