--- a/crates/cluster/cluster-node/src/transport.rs
+++ b/crates/cluster/cluster-node/src/transport.rs
@@ -1,13 +1,14 @@
-//! Messages between processes: frames on TCP, one connection for each pair where possible.
+//! The transport of messages between processes: frames on TCP, with one connection for each pair of processes where
+//! possible.
 //!
-//! [`Transport::send`] queues a frame at its `Peer`. A peer without a connection is dialed; a connection (`link`) sends
-//! what is queued and delivers what it receives to the process's inputs. Either side may open the connection, and a
-//! peer's newest one is used to send. Messages may be lost: a full queue, an unreachable peer or a broken connection
-//! drops frames.
+//! [`Transport::send`] queues a frame at its `Peer`. A peer without a connection is dialed. A connection (`link`) sends
+//! the queued frames and delivers the received messages to the process's inputs. Either side may open the connection,
+//! and a peer's newest connection is the one that sends. Messages may be lost: frames are dropped when a queue is full,
+//! a peer is unreachable or a connection breaks.
 //!
-//! Tasks: one accepts for as long as the runtime runs; a dialing task ends when its peer has nothing queued; a
-//! connection's task ends with its connection, or when the process no longer takes inputs. All are dropped with the
-//! runtime, at the end of the process.
+//! One task accepts connections for as long as the runtime runs. A dialing task ends when no frames are queued for its
+//! peer. The task of a connection ends with its connection, or when the process receives no more inputs. All tasks are
+//! dropped with the runtime at the end of the process.
 
 mod dial;
 mod frames;
@@ -31,22 +32,22 @@
 
 pub use socket::bind_listener;
 
-/// Sends messages to other processes and receives theirs. Clones share all connections.
+/// Sends messages to other processes and receives messages from them. Clones share all connections.
 #[derive(Clone)]
 pub struct Transport {
     shared: Arc<Shared>,
 }
 
 impl Transport {
-    /// Listens at the address that names this process; received messages go to `inputs`.
+    /// Listens at the address of this process's id and delivers received messages to `inputs`.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// An error if the address can't be bound.
     ///
     /// # Panics
     ///
-    /// Outside a Tokio runtime.
+    /// Panics outside a Tokio runtime.
     pub fn start(node: NodeId, incarnation: Incarnation, inputs: Inputs) -> io::Result<Transport> {
         let shared = Arc::new(Shared::new(node, incarnation, inputs)?);
         let listener = bind_listener(node.address().into())?;
@@ -54,7 +55,7 @@
         Ok(Transport { shared })
     }
 
-    /// Sends a message, connecting where needed. It may be lost.
+    /// Queues a message for a process and dials the process if there is no connection. The message may be lost.
     pub fn send(&self, to: NodeId, message: &Message) {
         match pack(message) {
             Ok(frame) => self.send_frame(to, frame),
@@ -69,13 +70,13 @@
         }
     }
 
-    /// Whether nothing is queued for any process.
+    /// Whether no frame is queued for any process.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.shared.is_drained()
     }
 
-    /// Frames dropped so far, because a queue was full or a process could not be reached.
+    /// Returns the number of frames dropped so far because a queue was full or a process could not be reached.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.shared.dropped()
--- a/crates/cluster/cluster-node/src/transport/dial.rs
+++ b/crates/cluster/cluster-node/src/transport/dial.rs
@@ -1,4 +1,4 @@
-//! Opening connections: dials a peer while frames are queued for it.
+//! Opens connections: dials a peer while frames are queued for it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,29 +13,29 @@
 use super::shared::Shared;
 use super::socket::prepare_peer;
 
-/// The time-out of one attempt.
+/// The time-out of one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The backoff after the first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest backoff.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Failures after which the backoff grows no more.
+/// The backoff after the first failed attempt.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// The upper bound on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// The limit on how often the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Tries to connect while frames are queued, with exponential backoff; then serves the connection until it ends, and
-/// dials again if that left frames without a connection.
+/// Tries to connect with exponential backoff while frames are queued. Serves the connection until it ends, and dials
+/// again if frames are queued then and there is no other connection.
 pub(super) async fn dial(shared: Arc<Shared>, peer: Arc<Peer>) {
     loop {
         if let Ok(stream) = connect(&shared, &peer).await {
             let link = peer.attach(shared.next_link(), None);
-            peer.dialed();
+            peer.finish_dial();
             match run(stream, &shared, &peer, &link).await {
                 LinkEnd::Done => return,
                 LinkEnd::Redial => continue,
             }
         }
-        tokio::time::sleep(with_jitter(backoff(peer.failed()))).await;
-        if !peer.still_needed(Instant::now()) {
+        tokio::time::sleep(with_jitter(backoff(peer.record_failed_dial()))).await;
+        if !peer.needs_dial(Instant::now()) {
             return;
         }
     }
@@ -50,16 +50,17 @@
     Ok(stream)
 }
 
-/// The backoff; doubles with each failure.
+/// Returns the backoff, which doubles with each failure up to [`MAX_BACKOFF`].
 fn backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
-    (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)
+    (MIN_BACKOFF * (1 << doublings)).min(MAX_BACKOFF)
 }
 
-/// Between half and all of the backoff, so that many processes don't reconnect at one moment.
-fn with_jitter(pause: Duration) -> Duration {
+/// Returns a random time between half of the backoff and all of it, so that many processes do not reconnect at the same
+/// moment.
+fn with_jitter(backoff: Duration) -> Duration {
     let steps = u32::from(random_byte());
-    pause / 2 + pause / 2 * steps / u32::from(u8::MAX)
+    backoff / 2 + backoff / 2 * steps / u32::from(u8::MAX)
 }
 
 fn random_byte() -> u8 {
--- a/crates/cluster/cluster-node/src/transport/frames.rs
+++ b/crates/cluster/cluster-node/src/transport/frames.rs
@@ -1,4 +1,4 @@
-//! Frames in a buffer of received bytes.
+//! Encodes messages as frames, and decodes frames and preambles from received bytes.
 
 use bytes::{Buf, BytesMut};
 use deku::DekuContainerRead;
@@ -8,7 +8,7 @@
 };
 use sagetrail_protocol::Message;
 
-/// Encodes a message with its length prefix.
+/// Encodes a message as a frame: a length prefix and the message.
 pub(super) fn pack(message: &Message) -> Result<Vec<u8>, FrameError> {
     let payload = encode(message)?;
     let mut frame = Vec::with_capacity(LENGTH_BYTES + payload.len());
@@ -17,7 +17,7 @@
     Ok(frame)
 }
 
-/// Takes the next complete message; `None` where more bytes are needed.
+/// Removes the next frame from the buffer and decodes its message. Returns `None` if the frame is not complete yet.
 pub(super) fn unpack(received: &mut BytesMut) -> Result<Option<Message>, FrameError> {
     let Some(length) = next_length(received)? else {
         return Ok(None);
@@ -31,14 +31,15 @@
     Ok(Some(message))
 }
 
-/// Bytes missing from the current frame; zero where its length is not known yet.
-pub(super) fn missing(received: &BytesMut) -> usize {
+/// Returns the number of bytes that the next frame still lacks, or zero if its length is not known yet or is invalid.
+pub(super) fn missing_bytes(received: &BytesMut) -> usize {
     match next_length(received) {
         Ok(Some(length)) => (LENGTH_BYTES + length).saturating_sub(received.len()),
         _ => 0,
     }
 }
 
+/// Returns the length of the next message in bytes, or `None` if its length prefix is not complete yet.
 fn next_length(received: &BytesMut) -> Result<Option<usize>, FrameError> {
     let Some(header) = received.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -50,7 +51,7 @@
     Ok(Some(length))
 }
 
-/// The preamble that the bytes hold, if it is of this protocol and version.
+/// Decodes a preamble; an error if it is not of this protocol and version.
 pub(super) fn read_preamble(bytes: &[u8]) -> Result<Preamble, FrameError> {
     let (_, preamble) = Preamble::from_bytes((bytes, 0)).map_err(FrameError::Malformed)?;
     if preamble.magic != MAGIC || preamble.version != PROTOCOL_VERSION {
--- a/crates/cluster/cluster-node/src/transport/link.rs
+++ b/crates/cluster/cluster-node/src/transport/link.rs
@@ -1,4 +1,4 @@
-//! One connection with another process, in both directions, from its preamble to its end.
+//! Serves one connection with another process in both directions, from after its preamble to its end.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 
-use super::frames::{missing, unpack};
+use super::frames::{missing_bytes, unpack};
 use super::peer::{Link, Peer};
 use super::shared::Shared;
 
-/// A connection on which the peer takes nothing for this time is closed.
-const STALLED: Duration = Duration::from_millis(1500);
-/// Free space in the buffer before each read.
+/// The time-out of a write. A connection on which the peer accepts no bytes for this time is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The minimum free space in the receive buffer before each read, in bytes.
 const READ_BYTES: usize = 8 << 10;
-/// A larger buffer is freed once it is empty.
+/// The largest capacity, in bytes, with which an empty receive buffer is kept; a larger one is freed.
 const RETAINED_BUFFER_BYTES: usize = 64 << 10;
 
-/// What is left to do after a connection.
+/// Whether the caller has to dial after a connection ended.
 #[must_use]
 pub(super) enum LinkEnd {
-    /// Nothing is queued, or another connection sends it, or another task dials.
+    /// No frames are queued, or another connection sends them, or another task dials.
     Done,
-    /// Frames are queued and nobody dials: the caller does.
+    /// Frames are queued and no other task dials, so the caller has to.
     Redial,
 }
 
-/// Sends and receives until the connection ends. Frames that are still queued go by another connection.
+/// Sends and receives until the connection ends. Frames that are still queued then are sent on another connection.
 ///
 /// # Cancel safety
 ///
-/// Not cancel safe: a frame taken from the queue may be written in part, and the link stays attached.
+/// Not cancel safe: a frame taken from the queue may be written in part, and the connection stays attached to the peer.
 pub(super) async fn run(
     mut stream: TcpStream,
     shared: &Shared,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Delivers all complete messages; false where the connection is to end.
+/// Delivers all complete messages; returns false if the connection has to end.
 fn deliver_all(received: &mut BytesMut, shared: &Shared, peer: &Peer) -> bool {
     loop {
         match unpack(received) {
@@ -84,28 +84,29 @@
     }
 }
 
+/// Frees an empty buffer of a large capacity, and reserves space for the next read.
 fn reserve(received: &mut BytesMut) {
     if received.is_empty() && received.capacity() > RETAINED_BUFFER_BYTES {
         *received = BytesMut::new();
     }
-    received.reserve(missing(received).max(READ_BYTES));
+    received.reserve(missing_bytes(received).max(READ_BYTES));
 }
 
 async fn send(mut writer: WriteHalf<'_>, peer: &Peer, link: &Link) {
     loop {
         link.wake.notified().await;
         while let Some(frames) = peer.take(link) {
-            if write_steadily(&mut writer, &frames).await.is_err() {
+            if write_all(&mut writer, &frames).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// Writes everything; fails once the peer has taken nothing for [`STALLED`].
-async fn write_steadily(writer: &mut WriteHalf<'_>, mut frames: &[u8]) -> std::io::Result<()> {
+/// Writes all bytes; fails if the peer accepts none for [`WRITE_TIMEOUT`].
+async fn write_all(writer: &mut WriteHalf<'_>, mut frames: &[u8]) -> std::io::Result<()> {
     while !frames.is_empty() {
-        let written = tokio::time::timeout(STALLED, writer.write(frames)).await??;
+        let written = tokio::time::timeout(WRITE_TIMEOUT, writer.write(frames)).await??;
         if written == 0 {
             return Err(std::io::ErrorKind::WriteZero.into());
         }
--- a/crates/cluster/cluster-node/src/transport/listener.rs
+++ b/crates/cluster/cluster-node/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that other processes open.
+//! Accepts and serves the connections that other processes open.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use super::shared::Shared;
 use super::socket::prepare_peer;
 
-/// The pause after a failed accept (no descriptor, for instance).
+/// The pause after a failed accept, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A connection without a preamble after this time is closed.
+/// The time-out for the preamble. A connection on which it has not arrived by then is closed.
 const PREAMBLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the runtime drops the task.
 pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
--- a/crates/cluster/cluster-node/src/transport/peer.rs
+++ b/crates/cluster/cluster-node/src/transport/peer.rs
@@ -1,4 +1,4 @@
-//! A peer: the frames queued for another process, and the connections to it.
+//! A peer: another process with the frames that are queued for it and the connections with it.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,58 +8,63 @@
 
 use sagetrail_protocol::{Incarnation, NodeId};
 
-/// The most that is queued for one process, in bytes. A single longer frame may be queued alone.
-const QUEUE_BYTES: usize = 4 << 20;
-/// Frames queued for this time at an unreachable process are dropped; the logic retries.
-const QUEUE_AGE: Duration = Duration::from_secs(1);
+/// The limit on the frames queued for one process, in bytes. A single longer frame may be queued alone.
+const MAX_QUEUED_BYTES: usize = 4 << 20;
+/// The age at which frames queued for an unreachable process are dropped. The logic retries what it still needs.
+const MAX_QUEUED_AGE: Duration = Duration::from_secs(1);
 
-/// The handle of a connection.
+/// The handle of a connection with a peer.
 pub(super) struct Link {
-    /// Tells the connections of a process apart.
+    /// The number of the connection, which is unique in this process.
     pub number: u64,
-    /// Frames are queued.
+    /// Notified when frames are queued.
     pub wake: Notify,
-    /// The other process has a newer incarnation.
+    /// Notified when the peer has connected with another incarnation, so that this connection has to end.
     pub outdated: Notify,
 }
 
-/// What the caller of [`Peer::push`] has to do.
+/// The action that the caller of [`Peer::push`] has to take.
 #[derive(PartialEq, Eq, Debug)]
 pub(super) enum PushOutcome {
-    /// Nothing: a connection sends it, another task dials, or it was dropped.
+    /// No action: a connection sends the frame, another task dials, or the frame was dropped.
     Nothing,
-    /// Nobody dials: the caller does.
+    /// Dial the peer: there is no connection, and no other task dials.
     Dial,
 }
 
 /// A queued frame.
 struct QueuedFrame {
-    since: Instant,
+    /// The time at which the frame was queued.
+    queued_at: Instant,
     frame: Vec<u8>,
 }
 
 #[derive(Default)]
 struct State {
     queue: VecDeque<QueuedFrame>,
-    bytes: usize,
+    /// The length of all queued frames, in bytes.
+    queued_bytes: usize,
+    /// The number of frames dropped so far.
     dropped: u64,
-    /// All connections, the newest, which sends, last.
+    /// All connections in the order in which they were attached. The last one sends.
     links: Vec<Arc<Link>>,
+    /// The incarnation of the peer in its latest preamble.
     incarnation: Option<Incarnation>,
-    dialing: bool,
-    /// Failed dials since there was a connection.
+    /// Whether a task dials the peer.
+    is_dialing: bool,
+    /// The number of failed dials since the last connection.
     failures: u32,
 }
 
 /// Another process. The lock is never held across an await.
 pub(super) struct Peer {
-    /// Its name.
+    /// The id of the process.
     pub node: NodeId,
     state: Mutex<State>,
 }
 
 impl Peer {
-    /// A peer without frames and connections.
+    /// Creates a peer without frames and connections.
     pub(super) fn new(node: NodeId) -> Arc<Peer> {
         Arc::new(Peer {
             node,
@@ -71,52 +76,53 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Puts a frame in the queue, or drops it where the queue is full.
+    /// Adds a frame to the queue, or drops it if the queue is full.
     pub(super) fn push(&self, frame: Vec<u8>) -> PushOutcome {
         let mut state = self.lock();
-        if !state.queue.is_empty() && state.bytes + frame.len() > QUEUE_BYTES {
+        if !state.queue.is_empty() && state.queued_bytes + frame.len() > MAX_QUEUED_BYTES {
             state.dropped += 1;
             return PushOutcome::Nothing;
         }
-        state.bytes += frame.len();
+        state.queued_bytes += frame.len();
         state.queue.push_back(QueuedFrame {
-            since: Instant::now(),
+            queued_at: Instant::now(),
             frame,
         });
         if let Some(link) = state.links.last() {
             link.wake.notify_one();
             return PushOutcome::Nothing;
         }
-        if std::mem::replace(&mut state.dialing, true) {
+        if std::mem::replace(&mut state.is_dialing, true) {
             return PushOutcome::Nothing;
         }
         PushOutcome::Dial
     }
 
-    /// Takes all queued frames for the peer's newest connection; `None` for any other.
+    /// Removes and returns all queued frames if `link` is the peer's newest connection. Returns `None` for an older
+    /// connection and if no frame is queued.
     pub(super) fn take(&self, link: &Link) -> Option<Vec<u8>> {
         let mut state = self.lock();
-        let current = state
+        let is_newest = state
             .links
             .last()
             .is_some_and(|last| last.number == link.number);
-        if !current || state.queue.is_empty() {
+        if !is_newest || state.queue.is_empty() {
             return None;
         }
-        let mut together = state
+        let mut frames = state
             .queue
             .pop_front()
             .map_or_else(Vec::new, |first| first.frame);
-        together.reserve_exact(state.bytes - together.len());
+        frames.reserve_exact(state.queued_bytes - frames.len());
         state
             .queue
             .drain(..)
-            .for_each(|queued| together.extend_from_slice(&queued.frame));
-        state.bytes = 0;
-        Some(together)
+            .for_each(|queued| frames.extend_from_slice(&queued.frame));
+        state.queued_bytes = 0;
+        Some(frames)
     }
 
-    /// Adds a connection, by which frames are sent from now on. Connections of an earlier incarnation end.
+    /// Adds a connection, on which frames are sent from now on. Connections of an earlier incarnation end.
     pub(super) fn attach(&self, number: u64, incarnation: Option<Incarnation>) -> Arc<Link> {
         let link = Arc::new(Link {
             number,
@@ -136,7 +142,8 @@
         link
     }
 
-    /// Removes a connection. True where frames are queued and nobody dials: the caller does.
+    /// Removes a connection. Returns true if frames are queued, no connection is left and no other task dials, so that
+    /// the caller has to dial.
     pub(super) fn detach(&self, link: &Link) -> bool {
         let mut state = self.lock();
         state.links.retain(|other| other.number != link.number);
@@ -144,48 +151,49 @@
             next.wake.notify_one();
             return false;
         }
-        if state.queue.is_empty() || state.dialing {
+        if state.queue.is_empty() || state.is_dialing {
             return false;
         }
-        state.dialing = true;
+        state.is_dialing = true;
         true
     }
 
-    /// Counts a failed dial; the failures since there was a connection.
-    pub(super) fn failed(&self) -> u32 {
+    /// Counts a failed dial, and returns the number of failures since the last connection.
+    pub(super) fn record_failed_dial(&self) -> u32 {
         let mut state = self.lock();
         state.failures = state.failures.saturating_add(1);
         state.failures
     }
 
-    /// Drops frames queued for too long; true where some are left and there is no connection.
-    pub(super) fn still_needed(&self, now: Instant) -> bool {
+    /// Drops frames that have been queued for [`MAX_QUEUED_AGE`]. Returns true if others are queued and there is no
+    /// connection, so that the dialing task has to go on.
+    pub(super) fn needs_dial(&self, now: Instant) -> bool {
         let mut state = self.lock();
         while state
             .queue
             .front()
-            .is_some_and(|first| now.duration_since(first.since) >= QUEUE_AGE)
+            .is_some_and(|first| now.duration_since(first.queued_at) >= MAX_QUEUED_AGE)
         {
-            let first = state.queue.pop_front().expect("looked at");
-            state.bytes -= first.frame.len();
+            let first = state.queue.pop_front().expect("the queue has a front");
+            state.queued_bytes -= first.frame.len();
             state.dropped += 1;
         }
-        let needed = !state.queue.is_empty() && state.links.is_empty();
-        state.dialing = needed;
-        needed
+        let needs_dial = !state.queue.is_empty() && state.links.is_empty();
+        state.is_dialing = needs_dial;
+        needs_dial
     }
 
-    /// The dial is over.
-    pub(super) fn dialed(&self) {
-        self.lock().dialing = false;
+    /// Records that the task that dialed has connected.
+    pub(super) fn finish_dial(&self) {
+        self.lock().is_dialing = false;
     }
 
-    /// Queued bytes.
+    /// Returns the length of all queued frames, in bytes.
     pub(super) fn queued_bytes(&self) -> usize {
-        self.lock().bytes
+        self.lock().queued_bytes
     }
 
-    /// Frames dropped so far.
+    /// Returns the number of frames dropped so far.
     pub(super) fn dropped(&self) -> u64 {
         self.lock().dropped
     }
--- a/crates/cluster/cluster-node/src/transport/shared.rs
+++ b/crates/cluster/cluster-node/src/transport/shared.rs
@@ -15,16 +15,18 @@
 use super::peer::Peer;
 use crate::input::{Input, Inputs};
 
-/// Of connections closed for what was received one line is logged in this time.
+/// The minimum time between two log lines about connections that were closed because of invalid received data.
 const CLOSED_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The peers of a process, and where their messages go. No lock is held across an await.
+/// The peers of a process and the channel that their messages are delivered to. No lock is held across an await.
 pub(super) struct Shared {
-    /// What this process sends first on the connections that it opens.
+    /// The encoded preamble, which this process sends first on each connection that it opens.
     pub(super) preamble: Vec<u8>,
     inputs: Inputs,
     peers: Mutex<HashMap<NodeId, Arc<Peer>>>,
+    /// The number of the next connection.
     next_link: AtomicU64,
+    /// The time of the last log line about a closed connection.
     last_logged: Mutex<Option<Instant>>,
 }
 
@@ -53,35 +55,35 @@
         self.peers.lock().expect("no holder panics")
     }
 
-    /// The peer with this name, from its first use on.
+    /// Returns the peer with this id, which is created at its first use.
     pub(super) fn peer(&self, node: NodeId) -> Arc<Peer> {
         let mut peers = self.lock_peers();
         Arc::clone(peers.entry(node).or_insert_with(|| Peer::new(node)))
     }
 
-    /// Whether nothing is queued for any peer.
+    /// Whether no frame is queued for any peer.
     pub(super) fn is_drained(&self) -> bool {
         self.lock_peers()
             .values()
             .all(|peer| peer.queued_bytes() == 0)
     }
 
-    /// Frames dropped so far, of all peers.
+    /// Returns the number of frames dropped so far, of all peers.
     pub(super) fn dropped(&self) -> u64 {
         self.lock_peers().values().map(|peer| peer.dropped()).sum()
     }
 
-    /// Hands a message to the logic; false where the process is ending.
+    /// Sends a message to the event loop; returns false if the process is ending.
     pub(super) fn deliver(&self, from: NodeId, message: Message) -> bool {
         self.inputs.send(Input::Message { from, message }).is_ok()
     }
 
-    /// A number for a new connection.
+    /// Returns the number for a new connection.
     pub(super) fn next_link(&self) -> u64 {
         self.next_link.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Logs why a connection was closed, at most once in [`CLOSED_LOG_INTERVAL`].
+    /// Logs the error for which a connection was closed, at most once in [`CLOSED_LOG_INTERVAL`].
     pub(super) fn log_closed(&self, peer: impl Display, error: &FrameError) {
         let mut last = self.last_logged.lock().expect("no holder panics");
         let now = Instant::now();
@@ -89,6 +91,6 @@
             return;
         }
         *last = Some(now);
-        log::warn!("connection closed: peer={peer} error={error}");
+        log::warn!("connection closed, invalid data received: peer={peer} error={error}");
     }
 }
--- a/crates/cluster/cluster-node/src/transport/socket.rs
+++ b/crates/cluster/cluster-node/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets.
+//! Creates listening sockets and sets the socket options of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,24 +7,25 @@
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that wait to be accepted.
+/// The limit on connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Bytes not acknowledged for this time end a connection.
+/// The time-out for acknowledgements (`TCP_USER_TIMEOUT`). A connection whose sent bytes are not acknowledged for this
+/// time is closed.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
-/// A silent connection is probed after this time, and each time again.
+/// The idle time after which a connection is probed, and the interval between two probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes that end a connection.
+/// The number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Listens at an address that may have been in use a moment ago (`SO_REUSEADDR`).
+/// Listens at an address, which may have been in use until just before (`SO_REUSEADDR`).
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// An error if the address can't be bound.
 ///
 /// # Panics
 ///
-/// Outside a Tokio runtime.
+/// Panics outside a Tokio runtime.
 pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
