--- a/crates/cluster/cluster-node/src/bin/sagetrail-core.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-core.rs
@@ -1,4 +1,4 @@
-//! The core process of a cluster.
+//! Runs a core process of a cluster.
 
 use std::process::ExitCode;
 
--- a/crates/cluster/cluster-node/src/bin/sagetrail-frontend.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-frontend.rs
@@ -1,4 +1,4 @@
-//! The frontend process of a cluster.
+//! Runs a frontend process of a cluster.
 
 use std::process::ExitCode;
 
--- a/crates/cluster/cluster-node/src/bin/sagetrail-side.rs
+++ b/crates/cluster/cluster-node/src/bin/sagetrail-side.rs
@@ -1,4 +1,4 @@
-//! The side process of a cluster.
+//! Runs a side process of a cluster.
 
 use std::process::ExitCode;
 
--- a/crates/cluster/cluster-node/src/clocks.rs
+++ b/crates/cluster/cluster-node/src/clocks.rs
@@ -1,18 +1,18 @@
-//! The clocks as the logic sees them.
+//! The clocks that the logic of a process reads.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sagetrail_protocol::node::Now;
 use sagetrail_protocol::Time;
 
-/// The steady clock, counted from the start of the process, and the time of day.
+/// The monotonic clock, counted from the start of the process, and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clocks {
     started: Instant,
 }
 
 impl Clocks {
-    /// The steady clock starts now.
+    /// Starts the monotonic clock at zero.
     pub fn start() -> Clocks {
         Clocks {
             started: Instant::now(),
@@ -27,19 +27,19 @@
         }
     }
 
-    /// The instant of a time of the logic, at most [`MAX_WAIT_S`] ahead.
+    /// Converts a time of the logic into an instant, at most [`MAX_WAIT_S`] ahead of now.
     pub fn instant(&self, time: Time) -> Instant {
-        let longest = Duration::from_secs(MAX_WAIT_S);
-        self.started + Duration::from_micros(time.0).min(self.started.elapsed() + longest)
+        let max_wait = Duration::from_secs(MAX_WAIT_S);
+        self.started + Duration::from_micros(time.0).min(self.started.elapsed() + max_wait)
     }
 }
 
-/// The longest wait, in seconds; an early wake is allowed.
+/// The longest wait for a wake, in seconds. The logic may be woken before the time that it asked for.
 const MAX_WAIT_S: u64 = 3600;
 
 fn wall_ms() -> i64 {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
-        Ok(since) => since.as_millis() as i64,
-        Err(before) => -(before.duration().as_millis() as i64),
+        Ok(since_epoch) => since_epoch.as_millis() as i64,
+        Err(before_epoch) => -(before_epoch.duration().as_millis() as i64),
     }
 }
--- a/crates/cluster/cluster-node/src/context.rs
+++ b/crates/cluster/cluster-node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the logic of a process is made from.
+//! The input from which the logic of a process is created.
 
 use sagetrail_protocol::bounds::Bounds;
 use sagetrail_protocol::node::{DiskImage, Node, Now, Outbox};
@@ -6,26 +6,26 @@
 
 use crate::settings::Settings;
 
-/// What the logic of a process is made from; read once, at its start.
+/// The input from which the logic of a process is created, once, at its start.
 pub struct ProcessContext {
-    /// The settings as the file gives them.
+    /// The parsed settings file.
     pub settings: Settings,
-    /// This process.
+    /// The id of this process.
     pub node: NodeId,
-    /// Its incarnation, drawn at this start.
+    /// The incarnation of this process, drawn at random at this start.
     pub incarnation: Incarnation,
-    /// Core processes to start from.
+    /// The core processes that are contacted first.
     pub seeds: Vec<NodeId>,
-    /// The deployment's bounds, with defaults for missing keys.
+    /// The time limits and tolerances of the deployment, with defaults for missing keys.
     pub bounds: Bounds,
-    /// Seeds the logic's random numbers; drawn at this start.
+    /// The seed of the logic's random numbers, drawn at this start.
     pub seed: u64,
-    /// Whether the process founds the cluster: only at the first start of the whole system, and never after its disk
-    /// was replaced.
+    /// Whether the process bootstraps the cluster. This is true only at the first start of the whole system, and never
+    /// after the process's disk was replaced.
     pub bootstrap: bool,
-    /// The rows on disk at the start; empty where there is no disk.
+    /// The rows on disk at the start; empty if the process has no disk.
     pub image: DiskImage,
 }
 
-/// Makes the logic of a process; the outbox takes what it wants done at once.
+/// Creates the logic of a process and adds its first writes, messages and health checks to the outbox.
 pub type LogicFactory = fn(ProcessContext, Now, &mut Outbox) -> Box<dyn Node>;
--- a/crates/cluster/cluster-node/src/core_process.rs
+++ b/crates/cluster/cluster-node/src/core_process.rs
@@ -1,4 +1,5 @@
-//! A core process: register, elections, records on disk, and the scheduler where it is elected.
+//! A core process: it holds the register, takes part in elections, keeps records on disk and runs the scheduler while
+//! it is elected.
 
 use sagetrail_control_plane::{CoreNode, CoreSettings};
 use sagetrail_protocol::bounds::Bounds;
@@ -8,7 +9,7 @@
 
 use crate::context::ProcessContext;
 
-/// Makes the logic of a core process.
+/// Creates the logic of a core process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = CoreSettings {
         node: context.node,
--- a/crates/cluster/cluster-node/src/frontend_process.rs
+++ b/crates/cluster/cluster-node/src/frontend_process.rs
@@ -1,11 +1,11 @@
-//! A frontend process: the clients' gateway.
+//! A frontend process: the gateway that clients send requests to.
 
 use sagetrail_gateway::{GatewayNode, GatewaySettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
 use crate::context::ProcessContext;
 
-/// Makes the logic of a frontend process.
+/// Creates the logic of a frontend process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = GatewaySettings {
         node: context.node,
--- a/crates/cluster/cluster-node/src/identity.rs
+++ b/crates/cluster/cluster-node/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of this process and of its seeds, and what it draws at random.
+//! The ids of this process and of its seeds, and the random numbers that it draws at its start.
 
 use rand::rngs::OsRng;
 use rand::TryRngCore;
@@ -7,7 +7,7 @@
 
 use crate::settings::Settings;
 
-/// The port of a kind of process, counted from the first of `port_range`.
+/// Returns the offset of the port of this kind of process from the first port of `port_range`.
 fn port_offset(kind: NodeKind) -> u16 {
     match kind {
         NodeKind::Core => 0,
@@ -16,7 +16,7 @@
     }
 }
 
-/// The id of this process: its own address and the port of its kind.
+/// Returns the id of this process: the machine's address and the port of its kind.
 pub fn node_id(settings: &Settings, kind: NodeKind) -> NodeId {
     NodeId {
         ip: u32::from(settings.ip),
@@ -24,7 +24,8 @@
     }
 }
 
-/// The seeds as core processes. Settings name their `control` addresses; ports are the same on all machines.
+/// Returns the ids of the core processes that the settings name as seeds. The settings give their `control` addresses,
+/// of which only the IP address is used: the ports for messages between processes are the same on all machines.
 pub fn seed_nodes(settings: &Settings) -> Vec<NodeId> {
     let port = settings.first_port() + port_offset(NodeKind::Core);
     settings
@@ -41,16 +42,16 @@
 ///
 /// # Panics
 ///
-/// Where the system has no random source.
+/// Panics if the system has no random source.
 pub fn draw_seed() -> u64 {
     OsRng.try_next_u64().expect("the system's random source")
 }
 
-/// Draws an incarnation, never zero.
+/// Draws an incarnation, which is never zero.
 ///
 /// # Panics
 ///
-/// As [`draw_seed`].
+/// Panics if the system has no random source.
 pub fn draw_incarnation() -> Incarnation {
     draw_seed().max(1)
 }
--- a/crates/cluster/cluster-node/src/input.rs
+++ b/crates/cluster/cluster-node/src/input.rs
@@ -1,4 +1,4 @@
-//! Inputs of the loop that drives the logic, from sockets, disk and signals.
+//! The inputs that sockets, disk, health checks and signals send to the event loop of the process.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -9,7 +9,7 @@
 
 use crate::disk::DiskError;
 
-/// An input of the loop.
+/// An input of the event loop.
 pub enum Input {
     /// Another process sent a message.
     Message {
@@ -20,41 +20,41 @@
     },
     /// An HTTP request arrived, with its full body.
     HttpRequest {
-        /// Names the request in the reply.
+        /// The id by which the reply names the request.
         id: HttpRequestId,
-        /// Where it arrived.
+        /// The endpoint at which it arrived.
         endpoint: HttpEndpoint,
         /// The request.
         request: HttpRequest,
-        /// Takes the reply; dropped without one, the caller gets 504.
+        /// The channel for the reply. If it is dropped without a reply, the caller gets status 504.
         reply: oneshot::Sender<HttpReply>,
     },
-    /// The caller of a request has closed its connection.
+    /// The caller of a request closed its connection before the reply.
     HttpAbandoned {
-        /// The request.
+        /// The id of the request.
         id: HttpRequestId,
     },
-    /// The result of a health check.
+    /// A health check has finished.
     HealthChecked {
-        /// The health check.
+        /// The id of the health check.
         id: HealthCheckId,
-        /// Its result.
+        /// The result of the health check.
         result: HealthCheckResult,
     },
     /// Disk writes are synced.
     Synced {
-        /// The messages that waited for them.
+        /// The messages that may be sent now, each with its receiver.
         send_when_synced: Vec<(NodeId, Message)>,
-        /// The tokens of the writes, in their order.
+        /// The tokens of the writes, in the order of the writes.
         tokens: Vec<u64>,
     },
-    /// The disk failed; what it holds is known only after a restart.
+    /// The disk failed; its content is known only after a restart.
     DiskFailed(DiskError),
-    /// SIGHUP: the settings were read again, and these are the seeds.
+    /// The settings were read again after SIGHUP; these are the seeds that they name now.
     SeedsChanged(Vec<NodeId>),
-    /// SIGTERM or SIGINT: the process has to end.
+    /// SIGTERM or SIGINT was received, and the process has to shut down.
     Terminate,
 }
 
-/// The sending side of the loop's channel, for sockets, disk and signals. A send fails only while the process ends.
+/// The sending side of the event loop's channel. A send fails only while the process is ending.
 pub type Inputs = mpsc::UnboundedSender<Input>;
--- a/crates/cluster/cluster-node/src/lib.rs
+++ b/crates/cluster/cluster-node/src/lib.rs
@@ -1,7 +1,9 @@
-//! The programs of a cluster: sockets, disk, settings and logs around the logic of a core, frontend or side process.
+//! The programs of a cluster. They provide sockets, disk, settings and logs for the logic of a core, frontend or side
+//! process.
 //!
-//! The logic is a [`Node`](sagetrail_protocol::node::Node) of another crate. [`process::Process`] drives it on one
-//! thread: it takes inputs from one channel, hands them to the logic as events and performs the outbox.
+//! The logic is a [`Node`](sagetrail_protocol::node::Node) of another crate. [`process::Process`] is the event loop
+//! that drives it on one thread: it receives inputs from one channel, passes them to the logic as events and performs
+//! the actions that the logic adds to the outbox.
 //!
 //! ```text
 //!   signals ------------+
@@ -11,12 +13,12 @@
 //!   health_check -------+                               +--> health_check
 //! ```
 //!
-//! [`start::main`] goes from the command line to the running process: [`settings`], disk, sockets, then the logic made
-//! by `core_process`, `frontend_process` or `side_process` from a [`context::ProcessContext`]. [`lifecycle`] carries the
-//! phase of the shutdown to all tasks. Tasks run on the process's own runtime and are dropped with it; the disk's thread
-//! ends when its sender is dropped.
+//! [`start::main`] parses the command line and starts the process: it reads the [`settings`], opens the disk and the
+//! sockets, and then creates the logic with `core_process`, `frontend_process` or `side_process` from a
+//! [`context::ProcessContext`]. [`lifecycle`] passes the phase of the shutdown to all tasks. Tasks run on the process's
+//! own runtime and are dropped with it; the disk's thread ends when its sender is dropped.
 //!
-//! Log lines say what happened, then fields as `key=value`.
+//! A log line names the event and then gives fields as `key=value`.
 
 pub mod arguments;
 pub mod clocks;
--- a/crates/cluster/cluster-node/src/lifecycle.rs
+++ b/crates/cluster/cluster-node/src/lifecycle.rs
@@ -1,34 +1,34 @@
-//! The phases of a process's shutdown, watched by its tasks. The loop sets them; HTTP connections act on them.
+//! The phases of a process's shutdown. The event loop sets the phase; HTTP listeners and connections react to it.
 
 use tokio::sync::watch;
 
-/// The phases of a process, in their order; never goes back.
+/// The phase of a process. Phases follow each other in this order, and a process never returns to an earlier one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Phase {
-    /// Accepts requests and keeps connections.
+    /// The process accepts requests and keeps connections open.
     Serving,
-    /// Since SIGTERM: still answers, with `Connection: close`.
+    /// SIGTERM was received. The process still answers requests, with `Connection: close`.
     Draining,
-    /// The logic has finished: connections close once their answers are sent.
+    /// The logic has finished. Connections close once their responses are sent.
     Closing,
 }
 
-/// Sets the phase; held by the loop.
+/// The side of the event loop, which sets the phase.
 pub type PhaseSender = watch::Sender<Phase>;
-/// Reads and awaits the phase; held by tasks.
+/// The side of the tasks, which read the phase and wait for it.
 pub type PhaseReceiver = watch::Receiver<Phase>;
 
-/// A phase and its watch, from [`Phase::Serving`] on.
+/// Creates a watch channel that starts with [`Phase::Serving`].
 pub fn watch_phase() -> (PhaseSender, PhaseReceiver) {
     watch::channel(Phase::Serving)
 }
 
-/// Waits for the phase or a later one.
+/// Waits until the process is in this phase or a later one.
 ///
 /// # Cancel safety
 ///
 /// Cancel safe: dropping the future loses nothing.
 pub async fn reached(watch: &mut PhaseReceiver, phase: Phase) {
-    // An error: the sender is dropped with the loop, so every phase is reached.
+    // This fails only if the sender was dropped with the event loop. Every phase counts as reached then.
     let _ = watch.wait_for(|current| *current >= phase).await;
 }
--- a/crates/cluster/cluster-node/src/logs.rs
+++ b/crates/cluster/cluster-node/src/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines on standard error: the level, what happened, then fields as `key=value`. Few, since each costs processor
-//! time.
+//! Writes log lines to standard error: the level, the event, then fields as `key=value`. Few events are logged, since
+//! each line costs processor time.
 
 use log::LevelFilter;
 
-/// Starts logging. A second call changes nothing.
+/// Starts logging. A second call has no effect.
 pub fn start(level: LevelFilter) {
     let dispatch = fern::Dispatch::new()
         .format(|out, message, record| out.finish(format_args!("{} {message}", record.level())))
--- a/crates/cluster/cluster-node/src/process.rs
+++ b/crates/cluster/cluster-node/src/process.rs
@@ -1,4 +1,4 @@
-//! The loop that drives the logic of a process: hands inputs to it as events, performs its outbox.
+//! The event loop that drives the logic of a process: it passes inputs to the logic as events and performs its outbox.
 
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
@@ -17,56 +17,59 @@
 use crate::lifecycle::{Phase, PhaseSender};
 use crate::transport::Transport;
 
-/// The most inputs in one batch, after which the outbox is performed.
+/// The limit on the inputs that are handled in one batch, after which the outbox is performed.
 const MAX_BATCH: usize = 64;
-/// The least time between two wakes, in milliseconds, so that the loop always yields.
+/// The minimum time between two wakes, in milliseconds, so that the event loop always yields to other tasks.
 const WAKE_INTERVAL_MS: u64 = 1;
 
-/// Why the loop ended.
+/// The reason for which the event loop ended.
 #[derive(Debug)]
 pub enum ProcessEnd {
     /// The logic has finished.
     Finished,
-    /// The logic had not finished at the end of the grace.
-    OutOfGrace,
-    /// The disk failed: the process must restart.
+    /// The grace period ended before the logic had finished.
+    GracePeriodExpired,
+    /// The disk failed, and the process must restart.
     DiskFailed(DiskError),
 }
 
-/// What the loop drives the logic with.
+/// The resources that the event loop uses.
 pub struct ProcessParts {
-    /// This process.
+    /// The id of this process.
     pub node: NodeId,
-    /// The clocks, read before each event.
+    /// The clocks, which are read before each event.
     pub clocks: Clocks,
     /// The receiving side of all inputs.
     pub inputs: mpsc::UnboundedReceiver<Input>,
-    /// Sends messages to other processes.
+    /// The transport that sends messages to other processes.
     pub transport: Transport,
     /// The disk; only core processes have one.
     pub disk: Option<Disk>,
-    /// Where results of health checks go; only side processes make any.
+    /// The channel for results of health checks; only side processes perform any.
     pub health_check_results: Option<Inputs>,
-    /// The phase for the process's tasks.
+    /// Sets the phase that the process's tasks observe.
     pub phase: PhaseSender,
-    /// The longest time from SIGTERM to the end.
+    /// The grace period: the maximum time from SIGTERM to the end of the event loop.
     pub grace: Duration,
 }
 
-/// The loop and its state.
+/// The event loop and its state.
 pub struct Process {
     logic: Box<dyn Node>,
     parts: ProcessParts,
+    /// The channels for the replies to open requests.
     callers: HashMap<HttpRequestId, oneshot::Sender<HttpReply>>,
-    /// Messages of the process to itself.
+    /// The messages that the process has sent to itself and not yet handled.
     self_messages: VecDeque<Message>,
     outbox: Outbox,
+    /// The end of the grace period; `None` before SIGTERM.
     deadline: Option<Time>,
+    /// The time before which the logic is not woken again.
     earliest_wake: Time,
 }
 
 impl Process {
-    /// A loop around some logic; `outbox` holds what the logic wanted done when it was made.
+    /// Creates the event loop for this logic; `outbox` holds the actions that the logic added when it was created.
     pub fn new(logic: Box<dyn Node>, outbox: Outbox, parts: ProcessParts) -> Process {
         Process {
             logic,
@@ -79,11 +82,11 @@
         }
     }
 
-    /// Drives the logic to its end.
+    /// Drives the logic until it finishes, the grace period ends or the disk fails.
     ///
     /// # Cancel safety
     ///
-    /// Not cancel safe: inputs of a batch that is not processed yet are lost.
+    /// Not cancel safe: dropping the future loses the inputs of a batch that is not yet handled.
     pub async fn run(&mut self) -> ProcessEnd {
         let mut alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let mut armed_for = None;
@@ -101,7 +104,7 @@
                     () = alarm.as_mut(), if armed_for.is_some() => armed_for = None,
                 }
             } else {
-                // Other tasks run before the process handles messages to itself.
+                // Lets other tasks run before the process handles messages to itself.
                 tokio::task::yield_now().await;
                 receive_ready(&mut self.parts.inputs, &mut batch);
             }
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Sets [`Phase::Closing`]: connections close once their answers are sent.
+    /// Sets [`Phase::Closing`], in which connections close once their responses are sent.
     pub fn close(&self) {
         self.parts.phase.send_replace(Phase::Closing);
     }
 
-    /// Handles one batch of inputs and the wake if it is due, then performs the outbox.
+    /// Handles the messages to itself, one batch of inputs, and the wake if it is due, then performs the outbox.
     fn process_batch(&mut self, batch: &mut Vec<Input>) -> Option<ProcessEnd> {
         for message in std::mem::take(&mut self.self_messages) {
             let from = self.parts.node;
@@ -129,7 +132,8 @@
         }
         self.wake_if_due();
         self.perform();
-        self.is_out_of_grace().then_some(ProcessEnd::OutOfGrace)
+        self.is_grace_period_over()
+            .then_some(ProcessEnd::GracePeriodExpired)
     }
 
     fn handle_input(&mut self, input: Input) -> Option<ProcessEnd> {
@@ -183,7 +187,8 @@
         self.handle(Event::Terminate);
     }
 
-    /// Clocks are read for each event: the process may have been suspended in between.
+    /// Passes an event to the logic. The clocks are read for each event, since the process may have been suspended
+    /// after the previous one.
     fn handle(&mut self, event: Event) {
         let now = self.parts.clocks.now();
         self.logic.handle(now, event, &mut self.outbox);
@@ -207,7 +212,10 @@
         for write in std::mem::take(&mut self.outbox.writes) {
             match &self.parts.disk {
                 Some(disk) => disk.submit(write),
-                None => log::error!("disk write dropped, no disk: node={}", self.parts.node),
+                None => log::error!(
+                    "disk write dropped, process has no disk: node={}",
+                    self.parts.node
+                ),
             }
         }
         for health_check in std::mem::take(&mut self.outbox.health_checks) {
@@ -224,7 +232,7 @@
         }
         for (id, reply) in std::mem::take(&mut self.outbox.replies) {
             if let Some(caller) = self.callers.remove(&id) {
-                // An error: the caller has just closed its connection.
+                // The send fails only if the caller has just closed its connection.
                 let _ = caller.send(reply);
             }
         }
@@ -238,12 +246,12 @@
         }
     }
 
-    fn is_out_of_grace(&self) -> bool {
+    fn is_grace_period_over(&self) -> bool {
         self.deadline
             .is_some_and(|deadline| self.parts.clocks.now().steady >= deadline)
     }
 
-    /// Sets the alarm to the next wake, or to the end of the grace.
+    /// Sets the alarm to the next wake or to the end of the grace period, whichever comes first.
     fn arm(&self, alarm: &mut Pin<Box<Sleep>>, armed_for: &mut Option<Time>) {
         let wake = self.next_wake();
         let due = match (wake, self.deadline) {
@@ -260,6 +268,7 @@
     }
 }
 
+/// Fills the batch with the inputs that are already queued, without waiting.
 fn receive_ready(inputs: &mut mpsc::UnboundedReceiver<Input>, batch: &mut Vec<Input>) {
     while batch.len() < MAX_BATCH {
         let Ok(input) = inputs.try_recv() else { return };
--- a/crates/cluster/cluster-node/src/side_process.rs
+++ b/crates/cluster/cluster-node/src/side_process.rs
@@ -1,11 +1,11 @@
-//! A side process: the agent of the runner on its machine.
+//! A side process: the agent for the runner on its machine.
 
 use sagetrail_agent::{AgentNode, AgentSettings};
 use sagetrail_protocol::node::{Node, Now, Outbox};
 
 use crate::context::ProcessContext;
 
-/// Makes the logic of a side process.
+/// Creates the logic of a side process.
 pub fn make(context: ProcessContext, now: Now, outbox: &mut Outbox) -> Box<dyn Node> {
     let settings = AgentSettings {
         node: context.node,
--- a/crates/cluster/cluster-node/src/signals.rs
+++ b/crates/cluster/cluster-node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT end the process, SIGHUP reloads its seeds.
+//! Signal handling: SIGTERM and SIGINT shut the process down, SIGHUP reloads its seeds.
 
 use std::path::{Path, PathBuf};
 
@@ -10,8 +10,8 @@
 use crate::input::{Input, Inputs};
 use crate::settings::Settings;
 
-/// Handles signals from now on: SIGTERM and SIGINT as [`Input::Terminate`], SIGHUP as [`Input::SeedsChanged`]. The task
-/// ends when the process takes no inputs, or with the runtime.
+/// Starts a task that sends [`Input::Terminate`] on SIGTERM and SIGINT, and [`Input::SeedsChanged`] on SIGHUP. The task
+/// ends when the event loop receives no more inputs, or with the runtime.
 pub(crate) fn listen(
     inputs: &Inputs,
     settings_path: PathBuf,
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// The seeds in the settings file; `None` where it is invalid, and the current ones stay.
+/// Reads the seeds from the settings file. Returns `None` if the file is invalid; the current seeds stay then.
 fn read_seeds(settings_path: &Path, kind: NodeKind) -> Option<Input> {
     match Settings::load(settings_path, kind) {
         Ok(settings) => Some(Input::SeedsChanged(seed_nodes(&settings))),
--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -1,4 +1,4 @@
-//! From the command line to the running process, the same for all three programs.
+//! Parses the command line, starts the process and runs it to its end; the same for all three programs.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -30,18 +30,19 @@
 
 /// The exit code for invalid settings.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// The time for which connections may send their last answers.
-const CLOSING_TIME: Duration = Duration::from_millis(300);
-/// The time between two looks at open connections while closing.
-const CLOSING_STEP: Duration = Duration::from_millis(10);
-/// The platform kills at the end of the grace; the process ends by itself this much earlier.
+/// The time-out for connections to send their last responses.
+const CLOSING_TIMEOUT: Duration = Duration::from_millis(300);
+/// The interval at which open connections are checked while closing.
+const CLOSING_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The process ends by itself this long before the end of the grace period, at which the platform kills it.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// The longest grace that is taken from the settings, in seconds.
+/// The maximum grace period that is taken from the settings, in seconds.
 const MAX_GRACE_S: f64 = 3600.0;
-/// The pause of a process whose disk failed before it ends, so that restarts don't follow each other at once.
+/// The pause before a process whose disk failed ends, so that restarts do not follow each other without a pause.
 const DISK_FAILED_PAUSE: Duration = Duration::from_millis(200);
 
-/// Runs a program of this kind to its end. The exit code is 2 for invalid settings, 1 for a failure, 0 otherwise.
+/// Runs the program for this kind of process to its end. The exit code is 2 for invalid settings, 1 for a failure and 0
+/// otherwise.
 pub fn main(kind: NodeKind, factory: LogicFactory) -> ExitCode {
     let arguments: Arguments = argh::from_env();
     if arguments.version {
@@ -68,14 +69,14 @@
     }
 }
 
-/// Runs a process to its end. The seeds are read again from `settings_path` at SIGHUP.
+/// Runs a process to its end. On SIGHUP the seeds are read again from `settings_path`.
 ///
-/// All tasks of the process run on a runtime of its own, which is shut down at the end: no task outlives this call. The
-/// disk's thread ends by itself once its sender is dropped.
+/// All tasks of the process run on a runtime of its own, which is shut down at the end, so that no task outlives this
+/// call. The disk's thread ends by itself once its sender is dropped.
 ///
 /// # Errors
 ///
-/// [`ProcessError`]: the process could not start, or its disk failed.
+/// [`ProcessError`] if the process could not start or its disk failed.
 pub fn run(
     settings: Settings,
     settings_path: PathBuf,
@@ -99,7 +100,7 @@
         opened,
     };
     let ended = runtime.block_on(launch.run());
-    // Connections or a disk that hang must not hold up the end.
+    // A connection or a disk that hangs must not delay the end of the process.
     runtime.shutdown_background();
     ended
 }
@@ -115,7 +116,7 @@
 }
 
 impl Launch {
-    /// Opens signals, sockets and disk, in this order, makes the logic and drives it to its end.
+    /// Sets up signals, sockets and the disk's thread, in this order, creates the logic and drives it to its end.
     async fn run(self) -> Result<(), ProcessError> {
         let Launch {
             settings,
@@ -173,11 +174,13 @@
     }
 }
 
-/// The disk of a process that may have none.
+/// The disk of a process; the default is that of a process without a disk.
 #[derive(Default)]
 struct OpenDisk {
     disk: Option<Disk>,
+    /// All rows at the time of opening.
     image: DiskImage,
+    /// Whether a corrupted file was replaced, so that all earlier rows are lost.
     emptied: bool,
 }
 
@@ -206,7 +209,7 @@
         })
 }
 
-/// Serves all HTTP endpoints that the settings name, within one connection limit.
+/// Serves all HTTP endpoints for which the settings give an address, within one connection limit.
 async fn open_endpoints(
     settings: &Settings,
     inputs: &Inputs,
@@ -237,11 +240,11 @@
     Ok(connection_limit)
 }
 
-/// Waits, at most [`CLOSING_TIME`], until no connection is open and nothing is queued.
+/// Waits until no HTTP connection is open and no frame is queued, but at most for [`CLOSING_TIMEOUT`].
 async fn wait_until_drained(transport: &Transport, connection_limit: &ConnectionLimit) {
     let started = Instant::now();
-    while started.elapsed() < CLOSING_TIME {
-        tokio::time::sleep(CLOSING_STEP).await;
+    while started.elapsed() < CLOSING_TIMEOUT {
+        tokio::time::sleep(CLOSING_CHECK_INTERVAL).await;
         if connection_limit.open_connections() == 0 && transport.is_drained() {
             return;
         }
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -416,7 +416,7 @@
         stage.inputs.send(Input::Terminate).ok().unwrap();
         assert!(matches!(
             soon(stage.running).await.unwrap(),
-            ProcessEnd::OutOfGrace
+            ProcessEnd::GracePeriodExpired
         ));
     })
     .await;
