--- a/crates/cluster/cluster-node/tests/stored/lone_core.rs
+++ b/crates/cluster/cluster-node/tests/stored/lone_core.rs
@@ -1,4 +1,4 @@
-//! The process: events go in with the test's time, writes reach the file at once.
+//! The only core process of a cluster. It handles events at the test's time, and its writes are synced immediately.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
@@ -16,33 +16,34 @@
 use sagetrail_protocol::{Message, NodeId, Time};
 use sagetrail_scheduler::{Scheduler, SchedulerSettings};
 
-/// The member.
+/// The id of the core process, which is the only member.
 pub(crate) const ME: NodeId = NodeId {
     ip: 0x0a00_0001,
     port: 7001,
 };
-/// A core process that is no member.
+/// The id of a core process that is not a member.
 pub(crate) const FOREIGN: NodeId = NodeId {
     ip: 0x0a00_0002,
     port: 7002,
 };
-/// Hands in the clients' requests.
+/// The id of the frontend process that sends the clients' requests.
 pub(crate) const GATEWAY: NodeId = NodeId {
     ip: 0x0a00_0063,
     port: 7099,
 };
-/// The time of day at the start, in milliseconds since 1970.
+/// The wall clock at the start, in milliseconds since 1970.
 const WALL_MS: i64 = 1_700_000_000_000;
 const SEED: u64 = 41;
-/// A client's patience, in milliseconds.
-const PATIENCE_MS: u32 = 3_000;
+/// The time that remains for a client's request, in milliseconds.
+const REMAINING_MS: u32 = 3_000;
 
-/// The member on its file.
+/// The core process with its file.
 pub(crate) struct LoneCore {
     node: CoreNode,
     store: Store,
     now: Now,
-    /// Whatever left the process, with its receiver; also what it sent to itself by way of its disk.
+    /// The messages that the process sent, each with its receiver, including those to itself and those that waited for
+    /// a sync.
     pub sent: Vec<(NodeId, Message)>,
     replies: BTreeMap<u64, HttpReply>,
     next_number: u64,
@@ -52,7 +53,7 @@
     /// Starts the process on the file in `folder`.
     pub(crate) fn start(folder: &Path, incarnation: u64, bootstrap: bool) -> LoneCore {
         let opened = Store::open(folder).unwrap();
-        assert!(!opened.emptied, "the file counts as torn");
+        assert!(!opened.emptied, "the file was replaced as corrupted");
         let settings = CoreSettings {
             node: ME,
             incarnation,
@@ -76,33 +77,34 @@
             replies: BTreeMap::new(),
             next_number: 1,
         };
-        core.carry_out(outbox);
+        core.perform(outbox);
         core
     }
 
-    /// Hands an event in, and all that follows from it at once.
+    /// Handles an event and all events that follow from it immediately.
     pub(crate) fn event(&mut self, event: Event) {
         let mut outbox = Outbox::default();
         self.node.handle(self.now, event, &mut outbox);
-        self.carry_out(outbox);
+        self.perform(outbox);
     }
 
-    fn carry_out(&mut self, outbox: Outbox) {
+    fn perform(&mut self, outbox: Outbox) {
         let mut events = VecDeque::new();
-        self.take(outbox, &mut events);
+        self.perform_once(outbox, &mut events);
         while let Some(event) = events.pop_front() {
             let mut outbox = Outbox::default();
             self.node.handle(self.now, event, &mut outbox);
-            self.take(outbox, &mut events);
+            self.perform_once(outbox, &mut events);
         }
     }
 
-    fn take(&mut self, outbox: Outbox, events: &mut VecDeque<Event>) {
+    /// Performs the actions of an outbox and adds the events that follow from them to `events`.
+    fn perform_once(&mut self, outbox: Outbox, events: &mut VecDeque<Event>) {
         for (id, reply) in outbox.replies {
             self.replies.insert(id.0, reply);
         }
         for (to, message) in outbox.sends {
-            self.post(to, message, events);
+            self.send(to, message, events);
         }
         for write in outbox.writes {
             let operations = write.operations;
@@ -112,20 +114,20 @@
             };
             self.store.write(&[write_alone]).unwrap();
             for (to, message) in write.send_when_synced {
-                self.post(to, message, events);
+                self.send(to, message, events);
             }
             events.extend(write.token.map(|token| Event::Synced { token }));
         }
     }
 
-    fn post(&mut self, to: NodeId, message: Message, events: &mut VecDeque<Event>) {
+    fn send(&mut self, to: NodeId, message: Message, events: &mut VecDeque<Event>) {
         self.sent.push((to, message.clone()));
         if to == ME {
             events.push_back(Event::Message { from: ME, message });
         }
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances the clocks by this number of milliseconds and wakes the logic when it is due.
     pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now.steady.plus_millis(millis);
         while let Some(wake) = self.node.next_wake().filter(|wake| *wake <= end) {
@@ -142,29 +144,29 @@
         self.now.steady = instant;
     }
 
-    /// The steady clock, in microseconds.
+    /// Returns the monotonic clock, in microseconds.
     pub(crate) fn steady_us(&self) -> u64 {
         self.now.steady.0
     }
 
-    /// Hands a message in; what is sent because of it.
-    pub(crate) fn tell(&mut self, from: NodeId, message: Message) -> Vec<(NodeId, Message)> {
+    /// Handles a message and returns the messages that are sent because of it.
+    pub(crate) fn deliver(&mut self, from: NodeId, message: Message) -> Vec<(NodeId, Message)> {
         self.sent.clear();
         self.event(Event::Message { from, message });
         self.sent.clone()
     }
 
-    /// Asks as a core process; the first answer to it.
-    pub(crate) fn ask(&mut self, from: NodeId, message: ControlMessage) -> ControlMessage {
-        let answers = self.tell(from, Message::Control(message));
-        let answer = answers.into_iter().find_map(|(to, answer)| match answer {
-            Message::Control(answer) if to == from => Some(answer),
+    /// Sends a request as another core process and returns the first reply to that process.
+    pub(crate) fn request(&mut self, from: NodeId, message: ControlMessage) -> ControlMessage {
+        let sent = self.deliver(from, Message::Control(message));
+        let reply = sent.into_iter().find_map(|(to, message)| match message {
+            Message::Control(reply) if to == from => Some(reply),
             _ => None,
         });
-        answer.expect("an answer")
+        reply.expect("a reply to the request")
     }
 
-    /// A call at the operator's door, with its answer.
+    /// Sends a request of the operator to the control endpoint and returns the response.
     pub(crate) fn operate(&mut self, path: &str, base: Option<u64>, body: &str) -> HttpReply {
         let number = self.next_number;
         self.next_number += 1;
@@ -186,10 +188,10 @@
             request,
         });
         self.run(200);
-        self.replies.remove(&number).expect("an answer")
+        self.replies.remove(&number).expect("a response")
     }
 
-    /// A client's request, with its answer.
+    /// Sends a client's request through the frontend process and returns the reply.
     pub(crate) fn client(&mut self, method: ClientMethod, path: &str, body: &str) -> ClientReply {
         let number = self.next_number;
         self.next_number += 1;
@@ -200,7 +202,7 @@
             path: path.into(),
             body: body.as_bytes().to_vec().into(),
             config_version: 0,
-            remaining_ms: PATIENCE_MS,
+            remaining_ms: REMAINING_MS,
         };
         self.sent.clear();
         self.event(Event::Message {
@@ -212,7 +214,7 @@
             Message::ClientReply(reply) if reply.request == number => Some(reply.clone()),
             _ => None,
         });
-        reply.expect("an answer")
+        reply.expect("a reply to the client")
     }
 }
 
--- a/crates/cluster/cluster-node/tests/stored/mod.rs
+++ b/crates/cluster/cluster-node/tests/stored/mod.rs
@@ -1,4 +1,4 @@
-//! A lone core member with the scheduler on a file of redb; the test plays its clock, runners and clients.
+//! A cluster of one core process with the scheduler on a redb file. The test provides its clock, runners and clients.
 
 mod lone_core;
 mod runner;
--- a/crates/cluster/cluster-node/tests/stored/runner.rs
+++ b/crates/cluster/cluster-node/tests/stored/runner.rs
@@ -1,4 +1,4 @@
-//! A runner with its agent, as the scheduler hears of it.
+//! A simulated runner with its agent, which sends reports to the scheduler.
 
 use std::collections::BTreeMap;
 
@@ -15,17 +15,18 @@
     gpu: 2,
 };
 
-/// A runner that does what it is told and ends its runs when the test says so.
+/// A runner that starts and stops runs by the scheduler's commands, and ends runs when the test calls
+/// [`PlayedRunner::end`].
 pub(crate) struct PlayedRunner {
     pub node: NodeId,
     instance: String,
-    /// Attempt and checkpoint of each active run.
+    /// The attempt and the checkpoint of each active run, by its task.
     pub active: BTreeMap<String, (u64, String)>,
     finished: Vec<FinishedRun>,
     ends: u64,
     sequence: u64,
-    /// The newest orders.
-    pub orders: Option<RunnerCommands>,
+    /// The latest commands received.
+    pub commands: Option<RunnerCommands>,
 }
 
 impl PlayedRunner {
@@ -40,11 +41,11 @@
             finished: Vec::new(),
             ends: 0,
             sequence: 0,
-            orders: None,
+            commands: None,
         }
     }
 
-    /// Reports, and takes the orders that come.
+    /// Sends a report and receives the commands that are sent in response.
     pub(crate) fn report(&mut self, core: &mut LoneCore) {
         let report = self.next_report(core.steady_us());
         core.sent.clear();
@@ -54,32 +55,32 @@
         });
         core.run(200);
         for (to, message) in &core.sent {
-            if let (true, Message::RunnerCommands(orders)) = (*to == self.node, message) {
-                self.orders = Some(orders.clone());
+            if let (true, Message::RunnerCommands(commands)) = (*to == self.node, message) {
+                self.commands = Some(commands.clone());
             }
         }
     }
 
-    /// Starts and stops what the newest orders say.
-    pub(crate) fn obey(&mut self) {
-        let Some(orders) = self.orders.clone() else {
+    /// Starts and stops runs by the latest commands, and forgets the finished runs that they acknowledge.
+    pub(crate) fn apply_commands(&mut self) {
+        let Some(commands) = self.commands.clone() else {
             return;
         };
-        for start in orders.start.iter() {
+        for start in commands.start.iter() {
             self.active.insert(
                 start.task.0.clone(),
                 (start.attempt, start.checkpoint.0.clone()),
             );
         }
-        for stop in orders.stop.iter() {
+        for stop in commands.stop.iter() {
             self.end(&stop.task, RunEnd::Stopped);
         }
-        self.finished.retain(|run| run.number > orders.observed);
+        self.finished.retain(|run| run.number > commands.observed);
     }
 
-    /// An active run ends so.
+    /// Ends the run of a task, if it is active, with this result.
     pub(crate) fn end(&mut self, task: &str, end: RunEnd) {
-        let Some((attempt, saved)) = self.active.remove(task) else {
+        let Some((attempt, checkpoint)) = self.active.remove(task) else {
             return;
         };
         self.ends += 1;
@@ -88,22 +89,23 @@
             task: task.into(),
             attempt,
             end,
-            checkpoint: saved.into(),
+            checkpoint: checkpoint.into(),
         });
     }
 
     fn next_report(&mut self, sent_at: u64) -> RunnerReport {
         self.sequence += 1;
         let sequence = self.sequence;
-        let orders = self.orders.as_ref();
-        let (term, revision) = orders.map_or((0, 0), |orders| (orders.term, orders.revision));
+        let commands = self.commands.as_ref();
+        let (term, revision) =
+            commands.map_or((0, 0), |commands| (commands.term, commands.revision));
         let active = self
             .active
             .iter()
-            .map(|(task, (attempt, saved))| ActiveRun {
+            .map(|(task, (attempt, checkpoint))| ActiveRun {
                 task: task.as_str().into(),
                 attempt: *attempt,
-                checkpoint: saved.as_str().into(),
+                checkpoint: checkpoint.as_str().into(),
                 percent: (sequence % 100) as u8,
             });
         RunnerReport {
--- a/crates/cluster/cluster-node/tests/stored_core.rs
+++ b/crates/cluster/cluster-node/tests/stored_core.rs
@@ -1,11 +1,12 @@
-//! What a core member keeps on disk: the file that an earlier build wrote is read as it was meant, and a build writes
-//! the same rows today.
+//! The disk format of a core process. Guards against a build that misreads the file of an earlier build, and against
+//! unintended changes of the rows that a build writes.
 //!
 //! `fixtures/core/rows.txt` holds the rows of both tables in hexadecimal, `fixtures/core/state.redb` the file itself.
-//! Both come from `play` by an earlier build. `fixtures/core/play-rows.txt` holds what `play` writes today: the same rows but
-//! for the runner that a task went to, which hangs on times as much as on chance; `WRITE_PLAY=1` writes it again. Where a
-//! row has to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-cluster-node --test stored_core` writes the other
-//! two again; what changed then stands in the commit, with how a member reads the older rows.
+//! Both were written by `play` in an earlier build. `fixtures/core/play-rows.txt` holds the rows that `play` writes
+//! today. They differ from the former only in the runner that a task was assigned to, which depends on times as much as
+//! on random numbers; `WRITE_PLAY=1` writes this file again. If a row has to change on purpose,
+//! `WRITE_STORED=1 cargo test -p sagetrail-cluster-node --test stored_core` writes the other two files again. The
+//! commit then says which rows changed and how a core process reads the older ones.
 
 mod common;
 mod stored;
@@ -29,14 +30,16 @@
 
 const INCARNATION: u64 = 0x1111_2222_3333_4444;
 const LATER_INCARNATION: u64 = 0x5555_6666_7777_8888;
-/// More than travel with the register's value, so that some are in the archive alone.
+/// The number of configuration versions. It exceeds the number of changes in the register's value, so that some changes
+/// are only in the archive.
 const VERSIONS: u64 = 84;
-/// Long enough for bootstrap, or for the end of a former life's lease, and an election.
+/// A time in milliseconds that suffices for bootstrap, or for the end of the lease of an earlier incarnation, and for
+/// an election.
 const ELECTION_MS: u64 = 10_000;
-/// A term that the member promises to it, and its life.
+/// The term that the core process promises to [`FOREIGN`], and the incarnation of that process.
 const FOREIGN_TERM: u64 = 9;
 const FOREIGN_INCARNATION: u64 = 0x99;
-/// So many batches of records there were in the term of the play.
+/// The number of batches of records that `play` writes in its term.
 const STORED_BATCHES: u64 = 11;
 const FOREIGN_PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 0x0900,
@@ -44,7 +47,7 @@
     incarnation: 0x77,
 };
 
-/// So many changes the archive has on disk.
+/// The number of changes that the archive has on disk.
 const ARCHIVED: usize = 80;
 
 const MANY: &str = "00000000000000aa";
@@ -54,7 +57,7 @@
 const QUEUED: &str = "00000000000000ee";
 const STEPS: &str = "0000000000000077";
 const GANG: &str = "00000000000000ff";
-/// What a runner is told of a job, word for word.
+/// The specification of a job, which runners get unchanged.
 const SPEC: &str = "sleep 5";
 const MANY_STAGE: &str = r#"{"count":4,"cpu":500,"mem_mb":300,"checkpoints":true}"#;
 const STEPS_STAGES: &str =
@@ -83,12 +86,12 @@
     assert_eq!(core.client(ClientMethod::Submit, path, &body).status, 200);
 }
 
-/// Both runners report and do what they are told, a few times.
-fn rounds(core: &mut LoneCore, runners: &mut [PlayedRunner; 2]) {
+/// Lets both runners report and apply their commands three times.
+fn run_report_rounds(core: &mut LoneCore, runners: &mut [PlayedRunner; 2]) {
     for _ in 0..3 {
         for runner in runners.iter_mut() {
             runner.report(core);
-            runner.obey();
+            runner.apply_commands();
         }
     }
 }
@@ -103,7 +106,8 @@
     runners.iter_mut().for_each(|runner| runner.end(task, end));
 }
 
-/// A member is founded alone, takes changes, jobs and reports, and promises a proposal number to another process.
+/// Bootstraps a core process alone and lets it accept changes, jobs and reports, and promise a proposal number and a
+/// term to another process.
 fn play(folder: &Path) {
     let mut core = LoneCore::start(folder, INCARNATION, true);
     core.run(ELECTION_MS);
@@ -114,7 +118,7 @@
         assert_eq!(reply.status, 200, "version {version}");
     }
     let mut runners = [PlayedRunner::new(1), PlayedRunner::new(2)];
-    rounds(&mut core, &mut runners);
+    run_report_rounds(&mut core, &mut runners);
     submit(&mut core, &format!("/q/{MANY}"), MANY_STAGE);
     submit(
         &mut core,
@@ -138,7 +142,7 @@
     );
     submit(&mut core, &format!("/q/{GANG}"), GANG_STAGE);
     submit(&mut core, &format!("/q/{STEPS}"), STEPS_STAGES);
-    rounds(&mut core, &mut runners);
+    run_report_rounds(&mut core, &mut runners);
     end(&mut runners, &format!("{COMPLETED}.0.0.0"), RunEnd::Done);
     end(&mut runners, &format!("{STEPS}.0.0.0"), RunEnd::Done);
     end(&mut runners, &format!("{FAILED}.0.0.0"), RunEnd::Failed);
@@ -146,36 +150,36 @@
     end(&mut runners, &format!("{MANY}.0.0.1"), RunEnd::Failed);
     end(&mut runners, &format!("{GANG}.0.0.1"), RunEnd::Failed);
     for runner in &mut runners {
-        if let Some((_, saved)) = runner.active.get_mut(&format!("{MANY}.0.0.2")) {
-            *saved = "checkpoint-7".to_owned();
+        if let Some((_, checkpoint)) = runner.active.get_mut(&format!("{MANY}.0.0.2")) {
+            *checkpoint = "checkpoint-7".to_owned();
         }
     }
     let cancelled = core.client(ClientMethod::Cancel, &format!("/q/{CANCELLED}"), "");
     assert_eq!(cancelled.status, 200);
-    rounds(&mut core, &mut runners);
+    run_report_rounds(&mut core, &mut runners);
     let prepare = Prepare {
         proposal: FOREIGN_PROPOSAL,
         known: ProposalNumber::default(),
     };
-    let promised = core.ask(FOREIGN, ControlMessage::Prepare(prepare));
+    let promised = core.request(FOREIGN, ControlMessage::Prepare(prepare));
     assert!(matches!(promised, ControlMessage::Promise(_)));
     drop(core);
-    promise_a_term(folder);
+    promise_term(folder);
 }
 
-/// The member starts once more and, as soon as it may, promises a term to another process.
-fn promise_a_term(folder: &Path) {
+/// Restarts the core process and requests its vote until it promises a term to another process.
+fn promise_term(folder: &Path) {
     let mut core = LoneCore::start(folder, LATER_INCARNATION, false);
     for _ in 0..ELECTION_MS {
         core.run(1);
-        if vote(&mut core, FOREIGN, FOREIGN_INCARNATION).granted {
+        if request_vote(&mut core, FOREIGN, FOREIGN_INCARNATION).granted {
             return;
         }
     }
-    panic!("no term is promised to another process");
+    panic!("no term was promised to another process within {ELECTION_MS} ms");
 }
 
-fn vote(core: &mut LoneCore, from: NodeId, incarnation: u64) -> VoteReply {
+fn request_vote(core: &mut LoneCore, from: NodeId, incarnation: u64) -> VoteReply {
     let request = ControlMessage::VoteRequest(VoteRequest {
         term: FOREIGN_TERM,
         incarnation,
@@ -183,9 +187,9 @@
         pre_vote: false,
         sent_at: 9,
     });
-    match core.ask(from, request) {
+    match core.request(from, request) {
         ControlMessage::VoteReply(reply) => reply,
-        other => panic!("a candidate is answered, not by {other:?}"),
+        other => panic!("expected a vote reply, got {other:?}"),
     }
 }
 
@@ -195,7 +199,7 @@
         .join(name)
 }
 
-/// Table, key and value of each row, a row on a line.
+/// Formats each row as a line with its table, key and value.
 fn to_text(image: &DiskImage) -> String {
     let hex = |bytes: &[u8]| {
         bytes.iter().fold(String::new(), |mut text, byte| {
@@ -216,7 +220,7 @@
     std::fs::read_to_string(fixture("rows.txt")).unwrap()
 }
 
-/// A copy of the stored file in a folder of its own.
+/// Copies the stored file into a new folder.
 fn stored_folder(name: &str) -> PathBuf {
     let folder = folder(name);
     std::fs::copy(fixture("state.redb"), folder.join("state.redb")).unwrap();
@@ -228,7 +232,7 @@
 }
 
 #[test]
-fn the_same_play_writes_the_same_rows() {
+fn the_same_events_write_the_same_rows() {
     let folder = folder("stored-play");
     play(&folder);
     let text = to_text(&image(&folder));
@@ -244,8 +248,8 @@
         std::fs::copy(folder.join("state.redb"), fixture("state.redb")).unwrap();
     }
     let written = std::fs::read_to_string(fixture("play-rows.txt")).unwrap();
-    for (place, (today, stored)) in text.lines().zip(written.lines()).enumerate() {
-        assert_eq!(today, stored, "row {place}");
+    for (index, (today, stored)) in text.lines().zip(written.lines()).enumerate() {
+        assert_eq!(today, stored, "row {index}");
     }
     assert_eq!(text, written);
 }
@@ -258,8 +262,8 @@
     );
 }
 
-/// The process on a copy of the stored file, as soon as it has started.
-fn restarted(name: &str) -> (LoneCore, PathBuf) {
+/// Starts the core process on a copy of the stored file.
+fn start_on_copy(name: &str) -> (LoneCore, PathBuf) {
     let folder = stored_folder(name);
     (LoneCore::start(&folder, LATER_INCARNATION, false), folder)
 }
@@ -269,24 +273,24 @@
 }
 
 #[test]
-fn the_registers_proposals_and_value_are_taken_up() {
-    let (mut core, _) = restarted("stored-register");
+fn the_proposal_numbers_and_the_value_of_the_register_are_restored() {
+    let (mut core, _) = start_on_copy("stored-register");
     let accepted = ProposalNumber {
         counter: VERSIONS + 1,
         node: ME,
         incarnation: INCARNATION,
     };
-    let unwanted = foreign_read(ProposalNumber::default());
-    let ControlMessage::ReadReply(reply) = core.ask(FOREIGN, unwanted) else {
-        panic!("a read is answered");
+    let read_without_value = foreign_read(ProposalNumber::default());
+    let ControlMessage::ReadReply(reply) = core.request(FOREIGN, read_without_value) else {
+        panic!("expected a reply to the read");
     };
     assert_eq!(reply.accepted, accepted);
     assert!(
         reply.value.is_empty(),
-        "only a value that is wanted is sent"
+        "a value was sent that was not requested"
     );
-    let ControlMessage::ReadReply(reply) = core.ask(FOREIGN, foreign_read(accepted)) else {
-        panic!("a read is answered");
+    let ControlMessage::ReadReply(reply) = core.request(FOREIGN, foreign_read(accepted)) else {
+        panic!("expected a reply to the read");
     };
     assert_eq!(reply.accepted, accepted);
     check_value(&RegisterValue::decode(&reply.value).unwrap());
@@ -297,9 +301,9 @@
         },
         known: ProposalNumber::default(),
     };
-    let ControlMessage::Rejected(refused) = core.ask(FOREIGN, ControlMessage::Prepare(prepare))
+    let ControlMessage::Rejected(refused) = core.request(FOREIGN, ControlMessage::Prepare(prepare))
     else {
-        panic!("a lower ballot is refused");
+        panic!("expected the lower proposal number to be rejected");
     };
     assert_eq!(refused.promised, FOREIGN_PROPOSAL);
 }
@@ -325,19 +329,20 @@
 }
 
 #[test]
-fn the_promised_term_and_the_state_of_the_records_are_taken_up() {
-    let (mut core, _) = restarted("stored-promise");
+fn the_promised_term_and_the_position_of_the_records_are_restored() {
+    let (mut core, _) = start_on_copy("stored-promise");
     let position = RecordsPosition {
         term: 1,
         number: STORED_BATCHES,
     };
-    // The lease that a former life may have granted still runs: only who was promised the term is promised it again.
+    // The lease that an earlier incarnation may have granted has not expired, so the term is promised only to the
+    // process to which it was promised before.
     for (from, incarnation, granted) in [
         (FOREIGN, LATER_INCARNATION, false),
         (GATEWAY, FOREIGN_INCARNATION, false),
         (FOREIGN, FOREIGN_INCARNATION, true),
     ] {
-        let reply = vote(&mut core, from, incarnation);
+        let reply = request_vote(&mut core, from, incarnation);
         assert_eq!(reply.granted, granted, "{from} {incarnation:x}");
         assert_eq!(reply.promised, FOREIGN_TERM);
         assert_eq!(reply.members_version, 1);
@@ -346,11 +351,11 @@
 }
 
 #[test]
-fn accepted_changes_are_taken_up() {
-    let (mut core, folder) = restarted("stored-changes");
+fn accepted_changes_are_restored() {
+    let (mut core, folder) = start_on_copy("stored-changes");
     let request = ControlMessage::ChangesRequest(ChangesRequest { after: 0 });
-    let ControlMessage::ChangesReply(reply) = core.ask(FOREIGN, request) else {
-        panic!("changes are told");
+    let ControlMessage::ChangesReply(reply) = core.request(FOREIGN, request) else {
+        panic!("expected a reply with the changes");
     };
     drop(core);
     let rows = image(&folder).control;
@@ -360,12 +365,12 @@
         .map(|(_, value)| value)
         .collect();
     assert_eq!(archived.len(), ARCHIVED);
-    // The newest ones come with the register's value, the oldest ones from the archive alone.
+    // The newest changes are in the register's value, the oldest ones only in the archive.
     assert_eq!(reply.changes.len() as u64, VERSIONS);
-    for (place, (change, row)) in reply.changes.iter().zip(archived).enumerate() {
-        let place = place as u64;
-        assert_eq!((change.base, change.version), (place, place + 1));
-        assert_eq!(change.digest, row[16..], "change {place}");
+    for (index, (change, row)) in reply.changes.iter().zip(archived).enumerate() {
+        let index = index as u64;
+        assert_eq!((change.base, change.version), (index, index + 1));
+        assert_eq!(change.digest, row[16..], "change {index}");
     }
     let archive = AcceptedChanges::load(&rows);
     assert_eq!(archive.from_base(0, 1_000).0, reply.changes[..ARCHIVED]);
@@ -373,14 +378,14 @@
 }
 
 #[test]
-fn the_member_takes_part_and_goes_on() {
-    let (mut core, folder) = restarted("stored-goes-on");
+fn the_restarted_process_is_elected_and_accepts_changes_and_jobs() {
+    let (mut core, folder) = start_on_copy("stored-goes-on");
     core.run(ELECTION_MS);
     let read = core.operate("/v1/config/get", None, "");
     assert_eq!(read.status, 200);
     let read: serde_json::Value = serde_json::from_slice(&read.body).unwrap();
     assert_eq!(read["version"], VERSIONS);
-    // A change of which the archive alone tells that it was taken, and another one in its place.
+    // The first change was accepted earlier, which only the archive records. The second one conflicts with it.
     assert_eq!(
         core.operate("/v1/config/patch", Some(4), &patch(5)).status,
         200
@@ -409,11 +414,11 @@
         .iter()
         .find(|row| row.0.ends_with(&[0x99]))
         .unwrap();
-    // Behind outcome, queue, service, attempts and priority: the order, one more than the highest stored.
+    // After outcome, queue, service, attempts and priority comes the order, which is one more than the highest stored.
     assert_eq!(new_job.1[19..27], 8u64.to_le_bytes());
 }
 
-fn state(core: &mut LoneCore, path: &str) -> String {
+fn read_state(core: &mut LoneCore, path: &str) -> String {
     let reply = core.client(ClientMethod::Read, path, "");
     assert_eq!(reply.status, 200, "{path}");
     let state: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
@@ -421,8 +426,8 @@
 }
 
 #[test]
-fn jobs_and_their_runs_are_taken_up() {
-    let (mut core, _) = restarted("stored-jobs");
+fn jobs_and_their_runs_are_restored() {
+    let (mut core, _) = start_on_copy("stored-jobs");
     core.run(ELECTION_MS);
     let states = [
         (MANY, "running"),
@@ -434,11 +439,15 @@
         (GANG, "running"),
     ];
     for (job, expected) in states {
-        assert_eq!(state(&mut core, &format!("/q/{job}")), expected, "{job}");
+        assert_eq!(
+            read_state(&mut core, &format!("/q/{job}")),
+            expected,
+            "{job}"
+        );
     }
     let pending = core.client(ClientMethod::Read, "/q/", "");
     assert_eq!(pending.body.0, br#"{"pending":4}"#);
-    // Nothing has reached the runners yet: what is assigned to them is told them.
+    // The runners have received no commands yet, so they get those for all runs that are assigned to them.
     let mut runners = [PlayedRunner::new(1), PlayedRunner::new(2)];
     for _ in 0..2 {
         runners
@@ -461,14 +470,14 @@
 
 type Start = (String, u64, String, String);
 
-fn owned((task, attempt, spec, saved): (String, u64, &str, &str)) -> Start {
-    (task, attempt, spec.to_owned(), saved.to_owned())
+fn owned((task, attempt, spec, checkpoint): (String, u64, &str, &str)) -> Start {
+    (task, attempt, spec.to_owned(), checkpoint.to_owned())
 }
 
-/// Task, attempt, specification and checkpoint of each start that is wanted of a runner.
+/// Returns the task, attempt, specification and checkpoint of each start in a runner's latest commands.
 fn starts(runner: &PlayedRunner) -> Vec<Start> {
-    let orders = runner.orders.as_ref().expect("orders");
-    let mut starts: Vec<Start> = orders
+    let commands = runner.commands.as_ref().expect("commands");
+    let mut starts: Vec<Start> = commands
         .start
         .iter()
         .map(|start| {
@@ -485,33 +494,33 @@
 }
 
 #[test]
-fn failures_counted_before_count_on() {
-    let (mut core, _) = restarted("stored-failures");
+fn failures_before_the_restart_count_towards_the_attempts() {
+    let (mut core, _) = start_on_copy("stored-failures");
     core.run(ELECTION_MS);
     let mut runners = [PlayedRunner::new(1), PlayedRunner::new(2)];
-    rounds(&mut core, &mut runners);
-    // Of three attempts one has failed: the second failure leaves the job running, the third ends it.
+    run_report_rounds(&mut core, &mut runners);
+    // One of three attempts has failed. The second failure leaves the job running, the third one ends it.
     for (job, index) in [(MANY, 1), (GANG, 0)] {
         let task = format!("{job}.0.0.{index}");
         end(&mut runners, &task, RunEnd::Failed);
-        settle(&mut core, &mut runners);
-        assert_eq!(state(&mut core, &format!("/q/{job}")), "running");
+        wait_for_restarts(&mut core, &mut runners);
+        assert_eq!(read_state(&mut core, &format!("/q/{job}")), "running");
         end(&mut runners, &task, RunEnd::Failed);
-        settle(&mut core, &mut runners);
-        assert_eq!(state(&mut core, &format!("/q/{job}")), "failed");
+        wait_for_restarts(&mut core, &mut runners);
+        assert_eq!(read_state(&mut core, &format!("/q/{job}")), "failed");
     }
 }
 
-/// Reports until runs that were to start again have started.
-fn settle(core: &mut LoneCore, runners: &mut [PlayedRunner; 2]) {
+/// Lets the runners report for long enough that failed runs have started again.
+fn wait_for_restarts(core: &mut LoneCore, runners: &mut [PlayedRunner; 2]) {
     for _ in 0..20 {
-        rounds(core, runners);
+        run_report_rounds(core, runners);
         core.run(500);
     }
 }
 
 #[test]
-fn the_file_in_the_place_of_a_torn_one_says_so() {
+fn a_file_that_replaced_a_corrupted_one_has_a_row_that_says_so() {
     let folder = folder("stored-torn");
     std::fs::write(folder.join("state.redb"), vec![0x5a; 5_000]).unwrap();
     assert!(Store::open(&folder).unwrap().emptied);
