--- a/crates/cluster/cluster-node/tests/deploy.rs
+++ b/crates/cluster/cluster-node/tests/deploy.rs
@@ -1,8 +1,10 @@
-//! The deploy files name what a machine needs besides the Rust toolchain.
+//! The deploy files list the packages that a machine needs besides the Rust toolchain. A missing one would fail the
+//! build on a new machine.
 
 use std::path::Path;
 
-/// What fetches crates and links a Rust program: certificates, `cc`, the tools that it starts, and the C library.
+/// The packages that are needed to fetch crates and link a Rust program: certificates, `cc`, the tools that `cc`
+/// starts, and the C library.
 const NEEDED: [&str; 4] = ["binutils", "ca-certificates", "gcc", "libc6-dev"];
 
 fn packages(file: &str) -> Vec<String> {
@@ -12,15 +14,15 @@
     let text = std::fs::read_to_string(path).unwrap();
     let deploy: toml::Table = toml::from_str(&text).unwrap();
     assert!(deploy.contains_key("build"), "{file}");
-    let named = deploy["packages"].as_array().unwrap();
-    named
+    let packages = deploy["packages"].as_array().unwrap();
+    packages
         .iter()
         .map(|name| name.as_str().unwrap().to_owned())
         .collect()
 }
 
 #[test]
-fn deploy_files_name_the_packages_of_the_build() {
+fn deploy_files_list_the_packages_that_the_build_needs() {
     for file in ["system.toml", "balancer.toml"] {
         let packages = packages(file);
         for needed in NEEDED {
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn no_package_is_named_twice() {
+fn no_package_is_listed_twice() {
     for file in ["system.toml", "balancer.toml"] {
         let mut packages = packages(file);
         let count = packages.len();
--- a/crates/cluster/cluster-node/tests/programs.rs
+++ b/crates/cluster/cluster-node/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The three programs: their flags, what they say of settings, their end by signal.
+//! The three programs: their flags, the check of their settings, and their exit codes.
 
 mod common;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn sound_settings_are_said_to_be_sound() {
+fn the_check_of_valid_settings_exits_with_0_and_prints_no_error() {
     let core = with_control().replace("bootstrap", "data_dir = \"/nowhere\"\nbootstrap");
     for (program, text) in [
         (FRONTEND, EXAMPLE.to_owned()),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn bad_settings_are_named_in_one_line() {
+fn the_check_of_invalid_settings_exits_with_2_and_names_the_field_in_one_line() {
     let cases = [
         (SIDE, EXAMPLE.to_owned(), "bind_addrs.control"),
         (CORE, with_control(), "data_dir"),
@@ -61,23 +61,23 @@
     for (program, text, field) in cases {
         let output = check(program, &text);
         assert_eq!(output.status.code(), Some(2));
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(field), "{said}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains(field), "{stderr}");
     }
 }
 
 #[test]
-fn bad_settings_end_a_start_too() {
+fn a_start_with_invalid_settings_exits_with_2() {
     let path = settings_file("ip = 7");
     let output = Command::new(CORE).env(VARIABLE, &path).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
-fn the_flag_goes_before_the_variable() {
-    let sound = settings_file(EXAMPLE);
-    let bad = settings_file("ip = 7");
+fn the_flag_takes_precedence_over_the_variable() {
+    let valid = settings_file(EXAMPLE);
+    let invalid = settings_file("ip = 7");
     let run = |flag: &PathBuf, variable: &PathBuf| {
         let mut command = Command::new(FRONTEND);
         command
@@ -87,12 +87,12 @@
             .env(VARIABLE, variable);
         command.output().unwrap().status.code()
     };
-    assert_eq!(run(&sound, &bad), Some(0));
-    assert_eq!(run(&bad, &sound), Some(2));
+    assert_eq!(run(&valid, &invalid), Some(0));
+    assert_eq!(run(&invalid, &valid), Some(2));
 }
 
 #[test]
-fn the_version_is_told() {
+fn the_version_flag_prints_the_version() {
     for program in [CORE, FRONTEND, SIDE] {
         let output = Command::new(program).arg("--version").output().unwrap();
         assert_eq!(output.status.code(), Some(0));
--- a/crates/cluster/cluster-node/tests/scale.rs
+++ b/crates/cluster/cluster-node/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Hollow workers beside the real processes: everything that was accepted runs, and nothing runs twice at once.
+//! Simulated workers with the real processes. Guards against accepted jobs that do not run and against tasks that run
+//! twice at the same time.
 
 use std::path::Path;
 
@@ -6,7 +7,7 @@
 use sagetrail_scale_testing::scenario::Scenario;
 
 #[test]
-fn hollow_workers_carry_a_small_load_to_its_end() {
+fn simulated_workers_complete_a_small_load() {
     let programs = Path::new(env!("CARGO_BIN_EXE_sagetrail-core"))
         .parent()
         .expect("a folder");
@@ -17,13 +18,13 @@
     assert_eq!(results.counts.open_jobs_at_end, 0, "{:?}", results.counts);
     assert_eq!(results.counts.refused, 0, "{:?}", results.counts);
     assert_eq!(results.counts.double_starts, 0, "{:?}", results.counts);
-    let done = results
+    let change_in_force = results
         .timings
         .iter()
         .find(|row| row.timing == "change_to_in_force");
     assert!(
-        done.is_some_and(|row| row.count > 0),
-        "a change is in force"
+        change_in_force.is_some_and(|row| row.count > 0),
+        "no change came into force"
     );
     let folder = tempfile::tempdir().expect("a folder");
     results.write(folder.path()).expect("written");
--- a/crates/cluster/cluster-node/tests/settings.rs
+++ b/crates/cluster/cluster-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what the page shows is taken, what is bad is named with its field.
+//! Settings: the documented example is accepted, and the error for an invalid field names the field.
 
 use sagetrail_cluster_node::identity::{node_id, seed_nodes};
 use sagetrail_cluster_node::settings::{Settings, SettingsError};
@@ -8,7 +8,7 @@
 
 fn refused(text: &str, kind: NodeKind) -> String {
     Settings::parse(text, kind)
-        .expect_err("bad settings")
+        .expect_err("the settings are invalid")
         .to_string()
 }
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_example_of_the_page_is_taken() {
+fn the_documented_example_is_accepted() {
     let settings = Settings::parse(EXAMPLE, NodeKind::Frontend).unwrap();
     let bounds = settings.bounds.to_bounds();
     assert_eq!(bounds.hold_max_ms, 10_000);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn processes_are_named_by_address_and_kind() {
+fn process_ids_have_the_address_and_the_port_of_the_kind() {
     let settings = Settings::parse(EXAMPLE, NodeKind::Frontend).unwrap();
     assert_eq!(
         node_id(&settings, NodeKind::Core).to_string(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_named() {
+fn the_error_for_a_value_of_the_wrong_type_names_the_field() {
     let reason = refused(
         &changed("max_fds = 4100", "max_fds = \"many\""),
         NodeKind::Frontend,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_value_out_of_range_is_named() {
+fn the_error_for_a_value_out_of_range_names_the_field() {
     let cases = [
         (
             "port_range = [7380,7395]",
@@ -96,14 +96,14 @@
             "bounds.contact_ms: ",
         ),
     ];
-    for (from, to, named) in cases {
+    for (from, to, field) in cases {
         let reason = refused(&changed(from, to), NodeKind::Frontend);
-        assert!(reason.starts_with(named), "{reason}");
+        assert!(reason.starts_with(field), "{reason}");
     }
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn the_error_for_a_missing_field_names_it() {
     assert!(refused(&changed("ip = \"10.1.0.38\"\n", ""), NodeKind::Frontend).contains("`ip`"));
     let reason = refused(EXAMPLE, NodeKind::Side);
     assert_eq!(reason, "bind_addrs.control: missing");
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_for_a_missing_file_names_it() {
     let path = std::path::Path::new("/nowhere/settings.toml");
     let error = Settings::load(path, NodeKind::Core).expect_err("no file");
     assert!(matches!(error, SettingsError::Unreadable { .. }));
--- a/crates/cluster/cluster-node/tests/torn_files.rs
+++ b/crates/cluster/cluster-node/tests/torn_files.rs
@@ -1,4 +1,5 @@
-//! A file in the place of a torn one never counts as a fresh disk, and is there whole or not at all.
+//! Corrupted disk files. Guards against a file that replaced a corrupted one and is taken for a new disk at a later
+//! start, and against a transaction that is in the file only in part after a loss of power.
 
 mod common;
 
@@ -14,7 +15,8 @@
 const FILE_NAME: &str = "state.redb";
 const NEW_FILE_NAME: &str = "state.redb.new";
 
-fn used(name: &str) -> PathBuf {
+/// Creates a folder with a disk file that holds a row in each table.
+fn used_folder(name: &str) -> PathBuf {
     let folder = folder(name);
     let opened = Store::open(&folder).unwrap();
     let put = |table| DiskOperation::Put {
@@ -33,16 +35,17 @@
     folder
 }
 
-fn tear(folder: &Path) {
+/// Overwrites the whole disk file with invalid data.
+fn corrupt(folder: &Path) {
     let path = folder.join(FILE_NAME);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     std::fs::write(path, vec![0x5a; length]).unwrap();
 }
 
 #[test]
-fn a_torn_file_leaves_a_disk_that_is_not_fresh_at_any_later_start() {
-    let folder = used("later");
-    tear(&folder);
+fn after_a_corrupted_file_the_disk_is_not_taken_for_a_new_one_at_later_starts() {
+    let folder = used_folder("later");
+    corrupt(&folder);
     assert!(Store::open(&folder).unwrap().emptied);
     for _ in 0..3 {
         let image = Store::open(&folder).unwrap().image;
@@ -52,9 +55,9 @@
 }
 
 #[test]
-fn what_is_left_of_an_earlier_replacement_is_not_taken_up() {
-    let folder = used("left");
-    tear(&folder);
+fn an_unfinished_earlier_replacement_is_discarded() {
+    let folder = used_folder("left");
+    corrupt(&folder);
     std::fs::write(folder.join(NEW_FILE_NAME), vec![0x33; 5_000]).unwrap();
     assert!(Store::open(&folder).unwrap().emptied);
     assert_ne!(Store::open(&folder).unwrap().image, DiskImage::default());
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn a_file_with_one_table_alone_is_torn() {
+fn a_file_with_only_one_table_is_corrupted() {
     let folder = folder("one");
     let definition: TableDefinition<&[u8], &[u8]> = TableDefinition::new("control");
     let database = Database::create(folder.join(FILE_NAME)).unwrap();
@@ -79,7 +82,7 @@
 }
 
 #[test]
-fn a_record_and_its_state_reach_the_disk_together_or_not_at_all() {
+fn a_transaction_interrupted_by_a_loss_of_power_is_on_disk_completely_or_not_at_all() {
     let folder = folder("together");
     let opened = Store::open(&folder).unwrap();
     let path = folder.join(FILE_NAME);
@@ -104,13 +107,13 @@
             .unwrap();
         let after = std::fs::read(&path).unwrap();
         for seed in 0..10 {
-            check_torn(&before, &after, number, seed);
+            check_partly_written(&before, &after, number, seed);
         }
     }
 }
 
-/// Of the blocks that a write changed some are old and some are new, as after a loss of power.
-fn check_torn(before: &[u8], after: &[u8], number: u64, seed: u64) {
+/// Checks a file in which only some of the blocks that a write changed have their new content, as after a power loss.
+fn check_partly_written(before: &[u8], after: &[u8], number: u64, seed: u64) {
     const BLOCK: usize = 512;
     let folder = folder("mixed");
     let mut mixed = after.to_vec();
@@ -128,7 +131,7 @@
     let opened = Store::open(&folder).unwrap();
     assert!(
         !opened.emptied,
-        "write {number}, seed {seed}: torn by a write that was not synced"
+        "write {number}, seed {seed}: corrupted by a write that was not synced"
     );
     let image = opened.image;
     let state = image
@@ -137,16 +140,16 @@
         .find(|row| row.0 == b"state")
         .map(|row| row.1.clone());
     let expected = state.unwrap_or_default();
-    let known = expected.as_slice().try_into().map_or(0, u64::from_be_bytes);
+    let state_number = expected.as_slice().try_into().map_or(0, u64::from_be_bytes);
     assert!(
-        known == number || known + 1 == number,
-        "write {number}, seed {seed}: state {known}"
+        state_number == number || state_number + 1 == number,
+        "write {number}, seed {seed}: state {state_number}"
     );
-    let rows = if known == 0 { 0 } else { 200 };
+    let rows = if state_number == 0 { 0 } else { 200 };
     assert_eq!(image.records.len(), rows, "write {number}, seed {seed}");
     assert!(
         image.records.iter().all(|row| row.1 == expected),
-        "write {number}, seed {seed}: a mixture"
+        "write {number}, seed {seed}: records of different writes"
     );
     drop(opened.store);
     let _ = std::fs::remove_dir_all(folder);
