--- a/crates/cluster/cluster-node/tests/callers.rs
+++ b/crates/cluster/cluster-node/tests/callers.rs
@@ -1,5 +1,5 @@
-//! Each answer goes to the connection that asked and in its order, nothing that came in part is acted upon, and no
-//! message is sent twice, over connections that break off at any place.
+//! Connections that break at any point. Guards against responses that reach another caller or come in the wrong order,
+//! against handling a request or message that was received only in part, and against messages that are sent twice.
 
 mod common;
 
@@ -29,11 +29,12 @@
 use sagetrail_protocol::node::{Event, HttpEndpoint, HttpReply, HttpRequestId, Node, Now, Outbox};
 use sagetrail_protocol::{Message, NodeId, Time};
 
-use common::{free_node, long, numbered, soon};
+use common::{free_node, long, numbered, with_timeout};
 
 const SCHEDULES: u64 = 150;
 const RESETS: usize = 30;
-/// Long enough that much is under way when a connection breaks off.
+/// The length of a message's document, in bytes. It is long enough that much data is in transit when a connection
+/// breaks.
 const LONG_BYTES: usize = 32 << 10;
 const EVICTIONS: usize = 100;
 const CONNECTIONS: usize = 16;
@@ -44,7 +45,7 @@
     abandoned: usize,
 }
 
-/// Answers each request with its own path: some at once, the others at a wake, in any order.
+/// Answers each request with its own path: paths that start with `/wait/` at a wake in a random order, others at once.
 struct Echo {
     held: BTreeMap<HttpRequestId, String>,
     random: SmallRng,
@@ -73,7 +74,7 @@
                 if request.path.starts_with("/wait/") {
                     assert!(
                         self.held.insert(id, request.path).is_none(),
-                        "one name for two requests"
+                        "two requests have the same id"
                     );
                     self.wake_at.get_or_insert(now.steady.plus_millis(1));
                 } else {
@@ -83,7 +84,7 @@
             Event::HttpAbandoned { id } => {
                 assert!(
                     self.held.remove(&id).is_some(),
-                    "abandoned after its answer"
+                    "a request was abandoned after its reply"
                 );
                 self.seen.lock().unwrap().abandoned += 1;
             }
@@ -159,11 +160,11 @@
     }
 }
 
-async fn on_stage<F: std::future::Future>(play: F) -> F::Output {
-    tokio::task::LocalSet::new().run_until(play).await
+async fn run_local<F: std::future::Future>(future: F) -> F::Output {
+    tokio::task::LocalSet::new().run_until(future).await
 }
 
-/// A request, by turns without a body, with one of a length told, and with one in chunks.
+/// Creates a request: by `kind`, without a body, with a `Content-Length`, or with a chunked body.
 fn request(path: &str, kind: u32) -> String {
     match kind % 3 {
         0 => format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -174,30 +175,30 @@
     }
 }
 
-/// The body of the next answer; `None` where the connection ends before it is whole.
-async fn answer(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<String> {
+/// Reads the body of the next response; returns `None` if the connection ends before the response is complete.
+async fn read_response(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<String> {
     loop {
         let text = String::from_utf8_lossy(received).into_owned();
         if let Some((head, rest)) = text.split_once("\r\n\r\n") {
             let head = head.to_lowercase();
-            let told = head
+            let content_length = head
                 .lines()
                 .find_map(|line| line.strip_prefix("content-length: "));
-            let length: usize = told.map_or(0, |length| length.parse().unwrap());
+            let length: usize = content_length.map_or(0, |length| length.parse().unwrap());
             if rest.len() >= length {
                 received.drain(..head.len() + 4 + length);
                 return Some(rest[..length].to_owned());
             }
         }
-        match soon(stream.read_buf(received)).await {
+        match with_timeout(stream.read_buf(received)).await {
             Ok(0) | Err(_) => return None,
             Ok(_) => {}
         }
     }
 }
 
-/// Breaks the connection off: with a reset, or in order.
-fn break_off(stream: TcpStream, by_reset: bool) {
+/// Closes the connection, with a reset or in order.
+fn close(stream: TcpStream, by_reset: bool) {
     if by_reset {
         socket2::SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
@@ -205,11 +206,12 @@
     }
 }
 
-/// Sends requests without waiting, cut into two writes anywhere, and reads some or all of the answers.
+/// Sends pipelined requests in two writes that are split at a random byte, reads some or all of the responses, and
+/// closes the connection.
 async fn pipeline(endpoint: SocketAddr, name: String, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut stream = TcpStream::connect(endpoint).await.unwrap();
-    let way = |random: &mut SmallRng| {
+    let path_prefix = |random: &mut SmallRng| {
         if random.random_bool(0.6) {
             "wait"
         } else {
@@ -217,14 +219,14 @@
         }
     };
     let paths: Vec<String> = (0..5)
-        .map(|number| format!("/{}/{name}-{number}", way(&mut random)))
+        .map(|number| format!("/{}/{name}-{number}", path_prefix(&mut random)))
         .collect();
     let text: String = paths
         .iter()
         .map(|path| request(path, random.random_range(0..3)))
         .collect();
     let (first, second) = text.as_bytes().split_at(random.random_range(0..text.len()));
-    let patience = if random.random_bool(0.3) {
+    let responses = if random.random_bool(0.3) {
         random.random_range(0..5)
     } else {
         5
@@ -234,25 +236,25 @@
         stream.write_all(part).await.unwrap();
         tokio::task::yield_now().await;
     }
-    for path in &paths[..patience] {
+    for path in &paths[..responses] {
         assert_eq!(
-            answer(&mut stream, &mut received).await.as_ref(),
+            read_response(&mut stream, &mut received).await.as_ref(),
             Some(path),
             "schedule {seed}"
         );
     }
-    break_off(stream, random.random_bool(0.5));
+    close(stream, random.random_bool(0.5));
 }
 
 #[tokio::test]
-async fn pipelined_requests_get_their_own_answers_while_others_break_off() {
-    on_stage(async {
+async fn pipelined_requests_get_their_own_responses_while_other_connections_break() {
+    run_local(async {
         for seed in 0..SCHEDULES {
-            let stage = start(100, seed);
+            let server = start(100, seed);
             let clients: Vec<_> = (0..6)
                 .map(|client| {
                     pipeline(
-                        stage.endpoint,
+                        server.endpoint,
                         format!("{seed}-{client}"),
                         seed * 6 + client,
                     )
@@ -268,121 +270,125 @@
 }
 
 #[tokio::test]
-async fn a_request_that_came_in_part_is_never_acted_upon() {
-    on_stage(async {
-        let stage = start(1000, 1);
+async fn a_partially_received_request_is_never_handled() {
+    run_local(async {
+        let server = start(1000, 1);
         for kind in 0..3 {
-            let whole = request("/now/part", kind);
-            for length in 1..whole.len() {
-                let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
-                stream.write_all(&whole.as_bytes()[..length]).await.unwrap();
-                break_off(stream, length % 2 == 0);
+            let complete = request("/now/part", kind);
+            for length in 1..complete.len() {
+                let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
+                stream
+                    .write_all(&complete.as_bytes()[..length])
+                    .await
+                    .unwrap();
+                close(stream, length % 2 == 0);
                 tokio::task::yield_now().await;
             }
         }
-        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
         stream
             .write_all(request("/now/whole", 1).as_bytes())
             .await
             .unwrap();
         assert_eq!(
-            answer(&mut stream, &mut Vec::new()).await.as_deref(),
+            read_response(&mut stream, &mut Vec::new()).await.as_deref(),
             Some("/now/whole")
         );
-        assert_eq!(stage.seen.lock().unwrap().paths, ["/now/whole"]);
+        assert_eq!(server.seen.lock().unwrap().paths, ["/now/whole"]);
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_answer_to_one_that_went_reaches_no_other() {
-    on_stage(async {
-        let stage = start(100, 1);
+async fn a_response_to_a_disconnected_caller_reaches_no_other_caller() {
+    run_local(async {
+        let server = start(100, 1);
         for number in 0..100 {
-            let mut gone = TcpStream::connect(stage.endpoint).await.unwrap();
+            let mut gone = TcpStream::connect(server.endpoint).await.unwrap();
             gone.write_all(request(&format!("/wait/gone-{number}"), number).as_bytes())
                 .await
                 .unwrap();
-            break_off(gone, number % 2 == 0);
-            let mut other = TcpStream::connect(stage.endpoint).await.unwrap();
+            close(gone, number % 2 == 0);
+            let mut other = TcpStream::connect(server.endpoint).await.unwrap();
             let path = format!("/wait/other-{number}");
             other
                 .write_all(request(&path, number).as_bytes())
                 .await
                 .unwrap();
-            assert_eq!(answer(&mut other, &mut Vec::new()).await, Some(path));
+            assert_eq!(read_response(&mut other, &mut Vec::new()).await, Some(path));
         }
         assert!(
-            stage.seen.lock().unwrap().abandoned > 0,
-            "the logic is told of those that went"
+            server.seen.lock().unwrap().abandoned > 0,
+            "no request was reported as abandoned to the logic"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_request_that_was_read_is_answered_also_where_its_place_is_wanted() {
-    on_stage(async {
-        let (mut served, mut cut) = (0, 0);
+async fn a_request_that_was_read_is_answered_although_new_connections_need_its_slot() {
+    run_local(async {
+        let (mut served, mut evicted) = (0, 0);
         for round in 0..EVICTIONS {
-            let stage = start(CONNECTIONS, round as u64);
-            let mut resting = Vec::new();
+            let server = start(CONNECTIONS, round as u64);
+            let mut idle = Vec::new();
             for number in 0..CONNECTIONS {
-                let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+                let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
                 stream
                     .write_all(request(&format!("/now/{number}"), 0).as_bytes())
                     .await
                     .unwrap();
-                answer(&mut stream, &mut Vec::new()).await.unwrap();
-                resting.push(stream);
+                read_response(&mut stream, &mut Vec::new()).await.unwrap();
+                idle.push(stream);
             }
-            // All in one turn of the server: requests on those that rest, and others who want their places.
-            let mut others = Vec::new();
-            for (number, stream) in resting.iter().enumerate() {
-                others.push(std::net::TcpStream::connect(stage.endpoint).unwrap());
+            // In one turn of the server's runtime, requests arrive on the idle connections, and so do new connections
+            // that evict idle ones.
+            let mut new_connections = Vec::new();
+            for (number, stream) in idle.iter().enumerate() {
+                new_connections.push(std::net::TcpStream::connect(server.endpoint).unwrap());
                 stream
                     .try_write(request(&format!("/wait/{number}"), 0).as_bytes())
                     .unwrap();
             }
-            round_trips();
+            wait_for_loopback();
             let mut unanswered = Vec::new();
-            for (number, mut stream) in resting.into_iter().enumerate() {
-                match answer(&mut stream, &mut Vec::new()).await {
+            for (number, mut stream) in idle.into_iter().enumerate() {
+                match read_response(&mut stream, &mut Vec::new()).await {
                     Some(_) => served += 1,
                     None => unanswered.push(format!("/wait/{number}")),
                 }
             }
-            cut += unanswered.len();
-            drop(others);
-            all_is_seen(&stage).await;
-            let seen = &stage.seen.lock().unwrap().paths;
+            evicted += unanswered.len();
+            drop(new_connections);
+            wait_until_all_seen(&server).await;
+            let seen = &server.seen.lock().unwrap().paths;
             let lost: Vec<&String> = unanswered
                 .iter()
                 .filter(|path| seen.contains(path))
                 .collect();
             assert!(
                 lost.is_empty(),
-                "round {round}: taken and cut off: {lost:?}"
+                "round {round}: passed to the logic but not answered: {lost:?}"
             );
         }
         assert!(
-            served > 0 && cut > 0,
-            "{served} served, {cut} gave their places away"
+            served > 0 && evicted > 0,
+            "{served} requests served, {evicted} connections evicted"
         );
     })
     .await;
 }
 
-/// Waits until the logic has seen everything that was read before.
-async fn all_is_seen(stage: &TestServer) {
-    soon(async {
+/// Waits until the logic has handled all requests that were read before.
+async fn wait_until_all_seen(server: &TestServer) {
+    with_timeout(async {
         loop {
-            let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+            let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
             let written = stream
                 .write_all(request("/now/last", 0).as_bytes())
                 .await
                 .is_ok();
-            if written && answer(&mut stream, &mut Vec::new()).await.is_some() {
+            if written && read_response(&mut stream, &mut Vec::new()).await.is_some() {
                 return;
             }
         }
@@ -390,8 +396,8 @@
     .await;
 }
 
-/// Passes a byte over loopback without giving way to other tasks: what was written before has arrived by then.
-fn round_trips() {
+/// Sends bytes over loopback without yielding to other tasks. Bytes written before have arrived when this returns.
+fn wait_for_loopback() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut one = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut other, _) = listener.accept().unwrap();
@@ -419,7 +425,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_came_in_part_is_none() {
+async fn a_partially_received_message_is_not_delivered() {
     let (sender, mut inputs) = mpsc::unbounded_channel();
     let (node, from) = (free_node(), free_node());
     let _transport = Transport::start(node, 1, sender).unwrap();
@@ -428,10 +434,10 @@
         let mut stream = TcpStream::connect(node.address()).await.unwrap();
         let bytes = [preamble(from), frame(1), part[..length].to_vec()].concat();
         stream.write_all(&bytes).await.unwrap();
-        let came = soon(inputs.recv()).await;
+        let input = with_timeout(inputs.recv()).await;
         let expected = numbered(1);
-        assert!(matches!(came, Some(Input::Message { message, .. }) if message == expected));
-        break_off(stream, length % 2 == 0);
+        assert!(matches!(input, Some(Input::Message { message, .. }) if message == expected));
+        close(stream, length % 2 == 0);
     }
     let mut stream = TcpStream::connect(node.address()).await.unwrap();
     stream
@@ -439,14 +445,15 @@
         .await
         .unwrap();
     let expected = numbered(3);
-    let came = soon(inputs.recv()).await;
-    assert!(matches!(came, Some(Input::Message { message, .. }) if message == expected));
+    let input = with_timeout(inputs.recv()).await;
+    assert!(matches!(input, Some(Input::Message { message, .. }) if message == expected));
 }
 
-/// Reads whole messages until so many bytes have come, or the connection ends.
-async fn numbers(stream: &mut TcpStream, most: usize) -> Vec<u64> {
+/// Reads until `max_bytes` have been received, no byte arrives for 50 ms, or the connection ends. Returns the numbers
+/// of the complete messages.
+async fn read_numbers(stream: &mut TcpStream, max_bytes: usize) -> Vec<u64> {
     let mut received = Vec::new();
-    while received.len() < most {
+    while received.len() < max_bytes {
         match tokio::time::timeout(Duration::from_millis(50), stream.read_buf(&mut received)).await
         {
             Ok(Ok(1..)) => {}
@@ -461,7 +468,7 @@
             break;
         };
         let Message::ConfigUpdate(update) = decode(payload).unwrap() else {
-            panic!("another message")
+            panic!("expected Message::ConfigUpdate, got another message")
         };
         numbers.push(update.version);
         rest = &rest[LENGTH_BYTES + length..];
@@ -470,20 +477,20 @@
 }
 
 #[tokio::test]
-async fn no_message_is_sent_twice_over_resets() {
+async fn no_message_is_sent_twice_after_connection_resets() {
     let (sender, _inputs) = mpsc::unbounded_channel();
     let transport = Transport::start(free_node(), 1, sender).unwrap();
     let peer = free_node();
     let listener = TcpListener::bind(peer.address()).await.unwrap();
     let mut random = SmallRng::seed_from_u64(5);
-    let (mut came, mut next) = (Vec::new(), 0);
+    let (mut received, mut next) = (Vec::new(), 0);
     let mut send = |count: u64| {
         (next..next + count).for_each(|number| transport.send(peer, &long(number, LONG_BYTES)));
         next += count;
     };
     for _ in 0..RESETS {
-        // What went by a connection that was dead already is lost; more is sent until there is another.
-        let mut stream = soon(async {
+        // Messages sent on a connection that was already closed are lost. More are sent until a new one is opened.
+        let mut stream = with_timeout(async {
             loop {
                 match tokio::time::timeout(Duration::from_millis(5), listener.accept()).await {
                     Ok(accepted) => return accepted.unwrap().0,
@@ -493,13 +500,13 @@
         })
         .await;
         send(random.random_range(1..100));
-        let most = random.random_range(1..40 * LONG_BYTES);
-        came.extend(numbers(&mut stream, most).await);
-        break_off(stream, random.random_bool(0.7));
+        let max_bytes = random.random_range(1..40 * LONG_BYTES);
+        received.extend(read_numbers(&mut stream, max_bytes).await);
+        close(stream, random.random_bool(0.7));
     }
-    let count = came.len();
-    assert!(count > RESETS * 3, "{count} came");
-    came.sort_unstable();
-    came.dedup();
-    assert_eq!(came.len(), count, "a message came twice");
+    let count = received.len();
+    assert!(count > RESETS * 3, "only {count} messages received");
+    received.sort_unstable();
+    received.dedup();
+    assert_eq!(received.len(), count, "a message was received twice");
 }
--- a/crates/cluster/cluster-node/tests/cluster.rs
+++ b/crates/cluster/cluster-node/tests/cluster.rs
@@ -1,11 +1,12 @@
-//! A whole cluster of real processes on loopback, with a runner of the tests' own.
+//! A cluster of real processes on loopback, with a runner that the test plays. Guards against jobs that are lost or
+//! tasks that are started twice when each core process, and then all of them, are killed and started again.
 
 mod common;
 
 use serde_json::{json, Value};
 
 use common::client::{call, Call};
-use common::cluster::{until, Cluster};
+use common::cluster::{wait_until, Cluster};
 use common::runner::Runner;
 
 const HOST: &str = "jobs.example";
@@ -29,21 +30,21 @@
     })
 }
 
-/// Sends a configuration to one core process after the other until one takes it.
+/// Sends a configuration to one core process after the other until one accepts it.
 fn configure(cluster: &Cluster, version: u64, base: u64) {
     let body = configuration(version);
     let mut number = 0;
-    until("the configuration is taken", || {
+    wait_until("the configuration is accepted", || {
         number = (number + 1) % 3;
         let path = "/v1/config/replace";
-        let order = Call {
+        let request = Call {
             method: "POST",
             path,
             base_version: Some(base),
             body: Some(&body),
             ..Call::default()
         };
-        let answer = call(cluster.core(number), order).ok()?;
+        let answer = call(cluster.core(number), request).ok()?;
         assert!(
             ![400, 409, 412, 413, 422].contains(&answer.status),
             "{answer:?}"
@@ -60,54 +61,54 @@
     let stage = json!({"count": tasks, "cpu": 500, "mem_mb": 64, "estimate_ms": 200});
     let body = json!({"spec": "work", "stages": [stage]});
     let path = job_path(number);
-    until("the job is accepted", || {
-        let order = Call {
+    wait_until("the job is accepted", || {
+        let request = Call {
             method: "POST",
             host: HOST,
             path: &path,
             body: Some(&body),
             ..Call::default()
         };
-        let answer = call(cluster.frontend(), order).ok()?;
+        let answer = call(cluster.frontend(), request).ok()?;
         (answer.status / 100 == 2).then_some(())
     });
 }
 
-fn completes(cluster: &Cluster, number: u64) {
+fn wait_until_completed(cluster: &Cluster, number: u64) {
     let path = job_path(number);
-    until("the job completes", || {
-        let order = Call {
+    wait_until("the job completes", || {
+        let request = Call {
             method: "GET",
             host: HOST,
             path: &path,
             ..Call::default()
         };
-        let answer = call(cluster.frontend(), order).ok()?;
+        let answer = call(cluster.frontend(), request).ok()?;
         assert_ne!(answer.status, 410, "an accepted job is known");
         (answer.json()["state"] == "completed").then_some(())
     });
 }
 
-fn ready(cluster: &Cluster) {
-    until("the frontend is ready", || {
-        let order = Call {
+fn wait_until_ready(cluster: &Cluster) {
+    wait_until("the frontend is ready", || {
+        let request = Call {
             method: "GET",
             path: "/v1/readyz",
             ..Call::default()
         };
-        let answer = call(cluster.readiness(), order).ok()?;
+        let answer = call(cluster.readiness(), request).ok()?;
         (answer.status == 200).then_some(())
     });
 }
 
-fn version_read(cluster: &Cluster, number: u8) -> u64 {
-    until("the configuration is read", || {
-        let order = Call {
+fn read_version(cluster: &Cluster, number: u8) -> u64 {
+    wait_until("the configuration is read", || {
+        let request = Call {
             method: "GET",
             path: "/v1/config/get",
             ..Call::default()
         };
-        let answer = call(cluster.core(number), order).ok()?;
+        let answer = call(cluster.core(number), request).ok()?;
         (answer.status == 200)
             .then(|| answer.json()["version"].as_u64())
             .flatten()
@@ -115,28 +116,28 @@
 }
 
 #[test]
-fn jobs_run_through_a_kill_of_each_core_process_and_of_all() {
+fn jobs_complete_although_each_core_process_and_then_all_are_killed() {
     let mut cluster = Cluster::start();
     let runner = Runner::start(cluster.side(), SERVICE);
     configure(&cluster, 3, 0);
-    ready(&cluster);
+    wait_until_ready(&cluster);
     submit(&cluster, 1, 5);
-    completes(&cluster, 1);
+    wait_until_completed(&cluster, 1);
     for number in 0..3 {
         cluster.kill_core(number);
         let job = 10 + u64::from(number);
         submit(&cluster, job, 3);
-        completes(&cluster, job);
+        wait_until_completed(&cluster, job);
         cluster.start_core(number);
     }
     configure(&cluster, 8, 3);
     submit(&cluster, 20, 3);
     (0..3).for_each(|number| cluster.kill_core(number));
     (0..3).for_each(|number| cluster.start_core(number));
-    completes(&cluster, 20);
-    completes(&cluster, 1);
-    (0..3).for_each(|number| assert_eq!(version_read(&cluster, number), 8));
-    let mut started = runner.end();
+    wait_until_completed(&cluster, 20);
+    wait_until_completed(&cluster, 1);
+    (0..3).for_each(|number| assert_eq!(read_version(&cluster, number), 8));
+    let mut started = runner.stop();
     let starts = started.len();
     started.sort();
     started.dedup();
--- a/crates/cluster/cluster-node/tests/common/client.rs
+++ b/crates/cluster/cluster-node/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A plain client of HTTP: a connection for each call.
+//! A simple HTTP client that opens a connection for each request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,9 +6,10 @@
 
 use serde_json::Value;
 
-const PATIENCE: Duration = Duration::from_secs(3);
+/// The time-out for connecting and for each read.
+const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A call.
+/// A request.
 #[derive(Default)]
 pub(crate) struct Call<'a> {
     pub method: &'a str,
@@ -18,7 +19,7 @@
     pub body: Option<&'a Value>,
 }
 
-/// Its answer.
+/// The response to a [`Call`].
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub status: u16,
@@ -26,16 +27,16 @@
 }
 
 impl Answer {
-    /// The body as JSON, `Null` where it is none.
+    /// Parses the body as JSON; returns `Null` if it is not JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 }
 
-/// Calls and waits for the whole answer.
+/// Sends a request and waits for the complete response.
 pub(crate) fn call(address: SocketAddr, call: Call) -> std::io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     let body = call.body.map_or_else(String::new, Value::to_string);
     let host = if call.host.is_empty() {
         "cluster"
--- a/crates/cluster/cluster-node/tests/common/cluster.rs
+++ b/crates/cluster/cluster-node/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of real processes on addresses of loopback.
+//! A cluster of real processes on loopback addresses.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -16,11 +16,11 @@
 const CONTROL_PORT: u16 = 7300;
 const CLIENT_PORT: u16 = 7301;
 const READINESS_PORT: u16 = 7302;
-/// Nothing that is waited for takes longer.
-const PATIENCE: Duration = Duration::from_secs(40);
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// The time-out of [`wait_until`].
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that is killed where the test ends.
+/// A process that is killed when this is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -30,24 +30,31 @@
     }
 }
 
-/// Three core processes, a frontend and a side.
+/// Three core processes, a frontend process and a side process.
 pub(crate) struct Cluster {
     folder: PathBuf,
+    /// The second and third byte of all addresses, so that test runs at the same time use different addresses.
     net: [u8; 2],
+    /// The value of `bootstrap` in the settings of processes that are started from now on.
     bootstrap: bool,
+    /// The core processes by number; `None` for one that was killed.
     cores: Vec<Option<Process>>,
-    others: Vec<Process>,
+    /// The frontend process and the side process.
+    frontend_and_side: Vec<Process>,
 }
 
-/// Looks again and again until there is something.
-pub(crate) fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a value, and returns it. Panics after [`WAIT_TIMEOUT`].
+pub(crate) fn wait_until<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
-        if let Some(found) = look() {
-            return found;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(started.elapsed() < PATIENCE, "it does not come: {what}");
-        std::thread::sleep(LOOK_AGAIN);
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {event}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -62,7 +69,7 @@
             net,
             bootstrap: true,
             cores: Vec::new(),
-            others: Vec::new(),
+            frontend_and_side: Vec::new(),
         };
         for number in 0..CORES {
             cluster.cores.push(None);
@@ -70,7 +77,7 @@
         }
         let frontend = cluster.run(FRONTEND, FRONTEND_HOST);
         let side = cluster.run(SIDE, SIDE_HOST);
-        cluster.others = vec![frontend, side];
+        cluster.frontend_and_side = vec![frontend, side];
         cluster.bootstrap = false;
         cluster
     }
@@ -79,22 +86,22 @@
         SocketAddr::from((Ipv4Addr::new(127, self.net[0], self.net[1], host), port))
     }
 
-    /// Where the operator calls a core process.
+    /// Returns the address at which a core process takes requests of the operator.
     pub(crate) fn core(&self, number: u8) -> SocketAddr {
         self.address(number + 1, CONTROL_PORT)
     }
 
-    /// Where clients call.
+    /// Returns the address for requests of clients.
     pub(crate) fn frontend(&self) -> SocketAddr {
         self.address(FRONTEND_HOST, CLIENT_PORT)
     }
 
-    /// Where the platform asks whether the frontend is ready.
+    /// Returns the address of the frontend's readiness check.
     pub(crate) fn readiness(&self) -> SocketAddr {
         self.address(FRONTEND_HOST, READINESS_PORT)
     }
 
-    /// Where the runner calls.
+    /// Returns the address to which the runner sends its heartbeats.
     pub(crate) fn side(&self) -> SocketAddr {
         self.address(SIDE_HOST, CONTROL_PORT)
     }
@@ -139,16 +146,16 @@
         self.cores[usize::from(number)] = None;
     }
 
-    /// Starts a core process on the disk that it had.
+    /// Starts a core process with its data folder, which keeps its content between starts.
     pub(crate) fn start_core(&mut self, number: u8) {
         let process = self.run(CORE, number + 1);
         self.cores[usize::from(number)] = Some(process);
     }
 
-    /// Ends all processes by SIGTERM; how each ended.
+    /// Ends all processes by SIGTERM and returns their exit statuses.
     pub(crate) fn terminate(mut self) -> Vec<ExitStatus> {
         let cores = self.cores.drain(..).flatten();
-        let all: Vec<Process> = self.others.drain(..).chain(cores).collect();
+        let all: Vec<Process> = self.frontend_and_side.drain(..).chain(cores).collect();
         for process in &all {
             let id = process.0.id().to_string();
             assert!(Command::new("kill")
@@ -157,7 +164,9 @@
                 .unwrap()
                 .success());
         }
-        let end = |mut process: Process| until("its end", || process.0.try_wait().unwrap());
-        all.into_iter().map(end).collect()
+        let wait_for_exit = |mut process: Process| {
+            wait_until("the process exits", || process.0.try_wait().unwrap())
+        };
+        all.into_iter().map(wait_for_exit).collect()
     }
 }
--- a/crates/cluster/cluster-node/tests/common/mod.rs
+++ b/crates/cluster/cluster-node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests: folders of their own, free ports, waiting for a condition.
+//! Helpers of the tests: empty folders, free ports, time-outs and messages.
 
 #![allow(dead_code)]
 pub(crate) mod client;
@@ -14,36 +14,36 @@
 use sagetrail_protocol::distribution::{ConfigUpdate, Subscribe};
 use sagetrail_protocol::{Blob, Message, NodeId};
 
-/// Nothing that is waited for takes longer.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+/// The time-out of [`with_timeout`].
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// An empty folder.
+/// Creates an empty folder that no other test uses.
 pub(crate) fn folder(name: &str) -> PathBuf {
     let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
-    let own = format!("{name}-{}-{number}", std::process::id());
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(own);
+    let unique_name = format!("{name}-{}-{number}", std::process::id());
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(unique_name);
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// A process's name with a port that was free a moment ago.
+/// Returns the id of a process on loopback, with a port that was free just before.
 pub(crate) fn free_node() -> NodeId {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
     NodeId::from_address(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-/// Waits, but not for ever.
-pub(crate) async fn soon<T>(what: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, what)
+/// Awaits a future; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(WAIT_TIMEOUT, future)
         .await
-        .expect("it does not come")
+        .expect("the future completes before the time-out")
 }
 
-/// A small message that can be told from others.
+/// Creates a small message that is identified by its number.
 pub(crate) fn numbered(number: u64) -> Message {
     Message::Subscribe(Subscribe {
         known_version: number,
@@ -51,7 +51,7 @@
     })
 }
 
-/// A message of so many bytes.
+/// Creates a message with a number and a document of this length in bytes.
 pub(crate) fn long(number: u64, bytes: usize) -> Message {
     let document = Blob(vec![number as u8; bytes]);
     Message::ConfigUpdate(ConfigUpdate {
--- a/crates/cluster/cluster-node/tests/common/runner.rs
+++ b/crates/cluster/cluster-node/tests/common/runner.rs
@@ -1,4 +1,5 @@
-//! A runner: sends heartbeats to its agent, starts what it is told to, ends it at the next heartbeat but one.
+//! A runner: it sends heartbeats to its agent, starts the tasks that the responses assign to it, and ends each run at
+//! the third heartbeat after its start.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,23 +13,25 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(100);
 
-/// A run, and the heartbeats that have told of it.
+/// An active run.
 #[derive(Clone)]
 struct Run {
     task: String,
     attempt: u64,
-    told: u32,
+    /// The number of heartbeats that have reported the run.
+    reports: u32,
 }
 
-/// An end not yet observed.
+/// A finished run whose end has not yet been acknowledged.
 #[derive(Clone)]
 struct End {
+    /// The number of the end, counted from 1.
     number: u64,
     task: String,
     attempt: u64,
 }
 
-/// A runner at work on a thread of its own.
+/// A runner on its own thread.
 pub(crate) struct Runner {
     stop: Arc<AtomicBool>,
     started: Arc<Mutex<Vec<String>>>,
@@ -36,7 +39,7 @@
 }
 
 impl Runner {
-    /// Starts a runner of a service beside the agent at `control`.
+    /// Starts a runner of a service that sends heartbeats to the agent at `control`.
     pub(crate) fn start(control: SocketAddr, service: &str) -> Runner {
         let stop = Arc::new(AtomicBool::new(false));
         let started = Arc::new(Mutex::new(Vec::new()));
@@ -53,7 +56,7 @@
         let stopped = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
-                state.beat();
+                state.send_heartbeat();
                 std::thread::sleep(HEARTBEAT);
             }
         });
@@ -64,8 +67,8 @@
         }
     }
 
-    /// Ends the runner; all tasks that it has started, once for each start.
-    pub(crate) fn end(self) -> Vec<String> {
+    /// Stops the runner and returns the tasks that it has started, once for each start.
+    pub(crate) fn stop(self) -> Vec<String> {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap();
         let started = self.started.lock().unwrap();
@@ -80,12 +83,13 @@
     ends: u64,
     active: Vec<Run>,
     finished: Vec<End>,
+    /// The highest fence token received.
     fence: u64,
     started: Arc<Mutex<Vec<String>>>,
 }
 
 impl State {
-    fn beat(&mut self) {
+    fn send_heartbeat(&mut self) {
         self.end_old_runs();
         self.sequence += 1;
         let body = self.heartbeat();
@@ -101,7 +105,7 @@
         );
         let Ok(answer) = answer else { return };
         if (200..300).contains(&answer.status) {
-            self.obey(&answer.json());
+            self.apply_commands(&answer.json());
         }
     }
 
@@ -125,15 +129,15 @@
     }
 
     fn end_old_runs(&mut self) {
-        let over: Vec<Run> = self
+        let ending: Vec<Run> = self
             .active
             .iter()
-            .filter(|run| run.told >= 2)
+            .filter(|run| run.reports >= 2)
             .cloned()
             .collect();
-        self.active.retain(|run| run.told < 2);
-        self.active.iter_mut().for_each(|run| run.told += 1);
-        for run in over {
+        self.active.retain(|run| run.reports < 2);
+        self.active.iter_mut().for_each(|run| run.reports += 1);
+        for run in ending {
             self.ends += 1;
             self.finished.push(End {
                 number: self.ends,
@@ -143,7 +147,8 @@
         }
     }
 
-    fn obey(&mut self, answer: &Value) {
+    /// Applies the commands of a response, unless a response with a newer fence token came before it.
+    fn apply_commands(&mut self, answer: &Value) {
         let fence = answer["fence_token"].as_u64().unwrap_or(0);
         if fence < self.fence {
             return;
@@ -152,11 +157,12 @@
         let observed = answer["observed"].as_u64().unwrap_or(0);
         self.finished.retain(|end| end.number > observed);
         for start in answer["start"].as_array().into_iter().flatten() {
-            self.begin(start[0].as_str().unwrap(), start[1].as_u64().unwrap());
+            self.start_task(start[0].as_str().unwrap(), start[1].as_u64().unwrap());
         }
     }
 
-    fn begin(&mut self, task: &str, attempt: u64) {
+    /// Starts a task unless this attempt or a later one is known.
+    fn start_task(&mut self, task: &str, attempt: u64) {
         let known = self
             .active
             .iter()
@@ -172,7 +178,7 @@
         self.active.push(Run {
             task: task.to_owned(),
             attempt,
-            told: 0,
+            reports: 0,
         });
     }
 }
--- a/crates/cluster/cluster-node/tests/disk.rs
+++ b/crates/cluster/cluster-node/tests/disk.rs
@@ -1,4 +1,5 @@
-//! The disk: what was synced is read again, in order; many writes are reported; a torn file is an emptied disk.
+//! The disk: synced rows are read again in the order of their keys, each write is reported once and in order, and a
+//! corrupted file is replaced by an empty one.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 use sagetrail_protocol::NodeId;
 
-use common::{folder, numbered, soon};
+use common::{folder, numbered, with_timeout};
 
 fn put(table: Table, key: &[u8], value: &[u8]) -> DiskOperation {
     DiskOperation::Put {
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_new_disk_is_empty_and_stays_so() {
+fn a_new_disk_is_empty_and_stays_empty_when_opened_again() {
     let folder = folder("new");
     assert_eq!(image(&folder), DiskImage::default());
     assert_eq!(image(&folder), DiskImage::default());
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn what_was_written_is_read_again_in_the_order_of_keys() {
+fn written_rows_are_read_in_the_order_of_their_keys() {
     let folder = folder("again");
     let opened = Store::open(&folder).unwrap();
     let first = write(vec![
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn deleting_and_clearing_reach_their_table_alone_and_in_order() {
+fn deletes_and_clears_apply_in_order_and_only_to_their_table() {
     let folder = folder("clear");
     let opened = Store::open(&folder).unwrap();
     let rows = (0..1000u32)
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_torn_file_is_an_emptied_disk() {
+fn a_corrupted_file_is_replaced_by_an_empty_one() {
     let folder = folder("torn");
     let opened = Store::open(&folder).unwrap();
     opened
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_file_cut_short_is_an_emptied_disk() {
+fn a_truncated_file_is_replaced_by_an_empty_one() {
     let folder = folder("short");
     drop(Store::open(&folder).unwrap());
     let path = std::fs::read_dir(&folder)
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn what_another_has_open_is_refused_and_kept() {
+fn a_file_that_is_already_open_is_not_opened_and_keeps_its_rows() {
     let folder = folder("locked");
     let opened = Store::open(&folder).unwrap();
     opened
@@ -162,31 +163,31 @@
     let to = NodeId { ip: 1, port: 1 };
     for number in 0..200u64 {
         let operations = vec![put(Table::Records, &number.to_be_bytes(), b"x")];
-        let then = vec![(to, numbered(number))];
+        let messages = vec![(to, numbered(number))];
         disk.submit(DiskWrite {
             operations,
-            send_when_synced: then,
+            send_when_synced: messages,
             token: Some(number),
         });
     }
     let mut sent = Vec::new();
-    let mut told = Vec::new();
-    while told.len() < 200 {
-        match soon(inputs.recv()).await.unwrap() {
+    let mut reported = Vec::new();
+    while reported.len() < 200 {
+        match with_timeout(inputs.recv()).await.unwrap() {
             Input::Synced {
                 send_when_synced,
                 tokens,
             } => {
                 sent.extend(send_when_synced);
-                told.extend(tokens);
+                reported.extend(tokens);
             }
-            _ => panic!("not asked for"),
+            _ => panic!("expected Input::Synced, got another input"),
         }
     }
-    assert_eq!(told, (0..200).collect::<Vec<u64>>());
+    assert_eq!(reported, (0..200).collect::<Vec<u64>>());
     let expected: Vec<_> = (0..200).map(|number| (to, numbered(number))).collect();
     assert_eq!(sent, expected);
     drop(disk);
-    soon(async { while inputs.recv().await.is_some() {} }).await;
+    with_timeout(async { while inputs.recv().await.is_some() {} }).await;
     assert_eq!(image(&folder).records.len(), 200);
 }
--- a/crates/cluster/cluster-node/tests/full_disk.rs
+++ b/crates/cluster/cluster-node/tests/full_disk.rs
@@ -1,5 +1,5 @@
-//! A disk that refuses writes, tears them and fails to sync: nothing counts that is not kept, and no process ends over a
-//! full disk.
+//! A disk that refuses writes, writes them in part and fails to sync. Guards against writes that are reported as synced
+//! although the disk did not keep them, and against a full disk that ends the process.
 
 mod common;
 
@@ -16,16 +16,16 @@
 use sagetrail_cluster_node::input::Input;
 use sagetrail_protocol::node::{DiskImage, DiskOperation, DiskWrite, Table};
 
-use common::{folder, soon};
+use common::{folder, with_timeout};
 
-/// What a disk does with writes.
+/// The faults of a disk.
 #[derive(Clone, Copy, Default)]
 struct Faults {
-    /// After so many more writes it is full; `None`: it has room.
+    /// The number of writes after which the disk is full; `None` if it never is.
     writes_left: Option<u32>,
-    /// The first refused write is there in part.
+    /// Whether the first refused write is written in part.
     tears: bool,
-    /// Its syncs fail.
+    /// Whether syncs fail.
     syncs_fail: bool,
 }
 
@@ -37,7 +37,7 @@
     change(faults.entry(path.to_owned()).or_default())
 }
 
-/// A file on such a disk.
+/// A file on a disk with faults.
 #[derive(Debug)]
 struct FaultyFile {
     path: PathBuf,
@@ -45,7 +45,7 @@
 }
 
 impl FaultyFile {
-    /// Refuses one more write where the disk is full. Returns whether it is the first refused one and leaves a part.
+    /// Counts a write, and refuses it if the disk is full. The error says whether the write is to be written in part.
     fn take_write(&self) -> Result<(), bool> {
         with_faults(&self.path, |faults| match &mut faults.writes_left {
             Some(0) => Err(std::mem::take(&mut faults.tears)),
@@ -76,7 +76,7 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.take_write().map_err(|_| full())?;
+        self.take_write().map_err(|_| disk_full_error())?;
         self.file.set_len(length)
     }
 
@@ -94,13 +94,13 @@
                 if tears {
                     self.file.write(offset, &data[..data.len() / 2])?;
                 }
-                Err(full())
+                Err(disk_full_error())
             }
         }
     }
 }
 
-fn full() -> io::Error {
+fn disk_full_error() -> io::Error {
     io::ErrorKind::StorageFull.into()
 }
 
@@ -124,35 +124,35 @@
     }
 }
 
-/// The numbers of the rows on disk.
+/// Returns the numbers of the rows on disk.
 fn rows(folder: &Path) -> Vec<u64> {
     let image: DiskImage = Store::open(folder).unwrap().image;
     let number = |(key, _): &(Vec<u8>, Vec<u8>)| u64::from_be_bytes(key[..].try_into().unwrap());
     image.records.iter().map(number).collect()
 }
 
-/// The tokens that were reported within a moment.
+/// Returns the reported tokens as soon as there are `count` of them.
 async fn reported(inputs: &mut mpsc::UnboundedReceiver<Input>, count: usize) -> Vec<u64> {
     let mut tokens = Vec::new();
     while tokens.len() < count {
-        match soon(inputs.recv()).await.unwrap() {
+        match with_timeout(inputs.recv()).await.unwrap() {
             Input::Synced { tokens: more, .. } => tokens.extend(more),
             Input::DiskFailed(error) => panic!("the disk failed: {error}"),
-            _ => panic!("not asked for"),
+            _ => panic!("expected Input::Synced, got another input"),
         }
     }
     tokens
 }
 
 async fn failure(inputs: &mut mpsc::UnboundedReceiver<Input>) -> DiskError {
-    match soon(inputs.recv()).await.unwrap() {
+    match with_timeout(inputs.recv()).await.unwrap() {
         Input::DiskFailed(error) => error,
-        _ => panic!("no failure"),
+        _ => panic!("expected Input::DiskFailed, got another input"),
     }
 }
 
 #[tokio::test]
-async fn writes_to_a_full_disk_are_held_and_kept_in_order_once_it_has_room() {
+async fn writes_to_a_full_disk_are_held_and_synced_in_order_once_it_has_space() {
     let folder = folder("full");
     let store = open(&folder);
     let (sender, mut inputs) = mpsc::unbounded_channel();
@@ -161,7 +161,7 @@
     assert_eq!(reported(&mut inputs, 1).await, [0]);
     with_faults(&file_in(&folder), |faults| faults.writes_left = Some(0));
     (1..20).for_each(|number| disk.submit(numbered_write(number, 1_000)));
-    // Several attempts fail meanwhile.
+    // Several attempts to write fail during this time.
     let early = tokio::time::timeout(Duration::from_millis(350), inputs.recv()).await;
     assert!(early.is_err(), "reported although the disk is full");
     with_faults(&file_in(&folder), |faults| faults.writes_left = None);
@@ -170,18 +170,19 @@
         (1..20).collect::<Vec<u64>>()
     );
     drop(disk);
-    soon(async { while inputs.recv().await.is_some() {} }).await;
+    with_timeout(async { while inputs.recv().await.is_some() {} }).await;
     assert_eq!(rows(&folder), (0..20).collect::<Vec<u64>>());
 }
 
-/// Fills the disk at each of the first writes of a transaction, with and without a torn one.
-fn each_moment() -> impl Iterator<Item = (u32, bool)> {
+/// Returns the cases of a disk that is full after each of the first writes of a transaction, with and without a write
+/// in part.
+fn refusal_cases() -> impl Iterator<Item = (u32, bool)> {
     (0..24).flat_map(|writes| [(writes, false), (writes, true)])
 }
 
 #[test]
-fn a_write_refused_at_any_moment_leaves_what_was_synced_or_all_of_it() {
-    for (writes_left, tears) in each_moment() {
+fn a_transaction_refused_at_any_write_is_on_disk_completely_or_not_at_all() {
+    for (writes_left, tears) in refusal_cases() {
         let folder = folder(&format!("moment-{writes_left}-{tears}"));
         let store = open(&folder);
         store.write(&[numbered_write(0, 10)]).unwrap();
@@ -204,8 +205,8 @@
 }
 
 #[test]
-fn a_write_refused_at_any_moment_succeeds_when_it_comes_again() {
-    for (writes_left, tears) in each_moment() {
+fn a_transaction_refused_at_any_write_succeeds_when_retried() {
+    for (writes_left, tears) in refusal_cases() {
         let folder = folder(&format!("again-{writes_left}-{tears}"));
         let store = open(&folder);
         store.write(&[numbered_write(0, 10)]).unwrap();
@@ -226,7 +227,7 @@
 }
 
 #[tokio::test]
-async fn a_failed_sync_is_not_tried_again() {
+async fn a_failed_sync_is_not_retried() {
     let folder = folder("sync");
     let (sender, mut inputs) = mpsc::unbounded_channel();
     let disk = Disk::start(open(&folder), sender).unwrap();
@@ -237,7 +238,7 @@
 }
 
 #[tokio::test]
-async fn more_than_fits_into_memory_is_not_held() {
+async fn writes_above_the_memory_limit_are_not_held() {
     let folder = folder("much");
     let (sender, mut inputs) = mpsc::unbounded_channel();
     let disk = Disk::start(open(&folder), sender).unwrap();
@@ -248,13 +249,13 @@
 }
 
 #[tokio::test]
-async fn the_thread_ends_with_its_disk_also_while_writes_are_held() {
+async fn the_thread_ends_when_the_disk_is_dropped_while_writes_are_held() {
     let folder = folder("dropped");
     let (sender, mut inputs) = mpsc::unbounded_channel();
     let disk = Disk::start(open(&folder), sender).unwrap();
     with_faults(&file_in(&folder), |faults| faults.writes_left = Some(0));
     disk.submit(numbered_write(1, 10));
     drop(disk);
-    soon(async { while inputs.recv().await.is_some() {} }).await;
+    with_timeout(async { while inputs.recv().await.is_some() {} }).await;
     assert!(rows(&folder).is_empty());
 }
--- a/crates/cluster/cluster-node/tests/health_check.rs
+++ b/crates/cluster/cluster-node/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! Looks at a process: refused, answered, silent, broken off.
+//! The results of a health check: connection refused, a status, no response, a closed connection.
 
 mod common;
 
@@ -12,15 +12,16 @@
 use sagetrail_cluster_node::input::Input;
 use sagetrail_protocol::node::{HealthCheck, HealthCheckId, HealthCheckResult};
 
-use common::soon;
+use common::with_timeout;
 
-async fn listening() -> (TcpListener, SocketAddrV4) {
+async fn bind_listener() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
     (listener, SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-async fn look(address: SocketAddrV4, path: &str) -> HealthCheckResult {
+/// Performs a health check and checks that its result is sent exactly once.
+async fn check(address: SocketAddrV4, path: &str) -> HealthCheckResult {
     let (sender, mut inputs) = mpsc::unbounded_channel();
     health_check::start(
         HealthCheck {
@@ -30,15 +31,15 @@
         },
         sender,
     );
-    let Some(Input::HealthChecked { id, result }) = soon(inputs.recv()).await else {
-        panic!("no result")
+    let Some(Input::HealthChecked { id, result }) = with_timeout(inputs.recv()).await else {
+        panic!("expected Input::HealthChecked, got another input")
     };
     assert_eq!(id, HealthCheckId(7));
-    assert!(inputs.recv().await.is_none(), "told once");
+    assert!(inputs.recv().await.is_none(), "the result is sent twice");
     result
 }
 
-/// Answers one request with these bytes, and gives the request.
+/// Accepts a connection, responds to one request with these bytes, and returns the request.
 async fn answer(listener: TcpListener, bytes: &'static [u8]) -> String {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut request = Vec::new();
@@ -50,14 +51,14 @@
 }
 
 #[tokio::test]
-async fn a_dead_port_refuses() {
-    let (listener, address) = listening().await;
+async fn a_port_without_listener_is_refused() {
+    let (listener, address) = bind_listener().await;
     drop(listener);
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::Refused);
+    assert_eq!(check(address, "/healthz").await, HealthCheckResult::Refused);
 }
 
 #[tokio::test]
-async fn the_status_is_told() {
+async fn the_status_of_the_response_is_reported() {
     let cases = [
         (&b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"[..], 200),
         (
@@ -66,10 +67,10 @@
         ),
     ];
     for (bytes, status) in cases {
-        let (listener, address) = listening().await;
+        let (listener, address) = bind_listener().await;
         let served = tokio::spawn(answer(listener, bytes));
         assert_eq!(
-            look(address, "/healthz").await,
+            check(address, "/healthz").await,
             HealthCheckResult::Status(status)
         );
         let request = served.await.unwrap();
@@ -85,22 +86,28 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_breaks_off_is_no_refusal() {
-    let (listener, address) = listening().await;
+async fn a_connection_closed_before_the_response_is_no_answer_and_no_refusal() {
+    let (listener, address) = bind_listener().await;
     let served = tokio::spawn(answer(listener, b""));
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
+    assert_eq!(
+        check(address, "/healthz").await,
+        HealthCheckResult::NoAnswer
+    );
     served.await.unwrap();
 }
 
 #[tokio::test]
-async fn no_answer_in_time_is_silence() {
-    let (listener, address) = listening().await;
-    assert_eq!(look(address, "/healthz").await, HealthCheckResult::NoAnswer);
+async fn a_time_out_is_reported_as_no_answer() {
+    let (listener, address) = bind_listener().await;
+    assert_eq!(
+        check(address, "/healthz").await,
+        HealthCheckResult::NoAnswer
+    );
     drop(listener);
 }
 
 #[tokio::test]
-async fn a_path_that_makes_no_request_is_silence() {
-    let (_listener, address) = listening().await;
-    assert_eq!(look(address, "no path").await, HealthCheckResult::NoAnswer);
+async fn an_invalid_path_is_reported_as_no_answer() {
+    let (_listener, address) = bind_listener().await;
+    assert_eq!(check(address, "no path").await, HealthCheckResult::NoAnswer);
 }
--- a/crates/cluster/cluster-node/tests/http_form.rs
+++ b/crates/cluster/cluster-node/tests/http_form.rs
@@ -1,5 +1,5 @@
-//! HTTP of the cluster's processes as it stands on the wire: the head and body of an answer, what the logic is handed
-//! of a request, and the request of a probe, as kept in `fixtures/`.
+//! HTTP of the cluster's processes as recorded in `fixtures/`: the bytes of a response, the fields of a request that
+//! the logic gets, and the bytes of a health check's request. Guards against unintended changes of any of them.
 
 mod common;
 
@@ -20,24 +20,24 @@
     HealthCheck, HealthCheckId, HttpEndpoint, HttpReply, HttpRequest, Method,
 };
 
-use common::soon;
+use common::with_timeout;
 
 const ANSWERS: &str = "tests/fixtures/http_answers.txt";
 const REQUESTS: &str = "tests/fixtures/http_requests.txt";
 const HEALTH_CHECK: &str = "tests/fixtures/probe_request.txt";
-/// One byte over the longest body taken from a client.
+/// One byte more than the size limit for the body of a client's request.
 const LONG_BODY: usize = (1 << 20) + 1;
-/// More than a connection reads of a head.
+/// A length of a head, in bytes, that exceeds the server's limit.
 const LONG_HEAD: usize = 128 << 10;
 
-/// A server, and what reaches the logic behind it.
-struct Served {
-    at: SocketAddr,
+/// An HTTP server and the inputs that it sends to the logic.
+struct TestServer {
+    address: SocketAddr,
     phase: PhaseSender,
     inputs: UnboundedReceiver<Input>,
 }
 
-fn served() -> Served {
+fn start() -> TestServer {
     let (sender, inputs) = mpsc::unbounded_channel();
     let (phase, watch) = watch_phase();
     let context = ServerContext {
@@ -47,11 +47,15 @@
         next_id: Arc::new(AtomicU64::new(1)),
     };
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let at = serve(any, HttpEndpoint::Frontend, context).unwrap().address;
-    Served { at, phase, inputs }
+    let address = serve(any, HttpEndpoint::Frontend, context).unwrap().address;
+    TestServer {
+        address,
+        phase,
+        inputs,
+    }
 }
 
-/// A text with the date's value masked: it is the time of the answer.
+/// Masks the value of the `date` header, which is the time of the response.
 fn without_date(text: &str) -> String {
     let masked = text.split_inclusive("\r\n").map(|line| {
         if line.starts_with("date: ") {
@@ -63,28 +67,32 @@
     masked.collect()
 }
 
-/// A text with its line ends visible.
+/// Makes the line ends of a text visible.
 fn visible(text: &str) -> String {
     text.replace("\r\n", "\\r\\n\n")
 }
 
-/// Sends `request` on a connection of its own and reads until that closes.
-async fn exchanged(at: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(at).await.unwrap();
+/// Sends `request` on a new connection and reads until the connection closes.
+async fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut answer = String::new();
-    let _ = soon(stream.read_to_string(&mut answer)).await;
+    let _ = with_timeout(stream.read_to_string(&mut answer)).await;
     visible(&without_date(&answer))
 }
 
-/// The next request that reaches the logic, answered with `reply`; without one it is dropped unanswered.
-async fn answered(inputs: &mut UnboundedReceiver<Input>, reply: Option<HttpReply>) -> HttpRequest {
+/// Returns the next request that reaches the logic, after answering it with `reply`. If `reply` is `None`, the request
+/// is dropped without an answer.
+async fn answer_next(
+    inputs: &mut UnboundedReceiver<Input>,
+    reply: Option<HttpReply>,
+) -> HttpRequest {
     loop {
         if let Some(Input::HttpRequest {
             request,
             reply: sender,
             ..
-        }) = soon(inputs.recv()).await
+        }) = with_timeout(inputs.recv()).await
         {
             if let Some(reply) = reply {
                 sender.send(reply).unwrap();
@@ -103,8 +111,8 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_written_as_it_is_kept() {
-    let mut served = served();
+async fn responses_match_the_recorded_bytes() {
+    let mut server = start();
     let mut transcript = Transcript::default();
     let request = "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     for (name, given) in [
@@ -122,23 +130,23 @@
         ("no answer by the logic", None),
     ] {
         let (answer, _) = tokio::join!(
-            exchanged(served.at, request),
-            answered(&mut served.inputs, given)
+            exchange(server.address, request),
+            answer_next(&mut server.inputs, given)
         );
         transcript.add(name, &answer);
     }
-    let old = "GET /a HTTP/1.0\r\n\r\n";
+    let http_1_0_request = "GET /a HTTP/1.0\r\n\r\n";
     let given = Some(reply(200, None, "{}"));
     let (answer, _) = tokio::join!(
-        exchanged(served.at, old),
-        answered(&mut served.inputs, given)
+        exchange(server.address, http_1_0_request),
+        answer_next(&mut server.inputs, given)
     );
     transcript.add("200 by HTTP/1.0", &answer);
-    let bare = "HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let head_request = "HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let given = Some(reply(405, None, "{}"));
     let (answer, _) = tokio::join!(
-        exchanged(served.at, bare),
-        answered(&mut served.inputs, given)
+        exchange(server.address, head_request),
+        answer_next(&mut server.inputs, given)
     );
     transcript.add("405 to HEAD", &answer);
     for (name, text) in [
@@ -159,19 +167,19 @@
             "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_owned(),
         ),
     ] {
-        transcript.add(name, &exchanged(served.at, &text).await);
+        transcript.add(name, &exchange(server.address, &text).await);
     }
-    served.phase.send_replace(Phase::Draining);
-    let kept = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
+    server.phase.send_replace(Phase::Draining);
+    let keep_alive_request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
     let given = Some(reply(200, None, "{}"));
     let (answer, _) = tokio::join!(
-        exchanged(served.at, kept),
-        answered(&mut served.inputs, given)
+        exchange(server.address, keep_alive_request),
+        answer_next(&mut server.inputs, given)
     );
     transcript.add("200 while the process ends", &answer);
-    drop(served.inputs);
-    let at = served.at;
-    transcript.add("the logic has ended", &exchanged(at, request).await);
+    drop(server.inputs);
+    let address = server.address;
+    transcript.add("the logic has ended", &exchange(address, request).await);
     transcript.assert_kept(ANSWERS);
 }
 
@@ -188,8 +196,8 @@
     number.map_or("none".to_owned(), |number| number.to_string())
 }
 
-/// What the logic is handed, a line for each part.
-fn handed(request: &HttpRequest) -> String {
+/// Formats the request that the logic gets, with a line for each field.
+fn to_text(request: &HttpRequest) -> String {
     format!(
         "method {}\nhost '{}'\npath '{}'\nbase version {}\ndeadline in ms {}\nbody '{}'\n",
         method(request.method),
@@ -202,8 +210,8 @@
 }
 
 #[tokio::test]
-async fn a_request_is_read_as_it_is_kept() {
-    let mut served = served();
+async fn requests_are_parsed_as_recorded() {
+    let mut server = start();
     let mut transcript = Transcript::default();
     for head in [
         "GET /a/b?c=d HTTP/1.1\r\nHost: jobs.example:80\r\nDeadline-Ms: 900\r\n",
@@ -220,35 +228,38 @@
         let text = format!("{head}Connection: close\r\n\r\n{body}");
         let given = Some(reply(200, None, ""));
         let (_, request) = tokio::join!(
-            exchanged(served.at, &text),
-            answered(&mut served.inputs, given)
+            exchange(server.address, &text),
+            answer_next(&mut server.inputs, given)
         );
-        transcript.add(visible(head).trim_end(), &handed(&request));
+        transcript.add(visible(head).trim_end(), &to_text(&request));
     }
     transcript.assert_kept(REQUESTS);
 }
 
-/// A text with the port of a listener of the test's masked.
+/// Masks the port of the test's listener.
 fn without_port(text: &str, port: u16) -> String {
     text.replace(&port.to_string(), "(port)")
 }
 
 #[tokio::test]
-async fn a_health_check_asks_as_it_is_kept() {
+async fn the_request_of_a_health_check_matches_the_recorded_bytes() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
     let (sender, _inputs) = mpsc::unbounded_channel();
-    let looked = HealthCheck {
+    let check = HealthCheck {
         id: HealthCheckId(7),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
         path: "/healthz".to_owned(),
     };
-    health_check::start(looked, sender);
-    let (mut stream, _) = soon(listener.accept()).await.unwrap();
-    let mut asked = Vec::new();
-    while !asked.ends_with(b"\r\n\r\n") {
-        assert!(soon(stream.read_buf(&mut asked)).await.unwrap() > 0);
+    health_check::start(check, sender);
+    let (mut stream, _) = with_timeout(listener.accept()).await.unwrap();
+    let mut request = Vec::new();
+    while !request.ends_with(b"\r\n\r\n") {
+        assert!(with_timeout(stream.read_buf(&mut request)).await.unwrap() > 0);
     }
-    let asked = String::from_utf8(asked).unwrap();
-    sagetrail_fixture::transcript::assert_kept(HEALTH_CHECK, &visible(&without_port(&asked, port)));
+    let request = String::from_utf8(request).unwrap();
+    sagetrail_fixture::transcript::assert_kept(
+        HEALTH_CHECK,
+        &visible(&without_port(&request, port)),
+    );
 }
--- a/crates/cluster/cluster-node/tests/process.rs
+++ b/crates/cluster/cluster-node/tests/process.rs
@@ -1,4 +1,5 @@
-//! The loop and the server of HTTP, about a small logic of the tests' own.
+//! The event loop and the HTTP server with a simple logic of the tests: requests, health checks, wakes, synced writes,
+//! and the end by SIGTERM, by the grace period and by a failed disk.
 
 mod common;
 
@@ -24,11 +25,11 @@
 };
 use sagetrail_protocol::{NodeId, Time};
 
-use common::{folder, free_node, numbered, soon};
+use common::{folder, free_node, numbered, with_timeout};
 
 const CLIENT_LIMIT: usize = 1 << 20;
 
-/// Answers by path; writes down what it sees.
+/// Answers requests by their path, and records the events that it handles in `seen`.
 struct Logic {
     node: NodeId,
     seen: Arc<Mutex<Vec<String>>>,
@@ -141,7 +142,7 @@
     }
 }
 
-struct Stage {
+struct TestServer {
     endpoint: SocketAddr,
     control: SocketAddr,
     inputs: Inputs,
@@ -149,22 +150,22 @@
     running: tokio::task::JoinHandle<ProcessEnd>,
 }
 
-struct Plan {
+struct ServerOptions {
     connection_limit: usize,
     finish: bool,
     grace: Duration,
     with_disk: bool,
 }
 
-const PLAN: Plan = Plan {
+const DEFAULT_OPTIONS: ServerOptions = ServerOptions {
     connection_limit: 100,
     finish: true,
     grace: Duration::from_secs(5),
     with_disk: false,
 };
 
-/// The logic as a task needs it: made where it runs.
-fn start(plan: Plan) -> Stage {
+/// Starts the HTTP server and the event loop as tasks of the current thread.
+fn start(options: ServerOptions) -> TestServer {
     let (sender, inputs) = mpsc::unbounded_channel();
     let node = free_node();
     let transport = Transport::start(node, 1, sender.clone()).unwrap();
@@ -173,7 +174,7 @@
     let context = ServerContext {
         inputs: sender.clone(),
         phase: watch,
-        connection_limit: ConnectionLimit::of(plan.connection_limit),
+        connection_limit: ConnectionLimit::of(options.connection_limit),
         next_id,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -181,7 +182,7 @@
         .unwrap()
         .address;
     let control = serve(any, HttpEndpoint::Control, context).unwrap().address;
-    let disk = plan.with_disk.then(|| {
+    let disk = options.with_disk.then(|| {
         let store = Store::open(&folder("process")).unwrap().store;
         Disk::start(store, sender.clone()).unwrap()
     });
@@ -191,9 +192,9 @@
         seen: Arc::clone(&seen),
         waiting: Vec::new(),
         wake_at: None,
-        finish: plan.finish,
+        finish: options.finish,
     };
-    let grace = plan.grace;
+    let grace = options.grace;
     let results = sender.clone();
     let running = tokio::task::spawn_local(async move {
         let parts = ProcessParts {
@@ -211,7 +212,7 @@
         process.close();
         ended
     });
-    Stage {
+    TestServer {
         endpoint,
         control,
         inputs: sender,
@@ -220,47 +221,47 @@
     }
 }
 
-async fn on_stage<F: std::future::Future>(play: F) -> F::Output {
-    tokio::task::LocalSet::new().run_until(play).await
+async fn run_local<F: std::future::Future>(future: F) -> F::Output {
+    tokio::task::LocalSet::new().run_until(future).await
 }
 
 async fn send(stream: &mut TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap();
 }
 
-/// Reads one answer whole: its head and the body of the length told.
+/// Reads one complete response: its head and a body of the length in `Content-Length`.
 async fn receive(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    while !is_whole(&bytes) {
-        let read = soon(stream.read_buf(&mut bytes)).await.unwrap();
+    while !is_complete(&bytes) {
+        let read = with_timeout(stream.read_buf(&mut bytes)).await.unwrap();
         assert!(
             read > 0,
-            "cut off after {:?}",
+            "connection closed after {:?}",
             String::from_utf8_lossy(&bytes)
         );
     }
     String::from_utf8(bytes).unwrap()
 }
 
-fn is_whole(bytes: &[u8]) -> bool {
+fn is_complete(bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes).to_lowercase();
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
     };
-    let told = head
+    let content_length = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "));
-    body.len() >= told.map_or(0, |length| length.parse().unwrap())
+    body.len() >= content_length.map_or(0, |length| length.parse().unwrap())
 }
 
 async fn is_closed(stream: &mut TcpStream) {
     let mut rest = Vec::new();
-    let _ = soon(stream.read_to_end(&mut rest)).await;
+    let _ = with_timeout(stream.read_to_end(&mut rest)).await;
 }
 
-async fn until_seen(stage: &Stage, line: &str) {
-    soon(async {
-        while !stage.seen.lock().unwrap().iter().any(|seen| seen == line) {
+async fn until_seen(server: &TestServer, line: &str) {
+    with_timeout(async {
+        while !server.seen.lock().unwrap().iter().any(|seen| seen == line) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     })
@@ -268,10 +269,10 @@
 }
 
 #[tokio::test]
-async fn requests_are_read_whole_and_answered_on_one_connection() {
-    on_stage(async {
-        let stage = start(PLAN);
-        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+async fn requests_are_read_completely_and_answered_on_one_connection() {
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
+        let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
         send(
             &mut stream,
             "GET /a/b?c=d HTTP/1.1\r\nHost: jobs.example:80\r\nDeadline-Ms: 900\r\n\r\n",
@@ -293,7 +294,7 @@
         let answer = receive(&mut stream).await;
         assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
         assert!(answer.contains("retry-after: 2"), "{answer}");
-        let seen = stage.seen.lock().unwrap().clone();
+        let seen = server.seen.lock().unwrap().clone();
         assert_eq!(seen[0], "Frontend Get jobs.example /a/b None Some(900) 0");
         assert_eq!(seen[1], "Frontend Post x /busy Some(7) None 5");
     })
@@ -301,40 +302,40 @@
 }
 
 #[tokio::test]
-async fn looks_at_others_are_performed_and_told() {
-    on_stage(async {
-        let stage = start(PLAN);
-        let mut stream = TcpStream::connect(stage.control).await.unwrap();
+async fn health_checks_are_performed_and_their_results_passed_to_the_logic() {
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
+        let mut stream = TcpStream::connect(server.control).await.unwrap();
         let free = free_node();
-        let dead = format!("{free}");
+        let unused_address = format!("{free}");
         for (address, result) in [
-            (dead, "Refused"),
-            (stage.endpoint.to_string(), "Status(503)"),
+            (unused_address, "Refused"),
+            (server.endpoint.to_string(), "Status(503)"),
         ] {
             let length = address.len();
             let text = format!("POST /probe HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{address}");
             send(&mut stream, &text).await;
             receive(&mut stream).await;
-            until_seen(&stage, result).await;
+            until_seen(&server, result).await;
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused_unread_by_the_logic() {
-    on_stage(async {
-        let stage = start(PLAN);
+async fn a_body_over_the_limit_is_refused_without_reaching_the_logic() {
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
         let head = format!(
             "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
             CLIENT_LIMIT + 1
         );
-        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut stream, &head).await;
         assert!(receive(&mut stream).await.starts_with("HTTP/1.1 413 "));
         is_closed(&mut stream).await;
-        assert!(stage.seen.lock().unwrap().is_empty());
-        let mut stream = TcpStream::connect(stage.control).await.unwrap();
+        assert!(server.seen.lock().unwrap().is_empty());
+        let mut stream = TcpStream::connect(server.control).await.unwrap();
         send(&mut stream, &head).await;
         stream
             .write_all(&vec![b'x'; CLIENT_LIMIT + 1])
@@ -346,26 +347,26 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_is_told_of() {
-    on_stage(async {
-        let stage = start(PLAN);
-        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+async fn a_disconnect_of_the_caller_is_reported_to_the_logic() {
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
+        let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut stream, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
-        until_seen(&stage, "Frontend Get x /wait None None 0").await;
+        until_seen(&server, "Frontend Get x /wait None None 0").await;
         drop(stream);
-        until_seen(&stage, "abandoned").await;
+        until_seen(&server, "abandoned").await;
     })
     .await;
 }
 
 #[tokio::test]
-async fn wakes_messages_to_itself_and_synced_writes_come_back() {
-    on_stage(async {
-        let stage = start(Plan {
+async fn wakes_messages_to_itself_and_synced_writes_reach_the_logic() {
+    run_local(async {
+        let server = start(ServerOptions {
             with_disk: true,
-            ..PLAN
+            ..DEFAULT_OPTIONS
         });
-        let mut stream = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut stream = TcpStream::connect(server.endpoint).await.unwrap();
         for path in ["/later", "/self", "/keep"] {
             send(
                 &mut stream,
@@ -382,23 +383,23 @@
 }
 
 #[tokio::test]
-async fn at_the_end_requests_under_way_are_answered_and_connections_close() {
-    on_stage(async {
-        let stage = start(PLAN);
-        let mut busy = TcpStream::connect(stage.endpoint).await.unwrap();
-        let mut idle = TcpStream::connect(stage.endpoint).await.unwrap();
+async fn at_shutdown_open_requests_are_answered_and_connections_close() {
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
+        let mut busy = TcpStream::connect(server.endpoint).await.unwrap();
+        let mut idle = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut idle, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         receive(&mut idle).await;
         send(&mut busy, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
-        until_seen(&stage, "Frontend Get x /wait None None 0").await;
-        stage.inputs.send(Input::Terminate).ok().unwrap();
+        until_seen(&server, "Frontend Get x /wait None None 0").await;
+        server.inputs.send(Input::Terminate).ok().unwrap();
         let answer = receive(&mut busy).await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
         assert!(answer.contains("connection: close"), "{answer}");
         is_closed(&mut busy).await;
         is_closed(&mut idle).await;
         assert!(matches!(
-            soon(stage.running).await.unwrap(),
+            with_timeout(server.running).await.unwrap(),
             ProcessEnd::Finished
         ));
     })
@@ -406,16 +407,16 @@
 }
 
 #[tokio::test]
-async fn the_end_comes_by_the_grace_also_where_the_logic_is_not_done() {
-    on_stage(async {
-        let stage = start(Plan {
+async fn the_event_loop_ends_with_the_grace_period_although_the_logic_has_not_finished() {
+    run_local(async {
+        let server = start(ServerOptions {
             finish: false,
             grace: Duration::from_millis(50),
-            ..PLAN
+            ..DEFAULT_OPTIONS
         });
-        stage.inputs.send(Input::Terminate).ok().unwrap();
+        server.inputs.send(Input::Terminate).ok().unwrap();
         assert!(matches!(
-            soon(stage.running).await.unwrap(),
+            with_timeout(server.running).await.unwrap(),
             ProcessEnd::GracePeriodExpired
         ));
     })
@@ -424,22 +425,22 @@
 
 #[tokio::test]
 async fn at_the_connection_limit_the_longest_idle_connection_is_evicted() {
-    on_stage(async {
-        let stage = start(Plan {
+    run_local(async {
+        let server = start(ServerOptions {
             connection_limit: 2,
-            ..PLAN
+            ..DEFAULT_OPTIONS
         });
-        let mut busy = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut busy = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut busy, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").await;
-        until_seen(&stage, "Frontend Get x /wait None None 0").await;
-        let mut idle = TcpStream::connect(stage.endpoint).await.unwrap();
+        until_seen(&server, "Frontend Get x /wait None None 0").await;
+        let mut idle = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut idle, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         receive(&mut idle).await;
-        let mut next = TcpStream::connect(stage.endpoint).await.unwrap();
+        let mut next = TcpStream::connect(server.endpoint).await.unwrap();
         send(&mut next, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n").await;
         assert!(receive(&mut next).await.starts_with("HTTP/1.1 200 "));
         is_closed(&mut idle).await;
-        stage.inputs.send(Input::Terminate).ok().unwrap();
+        server.inputs.send(Input::Terminate).ok().unwrap();
         assert!(receive(&mut busy).await.starts_with("HTTP/1.1 200 "));
     })
     .await;
@@ -447,12 +448,12 @@
 
 #[tokio::test]
 async fn a_failed_disk_ends_the_process() {
-    on_stage(async {
-        let stage = start(PLAN);
+    run_local(async {
+        let server = start(DEFAULT_OPTIONS);
         let error = sagetrail_cluster_node::disk::DiskError::Io(std::io::Error::other("full"));
-        stage.inputs.send(Input::DiskFailed(error)).ok().unwrap();
+        server.inputs.send(Input::DiskFailed(error)).ok().unwrap();
         assert!(matches!(
-            soon(stage.running).await.unwrap(),
+            with_timeout(server.running).await.unwrap(),
             ProcessEnd::DiskFailed(_)
         ));
     })
--- a/crates/cluster/cluster-node/tests/transport.rs
+++ b/crates/cluster/cluster-node/tests/transport.rs
@@ -1,4 +1,5 @@
-//! Messages between processes over loopback.
+//! Messages between processes over loopback. Guards against changes of the bytes on the wire, lost or reordered
+//! messages on a working connection, unbounded queues, and peers that are not reached again after a restart.
 
 mod common;
 
@@ -16,7 +17,7 @@
 use sagetrail_protocol::frame::{Preamble, MAGIC, PROTOCOL_VERSION};
 use sagetrail_protocol::{Incarnation, Message, NodeId};
 
-use common::{free_node, long, numbered, soon};
+use common::{free_node, long, numbered, with_timeout};
 
 struct Process {
     node: NodeId,
@@ -36,42 +37,42 @@
     }
 
     async fn next(&mut self) -> (NodeId, Message) {
-        match soon(self.inputs.recv()).await.unwrap() {
+        match with_timeout(self.inputs.recv()).await.unwrap() {
             Input::Message { from, message } => (from, message),
-            _ => panic!("not a message"),
+            _ => panic!("expected Input::Message, got another input"),
         }
     }
 
-    /// Sends until one arrives: a message may be lost around the end of a connection.
-    async fn reaches(&self, other: &mut Process, message: Message) {
+    /// Sends a message until it arrives once, since messages may be lost when a connection ends.
+    async fn send_until_received(&self, other: &mut Process, message: Message) {
         let sending = async {
             loop {
                 self.transport.send(other.node, &message);
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let arriving = async {
+        let receiving = async {
             while !matches!(other.inputs.recv().await,
-                Some(Input::Message { from, message: came }) if from == self.node && came == message)
+                Some(Input::Message { from, message: received }) if from == self.node && received == message)
             {
             }
         };
-        soon(async {
-            tokio::select! { () = sending => {}, () = arriving => {} }
+        with_timeout(async {
+            tokio::select! { () = sending => {}, () = receiving => {} }
         })
         .await;
     }
 }
 
-/// A process on a runtime of its own, whose end closes all of its sockets.
-struct Apart {
+/// A process on its own runtime. The end of the runtime closes all sockets of the process.
+struct SeparateProcess {
     process: Process,
     stop: oneshot::Sender<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
-impl Apart {
-    fn start(node: NodeId, incarnation: Incarnation) -> Apart {
+impl SeparateProcess {
+    fn start(node: NodeId, incarnation: Incarnation) -> SeparateProcess {
         let (started, starting) = std::sync::mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
@@ -88,7 +89,7 @@
             });
         });
         let process = starting.recv().unwrap();
-        Apart {
+        SeparateProcess {
             process,
             stop,
             thread,
@@ -112,9 +113,9 @@
     .unwrap()
 }
 
-/// A connection as it was when its bytes were written down: the opening of process 10.18.74.7:8007, incarnation 5, then
-/// two messages, each with its length in four bytes, least significant first.
-const OPENING: &str = "65676173 0100 074a120a 471f 0500000000000000";
+/// The recorded bytes of a connection: the preamble of process 10.18.74.7:8007 with incarnation 5, then two messages,
+/// each after its length in four bytes, least significant first.
+const PREAMBLE: &str = "65676173 0100 074a120a 471f 0500000000000000";
 const SUBSCRIBE: &str = "11000000 08 0130000000000000 0230000000000000";
 const CONFIG_CURRENT: &str = "19000000 0a 0132000000000000 0232000000000000 0332000000000000";
 
@@ -142,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_carries_the_bytes_that_it_always_did() {
+async fn the_sent_bytes_match_the_recorded_ones() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         panic!("no IPv4 address");
@@ -154,21 +155,23 @@
     );
     sent.iter()
         .for_each(|message| one.transport.send(to, message));
-    let (mut stream, _) = soon(listener.accept()).await.unwrap();
-    let mut opening = bytes_of(OPENING);
-    opening[6..10].copy_from_slice(&one.node.ip.to_le_bytes());
-    opening[10..12].copy_from_slice(&one.node.port.to_le_bytes());
-    let expected = [opening, bytes_of(SUBSCRIBE), bytes_of(CONFIG_CURRENT)].concat();
+    let (mut stream, _) = with_timeout(listener.accept()).await.unwrap();
+    let mut preamble = bytes_of(PREAMBLE);
+    preamble[6..10].copy_from_slice(&one.node.ip.to_le_bytes());
+    preamble[10..12].copy_from_slice(&one.node.port.to_le_bytes());
+    let expected = [preamble, bytes_of(SUBSCRIBE), bytes_of(CONFIG_CURRENT)].concat();
     let mut received = vec![0; expected.len()];
-    soon(stream.read_exact(&mut received)).await.unwrap();
+    with_timeout(stream.read_exact(&mut received))
+        .await
+        .unwrap();
     assert_eq!(received, expected);
 }
 
 #[tokio::test]
-async fn the_bytes_of_a_connection_are_read_as_they_always_were() {
+async fn the_recorded_bytes_are_read_as_their_messages() {
     let mut one = Process::start(free_node(), 1);
     let mut stream = TcpStream::connect(one.node.address()).await.unwrap();
-    for part in [OPENING, SUBSCRIBE, CONFIG_CURRENT] {
+    for part in [PREAMBLE, SUBSCRIBE, CONFIG_CURRENT] {
         stream.write_all(&bytes_of(part)).await.unwrap();
     }
     let sender = NodeId {
@@ -193,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn long_messages_arrive_whole() {
+async fn long_messages_arrive_complete() {
     let one = Process::start(free_node(), 1);
     let mut two = Process::start(free_node(), 2);
     for number in 0..3 {
@@ -203,8 +206,8 @@
 }
 
 #[tokio::test]
-async fn an_answer_goes_by_the_connection_of_the_question() {
-    // A process that cannot be connected to: it opens the one connection itself.
+async fn a_reply_is_sent_on_the_connection_of_the_request() {
+    // No process listens at the asker's address, so the connection that the asker opens is the only one.
     let mut one = Process::start(free_node(), 1);
     let asker = free_node();
     let mut stream = TcpStream::connect(one.node.address()).await.unwrap();
@@ -217,13 +220,15 @@
     one.transport.send(asker, &numbered(8));
     let answer = numbered(8).to_bytes().unwrap();
     let mut received = vec![0; 4 + answer.len()];
-    soon(stream.read_exact(&mut received)).await.unwrap();
+    with_timeout(stream.read_exact(&mut received))
+        .await
+        .unwrap();
     assert_eq!(received[..4], (answer.len() as u32).to_le_bytes());
     assert_eq!(received[4..], answer);
 }
 
 #[tokio::test]
-async fn another_version_is_not_spoken_to() {
+async fn a_connection_of_another_protocol_version_is_closed() {
     let one = Process::start(free_node(), 1);
     let mut stream = TcpStream::connect(one.node.address()).await.unwrap();
     stream
@@ -231,11 +236,16 @@
         .await
         .unwrap();
     let mut rest = Vec::new();
-    assert_eq!(soon(stream.read_to_end(&mut rest)).await.unwrap_or(0), 0);
+    assert_eq!(
+        with_timeout(stream.read_to_end(&mut rest))
+            .await
+            .unwrap_or(0),
+        0
+    );
 }
 
 #[tokio::test]
-async fn a_malformed_frame_ends_the_connection() {
+async fn a_connection_with_a_malformed_frame_is_closed() {
     let one = Process::start(free_node(), 1);
     for frame in [[1, 0, 0, 0, 255].to_vec(), u32::MAX.to_le_bytes().to_vec()] {
         let mut stream = TcpStream::connect(one.node.address()).await.unwrap();
@@ -245,16 +255,21 @@
             .unwrap();
         stream.write_all(&frame).await.unwrap();
         let mut rest = Vec::new();
-        assert_eq!(soon(stream.read_to_end(&mut rest)).await.unwrap_or(0), 0);
+        assert_eq!(
+            with_timeout(stream.read_to_end(&mut rest))
+                .await
+                .unwrap_or(0),
+            0
+        );
     }
 }
 
 #[tokio::test]
-async fn what_nobody_takes_is_dropped() {
+async fn messages_to_an_unreachable_process_are_dropped() {
     let one = Process::start(free_node(), 1);
     one.transport.send(free_node(), &numbered(1));
     assert!(!one.transport.is_drained());
-    soon(async {
+    with_timeout(async {
         while one.transport.dropped() == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -264,23 +279,23 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_does_not_read_is_given_up_and_its_queue_is_bounded() {
+async fn a_connection_to_a_peer_that_does_not_read_is_closed_and_its_queue_is_bounded() {
     let one = Process::start(free_node(), 1);
-    let deaf = free_node();
-    let listener = TcpListener::bind(deaf.address()).await.unwrap();
+    let stalled = free_node();
+    let listener = TcpListener::bind(stalled.address()).await.unwrap();
     for number in 0..64 {
-        one.transport.send(deaf, &long(number, 1 << 20));
+        one.transport.send(stalled, &long(number, 1 << 20));
     }
-    let (first, _) = soon(listener.accept()).await.unwrap();
+    let (first, _) = with_timeout(listener.accept()).await.unwrap();
     assert!(one.transport.dropped() > 0);
-    // Noticed by the sender, which then connects anew for what it still has.
+    // The sender closes the stalled connection and opens a new one for the frames that are still queued.
     for number in 0..8 {
-        one.transport.send(deaf, &long(number, 1 << 20));
+        one.transport.send(stalled, &long(number, 1 << 20));
         tokio::task::yield_now().await;
     }
-    let (second, _) = soon(async {
+    let (second, _) = with_timeout(async {
         loop {
-            one.transport.send(deaf, &long(0, 1 << 20));
+            one.transport.send(stalled, &long(0, 1 << 20));
             let accepted = tokio::time::timeout(Duration::from_millis(50), listener.accept()).await;
             if let Ok(accepted) = accepted {
                 return accepted.unwrap();
@@ -292,14 +307,18 @@
 }
 
 #[tokio::test]
-async fn a_process_that_starts_anew_is_found_again() {
+async fn a_restarted_process_is_reached_again() {
     let mut one = Process::start(free_node(), 1);
     let node = free_node();
-    let mut former = Apart::start(node, 2);
-    one.reaches(&mut former.process, numbered(1)).await;
-    former.process.reaches(&mut one, numbered(2)).await;
+    let mut former = SeparateProcess::start(node, 2);
+    one.send_until_received(&mut former.process, numbered(1))
+        .await;
+    former
+        .process
+        .send_until_received(&mut one, numbered(2))
+        .await;
     former.end();
-    let mut later = soon(async {
+    let mut restarted = with_timeout(async {
         loop {
             let (sender, inputs) = mpsc::unbounded_channel();
             match Transport::start(node, 3, sender) {
@@ -315,12 +334,12 @@
         }
     })
     .await;
-    one.reaches(&mut later, numbered(3)).await;
-    later.reaches(&mut one, numbered(4)).await;
+    one.send_until_received(&mut restarted, numbered(3)).await;
+    restarted.send_until_received(&mut one, numbered(4)).await;
 }
 
 #[tokio::test]
-async fn both_may_connect_at_once() {
+async fn no_message_is_lost_when_two_processes_connect_to_each_other_at_once() {
     let mut one = Process::start(free_node(), 1);
     let mut two = Process::start(free_node(), 2);
     for number in 0..100 {
