--- a/crates/cluster/cluster-node/src/start.rs
+++ b/crates/cluster/cluster-node/src/start.rs
@@ -150,7 +150,10 @@
             image,
             settings,
         };
-        log::info!("started: node={node} name={}", context.settings.node_name);
+        log::info!(
+            "process started: node={node} name={}",
+            context.settings.node_name
+        );
         let mut outbox = Outbox::default();
         let logic = factory(context, clocks.now(), &mut outbox);
         let parts = ProcessParts {
