--- a/crates/dispatcher/shared-state/src/budgets.rs
+++ b/crates/dispatcher/shared-state/src/budgets.rs
@@ -1,22 +1,23 @@
-//! Limits that members spend together, split into leased parts. A limit is owned in fixed rights by a few members, and
-//! a member with work borrows from them for a length of time. Stated and tested: *the sum of what all may spend never
-//! passes the limit, at any instant, under any partition, pause or restart*.
+//! Limits that all members spend from together, split into leased parts. A few members own fixed rights to a limit, and
+//! a member with work borrows from them for a limited time. The invariant, which the tests check: *the sum of the
+//! amounts that all members may spend never exceeds the limit, at any instant, under any partition, pause or restart*.
 //!
-//! Sources: Gray and Cheriton, *Leases* (SOSP 1989): lengths, not instants, cross the wire; O'Neil, *The Escrow
+//! Sources: Gray and Cheriton, *Leases* (SOSP 1989): messages carry durations, not instants; O'Neil, *The Escrow
 //! Transactional Method* (TODS 1986) and Balegas et al., *Extending Eventually Consistent Cloud Databases for Enforcing
-//! Numeric Invariants* (bounded counters, SRDS 2015): the invariant is on what may be spent, and each right has one
-//! owner.
+//! Numeric Invariants* (bounded counters, SRDS 2015): the invariant bounds the amount that may be spent, and each right
+//! has one owner.
 //!
-//! The reasons that it holds:
+//! The invariant holds for these reasons:
 //!
-//! - A holder counts a lease from before it sent the request; the lender from when it granted, and longer, by drift and
-//!   by how long a use lasts. What was lent in a grant that got lost is nobody's until then.
-//! - With each request the holder binds itself to at most `max_in_use` of that lender's right until an answer to this
-//!   very request comes. So what is lent is at most the largest grant that was not released.
-//! - A process that starts anew under a name cannot know what the one before it spent or lent: it spends nothing until
-//!   the former's uses have ended, and all but a reserve, which is never lent, only when its leases have. What was lent
-//!   to the former process counts beside what the new one asks for.
-//! - Membership plays no part: rights depend on the roster, so that nothing grows because others are held dead.
+//! - A holder counts the duration of a lease from before it sent the request. The lender counts from the grant, and
+//!   adds the clock drift and the longest duration of a use. An amount lent in a grant that was lost is unusable until
+//!   then.
+//! - With each request the holder limits itself to `max_in_use` of that lender's right until the answer to that request
+//!   arrives. The amount lent is therefore at most the largest grant that was not released.
+//! - A process that restarts under a name cannot know the amounts that its predecessor spent or lent. It spends nothing
+//!   until the predecessor's uses have ended, and only a reserve, which is never lent, until the predecessor's leases
+//!   have ended. Amounts lent to the predecessor count in addition to the amounts that the new process requests.
+//! - Rights depend on the roster and not on membership, so that no right grows when other members are declared dead.
 
 mod budget;
 mod holder;
@@ -30,69 +31,70 @@
 
 use budget::{Budget, RequestSequence};
 use holder::BorrowedLease;
-use lease::{with_drift_s, CLOCK_GRAIN_S};
+use lease::{with_drift_s, MAX_CLOCK_READING_AGE_S};
 use lender::{Borrower, Lendable};
 
 pub use key::{BudgetKey, BudgetKind, LendingTerms};
 pub use lease::{LeaseGrant, LeaseRequest};
 
-/// One part in this many of each right, rounded down, is never lent: it is what a process has that starts anew, once
-/// the former's uses have ended.
+/// Each right divided by this number, rounded down, is a reserve that is never lent: a restarted process may use it as
+/// soon as its predecessor's uses have ended.
 const RESERVE_DIVISOR: u64 = 8;
-/// Budgets at once: thousands of runners in slow start.
+/// Maximum number of budgets kept at a time: enough for thousands of runners in slow start.
 const MAX_BUDGETS: usize = 8192;
 
-/// How one budget stands at this member, for operators.
+/// State of one budget at this member, shown to operators. Amounts are in the unit of the limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetStatus {
     /// The budget.
     pub key: BudgetKey,
-    /// Its limit.
+    /// The budget's limit.
     pub limit: u64,
-    /// How much of the limit this member owns.
+    /// Part of the limit that this member owns.
     pub right: u64,
-    /// How much of that is lent.
+    /// Part of this member's right that is lent to others.
     pub lent: u64,
-    /// How much is borrowed of others.
+    /// Amount borrowed from other members.
     pub borrowed: u64,
-    /// How much is in use here.
+    /// Amount in use at this member.
     pub in_use: u64,
-    /// How much may be in use here.
+    /// Maximum amount that may be in use at this member.
     pub usable: u64,
 }
 
-/// What this process may use or lend of its right.
+/// Part of this member's right that this process may use or lend.
 #[derive(Clone, Copy)]
 struct OwnShare {
     amount: u64,
-    /// How much of that is never lent.
+    /// Part of `amount` that is never lent.
     reserve: u64,
 }
 
-/// All budgets as one member sees them. Times are seconds of the caller's clock.
+/// All budgets as known to one member. Times are in seconds on the caller's clock.
 pub struct Budgets {
-    /// Whether anything is lent from here: not by a member that does not know all committed configuration.
+    /// Whether this member grants leases. A member that does not know all committed configuration must not lend.
     pub lends: bool,
     own_index: usize,
-    /// The members' numbers, in the order of the roster.
+    /// Numbers of all members, in the order of the roster.
     numbers: Vec<u64>,
     terms: BTreeMap<BudgetKind, LendingTerms>,
     budgets: BTreeMap<BudgetKey, Budget>,
-    started_at: f64,
+    started_at_s: f64,
     process: u64,
     sequence: RequestSequence,
 }
 
 impl Budgets {
-    /// `numbers` are the members' in the order of the roster, the same at all members; `own_index` is this member's
-    /// place among them; `process` is the number that this process drew.
+    /// Creates the table without budgets. `numbers` are the members' numbers in the order of the roster, the same at
+    /// all members; `own_index` is this member's index among them; `process` is the random number that identifies this
+    /// process.
     #[must_use]
     pub fn new(
         numbers: Vec<u64>,
         own_index: usize,
         process: u64,
         terms: BTreeMap<BudgetKind, LendingTerms>,
-        now: f64,
+        now_s: f64,
     ) -> Budgets {
         Budgets {
             lends: true,
@@ -100,52 +102,53 @@
             numbers,
             terms,
             budgets: BTreeMap::new(),
-            started_at: now,
+            started_at_s: now_s,
             process,
             sequence: RequestSequence::default(),
         }
     }
 
-    /// Sets when this process started, if that was not when this was made.
+    /// Sets the start time of this process, if it differs from the time at which this table was created.
     pub fn set_started_at(&mut self, at: f64) {
-        self.started_at = at;
+        self.started_at_s = at;
     }
 
     fn terms(&self, kind: BudgetKind) -> Option<LendingTerms> {
         self.terms.get(&kind).copied()
     }
 
-    /// Sets a budget's limit. A lowered limit binds here at once; at members that do not know it, when they do; and on
-    /// what they lent, when its leases end. False when the kind is not lent, or there are too many budgets.
-    pub fn set_limit(&mut self, now: f64, key: BudgetKey, limit: u64) -> bool {
+    /// Sets a budget's limit. A lowered limit takes effect here at once, at other members when they learn it, and on
+    /// the amounts that they lent when those leases end. Returns false if the kind is not lent or there are too many
+    /// budgets.
+    pub fn set_limit(&mut self, now_s: f64, key: BudgetKey, limit: u64) -> bool {
         let Some(terms) = self.terms(key.kind) else {
             return false;
         };
         if let Some(budget) = self.budgets.get_mut(&key) {
             budget.limit = limit;
-            budget.last_named_at = now;
+            budget.last_referenced_at_s = now_s;
             return true;
         }
         if self.budgets.len() >= MAX_BUDGETS {
             return false;
         }
-        let budget = Budget::new(now, key, limit, &self.numbers, self.own_index, terms);
+        let budget = Budget::new(now_s, key, limit, &self.numbers, self.own_index, terms);
         self.budgets.insert(key, budget);
         true
     }
 
-    /// Of the own right, what this process may use or lend by now.
-    fn own_share(&self, budget: &Budget, terms: LendingTerms, now: f64) -> OwnShare {
+    /// Part of this member's right that this process may use or lend now.
+    fn own_share(&self, budget: &Budget, terms: LendingTerms, now_s: f64) -> OwnShare {
         let right = budget.right(self.own_index);
         let reserve = right / RESERVE_DIVISOR;
-        let former_uses_end = self.former_ends_at(terms.spend_s);
-        let former_leases_end = self.former_ends_at(terms.lease_s + terms.spend_s);
-        if now < former_uses_end {
+        let predecessor_uses_end_s = self.predecessor_end_s(terms.spend_s);
+        let predecessor_leases_end_s = self.predecessor_end_s(terms.lease_s + terms.spend_s);
+        if now_s < predecessor_uses_end_s {
             OwnShare {
                 amount: 0,
                 reserve: 0,
             }
-        } else if now < former_leases_end {
+        } else if now_s < predecessor_leases_end_s {
             OwnShare {
                 amount: reserve,
                 reserve,
@@ -158,62 +161,67 @@
         }
     }
 
-    /// When that has ended which a former process of this name did for at most a length of time.
-    fn former_ends_at(&self, length_s: f64) -> f64 {
-        self.started_at + with_drift_s(length_s) + CLOCK_GRAIN_S
+    /// Time by which an action of this member's previous process that lasts at most `length_s` seconds has ended.
+    fn predecessor_end_s(&self, length_s: f64) -> f64 {
+        self.started_at_s + with_drift_s(length_s) + MAX_CLOCK_READING_AGE_S
     }
 
-    /// What may be in use here at this moment. Look where it is spent, not before.
+    /// Maximum amount that may be in use here now. The caller must read it at the moment of spending, because a pause
+    /// between reading and spending can outlast a lease.
     #[must_use]
-    pub fn usable(&self, now: f64, key: BudgetKey) -> u64 {
+    pub fn usable(&self, now_s: f64, key: BudgetKey) -> u64 {
         let (Some(budget), Some(terms)) = (self.budgets.get(&key), self.terms(key.kind)) else {
             return 0;
         };
-        let own = self.own_share(budget, terms, now).amount;
-        own.saturating_sub(budget.lent.amount(now)) + budget.borrowed_amount(now)
+        let own = self.own_share(budget, terms, now_s).amount;
+        own.saturating_sub(budget.lent.amount(now_s)) + budget.borrowed_amount(now_s)
     }
 
-    /// Until when what is usable now stays so: the first end of a lease in use; infinity without one.
+    /// Time until which the amount usable now stays usable: the earliest end of a lease in use, infinity without one.
     #[must_use]
-    pub fn usable_until(&self, now: f64, key: BudgetKey) -> f64 {
+    pub fn usable_until(&self, now_s: f64, key: BudgetKey) -> f64 {
         self.budgets
             .get(&key)
-            .map_or(f64::INFINITY, |budget| budget.first_expiry(now))
+            .map_or(f64::INFINITY, |budget| budget.first_expiry(now_s))
     }
 
-    /// Sets what is in use here and what could be. To be called after each use, before another member is answered.
-    pub fn record_use(&mut self, now: f64, key: BudgetKey, in_use: u64, wanted: u64) {
+    /// Sets the amount in use here and the amount that could be used. The caller must call this after each use, before
+    /// it answers another member.
+    pub fn record_use(&mut self, now_s: f64, key: BudgetKey, in_use: u64, wanted: u64) {
         if let Some(budget) = self.budgets.get_mut(&key) {
             budget.in_use = in_use;
             budget.needed = wanted.max(in_use);
-            budget.last_named_at = now;
+            budget.last_referenced_at_s = now_s;
         }
     }
 
-    /// Removes budgets that the caller has not named for `after_s` seconds and on which nothing hangs.
-    pub fn remove_unused(&mut self, now: f64, after_s: f64) {
-        self.budgets
-            .retain(|_, budget| now < budget.last_named_at + after_s || !budget.is_unused(now));
+    /// Removes budgets that the caller has not referenced for `after_s` seconds and that have no lease in either
+    /// direction.
+    pub fn remove_unused(&mut self, now_s: f64, after_s: f64) {
+        self.budgets.retain(|_, budget| {
+            now_s < budget.last_referenced_at_s + after_s || !budget.is_unused(now_s)
+        });
     }
 
-    /// Puts the requests that are due into `requests`, each with the lender's index in the roster.
-    pub fn request_leases(&mut self, now: f64, requests: &mut Vec<(usize, LeaseRequest)>) {
+    /// Appends the requests that are due to `requests`, each with the lender's index in the roster.
+    pub fn request_leases(&mut self, now_s: f64, requests: &mut Vec<(usize, LeaseRequest)>) {
         let keys: Vec<BudgetKey> = self.budgets.keys().copied().collect();
         for key in keys {
             let (Some(budget), Some(terms)) = (self.budgets.get(&key), self.terms(key.kind)) else {
                 continue;
             };
-            let own = self.own_share(budget, terms, now).amount;
+            let own = self.own_share(budget, terms, now_s).amount;
             if let Some(budget) = self.budgets.get_mut(&key) {
-                requests.extend(budget.due_requests(now, key, own, terms, &mut self.sequence));
+                requests.extend(budget.due_requests(now_s, key, own, terms, &mut self.sequence));
             }
         }
     }
 
-    /// Answers a request of another member's process, if there is an answer.
+    /// Handles a request of the process `process` of the member with roster index `from`. Returns the grant to send, or
+    /// `None` if the request gets no answer.
     pub fn receive_request(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: usize,
         process: u64,
         request: LeaseRequest,
@@ -223,8 +231,8 @@
         if !self.lends || from == self.own_index || from >= self.numbers.len() {
             return None;
         }
-        let own = self.own_share(budget, terms, now);
-        // Guards against a process that has just started granting what the one before it lent to another.
+        let own = self.own_share(budget, terms, now_s);
+        // A process that has just started must not grant an amount that its predecessor lent to another member.
         if own.amount < budget.right(self.own_index) {
             return None;
         }
@@ -238,8 +246,10 @@
             member: from,
             process,
         };
-        let until = now + with_drift_s(terms.lease_s + terms.spend_s) + CLOCK_GRAIN_S;
-        let amount = budget.lent.lend(now, borrower, &request, lendable, until)?;
+        let until_s = now_s + with_drift_s(terms.lease_s + terms.spend_s) + MAX_CLOCK_READING_AGE_S;
+        let amount = budget
+            .lent
+            .lend(now_s, borrower, &request, lendable, until_s)?;
         Some(LeaseGrant {
             process,
             key: request.key,
@@ -250,11 +260,11 @@
         })
     }
 
-    /// Takes a grant of another member; one that answers an earlier request than the last is ignored.
+    /// Applies a grant of another member. A grant that answers an earlier request than the last one is ignored.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidValue`] for a value that no lender can have sent.
+    /// Returns [`FrameError::InvalidValue`] for a value that no lender can have sent.
     pub fn receive_grant(&mut self, from: usize, grant: LeaseGrant) -> Result<(), FrameError> {
         let terms = self.terms(grant.key.kind).ok_or(FrameError::InvalidValue)?;
         if grant.process != self.process {
@@ -275,17 +285,17 @@
         Ok(())
     }
 
-    /// How all budgets stand here.
+    /// State of all budgets at this member.
     #[must_use]
-    pub fn status(&self, now: f64) -> Vec<BudgetStatus> {
+    pub fn status(&self, now_s: f64) -> Vec<BudgetStatus> {
         let status = |(key, budget): (&BudgetKey, &Budget)| BudgetStatus {
             key: *key,
             limit: budget.limit,
             right: budget.right(self.own_index),
-            lent: budget.lent.amount(now),
-            borrowed: budget.borrowed_amount(now),
+            lent: budget.lent.amount(now_s),
+            borrowed: budget.borrowed_amount(now_s),
             in_use: budget.in_use,
-            usable: self.usable(now, *key),
+            usable: self.usable(now_s, *key),
         };
         self.budgets.iter().map(status).collect()
     }
--- a/crates/dispatcher/shared-state/src/budgets/budget.rs
+++ b/crates/dispatcher/shared-state/src/budgets/budget.rs
@@ -1,4 +1,4 @@
-//! One budget as this member sees it.
+//! One budget as known to this member.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 use super::lease::LeaseRequest;
 use super::lender::LentLeases;
 
-/// A member's rank at a budget, the same wherever it is computed.
+/// Rank of a member for a budget, the same at every member.
 fn rank(member: u64, key: BudgetKey) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(member);
@@ -20,8 +20,8 @@
     hasher.finish()
 }
 
-/// The members that own rights of a budget, by their index in the roster, in the order of their ranks (highest random
-/// weight; Thaler and Ravishankar, 1998).
+/// Members that own rights to a budget, as indices in the roster, in the order of their ranks (highest random weight;
+/// Thaler and Ravishankar, 1998).
 fn owners(numbers: &[u64], key: BudgetKey, count: usize) -> Vec<usize> {
     let mut owners: Vec<usize> = (0..numbers.len()).collect();
     owners.sort_unstable_by_key(|member| (Reverse(rank(numbers[*member], key)), *member));
@@ -29,7 +29,7 @@
     owners
 }
 
-/// Numbers this process's requests.
+/// Generates the sequence numbers of this process's requests.
 #[derive(Default)]
 pub(super) struct RequestSequence(u32);
 
@@ -40,24 +40,25 @@
     }
 }
 
+/// State of one budget at this member. Times are in seconds on the caller's clock.
 pub(super) struct Budget {
     pub(super) limit: u64,
-    /// Members that own a right, in the order of their ranks.
+    /// Roster indices of the members that own a right, in the order of their ranks.
     owners: Vec<usize>,
-    /// What is in use here.
+    /// Amount in use here.
     pub(super) in_use: u64,
-    /// What is in use here or could be.
+    /// Amount that is or could be in use here.
     pub(super) needed: u64,
     pub(super) lent: LentLeases,
-    /// By the lender's index in the roster.
+    /// Borrowed leases by the lender's index in the roster.
     pub(super) borrowed: BTreeMap<usize, BorrowedLease>,
-    /// When the caller named it last.
-    pub(super) last_named_at: f64,
+    /// Time at which the caller last referenced the budget.
+    pub(super) last_referenced_at_s: f64,
 }
 
 impl Budget {
     pub(super) fn new(
-        now: f64,
+        now_s: f64,
         key: BudgetKey,
         limit: u64,
         numbers: &[u64],
@@ -77,11 +78,11 @@
             needed: 0,
             lent: LentLeases::default(),
             borrowed,
-            last_named_at: now,
+            last_referenced_at_s: now_s,
         }
     }
 
-    /// How much of the limit a member owns: the limit is split evenly, and the first owners have what remains.
+    /// Part of the limit that a member owns: the limit is split evenly, and the first owners get the remainder.
     pub(super) fn right(&self, member: usize) -> u64 {
         let owner_count = self.owners.len().max(1) as u64;
         match self.owners.iter().position(|owner| *owner == member) {
@@ -93,57 +94,65 @@
         }
     }
 
-    /// What may be spent on leases of others now.
-    pub(super) fn borrowed_amount(&self, now: f64) -> u64 {
-        self.borrowed.values().map(|lease| lease.usable(now)).sum()
+    /// Amount that may be spent now on leases borrowed from other members.
+    pub(super) fn borrowed_amount(&self, now_s: f64) -> u64 {
+        self.borrowed
+            .values()
+            .map(|lease| lease.usable(now_s))
+            .sum()
     }
 
-    /// When the first lease in use ends; infinity without one.
-    pub(super) fn first_expiry(&self, now: f64) -> f64 {
+    /// Earliest end of a lease in use, infinity without one.
+    pub(super) fn first_expiry(&self, now_s: f64) -> f64 {
         self.borrowed
             .values()
-            .filter_map(|lease| lease.expiry(now))
+            .filter_map(|lease| lease.expiry(now_s))
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether nothing hangs on it.
-    pub(super) fn is_unused(&self, now: f64) -> bool {
-        self.lent.amount(now) == 0 && self.borrowed_amount(now) == 0
+    /// Whether no amount is lent or borrowed.
+    pub(super) fn is_unused(&self, now_s: f64) -> bool {
+        self.lent.amount(now_s) == 0 && self.borrowed_amount(now_s) == 0
     }
 
-    /// The requests that are due, each with the lender; `own_share` is what this process may use or lend by itself.
+    /// Requests that are due, each with the lender's index in the roster. `own_share` is the amount that this process
+    /// may use or lend of its own right.
     pub(super) fn due_requests(
         &mut self,
-        now: f64,
+        now_s: f64,
         key: BudgetKey,
         own_share: u64,
         terms: LendingTerms,
         sequence: &mut RequestSequence,
     ) -> Vec<(usize, LeaseRequest)> {
-        let borrowed = self.borrowed_amount(now);
+        let borrowed = self.borrowed_amount(now_s);
         if self.needed == 0 && borrowed == 0 {
             return Vec::new();
         }
-        let own = own_share.saturating_sub(self.lent.amount(now));
+        let own = own_share.saturating_sub(self.lent.amount(now_s));
         let need = Need {
             beyond_own: self.needed.saturating_sub(own),
             borrowed,
             in_use_beyond_own: self.in_use.saturating_sub(own),
         };
-        let mut in_use_of_all: u64 = self.borrowed.values().map(|lease| lease.in_use(now)).sum();
+        let mut in_use_of_all: u64 = self
+            .borrowed
+            .values()
+            .map(|lease| lease.in_use(now_s))
+            .sum();
         let mut requests = Vec::new();
         for (lender, lease) in &mut self.borrowed {
-            lease.expire(now);
-            let Some(wanted) = lease.due_request(now, &need, terms) else {
+            lease.expire(now_s);
+            let Some(wanted) = lease.due_request(now_s, &need, terms) else {
                 continue;
             };
-            let in_use = lease.in_use(now);
+            let in_use = lease.in_use(now_s);
             let in_use_of_others = in_use_of_all - in_use;
-            // What is in use may rest on this lease: no less is promised.
+            // The amount in use may depend on this lease, so the request must not promise to use less.
             let must_keep = need.in_use_beyond_own.saturating_sub(in_use_of_others);
             let max_in_use = in_use.min(wanted.max(must_keep));
             in_use_of_all = in_use_of_others + max_in_use;
-            let request = lease.request(now, key, sequence.next(), max_in_use, wanted);
+            let request = lease.request(now_s, key, sequence.next(), max_in_use, wanted);
             requests.push((*lender, request));
         }
         requests
--- a/crates/dispatcher/shared-state/src/budgets/holder.rs
+++ b/crates/dispatcher/shared-state/src/budgets/holder.rs
@@ -1,25 +1,25 @@
-//! The holder's side of a lease: what this process has borrowed from one other member.
+//! The holder's side of a lease: the amount that this process has borrowed from one other member.
 
 use super::key::{BudgetKey, LendingTerms};
 use super::lease::{LeaseGrant, LeaseRequest, TimedAmount, TimedMaximum, MAX_DRIFT};
 
-/// A request that is not answered by then is taken for lost, in seconds.
+/// A request without an answer counts as lost after this many seconds.
 const ANSWER_TIMEOUT_S: f64 = 1.0;
-/// What is short is requested again after this, in seconds.
+/// While the borrowed amount is too small, requests are repeated after this many seconds.
 const RETRY_INTERVAL_S: f64 = 0.2;
-/// How often a lease is renewed within its length.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: f64 = 3.0;
-/// A lease longer than this many times the configured length is an impossible value.
+/// A lease longer than this many times the configured duration is an invalid value.
 const MAX_LEASE_FACTOR: f64 = 10.0;
 
-/// What one process needs beyond its own right.
+/// Amounts that one process needs beyond its own right.
 #[derive(Clone, Copy)]
 pub(super) struct Need {
-    /// How much it could use beyond the own right.
+    /// Amount that it could use beyond its own right.
     pub(super) beyond_own: u64,
-    /// How much it has borrowed of all lenders.
+    /// Amount that it has borrowed from all lenders.
     pub(super) borrowed: u64,
-    /// How much is in use beyond the own right.
+    /// Amount in use beyond its own right.
     pub(super) in_use_beyond_own: u64,
 }
 
@@ -28,7 +28,7 @@
         self.borrowed < self.beyond_own
     }
 
-    /// How much to want of a lender that lends `amount` now.
+    /// Amount to request from a lender that lends `amount` now.
     fn wanted(&self, amount: u64) -> u64 {
         if self.is_short() {
             amount + (self.beyond_own - self.borrowed)
@@ -38,78 +38,78 @@
     }
 }
 
-/// What is borrowed of one member.
+/// Amount borrowed from one member. Times are in seconds on the caller's clock.
 pub(super) struct BorrowedLease {
     amount: u64,
-    /// Nothing new may be spent on the lease from then on.
-    expires_at: f64,
-    /// What uses may still rest on this lease: they outlast it.
+    /// From this time on, no new use may start on the lease.
+    expires_at_s: f64,
+    /// Amounts that may still be in use on this lease: a use can outlast the lease.
     uses: TimedMaximum,
-    /// Of the last request.
+    /// Sequence number of the last request.
     sequence: u32,
-    /// When the request was sent that is not answered yet.
-    pending_since: Option<f64>,
-    last_request_at: f64,
+    /// Time at which the unanswered request was sent, if there is one.
+    pending_since_s: Option<f64>,
+    last_request_at_s: f64,
 }
 
 impl BorrowedLease {
     pub(super) fn none() -> Self {
         BorrowedLease {
             amount: 0,
-            expires_at: f64::NEG_INFINITY,
+            expires_at_s: f64::NEG_INFINITY,
             uses: TimedMaximum::default(),
             sequence: 0,
-            pending_since: None,
-            last_request_at: f64::NEG_INFINITY,
+            pending_since_s: None,
+            last_request_at_s: f64::NEG_INFINITY,
         }
     }
 
-    /// What may be spent on it now.
-    pub(super) fn usable(&self, now: f64) -> u64 {
-        if now < self.expires_at {
+    /// Amount that may be spent on the lease now.
+    pub(super) fn usable(&self, now_s: f64) -> u64 {
+        if now_s < self.expires_at_s {
             self.amount
         } else {
             0
         }
     }
 
-    /// When it ends, if anything may be spent on it now.
-    pub(super) fn expiry(&self, now: f64) -> Option<f64> {
-        (self.usable(now) > 0).then_some(self.expires_at)
+    /// End of the lease, if anything may be spent on it now.
+    pub(super) fn expiry(&self, now_s: f64) -> Option<f64> {
+        (self.usable(now_s) > 0).then_some(self.expires_at_s)
     }
 
-    /// What may be in use on it, also on a larger or an ended lease before.
-    pub(super) fn in_use(&self, now: f64) -> u64 {
-        self.uses.at(now)
+    /// Amount that may be in use on the lease, including uses that started under an earlier, larger or ended, lease.
+    pub(super) fn in_use(&self, now_s: f64) -> u64 {
+        self.uses.at(now_s)
     }
 
-    /// Drops what has ended.
-    pub(super) fn expire(&mut self, now: f64) {
-        self.amount = self.usable(now);
-        self.uses.remove_ended(now);
+    /// Drops the lease and the uses if they have ended.
+    pub(super) fn expire(&mut self, now_s: f64) {
+        self.amount = self.usable(now_s);
+        self.uses.remove_ended(now_s);
     }
 
-    /// How much to request now, if anything.
-    pub(super) fn due_request(&self, now: f64, need: &Need, terms: LendingTerms) -> Option<u64> {
+    /// Amount to request now. `None` if no request is due.
+    pub(super) fn due_request(&self, now_s: f64, need: &Need, terms: LendingTerms) -> Option<u64> {
         let is_pending = self
-            .pending_since
-            .is_some_and(|sent_at| now < sent_at + ANSWER_TIMEOUT_S);
+            .pending_since_s
+            .is_some_and(|sent_at_s| now_s < sent_at_s + ANSWER_TIMEOUT_S);
         if is_pending {
             return None;
         }
         let wanted = need.wanted(self.amount);
-        let matters = wanted > 0 || self.amount > 0;
-        let is_renewal_due = now >= self.last_request_at + terms.lease_s / RENEWALS_PER_LEASE;
-        let is_retry_due = need.is_short() && now >= self.last_request_at + RETRY_INTERVAL_S;
-        // What is not needed goes back at once, what is nearly right at the renewal.
+        let is_relevant = wanted > 0 || self.amount > 0;
+        let is_renewal_due = now_s >= self.last_request_at_s + terms.lease_s / RENEWALS_PER_LEASE;
+        let is_retry_due = need.is_short() && now_s >= self.last_request_at_s + RETRY_INTERVAL_S;
+        // A lease that is mostly unneeded is returned at once; one that is nearly the right size waits for the renewal.
         let is_idle = self.amount > 0 && wanted < self.amount / 2;
-        (matters && is_renewal_due || is_retry_due || is_idle).then_some(wanted)
+        (is_relevant && is_renewal_due || is_retry_due || is_idle).then_some(wanted)
     }
 
-    /// Binds this process to `max_in_use` and requests `wanted`.
+    /// Limits this process to `max_in_use` and returns a request for `wanted`.
     pub(super) fn request(
         &mut self,
-        now: f64,
+        now_s: f64,
         key: BudgetKey,
         sequence: u32,
         max_in_use: u64,
@@ -118,8 +118,8 @@
         self.uses.cap(max_in_use);
         self.amount = self.amount.min(max_in_use);
         self.sequence = sequence;
-        self.pending_since = Some(now);
-        self.last_request_at = now;
+        self.pending_since_s = Some(now_s);
+        self.last_request_at_s = now_s;
         LeaseRequest {
             key,
             sequence,
@@ -128,21 +128,22 @@
         }
     }
 
-    /// Whether a grant holds values that a lender can have sent.
+    /// Whether a lender can have sent the values of a grant.
     pub(super) fn is_valid(grant: &LeaseGrant, terms: LendingTerms) -> bool {
         let lease_s = f64::from(grant.lease_ms) / 1e3;
         grant.amount <= grant.limit && lease_s <= MAX_LEASE_FACTOR * terms.lease_s
     }
 
-    /// Takes a grant under the limit known here; one that answers an earlier request than the last is ignored.
+    /// Applies a grant, scaled down if `limit`, the limit known here, is lower than the lender's. A grant that answers
+    /// an earlier request than the last one is ignored.
     pub(super) fn receive_grant(&mut self, grant: &LeaseGrant, limit: u64, terms: LendingTerms) {
         if self.sequence != grant.sequence {
             return;
         }
-        let Some(sent_at) = self.pending_since.take() else {
+        let Some(sent_at_s) = self.pending_since_s.take() else {
             return;
         };
-        // Under a lower limit here the same part is less.
+        // If the limit known here is lower than the lender's, the same fraction of it is a smaller amount.
         self.amount = if grant.limit > limit {
             let scaled =
                 u128::from(grant.amount) * u128::from(limit) / u128::from(grant.limit.max(1));
@@ -150,12 +151,12 @@
         } else {
             grant.amount
         };
-        // Counted from before the request left, and shorter than the lender counts.
+        // The duration is counted from before the request was sent, and is shorter than the lender counts it.
         let lease_s = f64::from(grant.lease_ms) / 1e3;
-        self.expires_at = sent_at + lease_s * (1.0 - MAX_DRIFT);
+        self.expires_at_s = sent_at_s + lease_s * (1.0 - MAX_DRIFT);
         self.uses.add(TimedAmount {
             amount: self.amount,
-            until: self.expires_at + terms.spend_s,
+            until_s: self.expires_at_s + terms.spend_s,
         });
     }
 }
--- a/crates/dispatcher/shared-state/src/budgets/key.rs
+++ b/crates/dispatcher/shared-state/src/budgets/key.rs
@@ -1,20 +1,20 @@
-//! Which budget, and on which terms it is lent.
+//! Identifies budgets and states the terms on which they are lent.
 
 use serde::{Deserialize, Serialize};
 
-/// What a budget limits. The order of the variants is part of the wire format and of the owners' ranks.
+/// Resource that a budget limits. The order of the variants is part of the wire format and of the owners' ranks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BudgetKind {
-    /// What a runner in slow start may be sent, in millionths of its full load.
+    /// Load that may be sent to a runner in slow start, in millionths of its full load.
     SlowStart,
-    /// Resubmissions of work within a second.
+    /// Resubmissions of work items per second.
     Resubmissions,
-    /// Work items of a category in flight.
+    /// Work items of a category that are in flight.
     Category,
 }
 
 impl BudgetKind {
-    /// The spelling on the operators' page of budgets.
+    /// Name of the kind on the operators' page of budgets.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -25,22 +25,22 @@
     }
 }
 
-/// Names one budget. The order of the fields is part of the wire format.
+/// Identifies one budget. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BudgetKey {
-    /// What it limits.
+    /// Resource that the budget limits.
     pub kind: BudgetKind,
-    /// A hash of the name of the runner or category; 0 where there is one budget of the kind.
+    /// Hash of the name of the runner or category; 0 if there is only one budget of the kind.
     pub subject: u64,
 }
 
-/// On which terms budgets of a kind are lent.
+/// Terms on which budgets of a kind are lent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LendingTerms {
-    /// The length of a lease, in seconds.
+    /// Duration of a lease in seconds.
     pub lease_s: f64,
-    /// How long a use counts at the most, in seconds: the span of a rate, the longest run of a work item.
+    /// Longest time in seconds for which a use counts: the window of a rate, or the longest run of a work item.
     pub spend_s: f64,
-    /// How many members own a right: few, where a part must suffice for a full work item.
+    /// Number of members that own a right. It is small where one right must suffice for a full work item.
     pub owner_count: usize,
 }
--- a/crates/dispatcher/shared-state/src/budgets/lease.rs
+++ b/crates/dispatcher/shared-state/src/budgets/lease.rs
@@ -1,47 +1,47 @@
-//! What lender and holder of a lease send each other, and the constants that both sides count with.
+//! Messages between the lender and the holder of a lease, and the clock constants that both sides use.
 
 use serde::{Deserialize, Serialize};
 
 use super::key::BudgetKey;
 
-/// By how much clocks run faster or slower than each other at the most: a hundred times a bad quartz.
+/// Maximum relative difference in the rates of two clocks: a hundred times that of a bad quartz.
 pub(super) const MAX_DRIFT: f64 = 0.01;
-/// How old the reading of a clock may be when it is used, in seconds.
-pub(super) const CLOCK_GRAIN_S: f64 = 0.02;
+/// Maximum age in seconds of a clock reading when it is used.
+pub(super) const MAX_CLOCK_READING_AGE_S: f64 = 0.02;
 
-/// A length of time of this process's clock in which the same length has passed on any other member's clock, though
-/// this one is fast and that one slow.
+/// Duration on this process's clock in which at least `length_s` seconds pass on any other member's clock, even if this
+/// clock is fast and the other one is slow.
 pub(super) fn with_drift_s(length_s: f64) -> f64 {
     length_s * (1.0 + 2.0 * MAX_DRIFT)
 }
 
-/// Asks a member for a lease on a part of its right. The order of the fields is part of the wire format.
+/// Requests a lease on a part of the receiver's right. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The budget.
     pub key: BudgetKey,
-    /// Counts the sender's requests up; the answer repeats it.
+    /// Sequence number of the request, counted up by the sender and repeated in the answer.
     pub sequence: u32,
     /// Until this request is answered, the sender uses at most this much of the receiver's right.
     pub max_in_use: u64,
-    /// How much the sender could use.
+    /// Amount that the sender could use.
     pub wanted: u64,
 }
 
-/// Answers a request. The order of the fields is part of the wire format.
+/// Answers a [`LeaseRequest`]. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The process that asked: one that starts anew under its name counts its requests alike.
+    /// Process that sent the request: a restarted process of the same name uses the same sequence numbers.
     pub process: u64,
     /// The budget.
     pub key: BudgetKey,
-    /// Of the request.
+    /// Sequence number of the request.
     pub sequence: u32,
-    /// How much is lent.
+    /// Amount that is lent.
     pub amount: u64,
-    /// The length of the lease in milliseconds, from when the request was sent.
+    /// Duration of the lease in milliseconds, counted from when the request was sent.
     pub lease_ms: u32,
-    /// The budget's limit as the lender knows it.
+    /// Limit of the budget as known to the lender.
     pub limit: u64,
 }
 
@@ -49,21 +49,21 @@
 #[derive(Clone, Copy)]
 pub(super) struct TimedAmount {
     pub(super) amount: u64,
-    /// Seconds of the caller's clock.
-    pub(super) until: f64,
+    /// Time at which the amount ends, in seconds on the caller's clock.
+    pub(super) until_s: f64,
 }
 
-/// Amounts of which the largest counts as long as its time runs.
+/// Maximum of the amounts that have not ended yet.
 #[derive(Default)]
 pub(super) struct TimedMaximum {
     amounts: Vec<TimedAmount>,
 }
 
 impl TimedMaximum {
-    pub(super) fn at(&self, now: f64) -> u64 {
+    pub(super) fn at(&self, now_s: f64) -> u64 {
         self.amounts
             .iter()
-            .filter(|timed| now < timed.until)
+            .filter(|timed| now_s < timed.until_s)
             .map(|timed| timed.amount)
             .max()
             .unwrap_or(0)
@@ -73,11 +73,11 @@
         self.amounts.push(amount);
     }
 
-    pub(super) fn remove_ended(&mut self, now: f64) {
-        self.amounts.retain(|timed| now < timed.until);
+    pub(super) fn remove_ended(&mut self, now_s: f64) {
+        self.amounts.retain(|timed| now_s < timed.until_s);
     }
 
-    /// Lowers all amounts to a maximum.
+    /// Lowers all amounts to at most `maximum`.
     pub(super) fn cap(&mut self, maximum: u64) {
         for timed in &mut self.amounts {
             timed.amount = timed.amount.min(maximum);
--- a/crates/dispatcher/shared-state/src/lib.rs
+++ b/crates/dispatcher/shared-state/src/lib.rs
@@ -1,4 +1,4 @@
-//! What dispatchers share: parts of limits, counts of work, and evidence on runners.
+//! State that dispatchers share by gossip: leased parts of limits, counts of work, and evidence on runners.
 //!
 //! ```text
 //!                          Node
@@ -10,10 +10,11 @@
 //!        +------------+--- frames --+--------- EvidenceRules --> verdicts
 //! ```
 //!
-//! [`Budgets`] splits limits into leased parts, so that all members together never pass a limit. [`Observations`] counts
-//! what this member saw of runners, and [`EvidenceRules`] weighs what all saw. [`ReportTable`] joins the members' reports.
-//! [`Node`] puts all of them on frames, by datagrams and by exchanges over a stream. Nothing here does I/O: the caller
-//! gives the time, hands in what was received, and sends what is put out. Faults in received frames are
+//! [`Budgets`] splits limits into leased parts, so that all members together never exceed a limit. [`Observations`]
+//! counts the successes and failures of runners that this member observed, and [`EvidenceRules`] combines the evidence
+//! of all members into verdicts. [`ReportTable`] merges the members' reports. [`Node`] encodes all of them as frames
+//! and sends them in datagrams and in exchanges over a stream. This crate does no I/O: the caller supplies the time,
+//! passes in received frames, and sends the frames that are returned. Faults in received frames are
 //! [`sagetrail_swim::FrameError`]s, counted by reason.
 
 mod budgets;
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -1,4 +1,4 @@
-//! One member: membership, leases, evidence and counts on the same frames.
+//! One member of the fleet: it exchanges membership, leases, evidence and counts in frames with the others.
 
 mod arrivals;
 mod config;
@@ -24,22 +24,24 @@
 pub use config::NodeConfig;
 pub use frames::{Datagrams, Traffic};
 
-/// How often a member sends its report, in seconds: a runner's fault is known to all within a few of these.
+/// Interval in seconds at which a member sends its report: all members learn of a runner's fault within a few
+/// intervals.
 const REPORT_INTERVAL_S: f64 = 0.2;
-/// To how many members it goes at a time; in small fleets to all.
+/// Number of members to which a report is sent in each interval; in small fleets it goes to all.
 const REPORT_RECEIVERS: usize = 6;
-/// How often leases are requested while there is work, in seconds.
+/// Interval in seconds at which leases are requested while there is work.
 const LEASE_INTERVAL_S: f64 = 0.1;
-/// After this time a budget that nobody names is removed, in seconds.
+/// A budget that the caller does not reference for this many seconds is removed.
 const BUDGET_RETENTION_S: f64 = 60.0;
-/// Requests in one datagram, of at most 32 bytes each.
+/// Maximum number of lease requests in one datagram; each has at most 32 bytes.
 const REQUESTS_PER_DATAGRAM: usize = 40;
-/// How often a member starts an exchange on average, in seconds: what datagrams lost is repaired within a few.
+/// Mean interval in seconds at which a member starts an exchange: state lost with datagrams is repaired within a few
+/// intervals.
 const EXCHANGE_INTERVAL_S: f64 = 2.0;
-/// Older reports are no evidence, in seconds.
+/// Reports older than this many seconds do not count as evidence.
 const MAX_EVIDENCE_AGE_S: f64 = 2.0;
 
-/// How much of a report is sent.
+/// Maximum numbers of entries in a report that is sent.
 #[derive(Clone, Copy)]
 struct ReportSize {
     evidence: usize,
@@ -47,79 +49,80 @@
 }
 
 impl ReportSize {
-    /// For a datagram: evidence of at most 14 bytes each, with space for the rest.
+    /// Fits a datagram: an entry of evidence has at most 14 bytes, which leaves space for the rest of the report.
     const DATAGRAM: ReportSize = ReportSize {
         evidence: 50,
         running: 40,
     };
-    /// For an exchange.
+    /// Complete, for an exchange.
     const FULL: ReportSize = ReportSize {
         evidence: usize::MAX,
         running: usize::MAX,
     };
 }
 
-/// How a member stands as seen from here, for operators.
+/// State of a member as known to this member, shown to operators.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
-    /// Its configured name.
+    /// Configured name of the member.
     pub name: String,
-    /// The index of its site.
+    /// Index of the member's site.
     pub site: u16,
-    /// Its state by the membership protocol.
+    /// State of the member by the membership protocol.
     pub state: MemberState,
-    /// Its highest known incarnation.
+    /// Highest known incarnation of the member.
     pub incarnation: u64,
-    /// How long it has been in this state, in seconds.
+    /// Time in seconds for which the member has been in this state.
     pub since_s: f64,
-    /// How long ago a frame of its own was received, in seconds; 0 for this member, infinity for never.
+    /// Time in seconds since a frame that the member sent itself was received; 0 for this member, infinity for never.
     pub received_s: f64,
-    /// The age of its last report in seconds, if there is one.
+    /// Age of the member's last report in seconds, if there is one.
     pub report_s: Option<f64>,
 }
 
-/// One member. It does no I/O: the caller gives the time in seconds, hands in received frames, records what it
-/// observed and used, and sends what is put into the datagrams.
+/// One member of the fleet. It does no I/O: the caller supplies the time in seconds, passes in received frames, records
+/// its observations and uses, and sends the returned datagrams.
 pub struct Node {
     /// The membership protocol.
     pub membership: Membership,
-    /// The shared limits.
+    /// Limits that the members share.
     pub budgets: Budgets,
-    /// What this member observed of runners itself.
+    /// This member's own observations of runners.
     pub observations: Observations,
-    /// The last report of each member.
+    /// Last report of each member.
     pub reports: ReportTable,
     evidence_rules: EvidenceRules,
     codec: Codec,
     process: u64,
     site_count: usize,
-    /// Numbers this member's frames.
+    /// Sequence number of this member's last frame.
     frame_sequence: u64,
-    /// Numbers this member's reports.
+    /// Version of this member's last report.
     report_version: u64,
     arrivals: ArrivalCounter,
-    /// Jobs running at runners in sixteenths, by the runner's number in ascending order.
+    /// Number of this member's jobs running at each runner, in sixteenths, in ascending order of the runners' numbers.
     running: Vec<(u64, u16)>,
-    next_report_at: f64,
-    next_lease_request_at: f64,
-    next_exchange_at: f64,
+    /// The times at which the next actions are due are in seconds on the caller's clock.
+    next_report_at_s: f64,
+    next_lease_request_at_s: f64,
+    next_exchange_at_s: f64,
     random: Pcg64Mcg,
-    /// Rejected frames by reason.
+    /// Number of rejected frames by reason.
     pub rejected: BTreeMap<FrameError, u64>,
     /// Datagrams sent.
     pub sent: Traffic,
-    /// Frames received and not rejected.
+    /// Frames received from members of the roster; a frame whose content is rejected afterwards is included.
     pub received: Traffic,
 }
 
 impl Node {
-    /// A member of which nobody knows yet.
+    /// Creates a member that the others do not know yet.
     ///
     /// # Panics
     ///
-    /// When `own_index` is not in the roster.
+    /// Panics if `own_index` is not an index in the roster.
     #[must_use]
-    pub fn new(config: NodeConfig, now: f64) -> Node {
+    pub fn new(config: NodeConfig, now_s: f64) -> Node {
         let NodeConfig {
             fleet,
             roster,
@@ -138,8 +141,8 @@
         let mut random = Pcg64Mcg::seed_from_u64(process);
         let spread = random.random::<f64>();
         Node {
-            membership: Membership::new(swim, roster, own_index, incarnation, process, now),
-            budgets: Budgets::new(numbers, own_index, process, lending, now),
+            membership: Membership::new(swim, roster, own_index, incarnation, process, now_s),
+            budgets: Budgets::new(numbers, own_index, process, lending, now_s),
             observations: Observations::default(),
             reports: ReportTable::default(),
             evidence_rules,
@@ -150,9 +153,9 @@
             report_version: 0,
             arrivals: ArrivalCounter::new(category_count),
             running: Vec::new(),
-            next_report_at: now + REPORT_INTERVAL_S * spread,
-            next_lease_request_at: now,
-            next_exchange_at: now + EXCHANGE_INTERVAL_S * spread,
+            next_report_at_s: now_s + REPORT_INTERVAL_S * spread,
+            next_lease_request_at_s: now_s,
+            next_exchange_at_s: now_s + EXCHANGE_INTERVAL_S * spread,
             random,
             rejected: BTreeMap::new(),
             sent: Traffic::default(),
@@ -164,49 +167,50 @@
         self.membership.roster()[self.membership.own_index()].number
     }
 
-    /// Counts a work item that this member took.
-    pub fn record_arrival(&mut self, now: f64, category: usize) {
-        self.arrivals.record(now, category);
+    /// Counts a work item that this member accepted.
+    pub fn record_arrival(&mut self, now_s: f64, category: usize) {
+        self.arrivals.record(now_s, category);
     }
 
-    /// Sets how many jobs of this member run, in sixteenths, by the runner's number in ascending order.
+    /// Sets the number of this member's running jobs, in sixteenths, in ascending order of the runners' numbers.
     pub fn set_running(&mut self, running: Vec<(u64, u16)>) {
         self.running = running;
     }
 
-    /// When [`Node::tick`] is to be called next, in seconds of the caller's clock.
+    /// Time at which the caller must call [`Node::tick`] next, in seconds on its clock.
     #[must_use]
     pub fn due(&self) -> f64 {
         self.membership
             .due()
-            .min(self.next_report_at)
-            .min(self.next_lease_request_at)
-            .min(self.next_exchange_at)
+            .min(self.next_report_at_s)
+            .min(self.next_lease_request_at_s)
+            .min(self.next_exchange_at_s)
     }
 
-    /// Does what is due by now, but for exchanges, which [`Node::start_exchange`] starts.
-    pub fn tick(&mut self, now: f64, datagrams: &mut Datagrams) {
-        if now >= self.membership.due() {
+    /// Performs all actions that are due, except exchanges, which [`Node::start_exchange`] starts.
+    pub fn tick(&mut self, now_s: f64, datagrams: &mut Datagrams) {
+        if now_s >= self.membership.due() {
             let mut outbox = Vec::new();
-            self.membership.tick(now, &mut outbox);
+            self.membership.tick(now_s, &mut outbox);
             self.send_membership(outbox, datagrams);
         }
-        if now >= self.next_report_at {
-            self.next_report_at = now + REPORT_INTERVAL_S;
-            self.send_report(now, datagrams);
+        if now_s >= self.next_report_at_s {
+            self.next_report_at_s = now_s + REPORT_INTERVAL_S;
+            self.send_report(now_s, datagrams);
         }
-        if now >= self.next_lease_request_at {
-            self.next_lease_request_at = now + LEASE_INTERVAL_S;
-            self.reports.expire(now);
-            self.budgets.remove_unused(now, BUDGET_RETENTION_S);
-            self.request_leases(now, datagrams);
+        if now_s >= self.next_lease_request_at_s {
+            self.next_lease_request_at_s = now_s + LEASE_INTERVAL_S;
+            self.reports.expire(now_s);
+            self.budgets.remove_unused(now_s, BUDGET_RETENTION_S);
+            self.request_leases(now_s, datagrams);
         }
     }
 
-    /// Requests leases for what is short. Also to be called when work has come that needs one.
-    pub fn request_leases(&mut self, now: f64, datagrams: &mut Datagrams) {
+    /// Requests leases where the usable amount is too small. The caller also calls this when work arrives that needs
+    /// one.
+    pub fn request_leases(&mut self, now_s: f64, datagrams: &mut Datagrams) {
         let mut requests = Vec::new();
-        self.budgets.request_leases(now, &mut requests);
+        self.budgets.request_leases(now_s, &mut requests);
         let mut by_lender: BTreeMap<usize, Vec<LeaseRequest>> = BTreeMap::new();
         for (lender, request) in requests {
             by_lender.entry(lender).or_default().push(request);
@@ -218,21 +222,22 @@
         }
     }
 
-    /// Takes a datagram; replies are put into `datagrams`. An invalid one is counted in [`Node::rejected`].
-    pub fn receive_datagram(&mut self, now: f64, frame: &[u8], datagrams: &mut Datagrams) {
+    /// Handles a received datagram and appends the replies to `datagrams`. An invalid one is counted in
+    /// [`Node::rejected`].
+    pub fn receive_datagram(&mut self, now_s: f64, frame: &[u8], datagrams: &mut Datagrams) {
         let handled = self
-            .open(now, frame, MAX_DATAGRAM_BYTES)
-            .and_then(|opened| self.handle(now, opened, datagrams));
+            .open(now_s, frame, MAX_DATAGRAM_BYTES)
+            .and_then(|opened| self.handle(now_s, opened, datagrams));
         self.count_rejected(handled);
     }
 
     fn handle(
         &mut self,
-        now: f64,
-        opened: Opened,
+        now_s: f64,
+        opened: ReceivedFrame,
         datagrams: &mut Datagrams,
     ) -> Result<(), FrameError> {
-        let Opened {
+        let ReceivedFrame {
             from,
             envelope,
             body,
@@ -240,14 +245,14 @@
         match body {
             Body::Swim(message) => {
                 let mut outbox = Vec::new();
-                let received = self.membership.receive(now, from, message, &mut outbox);
+                let received = self.membership.receive(now_s, from, message, &mut outbox);
                 self.send_membership(outbox, datagrams);
                 received
             }
             Body::LeaseRequests(requests) => {
                 let grant = |request| {
                     self.budgets
-                        .receive_request(now, from, envelope.process, request)
+                        .receive_request(now_s, from, envelope.process, request)
                 };
                 let grants: Vec<LeaseGrant> = requests.into_iter().filter_map(grant).collect();
                 if !grants.is_empty() {
@@ -258,9 +263,9 @@
             Body::LeaseGrants(grants) => grants
                 .into_iter()
                 .try_for_each(|grant| self.budgets.receive_grant(from, grant)),
-            // In datagrams a member sends only its own report.
+            // A member sends only its own report in datagrams.
             Body::Report(report) if report.member == envelope.sender => {
-                self.reports.join(now, report)
+                self.reports.join(now_s, report)
             }
             Body::Report(_)
             | Body::ExchangeRequest { .. }
@@ -269,9 +274,9 @@
         }
     }
 
-    /// What the members' evidence, that of this one among it, says of runners, by the runner's number.
-    pub fn verdicts(&mut self, now: f64) -> Vec<(u64, RunnerVerdict)> {
-        let own_evidence = self.observations.evidence(now);
+    /// Verdicts on runners from the evidence of all members, including this one, by the runner's number.
+    pub fn verdicts(&mut self, now_s: f64) -> Vec<(u64, RunnerVerdict)> {
+        let own_evidence = self.observations.evidence(now_s);
         let own_index = self.membership.own_index();
         let roster = self.membership.roster();
         let mut witnesses = vec![Witness {
@@ -280,7 +285,7 @@
             age_s: 0.0,
             evidence: &own_evidence,
         }];
-        for (report, age_s) in self.reports.fresh(now, MAX_EVIDENCE_AGE_S) {
+        for (report, age_s) in self.reports.fresh(now_s, MAX_EVIDENCE_AGE_S) {
             let member = self.membership.index_of(report.member);
             let Some(member) = member.filter(|member| *member != own_index) else {
                 continue;
@@ -295,16 +300,17 @@
         self.evidence_rules.evaluate(&witnesses, self.site_count)
     }
 
-    /// The most jobs of all members that run on one runner, in sixteenths, by reports of the last `within_s` seconds.
+    /// Maximum over all runners of the number of jobs of all members running there, in sixteenths, by the reports from
+    /// the last `within_s` seconds.
     #[must_use]
-    pub fn max_running(&self, now: f64, within_s: f64) -> u64 {
+    pub fn max_running(&self, now_s: f64, within_s: f64) -> u64 {
         let own_number = self.own_number();
         let mut by_runner: BTreeMap<u64, u64> = self
             .running
             .iter()
             .map(|(runner, jobs)| (*runner, u64::from(*jobs)))
             .collect();
-        for (report, _) in self.reports.fresh(now, within_s) {
+        for (report, _) in self.reports.fresh(now_s, within_s) {
             if report.member == own_number {
                 continue;
             }
@@ -315,37 +321,37 @@
         by_runner.into_values().max().unwrap_or(0)
     }
 
-    /// How all members stand as seen from here, in the order of the roster.
+    /// State of all members as known to this member, in the order of the roster.
     #[must_use]
-    pub fn member_statuses(&self, now: f64) -> Vec<MemberStatus> {
+    pub fn member_statuses(&self, now_s: f64) -> Vec<MemberStatus> {
         let roster = self.membership.roster().iter().enumerate();
         roster
-            .map(|(member, peer)| self.member_status(now, member, peer))
+            .map(|(member, peer)| self.member_status(now_s, member, peer))
             .collect()
     }
 
-    fn member_status(&self, now: f64, member: usize, peer: &Peer) -> MemberStatus {
+    fn member_status(&self, now_s: f64, member: usize, peer: &Peer) -> MemberStatus {
         let view = self.membership.view(member);
         let received_s = if member == self.membership.own_index() {
             0.0
         } else {
-            now - view.last_received
+            now_s - view.last_received
         };
         MemberStatus {
             name: peer.name.clone(),
             site: peer.site,
             state: view.state,
             incarnation: view.incarnation,
-            since_s: now - view.since,
+            since_s: now_s - view.since,
             received_s,
-            report_s: self.reports.age(now, peer.number),
+            report_s: self.reports.age(now_s, peer.number),
         }
     }
 
-    /// This member's own report.
-    fn own_report(&mut self, now: f64, size: ReportSize) -> Report {
+    /// Creates the next report of this member.
+    fn own_report(&mut self, now_s: f64, size: ReportSize) -> Report {
         self.report_version += 1;
-        let mut evidence = self.observations.evidence(now);
+        let mut evidence = self.observations.evidence(now_s);
         evidence.truncate(size.evidence);
         let mut running = self.running.clone();
         if running.len() > size.running {
@@ -367,15 +373,16 @@
         }
     }
 
-    /// Joins the own report to the others. One of too many categories is not joined, as at the receivers.
-    fn join_own_report(&mut self, now: f64, report: Report) {
-        let _ = self.reports.join(now, report);
+    /// Joins this member's report into the table. A report with too many categories is dropped here as at the
+    /// receivers.
+    fn join_own_report(&mut self, now_s: f64, report: Report) {
+        let _ = self.reports.join(now_s, report);
     }
 
-    fn send_report(&mut self, now: f64, datagrams: &mut Datagrams) {
-        let mut report = self.own_report(now, ReportSize::DATAGRAM);
-        self.join_own_report(now, report.clone());
-        // Many categories leave less space: the rest goes by exchanges.
+    fn send_report(&mut self, now_s: f64, datagrams: &mut Datagrams) {
+        let mut report = self.own_report(now_s, ReportSize::DATAGRAM);
+        self.join_own_report(now_s, report.clone());
+        // Many categories leave less space for the rest, which is then transferred in exchanges.
         while self.frame(&Body::Report(report.clone())).len() > MAX_DATAGRAM_BYTES {
             let (evidence, running) = (report.evidence.len() / 2, report.running.len() / 2);
             report.evidence.truncate(evidence);
@@ -402,7 +409,7 @@
 
     fn send(&mut self, to: usize, body: &Body, datagrams: &mut Datagrams) {
         let frame = self.frame(body);
-        // A body is cut to fit where it is made; the rest goes by an exchange.
+        // Bodies are cut to the size of a datagram where they are created; the rest is transferred in an exchange.
         if frame.len() <= MAX_DATAGRAM_BYTES {
             self.sent.count(&frame);
             datagrams.push((to, frame));
@@ -420,7 +427,12 @@
         self.codec.encode(&envelope, body)
     }
 
-    fn open(&mut self, now: f64, frame: &[u8], max_bytes: usize) -> Result<Opened, FrameError> {
+    fn open(
+        &mut self,
+        now_s: f64,
+        frame: &[u8],
+        max_bytes: usize,
+    ) -> Result<ReceivedFrame, FrameError> {
         let (envelope, body) = self.codec.decode::<Body>(frame, max_bytes)?;
         let from = self
             .membership
@@ -429,8 +441,8 @@
             .ok_or(FrameError::UnknownSender)?;
         self.received.count(frame);
         self.membership
-            .confirm_alive(now, from, envelope.incarnation);
-        Ok(Opened {
+            .confirm_alive(now_s, from, envelope.incarnation);
+        Ok(ReceivedFrame {
             from,
             envelope,
             body,
@@ -444,9 +456,9 @@
     }
 }
 
-/// A decoded frame of a known member.
-struct Opened {
-    /// The sender's index in the roster.
+/// Decoded frame from a member of the roster.
+struct ReceivedFrame {
+    /// Index of the sender in the roster.
     from: usize,
     envelope: Envelope,
     body: Body,
--- a/crates/dispatcher/shared-state/src/node/arrivals.rs
+++ b/crates/dispatcher/shared-state/src/node/arrivals.rs
@@ -1,9 +1,9 @@
-//! Work items that this member took.
+//! Counts of the work items that this member accepted.
 
-/// Counts work items by category, in all and in the busiest second.
+/// Counts work items by category, in total and in the busiest second.
 pub(super) struct ArrivalCounter {
     totals: Vec<u64>,
-    /// The second that is counted now, of the caller's clock.
+    /// Second on the caller's clock that `in_second` counts.
     second: u64,
     in_second: Vec<u32>,
     peaks: Vec<u32>,
@@ -19,13 +19,13 @@
         }
     }
 
-    /// Counts a work item; one of an unknown category is ignored.
-    pub(super) fn record(&mut self, now: f64, category: usize) {
+    /// Counts a work item. A work item of an unknown category is ignored.
+    pub(super) fn record(&mut self, now_s: f64, category: usize) {
         let Some(total) = self.totals.get_mut(category) else {
             return;
         };
         *total += 1;
-        let second = now as u64;
+        let second = now_s as u64;
         if second != self.second {
             self.second = second;
             self.in_second.fill(0);
@@ -34,12 +34,12 @@
         self.peaks[category] = self.peaks[category].max(self.in_second[category]);
     }
 
-    /// Since the start, by category.
+    /// Number of work items since the start, by category.
     pub(super) fn totals(&self) -> &[u64] {
         &self.totals
     }
 
-    /// Within the busiest second so far, by category.
+    /// Number of work items in the busiest second so far, by category.
     pub(super) fn peaks(&self) -> &[u32] {
         &self.peaks
     }
--- a/crates/dispatcher/shared-state/src/node/config.rs
+++ b/crates/dispatcher/shared-state/src/node/config.rs
@@ -1,4 +1,4 @@
-//! What a member is started with.
+//! Configuration of a member.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,26 @@
 use crate::budgets::{BudgetKind, LendingTerms};
 use crate::evidence::EvidenceRules;
 
-/// What a member is started with.
+/// Configuration of a member.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's name: frames of other fleets are rejected.
+    /// Name of the fleet: frames of other fleets are rejected.
     pub fleet: String,
-    /// All members by configuration, in the same order at each.
+    /// All configured members, in the same order at each member.
     pub roster: Vec<Peer>,
-    /// This member's index in the roster.
+    /// Index of this member in the roster.
     pub own_index: usize,
     /// Intervals of the membership protocol.
     pub swim: SwimConfig,
-    /// On which terms budgets are lent.
+    /// Terms on which budgets of each kind are lent.
     pub lending: BTreeMap<BudgetKind, LendingTerms>,
-    /// How evidence is evaluated.
+    /// Rules by which evidence is evaluated.
     pub evidence_rules: EvidenceRules,
-    /// How many categories of work there are.
+    /// Number of categories of work.
     pub category_count: usize,
-    /// Not under that of an earlier process of this name, as far as clocks go: milliseconds of Unix time.
+    /// Initial incarnation: Unix time in milliseconds, so that it is not below that of an earlier process of this name
+    /// unless the clock went back.
     pub incarnation: u64,
-    /// Drawn at random by each process; also seeds its random choices.
+    /// Random number that identifies the process; it also seeds the member's random choices.
     pub process: u64,
 }
--- a/crates/dispatcher/shared-state/src/node/frames.rs
+++ b/crates/dispatcher/shared-state/src/node/frames.rs
@@ -1,4 +1,4 @@
-//! The bodies of frames between members.
+//! Bodies of the frames that members send each other.
 
 use sagetrail_swim::{Message, Update};
 use serde::{Deserialize, Serialize};
@@ -6,45 +6,46 @@
 use crate::budgets::{LeaseGrant, LeaseRequest};
 use crate::reports::{ArrivalCounts, Digest, Report};
 
-/// Datagrams to send, each with the receiver's index in the roster.
+/// Datagrams to send, each with the index of the receiver in the roster.
 pub type Datagrams = Vec<(usize, Vec<u8>)>;
 
-/// What a frame holds. The order of the variants is part of the wire format.
+/// Body of a frame. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Body {
     /// A message of the membership protocol.
     Swim(Message),
     /// Requests for leases.
     LeaseRequests(Vec<LeaseRequest>),
-    /// Answers to them.
+    /// Answers to requests for leases.
     LeaseGrants(Vec<LeaseGrant>),
-    /// The sender's own report.
+    /// Report of the sender on its own state.
     Report(Report),
-    /// Starts an exchange: what the sender has.
+    /// Starts an exchange: the sender's view of the membership, and the digest of its reports.
     ExchangeRequest {
         updates: Vec<Update>,
         have: Vec<Digest>,
     },
-    /// Answers that: what the receiver lacks, and what the sender has.
+    /// Answers an exchange request: the sender's view of the membership, the digest of its reports, the reports that
+    /// the receiver lacks, and the counts of all processes.
     ExchangeReply {
         updates: Vec<Update>,
         have: Vec<Digest>,
         reports: Vec<Report>,
         counts: Vec<ArrivalCounts>,
     },
-    /// Ends an exchange: what the receiver lacks.
+    /// Ends an exchange: the reports that the receiver lacks, and the counts of all processes.
     ExchangeEnd {
         reports: Vec<Report>,
         counts: Vec<ArrivalCounts>,
     },
 }
 
-/// Frames and their bytes since the start.
+/// Number and size of frames since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many frames.
+    /// Number of frames.
     pub frames: u64,
-    /// Their bytes.
+    /// Total size of the frames in bytes.
     pub bytes: u64,
 }
 
--- a/crates/dispatcher/shared-state/src/observations.rs
+++ b/crates/dispatcher/shared-state/src/observations.rs
@@ -1,46 +1,48 @@
-//! What this member observed of runners, and its summary for others.
+//! Attempts and probes of runners that this member observed, and their summary for other members.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How long observations count, in seconds: several runs and probes of a runner, and less than faults last.
+/// Time in seconds for which an observation counts: it covers several runs and probes of a runner, and is shorter than
+/// faults last.
 const WINDOW_S: f64 = 3.0;
-/// The length of a bucket of observations, in seconds.
+/// Duration of a bucket of observations in seconds.
 const BUCKET_S: f64 = 0.5;
 const BUCKET_COUNT: usize = (WINDOW_S / BUCKET_S) as usize;
-/// Runners at once: more than any endpoint list names.
+/// Maximum number of runners kept at a time: more than any endpoint list names.
 const MAX_RUNNERS: usize = 8192;
-/// In [`Evidence`], stands for an observation that never was.
+/// Age in [`Evidence`] of an observation that was never made.
 pub(crate) const NEVER: u16 = u16::MAX;
 
 /// One member's observations of one runner within the last 3 s. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The runner's number.
+    /// Number of the runner.
     pub runner: u64,
     /// Attempts and probes that succeeded.
     pub successes: u16,
     /// Attempts and probes that failed.
     pub failures: u16,
-    /// How long before the report the last success was, in hundredths of a second; the largest number for never.
+    /// Time between the last success and the report in hundredths of a second; `u16::MAX` for never.
     pub last_success_ago: u16,
-    /// The same of the last failure.
+    /// Time between the last failure and the report in hundredths of a second; `u16::MAX` for never.
     pub last_failure_ago: u16,
 }
 
-/// Counts of one outcome in a ring of buckets.
+/// Observations of one outcome, counted in a ring of buckets.
 #[derive(Clone, Copy, Default)]
 struct OutcomeCounts {
     buckets: [u16; BUCKET_COUNT],
-    last_at: Option<f64>,
+    /// Time of the last observation, in seconds on the caller's clock.
+    last_at_s: Option<f64>,
 }
 
 impl OutcomeCounts {
-    fn record(&mut self, now: f64, bucket: u64) {
+    fn record(&mut self, now_s: f64, bucket: u64) {
         let count = &mut self.buckets[ring_place(bucket)];
         *count = count.saturating_add(1);
-        self.last_at = Some(now);
+        self.last_at_s = Some(now_s);
     }
 
     fn total(&self) -> u16 {
@@ -49,9 +51,10 @@
             .fold(0, |total, count| total.saturating_add(*count))
     }
 
-    fn ago(&self, now: f64) -> u16 {
-        self.last_at.map_or(NEVER, |last_at| {
-            let hundredths = (now - last_at).max(0.0) * 100.0;
+    /// Age of the last observation in hundredths of a second, or [`NEVER`].
+    fn ago(&self, now_s: f64) -> u16 {
+        self.last_at_s.map_or(NEVER, |last_at_s| {
+            let hundredths = (now_s - last_at_s).max(0.0) * 100.0;
             hundredths.min(f64::from(NEVER - 1)) as u16
         })
     }
@@ -61,12 +64,12 @@
 struct RunnerObservations {
     successes: OutcomeCounts,
     failures: OutcomeCounts,
-    /// The newest bucket.
+    /// Number of the newest bucket, counted from time 0 of the caller's clock.
     bucket: u64,
 }
 
 impl RunnerObservations {
-    /// Empties the buckets that have ended since the newest.
+    /// Makes `bucket` the newest bucket, and clears the ring's slots for it and for the buckets skipped.
     fn advance(&mut self, bucket: u64) {
         let passed = bucket.saturating_sub(self.bucket).min(BUCKET_COUNT as u64);
         for step in 1..=passed {
@@ -81,35 +84,35 @@
         self.successes.total() == 0 && self.failures.total() == 0
     }
 
-    fn evidence(&self, now: f64, runner: u64) -> Evidence {
+    fn evidence(&self, now_s: f64, runner: u64) -> Evidence {
         Evidence {
             runner,
             successes: self.successes.total(),
             failures: self.failures.total(),
-            last_success_ago: self.successes.ago(now),
-            last_failure_ago: self.failures.ago(now),
+            last_success_ago: self.successes.ago(now_s),
+            last_failure_ago: self.failures.ago(now_s),
         }
     }
 }
 
-fn bucket_at(now: f64) -> u64 {
-    (now.max(0.0) / BUCKET_S) as u64
+fn bucket_at(now_s: f64) -> u64 {
+    (now_s.max(0.0) / BUCKET_S) as u64
 }
 
 fn ring_place(bucket: u64) -> usize {
     (bucket % BUCKET_COUNT as u64) as usize
 }
 
-/// What this member observed itself, by the runner's number.
+/// This member's own observations by the runner's number.
 #[derive(Default)]
 pub struct Observations {
     by_runner: BTreeMap<u64, RunnerObservations>,
 }
 
 impl Observations {
-    /// Records an attempt or probe of a runner. When too many runners are kept, another one is ignored.
-    pub fn record(&mut self, now: f64, runner: u64, succeeded: bool) {
-        let bucket = bucket_at(now);
+    /// Records an attempt or probe of a runner. If the maximum number of runners is kept, a further one is ignored.
+    pub fn record(&mut self, now_s: f64, runner: u64, succeeded: bool) {
+        let bucket = bucket_at(now_s);
         if self.by_runner.len() >= MAX_RUNNERS && !self.by_runner.contains_key(&runner) {
             self.by_runner
                 .retain(|_, observed| observed.bucket + BUCKET_COUNT as u64 > bucket);
@@ -121,15 +124,15 @@
         observed.advance(bucket);
         let newest = observed.bucket;
         if succeeded {
-            observed.successes.record(now, newest);
+            observed.successes.record(now_s, newest);
         } else {
-            observed.failures.record(now, newest);
+            observed.failures.record(now_s, newest);
         }
     }
 
-    /// The evidence to report, the latest failure first.
-    pub fn evidence(&mut self, now: f64) -> Vec<Evidence> {
-        let bucket = bucket_at(now);
+    /// Evidence to report, in descending order of the time of the last failure.
+    pub fn evidence(&mut self, now_s: f64) -> Vec<Evidence> {
+        let bucket = bucket_at(now_s);
         self.by_runner.retain(|_, observed| {
             observed.advance(bucket);
             !observed.is_empty()
@@ -137,7 +140,7 @@
         let mut evidence: Vec<Evidence> = self
             .by_runner
             .iter()
-            .map(|(runner, observed)| observed.evidence(now, *runner))
+            .map(|(runner, observed)| observed.evidence(now_s, *runner))
             .collect();
         evidence.sort_by_key(|one| (one.last_failure_ago, one.last_success_ago, one.runner));
         evidence
--- a/crates/dispatcher/shared-state/src/reports.rs
+++ b/crates/dispatcher/shared-state/src/reports.rs
@@ -1,6 +1,6 @@
-//! The last report of each member. The join keeps, by member, the report of the higher incarnation, then version: it is
-//! associative, commutative and idempotent (state-based CRDTs; Shapiro et al., 2011), so that loss, duplication and
-//! reordering do no harm. Reports may come by way of other members, under their maker's name and age.
+//! The last report of each member. The join keeps, for each member, the report with the higher incarnation, then the
+//! higher version. It is associative, commutative and idempotent (state-based CRDTs; Shapiro et al., 2011), so that
+//! loss, duplication and reordering do no harm. Other members may forward a report; it keeps its origin and its age.
 
 use std::collections::BTreeMap;
 
@@ -9,48 +9,50 @@
 
 use crate::observations::Evidence;
 
-/// Categories in one report.
+/// Maximum number of categories in one report.
 const MAX_CATEGORIES: usize = 256;
-/// Runners in one report.
+/// Maximum number of runners in one report.
 const MAX_RUNNERS: usize = 8192;
-/// Evidence and running jobs of an older report are dropped, in seconds; its counts stay.
+/// Evidence and running jobs of a report older than this many seconds are dropped; its counts stay.
 const MAX_AGE_S: f64 = 60.0;
-/// No member counts more than this.
+/// Upper bound, exclusive, of a valid count.
 const MAX_COUNT: u64 = 1 << 48;
-/// Processes of one name whose counts are told apart; of more, those of the lowest incarnation are left out.
+/// Maximum number of processes of one member whose counts are kept. Beyond it, the counts of the process with the
+/// lowest incarnation are removed.
 const MAX_PROCESSES_PER_MEMBER: usize = 16;
-/// The true count of arrivals stays within the estimate as long as no member exceeds this many times its busiest
-/// second.
+/// The true count of arrivals stays within the estimate as long as no member exceeds this many times the rate of its
+/// busiest second.
 const PEAK_FACTOR: f64 = 2.0;
 
-/// What one member says of itself; counts are since its process started. The order of the fields is part of the wire
-/// format.
+/// Report of one member on its own state. Counts are since its process started. The order of the fields is part of the
+/// wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The member's number.
+    /// Number of the member.
     pub member: u64,
-    /// The number that its process drew.
+    /// Random number that identifies the member's process.
     pub process: u64,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u64,
-    /// Counts its reports.
+    /// Sequence number of the report, counted up by the member.
     pub version: u64,
-    /// How long ago it was made, in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u32,
-    /// Work items taken, by category.
+    /// Number of work items accepted, by category.
     pub arrivals: Vec<u64>,
-    /// The most work items within a second, by category.
+    /// Maximum number of work items accepted within one second, by category.
     pub peaks: Vec<u32>,
-    /// Jobs running in the mean of the last second, in sixteenths, by the runner's number in ascending order.
+    /// Mean number of jobs running during the last second, in sixteenths, with the runner's number, in ascending order
+    /// of that number.
     pub running: Vec<(u64, u16)>,
-    /// The same at all runners together.
+    /// Mean number of jobs running at all runners together during the last second, in sixteenths.
     pub running_all: u32,
-    /// What it observed of runners itself.
+    /// The member's own observations of runners.
     pub evidence: Vec<Evidence>,
 }
 
 impl Report {
-    /// Whether all values are possible.
+    /// Whether all values are within their bounds, `peaks` has an entry for each category, and `running` is in order.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let is_ascending = self.running.windows(2).all(|two| two[0].0 < two[1].0);
@@ -61,7 +63,7 @@
             && is_ascending
     }
 
-    /// The order of one member's reports.
+    /// Key by which the reports of one member are ordered.
     fn order(&self) -> (u64, u64) {
         (self.incarnation, self.version)
     }
@@ -80,45 +82,46 @@
     counts.len() <= MAX_CATEGORIES && counts.iter().all(|count| *count < MAX_COUNT)
 }
 
-/// Which report of a member is at hand. The order of the fields is part of the wire format.
+/// Identifies the report of a member that another member has. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The member's number.
+    /// Number of the member.
     pub member: u64,
-    /// Of the report.
+    /// Incarnation under which the report was made.
     pub incarnation: u64,
-    /// Of the report.
+    /// Version of the report.
     pub version: u64,
 }
 
-/// A count over all members, and how far off it may be by what came since each was last received.
+/// Count over all members, with the maximum error from arrivals since the last report of each.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ArrivalEstimate {
-    /// The sum of all reported counts.
+    /// Sum of all reported counts.
     pub sum: u64,
-    /// The true count is between `sum` and `sum + max_error`, as long as no member exceeds twice its busiest second.
+    /// The true count is between `sum` and `sum + max_error`, as long as no member exceeds twice the rate of its
+    /// busiest second.
     pub max_error: u64,
-    /// The age of the oldest report, in seconds.
+    /// Age of the oldest report in seconds.
     pub oldest_s: f64,
-    /// Members with a report.
+    /// Number of members with a report.
     pub members: usize,
 }
 
-/// The counts of one process of a member. The order of the fields is part of the wire format.
+/// Arrival counts of one process of a member. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ArrivalCounts {
-    /// The member's number.
+    /// Number of the member.
     pub member: u64,
-    /// The number that the process drew.
+    /// Random number that identifies the process.
     pub process: u64,
-    /// The highest incarnation that it reported under.
+    /// Highest incarnation under which the process reported.
     pub incarnation: u64,
-    /// Work items taken, by category.
+    /// Number of work items accepted, by category.
     pub arrivals: Vec<u64>,
 }
 
 impl ArrivalCounts {
-    /// Raises each count to the larger of both: counts only grow.
+    /// Sets each count to the larger of the two, because counts only grow.
     fn raise(&mut self, other: &ArrivalCounts) {
         let category_count = self.arrivals.len().max(other.arrivals.len());
         self.arrivals.resize(category_count, 0);
@@ -129,8 +132,8 @@
     }
 }
 
-/// Counts of one member by process (a grow-only counter; Shapiro et al., 2011): those of a former process stay what they
-/// were.
+/// Counts of one member by process (a grow-only counter; Shapiro et al., 2011). The counts of an ended process no
+/// longer change.
 #[derive(Default)]
 struct CountsByProcess {
     by_process: BTreeMap<u64, ArrivalCounts>,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Whether a report of this process counts less than an earlier one did.
+    /// Whether a count in a report is lower than in an earlier report of the same process.
     fn would_go_back(&self, report: &Report) -> bool {
         let Some(known) = self.by_process.get(&report.process) else {
             return false;
@@ -178,32 +181,32 @@
     }
 }
 
-/// What is at hand of one member.
+/// Last report of one member and the counts of all its processes.
 struct MemberReport {
     report: Report,
-    /// When the report was made, in seconds of this member's clock.
-    made_at: f64,
+    /// Time at which the report was made, in seconds on the caller's clock.
+    made_at_s: f64,
     counts: CountsByProcess,
 }
 
 impl MemberReport {
-    fn new(report: Report, made_at: f64) -> Self {
+    fn new(report: Report, made_at_s: f64) -> Self {
         let mut counts = CountsByProcess::default();
         counts.join(report.arrival_counts());
         MemberReport {
             report,
-            made_at,
+            made_at_s,
             counts,
         }
     }
 
-    fn age_s(&self, now: f64) -> f64 {
-        (now - self.made_at).max(0.0)
+    fn age_s(&self, now_s: f64) -> f64 {
+        (now_s - self.made_at_s).max(0.0)
     }
 
-    /// The report with its age as of now.
-    fn aged(&self, now: f64) -> Report {
-        let age_ms = (self.age_s(now) * 1e3).min(f64::from(u32::MAX)) as u32;
+    /// Copy of the report with its present age.
+    fn aged(&self, now_s: f64) -> Report {
+        let age_ms = (self.age_s(now_s) * 1e3).min(f64::from(u32::MAX)) as u32;
         Report {
             age_ms,
             ..self.report.clone()
@@ -211,27 +214,27 @@
     }
 }
 
-/// The last report of each member, by its number.
+/// Last report of each member by the member's number.
 #[derive(Default)]
 pub struct ReportTable {
     by_member: BTreeMap<u64, MemberReport>,
 }
 
 impl ReportTable {
-    /// Joins a report.
+    /// Joins a report into the table.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidValue`] for an impossible value, or a count that goes back within one process: no join makes
-    /// that, only a fault or a false report. Nothing is changed then.
-    pub fn join(&mut self, now: f64, report: Report) -> Result<(), FrameError> {
+    /// Returns [`FrameError::InvalidValue`], and changes nothing, for an invalid value or for a count that is lower
+    /// than before within one process: only a fault or a false report can cause that, no join can.
+    pub fn join(&mut self, now_s: f64, report: Report) -> Result<(), FrameError> {
         if !report.is_valid() {
             return Err(FrameError::InvalidValue);
         }
-        let made_at = now - f64::from(report.age_ms) / 1e3;
+        let made_at_s = now_s - f64::from(report.age_ms) / 1e3;
         let Some(known) = self.by_member.get_mut(&report.member) else {
             self.by_member
-                .insert(report.member, MemberReport::new(report, made_at));
+                .insert(report.member, MemberReport::new(report, made_at_s));
             return Ok(());
         };
         let is_newer = report.order() > known.report.order();
@@ -242,12 +245,13 @@
         known.counts.join(report.arrival_counts());
         if is_newer {
             known.report = report;
-            known.made_at = made_at;
+            known.made_at_s = made_at_s;
         }
         Ok(())
     }
 
-    /// All counts by process: a report carries only those of its own process.
+    /// Counts of all processes of all members. They are exchanged separately, because a report holds only the counts of
+    /// its own process.
     #[must_use]
     pub fn counts(&self) -> Vec<ArrivalCounts> {
         self.by_member
@@ -256,11 +260,11 @@
             .collect()
     }
 
-    /// Joins the counts of members that have a report here.
+    /// Joins the counts of members that have a report in the table; those of other members are ignored.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidValue`] for impossible counts; the others are joined nevertheless.
+    /// Returns [`FrameError::InvalidValue`] if any counts are invalid; valid ones are joined nevertheless.
     pub fn join_counts(&mut self, counts: Vec<ArrivalCounts>) -> Result<(), FrameError> {
         let mut joined = Ok(());
         for reported in counts {
@@ -273,7 +277,7 @@
         joined
     }
 
-    /// Which reports are at hand.
+    /// Digest of the reports in the table.
     #[must_use]
     pub fn digest(&self) -> Vec<Digest> {
         let digest = |known: &MemberReport| Digest {
@@ -284,9 +288,9 @@
         self.by_member.values().map(digest).collect()
     }
 
-    /// The reports that another member lacks which has these; their ages are as of now.
+    /// Reports, with their present ages, that are missing at a member with this digest or are older there.
     #[must_use]
-    pub fn missing_from(&self, now: f64, digest: &[Digest]) -> Vec<Report> {
+    pub fn missing_from(&self, now_s: f64, digest: &[Digest]) -> Vec<Report> {
         let known_there: BTreeMap<u64, (u64, u64)> = digest
             .iter()
             .map(|digest| (digest.member, (digest.incarnation, digest.version)))
@@ -299,30 +303,30 @@
         self.by_member
             .values()
             .filter(is_missing)
-            .map(|known| known.aged(now))
+            .map(|known| known.aged(now_s))
             .collect()
     }
 
-    /// Reports made within the last `within_s` seconds, each with its age in seconds.
-    pub fn fresh(&self, now: f64, within_s: f64) -> impl Iterator<Item = (&Report, f64)> {
+    /// Reports that were made within the last `within_s` seconds, each with its age in seconds.
+    pub fn fresh(&self, now_s: f64, within_s: f64) -> impl Iterator<Item = (&Report, f64)> {
         self.by_member
             .values()
-            .map(move |known| (&known.report, known.age_s(now)))
+            .map(move |known| (&known.report, known.age_s(now_s)))
             .filter(move |(_, age_s)| *age_s < within_s)
     }
 
-    /// The age of a member's report in seconds, if there is one.
+    /// Age of a member's report in seconds, if there is one.
     #[must_use]
-    pub fn age(&self, now: f64, member: u64) -> Option<f64> {
-        self.by_member.get(&member).map(|known| known.age_s(now))
+    pub fn age(&self, now_s: f64, member: u64) -> Option<f64> {
+        self.by_member.get(&member).map(|known| known.age_s(now_s))
     }
 
-    /// Work items of a category that all members took since each started.
+    /// Estimate of the work items of a category that all members accepted since they started.
     #[must_use]
-    pub fn arrivals(&self, now: f64, category: usize) -> ArrivalEstimate {
+    pub fn arrivals(&self, now_s: f64, category: usize) -> ArrivalEstimate {
         let mut estimate = ArrivalEstimate::default();
         for known in self.by_member.values() {
-            let age_s = known.age_s(now);
+            let age_s = known.age_s(now_s);
             let peak = known.report.peaks.get(category).copied().unwrap_or(0);
             estimate.sum += known.counts.sum(category);
             estimate.max_error += (PEAK_FACTOR * f64::from(peak.max(1)) * age_s).ceil() as u64;
@@ -332,34 +336,34 @@
         estimate
     }
 
-    /// Jobs that run of all members with a report of the last `within_s` seconds, in sixteenths, and how many members
-    /// those are.
+    /// Number of running jobs, in sixteenths, of all members with a report from the last `within_s` seconds, and the
+    /// number of those members.
     #[must_use]
-    pub fn running(&self, now: f64, within_s: f64) -> (u64, usize) {
-        self.fresh(now, within_s)
+    pub fn running(&self, now_s: f64, within_s: f64) -> (u64, usize) {
+        self.fresh(now_s, within_s)
             .fold((0, 0), |(jobs, members), (report, _)| {
                 (jobs + u64::from(report.running_all), members + 1)
             })
     }
 
-    /// The same at one runner.
+    /// Number of jobs running at one runner, in sixteenths, by the reports from the last `within_s` seconds.
     #[must_use]
-    pub fn running_at(&self, now: f64, within_s: f64, runner: u64) -> u64 {
+    pub fn running_at(&self, now_s: f64, within_s: f64, runner: u64) -> u64 {
         let at_runner = |report: &Report| {
             report
                 .running
                 .binary_search_by_key(&runner, |(number, _)| *number)
                 .map_or(0, |place| u64::from(report.running[place].1))
         };
-        self.fresh(now, within_s)
+        self.fresh(now_s, within_s)
             .map(|(report, _)| at_runner(report))
             .sum()
     }
 
-    /// Drops evidence and running jobs of old reports; the counts stay.
-    pub fn expire(&mut self, now: f64) {
+    /// Drops the evidence and the running jobs of old reports; the counts stay.
+    pub fn expire(&mut self, now_s: f64) {
         for known in self.by_member.values_mut() {
-            if now > known.made_at + MAX_AGE_S {
+            if now_s > known.made_at_s + MAX_AGE_S {
                 known.report.evidence.clear();
                 known.report.running.clear();
                 known.report.running_all = 0;
