--- a/crates/dispatcher/shared-state/src/evidence.rs
+++ b/crates/dispatcher/shared-state/src/evidence.rs
@@ -140,7 +140,8 @@
         self.success_ago_s = self.success_ago_s.min(ago_s);
     }
 
-    /// Whether another member succeeded at the runner after the last failure that counts against it.
+    /// Whether the runner is good for another member, and the last success that counts is newer than the last failure
+    /// that counts.
     fn is_healthy(&self) -> bool {
         self.others_for > 0 && self.success_ago_s < self.failure_ago_s
     }
--- a/crates/dispatcher/shared-state/tests/evidence.rs
+++ b/crates/dispatcher/shared-state/tests/evidence.rs
@@ -1,4 +1,6 @@
-//! Verdicts on runners: which reporters are believed, and which are not.
+//! Verdicts on runners from the evidence of several reporters, and the join of their reports. Guards against healthy
+//! runners that are excluded because a reporter is cut off, starved or false, and against a join whose result depends
+//! on loss, duplication or order.
 
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -6,18 +8,18 @@
 use sagetrail_shared_state::*;
 use sagetrail_swim::FrameError;
 
-/// A reporter of a site that saw runners well (w), bad (b), or not at all (.).
+/// Evidence of a reporter, one character for each runner: well (w), bad (b), or not observed (.).
 fn evidence_of(seen: &str) -> Vec<Evidence> {
-    let told = |(of, what)| match what {
+    let evidence = |(runner, what)| match what {
         'w' => Some(Evidence {
-            runner: of,
+            runner,
             successes: 5,
             failures: 0,
             last_success_ago: 5,
             last_failure_ago: u16::MAX,
         }),
         'b' => Some(Evidence {
-            runner: of,
+            runner,
             successes: 1,
             failures: 4,
             last_success_ago: 150,
@@ -25,17 +27,17 @@
         }),
         _ => None,
     };
-    (0u64..).zip(seen.chars()).filter_map(told).collect()
+    (0u64..).zip(seen.chars()).filter_map(evidence).collect()
 }
 
 fn evaluate(rules: &EvidenceRules, all: &[(u16, &str)]) -> Vec<(u64, RunnerVerdict)> {
-    let told: Vec<Vec<Evidence>> = all.iter().map(|(_, seen)| evidence_of(seen)).collect();
-    let witnesses: Vec<Witness> = told
+    let evidence: Vec<Vec<Evidence>> = all.iter().map(|(_, seen)| evidence_of(seen)).collect();
+    let witnesses: Vec<Witness> = evidence
         .iter()
         .enumerate()
-        .map(|(n, seen)| Witness {
-            site: all[n].0,
-            is_own: n == 0,
+        .map(|(index, seen)| Witness {
+            site: all[index].0,
+            is_own: index == 0,
             age_s: 0.2,
             evidence: seen,
         })
@@ -51,7 +53,7 @@
     verdicts
         .iter()
         .filter(|(_, verdict)| *verdict == RunnerVerdict::Unhealthy)
-        .map(|(of, _)| *of)
+        .map(|(runner, _)| *runner)
         .collect()
 }
 
@@ -69,7 +71,7 @@
     assert_eq!(
         unhealthy(&[(0, "wwwbwwww")]),
         [] as [u64; 0],
-        "but alone they are its own test's"
+        "failures seen by this member alone are left to its own detection"
     );
 }
 
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_reporter_whose_own_links_are_cut_is_not_believed() {
+fn failures_of_a_reporter_with_cut_links_do_not_count() {
     assert_eq!(
         unhealthy(&[(0, "........"), (1, "bbbbbbww"), (2, "bbbbbbww")]),
         [] as [u64; 0]
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn reporters_for_and_against_a_runner_weigh_alike() {
+fn reporters_for_and_against_a_runner_have_equal_weight() {
     assert_eq!(
         unhealthy(&[
             (0, "www....."),
@@ -184,23 +186,35 @@
     observations.record(10.0, 1, true);
     observations.record(10.1, 2, false);
     observations.record(10.2, 2, false);
-    let told = observations.evidence(10.3);
+    let evidence = observations.evidence(10.3);
     assert_eq!(
-        (told[0].runner, told[0].failures, told[0].last_failure_ago),
+        (
+            evidence[0].runner,
+            evidence[0].failures,
+            evidence[0].last_failure_ago
+        ),
         (2, 2, 10)
     );
     assert_eq!(
-        (told[1].runner, told[1].successes, told[1].last_failure_ago),
+        (
+            evidence[1].runner,
+            evidence[1].successes,
+            evidence[1].last_failure_ago
+        ),
         (1, 1, u16::MAX)
     );
     assert!(observations.evidence(13.6).is_empty());
-    for of in 0..100_000 {
-        observations.record(20.0, of, false);
+    for runner in 0..100_000 {
+        observations.record(20.0, runner, false);
     }
-    assert!(observations.evidence(20.0).len() <= 8192, "bounded");
+    assert!(
+        observations.evidence(20.0).len() <= 8192,
+        "the number of runners is bounded"
+    );
 }
 
-/// A fleet of which one member lies, is cut one way or is starved, in any way it likes.
+/// Evaluates a random fleet in which one member is false, cut off in one direction or starved, so that it reports an
+/// arbitrary part of the healthy runners as bad. Returns whether no runner is found unhealthy.
 fn with_a_false_reporter(seed: u64, rules: &EvidenceRules) -> bool {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (members, runners) = (
@@ -208,16 +222,16 @@
         random.random_range(4..30usize),
     );
     let mut all = Vec::new();
-    for n in 0..members {
-        let liar = n == 1;
+    for index in 0..members {
+        let is_false = index == 1;
         let part = random.random_range(0.0..1.0);
         let seen: String = (0..runners)
-            .map(|_| match liar {
+            .map(|_| match is_false {
                 true if random.random_bool(part) => 'b',
                 _ => ['w', 'w', '.'][random.random_range(0..3)],
             })
             .collect();
-        all.push(((n % 3) as u16, seen));
+        all.push(((index % 3) as u16, seen));
     }
     let all: Vec<(u16, &str)> = all
         .iter()
@@ -236,36 +250,36 @@
             "seed {seed}"
         );
     }
-    let credulous = EvidenceRules {
+    let single_reporter_rules = EvidenceRules {
         reporters: 1,
         sites: 1,
         own_fault: 1.0,
         ..EvidenceRules::default()
     };
     assert!(
-        (0..1000).any(|seed| !with_a_false_reporter(seed, &credulous)),
-        "a broken rules is caught"
+        (0..1000).any(|seed| !with_a_false_reporter(seed, &single_reporter_rules)),
+        "rules that believe a single reporter must fail this test"
     );
 }
 
 #[test]
-fn in_ten_thousand_random_fleets_at_most_the_stated_part_is_unhealthy() {
+fn in_ten_thousand_random_fleets_at_most_a_quarter_of_the_runners_is_unhealthy() {
     for seed in 0..10_000 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let runners = random.random_range(4..40usize);
         let bad = random.random_range(0.0..1.0);
-        let ill: Vec<bool> = (0..runners).map(|_| random.random_bool(bad)).collect();
+        let is_bad: Vec<bool> = (0..runners).map(|_| random.random_bool(bad)).collect();
         let mut all = Vec::new();
-        for n in 0..random.random_range(3..9u16) {
-            let seen: String = ill
+        for index in 0..random.random_range(3..9u16) {
+            let seen: String = is_bad
                 .iter()
-                .map(|ill| match random.random_range(0..4) {
+                .map(|is_bad| match random.random_range(0..4) {
                     0 => '.',
-                    _ if *ill => 'b',
+                    _ if *is_bad => 'b',
                     _ => 'w',
                 })
                 .collect();
-            all.push((n % 3, if n == 0 { String::new() } else { seen }));
+            all.push((index % 3, if index == 0 { String::new() } else { seen }));
         }
         let all: Vec<(u16, &str)> = all
             .iter()
@@ -278,17 +292,17 @@
             out.len()
         );
         assert!(
-            out.iter().all(|of| ill[*of as usize]),
-            "seed {seed}: a well one is out"
+            out.iter().all(|runner| is_bad[*runner as usize]),
+            "seed {seed}: a healthy runner is excluded"
         );
     }
 }
 
 // ---- reports ----
 
-fn report(who: u64, incarnation: u64, version: u64, arrivals: u64) -> Report {
+fn report(member: u64, incarnation: u64, version: u64, arrivals: u64) -> Report {
     Report {
-        member: who,
+        member,
         process: incarnation,
         incarnation,
         version,
@@ -301,10 +315,11 @@
     }
 }
 
-/// ReportTable that can be: sums grow with the version within one incarnation.
+/// A valid report: its counts grow with the version within one incarnation.
 fn any_report() -> impl Strategy<Value = Report> {
-    (1u64..4, 1u64..4, 1u64..6)
-        .prop_map(|(who, inc, version)| report(who, inc, version, 10 * inc + version))
+    (1u64..4, 1u64..4, 1u64..6).prop_map(|(member, incarnation, version)| {
+        report(member, incarnation, version, 10 * incarnation + version)
+    })
 }
 
 fn joined(reports: &[Report]) -> (Vec<Digest>, ArrivalEstimate) {
@@ -352,20 +367,20 @@
     let mut all = ReportTable::default();
     all.join(10.0, report(1, 1, 1, 100)).unwrap();
     all.join(12.0, report(2, 1, 1, 50)).unwrap();
-    let told = all.arrivals(14.0, 0);
-    assert_eq!((told.sum, told.members), (150, 2));
+    let estimate = all.arrivals(14.0, 0);
+    assert_eq!((estimate.sum, estimate.members), (150, 2));
     assert_eq!(
-        told.max_error,
+        estimate.max_error,
         2 * 3 * 4 + 2 * 3 * 2,
-        "twice its busiest second, since it was verdicts"
+        "twice the rate of the busiest second of each member, for the age of its report"
     );
-    assert_eq!(told.oldest_s, 4.0);
+    assert_eq!(estimate.oldest_s, 4.0);
     assert_eq!(all.running(14.0, 3.0), (2, 1));
     assert_eq!(all.running_at(14.0, 60.0, 5), 4);
 }
 
 #[test]
-fn counts_that_go_back_and_impossible_values_are_rejected() {
+fn decreasing_counts_and_invalid_values_are_rejected() {
     let mut all = ReportTable::default();
     assert_eq!(all.join(0.0, report(1, 1, 5, 100)), Ok(()));
     assert_eq!(
@@ -375,7 +390,7 @@
     assert_eq!(
         all.join(0.0, report(1, 1, 4, 99)),
         Ok(()),
-        "an older one is only late"
+        "an older report is only late"
     );
     assert_eq!(
         all.join(0.0, report(2, 1, 1, u64::MAX)),
--- a/crates/dispatcher/shared-state/tests/nodes.rs
+++ b/crates/dispatcher/shared-state/tests/nodes.rs
@@ -1,4 +1,6 @@
-//! Complete members that exchange frames, through loss and partitions.
+//! Complete members that exchange frames over a network that loses them or is partitioned. Guards against members that
+//! disagree on counts or verdicts, evidence that counts several times because it was forwarded, leases that outlive a
+//! partition, and invalid frames that change state.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,24 +8,29 @@
 use sagetrail_swim::{FrameError, MemberState, Peer, SwimConfig};
 use std::collections::BTreeMap;
 
+/// Members and the simulated network between them.
 struct Fleet {
-    now: f64,
+    /// Simulated time in seconds.
+    now_s: f64,
     nodes: Vec<Node>,
-    wire: Vec<(f64, usize, usize, Vec<u8>)>,
+    /// Frames in flight: time of arrival in seconds, sender, receiver, content.
+    in_flight: Vec<(f64, usize, usize, Vec<u8>)>,
+    /// Links, from and to, that deliver nothing.
     blocked: Vec<(usize, usize)>,
+    /// Probability that a frame is lost.
     loss: f64,
     random: Pcg64Mcg,
 }
 
-fn config(n: usize, me: usize, fleet: &str) -> NodeConfig {
-    let roster = (0..n)
-        .map(|m| Peer {
-            name: format!("m{m}"),
-            number: 50 + m as u64,
-            site: (m % 3) as u16,
+fn config(member_count: usize, member: usize, fleet: &str) -> NodeConfig {
+    let roster = (0..member_count)
+        .map(|index| Peer {
+            name: format!("m{index}"),
+            number: 50 + index as u64,
+            site: (index % 3) as u16,
         })
         .collect();
-    let cold = LendingTerms {
+    let slow_start = LendingTerms {
         lease_s: 3.0,
         spend_s: 1.0,
         owner_count: 3,
@@ -31,70 +38,72 @@
     NodeConfig {
         fleet: fleet.to_string(),
         roster,
-        own_index: me,
+        own_index: member,
         swim: SwimConfig::default(),
-        lending: [(BudgetKind::SlowStart, cold)].into(),
+        lending: [(BudgetKind::SlowStart, slow_start)].into(),
         evidence_rules: EvidenceRules::default(),
         category_count: 2,
         incarnation: 1000,
-        process: 7 + me as u64,
+        process: 7 + member as u64,
     }
 }
 
 impl Fleet {
-    fn new(n: usize) -> Fleet {
+    fn new(member_count: usize) -> Fleet {
         Fleet {
-            now: 0.0,
-            nodes: (0..n)
-                .map(|me| Node::new(config(n, me, "a"), 0.0))
+            now_s: 0.0,
+            nodes: (0..member_count)
+                .map(|member| Node::new(config(member_count, member, "a"), 0.0))
                 .collect(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             blocked: Vec::new(),
             loss: 0.0,
-            random: Pcg64Mcg::seed_from_u64(n as u64),
+            random: Pcg64Mcg::seed_from_u64(member_count as u64),
         }
     }
 
     fn run(&mut self, seconds: f64) {
-        let end = self.now + seconds;
-        while self.now < end {
-            self.now += 0.01;
-            for me in 0..self.nodes.len() {
-                let mut out = Datagrams::new();
-                if self.nodes[me].due() <= self.now {
-                    self.nodes[me].tick(self.now, &mut out);
+        let end = self.now_s + seconds;
+        while self.now_s < end {
+            self.now_s += 0.01;
+            for member in 0..self.nodes.len() {
+                let mut datagrams = Datagrams::new();
+                if self.nodes[member].due() <= self.now_s {
+                    self.nodes[member].tick(self.now_s, &mut datagrams);
                 }
-                if let Some((to, have)) = self.nodes[me].start_exchange(self.now) {
-                    // An exchange is a stream: it arrives in full, or not at all.
-                    if !self.blocked.contains(&(me, to)) && !self.blocked.contains(&(to, me)) {
-                        let give = self.nodes[to]
-                            .receive_exchange(self.now, &have)
-                            .expect("an answer");
-                        let rest = self.nodes[me]
-                            .receive_exchange(self.now, &give)
-                            .expect("the rest");
-                        assert!(self.nodes[to].receive_exchange(self.now, &rest).is_none());
+                if let Some((to, request)) = self.nodes[member].start_exchange(self.now_s) {
+                    // An exchange uses a stream, so it arrives completely or not at all.
+                    if !self.blocked.contains(&(member, to))
+                        && !self.blocked.contains(&(to, member))
+                    {
+                        let reply = self.nodes[to]
+                            .receive_exchange(self.now_s, &request)
+                            .expect("reply to the exchange request");
+                        let end = self.nodes[member]
+                            .receive_exchange(self.now_s, &reply)
+                            .expect("end of the exchange");
+                        assert!(self.nodes[to].receive_exchange(self.now_s, &end).is_none());
                     }
                 }
-                self.send(me, out);
+                self.send(member, datagrams);
                 let due: Vec<_> = self
-                    .wire
-                    .extract_if(.., |(at, _, to, _)| *to == me && *at <= self.now)
+                    .in_flight
+                    .extract_if(.., |(at, _, to, _)| *to == member && *at <= self.now_s)
                     .collect();
                 for (_, _, _, frame) in due {
-                    let mut out = Datagrams::new();
-                    self.nodes[me].receive_datagram(self.now, &frame, &mut out);
-                    self.send(me, out);
+                    let mut datagrams = Datagrams::new();
+                    self.nodes[member].receive_datagram(self.now_s, &frame, &mut datagrams);
+                    self.send(member, datagrams);
                 }
             }
         }
     }
 
-    fn send(&mut self, from: usize, out: Datagrams) {
-        for (to, frame) in out {
+    fn send(&mut self, from: usize, datagrams: Datagrams) {
+        for (to, frame) in datagrams {
             if !self.blocked.contains(&(from, to)) && !self.random.random_bool(self.loss) {
-                self.wire.push((
-                    self.now + self.random.random_range(0.0..0.02),
+                self.in_flight.push((
+                    self.now_s + self.random.random_range(0.0..0.02),
                     from,
                     to,
                     frame,
@@ -105,8 +114,8 @@
 
     fn rejected(&self) -> BTreeMap<FrameError, u64> {
         let mut all = BTreeMap::new();
-        for (why, n) in self.nodes.iter().flat_map(|node| &node.rejected) {
-            *all.entry(*why).or_default() += n;
+        for (error, count) in self.nodes.iter().flat_map(|node| &node.rejected) {
+            *all.entry(*error).or_default() += count;
         }
         all
     }
@@ -119,8 +128,8 @@
     fleet.run(3.0);
     for round in 0..40 {
         for node in &mut fleet.nodes {
-            node.record_arrival(fleet.now, 0);
-            (0..8).for_each(|of| node.observations.record(fleet.now, of, of != 3));
+            node.record_arrival(fleet.now_s, 0);
+            (0..8).for_each(|runner| node.observations.record(fleet.now_s, runner, runner != 3));
             node.set_running(vec![(1, 2)]);
         }
         fleet.run(0.05);
@@ -128,15 +137,15 @@
     }
     fleet.run(1.0);
     for node in &mut fleet.nodes {
-        let told = node.reports.arrivals(fleet.now, 0);
-        assert_eq!((told.sum, told.members), (200, 5));
-        assert_eq!(node.reports.running_at(fleet.now, 2.0, 1), 10);
+        let estimate = node.reports.arrivals(fleet.now_s, 0);
+        assert_eq!((estimate.sum, estimate.members), (200, 5));
+        assert_eq!(node.reports.running_at(fleet.now_s, 2.0, 1), 10);
         assert!(node
-            .member_statuses(fleet.now)
+            .member_statuses(fleet.now_s)
             .iter()
-            .all(|standing| standing.state == MemberState::Alive));
+            .all(|status| status.state == MemberState::Alive));
         assert!(node
-            .verdicts(fleet.now)
+            .verdicts(fleet.now_s)
             .contains(&(3, RunnerVerdict::Unhealthy)));
     }
     assert!(fleet.rejected().is_empty(), "{:?}", fleet.rejected());
@@ -147,15 +156,15 @@
     let mut fleet = Fleet::new(6);
     fleet.run(3.0);
     for _ in 0..20 {
-        for (n, node) in fleet.nodes.iter_mut().enumerate() {
+        for (member, node) in fleet.nodes.iter_mut().enumerate() {
             (0..8)
-                .filter(|of| *of != 3 || n == 1)
-                .for_each(|of| node.observations.record(fleet.now, of, of != 3));
+                .filter(|runner| *runner != 3 || member == 1)
+                .for_each(|runner| node.observations.record(fleet.now_s, runner, runner != 3));
         }
         fleet.run(0.1);
         for node in &mut fleet.nodes {
             assert!(!node
-                .verdicts(fleet.now)
+                .verdicts(fleet.now_s)
                 .contains(&(3, RunnerVerdict::Unhealthy)));
         }
     }
@@ -172,29 +181,29 @@
     fleet
         .nodes
         .iter_mut()
-        .for_each(|node| assert!(node.budgets.set_limit(fleet.now, key, 1_000_000)));
-    let want = |fleet: &mut Fleet| {
+        .for_each(|node| assert!(node.budgets.set_limit(fleet.now_s, key, 1_000_000)));
+    let record_want = |fleet: &mut Fleet| {
         fleet.nodes[1]
             .budgets
-            .record_use(fleet.now, key, 0, 1_000_000)
+            .record_use(fleet.now_s, key, 0, 1_000_000)
     };
     for _ in 0..20 {
-        want(&mut fleet);
+        record_want(&mut fleet);
         fleet.run(0.1);
     }
-    assert!(fleet.nodes[1].budgets.usable(fleet.now, key) > 800_000);
+    assert!(fleet.nodes[1].budgets.usable(fleet.now_s, key) > 800_000);
     fleet.blocked = vec![(0, 1), (1, 0), (1, 2), (2, 1)];
     for _ in 0..50 {
-        want(&mut fleet);
+        record_want(&mut fleet);
         fleet.run(0.1);
         let all: u64 = fleet
             .nodes
             .iter()
-            .map(|node| node.budgets.usable(fleet.now, key))
+            .map(|node| node.budgets.usable(fleet.now_s, key))
             .sum();
         assert!(all <= 1_000_000, "{all}");
     }
-    assert!(fleet.nodes[1].budgets.usable(fleet.now, key) <= 333_334);
+    assert!(fleet.nodes[1].budgets.usable(fleet.now_s, key) <= 333_334);
 }
 
 #[test]
@@ -206,29 +215,29 @@
     other.tick(1.0, &mut of_other);
     stranger.tick(1.0, &mut of_stranger);
     let node = &mut fleet.nodes[0];
-    let mut out = Datagrams::new();
+    let mut datagrams = Datagrams::new();
     let good = of_other[0].1.clone();
-    node.receive_datagram(1.0, &good, &mut out);
-    node.receive_datagram(1.0, &of_stranger[0].1, &mut out);
-    node.receive_datagram(1.0, &good[..7], &mut out);
-    node.receive_datagram(1.0, &vec![0; 9000], &mut out);
+    node.receive_datagram(1.0, &good, &mut datagrams);
+    node.receive_datagram(1.0, &of_stranger[0].1, &mut datagrams);
+    node.receive_datagram(1.0, &good[..7], &mut datagrams);
+    node.receive_datagram(1.0, &vec![0; 9000], &mut datagrams);
     let mut flipped = good.clone();
     flipped[9] ^= 1;
-    node.receive_datagram(1.0, &flipped, &mut out);
-    assert!(out.is_empty());
-    for why in [
+    node.receive_datagram(1.0, &flipped, &mut datagrams);
+    assert!(datagrams.is_empty());
+    for error in [
         FrameError::OtherFleet,
         FrameError::UnknownSender,
         FrameError::Truncated,
         FrameError::TooLong,
         FrameError::ChecksumMismatch,
     ] {
-        assert_eq!(node.rejected.get(&why), Some(&1), "{why:?}");
+        assert_eq!(node.rejected.get(&error), Some(&1), "{error:?}");
     }
     assert!(node.receive_exchange(1.0, &good).is_none());
     assert!(node
         .member_statuses(1.0)
         .iter()
         .skip(1)
-        .all(|standing| standing.state == MemberState::Unknown));
+        .all(|status| status.state == MemberState::Unknown));
 }
