--- a/crates/dispatcher/swim/src/dissemination.rs
+++ b/crates/dispatcher/swim/src/dissemination.rs
@@ -4,9 +4,9 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// An update is transmitted this many times log2(n) (SWIM's lambda).
+/// An update is transmitted this number times log2(n) times, where n is the number of members (SWIM's lambda).
 const TRANSMISSIONS_PER_LOG_N: f64 = 4.0;
-/// Updates in one message: some 20 bytes each, a third of a datagram.
+/// Maximum number of updates in one message: at about 20 bytes each they fill a third of a datagram.
 pub(crate) const MAX_PIGGYBACKED: usize = 20;
 
 struct QueuedUpdate {
@@ -14,9 +14,11 @@
     transmissions_left: u32,
 }
 
-/// Updates that are still to be transmitted, at most one a member.
+/// Updates that must still be transmitted, at most one for each member.
 pub(crate) struct DisseminationQueue {
+    /// Number of transmissions of each update.
     transmissions: u32,
+    /// Queued updates by the roster index of the member that they are about.
     queued: BTreeMap<usize, QueuedUpdate>,
 }
 
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Queues an update on a member in place of an earlier one.
+    /// Queues an update about a member and replaces an earlier one.
     pub(crate) fn enqueue(&mut self, member: usize, update: Update) {
         let queued = QueuedUpdate {
             update,
@@ -38,7 +40,7 @@
         self.queued.insert(member, queued);
     }
 
-    /// The updates for the next message: those that were transmitted least often go first.
+    /// Takes the updates for the next message: those that were transmitted least often come first.
     pub(crate) fn take_for_message(&mut self) -> Vec<Update> {
         let mut order: Vec<(Reverse<u32>, usize)> = self
             .queued
--- a/crates/dispatcher/swim/src/failure_detector.rs
+++ b/crates/dispatcher/swim/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! The failure detector: the probe of this protocol period, and pings made for other members (SWIM, section 3.1).
+//! Failure detector: the probe of the present protocol period, and indirect pings on behalf of other members (SWIM,
+//! section 3.1).
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -7,70 +8,74 @@
 use crate::member_table::MemberTable;
 use crate::message::MemberState;
 
-/// Dead members are probed in one round of this many, so that two halves of a partition find each other again.
-const ROUNDS_PER_PROBE_OF_THE_DEAD: u32 = 4;
-/// The part of a protocol period after which a probe has failed.
-const PROBE_TIMEOUT_PART: f64 = 0.95;
-/// Pings in progress for others, a member: more than the protocol asks for.
+/// Dead members are probed in one of this many rounds, so that the two sides of a partition reconnect when it heals.
+const ROUNDS_PER_DEAD_MEMBER_PROBE: u32 = 4;
+/// Fraction of a protocol period after which a probe has failed.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.95;
+/// Maximum number of indirect pings in progress on behalf of others, for each member of the roster: more than the
+/// protocol requests.
 const MAX_RELAYED_PER_MEMBER: usize = 4;
 
+/// Probe of one member. Deadlines are in seconds on the caller's clock.
 struct Probe {
     target: usize,
     sequence: u32,
-    /// When other members are asked to ping.
-    ack_deadline: f64,
-    /// When the probe has failed.
-    deadline: f64,
-    /// How many members were asked to ping.
-    asked: usize,
-    /// How many of those could not reach the target either, and said so.
+    /// Time at which other members are asked for indirect pings.
+    ack_deadline_s: f64,
+    /// Time at which the probe has failed.
+    deadline_s: f64,
+    /// Number of members that were asked for an indirect ping.
+    indirect_pings: usize,
+    /// Number of those that replied that they could not reach the target either.
     nacks: usize,
 }
 
-/// A ping on behalf of another member.
+/// Indirect ping on behalf of another member.
 struct RelayedPing {
     sequence: u32,
     origin: PingOrigin,
-    deadline: f64,
+    deadline_s: f64,
 }
 
-/// Who asked for a relayed ping, and the sequence number of its request.
+/// Member that requested an indirect ping, and the sequence number of its request.
 #[derive(Clone, Copy)]
 pub(crate) struct PingOrigin {
     pub(crate) requester: usize,
     pub(crate) sequence: u32,
 }
 
-/// A probe whose direct ping was not answered in time.
+/// Probe whose direct ping was not answered in time.
 #[derive(Clone, Copy)]
 pub(crate) struct LateProbe {
     pub(crate) target: usize,
     pub(crate) sequence: u32,
 }
 
-/// A probe that was answered by nobody.
+/// Probe that was answered neither directly nor indirectly.
 #[derive(Clone, Copy)]
 pub(crate) struct FailedProbe {
     pub(crate) target: usize,
-    /// Every member that was asked said that it could not reach the target: this member's own links work.
+    /// Whether every member that was asked replied that it could not reach the target, so that this member's own links
+    /// work.
     pub(crate) all_nacked: bool,
 }
 
-/// Probes one member a period.
+/// Probes one member in each protocol period.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// The last sequence number given out.
+    /// Last sequence number used.
     sequence: u32,
     probe: Option<Probe>,
     relayed: Vec<RelayedPing>,
-    /// Members still to be probed in this round, last first.
+    /// Members that must still be probed in this round, in reverse order.
     round: Vec<usize>,
-    rounds: u32,
+    /// Number of rounds started.
+    round_count: u32,
 }
 
 impl FailureDetector {
-    /// Chooses the next member from a shuffled round over all others: each is probed within n periods (SWIM, section
-    /// 4.3).
+    /// Chooses the next member from a shuffled round over all others, so that each is probed within n periods (SWIM,
+    /// section 4.3).
     pub(crate) fn choose_target(
         &mut self,
         members: &MemberTable,
@@ -83,8 +88,10 @@
     }
 
     fn start_round(&mut self, members: &MemberTable, random: &mut Pcg64Mcg) {
-        self.rounds += 1;
-        let with_dead = self.rounds.is_multiple_of(ROUNDS_PER_PROBE_OF_THE_DEAD);
+        self.round_count += 1;
+        let with_dead = self
+            .round_count
+            .is_multiple_of(ROUNDS_PER_DEAD_MEMBER_PROBE);
         let is_probed = |member: &usize| {
             *member != members.own_index()
                 && (with_dead || members.view(*member).state != MemberState::Dead)
@@ -96,56 +103,57 @@
         }
     }
 
-    /// Starts the probe of a period; the sequence number of its ping.
+    /// Starts the probe of a period and returns the sequence number of its ping.
     pub(crate) fn start_probe(
         &mut self,
-        now: f64,
+        now_s: f64,
         target: usize,
         config: &SwimConfig,
         health_multiplier: f64,
     ) -> u32 {
         self.sequence += 1;
-        let ack_deadline = now + config.ack_timeout_s * health_multiplier;
-        // An answer by way of others has what is left of the period.
-        let deadline = now + PROBE_TIMEOUT_PART * config.probe_interval_s * health_multiplier;
+        let ack_deadline_s = now_s + config.ack_timeout_s * health_multiplier;
+        // An indirect answer may arrive during the rest of the period.
+        let deadline_s =
+            now_s + PROBE_TIMEOUT_FRACTION * config.probe_interval_s * health_multiplier;
         self.probe = Some(Probe {
             target,
             sequence: self.sequence,
-            ack_deadline,
-            deadline: deadline.max(ack_deadline),
-            asked: 0,
+            ack_deadline_s,
+            deadline_s: deadline_s.max(ack_deadline_s),
+            indirect_pings: 0,
             nacks: 0,
         });
         self.sequence
     }
 
-    /// The probe, when its ack is late and nobody was asked to ping yet.
-    pub(crate) fn late_probe(&self, now: f64) -> Option<LateProbe> {
+    /// The present probe, if its ack is late and no indirect ping was requested yet.
+    pub(crate) fn late_probe(&self, now_s: f64) -> Option<LateProbe> {
         let probe = self.probe.as_ref()?;
-        (probe.ack_deadline <= now && probe.asked == 0).then_some(LateProbe {
+        (probe.ack_deadline_s <= now_s && probe.indirect_pings == 0).then_some(LateProbe {
             target: probe.target,
             sequence: probe.sequence,
         })
     }
 
-    /// Notes how many members were asked to ping the probe's target.
-    pub(crate) fn asked(&mut self, count: usize) {
+    /// Records the number of members that were asked to ping the probe's target.
+    pub(crate) fn record_indirect_pings(&mut self, count: usize) {
         if let Some(probe) = &mut self.probe {
-            probe.asked = count;
+            probe.indirect_pings = count;
             if count == 0 {
-                probe.ack_deadline = probe.deadline;
+                probe.ack_deadline_s = probe.deadline_s;
             }
         }
     }
 
-    /// Ends the probe that this ack answers; false when it answers none.
+    /// Ends the probe that an ack answers. Returns false if it answers none.
     pub(crate) fn acknowledge(&mut self, sequence: u32) -> bool {
         self.probe
             .take_if(|probe| probe.sequence == sequence)
             .is_some()
     }
 
-    /// Counts a nack for the probe.
+    /// Counts a nack if it answers the present probe.
     pub(crate) fn count_nack(&mut self, sequence: u32) {
         if let Some(probe) = self
             .probe
@@ -156,20 +164,21 @@
         }
     }
 
-    /// Ends the probe if its time is over.
-    pub(crate) fn take_failed_probe(&mut self, now: f64) -> Option<FailedProbe> {
-        let probe = self.probe.take_if(|probe| probe.deadline <= now)?;
+    /// Ends the probe if its deadline has passed, and returns it as failed.
+    pub(crate) fn take_failed_probe(&mut self, now_s: f64) -> Option<FailedProbe> {
+        let probe = self.probe.take_if(|probe| probe.deadline_s <= now_s)?;
         Some(FailedProbe {
             target: probe.target,
-            all_nacked: probe.asked > 0 && probe.nacks >= probe.asked,
+            all_nacked: probe.indirect_pings > 0 && probe.nacks >= probe.indirect_pings,
         })
     }
 
-    /// Starts a ping on behalf of another member; its sequence number, or nothing when too many are in progress.
+    /// Starts an indirect ping on behalf of another member. Returns its sequence number, or `None` if too many are in
+    /// progress.
     pub(crate) fn relay(
         &mut self,
         origin: PingOrigin,
-        deadline: f64,
+        deadline_s: f64,
         member_count: usize,
     ) -> Option<u32> {
         if self.relayed.len() >= MAX_RELAYED_PER_MEMBER * member_count {
@@ -179,42 +188,42 @@
         self.relayed.push(RelayedPing {
             sequence: self.sequence,
             origin,
-            deadline,
+            deadline_s,
         });
         Some(self.sequence)
     }
 
-    /// Ends the relayed ping that this ack answers.
+    /// Ends the indirect ping that an ack answers, and returns its origin.
     pub(crate) fn take_relayed(&mut self, sequence: u32) -> Option<PingOrigin> {
-        let place = self
+        let index = self
             .relayed
             .iter()
             .position(|ping| ping.sequence == sequence)?;
-        Some(self.relayed.swap_remove(place).origin)
+        Some(self.relayed.swap_remove(index).origin)
     }
 
-    /// Ends the relayed pings that were not answered in time.
-    pub(crate) fn take_expired_relayed(&mut self, now: f64) -> Vec<PingOrigin> {
+    /// Ends the indirect pings that were not answered in time, and returns their origins.
+    pub(crate) fn take_expired_relayed(&mut self, now_s: f64) -> Vec<PingOrigin> {
         let mut expired = Vec::new();
-        for place in (0..self.relayed.len()).rev() {
-            if self.relayed[place].deadline <= now {
-                expired.push(self.relayed.swap_remove(place).origin);
+        for index in (0..self.relayed.len()).rev() {
+            if self.relayed[index].deadline_s <= now_s {
+                expired.push(self.relayed.swap_remove(index).origin);
             }
         }
         expired
     }
 
-    /// Drops all that is in progress.
+    /// Drops the probe and the indirect pings in progress.
     pub(crate) fn reset(&mut self) {
         self.probe = None;
         self.relayed.clear();
     }
 
-    /// When the probe needs attention; infinity without one.
+    /// Time at which the probe must be handled next; infinity without one.
     pub(crate) fn next_deadline(&self) -> f64 {
         match &self.probe {
-            Some(probe) if probe.asked == 0 => probe.ack_deadline.min(probe.deadline),
-            Some(probe) => probe.deadline,
+            Some(probe) if probe.indirect_pings == 0 => probe.ack_deadline_s.min(probe.deadline_s),
+            Some(probe) => probe.deadline_s,
             None => f64::INFINITY,
         }
     }
--- a/crates/dispatcher/swim/src/frame.rs
+++ b/crates/dispatcher/swim/src/frame.rs
@@ -1,74 +1,76 @@
-//! Frames between members: version, fleet, envelope, body, checksum.
+//! Frames between members. A frame has a version, a fleet, an envelope, a body and a checksum.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a frame. Frames of another version are rejected.
+/// Version of the wire format, in the first byte of a frame. Frames of another version are rejected.
 pub const VERSION: u8 = 1;
-/// The longest datagram, in bytes: 1,500, which any link carries unfragmented, less the headers of IPv6 and UDP and
-/// some for tunnels.
+/// Maximum size of a datagram in bytes: 1,500, which any link carries unfragmented, minus the headers of IPv6 and UDP
+/// and a margin for tunnels.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The longest frame of a full state exchange, in bytes: hundreds of members' reports on hundreds of runners.
+/// Maximum size of a frame of a full state exchange in bytes: it fits reports of hundreds of members on hundreds of
+/// runners.
 pub const MAX_SYNC_BYTES: usize = 4 << 20;
 
-/// Why a frame is rejected. `Display` is the spelling in log lines and on the operators' pages.
+/// Reason for which a frame is rejected. `Display` is the text in log lines and on the operators' pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than allowed on the way that it came.
+    /// The frame is longer than its transport, datagram or stream, allows.
     #[error("too long")]
     TooLong,
-    /// Shorter than a frame's fixed parts.
+    /// The frame is shorter than the fixed parts of a frame.
     #[error("cut off")]
     Truncated,
     /// The checksum does not match the content.
     #[error("checksum")]
     ChecksumMismatch,
-    /// A frame of another version.
+    /// The frame has another version.
     #[error("another version")]
     UnsupportedVersion,
-    /// A frame of another fleet.
+    /// The frame is of another fleet.
     #[error("another fleet")]
     OtherFleet,
-    /// From a member that is not in the roster, or from this member itself.
+    /// The sender is not in the roster, or is this member itself.
     #[error("a stranger")]
     UnknownSender,
     /// The body does not decode.
     #[error("unreadable")]
     Malformed,
-    /// A value that no member can have sent.
+    /// The frame has a value that no member can have sent.
     #[error("an impossible figure")]
     InvalidValue,
 }
 
-/// The sender of a frame. The order of the fields is part of the wire format.
+/// Header that identifies the sender and the number of a frame. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender's number, a hash of its name.
+    /// Number of the sender, a hash of its name.
     pub sender: u64,
-    /// Drawn at random by each process: tells it from earlier processes of the same name.
+    /// Random number that distinguishes the process from earlier processes of the same name.
     pub process: u64,
-    /// The sender's own incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Counts the sender's frames.
+    /// Sequence number of the frame, counted up by the sender.
     pub sequence: u64,
 }
 
 /// Encodes and decodes frames of one fleet.
 #[derive(Clone)]
 pub struct Codec {
+    /// Checksum of the fleet's name.
     fleet: u32,
     version: u8,
 }
 
 impl Codec {
-    /// For membership and shared state. The fleet's name stands in frames as a checksum: enough to tell apart fleets
-    /// that should not meet, and no secret.
+    /// Creates a codec for membership and shared state. Frames hold a checksum of the fleet's name, which suffices to
+    /// distinguish fleets that are connected by mistake; it is no secret.
     #[must_use]
     pub fn new(fleet: &str) -> Codec {
         Codec::with_version(fleet, VERSION)
     }
 
-    /// For another protocol on the same links, which its version tells apart.
+    /// Creates a codec for another protocol on the same links, which is distinguished by its version.
     #[must_use]
     pub fn with_version(fleet: &str, version: u8) -> Codec {
         Codec {
@@ -82,19 +84,19 @@
     pub fn encode(&self, envelope: &Envelope, body: &impl Serialize) -> Vec<u8> {
         let mut frame = vec![self.version];
         frame.extend_from_slice(&self.fleet.to_le_bytes());
-        // Writing to a vector fails only on types without a known length, and there is none here.
+        // Encoding to a vector fails only for types without a known length, and no body has such a type.
         frame.extend(postcard::to_allocvec(&(envelope, body)).unwrap_or_default());
         let checksum = crc32fast::hash(&frame);
         frame.extend_from_slice(&checksum.to_le_bytes());
         frame
     }
 
-    /// Decodes a frame of at most `max_bytes`. The checksum is checked before fleet and version, so that a flipped
-    /// bit is reported as that.
+    /// Decodes a frame of at most `max_bytes`. The checksum is checked before fleet and version, so that a flipped bit
+    /// is reported as a checksum mismatch.
     ///
     /// # Errors
     ///
-    /// All of [`FrameError`] but `UnknownSender` and `InvalidValue`, which depend on the roster and the body.
+    /// Returns any [`FrameError`] except `UnknownSender` and `InvalidValue`, which depend on the roster and the body.
     pub fn decode<B: DeserializeOwned>(
         &self,
         frame: &[u8],
--- a/crates/dispatcher/swim/src/lib.rs
+++ b/crates/dispatcher/swim/src/lib.rs
@@ -1,8 +1,8 @@
 //! Membership of dispatchers: which members of a configured roster are alive, by SWIM (Das, Gupta and Motivala, DSN
 //! 2002) with the local health of Lifeguard (Dadgar, Phillips and Currey, 2017).
 //!
-//! The protocol does no I/O. The caller gives the time in seconds of a clock that never goes back, hands in received
-//! messages, calls [`Membership::tick`] at [`Membership::due`], and sends what lies in the [`Outbox`].
+//! The protocol does no I/O. The caller supplies the time in seconds on a monotonic clock, passes in received messages,
+//! calls [`Membership::tick`] at [`Membership::due`], and sends the messages in the [`Outbox`].
 //!
 //! ```text
 //!            receive, tick                          Outbox
@@ -16,12 +16,13 @@
 //!   +--------------------------------------------------------------+
 //! ```
 //!
-//! One member is probed in each protocol period. One that does not answer is probed by way of others, then suspected,
-//! then declared dead, unless it refutes that by a higher incarnation. Time-outs grow with how badly this member itself
-//! does. Updates travel on the messages of the failure detector. The roster is fixed by configuration.
+//! One member is probed in each protocol period. A member that does not answer is probed indirectly through others,
+//! then suspected, then declared dead, unless it refutes the suspicion with a higher incarnation. Time-outs grow as
+//! this member's local health degrades. Updates are piggybacked on the messages of the failure detector. The roster is
+//! fixed by configuration.
 //!
-//! [`Codec`] writes and reads frames with a length limit, a checksum and a check of the fleet; other protocols of the
-//! dispatcher use it too.
+//! [`Codec`] encodes and decodes frames with a length limit, a checksum and a check of the fleet. Other protocols of
+//! the dispatcher use it too.
 
 mod config;
 mod dissemination;
--- a/crates/dispatcher/swim/src/local_health.rs
+++ b/crates/dispatcher/swim/src/local_health.rs
@@ -1,21 +1,22 @@
-//! The local health multiplier (Lifeguard, section IV, local health aware probe).
+//! Local health multiplier (Lifeguard, section IV, local health aware probe).
 
-/// The highest score: all time-outs are then nine times as long.
+/// Maximum score, at which all time-outs are nine times as long.
 const MAX_SCORE: u32 = 8;
 
-/// How well this member itself has done of late: a slow accuser is as common as a dead accused.
+/// Health of this member itself, by its own recent probes and by suspicions of it. It is needed because a suspicion is
+/// as often due to a slow reporter as to a dead member.
 #[derive(Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// 0 when well, 8 at the worst.
+    /// Score from 0, healthy, to 8, the worst.
     pub(crate) fn score(&self) -> u32 {
         self.score
     }
 
-    /// What intervals and time-outs are multiplied by, 1 to 9.
+    /// Factor for intervals and time-outs, from 1 to 9.
     pub(crate) fn multiplier(&self) -> f64 {
         1.0 + f64::from(self.score)
     }
--- a/crates/dispatcher/swim/src/member_table.rs
+++ b/crates/dispatcher/swim/src/member_table.rs
@@ -1,33 +1,34 @@
-//! The member table: a fixed roster, and what is known of each member in it.
+//! Member table: a fixed roster, and the known state of each member in it.
 
 use crate::message::{MemberState, Update};
 use std::collections::BTreeMap;
 
-/// A member by configuration.
+/// Configured member.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its configured name.
+    /// Configured name of the member.
     pub name: String,
-    /// A hash of the name, which stands for it in messages.
+    /// Hash of the name, which identifies the member in messages.
     pub number: u64,
-    /// The index of its site.
+    /// Index of the member's site.
     pub site: u16,
 }
 
-/// What is known of one member.
+/// Known state of one member.
 #[derive(Clone, Debug)]
 pub struct MemberView {
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Its highest known incarnation.
+    /// Highest known incarnation of the member.
     pub incarnation: u64,
-    /// When it came into this state, in seconds of the caller's clock.
+    /// Time since which the member has been in this state, in seconds on the caller's clock.
     pub since: f64,
-    /// When a frame of its own was received last, in seconds of the caller's clock; negative infinity for never.
+    /// Time at which a frame sent by the member was last received, in seconds on the caller's clock; negative infinity
+    /// for never.
     pub last_received: f64,
 }
 
-/// Members are addressed by their index in the roster.
+/// The roster and the views of its members, which are addressed by their index in the roster.
 pub(crate) struct MemberTable {
     own_index: usize,
     roster: Vec<Peer>,
@@ -36,19 +37,19 @@
 }
 
 impl MemberTable {
-    pub(crate) fn new(roster: Vec<Peer>, own_index: usize, incarnation: u64, now: f64) -> Self {
+    pub(crate) fn new(roster: Vec<Peer>, own_index: usize, incarnation: u64, now_s: f64) -> Self {
         let unknown = MemberView {
             state: MemberState::Unknown,
             incarnation: 0,
-            since: now,
+            since: now_s,
             last_received: f64::NEG_INFINITY,
         };
         let mut views = vec![unknown; roster.len()];
         views[own_index] = MemberView {
             state: MemberState::Alive,
             incarnation,
-            since: now,
-            last_received: now,
+            since: now_s,
+            last_received: now_s,
         };
         let index_by_number = roster
             .iter()
@@ -92,12 +93,12 @@
     }
 
     pub(crate) fn live_count(&self) -> usize {
-        let live =
+        let is_live =
             |view: &&MemberView| matches!(view.state, MemberState::Alive | MemberState::Suspect);
-        self.views.iter().filter(live).count()
+        self.views.iter().filter(is_live).count()
     }
 
-    /// This member's view of another, as an update.
+    /// This member's view of a member as an update.
     pub(crate) fn update(&self, member: usize) -> Update {
         let view = &self.views[member];
         Update {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Updates for all members of which anything is known.
+    /// Updates about all members whose state is known.
     pub(crate) fn full_state(&self) -> Vec<Update> {
         (0..self.len())
             .filter(|member| self.views[*member].state != MemberState::Unknown)
--- a/crates/dispatcher/swim/src/membership.rs
+++ b/crates/dispatcher/swim/src/membership.rs
@@ -1,4 +1,4 @@
-//! One member's view of all others, and the protocol that keeps it.
+//! One member's view of all others, and the protocol that keeps the view up to date.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,86 +12,86 @@
 use crate::message::{MemberState, Message, Outbox, Update};
 use crate::suspicion::SuspicionTimers;
 
-/// An incarnation beyond this comes from no clock: the year 2200 in milliseconds of Unix time.
+/// Maximum valid incarnation, the year 2200 in milliseconds of Unix time: no clock gives a higher one.
 const MAX_INCARNATION: u64 = 7_300_000_000_000;
-/// A tick that comes later than this many probe intervals shows that this process did not run.
+/// A tick that is late by more than this many probe intervals shows that this process did not run.
 const STALL_INTERVALS: f64 = 2.0;
-/// The reporter of a claim that follows from a received frame: no member's number is needed for `Alive`.
+/// Reporter of a claim that is derived from a received frame: an `Alive` claim needs no member's number.
 const NO_REPORTER: u64 = 0;
 
-/// Counts since the start.
+/// Counts of protocol events since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes started.
+    /// Number of probes started.
     pub probes: u64,
-    /// Suspicions of other members.
+    /// Number of suspicions of other members.
     pub suspected: u64,
-    /// Of those, refuted: nobody had died.
+    /// Number of those suspicions that were refuted, so that the member was alive.
     pub refuted: u64,
-    /// Members declared dead.
+    /// Number of members declared dead.
     pub declared_dead: u64,
-    /// Times that this member was suspected while it lived.
+    /// Number of times that this member was suspected although it was alive.
     pub self_suspected: u64,
-    /// Times that this process did not run for a while.
+    /// Number of times that this process did not run for more than two probe intervals.
     pub stalls: u64,
 }
 
-/// What is claimed of a member, by its index in the roster.
+/// Claim about the state of a member, given by its index in the roster.
 #[derive(Clone, Copy)]
 struct Claim {
     member: usize,
     incarnation: u64,
     state: MemberState,
-    /// The number of the member that claims it.
+    /// Number of the member that makes the claim.
     reporter: u64,
 }
 
-/// The membership protocol of one member. It does no I/O: the caller gives the time in seconds, hands in received
-/// messages, and sends what is put into the outbox.
+/// Membership protocol of one member. It does no I/O: the caller supplies the time in seconds, passes in received
+/// messages, and sends the messages in the outbox.
 pub struct Membership {
     config: SwimConfig,
-    /// This member's own incarnation.
+    /// Incarnation of this member.
     incarnation: u64,
     members: MemberTable,
     suspicions: SuspicionTimers,
     updates: DisseminationQueue,
     detector: FailureDetector,
     health: LocalHealth,
-    next_probe_at: f64,
-    last_tick_at: f64,
+    next_probe_at_s: f64,
+    last_tick_at_s: f64,
     random: Pcg64Mcg,
-    /// Counts since the start.
+    /// Counts of protocol events since the start.
     pub counters: Counters,
 }
 
 impl Membership {
-    /// `own_index` is this member's index in the roster; `incarnation` must not lie under that of an earlier process
-    /// of the same name: milliseconds of Unix time serve, and where a clock was set back, updates on this member
-    /// itself raise it.
+    /// Creates the protocol state at the time `now_s`. `own_index` is this member's index in the roster. `incarnation`
+    /// must not be lower than that of an earlier process of the same name: Unix time in milliseconds is suitable, and
+    /// if the clock was set back, updates about this member raise the incarnation. `seed` seeds the random choices.
     ///
     /// # Panics
     ///
-    /// When `own_index` is not in the roster.
+    /// Panics if `own_index` is not an index in the roster.
     pub fn new(
         config: SwimConfig,
         roster: Vec<Peer>,
         own_index: usize,
         incarnation: u64,
         seed: u64,
-        now: f64,
+        now_s: f64,
     ) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ roster[own_index].number);
-        // Spread, so that members that start together do not probe together.
-        let next_probe_at = now + config.probe_interval_s * random.random::<f64>();
+        // The first probe is at a random time, so that members that start together do not probe at the same time.
+        let next_probe_at_s = now_s + config.probe_interval_s * random.random::<f64>();
         let mut membership = Membership {
             incarnation,
             suspicions: SuspicionTimers::new(roster.len(), config.probe_interval_s),
             updates: DisseminationQueue::new(roster.len()),
             detector: FailureDetector::default(),
             health: LocalHealth::default(),
-            members: MemberTable::new(roster, own_index, incarnation, now),
-            next_probe_at,
-            last_tick_at: now,
+            members: MemberTable::new(roster, own_index, incarnation, now_s),
+            next_probe_at_s,
+            last_tick_at_s: now_s,
             random,
             counters: Counters::default(),
             config,
@@ -100,100 +100,100 @@
         membership
     }
 
-    /// This member's index in the roster.
+    /// Index of this member in the roster.
     #[must_use]
     pub fn own_index(&self) -> usize {
         self.members.own_index()
     }
 
-    /// This member's own incarnation.
+    /// Incarnation of this member.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// All members by configuration, this one among them.
+    /// All configured members, including this one.
     #[must_use]
     pub fn roster(&self) -> &[Peer] {
         self.members.roster()
     }
 
-    /// The index in the roster of the member with this number.
+    /// Index in the roster of the member with this number, if there is one.
     #[must_use]
     pub fn index_of(&self, number: u64) -> Option<usize> {
         self.members.index_of(number)
     }
 
-    /// What is known of a member, by its index in the roster.
+    /// This member's view of the member with this index in the roster.
     ///
     /// # Panics
     ///
-    /// When the index is not in the roster.
+    /// Panics if the index is not in the roster.
     #[must_use]
     pub fn view(&self, member: usize) -> &MemberView {
         self.members.view(member)
     }
 
-    /// This member's local health score: 0 when well, 8 at the worst (Lifeguard).
+    /// Local health score of this member: 0 is healthy, 8 is the worst (Lifeguard).
     #[must_use]
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
-    /// Whether a message to this member may arrive: it is another one and not held dead. One of which nothing is
-    /// known may be there too.
+    /// Whether a message to this member may arrive: it is another member and is not known as dead. A member in state
+    /// `Unknown` counts as reachable.
     #[must_use]
     pub fn is_reachable(&self, member: usize) -> bool {
         member != self.own_index() && self.view(member).state != MemberState::Dead
     }
 
-    /// Members that are alive or suspected, this one among them.
+    /// Number of members that are alive or suspected, including this one.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.members.live_count()
     }
 
-    /// Updates for all members of which anything is known.
+    /// Updates about all members whose state is known.
     #[must_use]
     pub fn full_state(&self) -> Vec<Update> {
         self.members.full_state()
     }
 
-    /// When [`Membership::tick`] is to be called next, in seconds of the caller's clock.
+    /// Time at which the caller must call [`Membership::tick`] next, in seconds on its clock.
     #[must_use]
     pub fn due(&self) -> f64 {
-        self.next_probe_at
+        self.next_probe_at_s
             .min(self.detector.next_deadline())
             .min(self.suspicions.next_deadline())
     }
 
-    /// A frame of this member itself was received: it lives, whatever others say.
-    pub fn confirm_alive(&mut self, now: f64, member: usize, incarnation: u64) {
+    /// Records that a frame sent by this member was received: it is alive, regardless of the reports of others.
+    pub fn confirm_alive(&mut self, now_s: f64, member: usize, incarnation: u64) {
         if member == self.own_index() {
             return;
         }
-        self.members.view_mut(member).last_received = now;
+        self.members.view_mut(member).last_received = now_s;
         let claim = Claim {
             member,
             incarnation,
             state: MemberState::Alive,
             reporter: NO_REPORTER,
         };
-        self.apply(now, claim);
+        self.apply(now_s, claim);
     }
 
     /// Applies received updates.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidValue`] when an update is about no configured member or holds an impossible value; the
-    /// others are applied nevertheless.
-    pub fn apply_updates(&mut self, now: f64, updates: &[Update]) -> Result<(), FrameError> {
+    /// Returns [`FrameError::InvalidValue`] if there are too many updates, or if one is about no configured member or
+    /// has an invalid value. Valid updates are applied nevertheless.
+    pub fn apply_updates(&mut self, now_s: f64, updates: &[Update]) -> Result<(), FrameError> {
         let max_updates = self.members.len().max(MAX_PIGGYBACKED);
         let mut all_valid = updates.len() <= max_updates;
         for update in updates.iter().take(max_updates) {
             match self.validate(update) {
-                Some(claim) => self.apply(now, claim),
+                Some(claim) => self.apply(now_s, claim),
                 None => all_valid = false,
             }
         }
@@ -210,12 +210,12 @@
             return None;
         }
         let view = self.view(member);
-        // Guards against a death that its reporter knows from hearsay alone: the member is suspected first, unless
-        // it already was here.
-        let is_hearsay = update.state == MemberState::Dead
+        // The reporter of a dead member may only forward a report of others. The member is therefore suspected first,
+        // unless it is already suspected here.
+        let is_forwarded_death = update.state == MemberState::Dead
             && view.state == MemberState::Alive
             && update.incarnation == view.incarnation;
-        let state = if is_hearsay {
+        let state = if is_forwarded_death {
             MemberState::Suspect
         } else {
             update.state
@@ -228,9 +228,9 @@
         })
     }
 
-    /// Applies a claim by SWIM's order (section 4.2): a higher incarnation overrides all; at the same one, dead
-    /// overrides suspect and that alive.
-    fn apply(&mut self, now: f64, claim: Claim) {
+    /// Applies a claim by SWIM's order (section 4.2): a higher incarnation overrides all states. At the same
+    /// incarnation, dead overrides suspect, and suspect overrides alive.
+    fn apply(&mut self, now_s: f64, claim: Claim) {
         let Claim {
             member,
             incarnation,
@@ -246,13 +246,14 @@
             && view.state == MemberState::Suspect
             && incarnation == view.incarnation
         {
-            return self.accuse(member, reporter);
+            return self.add_reporter(member, reporter);
         }
         let is_newer = incarnation > view.incarnation || !is_known;
         let overrides =
             incarnation == view.incarnation && state.precedence() > view.state.precedence();
         if !is_newer && !overrides {
-            // A member that speaks under an incarnation held dead or suspect learns of it, and refutes.
+            // A member that sends under an incarnation known as dead or suspect must learn of that, so that it can
+            // refute.
             if state == MemberState::Alive
                 && view.state.precedence() > MemberState::Alive.precedence()
             {
@@ -262,7 +263,7 @@
         }
         let view = self.members.view_mut(member);
         let state_before = std::mem::replace(&mut view.state, state);
-        (view.incarnation, view.since) = (incarnation, now);
+        (view.incarnation, view.since) = (incarnation, now_s);
         if self.suspicions.cancel(member) && state == MemberState::Alive {
             self.counters.refuted += 1;
         }
@@ -270,7 +271,7 @@
             MemberState::Suspect => {
                 self.counters.suspected += 1;
                 let multiplier = self.health.multiplier();
-                self.suspicions.start(now, member, reporter, multiplier);
+                self.suspicions.start(now_s, member, reporter, multiplier);
             }
             MemberState::Dead if state_before != MemberState::Dead => {
                 self.counters.declared_dead += 1;
@@ -280,28 +281,29 @@
         self.disseminate(member);
     }
 
-    /// Answers a claim about this member itself by a higher incarnation, unless it says that it is alive now.
+    /// Refutes a claim about this member with a higher incarnation, unless the claim is that it is alive at its present
+    /// incarnation or is about an earlier one.
     fn refute(&mut self, state: MemberState, incarnation: u64) {
-        let is_accused = state != MemberState::Alive && incarnation >= self.incarnation;
-        // Guards against the incarnation of an earlier process whose clock was ahead of this one's.
+        let is_reported_failed = state != MemberState::Alive && incarnation >= self.incarnation;
+        // An earlier process of this name may have had a clock that was ahead of this one's.
         let is_outdated = incarnation > self.incarnation;
-        if !is_accused && !is_outdated {
+        if !is_reported_failed && !is_outdated {
             return;
         }
         let own_index = self.own_index();
         self.incarnation = incarnation + 1;
         self.members.view_mut(own_index).incarnation = self.incarnation;
         self.disseminate(own_index);
-        if is_accused {
+        if is_reported_failed {
             self.counters.self_suspected += 1;
-            // Guards against a member so slow that it is thought dead accusing others in turn.
+            // A member so slow that others suspect it must not suspect others in turn.
             self.health.degrade();
         }
     }
 
-    fn accuse(&mut self, member: usize, reporter: u64) {
+    fn add_reporter(&mut self, member: usize, reporter: u64) {
         let multiplier = self.health.multiplier();
-        if self.suspicions.accuse(member, reporter, multiplier) {
+        if self.suspicions.add_reporter(member, reporter, multiplier) {
             self.disseminate(member);
         }
     }
@@ -310,27 +312,28 @@
         self.updates.enqueue(member, self.members.update(member));
     }
 
-    /// Handles a message of the member `from`; replies are put into the outbox.
+    /// Handles a message of the member with index `from` and appends the replies to the outbox.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidValue`] when it holds an impossible value; what is valid of it is handled nevertheless.
+    /// Returns [`FrameError::InvalidValue`] if the message has an invalid value. Its valid updates are applied
+    /// nevertheless.
     pub fn receive(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: usize,
         message: Message,
         outbox: &mut Outbox,
     ) -> Result<(), FrameError> {
         match message {
             Message::Ping { sequence, updates } => {
-                let applied = self.apply_updates(now, &updates);
+                let applied = self.apply_updates(now_s, &updates);
                 let updates = self.updates.take_for_message();
                 outbox.push((from, Message::Ack { sequence, updates }));
                 applied
             }
             Message::Ack { sequence, updates } => {
-                let applied = self.apply_updates(now, &updates);
+                let applied = self.apply_updates(now_s, &updates);
                 self.receive_ack(sequence, outbox);
                 applied
             }
@@ -339,7 +342,7 @@
                 target,
                 updates,
             } => {
-                let applied = self.apply_updates(now, &updates);
+                let applied = self.apply_updates(now_s, &updates);
                 let target = self
                     .index_of(target)
                     .filter(|target| *target != self.own_index())
@@ -348,7 +351,7 @@
                     requester: from,
                     sequence,
                 };
-                self.relay_ping(now, origin, target, outbox);
+                self.relay_ping(now_s, origin, target, outbox);
                 applied
             }
             Message::Nack { sequence } => {
@@ -371,52 +374,52 @@
         }
     }
 
-    fn relay_ping(&mut self, now: f64, origin: PingOrigin, target: usize, outbox: &mut Outbox) {
-        let deadline = now + self.config.ack_timeout_s;
+    fn relay_ping(&mut self, now_s: f64, origin: PingOrigin, target: usize, outbox: &mut Outbox) {
+        let deadline_s = now_s + self.config.ack_timeout_s;
         let member_count = self.members.len();
-        if let Some(sequence) = self.detector.relay(origin, deadline, member_count) {
+        if let Some(sequence) = self.detector.relay(origin, deadline_s, member_count) {
             let updates = self.updates.take_for_message();
             outbox.push((target, Message::Ping { sequence, updates }));
         }
     }
 
-    /// Does what is due by now; call it at [`Membership::due`].
-    pub fn tick(&mut self, now: f64, outbox: &mut Outbox) {
-        self.check_for_stall(now);
-        for origin in self.detector.take_expired_relayed(now) {
+    /// Performs all actions that are due. The caller calls it at [`Membership::due`].
+    pub fn tick(&mut self, now_s: f64, outbox: &mut Outbox) {
+        self.check_for_stall(now_s);
+        for origin in self.detector.take_expired_relayed(now_s) {
             let nack = Message::Nack {
                 sequence: origin.sequence,
             };
             outbox.push((origin.requester, nack));
         }
-        if let Some(probe) = self.detector.late_probe(now) {
+        if let Some(probe) = self.detector.late_probe(now_s) {
             self.request_pings(probe, outbox);
         }
-        self.suspect_failed_probe(now);
-        for member in self.suspicions.expired(now) {
-            self.declare_dead(now, member);
+        self.suspect_failed_probe(now_s);
+        for member in self.suspicions.expired(now_s) {
+            self.declare_dead(now_s, member);
         }
-        if now >= self.next_probe_at {
-            self.next_probe_at = now + self.config.probe_interval_s * self.health.multiplier();
-            self.start_probe(now, outbox);
+        if now_s >= self.next_probe_at_s {
+            self.next_probe_at_s = now_s + self.config.probe_interval_s * self.health.multiplier();
+            self.start_probe(now_s, outbox);
         }
     }
 
-    /// Guards against a process that was paused or had no core: what it did not receive meanwhile says nothing of
-    /// others. Deadlines move on by as much, and its own health suffers.
-    fn check_for_stall(&mut self, now: f64) {
-        let late_s = now - self.due().max(self.last_tick_at);
-        self.last_tick_at = now;
+    /// Detects that this process was paused or had no core. Messages that it did not receive meanwhile are no evidence
+    /// against other members, so probes are dropped, suspicions are postponed by that time, and local health degrades.
+    fn check_for_stall(&mut self, now_s: f64) {
+        let late_s = now_s - self.due().max(self.last_tick_at_s);
+        self.last_tick_at_s = now_s;
         if late_s > STALL_INTERVALS * self.config.probe_interval_s {
             self.counters.stalls += 1;
             self.health.degrade();
             self.detector.reset();
             self.suspicions.postpone(late_s);
-            self.next_probe_at = now;
+            self.next_probe_at_s = now_s;
         }
     }
 
-    fn start_probe(&mut self, now: f64, outbox: &mut Outbox) {
+    fn start_probe(&mut self, now_s: f64, outbox: &mut Outbox) {
         let target = self.detector.choose_target(&self.members, &mut self.random);
         let Some(target) = target else {
             return;
@@ -425,40 +428,40 @@
         let multiplier = self.health.multiplier();
         let sequence = self
             .detector
-            .start_probe(now, target, &self.config, multiplier);
+            .start_probe(now_s, target, &self.config, multiplier);
         let updates = self.updates.take_for_message();
         outbox.push((target, Message::Ping { sequence, updates }));
     }
 
     fn request_pings(&mut self, probe: LateProbe, outbox: &mut Outbox) {
-        let is_able = |member: &usize| {
+        let can_help = |member: &usize| {
             *member != probe.target
                 && *member != self.own_index()
                 && self.view(*member).state == MemberState::Alive
         };
-        let mut able: Vec<usize> = (0..self.members.len()).filter(is_able).collect();
+        let mut helpers: Vec<usize> = (0..self.members.len()).filter(can_help).collect();
         let target = self.members.roster()[probe.target].number;
-        let count = self.config.indirect_probes.min(able.len());
-        for place in 0..count {
-            let other = self.random.random_range(place..able.len());
-            able.swap(place, other);
+        let count = self.config.indirect_probes.min(helpers.len());
+        for index in 0..count {
+            let other = self.random.random_range(index..helpers.len());
+            helpers.swap(index, other);
             let request = Message::PingReq {
                 sequence: probe.sequence,
                 target,
                 updates: self.updates.take_for_message(),
             };
-            outbox.push((able[place], request));
+            outbox.push((helpers[index], request));
         }
-        self.detector.asked(count);
+        self.detector.record_indirect_pings(count);
     }
 
-    fn suspect_failed_probe(&mut self, now: f64) {
-        let Some(probe) = self.detector.take_failed_probe(now) else {
+    fn suspect_failed_probe(&mut self, now_s: f64) {
+        let Some(probe) = self.detector.take_failed_probe(now_s) else {
             return;
         };
         let view = self.members.view(probe.target);
         let (state, incarnation) = (view.state, view.incarnation);
-        // A member that was asked and sent not even a nack is a sign of this member's own links.
+        // If a member that was asked to ping did not even send a nack, this member's own links are likely to be faulty.
         if state != MemberState::Dead && !probe.all_nacked {
             self.health.degrade();
         }
@@ -469,17 +472,17 @@
                 state: MemberState::Suspect,
                 reporter: self.members.own_number(),
             };
-            self.apply(now, claim);
+            self.apply(now_s, claim);
         }
     }
 
-    fn declare_dead(&mut self, now: f64, member: usize) {
+    fn declare_dead(&mut self, now_s: f64, member: usize) {
         let claim = Claim {
             member,
             incarnation: self.members.view(member).incarnation,
             state: MemberState::Dead,
             reporter: self.members.own_number(),
         };
-        self.apply(now, claim);
+        self.apply(now_s, claim);
     }
 }
--- a/crates/dispatcher/swim/src/message.rs
+++ b/crates/dispatcher/swim/src/message.rs
@@ -1,22 +1,22 @@
-//! Messages between members and the updates that travel on them.
+//! Messages between members and the updates that are piggybacked on them.
 
 use serde::{Deserialize, Serialize};
 
-/// The state of one member as another sees it. The order of the variants is part of the wire format.
+/// State of one member as known to another. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Nothing has been received from it or about it.
+    /// Nothing has been received from the member or about it.
     Unknown,
-    /// It answers, or another member says so.
+    /// The member answers, or another member reports that it does.
     Alive,
-    /// It did not answer a probe and has not refuted that yet (SWIM, section 4.2).
+    /// The member did not answer a probe and has not refuted the suspicion yet (SWIM, section 4.2).
     Suspect,
-    /// Its suspicion timed out.
+    /// The suspicion of the member timed out.
     Dead,
 }
 
 impl MemberState {
-    /// The spelling on the operators' page of members.
+    /// Name of the state on the operators' page of members.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Which of two states at the same incarnation overrides the other: the higher one (SWIM, section 4.2).
+    /// Precedence of the state: of two states at the same incarnation, the one with the higher precedence overrides the
+    /// other (SWIM, section 4.2).
     pub(crate) fn precedence(self) -> u8 {
         match self {
             MemberState::Unknown => 0,
@@ -38,48 +39,49 @@
     }
 }
 
-/// What one member says of another. The order of the fields is part of the wire format.
+/// Report of one member on the state of another. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The number of the member that this is about.
+    /// Number of the member that the update is about.
     pub member: u64,
-    /// The incarnation of that member that this is about.
+    /// Incarnation of that member to which the update applies.
     pub incarnation: u64,
-    /// Its state.
+    /// State of that member.
     pub state: MemberState,
-    /// The number of the member that says so: independent accusers shorten a suspicion (Lifeguard).
+    /// Number of the member that reports the state: independent reporters shorten a suspicion (Lifeguard).
     pub reporter: u64,
 }
 
 /// A message of the protocol (SWIM, section 3.1). The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver for an [`Message::Ack`].
+    /// Asks the receiver for a [`Message::Ack`].
     Ping {
-        /// Chosen by the sender; the answer repeats it.
+        /// Sequence number chosen by the sender and repeated in the answer.
         sequence: u32,
         /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Answers a ping, or a ping-req whose target answered.
+    /// Answers a ping, or a ping-req (a request for an indirect ping) whose target answered.
     Ack {
-        /// Of the ping or ping-req.
+        /// Sequence number of the ping or ping-req.
         sequence: u32,
         /// Piggybacked updates.
         updates: Vec<Update>,
     },
     /// Asks the receiver to ping `target` for the sender.
     PingReq {
-        /// Chosen by the sender; the answer repeats it.
+        /// Sequence number chosen by the sender and repeated in the answer.
         sequence: u32,
-        /// The number of the member to ping.
+        /// Number of the member to ping.
         target: u64,
         /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Answers a ping-req whose target did not answer: shows that the link to the receiver itself works (Lifeguard).
+    /// Answers a ping-req whose target did not answer. It shows that the link between requester and helper works
+    /// (Lifeguard).
     Nack {
-        /// Of the ping-req.
+        /// Sequence number of the ping-req.
         sequence: u32,
     },
 }
--- a/crates/dispatcher/swim/src/suspicion.rs
+++ b/crates/dispatcher/swim/src/suspicion.rs
@@ -1,25 +1,27 @@
-//! Suspicion timers (SWIM, section 4.2), shortened by independent accusers (Lifeguard, section IV, local health
+//! Suspicion timers (SWIM, section 4.2), shortened by independent reporters (Lifeguard, section IV, local health
 //! aware suspicion).
 
 use std::collections::BTreeMap;
 
-/// The shortest suspicion lasts this many times log10(n) probe intervals (Lifeguard's alpha).
+/// The shortest suspicion lasts this number times log10(n) probe intervals, where n is the number of members
+/// (Lifeguard's alpha).
 const MIN_TIMEOUT_FACTOR: f64 = 4.0;
-/// A suspicion with one accuser lasts this many times the shortest (Lifeguard's beta).
+/// A suspicion with one reporter lasts this many times as long as the shortest (Lifeguard's beta).
 const MAX_TIMEOUT_FACTOR: f64 = 6.0;
-/// With this many accusers beside the first, a suspicion is shortest (Lifeguard's K).
+/// With this many reporters in addition to the first, a suspicion has its shortest duration (Lifeguard's K).
 const MAX_CONFIRMATIONS: usize = 3;
 
+/// Suspicion of one member. Times are in seconds on the caller's clock.
 struct Suspicion {
-    started_at: f64,
-    deadline: f64,
-    /// Numbers of the members that accuse.
-    accusers: Vec<u64>,
+    started_at_s: f64,
+    deadline_s: f64,
+    /// Numbers of the members that reported the suspicion.
+    reporters: Vec<u64>,
 }
 
-/// The running suspicions, by the suspected member's index in the roster.
+/// Suspicions that have not ended, by the suspected member's index in the roster.
 pub(crate) struct SuspicionTimers {
-    /// The shortest suspicion at best local health, in seconds.
+    /// Shortest duration of a suspicion at the best local health, in seconds.
     min_timeout_s: f64,
     running: BTreeMap<usize, Suspicion>,
 }
@@ -33,63 +35,74 @@
         }
     }
 
-    /// Starts a suspicion with its first accuser.
-    pub(crate) fn start(&mut self, now: f64, member: usize, accuser: u64, health_multiplier: f64) {
+    /// Starts a suspicion with its first reporter.
+    pub(crate) fn start(
+        &mut self,
+        now_s: f64,
+        member: usize,
+        reporter: u64,
+        health_multiplier: f64,
+    ) {
         let suspicion = Suspicion {
-            started_at: now,
-            deadline: f64::INFINITY,
-            accusers: Vec::new(),
+            started_at_s: now_s,
+            deadline_s: f64::INFINITY,
+            reporters: Vec::new(),
         };
         self.running.insert(member, suspicion);
-        self.accuse(member, accuser, health_multiplier);
+        self.add_reporter(member, reporter, health_multiplier);
     }
 
-    /// Counts another accuser: the more there are, the sooner the suspicion ends. False when it changes nothing.
-    pub(crate) fn accuse(&mut self, member: usize, accuser: u64, health_multiplier: f64) -> bool {
+    /// Adds a reporter: the more reporters there are, the sooner the suspicion ends. Returns false if nothing changed.
+    pub(crate) fn add_reporter(
+        &mut self,
+        member: usize,
+        reporter: u64,
+        health_multiplier: f64,
+    ) -> bool {
         let Some(suspicion) = self.running.get_mut(&member) else {
             return false;
         };
-        let full = suspicion.accusers.len() > MAX_CONFIRMATIONS;
-        if full || suspicion.accusers.contains(&accuser) {
+        let is_full = suspicion.reporters.len() > MAX_CONFIRMATIONS;
+        if is_full || suspicion.reporters.contains(&reporter) {
             return false;
         }
-        suspicion.accusers.push(accuser);
+        suspicion.reporters.push(reporter);
         let min_s = self.min_timeout_s * health_multiplier;
         let max_s = MAX_TIMEOUT_FACTOR * min_s;
-        let confirmations = (suspicion.accusers.len() - 1) as f64;
-        let part = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
-        let timeout_s = (max_s - (max_s - min_s) * part).max(min_s);
-        suspicion.deadline = suspicion.started_at + timeout_s;
+        let confirmations = (suspicion.reporters.len() - 1) as f64;
+        let fraction = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
+        let timeout_s = (max_s - (max_s - min_s) * fraction).max(min_s);
+        suspicion.deadline_s = suspicion.started_at_s + timeout_s;
         true
     }
 
-    /// Ends a suspicion; false when there was none.
+    /// Ends a suspicion. Returns false if there was none.
     pub(crate) fn cancel(&mut self, member: usize) -> bool {
         self.running.remove(&member).is_some()
     }
 
-    /// Moves all suspicions on by a time in which this process did not run.
-    pub(crate) fn postpone(&mut self, by_s: f64) {
+    /// Postpones all suspicions by the time in which this process did not run.
+    pub(crate) fn postpone(&mut self, delay_s: f64) {
         for suspicion in self.running.values_mut() {
-            suspicion.deadline += by_s;
-            suspicion.started_at += by_s;
+            suspicion.deadline_s += delay_s;
+            suspicion.started_at_s += delay_s;
         }
     }
 
     /// Members whose suspicion has timed out.
-    pub(crate) fn expired(&self, now: f64) -> Vec<usize> {
+    pub(crate) fn expired(&self, now_s: f64) -> Vec<usize> {
         self.running
             .iter()
-            .filter(|(_, suspicion)| suspicion.deadline <= now)
+            .filter(|(_, suspicion)| suspicion.deadline_s <= now_s)
             .map(|(member, _)| *member)
             .collect()
     }
 
-    /// The first deadline; infinity without one.
+    /// Earliest deadline of all suspicions; infinity without one.
     pub(crate) fn next_deadline(&self) -> f64 {
         self.running
             .values()
-            .map(|suspicion| suspicion.deadline)
+            .map(|suspicion| suspicion.deadline_s)
             .fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/dispatcher/swim/tests/encoding.rs
+++ b/crates/dispatcher/swim/tests/encoding.rs
@@ -1,5 +1,6 @@
-//! The bytes of frames between members. Membership of different releases speak to each other: a difference from
-//! `fixtures/frames.txt` is a new version, never a new fixture alone. All fields of an example differ.
+//! Encoding of the frames between members. Guards against an accidental change of the wire format, which would break a
+//! fleet that runs different releases: a difference from `fixtures/frames.txt` requires a new version of the format,
+//! never only a new fixture. All fields of an example differ, so that swapped fields are noticed.
 
 use sagetrail_fixture::Fixture;
 use sagetrail_swim::{
@@ -8,10 +9,10 @@
 use std::collections::BTreeSet;
 
 const FIXTURE: &str = include_str!("fixtures/frames.txt");
-/// Another version's frames go over the same links.
+/// Version of another protocol whose frames use the same links.
 const OTHER_VERSION: u8 = 0x51;
 
-/// No wildcard: a variant that is not named here does not compile.
+/// Name of a message in the fixture. The match has no wildcard, so that a new variant does not compile without a name.
 fn message_name(message: &Message) -> &'static str {
     match message {
         Message::Ping { .. } => "probe",
@@ -81,12 +82,15 @@
 fn every_variant_has_an_example() {
     let named: BTreeSet<&str> = messages().iter().map(message_name).collect();
     assert_eq!(named, BTreeSet::from(MESSAGES));
-    let named: BTreeSet<&str> = updates().iter().map(|u| state_name(u.state)).collect();
+    let named: BTreeSet<&str> = updates()
+        .iter()
+        .map(|update| state_name(update.state))
+        .collect();
     assert_eq!(named, BTreeSet::from(STATES));
 }
 
 #[test]
-fn frames_are_written_as_the_fixture_says() {
+fn frames_are_encoded_as_in_the_fixture() {
     let mut written = Fixture::default();
     let codec = Codec::new("fleet");
     for message in messages() {
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn frames_are_read_from_the_bytes_of_the_fixture() {
+fn frames_of_the_fixture_are_decoded() {
     let (fixture, codec) = (Fixture::read(FIXTURE), Codec::new("fleet"));
     for message in messages() {
         let frame = fixture.bytes(message_name(&message));
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn the_limits_of_frames_are_the_same() {
+fn version_and_size_limits_of_frames_are_unchanged() {
     assert_eq!(
         (VERSION, MAX_DATAGRAM_BYTES, MAX_SYNC_BYTES),
         (1, 1400, 4 << 20)
--- a/crates/dispatcher/swim/tests/network/mod.rs
+++ b/crates/dispatcher/swim/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! Membership on a network of messages that are lost, doubled, late and out of order, by seed.
+//! Members on a simulated network that loses, duplicates, delays and reorders messages, as determined by a seed.
 
 #![allow(dead_code)]
 use std::collections::BTreeMap;
@@ -10,48 +10,54 @@
     MAX_DATAGRAM_BYTES,
 };
 
+/// Frame that was sent and has not arrived yet.
 struct InFlight {
     from: usize,
     to: usize,
-    /// The process of the receiver that it was sent to.
+    /// Process of the receiver to which the frame was sent.
     process: u64,
     frame: Vec<u8>,
 }
 
 pub(crate) struct Network {
-    pub now: f64,
+    /// Simulated time in seconds.
+    pub now_s: f64,
     pub members: Vec<Option<Membership>>,
     roster: Vec<Peer>,
+    /// Frames in flight by the time of arrival in microseconds and the number of the frame.
     queue: BTreeMap<(u64, u64), InFlight>,
     sent: u64,
     pub bytes: u64,
     pub random: Pcg64Mcg,
+    /// Probability that a message is lost.
     pub loss: f64,
+    /// Probability that a message is duplicated.
     pub duplication: f64,
+    /// Minimum and maximum delay of a message in seconds.
     pub delay_s: (f64, f64),
-    /// Links, from and to, that nothing passes.
+    /// Links, from and to, that deliver nothing.
     pub blocked: Vec<(usize, usize)>,
     pub paused: Vec<bool>,
     processes: Vec<u64>,
     codec: Codec,
 }
 
-pub(crate) fn roster(n: usize) -> Vec<Peer> {
-    (0..n)
-        .map(|m| Peer {
-            name: format!("m{m}"),
-            number: 1000 + m as u64,
-            site: (m % 3) as u16,
+pub(crate) fn roster(member_count: usize) -> Vec<Peer> {
+    (0..member_count)
+        .map(|member| Peer {
+            name: format!("m{member}"),
+            number: 1000 + member as u64,
+            site: (member % 3) as u16,
         })
         .collect()
 }
 
 impl Network {
-    pub(crate) fn new(n: usize, seed: u64) -> Network {
+    pub(crate) fn new(member_count: usize, seed: u64) -> Network {
         let mut network = Network {
-            now: 0.0,
-            members: (0..n).map(|_| None).collect(),
-            roster: roster(n),
+            now_s: 0.0,
+            members: (0..member_count).map(|_| None).collect(),
+            roster: roster(member_count),
             queue: BTreeMap::new(),
             sent: 0,
             bytes: 0,
@@ -60,29 +66,29 @@
             duplication: 0.0,
             delay_s: (0.0005, 0.002),
             blocked: Vec::new(),
-            paused: vec![false; n],
-            processes: vec![0; n],
+            paused: vec![false; member_count],
+            processes: vec![0; member_count],
             codec: Codec::new("test"),
         };
-        (0..n).for_each(|who| network.start(who, 1000));
+        (0..member_count).for_each(|member| network.start(member, 1000));
         network
     }
 
-    pub(crate) fn start(&mut self, who: usize, incarnation: u64) {
-        self.processes[who] += 1;
+    pub(crate) fn start(&mut self, member: usize, incarnation: u64) {
+        self.processes[member] += 1;
         let seed = self.random.random();
-        self.members[who] = Some(Membership::new(
+        self.members[member] = Some(Membership::new(
             SwimConfig::default(),
             self.roster.clone(),
-            who,
+            member,
             incarnation,
             seed,
-            self.now,
+            self.now_s,
         ));
     }
 
-    pub(crate) fn stop(&mut self, who: usize) {
-        self.members[who] = None;
+    pub(crate) fn stop(&mut self, member: usize) {
+        self.members[member] = None;
     }
 
     fn send(&mut self, from: usize, outbox: Outbox) {
@@ -105,11 +111,11 @@
                 if self.random.random_bool(self.loss) {
                     continue;
                 }
-                let late = self.random.random_range(self.delay_s.0..=self.delay_s.1);
+                let delay_s = self.random.random_range(self.delay_s.0..=self.delay_s.1);
                 self.sent += 1;
-                let at = ((self.now + late) * 1e6) as u64;
+                let arrival_us = ((self.now_s + delay_s) * 1e6) as u64;
                 self.queue.insert(
-                    (at, self.sent),
+                    (arrival_us, self.sent),
                     InFlight {
                         from,
                         to,
@@ -121,32 +127,35 @@
         }
     }
 
-    /// Runs until the time, or until the test holds; true if it did.
+    /// Runs until the time `end`, in seconds, or until `test` returns true. Returns its last result.
     pub(crate) fn run_until(&mut self, end: f64, mut test: impl FnMut(&Network) -> bool) -> bool {
         loop {
-            let awake = |who: &usize| !self.paused[*who] && self.members[*who].is_some();
-            let due = |who: usize| {
-                self.members[who]
+            let is_running =
+                |member: &usize| !self.paused[*member] && self.members[*member].is_some();
+            let due = |member: usize| {
+                self.members[member]
                     .as_ref()
-                    .map_or(f64::INFINITY, |m| m.due().max(self.now))
+                    .map_or(f64::INFINITY, |member| member.due().max(self.now_s))
             };
             let next = (0..self.members.len())
-                .filter(awake)
-                .map(|who| (due(who), who));
+                .filter(is_running)
+                .map(|member| (due(member), member));
             let next = next
                 .min_by(|a, b| a.0.total_cmp(&b.0))
                 .unwrap_or((f64::INFINITY, 0));
             let frame = self
                 .queue
                 .first_key_value()
-                .map_or(f64::INFINITY, |((at, _), _)| *at as f64 / 1e6);
+                .map_or(f64::INFINITY, |((arrival_us, _), _)| {
+                    *arrival_us as f64 / 1e6
+                });
             if next.0.min(frame) > end {
-                self.now = end;
+                self.now_s = end;
                 return test(self);
             }
             let mut outbox = Outbox::new();
             if frame <= next.0 {
-                self.now = frame.max(self.now);
+                self.now_s = frame.max(self.now_s);
                 let Some((
                     key,
                     InFlight {
@@ -163,7 +172,7 @@
                     continue;
                 }
                 if self.paused[to] {
-                    // The socket's buffer keeps it: it is read at the end of the pause.
+                    // The socket's buffer keeps the frame, which is read at the end of the pause.
                     self.queue.insert(
                         (key.0 + 50_000, key.1),
                         InFlight {
@@ -180,17 +189,17 @@
                 let Some(member) = &mut self.members[to] else {
                     continue;
                 };
-                member.confirm_alive(self.now, from, envelope.incarnation);
+                member.confirm_alive(self.now_s, from, envelope.incarnation);
                 member
-                    .receive(self.now, from, message, &mut outbox)
+                    .receive(self.now_s, from, message, &mut outbox)
                     .unwrap();
                 self.send(to, outbox);
             } else {
-                self.now = next.0;
+                self.now_s = next.0;
                 self.members[next.1]
                     .as_mut()
                     .unwrap()
-                    .tick(self.now, &mut outbox);
+                    .tick(self.now_s, &mut outbox);
                 self.send(next.1, outbox);
             }
             if test(self) {
@@ -200,7 +209,7 @@
     }
 
     pub(crate) fn run(&mut self, seconds: f64) {
-        let end = self.now + seconds;
+        let end = self.now_s + seconds;
         self.run_until(end, |_| false);
     }
 
@@ -208,13 +217,13 @@
         self.members[by].as_ref().unwrap().view(of).state
     }
 
-    pub(crate) fn all_hold(&self, of: usize, state: MemberState) -> bool {
+    pub(crate) fn all_see(&self, of: usize, state: MemberState) -> bool {
         (0..self.members.len())
             .all(|by| by == of || self.members[by].is_none() || self.state(of, by) == state)
     }
 
     pub(crate) fn all_alive(&self) -> bool {
-        (0..self.members.len()).all(|of| self.all_hold(of, MemberState::Alive))
+        (0..self.members.len()).all(|of| self.all_see(of, MemberState::Alive))
     }
 
     pub(crate) fn counters(&self) -> Counters {
--- a/crates/dispatcher/swim/tests/scenarios.rs
+++ b/crates/dispatcher/swim/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenarios of members that die, stall, restart, report falsely or are partitioned.
+//! Members that die, stall, restart, send false reports or are partitioned. Guards against live members that are
+//! declared dead, dead ones that are not detected, members that do not rejoin, and invalid frames that change the view.
 
 mod network;
 
@@ -11,38 +12,41 @@
 
 #[test]
 fn a_dead_member_is_declared_dead_by_all_within_seconds_and_no_other_is_suspected() {
-    for (n, within) in [(3, 12.0), (12, 16.0), (25, 20.0)] {
-        let mut network = Network::new(n, n as u64);
-        assert!(network.run_until(5.0, Network::all_alive), "all alive");
+    for (member_count, within_s) in [(3, 12.0), (12, 16.0), (25, 20.0)] {
+        let mut network = Network::new(member_count, member_count as u64);
+        assert!(
+            network.run_until(5.0, Network::all_alive),
+            "all members are alive"
+        );
         network.stop(1);
-        let end = network.now + within;
+        let end = network.now_s + within_s;
         assert!(
-            network.run_until(end, |network| network.all_hold(1, MemberState::Dead)),
-            "{n}: known by {}",
-            network.now
+            network.run_until(end, |network| network.all_see(1, MemberState::Dead)),
+            "{member_count} members: the death is not known to all at {} s",
+            network.now_s
         );
         assert_eq!(network.counters().refuted, 0);
     }
 }
 
 #[test]
-fn with_a_third_of_messages_lost_and_delayed_few_live_members_are_held_dead_and_not_for_long() {
+fn with_a_third_of_messages_lost_and_delayed_few_live_members_are_declared_dead_and_not_for_long() {
     let mut network = Network::new(12, 5);
     (network.loss, network.delay_s, network.duplication) = (0.3, (0.0, 0.5), 0.1);
     network.run(60.0);
-    let held_dead = (0..12).flat_map(|of| (0..12).map(move |by| (of, by)));
-    let held_dead = held_dead
+    let views = (0..12).flat_map(|of| (0..12).map(move |by| (of, by)));
+    let false_dead_count = views
         .filter(|(of, by)| of != by && network.state(*of, *by) == MemberState::Dead)
         .count();
     assert!(
-        held_dead <= 26,
-        "{held_dead} of 132 views hold a living member dead"
+        false_dead_count <= 26,
+        "{false_dead_count} of 132 views have a live member as dead"
     );
     (network.loss, network.delay_s) = (0.0, (0.0005, 0.002));
-    let end = network.now + 30.0;
+    let end = network.now_s + 30.0;
     assert!(
         network.run_until(end, Network::all_alive),
-        "all alive again"
+        "all members are alive again"
     );
 }
 
@@ -51,14 +55,14 @@
     let mut network = Network::new(6, 8);
     network.run(3.0);
     network.blocked = (0..3)
-        .flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)]))
+        .flat_map(|left| (3..6).flat_map(move |right| [(left, right), (right, left)]))
         .collect();
     let apart = |network: &Network| {
-        (0..3).all(|a| (3..6).all(|b| network.state(b, a) == MemberState::Dead))
+        (0..3).all(|left| (3..6).all(|right| network.state(right, left) == MemberState::Dead))
     };
     assert!(network.run_until(60.0, apart));
     network.blocked.clear();
-    let end = network.now + 30.0;
+    let end = network.now_s + 30.0;
     assert!(network.run_until(end, Network::all_alive));
 }
 
@@ -76,7 +80,7 @@
     }
     assert!(
         network.members[0].as_ref().unwrap().local_health() > 2,
-        "its local health is bad"
+        "its local health is degraded"
     );
 }
 
@@ -91,10 +95,10 @@
     network.run(1.0);
     let member = network.members[0].as_ref().unwrap();
     assert!(member.counters.suspected <= before + 1 && member.counters.stalls == 1);
-    let end = network.now + 20.0;
+    let end = network.now_s + 20.0;
     assert!(
         network.run_until(end, Network::all_alive),
-        "and is alive again"
+        "the paused member is alive again"
     );
 }
 
@@ -104,9 +108,9 @@
     network.run(3.0);
     network.stop(2);
     network.run(15.0);
-    assert!(network.all_hold(2, MemberState::Dead));
+    assert!(network.all_see(2, MemberState::Dead));
     network.start(2, 3);
-    let end = network.now + 15.0;
+    let end = network.now_s + 15.0;
     assert!(network.run_until(end, Network::all_alive));
     assert!(network.members[2].as_ref().unwrap().incarnation() > 1000);
 }
@@ -115,8 +119,8 @@
 fn all_members_restarted_at_once_see_each_other_alive() {
     let mut network = Network::new(25, 12);
     network.run(5.0);
-    (0..25).for_each(|who| network.start(who, 2000));
-    let end = network.now + 15.0;
+    (0..25).for_each(|member| network.start(member, 2000));
+    let end = network.now_s + 15.0;
     assert!(network.run_until(end, Network::all_alive));
 }
 
@@ -136,7 +140,7 @@
             .as_mut()
             .unwrap()
             .receive(
-                network.now,
+                network.now_s,
                 0,
                 Message::Ping {
                     sequence: 1,
@@ -148,7 +152,7 @@
         assert_eq!(
             network.state(3, to),
             MemberState::Suspect,
-            "hearsay declares nobody dead"
+            "a forwarded report does not declare a member dead"
         );
     }
     network.run(10.0);
@@ -156,12 +160,12 @@
 }
 
 #[test]
-fn impossible_updates_are_rejected() {
+fn invalid_updates_are_rejected() {
     let mut member = Membership::new(SwimConfig::default(), roster(3), 0, 1000, 1, 0.0);
     let mut outbox = Vec::new();
     let unknown_members: Vec<Update> = (0..100_000)
-        .map(|n| Update {
-            member: 50_000 + n,
+        .map(|index| Update {
+            member: 50_000 + index,
             incarnation: 1,
             state: MemberState::Alive,
             reporter: 1001,
