--- a/crates/dispatcher/shared-state/src/budgets.rs
+++ b/crates/dispatcher/shared-state/src/budgets.rs
@@ -11,7 +11,7 @@
 //!
 //! - A holder counts the duration of a lease from before it sent the request. The lender counts from the grant, and
 //!   adds the clock drift and the longest duration of a use. An amount lent in a grant that was lost is unusable until
-//!   then.
+//!   the lender's count ends.
 //! - With each request the holder limits itself to `max_in_use` of that lender's right until the answer to that request
 //!   arrives. The amount lent is therefore at most the largest grant that was not released.
 //! - A process that restarts under a name cannot know the amounts that its predecessor spent or lent. It spends nothing
--- a/crates/dispatcher/shared-state/src/node.rs
+++ b/crates/dispatcher/shared-state/src/node.rs
@@ -102,7 +102,7 @@
     arrivals: ArrivalCounter,
     /// Number of this member's jobs running at each runner, in sixteenths, in ascending order of the runners' numbers.
     running: Vec<(u64, u16)>,
-    /// The times at which the next actions are due are in seconds on the caller's clock.
+    /// Time of the next report. This time and the next two are in seconds on the caller's clock.
     next_report_at_s: f64,
     next_lease_request_at_s: f64,
     next_exchange_at_s: f64,
--- a/crates/dispatcher/shared-state/src/node/exchange.rs
+++ b/crates/dispatcher/shared-state/src/node/exchange.rs
@@ -20,13 +20,13 @@
             return None;
         }
         self.next_exchange_at_s = now_s + EXCHANGE_INTERVAL_S * (0.5 + self.random.random::<f64>());
-        let to = self.choose_exchange_partner()?;
+        let partner = self.choose_exchange_partner()?;
         self.join_full_report(now_s);
         let body = Body::ExchangeRequest {
             updates: self.membership.full_state(),
             have: self.reports.digest(),
         };
-        Some((to, self.frame(&body)))
+        Some((partner, self.frame(&body)))
     }
 
     fn choose_exchange_partner(&mut self) -> Option<usize> {
--- a/crates/dispatcher/shared-state/src/reports.rs
+++ b/crates/dispatcher/shared-state/src/reports.rs
@@ -176,8 +176,8 @@
     }
 
     fn sum(&self, category: usize) -> u64 {
-        let of = |counts: &ArrivalCounts| counts.arrivals.get(category).copied().unwrap_or(0);
-        self.by_process.values().map(of).sum()
+        let count_of = |counts: &ArrivalCounts| counts.arrivals.get(category).copied().unwrap_or(0);
+        self.by_process.values().map(count_of).sum()
     }
 }
 
