--- a/crates/dispatcher/raft/src/disk_record.rs
+++ b/crates/dispatcher/raft/src/disk_record.rs
@@ -5,7 +5,7 @@
 use crate::entry::Entry;
 use crate::snapshot::Snapshot;
 
-/// A record of the log on disk. The order of the variants is part of the disk format.
+/// A record of the write-ahead log on disk. The order of the variants is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskRecord {
     /// The current term and this member's vote in it (`currentTerm` and `votedFor` in Raft, figure 2).
@@ -17,24 +17,24 @@
     },
     /// An entry appended to the log.
     Entry(Entry),
-    /// All entries from an index on were removed.
+    /// All entries from an index to the end of the log were removed.
     Truncate {
         /// The first index that was removed.
         from: u64,
     },
-    /// The log begins after this snapshot.
+    /// The snapshot that the log begins with; the entries after it follow.
     Snapshot(Snapshot),
     /// The highest known watermarks of other members' disks.
     Watermarks(Vec<DiskWatermark>),
 }
 
-/// The number of records that a disk is known to have held, ever.
+/// The highest number of records that a disk is known to have held since it was blank.
 ///
-/// A disk that comes back with fewer is an older copy of itself: it has lost votes and entries that it acknowledged.
+/// A disk that later holds fewer records is an older copy of itself: it has lost acknowledged votes and entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskWatermark {
-    /// The identity of the disk.
+    /// Identifier of the disk.
     pub disk: u64,
-    /// Records written since the disk was blank.
+    /// Number of records written to the disk since it was blank.
     pub records_written: u64,
 }
--- a/crates/dispatcher/raft/src/entry.rs
+++ b/crates/dispatcher/raft/src/entry.rs
@@ -5,15 +5,15 @@
 use crate::log_position::LogPosition;
 use crate::voter::{Voter, VOTER_BYTES};
 
-/// Approximate size of an entry without its payload in a message, bytes.
+/// Approximate size of an entry in a message without its payload, bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// The content of an entry. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// The first entry of a leader's term: committing it commits all before it (Raft, 8).
+    /// The first entry of a leader's term. Committing it commits all entries before it (Raft, 8).
     Noop,
-    /// The voters from this entry on, committed or not (Raft, 6; thesis, 4.1).
+    /// Sets the voters. They take effect when the entry is appended, before it is committed (Raft, 6; thesis, 4.1).
     Voters(Vec<Voter>),
     /// A command for the host's state machine.
     Command(Vec<u8>),
@@ -22,14 +22,14 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where the entry stands.
+    /// Position of the entry in the log.
     pub position: LogPosition,
     /// The content of the entry.
     pub payload: EntryPayload,
 }
 
 impl Entry {
-    /// The entry right after a position.
+    /// Creates the entry that directly follows the position `previous`.
     pub fn after(previous: &LogPosition, term: u64, payload: EntryPayload) -> Entry {
         Entry {
             position: previous.next(term, &payload),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether the entry is intact and stands right after `previous`; terms never decrease along a log.
+    /// Whether the entry is intact and directly follows `previous`. Terms never decrease along a log.
     pub fn follows(&self, previous: &LogPosition) -> bool {
         self.position.term >= previous.term
             && self.position == previous.next(self.position.term, &self.payload)
--- a/crates/dispatcher/raft/src/lib.rs
+++ b/crates/dispatcher/raft/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 ("Raft" in the
 //! comments); Ongaro, "Consensus: Bridging Theory and Practice", 2014 ("thesis"), for pre-vote (9.6), changes of one
-//! voter at a time (4.1) and reads by ReadIndex (6.4). Two departures, reasons in `docs/replication.md`: a voter is a
-//! member together with its disk, and a disk that was rolled back to an older copy of itself is detected; positions
-//! carry a checksum over all entries up to them.
+//! voter at a time (4.1) and reads by ReadIndex (6.4). The crate departs from these sources in two ways, for the
+//! reasons in `docs/replication.md`: a voter is a member together with its disk, and a disk that was rolled back to an
+//! older copy of itself is detected; a log position carries a checksum over all entries up to it.
 //!
 //! # How to drive a member
 //!
@@ -20,10 +20,10 @@
 //! ```
 //!
 //! [`Raft::open`] takes the records that the disk holds. The host calls [`Raft::tick`] at [`Raft::deadline`],
-//! [`Raft::receive`] with each message, [`Raft::propose`] and [`Raft::read`] as it likes. After each call it takes
-//! [`Raft::output`], writes and syncs its records, reports that by [`Raft::persisted`], and only then sends its
-//! messages; the messages of later outputs wait behind them. Then it takes what is committed from
-//! [`Raft::next_committed`] until there is none, and may hand back a snapshot of its state by [`Raft::compact`].
+//! [`Raft::receive`] with each message, and [`Raft::propose`] and [`Raft::read`] at any time. After each call it takes
+//! [`Raft::output`], writes and syncs the records, reports the sync by [`Raft::persisted`], and only then sends the
+//! messages; messages of later outputs are sent after them. Then it calls [`Raft::next_committed`] until that returns
+//! `None`, and may compact the log by passing a snapshot of its state to [`Raft::compact`].
 //!
 //! # Example
 //!
@@ -53,7 +53,7 @@
 //! let output = raft.output();
 //! disk.extend(output.records); // a real host syncs them here
 //! raft.persisted(now, raft.last_position());
-//! assert!(output.messages.is_empty(), "nobody else to tell");
+//! assert!(output.messages.is_empty(), "a single member sends no messages");
 //!
 //! let mut commands = Vec::new();
 //! while let Some(committed) = raft.next_committed() {
--- a/crates/dispatcher/raft/src/log_position.rs
+++ b/crates/dispatcher/raft/src/log_position.rs
@@ -7,16 +7,16 @@
 
 use crate::entry::EntryPayload;
 
-/// Keys of the chained checksum. They are no secret: the checksum finds faults, not forgers.
+/// Keys of the chained checksum. They are not secret: the checksum detects corruption, not forgery.
 const CHAIN_KEYS: (u64, u64) = (0x7361_6765, 0x7472_6169);
 
 /// The position of an entry: index and term as in Raft, and a checksum that covers all entries up to it.
 ///
 /// Two logs with the same position at one index hold the same entries up to it. Raft derives this from index and term
-/// alone (the Log Matching Property, 5.3); the checksum verifies it, so a corrupted or diverged log is found.
+/// alone (the Log Matching Property, 5.3). The checksum verifies it, so that a corrupted or diverged log is detected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// Index in the log, from 1; 0 is the position before the first entry.
+    /// Index of the entry in the log. The first entry has index 1; 0 stands for the position before it.
     pub index: u64,
     /// Term of the leader that proposed the entry.
     pub term: u64,
@@ -25,7 +25,7 @@
 }
 
 impl LogPosition {
-    /// The position of an entry with this term and payload right after this one.
+    /// Returns the position of an entry with this term and payload that directly follows this position.
     pub(crate) fn next(&self, term: u64, payload: &EntryPayload) -> LogPosition {
         LogPosition {
             index: self.index + 1,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// The checksum covers the content of the entries, not their form on disk.
+    /// Returns the chained checksum of the next entry. It covers the content of the entries, not their form on disk.
     fn next_chain(&self, term: u64, payload: &EntryPayload) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(CHAIN_KEYS.0, CHAIN_KEYS.1);
         hasher.write_u64(self.chain);
         hasher.write_u64(self.index + 1);
         hasher.write_u64(term);
-        // Serializing to a vector fails only for types without a known length, and the payload has none.
+        // Serializing to a vector fails only for sequences of unknown length, and the payload contains none.
         hasher.write(&postcard::to_allocvec(payload).unwrap_or_default());
         hasher.finish()
     }
--- a/crates/dispatcher/raft/src/message.rs
+++ b/crates/dispatcher/raft/src/message.rs
@@ -9,9 +9,10 @@
 /// A message to another member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The identity of the sender's disk.
+    /// Identifier of the sender's disk.
     pub disk: u64,
-    /// Records that the sender's disk has ever held; all of them are synced when the message is sent.
+    /// Number of records written to the sender's disk since it was blank. All of them are synced before the message is
+    /// sent.
     pub records_written: u64,
     /// The sender's current term.
     pub term: u64,
@@ -22,25 +23,25 @@
 /// The request or reply of a message. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// A member that starts asks for the watermark that others know of its disk.
+    /// A starting member asks the others for the watermark of its disk that they know.
     DiskQuery {
-        /// Identifies the asking process; the reply repeats it.
+        /// Random number that identifies the sender's process; the reply repeats it.
         nonce: u64,
-        /// The sender's disk belongs to no log yet.
+        /// Whether the sender's disk belongs to no log yet.
         blank: bool,
     },
     /// The reply to `DiskQuery`.
     DiskReport {
         /// The nonce of the query.
         nonce: u64,
-        /// Records that the sender knows the asker's disk to have held.
+        /// Number of records that were written to the disk of the querying member, as known to the sender.
         records_written: u64,
     },
     /// A candidate requests a vote (`RequestVote`; Raft, 5.2).
     VoteRequest(VoteRequest),
     /// The reply to `VoteRequest`.
     VoteReply(VoteReply),
-    /// A leader replicates entries, or sends its heartbeat (Raft, 5.3).
+    /// A leader replicates entries or sends a heartbeat (Raft, 5.3).
     AppendEntries(AppendEntries),
     /// The reply to `AppendEntries`.
     AppendReply(AppendReply),
@@ -48,21 +49,21 @@
     InstallSnapshot(SnapshotChunk),
     /// The reply to `InstallSnapshot`.
     InstallSnapshotReply {
-        /// Position of the snapshot.
+        /// Position of the last entry that the snapshot covers.
         position: LogPosition,
-        /// Bytes of it that have arrived.
+        /// Number of bytes of the serialized snapshot that the follower has received.
         offset: u64,
     },
     /// Asks the leader for a read index (thesis, 6.4).
     ReadIndex {
-        /// The asker's number of the read.
+        /// Number that the sender has given to the read.
         number: u64,
     },
     /// The reply to `ReadIndex`.
     ReadIndexReply {
         /// The number of the read.
         number: u64,
-        /// A commit index that covers all entries committed when the read was asked.
+        /// A commit index that covers all entries committed at the time when the leader received the request.
         index: u64,
     },
 }
@@ -70,7 +71,8 @@
 /// A candidate's request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// A pre-vote (thesis, 9.6): asks whether a vote would be granted, before the candidate raises its term.
+    /// Whether this is a pre-vote (thesis, 9.6), which asks whether a vote would be granted, before the candidate
+    /// raises its term.
     pub pre_vote: bool,
     /// The term of the election.
     pub election_term: u64,
@@ -81,24 +83,24 @@
 /// The reply to a request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// As in the request.
+    /// Whether the request was for a pre-vote.
     pub pre_vote: bool,
-    /// As in the request.
+    /// The term of the election, as in the request.
     pub election_term: u64,
     /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// A leader's entries, or its heartbeat.
+/// Entries that a leader replicates; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntries {
-    /// Position right before the entries (`prevLogIndex` and `prevLogTerm`).
+    /// Position directly before the entries (`prevLogIndex` and `prevLogTerm`).
     pub previous: LogPosition,
-    /// The entries, in order; none in a plain heartbeat.
+    /// The entries, in ascending order of their indices; empty in a heartbeat that carries no entries.
     pub entries: Vec<Entry>,
     /// The leader's commit index.
     pub leader_commit: u64,
-    /// The leader's heartbeat round; replies confirm it, for reads.
+    /// Number of the leader's heartbeat round. Replies repeat it, which confirms the leader for read indexes.
     pub round: u64,
     /// Watermarks of the voters' disks that the leader knows.
     pub watermarks: Vec<DiskWatermark>,
@@ -107,24 +109,25 @@
 /// The reply to `AppendEntries`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Whether the follower has the position before the entries, and took them.
+    /// Whether the follower's log has the position before the entries, and now holds the entries.
     pub success: bool,
-    /// On success the index up to which both logs are equal; otherwise the index that the leader should try next.
+    /// On success the index up to which both logs are equal; otherwise the index of the last entry that the follower
+    /// may share with the leader, after which the leader should continue.
     pub index: u64,
-    /// The round of the request.
+    /// The heartbeat round of the request.
     pub round: u64,
 }
 
 /// A chunk of a serialized snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Position of the snapshot.
+    /// Position of the last entry that the snapshot covers.
     pub position: LogPosition,
     /// Size of the serialized snapshot, bytes.
     pub total_bytes: u64,
     /// Checksum of the serialized snapshot.
     pub checksum: u64,
-    /// Where the chunk begins in the serialized snapshot, bytes.
+    /// Offset of the chunk in the serialized snapshot, bytes.
     pub offset: u64,
     /// The bytes of the chunk.
     pub data: Vec<u8>,
--- a/crates/dispatcher/raft/src/output.rs
+++ b/crates/dispatcher/raft/src/output.rs
@@ -12,23 +12,24 @@
 /// A message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutboundMessage {
-    /// The member that receives the message.
+    /// Identifier of the member that receives the message.
     pub to: u64,
     /// The message.
     pub message: Message,
 }
 
-/// What a host has to write and send after a call, as `Ready` in raft-rs.
+/// Records that the host has to write and messages that it has to send after a call; the counterpart of `Ready` in
+/// raft-rs.
 ///
 /// Invariant of the protocol: the records are synced before any of the messages is sent, because the messages
-/// acknowledge them (Raft, figure 2: updated on stable storage before responding).
+/// acknowledge the records (Raft, figure 2: updated on stable storage before responding).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// The records replace everything that the disk holds; otherwise they are appended.
+    /// Whether the records replace everything that the disk holds; otherwise they are appended.
     pub rewrite: bool,
     /// Records to write, in order.
     pub records: Vec<DiskRecord>,
-    /// Number of records that the disk has ever held, these included.
+    /// Number of records written to the disk since it was blank, including these.
     pub records_written: u64,
     /// Messages to send once the records are synced.
     pub messages: Vec<OutboundMessage>,
@@ -51,20 +52,20 @@
     Snapshot(Rc<Snapshot>),
 }
 
-/// The role of a member as operators see it.
+/// The role of a member, as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberRole {
     /// Leads the current term.
     Leader,
-    /// Runs an election, or a pre-vote.
+    /// Runs an election or a pre-vote.
     Candidate,
     /// Belongs to no log yet.
     Blank,
-    /// Asks others whether its disk is an older copy of itself.
+    /// Checks with the other members whether its disk is an older copy of itself.
     CheckingDisk,
-    /// Follows, and votes.
+    /// Follows a leader, and is a voter.
     Voter,
-    /// Follows without a vote.
+    /// Follows a leader as a learner, without a vote.
     Follower,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// How much of a snapshot has arrived.
+/// Progress of a snapshot that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotProgress {
     /// Bytes received so far.
@@ -93,21 +94,21 @@
 /// A member's status, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// Its role.
+    /// Role of the member.
     pub role: MemberRole,
-    /// Its term.
+    /// Current term of the member.
     pub term: u64,
-    /// The leader, as far as it knows.
+    /// The leader of the current term, if the member knows it.
     pub leader: Option<u64>,
-    /// The last index of its log.
+    /// Index of the last entry of the member's log.
     pub last_index: u64,
-    /// Its commit index.
+    /// Commit index of the member.
     pub commit_index: u64,
-    /// The voters, by its log.
+    /// The voters that the member's log sets.
     pub voters: Vec<Voter>,
-    /// Whether it can vote.
+    /// Whether the member votes: it is a voter, its disk is known to be complete, and it has no fault.
     pub can_vote: bool,
-    /// Time since a leader's last message, seconds; 0 at the leader, infinite before the first.
+    /// Time since the last message of a leader, seconds: 0 at the leader itself, infinite before the first message.
     pub since_leader_s: f64,
     /// Progress of the snapshot that is being received, if any.
     pub incoming_snapshot: Option<SnapshotProgress>,
--- a/crates/dispatcher/raft/src/raft.rs
+++ b/crates/dispatcher/raft/src/raft.rs
@@ -1,4 +1,4 @@
-//! One member of the replicated log: its state, and what can be asked about it. The parts of the protocol are `impl`
+//! One member of the replicated log: its state, and the queries about that state. The parts of the protocol are `impl`
 //! blocks in the modules below, one for each section of the papers.
 
 mod append;
@@ -49,18 +49,18 @@
 
 /// One member of the replicated log, as a state machine without I/O.
 ///
-/// All times are seconds on the host's clock, which must not go back.
+/// All times are in seconds on the host's clock, which must be monotonic.
 pub struct Raft {
-    /// This member.
+    /// Identifier of this member.
     id: u64,
-    /// The identity of its disk.
+    /// Identifier of this member's disk.
     disk: u64,
-    /// All members, voting or not, this one included.
+    /// Identifiers of all members: voters and learners, including this member.
     members: Vec<u64>,
-    /// The voters of a new log.
+    /// Identifiers of the members that are the voters of a new log.
     initial_voters: Vec<u64>,
     timing: Timing,
-    /// Source of the election timeouts.
+    /// Random generator of the election timeouts.
     random: Pcg64Mcg,
 
     // Persistent state (Raft, figure 2).
@@ -69,7 +69,7 @@
     /// The candidate that received this member's vote in `term` (`votedFor`).
     vote: Option<u64>,
     log: RaftLog,
-    /// Records that the disk has ever held, those of outputs not yet synced included.
+    /// Number of records written to the disk since it was blank, including those of outputs that are not synced yet.
     records_written: u64,
 
     // Volatile state (Raft, figure 2).
@@ -84,57 +84,58 @@
     role: Role,
     /// The leader of `term`, if it is known.
     leader: Option<u64>,
-    /// When a leader's last message came.
-    leader_contact_at: f64,
-    /// When the next election begins.
-    election_deadline: f64,
+    /// When the last message of a leader arrived; negative infinity before the first one.
+    leader_contact_s: f64,
+    /// When this member starts an election unless a leader's message arrives before.
+    election_deadline_s: f64,
     /// When `tick` was last called.
-    last_tick: f64,
+    last_tick_s: f64,
 
     // Detection of rolled-back disks.
-    /// The running check of the own disk; without one the disk is known to be complete.
+    /// The running check of this member's disk. `None` if the disk is known to be complete.
     rollback_check: Option<RollbackCheck>,
-    /// Identifies this process in queries: answers to an earlier process are ignored.
+    /// Random number that identifies this process in queries: replies to an earlier process are ignored.
     nonce: u64,
     watermarks: DiskWatermarks,
     peers: Peers,
 
     /// The snapshot that is being received.
     incoming_snapshot: Option<IncomingSnapshot>,
-    /// Why this member cannot go on with its disk. It stays silent from then on.
+    /// The reason for which this member cannot continue with its disk. A member with a fault sends nothing.
     fault: Option<RaftError>,
-    /// Reads that this member asked for.
-    reads: ReadResults,
-    /// What the host has to write and send.
+    /// Reads that this member has requested.
+    read_results: ReadResults,
+    /// Records and messages that the host has to write and send.
     output: Output,
 }
 
 impl Raft {
     /// Starts a member at the time `now`, in seconds.
     ///
-    /// `records` are those that the disk holds, in order; `records_written` is how many it has ever held. Both are
-    /// empty and 0 for a blank disk.
+    /// `records` are the records on the disk, in order; `records_written` is the number of records written to it since
+    /// it was blank. For a blank disk, `records` is empty and `records_written` is 0.
     pub fn open(
         config: RaftConfig,
         records: Vec<DiskRecord>,
         records_written: u64,
-        now: f64,
+        now_s: f64,
     ) -> Raft {
         let is_blank = records.is_empty();
-        let mut raft = Raft::blank(config, records_written, now);
+        let mut raft = Raft::blank(config, records_written, now_s);
         for record in records {
             raft.replay(record);
         }
         raft.watermarks.mark_saved();
         raft.commit_index = raft.log.snapshot_position().index;
         raft.persisted_index = raft.log.last_position().index;
-        // A disk that holds records may have been rolled back: no vote or acknowledgement before the others answer.
-        raft.rollback_check = (!is_blank).then(|| RollbackCheck::new(now));
-        raft.reset_election_timer(now);
+        // A disk that holds records may have been rolled back, so this member neither votes nor acknowledges entries
+        // before the other members have answered.
+        raft.rollback_check = (!is_blank).then(|| RollbackCheck::new(now_s));
+        raft.reset_election_timer(now_s);
         raft
     }
 
-    fn blank(config: RaftConfig, records_written: u64, now: f64) -> Raft {
+    fn blank(config: RaftConfig, records_written: u64, now_s: f64) -> Raft {
         let mut random = Pcg64Mcg::seed_from_u64(config.seed);
         let nonce: u64 = random.random();
         Raft {
@@ -154,16 +155,16 @@
             persisted_index: 0,
             role: Role::Follower,
             leader: None,
-            leader_contact_at: f64::NEG_INFINITY,
-            election_deadline: f64::INFINITY,
-            last_tick: now,
+            leader_contact_s: f64::NEG_INFINITY,
+            election_deadline_s: f64::INFINITY,
+            last_tick_s: now_s,
             rollback_check: None,
             nonce,
             watermarks: DiskWatermarks::default(),
             peers: Peers::default(),
             incoming_snapshot: None,
             fault: None,
-            reads: ReadResults::new(nonce >> 1),
+            read_results: ReadResults::new(nonce >> 1),
             output: Output::default(),
         }
     }
@@ -188,20 +189,20 @@
         self.output.messages.push(OutboundMessage { to, message });
     }
 
-    /// The position of the last entry: the argument for [`persisted`](Raft::persisted) once all records of the
+    /// The position of the last entry. It is the argument of [`persisted`](Raft::persisted) once all records of the
     /// outputs taken so far are synced.
     pub fn last_position(&self) -> LogPosition {
         self.log.last_position()
     }
 
-    /// Why this member cannot go on with its disk: [`RaftError::LogDiverged`] or [`RaftError::DiskRolledBack`]. The
-    /// host puts the disk's content aside and opens a new member with a blank disk.
+    /// The reason for which this member cannot continue with its disk: [`RaftError::LogDiverged`] or
+    /// [`RaftError::DiskRolledBack`]. The host moves the disk's content aside and opens a new member with a blank disk.
     pub fn fault(&self) -> Option<RaftError> {
         self.fault
     }
 
-    /// Ends the check of the disk without answers, on an operator's word: for the case that the members that could
-    /// answer are lost for good.
+    /// Ends the check of the disk without replies, at an operator's command. It is meant for the case that the members
+    /// that could reply are permanently lost.
     pub fn trust_disk(&mut self) {
         self.rollback_check = None;
     }
@@ -225,7 +226,7 @@
             .collect()
     }
 
-    /// Whether this member votes: it is a voter by its log, its disk is known to be complete, and it has no fault.
+    /// Whether this member votes: its log names it as a voter, its disk is known to be complete, and it has no fault.
     pub fn can_vote(&self) -> bool {
         self.voters().contains(&self.own_voter())
             && self.rollback_check.is_none()
@@ -239,20 +240,21 @@
         2 * count > voters.len()
     }
 
-    /// The highest value that more than half of the voters have reached.
+    /// The highest value that more than half of the voters have reached. `None` without voters.
     fn quorum_value(&self, value: impl Fn(&Voter) -> u64) -> Option<u64> {
         let mut values: Vec<u64> = self.voters().iter().map(value).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(values.len() / 2).copied()
     }
 
-    /// Whether the host may lack committed entries: a leader has reported more than was delivered here, or none has
-    /// reported anything yet.
+    /// Whether the host may lack committed entries: a leader has reported a higher commit index than the last index
+    /// that was delivered to the host, no leader has reported a commit index yet, a snapshot is being received, or the
+    /// member belongs to no log.
     pub fn is_behind(&self) -> bool {
-        let no_leader_yet = self.leader_commit == 0 && !self.is_leader();
+        let has_no_leader_commit = self.leader_commit == 0 && !self.is_leader();
         let lacks_entries = self.applied_index < self.leader_commit;
         let lacks_snapshot = self.incoming_snapshot.is_some();
-        self.voters().is_empty() || lacks_snapshot || no_leader_yet || lacks_entries
+        self.voters().is_empty() || lacks_snapshot || has_no_leader_commit || lacks_entries
     }
 
     /// Whether this member leads.
@@ -260,16 +262,16 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader, as far as this member knows.
+    /// The leader of the current term, if this member knows it.
     pub fn leader(&self) -> Option<u64> {
         self.leader
     }
 
     /// This member's status, for operators.
-    pub fn status(&self, now: f64) -> Status {
+    pub fn status(&self, now_s: f64) -> Status {
         let since_leader_s = match self.is_leader() {
             true => 0.0,
-            false => now - self.leader_contact_at,
+            false => now_s - self.leader_contact_s,
         };
         Status {
             role: self.member_role(),
--- a/crates/dispatcher/raft/src/raft/append.rs
+++ b/crates/dispatcher/raft/src/raft/append.rs
@@ -11,12 +11,13 @@
 enum AppendOutcome {
     /// Both logs are equal up to this index.
     Matched { index: u64 },
-    /// This log does not have the position before the entries; the leader should try after the hint.
+    /// This log does not have the position before the entries. The leader should send the entries after the index
+    /// `hint` instead.
     Mismatch { hint: u64 },
 }
 
 impl Raft {
-    /// Takes a leader's entries. A divergence from the leader's log becomes this member's fault.
+    /// Processes `AppendEntries` of a leader. If the logs have diverged, the error is stored as this member's fault.
     ///
     /// # Errors
     ///
@@ -46,7 +47,7 @@
         Ok(())
     }
 
-    /// A member whose disk may have been rolled back acknowledges nothing.
+    /// Replies to `AppendEntries`. A member whose disk may have been rolled back must not acknowledge anything.
     fn reply_append(&mut self, to: u64, outcome: AppendOutcome, round: u64) {
         if self.rollback_check.is_some() {
             return;
@@ -63,11 +64,11 @@
         self.send(to, MessageBody::AppendReply(reply));
     }
 
-    /// Brings the log in line with the leader's.
+    /// Makes the log equal to the leader's up to the last of the entries.
     ///
     /// # Errors
     ///
-    /// [`RaftError::LogDiverged`] if that would change a committed entry, or one of the same index and term.
+    /// [`RaftError::LogDiverged`] if that would replace a committed entry, or an entry of the same index and term.
     fn merge(
         &mut self,
         previous: LogPosition,
@@ -100,7 +101,7 @@
         Ok(AppendOutcome::Matched { index })
     }
 
-    /// Where the leader should try next; `None` if this log has the position before its entries.
+    /// The index after which the leader should continue. `None` if this log has the position before its entries.
     fn mismatch_hint(&self, previous: LogPosition) -> Result<Option<u64>, RaftError> {
         let index = previous.index;
         match self.log.position_at(index) {
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Appends an entry, in place of an uncommitted one of an earlier term.
+    /// Appends an entry unless the log holds it already. An uncommitted entry of another term at its index is removed
+    /// first, together with all entries after that one.
     fn merge_entry(&mut self, entry: Entry) -> Result<(), RaftError> {
         let index = entry.position.index;
         match self.log.position_at(index) {
@@ -150,8 +152,8 @@
     true
 }
 
-/// The entries after the snapshot's position; `None` if they do not reach it. Everything that the snapshot covers is
-/// committed, so only the entry at its position is compared.
+/// The entries after the snapshot's position. `None` if the entries end before it. Everything that the snapshot covers
+/// is committed, so only the entry at its position is compared.
 fn entries_after_snapshot(
     snapshot: LogPosition,
     entries: Vec<Entry>,
--- a/crates/dispatcher/raft/src/raft/bootstrap.rs
+++ b/crates/dispatcher/raft/src/raft/bootstrap.rs
@@ -6,20 +6,21 @@
 use crate::log_position::LogPosition;
 use crate::voter::Voter;
 
-/// An initial voter counts as reachable for this long after its last message, seconds.
+/// Time after its last message for which an initial voter counts as reachable, seconds.
 const REACHABLE_S: f64 = 3.0;
 /// The term of the first entry.
 const FIRST_TERM: u64 = 1;
 
 impl Raft {
-    /// Announces the blank disk. The first initial voter writes the first entry, once all initial voters are
-    /// reachable with blank disks and no member anywhere belongs to a log: a second log would be a second history.
-    pub(super) fn bootstrap(&mut self, now: f64) {
+    /// Announces the blank disk to the other members. The first initial voter writes the first entry, once all initial
+    /// voters are reachable with blank disks and no known member belongs to a log. Otherwise there could be two logs
+    /// with different histories.
+    pub(super) fn bootstrap(&mut self, now_s: f64) {
         self.query_disk(true);
         if self.initial_voters.first() != Some(&self.id) {
             return;
         }
-        let Some(mut voters) = self.blank_initial_voters(now) else {
+        let Some(mut voters) = self.blank_initial_voters(now_s) else {
             return;
         };
         if !self.peers.are_all_blank() {
@@ -34,23 +35,23 @@
             vote: None,
         });
         self.append(entry);
-        self.start_pre_vote(now);
+        self.start_pre_vote(now_s);
     }
 
-    /// All initial voters with their disks; `None` while one is unreachable or belongs to a log.
-    fn blank_initial_voters(&self, now: f64) -> Option<Vec<Voter>> {
+    /// All initial voters with their disks. `None` if one of them is unreachable or belongs to a log.
+    fn blank_initial_voters(&self, now_s: f64) -> Option<Vec<Voter>> {
         self.initial_voters
             .iter()
-            .map(|member| self.blank_initial_voter(now, *member))
+            .map(|member| self.blank_initial_voter(now_s, *member))
             .collect()
     }
 
-    fn blank_initial_voter(&self, now: f64, member: u64) -> Option<Voter> {
+    fn blank_initial_voter(&self, now_s: f64, member: u64) -> Option<Voter> {
         if member == self.id {
             return Some(self.own_voter());
         }
         let peer = self.peers.get(member)?;
-        let is_reachable = now < peer.last_contact + REACHABLE_S;
+        let is_reachable = now_s < peer.last_contact_s + REACHABLE_S;
         (peer.is_blank && is_reachable).then_some(Voter {
             member,
             disk: peer.disk,
--- a/crates/dispatcher/raft/src/raft/commit.rs
+++ b/crates/dispatcher/raft/src/raft/commit.rs
@@ -1,12 +1,12 @@
-//! Advance of the commit index (Raft, 5.3 and 5.4.2).
+//! Advances the commit index (Raft, 5.3 and 5.4.2).
 
 use super::replication::Occasion;
 use super::{Raft, Role};
 use crate::voter::Voter;
 
 impl Raft {
-    /// Commits what is synced at a majority, if the last of it is of the current term (Raft, 5.4.2).
-    pub(super) fn advance_commit(&mut self, now: f64) {
+    /// Commits the entries that are synced at a majority, if the last of them is of the current term (Raft, 5.4.2).
+    pub(super) fn advance_commit(&mut self, now_s: f64) {
         let Some(index) = self.quorum_index() else {
             return;
         };
@@ -14,10 +14,10 @@
             return;
         }
         self.commit_index = index;
-        self.replicate(now, Occasion::Heartbeat);
+        self.replicate(now_s, Occasion::Heartbeat);
         if self.is_removed() {
-            // A leader that is removed leads until its removal is committed (thesis, 4.2.2).
-            return self.step_down(now, None);
+            // A leader that was removed from the voters leads until its removal is committed (thesis, 4.2.2).
+            return self.step_down(now_s, None);
         }
         self.answer_reads();
     }
--- a/crates/dispatcher/raft/src/raft/leader_state.rs
+++ b/crates/dispatcher/raft/src/raft/leader_state.rs
@@ -1,4 +1,4 @@
-//! The state of a leader; it begins with each term (Raft, figure 2).
+//! The volatile state of a leader, which is initialized at the beginning of its term (Raft, figure 2).
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 /// The state of a leader.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderState {
-    /// Replication to each other member.
+    /// Progress of the replication to each other member, by the member's identifier.
     pub(super) followers: BTreeMap<u64, Progress>,
-    /// The index before the term's first entry.
+    /// Index of the last entry before the first entry of the term.
     pub(super) previous_index: u64,
-    /// The last heartbeat round that was sent; rounds count from 1 in each term.
+    /// Number of the last heartbeat round that was sent. Rounds are numbered from 1 in each term.
     pub(super) round: u64,
-    /// Reads that wait for a majority to confirm this leader.
+    /// Reads that wait until a majority has confirmed this leader.
     pub(super) pending_reads: Vec<PendingRead>,
     /// When the next heartbeat is due, seconds.
-    pub(super) next_heartbeat: f64,
+    pub(super) next_heartbeat_s: f64,
     /// When the term began, seconds.
-    pub(super) since: f64,
+    pub(super) since_s: f64,
     /// Bytes that may still be resent or sent to lagging followers in this heartbeat interval.
     pub(super) catch_up_bytes_left: usize,
-    /// The snapshot that is being sent.
+    /// The snapshot that is being sent, in its serialized form.
     pub(super) serialized_snapshot: Option<SerializedSnapshot>,
 }
 
 impl LeaderState {
-    /// A leader's state at the beginning of its term; `last_index` is that of its log.
-    pub(super) fn new(now: f64, others: &[u64], last_index: u64) -> LeaderState {
+    /// Creates a leader's state at the beginning of its term. `last_index` is the index of the last entry of its log.
+    pub(super) fn new(now_s: f64, others: &[u64], last_index: u64) -> LeaderState {
         let progress = Progress {
             next_index: last_index + 1,
-            last_contact: now,
+            last_contact_s: now_s,
             ..Progress::default()
         };
         LeaderState {
@@ -44,14 +44,14 @@
             previous_index: last_index,
             round: 0,
             pending_reads: Vec::new(),
-            next_heartbeat: now,
-            since: now,
+            next_heartbeat_s: now_s,
+            since_s: now_s,
             catch_up_bytes_left: 0,
             serialized_snapshot: None,
         }
     }
 
-    /// The progress of a voter, if its member still answers from the same disk.
+    /// The progress of a voter, if its member still replies from the same disk.
     pub(super) fn progress_of(&self, voter: &Voter) -> Option<&Progress> {
         self.followers
             .get(&voter.member)
--- a/crates/dispatcher/raft/src/raft/persistence.rs
+++ b/crates/dispatcher/raft/src/raft/persistence.rs
@@ -1,4 +1,4 @@
-//! Records for the disk, and delivery of committed entries to the host.
+//! Writes records to the disk, and delivers committed entries to the host.
 
 use super::Raft;
 use crate::disk_record::DiskRecord;
@@ -14,7 +14,8 @@
         self.records_written += 1;
     }
 
-    /// Watermarks of other disks are written only along with another record: they cost no sync of their own.
+    /// Adds the unsaved watermarks to the output. They are written only together with another record, so that they need
+    /// no additional sync.
     fn write_unsaved_watermarks(&mut self) {
         let unsaved = self.watermarks.take_unsaved();
         if unsaved.is_empty() {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Replaces the records of the output by the complete state: everything that the disk has to hold.
+    /// Replaces the records of the output by the complete state that the disk has to hold.
     pub(super) fn rewrite(&mut self) {
         let mut records = vec![self.term_record()];
         records.push(DiskRecord::Snapshot((*self.log.snapshot).clone()));
@@ -54,24 +55,25 @@
         self.log.entries.push_back(entry);
     }
 
-    /// Takes what has to be written and sent since the last call. The host writes and syncs the records, calls
-    /// [`persisted`](Raft::persisted), and only then sends the messages; those of later outputs wait behind them.
+    /// Takes the records and messages that were produced since the last call. The host writes and syncs the records,
+    /// calls [`persisted`](Raft::persisted), and only then sends the messages; messages of later outputs are sent after
+    /// them.
     #[must_use]
     pub fn output(&mut self) -> Output {
         self.output.records_written = self.records_written;
         std::mem::take(&mut self.output)
     }
 
-    /// The records of an output are synced; `position` is what [`last_position`](Raft::last_position) returned when
-    /// the output was taken.
-    pub fn persisted(&mut self, now: f64, position: LogPosition) {
+    /// Reports that the records of an output are synced. `position` is the value that
+    /// [`last_position`](Raft::last_position) returned when the output was taken.
+    pub fn persisted(&mut self, now_s: f64, position: LogPosition) {
         if self.log.position_at(position.index) == Some(position) {
             self.persisted_index = self.persisted_index.max(position.index);
         }
-        self.advance_commit(now);
+        self.advance_commit(now_s);
     }
 
-    /// The next committed entry or snapshot, in order; each is returned once. `None` if there is none now.
+    /// Returns the next committed entry or snapshot, in order and each once. `None` if there is none at present.
     pub fn next_committed(&mut self) -> Option<Committed> {
         if self.applied_index >= self.commit_index {
             return None;
@@ -86,8 +88,9 @@
         Some(Committed::Entry(entry))
     }
 
-    /// Replaces the entries up to `index` by a snapshot of the host's state after them (Raft, 7). No effect unless
-    /// `next_committed` has returned the entry at `index`, and it is not in a snapshot already.
+    /// Compacts the log: replaces the entries up to `index` by `state`, a snapshot of the host's state after them
+    /// (Raft, 7). Has no effect unless `next_committed` has returned the entry at `index`, or if a snapshot covers it
+    /// already.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
         if index <= self.applied_index && self.log.compact(index, state) {
             self.rewrite();
--- a/crates/dispatcher/raft/src/raft/read_index.rs
+++ b/crates/dispatcher/raft/src/raft/read_index.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads by ReadIndex (thesis, 6.4): the commit index at the time of the read, once a majority has
-//! confirmed that the leader still leads.
+//! Linearizable reads by ReadIndex (thesis, 6.4). The read index is the commit index at the time of the read; it is
+//! valid once a majority has confirmed that the leader still leads.
 
 use std::collections::BTreeMap;
 
@@ -8,35 +8,35 @@
 use crate::message::MessageBody;
 use crate::voter::Voter;
 
-/// Reads that may wait at a leader at once; further ones are dropped, and their callers ask again.
+/// Largest number of reads that wait at a leader. Further reads are dropped, and their callers repeat them.
 const MAX_PENDING_READS: usize = 256;
-/// Read indexes received from a leader that are kept.
+/// Largest number of read indexes from a leader that are kept.
 const MAX_READ_RESULTS: usize = 64;
 
 /// A read that waits for a majority to confirm the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
-    /// The member that asked.
+    /// Identifier of the member that requested the read.
     member: u64,
-    /// The asker's number of the read.
+    /// Number that the requesting member has given to the read.
     number: u64,
-    /// The heartbeat round that a majority has to confirm.
+    /// Number of the heartbeat round that a majority has to confirm.
     round: u64,
-    /// The commit index when the read was asked.
+    /// The commit index at the time when the leader received the request.
     index: u64,
 }
 
-/// The reads that this member asked for.
+/// The reads that this member has requested, and their results.
 #[derive(Clone, Debug)]
 pub(super) struct ReadResults {
     last_number: u64,
-    /// Read indexes by number.
+    /// Read indexes, by the number of the read.
     index_by_number: BTreeMap<u64, u64>,
 }
 
 impl ReadResults {
-    /// No reads yet; numbers go on from `last_number`. It should differ between processes of one member: an answer
-    /// to an earlier process may still arrive.
+    /// Creates an empty set of reads, numbered from `last_number + 1`. `last_number` should differ between processes
+    /// of one member, because a reply to an earlier process may still arrive.
     pub(super) fn new(last_number: u64) -> ReadResults {
         ReadResults {
             last_number,
@@ -46,30 +46,30 @@
 }
 
 impl Raft {
-    /// Starts a linearizable read and returns its number. [`read_index`](Raft::read_index) has the result once a
-    /// majority has confirmed the leader. There is none if this member knows no leader or a message is lost: the host
-    /// asks again after a time-out of its own.
-    pub fn read(&mut self, now: f64) -> u64 {
-        self.reads.last_number += 1;
-        let number = self.reads.last_number;
+    /// Starts a linearizable read and returns its number. [`read_index`](Raft::read_index) returns the result once a
+    /// majority has confirmed the leader. There is no result if this member knows no leader or a message is lost, so
+    /// the host repeats the read after a timeout of its own.
+    pub fn read(&mut self, now_s: f64) -> u64 {
+        self.read_results.last_number += 1;
+        let number = self.read_results.last_number;
         match self.leader {
             Some(leader) if leader != self.id => {
                 self.send(leader, MessageBody::ReadIndex { number });
             }
-            _ => self.start_read(now, self.id, number),
+            _ => self.start_read(now_s, self.id, number),
         }
         number
     }
 
-    /// The index that the host must have applied before it answers a read; `None` until it is known.
+    /// The index that the host must have applied before it answers a read. `None` until it is known.
     pub fn read_index(&self, number: u64) -> Option<u64> {
-        self.reads.index_by_number.get(&number).copied()
+        self.read_results.index_by_number.get(&number).copied()
     }
 
-    /// Registers a read at the leader, and starts the round that confirms it.
-    pub(super) fn start_read(&mut self, now: f64, member: u64, number: u64) {
+    /// Registers a read at the leader and starts the heartbeat round that confirms it.
+    pub(super) fn start_read(&mut self, now_s: f64, member: u64, number: u64) {
         let index = self.commit_index;
-        // Before a leader has committed an entry of its term, it does not know what was committed before.
+        // Until a leader has committed an entry of its term, it does not know which entries earlier leaders committed.
         let knows_commit_index = self.is_of_current_term(index);
         let Some(state) = self.leader_state() else {
             return;
@@ -85,28 +85,30 @@
             round,
             index,
         });
-        self.replicate(now, Occasion::Heartbeat);
+        self.replicate(now_s, Occasion::Heartbeat);
         self.answer_reads();
     }
 
     /// Answers the reads whose round a majority has confirmed.
     pub(super) fn answer_reads(&mut self) {
-        let Some(confirmed) = self.confirmed_round() else {
+        let Some(confirmed_round) = self.confirmed_round() else {
             return;
         };
         let Some(state) = self.leader_state() else {
             return;
         };
         let reads = std::mem::take(&mut state.pending_reads);
-        let (done, pending): (Vec<PendingRead>, Vec<PendingRead>) =
-            reads.into_iter().partition(|read| read.round <= confirmed);
+        let (confirmed_reads, pending): (Vec<PendingRead>, Vec<PendingRead>) = reads
+            .into_iter()
+            .partition(|read| read.round <= confirmed_round);
         state.pending_reads = pending;
-        for read in done {
+        for read in confirmed_reads {
             self.answer_read(read);
         }
     }
 
-    /// The highest round that a majority has confirmed. `None` if no read waits.
+    /// The highest heartbeat round that a majority has confirmed. `None` if no read is pending or this member does not
+    /// lead.
     fn confirmed_round(&self) -> Option<u64> {
         let Role::Leader(state) = &self.role else {
             return None;
@@ -115,13 +117,13 @@
             return None;
         }
         let own_voter = self.own_voter();
-        let confirmed = |voter: &Voter| match *voter == own_voter {
+        let confirmed_round = |voter: &Voter| match *voter == own_voter {
             true => u64::MAX,
             false => state
                 .progress_of(voter)
                 .map_or(0, |progress| progress.round),
         };
-        self.quorum_value(confirmed)
+        self.quorum_value(confirmed_round)
     }
 
     fn answer_read(&mut self, read: PendingRead) {
@@ -132,15 +134,15 @@
             ..
         } = read;
         if member == self.id {
-            self.reads.index_by_number.insert(number, index);
+            self.read_results.index_by_number.insert(number, index);
         } else {
             self.send(member, MessageBody::ReadIndexReply { number, index });
         }
     }
 
-    /// Keeps a leader's answer.
+    /// Stores a leader's reply to a read.
     pub(super) fn receive_read_index_reply(&mut self, number: u64, index: u64) {
-        let results = &mut self.reads.index_by_number;
+        let results = &mut self.read_results.index_by_number;
         results.insert(number, index);
         while results.len() > MAX_READ_RESULTS {
             results.pop_first();
--- a/crates/dispatcher/raft/src/raft/receive.rs
+++ b/crates/dispatcher/raft/src/raft/receive.rs
@@ -1,4 +1,4 @@
-//! Dispatch of received messages.
+//! Dispatches received messages to their handlers.
 
 use super::{Raft, Role};
 use crate::disk_record::DiskWatermark;
@@ -7,13 +7,14 @@
 use crate::voter::Voter;
 
 impl Raft {
-    /// Takes a message from another member. A member with a fault ignores it.
+    /// Processes a message from another member. A member with a fault ignores it.
     ///
     /// # Errors
     ///
-    /// [`RaftError::UnknownSender`]; [`RaftError::BrokenChain`] and [`RaftError::InvalidSnapshotChunk`] for content
-    /// that no member can have sent unaltered. The message has no further effect then.
-    pub fn receive(&mut self, now: f64, from: u64, message: Message) -> Result<(), RaftError> {
+    /// [`RaftError::UnknownSender`] if the sender is not another member; [`RaftError::BrokenChain`] and
+    /// [`RaftError::InvalidSnapshotChunk`] for content that no member can have sent unaltered. That content has no
+    /// further effect.
+    pub fn receive(&mut self, now_s: f64, from: u64, message: Message) -> Result<(), RaftError> {
         if from == self.id || !self.members.contains(&from) {
             return Err(RaftError::UnknownSender { sender: from });
         }
@@ -28,13 +29,13 @@
             disk: message.disk,
             records_written: message.records_written,
         });
-        self.peers.record_message(now, sender, &message.body);
-        self.dispatch(now, sender, message.term, message.body)
+        self.peers.record_message(now_s, sender, &message.body);
+        self.dispatch(now_s, sender, message.term, message.body)
     }
 
     fn dispatch(
         &mut self,
-        now: f64,
+        now_s: f64,
         sender: Voter,
         term: u64,
         body: MessageBody,
@@ -46,22 +47,22 @@
                 nonce,
                 records_written,
             } => self.receive_disk_report(from, nonce, records_written),
-            MessageBody::VoteRequest(request) => self.receive_vote_request(now, from, request),
-            MessageBody::VoteReply(reply) => self.receive_vote_reply(now, sender, term, reply),
+            MessageBody::VoteRequest(request) => self.receive_vote_request(now_s, from, request),
+            MessageBody::VoteReply(reply) => self.receive_vote_reply(now_s, sender, term, reply),
             MessageBody::AppendEntries(request) => {
-                return self.receive_append(now, from, term, request)
+                return self.receive_append(now_s, from, term, request)
             }
             MessageBody::InstallSnapshot(chunk) => {
-                return self.receive_snapshot_chunk(now, from, term, chunk)
+                return self.receive_snapshot_chunk(now_s, from, term, chunk)
             }
             MessageBody::AppendReply(reply) => {
-                self.raise_term(now, term);
-                self.receive_append_reply(now, sender, term, reply);
+                self.raise_term(now_s, term);
+                self.receive_append_reply(now_s, sender, term, reply);
             }
             MessageBody::InstallSnapshotReply { position, offset } => {
-                self.receive_snapshot_reply(now, sender, position, offset);
+                self.receive_snapshot_reply(now_s, sender, position, offset);
             }
-            MessageBody::ReadIndex { number } => self.start_read(now, from, number),
+            MessageBody::ReadIndex { number } => self.start_read(now_s, from, number),
             MessageBody::ReadIndexReply { number, index } => {
                 self.receive_read_index_reply(number, index);
             }
@@ -71,7 +72,7 @@
 
     fn receive_append(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: u64,
         term: u64,
         request: AppendEntries,
@@ -85,13 +86,13 @@
             self.send(from, MessageBody::AppendReply(rejection));
             return Ok(());
         }
-        self.follow(now, from, term);
+        self.follow(now_s, from, term);
         self.append_entries(from, request)
     }
 
     fn receive_snapshot_chunk(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: u64,
         term: u64,
         chunk: SnapshotChunk,
@@ -99,17 +100,17 @@
         if term < self.term {
             return Ok(());
         }
-        self.follow(now, from, term);
+        self.follow(now_s, from, term);
         self.install_snapshot_chunk(from, chunk)
     }
 
-    /// Acknowledges the sender as the leader of its term (Raft, 5.2).
-    fn follow(&mut self, now: f64, leader: u64, term: u64) {
-        self.raise_term(now, term);
+    /// Accepts the sender as the leader of its term (Raft, 5.2).
+    fn follow(&mut self, now_s: f64, leader: u64, term: u64) {
+        self.raise_term(now_s, term);
         if !matches!(self.role, Role::Follower) || self.leader != Some(leader) {
-            self.step_down(now, Some(leader));
+            self.step_down(now_s, Some(leader));
         }
-        self.leader_contact_at = now;
-        self.reset_election_timer(now);
+        self.leader_contact_s = now_s;
+        self.reset_election_timer(now_s);
     }
 }
--- a/crates/dispatcher/raft/src/raft/rollback_check.rs
+++ b/crates/dispatcher/raft/src/raft/rollback_check.rs
@@ -1,10 +1,11 @@
 //! Detection of a disk that was rolled back to an older copy of itself.
 //!
-//! Raft assumes that stable storage never forgets. A restored backup or a reverted virtual disk does: the votes and
-//! entries acknowledged since are gone, and a second leader or a lost entry can follow. Other members know how many
-//! records the disk has held ([`DiskWatermark`](crate::DiskWatermark)), so a member that starts with a disk that is not
-//! blank asks them first, and neither votes nor acknowledges until enough have answered. The same danger and cure as in
-//! rollback protection of trusted storage (Matetic et al., ROTE, USENIX Security 2017).
+//! Raft assumes that stable storage never loses a record. A restored backup or a reverted virtual disk violates this:
+//! the votes and entries that were acknowledged since the copy are lost, which can lead to two leaders in one term or
+//! to the loss of a committed entry. The other members know how many records the disk has held
+//! ([`DiskWatermark`](crate::DiskWatermark)). A member that starts with a disk that is not blank therefore queries them
+//! first, and neither votes nor acknowledges entries until enough of them have answered. Rollback protection of trusted
+//! storage has the same problem and the same solution (Matetic et al., ROTE, USENIX Security 2017).
 
 use std::collections::BTreeSet;
 
@@ -14,59 +15,60 @@
 use crate::message::MessageBody;
 use crate::voter::Voter;
 
-/// Shortest duration of a check that not all voters have answered, seconds.
+/// Shortest duration of a check that ends before all voters have answered, seconds.
 const MIN_CHECK_S: f64 = 1.0;
-/// Interval of queries, seconds.
+/// Interval between two queries, seconds.
 pub(super) const QUERY_INTERVAL_S: f64 = 0.2;
 
 /// A running check of this member's disk.
 #[derive(Clone, Debug)]
 pub(super) struct RollbackCheck {
     /// When the check began, seconds.
-    since: f64,
+    since_s: f64,
     /// When the next query is due, seconds.
-    pub(super) next_query: f64,
-    /// The members that answered this process.
+    pub(super) next_query_s: f64,
+    /// Identifiers of the members that have answered this process.
     answered: BTreeSet<u64>,
 }
 
 impl RollbackCheck {
-    /// A check that begins now.
-    pub(super) fn new(now: f64) -> RollbackCheck {
+    /// Creates a check that begins at `now_s`.
+    pub(super) fn new(now_s: f64) -> RollbackCheck {
         RollbackCheck {
-            since: now,
-            next_query: now,
+            since_s: now_s,
+            next_query_s: now_s,
             answered: BTreeSet::new(),
         }
     }
 }
 
 impl Raft {
-    /// The known watermarks of the voters' disks; other disks hold no votes or acknowledged entries.
+    /// The known watermarks of the voters' disks. The votes and acknowledgements that count are only on those disks.
     pub(super) fn voters_watermarks(&self) -> Vec<DiskWatermark> {
         let voters = self.voters();
         self.watermarks
             .filter(|disk| voters.iter().any(|voter| voter.disk == disk))
     }
 
-    /// Ends the check once enough members have answered; queries again otherwise.
-    pub(super) fn tick_rollback_check(&mut self, now: f64) {
+    /// Ends the check once enough members have answered; otherwise repeats the query when it is due.
+    pub(super) fn tick_rollback_check(&mut self, now_s: f64) {
         let Some(check) = &self.rollback_check else {
             return;
         };
-        if self.is_rollback_check_complete(now, check) {
+        if self.is_rollback_check_complete(now_s, check) {
             self.rollback_check = None;
-        } else if now >= check.next_query {
+        } else if now_s >= check.next_query_s {
             self.query_disk(false);
             if let Some(check) = &mut self.rollback_check {
-                check.next_query = now + QUERY_INTERVAL_S;
+                check.next_query_s = now_s + QUERY_INTERVAL_S;
             }
         }
     }
 
-    /// All other voters have answered; or a majority, the current leader among them: everything acknowledged to
-    /// earlier leaders is in its log. A minority may lack what a partitioned member knows.
-    fn is_rollback_check_complete(&self, now: f64, check: &RollbackCheck) -> bool {
+    /// Whether enough members have answered: all other voters, or a majority of the voters (this member counted) that
+    /// includes the current leader, whose log holds everything that was acknowledged to earlier leaders. A minority is
+    /// not enough, because it may lack records that only a partitioned member knows of.
+    fn is_rollback_check_complete(&self, now_s: f64, check: &RollbackCheck) -> bool {
         let others = self.other_voters_or_initial();
         let answered = others
             .iter()
@@ -78,12 +80,13 @@
         let leader_answered = self
             .leader
             .is_some_and(|leader| check.answered.contains(&leader));
-        let has_current_leader = leader_answered && self.leader_contact_at >= check.since;
+        let has_current_leader = leader_answered && self.leader_contact_s >= check.since_s;
         let has_majority = 2 * (answered + 1) > others.len() + 1;
-        has_current_leader && has_majority && now >= check.since + MIN_CHECK_S
+        has_current_leader && has_majority && now_s >= check.since_s + MIN_CHECK_S
     }
 
-    /// The initial voters count for a member without a log: with a term on its disk it may have voted.
+    /// The identifiers of the other voters. A member without a log uses the initial voters: if its disk holds a term,
+    /// it may have voted in an election among them.
     fn other_voters_or_initial(&self) -> Vec<u64> {
         let mut voters: Vec<u64> = self.voters().iter().map(|voter| voter.member).collect();
         if voters.is_empty() {
@@ -93,7 +96,7 @@
         voters
     }
 
-    /// Asks all other members for the watermark of this disk.
+    /// Asks all other members for their watermark of this member's disk.
     pub(super) fn query_disk(&mut self, blank: bool) {
         let query = MessageBody::DiskQuery {
             nonce: self.nonce,
@@ -113,12 +116,13 @@
         self.send(from.member, report);
     }
 
-    /// Compares another member's watermark of this disk with what the disk holds.
+    /// Compares another member's watermark of this member's disk with the number of records written to it.
     pub(super) fn receive_disk_report(&mut self, from: u64, nonce: u64, records_known: u64) {
         if nonce != self.nonce {
             return;
         }
-        // Records written since the start come on top of what the disk held then, so the comparison stays valid.
+        // `records_written` counts the records written since the start in addition to those that the disk held then, so
+        // the comparison stays valid.
         if records_known > self.records_written {
             self.fault = Some(RaftError::DiskRolledBack {
                 records_here: self.records_written,
--- a/crates/dispatcher/raft/src/raft/snapshot_receiver.rs
+++ b/crates/dispatcher/raft/src/raft/snapshot_receiver.rs
@@ -1,4 +1,4 @@
-//! The follower's side of the transfer of a snapshot (Raft, 7).
+//! The follower's side of a snapshot transfer (Raft, 7).
 
 use super::Raft;
 use crate::error::RaftError;
@@ -7,7 +7,8 @@
 use crate::output::SnapshotProgress;
 use crate::snapshot::Snapshot;
 
-/// Largest snapshot that is accepted, bytes: a snapshot holds settings and operators' commands, not work items.
+/// Size of the largest snapshot that is accepted, bytes. A snapshot holds settings and operators' commands, but no
+/// work items.
 const MAX_SNAPSHOT_BYTES: u64 = 8 << 20;
 
 /// A snapshot that is being received.
@@ -16,7 +17,7 @@
     position: LogPosition,
     total_bytes: u64,
     checksum: u64,
-    /// The serialized snapshot from its start, as far as it has arrived.
+    /// The received prefix of the serialized snapshot.
     bytes: Vec<u8>,
 }
 
@@ -39,7 +40,7 @@
         self.bytes.len() as u64
     }
 
-    /// How much has arrived.
+    /// Number of bytes received and in total.
     pub(super) fn progress(&self) -> SnapshotProgress {
         SnapshotProgress {
             received_bytes: self.received_bytes(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The complete snapshot, if it arrived unaltered.
+    /// Decodes the complete snapshot. `None` if it does not match its checksum or position.
     fn decode(&self) -> Option<Snapshot> {
         if Snapshot::checksum(&self.bytes) != self.checksum {
             return None;
@@ -99,7 +100,8 @@
         Ok(())
     }
 
-    /// The received part with this chunk. A new leader that sends the same bytes continues where the former stopped.
+    /// Returns the received part extended by this chunk. If a new leader sends the same bytes, the transfer continues
+    /// where the previous leader stopped.
     fn extend_incoming(&mut self, chunk: SnapshotChunk) -> IncomingSnapshot {
         let current = self
             .incoming_snapshot
--- a/crates/dispatcher/raft/src/raft/snapshot_sender.rs
+++ b/crates/dispatcher/raft/src/raft/snapshot_sender.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the transfer of a snapshot (Raft, 7).
+//! The leader's side of a snapshot transfer (Raft, 7).
 
 use std::rc::Rc;
 
@@ -9,10 +9,10 @@
 use crate::snapshot::Snapshot;
 use crate::voter::Voter;
 
-/// Size of one chunk, bytes.
+/// Largest size of the data in one chunk, bytes.
 const CHUNK_BYTES: usize = 32 << 10;
 
-/// A snapshot as it is sent; serialized once for all followers.
+/// A serialized snapshot. It is serialized once and sent to all followers that need it.
 #[derive(Clone, Debug)]
 pub(super) struct SerializedSnapshot {
     position: LogPosition,
@@ -22,7 +22,7 @@
 
 impl SerializedSnapshot {
     fn new(snapshot: &Snapshot) -> SerializedSnapshot {
-        // Serializing to a vector fails only for types without a known length, and a snapshot has none.
+        // Serializing to a vector fails only for sequences of unknown length, and a snapshot contains none.
         let bytes = postcard::to_allocvec(snapshot).unwrap_or_default();
         SerializedSnapshot {
             position: snapshot.position,
@@ -49,8 +49,9 @@
 }
 
 impl Raft {
-    /// Sends a follower its next chunk, unless an answer is awaited or the catch-up budget is used up.
-    pub(super) fn send_snapshot_chunk(&mut self, now: f64, member: u64) {
+    /// Sends a follower its next chunk, unless a reply is outstanding, the catch-up budget is used up, or the follower
+    /// has not replied yet in this term.
+    pub(super) fn send_snapshot_chunk(&mut self, now_s: f64, member: u64) {
         let retry_s = self.retry_s();
         let Some(state) = self.leader_state() else {
             return;
@@ -60,11 +61,11 @@
             return;
         };
         let has_answered = progress.disk != 0;
-        if progress.awaits_reply(now, retry_s) || !has_budget || !has_answered {
+        if progress.awaits_reply(now_s, retry_s) || !has_budget || !has_answered {
             return;
         }
-        progress.pending_since = Some(now);
-        let offset = progress.snapshot_offset;
+        progress.pending_since_s = Some(now_s);
+        let offset = progress.snapshot_offset_bytes;
         if let Some(chunk) = self.next_chunk(offset) {
             self.send(member, MessageBody::InstallSnapshot(chunk));
         }
@@ -77,7 +78,7 @@
         Some(chunk)
     }
 
-    /// The current snapshot, serialized when it is first sent.
+    /// The current snapshot in its serialized form. It is serialized when it is first sent.
     fn serialized_snapshot(&mut self) -> Option<SerializedSnapshot> {
         let snapshot = self.log.snapshot.clone();
         let state = self.leader_state()?;
@@ -91,10 +92,10 @@
         state.serialized_snapshot.clone()
     }
 
-    /// Takes a follower's acknowledgement of a chunk.
+    /// Processes a follower's acknowledgement of a chunk.
     pub(super) fn receive_snapshot_reply(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: Voter,
         position: LogPosition,
         offset: u64,
@@ -111,16 +112,16 @@
         let Some(progress) = progress.filter(|progress| progress.disk == from.disk) else {
             return;
         };
-        let was_awaited = progress.record_reply(now);
+        let was_reply_pending = progress.record_reply(now_s);
         record_offset(progress, position, offset, total_bytes);
-        if was_awaited {
-            self.continue_catch_up(now, from.member);
+        if was_reply_pending {
+            self.continue_catch_up(now_s, from.member);
         }
     }
 }
 
-/// `total_bytes`: the size of the snapshot; `None` if it is no longer the one that is sent, and the follower starts
-/// again with the current one.
+/// Records the number of bytes of a snapshot that the follower has. `total_bytes` is the size of the snapshot, or
+/// `None` if another snapshot is now being sent; the follower then restarts with the current snapshot.
 fn record_offset(
     progress: &mut Progress,
     position: LogPosition,
@@ -129,11 +130,11 @@
 ) {
     match total_bytes {
         Some(total_bytes) if offset >= total_bytes => {
-            progress.snapshot_offset = 0;
+            progress.snapshot_offset_bytes = 0;
             progress.match_index = progress.match_index.max(position.index);
             progress.next_index = progress.next_index.max(position.index + 1);
         }
-        Some(_) => progress.snapshot_offset = offset,
-        None => progress.snapshot_offset = 0,
+        Some(_) => progress.snapshot_offset_bytes = offset,
+        None => progress.snapshot_offset_bytes = 0,
     }
 }
--- a/crates/dispatcher/raft/src/raft_log.rs
+++ b/crates/dispatcher/raft/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The log as one member holds it: a snapshot and the entries after it.
+//! The log of one member: a snapshot and the entries after it.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -8,12 +8,12 @@
 use crate::snapshot::Snapshot;
 use crate::voter::Voter;
 
-/// The entries of one message.
+/// A batch of entries for one message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryBatch {
     /// The entries, in order.
     pub(crate) entries: Vec<Entry>,
-    /// Their size in bytes; the first one that did not fit is counted too.
+    /// Size of the entries, bytes, including the first entry that no longer fitted.
     pub(crate) bytes: usize,
 }
 
@@ -31,7 +31,7 @@
 /// Invariant: the entries follow the snapshot and one another without gaps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RaftLog {
-    /// Covers everything up to its position.
+    /// The snapshot, which covers all entries up to its position.
     pub(crate) snapshot: Rc<Snapshot>,
     /// The entries after the snapshot, in order.
     pub(crate) entries: VecDeque<Entry>,
@@ -50,7 +50,7 @@
             .map_or(self.snapshot_position(), |entry| entry.position)
     }
 
-    /// The position at an index; `None` if the log has not reached it, or the snapshot has passed it.
+    /// The position at an index. `None` if the index is after the end of the log or before the snapshot's position.
     pub(crate) fn position_at(&self, index: u64) -> Option<LogPosition> {
         match index.checked_sub(self.snapshot_position().index)? {
             0 => Some(self.snapshot_position()),
@@ -61,13 +61,14 @@
         }
     }
 
-    /// The entry at an index, if it stands after the snapshot.
+    /// The entry at an index. `None` if the snapshot covers the index or the log ends before it.
     pub(crate) fn entry(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot_position().index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from an index on, as many as fit `max_bytes`; with `at_least_one`, the first even if it does not.
+    /// Returns as many entries from the index `from` as fit in `max_bytes`; with `at_least_one`, the first entry is
+    /// included even if it does not fit.
     pub(crate) fn batch(&self, from: u64, max_bytes: usize, at_least_one: bool) -> EntryBatch {
         let mut batch = EntryBatch::default();
         let mut index = from;
@@ -83,13 +84,14 @@
         batch
     }
 
-    /// Removes all entries from this index on.
+    /// Removes all entries from the index `from` to the end of the log.
     pub(crate) fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.snapshot_position().index + 1);
         self.entries.truncate(keep as usize);
     }
 
-    /// The voters as of the end of the log: a change counts from the entry on, committed or not (Raft, 6).
+    /// The voters as of the end of the log. A change takes effect when its entry is appended, before it is committed
+    /// (Raft, 6).
     pub(crate) fn voters(&self) -> CurrentVoters<'_> {
         self.voters_at(self.last_position().index)
     }
@@ -113,8 +115,8 @@
         })
     }
 
-    /// Replaces everything up to an index by a snapshot. False if the index is not in the log, or in the snapshot
-    /// already.
+    /// Compacts the log: replaces all entries up to an index by a snapshot. Returns false if the index is not in the
+    /// log, or the snapshot covers it already.
     pub(crate) fn compact(&mut self, index: u64, state: Vec<u8>) -> bool {
         let Some(position) = self
             .position_at(index)
@@ -132,7 +134,8 @@
         true
     }
 
-    /// Takes a leader's snapshot. The entries after it stay if this log agrees with it (Raft, figure 13, step 6).
+    /// Installs a leader's snapshot. The entries after it are kept if this log has the snapshot's position (Raft,
+    /// figure 13, step 6).
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         if self.position_at(snapshot.position.index) == Some(snapshot.position) {
             self.remove_up_to(snapshot.position.index);
--- a/crates/dispatcher/raft/src/snapshot.rs
+++ b/crates/dispatcher/raft/src/snapshot.rs
@@ -8,10 +8,10 @@
 use crate::log_position::LogPosition;
 use crate::voter::Voter;
 
-/// Keys of the checksum of a serialized snapshot. They are no secret: the checksum finds faults, not forgers.
+/// Keys of the checksum of a serialized snapshot. They are not secret: the checksum detects corruption, not forgery.
 const SNAPSHOT_KEYS: (u64, u64) = (0x7368_6f74, 1);
 
-/// The state after all entries up to a position (Raft, 7). The same bytes at every member.
+/// The state after all entries up to a position (Raft, 7). Every member has the same bytes for the same position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The position of the last entry that the snapshot covers.
@@ -23,7 +23,7 @@
 }
 
 impl Snapshot {
-    /// The checksum of a serialized snapshot.
+    /// Returns the checksum of a serialized snapshot.
     pub fn checksum(bytes: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(SNAPSHOT_KEYS.0, SNAPSHOT_KEYS.1);
         hasher.write(bytes);
--- a/crates/dispatcher/raft/tests/encoding.rs
+++ b/crates/dispatcher/raft/tests/encoding.rs
@@ -1,6 +1,6 @@
-//! The bytes of messages between members and of records on disk. Both outlive a release: a difference from
-//! `fixtures/log.txt` needs a way from the one form to the other, never a new fixture alone. All fields of an example
-//! differ.
+//! Guards against unintended changes of the encoding of messages between members and of records on disk. Both are read
+//! by other releases, so a difference from `fixtures/log.txt` needs a migration from the old form to the new one, never
+//! only a new fixture. All fields of an example have different values, so that swapped fields are detected.
 
 use sagetrail_fixture::Fixture;
 use sagetrail_raft::{
@@ -14,7 +14,7 @@
 
 const FIXTURE: &str = include_str!("fixtures/log.txt");
 
-/// No wildcard: a variant that is not named here does not compile.
+/// The match has no wildcard, so that a new variant without a name here does not compile.
 fn body_name(body: &MessageBody) -> &'static str {
     match body {
         MessageBody::DiskQuery { .. } => "message/disk-query",
@@ -94,7 +94,7 @@
     ]
 }
 
-fn disks() -> Vec<DiskWatermark> {
+fn watermarks() -> Vec<DiskWatermark> {
     vec![
         DiskWatermark {
             disk: 0x6001,
@@ -107,17 +107,17 @@
     ]
 }
 
-/// Each behind the one before, with their checksums.
+/// Entries that follow one another, with their chained checksums.
 fn entries() -> Vec<Entry> {
     let payloads = [
         EntryPayload::Noop,
         EntryPayload::Voters(voters()),
         EntryPayload::Command(b"command".to_vec()),
     ];
-    let (mut before, mut entries) = (position(1), Vec::new());
+    let (mut previous, mut entries) = (position(1), Vec::new());
     for (term, payload) in (0x2001..).zip(payloads) {
-        let entry = Entry::after(&before, term, payload);
-        before = entry.position;
+        let entry = Entry::after(&previous, term, payload);
+        previous = entry.position;
         entries.push(entry);
     }
     entries
@@ -148,7 +148,7 @@
             entries: entries(),
             leader_commit: 0x1401,
             round: 0x1402,
-            watermarks: disks(),
+            watermarks: watermarks(),
         }),
         MessageBody::AppendReply(AppendReply {
             success: true,
@@ -204,7 +204,7 @@
         DiskRecord::Entry(entries().remove(2)),
         DiskRecord::Truncate { from: 0x2401 },
         DiskRecord::Snapshot(snapshot()),
-        DiskRecord::Watermarks(disks()),
+        DiskRecord::Watermarks(watermarks()),
     ]
 }
 
@@ -212,17 +212,20 @@
     postcard::to_allocvec(value).unwrap()
 }
 
-fn reads_back<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let bytes = Fixture::read(FIXTURE).bytes(name);
-    let (read, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
-    assert_eq!((&read, rest), (value, &[][..]), "{name}");
+    let (decoded, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
+    assert_eq!((&decoded, rest), (value, &[][..]), "{name}");
 }
 
 #[test]
 fn every_variant_has_an_example() {
     let named: BTreeSet<&str> = bodies().iter().map(body_name).collect();
     assert_eq!(named, BTreeSet::from(BODIES));
-    let named: BTreeSet<&str> = entries().iter().map(|e| payload_name(&e.payload)).collect();
+    let named: BTreeSet<&str> = entries()
+        .iter()
+        .map(|entry| payload_name(&entry.payload))
+        .collect();
     assert_eq!(named, BTreeSet::from(PAYLOADS));
     let named: BTreeSet<&str> = records().iter().map(record_name).collect();
     assert_eq!(named, BTreeSet::from(RECORDS));
@@ -243,34 +246,34 @@
         fixture.add_bytes(&name, &encoded(&entry));
     }
     fixture.add_bytes("snapshot", &encoded(&snapshot()));
-    // What members compare; never sent by itself.
-    let sum = Snapshot::checksum(&encoded(&snapshot()));
-    fixture.add_bytes("snapshot-sum", &sum.to_be_bytes());
+    // Members compare this checksum with the one in a chunk, and never send it by itself.
+    let checksum = Snapshot::checksum(&encoded(&snapshot()));
+    fixture.add_bytes("snapshot-sum", &checksum.to_be_bytes());
     Fixture::assert_keeps(FIXTURE, &fixture);
 }
 
 #[test]
 fn messages_and_records_decode_from_the_fixture() {
     for body in bodies() {
-        reads_back(body_name(&body), &message(body.clone()));
+        assert_decodes(body_name(&body), &message(body.clone()));
     }
     for record in records() {
-        reads_back(record_name(&record), &record);
+        assert_decodes(record_name(&record), &record);
     }
     for entry in entries() {
-        reads_back(&format!("entry/{}", payload_name(&entry.payload)), &entry);
+        assert_decodes(&format!("entry/{}", payload_name(&entry.payload)), &entry);
     }
-    reads_back("snapshot", &snapshot());
+    assert_decodes("snapshot", &snapshot());
 }
 
 #[test]
 fn stored_entries_keep_their_chained_checksums() {
     let fixture = Fixture::read(FIXTURE);
-    let mut before = position(1);
+    let mut previous = position(1);
     for payload in PAYLOADS {
         let bytes = fixture.bytes(&format!("entry/{payload}"));
         let entry: Entry = postcard::from_bytes(&bytes).unwrap();
-        assert!(entry.follows(&before), "{payload}");
-        before = entry.position;
+        assert!(entry.follows(&previous), "{payload}");
+        previous = entry.position;
     }
 }
--- a/crates/dispatcher/raft/tests/safety_under_faults.rs
+++ b/crates/dispatcher/raft/tests/safety_under_faults.rs
@@ -1,37 +1,39 @@
-//! Raft's safety (committed entries stay committed, reads are linearizable) under loss, duplicates, reordering,
-//! partitions, pauses, crashes, power failures, lost disks and disks rolled back; and its liveness once faults end.
+//! Guards against violations of Raft's safety: a committed entry is lost or replaced, or a read is not linearizable.
+//! The faults are message loss, duplicates, reordering, partitions, pauses, crashes, power failures, lost disks and
+//! disks that were rolled back. Also guards against a lack of liveness once the faults have ended.
 
 mod simulated_cluster;
 
 use rand::Rng;
 use simulated_cluster::{Defect, SimulatedCluster};
 
-/// Steps with faults, and steps without to recover, 0.1 s each.
+/// Number of steps with faults, and number of steps without faults for the recovery; a step takes 0.1 s.
 const FAULT_STEPS: usize = 60;
 const RECOVERY_STEPS: usize = 60;
 const STEP_S: f64 = 0.1;
-/// Times of a healthy network and disk, and of a slow disk, seconds.
+/// Jitter of a healthy network, and duration of a sync on a healthy and on a slow disk, seconds.
 const HEALTHY_JITTER_S: f64 = 0.003;
 const HEALTHY_SYNC_S: f64 = 0.001;
 const SLOW_SYNC_S: f64 = 0.2;
-/// A member whose disk was replaced or rolled back is down for this long, seconds.
+/// Time for which a member is stopped when its disk is replaced or rolled back, seconds.
 const DISK_CHANGE_S: f64 = 0.3;
 
-/// A member that does not run, and when it is started again.
+/// A stopped member, and the time at which it is started again.
 #[derive(Clone, Copy)]
 struct Outage {
     node: usize,
-    until: f64,
+    until_s: f64,
 }
 
-/// One schedule of faults by its seed.
+/// A schedule of faults, determined by its seed.
 struct Schedule {
     cluster: SimulatedCluster,
     members: usize,
     voters: usize,
     wanted_voters: Vec<usize>,
-    /// At most one disk is damaged at a time, and it recovers before the next: a majority stays intact.
-    damaged: Option<usize>,
+    /// The member whose disk is damaged. At most one disk is damaged at a time, and its member recovers before the next
+    /// disk is damaged, so that a majority of the disks stays intact.
+    damaged_node: Option<usize>,
     outage: Option<Outage>,
 }
 
@@ -45,67 +47,67 @@
         };
         let mut cluster = SimulatedCluster::new(members, voters, seed, defect);
         cluster.run_until(1.5);
-        cluster.loss = [0.0, 0.05, 0.3][(seed / 2 % 3) as usize];
+        cluster.loss_probability = [0.0, 0.05, 0.3][(seed / 2 % 3) as usize];
         cluster.jitter_s = [HEALTHY_JITTER_S, 0.05, 0.3][(seed / 5 % 3) as usize];
         Schedule {
             cluster,
             members,
             voters,
             wanted_voters: (0..voters).collect(),
-            damaged: None,
+            damaged_node: None,
             outage: None,
         }
     }
 
     fn fault_step(&mut self, step: usize) {
-        let step_end = self.cluster.now + STEP_S;
+        let step_end_s = self.cluster.now_s + STEP_S;
         let target = self.cluster.random.random_range(0..self.members);
-        self.note_recovery();
-        self.inject_fault(step_end, target);
+        self.clear_recovered_node();
+        self.inject_fault(step_end_s, target);
         if let Some(outage) = self
             .outage
-            .filter(|outage| self.cluster.now >= outage.until)
+            .filter(|outage| self.cluster.now_s >= outage.until_s)
         {
             self.cluster.kill(outage.node);
             self.cluster.restart(outage.node);
             self.outage = None;
         }
-        self.use_cluster(step);
-        self.cluster.run_until(step_end);
+        self.submit_requests(step);
+        self.cluster.run_until(step_end_s);
     }
 
-    /// A member with a damaged disk has recovered once it votes again and has nearly all entries.
-    fn note_recovery(&mut self) {
+    /// Clears the damaged member once it has recovered: it votes again and has applied all but the last two entries.
+    fn clear_recovered_node(&mut self) {
         let cluster = &self.cluster;
         let has_recovered = |node: usize| {
             cluster.can_vote(node) && cluster.applied_index(node) + 2 >= cluster.highest_committed()
         };
-        if self.damaged.is_some_and(has_recovered) {
-            self.damaged = None;
+        if self.damaged_node.is_some_and(has_recovered) {
+            self.damaged_node = None;
         }
     }
 
-    fn inject_fault(&mut self, step_end: f64, target: usize) {
+    fn inject_fault(&mut self, step_end_s: f64, target: usize) {
         let may_stop = self.outage.is_none();
-        let may_damage = may_stop && self.damaged.is_none() && target < self.voters;
+        let may_damage = may_stop && self.damaged_node.is_none() && target < self.voters;
         let cluster = &mut self.cluster;
         match cluster.random.random_range(0..24) {
             0 if may_stop => {
                 cluster.kill(target);
                 let duration_s = cluster.random.random::<f64>();
-                self.stop_until(target, step_end + duration_s);
+                self.stop_until(target, step_end_s + duration_s);
             }
             1 if may_damage => {
                 cluster.kill(target);
                 cluster.replace_disk(target);
-                self.damaged = Some(target);
-                self.stop_until(target, step_end + DISK_CHANGE_S);
+                self.damaged_node = Some(target);
+                self.stop_until(target, step_end_s + DISK_CHANGE_S);
             }
             2 if may_damage => {
                 cluster.kill(target);
                 cluster.restore_disk_copy(target);
-                self.damaged = Some(target);
-                self.stop_until(target, step_end + DISK_CHANGE_S);
+                self.damaged_node = Some(target);
+                self.stop_until(target, step_end_s + DISK_CHANGE_S);
             }
             3 => {
                 let duration_s = 2.0 * cluster.random.random::<f64>();
@@ -128,23 +130,23 @@
             12 if may_stop => {
                 cluster.fail_disk(target);
                 let duration_s = 2.0 * cluster.random.random::<f64>();
-                self.stop_until(target, step_end + duration_s);
+                self.stop_until(target, step_end_s + duration_s);
             }
             _ => {}
         }
     }
 
-    fn stop_until(&mut self, node: usize, until: f64) {
-        self.outage = Some(Outage { node, until });
+    fn stop_until(&mut self, node: usize, until_s: f64) {
+        self.outage = Some(Outage { node, until_s });
     }
 
-    /// All members stop at the same moment, and start again.
+    /// Stops all members at the same time and starts them again.
     fn fail_power(&mut self) {
         (0..self.members).for_each(|node| self.cluster.kill(node));
         (0..self.members).for_each(|node| self.cluster.restart(node));
     }
 
-    fn use_cluster(&mut self, step: usize) {
+    fn submit_requests(&mut self, step: usize) {
         for node in 0..self.members {
             self.cluster.propose(node);
             if (step + node).is_multiple_of(3) {
@@ -156,9 +158,9 @@
         }
     }
 
-    /// Ends all faults and gives the cluster time.
+    /// Ends all faults and runs the cluster until it should have recovered.
     fn recover(&mut self) {
-        (self.cluster.loss, self.cluster.jitter_s) = (0.0, HEALTHY_JITTER_S);
+        (self.cluster.loss_probability, self.cluster.jitter_s) = (0.0, HEALTHY_JITTER_S);
         self.cluster.cut_links.clear();
         if let Some(outage) = self.outage {
             self.cluster.kill(outage.node);
@@ -171,42 +173,42 @@
             }
         }
         for _ in 0..RECOVERY_STEPS {
-            let step_end = self.cluster.now + STEP_S;
+            let step_end_s = self.cluster.now_s + STEP_S;
             for node in 0..self.members {
                 self.cluster.reconfigure(node, &self.wanted_voters);
             }
-            self.cluster.run_until(step_end);
+            self.cluster.run_until(step_end_s);
         }
         for node in 0..self.members {
             self.cluster.propose(node);
         }
-        let end = self.cluster.now + 1.0;
-        self.cluster.run_until(end);
+        let end_s = self.cluster.now_s + 1.0;
+        self.cluster.run_until(end_s);
     }
 
-    /// Without faults there is a leader, every member has all entries, and every wanted voter votes.
+    /// Checks that without faults there is a leader, every member has all entries, and every wanted voter votes.
     fn check_liveness(&mut self) {
         if self.cluster.leader().is_none() {
-            self.report("no leader after recovery".to_string());
+            self.record_violation("no leader after recovery".to_string());
         }
         for node in 0..self.members {
             let applied = self.cluster.applied_index(node);
             let committed = self.cluster.highest_committed();
             if applied < committed {
-                self.report(format!("{node} has {applied} of {committed}"));
+                self.record_violation(format!("{node} has {applied} of {committed}"));
             }
             if node < self.voters && !self.cluster.can_vote(node) {
-                self.report(format!("{node} does not vote after recovery"));
+                self.record_violation(format!("{node} does not vote after recovery"));
             }
         }
     }
 
-    fn report(&mut self, violation: String) {
+    fn record_violation(&mut self, violation: String) {
         self.cluster.violations.push(violation);
     }
 }
 
-/// Plays a schedule; the violations are in the cluster.
+/// Runs a schedule. The returned cluster contains the violations.
 fn run_schedule(seed: u64, defect: Defect) -> SimulatedCluster {
     let mut schedule = Schedule::new(seed, defect);
     for step in 0..FAULT_STEPS {
@@ -217,7 +219,7 @@
     schedule.cluster
 }
 
-/// The number of schedules; `SCHEDULES` in the environment overrides it.
+/// The number of schedules. The environment variable `SCHEDULES` overrides it.
 fn schedule_count() -> u64 {
     std::env::var("SCHEDULES")
         .ok()
@@ -230,10 +232,10 @@
     let threads = std::thread::available_parallelism()
         .map_or(4, |count| count.get() as u64)
         .min(6);
-    let running: Vec<_> = (0..threads)
+    let handles: Vec<_> = (0..threads)
         .map(|thread| {
             std::thread::spawn(move || {
-                let (mut reads, mut most) = (0, 0);
+                let (mut reads, mut committed) = (0, 0);
                 for seed in (0..schedule_count()).filter(|seed| seed % threads == thread) {
                     let cluster = run_schedule(seed, Defect::None);
                     assert!(
@@ -241,23 +243,23 @@
                         "seed {seed}: {:?}",
                         &cluster.violations[..cluster.violations.len().min(4)]
                     );
-                    reads += cluster.reads_done;
-                    most += cluster.highest_committed();
+                    reads += cluster.completed_reads;
+                    committed += cluster.highest_committed();
                 }
-                (reads, most)
+                (reads, committed)
             })
         })
         .collect();
-    let (reads, most) = running
+    let (reads, committed) = handles
         .into_iter()
         .map(|thread| thread.join().unwrap())
         .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
     println!(
-        "{} schedules, {most} entries agreed, {reads} reads",
+        "{} schedules, {committed} entries agreed, {reads} reads",
         schedule_count()
     );
     assert!(
-        reads as u64 > schedule_count() && most > 20 * schedule_count(),
+        reads as u64 > schedule_count() && committed > 20 * schedule_count(),
         "nothing was agreed or read"
     );
 }
@@ -273,7 +275,7 @@
         Defect::TruncatesSnapshots,
         Defect::SkipsTruncates,
     ];
-    let running = all.map(|defect| {
+    let handles = all.map(|defect| {
         (
             defect,
             std::thread::spawn(move || {
@@ -281,9 +283,9 @@
             }),
         )
     });
-    for (defect, thread) in running {
-        let caught = thread.join().unwrap_or(Some(0));
-        println!("{defect:?}: at seed {caught:?}");
-        assert!(caught.is_some(), "{defect:?} is not caught");
+    for (defect, thread) in handles {
+        let detected_at = thread.join().unwrap_or(Some(0));
+        println!("{defect:?}: at seed {detected_at:?}");
+        assert!(detected_at.is_some(), "{defect:?} is not detected");
     }
 }
--- a/crates/dispatcher/raft/tests/simulated_cluster/mod.rs
+++ b/crates/dispatcher/raft/tests/simulated_cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Several members on a simulated network with simulated disks, and a checker of what they commit and read.
+//! Several members on a simulated network with simulated disks, and a checker of the entries that they commit and read.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,15 +8,15 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A defect that is injected into the cluster: the checker must detect it.
+/// A defect that is injected into the cluster, and that the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
     None,
     /// Messages are sent before the records of the same output are synced.
     SendsBeforeSync,
-    /// A member with a replaced disk keeps the identity of the former one.
+    /// A member with a replaced disk keeps the identifier of the previous disk.
     KeepsDiskIdentity,
-    /// Watermarks that others report are ignored.
+    /// Watermarks that other members report are ignored.
     IgnoresRollback,
     /// Some syncs report success and lose the records.
     LosesSyncedRecords,
@@ -36,53 +36,53 @@
     records_written: u64,
 }
 
-/// An output whose records are being written.
+/// An output whose records are not synced yet.
 struct UnsyncedOutput {
     output: Output,
-    synced_at: f64,
+    synced_s: f64,
     position: LogPosition,
 }
 
-/// A member with its disk and what the checker knows of it.
+/// A member with its disk and the checker's data about it.
 pub(crate) struct Member {
     raft: Option<Raft>,
     disk: Disk,
-    old_copy: Option<Disk>,
+    saved_copy: Option<Disk>,
     unsynced: VecDeque<UnsyncedOutput>,
-    paused_until: f64,
-    disk_failed: bool,
+    paused_until_s: f64,
+    has_disk_failed: bool,
     sync_s: f64,
     pub commands: Vec<u64>,
     applied_index: u64,
-    /// Reads under way: number, and the index that was committed when it was asked.
+    /// Pending reads: the number, and the highest committed index at the time when the read started.
     reads: Vec<(u64, u64)>,
 }
 
 /// The cluster: members, network, clock and checker.
 pub(crate) struct SimulatedCluster {
-    pub now: f64,
+    pub now_s: f64,
     pub members: Vec<Member>,
     initial_voters: Vec<u64>,
-    /// By arrival time in microseconds and number: sender, receiver, message.
+    /// Messages in flight as sender, receiver and message, by arrival time in microseconds and message number.
     in_flight: BTreeMap<(u64, u64), (usize, usize, Message)>,
-    message_count: u64,
+    copy_count: u64,
     pub random: Pcg64Mcg,
     /// Probability that a message is lost.
-    pub loss: f64,
+    pub loss_probability: f64,
     pub jitter_s: f64,
-    /// Directed links that lose everything: sender, receiver.
+    /// Directed links, as sender and receiver, that lose all messages.
     pub cut_links: Vec<(usize, usize)>,
     defect: Defect,
     /// The first position committed at each index, and the number of commands up to it.
     first_committed: BTreeMap<u64, (LogPosition, usize)>,
     /// The commands of the longest committed history.
     longest_history: Vec<u64>,
-    /// What the checker found.
+    /// Violations that the checker found.
     pub violations: Vec<String>,
     next_command: u64,
-    pub reads_done: usize,
-    pub replaced: usize,
-    pub messages_sent: u64,
+    pub completed_reads: usize,
+    pub replaced_disks: usize,
+    pub sent_messages: u64,
 }
 
 fn member_id(node: usize) -> u64 {
@@ -97,13 +97,13 @@
         defect: Defect,
     ) -> SimulatedCluster {
         let mut cluster = SimulatedCluster {
-            now: 0.0,
+            now_s: 0.0,
             members: Vec::new(),
             initial_voters: (0..voters).map(member_id).collect(),
             in_flight: BTreeMap::new(),
-            message_count: 0,
+            copy_count: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
-            loss: 0.0,
+            loss_probability: 0.0,
             jitter_s: 0.003,
             cut_links: Vec::new(),
             defect,
@@ -111,9 +111,9 @@
             longest_history: Vec::new(),
             violations: Vec::new(),
             next_command: 0,
-            reads_done: 0,
-            replaced: 0,
-            messages_sent: 0,
+            completed_reads: 0,
+            replaced_disks: 0,
+            sent_messages: 0,
         };
         for node in 0..members {
             let identity = cluster.random.random();
@@ -123,10 +123,10 @@
                     identity,
                     ..Disk::default()
                 },
-                old_copy: None,
+                saved_copy: None,
                 unsynced: VecDeque::new(),
-                paused_until: 0.0,
-                disk_failed: false,
+                paused_until_s: 0.0,
+                has_disk_failed: false,
                 sync_s: 0.001,
                 commands: Vec::new(),
                 applied_index: 0,
@@ -152,9 +152,9 @@
             config,
             member.disk.records.clone(),
             member.disk.records_written,
-            self.now,
+            self.now_s,
         );
-        (member.raft, member.disk_failed, member.applied_index) = (Some(raft), false, 0);
+        (member.raft, member.has_disk_failed, member.applied_index) = (Some(raft), false, 0);
         member.commands.clear();
         member.reads.clear();
         self.process_output(node);
@@ -167,12 +167,12 @@
         // A prefix of the records being written may have reached the disk.
         if let Some(unsynced) = member.unsynced.pop_front() {
             if !unsynced.output.rewrite {
-                let there = (torn_fraction * (unsynced.output.records.len() + 1) as f64) as usize;
-                member.disk.records_written += there as u64;
+                let written = (torn_fraction * (unsynced.output.records.len() + 1) as f64) as usize;
+                member.disk.records_written += written as u64;
                 member
                     .disk
                     .records
-                    .extend(unsynced.output.records.into_iter().take(there));
+                    .extend(unsynced.output.records.into_iter().take(written));
             }
         }
         member.unsynced.clear();
@@ -184,18 +184,18 @@
     }
 
     pub(crate) fn copy_disk(&mut self, node: usize) {
-        self.members[node].old_copy = Some(self.members[node].disk.clone());
+        self.members[node].saved_copy = Some(self.members[node].disk.clone());
     }
 
     pub(crate) fn restore_disk_copy(&mut self, node: usize) {
-        if let Some(old_copy) = self.members[node].old_copy.clone() {
-            self.members[node].disk = old_copy;
+        if let Some(saved_copy) = self.members[node].saved_copy.clone() {
+            self.members[node].disk = saved_copy;
         }
     }
 
     pub(crate) fn replace_disk(&mut self, node: usize) {
-        let same = self.defect == Defect::KeepsDiskIdentity;
-        let identity = if same {
+        let keeps_identity = self.defect == Defect::KeepsDiskIdentity;
+        let identity = if keeps_identity {
             self.members[node].disk.identity
         } else {
             self.random.random()
@@ -207,21 +207,21 @@
     }
 
     pub(crate) fn pause(&mut self, node: usize, duration_s: f64) {
-        self.members[node].paused_until = self.now + duration_s;
+        self.members[node].paused_until_s = self.now_s + duration_s;
     }
 
-    /// Syncs fail from now on: their records are never acknowledged.
+    /// Makes all further syncs fail, so that their records are never acknowledged.
     pub(crate) fn fail_disk(&mut self, node: usize) {
-        self.members[node].disk_failed = true;
+        self.members[node].has_disk_failed = true;
     }
 
-    pub(crate) fn slow_disk(&mut self, node: usize, by_s: f64) {
-        self.members[node].sync_s = by_s;
-        let now = self.now;
+    pub(crate) fn slow_disk(&mut self, node: usize, sync_s: f64) {
+        self.members[node].sync_s = sync_s;
+        let now_s = self.now_s;
         self.members[node]
             .unsynced
             .iter_mut()
-            .for_each(|unsynced| unsynced.synced_at = unsynced.synced_at.min(now + by_s));
+            .for_each(|unsynced| unsynced.synced_s = unsynced.synced_s.min(now_s + sync_s));
     }
 
     pub(crate) fn is_running(&self, node: usize) -> bool {
@@ -246,8 +246,8 @@
 
     fn send(&mut self, from: usize, output: Vec<OutboundMessage>) {
         for OutboundMessage { to, message } in output {
-            self.messages_sent += 1;
-            assert!(self.messages_sent < 2_000_000, "a message loop");
+            self.sent_messages += 1;
+            assert!(self.sent_messages < 2_000_000, "a message loop");
             let to = (to - 100) as usize;
             let copies = if self.random.random::<f64>() < 0.05 {
                 2
@@ -255,21 +255,23 @@
                 1
             };
             for _ in 0..copies {
-                if self.random.random::<f64>() < self.loss || self.cut_links.contains(&(from, to)) {
+                if self.random.random::<f64>() < self.loss_probability
+                    || self.cut_links.contains(&(from, to))
+                {
                     continue;
                 }
-                let late = 0.0005 + self.jitter_s * self.random.random::<f64>();
-                self.message_count += 1;
-                let at = ((self.now + late) * 1e6) as u64;
+                let delay_s = 0.0005 + self.jitter_s * self.random.random::<f64>();
+                self.copy_count += 1;
+                let at_us = ((self.now_s + delay_s) * 1e6) as u64;
                 self.in_flight
-                    .insert((at, self.message_count), (from, to, message.clone()));
+                    .insert((at_us, self.copy_count), (from, to, message.clone()));
             }
         }
     }
 
-    /// Takes a member's output and its committed entries, and replaces it if it has a fault.
+    /// Takes a member's output and its committed entries, and restarts the member with a blank disk if it has a fault.
     fn process_output(&mut self, node: usize) {
-        let (defect, now) = (self.defect, self.now);
+        let (defect, now_s) = (self.defect, self.now_s);
         let Some(raft) = self.members[node].raft.as_mut() else {
             return;
         };
@@ -283,12 +285,12 @@
         }
         self.apply_committed(node);
         if let Some(fault) = fault {
-            // As a host does: the disk is put aside, and the member starts again with a blank one.
-            self.replaced += 1;
+            // Does what a host does: moves the disk aside and restarts the member with a blank disk.
+            self.replaced_disks += 1;
             if let RaftError::LogDiverged { index } = fault {
                 if self.defect == Defect::None {
                     self.violations
-                        .push(format!("{node} differs at {index} at {now:.3}"));
+                        .push(format!("{node} differs at {index} at {now_s:.3}"));
                 }
             }
             self.members[node].raft = None;
@@ -306,7 +308,7 @@
         }
         let member = &mut self.members[node];
         if member.unsynced.is_empty() && output.records.is_empty() {
-            return if member.disk_failed {
+            return if member.has_disk_failed {
                 Default::default()
             } else {
                 self.send(node, output.messages)
@@ -317,13 +319,13 @@
         } else {
             member.sync_s
         };
-        let from = member
+        let start_s = member
             .unsynced
             .back()
-            .map_or(now, |unsynced| unsynced.synced_at.max(now));
+            .map_or(now_s, |unsynced| unsynced.synced_s.max(now_s));
         member.unsynced.push_back(UnsyncedOutput {
             output,
-            synced_at: from + sync_s,
+            synced_s: start_s + sync_s,
             position,
         });
     }
@@ -332,10 +334,10 @@
         while self.members[node]
             .unsynced
             .front()
-            .is_some_and(|unsynced| unsynced.synced_at <= self.now)
+            .is_some_and(|unsynced| unsynced.synced_s <= self.now_s)
         {
             let member = &mut self.members[node];
-            if member.disk_failed {
+            if member.has_disk_failed {
                 return;
             }
             let Some(UnsyncedOutput {
@@ -345,7 +347,7 @@
                 return;
             };
             let lost =
-                self.defect == Defect::LosesSyncedRecords && self.message_count.is_multiple_of(16);
+                self.defect == Defect::LosesSyncedRecords && self.copy_count.is_multiple_of(16);
             if output.rewrite {
                 member.disk.records.clear();
                 member.disk.records_written = output.records_written - output.records.len() as u64;
@@ -356,7 +358,7 @@
             }
             self.send(node, output.messages);
             if let Some(raft) = self.members[node].raft.as_mut() {
-                raft.persisted(self.now, position);
+                raft.persisted(self.now_s, position);
             }
             self.process_output(node);
         }
@@ -402,12 +404,12 @@
             {
                 self.violations.push(format!(
                     "{node} committed another entry at {} at {:.3}",
-                    position.index, self.now
+                    position.index, self.now_s
                 ));
             }
             if position.index.is_multiple_of(16) {
-                let short = usize::from(self.defect == Defect::TruncatesSnapshots);
-                let length = commands.len().saturating_sub(short);
+                let missing = usize::from(self.defect == Defect::TruncatesSnapshots);
+                let length = commands.len().saturating_sub(missing);
                 let state: Vec<u8> = commands[..length]
                     .iter()
                     .flat_map(|command| command.to_le_bytes())
@@ -421,22 +423,22 @@
         let Some(raft) = member.raft.as_mut() else {
             return;
         };
-        let mut done = Vec::new();
+        let mut results = Vec::new();
         member
             .reads
-            .retain(|(no, min_index)| match raft.read_index(*no) {
+            .retain(|(number, min_index)| match raft.read_index(*number) {
                 Some(index) => {
-                    done.push((index, *min_index));
+                    results.push((index, *min_index));
                     false
                 }
                 None => true,
             });
-        for (index, min_index) in done {
-            self.reads_done += 1;
+        for (index, min_index) in results {
+            self.completed_reads += 1;
             if index < min_index {
                 self.violations.push(format!(
                     "{node} read up to {index}, {min_index} was committed at {:.3}",
-                    self.now
+                    self.now_s
                 ));
             }
         }
@@ -458,19 +460,19 @@
     pub(crate) fn propose(&mut self, node: usize) {
         self.next_command += 1;
         let command = self.next_command;
-        if self.now < self.members[node].paused_until {
+        if self.now_s < self.members[node].paused_until_s {
             return;
         }
         if let Some(raft) = self.members[node].raft.as_mut() {
-            // Only the leader accepts it.
-            let _ = raft.propose(self.now, command.to_le_bytes().to_vec());
+            // Only the leader accepts the command; the others return an error.
+            let _ = raft.propose(self.now_s, command.to_le_bytes().to_vec());
         }
         self.process_output(node);
     }
 
     pub(crate) fn read(&mut self, node: usize) {
         let min_index = self.highest_committed();
-        if self.now < self.members[node].paused_until {
+        if self.now_s < self.members[node].paused_until_s {
             return;
         }
         if self.defect == Defect::ReadsWithoutQuorum {
@@ -481,60 +483,63 @@
             else {
                 return;
             };
-            self.reads_done += 1;
-            if raft.status(self.now).commit_index < min_index {
+            self.completed_reads += 1;
+            if raft.status(self.now_s).commit_index < min_index {
                 self.violations.push(format!("{node} read stale state"));
             }
             return;
         }
         if let Some(raft) = self.members[node].raft.as_mut() {
-            let no = raft.read(self.now);
-            self.members[node].reads.push((no, min_index));
+            let number = raft.read(self.now_s);
+            self.members[node].reads.push((number, min_index));
         }
         self.process_output(node);
     }
 
     pub(crate) fn reconfigure(&mut self, node: usize, wanted: &[usize]) {
         let wanted: Vec<u64> = wanted.iter().map(|node| member_id(*node)).collect();
-        if self.now < self.members[node].paused_until {
+        if self.now_s < self.members[node].paused_until_s {
             return;
         }
         if let Some(raft) = self.members[node].raft.as_mut() {
-            raft.reconfigure(self.now, &wanted);
+            raft.reconfigure(self.now_s, &wanted);
         }
         self.process_output(node);
     }
 
     /// Advances the simulation to a time, in seconds.
-    pub(crate) fn run_until(&mut self, end: f64) {
-        while self.now < end {
-            let mut at = end;
-            if let Some((&(next, _), _)) = self.in_flight.first_key_value() {
-                at = at.min(next as f64 / 1e6);
+    pub(crate) fn run_until(&mut self, end_s: f64) {
+        while self.now_s < end_s {
+            let mut next_event_s = end_s;
+            if let Some((&(next_us, _), _)) = self.in_flight.first_key_value() {
+                next_event_s = next_event_s.min(next_us as f64 / 1e6);
             }
             for member in &self.members {
                 if let Some(raft) = &member.raft {
-                    at = at.min(raft.deadline().max(member.paused_until));
-                    if let (Some(unsynced), false) = (member.unsynced.front(), member.disk_failed) {
-                        at = at.min(unsynced.synced_at.max(member.paused_until));
+                    next_event_s = next_event_s.min(raft.deadline().max(member.paused_until_s));
+                    if let (Some(unsynced), false) =
+                        (member.unsynced.front(), member.has_disk_failed)
+                    {
+                        next_event_s =
+                            next_event_s.min(unsynced.synced_s.max(member.paused_until_s));
                     }
                 }
             }
-            self.now = at.max(self.now + 1e-6);
-            let now = self.now;
-            let due = (now * 1e6) as u64;
+            self.now_s = next_event_s.max(self.now_s + 1e-6);
+            let now_s = self.now_s;
+            let due_us = (now_s * 1e6) as u64;
             while let Some((&key, _)) = self
                 .in_flight
                 .first_key_value()
-                .filter(|((at, _), _)| *at <= due)
+                .filter(|((at_us, _), _)| *at_us <= due_us)
             {
                 let Some((from, to, mut message)) = self.in_flight.remove(&key) else {
                     break;
                 };
-                if now < self.members[to].paused_until {
-                    // It waits in the socket of a paused process.
-                    let at = (self.members[to].paused_until * 1e6) as u64 + 1;
-                    self.in_flight.insert((at, key.1), (from, to, message));
+                if now_s < self.members[to].paused_until_s {
+                    // The message waits in the socket of the paused process.
+                    let at_us = (self.members[to].paused_until_s * 1e6) as u64 + 1;
+                    self.in_flight.insert((at_us, key.1), (from, to, message));
                     continue;
                 }
                 if let (
@@ -547,7 +552,7 @@
                     *records_written = 0;
                 }
                 if let Some(raft) = self.members[to].raft.as_mut() {
-                    if raft.receive(now, member_id(from), message).is_err() {
+                    if raft.receive(now_s, member_id(from), message).is_err() {
                         self.violations
                             .push(format!("{to} rejected a message of {from}"));
                     }
@@ -555,16 +560,16 @@
                 self.process_output(to);
             }
             for node in 0..self.members.len() {
-                if now < self.members[node].paused_until {
+                if now_s < self.members[node].paused_until_s {
                     continue;
                 }
                 self.complete_syncs(node);
                 if let Some(raft) = self.members[node]
                     .raft
                     .as_mut()
-                    .filter(|raft| raft.deadline() <= now)
+                    .filter(|raft| raft.deadline() <= now_s)
                 {
-                    raft.tick(now);
+                    raft.tick(now_s);
                     self.process_output(node);
                 }
             }
