--- a/crates/dispatcher/replicated-store/src/committed_state.rs
+++ b/crates/dispatcher/replicated-store/src/committed_state.rs
@@ -1,5 +1,5 @@
-//! The state machine of the replicated log: settings by version, operators' overrides, voters, and who may lend budget.
-//! Every member that has applied the same entries holds the same bytes.
+//! The state machine of the replicated log: versions of the settings, operators' overrides, voters, and the members
+//! that may not lend budget. Members that have applied the same entries hold the same bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,17 @@
 
 use crate::error::StoreError;
 
-/// Largest text of settings, bytes.
+/// Largest size of the text of the settings, bytes.
 pub const MAX_SETTINGS_BYTES: usize = 64 << 10;
-/// Versions of the settings that are kept, to go back to.
+/// Number of versions of the settings that are kept for a rollback.
 const MAX_VERSIONS: usize = 8;
-/// Runners and dispatchers with overrides; further ones are rejected.
+/// Largest number of targets with overrides. Overrides of further targets are rejected.
 const MAX_OVERRIDES: usize = 4096;
-/// Largest number of voters: more cost latency and bear no loss that matters.
+/// Largest number of voters. More voters would add latency, and would only tolerate more simultaneous losses than
+/// matter in practice.
 const MAX_VOTERS: usize = 5;
 
-/// What an operator's override concerns.
+/// The target of an operator's override.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OverrideTarget {
     /// A runner, by its name.
@@ -28,69 +29,69 @@
 /// An operator's command that takes a target out of service or puts it back.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OperatorOverride {
-    /// Out of service, or back.
+    /// Whether the target is taken out of service; otherwise it is put back.
     pub out_of_service: bool,
-    /// Index of the log entry.
+    /// Index of the log entry that contains the command.
     pub index: u64,
-    /// The dispatcher at which the operator gave the command.
+    /// Identifier of the dispatcher that received the operator's command.
     pub member: u64,
 }
 
 /// A version of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsVersion {
-    /// Number of the version, from 1, without gaps.
+    /// Number of the version. Versions are numbered from 1 without gaps.
     pub number: u64,
-    /// The complete text.
+    /// The complete text of the settings.
     pub text: String,
-    /// The member that proposed it.
+    /// Identifier of the member that proposed the version.
     pub member: u64,
 }
 
 /// A command of the replicated log. The order of the variants is part of the disk and wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// New settings for all; rejected unless `base_version` is still in force (compare and set).
+    /// New settings for all members; rejected unless `base_version` is still the version in force (compare and set).
     Settings {
-        /// The complete text; the proposer has checked it.
+        /// The complete text of the settings, which the proposer has validated.
         text: String,
-        /// The version that the proposer had seen.
+        /// Number of the version that the change is based on.
         base_version: u64,
     },
     /// An operator takes a target out of service or puts it back.
     Override {
-        /// What it concerns.
+        /// The target of the override.
         target: OverrideTarget,
-        /// Out of service, or back.
+        /// Whether the target is taken out of service; otherwise it is put back.
         out_of_service: bool,
         /// Index of the last override of the target that the operator had seen.
         seen_index: u64,
     },
-    /// The members that are to vote.
+    /// Identifiers of the members that should vote.
     Voters(Vec<u64>),
-    /// Whether a member may lend parts of budgets and spend its own share.
+    /// Allows or forbids a member to lend parts of budgets and to spend its own share.
     Lending {
-        /// The member.
+        /// Identifier of the member.
         member: u64,
-        /// Whether it may.
+        /// Whether the member may lend and spend.
         enabled: bool,
     },
 }
 
-/// A command with the identity of its proposer: it takes effect once, however often it is appended.
+/// A command with the identity of its proposer. It takes effect once, regardless of how often it is appended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The member that proposes.
+    /// Identifier of the member that proposes the command.
     pub member: u64,
-    /// Its process: a random number drawn at the start.
+    /// Identifier of the member's process: a random number drawn when the process starts.
     pub process: u64,
-    /// The number of the proposal in its process, ascending.
+    /// Number of the proposal in its process, in ascending order.
     pub sequence: u64,
     /// The command.
     pub command: Command,
 }
 
-/// The last proposal of a member that was committed, and what came of it.
+/// The last committed proposal of a member, and its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LastProposal {
     process: u64,
@@ -101,46 +102,46 @@
 /// The state after all committed commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedState {
-    /// The latest versions of the settings, ascending; the last one is in force.
+    /// The latest versions of the settings, in ascending order. The last one is in force.
     pub versions: Vec<SettingsVersion>,
-    /// Overrides by target. Several for one target come from operators who had not seen each other's.
+    /// Overrides by target. A target has several overrides if operators had not seen each other's commands.
     pub overrides: BTreeMap<OverrideTarget, Vec<OperatorOverride>>,
-    /// The members that are to vote; empty before any were committed.
+    /// Identifiers of the members that should vote; empty before a list of voters is committed.
     pub voters: Vec<u64>,
-    /// The members that may not lend.
+    /// Identifiers of the members that may not lend.
     pub lending_disabled: BTreeSet<u64>,
-    /// By member: makes proposals idempotent (Ongaro's thesis, 6.3: client sessions).
+    /// The last committed proposal by member. It makes proposals idempotent (Ongaro's thesis, 6.3: client sessions).
     last_proposals: BTreeMap<u64, LastProposal>,
 }
 
 impl CommittedState {
-    /// Reads the state from a snapshot.
+    /// Decodes the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// [`StoreError::InvalidState`] if the bytes are no such state.
+    /// [`StoreError::InvalidState`] if the bytes cannot be decoded.
     pub fn decode(state: &[u8]) -> Result<CommittedState, StoreError> {
         postcard::from_bytes(state).map_err(|_| StoreError::InvalidState)
     }
 
-    /// The state as a snapshot holds it.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        // Serializing to a vector fails only for types without a known length, and there is none here.
+        // Serializing to a vector fails only for sequences of unknown length, and the state contains none.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// The number of the version in force; 0 before any was committed.
+    /// Number of the version in force; 0 before a version is committed.
     pub fn version(&self) -> u64 {
         self.versions.last().map_or(0, |version| version.number)
     }
 
-    /// The text of the version in force; empty before any was committed.
+    /// Text of the version in force; empty before a version is committed.
     pub fn settings(&self) -> &str {
         self.versions.last().map_or("", |version| &version.text)
     }
 
-    /// Whether a member's last proposal was accepted (`true`) or rejected. `None` if it is not committed, or a later
-    /// one of the member is.
+    /// Whether a proposal was accepted (`true`) or rejected (`false`). `None` if it is not committed, or if a later
+    /// proposal of the member is committed.
     pub fn outcome(&self, member: u64, process: u64, sequence: u64) -> Option<bool> {
         self.last_proposals
             .get(&member)
@@ -148,15 +149,15 @@
             .map(|last| last.is_accepted)
     }
 
-    /// Whether this proposal of a member's process, or a later one of the same process, is committed.
+    /// Whether this proposal of a member's process, or a later proposal of the same process, is committed.
     pub fn has_committed(&self, member: u64, process: u64, sequence: u64) -> bool {
         self.last_proposals
             .get(&member)
             .is_some_and(|last| last.process == process && last.sequence >= sequence)
     }
 
-    /// Applies the committed entry at `index`. Returns whether the command was accepted; one that is not valid at this
-    /// place in the log, or was applied before, changes nothing.
+    /// Applies the committed entry at `index`. Returns whether the command was accepted. A command that is not valid at
+    /// this index, or that was applied before, does not change the state that it concerns.
     pub fn apply(&mut self, index: u64, proposal: Proposal) -> bool {
         let Proposal {
             member,
@@ -164,7 +165,7 @@
             sequence,
             command,
         } = proposal;
-        // A process has one proposal in the log at a time: a lower number is a duplicate.
+        // A process submits one proposal at a time, so a proposal whose number is not higher is a duplicate.
         if self.has_committed(member, process, sequence) {
             return false;
         }
@@ -206,7 +207,8 @@
         }
     }
 
-    /// Rejects settings that build on another version than the one in force: two operators may have edited the same.
+    /// Applies settings. Settings that are not based on the version in force are rejected, because two operators may
+    /// have edited the same version.
     fn apply_settings(&mut self, text: String, base_version: u64, proposer: u64) -> bool {
         if base_version != self.version() || text.len() > MAX_SETTINGS_BYTES {
             return false;
@@ -221,9 +223,9 @@
         true
     }
 
-    /// An override replaces those that its operator had seen, those that say the same, and those given at the same
-    /// dispatcher, where commands come one after the other. Others stay beside it: commands from two sides of a
-    /// partition both hold until an operator who has seen both decides.
+    /// Applies an override. It replaces the overrides that its operator had seen, those that set the same state, and
+    /// those from the same dispatcher, where commands have an order. All other overrides are kept beside it: commands
+    /// from two sides of a network partition both remain in effect until an operator who has seen both decides.
     fn apply_override(
         &mut self,
         target: OverrideTarget,
@@ -241,7 +243,7 @@
         });
         overrides.push(new);
         if overrides.iter().all(|each| !each.out_of_service) {
-            // Back in service is the default; nothing has to be remembered.
+            // In service is the default state, so no override needs to be stored.
             self.overrides.remove(&target);
         }
         true
@@ -255,7 +257,7 @@
         is_valid
     }
 
-    /// Whether a target is out of service: it is if any of its overrides says so.
+    /// Whether a target is out of service, which is the case if any of its overrides takes it out of service.
     pub fn is_out_of_service(&self, target: &OverrideTarget) -> bool {
         self.overrides
             .get(target)
--- a/crates/dispatcher/replicated-store/src/error.rs
+++ b/crates/dispatcher/replicated-store/src/error.rs
@@ -2,24 +2,24 @@
 
 use thiserror::Error;
 
-/// What is wrong with a record of the journal.
+/// The kind of damage of a record in the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordDamage {
     /// The length and its complement do not match.
     #[error("the length does not match its complement")]
     Length,
     /// The end mark is missing.
-    #[error("no end mark")]
+    #[error("the end mark is missing")]
     EndMark,
     /// The checksum does not match.
     #[error("the checksum does not match")]
     Checksum,
-    /// The content is not a record.
+    /// The content cannot be decoded as a record.
     #[error("the content cannot be decoded")]
     Content,
 }
 
-/// Why stored data cannot be used, or a request is rejected.
+/// Reason for which stored data cannot be used or a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// The header of the journal is damaged.
@@ -28,9 +28,9 @@
     /// A record inside the journal was altered after it was written.
     #[error("the journal is damaged at byte {offset}: {damage}")]
     DamagedRecord {
-        /// Where the record begins, bytes.
+        /// Offset of the record in the journal, bytes.
         offset: usize,
-        /// What is wrong with it.
+        /// The kind of damage.
         damage: RecordDamage,
     },
     /// The journal belongs to another fleet.
@@ -39,13 +39,13 @@
     /// The journal belongs to another member of the fleet.
     #[error("the journal belongs to another member")]
     OtherMember,
-    /// A saved copy of the merged or committed state cannot be decoded.
+    /// A saved copy of the merged state or the committed state cannot be decoded.
     #[error("the saved state cannot be decoded")]
     InvalidState,
-    /// Too many proposals of this member wait for the log.
+    /// The queue of this member's uncommitted proposals is full.
     #[error("{limit} proposals wait already")]
     TooManyProposals {
-        /// The limit.
+        /// Largest number of queued proposals.
         limit: usize,
     },
 }
--- a/crates/dispatcher/replicated-store/src/journal.rs
+++ b/crates/dispatcher/replicated-store/src/journal.rs
@@ -1,12 +1,14 @@
-//! The form of the log on disk: a header, then records, each with its length twice, a checksum and an end mark.
+//! The format of the log on disk, the journal: a header, then records. A record has its length, the complement of the
+//! length, a checksum, its body and an end mark.
 //!
 //! ```text
 //!   header: magic 8 | fleet 4 | member 8 | disk 8 | records before 8 | crc32 4
 //!   record: length 4 | !length 4 | crc32 4 | body | end mark 4         (little endian, sizes in bytes)
 //! ```
 //!
-//! A record without its end mark was never acknowledged and is cut off. A complete record with a wrong checksum means
-//! that the disk has altered it: the journal must not be used to vote. There is no I/O here: the host writes and syncs.
+//! A record without its end mark is a torn write. It was never acknowledged, and is cut off. A complete record with a
+//! wrong checksum was altered on the disk, and the journal must not be used to vote. This module performs no I/O: the
+//! host writes and syncs the bytes.
 
 use sagetrail_raft::DiskRecord;
 
@@ -16,10 +18,10 @@
 const HEADER_BYTES: usize = 8 + 4 + 8 + 8 + 8 + 4;
 const CHECKSUM_BYTES: usize = 4;
 const END_MARK: [u8; 4] = [0xA5, b'E', b'N', b'D'];
-/// Length, its complement, and the checksum.
+/// Size of the length, its complement and the checksum, bytes.
 const PREFIX_BYTES: usize = 12;
 
-/// Offsets in the header, bytes.
+/// Offsets of the fields in the header, bytes.
 const FLEET_OFFSET: usize = 8;
 const MEMBER_OFFSET: usize = 12;
 const DISK_OFFSET: usize = 20;
@@ -28,18 +30,18 @@
 /// The content of a journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Journal {
-    /// The identity of the disk.
+    /// Identifier of the disk.
     pub disk: u64,
     /// The records, in order.
     pub records: Vec<DiskRecord>,
-    /// Number of records that the disk has ever held, these included.
+    /// Number of records written to the disk since it was blank, including `records`.
     pub records_written: u64,
-    /// Length of the valid part, bytes. What follows was never acknowledged, and is to be cut off.
+    /// Length of the valid part, bytes. The bytes after it were never acknowledged and must be cut off.
     pub valid_bytes: usize,
 }
 
-/// The header of a journal. `fleet` is a checksum of the fleet's name; `records_written` is the number of records that
-/// the disk held before this file.
+/// Encodes the header of a journal. `fleet` is a checksum of the fleet's name; `records_written` is the number of
+/// records that were written to the disk before the records of this journal.
 pub fn encode_header(fleet: u32, member: u64, disk: u64, records_written: u64) -> Vec<u8> {
     let mut header = MAGIC.to_vec();
     header.extend(fleet.to_le_bytes());
@@ -51,9 +53,9 @@
     header
 }
 
-/// A record as the journal holds it.
+/// Encodes a record of the journal.
 pub fn encode_record(record: &DiskRecord) -> Vec<u8> {
-    // Serializing to a vector fails only for types without a known length, and there is none here.
+    // Serializing to a vector fails only for sequences of unknown length, and a record contains none.
     let body = postcard::to_allocvec(record).unwrap_or_default();
     let length = body.len() as u32;
     let mut bytes = Vec::with_capacity(PREFIX_BYTES + body.len() + END_MARK.len());
@@ -65,13 +67,13 @@
     bytes
 }
 
-/// Reads a journal of this fleet and member. `None` if the disk is blank: it holds less than a header, which is synced
-/// before anything else is written.
+/// Decodes a journal of this fleet and member. Returns `None` if the disk is blank: it holds less than a header, and
+/// the header is synced before anything else is written.
 ///
 /// # Errors
 ///
-/// [`StoreError::OtherFleet`] or [`StoreError::OtherMember`] for a journal that is not this member's;
-/// [`StoreError::DamagedHeader`] or [`StoreError::DamagedRecord`] if it was altered after it was written.
+/// [`StoreError::OtherFleet`] or [`StoreError::OtherMember`] if the journal is not this member's;
+/// [`StoreError::DamagedHeader`] or [`StoreError::DamagedRecord`] if the journal was altered after it was written.
 pub fn decode_journal(
     bytes: &[u8],
     fleet: u32,
@@ -110,7 +112,7 @@
     Ok(())
 }
 
-/// A complete record, not decoded yet.
+/// A complete record that is not decoded yet.
 struct RecordFrame<'a> {
     body: &'a [u8],
     checksum: u32,
@@ -132,14 +134,15 @@
     }
 }
 
-/// The record at the start of `rest`; `None` if only an incomplete write follows.
+/// Returns the record at the start of `rest`, which begins at `offset` in the journal. `None` if `rest` is empty or a
+/// torn write.
 fn next_frame(rest: &[u8], offset: usize) -> Result<Option<RecordFrame<'_>>, StoreError> {
     if rest.len() < PREFIX_BYTES {
         return Ok(None);
     }
     let length = read_u32(rest, 0);
     if length != !read_u32(rest, 4) {
-        // A file that grew before its bytes were written ends with zeros.
+        // A file ends with zeros if its size grew before its bytes were written.
         let is_unwritten = rest.iter().all(|byte| *byte == 0);
         return match is_unwritten {
             true => Ok(None),
@@ -153,7 +156,7 @@
     }
     let end: [u8; 4] = read_bytes(rest, body_end);
     if end != END_MARK {
-        // An interrupted write leaves zeros at the end of the file; anything else was altered later.
+        // A torn write leaves zeros at the end of the file. Any other content was altered after it was written.
         let is_interrupted = end == [0; 4] && rest.len() == record_end;
         return match is_interrupted {
             true => Ok(None),
--- a/crates/dispatcher/replicated-store/src/lib.rs
+++ b/crates/dispatcher/replicated-store/src/lib.rs
@@ -1,21 +1,24 @@
-//! State that outlives a dispatcher, shared by all members of a fleet, without I/O.
+//! Replicated state of a fleet of dispatchers, which survives the loss of a dispatcher. The crate performs no I/O.
 //!
 //! ```text
 //!                      Node: frames in and out, timers, bytes for the disk
 //!        ┌──────────────────────┬──────────────────────┬───────────────────────┐
 //!   CommittedState         MergedState        RecordReplica, Claims       Journal
-//!   settings, overrides,   one writer a key,  who owns a recorded         the log's records
+//!   settings, overrides,   one writer a key,  the owner of a recorded     the log's records
 //!   voters; by the log     by gossip          work item; by quorum        on disk
 //! ```
 //!
-//! - [`CommittedState`] is the state machine of the replicated log (`sagetrail-raft`): what needs one order for all.
-//! - [`MergedState`] is a last-writer-wins map by gossip: what each member says for itself, available in a partition.
-//! - [`RecordReplica`] and [`Claims`] make a recorded work item known to a quorum before its first byte is sent, so
-//!   that a retry elsewhere never has a second effect.
-//! - [`encode_header`], [`encode_record`] and [`decode_journal`] give the form of the log on disk.
+//! - [`CommittedState`] is the state machine of the replicated log (`sagetrail-raft`). It holds the state whose changes
+//!   must have the same order at all members.
+//! - [`MergedState`] is a last-writer-wins map that is spread by gossip. It holds the state that each member writes for
+//!   itself, and stays available in a network partition.
+//! - [`RecordReplica`] and [`Claims`] record a work item at a quorum of replicas before its first byte is sent, so that
+//!   a retry at another member never has a second effect.
+//! - [`encode_header`], [`encode_record`] and [`decode_journal`] define the format of the write-ahead log on disk.
 //!
-//! [`Node`] puts all of it on frames. The host hands in frames and time, writes what [`Node::next_batch`] returns, and
-//! sends what lies in [`Node::outbound`]. `docs/replication.md` says what is kept which way, and why.
+//! [`Node`] combines them and exchanges their messages in frames. The host passes in received frames and the time,
+//! writes the batches that [`Node::next_batch`] returns, and sends the frames in [`Node::outbound`].
+//! `docs/replication.md` explains which state is replicated in which way, and why.
 
 mod committed_state;
 mod error;
--- a/crates/dispatcher/replicated-store/src/node/claims.rs
+++ b/crates/dispatcher/replicated-store/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of this member, and its part as a replica of others' claims.
+//! Claims that this member makes, and the exchange of claims and records with its own replica and other replicas.
 
 use super::frames::FrameBody;
 use super::Node;
@@ -7,44 +7,44 @@
 };
 
 impl Node {
-    /// Claims a name at its replicas, and returns the claim's number. `copies` is the number of other members that
+    /// Claims a name at its replicas and returns the number of the claim. `copies` is the number of other members that
     /// must hold the record.
-    pub fn claim_name(&mut self, now: f64, name: WorkItemName, copies: usize) -> u64 {
-        let number = self.claims.claim(now, name, &self.members, copies);
-        self.send_claims(now);
+    pub fn claim_name(&mut self, now_s: f64, name: WorkItemName, copies: usize) -> u64 {
+        let number = self.claims.claim(now_s, name, &self.members, copies);
+        self.send_claims(now_s);
         number
     }
 
-    /// The outcome of a claim, once it is known; it is returned once.
-    pub fn claim_outcome(&mut self, now: f64, number: u64) -> Option<ClaimOutcome> {
-        self.claims.outcome(now, number)
+    /// Returns the outcome of a claim when it is known. The outcome is returned only once.
+    pub fn claim_outcome(&mut self, now_s: f64, number: u64) -> Option<ClaimOutcome> {
+        self.claims.outcome(now_s, number)
     }
 
-    /// Withdraws a claim that nobody waits for any more: nothing was sent under it.
-    pub fn abandon_claim(&mut self, now: f64, number: u64) {
+    /// Withdraws a claim whose outcome is no longer needed. Nothing may have been sent under it.
+    pub fn abandon_claim(&mut self, now_s: f64, number: u64) {
         self.claims.abandon(number);
-        self.send_claims(now);
+        self.send_claims(now_s);
     }
 
     /// Reports the end of a work item that this member owns.
-    pub fn complete_claim(&mut self, now: f64, number: u64, completion: Completion) {
+    pub fn complete_claim(&mut self, now_s: f64, number: u64, completion: Completion) {
         self.claims.complete(number, completion);
-        self.send_claims(now);
+        self.send_claims(now_s);
     }
 
-    /// Sends the claims and ends that are due. This member's own replica is asked directly.
-    pub(super) fn send_claims(&mut self, now: f64) {
+    /// Sends the claims and completions that are due. Those for this member's own replica are passed to it directly.
+    pub(super) fn send_claims(&mut self, now_s: f64) {
         let mut messages = Vec::new();
-        self.claims.tick(now, &mut messages);
+        self.claims.tick(now_s, &mut messages);
         for OutboundClaim { to, message } in messages {
             match to == self.member {
-                true => self.claim_at_own_replica(now, message),
+                true => self.claim_at_own_replica(now_s, message),
                 false => self.send(to, &frame_body(message)),
             }
         }
     }
 
-    fn claim_at_own_replica(&mut self, now: f64, message: ClaimMessage) {
+    fn claim_at_own_replica(&mut self, now_s: f64, message: ClaimMessage) {
         let owner = self.as_owner();
         match message {
             ClaimMessage::Claim {
@@ -52,7 +52,7 @@
                 number,
                 epoch,
             } => {
-                let reply = self.record_replica.claim(now, owner, number, name, epoch);
+                let reply = self.record_replica.claim(now_s, owner, number, name, epoch);
                 self.claims.receive_reply(self.member, number, epoch, reply);
             }
             ClaimMessage::End {
@@ -67,13 +67,14 @@
         }
     }
 
-    /// Asks others for their records while this member does not know what its earlier process may have granted.
-    pub(super) fn request_records(&mut self, now: f64) {
-        let requests = self.record_replica.recovery_requests(now, &self.others());
+    /// Asks the other members for their records while this member does not know which claims its earlier process may
+    /// have granted.
+    pub(super) fn request_records(&mut self, now_s: f64) {
+        let requests = self.record_replica.recovery_requests(now_s, &self.others());
         for RecordsRequest { to, after } in requests {
             self.send(to, &FrameBody::RecordsRequest { after });
         }
-        self.recovery_deadline = self.record_replica.deadline(now);
+        self.recovery_deadline_s = self.record_replica.deadline(now_s);
     }
 }
 
--- a/crates/dispatcher/replicated-store/src/node/config.rs
+++ b/crates/dispatcher/replicated-store/src/node/config.rs
@@ -1,29 +1,29 @@
-//! What a node is started with, and what it hands to its host.
+//! The configuration of a node, and the types of its output to the host.
 
 use sagetrail_raft::{DiskRecord, LogPosition, Timing};
 
-/// The settings of one member, and what its disk holds.
+/// Configuration of one member, and the content of its disk.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// This member.
+    /// Identifier of this member.
     pub member: u64,
-    /// All members, this one included.
+    /// Identifiers of all members, including this member.
     pub members: Vec<u64>,
-    /// The members that vote until the log says otherwise.
+    /// Identifiers of the members that vote until an entry of the log sets other voters.
     pub initial_voters: Vec<u64>,
     /// Heartbeat interval and election timeout of the log.
     pub timing: Timing,
-    /// Number of this process that grows with each start, as in SWIM.
+    /// Incarnation of this process: a number that increases with each start, as in SWIM.
     pub incarnation: u64,
-    /// Random number of this process, drawn at the start.
+    /// Random number that identifies this process, drawn at its start.
     pub process: u64,
-    /// The identity of the disk.
+    /// Identifier of the disk.
     pub disk: u64,
-    /// The records that the disk holds.
+    /// The records that the disk holds, in order.
     pub records: Vec<DiskRecord>,
-    /// Number of records that the disk has ever held.
+    /// Number of records written to the disk since it was blank.
     pub records_written: u64,
     /// Longest time for which tombstones of the merged state are kept, seconds.
     pub tombstone_retention_s: f64,
@@ -34,31 +34,31 @@
 /// A frame with its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundFrame {
-    /// The member that receives the frame.
+    /// Identifier of the member that receives the frame.
     pub to: u64,
     /// The encoded frame.
     pub bytes: Vec<u8>,
 }
 
-/// Bytes for the disk, and the frames that may be sent only once these are synced.
+/// Bytes to write to the disk, and the frames that may be sent only after the bytes are synced.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The bytes replace the journal; otherwise they are appended.
+    /// Whether the bytes replace the journal; otherwise they are appended to it.
     pub rewrite: bool,
     /// The bytes to write.
     pub bytes: Vec<u8>,
-    /// Frames that acknowledge what is written.
+    /// Frames to send after the sync, some of which acknowledge the written records.
     pub frames: Vec<OutboundFrame>,
-    /// The log's last entry with this batch; the argument of [`Node::persisted`](crate::Node::persisted).
+    /// Position of the log's last entry as of this batch: the argument of [`Node::persisted`](crate::Node::persisted).
     pub position: LogPosition,
 }
 
-/// Number of frames and their bytes.
+/// Number and size of frames.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Frames.
+    /// Number of frames.
     pub frames: u64,
-    /// Their size, bytes.
+    /// Total size of the frames, bytes.
     pub bytes: u64,
 }
 
--- a/crates/dispatcher/replicated-store/src/node/frames.rs
+++ b/crates/dispatcher/replicated-store/src/node/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between members: encoding, and dispatch of those received.
+//! Encodes frames, and dispatches received frames to their handlers.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,9 +10,10 @@
 use crate::merged_state::{Digest, Item, Key};
 use crate::records::{ClaimReply, Completion, Owner, RecordPage, WorkItemName};
 
-/// Version of the store's frames: their first byte, which tells them from those of the membership protocol.
+/// Version of the store's frames. It is their first byte, and distinguishes them from frames of the membership
+/// protocol.
 pub const STORE_VERSION: u8 = 0x51;
-/// Largest frame, bytes: a chunk of a snapshot or a message of entries fits several times.
+/// Largest size of a frame, bytes. It is several times the size of a snapshot chunk or of a message with entries.
 pub const MAX_FRAME_BYTES: usize = 512 << 10;
 
 /// The content of a frame. The order of the variants is part of the wire format.
@@ -75,8 +76,8 @@
         self.outbound.push(OutboundFrame { to, bytes });
     }
 
-    /// Takes a frame from the links. One that is not valid is counted in [`Node::rejected`] and has no effect.
-    pub fn receive(&mut self, now: f64, frame: &[u8]) {
+    /// Processes a received frame. An invalid frame is counted in [`Node::rejected`] and has no effect.
+    pub fn receive(&mut self, now_s: f64, frame: &[u8]) {
         let (envelope, body) = match self.codec.decode::<FrameBody>(frame, MAX_FRAME_BYTES) {
             Ok(decoded) => decoded,
             Err(error) => return self.reject(error),
@@ -89,26 +90,26 @@
             member: envelope.sender,
             process: envelope.process,
         };
-        self.dispatch(now, sender, body);
+        self.dispatch(now_s, sender, body);
     }
 
-    fn dispatch(&mut self, now: f64, sender: Owner, body: FrameBody) {
+    fn dispatch(&mut self, now_s: f64, sender: Owner, body: FrameBody) {
         let from = sender.member;
         match body {
-            FrameBody::Log(message) => self.receive_log_message(now, from, message),
+            FrameBody::Log(message) => self.receive_log_message(now_s, from, message),
             FrameBody::Propose(proposal) if proposal.member == from => {
-                self.append_proposal(now, &proposal);
+                self.append_proposal(now_s, &proposal);
             }
             FrameBody::Propose(_) => self.reject(FrameError::InvalidValue),
-            FrameBody::MergedDigest(digest) => self.answer_digest(now, from, &digest),
+            FrameBody::MergedDigest(digest) => self.answer_digest(now_s, from, &digest),
             FrameBody::MergedItems { digest, items } => {
-                self.receive_items(now, from, &digest, items);
+                self.receive_items(now_s, from, &digest, items);
             }
             FrameBody::Claim {
                 name,
                 number,
                 epoch,
-            } => self.answer_claim(now, sender, number, name, epoch),
+            } => self.answer_claim(now_s, sender, number, name, epoch),
             FrameBody::ClaimReply {
                 number,
                 epoch,
@@ -128,19 +129,19 @@
             }
             FrameBody::EndConfirmed { number } => self.claims.receive_confirmation(from, number),
             FrameBody::RecordsRequest { after } => {
-                if let Some(page) = self.record_replica.page(now, after) {
+                if let Some(page) = self.record_replica.page(now_s, after) {
                     self.send(from, &FrameBody::Records(page));
                 }
             }
             FrameBody::Records(page) => {
                 let others = self.others();
-                self.record_replica.receive_page(now, from, page, &others);
+                self.record_replica.receive_page(now_s, from, page, &others);
             }
         }
     }
 
-    fn receive_log_message(&mut self, now: f64, from: u64, message: Message) {
-        let received = self.raft.receive(now, from, message);
+    fn receive_log_message(&mut self, now_s: f64, from: u64, message: Message) {
+        let received = self.raft.receive(now_s, from, message);
         self.process_log();
         if received.is_err() {
             self.reject(FrameError::InvalidValue);
@@ -149,13 +150,15 @@
 
     fn answer_claim(
         &mut self,
-        now: f64,
+        now_s: f64,
         sender: Owner,
         number: u64,
         name: WorkItemName,
         epoch: u32,
     ) {
-        let reply = self.record_replica.claim(now, sender, number, name, epoch);
+        let reply = self
+            .record_replica
+            .claim(now_s, sender, number, name, epoch);
         let body = FrameBody::ClaimReply {
             number,
             epoch,
--- a/crates/dispatcher/replicated-store/src/node/gossip.rs
+++ b/crates/dispatcher/replicated-store/src/node/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip of the merged state (anti-entropy; Demers et al., PODC 1987): one other member at a time gets this one's
-//! digest, answers with a bounded number of items that this one lacks, and with its own digest.
+//! Anti-entropy of the merged state by gossip (Demers et al., PODC 1987). This member sends its digest to one other
+//! member at a time, which replies with its own digest and a bounded number of the items that this member lacks.
 
 use rand::Rng;
 
@@ -7,18 +7,19 @@
 use super::Node;
 use crate::merged_state::{Digest, Item, Key};
 
-/// Mean interval of exchanges, seconds; each is drawn from half to one and a half of it.
+/// Mean interval between two exchanges, seconds. Each interval is drawn between 0.5 and 1.5 times this value.
 const GOSSIP_INTERVAL_S: f64 = 0.5;
-/// Items of one message, bytes: 16 KiB/s at most, so that catching up does not compete with work items.
+/// Largest size of the items in one message, bytes. At one exchange in 0.5 s this is at most 16 KiB/s, so that catching
+/// up does not compete with work items.
 const MAX_GOSSIP_BYTES: usize = 8 << 10;
 
 impl Node {
-    /// Sends the digest to another member, when it is due.
-    pub(super) fn gossip(&mut self, now: f64) {
-        if now < self.next_gossip {
+    /// Sends this member's digest to a random other member if an exchange is due.
+    pub(super) fn gossip(&mut self, now_s: f64) {
+        if now_s < self.next_gossip_s {
             return;
         }
-        self.next_gossip = now + GOSSIP_INTERVAL_S * (0.5 + self.random.random::<f64>());
+        self.next_gossip_s = now_s + GOSSIP_INTERVAL_S * (0.5 + self.random.random::<f64>());
         let others = self.others();
         if others.is_empty() {
             return;
@@ -28,9 +29,9 @@
         self.send(to, &body);
     }
 
-    /// Answers a digest with the items that its sender lacks, and this member's digest.
-    pub(super) fn answer_digest(&mut self, now: f64, from: u64, digest: &[Digest]) {
-        self.merged.receive_digest(now, from, digest);
+    /// Replies to a digest with the items that its sender lacks, and with this member's digest.
+    pub(super) fn answer_digest(&mut self, now_s: f64, from: u64, digest: &[Digest]) {
+        self.merged.receive_digest(now_s, from, digest);
         let items = self.merged.delta(digest, MAX_GOSSIP_BYTES);
         let body = FrameBody::MergedItems {
             digest: self.merged.digest(),
@@ -39,24 +40,24 @@
         self.send(from, &body);
     }
 
-    /// Joins items. Those that come with a digest are answered with what its sender lacks; that answer carries no
-    /// digest, so the exchange ends.
+    /// Merges received items. If they come with a digest, this member replies with the items that their sender lacks.
+    /// That reply carries no digest, which ends the exchange.
     pub(super) fn receive_items(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: u64,
         digest: &[Digest],
         items: Vec<(Key, Item)>,
     ) {
         for (key, item) in items {
             if self.members.contains(&key.owner) {
-                self.changed |= self.merged.join(now, key, item);
+                self.changed |= self.merged.join(now_s, key, item);
             }
         }
         if digest.is_empty() {
             return;
         }
-        self.merged.receive_digest(now, from, digest);
+        self.merged.receive_digest(now_s, from, digest);
         let items = self.merged.delta(digest, MAX_GOSSIP_BYTES);
         if !items.is_empty() {
             let body = FrameBody::MergedItems {
--- a/crates/dispatcher/replicated-store/src/node/operator_overrides.rs
+++ b/crates/dispatcher/replicated-store/src/node/operator_overrides.rs
@@ -1,7 +1,7 @@
 //! Operators' overrides that take a runner or dispatcher out of service, or put it back.
 //!
-//! Taking out of service must also work without a quorum. So such an override is put into the merged state until it is
-//! committed: every member that receives it by gossip obeys it at once.
+//! Taking a target out of service must also work without a quorum. Such an override is therefore kept in the merged
+//! state until it is committed, and every member that receives it by gossip applies it immediately.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::committed_state::{Command, OverrideTarget, Proposal};
 use crate::error::StoreError;
 
-/// Keys of the merged state under which overrides wait to be committed: `word/runner/NAME`, `word/dispatcher/NAME`.
+/// Prefix of the keys of the merged state that hold pending overrides: `word/runner/NAME`, `word/dispatcher/NAME`.
 const PENDING_PREFIX: &str = "word/";
 const RUNNER: &str = "runner";
 const DISPATCHER: &str = "dispatcher";
@@ -23,27 +23,31 @@
 pub struct ActiveOverride {
     /// The target.
     pub target: OverrideTarget,
-    /// Whether the override is committed; otherwise it is pending, or may be committed in the log's uncommitted end.
+    /// Whether the override is committed. Otherwise it is pending in the merged state, or is an entry of the log that
+    /// may or may not be committed.
     pub is_committed: bool,
 }
 
-/// An override that waits to be committed, as the merged state holds it.
+/// An override that is not committed yet, as stored in the merged state.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct PendingOverride {
     /// Index of the last override of the target that the operator had seen.
     seen_index: u64,
-    /// The process that proposed it.
+    /// Identifier of the process that proposed the override.
     process: u64,
-    /// The proposal's number in that process.
+    /// Number of the proposal in that process.
     sequence: u64,
 }
 
-/// The targets that entries of the log take out of service.
-pub(super) fn targets_out_in(records: &[DiskRecord]) -> BTreeSet<OverrideTarget> {
-    records.iter().filter_map(target_out_in).collect()
+/// Returns the targets that entries in `records` take out of service.
+pub(super) fn targets_out_of_service_in(records: &[DiskRecord]) -> BTreeSet<OverrideTarget> {
+    records
+        .iter()
+        .filter_map(target_out_of_service_in)
+        .collect()
 }
 
-fn target_out_in(record: &DiskRecord) -> Option<OverrideTarget> {
+fn target_out_of_service_in(record: &DiskRecord) -> Option<OverrideTarget> {
     let DiskRecord::Entry(Entry {
         payload: EntryPayload::Command(command),
         ..
@@ -68,7 +72,7 @@
     }
 }
 
-fn target_of(pending_key: &str) -> Option<OverrideTarget> {
+fn target_from_key(pending_key: &str) -> Option<OverrideTarget> {
     let rest = pending_key.strip_prefix(PENDING_PREFIX)?;
     match rest.split_once('/')? {
         (RUNNER, name) => Some(OverrideTarget::Runner(name.to_string())),
@@ -78,15 +82,15 @@
 }
 
 impl Node {
-    /// Proposes to take a target out of service or to put it back, and returns the proposal's number. Out of service
-    /// holds at once, here and at every member that learns of it.
+    /// Proposes to take a target out of service or to put it back, and returns the number of the proposal. Taking out
+    /// of service takes effect immediately, here and at every member that receives the override by gossip.
     ///
     /// # Errors
     ///
-    /// [`StoreError::TooManyProposals`]; nothing holds then.
+    /// [`StoreError::TooManyProposals`] if the queue of proposals is full. The override has no effect then.
     pub fn set_out_of_service(
         &mut self,
-        now: f64,
+        now_s: f64,
         target: OverrideTarget,
         out_of_service: bool,
     ) -> Result<u64, StoreError> {
@@ -96,16 +100,16 @@
             out_of_service,
             seen_index,
         };
-        let sequence = self.propose(now, command)?;
+        let sequence = self.propose(now_s, command)?;
         if out_of_service {
-            self.publish_pending(now, &target, seen_index, sequence);
+            self.publish_pending_override(now_s, &target, seen_index, sequence);
         }
         Ok(sequence)
     }
 
-    fn publish_pending(
+    fn publish_pending_override(
         &mut self,
-        now: f64,
+        now_s: f64,
         target: &OverrideTarget,
         seen_index: u64,
         sequence: u64,
@@ -116,12 +120,13 @@
             sequence,
         };
         let value = postcard::to_allocvec(&pending).unwrap_or_default();
-        self.merged.put(now, &pending_key(target), Some(value));
+        self.merged.put(now_s, &pending_key(target), Some(value));
         self.changed = true;
     }
 
-    /// Removes this member's pending overrides that are committed; proposes those of its earlier process again.
-    pub(super) fn settle_pending_overrides(&mut self, now: f64) {
+    /// Removes this member's pending overrides that are committed, and proposes the uncommitted ones of its earlier
+    /// process again.
+    pub(super) fn resolve_pending_overrides(&mut self, now_s: f64) {
         let own: Vec<(String, Vec<u8>)> = self
             .merged
             .with_prefix(PENDING_PREFIX)
@@ -130,15 +135,15 @@
             .collect();
         for (name, value) in own {
             let pending = postcard::from_bytes::<PendingOverride>(&value).ok();
-            if let Some((target, pending)) = target_of(&name).zip(pending) {
-                self.settle_pending(now, &name, target, pending);
+            if let Some((target, pending)) = target_from_key(&name).zip(pending) {
+                self.resolve_pending_override(now_s, &name, target, pending);
             }
         }
     }
 
-    fn settle_pending(
+    fn resolve_pending_override(
         &mut self,
-        now: f64,
+        now_s: f64,
         name: &str,
         target: OverrideTarget,
         pending: PendingOverride,
@@ -148,9 +153,9 @@
             process,
             sequence,
         } = pending;
-        // A process commits its proposals in order, so a later one shows that this one is done.
+        // Proposals of a process are committed in order, so a later committed proposal shows that this one is done.
         if self.committed.has_committed(self.member, process, sequence) {
-            self.merged.put(now, name, None);
+            self.merged.put(now_s, name, None);
             self.changed = true;
         } else if process != self.process && !self.is_behind() {
             let command = Command::Override {
@@ -158,20 +163,20 @@
                 out_of_service: true,
                 seen_index,
             };
-            if let Ok(sequence) = self.propose(now, command) {
-                self.publish_pending(now, &target, seen_index, sequence);
+            if let Ok(sequence) = self.propose(now_s, command) {
+                self.publish_pending_override(now_s, &target, seen_index, sequence);
             }
         }
     }
 
-    /// All targets that are out of service, committed or not.
+    /// Returns all targets that are out of service by committed, pending or possibly committed overrides.
     pub fn active_overrides(&self) -> Vec<ActiveOverride> {
         let mut is_committed = BTreeMap::new();
-        for target in &self.possibly_out {
+        for target in &self.possibly_out_of_service {
             is_committed.insert(target.clone(), false);
         }
         for (key, _) in self.merged.with_prefix(PENDING_PREFIX) {
-            if let Some(target) = target_of(&key.name) {
+            if let Some(target) = target_from_key(&key.name) {
                 is_committed.insert(target, false);
             }
         }
--- a/crates/dispatcher/replicated-store/src/node/raft_output.rs
+++ b/crates/dispatcher/replicated-store/src/node/raft_output.rs
@@ -1,5 +1,5 @@
-//! The output of the replicated log: committed entries to the state machine, records to the disk, messages to the
-//! links.
+//! Processes the output of the replicated log: applies committed entries to the state machine, and prepares records for
+//! the disk and messages for the links.
 
 use rand::Rng;
 
@@ -12,15 +12,15 @@
 use crate::committed_state::{CommittedState, Proposal};
 use crate::journal::{encode_header, encode_record};
 
-/// The log is compacted into a snapshot after this many entries: a restart replays fewer.
+/// Number of entries after which the log is compacted into a snapshot, which bounds the entries that a restart replays.
 const COMPACT_ENTRIES: u64 = 256;
 
 impl Node {
-    /// Applies what the log has committed, and takes what it has to write and send.
+    /// Applies the entries that the log has committed, and queues the records and messages that it has produced.
     pub(super) fn process_log(&mut self) {
         self.apply_committed();
         let output = self.raft.output();
-        if output.is_empty() || self.disk_failed {
+        if output.is_empty() || self.is_disk_failed {
             return;
         }
         let batch = self.batch(output);
@@ -78,27 +78,28 @@
         }
     }
 
-    /// The next batch for the disk. The host writes and syncs the batches in order, calls [`persisted`](Node::persisted)
-    /// for each, and sends its frames only then.
+    /// Returns the next batch for the disk. The host writes and syncs the batches in order, calls
+    /// [`persisted`](Node::persisted) for each, and only then sends its frames.
     pub fn next_batch(&mut self) -> Option<Batch> {
         self.batches.pop_front()
     }
 
-    /// A batch is synced; `position` is the batch's.
-    pub fn persisted(&mut self, now: f64, position: LogPosition) {
-        self.raft.persisted(now, position);
+    /// Reports that a batch is synced. `position` is the position in that batch.
+    pub fn persisted(&mut self, now_s: f64, position: LogPosition) {
+        self.raft.persisted(now_s, position);
         self.process_log();
     }
 
-    /// The disk failed: this process acknowledges nothing any more. It goes on applying what others commit.
+    /// Reports that the disk failed. This process then acknowledges nothing in the log, but continues to apply the
+    /// entries that the other members commit.
     pub fn fail_disk(&mut self) {
-        self.disk_failed = true;
+        self.is_disk_failed = true;
         self.batches.clear();
     }
 
-    /// Starts the log again with a blank disk of another identity, after a fault. The committed state stays in use
-    /// until the first entry or snapshot of the new log.
-    pub fn restart_blank(&mut self, now: f64, disk: u64) {
+    /// Restarts the log after a fault, with a blank disk that has a new identifier. The committed state stays in use
+    /// until the new log delivers its first entry or snapshot.
+    pub fn restart_blank(&mut self, now_s: f64, disk: u64) {
         let config = RaftConfig {
             id: self.member,
             disk,
@@ -107,7 +108,7 @@
             timing: self.timing,
             seed: self.random.random(),
         };
-        self.raft = Raft::open(config, Vec::new(), 0, now);
+        self.raft = Raft::open(config, Vec::new(), 0, now_s);
         self.disk = disk;
         self.is_state_outdated = true;
         self.batches.clear();
--- a/crates/dispatcher/replicated-store/src/records/claims.rs
+++ b/crates/dispatcher/replicated-store/src/records/claims.rs
@@ -1,4 +1,4 @@
-//! The claims of this member: pending, owned, and ended but not confirmed.
+//! The claims of this member: pending claims, owned names, and completions that replicas have not confirmed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,9 +6,9 @@
 use super::record::{ClaimReply, Completion, MAX_BODY_BYTES};
 use super::work_item_name::{replicas, WorkItemName};
 
-/// How often an end is reported to a replica that does not confirm it.
+/// Largest number of times that a completion is reported to a replica that does not confirm it.
 const MAX_END_REPORTS: u32 = 20;
-/// Interval of these reports, seconds.
+/// Interval between two reports of a completion, seconds.
 const END_REPORT_INTERVAL_S: f64 = 0.25;
 
 /// A message to a replica.
@@ -16,20 +16,20 @@
 pub enum ClaimMessage {
     /// A claim of a name.
     Claim {
-        /// The name.
+        /// Name of the work item.
         name: WorkItemName,
-        /// The claim's number.
+        /// Number of the claim in its process.
         number: u64,
-        /// Its epoch.
+        /// Epoch of the claim.
         epoch: u32,
     },
     /// The end of a claim's work item.
     End {
-        /// The name.
+        /// Name of the work item.
         name: WorkItemName,
-        /// The claim's number.
+        /// Number of the claim in its process.
         number: u64,
-        /// How it ended.
+        /// The result of the work item.
         completion: Completion,
     },
 }
@@ -37,7 +37,7 @@
 /// A message to a replica, with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutboundClaim {
-    /// The member that receives the message.
+    /// Identifier of the member that receives the message.
     pub to: u64,
     /// The message.
     pub message: ClaimMessage,
@@ -49,7 +49,7 @@
     replicas: Vec<u64>,
 }
 
-/// An end that not all replicas have confirmed.
+/// A completion that not all replicas have confirmed.
 struct EndReport {
     name: WorkItemName,
     completion: Completion,
@@ -61,21 +61,21 @@
 #[derive(Default)]
 pub struct Claims {
     member: u64,
-    /// Claims whose outcome is not known, by number.
+    /// Claims whose outcome is not known yet, by their number.
     pending: BTreeMap<u64, Claim>,
-    /// Owned names, by the number of the claim.
+    /// Owned names, by the number of their claim.
     owned: BTreeMap<u64, OwnedName>,
-    /// Ends that not all replicas have confirmed, by the number of the claim.
+    /// Completions that not all replicas have confirmed, by the number of their claim.
     reports: BTreeMap<u64, EndReport>,
-    /// Those among them that were not sent yet.
+    /// Numbers of the claims in `reports` whose completion has not been sent yet.
     unsent_reports: Vec<u64>,
-    /// When all reports are sent again, seconds.
-    next_report: f64,
+    /// When all unconfirmed reports are sent again, seconds.
+    next_report_s: f64,
     last_number: u64,
 }
 
 impl Claims {
-    /// No claims yet.
+    /// Creates an empty set of claims of a member.
     pub fn new(member: u64) -> Claims {
         Claims {
             member,
@@ -88,41 +88,41 @@
         self.owned.len()
     }
 
-    /// Claims a name at its replicas among the `members`, and returns the claim's number. It needs a majority of the
-    /// replicas, and grants of `copies` other members.
-    pub fn claim(&mut self, now: f64, name: WorkItemName, members: &[u64], copies: usize) -> u64 {
+    /// Claims a name at its replicas among the `members` and returns the number of the claim. The claim needs grants of
+    /// a majority of the replicas, and of `copies` members other than this one.
+    pub fn claim(&mut self, now_s: f64, name: WorkItemName, members: &[u64], copies: usize) -> u64 {
         self.last_number += 1;
         let replicas = replicas(name, members, copies);
         let own_copy = usize::from(replicas.contains(&self.member));
         let majority = replicas.len() / 2 + 1;
         let quorum = majority.max(copies + own_copy);
         self.pending
-            .insert(self.last_number, Claim::new(now, name, replicas, quorum));
+            .insert(self.last_number, Claim::new(now_s, name, replicas, quorum));
         self.last_number
     }
 
-    /// When [`tick`](Claims::tick) is to be called next, seconds.
+    /// The time at which [`tick`](Claims::tick) must be called next, seconds.
     pub fn deadline(&self) -> f64 {
         if !self.unsent_reports.is_empty() {
             return 0.0;
         }
-        let claims = self
+        let claims_s = self
             .pending
             .values()
-            .map(|claim| claim.next_send)
+            .map(|claim| claim.next_send_s)
             .fold(f64::INFINITY, f64::min);
         match self.reports.is_empty() {
-            true => claims,
-            false => claims.min(self.next_report),
+            true => claims_s,
+            false => claims_s.min(self.next_report_s),
         }
     }
 
-    /// Adds the messages that are due.
-    pub fn tick(&mut self, now: f64, messages: &mut Vec<OutboundClaim>) {
-        self.send_claims(now, messages);
+    /// Adds the claims and reports that are due to `messages`.
+    pub fn tick(&mut self, now_s: f64, messages: &mut Vec<OutboundClaim>) {
+        self.send_claims(now_s, messages);
         let mut reports = std::mem::take(&mut self.unsent_reports);
-        if now >= self.next_report {
-            self.next_report = now + END_REPORT_INTERVAL_S;
+        if now_s >= self.next_report_s {
+            self.next_report_s = now_s + END_REPORT_INTERVAL_S;
             self.reports.retain(|_, report| {
                 report.sends < MAX_END_REPORTS && !report.unconfirmed.is_empty()
             });
@@ -133,9 +133,9 @@
         }
     }
 
-    fn send_claims(&mut self, now: f64, messages: &mut Vec<OutboundClaim>) {
+    fn send_claims(&mut self, now_s: f64, messages: &mut Vec<OutboundClaim>) {
         for (&number, claim) in &mut self.pending {
-            let receivers = claim.receivers(now);
+            let receivers = claim.receivers(now_s);
             let message = ClaimMessage::Claim {
                 name: claim.name,
                 number,
@@ -164,7 +164,7 @@
         }));
     }
 
-    /// Takes a replica's reply to a claim; one to another epoch is ignored.
+    /// Processes a replica's reply to a claim. A reply to another epoch is ignored.
     pub fn receive_reply(&mut self, from: u64, number: u64, epoch: u32, reply: ClaimReply) {
         let claim = self
             .pending
@@ -175,14 +175,14 @@
         }
     }
 
-    /// The outcome of a claim, once it is known. It is returned once.
-    pub fn outcome(&mut self, now: f64, number: u64) -> Option<ClaimOutcome> {
-        let outcome = self.pending.get_mut(&number)?.decide(now)?;
+    /// Returns the outcome of a claim when it is known. The outcome is returned only once.
+    pub fn outcome(&mut self, now_s: f64, number: u64) -> Option<ClaimOutcome> {
+        let outcome = self.pending.get_mut(&number)?.decide(now_s)?;
         let Claim { name, replicas, .. } = self.pending.remove(&number)?;
         let owned = OwnedName { name, replicas };
         match outcome {
             ClaimOutcome::Owned { .. } => _ = self.owned.insert(number, owned),
-            // The replicas that granted it learn that nothing was sent under it.
+            // The replicas that granted the claim must know that nothing was sent under it.
             _ => self.report_end(number, owned, Completion::never_sent()),
         }
         Some(outcome)
@@ -202,7 +202,7 @@
         self.unsent_reports.push(number);
     }
 
-    /// Withdraws a claim: nothing was sent under it, whatever its outcome.
+    /// Withdraws a claim, regardless of its outcome. Nothing may have been sent under it.
     pub fn abandon(&mut self, number: u64) {
         match self.pending.remove(&number) {
             Some(Claim { name, replicas, .. }) => {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A replica has confirmed an end.
+    /// Records that a replica has confirmed a completion.
     pub fn receive_confirmation(&mut self, from: u64, number: u64) {
         let Some(report) = self.reports.get_mut(&number) else {
             return;
--- a/crates/dispatcher/replicated-store/src/records/record.rs
+++ b/crates/dispatcher/replicated-store/src/records/record.rs
@@ -1,45 +1,45 @@
-//! A record of a work item, as a replica keeps it and as it is sent.
+//! Records of work items, in the forms that a replica stores and that members exchange.
 
 use serde::{Deserialize, Serialize};
 
 use super::WorkItemName;
 
-/// Longest answer that is kept for a retry, bytes.
+/// Largest size of a response body that is kept for a retry, bytes.
 pub const MAX_BODY_BYTES: usize = 1024;
 /// HTTP status in the completion of a work item that was never sent.
 pub(super) const NEVER_SENT_STATUS: u16 = 503;
 
-/// A process of a member. A member that was restarted is another owner.
+/// A process of a member. A restarted member is another owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
-    /// The member.
+    /// Identifier of the member.
     pub member: u64,
-    /// Random number of its process, drawn at the start.
+    /// Random number that identifies the member's process, drawn at its start.
     pub process: u64,
 }
 
 /// The identity of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The process that made it.
+    /// The process that made the claim.
     pub owner: Owner,
-    /// Its number in that process.
+    /// Number of the claim in that process.
     pub number: u64,
 }
 
-/// How a recorded work item ended.
+/// The result of a recorded work item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Whether it may have run.
+    /// Whether the work item may have run.
     pub may_have_run: bool,
-    /// The body of the answer, if it is at most [`MAX_BODY_BYTES`] long.
+    /// Body of the response, if it is at most [`MAX_BODY_BYTES`] long.
     pub body: Option<Vec<u8>>,
 }
 
 impl Completion {
-    /// The completion of a work item that was certainly never sent.
+    /// Creates the completion of a work item that was certainly never sent.
     pub(super) fn never_sent() -> Completion {
         Completion {
             status: NEVER_SENT_STATUS,
@@ -49,14 +49,14 @@
     }
 }
 
-/// Why a claim is refused: the replica has granted the name to another claim.
+/// The refusal of a claim because the replica has granted the name to another claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The epoch of that claim.
+    /// Epoch of the claim that holds the name.
     pub epoch: u32,
-    /// How that claim's work item ended, if it has.
+    /// The result of that claim's work item; `None` if the replica knows no end of it.
     pub completion: Option<Completion>,
-    /// Time since that claim was granted, milliseconds.
+    /// Time since the claim that holds the name was granted, milliseconds.
     pub age_ms: u32,
 }
 
@@ -67,57 +67,57 @@
     Granted,
     /// The replica has granted the name to another claim.
     Refused(Refusal),
-    /// The replica does not know yet what its former process granted, or holds too many records.
+    /// The replica does not know yet which claims its earlier process granted, or holds too many records.
     Unavailable,
 }
 
-/// A record as it is sent to a member that has just started.
+/// A copy of a record that is sent to a member that has just started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordCopy {
-    /// The name.
+    /// Name of the work item.
     pub name: WorkItemName,
     /// The claim that the name is granted to.
     pub claim: ClaimId,
-    /// The epoch of that claim.
+    /// Epoch of the claim that holds the name.
     pub epoch: u32,
-    /// Time since that claim was granted, milliseconds.
+    /// Time since the claim that holds the name was granted, milliseconds.
     pub age_ms: u32,
-    /// How its work item ended, if it has.
+    /// The result of that claim's work item; `None` if the sender knows no end of it.
     pub completion: Option<Completion>,
-    /// Other claims without an end that may own the name.
+    /// Other claims that may own the name, and whose work items have no known end.
     pub other_claims: Vec<ClaimId>,
 }
 
-/// A record, as a replica keeps it.
+/// A record that a replica keeps.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) claim: ClaimId,
     pub(super) epoch: u32,
     /// When the claim was granted, seconds on the replica's clock.
-    pub(super) since: f64,
-    /// Until when the record is kept, seconds.
-    pub(super) until: f64,
+    pub(super) granted_s: f64,
+    /// When the record expires, seconds on the replica's clock.
+    pub(super) expires_s: f64,
     pub(super) completion: Option<Completion>,
-    /// Other claims without an end, from other replicas: any of them may own the name.
+    /// Other claims, known from other replicas, whose work items have no known end. Any of them may own the name.
     pub(super) other_claims: Vec<ClaimId>,
 }
 
 impl Record {
-    /// A record of a claim that is granted now.
-    pub(super) fn granted(claim: ClaimId, epoch: u32, now: f64, until: f64) -> Record {
+    /// Creates the record of a claim that is granted now.
+    pub(super) fn granted(claim: ClaimId, epoch: u32, now_s: f64, expires_s: f64) -> Record {
         Record {
             claim,
             epoch,
-            since: now,
-            until,
+            granted_s: now_s,
+            expires_s,
             completion: None,
             other_claims: Vec::new(),
         }
     }
 
-    /// A record that another replica sent, kept for `retention_s` from the grant on.
-    pub(super) fn from_copy(copy: RecordCopy, now: f64, retention_s: f64) -> Record {
-        let since = now - f64::from(copy.age_ms) / 1e3;
+    /// Creates a record from another replica's copy. It expires `retention_s` seconds after the grant.
+    pub(super) fn from_copy(copy: RecordCopy, now_s: f64, retention_s: f64) -> Record {
+        let granted_s = now_s - f64::from(copy.age_ms) / 1e3;
         let RecordCopy {
             claim,
             epoch,
@@ -128,44 +128,45 @@
         Record {
             claim,
             epoch,
-            since,
-            until: since + retention_s,
+            granted_s,
+            expires_s: granted_s + retention_s,
             completion,
             other_claims,
         }
     }
 
-    /// The record as it is sent.
-    pub(super) fn to_copy(&self, name: WorkItemName, now: f64) -> RecordCopy {
+    /// Returns a copy of the record to send to another member.
+    pub(super) fn to_copy(&self, name: WorkItemName, now_s: f64) -> RecordCopy {
         RecordCopy {
             name,
             claim: self.claim,
             epoch: self.epoch,
-            age_ms: self.age_ms(now),
+            age_ms: self.age_ms(now_s),
             completion: self.completion.clone(),
             other_claims: self.other_claims.clone(),
         }
     }
 
-    fn age_ms(&self, now: f64) -> u32 {
-        ((now - self.since).max(0.0) * 1e3) as u32
+    fn age_ms(&self, now_s: f64) -> u32 {
+        ((now_s - self.granted_s).max(0.0) * 1e3) as u32
     }
 
-    /// The reply to a claim of this name. `None` if the claim replaces the record: the name was granted at a lower
-    /// epoch, and nothing was sent under it.
-    pub(super) fn reply_to(&self, claim: ClaimId, epoch: u32, now: f64) -> Option<ClaimReply> {
-        let same = self.claim == claim;
-        let replaceable = epoch > self.epoch && self.other_claims.is_empty();
+    /// Returns the reply to a claim of this name. `None` if the claim replaces the record. It does so only at a higher
+    /// epoch, if no other claim may own the name, and if the recorded claim is the same one or has ended without its
+    /// work item having been sent.
+    pub(super) fn reply_to(&self, claim: ClaimId, epoch: u32, now_s: f64) -> Option<ClaimReply> {
+        let is_same_claim = self.claim == claim;
+        let is_replaceable = epoch > self.epoch && self.other_claims.is_empty();
         match &self.completion {
-            None if same && epoch == self.epoch => Some(ClaimReply::Granted),
-            // The claim continues at a higher epoch.
-            None if same && replaceable => None,
-            Some(completion) if !completion.may_have_run && replaceable => None,
-            _ => Some(ClaimReply::Refused(self.refusal(now))),
+            None if is_same_claim && epoch == self.epoch => Some(ClaimReply::Granted),
+            // The same claim is repeated at a higher epoch.
+            None if is_same_claim && is_replaceable => None,
+            Some(completion) if !completion.may_have_run && is_replaceable => None,
+            _ => Some(ClaimReply::Refused(self.refusal(now_s))),
         }
     }
 
-    fn refusal(&self, now: f64) -> Refusal {
+    fn refusal(&self, now_s: f64) -> Refusal {
         let completion = self
             .completion
             .clone()
@@ -173,11 +174,11 @@
         Refusal {
             epoch: self.epoch,
             completion,
-            age_ms: self.age_ms(now),
+            age_ms: self.age_ms(now_s),
         }
     }
 
-    /// Records the end of a claim's work item. The end of a claim that is not in this record is ignored.
+    /// Records the completion of a claim's work item. The completion of a claim that is not in this record is ignored.
     pub(super) fn complete(&mut self, claim: ClaimId, completion: Completion) {
         if self.other_claims.contains(&claim) {
             self.other_claims.retain(|other| *other != claim);
@@ -200,12 +201,13 @@
         self.completion.is_none()
     }
 
-    /// Merges another replica's record of the same name: a claim whose work item may have run wins, and every claim
-    /// that may still run blocks the name until its end is known, whatever its epoch.
+    /// Merges another replica's record of the same name. A claim whose work item has ended and may have run wins.
+    /// Otherwise every claim whose work item may still run blocks the name until its end is known, regardless of its
+    /// epoch.
     pub(super) fn merge(self, other: Record) -> Record {
         let epoch = self.epoch.max(other.epoch);
-        let since = self.since.min(other.since);
-        let until = self.until.max(other.until);
+        let granted_s = self.granted_s.min(other.granted_s);
+        let expires_s = self.expires_s.max(other.expires_s);
         let merged = if self.may_have_run() {
             self
         } else if other.may_have_run() {
@@ -217,13 +219,13 @@
         };
         Record {
             epoch,
-            since,
-            until,
+            granted_s,
+            expires_s,
             ..merged
         }
     }
 
-    /// Adds the claims of another record whose work items may still run.
+    /// Adds those claims of another record whose work items may still run.
     fn with_claims_of(mut self, other: Record) -> Record {
         let open = other.is_open().then_some(other.claim);
         let main = self.claim;
--- a/crates/dispatcher/replicated-store/src/records/retry.rs
+++ b/crates/dispatcher/replicated-store/src/records/retry.rs
@@ -1,36 +1,37 @@
-//! The answer to a retry, by the kind of its category and what is known about the earlier attempt (rule 2 of the
-//! dispatcher's contract).
+//! The answer to a client's retry. It depends on the kind of the category and on the known state of the earlier attempt
+//! (rule 2 of the dispatcher's contract).
 
 use super::{ClaimOutcome, Completion};
 
 const STATUS_OK: u16 = 200;
 const STATUS_WRITTEN_OFF: u16 = 502;
 
-/// The answer to a client whose work item another dispatcher has, or had.
+/// The answer to a client's retry of a work item that was claimed before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryAnswer {
-    /// The answer of the earlier attempt.
+    /// The response of the earlier attempt is repeated.
     Repeat {
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// The body.
+        /// Body of the response.
         body: Vec<u8>,
     },
-    /// A later retry is harmless.
+    /// The client may retry later; a later retry is harmless.
     RetryLater,
-    /// The work item is written off: it may or may not have run, and a retry could run it again.
+    /// The work item is written off. It may have run, and a retry could run it again.
     WriteOff,
 }
 
-/// How retries of a category are answered.
+/// The rule by which retries of a category are answered.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// For categories whose work items may be deferred: a retry is harmless within this time of the claim, seconds.
+    /// Time after the claim within which a retry is harmless, seconds. It is set for categories whose work items may be
+    /// deferred.
     pub window_s: Option<f64>,
 }
 
 impl RetryPolicy {
-    /// The answer to a retry, by the outcome of its claim.
+    /// Returns the answer to a retry, given the outcome of its claim.
     pub fn answer(self, outcome: &ClaimOutcome) -> RetryAnswer {
         match outcome {
             ClaimOutcome::Owned { .. } | ClaimOutcome::NoQuorum => RetryAnswer::RetryLater,
@@ -51,7 +52,7 @@
                 status: STATUS_OK,
                 body: body.clone(),
             },
-            // Done, but the body was too long to keep; or written off already.
+            // The work item has run but its body was too long to keep, or it is written off already.
             Completion {
                 status: STATUS_OK | STATUS_WRITTEN_OFF,
                 ..
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The earlier attempt may have run: a retry is harmless only within the window.
+    /// Returns the answer if the earlier attempt may have run: a retry is harmless only within the window.
     fn answer_uncertain(self, age_ms: u32) -> RetryAnswer {
         let age_s = f64::from(age_ms) / 1e3;
         match self.window_s {
