--- a/crates/dispatcher/replicated-store/tests/claim_safety.rs
+++ b/crates/dispatcher/replicated-store/tests/claim_safety.rs
@@ -1,4 +1,5 @@
-//! Claims of work items under loss, duplicates, pauses, crashes and restarts: a name has one owner, ever.
+//! Guards against two owners of one name, and so two effects of one work item. The faults are message loss, duplicates,
+//! delays, pauses, crashes and restarts of members.
 
 use std::collections::BTreeMap;
 
@@ -11,31 +12,31 @@
 
 /// Time for which records are kept, seconds.
 const RETENTION_S: f64 = 6.0;
-/// Length of a schedule, and the part of it with new claims, seconds.
+/// End of a schedule, and end of its part with new claims, seconds.
 const END_S: f64 = 8.0;
 const LAST_CLAIM_S: f64 = 5.0;
 const STEP_S: f64 = 0.01;
-/// A client retries for this long, seconds.
+/// Time for which a client retries, seconds.
 const RETRY_WINDOW_S: f64 = 3.0;
-/// A work item takes this long, seconds.
+/// Duration of a work item, seconds.
 const SERVICE_S: f64 = 0.5;
 
-/// A member: its part as a replica, its claims, and the work items it runs.
+/// A member with its replica of records, its claims, and the work items that it runs.
 struct Member {
     record_replica: RecordReplica,
     claims: Claims,
     process: u64,
-    /// It is down or paused until then, seconds.
-    up_at: f64,
-    /// Pending claims: names by number.
+    /// Time until which the member is stopped or paused, seconds.
+    up_from_s: f64,
+    /// Names of the pending claims, by the number of the claim.
     pending: BTreeMap<u64, WorkItemName>,
     running: Vec<RunningItem>,
 }
 
-/// A work item that runs, by the number of its claim.
+/// A running work item, with the number of its claim.
 struct RunningItem {
     claim: u64,
-    done_at: f64,
+    done_s: f64,
 }
 
 /// The content of a message.
@@ -47,7 +48,7 @@
     Records(RecordPage),
 }
 
-/// A message under way.
+/// A message in flight.
 struct InFlight {
     from: usize,
     to: usize,
@@ -56,34 +57,34 @@
     payload: Payload,
 }
 
-/// What a schedule has shown.
+/// The result of a schedule.
 #[derive(Default)]
 struct Tally {
-    /// Names with more than one effect.
+    /// Number of effects beyond the first of a name.
     double_effects: u32,
-    /// Claims that owned their names.
+    /// Number of claims that owned their names.
     owned: u32,
 }
 
-/// Clients that retry anywhere, and members that crash; one schedule by its seed.
+/// A schedule with clients that retry at any member and members that crash, determined by its seed.
 struct Schedule {
     random: Pcg64Mcg,
     ids: Vec<u64>,
     copies: usize,
-    loss: f64,
+    loss_probability: f64,
     max_delay_s: f64,
     skip_recovery: bool,
     members: Vec<Member>,
-    /// By arrival time in microseconds and number.
+    /// Messages in flight, by arrival time in microseconds and message number.
     in_flight: BTreeMap<(u64, u64), InFlight>,
     message_count: u64,
     process_count: u64,
-    /// By name: work items that may have had an effect.
+    /// Number of work items that may have had an effect, by name.
     effects: BTreeMap<WorkItemName, u32>,
-    /// All names, and when they were first claimed.
+    /// All names, with the time of their first claim in seconds.
     names: Vec<(WorkItemName, f64)>,
     tally: Tally,
-    now: f64,
+    now_s: f64,
 }
 
 impl Schedule {
@@ -98,7 +99,7 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             ids: (0..member_count as u64).collect(),
             copies,
-            loss: [0.0, 0.1, 0.3][(seed / 3 % 3) as usize],
+            loss_probability: [0.0, 0.1, 0.3][(seed / 3 % 3) as usize],
             max_delay_s: [0.005, 0.05, 0.4][(seed / 9 % 3) as usize],
             skip_recovery,
             members: Vec::new(),
@@ -108,7 +109,7 @@
             effects: BTreeMap::new(),
             names: Vec::new(),
             tally: Tally::default(),
-            now: 0.0,
+            now_s: 0.0,
         };
         for id in 0..member_count as u64 {
             let member = schedule.start(-10.0, id, id + 1);
@@ -117,8 +118,8 @@
         schedule
     }
 
-    fn start(&self, now: f64, id: u64, process: u64) -> Member {
-        let mut record_replica = RecordReplica::new(now, RETENTION_S);
+    fn start(&self, now_s: f64, id: u64, process: u64) -> Member {
+        let mut record_replica = RecordReplica::new(now_s, RETENTION_S);
         if self.skip_recovery {
             record_replica.skip_recovery();
         }
@@ -126,17 +127,17 @@
             record_replica,
             claims: Claims::new(id),
             process,
-            up_at: now,
+            up_from_s: now_s,
             pending: BTreeMap::new(),
             running: Vec::new(),
         }
     }
 
     fn run(mut self) -> Tally {
-        while self.now < END_S {
-            self.now += STEP_S;
+        while self.now_s < END_S {
+            self.now_s += STEP_S;
             let target = self.random.random_range(0..self.members.len());
-            let is_claiming = self.now < LAST_CLAIM_S && self.random.random::<f64>() < 0.15;
+            let is_claiming = self.now_s < LAST_CLAIM_S && self.random.random::<f64>() < 0.15;
             if is_claiming && !self.claim_at(target) {
                 continue;
             }
@@ -149,57 +150,59 @@
         self.tally
     }
 
-    /// Claims a new name, or one that its client retries. False if its client has given up.
+    /// Claims a new name, or a name that its client retries. Returns false if the client has stopped retrying.
     fn claim_at(&mut self, target: usize) -> bool {
         let is_retry = !self.names.is_empty() && self.random.random::<f64>() < 0.6;
         let name = match is_retry {
             true => {
-                let (name, claimed_at) = self.names[self.random.random_range(0..self.names.len())];
-                if self.now > claimed_at + RETRY_WINDOW_S {
+                let (name, claimed_s) = self.names[self.random.random_range(0..self.names.len())];
+                if self.now_s > claimed_s + RETRY_WINDOW_S {
                     return false;
                 }
                 name
             }
             false => {
                 let name = WorkItemName::new("once", &format!("{}", self.names.len()));
-                self.names.push((name, self.now));
+                self.names.push((name, self.now_s));
                 name
             }
         };
         let member = &mut self.members[target];
-        if self.now >= member.up_at {
-            let number = member.claims.claim(self.now, name, &self.ids, self.copies);
+        if self.now_s >= member.up_from_s {
+            let number = member
+                .claims
+                .claim(self.now_s, name, &self.ids, self.copies);
             member.pending.insert(number, name);
         }
         true
     }
 
-    /// Pauses or restarts a member now and then. One that was paused continues with the state it had.
+    /// Pauses or restarts the member at random. A paused member keeps its state.
     fn inject_fault(&mut self, target: usize) {
         if self.random.random::<f64>() < 0.005 {
-            self.members[target].up_at = self.now + 2.0 * self.random.random::<f64>();
+            self.members[target].up_from_s = self.now_s + 2.0 * self.random.random::<f64>();
         }
         if self.random.random::<f64>() < 0.01 {
             self.process_count += 1;
-            let started_at = self.now + 0.3 * self.random.random::<f64>();
-            self.members[target] = self.start(started_at, target as u64, self.process_count);
+            let started_s = self.now_s + 0.3 * self.random.random::<f64>();
+            self.members[target] = self.start(started_s, target as u64, self.process_count);
         }
     }
 
     fn deliver_due(&mut self) {
         while let Some((&key, _)) = self.in_flight.first_key_value() {
-            if key.0 as f64 / 1e6 > self.now {
+            if key.0 as f64 / 1e6 > self.now_s {
                 return;
             }
             let Some(message) = self.in_flight.remove(&key) else {
                 return;
             };
-            let up_at = self.members[message.to].up_at;
-            if self.now >= up_at {
+            let up_from_s = self.members[message.to].up_from_s;
+            if self.now_s >= up_from_s {
                 self.deliver(message);
             } else if self.random.random::<f64>() < 0.5 {
-                // It waits in the socket of a paused process.
-                let key = ((up_at * 1e6) as u64 + 1, key.1);
+                // The message waits in the socket of the paused process.
+                let key = ((up_from_s * 1e6) as u64 + 1, key.1);
                 self.in_flight.insert(key, message);
             }
         }
@@ -213,7 +216,9 @@
             payload,
         } = message;
         let reply = self.receive(from, to, process, payload);
-        if let Some(payload) = reply.filter(|_| self.random.random::<f64>() >= self.loss) {
+        if let Some(payload) =
+            reply.filter(|_| self.random.random::<f64>() >= self.loss_probability)
+        {
             self.post(InFlight {
                 from: to,
                 to: from,
@@ -230,7 +235,7 @@
         process: u64,
         payload: Payload,
     ) -> Option<Payload> {
-        let now = self.now;
+        let now_s = self.now_s;
         let member = &mut self.members[to];
         let sender = Owner {
             member: from as u64,
@@ -244,7 +249,7 @@
                 epoch,
             }) => {
                 let replica = &mut member.record_replica;
-                let reply = replica.claim(now, sender, number, name, epoch);
+                let reply = replica.claim(now_s, sender, number, name, epoch);
                 Some(Payload::ClaimReply(number, epoch, reply))
             }
             Payload::Claim(ClaimMessage::End {
@@ -257,10 +262,11 @@
                     .complete(sender, number, name, completion);
                 Some(Payload::EndConfirmed(number))
             }
-            Payload::RecordsRequest(after) => {
-                member.record_replica.page(now, after).map(Payload::Records)
-            }
-            // A reply to an earlier process.
+            Payload::RecordsRequest(after) => member
+                .record_replica
+                .page(now_s, after)
+                .map(Payload::Records),
+            // The reply is for an earlier process.
             _ if !is_for_this_process => None,
             Payload::ClaimReply(number, epoch, reply) => {
                 member
@@ -276,7 +282,7 @@
                 let others: Vec<u64> = others(&self.ids, to);
                 member
                     .record_replica
-                    .receive_page(now, from as u64, page, &others);
+                    .receive_page(now_s, from as u64, page, &others);
                 None
             }
         }
@@ -285,19 +291,19 @@
     /// Sends a message with a random delay.
     fn post(&mut self, message: InFlight) {
         self.message_count += 1;
-        let arrives_at = self.now + self.max_delay_s * self.random.random::<f64>();
-        let key = ((arrives_at * 1e6) as u64, self.message_count);
+        let arrival_s = self.now_s + self.max_delay_s * self.random.random::<f64>();
+        let key = ((arrival_s * 1e6) as u64, self.message_count);
         self.in_flight.insert(key, message);
     }
 
     fn tick_member(&mut self, index: usize) {
-        if self.now < self.members[index].up_at {
+        if self.now_s < self.members[index].up_from_s {
             return;
         }
         self.take_outcomes(index);
         self.complete_items(index);
         let mut messages = Vec::new();
-        self.members[index].claims.tick(self.now, &mut messages);
+        self.members[index].claims.tick(self.now_s, &mut messages);
         self.request_records(index);
         for message in messages {
             self.send_claim(index, message);
@@ -308,7 +314,7 @@
         let member = &mut self.members[index];
         let numbers: Vec<u64> = member.pending.keys().copied().collect();
         for number in numbers {
-            let Some(outcome) = member.claims.outcome(self.now, number) else {
+            let Some(outcome) = member.claims.outcome(self.now_s, number) else {
                 continue;
             };
             let Some(name) = member.pending.remove(&number) else {
@@ -318,7 +324,7 @@
                 continue;
             };
             self.tally.owned += 1;
-            // Now and then it is deferred without being sent; otherwise it has an effect.
+            // Some work items are deferred without being sent; the others have an effect.
             if self.random.random::<f64>() < 0.3 {
                 let never_sent = Completion {
                     status: 503,
@@ -332,19 +338,19 @@
                 self.tally.double_effects += u32::from(*effects > 1);
                 member.running.push(RunningItem {
                     claim: number,
-                    done_at: self.now + SERVICE_S,
+                    done_s: self.now_s + SERVICE_S,
                 });
             }
         }
     }
 
     fn complete_items(&mut self, index: usize) {
-        let now = self.now;
+        let now_s = self.now_s;
         let member = &mut self.members[index];
         let (done, running): (Vec<RunningItem>, Vec<RunningItem>) = member
             .running
             .drain(..)
-            .partition(|item| now >= item.done_at);
+            .partition(|item| now_s >= item.done_s);
         member.running = running;
         for item in done {
             let completion = Completion {
@@ -360,9 +366,9 @@
         let others = others(&self.ids, index);
         let member = &mut self.members[index];
         let process = member.process;
-        let requests = member.record_replica.recovery_requests(self.now, &others);
+        let requests = member.record_replica.recovery_requests(self.now_s, &others);
         for RecordsRequest { to, after } in requests {
-            if self.random.random::<f64>() >= self.loss {
+            if self.random.random::<f64>() >= self.loss_probability {
                 self.post(InFlight {
                     from: index,
                     to: to as usize,
@@ -373,7 +379,7 @@
         }
     }
 
-    /// Sends a message of the claims, sometimes twice.
+    /// Sends a message of the claims, sometimes as two copies.
     fn send_claim(&mut self, index: usize, outbound: OutboundClaim) {
         let process = self.members[index].process;
         let copies = if self.random.random::<f64>() < 0.1 {
@@ -382,7 +388,7 @@
             1
         };
         for _ in 0..copies {
-            if self.random.random::<f64>() < self.loss {
+            if self.random.random::<f64>() < self.loss_probability {
                 continue;
             }
             self.post(InFlight {
@@ -408,7 +414,7 @@
     let threads = std::thread::available_parallelism()
         .map_or(4, |count| count.get() as u64)
         .min(6);
-    let all: Vec<_> = (0..threads)
+    let handles: Vec<_> = (0..threads)
         .map(|thread| {
             std::thread::spawn(move || {
                 let mut owned = 0;
@@ -421,7 +427,10 @@
             })
         })
         .collect();
-    let owned: u64 = all.into_iter().map(|thread| thread.join().unwrap()).sum();
+    let owned: u64 = handles
+        .into_iter()
+        .map(|thread| thread.join().unwrap())
+        .sum();
     println!("{owned} names owned in {schedules} schedules");
     assert!(
         owned > 10 * schedules,
@@ -431,13 +440,14 @@
 
 #[test]
 fn a_replica_that_skips_recovery_is_detected() {
-    let caught = (0..2_000).find(|seed| Schedule::new(*seed, true).run().double_effects > 0);
-    println!("at seed {caught:?}");
-    assert!(caught.is_some());
+    let detected_at = (0..2_000).find(|seed| Schedule::new(*seed, true).run().double_effects > 0);
+    println!("at seed {detected_at:?}");
+    assert!(detected_at.is_some());
 }
 
+/// Guards against a retry that violates rule 2 of the dispatcher's contract.
 #[test]
-fn retries_are_answered_by_rule_2() {
+fn retries_are_answered_by_the_outcome_of_the_earlier_claim() {
     let known = |status, may_have_run, body: Option<&[u8]>| ClaimOutcome::Completed {
         completion: Completion {
             status,
@@ -457,12 +467,12 @@
     assert_eq!(
         exclusive.answer(&known(200, true, Some(b"r"))),
         repeated,
-        "what was made once is given again"
+        "the stored response is repeated"
     );
     assert_eq!(
         exclusive.answer(&known(200, true, None)),
         RetryAnswer::WriteOff,
-        "made, and too long to keep"
+        "the work item has run, and its body was too long to keep"
     );
     assert_eq!(
         exclusive.answer(&known(502, true, None)),
@@ -471,22 +481,22 @@
     assert_eq!(
         exclusive.answer(&ClaimOutcome::InFlight { age_ms: 100 }),
         RetryAnswer::WriteOff,
-        "it may have run"
+        "the work item may have run"
     );
     assert_eq!(
         ticketed.answer(&ClaimOutcome::InFlight { age_ms: 100 }),
         RetryAnswer::RetryLater,
-        "within its window"
+        "the retry is within the window"
     );
     assert_eq!(
         ticketed.answer(&ClaimOutcome::InFlight { age_ms: 2100 }),
         RetryAnswer::WriteOff,
-        "past it"
+        "the retry is after the window"
     );
     assert_eq!(
         exclusive.answer(&known(503, false, None)),
         RetryAnswer::RetryLater,
-        "it provably never ran"
+        "the work item was never sent"
     );
     assert_eq!(
         exclusive.answer(&ClaimOutcome::NoQuorum),
@@ -525,7 +535,7 @@
             1
         ),
         ClaimReply::Unavailable,
-        "no room"
+        "the replica is full"
     );
     assert_eq!(
         record_replica.claim(
@@ -539,7 +549,7 @@
             1
         ),
         ClaimReply::Granted,
-        "room again"
+        "the records have expired"
     );
     assert_eq!(record_replica.count(), 1);
 }
--- a/crates/dispatcher/replicated-store/tests/encoding.rs
+++ b/crates/dispatcher/replicated-store/tests/encoding.rs
@@ -1,7 +1,8 @@
-//! The bytes of what members' stores send each other and put on the disk. The frames are those that two members write
-//! in a fixed story; each is handed to the other one, so that it is read as well. What goes into frames, the log, the
-//! journal and saved copies has examples of its own, with all fields distinct. Both outlive a release: a difference
-//! from a fixture needs a way from the one form to the other, never a new fixture alone.
+//! Guards against unintended changes of the encoding of frames between members and of data on disk. The frames are
+//! those that two members send in a fixed scenario; most of them are also delivered to the other member, so that
+//! decoding is tested too. The values in frames, the log, the journal and saved copies have their own examples, in
+//! which all fields differ. Other releases read both, so a difference from a fixture needs a migration from the old
+//! form to the new one, never only a new fixture.
 
 mod recorded_pair;
 
@@ -46,12 +47,12 @@
     assert_eq!(pair.b.merged.get(1, "dropped"), None);
 }
 
-/// A question about a disk, its answer, and a proposal of who doesn't lead. The messages of the log have a fixture of
-/// their own.
+/// Records a disk query, its report, and a proposal of a member that is not the leader. The messages of the log have
+/// their own fixture.
 fn log(pair: &mut Pair) {
-    let question = disk_query_frame();
-    pair.recorded.add_bytes("log-disk-query", &question);
-    pair.a.receive(0.5, &question);
+    let query = disk_query_frame();
+    pair.recorded.add_bytes("log-disk-query", &query);
+    pair.a.receive(0.5, &query);
     let is_report = |body: &FrameBody| match body {
         FrameBody::Log(message) => matches!(message.body, MessageBody::DiskReport { .. }),
         _ => false,
@@ -59,22 +60,23 @@
     pair.sent_by_a("log-disk-report", is_report);
     pair.a.tick(0.7);
     pair.deliver_frames_to_b(0.8);
-    let op = Command::Settings {
+    let command = Command::Settings {
         text: "settings".to_string(),
         base_version: 0,
     };
-    let no = pair.b.propose(0.9, op).unwrap();
+    let number = pair.b.propose(0.9, command).unwrap();
     let propose = pair.sent_by_b("propose", |body| matches!(body, FrameBody::Propose(_)));
     pair.a.receive(1.0, &propose);
     pair.sync();
     assert_eq!(pair.a.committed.settings(), "settings");
     assert_eq!(
-        pair.a.committed.outcome(2, pair.process_of_b(), no),
+        pair.a.committed.outcome(2, pair.process_of_b(), number),
         Some(true)
     );
 }
 
-/// A claim that comes too early, one that is granted, its end, and one of the same name after that.
+/// Records a claim that arrives before the replica is ready, a claim that is granted, its completion, and a later claim
+/// of the same name.
 fn claims(pair: &mut Pair) {
     let is_claim = |body: &FrameBody| matches!(body, FrameBody::Claim { .. });
     let is_reply = |body: &FrameBody| matches!(body, FrameBody::ClaimReply { .. });
@@ -83,7 +85,7 @@
     pair.a.receive(2.1, &claim);
     pair.sent_by_a("claim-reply-unavailable", is_reply);
 
-    let no = pair.b.claim_name(20.0, NAME, 1);
+    let number = pair.b.claim_name(20.0, NAME, 1);
     let claim = pair.sent_by_b(
         "claim-2",
         |body| matches!(body, FrameBody::Claim { name, .. } if *name == NAME),
@@ -92,11 +94,11 @@
     let granted = pair.sent_by_a("claim-reply-granted", is_reply);
     pair.b.receive(20.2, &granted);
     assert_eq!(
-        pair.b.claim_outcome(20.2, no),
+        pair.b.claim_outcome(20.2, number),
         Some(ClaimOutcome::Owned { epoch: 1 })
     );
 
-    pair.b.complete_claim(20.3, no, completion());
+    pair.b.complete_claim(20.3, number, completion());
     let end = pair.sent_by_b(
         "end",
         |body| matches!(body, FrameBody::End { name, .. } if *name == NAME),
@@ -107,12 +109,12 @@
     });
     pair.b.receive(20.5, &confirmed);
 
-    let no = pair.a.claim_name(21.0, NAME, 1);
+    let number = pair.a.claim_name(21.0, NAME, 1);
     let claim = pair.sent_by_a("claim-3", is_claim);
     pair.b.receive(21.1, &claim);
     let rejected = pair.sent_by_b("claim-reply-refused", is_reply);
     pair.a.receive(21.2, &rejected);
-    let outcome = pair.a.claim_outcome(21.2, no);
+    let outcome = pair.a.claim_outcome(21.2, number);
     assert!(
         matches!(&outcome, Some(ClaimOutcome::Completed { completion: known, .. }) if *known == completion()),
         "{outcome:?}"
@@ -199,7 +201,7 @@
     (0x4001..).zip(commands).map(proposal).collect()
 }
 
-/// No wildcard: a variant that is not named here does not compile.
+/// The match has no wildcard, so that a new variant without a name here does not compile.
 fn proposal_name(proposal: &Proposal) -> &'static str {
     match &proposal.command {
         Command::Settings { .. } => "proposal/settings",
@@ -300,11 +302,11 @@
     }
 }
 
-/// What is agreed after all proposals, from place 11 on.
+/// The committed state after all proposals, whose entries start at index 11.
 fn committed() -> CommittedState {
     let mut committed = CommittedState::default();
-    for (at, proposal) in (11..).zip(proposals()) {
-        assert!(committed.apply(at, proposal));
+    for (index, proposal) in (11..).zip(proposals()) {
+        assert!(committed.apply(index, proposal));
     }
     committed
 }
@@ -354,8 +356,8 @@
 
 fn journal() -> Vec<u8> {
     let mut file = encode_header(FLEET, ME, DISK, WRITTEN_BEFORE);
-    for each in disk_records() {
-        file.extend(encode_record(&each));
+    for record in disk_records() {
+        file.extend(encode_record(&record));
     }
     file
 }
@@ -364,10 +366,10 @@
     postcard::to_allocvec(value).unwrap()
 }
 
-fn reads_back<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let bytes = Fixture::read(VALUES).bytes(name);
-    let (read, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
-    assert_eq!((&read, rest), (value, &[][..]), "{name}");
+    let (decoded, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
+    assert_eq!((&decoded, rest), (value, &[][..]), "{name}");
 }
 
 #[test]
@@ -416,15 +418,15 @@
 #[test]
 fn values_decode_from_the_fixture() {
     for proposal in proposals() {
-        reads_back(proposal_name(&proposal), &proposal);
+        assert_decodes(proposal_name(&proposal), &proposal);
     }
     for reply in replies() {
-        reads_back(reply_name(&reply), &reply);
+        assert_decodes(reply_name(&reply), &reply);
     }
-    reads_back("record-page", &page());
-    reads_back("items", &items());
-    reads_back("digest", &digest());
-    reads_back("facts", &committed());
+    assert_decodes("record-page", &page());
+    assert_decodes("items", &items());
+    assert_decodes("digest", &digest());
+    assert_decodes("facts", &committed());
     let fixture = Fixture::read(VALUES);
     assert_eq!(
         CommittedState::decode(&fixture.bytes("facts")),
@@ -436,16 +438,16 @@
 #[test]
 fn saved_merged_state_is_restored() {
     let bytes = Fixture::read(VALUES).bytes("merged");
-    let mut again = MergedState::new(0xb003, 0x9004, 600.0, 0.0);
-    again.restore(0.0, &bytes, 1.0).unwrap();
-    assert_eq!(again.get(0xb001, "name"), Some(&b"value"[..]));
-    assert_eq!(again.get(0xb003, "own"), Some(&b"own value"[..]));
-    assert_eq!(again.get(0xb002, "dropped"), None);
+    let mut restored = MergedState::new(0xb003, 0x9004, 600.0, 0.0);
+    restored.restore(0.0, &bytes, 1.0).unwrap();
+    assert_eq!(restored.get(0xb001, "name"), Some(&b"value"[..]));
+    assert_eq!(restored.get(0xb003, "own"), Some(&b"own value"[..]));
+    assert_eq!(restored.get(0xb002, "dropped"), None);
     let counts = ItemCounts {
         items: 3,
         tombstones: 1,
     };
-    assert_eq!(again.count(), counts);
+    assert_eq!(restored.count(), counts);
 }
 
 #[test]
@@ -461,7 +463,7 @@
     assert_eq!(decode_journal(&bytes, FLEET, ME), Ok(Some(journal)));
 }
 
-/// A name's record is kept where all members look for it.
+/// All releases must choose the same replicas for a name, so that members find its record.
 #[test]
 fn names_have_the_same_replicas() {
     let members: Vec<u64> = (1..=9).map(|offset| 0xe000 + offset).collect();
@@ -469,7 +471,7 @@
     assert_eq!(replicas(name, &members, 1), [0xe003, 0xe008, 0xe005]);
 }
 
-/// A word that waits for its agreement lies in merged state, under a name that says about whom it is.
+/// A pending override is an item of the merged state, whose name contains the kind and name of its target.
 #[test]
 fn pending_overrides_have_the_same_form_in_merged_state() {
     let mut pair = Pair::new();
@@ -479,17 +481,17 @@
     ] {
         pair.b.set_out_of_service(0.0, target, true).unwrap();
     }
-    let words: Vec<(String, String)> = pair
+    let pending: Vec<(String, String)> = pair
         .b
         .merged
         .with_prefix("word/")
         .map(|(key, value)| (key.name.clone(), sagetrail_fixture::hex(value)))
         .collect();
-    // The place that was seen (none), the process, the proposal's number.
+    // The value is the index of the last seen override (0: none), the process, and the number of the proposal.
     let expected = [
         ("word/dispatcher/two", "00826002"),
         ("word/runner/one", "00826001"),
     ];
     let expected = expected.map(|(name, value)| (name.to_string(), value.to_string()));
-    assert_eq!(words, expected);
+    assert_eq!(pending, expected);
 }
--- a/crates/dispatcher/replicated-store/tests/journal.rs
+++ b/crates/dispatcher/replicated-store/tests/journal.rs
@@ -1,4 +1,5 @@
-//! The journal on disk: power failures at any byte, any bit flipped, another fleet's or member's journal.
+//! Guards against the use of a damaged journal: one that a power failure cut off at any byte, one with any bit flipped,
+//! and one of another fleet or member.
 
 use sagetrail_raft::{DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition};
 use sagetrail_replicated_store::{
@@ -33,7 +34,7 @@
     ]
 }
 
-fn file() -> (Vec<u8>, Vec<usize>) {
+fn journal_file() -> (Vec<u8>, Vec<usize>) {
     let mut bytes = encode_header(1, 2, 3, 10);
     let mut ends = vec![bytes.len()];
     for record in records() {
@@ -45,7 +46,7 @@
 
 #[test]
 fn a_journal_cut_at_any_byte_keeps_its_complete_records() {
-    let (bytes, ends) = file();
+    let (bytes, ends) = journal_file();
     for cut in 0..=bytes.len() {
         let complete = ends.iter().filter(|end| **end <= cut).count();
         match decode_journal(&bytes[..cut], 1, 2) {
@@ -61,31 +62,31 @@
             }
             Err(error) => panic!("cut at {cut}: {error}"),
         }
-        // A file that had grown before its bytes were there ends with zeros.
-        let mut holes = bytes[..cut].to_vec();
-        holes.resize(bytes.len().max(cut), 0);
-        if let Ok(Some(journal)) = decode_journal(&holes, 1, 2) {
-            let held = journal.records;
-            assert_eq!(held, records()[..held.len()], "{cut}");
+        // A file ends with zeros if its size grew before its bytes were written.
+        let mut zero_filled = bytes[..cut].to_vec();
+        zero_filled.resize(bytes.len().max(cut), 0);
+        if let Ok(Some(journal)) = decode_journal(&zero_filled, 1, 2) {
+            let kept_records = journal.records;
+            assert_eq!(kept_records, records()[..kept_records.len()], "{cut}");
         }
     }
 }
 
 #[test]
 fn a_flipped_bit_is_detected_at_any_place() {
-    let (bytes, _) = file();
-    for at in 0..bytes.len() {
+    let (bytes, _) = journal_file();
+    for offset in 0..bytes.len() {
         for bit in 0..8 {
             let mut flipped = bytes.clone();
-            flipped[at] ^= 1 << bit;
+            flipped[offset] ^= 1 << bit;
             let decoded = decode_journal(&flipped, 1, 2);
-            // The header has a checksum of its own, and so has each record.
+            // The header and each record have their own checksums.
             assert!(
                 matches!(
                     decoded,
                     Err(StoreError::DamagedHeader | StoreError::DamagedRecord { .. })
                 ),
-                "byte {at} bit {bit}: {decoded:?}"
+                "byte {offset} bit {bit}: {decoded:?}"
             );
         }
     }
@@ -93,7 +94,7 @@
 
 #[test]
 fn a_journal_of_another_fleet_or_member_is_rejected() {
-    let (bytes, _) = file();
+    let (bytes, _) = journal_file();
     assert_eq!(decode_journal(&bytes, 9, 2), Err(StoreError::OtherFleet));
     assert_eq!(decode_journal(&bytes, 1, 9), Err(StoreError::OtherMember));
     assert_eq!(decode_journal(&[], 1, 2), Ok(None));
--- a/crates/dispatcher/replicated-store/tests/merged_and_committed_state.rs
+++ b/crates/dispatcher/replicated-store/tests/merged_and_committed_state.rs
@@ -1,4 +1,5 @@
-//! The merged state: its join, removal, replicas that were away. The committed state: overrides and settings.
+//! Guards against replicas of the merged state that do not converge or that bring back removed items, and against
+//! overrides and settings in the committed state that replace a command that their operator had not seen.
 
 use proptest::prelude::*;
 use sagetrail_replicated_store::{
@@ -9,15 +10,15 @@
 
 fn items() -> impl Strategy<Value = Vec<(Key, Item)>> {
     let item = (0..OWNERS, 0..4u8, 1..3u64, 1..9u64, any::<bool>()).prop_map(
-        |(owner, key, inc, version, live)| {
+        |(owner, key, incarnation, version, live)| {
             let stamp = Stamp {
-                incarnation: inc,
+                incarnation,
                 version: version * 4 + u64::from(key),
             };
-            // An owner's stamp is of one key and one value alone.
+            // Each stamp of an owner belongs to one key and one value.
             let live = live ^ (stamp.version.is_multiple_of(3));
-            let value =
-                (live && stamp.version % 2 == 1).then(|| vec![stamp.version as u8, inc as u8]);
+            let value = (live && stamp.version % 2 == 1)
+                .then(|| vec![stamp.version as u8, incarnation as u8]);
             (
                 Key {
                     owner,
@@ -28,7 +29,8 @@
         },
     );
     proptest::collection::vec(item, 0..40).prop_map(|mut items| {
-        // Oldest first, as they come from whoever has them all; one stamp, one item.
+        // The items are in ascending order of their stamps, as a replica that has all of them sends them. Each stamp
+        // belongs to one item.
         items.sort_by_key(|(key, item)| (key.owner, item.stamp));
         items.dedup_by_key(|(key, item)| (key.owner, item.stamp));
         items
@@ -45,7 +47,7 @@
     merged
 }
 
-fn live(merged: &MergedState) -> Vec<(Key, Vec<u8>)> {
+fn live_values(merged: &MergedState) -> Vec<(Key, Vec<u8>)> {
     merged
         .with_prefix("")
         .map(|(key, value)| (key.clone(), value.to_vec()))
@@ -57,17 +59,17 @@
     fn the_join_is_idempotent(items in items()) {
         let once = joined(&[&items]);
         let twice = joined(&[&items, &items]);
-        prop_assert_eq!(live(&once), live(&twice));
+        prop_assert_eq!(live_values(&once), live_values(&twice));
         prop_assert_eq!(once.digest(), twice.digest());
     }
 
     #[test]
     fn two_replicas_that_exchange_converge(items in items(), a in 0..40usize, b in 0..40usize) {
-        // Each has an owner's items up to some place.
-        let upto = |n: usize| -> Vec<(Key, Item)> {
-            items.iter().enumerate().filter(|(at, _)| *at < n).map(|(_, item)| item.clone()).collect()
+        // Each replica has the items before a random index.
+        let items_before = |end: usize| -> Vec<(Key, Item)> {
+            items.iter().enumerate().filter(|(index, _)| *index < end).map(|(_, item)| item.clone()).collect()
         };
-        let (mut one, mut other) = (joined(&[&upto(a)]), joined(&[&upto(b)]));
+        let (mut one, mut other) = (joined(&[&items_before(a)]), joined(&[&items_before(b)]));
         for _ in 0..4 {
             for (key, item) in one.delta(&other.digest(), 1 << 20) {
                 other.join(0.0, key, item);
@@ -76,7 +78,7 @@
                 one.join(0.0, key, item);
             }
         }
-        prop_assert_eq!(live(&one), live(&other));
+        prop_assert_eq!(live_values(&one), live_values(&other));
         prop_assert_eq!(one.digest(), other.digest());
     }
 }
@@ -85,10 +87,10 @@
     ItemCounts { items, tombstones }
 }
 
-fn spread(from: &MergedState, to: &mut MergedState, now: f64, member: u64) {
-    to.receive_digest(now, member, &from.digest());
+fn replicate(from: &MergedState, to: &mut MergedState, now_s: f64, member: u64) {
+    to.receive_digest(now_s, member, &from.digest());
     for (key, item) in from.delta(&to.digest(), 1 << 20) {
-        to.join(now, key, item);
+        to.join(now_s, key, item);
     }
 }
 
@@ -100,52 +102,57 @@
         MergedState::new(3, 5, 100.0, 0.0),
     );
     owner.put(0.0, "word/runner/r1", Some(vec![1]));
-    spread(&owner, &mut b, 1.0, 1);
-    spread(&owner, &mut c, 1.0, 1);
-    let away = c.encode();
+    replicate(&owner, &mut b, 1.0, 1);
+    replicate(&owner, &mut c, 1.0, 1);
+    let saved_copy = c.encode();
     owner.put(2.0, "word/runner/r1", None);
-    spread(&owner, &mut b, 3.0, 1);
-    spread(&owner, &mut c, 3.0, 1);
-    assert_eq!(b.count(), counts(1, 1), "a tombstone");
-    // All have it: the mark goes.
-    for (digest, who) in [(owner.digest(), 1), (c.digest(), 3)] {
-        b.receive_digest(4.0, who, &digest);
+    replicate(&owner, &mut b, 3.0, 1);
+    replicate(&owner, &mut c, 3.0, 1);
+    assert_eq!(b.count(), counts(1, 1), "the removal leaves a tombstone");
+    // All members have the tombstone, so it is collected.
+    for (digest, member) in [(owner.digest(), 1), (c.digest(), 3)] {
+        b.receive_digest(4.0, member, &digest);
     }
     b.collect_tombstones(4.0, &[1, 3]);
     assert_eq!(b.count(), counts(0, 0));
-    // One comes with a copy from before.
+    // A replica restarts with a copy from before the removal.
     let mut old = MergedState::new(3, 6, 100.0, 5.0);
-    old.restore(5.0, &away, 4.0).unwrap();
+    old.restore(5.0, &saved_copy, 4.0).unwrap();
     assert_eq!(old.get(1, "word/runner/r1"), Some(&[1][..]));
-    spread(&old, &mut b, 5.0, 3);
-    assert_eq!(b.get(1, "word/runner/r1"), None, "brought back");
-    spread(&b, &mut old, 5.0, 2);
-    // A copy older than marks are kept brings nothing of others.
-    let mut older = MergedState::new(3, 7, 100.0, 500.0);
-    older.restore(500.0, &away, 400.0).unwrap();
-    assert_eq!(older.get(1, "word/runner/r1"), None);
+    replicate(&old, &mut b, 5.0, 3);
+    assert_eq!(
+        b.get(1, "word/runner/r1"),
+        None,
+        "the removed item was brought back"
+    );
+    replicate(&b, &mut old, 5.0, 2);
+    // A copy that is older than the retention time of tombstones restores no items of other members.
+    let mut expired_copy = MergedState::new(3, 7, 100.0, 500.0);
+    expired_copy.restore(500.0, &saved_copy, 400.0).unwrap();
+    assert_eq!(expired_copy.get(1, "word/runner/r1"), None);
 }
 
 #[test]
-fn a_replica_without_the_tombstone_takes_the_old_value_until_it_learns() {
-    // The same day with a copy that knows nothing of what it had: what the guard is worth.
+fn a_replica_without_the_tombstone_accepts_the_old_value_until_it_receives_the_removal() {
+    // The same sequence with a replica that has never held the item: it cannot know of the removal. This shows that the
+    // known latest stamps protect the other replicas.
     let mut owner = MergedState::new(1, 5, 100.0, 0.0);
     owner.put(0.0, "k", Some(vec![1]));
-    let away = {
+    let disconnected = {
         let mut c = MergedState::new(3, 5, 100.0, 0.0);
-        spread(&owner, &mut c, 1.0, 1);
+        replicate(&owner, &mut c, 1.0, 1);
         c
     };
     owner.put(2.0, "k", None);
-    let mut forgetful = MergedState::new(2, 5, 100.0, 2.0);
-    spread(&away, &mut forgetful, 3.0, 3);
+    let mut new_replica = MergedState::new(2, 5, 100.0, 2.0);
+    replicate(&disconnected, &mut new_replica, 3.0, 3);
     assert_eq!(
-        forgetful.get(1, "k"),
+        new_replica.get(1, "k"),
         Some(&[1][..]),
-        "one that never heard of the mark takes the old value"
+        "a replica that never received the tombstone accepts the old value"
     );
-    spread(&owner, &mut forgetful, 4.0, 1);
-    assert_eq!(forgetful.get(1, "k"), None, "until it hears");
+    replicate(&owner, &mut new_replica, 4.0, 1);
+    assert_eq!(new_replica.get(1, "k"), None, "the removal arrived");
 }
 
 fn proposal(member: u64, sequence: u64, command: Command) -> Proposal {
@@ -168,35 +175,40 @@
     let mut committed = CommittedState::default();
     assert!(committed.apply(10, proposal(1, 1, set_override(true, 0))));
     assert!(committed.is_out_of_service(&target));
-    // One side puts it back, knowing of that; the other, not knowing, takes it out anew.
+    // One side puts the target back after it has seen entry 10. The other side has not seen that, and takes the target
+    // out again.
     assert!(committed.apply(11, proposal(1, 2, set_override(false, 10))));
     assert!(!committed.is_out_of_service(&target));
     assert!(committed.apply(12, proposal(2, 1, set_override(true, 10))));
     assert!(
         committed.is_out_of_service(&target),
-        "the more cautious holds"
+        "out of service prevails over in service"
     );
     assert!(
         committed.apply(13, proposal(1, 3, set_override(false, 10))),
-        "without having seen 12"
+        "the operator has not seen entry 12"
     );
     assert!(committed.is_out_of_service(&target));
-    assert_eq!(committed.overrides[&target].len(), 2, "both are shown");
+    assert_eq!(
+        committed.overrides[&target].len(),
+        2,
+        "both overrides are kept"
+    );
     assert!(
         committed.apply(14, proposal(1, 4, set_override(false, 13))),
-        "an operator who saw both"
+        "the operator has seen both overrides"
     );
     assert!(!committed.is_out_of_service(&target));
-    // A doubled or late proposal changes nothing.
+    // A duplicated or delayed proposal changes nothing.
     assert!(!committed.apply(15, proposal(1, 1, set_override(true, 0))));
     assert!(!committed.is_out_of_service(&target));
 }
 
 #[test]
-fn at_one_dispatcher_the_later_override_holds_committed_or_not() {
+fn the_later_of_two_overrides_at_one_dispatcher_takes_effect() {
     let target = OverrideTarget::Runner("r1".to_string());
     let mut committed = CommittedState::default();
-    // Both were said before either was agreed.
+    // Both overrides were proposed before either of them was committed.
     for (sequence, out_of_service) in [(1, true), (2, false)] {
         assert!(committed.apply(
             20 + sequence,
@@ -224,7 +236,7 @@
     assert!(committed.apply(1, proposal(1, 1, settings("a", 0))));
     assert!(
         !committed.apply(2, proposal(1, 2, settings("b", 0))),
-        "another came first"
+        "version 1 was committed first"
     );
     assert!(committed.apply(3, proposal(1, 3, settings("c", 1))));
     assert_eq!((committed.version(), committed.settings()), (2, "c"));
--- a/crates/dispatcher/replicated-store/tests/recorded_pair/mod.rs
+++ b/crates/dispatcher/replicated-store/tests/recorded_pair/mod.rs
@@ -11,10 +11,10 @@
 
 const FLEET: &str = "fleet";
 const PROCESS: u64 = 0x3000;
-/// A name of a work item whose bytes all differ.
+/// Name of a work item; all bytes of the name differ.
 pub(crate) const NAME: WorkItemName = WorkItemName(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
 
-/// The content of a frame, as the fixture has it: a frame of any other form cannot be decoded.
+/// The content of a frame in the form of the fixture, so that a frame of another form cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum FrameBody {
     Log(Message),
@@ -82,12 +82,12 @@
     Codec::with_version(FLEET, STORE_VERSION)
 }
 
-fn opened(frame: &[u8]) -> (Envelope, FrameBody) {
+fn decode_frame(frame: &[u8]) -> (Envelope, FrameBody) {
     codec().decode(frame, MAX_FRAME_BYTES).unwrap()
 }
 
 pub(crate) fn body(frame: &[u8]) -> FrameBody {
-    opened(frame).1
+    decode_frame(frame).1
 }
 
 /// The query about its disk that member 2 sends to member 1 when it starts.
@@ -127,24 +127,24 @@
     }
 }
 
-/// All frames of a node, those that wait for the disk included.
-fn take_frames(node: &mut Node, now: f64) -> Vec<Vec<u8>> {
+/// Takes all frames of a node, including those that are sent only after a sync, and reports the syncs.
+fn take_frames(node: &mut Node, now_s: f64) -> Vec<Vec<u8>> {
     let mut frames = std::mem::take(&mut node.outbound);
     while let Some(batch) = node.next_batch() {
         frames.extend(batch.frames);
-        node.persisted(now, batch.position);
+        node.persisted(now_s, batch.position);
         frames.append(&mut node.outbound);
     }
     frames.into_iter().map(|frame| frame.bytes).collect()
 }
 
-/// Member 1, which bootstraps and leads the log, and member 2, which has no vote.
+/// Member 1, which bootstraps and leads the log, and member 2, which is a learner.
 pub(crate) struct Pair {
     pub a: Node,
     pub b: Node,
     /// The frames recorded so far.
     pub recorded: Fixture,
-    now: f64,
+    now_s: f64,
 }
 
 impl Pair {
@@ -153,7 +153,7 @@
             a: Node::new(config(1), 0.0),
             b: Node::new(config(2), 0.0),
             recorded: Fixture::default(),
-            now: 0.0,
+            now_s: 0.0,
         }
     }
 
@@ -161,15 +161,15 @@
         PROCESS + 2
     }
 
-    /// Records the one wanted frame among those that member 1 has sent. The others are lost.
+    /// Records the only wanted frame among the frames that member 1 has sent. The other frames are lost.
     pub(crate) fn sent_by_a(&mut self, name: &str, is_wanted: fn(&FrameBody) -> bool) -> Vec<u8> {
-        let frames = take_frames(&mut self.a, self.now);
+        let frames = take_frames(&mut self.a, self.now_s);
         self.record_frame(name, frames, is_wanted)
     }
 
-    /// The same of member 2.
+    /// Records the only wanted frame among the frames that member 2 has sent. The other frames are lost.
     pub(crate) fn sent_by_b(&mut self, name: &str, is_wanted: fn(&FrameBody) -> bool) -> Vec<u8> {
-        let frames = take_frames(&mut self.b, self.now);
+        let frames = take_frames(&mut self.b, self.now_s);
         self.record_frame(name, frames, is_wanted)
     }
 
@@ -184,29 +184,29 @@
             .next()
             .unwrap_or_else(|| panic!("no frame for {name}"));
         assert_eq!(wanted.next(), None, "several frames for {name}");
-        let (envelope, body) = opened(&frame);
+        let (envelope, body) = decode_frame(&frame);
         assert_eq!(codec().encode(&envelope, &body), frame, "{name}");
         self.recorded.add_bytes(name, &frame);
         frame
     }
 
     /// Delivers all frames of member 1 to member 2.
-    pub(crate) fn deliver_frames_to_b(&mut self, now: f64) {
-        for frame in take_frames(&mut self.a, now) {
-            self.b.receive(now, &frame);
+    pub(crate) fn deliver_frames_to_b(&mut self, now_s: f64) {
+        for frame in take_frames(&mut self.a, now_s) {
+            self.b.receive(now_s, &frame);
         }
-        take_frames(&mut self.b, now);
+        take_frames(&mut self.b, now_s);
     }
 
-    /// Syncs both disks; the frames are lost.
+    /// Syncs both disks. The frames of both members are lost.
     pub(crate) fn sync(&mut self) {
-        take_frames(&mut self.a, self.now);
-        take_frames(&mut self.b, self.now);
+        take_frames(&mut self.a, self.now_s);
+        take_frames(&mut self.b, self.now_s);
     }
 
     /// Restarts member 2 with a blank disk.
-    pub(crate) fn restart_b(&mut self, now: f64) {
-        self.b = Node::new(config(2), now);
+    pub(crate) fn restart_b(&mut self, now_s: f64) {
+        self.b = Node::new(config(2), now_s);
     }
 
     pub(crate) fn assert_nothing_rejected(&self) {
--- a/crates/dispatcher/replicated-store/tests/stored.rs
+++ b/crates/dispatcher/replicated-store/tests/stored.rs
@@ -1,10 +1,11 @@
-//! What a store keeps in its folder: files that an earlier build wrote are read as they were meant, and a build writes
-//! the same bytes today.
+//! Guards against changes of the files in a store's folder: files that an earlier build wrote must decode to the same
+//! state, and the present build must write the same bytes.
 //!
-//! `fixtures/every-record` is a log with each kind of record; `fixtures/log` and `fixtures/merged` come from `run_scenario`,
-//! a member that agrees with itself on everything that can be agreed, across a snapshot. Where a format has to change
-//! on purpose, `WRITE_STORED=1 cargo test -p sagetrail-replicated-store --test stored` writes them again; what changed then
-//! stands in the commit, with how a member reads the older files. The record of hand-offs is not on disk.
+//! `fixtures/every-record` is a journal with each kind of record. `fixtures/log` and `fixtures/merged` are written by
+//! `run_scenario`, in which a single voter commits each kind of command, before and after a snapshot. If a format has
+//! to change on purpose, `WRITE_STORED=1 cargo test -p sagetrail-replicated-store --test stored` writes the fixtures
+//! again; the commit then describes the change, and how a member reads the older files. Records of work items are not
+//! on disk.
 
 use sagetrail_raft::{
     DiskRecord, DiskWatermark, Entry, EntryPayload, LogPosition, Snapshot, Timing, Voter,
@@ -21,12 +22,12 @@
 const DISK: u64 = 0x3333;
 const PROCESS: u64 = 0x77;
 const LATER_PROCESS: u64 = 0x88;
-/// More than are kept to go back to.
-const SETTINGS: u64 = 10;
-/// Enough proposals for a snapshot; more follow it in the log.
-const WORDS: u64 = 250;
-const NOW: f64 = 100.0;
-const MARKS_S: f64 = 60.0;
+/// Number of committed versions of the settings: more than the number that is kept for a rollback.
+const SETTINGS_VERSIONS: u64 = 10;
+/// Number of overrides of one target: enough entries for a snapshot, which more entries follow.
+const OVERRIDE_COUNT: u64 = 250;
+const NOW_S: f64 = 100.0;
+const TOMBSTONE_RETENTION_S: f64 = 60.0;
 
 fn fleet() -> u32 {
     crc32fast::hash(FLEET.as_bytes())
@@ -42,7 +43,7 @@
     std::fs::read(fixture(name)).unwrap()
 }
 
-/// What is written today is what is stored.
+/// Checks that the bytes equal the stored file.
 fn check_stored(name: &str, bytes: &[u8]) {
     if std::env::var_os("WRITE_STORED").is_some() {
         std::fs::create_dir_all(fixture("")).unwrap();
@@ -115,7 +116,7 @@
     assert_eq!(decode_journal(&stored, fleet(), ME), Ok(Some(journal)));
 }
 
-/// The member with what a log holds.
+/// Creates the member with the content of a journal.
 fn member(records: Vec<DiskRecord>, disk: u64, records_written: u64, process: u64) -> Node {
     let config = NodeConfig {
         fleet: FLEET.to_string(),
@@ -131,17 +132,17 @@
         disk,
         records,
         records_written,
-        tombstone_retention_s: MARKS_S,
+        tombstone_retention_s: TOMBSTONE_RETENTION_S,
         record_retention_s: 6.0,
     };
-    Node::new(config, NOW)
+    Node::new(config, NOW_S)
 }
 
-/// A member, its log as it lies on disk, and its clock.
+/// A member, the content of its journal on disk, and its clock in seconds.
 struct Host {
     node: Node,
     log: Vec<u8>,
-    now: f64,
+    now_s: f64,
 }
 
 impl Host {
@@ -149,35 +150,35 @@
         Host {
             node,
             log,
-            now: NOW,
+            now_s: NOW_S,
         }
     }
 
-    fn run(&mut self, seconds: f64) {
-        let end = self.now + seconds;
-        while self.now < end {
-            self.now += 0.01;
-            self.node.tick(self.now);
+    fn run(&mut self, duration_s: f64) {
+        let end_s = self.now_s + duration_s;
+        while self.now_s < end_s {
+            self.now_s += 0.01;
+            self.node.tick(self.now_s);
             while let Some(batch) = self.node.next_batch() {
                 if batch.rewrite {
                     self.log.clear();
                 }
                 self.log.extend(&batch.bytes);
-                self.node.persisted(self.now, batch.position);
+                self.node.persisted(self.now_s, batch.position);
             }
         }
     }
 
-    /// Whether it was taken.
-    fn agree(&mut self, op: Command) -> bool {
-        let sequence = self.node.propose(self.now, op).unwrap();
+    /// Commits a command. Returns whether it was accepted.
+    fn commit(&mut self, command: Command) -> bool {
+        let sequence = self.node.propose(self.now_s, command).unwrap();
         for _ in 0..500 {
-            if let Some(taken) = self.node.proposal_outcome(sequence) {
-                return taken;
+            if let Some(is_accepted) = self.node.proposal_outcome(sequence) {
+                return is_accepted;
             }
             self.run(0.01);
         }
-        panic!("not agreed");
+        panic!("proposal not committed within 5 s");
     }
 }
 
@@ -199,69 +200,70 @@
     }
 }
 
-fn waiting() -> [OverrideTarget; 2] {
+fn pending_targets() -> [OverrideTarget; 2] {
     [
         OverrideTarget::Runner("waits".to_string()),
         OverrideTarget::Dispatcher("waits".to_string()),
     ]
 }
 
-/// Settings, words, loans and voters are agreed; merged state has values and marks of its own and of another.
+/// Commits settings, overrides, lending and voters. The merged state has values and tombstones of this member and of
+/// another member.
 fn run_scenario() -> Host {
     let mut host = Host::new(
         member(Vec::new(), DISK, 0, PROCESS),
         encode_header(fleet(), ME, DISK, 0),
     );
     host.run(3.0);
-    for base_version in 0..SETTINGS {
+    for base_version in 0..SETTINGS_VERSIONS {
         let text = settings(base_version + 1);
-        assert!(host.agree(Command::Settings { text, base_version }));
+        assert!(host.commit(Command::Settings { text, base_version }));
     }
     let set_override = |target: OverrideTarget, out_of_service: bool| Command::Override {
         target,
         out_of_service,
         seen_index: 0,
     };
-    // These are in the snapshot.
+    // The snapshot includes these commands.
     let target = OverrideTarget::Runner("held-out".to_string());
-    assert!(host.agree(set_override(target, true)));
-    assert!(host.agree(Command::Lending {
+    assert!(host.commit(set_override(target, true)));
+    assert!(host.commit(Command::Lending {
         member: OTHER,
         enabled: false
     }));
-    assert!(host.agree(Command::Voters(vec![ME])));
-    for number in 0..WORDS {
+    assert!(host.commit(Command::Voters(vec![ME])));
+    for number in 0..OVERRIDE_COUNT {
         let target = OverrideTarget::Runner("runner".to_string());
-        assert!(host.agree(set_override(target, number % 2 == 0)));
+        assert!(host.commit(set_override(target, number % 2 == 0)));
     }
-    // Behind the snapshot.
+    // These entries follow the snapshot.
     let target = OverrideTarget::Dispatcher("dispatcher".to_string());
-    assert!(host.agree(set_override(target, true)));
-    assert!(host.agree(Command::Lending {
+    assert!(host.commit(set_override(target, true)));
+    assert!(host.commit(Command::Lending {
         member: 0x33,
         enabled: false
     }));
-    assert!(host.agree(Command::Voters(vec![ME])));
+    assert!(host.commit(Command::Voters(vec![ME])));
     let text = "of a version that is gone".to_string();
-    assert!(!host.agree(Command::Settings {
+    assert!(!host.commit(Command::Settings {
         text,
         base_version: 3
     }));
     let merged = &mut host.node.merged;
-    assert!(merged.put(host.now, "kept", Some(b"value".to_vec())));
-    assert!(merged.put(host.now, "dropped", Some(b"gone".to_vec())));
-    assert!(merged.put(host.now, "dropped", None));
+    assert!(merged.put(host.now_s, "kept", Some(b"value".to_vec())));
+    assert!(merged.put(host.now_s, "dropped", Some(b"gone".to_vec())));
+    assert!(merged.put(host.now_s, "dropped", None));
     for (version, name, value) in [
         (7, "theirs", Some(b"their value".to_vec())),
         (8, "theirs-dropped", None),
     ] {
         let stamp = stamp(version);
-        merged.join(host.now, other_key(name), Item { stamp, value });
+        merged.join(host.now_s, other_key(name), Item { stamp, value });
     }
-    // Said and not agreed yet.
-    for target in waiting() {
+    // These overrides are proposed and not committed yet.
+    for target in pending_targets() {
         host.node
-            .set_out_of_service(host.now, target, true)
+            .set_out_of_service(host.now_s, target, true)
             .unwrap();
     }
     host
@@ -274,7 +276,7 @@
     check_stored("merged", &host.node.merged.encode());
 }
 
-/// The member on the stored log.
+/// Creates the member with the stored log.
 fn restarted() -> Host {
     let log = stored("log");
     let journal = decode_journal(&log, fleet(), ME).unwrap().unwrap();
@@ -299,7 +301,7 @@
 
 fn check_committed(node: &Node) {
     let committed = &node.committed;
-    let versions: Vec<SettingsVersion> = (SETTINGS - 7..=SETTINGS)
+    let versions: Vec<SettingsVersion> = (SETTINGS_VERSIONS - 7..=SETTINGS_VERSIONS)
         .map(|number| SettingsVersion {
             number,
             text: settings(number),
@@ -307,7 +309,7 @@
         })
         .collect();
     assert_eq!(committed.versions, versions);
-    assert_eq!(committed.settings(), settings(SETTINGS));
+    assert_eq!(committed.settings(), settings(SETTINGS_VERSIONS));
     let overrides: Vec<(&OverrideTarget, &Vec<OperatorOverride>)> =
         committed.overrides.iter().collect();
     let (runner, dispatcher) = (
@@ -321,31 +323,34 @@
             member: ME,
         }]
     };
-    let first_word = FIRST_PROPOSAL + SETTINGS;
+    let first_override = FIRST_PROPOSAL + SETTINGS_VERSIONS;
     assert_eq!(
         overrides,
         [
-            (&runner, &one_override(first_word)),
-            (&dispatcher, &one_override(first_word + 3 + WORDS))
+            (&runner, &one_override(first_override)),
+            (
+                &dispatcher,
+                &one_override(first_override + 3 + OVERRIDE_COUNT)
+            )
         ]
     );
     assert_eq!(committed.voters, [ME]);
     let lending_disabled: Vec<u64> = committed.lending_disabled.iter().copied().collect();
     assert_eq!(lending_disabled, [OTHER, 0x33]);
-    let last = SETTINGS + WORDS + 7;
+    let last = SETTINGS_VERSIONS + OVERRIDE_COUNT + 7;
     assert_eq!(committed.outcome(ME, PROCESS, last), Some(false));
     assert_eq!(committed.outcome(ME, PROCESS, last - 1), None);
     assert!(committed.has_committed(ME, PROCESS, last));
 }
 
-/// The place of the first proposal in the log, behind the voters and the leader's own entries.
+/// Index of the first proposal in the log. The entries before it are the voters and the leader's first entry.
 const FIRST_PROPOSAL: u64 = 3;
 
 #[test]
 fn a_restart_on_the_stored_log_keeps_committed_state_and_commits_more() {
     let mut host = restarted();
-    // Before it leads again it holds out whoever may be out.
-    let out = |node: &Node| -> Vec<OverrideTarget> {
+    // Before the member leads again, each target that may be out of service counts as out of service.
+    let out_of_service = |node: &Node| -> Vec<OverrideTarget> {
         node.active_overrides()
             .into_iter()
             .map(|active| active.target)
@@ -356,17 +361,17 @@
         OverrideTarget::Dispatcher("dispatcher".to_string()),
     ];
     for target in &held_out {
-        assert!(out(&host.node).contains(target), "{target:?}");
+        assert!(out_of_service(&host.node).contains(target), "{target:?}");
     }
     host.run(3.0);
     assert_eq!(host.node.disk(), DISK);
     assert_eq!(host.node.fault(), None);
     check_committed(&host.node);
-    assert_eq!(out(&host.node), held_out);
-    let text = settings(SETTINGS + 1);
-    assert!(host.agree(Command::Settings {
+    assert_eq!(out_of_service(&host.node), held_out);
+    let text = settings(SETTINGS_VERSIONS + 1);
+    assert!(host.commit(Command::Settings {
         text: text.clone(),
-        base_version: SETTINGS,
+        base_version: SETTINGS_VERSIONS,
     }));
     let journal = decode_journal(&host.log, fleet(), ME).unwrap().unwrap();
     let Journal {
@@ -376,20 +381,20 @@
         ..
     } = journal;
     let restarted = member(records, disk, records_written, LATER_PROCESS + 1);
-    let mut again = Host::new(restarted, host.log);
-    again.run(3.0);
-    assert_eq!(again.node.committed.settings(), text);
+    let mut restarted_host = Host::new(restarted, host.log);
+    restarted_host.run(3.0);
+    assert_eq!(restarted_host.node.committed.settings(), text);
 }
 
 #[test]
 fn stored_merged_state_is_restored_and_continues() {
     let mut host = restarted();
     let merged = &mut host.node.merged;
-    merged.restore(NOW, &stored("merged"), 1.0).unwrap();
+    merged.restore(NOW_S, &stored("merged"), 1.0).unwrap();
     assert_eq!(merged.get(ME, "kept"), Some(&b"value"[..]));
     assert_eq!(merged.get(OTHER, "theirs"), Some(&b"their value"[..]));
     assert_eq!(merged.get(ME, "dropped"), None);
-    // Its own goes on under this process's stamps, without a mark of what it had dropped.
+    // The member's own items get stamps of this process, without a tombstone of the item that was removed before.
     let counts = ItemCounts {
         items: 5,
         tombstones: 1,
@@ -405,22 +410,22 @@
         version: 3,
     };
     assert_eq!(latest, [(ME, mine), (OTHER, stamp(8))]);
-    // What is older than the stored mark does not come back; what is newer is taken.
+    // An item that is older than the stored tombstone does not come back; a newer item is accepted.
     let older = Item {
         stamp: stamp(6),
         value: Some(b"older".to_vec()),
     };
-    merged.join(NOW, other_key("theirs-dropped"), older);
+    merged.join(NOW_S, other_key("theirs-dropped"), older);
     assert_eq!(merged.get(OTHER, "theirs-dropped"), None);
     let newer = Item {
         stamp: stamp(9),
         value: Some(b"newer".to_vec()),
     };
-    merged.join(NOW, other_key("theirs"), newer);
+    merged.join(NOW_S, other_key("theirs"), newer);
     assert_eq!(merged.get(OTHER, "theirs"), Some(&b"newer"[..]));
-    assert!(merged.put(NOW, "kept", Some(b"next".to_vec())));
+    assert!(merged.put(NOW_S, "kept", Some(b"next".to_vec())));
     let copy = merged.encode();
-    merged.restore(NOW, &copy, 1.0).unwrap();
+    merged.restore(NOW_S, &copy, 1.0).unwrap();
     assert_eq!(merged.get(ME, "kept"), Some(&b"next"[..]));
 }
 
@@ -436,15 +441,21 @@
     let mut host = restarted();
     host.node
         .merged
-        .restore(NOW, &stored("merged"), 1.0)
+        .restore(NOW_S, &stored("merged"), 1.0)
         .unwrap();
-    let out = host.node.active_overrides();
-    for target in waiting() {
-        assert!(out.contains(&active(&target, false)), "{target:?}");
+    let out_of_service = host.node.active_overrides();
+    for target in pending_targets() {
+        assert!(
+            out_of_service.contains(&active(&target, false)),
+            "{target:?}"
+        );
     }
     host.run(5.0);
-    let out = host.node.active_overrides();
-    for target in waiting() {
-        assert!(out.contains(&active(&target, true)), "{target:?}");
+    let out_of_service = host.node.active_overrides();
+    for target in pending_targets() {
+        assert!(
+            out_of_service.contains(&active(&target, true)),
+            "{target:?}"
+        );
     }
 }
