--- a/crates/dispatcher/raft/src/raft/replication.rs
+++ b/crates/dispatcher/raft/src/raft/replication.rs
@@ -30,7 +30,7 @@
 struct ReplyEffect {
     /// Whether a message with entries or a snapshot chunk was unanswered before the reply.
     was_reply_pending: bool,
-    /// Whether the follower still lacks entries that were not sent to it.
+    /// Whether the follower still lacks entries after the reply.
     lacks_entries: bool,
     /// `match_index` before the reply.
     match_index_before: u64,
--- a/crates/dispatcher/raft/tests/safety_under_faults.rs
+++ b/crates/dispatcher/raft/tests/safety_under_faults.rs
@@ -76,7 +76,8 @@
         self.cluster.run_until(step_end_s);
     }
 
-    /// Clears the damaged member once it has recovered: it votes again and has applied all but the last two entries.
+    /// Clears the damaged member once it has recovered: it votes again and lacks at most two committed
+    /// entries.
     fn clear_recovered_node(&mut self) {
         let cluster = &self.cluster;
         let has_recovered = |node: usize| {
