--- a/crates/dispatcher/replicated-store/src/records.rs
+++ b/crates/dispatcher/replicated-store/src/records.rs
@@ -7,7 +7,7 @@
 //! higher epoch, and only if nothing was sent under the earlier one. A claim owns the name if a quorum of the replicas
 //! granted it, among them k other members. Any two quorums have a replica in common, so two members never own a name at
 //! the same epoch (Gifford, "Weighted Voting for Replicated Data", SOSP 1979), and a name under which a work item may
-//! have been sent never gets another owner.
+//! have been sent gets no other owner while its record is kept.
 //!
 //! The records are not on disk, because that would need a sync for each work item. A member that has just started has
 //! lost its earlier grants. It refuses all claims for as long as records are kept, or until all other members have sent
