--- a/crates/dispatcher/dispatcher/src/admin_api.rs
+++ b/crates/dispatcher/dispatcher/src/admin_api.rs
@@ -24,7 +24,7 @@
 const MAX_CALLERS: usize = 16;
 /// Descriptors for the API: its callers, its listener, and a caller that is just being accepted.
 pub(crate) const DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// Time-out for reading a call, and for writing its reply.
+/// Time-out for reading a call, and for writing its reply. A caller waits no longer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a new caller waits for a permit before a silent caller is closed.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(10);
--- a/crates/dispatcher/dispatcher/src/store/apply.rs
+++ b/crates/dispatcher/dispatcher/src/store/apply.rs
@@ -11,8 +11,8 @@
 use crate::start::Start;
 
 impl Store {
-    /// Applies the state. A member that is behind only takes targets out of service, because it may lack the override
-    /// that puts one back.
+    /// Applies the state. A member that is behind only takes targets out of service and puts none back, because it may
+    /// lack the override by which one is out.
     pub(super) fn apply_state(
         &self,
         is_behind: bool,
