--- a/crates/testing/fault-testing/src/referee.rs
+++ b/crates/testing/fault-testing/src/checker.rs
@@ -1,5 +1,8 @@
-//! The judge. It goes by what runners, clients and the list's stand-in saw, never by what dispatchers say: the four
-//! rules over the whole fleet, one final answer each, the bounds on what is shared, and what a scenario expects.
+//! Checks the records of a run: the four rules over the whole fleet, one final answer for each request, the bounds on
+//! what dispatchers share, and the expectations of the scenario. The checks use only what runners, clients and the
+//! stand-in of the list observed, never what dispatchers report about themselves.
+//!
+//! All times are in seconds since the run began.
 
 use crate::names::{Cast, Node};
 use crate::records::{End, Ho, Records, Wi};
@@ -9,28 +12,34 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Times told by two clocks of one machine under load differ by so much.
+/// The tolerance, in seconds, for comparing times that two processes of one loaded machine measured.
 const SLACK_S: f64 = 0.1;
-/// An answer so long past its expiry only earns nothing; later, it is lost.
+/// An answer at most this many seconds past its expiry earns nothing but violations no rule. A later one counts as lost.
 const LATE_S: f64 = 0.5;
-/// The chance in sizes: a span may hold this much more than its limit (as the operators' rule 4 has a little).
-const CHANCE: f64 = 1.1;
-/// Judged for being shut out: a well runner over so long, where so many hand-offs came to each on average; it
-/// must get a quarter of that at the least.
-const SHUT_S: f64 = 4.0;
-const SHUT_EACH: usize = 24;
-const SHUT_PART: usize = 4;
+/// Work sent to a cold runner within a span may reach this multiple of its limit, because the sizes of work items are
+/// random. The operators' rule 4 allows a small excess too.
+const COLD_TOLERANCE: f64 = 1.1;
+/// The length, in seconds, of the span over which a healthy runner is checked for being shut out.
+const SHUT_OUT_SPAN_S: f64 = 4.0;
+/// A span is checked only if runners got at least this many hand-offs each on average.
+const SHUT_OUT_MIN_AVERAGE: usize = 24;
+/// A runner is shut out if it got less than the average divided by this number, that is less than a quarter.
+const SHUT_OUT_DIVISOR: usize = 4;
 
-/// What was broken, by whom and when.
+/// A violation of a rule, a bound or an expectation. The field names are keys of the JSON report.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Break {
+pub struct Violation {
+    /// The name of the finding, such as `rule-1` or `bound-cap`.
     pub rule: &'static str,
+    /// The dispatcher, runner or category at fault, or `all`.
     pub who: String,
+    /// When the violation happened, in seconds since the run began.
     pub at: f64,
+    /// A description of the violation for people.
     pub what: String,
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -40,20 +49,21 @@
     }
 }
 
-/// What was played.
-pub struct World<'a> {
+/// The inputs of a run: its scenario, the participants and the faults that were drawn for it.
+pub struct RunInputs<'a> {
     pub scenario: &'a Scenario,
     pub cast: &'a Cast,
     pub schedule: &'a [What],
 }
 
-impl World<'_> {
+impl RunInputs<'_> {
     fn category(&self, n: usize) -> &Category {
         &self.scenario.categories[n]
     }
 
-    /// A link was hurt, either way, at some moment of a span; or its wake.
-    fn hurt(&self, a: Node, b: Node, from: f64, to: f64) -> bool {
+    /// Whether a fault affected the link between two nodes, in either direction, at some moment of a span. The effect
+    /// of a cut or a stall outlasts it by 3.5 s, that of another fault by 0.5 s plus its delay and jitter.
+    fn link_was_faulty(&self, a: Node, b: Node, from: f64, to: f64) -> bool {
         let spoilt = |what: &&What| {
             let wake = if what.what == "cut" || what.what == "stall" {
                 3.5
@@ -66,8 +76,8 @@
         self.schedule.iter().filter(spoilt).any(on)
     }
 
-    /// A runner was ill or gone at some moment of a span.
-    fn ill(&self, runner: usize, from: f64, to: f64) -> bool {
+    /// Whether a fault affected a runner at some moment of a span or in the 4 s before it.
+    fn runner_was_faulty(&self, runner: usize, from: f64, to: f64) -> bool {
         let node = Node::Runner(runner);
         let then = |what: &&What| what.from <= to && from <= what.to + 4.0;
         let on = |what: &What| what.nodes.contains(&node) || what.what == "fail-category";
@@ -75,13 +85,16 @@
     }
 }
 
-/// A dispatcher did not run, or not as it should, at some moment of a span.
-fn absent(records: &Records, dispatcher: usize, from: f64, to: f64, died: bool) -> bool {
-    let of = |a: &&crate::records::Absence| a.dispatcher == dispatcher && (a.died || !died);
+/// Whether a dispatcher was absent at some moment of a span, or crashed before it or up to 1 s after it. With
+/// `died`, only absences in which the process was killed count, not those in which it was paused.
+fn was_absent(records: &Records, dispatcher: usize, from: f64, to: f64, died: bool) -> bool {
+    let counts = |absence: &&crate::records::Absence| {
+        absence.dispatcher == dispatcher && (absence.died || !died)
+    };
     let gone = records
         .absences
         .iter()
-        .filter(of)
+        .filter(counts)
         .any(|a| a.from <= to && from <= a.to);
     gone || records
         .crashes
@@ -89,7 +102,8 @@
         .any(|(who, at, _)| *who == dispatcher && *at <= to + 1.0)
 }
 
-pub fn judge(world: &World, records: &Records) -> Vec<Break> {
+/// Returns all violations in the records of a run, ordered by time.
+pub fn find_violations(inputs: &RunInputs, records: &Records) -> Vec<Violation> {
     let mut by_wi: BTreeMap<&str, Vec<&Ho>> = BTreeMap::new();
     records
         .hos
@@ -98,7 +112,7 @@
     by_wi
         .values_mut()
         .for_each(|hos| hos.sort_by(|a, b| a.came.total_cmp(&b.came)));
-    // Recorded work is one work item under its name, however often its client asks, and whom.
+    // Recorded work stays one work item under the id of its first try, whichever dispatchers its client repeats it to.
     let firsts: BTreeMap<&str, &str> = records
         .wis
         .iter()
@@ -108,7 +122,7 @@
     for ho in records
         .hos
         .iter()
-        .filter(|ho| world.category(ho.category).record > 0)
+        .filter(|ho| inputs.category(ho.category).record > 0)
     {
         by_name
             .entry(firsts.get(ho.id.as_str()).copied().unwrap_or(&ho.id))
@@ -118,42 +132,43 @@
     by_name
         .values_mut()
         .for_each(|hos| hos.sort_by(|a, b| a.came.total_cmp(&b.came)));
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     for (who, at, how) in &records.crashes {
         let who = Node::Dispatcher(*who).name();
-        breaks.push(Break {
+        violations.push(Violation {
             rule: "crash",
             who,
             at: *at,
-            what: format!("it ended by itself: {how}"),
+            what: format!("the process exited unexpectedly: {how}"),
         });
     }
     for wi in &records.wis {
-        answered(
-            world,
+        check_answer(
+            inputs,
             records,
             wi,
             by_wi.get(wi.id.as_str()).map_or(&[], |hos| hos),
-            &mut breaks,
+            &mut violations,
         );
     }
-    let unrecorded = |hos: &&Vec<&Ho>| world.category(hos[0].category).record == 0;
+    let unrecorded = |hos: &&Vec<&Ho>| inputs.category(hos[0].category).record == 0;
     for hos in by_wi.values().filter(unrecorded).chain(by_name.values()) {
-        repeated(world, hos, &mut breaks);
+        check_repeats(inputs, hos, &mut violations);
     }
-    drained(records, &mut breaks);
-    banned(world, records, &mut breaks);
-    cold(world, records, &mut breaks);
-    caps(world, records, &mut breaks);
-    resends(world, &by_wi, &mut breaks);
-    shut_out(world, records, &mut breaks);
-    expected(world, records, &mut breaks);
-    breaks.sort_by(|a, b| a.at.total_cmp(&b.at));
-    breaks
+    check_drains(records, &mut violations);
+    check_agreed_bans(inputs, records, &mut violations);
+    check_cold_limits(inputs, records, &mut violations);
+    check_caps(inputs, records, &mut violations);
+    check_resends(inputs, &by_wi, &mut violations);
+    check_shut_out(inputs, records, &mut violations);
+    check_expectations(inputs, records, &mut violations);
+    violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+    violations
 }
 
-fn of_dispatcher(rule: &'static str, dispatcher: usize, at: f64, what: String) -> Break {
-    Break {
+/// Returns a violation by a dispatcher.
+fn dispatcher_violation(rule: &'static str, dispatcher: usize, at: f64, what: String) -> Violation {
+    Violation {
         rule,
         who: Node::Dispatcher(dispatcher).name(),
         at,
@@ -161,21 +176,29 @@
     }
 }
 
-/// It may have run, for all that anybody knows who sent it: not turned away and not handed back.
+/// Whether a hand-off may have run as far as its sender can know: the runner neither declined it nor handed it back.
 fn may_have_run(ho: &Ho) -> bool {
     ho.started.is_some() || !matches!(ho.ended, Some((_, End::Declined)))
 }
 
-/// Rule 1: what was taken gets one final answer before its expiry, and what is served was made by a runner.
-fn answered(world: &World, records: &Records, wi: &Wi, hos: &[&Ho], breaks: &mut Vec<Break>) {
-    let (Some(sent), d) = (wi.sent, wi.dispatcher) else {
+/// Rule 1: a request that a dispatcher accepted gets one final answer before its expiry, and the body of an answer with
+/// status 200 is a result that a runner produced for it. Rule 2 is checked here for deferrals: a request that may have
+/// run is not answered with 503 or 429, unless its category may run twice.
+fn check_answer(
+    inputs: &RunInputs,
+    records: &Records,
+    wi: &Wi,
+    hos: &[&Ho],
+    violations: &mut Vec<Violation>,
+) {
+    let (Some(sent), dispatcher) = (wi.sent, wi.dispatcher) else {
         return;
     };
     let end = wi.intended + wi.wait_s;
-    let link = (Node::Clients, Node::Dispatcher(d));
-    // What a dead process held is its client's to repeat, and what a link swallowed never came.
-    let excused = absent(records, d, sent - SLACK_S, end + LATE_S, false)
-        || world.hurt(link.0, link.1, sent - SLACK_S, end + LATE_S);
+    let link = (Node::Clients, Node::Dispatcher(dispatcher));
+    // The client must repeat what a dead process held, and what a faulty link lost never reached the dispatcher.
+    let excused = was_absent(records, dispatcher, sent - SLACK_S, end + LATE_S, false)
+        || inputs.link_was_faulty(link.0, link.1, sent - SLACK_S, end + LATE_S);
     match &wi.answer {
         Some((at, 200, body)) => {
             let made = |id: &str| {
@@ -187,7 +210,7 @@
             let first = wi.first.as_deref().unwrap_or(&wi.id);
             let theirs = |other: &&Wi| other.first.as_deref() == Some(first);
             let made = made(&wi.id)
-                || world.category(wi.category).record > 0
+                || inputs.category(wi.category).record > 0
                     && (made(first)
                         || records
                             .wis
@@ -195,12 +218,15 @@
                             .filter(theirs)
                             .any(|other| made(&other.id)));
             if !made {
-                let what = format!("{} was answered 200 with what no runner made for it", wi.id);
-                breaks.push(of_dispatcher("rule-1", d, *at, what));
+                let what = format!(
+                    "{} was answered 200 with a body that no runner produced for it",
+                    wi.id
+                );
+                violations.push(dispatcher_violation("rule-1", dispatcher, *at, what));
             }
         }
         Some((at, status, _)) => {
-            let terms = world.category(wi.category);
+            let terms = inputs.category(wi.category);
             let harmless =
                 terms.repeat == "rerunnable" || terms.repeat == "ticketed" && terms.group == "all";
             let ran = hos.iter().find(|ho| may_have_run(ho) && ho.came <= *at);
@@ -210,7 +236,7 @@
                     wi.id,
                     Node::Runner(ho.runner).name()
                 );
-                breaks.push(of_dispatcher("rule-2", d, *at, what));
+                violations.push(dispatcher_violation("rule-2", dispatcher, *at, what));
             }
         }
         None if excused => {}
@@ -218,11 +244,11 @@
             let how = if wi.closed.is_some() {
                 "its connection was closed"
             } else {
-                "none came"
+                "no response arrived"
             };
-            breaks.push(of_dispatcher(
+            violations.push(dispatcher_violation(
                 "rule-1",
-                d,
+                dispatcher,
                 end,
                 format!("{} got no answer: {how}", wi.id),
             ));
@@ -235,19 +261,20 @@
                 wi.id,
                 at - end
             );
-            breaks.push(of_dispatcher("rule-1", d, *at, what));
+            violations.push(dispatcher_violation("rule-1", dispatcher, *at, what));
         }
     }
 }
 
-/// Rule 2: no effect twice, and one hand-off at once. Hand-offs of one work item, in the order in which they came.
-fn repeated(world: &World, hos: &[&Ho], breaks: &mut Vec<Break>) {
+/// Rule 2: a work item has no effect twice and is at one runner at a time. `hos` are the hand-offs of one work item in
+/// the order of their arrival.
+fn check_repeats(inputs: &RunInputs, hos: &[&Ho], violations: &mut Vec<Violation>) {
     for (n, later) in hos.iter().enumerate().skip(1) {
-        let terms = world.category(later.category);
-        let d = later.dispatcher;
-        let site = |ho: &Ho| ho.runner % world.cast.sites.len();
+        let terms = inputs.category(later.category);
+        let dispatcher = later.dispatcher;
+        let site = |ho: &Ho| ho.runner % inputs.cast.sites.len();
         for earlier in &hos[..n] {
-            // It left before the later one came, and what it did there was not over when that one left.
+            // The earlier hand-off had arrived and was not over when the later one left.
             if earlier.over() > later.left + SLACK_S && earlier.came < later.left {
                 let what = format!(
                     "{} was handed to {} while {} had it",
@@ -255,7 +282,7 @@
                     Node::Runner(later.runner).name(),
                     Node::Runner(earlier.runner).name()
                 );
-                breaks.push(of_dispatcher("rule-2", d, later.left, what));
+                violations.push(dispatcher_violation("rule-2", dispatcher, later.left, what));
             }
             if !may_have_run(earlier) || earlier.came > later.left {
                 continue;
@@ -277,14 +304,15 @@
                     Node::Runner(later.runner).name(),
                     Node::Runner(earlier.runner).name()
                 );
-                breaks.push(of_dispatcher("rule-2", d, later.left, what));
+                violations.push(dispatcher_violation("rule-2", dispatcher, later.left, what));
             }
         }
     }
 }
 
-/// Rule 3: no first byte to a runner after the grace, by list or by hand.
-fn drained(records: &Records, breaks: &mut Vec<Break>) {
+/// Rule 3: a dispatcher sends no first byte to a runner once the grace has passed since the list reported the runner as
+/// not ready, or since an operator took the runner out of service at this dispatcher.
+fn check_drains(records: &Records, violations: &mut Vec<Violation>) {
     let grace = 0.3 + 0.05 + SLACK_S;
     for ho in &records.hos {
         let words = records
@@ -295,8 +323,8 @@
             .filter(|word| word.at < ho.left)
             .max_by(|a, b| a.at.total_cmp(&b.at));
         if let Some(word) = last.filter(|word| !word.ready && ho.left > word.at + grace) {
-            // One that was stopped has not read it before it runs again.
-            let stopped = absent(records, ho.dispatcher, word.at, ho.left - grace, false);
+            // A dispatcher that was paused reads the update only after it runs again.
+            let stopped = was_absent(records, ho.dispatcher, word.at, ho.left - grace, false);
             if !stopped {
                 let what = format!(
                     "{} was handed to {}, told at {:.3} s not to be used",
@@ -304,7 +332,7 @@
                     Node::Runner(ho.runner).name(),
                     word.at
                 );
-                breaks.push(of_dispatcher("rule-3", ho.dispatcher, ho.left, what));
+                violations.push(dispatcher_violation("rule-3", ho.dispatcher, ho.left, what));
             }
         }
         let out = records
@@ -317,23 +345,23 @@
                     && ho.left < *to
             });
         if let Some((_, _, from, _)) = out {
-            let since = absent(records, ho.dispatcher, *from, ho.left, true);
+            let since = was_absent(records, ho.dispatcher, *from, ho.left, true);
             if !since {
                 let name = Node::Runner(ho.runner).name();
                 let what = format!(
                     "{} was handed to {name}, out by hand since {from:.3} s",
                     ho.id
                 );
-                breaks.push(of_dispatcher("rule-3", ho.dispatcher, ho.left, what));
+                violations.push(dispatcher_violation("rule-3", ho.dispatcher, ho.left, what));
             }
         }
     }
 }
 
-/// Bound: what was agreed holds everywhere: no first byte to a runner that is out by an agreed word, from any
-/// dispatcher that is there and whose links to the others are whole, also after a restart.
-fn banned(world: &World, records: &Records, breaks: &mut Vec<Break>) {
-    let Some(store) = &world.scenario.store else {
+/// Bound: a ban that the voters agreed on holds at every dispatcher. A dispatcher that is running and can reach the
+/// others sends no first byte to a banned runner, also after a restart.
+fn check_agreed_bans(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
+    let Some(store) = &inputs.scenario.store else {
         return;
     };
     let grace = store.within.0 + 0.3 + SLACK_S;
@@ -342,33 +370,39 @@
             *runner == ho.runner && from + grace < ho.left && ho.left < *to
         });
         let Some((_, from, _)) = out else { continue };
-        let me = Node::Dispatcher(ho.dispatcher);
+        let sender = Node::Dispatcher(ho.dispatcher);
         let since = ho.left - grace;
-        // Who hears under half of the others may hear nobody who leads.
-        let others = (0..world.cast.dispatchers)
+        // A dispatcher that hears fewer than half of the others may not hear the leader.
+        let others = (0..inputs.cast.dispatchers)
             .map(Node::Dispatcher)
-            .filter(|other| *other != me);
+            .filter(|other| *other != sender);
         let hurt = others
-            .filter(|other| world.hurt(me, *other, since, ho.left))
+            .filter(|other| inputs.link_was_faulty(sender, *other, since, ho.left))
             .count();
-        let cut = 2 * hurt > world.cast.dispatchers - 1;
-        if !cut && !absent(records, ho.dispatcher, since, ho.left, false) {
+        let cut = 2 * hurt > inputs.cast.dispatchers - 1;
+        if !cut && !was_absent(records, ho.dispatcher, since, ho.left, false) {
             let name = Node::Runner(ho.runner).name();
             let what = format!(
                 "{} was handed to {name}, out for all since {from:.3} s",
                 ho.id
             );
-            breaks.push(of_dispatcher("bound-agreed", ho.dispatcher, ho.left, what));
+            violations.push(dispatcher_violation(
+                "bound-agreed",
+                ho.dispatcher,
+                ho.left,
+                what,
+            ));
         }
     }
 }
 
-/// What was sent to each cold process of a runner, and the most of its limit in any span.
-pub(crate) fn cold_use(world: &World, records: &Records) -> Vec<(usize, u32, f64, f64)> {
-    let rule = &world.scenario.cold;
+/// For each cold process of a runner: the runner, the number of the process, the largest share of its limit that was
+/// sent to it within any span (1.0 is the limit), and the start of that span in seconds.
+pub(crate) fn cold_use(inputs: &RunInputs, records: &Records) -> Vec<(usize, u32, f64, f64)> {
+    let rule = &inputs.scenario.cold;
     let mut used = Vec::new();
     for birth in records.births.iter().filter(|birth| birth.cold) {
-        // Only what came from those that had been told of its start.
+        // Counts only hand-offs of dispatchers that the list had told of the start of this process.
         let told = |ho: &&Ho| {
             let word =
                 |w: &&crate::records::Word| w.dispatcher == ho.dispatcher && w.runner == ho.runner;
@@ -387,7 +421,7 @@
             .filter(told)
             .collect();
         sent.sort_by(|a, b| a.left.total_cmp(&b.left));
-        let fetch = world.scenario.runners.fetch.0;
+        let fetch = inputs.scenario.runners.fetch.0;
         let (mut most, mut at) = (0.0f64, birth.at);
         for (n, first) in sent.iter().enumerate() {
             let span = sent[n..]
@@ -396,7 +430,7 @@
             let all: f64 = span.map(|ho| ho.work_s + fetch).sum();
             let age = ((first.left - birth.at + 0.5 * rule.span.0) / rule.time.0).clamp(0.0, 1.0);
             let present =
-                world.scenario.runners.slots as f64 * (rule.from + (1.0 - rule.from) * age);
+                inputs.scenario.runners.slots as f64 * (rule.from + (1.0 - rule.from) * age);
             let part = all / (rule.multiple * present * rule.span.0).max(1e-9);
             if part > most {
                 (most, at) = (part, first.left);
@@ -407,15 +441,15 @@
     used
 }
 
-/// Rule 4: work sent by all to a cold runner stays under its limit in any span.
-fn cold(world: &World, records: &Records, breaks: &mut Vec<Break>) {
-    for (runner, _, most, at) in cold_use(world, records) {
-        if most > CHANCE {
+/// Rule 4: the work that all dispatchers together send to a cold runner stays under its limit in any span.
+fn check_cold_limits(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
+    for (runner, _, most, at) in cold_use(inputs, records) {
+        if most > COLD_TOLERANCE {
             let what = format!(
                 "{:.0}% of what it may be sent by all within its span",
                 100.0 * most
             );
-            breaks.push(Break {
+            violations.push(Violation {
                 rule: "rule-4",
                 who: Node::Runner(runner).name(),
                 at,
@@ -425,26 +459,26 @@
     }
 }
 
-/// Bound: hand-offs of a category out at runners, by all together.
-fn caps(world: &World, records: &Records, breaks: &mut Vec<Break>) {
-    if !world.scenario.fleet.sharing {
+/// Bound: the hand-offs of a category that all dispatchers together have at runners stay within the cap.
+fn check_caps(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
+    if !inputs.scenario.fleet.sharing {
         return;
     }
-    let longest = world
+    let longest = inputs
         .scenario
         .categories
         .iter()
         .map(|c| c.expiry.0)
         .fold(0.0, f64::max);
-    let within = world
+    let within = inputs
         .scenario
         .store
         .as_ref()
         .map_or(0.0, |store| store.within.0);
-    // A cap that was agreed on binds once all have it, and what was lent under the one before has ended.
-    let wait = within + world.scenario.fleet.lease.0 + longest;
-    for (name, &first) in &world.scenario.fleet.caps {
-        let n = world
+    // An agreed cap binds once all dispatchers have received it and all leases under the previous cap have ended.
+    let wait = within + inputs.scenario.fleet.lease.0 + longest;
+    for (name, &first) in &inputs.scenario.fleet.caps {
+        let n = inputs
             .scenario
             .categories
             .iter()
@@ -455,24 +489,24 @@
             .iter()
             .filter(|ho| Some(ho.category) == n && ho.left >= 0.0)
         {
-            // Out from when it left; over when it ended, or when its dispatcher stopped waiting.
+            // A hand-off counts from when it left until it ended or its dispatcher stopped waiting for it.
             if ho.over() > ho.left {
                 edges.extend([(ho.left, 1), (ho.over(), -1)]);
             }
         }
         edges.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let said: Vec<(f64, u64)> = records
+        let agreed: Vec<(f64, u64)> = records
             .caps
             .iter()
             .filter(|(_, of, _)| Some(*of) == n)
             .map(|(at, _, cap)| (*at, *cap))
             .collect();
-        // The largest of those that may be in force somewhere.
-        let may = |at: f64| {
-            let old = said.iter().rposition(|(since, _)| since + wait <= at);
+        // The largest of the caps that may be in force at some dispatcher.
+        let cap_in_force = |at: f64| {
+            let old = agreed.iter().rposition(|(since, _)| since + wait <= at);
             let from = old.map_or(0, |old| old);
             let first = if old.is_none() { first } else { 0 };
-            said[from..]
+            agreed[from..]
                 .iter()
                 .filter(|(since, _)| *since - within <= at)
                 .map(|(_, cap)| *cap)
@@ -481,13 +515,13 @@
         let (mut out, mut worst): (i64, Option<(i64, f64, u64)>) = (0, None);
         for (at, change) in edges {
             out += change;
-            if out > may(at) as i64 && worst.is_none_or(|(most, ..)| out > most) {
-                worst = Some((out, at, may(at)));
+            if out > cap_in_force(at) as i64 && worst.is_none_or(|(most, ..)| out > most) {
+                worst = Some((out, at, cap_in_force(at)));
             }
         }
         if let Some((most, when, cap)) = worst {
-            let what = format!("{most} work items were out at once, {cap} may be");
-            breaks.push(Break {
+            let what = format!("{most} work items were at runners at once, the cap is {cap}");
+            violations.push(Violation {
                 rule: "bound-cap",
                 who: name.clone(),
                 at: when,
@@ -497,28 +531,32 @@
     }
 }
 
-/// Bound: hand-offs of what had been handed off before, by all together in any second.
-fn resends(world: &World, by_wi: &BTreeMap<&str, Vec<&Ho>>, breaks: &mut Vec<Break>) {
-    let Some(limit) = world
+/// Bound: the repeated hand-offs that all dispatchers together send in any second stay within the limit.
+fn check_resends(
+    inputs: &RunInputs,
+    by_wi: &BTreeMap<&str, Vec<&Ho>>,
+    violations: &mut Vec<Violation>,
+) {
+    let Some(limit) = inputs
         .scenario
         .fleet
         .resends
-        .filter(|_| world.scenario.fleet.sharing)
+        .filter(|_| inputs.scenario.fleet.sharing)
     else {
         return;
     };
     let later = by_wi.values().flat_map(|hos| hos.iter().skip(1));
     let mut at: Vec<f64> = later.map(|ho| ho.left).filter(|at| *at >= 0.0).collect();
     at.sort_by(f64::total_cmp);
-    // The second as the dispatchers count it begins a little before the first byte leaves.
+    // A second as the dispatchers count it begins shortly before the first byte leaves, so the window is shortened.
     for (n, first) in at.iter().enumerate() {
         let within = at[n..]
             .iter()
             .take_while(|later| **later < first + 1.0 - SLACK_S)
             .count();
         if within as u64 > limit {
-            let what = format!("{within} within a second, {limit} may be");
-            breaks.push(Break {
+            let what = format!("{within} repeated hand-offs within a second, the limit is {limit}");
+            violations.push(Violation {
                 rule: "bound-resends",
                 who: "all".to_string(),
                 at: *first,
@@ -529,14 +567,14 @@
     }
 }
 
-/// Bound: nobody is shut out for all. A runner with nothing wrong gets work of those whose links to it are whole,
-/// while they send to the others.
-fn shut_out(world: &World, records: &Records, breaks: &mut Vec<Break>) {
-    let length = world.scenario.length.0;
+/// Bound: no healthy runner is shut out. A runner without a fault gets work from the dispatchers whose links to it are
+/// intact, while they send work to other runners.
+fn check_shut_out(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
+    let length = inputs.scenario.length.0;
     let mut from = 0.5;
-    while from + SHUT_S <= length {
-        let to = from + SHUT_S;
-        for runner in 0..world.cast.runners {
+    while from + SHUT_OUT_SPAN_S <= length {
+        let to = from + SHUT_OUT_SPAN_S;
+        for runner in 0..inputs.cast.runners {
             let before = records
                 .hos
                 .iter()
@@ -550,14 +588,15 @@
                 .iter()
                 .any(|word| word.runner == runner && !word.ready);
             let by_hand = records.by_hand.iter().any(|b| b.0 == runner);
-            if !before || cold || unready || by_hand || world.ill(runner, from, to) {
+            if !before || cold || unready || by_hand || inputs.runner_was_faulty(runner, from, to) {
                 continue;
             }
             let whole = |d: &usize| {
                 let (a, b) = (Node::Dispatcher(*d), Node::Runner(runner));
-                !world.hurt(a, b, from, to) && !absent(records, *d, from - 2.0, to, false)
+                !inputs.link_was_faulty(a, b, from, to)
+                    && !was_absent(records, *d, from - 2.0, to, false)
             };
-            let able: Vec<usize> = (0..world.cast.dispatchers).filter(whole).collect();
+            let able: Vec<usize> = (0..inputs.cast.dispatchers).filter(whole).collect();
             let theirs =
                 |ho: &&Ho| ho.left >= from && ho.left < to && able.contains(&ho.dispatcher);
             let all = records.hos.iter().filter(theirs).count();
@@ -567,16 +606,16 @@
                 .filter(theirs)
                 .filter(|ho| ho.runner == runner)
                 .count();
-            let each = all / world.cast.runners;
-            if 2 * able.len() > world.cast.dispatchers
-                && each >= SHUT_EACH
-                && SHUT_PART * here < each
+            let each = all / inputs.cast.runners;
+            if 2 * able.len() > inputs.cast.dispatchers
+                && each >= SHUT_OUT_MIN_AVERAGE
+                && SHUT_OUT_DIVISOR * here < each
             {
                 let what = format!(
-                    "{here} hand-offs came to it within {SHUT_S} s, {each} to each on average"
+                    "{here} hand-offs came to it within {SHUT_OUT_SPAN_S} s, {each} to each on average"
                 );
                 let who = Node::Runner(runner).name();
-                breaks.push(Break {
+                violations.push(Violation {
                     rule: "bound-shut-out",
                     who,
                     at: from,
@@ -584,16 +623,16 @@
                 });
             }
         }
-        from += 0.5 * SHUT_S;
+        from += 0.5 * SHUT_OUT_SPAN_S;
     }
 }
 
-/// What a request earned.
-pub(crate) fn earned(world: &World, wi: &Wi) -> f64 {
-    let terms = world.category(wi.category);
+/// The payoff that a request earned: all of it by its due time, its tardy share until its expiry, nothing after that.
+pub(crate) fn earned_payoff(inputs: &RunInputs, wi: &Wi) -> f64 {
+    let terms = inputs.category(wi.category);
     match &wi.answer {
         Some((at, 200, _)) if *at <= wi.intended + wi.wait_s => {
-            // From the first try's intended time: expiry less what was left.
+            // The due time counts from the intended time of the first try, which is the end of the wait less the expiry.
             let begun = wi.intended + wi.wait_s - terms.expiry.0;
             terms.payoff
                 * if *at <= begun + terms.due.0 {
@@ -606,21 +645,22 @@
     }
 }
 
-/// Of the payoff of all requests with a first try in a span, how much was earned.
-pub(crate) fn goodput(world: &World, records: &Records, from: f64, to: f64) -> f64 {
+/// The share, from 0 to 1, of the possible payoff that was earned by requests whose first try falls into a span.
+/// It is 1 if no payoff was possible.
+pub(crate) fn goodput(inputs: &RunInputs, records: &Records, from: f64, to: f64) -> f64 {
     let (mut all, mut got) = (0.0, 0.0);
     let mut firsts: BTreeMap<&str, f64> = BTreeMap::new();
     for wi in &records.wis {
         let name = wi.first.as_deref().unwrap_or(&wi.id);
         let best = firsts.entry(name).or_default();
-        *best = best.max(earned(world, wi));
+        *best = best.max(earned_payoff(inputs, wi));
     }
     for wi in records
         .wis
         .iter()
         .filter(|wi| wi.first.is_none() && wi.intended >= from && wi.intended < to)
     {
-        all += world.category(wi.category).payoff;
+        all += inputs.category(wi.category).payoff;
         got += firsts.get(wi.id.as_str()).copied().unwrap_or(0.0);
     }
     if all > 0.0 {
@@ -630,7 +670,7 @@
     }
 }
 
-/// Hand-offs that came to nothing: failed, lost, given up.
+/// The number of hand-offs that failed, were lost, were given up or never ended.
 pub(crate) fn failed_hand_offs(records: &Records) -> u64 {
     let bad = |ho: &&Ho| {
         matches!(
@@ -646,23 +686,24 @@
         .count() as u64
 }
 
-fn expected(world: &World, records: &Records, breaks: &mut Vec<Break>) {
-    let expect = &world.scenario.expect;
-    let length = world.scenario.length.0;
+/// Checks the expectations that the scenario states in its `[expect]` section.
+fn check_expectations(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
+    let expect = &inputs.scenario.expect;
+    let length = inputs.scenario.length.0;
     let mut unmet = |what: String| {
-        breaks.push(Break {
+        violations.push(Violation {
             rule: "expected",
             who: "all".to_string(),
             at: length,
             what,
         });
     };
-    let got = goodput(world, records, 0.0, length);
+    let got = goodput(inputs, records, 0.0, length);
     if let Some(least) = expect.goodput.filter(|least| got < *least) {
         unmet(format!("goodput {got:.3}, at least {least} is expected"));
     }
     if let Some(within) = expect.back_within {
-        let first = world
+        let first = inputs
             .schedule
             .iter()
             .map(|what| what.from)
@@ -674,14 +715,14 @@
                 what.from
             }
         };
-        let last = world.schedule.iter().map(ends).fold(0.0, f64::max) + within.0;
+        let last = inputs.schedule.iter().map(ends).fold(0.0, f64::max) + within.0;
         let (calm, after) = (
-            goodput(world, records, 0.0, first),
-            goodput(world, records, last, length),
+            goodput(inputs, records, 0.0, first),
+            goodput(inputs, records, last, length),
         );
         if last >= length {
             unmet(format!(
-                "the clients end at {length} s, before {last:.1} s, when all should be well again"
+                "the clients end at {length} s, before {last:.1} s, when goodput is expected to have recovered"
             ));
         } else if after < 0.95 * calm {
             unmet(format!(
@@ -690,7 +731,7 @@
         }
     }
     if let Some(least) = expect.cold_use {
-        let most = cold_use(world, records)
+        let most = cold_use(inputs, records)
             .iter()
             .map(|(_, _, most, _)| *most)
             .fold(0.0, f64::max);
--- a/crates/testing/fault-testing/src/compare.rs
+++ b/crates/testing/fault-testing/src/compare.rs
@@ -1,7 +1,7 @@
 //! Two variants on the same days, in pairs, with intervals.
 
+use crate::checker::{cold_use, failed_hand_offs, goodput};
 use crate::play::{play, Options};
-use crate::referee::{cold_use, failed_hand_offs, goodput};
 use crate::scenario::{Bad, Scenario};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -4,6 +4,7 @@
 // Not every public item of this crate has a doc comment yet.
 #![allow(missing_docs)]
 
+mod checker;
 mod clients;
 mod compare;
 mod http;
@@ -11,7 +12,6 @@
 mod names;
 mod play;
 mod records;
-mod referee;
 mod relay;
 mod report;
 mod runners;
@@ -20,10 +20,10 @@
 mod stage;
 mod ways;
 
+pub use checker::{find_violations, RunInputs, Violation};
 pub use compare::{compare, Compared};
 pub use play::{play, Options, Outcome};
 pub use records::{Absence, Beliefs, Birth, End, Ho, Records, Wi, Word};
-pub use referee::{judge, Break, World};
 pub use report::{html, table};
 pub use scenario::{Bad, Scenario};
 pub use schedule::{schedule, What, WHATS};
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -1,10 +1,10 @@
 //! One play: sets the stage, lets the clients send and the faults come, and gathers what was seen.
 
+use crate::checker::{find_violations, RunInputs, Violation};
 use crate::clients::{self, Pool};
 use crate::list::{self, Life, List};
 use crate::names::{Cast, Node};
 use crate::records::{Absence, Beliefs, Records};
-use crate::referee::{judge, Break, World};
 use crate::relay::{Clock, Relays, Trace};
 use crate::runners::{self, Line, Runner};
 use crate::scenario::{Bad, Scenario};
@@ -39,7 +39,7 @@
     pub seed: u64,
     pub schedule: Vec<What>,
     pub records: Records,
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     pub version: String,
 }
 
@@ -197,8 +197,8 @@
         runtime.block_on(run(&scenario, seed, &schedule, &program, options))?;
     runtime.shutdown_background();
     let cast = scenario.cast();
-    let breaks = judge(
-        &World {
+    let breaks = find_violations(
+        &RunInputs {
             scenario: &scenario,
             cast: &cast,
             schedule: &schedule,
--- a/crates/testing/fault-testing/src/report.rs
+++ b/crates/testing/fault-testing/src/report.rs
@@ -1,9 +1,9 @@
 //! What a play came to: tables, a JSON of all of it, one HTML page with charts.
 
+use crate::checker::{cold_use, earned_payoff, failed_hand_offs, goodput, RunInputs};
 use crate::names::Node;
 use crate::play::Outcome;
 use crate::records::Records;
-use crate::referee::{cold_use, earned, failed_hand_offs, goodput, World};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::collections::hash_map::DefaultHasher;
@@ -11,9 +11,9 @@
 use std::hash::{Hash, Hasher};
 
 impl Outcome {
-    pub fn world<T>(&self, look: impl FnOnce(&World) -> T) -> T {
+    pub fn world<T>(&self, look: impl FnOnce(&RunInputs) -> T) -> T {
         let cast = self.scenario.cast();
-        look(&World {
+        look(&RunInputs {
             scenario: &self.scenario,
             cast: &cast,
             schedule: &self.schedule,
@@ -62,7 +62,7 @@
     json!({"n": histogram.len(), "p50_ms": at(0.5), "p90_ms": at(0.9), "p99_ms": at(0.99), "max_ms": at(1.0)})
 }
 
-fn figures(world: &World, records: &Records) -> Value {
+fn figures(world: &RunInputs, records: &Records) -> Value {
     let length = world.scenario.length.0;
     let seconds = length.ceil() as usize;
     let mut categories = Vec::new();
@@ -80,7 +80,7 @@
         for wi in of().filter(|wi| wi.first.is_none()) {
             let slot = &mut by_second[(wi.intended.max(0.0) as usize).min(seconds - 1)];
             slot.0 += terms.payoff;
-            slot.1 += earned(world, wi);
+            slot.1 += earned_payoff(world, wi);
         }
         let share = |(all, got): &(f64, f64)| {
             if *all > 0.0 {
--- a/crates/testing/fault-testing/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/stories.rs
@@ -1,4 +1,4 @@
-//! The rig itself: scenarios read, schedules drawn, and a referee on records made by hand.
+//! Tests of the parts that need no processes: reading scenarios, drawing schedules, and checking records made by hand.
 
 use sagetrail_fault_testing::*;
 
@@ -81,7 +81,7 @@
     assert_eq!(first(one), first(&two));
 }
 
-// ---- the referee ----
+// ---- the checker ----
 
 fn wi(id: &str, category: usize) -> Wi {
     Wi {
@@ -126,7 +126,7 @@
         version: String::new(),
     };
     let mut rules: Vec<&str> = outcome
-        .world(|world| judge(world, records))
+        .world(|world| find_violations(world, records))
         .iter()
         .map(|b| b.rule)
         .collect();
