--- a/crates/testing/fault-testing/src/checker.rs
+++ b/crates/testing/fault-testing/src/checker.rs
@@ -7,14 +7,14 @@
 use crate::names::{Cast, Node};
 use crate::records::{End, Ho, Records, Wi};
 use crate::scenario::{Category, Scenario};
-use crate::schedule::What;
+use crate::schedule::ScheduledFault;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// The tolerance, in seconds, for comparing times that two processes of one loaded machine measured.
 const SLACK_S: f64 = 0.1;
-/// An answer at most this many seconds past its expiry earns nothing but violations no rule. A later one counts as lost.
+/// An answer at most this many seconds past its expiry earns nothing but violates no rule. A later one counts as lost.
 const LATE_S: f64 = 0.5;
 /// Work sent to a cold runner within a span may reach this multiple of its limit, because the sizes of work items are
 /// random. The operators' rule 4 allows a small excess too.
@@ -53,7 +53,7 @@
 pub struct RunInputs<'a> {
     pub scenario: &'a Scenario,
     pub cast: &'a Cast,
-    pub schedule: &'a [What],
+    pub schedule: &'a [ScheduledFault],
 }
 
 impl RunInputs<'_> {
@@ -64,7 +64,7 @@
     /// Whether a fault affected the link between two nodes, in either direction, at some moment of a span. The effect
     /// of a cut or a stall outlasts it by 3.5 s, that of another fault by 0.5 s plus its delay and jitter.
     fn link_was_faulty(&self, a: Node, b: Node, from: f64, to: f64) -> bool {
-        let spoilt = |what: &&What| {
+        let spoilt = |what: &&ScheduledFault| {
             let wake = if what.what == "cut" || what.what == "stall" {
                 3.5
             } else {
@@ -72,15 +72,15 @@
             };
             what.from <= to && from <= what.to + wake + what.delay_s + what.jitter_s
         };
-        let on = |what: &What| what.ways.contains(&(a, b)) || what.ways.contains(&(b, a));
+        let on = |what: &ScheduledFault| what.ways.contains(&(a, b)) || what.ways.contains(&(b, a));
         self.schedule.iter().filter(spoilt).any(on)
     }
 
     /// Whether a fault affected a runner at some moment of a span or in the 4 s before it.
     fn runner_was_faulty(&self, runner: usize, from: f64, to: f64) -> bool {
         let node = Node::Runner(runner);
-        let then = |what: &&What| what.from <= to && from <= what.to + 4.0;
-        let on = |what: &What| what.nodes.contains(&node) || what.what == "fail-category";
+        let then = |what: &&ScheduledFault| what.from <= to && from <= what.to + 4.0;
+        let on = |what: &ScheduledFault| what.nodes.contains(&node) || what.what == "fail-category";
         self.schedule.iter().filter(then).any(on)
     }
 }
@@ -632,7 +632,7 @@
     let terms = inputs.category(wi.category);
     match &wi.answer {
         Some((at, 200, _)) if *at <= wi.intended + wi.wait_s => {
-            // The due time counts from the intended time of the first try, which is the end of the wait less the expiry.
+            // The due time counts from the intended time of the first try: the end of the wait less the expiry.
             let begun = wi.intended + wi.wait_s - terms.expiry.0;
             terms.payoff
                 * if *at <= begun + terms.due.0 {
@@ -708,7 +708,7 @@
             .iter()
             .map(|what| what.from)
             .fold(length, f64::min);
-        let ends = |what: &What| {
+        let ends = |what: &ScheduledFault| {
             if what.to.is_finite() {
                 what.to
             } else {
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -26,4 +26,4 @@
 pub use records::{Absence, Beliefs, Birth, End, Ho, Records, Wi, Word};
 pub use report::{html, table};
 pub use scenario::{Bad, Scenario};
-pub use schedule::{schedule, What, WHATS};
+pub use schedule::{schedule, ScheduledFault, FAULT_KINDS};
--- a/crates/testing/fault-testing/src/main.rs
+++ b/crates/testing/fault-testing/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use sagetrail_fault_testing::{
-    compare, html, play, table, Bad, Compared, Options, Scenario, WHATS,
+    compare, html, play, table, Bad, Compared, Options, Scenario, FAULT_KINDS,
 };
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -165,7 +165,7 @@
         }
         Command::List => {
             println!("faults:");
-            WHATS
+            FAULT_KINDS
                 .iter()
                 .for_each(|(name, on, what)| println!("  {name:<14} {on:<11} {what}"));
             println!("broken variants:");
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -8,7 +8,7 @@
 use crate::relay::{Clock, Relays, Trace};
 use crate::runners::{self, Line, Runner};
 use crate::scenario::{Bad, Scenario};
-use crate::schedule::{schedule, What};
+use crate::schedule::{schedule, ScheduledFault};
 use crate::stage::{call, say, Dispatcher, Stage};
 use crate::ways::Ways;
 use std::collections::{BTreeMap, HashMap};
@@ -37,7 +37,7 @@
 pub struct Outcome {
     pub scenario: Scenario,
     pub seed: u64,
-    pub schedule: Vec<What>,
+    pub schedule: Vec<ScheduledFault>,
     pub records: Records,
     pub breaks: Vec<Violation>,
     pub version: String,
@@ -255,7 +255,7 @@
 async fn run(
     scenario: &Scenario,
     seed: u64,
-    schedule: &[What],
+    schedule: &[ScheduledFault],
     program: &PathBuf,
     options: &Options,
 ) -> Result<(Records, String), Bad> {
@@ -379,7 +379,7 @@
         }
     }
     let crowd = |at: f64| {
-        let now = |what: &&What| what.what == "crowd" && what.from <= at && at < what.to;
+        let now = |what: &&ScheduledFault| what.what == "crowd" && what.from <= at && at < what.to;
         schedule
             .iter()
             .filter(now)
@@ -508,7 +508,7 @@
     }
 
     /// What a process that starts again comes back with.
-    fn come_back(&self, n: usize, what: &What) {
+    fn come_back(&self, n: usize, what: &ScheduledFault) {
         self.dispatchers[n].give_disk(&what.with);
         if let Some(off) = what.off {
             self.dispatchers[n]
@@ -528,7 +528,7 @@
     }
 
     /// Does it to all at once.
-    async fn each<F: Future<Output = ()>>(&self, what: &What, act: impl Fn(usize) -> F) {
+    async fn each<F: Future<Output = ()>>(&self, what: &ScheduledFault, act: impl Fn(usize) -> F) {
         let number = |node: &Node| match node {
             Node::Dispatcher(n) | Node::Runner(n) => Some(*n),
             _ => None,
@@ -536,7 +536,7 @@
         futures_util::future::join_all(what.nodes.iter().filter_map(number).map(act)).await;
     }
 
-    fn ill(&self, what: &What, change: impl Fn(&mut runners::Ill)) {
+    fn ill(&self, what: &ScheduledFault, change: impl Fn(&mut runners::Ill)) {
         for node in &what.nodes {
             if let Node::Runner(n) = node {
                 self.runners[*n].ill.send_modify(&change);
@@ -544,7 +544,7 @@
         }
     }
 
-    async fn fault(self: Arc<Self>, no: usize, what: What) {
+    async fn fault(self: Arc<Self>, no: usize, what: ScheduledFault) {
         let clock = &self.shared.clock;
         clock.until(what.from).await;
         self.begin(no, &what).await;
@@ -554,7 +554,7 @@
         }
     }
 
-    async fn begin(&self, no: usize, what: &What) {
+    async fn begin(&self, no: usize, what: &ScheduledFault) {
         let shared = &self.shared;
         if !what.ways.is_empty() {
             return shared.relays.ways.begin(no, what);
@@ -571,7 +571,7 @@
                     .nodes
                     .iter()
                     .flat_map(|n| shared.cast.ways(&n.name()).unwrap_or_default());
-                let cut = What {
+                let cut = ScheduledFault {
                     what: "cut",
                     ways: ways.collect(),
                     ..what.clone()
@@ -689,7 +689,7 @@
         }
     }
 
-    async fn end(&self, no: usize, what: &What) {
+    async fn end(&self, no: usize, what: &ScheduledFault) {
         let shared = &self.shared;
         if !what.ways.is_empty() {
             return shared.relays.ways.end(no);
@@ -754,7 +754,7 @@
         }
     }
 
-    async fn after_term(&self, n: usize, what: &What) {
+    async fn after_term(&self, n: usize, what: &ScheduledFault) {
         let began = self.shared.clock.now();
         loop {
             if self.dispatchers[n].ended().is_some() {
@@ -810,7 +810,7 @@
         }
     }
 
-    async fn propose(&self, n: usize, what: &What) {
+    async fn propose(&self, n: usize, what: &ScheduledFault) {
         let shared = &self.shared;
         let mut table = toml::Table::new();
         what.set
--- a/crates/testing/fault-testing/src/schedule.rs
+++ b/crates/testing/fault-testing/src/schedule.rs
@@ -1,4 +1,5 @@
-//! What happens when, from a scenario and a seed: the same for a seed, whatever the machine does.
+//! Draws the schedule of faults from a scenario and a seed. The schedule depends on nothing else, so that a seed gives
+//! the same schedule on every machine.
 
 use crate::names::Node;
 use crate::scenario::{Bad, Fault, Scenario, When};
@@ -6,196 +7,215 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Every fault there is: name, what it is done to, and what it does.
-pub const WHATS: &[(&str, &str, &str)] = &[
+/// All kinds of faults: the name, the target (`link`, `dispatcher`, `runner` or `clients`), and the effect, which the
+/// subcommand `list` prints.
+pub const FAULT_KINDS: &[(&str, &str, &str)] = &[
     (
         "drop",
         "link",
-        "loses a part `p` of datagrams; bytes of streams come 200 ms later for each loss",
+        "drops a share `p` of datagrams; bytes of streams arrive 200 ms later for each loss",
     ),
     (
         "delay",
         "link",
-        "everything comes `delay` later, give or take `jitter`; datagrams may overtake each other",
+        "delays everything by `delay`, plus or minus `jitter`; datagrams may overtake each other",
     ),
     (
         "reorder",
         "link",
-        "a part `p` of datagrams is overtaken by those that follow within 50 ms",
+        "delays a share `p` of datagrams by up to 50 ms, so that later ones overtake them",
     ),
-    ("double", "link", "a part `p` of datagrams comes twice"),
-    ("throttle", "link", "`rate` bytes a second at the most"),
+    ("double", "link", "delivers a share `p` of datagrams twice"),
+    ("throttle", "link", "limits each connection to `rate` bytes per second"),
     (
         "stall",
         "link",
-        "nothing is read: the sender's buffer fills; new connections come up",
+        "reads nothing, so that the sender's buffer fills; new connections are accepted",
     ),
     (
         "reset",
         "link",
-        "connections are reset, and new ones at once",
+        "resets connections, and new ones as soon as they are accepted",
     ),
     (
         "refuse",
         "link",
-        "new connections are refused; those there are go on",
+        "refuses new connections; existing ones continue",
     ),
     (
         "cut",
         "link",
-        "nothing passes, new connections never come up; what was on the way comes at the end",
+        "blocks all traffic and new connections; data in transit is delivered at the end",
     ),
     (
         "black-hole",
         "link",
-        "connections come up and all that is sent is gone; reset at the end",
+        "accepts connections and discards all data; resets the connections at the end",
     ),
     (
         "kill",
         "dispatcher",
-        "SIGKILL; started again at the end, `with` disk, old-copy or none; its Unix time off `by`",
+        "SIGKILL; restarted at the end, `with` disk, old-copy, none, flipped, torn or others; its Unix time is off by \
+         `by` seconds",
     ),
     (
         "term",
         "dispatcher",
-        "SIGTERM; started again once it has ended, as with kill",
+        "SIGTERM; restarted once it has exited, as with kill",
     ),
     ("pause", "dispatcher", "SIGSTOP, and SIGCONT at the end"),
     (
         "restart",
         "dispatcher",
-        "SIGKILL and started again at once, as with kill",
+        "SIGKILL and an immediate restart, as with kill",
     ),
     (
         "clock-off",
         "dispatcher",
-        "its Unix time is off `by` seconds from its start on (`at` is not looked at)",
+        "its Unix time is off by `by` seconds from its start on (`at` is ignored)",
     ),
     (
         "clock-jump",
         "dispatcher",
-        "its Unix time jumps `by` seconds",
+        "its Unix time jumps by `by` seconds",
     ),
     (
         "reload",
         "dispatcher",
-        "`set` goes into its configuration, and SIGHUP",
+        "writes `set` into its configuration and sends SIGHUP",
     ),
     (
         "propose",
         "dispatcher",
-        "`set` is proposed at its door as settings for all",
+        "proposes `set` at its admin address as settings for all dispatchers",
     ),
     (
         "say",
         "dispatcher",
-        "a call at its door, as in `with`: \"POST /store/add/d4\"",
+        "makes the admin call in `with`, such as \"POST /store/add/d4\"",
     ),
     (
         "disk-slow",
         "dispatcher",
-        "its store's disk takes `delay` for each sync from its start on (`at` is not looked at)",
+        "each sync of its store's disk takes `delay` from its start on (`at` is ignored)",
     ),
     (
         "disk-full",
         "dispatcher",
-        "its store's disk is full after `by` bytes from its start on (`at` is not looked at)",
+        "its store's disk is full after `by` bytes from its start on (`at` is ignored)",
     ),
     (
         "drain-by-hand",
         "dispatcher",
-        "emptied at its operators' door, and that ended at the end",
+        "drained by an admin call; the drain is cancelled at the end",
     ),
-    ("hang", "runner", "answers nothing and finishes nothing"),
+    ("hang", "runner", "sends no answers and finishes no jobs"),
     (
         "fail",
         "runner",
-        "a part `p` of its jobs fails, at a fifth of their time",
+        "a share `p` of its jobs fails after a fifth of their time",
     ),
-    ("slow", "runner", "takes `by` times as long"),
-    ("full", "runner", "turns everything away"),
-    ("mute", "runner", "tells no news"),
+    ("slow", "runner", "jobs take `by` times as long"),
+    ("full", "runner", "declines all work"),
+    ("mute", "runner", "sends no reports"),
     (
         "crash",
         "runner",
-        "its process dies: jobs lost; started again, cold, at the end",
+        "its process dies and its jobs are lost; restarted cold at the end",
     ),
     (
         "new",
         "runner",
-        "its process is replaced by another one, cold, at once",
+        "its process is replaced at once by a new, cold one",
     ),
     (
         "vanish",
         "runner",
-        "its machine is gone without a word: as crash, and cut from all",
+        "its machine disappears without notice: as crash, with all its links cut",
     ),
     (
         "drain",
         "runner",
-        "the list says that it drains; ready again at the end",
+        "the list reports it as draining, and as ready at the end",
     ),
     (
         "gone",
         "runner",
-        "the list does not name it any more; again at the end",
+        "the list no longer contains it; it is listed again at the end",
     ),
     (
         "by-hand",
         "runner",
-        "taken out at all operators' doors, and put back at the end",
+        "taken out of service by admin calls to all dispatchers, and put back at the end",
     ),
     (
         "ban",
         "runner",
-        "taken out at one dispatcher's door, `with`, and put back there at the end; needs a store",
+        "taken out of service by an admin call to the dispatcher `with`, and put back there at the end; needs a store",
     ),
-    ("crowd", "clients", "`by` times as many requests"),
+    ("crowd", "clients", "clients send `by` times as many requests"),
     (
         "fail-category",
         "clients",
-        "jobs of the category in `with` fail everywhere, a part `p` of them",
+        "a share `p` of the jobs of the category `with` fails at all runners",
     ),
 ];
 
-/// One fault on one target, from a moment to another.
+/// One occurrence of a fault, with the links or nodes that it affects.
 #[derive(Clone, Debug, PartialEq)]
-pub struct What {
+pub struct ScheduledFault {
+    /// When the fault begins, in seconds since the run began.
     pub from: f64,
+    /// When the fault ends, in seconds since the run began; infinity if the scenario gives no end.
     pub to: f64,
+    /// The name of the kind of fault.
     pub what: &'static str,
+    /// The affected nodes; empty for a fault on links.
     pub nodes: Vec<Node>,
+    /// The affected links, each in one direction (sender, receiver); empty for a fault on nodes.
     pub ways: Vec<(Node, Node)>,
+    /// The probability or share from 0 to 1; 1 by default.
     pub p: f64,
     pub delay_s: f64,
     pub jitter_s: f64,
+    /// The rate in bytes per second.
     pub rate: f64,
+    /// A factor, an offset in seconds or a size in bytes, depending on the kind; 2 by default.
     pub by: f64,
-    /// A process that starts again does so with its Unix time off by this.
+    /// The offset in seconds of the Unix time of a process that is restarted.
     pub off: Option<f64>,
     pub with: String,
+    /// Configuration keys and values for `reload` and `propose`.
     pub set: BTreeMap<String, toml::Value>,
-    /// As it was written, for reports.
+    /// The selector as the scenario states it, for reports.
     pub on: String,
 }
 
-fn drawn(when: &When, chance: &mut Pcg64Mcg) -> f64 {
-    let part: f64 = chance.random();
+/// Returns the time of a fault in seconds. It draws one random number also if the time is fixed, so that the later
+/// draws of the fault do not depend on it.
+fn draw_time(when: &When, rng: &mut Pcg64Mcg) -> f64 {
+    let part: f64 = rng.random();
     match when {
         When::At(at) => at.0,
         When::Between([from, to]) => from.0 + part * (to.0 - from.0),
     }
 }
 
-fn one(fault: &Fault, scenario: &Scenario, chance: &mut Pcg64Mcg, at: f64) -> Result<What, String> {
+/// Returns one occurrence of a fault that begins `at` seconds after the start of the run.
+fn draw_occurrence(
+    fault: &Fault,
+    scenario: &Scenario,
+    rng: &mut Pcg64Mcg,
+    at: f64,
+) -> Result<ScheduledFault, String> {
     let cast = scenario.cast();
-    let (name, kind, _) = WHATS
+    let (name, kind, _) = FAULT_KINDS
         .iter()
         .find(|(name, ..)| *name == fault.what)
         .ok_or(format!("'{}' is not a fault", fault.what))?;
     let end = scenario.length.0;
     let to = fault.lasts.map_or(f64::INFINITY, |lasts| at + lasts.0);
-    let draw: u64 = chance.random();
+    let draw: u64 = rng.random();
     let (mut nodes, mut ways) = (Vec::new(), Vec::new());
     if *kind == "link" {
         ways = cast.ways(&fault.on)?;
@@ -209,10 +229,10 @@
             "runner" => matches!(node, Node::Runner(_)),
             _ => matches!(node, Node::Clients),
         };
-        // Who is not there at this number of processes is passed over.
-        let nobody = nodes.is_empty();
+        // A selector may name nodes that do not exist with this number of processes; it then affects none.
+        let none_selected = nodes.is_empty();
         nodes.retain(fits);
-        if nodes.is_empty() && !nobody {
+        if nodes.is_empty() && !none_selected {
             return Err(format!("{}: '{}' selects no {kind}", fault.what, fault.on));
         }
         if fault.one && !nodes.is_empty() {
@@ -228,14 +248,18 @@
             let all = "disk, old-copy, none, flipped, torn, others";
             return Err(format!("{}: with '{with}' is none of {all}", fault.what));
         }
-        "ban" if scenario.store.is_none() => return Err("ban: it needs a [store]".to_string()),
+        "ban" if scenario.store.is_none() => {
+            return Err("ban: the scenario needs a [store]".to_string())
+        }
         "ban" if !matches!(cast.select(&with).as_deref(), Ok([Node::Dispatcher(_)])) => {
             return Err(format!("ban: with '{with}' is not one dispatcher"));
         }
         "propose" | "say" if scenario.store.is_none() => {
-            return Err(format!("{}: it needs a [store]", fault.what));
+            return Err(format!("{}: the scenario needs a [store]", fault.what));
+        }
+        "propose" if fault.set.is_none() => {
+            return Err("propose: the key 'set' is missing".to_string())
         }
-        "propose" if fault.set.is_none() => return Err("propose: it needs set".to_string()),
         "say" if with.split_once(' ').is_none() => {
             return Err(format!("say: with '{with}' is not a method and a path"));
         }
@@ -248,15 +272,20 @@
             return Err(format!("fail-category: with '{with}' is not a category"));
         }
         "throttle" if fault.rate.is_none_or(|rate| rate <= 0.0) => {
-            return Err("throttle: it needs a rate in bytes a second".to_string());
+            return Err("throttle: the key 'rate' must be above 0 bytes per second".to_string());
+        }
+        "reload" if fault.set.is_none() => {
+            return Err("reload: the key 'set' is missing".to_string())
         }
-        "reload" if fault.set.is_none() => return Err("reload: it needs set".to_string()),
         _ => {}
     }
     if at > end + 60.0 {
-        return Err(format!("{}: at {at} s, when all is over", fault.what));
+        return Err(format!(
+            "{}: at {at} s is over 60 s after the end of the clients at {end} s",
+            fault.what
+        ));
     }
-    Ok(What {
+    Ok(ScheduledFault {
         from: at,
         to,
         what: name,
@@ -276,20 +305,20 @@
     })
 }
 
-/// The whole schedule, in order of time.
-pub fn schedule(scenario: &Scenario, seed: u64) -> Result<Vec<What>, Bad> {
+/// Draws the whole schedule, ordered by the time at which faults begin.
+pub fn schedule(scenario: &Scenario, seed: u64) -> Result<Vec<ScheduledFault>, Bad> {
     let mut all = Vec::new();
     for (n, fault) in scenario.faults.iter().enumerate() {
-        // A stream of its own for each, so that one more fault does not move the others.
-        let mut chance = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(1000).wrapping_add(n as u64));
-        let first = drawn(&fault.at, &mut chance);
+        // Each fault has its own random stream, so that adding a fault does not change the times of the others.
+        let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(1000).wrapping_add(n as u64));
+        let first = draw_time(&fault.at, &mut rng);
         let times = fault.every.map_or(1, |_| fault.times.unwrap_or(u32::MAX));
         for time in 0..times {
             let at = first + f64::from(time) * fault.every.map_or(0.0, |every| every.0.max(0.05));
             if time > 0 && at > scenario.length.0 {
                 break;
             }
-            let what = one(fault, scenario, &mut chance, at);
+            let what = draw_occurrence(fault, scenario, &mut rng, at);
             all.push(what.map_err(|why| Bad(format!("fault {}: {why}", n + 1)))?);
         }
     }
--- a/crates/testing/fault-testing/src/ways.rs
+++ b/crates/testing/fault-testing/src/ways.rs
@@ -1,7 +1,7 @@
 //! How each way from one node to another is at this moment.
 
 use crate::names::Node;
-use crate::schedule::What;
+use crate::schedule::ScheduledFault;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
         self.cut || self.stall
     }
 
-    fn with(&mut self, what: &What) {
+    fn with(&mut self, what: &ScheduledFault) {
         match what.what {
             "drop" => self.drop = 1.0 - (1.0 - self.drop) * (1.0 - what.p),
             "delay" => {
@@ -62,7 +62,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct Ways {
     all: Arc<Mutex<Senders>>,
-    active: Arc<Mutex<Vec<(usize, What)>>>,
+    active: Arc<Mutex<Vec<(usize, ScheduledFault)>>>,
 }
 
 impl Ways {
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(crate) fn begin(&self, no: usize, what: &What) {
+    pub(crate) fn begin(&self, no: usize, what: &ScheduledFault) {
         self.active.lock().unwrap().push((no, what.clone()));
         self.set(&what.ways);
     }
--- a/crates/testing/fault-testing/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/stories.rs
@@ -168,7 +168,7 @@
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![late], ran())), ["rule-1"]);
-    // What a killed process held is its client's to repeat; what a cut swallowed never came.
+    // The client must repeat what a killed process held, and what a cut lost never reached the dispatcher.
     let mut records = with(vec![none.clone()], ran());
     records.absences.push(sagetrail_fault_testing::Absence {
         dispatcher: 0,
@@ -433,7 +433,7 @@
         vec![at("a", 0, 1.0, End::Declined), at("a-1", 1, 1.4, End::Done)],
     );
     assert!(killed(declined).is_empty(), "it never ran the first time");
-    // What the first try made is an answer to the second.
+    // The result of the first try is a valid answer to the second.
     let mut given = with(wis(), vec![at("a", 0, 1.0, End::Done)]);
     given.wis[1].answer = Some((1.5, 200, "a made".to_string()));
     assert!(killed(given).is_empty());
