--- a/crates/testing/fault-testing/src/checker.rs
+++ b/crates/testing/fault-testing/src/checker.rs
@@ -14,7 +14,8 @@
 
 /// The tolerance, in seconds, for comparing times that two processes of one loaded machine measured.
 const SLACK_S: f64 = 0.1;
-/// An answer at most this many seconds past its expiry earns nothing but violates no rule. A later one counts as lost.
+/// An answer at most this many seconds past its expiry earns nothing but violates no rule. A later one counts as
+/// lost.
 const LATE_S: f64 = 0.5;
 /// Work sent to a cold runner within a span may reach this multiple of its limit, because the sizes of work items are
 /// random. The operators' rule 4 allows a small excess too.
@@ -112,7 +113,8 @@
     by_wi
         .values_mut()
         .for_each(|hos| hos.sort_by(|a, b| a.came.total_cmp(&b.came)));
-    // Recorded work stays one work item under the id of its first try, whichever dispatchers its client repeats it to.
+    // Recorded work stays one work item under the id of its first try, whichever dispatchers its client repeats it
+    // to.
     let firsts: BTreeMap<&str, &str> = records
         .wis
         .iter()
@@ -181,9 +183,9 @@
     ho.started.is_some() || !matches!(ho.ended, Some((_, End::Declined)))
 }
 
-/// Rule 1: a request that a dispatcher accepted gets one final answer before its expiry, and the body of an answer with
-/// status 200 is a result that a runner produced for it. Rule 2 is checked here for deferrals: a request that may have
-/// run is not answered with 503 or 429, unless its category may run twice.
+/// Rule 1: a request that a dispatcher accepted gets one final answer before its expiry, and the body of an answer
+/// with status 200 is a result that a runner produced for it. Rule 2 is checked here for deferrals: a request that
+/// may have run is not answered with 503 or 429, unless its category may run twice.
 fn check_answer(
     inputs: &RunInputs,
     records: &Records,
@@ -266,8 +268,8 @@
     }
 }
 
-/// Rule 2: a work item has no effect twice and is at one runner at a time. `hos` are the hand-offs of one work item in
-/// the order of their arrival.
+/// Rule 2: a work item has no effect twice and is at one runner at a time. `hos` are the hand-offs of one work item
+/// in the order of their arrival.
 fn check_repeats(inputs: &RunInputs, hos: &[&Ho], violations: &mut Vec<Violation>) {
     for (n, later) in hos.iter().enumerate().skip(1) {
         let terms = inputs.category(later.category);
@@ -310,8 +312,8 @@
     }
 }
 
-/// Rule 3: a dispatcher sends no first byte to a runner once the grace has passed since the list reported the runner as
-/// not ready, or since an operator took the runner out of service at this dispatcher.
+/// Rule 3: a dispatcher sends no first byte to a runner once the grace has passed since the list reported the runner
+/// as not ready, or since an operator took the runner out of service at this dispatcher.
 fn check_drains(records: &Records, violations: &mut Vec<Violation>) {
     let grace = 0.3 + 0.05 + SLACK_S;
     for ho in &records.hos {
@@ -567,8 +569,8 @@
     }
 }
 
-/// Bound: no healthy runner is shut out. A runner without a fault gets work from the dispatchers whose links to it are
-/// intact, while they send work to other runners.
+/// Bound: no healthy runner is shut out. A runner without a fault gets work from the dispatchers whose links to it
+/// are intact, while they send work to other runners.
 fn check_shut_out(inputs: &RunInputs, records: &Records, violations: &mut Vec<Violation>) {
     let length = inputs.scenario.length.0;
     let mut from = 0.5;
--- a/crates/testing/fault-testing/src/clients.rs
+++ b/crates/testing/fault-testing/src/clients.rs
@@ -1,4 +1,4 @@
-//! The stand-in clients: an open loop, so that what is late does not make what follows come later.
+//! The stand-in clients. They form an open loop: a late answer does not delay later requests.
 
 use crate::http::Reader;
 use crate::names::Node;
@@ -16,7 +16,7 @@
 
 type Connection = (Reader<OwnedReadHalf>, OwnedWriteHalf);
 
-/// Connections that wait for a next request, by dispatcher.
+/// Idle connections, by dispatcher.
 #[derive(Default)]
 pub(crate) struct Pool {
     idle: Vec<Mutex<Vec<Connection>>>,
@@ -30,7 +30,8 @@
     }
 }
 
-/// When each request is to be sent, of which category, to whom: drawn before the play begins.
+/// A planned request: its time in seconds since the run began, its category, its dispatcher and its id. All requests
+/// are drawn before the run begins.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub at: f64,
@@ -63,7 +64,7 @@
             continue;
         }
         loop {
-            // The crowd's rate is followed by thinning: the same draws at any rate.
+            // A crowd changes only the scale of the gaps, so that the draws are the same at any rate.
             at += -(1.0 - chance.random::<f64>()).ln() / (terms.rate * crowd(at).max(1e-3));
             if at >= scenario.length.0 {
                 break;
@@ -101,7 +102,7 @@
     plans
 }
 
-/// Sends all at their times and waits until each has come to its end.
+/// Sends all requests at their times and waits until each has ended.
 pub(crate) async fn send(shared: Arc<Shared>, plans: Vec<Plan>, begin: f64) {
     let mut open = Vec::new();
     for plan in plans {
@@ -131,7 +132,7 @@
             Some((_, 503 | 429, _)) => Some(wi.come_back_s.unwrap_or(0.5)),
             Some((_, 502, _)) if terms.repeat == "rerunnable" => Some(0.5),
             None if wi.refused || terms.repeat == "rerunnable" => Some(0.5),
-            // Recorded work may be asked for again under its name, whoever had it.
+            // Recorded work may be repeated under its name, whichever dispatcher had it.
             None if terms.record > 0 => Some(0.2),
             _ => None,
         };
@@ -144,7 +145,7 @@
     }
 }
 
-/// One request, from its intended time on; written down as it went.
+/// Makes one try of a request and records it.
 async fn request(
     shared: &Arc<Shared>,
     plan: &Plan,
@@ -165,7 +166,7 @@
         first,
         ..Wi::default()
     };
-    // The front knows nothing of the dead, but a connection that is refused goes to the next.
+    // The load balancer does not know which dispatchers are dead, but tries the next one if a connection is refused.
     for beyond in 0..shared.scenario.processes {
         wi.dispatcher = (dispatcher + beyond) % shared.scenario.processes;
         match exchange(shared, &mut wi, end).await {
@@ -194,7 +195,7 @@
         0 => format!("/{}", terms.name),
         key => format!("/{}?key={key:x}", terms.name),
     };
-    // Patience past the expiry, to see what comes late.
+    // Waits for 1.5 s past the expiry in order to record late answers.
     let patience = Duration::from_secs_f64((end - shared.clock.now()).max(0.0) + 1.5);
     let at = shared
         .stage
@@ -236,8 +237,8 @@
         let answer = timeout(patience, reader.next()).await;
         let closed = matches!(answer, Ok(Ok(None)) | Ok(Err(_)));
         if closed && old && !reader.begun() && !shared.killed_since(wi.dispatcher, now - 0.1) {
-            // It crossed the dispatcher's closing of an idle connection: once more, on a new one. Of one that
-            // was killed nobody knows what it had read.
+            // The request crossed the dispatcher's close of an idle connection, so it is sent again on a new one.
+            // That is not done if the dispatcher was killed, because it may have read the request.
             wi.sent = None;
             continue;
         }
--- a/crates/testing/fault-testing/src/compare.rs
+++ b/crates/testing/fault-testing/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two variants on the same days, in pairs, with intervals.
+//! Compares two variants in pairs of runs with the same seed, with confidence intervals.
 
 use crate::checker::{cold_use, failed_hand_offs, goodput};
 use crate::play::{play, Options};
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::path::PathBuf;
 
-/// A figure of both variants on each day, and what the pairs say.
+/// The values of a figure for both variants, one for each seed.
 #[derive(Clone, Debug)]
 pub struct Compared {
     pub figure: &'static str,
@@ -20,8 +20,8 @@
         figures.iter().sum::<f64>() / figures.len().max(1) as f64
     }
 
-    /// The mean difference, and from where to where it lies in 95 of 100 draws of the pairs (percentile bootstrap,
-    /// Efron and Tibshirani 1993).
+    /// The mean difference and its 95 % confidence interval (percentile bootstrap over the pairs, Efron and
+    /// Tibshirani 1993).
     pub fn difference(&self) -> (f64, f64, f64) {
         let pairs: Vec<f64> = self
             .with
@@ -41,7 +41,7 @@
     }
 }
 
-/// A variant as it is written: `key=value`, `break:NAME`, or a program's path.
+/// Parses a variant: `key=value`, `break:NAME`, or the path of a program.
 fn variant(text: &str, base: &Options) -> Options {
     let mut options = base.clone();
     match text.strip_prefix("break:") {
@@ -52,7 +52,7 @@
     options
 }
 
-/// Plays both on each of the seeds, one after the other, the first in turn.
+/// Runs both variants with each seed, one after the other. Which of them runs first alternates between seeds.
 pub fn compare(
     scenario: &Scenario,
     base: &Options,
--- a/crates/testing/fault-testing/src/http.rs
+++ b/crates/testing/fault-testing/src/http.rs
@@ -1,18 +1,18 @@
-//! As much HTTP/1.1 as the stand-ins need.
+//! The part of HTTP/1.1 that the stand-ins need.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::tcp::OwnedReadHalf;
 
-/// No stand-in sends or takes more.
-const MOST: usize = 1 << 20;
+/// The largest message, in bytes, that a stand-in sends or accepts.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 #[derive(Debug)]
 pub(crate) struct Message {
     pub first: String,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Where in the connection's bytes it began.
+    /// The offset of the first byte of the message in the bytes of the connection.
     pub offset: u64,
 }
 
@@ -24,7 +24,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Of an answer.
+    /// The status of a response; 0 if it has none.
     pub(crate) fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -33,7 +33,7 @@
             .unwrap_or(0)
     }
 
-    /// Of a request: method and target.
+    /// The method and the target of a request.
     pub(crate) fn call(&self) -> (&str, &str) {
         let mut words = self.first.split(' ');
         (
@@ -50,7 +50,7 @@
 }
 
 impl Reader<OwnedReadHalf> {
-    /// The other side has closed it, or said something unasked.
+    /// Whether the other side has closed the connection or sent something unasked.
     pub(crate) fn spent(&self) -> bool {
         let looked = self.from.try_read(&mut [0; 1]);
         !matches!(looked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Whether anything of a message has come.
+    /// Whether a part of a message has arrived.
     pub(crate) fn begun(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     async fn more(&mut self) -> io::Result<bool> {
-        if self.buffer.len() > MOST {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         let mut part = [0; 8 << 10];
@@ -81,7 +81,7 @@
         Ok(got > 0)
     }
 
-    /// The next message; `None` at the end of the connection between two.
+    /// Reads the next message. Returns `None` if the connection ended after a whole message.
     pub(crate) async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 64];
@@ -110,7 +110,7 @@
                 let body = said.map_or(Ok(0), |(_, length)| length.parse::<usize>());
                 let body = body
                     .ok()
-                    .filter(|body| *body <= MOST)
+                    .filter(|body| *body <= MAX_MESSAGE_BYTES)
                     .ok_or(io::ErrorKind::InvalidData)?;
                 while self.buffer.len() < length + body {
                     if !self.more().await? {
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plays several real processes of the program against stand-in clients, runners and list, with a relay of the rig on
-//! every link and faults by a schedule, and judges by what runners and clients saw. `docs/rig.md` is the reference.
+//! Runs several real processes of the program with stand-ins for clients, runners and the list, with a relay on every
+//! link and a schedule of faults, and checks what runners and clients observed. `docs/rig.md` is the reference.
 
 // Not every public item of this crate has a doc comment yet.
 #![allow(missing_docs)]
--- a/crates/testing/fault-testing/src/list.rs
+++ b/crates/testing/fault-testing/src/list.rs
@@ -1,4 +1,4 @@
-//! The stand-in list: one service for all dispatchers, which each see it through a relay of their own.
+//! The stand-in of the list: one service for all dispatchers, which each reach it through their own relay.
 
 use crate::http::Reader;
 use crate::names::Node;
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// An empty line so often while nothing changes.
+/// The interval of empty lines while nothing changes.
 const BEAT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     changed: u64,
 }
 
-/// What the list has to say; the version wakes its watches.
+/// The entries of the list. A change of the version wakes the connections that watch it.
 pub(crate) struct List {
     entries: std::sync::Mutex<(u64, BTreeMap<usize, Entry>)>,
     version: watch::Sender<u64>,
@@ -136,7 +136,7 @@
     loop {
         version.borrow_and_update();
         let (now, entries) = shared.list.after(if first { 0 } else { had });
-        // The whole list at first: what its dispatcher knew may be of another rig's time.
+        // Sends the whole list first, because the dispatcher may know entries of an earlier run.
         let text = line(&shared, dispatcher, now, first, &entries);
         let chunk = match entries.is_empty() && !first {
             true => "1\r\n\n\r\n".to_string(),
@@ -158,7 +158,7 @@
     }
 }
 
-/// Writes down when a word of the list had been handed to its dispatcher, if ever.
+/// Records when an update of the list was delivered to its dispatcher. Stops waiting after 30 s.
 async fn told(
     shared: Arc<Shared>,
     from: SocketAddr,
--- a/crates/testing/fault-testing/src/main.rs
+++ b/crates/testing/fault-testing/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's command line.
+//! The command line of the test program.
 
 use clap::{Parser, Subcommand};
 use sagetrail_fault_testing::{
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays real processes of sagetrail with faults between them, and judges by what runners and clients saw.
+/// Runs real processes of sagetrail with faults between them and checks what runners and clients observed.
 #[derive(Parser)]
 #[command(name = "sagetrail-fault-testing", version)]
 struct Cli {
@@ -19,10 +19,10 @@
 struct How {
     #[arg(long)]
     seed: Option<u64>,
-    /// Dispatchers, 2 to 25, in place of the scenario's.
+    /// The number of dispatchers, 2 to 25, instead of the one in the scenario.
     #[arg(long)]
     processes: Option<usize>,
-    /// The program to play; the one built beside the rig otherwise.
+    /// The program to run; by default the one built beside this test program.
     #[arg(long, value_name = "PATH")]
     program: Option<PathBuf>,
     /// A setting for all dispatchers.
@@ -50,7 +50,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario. 0: nothing was broken; 1: what, who and when; 2: the scenario cannot be played.
+    /// Runs a scenario. Exit code 0: no violation; 1: violations were found and printed; 2: the scenario cannot be
+    /// run.
     Play {
         file: PathBuf,
         #[command(flatten)]
@@ -58,20 +59,21 @@
         /// A broken variant of the program.
         #[arg(long = "break", value_name = "NAME")]
         broken: Option<String>,
-        /// All of it as JSON.
+        /// Writes the report as JSON.
         #[arg(long, value_name = "OUT")]
         json: Option<PathBuf>,
-        /// One HTML page with charts.
+        /// Writes the report as an HTML page with charts.
         #[arg(long, value_name = "OUT")]
         html: Option<PathBuf>,
-        /// All that clients, runners and list saw, as JSON.
+        /// Writes all that clients, runners and the list observed as JSON.
         #[arg(long, value_name = "OUT")]
         records: Option<PathBuf>,
-        /// Keeps the dispatchers' logs.
+        /// Writes the logs of the dispatchers to this folder.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
     },
-    /// Two variants on the same seeds in pairs: KEY=VALUE settings, break:NAME, or a program's path.
+    /// Compares two variants on the same seeds. A variant is KEY=VALUE settings, break:NAME, or the path of a
+    /// program.
     Compare {
         file: PathBuf,
         #[arg(long = "with", value_name = "A")]
@@ -83,13 +85,13 @@
         #[command(flatten)]
         how: How,
     },
-    /// A page with charts from the JSON of a play.
+    /// Prints the table of a JSON report and writes an HTML page with charts.
     Report {
         json: PathBuf,
         #[arg(long, value_name = "OUT")]
         html: Option<PathBuf>,
     },
-    /// Names the faults and the broken variants.
+    /// Lists the faults and the broken variants.
     List,
 }
 
--- a/crates/testing/fault-testing/src/names.rs
+++ b/crates/testing/fault-testing/src/names.rs
@@ -1,6 +1,7 @@
-//! Who takes part, and what a selector means.
+//! The nodes of a run and the selectors that name them.
 
-/// Clients, the list, dispatchers d1.., runners r1..
+/// A node: the clients, the list, a dispatcher (`d1`, `d2`, ...) or a runner (`r1`, `r2`, ...). Numbers start at 0
+/// here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
     Clients,
@@ -9,7 +10,7 @@
     Runner(usize),
 }
 
-/// The numbers that stand in addresses: dispatchers from 10, runners from 40.
+/// The first numbers in addresses: dispatchers have 10 and above, runners 40 and above.
 const DISPATCHERS: usize = 10;
 const RUNNERS: usize = 40;
 pub(crate) const MOST_DISPATCHERS: usize = 25;
@@ -47,7 +48,7 @@
     }
 }
 
-/// How many there are, and in which site each is.
+/// The numbers of dispatchers and runners, and the sites.
 #[derive(Clone, Debug)]
 pub struct Cast {
     pub sites: Vec<String>,
@@ -56,7 +57,7 @@
 }
 
 impl Cast {
-    /// Dealt out in turn.
+    /// The index of the site of a dispatcher or runner. They are assigned to the sites in turn.
     pub fn site_of(&self, node: Node) -> Option<usize> {
         match node {
             Node::Dispatcher(n) | Node::Runner(n) => Some(n % self.sites.len()),
@@ -75,8 +76,8 @@
     }
 
     /// The nodes that a selector names: `d2`, `r1`, `dispatchers`, `runners`, `clients`, `list`, `all`, `site:a`,
-    /// `d@a` and `r@a` (those in a site), several with `+`; numbers beyond those there are wrap round, so that a
-    /// scenario plays at any number of processes.
+    /// `d@a` and `r@a` (those in a site), or several of these joined by `+`. Numbers above the number of nodes wrap
+    /// around, so that a scenario runs with any number of processes.
     pub fn select(&self, text: &str) -> Result<Vec<Node>, String> {
         let mut found = Vec::new();
         for word in text.split('+').map(str::trim) {
@@ -134,7 +135,7 @@
         })
     }
 
-    /// The ways that a selector names: `A>B` one way, `A<>B` both ways, `A` all from and to it.
+    /// The links that a selector names: `A>B` in one direction, `A<>B` in both directions, `A` all from and to it.
     pub fn ways(&self, text: &str) -> Result<Vec<(Node, Node)>, String> {
         let (from, to, both) = match (text.split_once("<>"), text.split_once('>')) {
             (Some((from, to)), _) => (from, to, true),
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -1,4 +1,5 @@
-//! One play: sets the stage, lets the clients send and the faults come, and gathers what was seen.
+//! Runs a scenario: starts the processes, relays and stand-ins, sends the requests, injects the faults and collects
+//! the records.
 
 use crate::checker::{find_violations, RunInputs, Violation};
 use crate::clients::{self, Pool};
@@ -19,21 +20,21 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::net::TcpListener;
 
-/// How a scenario is played.
+/// The options of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     pub seed: Option<u64>,
     pub processes: Option<usize>,
-    /// A broken variant of the program.
+    /// The name of a broken variant of the program to run.
     pub broken: Option<String>,
     pub program: Option<PathBuf>,
-    /// Further settings, `key=value`, for all dispatchers; `fleet.` ones too.
+    /// Further settings for all dispatchers as `key=value`, also those of `fleet.`.
     pub set: Vec<String>,
-    /// Where the dispatchers' logs are kept.
+    /// The folder to which the logs of the dispatchers are written.
     pub logs: Option<PathBuf>,
 }
 
-/// What came of a play.
+/// The result of a run.
 pub struct Outcome {
     pub scenario: Scenario,
     pub seed: u64,
@@ -50,7 +51,7 @@
     pub key: u64,
 }
 
-/// What all stand-ins share.
+/// The state that all stand-ins and relays share.
 pub(crate) struct Shared {
     pub scenario: Scenario,
     pub seed: u64,
@@ -64,7 +65,7 @@
     pub pool: Pool,
     lines: Mutex<HashMap<(usize, usize), Arc<Line>>>,
     failing: Mutex<HashMap<usize, f64>>,
-    /// Processes that were killed, and when: what their clients had sent is not sent again by itself.
+    /// Dispatchers that were killed, and when. A client does not resend automatically what it had sent to them.
     killed: Mutex<Vec<(usize, f64)>>,
     handle: tokio::runtime::Handle,
 }
@@ -78,7 +79,7 @@
             .map(|spec| (spec.category, spec.work_s, spec.key))
     }
 
-    /// A number from 0 to 1 for a request, the same at every hand-off of it.
+    /// Returns a number from 0 to 1 for a request, the same at every hand-off of it.
     pub(crate) fn draw(&self, id: &str) -> f64 {
         let hash = id.bytes().fold(self.seed ^ 0x9E37_79B9, |hash, byte| {
             (hash.rotate_left(5) ^ u64::from(byte)).wrapping_mul(0x51_7C_C1_B7_27_22_0A_95)
@@ -123,7 +124,7 @@
         .map_or(0, |unix| unix.as_millis() as u64)
 }
 
-/// The program that is played unless one is named: the one built beside the rig.
+/// The path of the program to run: the one that the options name, or the one built beside this test program.
 fn program(options: &Options) -> Result<PathBuf, Bad> {
     if let Some(program) = &options.program {
         return Ok(program.clone());
@@ -136,11 +137,14 @@
         .map(|folder| folder.join("sagetrail"));
     let found = beside.into_iter().find(|path| path.is_file());
     found.ok_or_else(|| {
-        Bad("no program `sagetrail` is built beside the rig; name one with --program".to_string())
+        Bad(
+            "no program `sagetrail` was found beside this test program; name one with --program"
+                .to_string(),
+        )
     })
 }
 
-/// The scenario as the options change it.
+/// Returns the scenario with the changes that the options make.
 pub(crate) fn adapted(scenario: &Scenario, options: &Options) -> Result<Scenario, Bad> {
     let mut scenario = scenario.clone();
     scenario.processes = options.processes.unwrap_or(scenario.processes);
@@ -169,7 +173,7 @@
             let hint = sagetrail_settings::nearest(broken, names)
                 .map(|hint| format!("; did you mean '{hint}'?"));
             return Err(Bad(format!(
-                "'{broken}' is no broken variant{}",
+                "'{broken}' is not a broken variant{}",
                 hint.unwrap_or_default()
             )));
         }
@@ -182,7 +186,7 @@
     Ok(scenario)
 }
 
-/// Plays a scenario once.
+/// Runs a scenario once and checks its records.
 pub fn play(scenario: &Scenario, options: &Options) -> Result<Outcome, Bad> {
     let scenario = adapted(scenario, options)?;
     let seed = options.seed.unwrap_or(scenario.seed);
@@ -215,7 +219,8 @@
     })
 }
 
-/// So long after all are ready the play begins: what budgets hold back after a start has been given free.
+/// The time in seconds between the moment when all dispatchers are ready and the begin of the run. It is long enough
+/// for the budgets that dispatchers hold back after a start to become available.
 fn warm_up(scenario: &Scenario) -> f64 {
     let (fleet, longest) = (
         &scenario.fleet,
@@ -235,7 +240,8 @@
     } else {
         0.5
     };
-    // What is recorded is taken once former records would have ended; the store is founded within two seconds.
+    // Dispatchers accept recorded work once all records from before a start would have ended. The store is founded
+    // within two seconds.
     let keeps = |c: &crate::scenario::Category| match c.repeat.as_str() {
         "ticketed" => c.expiry.0 + c.expiry.0.max(c.window.0),
         _ => 2.0 * c.expiry.0,
@@ -259,9 +265,9 @@
     program: &PathBuf,
     options: &Options,
 ) -> Result<(Records, String), Bad> {
-    let bad = |what: &str| {
-        let what = what.to_string();
-        move |error: std::io::Error| Bad(format!("{what}: {error}"))
+    let bad = |context: &str| {
+        let context = context.to_string();
+        move |error: std::io::Error| Bad(format!("{context}: {error}"))
     };
     let stage = Stage::new().map_err(bad("addresses"))?;
     let cast = scenario.cast();
@@ -331,7 +337,7 @@
             );
         }
     }
-    // Warm ones have run for long; those that start cold do so when the play begins.
+    // All runners start warm here. In a scenario with cold runners, they are restarted cold when the run begins.
     for runner in &runners {
         runner.begin(&shared, false);
         shared.list.say(runner.n, |_| {});
@@ -344,7 +350,7 @@
             .iter()
             .filter(|what| what.nodes.contains(&Node::Dispatcher(n)))
         {
-            // In a trial from the start: the door's call to move the clock is there only then.
+            // The admin call that moves the clock exists only in a process that was started with a trial setting.
             if ["clock-off", "clock-jump"].contains(&what.what) {
                 let off = if what.what == "clock-off" {
                     what.by
@@ -371,7 +377,7 @@
     for dispatcher in &dispatchers {
         if !dispatcher.ready(stage).await {
             let log = dispatcher.log();
-            let last = log.lines().last().unwrap_or("without a word").to_string();
+            let last = log.lines().last().unwrap_or("its log is empty").to_string();
             return Err(Bad(format!(
                 "{} is not ready: {last}",
                 Node::Dispatcher(dispatcher.n).name()
@@ -407,7 +413,7 @@
     }
     tasks.push(tokio::spawn(watch(crew.clone())));
     clients::send(shared.clone(), plans, 0.0).await;
-    // Runners' last news, and hand-offs that are still being given up.
+    // Waits for the last reports of the runners and for hand-offs that are still being given up.
     tokio::time::sleep(Duration::from_millis(300)).await;
     crew.look();
     tasks.iter().for_each(|task| task.abort());
@@ -451,7 +457,7 @@
     Ok((records, version))
 }
 
-/// Who can be hurt.
+/// The running dispatchers and runners, on which faults are injected.
 struct Crew {
     shared: Arc<Shared>,
     runners: Vec<Arc<Runner>>,
@@ -459,7 +465,7 @@
 }
 
 impl Crew {
-    /// A runner's next process, and the list's word of it.
+    /// Starts the next process of a runner and adds it to the list.
     fn fresh(&self, n: usize, cold: bool) {
         let cold = cold && self.shared.scenario.cold.time.0 > 0.0;
         let process = self.runners[n].begin(&self.shared, cold);
@@ -469,7 +475,7 @@
         });
     }
 
-    /// Writes down who ended by itself.
+    /// Records the dispatchers that exited unexpectedly.
     fn look(&self) {
         for dispatcher in &self.dispatchers {
             if let Some((false, how)) = dispatcher.ended() {
@@ -507,7 +513,7 @@
             .for_each(|absence| absence.to = now);
     }
 
-    /// What a process that starts again comes back with.
+    /// Sets the disk and the clock with which a dispatcher is restarted.
     fn come_back(&self, n: usize, what: &ScheduledFault) {
         self.dispatchers[n].give_disk(&what.with);
         if let Some(off) = what.off {
@@ -527,7 +533,7 @@
         self.present(n);
     }
 
-    /// Does it to all at once.
+    /// Runs an action concurrently for the number of each dispatcher or runner that a fault affects.
     async fn each<F: Future<Output = ()>>(&self, what: &ScheduledFault, act: impl Fn(usize) -> F) {
         let number = |node: &Node| match node {
             Node::Dispatcher(n) | Node::Runner(n) => Some(*n),
@@ -583,7 +589,7 @@
                 let told = what.what == "crash";
                 self.each(what, |n| async move { self.runners[n].die(shared, told) })
                     .await;
-                // Its agent, or the silence of it, reaches the list a little later.
+                // The list learns of the crash from the agent, or later of a lost machine from the agent's silence.
                 tokio::time::sleep(Duration::from_millis(if told { 500 } else { 2000 })).await;
                 if shared.clock.now() < what.to {
                     self.each(what, |n| async move {
@@ -760,7 +766,7 @@
             if self.dispatchers[n].ended().is_some() {
                 break;
             }
-            // The platform's kill, no sooner than it says.
+            // Like the platform, kills the process only after the grace of 6 s.
             if self.shared.clock.now() > began + 6.0 {
                 self.absent(n, true);
                 self.dispatchers[n].kill();
@@ -773,7 +779,8 @@
         self.start(n).await;
     }
 
-    /// A word at one door: it counts from when that has said that all agree.
+    /// Bans a runner, or lifts the ban, by an admin call to one dispatcher. A ban counts from the answer that
+    /// confirms that it was agreed.
     async fn ban(&self, runner: usize, with: &str, out: bool) {
         let shared = &self.shared;
         let door = shared
@@ -860,7 +867,8 @@
     }
 }
 
-/// Looks each second at who ended by itself and at what each believes, and keeps an old copy of each disk.
+/// Every second records the dispatchers that exited unexpectedly and the member states that each dispatcher reports.
+/// In the third second it copies each disk, for restarts with an old copy.
 async fn watch(crew: Arc<Crew>) {
     let mut n = 0;
     loop {
--- a/crates/testing/fault-testing/src/records.rs
+++ b/crates/testing/fault-testing/src/records.rs
@@ -1,27 +1,28 @@
-//! What clients, runners and list saw: all that the judge believes.
+//! The records of what clients, runners and the list observed, which are all that the checker uses. Field names are
+//! keys of the JSON output. All times are in seconds since the run began.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A request of a client; times in seconds since the play began.
+/// A try of a request by a client.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Wi {
     pub id: String,
     pub category: usize,
     pub dispatcher: usize,
-    /// When it was to be sent, and when its last byte was.
+    /// When the request was planned to be sent, and when its last byte was sent.
     pub intended: f64,
     pub sent: Option<f64>,
     pub wait_s: f64,
     pub work_s: f64,
-    /// Its first try's id, where it is a later one.
+    /// The id of the first try if this is a later one.
     pub first: Option<String>,
     pub answer: Option<(f64, u16, String)>,
     pub come_back_s: Option<f64>,
-    /// Its connection ended without a whole answer.
+    /// When the connection ended without a whole answer.
     pub closed: Option<f64>,
-    /// No dispatcher let it in.
+    /// Whether all dispatchers refused the connection.
     pub refused: bool,
 }
 
@@ -29,11 +30,11 @@
 pub enum End {
     Done,
     Failed,
-    /// Turned away, or handed back unstarted.
+    /// The runner refused the work, or handed it back unstarted.
     Declined,
-    /// The runner's process died.
+    /// The process of the runner died.
     Lost,
-    /// Given up by who sent it, by word or by closing the connection before the 202.
+    /// The sender gave it up, by a request or by closing the connection before the 202.
     GivenUp,
 }
 
@@ -42,10 +43,10 @@
 pub struct Ho {
     pub id: String,
     pub runner: usize,
-    /// Which process of it, from 0.
+    /// The number of the runner's process, from 0.
     pub process: u32,
     pub dispatcher: usize,
-    /// When its first byte left the dispatcher, and when it had come whole.
+    /// When the first byte left the dispatcher, and when the runner had received all of it.
     pub left: f64,
     pub came: f64,
     pub wait_s: f64,
@@ -53,15 +54,15 @@
     pub work_s: f64,
     pub started: Option<f64>,
     pub ended: Option<(f64, End)>,
-    /// When its dispatcher closed the connection, if no 202 had been handed to it by then.
+    /// When the dispatcher closed the connection, if it had not received a 202 by then.
     pub closed: Option<f64>,
-    /// The connection that it came on, and where in what was answered on it the 202 ends.
+    /// The connection of the hand-off, and the offset at which its answer ends in the bytes sent back on it.
     #[serde(skip)]
     pub came_by: Option<(SocketAddr, u64)>,
 }
 
 impl Ho {
-    /// When its dispatcher could hold it for over: ended, given up, or no longer waited for.
+    /// When the dispatcher could regard it as over: when it ended, was given up, or was no longer waited for.
     pub fn over(&self) -> f64 {
         let ended = self.ended.map_or(f64::INFINITY, |(at, _)| at);
         ended
@@ -70,7 +71,7 @@
     }
 }
 
-/// A process of a runner: when it started, and what it did then of what it does when warm.
+/// The start of a process of a runner, and whether it was cold.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Birth {
     pub runner: usize,
@@ -79,7 +80,7 @@
     pub cold: bool,
 }
 
-/// A word of the list as it was handed to a dispatcher: whether a runner is ready, of which process.
+/// An update of the list that was delivered to a dispatcher: whether a runner is ready, and its process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Word {
     pub at: f64,
@@ -89,7 +90,7 @@
     pub process: u32,
 }
 
-/// What a dispatcher believed of the members at a moment, as its operators' door said it: for reports only.
+/// The states of the members as a dispatcher reported them to an admin call. They are used only in reports.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Beliefs {
     pub at: f64,
@@ -97,13 +98,13 @@
     pub lives: Vec<String>,
 }
 
-/// From when to when a process did not run as it should, or was on its way in or out.
+/// A span in which a dispatcher was stopped, starting or paused.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Absence {
     pub dispatcher: usize,
     pub from: f64,
     pub to: f64,
-    /// Killed, or only stopped for a while.
+    /// Whether the process was killed. It was only paused otherwise.
     pub died: bool,
 }
 
@@ -114,15 +115,17 @@
     pub births: Vec<Birth>,
     pub words: Vec<Word>,
     pub absences: Vec<Absence>,
-    /// Runners out by hand: runner, dispatcher, when its door had said yes, and when the rig began to put it back.
+    /// Runners taken out of service at one dispatcher: runner, dispatcher, when the admin call was confirmed, and
+    /// when the call to put it back was begun.
     pub by_hand: Vec<(usize, usize, f64, f64)>,
-    /// Runners out by a word at one door that was answered as agreed: from when, and until it was taken back.
+    /// Runners banned by an agreed admin call: runner, when the call was confirmed, and when the call to lift the ban
+    /// began.
     pub banned: Vec<(usize, f64, f64)>,
-    /// Caps that were agreed on at a door: when, of which category, how many.
+    /// Caps that were agreed on: when the admin call was confirmed, the category, and the cap.
     pub caps: Vec<(f64, usize, u64)>,
     pub beliefs: Vec<Beliefs>,
-    /// Dispatchers that ended by themselves: which, when, how.
+    /// Dispatchers that exited unexpectedly: dispatcher, when, exit status.
     pub crashes: Vec<(usize, f64, String)>,
-    /// What runners gave as results, by id.
+    /// The results that runners produced, by the id of the request.
     pub results: HashMap<String, Vec<String>>,
 }
--- a/crates/testing/fault-testing/src/relay.rs
+++ b/crates/testing/fault-testing/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay on each link: streams and datagrams, each way by itself, with what the schedule says is wrong with it.
+//! The relays on the links. They pass on streams and datagrams, each direction separately, and apply the faults that
+//! the schedule has for the link.
 
 use crate::names::Node;
 use crate::ways::{Told, Way, Ways};
@@ -17,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Seconds since the play began; below zero before.
+/// A clock that counts seconds since the run began. It is negative before.
 #[derive(Clone)]
 pub(crate) struct Clock {
     base: Instant,
@@ -26,14 +27,14 @@
 
 impl Clock {
     pub(crate) fn new(base: Instant) -> Clock {
-        // Far off until then, so that times of before are smaller than all that follow.
+        // The begin is far in the future until it is set, so that times before it are smaller than all later ones.
         Clock {
             base,
             began: Arc::new(AtomicU64::new(1e4f64.to_bits())),
         }
     }
 
-    /// The play begins now.
+    /// Sets the begin of the run to now.
     pub(crate) fn begin(&self) {
         self.began.store(
             self.base.elapsed().as_secs_f64().to_bits(),
@@ -53,26 +54,26 @@
     }
 }
 
-/// What a relay saw of one connection: where in its bytes it was when. The judge goes by when bytes left a
-/// dispatcher, so that what a faulty link holds back is not held against it.
+/// The times at which a relay took and passed on the bytes of one connection. The checker uses the time at which
+/// bytes left a dispatcher, so that a dispatcher is not blamed for the delay of a faulty link.
 #[derive(Default)]
 pub(crate) struct Trace {
-    /// Bytes taken from who opened it by then, as (offset of the first, when).
+    /// Reads from the side that opened the connection, as (offset of the first byte, time in seconds).
     taken: Mutex<Vec<(u64, f64)>>,
-    /// Bytes handed back to it by then, as (offset past the last, when).
+    /// Writes to the side that opened the connection, as (offset after the last byte, time in seconds).
     given: Mutex<Vec<(u64, f64)>>,
     closed: Mutex<Option<f64>>,
 }
 
 impl Trace {
-    /// When the byte at this offset was taken.
+    /// When the byte at this offset was read.
     pub(crate) fn taken_at(&self, offset: u64) -> Option<f64> {
         let marks = self.taken.lock().unwrap();
         let after = marks.partition_point(|(at, _)| *at <= offset);
         after.checked_sub(1).map(|place| marks[place].1)
     }
 
-    /// When all bytes before this offset had been handed back.
+    /// When all bytes before this offset had been written back.
     pub(crate) fn given_by(&self, offset: u64) -> Option<f64> {
         let marks = self.given.lock().unwrap();
         marks
@@ -80,13 +81,13 @@
             .map(|(_, when)| *when)
     }
 
-    /// When who opened it closed it.
+    /// When the side that opened the connection closed it.
     pub(crate) fn closed_at(&self) -> Option<f64> {
         *self.closed.lock().unwrap()
     }
 }
 
-/// What all relays share.
+/// The state that all relays share.
 #[derive(Clone)]
 pub(crate) struct Relays {
     pub ways: Ways,
@@ -95,7 +96,7 @@
     pub traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>>,
 }
 
-/// Bytes on the way, or how the connection ends.
+/// Bytes in transit with the time of their delivery, or the end of the connection.
 enum Piece {
     Bytes(f64, Vec<u8>),
     End(f64),
@@ -106,7 +107,7 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Waits until the way is as the test wants it.
+/// Waits until the state of the link passes the test.
 async fn wait(way: &mut Told, test: impl FnMut(&Way) -> bool) {
     let _ = way.wait_for(test).await;
 }
@@ -121,7 +122,7 @@
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(65_537).wrapping_add(ids))
     }
 
-    /// Relays what comes to `at` on to `target`, from `from` to `to`, until the runtime ends.
+    /// Relays connections from `from`, accepted at `at`, to `to` at `target`, until the runtime ends.
     pub(crate) async fn streams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
         let (mut there, mut back) = (self.ways.way(from, to), self.ways.way(to, from));
         let mut listener = Some(bind(at).await);
@@ -172,7 +173,7 @@
         to: Node,
     ) {
         let _ = stream.set_nodelay(true);
-        // From the relay's own address, by which the other side knows whose connection it is.
+        // Connects from the relay's own address, by which the other side knows which node opened the connection.
         let dial = async {
             let socket = TcpSocket::new_v4()?;
             socket.bind(SocketAddr::new(at.ip(), 0))?;
@@ -215,8 +216,8 @@
         trace.closed.lock().unwrap().get_or_insert(self.clock.now());
     }
 
-    /// One way of one connection. Whatever ends the select above drops both halves of both streams: they end by
-    /// reset if they had not ended before.
+    /// Relays one direction of a connection. When the `select!` in `connection` ends, it drops both halves of both
+    /// streams, which resets them unless they were shut down before.
     async fn pump(
         &self,
         mut read: OwnedReadHalf,
@@ -228,7 +229,7 @@
     ) {
         reset(read.as_ref());
         let mut chance = self.chance(ends.0, ends.1);
-        // A megabyte at the most is on the way: as much as kernels keep.
+        // At most 1 MiB is in transit, about as much as the kernel buffers.
         let (put, mut pieces) = mpsc::channel::<Piece>(64);
         let mut reads = way.clone();
         let take = async move {
@@ -239,7 +240,7 @@
                 let got = tokio::select! {
                     got = read.read(&mut buffer) => got,
                     _ = reads.changed() => {
-                        // What was swallowed is gone: the connection cannot go on.
+                        // The discarded bytes are lost, so the connection cannot continue.
                         if swallowed && !reads.borrow().black_hole {
                             let _ = put.send(Piece::Reset).await;
                             return;
@@ -324,7 +325,7 @@
         tokio::join!(take, give);
     }
 
-    /// Datagrams that come to `at` go on to `target`.
+    /// Relays datagrams that arrive at `at` to `target`.
     pub(crate) async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
@@ -371,7 +372,7 @@
     }
 }
 
-/// Guards against an address that is not quite free yet.
+/// Listens at an address. Retries until the address is free.
 async fn bind(at: SocketAddr) -> TcpListener {
     loop {
         let bound = TcpSocket::new_v4().and_then(|socket| {
@@ -386,8 +387,8 @@
     }
 }
 
-/// While a way is cut, connections never come up: the queue of a listener that holds one is full, and the kernel
-/// answers no one else.
+/// Blocks new connections while the link is cut in either direction. A listener with a backlog of 0 and one queued
+/// connection is full, so the kernel answers no further connection attempts.
 async fn shut(
     listener: TcpListener,
     at: SocketAddr,
--- a/crates/testing/fault-testing/src/report.rs
+++ b/crates/testing/fault-testing/src/report.rs
@@ -1,4 +1,4 @@
-//! What a play came to: tables, a JSON of all of it, one HTML page with charts.
+//! The reports of a run: a table, JSON and an HTML page with charts.
 
 use crate::checker::{cold_use, earned_payoff, failed_hand_offs, goodput, RunInputs};
 use crate::names::Node;
@@ -20,7 +20,7 @@
         })
     }
 
-    /// All of it, for `report` and for whoever reads JSON.
+    /// The report as JSON, which the subcommand `report` reads.
     pub fn json(&self) -> Value {
         let mut hasher = DefaultHasher::new();
         format!("{:?}", self.scenario).hash(&mut hasher);
@@ -51,7 +51,7 @@
 }
 
 fn quantiles(mut times: Vec<f64>) -> Value {
-    // From the intended time of sending, in microseconds, to an hour, at three digits.
+    // Values are in microseconds since the intended time of sending, up to one hour, with three significant digits.
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3) else {
         return Value::Null;
     };
@@ -138,7 +138,7 @@
     })
 }
 
-/// A table for a terminal.
+/// Formats a report as a table for a terminal.
 pub fn table(report: &Value) -> String {
     let mut out = String::new();
     let figures = &report["figures"];
@@ -207,7 +207,7 @@
     "#1b6ca8", "#c0504d", "#5b8c3e", "#7d5ba6", "#c98b1a", "#2a9d8f", "#8d6e63", "#546e7a",
 ];
 
-/// Lines over time, with faults as bands behind them.
+/// Draws a chart of lines over time, with faults as bands behind them.
 fn chart(
     title: &str,
     lines: &[(String, Vec<Option<f64>>)],
@@ -285,7 +285,7 @@
         .replace('\'', "&#39;")
 }
 
-/// One page that a browser opens, with nothing from outside.
+/// Formats a report as one HTML page that loads nothing else.
 pub fn html(report: &Value) -> String {
     let figures = &report["figures"];
     let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
--- a/crates/testing/fault-testing/src/runners.rs
+++ b/crates/testing/fault-testing/src/runners.rs
@@ -1,4 +1,5 @@
-//! The stand-in runners. Each takes jobs, runs them in its slots, tells news by call-back, and fails as it is told.
+//! The stand-in runners. Each accepts jobs, executes them in its slots, sends reports by call-back, and applies the
+//! faults of the schedule.
 
 use crate::http::{Message, Reader};
 use crate::names::Node;
@@ -14,11 +15,11 @@
 use tokio::sync::{watch, Mutex as Lock};
 use tokio::time::{sleep, timeout};
 
-/// A call-back is tried so often until it is answered, so far apart.
+/// How often a report is tried until it is answered, and the pause between tries in seconds.
 const TRIES: usize = 10;
 const TRY_S: f64 = 0.25;
 
-/// What is wrong with a runner at this moment.
+/// The faults that affect a runner at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ill {
     pub hang: bool,
@@ -56,7 +57,7 @@
     pub n: usize,
     pub ill: watch::Sender<Ill>,
     inside: Mutex<Inside>,
-    /// Moves on when its process ends: what it had is lost.
+    /// The number of the present process. It increases when a process ends, which loses all its jobs.
     process: watch::Sender<u32>,
 }
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A process of it begins; the list is told by who calls.
+    /// Starts a process of the runner and returns its number. The caller updates the list.
     pub(crate) fn begin(&self, shared: &Shared, cold: bool) -> u32 {
         let now = shared.clock.now();
         let mut inside = self.inside.lock().unwrap();
@@ -92,7 +93,8 @@
         process
     }
 
-    /// Its process ends: all that it had is lost, and its machine tells so unless that is gone too.
+    /// Ends the process of the runner, which loses all its jobs. With `tells`, the machine reports the loss; a
+    /// machine that disappeared does not.
     pub(crate) fn die(&self, shared: &Arc<Shared>, tells: bool) {
         self.process.send_modify(|process| *process += 1);
         let now = shared.clock.now();
@@ -129,7 +131,8 @@
         }
     }
 
-    /// What work of a key takes more where it is not held; holds it from now on.
+    /// Returns the extra time in seconds for work whose key the runner does not hold. The runner holds the key
+    /// afterwards.
     fn fetch(&self, shared: &Shared, key: u64) -> f64 {
         let mut inside = self.inside.lock().unwrap();
         if key == 0 || shared.scenario.runners.fetch.0 <= 0.0 {
@@ -149,7 +152,7 @@
     }
 }
 
-/// Serves what comes to a runner's address.
+/// Serves the connections to the address of a runner.
 pub(crate) async fn serve(shared: Arc<Shared>, runner: Arc<Runner>, listener: TcpListener) {
     while let Ok((stream, from)) = listener.accept().await {
         let (shared, runner) = (shared.clone(), runner.clone());
@@ -161,7 +164,7 @@
                 return;
             }
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-            // A process that dies resets its connections.
+            // The end of a process resets its connections.
             tokio::select! {
                 _ = connection(&shared, &runner, stream, from) => {}
                 _ = dies.changed() => {}
@@ -206,7 +209,7 @@
             continue;
         };
         if ill.borrow_and_update().hang {
-            // Silent until it is over, or until who sent it has closed the connection.
+            // Sends nothing until the fault ends or the sender closes the connection.
             tokio::select! {
                 _ = ill.wait_for(|ill| !ill.hang) => {}
                 gone = reader.next() => {
@@ -239,7 +242,7 @@
     }
 }
 
-/// Writes down a hand-off that has come; its place in the records.
+/// Records a hand-off that has arrived. Returns its index in the records.
 fn hand_off(
     shared: &Shared,
     runner: &Runner,
@@ -286,7 +289,8 @@
         .get_or_insert((now, how));
 }
 
-/// The connection was closed before the 202: given up, from when the relay saw that.
+/// Records that the sender closed the connection before the 202. The hand-off is given up from the time at which the
+/// relay saw the close.
 fn close(shared: &Shared, runner: &Runner, at: usize, from: SocketAddr) {
     let closed = shared
         .relays
@@ -315,7 +319,7 @@
     }
 }
 
-/// Starts what waits, as far as there are slots.
+/// Starts queued jobs while slots are free.
 fn fill(shared: &Arc<Shared>, runner: &Arc<Runner>) {
     loop {
         let at = {
@@ -421,7 +425,7 @@
     });
 }
 
-/// A connection for call-backs, kept while it is good.
+/// A connection for reports, kept open while it works.
 pub(crate) type Line = Lock<
     Option<(
         Reader<tokio::net::tcp::OwnedReadHalf>,
@@ -465,13 +469,13 @@
     Ok(answer.status())
 }
 
-/// Tells a dispatcher something until it is answered, ten times at the most.
+/// Sends a report to a dispatcher until it is answered, at most ten times.
 async fn tell(shared: Arc<Shared>, n: usize, dispatcher: usize, mut what: serde_json::Value) {
     what["from"] = json!(Node::Runner(n).name());
     let body = what.to_string();
     let (line, alone) = (shared.line(n, dispatcher), Line::default());
     for time in 0..TRIES {
-        // One that cannot get through does not hold up those behind it.
+        // Retries use their own connection, so that a report that fails does not delay later ones.
         let line = if time == 0 { &*line } else { &alone };
         let told = timeout(
             Duration::from_secs(2),
--- a/crates/testing/fault-testing/src/scenario.rs
+++ b/crates/testing/fault-testing/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The format of scenario files (TOML). Times are written as text with a unit, such as "250ms".
 //!
-//! The names and the order of types, fields and variants that are part of `Scenario` must not change: the report stores
-//! a hash of the debug text of the scenario.
+//! The names and the order of types, fields and variants that are part of `Scenario` must not change: the report
+//! stores a hash of the debug text of the scenario.
 
 use crate::names::{Cast, MOST_DISPATCHERS, MOST_RUNNERS};
 use crate::schedule::{schedule, FAULT_KINDS};
@@ -148,8 +148,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often a client tries a request at most. It repeats a refused request after the advised time, or after 0.5 s
-    /// if no time was advised.
+    /// How often a client tries a request at most. It repeats a refused request after the advised time, or after 0.5
+    /// s if no time was advised.
     pub tries: u32,
     /// The share of the load that the dispatchers of each site get. Without entries, the load is spread evenly.
     pub shares: BTreeMap<String, f64>,
@@ -223,8 +223,8 @@
 pub struct Expect {
     /// The least share of the payoff of all requests that must be earned.
     pub goodput: Option<f64>,
-    /// The time after the end of the last fault within which the earned share of the payoff must be back at 0.95 of its
-    /// value before the first fault.
+    /// The time after the end of the last fault within which the earned share of the payoff must be back at 0.95 of
+    /// its value before the first fault.
     pub back_within: Option<Time>,
     /// The least share of its limit that some cold runner must have been sent within a span.
     pub cold_use: Option<f64>,
--- a/crates/testing/fault-testing/src/schedule.rs
+++ b/crates/testing/fault-testing/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Draws the schedule of faults from a scenario and a seed. The schedule depends on nothing else, so that a seed gives
-//! the same schedule on every machine.
+//! Draws the schedule of faults from a scenario and a seed. The schedule depends on nothing else, so that a seed
+//! gives the same schedule on every machine.
 
 use crate::names::Node;
 use crate::scenario::{Bad, Fault, Scenario, When};
--- a/crates/testing/fault-testing/src/stage.rs
+++ b/crates/testing/fault-testing/src/stage.rs
@@ -1,4 +1,5 @@
-//! Addresses and processes: each node on an address of its own under 127/8, each dispatcher a real process.
+//! The addresses of the nodes and the processes of the dispatchers. Each node has its own address under 127/8, and
+//! each dispatcher is a real process.
 
 use crate::names::{Cast, Node};
 use crate::records::Absence;
@@ -24,7 +25,7 @@
 
 pub(crate) struct Stage {
     net: u8,
-    /// Held as long as the stage stands, so that no other rig takes its addresses.
+    /// Kept open so that no other test program on this machine uses the same addresses.
     _mine: TcpListener,
 }
 
@@ -39,19 +40,21 @@
                 return Ok(Stage { net, _mine: mine });
             }
         }
-        Err(io::Error::other("no addresses under 127/8 are free"))
+        Err(io::Error::other(
+            "no free network under 127/8 was found in 2000 tries",
+        ))
     }
 
     fn at(&self, a: u8, b: u8, port: u16) -> SocketAddr {
         SocketAddr::from(([127, self.net, a, b], port))
     }
 
-    /// Where a node itself listens.
+    /// The address at which a node itself listens.
     pub(crate) fn own(&self, node: Node) -> SocketAddr {
         self.at(0, node.number(), PORT)
     }
 
-    /// Where `from` reaches `to`: a relay.
+    /// The address of the relay by which `from` reaches `to`.
     pub(crate) fn relay(&self, from: Node, to: Node) -> SocketAddr {
         self.at(from.number(), to.number(), PORT)
     }
@@ -72,7 +75,7 @@
         self.at(0, Node::Dispatcher(n).number(), DOOR)
     }
 
-    /// Whose connection it is that comes by a relay.
+    /// The node that opened a connection that comes from a relay.
     pub(crate) fn opener(&self, from: SocketAddr) -> Option<Node> {
         match from.ip() {
             IpAddr::V4(ip) => Node::of_number(ip.octets()[2]),
@@ -81,12 +84,12 @@
     }
 }
 
-/// A call at a node of the rig's own: no link, and no fault on it.
+/// Makes an HTTP call directly to a node. No link and so no fault is on its way. Returns the status and the body.
 pub(crate) async fn call(at: SocketAddr, method: &str, path: &str) -> io::Result<(u16, String)> {
     say(at, method, path, "").await
 }
 
-/// The same with a body.
+/// Makes an HTTP call with a body directly to a node.
 pub(crate) async fn say(
     at: SocketAddr,
     method: &str,
@@ -118,13 +121,13 @@
 #[derive(Default)]
 struct State {
     child: Option<Child>,
-    /// Its end is the rig's doing.
+    /// Whether the test program itself ended the process.
     expected: bool,
     set: BTreeMap<String, toml::Value>,
     starts: u32,
 }
 
-/// One dispatcher: its process, its folder, what was done to it.
+/// A dispatcher: its process, its folder and its absences.
 pub(crate) struct Dispatcher {
     pub n: usize,
     folder: PathBuf,
@@ -169,7 +172,7 @@
         self.state.lock().unwrap().set.extend(set.clone());
     }
 
-    /// Writes its configuration anew.
+    /// Writes the configuration file. Returns whether it has trial settings.
     pub(crate) fn write(
         &self,
         stage: &Stage,
@@ -379,7 +382,8 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// How it ended, if it has: by itself, and so crashed, or as the rig wanted.
+    /// Whether the test program ended the process and its exit status, if it has exited. An exit that the test
+    /// program did not cause is a crash.
     pub(crate) fn ended(&self) -> Option<(bool, String)> {
         let mut state = self.state.lock().unwrap();
         let expected = state.expected;
@@ -388,7 +392,7 @@
         Some((expected, status.to_string()))
     }
 
-    /// What its disk held some time ago, to come back with.
+    /// Copies the disk for a later restart with an old copy. Keeps an existing copy.
     pub(crate) fn copy_disk(&self) {
         let (from, to) = (self.folder.join("disk"), self.folder.join("old"));
         if to.exists() {
@@ -407,7 +411,7 @@
             }
         };
         match with {
-            // In the middle of what was promised; and what a write leaves that was cut short.
+            // `flipped` flips a bit in the middle of the records; `torn` appends what an interrupted write leaves.
             "flipped" => changed(&|bytes| {
                 let middle = 48 + bytes.len().saturating_sub(48) / 2;
                 bytes
--- a/crates/testing/fault-testing/src/ways.rs
+++ b/crates/testing/fault-testing/src/ways.rs
@@ -1,4 +1,4 @@
-//! How each way from one node to another is at this moment.
+//! The present state of each link. A link leads from one node to another in one direction.
 
 use crate::names::Node;
 use crate::schedule::ScheduledFault;
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
 
-/// What a way does to what passes.
+/// The effect of the active faults on the traffic of a link.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub(crate) struct Way {
     pub drop: f64,
@@ -14,7 +14,7 @@
     pub jitter_s: f64,
     pub reorder: f64,
     pub double: f64,
-    /// Bytes a second; 0 for no bound.
+    /// The limit in bytes per second; 0 for no limit.
     pub rate: f64,
     pub stall: bool,
     pub reset: bool,
@@ -24,7 +24,7 @@
 }
 
 impl Way {
-    /// Nothing goes on for now.
+    /// Whether the link delivers nothing at present.
     pub(crate) fn held(&self) -> bool {
         self.cut || self.stall
     }
@@ -58,7 +58,7 @@
 pub(crate) type Told = watch::Receiver<Way>;
 type Senders = HashMap<(Node, Node), watch::Sender<Way>>;
 
-/// All ways there are, each made when first asked for.
+/// All links. Each is created at its first use.
 #[derive(Clone, Default)]
 pub(crate) struct Ways {
     all: Arc<Mutex<Senders>>,
