--- a/crates/testing/fault-testing/src/checker.rs
+++ b/crates/testing/fault-testing/src/checker.rs
@@ -4,8 +4,8 @@
 //!
 //! All times are in seconds since the run began.
 
-use crate::names::{Cast, Node};
-use crate::records::{End, Ho, Records, Wi};
+use crate::names::{Node, Participants};
+use crate::records::{End, HandOff, Records, RequestRecord};
 use crate::scenario::{Category, Scenario};
 use crate::schedule::ScheduledFault;
 use serde::Serialize;
@@ -53,7 +53,7 @@
 /// The inputs of a run: its scenario, the participants and the faults that were drawn for it.
 pub struct RunInputs<'a> {
     pub scenario: &'a Scenario,
-    pub cast: &'a Cast,
+    pub participants: &'a Participants,
     pub schedule: &'a [ScheduledFault],
 }
 
@@ -65,23 +65,25 @@
     /// Whether a fault affected the link between two nodes, in either direction, at some moment of a span. The effect
     /// of a cut or a stall outlasts it by 3.5 s, that of another fault by 0.5 s plus its delay and jitter.
     fn link_was_faulty(&self, a: Node, b: Node, from: f64, to: f64) -> bool {
-        let spoilt = |what: &&ScheduledFault| {
-            let wake = if what.what == "cut" || what.what == "stall" {
+        let spoilt = |fault: &&ScheduledFault| {
+            let wake = if fault.kind == "cut" || fault.kind == "stall" {
                 3.5
             } else {
                 0.5
             };
-            what.from <= to && from <= what.to + wake + what.delay_s + what.jitter_s
+            fault.from <= to && from <= fault.to + wake + fault.delay_s + fault.jitter_s
         };
-        let on = |what: &ScheduledFault| what.ways.contains(&(a, b)) || what.ways.contains(&(b, a));
+        let on =
+            |fault: &ScheduledFault| fault.links.contains(&(a, b)) || fault.links.contains(&(b, a));
         self.schedule.iter().filter(spoilt).any(on)
     }
 
     /// Whether a fault affected a runner at some moment of a span or in the 4 s before it.
     fn runner_was_faulty(&self, runner: usize, from: f64, to: f64) -> bool {
         let node = Node::Runner(runner);
-        let then = |what: &&ScheduledFault| what.from <= to && from <= what.to + 4.0;
-        let on = |what: &ScheduledFault| what.nodes.contains(&node) || what.what == "fail-category";
+        let then = |fault: &&ScheduledFault| fault.from <= to && from <= fault.to + 4.0;
+        let on =
+            |fault: &ScheduledFault| fault.nodes.contains(&node) || fault.kind == "fail-category";
         self.schedule.iter().filter(then).any(on)
     }
 }
@@ -105,7 +107,7 @@
 
 /// Returns all violations in the records of a run, ordered by time.
 pub fn find_violations(inputs: &RunInputs, records: &Records) -> Vec<Violation> {
-    let mut by_wi: BTreeMap<&str, Vec<&Ho>> = BTreeMap::new();
+    let mut by_wi: BTreeMap<&str, Vec<&HandOff>> = BTreeMap::new();
     records
         .hos
         .iter()
@@ -120,7 +122,7 @@
         .iter()
         .filter_map(|wi| Some((wi.id.as_str(), wi.first.as_deref()?)))
         .collect();
-    let mut by_name: BTreeMap<&str, Vec<&Ho>> = BTreeMap::new();
+    let mut by_name: BTreeMap<&str, Vec<&HandOff>> = BTreeMap::new();
     for ho in records
         .hos
         .iter()
@@ -153,7 +155,7 @@
             &mut violations,
         );
     }
-    let unrecorded = |hos: &&Vec<&Ho>| inputs.category(hos[0].category).record == 0;
+    let unrecorded = |hos: &&Vec<&HandOff>| inputs.category(hos[0].category).record == 0;
     for hos in by_wi.values().filter(unrecorded).chain(by_name.values()) {
         check_repeats(inputs, hos, &mut violations);
     }
@@ -179,7 +181,7 @@
 }
 
 /// Whether a hand-off may have run as far as its sender can know: the runner neither declined it nor handed it back.
-fn may_have_run(ho: &Ho) -> bool {
+fn may_have_run(ho: &HandOff) -> bool {
     ho.started.is_some() || !matches!(ho.ended, Some((_, End::Declined)))
 }
 
@@ -189,8 +191,8 @@
 fn check_answer(
     inputs: &RunInputs,
     records: &Records,
-    wi: &Wi,
-    hos: &[&Ho],
+    wi: &RequestRecord,
+    hos: &[&HandOff],
     violations: &mut Vec<Violation>,
 ) {
     let (Some(sent), dispatcher) = (wi.sent, wi.dispatcher) else {
@@ -210,7 +212,7 @@
                     .is_some_and(|results| results.contains(body))
             };
             let first = wi.first.as_deref().unwrap_or(&wi.id);
-            let theirs = |other: &&Wi| other.first.as_deref() == Some(first);
+            let theirs = |other: &&RequestRecord| other.first.as_deref() == Some(first);
             let made = made(&wi.id)
                 || inputs.category(wi.category).record > 0
                     && (made(first)
@@ -270,11 +272,11 @@
 
 /// Rule 2: a work item has no effect twice and is at one runner at a time. `hos` are the hand-offs of one work item
 /// in the order of their arrival.
-fn check_repeats(inputs: &RunInputs, hos: &[&Ho], violations: &mut Vec<Violation>) {
+fn check_repeats(inputs: &RunInputs, hos: &[&HandOff], violations: &mut Vec<Violation>) {
     for (n, later) in hos.iter().enumerate().skip(1) {
         let terms = inputs.category(later.category);
         let dispatcher = later.dispatcher;
-        let site = |ho: &Ho| ho.runner % inputs.cast.sites.len();
+        let site = |ho: &HandOff| ho.runner % inputs.participants.sites.len();
         for earlier in &hos[..n] {
             // The earlier hand-off had arrived and was not over when the later one left.
             if earlier.over() > later.left + SLACK_S && earlier.came < later.left {
@@ -375,13 +377,13 @@
         let sender = Node::Dispatcher(ho.dispatcher);
         let since = ho.left - grace;
         // A dispatcher that hears fewer than half of the others may not hear the leader.
-        let others = (0..inputs.cast.dispatchers)
+        let others = (0..inputs.participants.dispatchers)
             .map(Node::Dispatcher)
             .filter(|other| *other != sender);
         let hurt = others
             .filter(|other| inputs.link_was_faulty(sender, *other, since, ho.left))
             .count();
-        let cut = 2 * hurt > inputs.cast.dispatchers - 1;
+        let cut = 2 * hurt > inputs.participants.dispatchers - 1;
         if !cut && !was_absent(records, ho.dispatcher, since, ho.left, false) {
             let name = Node::Runner(ho.runner).name();
             let what = format!(
@@ -405,17 +407,18 @@
     let mut used = Vec::new();
     for birth in records.births.iter().filter(|birth| birth.cold) {
         // Counts only hand-offs of dispatchers that the list had told of the start of this process.
-        let told = |ho: &&Ho| {
-            let word =
-                |w: &&crate::records::Word| w.dispatcher == ho.dispatcher && w.runner == ho.runner;
+        let told = |ho: &&HandOff| {
+            let word = |w: &&crate::records::ListUpdate| {
+                w.dispatcher == ho.dispatcher && w.runner == ho.runner
+            };
             records
                 .words
                 .iter()
                 .filter(word)
                 .any(|w| w.process == birth.process && w.at + SLACK_S / 2.0 < ho.left)
         };
-        let mine = |ho: &&Ho| ho.runner == birth.runner && ho.process == birth.process;
-        let mut sent: Vec<&Ho> = records
+        let mine = |ho: &&HandOff| ho.runner == birth.runner && ho.process == birth.process;
+        let mut sent: Vec<&HandOff> = records
             .hos
             .iter()
             .filter(mine)
@@ -536,7 +539,7 @@
 /// Bound: the repeated hand-offs that all dispatchers together send in any second stay within the limit.
 fn check_resends(
     inputs: &RunInputs,
-    by_wi: &BTreeMap<&str, Vec<&Ho>>,
+    by_wi: &BTreeMap<&str, Vec<&HandOff>>,
     violations: &mut Vec<Violation>,
 ) {
     let Some(limit) = inputs
@@ -576,7 +579,7 @@
     let mut from = 0.5;
     while from + SHUT_OUT_SPAN_S <= length {
         let to = from + SHUT_OUT_SPAN_S;
-        for runner in 0..inputs.cast.runners {
+        for runner in 0..inputs.participants.runners {
             let before = records
                 .hos
                 .iter()
@@ -598,9 +601,9 @@
                 !inputs.link_was_faulty(a, b, from, to)
                     && !was_absent(records, *d, from - 2.0, to, false)
             };
-            let able: Vec<usize> = (0..inputs.cast.dispatchers).filter(whole).collect();
+            let able: Vec<usize> = (0..inputs.participants.dispatchers).filter(whole).collect();
             let theirs =
-                |ho: &&Ho| ho.left >= from && ho.left < to && able.contains(&ho.dispatcher);
+                |ho: &&HandOff| ho.left >= from && ho.left < to && able.contains(&ho.dispatcher);
             let all = records.hos.iter().filter(theirs).count();
             let here = records
                 .hos
@@ -608,8 +611,8 @@
                 .filter(theirs)
                 .filter(|ho| ho.runner == runner)
                 .count();
-            let each = all / inputs.cast.runners;
-            if 2 * able.len() > inputs.cast.dispatchers
+            let each = all / inputs.participants.runners;
+            if 2 * able.len() > inputs.participants.dispatchers
                 && each >= SHUT_OUT_MIN_AVERAGE
                 && SHUT_OUT_DIVISOR * here < each
             {
@@ -630,7 +633,7 @@
 }
 
 /// The payoff that a request earned: all of it by its due time, its tardy share until its expiry, nothing after that.
-pub(crate) fn earned_payoff(inputs: &RunInputs, wi: &Wi) -> f64 {
+pub(crate) fn earned_payoff(inputs: &RunInputs, wi: &RequestRecord) -> f64 {
     let terms = inputs.category(wi.category);
     match &wi.answer {
         Some((at, 200, _)) if *at <= wi.intended + wi.wait_s => {
@@ -674,7 +677,7 @@
 
 /// The number of hand-offs that failed, were lost, were given up or never ended.
 pub(crate) fn failed_hand_offs(records: &Records) -> u64 {
-    let bad = |ho: &&Ho| {
+    let bad = |ho: &&HandOff| {
         matches!(
             ho.ended,
             None | Some((_, End::Failed | End::Lost | End::GivenUp))
@@ -708,13 +711,13 @@
         let first = inputs
             .schedule
             .iter()
-            .map(|what| what.from)
+            .map(|fault| fault.from)
             .fold(length, f64::min);
-        let ends = |what: &ScheduledFault| {
-            if what.to.is_finite() {
-                what.to
+        let ends = |fault: &ScheduledFault| {
+            if fault.to.is_finite() {
+                fault.to
             } else {
-                what.from
+                fault.from
             }
         };
         let last = inputs.schedule.iter().map(ends).fold(0.0, f64::max) + within.0;
--- a/crates/testing/fault-testing/src/clients.rs
+++ b/crates/testing/fault-testing/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::http::Reader;
 use crate::names::Node;
 use crate::play::{Shared, Spec};
-use crate::records::Wi;
+use crate::records::RequestRecord;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io;
@@ -44,7 +44,7 @@
     let scenario = &shared.scenario;
     let shares: Vec<f64> = (0..scenario.processes)
         .map(|n| {
-            let site = &shared.cast.sites[n % shared.cast.sites.len()];
+            let site = &shared.participants.sites[n % shared.participants.sites.len()];
             scenario
                 .clients
                 .shares
@@ -57,7 +57,7 @@
     let all: f64 = shares.iter().sum();
     let mut plans = Vec::new();
     for (category, terms) in scenario.categories.iter().enumerate() {
-        let mut chance =
+        let mut rng =
             Pcg64Mcg::seed_from_u64(shared.seed.wrapping_mul(31).wrapping_add(category as u64));
         let (mut at, mut n) = (0.0f64, 0);
         if terms.rate <= 0.0 {
@@ -65,18 +65,18 @@
         }
         loop {
             // A crowd changes only the scale of the gaps, so that the draws are the same at any rate.
-            at += -(1.0 - chance.random::<f64>()).ln() / (terms.rate * crowd(at).max(1e-3));
+            at += -(1.0 - rng.random::<f64>()).ln() / (terms.rate * crowd(at).max(1e-3));
             if at >= scenario.length.0 {
                 break;
             }
-            let mut place = chance.random::<f64>() * all;
+            let mut place = rng.random::<f64>() * all;
             let dispatcher = shares.iter().position(|share| {
                 place -= share;
                 place < 0.0
             });
-            let work_s = terms.work.0 * chance.random_range(0.5..1.5);
+            let work_s = terms.work.0 * rng.random_range(0.5..1.5);
             let key = if terms.keys > 0 {
-                chance.random_range(1..=terms.keys)
+                rng.random_range(1..=terms.keys)
             } else {
                 0
             };
@@ -109,14 +109,16 @@
         let at = begin + plan.at;
         shared.clock.until(at).await;
         let shared = shared.clone();
-        open.push(tokio::spawn(async move { one(shared, plan, at).await }));
+        open.push(tokio::spawn(
+            async move { run_request(shared, plan, at).await },
+        ));
     }
     for request in open {
         let _ = request.await;
     }
 }
 
-async fn one(shared: Arc<Shared>, plan: Plan, at: f64) {
+async fn run_request(shared: Arc<Shared>, plan: Plan, at: f64) {
     let terms = &shared.scenario.categories[plan.category];
     let end = at + terms.expiry.0;
     let (mut intended, mut id, mut dispatcher) = (at, plan.id.clone(), plan.dispatcher);
@@ -127,7 +129,7 @@
             spec.map(|spec| shared.specs.lock().unwrap().insert(id.clone(), spec));
         }
         let first = (time > 0).then(|| plan.id.clone());
-        let wi = request(&shared, &plan, id.clone(), dispatcher, intended, end, first).await;
+        let wi = try_request(&shared, &plan, id.clone(), dispatcher, intended, end, first).await;
         let again = match &wi.answer {
             Some((_, 503 | 429, _)) => Some(wi.come_back_s.unwrap_or(0.5)),
             Some((_, 502, _)) if terms.repeat == "rerunnable" => Some(0.5),
@@ -146,7 +148,7 @@
 }
 
 /// Makes one try of a request and records it.
-async fn request(
+async fn try_request(
     shared: &Arc<Shared>,
     plan: &Plan,
     id: String,
@@ -154,9 +156,9 @@
     intended: f64,
     end: f64,
     first: Option<String>,
-) -> Wi {
+) -> RequestRecord {
     let work_s = shared.spec(&id).map_or(0.0, |(_, work_s, _)| work_s);
-    let mut wi = Wi {
+    let mut wi = RequestRecord {
         id,
         category: plan.category,
         dispatcher,
@@ -164,7 +166,7 @@
         wait_s: end - intended,
         work_s,
         first,
-        ..Wi::default()
+        ..RequestRecord::default()
     };
     // The load balancer does not know which dispatchers are dead, but tries the next one if a connection is refused.
     for beyond in 0..shared.scenario.processes {
@@ -188,7 +190,7 @@
     wi
 }
 
-async fn exchange(shared: &Arc<Shared>, wi: &mut Wi, end: f64) -> io::Result<()> {
+async fn exchange(shared: &Arc<Shared>, wi: &mut RequestRecord, end: f64) -> io::Result<()> {
     let terms = &shared.scenario.categories[wi.category];
     let key = shared.spec(&wi.id).map_or(0, |(.., key)| key);
     let target = match key {
@@ -196,18 +198,18 @@
         key => format!("/{}?key={key:x}", terms.name),
     };
     // Waits for 1.5 s past the expiry in order to record late answers.
-    let patience = Duration::from_secs_f64((end - shared.clock.now()).max(0.0) + 1.5);
+    let answer_timeout = Duration::from_secs_f64((end - shared.clock.now()).max(0.0) + 1.5);
     let at = shared
-        .stage
-        .relay(Node::Clients, Node::Dispatcher(wi.dispatcher));
-    let mut rested = {
+        .addresses
+        .relay_address(Node::Clients, Node::Dispatcher(wi.dispatcher));
+    let mut reused = {
         let mut idle = shared.pool.idle[wi.dispatcher].lock().unwrap();
-        idle.retain(|(reader, _)| !reader.spent());
+        idle.retain(|(reader, _)| !reader.is_closed());
         idle.pop()
     };
     loop {
-        let old = rested.is_some();
-        let (mut reader, mut write) = match rested.take() {
+        let old = reused.is_some();
+        let (mut reader, mut write) = match reused.take() {
             Some(connection) => connection,
             None => {
                 let dial = timeout(Duration::from_secs(1), TcpStream::connect(at)).await;
@@ -234,9 +236,13 @@
             continue;
         }
         sent?;
-        let answer = timeout(patience, reader.next()).await;
+        let answer = timeout(answer_timeout, reader.next()).await;
         let closed = matches!(answer, Ok(Ok(None)) | Ok(Err(_)));
-        if closed && old && !reader.begun() && !shared.killed_since(wi.dispatcher, now - 0.1) {
+        if closed
+            && old
+            && !reader.has_partial_message()
+            && !shared.killed_since(wi.dispatcher, now - 0.1)
+        {
             // The request crossed the dispatcher's close of an idle connection, so it is sent again on a new one.
             // That is not done if the dispatcher was killed, because it may have read the request.
             wi.sent = None;
--- a/crates/testing/fault-testing/src/compare.rs
+++ b/crates/testing/fault-testing/src/compare.rs
@@ -29,10 +29,10 @@
             .zip(&self.against)
             .map(|(a, b)| a - b)
             .collect();
-        let mut chance = Pcg64Mcg::seed_from_u64(1);
+        let mut rng = Pcg64Mcg::seed_from_u64(1);
         let mut means: Vec<f64> = (0..4000)
             .map(|_| {
-                let drawn = (0..pairs.len()).map(|_| pairs[chance.random_range(0..pairs.len())]);
+                let drawn = (0..pairs.len()).map(|_| pairs[rng.random_range(0..pairs.len())]);
                 drawn.sum::<f64>() / pairs.len() as f64
             })
             .collect();
@@ -88,11 +88,11 @@
                 ..variant(text, base)
             };
             let outcome = play(scenario, &options)?;
-            let (good, cold) = outcome.world(|world| {
-                let cold = cold_use(world, &outcome.records);
+            let (good, cold) = outcome.with_inputs(|inputs| {
+                let cold = cold_use(inputs, &outcome.records);
                 let length = outcome.scenario.length.0;
                 (
-                    goodput(world, &outcome.records, 0.0, length),
+                    goodput(inputs, &outcome.records, 0.0, length),
                     cold.iter().map(|(_, _, most, _)| *most).fold(0.0, f64::max),
                 )
             });
--- a/crates/testing/fault-testing/src/http.rs
+++ b/crates/testing/fault-testing/src/http.rs
@@ -34,7 +34,7 @@
     }
 
     /// The method and the target of a request.
-    pub(crate) fn call(&self) -> (&str, &str) {
+    pub(crate) fn method_and_target(&self) -> (&str, &str) {
         let mut words = self.first.split(' ');
         (
             words.next().unwrap_or_default(),
@@ -51,7 +51,7 @@
 
 impl Reader<OwnedReadHalf> {
     /// Whether the other side has closed the connection or sent something unasked.
-    pub(crate) fn spent(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         let looked = self.from.try_read(&mut [0; 1]);
         !matches!(looked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -67,11 +67,11 @@
     }
 
     /// Whether a part of a message has arrived.
-    pub(crate) fn begun(&self) -> bool {
+    pub(crate) fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    async fn more(&mut self) -> io::Result<bool> {
+    async fn read_more(&mut self) -> io::Result<bool> {
         if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
@@ -92,7 +92,7 @@
                 let first = format!("HTTP/1.1 {}", answer.code.unwrap_or(0));
                 status
                     .is_complete()
-                    .then(|| (status.unwrap(), first, own(answer.headers)))
+                    .then(|| (status.unwrap(), first, owned_headers(answer.headers)))
             } else {
                 let mut call = httparse::Request::new(&mut headers);
                 let status = call.parse(&self.buffer).map_err(bad)?;
@@ -103,7 +103,7 @@
                 );
                 status
                     .is_complete()
-                    .then(|| (status.unwrap(), first, own(call.headers)))
+                    .then(|| (status.unwrap(), first, owned_headers(call.headers)))
             };
             if let Some((length, first, headers)) = head {
                 let said = headers.iter().find(|(name, _)| name == "content-length");
@@ -113,7 +113,7 @@
                     .filter(|body| *body <= MAX_MESSAGE_BYTES)
                     .ok_or(io::ErrorKind::InvalidData)?;
                 while self.buffer.len() < length + body {
-                    if !self.more().await? {
+                    if !self.read_more().await? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -128,7 +128,7 @@
                     offset,
                 }));
             }
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return match self.buffer.is_empty() {
                     true => Ok(None),
                     false => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -138,7 +138,7 @@
     }
 }
 
-fn own(headers: &[httparse::Header]) -> Vec<(String, String)> {
+fn owned_headers(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let owned = |header: &httparse::Header| {
         (
             header.name.to_lowercase(),
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -8,22 +8,24 @@
 mod clients;
 mod compare;
 mod http;
+mod links;
 mod list;
 mod names;
 mod play;
+mod processes;
 mod records;
 mod relay;
 mod report;
 mod runners;
 mod scenario;
 mod schedule;
-mod stage;
-mod ways;
 
 pub use checker::{find_violations, RunInputs, Violation};
 pub use compare::{compare, Compared};
 pub use play::{play, Options, Outcome};
-pub use records::{Absence, Beliefs, Birth, End, Ho, Records, Wi, Word};
+pub use records::{
+    Absence, Beliefs, End, HandOff, ListUpdate, ProcessStart, Records, RequestRecord,
+};
 pub use report::{html, table};
 pub use scenario::{Bad, Scenario};
 pub use schedule::{schedule, ScheduledFault, FAULT_KINDS};
--- a/crates/testing/fault-testing/src/ways.rs
+++ b/crates/testing/fault-testing/src/links.rs
@@ -8,7 +8,7 @@
 
 /// The effect of the active faults on the traffic of a link.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub(crate) struct Way {
+pub(crate) struct LinkState {
     pub drop: f64,
     pub delay_s: f64,
     pub jitter_s: f64,
@@ -23,26 +23,26 @@
     pub black_hole: bool,
 }
 
-impl Way {
+impl LinkState {
     /// Whether the link delivers nothing at present.
-    pub(crate) fn held(&self) -> bool {
+    pub(crate) fn is_held(&self) -> bool {
         self.cut || self.stall
     }
 
-    fn with(&mut self, what: &ScheduledFault) {
-        match what.what {
-            "drop" => self.drop = 1.0 - (1.0 - self.drop) * (1.0 - what.p),
+    fn apply(&mut self, fault: &ScheduledFault) {
+        match fault.kind {
+            "drop" => self.drop = 1.0 - (1.0 - self.drop) * (1.0 - fault.p),
             "delay" => {
-                self.delay_s += what.delay_s;
-                self.jitter_s += what.jitter_s;
+                self.delay_s += fault.delay_s;
+                self.jitter_s += fault.jitter_s;
             }
-            "reorder" => self.reorder = self.reorder.max(what.p),
-            "double" => self.double = self.double.max(what.p),
+            "reorder" => self.reorder = self.reorder.max(fault.p),
+            "double" => self.double = self.double.max(fault.p),
             "throttle" => {
                 self.rate = if self.rate > 0.0 {
-                    self.rate.min(what.rate)
+                    self.rate.min(fault.rate)
                 } else {
-                    what.rate
+                    fault.rate
                 }
             }
             "stall" => self.stall = true,
@@ -55,42 +55,42 @@
     }
 }
 
-pub(crate) type Told = watch::Receiver<Way>;
-type Senders = HashMap<(Node, Node), watch::Sender<Way>>;
+pub(crate) type LinkReceiver = watch::Receiver<LinkState>;
+type Senders = HashMap<(Node, Node), watch::Sender<LinkState>>;
 
 /// All links. Each is created at its first use.
 #[derive(Clone, Default)]
-pub(crate) struct Ways {
+pub(crate) struct Links {
     all: Arc<Mutex<Senders>>,
     active: Arc<Mutex<Vec<(usize, ScheduledFault)>>>,
 }
 
-impl Ways {
-    pub(crate) fn way(&self, from: Node, to: Node) -> Told {
+impl Links {
+    pub(crate) fn watch_link(&self, from: Node, to: Node) -> LinkReceiver {
         let mut all = self.all.lock().unwrap();
         all.entry((from, to))
-            .or_insert_with(|| watch::Sender::new(Way::default()))
+            .or_insert_with(|| watch::Sender::new(LinkState::default()))
             .subscribe()
     }
 
-    fn set(&self, ways: &[(Node, Node)]) {
+    fn update(&self, links: &[(Node, Node)]) {
         let (mut all, active) = (self.all.lock().unwrap(), self.active.lock().unwrap());
-        for pair in ways {
-            let mut way = Way::default();
+        for pair in links {
+            let mut link = LinkState::default();
             active
                 .iter()
-                .filter(|(_, what)| what.ways.contains(pair))
-                .for_each(|(_, what)| way.with(what));
+                .filter(|(_, fault)| fault.links.contains(pair))
+                .for_each(|(_, fault)| link.apply(fault));
             let sender = all
                 .entry(*pair)
-                .or_insert_with(|| watch::Sender::new(Way::default()));
-            sender.send_if_modified(|old| std::mem::replace(old, way.clone()) != way);
+                .or_insert_with(|| watch::Sender::new(LinkState::default()));
+            sender.send_if_modified(|old| std::mem::replace(old, link.clone()) != link);
         }
     }
 
-    pub(crate) fn begin(&self, no: usize, what: &ScheduledFault) {
-        self.active.lock().unwrap().push((no, what.clone()));
-        self.set(&what.ways);
+    pub(crate) fn begin(&self, no: usize, fault: &ScheduledFault) {
+        self.active.lock().unwrap().push((no, fault.clone()));
+        self.update(&fault.links);
     }
 
     pub(crate) fn end(&self, no: usize) {
@@ -98,8 +98,8 @@
         let Some(at) = active.iter().position(|(other, _)| *other == no) else {
             return;
         };
-        let (_, what) = active.swap_remove(at);
+        let (_, fault) = active.swap_remove(at);
         drop(active);
-        self.set(&what.ways);
+        self.update(&fault.links);
     }
 }
--- a/crates/testing/fault-testing/src/list.rs
+++ b/crates/testing/fault-testing/src/list.rs
@@ -3,7 +3,7 @@
 use crate::http::Reader;
 use crate::names::Node;
 use crate::play::Shared;
-use crate::records::Word;
+use crate::records::ListUpdate;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use tokio::time::{sleep, timeout};
 
 /// The interval of empty lines while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Life {
+pub(crate) enum Lifecycle {
     Ready,
     Draining,
     Gone,
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Copy)]
 pub(crate) struct Entry {
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     pub started_ms: u64,
     pub process: u32,
     changed: u64,
@@ -46,12 +46,12 @@
         }
     }
 
-    pub(crate) fn say(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
+    pub(crate) fn update(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
         let mut entries = self.entries.lock().unwrap();
         entries.0 += 1;
         let version = entries.0;
         let fresh = Entry {
-            life: Life::Ready,
+            lifecycle: Lifecycle::Ready,
             started_ms: 0,
             process: 0,
             changed: version,
@@ -62,7 +62,7 @@
         self.version.send_replace(version);
     }
 
-    fn after(&self, version: u64) -> (u64, Vec<(usize, Entry)>) {
+    fn changes_since(&self, version: u64) -> (u64, Vec<(usize, Entry)>) {
         let entries = self.entries.lock().unwrap();
         let changed = entries
             .1
@@ -84,7 +84,7 @@
     }
 }
 
-fn line(
+fn update_line(
     shared: &Shared,
     dispatcher: usize,
     version: u64,
@@ -95,14 +95,14 @@
         let node = Node::Runner(*runner);
         json!({
             "instanceId": node.name(),
-            "hostPort": shared.stage.relay(Node::Dispatcher(dispatcher), node).to_string(),
-            "zone": shared.cast.sites[shared.cast.site_of(node).unwrap_or(0)],
+            "hostPort": shared.addresses.relay_address(Node::Dispatcher(dispatcher), node).to_string(),
+            "zone": shared.participants.sites[shared.participants.site_of(node).unwrap_or(0)],
             "machineType": "k",
-            "cell": shared.cast.site_of(node).unwrap_or(0),
-            "lifecycle": match entry.life {
-                Life::Ready => "Ready",
-                Life::Draining => "Terminating",
-                Life::Gone => "Gone",
+            "cell": shared.participants.site_of(node).unwrap_or(0),
+            "lifecycle": match entry.lifecycle {
+                Lifecycle::Ready => "Ready",
+                Lifecycle::Draining => "Terminating",
+                Lifecycle::Gone => "Gone",
             },
             "weight": 1.0,
             "startedAtMs": entry.started_ms,
@@ -113,7 +113,7 @@
 }
 
 async fn watch(shared: Arc<Shared>, stream: TcpStream, from: SocketAddr) -> std::io::Result<()> {
-    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else {
+    let Some(Node::Dispatcher(dispatcher)) = shared.addresses.node_of_connection(from) else {
         return Ok(());
     };
     let (read, mut write) = stream.into_split();
@@ -121,7 +121,7 @@
     let Some(call) = reader.next().await? else {
         return Ok(());
     };
-    let (_, target) = call.call();
+    let (_, target) = call.method_and_target();
     let index = target
         .split("index=")
         .nth(1)
@@ -135,9 +135,9 @@
     let (mut had, mut first) = (index, true);
     loop {
         version.borrow_and_update();
-        let (now, entries) = shared.list.after(if first { 0 } else { had });
+        let (now, entries) = shared.list.changes_since(if first { 0 } else { had });
         // Sends the whole list first, because the dispatcher may know entries of an earlier run.
-        let text = line(&shared, dispatcher, now, first, &entries);
+        let text = update_line(&shared, dispatcher, now, first, &entries);
         let chunk = match entries.is_empty() && !first {
             true => "1\r\n\n\r\n".to_string(),
             false => format!("{:x}\r\n{text}\n\r\n", text.len() + 1),
@@ -145,21 +145,27 @@
         write.write_all(chunk.as_bytes()).await?;
         written += chunk.len() as u64;
         if !entries.is_empty() {
-            tokio::spawn(told(shared.clone(), from, written, dispatcher, entries));
+            tokio::spawn(record_delivery(
+                shared.clone(),
+                from,
+                written,
+                dispatcher,
+                entries,
+            ));
         }
         (had, first) = (now, false);
         let closed = async {
             let _ = reader.next().await;
         };
         tokio::select! {
-            _ = timeout(BEAT, version.changed()) => {}
+            _ = timeout(EMPTY_LINE_INTERVAL, version.changed()) => {}
             () = closed => return Ok(()),
         }
     }
 }
 
 /// Records when an update of the list was delivered to its dispatcher. Stops waiting after 30 s.
-async fn told(
+async fn record_delivery(
     shared: Arc<Shared>,
     from: SocketAddr,
     offset: u64,
@@ -172,11 +178,11 @@
             .trace(from)
             .and_then(|trace| trace.given_by(offset));
         if let Some(at) = at {
-            let word = |(runner, entry): &(usize, Entry)| Word {
+            let word = |(runner, entry): &(usize, Entry)| ListUpdate {
                 at,
                 dispatcher,
                 runner: *runner,
-                ready: entry.life == Life::Ready,
+                ready: entry.lifecycle == Lifecycle::Ready,
                 process: entry.process,
             };
             shared
--- a/crates/testing/fault-testing/src/names.rs
+++ b/crates/testing/fault-testing/src/names.rs
@@ -50,13 +50,13 @@
 
 /// The numbers of dispatchers and runners, and the sites.
 #[derive(Clone, Debug)]
-pub struct Cast {
+pub struct Participants {
     pub sites: Vec<String>,
     pub dispatchers: usize,
     pub runners: usize,
 }
 
-impl Cast {
+impl Participants {
     /// The index of the site of a dispatcher or runner. They are assigned to the sites in turn.
     pub fn site_of(&self, node: Node) -> Option<usize> {
         match node {
@@ -136,22 +136,22 @@
     }
 
     /// The links that a selector names: `A>B` in one direction, `A<>B` in both directions, `A` all from and to it.
-    pub fn ways(&self, text: &str) -> Result<Vec<(Node, Node)>, String> {
+    pub fn links(&self, text: &str) -> Result<Vec<(Node, Node)>, String> {
         let (from, to, both) = match (text.split_once("<>"), text.split_once('>')) {
             (Some((from, to)), _) => (from, to, true),
             (None, Some((from, to))) => (from, to, false),
             (None, None) => (text, "all", true),
         };
         let (from, to) = (self.select(from)?, self.select(to)?);
-        let mut ways = Vec::new();
+        let mut links = Vec::new();
         for &a in &from {
             for &b in to.iter().filter(|b| **b != a) {
-                ways.push((a, b));
-                ways.extend(both.then_some((b, a)));
+                links.push((a, b));
+                links.extend(both.then_some((b, a)));
             }
         }
-        ways.sort_unstable();
-        ways.dedup();
-        Ok(ways)
+        links.sort_unstable();
+        links.dedup();
+        Ok(links)
     }
 }
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -3,15 +3,15 @@
 
 use crate::checker::{find_violations, RunInputs, Violation};
 use crate::clients::{self, Pool};
-use crate::list::{self, Life, List};
-use crate::names::{Cast, Node};
+use crate::links::Links;
+use crate::list::{self, Lifecycle, List};
+use crate::names::{Node, Participants};
+use crate::processes::{http_call, http_call_with_body, Addresses, Dispatcher};
 use crate::records::{Absence, Beliefs, Records};
 use crate::relay::{Clock, Relays, Trace};
-use crate::runners::{self, Line, Runner};
+use crate::runners::{self, ReportConnection, Runner};
 use crate::scenario::{Bad, Scenario};
 use crate::schedule::{schedule, ScheduledFault};
-use crate::stage::{call, say, Dispatcher, Stage};
-use crate::ways::Ways;
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -55,15 +55,15 @@
 pub(crate) struct Shared {
     pub scenario: Scenario,
     pub seed: u64,
-    pub cast: Cast,
-    pub stage: Stage,
+    pub participants: Participants,
+    pub addresses: Addresses,
     pub clock: Clock,
     pub relays: Relays,
     pub list: List,
     pub records: Mutex<Records>,
     pub specs: Mutex<HashMap<String, Spec>>,
     pub pool: Pool,
-    lines: Mutex<HashMap<(usize, usize), Arc<Line>>>,
+    report_connections: Mutex<HashMap<(usize, usize), Arc<ReportConnection>>>,
     failing: Mutex<HashMap<usize, f64>>,
     /// Dispatchers that were killed, and when. A client does not resend automatically what it had sent to them.
     killed: Mutex<Vec<(usize, f64)>>,
@@ -104,8 +104,12 @@
             .any(|(who, when)| *who == dispatcher && *when >= at)
     }
 
-    pub(crate) fn line(&self, runner: usize, dispatcher: usize) -> Arc<Line> {
-        self.lines
+    pub(crate) fn report_connection(
+        &self,
+        runner: usize,
+        dispatcher: usize,
+    ) -> Arc<ReportConnection> {
+        self.report_connections
             .lock()
             .unwrap()
             .entry((runner, dispatcher))
@@ -200,11 +204,11 @@
     let (records, version) =
         runtime.block_on(run(&scenario, seed, &schedule, &program, options))?;
     runtime.shutdown_background();
-    let cast = scenario.cast();
+    let participants = scenario.participants();
     let breaks = find_violations(
         &RunInputs {
             scenario: &scenario,
-            cast: &cast,
+            participants: &participants,
             schedule: &schedule,
         },
         &records,
@@ -269,12 +273,12 @@
         let context = context.to_string();
         move |error: std::io::Error| Bad(format!("{context}: {error}"))
     };
-    let stage = Stage::new().map_err(bad("addresses"))?;
-    let cast = scenario.cast();
+    let addresses = Addresses::new().map_err(bad("addresses"))?;
+    let participants = scenario.participants();
     let clock = Clock::new(Instant::now());
     let traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>> = Arc::default();
     let relays = Relays {
-        ways: Ways::default(),
+        links: Links::default(),
         clock: clock.clone(),
         seed,
         traces,
@@ -282,27 +286,27 @@
     let shared = Arc::new(Shared {
         scenario: scenario.clone(),
         seed,
-        cast: cast.clone(),
-        stage,
+        participants: participants.clone(),
+        addresses,
         clock: clock.clone(),
         relays: relays.clone(),
         list: List::new(),
         records: Mutex::default(),
         specs: Mutex::default(),
-        pool: Pool::new(cast.dispatchers),
-        lines: Mutex::default(),
+        pool: Pool::new(participants.dispatchers),
+        report_connections: Mutex::default(),
         failing: Mutex::default(),
         killed: Mutex::default(),
         handle: tokio::runtime::Handle::current(),
     });
-    let stage = &shared.stage;
+    let addresses = &shared.addresses;
     let listen = async |node: Node| {
-        TcpListener::bind(stage.own(node))
+        TcpListener::bind(addresses.listen_address(node))
             .await
             .map_err(bad("a stand-in"))
     };
     let mut runners = Vec::new();
-    for n in 0..cast.runners {
+    for n in 0..participants.runners {
         let runner = Arc::new(Runner::new(n));
         tokio::spawn(runners::serve(
             shared.clone(),
@@ -312,70 +316,78 @@
         runners.push(runner);
     }
     tokio::spawn(list::serve(shared.clone(), listen(Node::List).await?));
-    for n in 0..cast.dispatchers {
+    for n in 0..participants.dispatchers {
         let me = Node::Dispatcher(n);
         let link = |from: Node, to: Node| {
-            tokio::spawn(
-                relays
-                    .clone()
-                    .streams(stage.relay(from, to), stage.own(to), from, to),
-            )
+            tokio::spawn(relays.clone().relay_streams(
+                addresses.relay_address(from, to),
+                addresses.listen_address(to),
+                from,
+                to,
+            ))
         };
         link(me, Node::List);
         link(Node::Clients, me);
-        for r in 0..cast.runners {
+        for r in 0..participants.runners {
             link(me, Node::Runner(r));
             link(Node::Runner(r), me);
         }
-        for other in (0..cast.dispatchers).filter(|other| *other != n) {
-            let (at, to) = (stage.relay_links(n, other), stage.own_links(other));
-            tokio::spawn(relays.clone().streams(at, to, me, Node::Dispatcher(other)));
+        for other in (0..participants.dispatchers).filter(|other| *other != n) {
+            let (at, to) = (
+                addresses.fleet_relay_address(n, other),
+                addresses.fleet_address(other),
+            );
             tokio::spawn(
                 relays
                     .clone()
-                    .datagrams(at, to, me, Node::Dispatcher(other)),
+                    .relay_streams(at, to, me, Node::Dispatcher(other)),
+            );
+            tokio::spawn(
+                relays
+                    .clone()
+                    .relay_datagrams(at, to, me, Node::Dispatcher(other)),
             );
         }
     }
     // All runners start warm here. In a scenario with cold runners, they are restarted cold when the run begins.
     for runner in &runners {
-        runner.begin(&shared, false);
-        shared.list.say(runner.n, |_| {});
+        runner.start_process(&shared, false);
+        shared.list.update(runner.n, |_| {});
     }
     let folder = tempfile::tempdir().map_err(bad("a folder"))?;
     let mut dispatchers = Vec::new();
-    for n in 0..cast.dispatchers {
+    for n in 0..participants.dispatchers {
         let dispatcher = Dispatcher::new(n, folder.path(), program).map_err(bad("a folder"))?;
-        for what in schedule
+        for fault in schedule
             .iter()
-            .filter(|what| what.nodes.contains(&Node::Dispatcher(n)))
+            .filter(|fault| fault.nodes.contains(&Node::Dispatcher(n)))
         {
             // The admin call that moves the clock exists only in a process that was started with a trial setting.
-            if ["clock-off", "clock-jump"].contains(&what.what) {
-                let off = if what.what == "clock-off" {
-                    what.by
+            if ["clock-off", "clock-jump"].contains(&fault.kind) {
+                let off = if fault.kind == "clock-off" {
+                    fault.by
                 } else {
                     0.0
                 };
                 dispatcher.set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
             }
-            if what.what == "disk-slow" {
-                let delay = format!("{:.3}ms", what.delay_s * 1e3);
+            if fault.kind == "disk-slow" {
+                let delay = format!("{:.3}ms", fault.delay_s * 1e3);
                 dispatcher
                     .set(&[("trial.disk_slow".to_string(), toml::Value::String(delay))].into());
             }
-            if what.what == "disk-full" {
-                let bytes = toml::Value::Integer(what.by as i64);
+            if fault.kind == "disk-full" {
+                let bytes = toml::Value::Integer(fault.by as i64);
                 dispatcher.set(&[("trial.disk_full".to_string(), bytes)].into());
             }
         }
         dispatcher
-            .start(stage, scenario, &cast)
+            .start(addresses, scenario, &participants)
             .map_err(bad("the program"))?;
         dispatchers.push(Arc::new(dispatcher));
     }
     for dispatcher in &dispatchers {
-        if !dispatcher.ready(stage).await {
+        if !dispatcher.ready(addresses).await {
             let log = dispatcher.log();
             let last = log.lines().last().unwrap_or("its log is empty").to_string();
             return Err(Bad(format!(
@@ -385,15 +397,16 @@
         }
     }
     let crowd = |at: f64| {
-        let now = |what: &&ScheduledFault| what.what == "crowd" && what.from <= at && at < what.to;
+        let now =
+            |fault: &&ScheduledFault| fault.kind == "crowd" && fault.from <= at && at < fault.to;
         schedule
             .iter()
             .filter(now)
-            .map(|what| what.by)
+            .map(|fault| fault.by)
             .product::<f64>()
     };
     let plans = clients::plan(&shared, crowd);
-    let crew = Arc::new(Crew {
+    let running = Arc::new(RunningNodes {
         shared: shared.clone(),
         runners,
         dispatchers,
@@ -401,24 +414,26 @@
     tokio::time::sleep(Duration::from_secs_f64(warm_up(scenario))).await;
     clock.begin();
     if scenario.runners.cold {
-        for runner in &crew.runners {
-            runner.die(&shared, false);
-            crew.fresh(runner.n, true);
+        for runner in &running.runners {
+            runner.end_process(&shared, false);
+            running.start_runner(runner.n, true);
         }
     }
     let mut tasks = Vec::new();
-    for (no, what) in schedule.iter().enumerate() {
-        let (crew, what) = (crew.clone(), what.clone());
-        tasks.push(tokio::spawn(async move { crew.fault(no, what).await }));
+    for (no, fault) in schedule.iter().enumerate() {
+        let (running, fault) = (running.clone(), fault.clone());
+        tasks.push(tokio::spawn(
+            async move { running.run_fault(no, fault).await },
+        ));
     }
-    tasks.push(tokio::spawn(watch(crew.clone())));
+    tasks.push(tokio::spawn(watch_dispatchers(running.clone())));
     clients::send(shared.clone(), plans, 0.0).await;
     // Waits for the last reports of the runners and for hand-offs that are still being given up.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    crew.look();
+    running.record_crashes();
     tasks.iter().for_each(|task| task.abort());
     let now = clock.now();
-    for dispatcher in &crew.dispatchers {
+    for dispatcher in &running.dispatchers {
         dispatcher.resume();
         dispatcher.kill();
         let mut open = dispatcher.absences.lock().unwrap();
@@ -458,25 +473,25 @@
 }
 
 /// The running dispatchers and runners, on which faults are injected.
-struct Crew {
+struct RunningNodes {
     shared: Arc<Shared>,
     runners: Vec<Arc<Runner>>,
     dispatchers: Vec<Arc<Dispatcher>>,
 }
 
-impl Crew {
+impl RunningNodes {
     /// Starts the next process of a runner and adds it to the list.
-    fn fresh(&self, n: usize, cold: bool) {
+    fn start_runner(&self, n: usize, cold: bool) {
         let cold = cold && self.shared.scenario.cold.time.0 > 0.0;
-        let process = self.runners[n].begin(&self.shared, cold);
-        self.shared.list.say(n, |entry| {
-            (entry.life, entry.process) = (Life::Ready, process);
+        let process = self.runners[n].start_process(&self.shared, cold);
+        self.shared.list.update(n, |entry| {
+            (entry.lifecycle, entry.process) = (Lifecycle::Ready, process);
             entry.started_ms = if cold { unix_ms() } else { 0 };
         });
     }
 
     /// Records the dispatchers that exited unexpectedly.
-    fn look(&self) {
+    fn record_crashes(&self) {
         for dispatcher in &self.dispatchers {
             if let Some((false, how)) = dispatcher.ended() {
                 let at = self.shared.clock.now();
@@ -490,7 +505,7 @@
         }
     }
 
-    fn absent(&self, n: usize, died: bool) {
+    fn begin_absence(&self, n: usize, died: bool) {
         let from = self.shared.clock.now();
         if died {
             self.shared.killed.lock().unwrap().push((n, from));
@@ -504,7 +519,7 @@
         self.dispatchers[n].absences.lock().unwrap().push(absence);
     }
 
-    fn present(&self, n: usize) {
+    fn end_absence(&self, n: usize) {
         let now = self.shared.clock.now();
         let mut absences = self.dispatchers[n].absences.lock().unwrap();
         absences
@@ -514,116 +529,134 @@
     }
 
     /// Sets the disk and the clock with which a dispatcher is restarted.
-    fn come_back(&self, n: usize, what: &ScheduledFault) {
-        self.dispatchers[n].give_disk(&what.with);
-        if let Some(off) = what.off {
+    fn prepare_restart(&self, n: usize, fault: &ScheduledFault) {
+        self.dispatchers[n].give_disk(&fault.with);
+        if let Some(off) = fault.off {
             self.dispatchers[n]
                 .set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
         }
     }
 
-    async fn start(&self, n: usize) {
+    async fn start_dispatcher(&self, n: usize) {
         let (shared, dispatcher) = (&self.shared, &self.dispatchers[n]);
         if dispatcher
-            .start(&shared.stage, &shared.scenario, &shared.cast)
+            .start(&shared.addresses, &shared.scenario, &shared.participants)
             .is_ok()
         {
-            dispatcher.ready(&shared.stage).await;
+            dispatcher.ready(&shared.addresses).await;
         }
-        self.present(n);
+        self.end_absence(n);
     }
 
     /// Runs an action concurrently for the number of each dispatcher or runner that a fault affects.
-    async fn each<F: Future<Output = ()>>(&self, what: &ScheduledFault, act: impl Fn(usize) -> F) {
+    async fn for_each_target<F: Future<Output = ()>>(
+        &self,
+        fault: &ScheduledFault,
+        act: impl Fn(usize) -> F,
+    ) {
         let number = |node: &Node| match node {
             Node::Dispatcher(n) | Node::Runner(n) => Some(*n),
             _ => None,
         };
-        futures_util::future::join_all(what.nodes.iter().filter_map(number).map(act)).await;
+        futures_util::future::join_all(fault.nodes.iter().filter_map(number).map(act)).await;
     }
 
-    fn ill(&self, what: &ScheduledFault, change: impl Fn(&mut runners::Ill)) {
-        for node in &what.nodes {
+    fn set_runner_faults(
+        &self,
+        fault: &ScheduledFault,
+        change: impl Fn(&mut runners::RunnerFaults),
+    ) {
+        for node in &fault.nodes {
             if let Node::Runner(n) = node {
-                self.runners[*n].ill.send_modify(&change);
+                self.runners[*n].faults.send_modify(&change);
             }
         }
     }
 
-    async fn fault(self: Arc<Self>, no: usize, what: ScheduledFault) {
+    async fn run_fault(self: Arc<Self>, no: usize, fault: ScheduledFault) {
         let clock = &self.shared.clock;
-        clock.until(what.from).await;
-        self.begin(no, &what).await;
-        if what.to.is_finite() {
-            clock.until(what.to).await;
-            self.end(no, &what).await;
+        clock.until(fault.from).await;
+        self.begin_fault(no, &fault).await;
+        if fault.to.is_finite() {
+            clock.until(fault.to).await;
+            self.end_fault(no, &fault).await;
         }
     }
 
-    async fn begin(&self, no: usize, what: &ScheduledFault) {
+    async fn begin_fault(&self, no: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
-        if !what.ways.is_empty() {
-            return shared.relays.ways.begin(no, what);
+        if !fault.links.is_empty() {
+            return shared.relays.links.begin(no, fault);
         }
-        let (p, by) = (what.p, what.by);
-        match what.what {
-            "hang" => self.ill(what, |ill| ill.hang = true),
-            "fail" => self.ill(what, |ill| ill.fail = p),
-            "slow" => self.ill(what, |ill| ill.slow = by),
-            "full" => self.ill(what, |ill| ill.full = true),
-            "mute" => self.ill(what, |ill| ill.mute = true),
+        let (p, by) = (fault.p, fault.by);
+        match fault.kind {
+            "hang" => self.set_runner_faults(fault, |faults| faults.hang = true),
+            "fail" => self.set_runner_faults(fault, |faults| faults.fail = p),
+            "slow" => self.set_runner_faults(fault, |faults| faults.slow = by),
+            "full" => self.set_runner_faults(fault, |faults| faults.full = true),
+            "mute" => self.set_runner_faults(fault, |faults| faults.mute = true),
             "crash" | "vanish" => {
-                let ways = what
+                let links = fault
                     .nodes
                     .iter()
-                    .flat_map(|n| shared.cast.ways(&n.name()).unwrap_or_default());
+                    .flat_map(|n| shared.participants.links(&n.name()).unwrap_or_default());
                 let cut = ScheduledFault {
-                    what: "cut",
-                    ways: ways.collect(),
-                    ..what.clone()
+                    kind: "cut",
+                    links: links.collect(),
+                    ..fault.clone()
                 };
-                if what.what == "vanish" {
-                    shared.relays.ways.begin(no, &cut);
+                if fault.kind == "vanish" {
+                    shared.relays.links.begin(no, &cut);
                 }
-                self.ill(what, |ill| ill.dead = true);
-                let told = what.what == "crash";
-                self.each(what, |n| async move { self.runners[n].die(shared, told) })
-                    .await;
+                self.set_runner_faults(fault, |faults| faults.dead = true);
+                let told = fault.kind == "crash";
+                self.for_each_target(fault, |n| async move {
+                    self.runners[n].end_process(shared, told)
+                })
+                .await;
                 // The list learns of the crash from the agent, or later of a lost machine from the agent's silence.
                 tokio::time::sleep(Duration::from_millis(if told { 500 } else { 2000 })).await;
-                if shared.clock.now() < what.to {
-                    self.each(what, |n| async move {
-                        shared.list.say(n, |entry| entry.life = Life::Gone)
+                if shared.clock.now() < fault.to {
+                    self.for_each_target(fault, |n| async move {
+                        shared
+                            .list
+                            .update(n, |entry| entry.lifecycle = Lifecycle::Gone)
                     })
                     .await;
                 }
             }
             "new" => {
-                self.each(what, |n| async move {
-                    self.runners[n].die(shared, true);
-                    self.fresh(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.runners[n].end_process(shared, true);
+                    self.start_runner(n, true);
                 })
                 .await;
             }
             "drain" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Draining)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Draining)
                 })
                 .await
             }
             "gone" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Gone)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Gone)
                 })
                 .await
             }
-            "by-hand" => self.each(what, |n| self.by_hand(n, true)).await,
-            "ban" => self.each(what, |n| self.ban(n, &what.with, true)).await,
-            "propose" => self.each(what, |n| self.propose(n, what)).await,
+            "by-hand" => self.for_each_target(fault, |n| self.by_hand(n, true)).await,
+            "ban" => {
+                self.for_each_target(fault, |n| self.ban(n, &fault.with, true))
+                    .await
+            }
+            "propose" => {
+                self.for_each_target(fault, |n| self.propose(n, fault))
+                    .await
+            }
             "say" => {
-                self.each(what, |n| async move {
-                    let (method, path) = what.with.split_once(' ').unwrap_or(("GET", "/store"));
-                    let _ = call(shared.stage.door(n), method, path).await;
+                self.for_each_target(fault, |n| async move {
+                    let (method, path) = fault.with.split_once(' ').unwrap_or(("GET", "/store"));
+                    let _ = http_call(shared.addresses.admin_address(n), method, path).await;
                 })
                 .await;
             }
@@ -632,52 +665,53 @@
                     .scenario
                     .categories
                     .iter()
-                    .position(|c| c.name == what.with);
+                    .position(|c| c.name == fault.with);
                 category.map(|category| shared.failing.lock().unwrap().insert(category, p));
             }
             "kill" => {
-                self.each(what, |n| async move {
-                    self.absent(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, true);
                     self.dispatchers[n].kill();
                 })
                 .await;
             }
             "restart" => {
-                self.each(what, |n| async move {
-                    self.absent(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, true);
                     self.dispatchers[n].kill();
-                    self.come_back(n, what);
-                    self.start(n).await;
+                    self.prepare_restart(n, fault);
+                    self.start_dispatcher(n).await;
                 })
                 .await;
             }
             "term" => {
-                for node in &what.nodes {
+                for node in &fault.nodes {
                     if let Node::Dispatcher(n) = node {
                         self.dispatchers[*n].term();
                     }
                 }
-                self.each(what, |n| self.after_term(n, what)).await;
+                self.for_each_target(fault, |n| self.restart_after_term(n, fault))
+                    .await;
             }
             "pause" => {
-                self.each(what, |n| async move {
-                    self.absent(n, false);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, false);
                     self.dispatchers[n].pause();
                 })
                 .await;
             }
             "clock-jump" => {
-                self.each(what, |n| async move {
+                self.for_each_target(fault, |n| async move {
                     let path = format!("/trial/clock/{by}");
-                    let _ = call(shared.stage.door(n), "POST", &path).await;
+                    let _ = http_call(shared.addresses.admin_address(n), "POST", &path).await;
                 })
                 .await;
             }
             "reload" => {
-                self.each(what, |n| async move {
-                    self.dispatchers[n].set(&what.set);
+                self.for_each_target(fault, |n| async move {
+                    self.dispatchers[n].set(&fault.set);
                     if self.dispatchers[n]
-                        .write(&shared.stage, &shared.scenario, &shared.cast)
+                        .write(&shared.addresses, &shared.scenario, &shared.participants)
                         .is_ok()
                     {
                         self.dispatchers[n].reload();
@@ -686,8 +720,13 @@
                 .await;
             }
             "drain-by-hand" => {
-                self.each(what, |n| async move {
-                    let _ = call(shared.stage.door(n), "POST", "/healthcheck/fail").await;
+                self.for_each_target(fault, |n| async move {
+                    let _ = http_call(
+                        shared.addresses.admin_address(n),
+                        "POST",
+                        "/healthcheck/fail",
+                    )
+                    .await;
                 })
                 .await;
             }
@@ -695,64 +734,72 @@
         }
     }
 
-    async fn end(&self, no: usize, what: &ScheduledFault) {
+    async fn end_fault(&self, no: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
-        if !what.ways.is_empty() {
-            return shared.relays.ways.end(no);
+        if !fault.links.is_empty() {
+            return shared.relays.links.end(no);
         }
-        match what.what {
-            "hang" => self.ill(what, |ill| ill.hang = false),
-            "fail" => self.ill(what, |ill| ill.fail = 0.0),
-            "slow" => self.ill(what, |ill| ill.slow = 1.0),
-            "full" => self.ill(what, |ill| ill.full = false),
-            "mute" => self.ill(what, |ill| ill.mute = false),
+        match fault.kind {
+            "hang" => self.set_runner_faults(fault, |faults| faults.hang = false),
+            "fail" => self.set_runner_faults(fault, |faults| faults.fail = 0.0),
+            "slow" => self.set_runner_faults(fault, |faults| faults.slow = 1.0),
+            "full" => self.set_runner_faults(fault, |faults| faults.full = false),
+            "mute" => self.set_runner_faults(fault, |faults| faults.mute = false),
             "crash" | "vanish" => {
-                self.ill(what, |ill| ill.dead = false);
-                shared.relays.ways.end(no);
-                self.each(what, |n| async move { self.fresh(n, true) })
+                self.set_runner_faults(fault, |faults| faults.dead = false);
+                shared.relays.links.end(no);
+                self.for_each_target(fault, |n| async move { self.start_runner(n, true) })
                     .await;
             }
             "drain" | "gone" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Ready)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Ready)
                 })
                 .await;
             }
-            "by-hand" => self.each(what, |n| self.by_hand(n, false)).await,
-            "ban" => self.each(what, |n| self.ban(n, &what.with, false)).await,
+            "by-hand" => {
+                self.for_each_target(fault, |n| self.by_hand(n, false))
+                    .await
+            }
+            "ban" => {
+                self.for_each_target(fault, |n| self.ban(n, &fault.with, false))
+                    .await
+            }
             "fail-category" => {
                 let category = shared
                     .scenario
                     .categories
                     .iter()
-                    .position(|c| c.name == what.with);
+                    .position(|c| c.name == fault.with);
                 category.map(|category| shared.failing.lock().unwrap().remove(&category));
             }
             "kill" => {
-                let starts = what.nodes.iter().filter_map(|node| match node {
+                let starts = fault.nodes.iter().filter_map(|node| match node {
                     Node::Dispatcher(n) => Some(*n),
                     _ => None,
                 });
                 for n in starts.clone() {
-                    self.come_back(n, what);
+                    self.prepare_restart(n, fault);
                     let (shared, dispatcher) = (&self.shared, &self.dispatchers[n]);
-                    let _ = dispatcher.start(&shared.stage, &shared.scenario, &shared.cast);
+                    let _ =
+                        dispatcher.start(&shared.addresses, &shared.scenario, &shared.participants);
                 }
                 for n in starts {
-                    self.dispatchers[n].ready(&shared.stage).await;
-                    self.present(n);
+                    self.dispatchers[n].ready(&shared.addresses).await;
+                    self.end_absence(n);
                 }
             }
             "pause" => {
-                self.each(what, |n| async move {
+                self.for_each_target(fault, |n| async move {
                     self.dispatchers[n].resume();
-                    self.present(n);
+                    self.end_absence(n);
                 })
                 .await;
             }
             "drain-by-hand" => {
-                self.each(what, |n| async move {
-                    let _ = call(shared.stage.door(n), "POST", "/healthcheck/ok").await;
+                self.for_each_target(fault, |n| async move {
+                    let _ = http_call(shared.addresses.admin_address(n), "POST", "/healthcheck/ok")
+                        .await;
                 })
                 .await;
             }
@@ -760,7 +807,7 @@
         }
     }
 
-    async fn after_term(&self, n: usize, what: &ScheduledFault) {
+    async fn restart_after_term(&self, n: usize, fault: &ScheduledFault) {
         let began = self.shared.clock.now();
         loop {
             if self.dispatchers[n].ended().is_some() {
@@ -768,15 +815,15 @@
             }
             // Like the platform, kills the process only after the grace of 6 s.
             if self.shared.clock.now() > began + 6.0 {
-                self.absent(n, true);
+                self.begin_absence(n, true);
                 self.dispatchers[n].kill();
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.absent(n, true);
-        self.come_back(n, what);
-        self.start(n).await;
+        self.begin_absence(n, true);
+        self.prepare_restart(n, fault);
+        self.start_dispatcher(n).await;
     }
 
     /// Bans a runner, or lifts the ban, by an admin call to one dispatcher. A ban counts from the answer that
@@ -784,7 +831,7 @@
     async fn ban(&self, runner: usize, with: &str, out: bool) {
         let shared = &self.shared;
         let door = shared
-            .cast
+            .participants
             .select(with)
             .ok()
             .and_then(|nodes| nodes.first().copied());
@@ -805,7 +852,7 @@
                 .filter(|b| b.0 == runner && b.2.is_infinite())
                 .for_each(|b| b.2 = now);
         }
-        let said = call(shared.stage.door(n), "POST", &path).await;
+        let said = http_call(shared.addresses.admin_address(n), "POST", &path).await;
         if out && matches!(said, Ok((200, _))) {
             let now = shared.clock.now();
             shared
@@ -817,14 +864,21 @@
         }
     }
 
-    async fn propose(&self, n: usize, what: &ScheduledFault) {
+    async fn propose(&self, n: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
         let mut table = toml::Table::new();
-        what.set
+        fault
+            .set
             .iter()
-            .for_each(|(path, value)| crate::stage::put(&mut table, path, value.clone()));
+            .for_each(|(path, value)| crate::processes::set_key(&mut table, path, value.clone()));
         let text = toml::to_string(&table).unwrap_or_default();
-        let said = say(shared.stage.door(n), "POST", "/store/propose", &text).await;
+        let said = http_call_with_body(
+            shared.addresses.admin_address(n),
+            "POST",
+            "/store/propose",
+            &text,
+        )
+        .await;
         let caps = table
             .get("fleet")
             .and_then(|fleet| fleet.get("caps"))
@@ -858,7 +912,7 @@
                 .for_each(|b| b.3 = now);
         }
         for n in 0..self.dispatchers.len() {
-            let said = call(shared.stage.door(n), "POST", &path).await;
+            let said = http_call(shared.addresses.admin_address(n), "POST", &path).await;
             if out && matches!(said, Ok((200, _))) {
                 let word = (runner, n, shared.clock.now(), f64::INFINITY);
                 shared.records.lock().unwrap().by_hand.push(word);
@@ -869,15 +923,20 @@
 
 /// Every second records the dispatchers that exited unexpectedly and the member states that each dispatcher reports.
 /// In the third second it copies each disk, for restarts with an old copy.
-async fn watch(crew: Arc<Crew>) {
+async fn watch_dispatchers(running: Arc<RunningNodes>) {
     let mut n = 0;
     loop {
-        crew.look();
-        for dispatcher in &crew.dispatchers {
+        running.record_crashes();
+        for dispatcher in &running.dispatchers {
             if n == 2 {
                 dispatcher.copy_disk();
             }
-            let said = call(crew.shared.stage.door(dispatcher.n), "GET", "/members").await;
+            let said = http_call(
+                running.shared.addresses.admin_address(dispatcher.n),
+                "GET",
+                "/members",
+            )
+            .await;
             let Ok((200, said)) = said else { continue };
             let lives: BTreeMap<&str, &str> = said
                 .lines()
@@ -892,13 +951,19 @@
                     .get(Node::Dispatcher(n).name().as_str())
                     .map_or(String::new(), |life| life.to_string())
             };
-            let lives = (0..crew.dispatchers.len()).map(life).collect();
-            let at = crew.shared.clock.now();
-            crew.shared.records.lock().unwrap().beliefs.push(Beliefs {
-                at,
-                dispatcher: dispatcher.n,
-                lives,
-            });
+            let lives = (0..running.dispatchers.len()).map(life).collect();
+            let at = running.shared.clock.now();
+            running
+                .shared
+                .records
+                .lock()
+                .unwrap()
+                .beliefs
+                .push(Beliefs {
+                    at,
+                    dispatcher: dispatcher.n,
+                    lives,
+                });
         }
         n += 1;
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/testing/fault-testing/src/stage.rs
+++ b/crates/testing/fault-testing/src/processes.rs
@@ -1,7 +1,7 @@
 //! The addresses of the nodes and the processes of the dispatchers. Each node has its own address under 127/8, and
 //! each dispatcher is a real process.
 
-use crate::names::{Cast, Node};
+use crate::names::{Node, Participants};
 use crate::records::Absence;
 use crate::scenario::Scenario;
 use nix::sys::signal::{kill, Signal};
@@ -20,24 +20,27 @@
 use tokio::time::timeout;
 
 const PORT: u16 = 7000;
-const FLEET: u16 = 7001;
-const DOOR: u16 = 7002;
+const FLEET_PORT: u16 = 7001;
+const ADMIN_PORT: u16 = 7002;
 
-pub(crate) struct Stage {
+pub(crate) struct Addresses {
     net: u8,
     /// Kept open so that no other test program on this machine uses the same addresses.
-    _mine: TcpListener,
+    _reservation: TcpListener,
 }
 
-impl Stage {
-    pub(crate) fn new() -> io::Result<Stage> {
+impl Addresses {
+    pub(crate) fn new() -> io::Result<Addresses> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let first = std::process::id().wrapping_mul(37);
         for _ in 0..2000 {
             let n = first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
             let net = 16 + (n % 200) as u8;
-            if let Ok(mine) = TcpListener::bind((IpAddr::from([127, net, 0, 254]), 6999)) {
-                return Ok(Stage { net, _mine: mine });
+            if let Ok(reservation) = TcpListener::bind((IpAddr::from([127, net, 0, 254]), 6999)) {
+                return Ok(Addresses {
+                    net,
+                    _reservation: reservation,
+                });
             }
         }
         Err(io::Error::other(
@@ -50,33 +53,33 @@
     }
 
     /// The address at which a node itself listens.
-    pub(crate) fn own(&self, node: Node) -> SocketAddr {
+    pub(crate) fn listen_address(&self, node: Node) -> SocketAddr {
         self.at(0, node.number(), PORT)
     }
 
     /// The address of the relay by which `from` reaches `to`.
-    pub(crate) fn relay(&self, from: Node, to: Node) -> SocketAddr {
+    pub(crate) fn relay_address(&self, from: Node, to: Node) -> SocketAddr {
         self.at(from.number(), to.number(), PORT)
     }
 
-    pub(crate) fn own_links(&self, n: usize) -> SocketAddr {
-        self.at(0, Node::Dispatcher(n).number(), FLEET)
+    pub(crate) fn fleet_address(&self, n: usize) -> SocketAddr {
+        self.at(0, Node::Dispatcher(n).number(), FLEET_PORT)
     }
 
-    pub(crate) fn relay_links(&self, from: usize, to: usize) -> SocketAddr {
+    pub(crate) fn fleet_relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.at(
             Node::Dispatcher(from).number(),
             Node::Dispatcher(to).number(),
-            FLEET,
+            FLEET_PORT,
         )
     }
 
-    pub(crate) fn door(&self, n: usize) -> SocketAddr {
-        self.at(0, Node::Dispatcher(n).number(), DOOR)
+    pub(crate) fn admin_address(&self, n: usize) -> SocketAddr {
+        self.at(0, Node::Dispatcher(n).number(), ADMIN_PORT)
     }
 
     /// The node that opened a connection that comes from a relay.
-    pub(crate) fn opener(&self, from: SocketAddr) -> Option<Node> {
+    pub(crate) fn node_of_connection(&self, from: SocketAddr) -> Option<Node> {
         match from.ip() {
             IpAddr::V4(ip) => Node::of_number(ip.octets()[2]),
             IpAddr::V6(_) => None,
@@ -85,12 +88,16 @@
 }
 
 /// Makes an HTTP call directly to a node. No link and so no fault is on its way. Returns the status and the body.
-pub(crate) async fn call(at: SocketAddr, method: &str, path: &str) -> io::Result<(u16, String)> {
-    say(at, method, path, "").await
+pub(crate) async fn http_call(
+    at: SocketAddr,
+    method: &str,
+    path: &str,
+) -> io::Result<(u16, String)> {
+    http_call_with_body(at, method, path, "").await
 }
 
 /// Makes an HTTP call with a body directly to a node.
-pub(crate) async fn say(
+pub(crate) async fn http_call_with_body(
     at: SocketAddr,
     method: &str,
     path: &str,
@@ -136,7 +143,7 @@
     pub absences: Mutex<Vec<Absence>>,
 }
 
-pub(crate) fn put(table: &mut toml::Table, path: &str, value: toml::Value) {
+pub(crate) fn set_key(table: &mut toml::Table, path: &str, value: toml::Value) {
     match path.split_once('.') {
         None => _ = table.insert(path.to_string(), value),
         Some((first, rest)) => {
@@ -144,13 +151,13 @@
                 .entry(first)
                 .or_insert(toml::Value::Table(toml::Table::new()));
             if let Some(below) = below.as_table_mut() {
-                put(below, rest, value);
+                set_key(below, rest, value);
             }
         }
     }
 }
 
-fn text(seconds: f64) -> toml::Value {
+fn duration_value(seconds: f64) -> toml::Value {
     toml::Value::String(format!("{:.3}ms", seconds * 1e3))
 }
 
@@ -175,75 +182,88 @@
     /// Writes the configuration file. Returns whether it has trial settings.
     pub(crate) fn write(
         &self,
-        stage: &Stage,
+        addresses: &Addresses,
         scenario: &Scenario,
-        cast: &Cast,
+        participants: &Participants,
     ) -> io::Result<bool> {
         let me = Node::Dispatcher(self.n);
-        let site = |node: Node| cast.sites[cast.site_of(node).unwrap_or(0)].clone();
+        let site = |node: Node| participants.sites[participants.site_of(node).unwrap_or(0)].clone();
         let mut table = toml::Table::new();
-        let mut say = |path: &str, value: toml::Value| put(&mut table, path, value);
+        let mut set = |path: &str, value: toml::Value| set_key(&mut table, path, value);
         let string = |text: String| toml::Value::String(text);
         let whole = |n: usize| toml::Value::Integer(n as i64);
-        say("name", string(me.name()));
-        say("listen", string(stage.own(me).to_string()));
-        say("discovery", string(stage.relay(me, Node::List).to_string()));
-        say("console", string(stage.door(self.n).to_string()));
+        set("name", string(me.name()));
+        set("listen", string(addresses.listen_address(me).to_string()));
+        set(
+            "discovery",
+            string(addresses.relay_address(me, Node::List).to_string()),
+        );
+        set(
+            "console",
+            string(addresses.admin_address(self.n).to_string()),
+        );
         let starts = self.state.lock().unwrap().starts;
-        say(
+        set(
             "seed",
             string(format!(
                 "{:x}",
                 (self.n as u64 + 1) * 7919 + u64::from(starts)
             )),
         );
-        say(
+        set(
             "learnt",
             string(self.folder.join("disk/learnt.json").display().to_string()),
         );
-        say("me", whole(self.n));
-        say("dispatchers", whole(scenario.processes));
-        say("zone", string(site(me)));
-        say(
+        set("me", whole(self.n));
+        set("dispatchers", whole(scenario.processes));
+        set("zone", string(site(me)));
+        set(
             "zones",
             toml::Value::Array(
-                cast.sites
+                participants
+                    .sites
                     .iter()
                     .cloned()
                     .map(toml::Value::String)
                     .collect(),
             ),
         );
-        say("kinds", toml::Value::Array(vec![string("k".to_string())]));
-        say("runners.tells_start", toml::Value::Boolean(true));
-        say("runners.progress", text(scenario.runners.progress.0));
-        say("drain.grace", text(0.3));
-        say("cold.from", toml::Value::Float(scenario.cold.from));
-        say("cold.time", text(scenario.cold.time.0));
-        say("cold.multiple", toml::Value::Float(scenario.cold.multiple));
-        say("cold.span", text(scenario.cold.span.0));
-        say("fleet.name", string("rig".to_string()));
-        say("fleet.listen", string(stage.own_links(self.n).to_string()));
-        say(
+        set("kinds", toml::Value::Array(vec![string("k".to_string())]));
+        set("runners.tells_start", toml::Value::Boolean(true));
+        set(
+            "runners.progress",
+            duration_value(scenario.runners.progress.0),
+        );
+        set("drain.grace", duration_value(0.3));
+        set("cold.from", toml::Value::Float(scenario.cold.from));
+        set("cold.time", duration_value(scenario.cold.time.0));
+        set("cold.multiple", toml::Value::Float(scenario.cold.multiple));
+        set("cold.span", duration_value(scenario.cold.span.0));
+        set("fleet.name", string("rig".to_string()));
+        set(
+            "fleet.listen",
+            string(addresses.fleet_address(self.n).to_string()),
+        );
+        set(
             "fleet.sharing",
             toml::Value::Boolean(scenario.fleet.sharing),
         );
-        say("fleet.lease", text(scenario.fleet.lease.0));
-        say("fleet.owners", whole(scenario.fleet.owners));
+        set("fleet.lease", duration_value(scenario.fleet.lease.0));
+        set("fleet.owners", whole(scenario.fleet.owners));
         if let Some(probe) = &scenario.fleet.probe {
-            say("fleet.probe", string(probe.clone()));
+            set("fleet.probe", string(probe.clone()));
         }
         if let Some(resends) = scenario.fleet.resends {
-            say("fleet.resends", whole(resends as usize));
+            set("fleet.resends", whole(resends as usize));
         }
         for (name, most) in &scenario.fleet.caps {
-            say(&format!("fleet.caps.{name}"), whole(*most as usize));
+            set(&format!("fleet.caps.{name}"), whole(*most as usize));
         }
         let member = |n: usize| {
             let at = if n == self.n {
-                stage.own_links(n)
+                addresses.fleet_address(n)
             } else {
-                stage.relay_links(self.n, n)
+                addresses.fleet_relay_address(self.n, n)
             };
             let mut member = toml::Table::new();
             member.insert("name".to_string(), string(Node::Dispatcher(n).name()));
@@ -251,48 +271,48 @@
             member.insert("at".to_string(), string(at.to_string()));
             toml::Value::Table(member)
         };
-        say(
+        set(
             "fleet.members",
             toml::Value::Array((0..scenario.processes).map(member).collect()),
         );
         if let Some(store) = &scenario.store {
-            say(
+            set(
                 "store.folder",
                 string(self.folder.join("disk/store").display().to_string()),
             );
             let voters = (0..scenario.voters()).map(|n| string(Node::Dispatcher(n).name()));
-            say("store.voters", toml::Value::Array(voters.collect()));
+            set("store.voters", toml::Value::Array(voters.collect()));
             store
                 .marks
                 .into_iter()
-                .for_each(|marks| say("store.marks", text(marks.0)));
+                .for_each(|marks| set("store.marks", duration_value(marks.0)));
         }
         let category = |c: &crate::scenario::Category| {
             let mut table = toml::Table::new();
-            let mut say = |key: &str, value: toml::Value| _ = table.insert(key.to_string(), value);
-            say("name", string(c.name.clone()));
-            say("repeat", string(c.repeat.clone()));
-            say("group", string(c.group.clone()));
-            say("window", text(c.window.0));
-            say("due", text(c.due.0));
-            say("expiry", text(c.expiry.0));
-            say("payoff", toml::Value::Float(c.payoff));
-            say("tardy", toml::Value::Float(c.tardy));
+            let mut set = |key: &str, value: toml::Value| _ = table.insert(key.to_string(), value);
+            set("name", string(c.name.clone()));
+            set("repeat", string(c.repeat.clone()));
+            set("group", string(c.group.clone()));
+            set("window", duration_value(c.window.0));
+            set("due", duration_value(c.due.0));
+            set("expiry", duration_value(c.expiry.0));
+            set("payoff", toml::Value::Float(c.payoff));
+            set("tardy", toml::Value::Float(c.tardy));
             if c.record > 0 {
-                say(
+                set(
                     "record",
                     whole((c.record as usize).min(scenario.processes - 1)),
                 );
-                say("unrecorded", string(c.unrecorded.clone()));
+                set("unrecorded", string(c.unrecorded.clone()));
             }
             toml::Value::Table(table)
         };
-        say(
+        set(
             "categories",
             toml::Value::Array(scenario.categories.iter().map(category).collect()),
         );
         for (path, value) in scenario.set.iter().chain(&self.state.lock().unwrap().set) {
-            put(&mut table, path, value.clone());
+            set_key(&mut table, path, value.clone());
         }
         let trial = table.contains_key("trial");
         fs::write(
@@ -306,8 +326,13 @@
         Ok(trial)
     }
 
-    pub(crate) fn start(&self, stage: &Stage, scenario: &Scenario, cast: &Cast) -> io::Result<()> {
-        let trial = self.write(stage, scenario, cast)?;
+    pub(crate) fn start(
+        &self,
+        addresses: &Addresses,
+        scenario: &Scenario,
+        participants: &Participants,
+    ) -> io::Result<()> {
+        let trial = self.write(addresses, scenario, participants)?;
         let log = File::options()
             .append(true)
             .create(true)
@@ -337,10 +362,10 @@
         Ok(())
     }
 
-    pub(crate) async fn ready(&self, stage: &Stage) -> bool {
-        let at = stage.own(Node::Dispatcher(self.n));
+    pub(crate) async fn ready(&self, addresses: &Addresses) -> bool {
+        let at = addresses.listen_address(Node::Dispatcher(self.n));
         for _ in 0..400 {
-            if matches!(call(at, "GET", "/health/ready").await, Ok((200, _))) {
+            if matches!(http_call(at, "GET", "/health/ready").await, Ok((200, _))) {
                 return true;
             }
             if self.ended().is_some() {
--- a/crates/testing/fault-testing/src/records.rs
+++ b/crates/testing/fault-testing/src/records.rs
@@ -7,7 +7,7 @@
 
 /// A try of a request by a client.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Wi {
+pub struct RequestRecord {
     pub id: String,
     pub category: usize,
     pub dispatcher: usize,
@@ -40,7 +40,7 @@
 
 /// A hand-off as a runner saw it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ho {
+pub struct HandOff {
     pub id: String,
     pub runner: usize,
     /// The number of the runner's process, from 0.
@@ -61,7 +61,7 @@
     pub came_by: Option<(SocketAddr, u64)>,
 }
 
-impl Ho {
+impl HandOff {
     /// When the dispatcher could regard it as over: when it ended, was given up, or was no longer waited for.
     pub fn over(&self) -> f64 {
         let ended = self.ended.map_or(f64::INFINITY, |(at, _)| at);
@@ -73,7 +73,7 @@
 
 /// The start of a process of a runner, and whether it was cold.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Birth {
+pub struct ProcessStart {
     pub runner: usize,
     pub process: u32,
     pub at: f64,
@@ -82,7 +82,7 @@
 
 /// An update of the list that was delivered to a dispatcher: whether a runner is ready, and its process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Word {
+pub struct ListUpdate {
     pub at: f64,
     pub dispatcher: usize,
     pub runner: usize,
@@ -110,10 +110,10 @@
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Records {
-    pub wis: Vec<Wi>,
-    pub hos: Vec<Ho>,
-    pub births: Vec<Birth>,
-    pub words: Vec<Word>,
+    pub wis: Vec<RequestRecord>,
+    pub hos: Vec<HandOff>,
+    pub births: Vec<ProcessStart>,
+    pub words: Vec<ListUpdate>,
     pub absences: Vec<Absence>,
     /// Runners taken out of service at one dispatcher: runner, dispatcher, when the admin call was confirmed, and
     /// when the call to put it back was begun.
--- a/crates/testing/fault-testing/src/relay.rs
+++ b/crates/testing/fault-testing/src/relay.rs
@@ -1,8 +1,8 @@
 //! The relays on the links. They pass on streams and datagrams, each direction separately, and apply the faults that
 //! the schedule has for the link.
 
+use crate::links::{LinkReceiver, LinkState, Links};
 use crate::names::Node;
-use crate::ways::{Told, Way, Ways};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use socket2::SockRef;
@@ -90,7 +90,7 @@
 /// The state that all relays share.
 #[derive(Clone)]
 pub(crate) struct Relays {
-    pub ways: Ways,
+    pub links: Links,
     pub clock: Clock,
     pub seed: u64,
     pub traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>>,
@@ -108,8 +108,8 @@
 }
 
 /// Waits until the state of the link passes the test.
-async fn wait(way: &mut Told, test: impl FnMut(&Way) -> bool) {
-    let _ = way.wait_for(test).await;
+async fn wait_for_link(link: &mut LinkReceiver, test: impl FnMut(&LinkState) -> bool) {
+    let _ = link.wait_for(test).await;
 }
 
 impl Relays {
@@ -117,14 +117,23 @@
         self.traces.lock().unwrap().get(&from).cloned()
     }
 
-    fn chance(&self, from: Node, to: Node) -> Pcg64Mcg {
+    fn rng(&self, from: Node, to: Node) -> Pcg64Mcg {
         let ids = u64::from(from.number()) << 8 | u64::from(to.number());
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(65_537).wrapping_add(ids))
     }
 
     /// Relays connections from `from`, accepted at `at`, to `to` at `target`, until the runtime ends.
-    pub(crate) async fn streams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
-        let (mut there, mut back) = (self.ways.way(from, to), self.ways.way(to, from));
+    pub(crate) async fn relay_streams(
+        self,
+        at: SocketAddr,
+        target: SocketAddr,
+        from: Node,
+        to: Node,
+    ) {
+        let (mut there, mut back) = (
+            self.links.watch_link(from, to),
+            self.links.watch_link(to, from),
+        );
         let mut listener = Some(bind(at).await);
         loop {
             let (forth, home) = (
@@ -139,7 +148,7 @@
                     Some(held) => held,
                     None => bind(at).await,
                 };
-                listener = Some(shut(held, at, &mut there, &mut back).await);
+                listener = Some(block_connections(held, at, &mut there, &mut back).await);
                 continue;
             } else if listener.is_none() {
                 listener = Some(bind(at).await);
@@ -193,7 +202,7 @@
         let there = self.pump(
             from_read,
             to_write,
-            self.ways.way(from, to),
+            self.links.watch_link(from, to),
             (from, to),
             &trace,
             true,
@@ -201,17 +210,19 @@
         let back = self.pump(
             to_read,
             from_write,
-            self.ways.way(to, from),
+            self.links.watch_link(to, from),
             (to, from),
             &trace,
             false,
         );
-        let (mut broken_there, mut broken_back) =
-            (self.ways.way(from, to), self.ways.way(to, from));
+        let (mut broken_there, mut broken_back) = (
+            self.links.watch_link(from, to),
+            self.links.watch_link(to, from),
+        );
         tokio::select! {
             _ = async { tokio::join!(there, back) } => {}
-            () = wait(&mut broken_there, |way| way.reset) => {}
-            () = wait(&mut broken_back, |way| way.reset) => {}
+            () = wait_for_link(&mut broken_there, |link| link.reset) => {}
+            () = wait_for_link(&mut broken_back, |link| link.reset) => {}
         }
         trace.closed.lock().unwrap().get_or_insert(self.clock.now());
     }
@@ -222,21 +233,21 @@
         &self,
         mut read: OwnedReadHalf,
         mut write: OwnedWriteHalf,
-        way: Told,
+        link: LinkReceiver,
         ends: (Node, Node),
         trace: &Trace,
         opener: bool,
     ) {
         reset(read.as_ref());
-        let mut chance = self.chance(ends.0, ends.1);
+        let mut rng = self.rng(ends.0, ends.1);
         // At most 1 MiB is in transit, about as much as the kernel buffers.
         let (put, mut pieces) = mpsc::channel::<Piece>(64);
-        let mut reads = way.clone();
+        let mut reads = link.clone();
         let take = async move {
             let (mut buffer, mut offset, mut last) = (vec![0; 16 << 10], 0u64, f64::NEG_INFINITY);
             let mut swallowed = false;
             loop {
-                wait(&mut reads, |way| !way.stall).await;
+                wait_for_link(&mut reads, |link| !link.stall).await;
                 let got = tokio::select! {
                     got = read.read(&mut buffer) => got,
                     _ = reads.changed() => {
@@ -248,14 +259,14 @@
                         continue;
                     }
                 };
-                let (now, way) = (self.clock.now(), reads.borrow().clone());
-                let lost = |chance: &mut Pcg64Mcg| {
+                let (now, link) = (self.clock.now(), reads.borrow().clone());
+                let lost = |rng: &mut Pcg64Mcg| {
                     let again =
-                        std::iter::repeat_with(|| way.drop < 1.0 && chance.random_bool(way.drop));
+                        std::iter::repeat_with(|| link.drop < 1.0 && rng.random_bool(link.drop));
                     0.2 * again.take(20).take_while(|lost| *lost).count() as f64
                 };
-                let jitter = way.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
-                last = last.max(now + (way.delay_s + jitter).max(0.0) + lost(&mut chance));
+                let jitter = link.jitter_s * (2.0 * rng.random::<f64>() - 1.0);
+                last = last.max(now + (link.delay_s + jitter).max(0.0) + lost(&mut rng));
                 let piece = match got {
                     Ok(0) => {
                         if opener {
@@ -269,7 +280,7 @@
                             trace.taken.lock().unwrap().push((offset, now));
                         }
                         offset += length as u64;
-                        if way.black_hole || way.drop >= 1.0 {
+                        if link.black_hole || link.drop >= 1.0 {
                             swallowed = true;
                             continue;
                         }
@@ -288,14 +299,14 @@
                 }
             }
         };
-        let mut writes = way;
+        let mut writes = link;
         let give = async move {
             let mut offset = 0u64;
             while let Some(piece) = pieces.recv().await {
                 match piece {
                     Piece::Bytes(at, bytes) => {
                         self.clock.until(at).await;
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         let rate = writes.borrow().rate;
                         if rate > 0.0 {
                             sleep(Duration::from_secs_f64(bytes.len() as f64 / rate)).await;
@@ -310,12 +321,12 @@
                     }
                     Piece::End(at) => {
                         self.clock.until(at).await;
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         let _ = write.shutdown().await;
                         return;
                     }
                     Piece::Reset => {
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         reset(write.as_ref());
                         return;
                     }
@@ -326,33 +337,39 @@
     }
 
     /// Relays datagrams that arrive at `at` to `target`.
-    pub(crate) async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
+    pub(crate) async fn relay_datagrams(
+        self,
+        at: SocketAddr,
+        target: SocketAddr,
+        from: Node,
+        to: Node,
+    ) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
         };
         let socket = Arc::new(socket);
-        let way = self.ways.way(from, to);
-        let mut chance = self.chance(from, to);
+        let link = self.links.watch_link(from, to);
+        let mut rng = self.rng(from, to);
         let mut buffer = vec![0; 64 << 10];
         loop {
             let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            let now = way.borrow().clone();
+            let now = link.borrow().clone();
             if now.cut
                 || now.black_hole
                 || now.stall
                 || now.refuse
                 || now.reset
-                || chance.random_bool(now.drop)
+                || rng.random_bool(now.drop)
             {
                 continue;
             }
-            let copies = 1 + usize::from(chance.random_bool(now.double));
+            let copies = 1 + usize::from(rng.random_bool(now.double));
             for _ in 0..copies {
-                let jitter = now.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
-                let behind = if chance.random_bool(now.reorder) {
-                    0.05 * chance.random::<f64>()
+                let jitter = now.jitter_s * (2.0 * rng.random::<f64>() - 1.0);
+                let behind = if rng.random_bool(now.reorder) {
+                    0.05 * rng.random::<f64>()
                 } else {
                     0.0
                 };
@@ -389,11 +406,11 @@
 
 /// Blocks new connections while the link is cut in either direction. A listener with a backlog of 0 and one queued
 /// connection is full, so the kernel answers no further connection attempts.
-async fn shut(
+async fn block_connections(
     listener: TcpListener,
     at: SocketAddr,
-    there: &mut Told,
-    back: &mut Told,
+    there: &mut LinkReceiver,
+    back: &mut LinkReceiver,
 ) -> TcpListener {
     let _ = SockRef::from(&listener).listen(0);
     let filler: io::Result<TcpStream> = timeout(Duration::from_millis(200), TcpStream::connect(at))
--- a/crates/testing/fault-testing/src/report.rs
+++ b/crates/testing/fault-testing/src/report.rs
@@ -11,11 +11,11 @@
 use std::hash::{Hash, Hasher};
 
 impl Outcome {
-    pub fn world<T>(&self, look: impl FnOnce(&RunInputs) -> T) -> T {
-        let cast = self.scenario.cast();
+    pub fn with_inputs<T>(&self, look: impl FnOnce(&RunInputs) -> T) -> T {
+        let participants = self.scenario.participants();
         look(&RunInputs {
             scenario: &self.scenario,
-            cast: &cast,
+            participants: &participants,
             schedule: &self.schedule,
         })
     }
@@ -27,16 +27,16 @@
         let faults: Vec<Value> = self
             .schedule
             .iter()
-            .map(|what| {
-                let to = if what.to.is_finite() {
-                    json!(what.to)
+            .map(|fault| {
+                let to = if fault.to.is_finite() {
+                    json!(fault.to)
                 } else {
                     Value::Null
                 };
-                json!({"from": what.from, "to": to, "what": what.what, "on": what.on})
+                json!({"from": fault.from, "to": to, "what": fault.kind, "on": fault.on})
             })
             .collect();
-        let figures = self.world(|world| figures(world, &self.records));
+        let figures = self.with_inputs(|inputs| figures(inputs, &self.records));
         json!({
             "title": self.scenario.title,
             "seed": self.seed,
@@ -62,11 +62,11 @@
     json!({"n": histogram.len(), "p50_ms": at(0.5), "p90_ms": at(0.9), "p99_ms": at(0.99), "max_ms": at(1.0)})
 }
 
-fn figures(world: &RunInputs, records: &Records) -> Value {
-    let length = world.scenario.length.0;
+fn figures(inputs: &RunInputs, records: &Records) -> Value {
+    let length = inputs.scenario.length.0;
     let seconds = length.ceil() as usize;
     let mut categories = Vec::new();
-    for (n, terms) in world.scenario.categories.iter().enumerate() {
+    for (n, terms) in inputs.scenario.categories.iter().enumerate() {
         let of = || records.wis.iter().filter(move |wi| wi.category == n);
         let status = |which: u16| {
             of().filter(|wi| wi.answer.as_ref().is_some_and(|a| a.1 == which))
@@ -80,7 +80,7 @@
         for wi in of().filter(|wi| wi.first.is_none()) {
             let slot = &mut by_second[(wi.intended.max(0.0) as usize).min(seconds - 1)];
             slot.0 += terms.payoff;
-            slot.1 += earned_payoff(world, wi);
+            slot.1 += earned_payoff(inputs, wi);
         }
         let share = |(all, got): &(f64, f64)| {
             if *all > 0.0 {
@@ -101,7 +101,7 @@
         }));
     }
     let mut runners = Vec::new();
-    for n in 0..world.cast.runners {
+    for n in 0..inputs.participants.runners {
         let mut by_second = vec![0; seconds];
         for ho in records
             .hos
@@ -115,7 +115,7 @@
             json!({"name": Node::Runner(n).name(), "hand_offs": all, "by_second": by_second}),
         );
     }
-    let cold: Vec<Value> = cold_use(world, records)
+    let cold: Vec<Value> = cold_use(inputs, records)
         .iter()
         .map(|(runner, process, most, at)| {
             json!({"runner": Node::Runner(*runner).name(), "process": process, "most": most, "at": at})
@@ -127,7 +127,7 @@
         .map(|b| json!({"at": b.at, "by": Node::Dispatcher(b.dispatcher).name(), "lives": b.lives}))
         .collect();
     json!({
-        "goodput": goodput(world, records, 0.0, length),
+        "goodput": goodput(inputs, records, 0.0, length),
         "requests": records.wis.len(),
         "hand_offs": records.hos.iter().filter(|ho| ho.left >= 0.0).count(),
         "failed_hand_offs": failed_hand_offs(records),
--- a/crates/testing/fault-testing/src/runners.rs
+++ b/crates/testing/fault-testing/src/runners.rs
@@ -4,7 +4,7 @@
 use crate::http::{Message, Reader};
 use crate::names::Node;
 use crate::play::Shared;
-use crate::records::{Birth, End, Ho};
+use crate::records::{End, HandOff, ProcessStart};
 use serde_json::json;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use tokio::time::{sleep, timeout};
 
 /// How often a report is tried until it is answered, and the pause between tries in seconds.
-const TRIES: usize = 10;
-const TRY_S: f64 = 0.25;
+const REPORT_TRIES: usize = 10;
+const REPORT_RETRY_S: f64 = 0.25;
 
 /// The faults that affect a runner at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Ill {
+pub(crate) struct RunnerFaults {
     pub hang: bool,
     pub mute: bool,
     pub full: bool,
@@ -30,9 +30,9 @@
     pub dead: bool,
 }
 
-impl Default for Ill {
+impl Default for RunnerFaults {
     fn default() -> Self {
-        Ill {
+        RunnerFaults {
             hang: false,
             mute: false,
             full: false,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Default)]
-struct Inside {
+struct RunnerState {
     process: u32,
     started: f64,
     cold: bool,
@@ -55,8 +55,8 @@
 
 pub(crate) struct Runner {
     pub n: usize,
-    pub ill: watch::Sender<Ill>,
-    inside: Mutex<Inside>,
+    pub faults: watch::Sender<RunnerFaults>,
+    state: Mutex<RunnerState>,
     /// The number of the present process. It increases when a process ends, which loses all its jobs.
     process: watch::Sender<u32>,
 }
@@ -65,25 +65,25 @@
     pub(crate) fn new(n: usize) -> Runner {
         Runner {
             n,
-            ill: watch::Sender::new(Ill::default()),
-            inside: Mutex::default(),
+            faults: watch::Sender::new(RunnerFaults::default()),
+            state: Mutex::default(),
             process: watch::Sender::new(0),
         }
     }
 
     /// Starts a process of the runner and returns its number. The caller updates the list.
-    pub(crate) fn begin(&self, shared: &Shared, cold: bool) -> u32 {
+    pub(crate) fn start_process(&self, shared: &Shared, cold: bool) -> u32 {
         let now = shared.clock.now();
-        let mut inside = self.inside.lock().unwrap();
+        let mut state = self.state.lock().unwrap();
         let process = *self.process.borrow();
-        *inside = Inside {
+        *state = RunnerState {
             process,
             started: now,
             cold,
-            ..Inside::default()
+            ..RunnerState::default()
         };
-        drop(inside);
-        let birth = Birth {
+        drop(state);
+        let birth = ProcessStart {
             runner: self.n,
             process,
             at: now,
@@ -95,7 +95,7 @@
 
     /// Ends the process of the runner, which loses all its jobs. With `tells`, the machine reports the loss; a
     /// machine that disappeared does not.
-    pub(crate) fn die(&self, shared: &Arc<Shared>, tells: bool) {
+    pub(crate) fn end_process(&self, shared: &Arc<Shared>, tells: bool) {
         self.process.send_modify(|process| *process += 1);
         let now = shared.clock.now();
         let mut records = shared.records.lock().unwrap();
@@ -110,7 +110,7 @@
         }
         drop(records);
         for (id, dispatcher) in lost.into_iter().filter(|_| tells) {
-            shared.spawn(tell(
+            shared.spawn(send_report(
                 shared.clone(),
                 self.n,
                 dispatcher,
@@ -120,11 +120,11 @@
     }
 
     fn speed(&self, shared: &Shared, now: f64) -> f64 {
-        let inside = self.inside.lock().unwrap();
+        let state = self.state.lock().unwrap();
         let cold = &shared.scenario.cold;
-        match inside.cold && cold.time.0 > 0.0 {
+        match state.cold && cold.time.0 > 0.0 {
             true => {
-                let age = ((now - inside.started) / cold.time.0).clamp(0.0, 1.0);
+                let age = ((now - state.started) / cold.time.0).clamp(0.0, 1.0);
                 cold.from + (1.0 - cold.from) * age
             }
             false => 1.0,
@@ -134,15 +134,15 @@
     /// Returns the extra time in seconds for work whose key the runner does not hold. The runner holds the key
     /// afterwards.
     fn fetch(&self, shared: &Shared, key: u64) -> f64 {
-        let mut inside = self.inside.lock().unwrap();
+        let mut state = self.state.lock().unwrap();
         if key == 0 || shared.scenario.runners.fetch.0 <= 0.0 {
             return 0.0;
         }
-        let held = inside.keys.iter().position(|k| *k == key);
-        held.map(|at| inside.keys.remove(at));
-        inside.keys.push_back(key);
-        while inside.keys.len() > shared.scenario.runners.keys.max(1) {
-            inside.keys.pop_front();
+        let held = state.keys.iter().position(|k| *k == key);
+        held.map(|at| state.keys.remove(at));
+        state.keys.push_back(key);
+        while state.keys.len() > shared.scenario.runners.keys.max(1) {
+            state.keys.pop_front();
         }
         if held.is_some() {
             0.0
@@ -157,9 +157,9 @@
     while let Ok((stream, from)) = listener.accept().await {
         let (shared, runner) = (shared.clone(), runner.clone());
         tokio::spawn(async move {
-            let (mut dies, mut ill) = (runner.process.subscribe(), runner.ill.subscribe());
+            let (mut dies, mut faults) = (runner.process.subscribe(), runner.faults.subscribe());
             dies.borrow_and_update();
-            if ill.borrow_and_update().dead {
+            if faults.borrow_and_update().dead {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 return;
             }
@@ -180,7 +180,7 @@
     from: SocketAddr,
 ) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
-    let Some(Node::Dispatcher(dispatcher)) = shared.stage.opener(from) else {
+    let Some(Node::Dispatcher(dispatcher)) = shared.addresses.node_of_connection(from) else {
         return Ok(());
     };
     let (read, mut write) = stream.into_split();
@@ -191,41 +191,41 @@
             write.shutdown().await?;
             return Ok(());
         };
-        let mut ill = runner.ill.subscribe();
-        let (method, target) = message.call();
+        let mut faults = runner.faults.subscribe();
+        let (method, target) = message.method_and_target();
         if method == "DELETE" {
             let id = target.trim_start_matches("/jobs/").to_string();
-            let _ = ill.wait_for(|ill| !ill.hang).await;
-            give_up(shared, runner, &id, dispatcher);
+            let _ = faults.wait_for(|faults| !faults.hang).await;
+            record_give_up(shared, runner, &id, dispatcher);
             let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             answered += answer.len() as u64;
             write.write_all(answer).await?;
             continue;
         }
-        let Some(at) = hand_off(shared, runner, &message, from, dispatcher) else {
+        let Some(at) = record_hand_off(shared, runner, &message, from, dispatcher) else {
             write
                 .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                 .await?;
             continue;
         };
-        if ill.borrow_and_update().hang {
+        if faults.borrow_and_update().hang {
             // Sends nothing until the fault ends or the sender closes the connection.
             tokio::select! {
-                _ = ill.wait_for(|ill| !ill.hang) => {}
+                _ = faults.wait_for(|faults| !faults.hang) => {}
                 gone = reader.next() => {
-                    close(shared, runner, at, from);
+                    record_close(shared, runner, at, from);
                     let _ = gone?;
                     return Ok(());
                 }
             }
         }
         let full = {
-            let inside = runner.inside.lock().unwrap();
-            inside.running + inside.queue.len()
+            let state = runner.state.lock().unwrap();
+            state.running + state.queue.len()
                 >= shared.scenario.runners.slots + shared.scenario.runners.queue
         };
-        if full || ill.borrow().full {
-            end(shared, at, End::Declined);
+        if full || faults.borrow().full {
+            record_end(shared, at, End::Declined);
             let declined =
                 b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
             answered += declined.len() as u64;
@@ -233,17 +233,17 @@
             write.write_all(declined).await?;
             continue;
         }
-        runner.inside.lock().unwrap().queue.push_back(at);
+        runner.state.lock().unwrap().queue.push_back(at);
         let accepted = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
         answered += accepted.len() as u64;
         shared.records.lock().unwrap().hos[at].came_by = Some((from, answered));
         write.write_all(accepted).await?;
-        fill(shared, runner);
+        start_queued(shared, runner);
     }
 }
 
 /// Records a hand-off that has arrived. Returns its index in the records.
-fn hand_off(
+fn record_hand_off(
     shared: &Shared,
     runner: &Runner,
     message: &Message,
@@ -262,9 +262,9 @@
         .and_then(|trace| trace.taken_at(message.offset))
         .unwrap_or(now);
     let (category, work_s, _) = shared.spec(&id)?;
-    let process = runner.inside.lock().unwrap().process;
+    let process = runner.state.lock().unwrap().process;
     let mut records = shared.records.lock().unwrap();
-    records.hos.push(Ho {
+    records.hos.push(HandOff {
         id,
         runner: runner.n,
         process,
@@ -282,7 +282,7 @@
     Some(records.hos.len() - 1)
 }
 
-fn end(shared: &Shared, at: usize, how: End) {
+fn record_end(shared: &Shared, at: usize, how: End) {
     let now = shared.clock.now();
     shared.records.lock().unwrap().hos[at]
         .ended
@@ -291,7 +291,7 @@
 
 /// Records that the sender closed the connection before the 202. The hand-off is given up from the time at which the
 /// relay saw the close.
-fn close(shared: &Shared, runner: &Runner, at: usize, from: SocketAddr) {
+fn record_close(shared: &Shared, runner: &Runner, at: usize, from: SocketAddr) {
     let closed = shared
         .relays
         .trace(from)
@@ -303,49 +303,50 @@
         .get_or_insert((closed.unwrap_or(now), End::GivenUp));
     drop(records);
     runner
-        .inside
+        .state
         .lock()
         .unwrap()
         .queue
         .retain(|other| *other != at);
 }
 
-fn give_up(shared: &Arc<Shared>, runner: &Arc<Runner>, id: &str, dispatcher: usize) {
+fn record_give_up(shared: &Arc<Shared>, runner: &Arc<Runner>, id: &str, dispatcher: usize) {
     let now = shared.clock.now();
     let mut records = shared.records.lock().unwrap();
-    let theirs = |ho: &&mut Ho| ho.id == id && ho.runner == runner.n && ho.dispatcher == dispatcher;
+    let theirs =
+        |ho: &&mut HandOff| ho.id == id && ho.runner == runner.n && ho.dispatcher == dispatcher;
     for ho in records.hos.iter_mut().filter(theirs) {
         ho.ended.get_or_insert((now, End::GivenUp));
     }
 }
 
 /// Starts queued jobs while slots are free.
-fn fill(shared: &Arc<Shared>, runner: &Arc<Runner>) {
+fn start_queued(shared: &Arc<Shared>, runner: &Arc<Runner>) {
     loop {
         let at = {
-            let mut inside = runner.inside.lock().unwrap();
-            if inside.running >= shared.scenario.runners.slots {
+            let mut state = runner.state.lock().unwrap();
+            if state.running >= shared.scenario.runners.slots {
                 return;
             }
-            let Some(at) = inside.queue.pop_front() else {
+            let Some(at) = state.queue.pop_front() else {
                 return;
             };
-            inside.running += 1;
+            state.running += 1;
             at
         };
         let (shared, runner) = (shared.clone(), runner.clone());
         tokio::spawn(async move {
             let process = *runner.process.borrow();
-            run(&shared, &runner, at).await;
+            run_job(&shared, &runner, at).await;
             if *runner.process.borrow() == process {
-                runner.inside.lock().unwrap().running -= 1;
-                fill(&shared, &runner);
+                runner.state.lock().unwrap().running -= 1;
+                start_queued(&shared, &runner);
             }
         });
     }
 }
 
-async fn run(shared: &Arc<Shared>, runner: &Arc<Runner>, at: usize) {
+async fn run_job(shared: &Arc<Shared>, runner: &Arc<Runner>, at: usize) {
     let now = shared.clock.now();
     let (id, dispatcher, category) = {
         let mut records = shared.records.lock().unwrap();
@@ -359,17 +360,17 @@
     let Some((_, work_s, key)) = shared.spec(&id) else {
         return;
     };
-    let mut ill = runner.ill.subscribe();
+    let mut faults = runner.faults.subscribe();
     let mut dies = runner.process.subscribe();
     dies.borrow_and_update();
     let n = runner.n;
-    let news = |what: serde_json::Value| {
-        if !runner.ill.borrow().mute {
-            shared.spawn(tell(shared.clone(), n, dispatcher, what));
+    let report = |content: serde_json::Value| {
+        if !runner.faults.borrow().mute {
+            shared.spawn(send_report(shared.clone(), n, dispatcher, content));
         }
     };
-    news(json!({"id": id, "state": "started"}));
-    let fails = shared.draw(&id) < ill.borrow().fail.max(shared.fails(category));
+    report(json!({"id": id, "state": "started"}));
+    let fails = shared.draw(&id) < faults.borrow().fail.max(shared.fails(category));
     let work_s = work_s + runner.fetch(shared, key);
     let mut left = if fails { 0.2 * work_s } else { work_s };
     let all = left;
@@ -377,16 +378,16 @@
     let mut told = shared.clock.now();
     while left > 1e-4 {
         let speed =
-            runner.speed(shared, shared.clock.now()) / ill.borrow_and_update().slow.max(0.01);
+            runner.speed(shared, shared.clock.now()) / faults.borrow_and_update().slow.max(0.01);
         let step = (left / speed).min(0.1);
         let began = shared.clock.now();
         tokio::select! {
             () = sleep(Duration::from_secs_f64(step)) => {}
             _ = dies.changed() => return,
         }
-        if ill.borrow().hang {
+        if faults.borrow().hang {
             tokio::select! {
-                _ = ill.wait_for(|ill| !ill.hang) => {}
+                _ = faults.wait_for(|faults| !faults.hang) => {}
                 _ = dies.changed() => return,
             }
             continue;
@@ -397,7 +398,7 @@
         }
         if beat > 0.0 && shared.clock.now() >= told + beat {
             told = shared.clock.now();
-            news(
+            report(
                 json!({"id": id, "state": "running", "share": (1.0 - left / all).clamp(0.0, 1.0)}),
             );
         }
@@ -419,23 +420,23 @@
             .or_default()
             .push(result.clone());
     }
-    news(match fails {
+    report(match fails {
         true => json!({"id": id, "state": "failed"}),
         false => json!({"id": id, "state": "done", "result": result}),
     });
 }
 
 /// A connection for reports, kept open while it works.
-pub(crate) type Line = Lock<
+pub(crate) type ReportConnection = Lock<
     Option<(
         Reader<tokio::net::tcp::OwnedReadHalf>,
         tokio::net::tcp::OwnedWriteHalf,
     )>,
 >;
 
-async fn call(
+async fn post_report(
     shared: &Shared,
-    line: &Line,
+    line: &ReportConnection,
     n: usize,
     dispatcher: usize,
     body: &str,
@@ -446,8 +447,8 @@
         None => {
             let socket = TcpSocket::new_v4()?;
             let at = shared
-                .stage
-                .relay(Node::Runner(n), Node::Dispatcher(dispatcher));
+                .addresses
+                .relay_address(Node::Runner(n), Node::Dispatcher(dispatcher));
             let stream = socket.connect(at).await?;
             let _ = stream.set_nodelay(true);
             let (read, write) = stream.into_split();
@@ -470,21 +471,29 @@
 }
 
 /// Sends a report to a dispatcher until it is answered, at most ten times.
-async fn tell(shared: Arc<Shared>, n: usize, dispatcher: usize, mut what: serde_json::Value) {
-    what["from"] = json!(Node::Runner(n).name());
-    let body = what.to_string();
-    let (line, alone) = (shared.line(n, dispatcher), Line::default());
-    for time in 0..TRIES {
+async fn send_report(
+    shared: Arc<Shared>,
+    n: usize,
+    dispatcher: usize,
+    mut content: serde_json::Value,
+) {
+    content["from"] = json!(Node::Runner(n).name());
+    let body = content.to_string();
+    let (line, alone) = (
+        shared.report_connection(n, dispatcher),
+        ReportConnection::default(),
+    );
+    for time in 0..REPORT_TRIES {
         // Retries use their own connection, so that a report that fails does not delay later ones.
         let line = if time == 0 { &*line } else { &alone };
         let told = timeout(
             Duration::from_secs(2),
-            call(&shared, line, n, dispatcher, &body),
+            post_report(&shared, line, n, dispatcher, &body),
         )
         .await;
         if matches!(told, Ok(Ok(200 | 204))) {
             return;
         }
-        sleep(Duration::from_secs_f64(TRY_S)).await;
+        sleep(Duration::from_secs_f64(REPORT_RETRY_S)).await;
     }
 }
--- a/crates/testing/fault-testing/src/scenario.rs
+++ b/crates/testing/fault-testing/src/scenario.rs
@@ -3,7 +3,7 @@
 //! The names and the order of types, fields and variants that are part of `Scenario` must not change: the report
 //! stores a hash of the debug text of the scenario.
 
-use crate::names::{Cast, MOST_DISPATCHERS, MOST_RUNNERS};
+use crate::names::{Participants, MOST_DISPATCHERS, MOST_RUNNERS};
 use crate::schedule::{schedule, FAULT_KINDS};
 use sagetrail_settings::{nearest, parse_seconds};
 use serde::{Deserialize, Deserializer};
@@ -380,8 +380,8 @@
         most - usize::from(most.is_multiple_of(2) && most > 0)
     }
 
-    pub fn cast(&self) -> Cast {
-        Cast {
+    pub fn participants(&self) -> Participants {
+        Participants {
             sites: self.sites.clone(),
             dispatchers: self.processes,
             runners: self.runners.count,
--- a/crates/testing/fault-testing/src/schedule.rs
+++ b/crates/testing/fault-testing/src/schedule.rs
@@ -169,11 +169,11 @@
     /// When the fault ends, in seconds since the run began; infinity if the scenario gives no end.
     pub to: f64,
     /// The name of the kind of fault.
-    pub what: &'static str,
+    pub kind: &'static str,
     /// The affected nodes; empty for a fault on links.
     pub nodes: Vec<Node>,
     /// The affected links, each in one direction (sender, receiver); empty for a fault on nodes.
-    pub ways: Vec<(Node, Node)>,
+    pub links: Vec<(Node, Node)>,
     /// The probability or share from 0 to 1; 1 by default.
     pub p: f64,
     pub delay_s: f64,
@@ -208,7 +208,7 @@
     rng: &mut Pcg64Mcg,
     at: f64,
 ) -> Result<ScheduledFault, String> {
-    let cast = scenario.cast();
+    let participants = scenario.participants();
     let (name, kind, _) = FAULT_KINDS
         .iter()
         .find(|(name, ..)| *name == fault.what)
@@ -216,14 +216,14 @@
     let end = scenario.length.0;
     let to = fault.lasts.map_or(f64::INFINITY, |lasts| at + lasts.0);
     let draw: u64 = rng.random();
-    let (mut nodes, mut ways) = (Vec::new(), Vec::new());
+    let (mut nodes, mut links) = (Vec::new(), Vec::new());
     if *kind == "link" {
-        ways = cast.ways(&fault.on)?;
-        if fault.one && !ways.is_empty() {
-            ways = vec![ways[(draw % ways.len() as u64) as usize]];
+        links = participants.links(&fault.on)?;
+        if fault.one && !links.is_empty() {
+            links = vec![links[(draw % links.len() as u64) as usize]];
         }
     } else {
-        nodes = cast.select(&fault.on)?;
+        nodes = participants.select(&fault.on)?;
         let fits = |node: &Node| match *kind {
             "dispatcher" => matches!(node, Node::Dispatcher(_)),
             "runner" => matches!(node, Node::Runner(_)),
@@ -251,7 +251,12 @@
         "ban" if scenario.store.is_none() => {
             return Err("ban: the scenario needs a [store]".to_string())
         }
-        "ban" if !matches!(cast.select(&with).as_deref(), Ok([Node::Dispatcher(_)])) => {
+        "ban"
+            if !matches!(
+                participants.select(&with).as_deref(),
+                Ok([Node::Dispatcher(_)])
+            ) =>
+        {
             return Err(format!("ban: with '{with}' is not one dispatcher"));
         }
         "propose" | "say" if scenario.store.is_none() => {
@@ -288,9 +293,9 @@
     Ok(ScheduledFault {
         from: at,
         to,
-        what: name,
+        kind: name,
         nodes,
-        ways,
+        links,
         p: fault.p.unwrap_or(1.0),
         delay_s: fault.delay.unwrap_or_default().0,
         jitter_s: fault.jitter.unwrap_or_default().0,
--- a/crates/testing/fault-testing/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/scenarios.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn every_example_can_be_read_and_played_at_any_number_of_processes() {
+fn every_example_scenario_is_valid_for_any_number_of_processes() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../examples/rig");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_bad_scenario_is_told_with_its_place() {
+fn errors_in_a_scenario_name_their_place() {
     assert!(bad("length = 5").contains("line 1"));
     assert!(bad("lenght = \"5s\"").contains("unknown field `lenght`"));
     assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kil\"\non = \"d1\"")
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_schedule_is_the_same_for_a_seed_and_another_for_another() {
+fn the_schedule_depends_on_the_seed_alone() {
     let text =
         "[[faults]]\nat = [\"1s\", \"4s\"]\nfor = \"1s\"\nwhat = \"cut\"\non = \"dispatchers<>runners\"\n\
                 one = true\nevery = \"500ms\"\ntimes = 3";
@@ -67,11 +67,11 @@
     let times: Vec<f64> = all(5).iter().map(|what| what.from).collect();
     assert_eq!(times.len(), 3);
     assert!((times[1] - times[0] - 0.5).abs() < 1e-9 && (1.0..4.0).contains(&times[0]));
-    assert!(all(5).iter().all(|what| what.ways.len() == 1));
+    assert!(all(5).iter().all(|what| what.links.len() == 1));
 }
 
 #[test]
-fn one_more_fault_does_not_move_the_others() {
+fn an_added_fault_does_not_move_the_others() {
     let one = "[[faults]]\nat = [\"1s\", \"4s\"]\nwhat = \"kill\"\non = \"d1\"\n";
     let two = format!("{one}[[faults]]\nat = \"2s\"\nwhat = \"kill\"\non = \"d2\"\n");
     let first = |text: &str| {
@@ -83,20 +83,20 @@
 
 // ---- the checker ----
 
-fn wi(id: &str, category: usize) -> Wi {
-    Wi {
+fn wi(id: &str, category: usize) -> RequestRecord {
+    RequestRecord {
         id: id.to_string(),
         category,
         intended: 1.0,
         sent: Some(1.0),
         wait_s: 2.5,
         answer: Some((1.2, 200, format!("{id} made"))),
-        ..Wi::default()
+        ..RequestRecord::default()
     }
 }
 
-fn ho(id: &str, runner: usize, left: f64, ended: Option<(f64, End)>) -> Ho {
-    Ho {
+fn ho(id: &str, runner: usize, left: f64, ended: Option<(f64, End)>) -> HandOff {
+    HandOff {
         id: id.to_string(),
         runner,
         process: 0,
@@ -126,7 +126,7 @@
         version: String::new(),
     };
     let mut rules: Vec<&str> = outcome
-        .world(|world| find_violations(world, records))
+        .with_inputs(|inputs| find_violations(inputs, records))
         .iter()
         .map(|b| b.rule)
         .collect();
@@ -134,7 +134,7 @@
     rules
 }
 
-fn with(wis: Vec<Wi>, hos: Vec<Ho>) -> Records {
+fn with(wis: Vec<RequestRecord>, hos: Vec<HandOff>) -> Records {
     let mut records = Records {
         wis,
         hos,
@@ -150,20 +150,20 @@
 }
 
 #[test]
-fn rule_1_an_answer_that_never_comes_or_was_made_by_nobody() {
+fn rule_1_finds_missing_late_and_invented_answers() {
     let ran = || vec![ho("a", 0, 1.0, Some((1.1, End::Done)))];
     assert!(rules("", &with(vec![wi("a", 2)], ran())).is_empty());
-    let none = Wi {
+    let none = RequestRecord {
         answer: None,
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![none.clone()], ran())), ["rule-1"]);
-    let made_up = Wi {
+    let made_up = RequestRecord {
         answer: Some((1.2, 200, "made up".to_string())),
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![made_up], ran())), ["rule-1"]);
-    let late = Wi {
+    let late = RequestRecord {
         answer: Some((4.2, 502, String::new())),
         ..wi("a", 2)
     };
@@ -182,12 +182,12 @@
 }
 
 #[test]
-fn rule_2_an_effect_twice_or_two_hand_offs_at_once() {
+fn rule_2_finds_repeated_effects_and_concurrent_hand_offs() {
     let first = || ho("a", 0, 1.0, Some((1.1, End::Failed)));
     let declined = || ho("a", 0, 1.0, Some((1.05, End::Declined)));
     let second = || ho("a", 1, 1.4, Some((1.5, End::Done)));
-    let all = |category: usize, first: Ho, second: Ho| {
-        let hos = [first, second].map(|ho| Ho { category, ..ho });
+    let all = |category: usize, first: HandOff, second: HandOff| {
+        let hos = [first, second].map(|ho| HandOff { category, ..ho });
         rules("", &with(vec![wi("a", category)], hos.to_vec()))
     };
     assert_eq!(
@@ -205,7 +205,7 @@
         all(
             1,
             first(),
-            Ho {
+            HandOff {
                 left: 6.4,
                 came: 6.4,
                 ..second()
@@ -214,17 +214,17 @@
         ["rule-2"],
         "past its window"
     );
-    let running = Ho {
+    let running = HandOff {
         ended: Some((1.9, End::Done)),
         ..first()
     };
     assert_eq!(all(0, running, second()), ["rule-2"], "two at once");
-    let given_up = Ho {
+    let given_up = HandOff {
         ended: Some((1.3, End::GivenUp)),
         ..first()
     };
     assert!(all(0, given_up, second()).is_empty());
-    let deferred = Wi {
+    let deferred = RequestRecord {
         answer: Some((1.2, 503, String::new())),
         ..wi("a", 2)
     };
@@ -236,12 +236,12 @@
 }
 
 #[test]
-fn rule_3_a_first_byte_after_the_grace_by_list_or_by_hand() {
+fn rule_3_finds_hand_offs_after_the_grace_of_a_drain() {
     let mut records = with(
         vec![wi("a", 2)],
         vec![ho("a", 0, 2.0, Some((2.1, End::Done)))],
     );
-    let word = |at, ready| sagetrail_fault_testing::Word {
+    let word = |at, ready| sagetrail_fault_testing::ListUpdate {
         at,
         dispatcher: 0,
         runner: 0,
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn rule_4_more_than_a_cold_runner_bears_in_any_span() {
+fn rule_4_finds_too_much_work_for_a_cold_runner() {
     // Four slots at a fifth, three times that: 2.4 s of work within a second, and a little by its age.
     let sent = |n: usize| {
         let hos = (0..n).map(|k| {
@@ -271,13 +271,13 @@
             )
         });
         let mut records = with(Vec::new(), hos.collect());
-        records.births.push(sagetrail_fault_testing::Birth {
+        records.births.push(sagetrail_fault_testing::ProcessStart {
             runner: 0,
             process: 0,
             at: 0.9,
             cold: true,
         });
-        records.words.push(sagetrail_fault_testing::Word {
+        records.words.push(sagetrail_fault_testing::ListUpdate {
             at: 0.92,
             dispatcher: 0,
             runner: 0,
@@ -291,13 +291,13 @@
 }
 
 #[test]
-fn bounds_on_what_is_shared() {
+fn exceeded_caps_and_resend_limits_are_found() {
     let caps = "[fleet]\ncaps = { once = 2 }\nresends = 1";
     let at = |ids: &[(&str, f64)]| {
         let hos = ids
             .iter()
             .map(|(id, left)| ho(id, 0, *left, Some((left + 0.3, End::Done))));
-        let hos: Vec<Ho> = hos.collect();
+        let hos: Vec<HandOff> = hos.collect();
         hos
     };
     assert!(rules(
@@ -314,13 +314,13 @@
     );
     let again = |ids: &[&str]| {
         let both = ids.iter().flat_map(|id| {
-            let first = Ho {
+            let first = HandOff {
                 category: 0,
                 ..ho(id, 0, 1.0, Some((1.1, End::Failed)))
             };
             [
                 first,
-                Ho {
+                HandOff {
                     category: 0,
                     ..ho(id, 1, 1.3, Some((1.4, End::Done)))
                 },
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn bound_nobody_well_is_shut_out() {
+fn a_shut_out_healthy_runner_is_found() {
     let sent = |to: &[usize]| {
         let hos = (0..1200).map(|n| {
             let left = 0.01 * f64::from(n);
@@ -342,7 +342,7 @@
             } else {
                 to[n as usize % to.len()]
             };
-            Ho {
+            HandOff {
                 category: 0,
                 ..ho(
                     &format!("a{n}"),
@@ -371,11 +371,11 @@
 }
 
 #[test]
-fn what_a_scenario_expects_is_held_against_what_was_earned() {
+fn missed_expectations_are_found() {
     let records = with(
         vec![
             wi("a", 2),
-            Wi {
+            RequestRecord {
                 answer: Some((1.2, 502, String::new())),
                 ..wi("b", 2)
             },
@@ -394,19 +394,19 @@
 }
 
 #[test]
-fn recorded_work_is_one_work_item_under_its_name() {
+fn recorded_work_is_one_work_item_under_the_id_of_its_first_try() {
     let text = "[store]\n[[categories]]\nname = \"once\"\nrate = 1.0\nrecord = 1";
-    let again = || Wi {
+    let again = || RequestRecord {
         first: Some("a".to_string()),
         ..wi("a-1", 0)
     };
-    let at = |id: &str, runner, left: f64, end| Ho {
+    let at = |id: &str, runner, left: f64, end| HandOff {
         category: 0,
         ..ho(id, runner, left, Some((left + 0.1, end)))
     };
     let wis = || {
         vec![
-            Wi {
+            RequestRecord {
                 answer: None,
                 closed: Some(1.1),
                 ..wi("a", 0)
@@ -440,11 +440,11 @@
 }
 
 #[test]
-fn bound_what_was_agreed_holds_everywhere() {
+fn hand_offs_to_a_banned_runner_are_found() {
     let banned = |schedule: &str, left: f64| {
         let mut records = with(
             vec![],
-            vec![Ho {
+            vec![HandOff {
                 dispatcher: 1,
                 ..ho("a", 2, left, Some((left + 0.1, End::Done)))
             }],
