--- a/crates/testing/fault-testing/src/checker.rs
+++ b/crates/testing/fault-testing/src/checker.rs
@@ -63,22 +63,23 @@
     }
 
     /// Whether a fault affected the link between two nodes, in either direction, at some moment of a span. The effect
-    /// of a cut or a stall outlasts it by 3.5 s, that of another fault by 0.5 s plus its delay and jitter.
+    /// of a cut or a stall outlasts it by 3.5 s, that of another fault by 0.5 s, each plus its delay and jitter.
     fn link_was_faulty(&self, a: Node, b: Node, from: f64, to: f64) -> bool {
-        let spoilt = |fault: &&ScheduledFault| {
-            let wake = if fault.kind == "cut" || fault.kind == "stall" {
+        let active = |fault: &&ScheduledFault| {
+            let aftermath_s = if fault.kind == "cut" || fault.kind == "stall" {
                 3.5
             } else {
                 0.5
             };
-            fault.from <= to && from <= fault.to + wake + fault.delay_s + fault.jitter_s
+            fault.from <= to && from <= fault.to + aftermath_s + fault.delay_s + fault.jitter_s
         };
         let on =
             |fault: &ScheduledFault| fault.links.contains(&(a, b)) || fault.links.contains(&(b, a));
-        self.schedule.iter().filter(spoilt).any(on)
+        self.schedule.iter().filter(active).any(on)
     }
 
-    /// Whether a fault affected a runner at some moment of a span or in the 4 s before it.
+    /// Whether a fault affected a runner at some moment of a span or in the 4 s before it. A failing category affects
+    /// all runners.
     fn runner_was_faulty(&self, runner: usize, from: f64, to: f64) -> bool {
         let node = Node::Runner(runner);
         let then = |fault: &&ScheduledFault| fault.from <= to && from <= fault.to + 4.0;
@@ -107,12 +108,12 @@
 
 /// Returns all violations in the records of a run, ordered by time.
 pub fn find_violations(inputs: &RunInputs, records: &Records) -> Vec<Violation> {
-    let mut by_wi: BTreeMap<&str, Vec<&HandOff>> = BTreeMap::new();
+    let mut by_request: BTreeMap<&str, Vec<&HandOff>> = BTreeMap::new();
     records
         .hos
         .iter()
-        .for_each(|ho| by_wi.entry(&ho.id).or_default().push(ho));
-    by_wi
+        .for_each(|ho| by_request.entry(&ho.id).or_default().push(ho));
+    by_request
         .values_mut()
         .for_each(|hos| hos.sort_by(|a, b| a.came.total_cmp(&b.came)));
     // Recorded work stays one work item under the id of its first try, whichever dispatchers its client repeats it
@@ -151,19 +152,23 @@
             inputs,
             records,
             wi,
-            by_wi.get(wi.id.as_str()).map_or(&[], |hos| hos),
+            by_request.get(wi.id.as_str()).map_or(&[], |hos| hos),
             &mut violations,
         );
     }
     let unrecorded = |hos: &&Vec<&HandOff>| inputs.category(hos[0].category).record == 0;
-    for hos in by_wi.values().filter(unrecorded).chain(by_name.values()) {
+    for hos in by_request
+        .values()
+        .filter(unrecorded)
+        .chain(by_name.values())
+    {
         check_repeats(inputs, hos, &mut violations);
     }
     check_drains(records, &mut violations);
     check_agreed_bans(inputs, records, &mut violations);
     check_cold_limits(inputs, records, &mut violations);
     check_caps(inputs, records, &mut violations);
-    check_resends(inputs, &by_wi, &mut violations);
+    check_resends(inputs, &by_request, &mut violations);
     check_shut_out(inputs, records, &mut violations);
     check_expectations(inputs, records, &mut violations);
     violations.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -380,10 +385,10 @@
         let others = (0..inputs.participants.dispatchers)
             .map(Node::Dispatcher)
             .filter(|other| *other != sender);
-        let hurt = others
+        let faulty_links = others
             .filter(|other| inputs.link_was_faulty(sender, *other, since, ho.left))
             .count();
-        let cut = 2 * hurt > inputs.participants.dispatchers - 1;
+        let cut = 2 * faulty_links > inputs.participants.dispatchers - 1;
         if !cut && !was_absent(records, ho.dispatcher, since, ho.left, false) {
             let name = Node::Runner(ho.runner).name();
             let what = format!(
@@ -539,7 +544,7 @@
 /// Bound: the repeated hand-offs that all dispatchers together send in any second stay within the limit.
 fn check_resends(
     inputs: &RunInputs,
-    by_wi: &BTreeMap<&str, Vec<&HandOff>>,
+    by_request: &BTreeMap<&str, Vec<&HandOff>>,
     violations: &mut Vec<Violation>,
 ) {
     let Some(limit) = inputs
@@ -550,7 +555,7 @@
     else {
         return;
     };
-    let later = by_wi.values().flat_map(|hos| hos.iter().skip(1));
+    let later = by_request.values().flat_map(|hos| hos.iter().skip(1));
     let mut at: Vec<f64> = later.map(|ho| ho.left).filter(|at| *at >= 0.0).collect();
     at.sort_by(f64::total_cmp);
     // A second as the dispatchers count it begins shortly before the first byte leaves, so the window is shortened.
@@ -601,9 +606,11 @@
                 !inputs.link_was_faulty(a, b, from, to)
                     && !was_absent(records, *d, from - 2.0, to, false)
             };
-            let able: Vec<usize> = (0..inputs.participants.dispatchers).filter(whole).collect();
-            let theirs =
-                |ho: &&HandOff| ho.left >= from && ho.left < to && able.contains(&ho.dispatcher);
+            let reachable_from: Vec<usize> =
+                (0..inputs.participants.dispatchers).filter(whole).collect();
+            let theirs = |ho: &&HandOff| {
+                ho.left >= from && ho.left < to && reachable_from.contains(&ho.dispatcher)
+            };
             let all = records.hos.iter().filter(theirs).count();
             let here = records
                 .hos
@@ -612,7 +619,7 @@
                 .filter(|ho| ho.runner == runner)
                 .count();
             let each = all / inputs.participants.runners;
-            if 2 * able.len() > inputs.participants.dispatchers
+            if 2 * reachable_from.len() > inputs.participants.dispatchers
                 && each >= SHUT_OUT_MIN_AVERAGE
                 && SHUT_OUT_DIVISOR * here < each
             {
--- a/crates/testing/fault-testing/src/clients.rs
+++ b/crates/testing/fault-testing/src/clients.rs
@@ -69,10 +69,10 @@
             if at >= scenario.length.0 {
                 break;
             }
-            let mut place = rng.random::<f64>() * all;
+            let mut position = rng.random::<f64>() * all;
             let dispatcher = shares.iter().position(|share| {
-                place -= share;
-                place < 0.0
+                position -= share;
+                position < 0.0
             });
             let work_s = terms.work.0 * rng.random_range(0.5..1.5);
             let key = if terms.keys > 0 {
--- a/crates/testing/fault-testing/src/list.rs
+++ b/crates/testing/fault-testing/src/list.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Changes the entry of a runner and wakes the connections that watch the list.
     pub(crate) fn update(&self, runner: usize, change: impl FnOnce(&mut Entry)) {
         let mut entries = self.entries.lock().unwrap();
         entries.0 += 1;
@@ -62,6 +63,7 @@
         self.version.send_replace(version);
     }
 
+    /// The present version and the entries that changed after `version`.
     fn changes_since(&self, version: u64) -> (u64, Vec<(usize, Entry)>) {
         let entries = self.entries.lock().unwrap();
         let changed = entries
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -23,10 +23,13 @@
 /// The options of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
+    /// The seed to use instead of the one in the scenario.
     pub seed: Option<u64>,
+    /// The number of dispatchers to use instead of the one in the scenario.
     pub processes: Option<usize>,
     /// The name of a broken variant of the program to run.
     pub broken: Option<String>,
+    /// The path of the program to run.
     pub program: Option<PathBuf>,
     /// Further settings for all dispatchers as `key=value`, also those of `fleet.`.
     pub set: Vec<String>,
--- a/crates/testing/fault-testing/src/processes.rs
+++ b/crates/testing/fault-testing/src/processes.rs
@@ -20,9 +20,12 @@
 use tokio::time::timeout;
 
 const PORT: u16 = 7000;
+/// The port for the traffic between dispatchers.
 const FLEET_PORT: u16 = 7001;
+/// The port for admin calls.
 const ADMIN_PORT: u16 = 7002;
 
+/// The addresses of a run, all in one network 127.`net`/16.
 pub(crate) struct Addresses {
     net: u8,
     /// Kept open so that no other test program on this machine uses the same addresses.
@@ -143,6 +146,7 @@
     pub absences: Mutex<Vec<Absence>>,
 }
 
+/// Sets the value at a dotted path of a table. Creates the tables on the way.
 pub(crate) fn set_key(table: &mut toml::Table, path: &str, value: toml::Value) {
     match path.split_once('.') {
         None => _ = table.insert(path.to_string(), value),
--- a/crates/testing/fault-testing/src/relay.rs
+++ b/crates/testing/fault-testing/src/relay.rs
@@ -136,13 +136,13 @@
         );
         let mut listener = Some(bind(at).await);
         loop {
-            let (forth, home) = (
+            let (there_now, back_now) = (
                 there.borrow_and_update().clone(),
                 back.borrow_and_update().clone(),
             );
-            if forth.refuse || home.refuse {
+            if there_now.refuse || back_now.refuse {
                 listener = None;
-            } else if forth.cut || home.cut {
+            } else if there_now.cut || back_now.cut {
                 let held = listener.take();
                 let held = match held {
                     Some(held) => held,
@@ -162,7 +162,7 @@
                         None => std::future::pending().await,
                     }
                 } => match accepted {
-                    Ok((stream, _)) if forth.reset || home.reset => reset(&stream),
+                    Ok((stream, _)) if there_now.reset || back_now.reset => reset(&stream),
                     Ok((stream, _)) => {
                         let relays = self.clone();
                         tokio::spawn(async move { relays.connection(stream, at, target, from, to).await });
--- a/crates/testing/fault-testing/tests/scenarios.rs
+++ b/crates/testing/fault-testing/tests/scenarios.rs
@@ -6,6 +6,7 @@
     Scenario::parse(text).expect_err(text).to_string()
 }
 
+/// An example that names a node or a site that does not exist with some number of processes cannot be run there.
 #[test]
 fn every_example_scenario_is_valid_for_any_number_of_processes() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../examples/rig");
@@ -26,6 +27,7 @@
     assert!(seen >= 25, "{seen}");
 }
 
+/// An error that does not name the line, the key or the known values leaves the author of a scenario guessing.
 #[test]
 fn errors_in_a_scenario_name_their_place() {
     assert!(bad("length = 5").contains("line 1"));
@@ -56,6 +58,7 @@
     Scenario::parse(text).unwrap()
 }
 
+/// A run can be repeated only if a seed always gives the same schedule.
 #[test]
 fn the_schedule_depends_on_the_seed_alone() {
     let text =
@@ -70,6 +73,7 @@
     assert!(all(5).iter().all(|what| what.links.len() == 1));
 }
 
+/// With one random stream for all faults, an added fault would change the times of the others.
 #[test]
 fn an_added_fault_does_not_move_the_others() {
     let one = "[[faults]]\nat = [\"1s\", \"4s\"]\nwhat = \"kill\"\non = \"d1\"\n";
@@ -149,6 +153,8 @@
     records
 }
 
+/// A request without an answer, with an answer after its expiry, or with a body that no runner produced must be found.
+/// An answer that a killed process or a cut link lost is excused.
 #[test]
 fn rule_1_finds_missing_late_and_invented_answers() {
     let ran = || vec![ho("a", 0, 1.0, Some((1.1, End::Done)))];
@@ -181,6 +187,7 @@
     assert!(rules(cut, &with(vec![none], ran())).is_empty());
 }
 
+/// Work that may have run must not be handed off again unless its category allows it, and never to two runners at once.
 #[test]
 fn rule_2_finds_repeated_effects_and_concurrent_hand_offs() {
     let first = || ho("a", 0, 1.0, Some((1.1, End::Failed)));
@@ -235,6 +242,7 @@
     );
 }
 
+/// A dispatcher must stop sending to a runner that the list or an operator took out of service.
 #[test]
 fn rule_3_finds_hand_offs_after_the_grace_of_a_drain() {
     let mut records = with(
@@ -258,9 +266,10 @@
     assert_eq!(rules("", &records), ["rule-3"]);
 }
 
+/// The work of all dispatchers together must stay under the limit of a cold runner.
 #[test]
 fn rule_4_finds_too_much_work_for_a_cold_runner() {
-    // Four slots at a fifth, three times that: 2.4 s of work within a second, and a little by its age.
+    // Four slots at a fifth of their speed, times three, allow 2.4 s of work within a second, and a little more by age.
     let sent = |n: usize| {
         let hos = (0..n).map(|k| {
             ho(
@@ -290,6 +299,7 @@
     assert_eq!(sent(40), ["rule-4"]);
 }
 
+/// Dispatchers that each stay within a shared limit may exceed it together.
 #[test]
 fn exceeded_caps_and_resend_limits_are_found() {
     let caps = "[fleet]\ncaps = { once = 2 }\nresends = 1";
@@ -332,6 +342,7 @@
     assert_eq!(again(&["a", "b"]), ["bound-resends"]);
 }
 
+/// A healthy runner that gets no work must be found, also if one of three dispatchers cannot reach it.
 #[test]
 fn a_shut_out_healthy_runner_is_found() {
     let sent = |to: &[usize]| {
@@ -370,6 +381,7 @@
     );
 }
 
+/// A run that stays within all rules may still earn less or fail more than the scenario expects.
 #[test]
 fn missed_expectations_are_found() {
     let records = with(
@@ -393,6 +405,7 @@
     );
 }
 
+/// A client repeats recorded work under a new id after a crash. Its effect must still not occur twice.
 #[test]
 fn recorded_work_is_one_work_item_under_the_id_of_its_first_try() {
     let text = "[store]\n[[categories]]\nname = \"once\"\nrate = 1.0\nrecord = 1";
@@ -439,6 +452,8 @@
     assert!(killed(given).is_empty());
 }
 
+/// A dispatcher that misses an agreed ban sends to the banned runner. This is excused only if it hears fewer than half
+/// of the others.
 #[test]
 fn hand_offs_to_a_banned_runner_are_found() {
     let banned = |schedule: &str, left: f64| {
