--- a/crates/testing/fault-testing/src/http.rs
+++ b/crates/testing/fault-testing/src/http.rs
@@ -1,18 +1,18 @@
-//! As much HTTP/1.1 as the stand-ins need.
+//! The part of HTTP/1.1 that the stand-ins need.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::tcp::OwnedReadHalf;
 
-/// No stand-in sends or takes more.
-const MOST: usize = 1 << 20;
+/// The largest message, in bytes, that a stand-in sends or accepts.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 #[derive(Debug)]
 pub(crate) struct Message {
     pub first: String,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Where in the connection's bytes it began.
+    /// The offset of the first byte of the message in the bytes of the connection.
     pub offset: u64,
 }
 
@@ -24,7 +24,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Of an answer.
+    /// The status of a response; 0 if it has none.
     pub(crate) fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -33,8 +33,8 @@
             .unwrap_or(0)
     }
 
-    /// Of a request: method and target.
-    pub(crate) fn call(&self) -> (&str, &str) {
+    /// The method and the target of a request.
+    pub(crate) fn method_and_target(&self) -> (&str, &str) {
         let mut words = self.first.split(' ');
         (
             words.next().unwrap_or_default(),
@@ -50,8 +50,8 @@
 }
 
 impl Reader<OwnedReadHalf> {
-    /// The other side has closed it, or said something unasked.
-    pub(crate) fn spent(&self) -> bool {
+    /// Whether the other side has closed the connection or sent something unasked.
+    pub(crate) fn is_closed(&self) -> bool {
         let looked = self.from.try_read(&mut [0; 1]);
         !matches!(looked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Whether anything of a message has come.
-    pub(crate) fn begun(&self) -> bool {
+    /// Whether a part of a message has arrived.
+    pub(crate) fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    async fn more(&mut self) -> io::Result<bool> {
-        if self.buffer.len() > MOST {
+    async fn read_more(&mut self) -> io::Result<bool> {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         let mut part = [0; 8 << 10];
@@ -81,7 +81,7 @@
         Ok(got > 0)
     }
 
-    /// The next message; `None` at the end of the connection between two.
+    /// Reads the next message. Returns `None` if the connection ended after a whole message.
     pub(crate) async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 64];
@@ -92,7 +92,7 @@
                 let first = format!("HTTP/1.1 {}", answer.code.unwrap_or(0));
                 status
                     .is_complete()
-                    .then(|| (status.unwrap(), first, own(answer.headers)))
+                    .then(|| (status.unwrap(), first, owned_headers(answer.headers)))
             } else {
                 let mut call = httparse::Request::new(&mut headers);
                 let status = call.parse(&self.buffer).map_err(bad)?;
@@ -103,17 +103,17 @@
                 );
                 status
                     .is_complete()
-                    .then(|| (status.unwrap(), first, own(call.headers)))
+                    .then(|| (status.unwrap(), first, owned_headers(call.headers)))
             };
             if let Some((length, first, headers)) = head {
                 let said = headers.iter().find(|(name, _)| name == "content-length");
                 let body = said.map_or(Ok(0), |(_, length)| length.parse::<usize>());
                 let body = body
                     .ok()
-                    .filter(|body| *body <= MOST)
+                    .filter(|body| *body <= MAX_MESSAGE_BYTES)
                     .ok_or(io::ErrorKind::InvalidData)?;
                 while self.buffer.len() < length + body {
-                    if !self.more().await? {
+                    if !self.read_more().await? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -128,7 +128,7 @@
                     offset,
                 }));
             }
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return match self.buffer.is_empty() {
                     true => Ok(None),
                     false => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -138,7 +138,7 @@
     }
 }
 
-fn own(headers: &[httparse::Header]) -> Vec<(String, String)> {
+fn owned_headers(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let owned = |header: &httparse::Header| {
         (
             header.name.to_lowercase(),
--- a/crates/testing/fault-testing/src/lib.rs
+++ b/crates/testing/fault-testing/src/lib.rs
@@ -1,29 +1,31 @@
-//! Plays several real processes of the program against stand-in clients, runners and list, with a relay of the rig on
-//! every link and faults by a schedule, and judges by what runners and clients saw. `docs/rig.md` is the reference.
+//! Runs several real processes of the program with stand-ins for clients, runners and the list, with a relay on every
+//! link and a schedule of faults, and checks what runners and clients observed. `docs/rig.md` is the reference.
 
 // Not every public item of this crate has a doc comment yet.
 #![allow(missing_docs)]
 
+mod checker;
 mod clients;
 mod compare;
 mod http;
+mod links;
 mod list;
 mod names;
 mod play;
+mod processes;
 mod records;
-mod referee;
 mod relay;
 mod report;
 mod runners;
 mod scenario;
 mod schedule;
-mod stage;
-mod ways;
 
+pub use checker::{find_violations, RunInputs, Violation};
 pub use compare::{compare, Compared};
 pub use play::{play, Options, Outcome};
-pub use records::{Absence, Beliefs, Birth, End, Ho, Records, Wi, Word};
-pub use referee::{judge, Break, World};
+pub use records::{
+    Absence, Beliefs, End, HandOff, ListUpdate, ProcessStart, Records, RequestRecord,
+};
 pub use report::{html, table};
 pub use scenario::{Bad, Scenario};
-pub use schedule::{schedule, What, WHATS};
+pub use schedule::{schedule, ScheduledFault, FAULT_KINDS};
--- a/crates/testing/fault-testing/src/play.rs
+++ b/crates/testing/fault-testing/src/play.rs
@@ -1,16 +1,17 @@
-//! One play: sets the stage, lets the clients send and the faults come, and gathers what was seen.
+//! Runs a scenario: starts the processes, relays and stand-ins, sends the requests, injects the faults and collects
+//! the records.
 
+use crate::checker::{find_violations, RunInputs, Violation};
 use crate::clients::{self, Pool};
-use crate::list::{self, Life, List};
-use crate::names::{Cast, Node};
+use crate::links::Links;
+use crate::list::{self, Lifecycle, List};
+use crate::names::{Node, Participants};
+use crate::processes::{http_call, http_call_with_body, Addresses, Dispatcher};
 use crate::records::{Absence, Beliefs, Records};
-use crate::referee::{judge, Break, World};
 use crate::relay::{Clock, Relays, Trace};
-use crate::runners::{self, Line, Runner};
+use crate::runners::{self, ReportConnection, Runner};
 use crate::scenario::{Bad, Scenario};
-use crate::schedule::{schedule, What};
-use crate::stage::{call, say, Dispatcher, Stage};
-use crate::ways::Ways;
+use crate::schedule::{schedule, ScheduledFault};
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,27 +20,30 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::net::TcpListener;
 
-/// How a scenario is played.
+/// The options of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
+    /// The seed to use instead of the one in the scenario.
     pub seed: Option<u64>,
+    /// The number of dispatchers to use instead of the one in the scenario.
     pub processes: Option<usize>,
-    /// A broken variant of the program.
+    /// The name of a broken variant of the program to run.
     pub broken: Option<String>,
+    /// The path of the program to run.
     pub program: Option<PathBuf>,
-    /// Further settings, `key=value`, for all dispatchers; `fleet.` ones too.
+    /// Further settings for all dispatchers as `key=value`, also those of `fleet.`.
     pub set: Vec<String>,
-    /// Where the dispatchers' logs are kept.
+    /// The folder to which the logs of the dispatchers are written.
     pub logs: Option<PathBuf>,
 }
 
-/// What came of a play.
+/// The result of a run.
 pub struct Outcome {
     pub scenario: Scenario,
     pub seed: u64,
-    pub schedule: Vec<What>,
+    pub schedule: Vec<ScheduledFault>,
     pub records: Records,
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     pub version: String,
 }
 
@@ -50,21 +54,21 @@
     pub key: u64,
 }
 
-/// What all stand-ins share.
+/// The state that all stand-ins and relays share.
 pub(crate) struct Shared {
     pub scenario: Scenario,
     pub seed: u64,
-    pub cast: Cast,
-    pub stage: Stage,
+    pub participants: Participants,
+    pub addresses: Addresses,
     pub clock: Clock,
     pub relays: Relays,
     pub list: List,
     pub records: Mutex<Records>,
     pub specs: Mutex<HashMap<String, Spec>>,
     pub pool: Pool,
-    lines: Mutex<HashMap<(usize, usize), Arc<Line>>>,
+    report_connections: Mutex<HashMap<(usize, usize), Arc<ReportConnection>>>,
     failing: Mutex<HashMap<usize, f64>>,
-    /// Processes that were killed, and when: what their clients had sent is not sent again by itself.
+    /// Dispatchers that were killed, and when. A client does not resend automatically what it had sent to them.
     killed: Mutex<Vec<(usize, f64)>>,
     handle: tokio::runtime::Handle,
 }
@@ -78,7 +82,7 @@
             .map(|spec| (spec.category, spec.work_s, spec.key))
     }
 
-    /// A number from 0 to 1 for a request, the same at every hand-off of it.
+    /// Returns a number from 0 to 1 for a request, the same at every hand-off of it.
     pub(crate) fn draw(&self, id: &str) -> f64 {
         let hash = id.bytes().fold(self.seed ^ 0x9E37_79B9, |hash, byte| {
             (hash.rotate_left(5) ^ u64::from(byte)).wrapping_mul(0x51_7C_C1_B7_27_22_0A_95)
@@ -103,8 +107,12 @@
             .any(|(who, when)| *who == dispatcher && *when >= at)
     }
 
-    pub(crate) fn line(&self, runner: usize, dispatcher: usize) -> Arc<Line> {
-        self.lines
+    pub(crate) fn report_connection(
+        &self,
+        runner: usize,
+        dispatcher: usize,
+    ) -> Arc<ReportConnection> {
+        self.report_connections
             .lock()
             .unwrap()
             .entry((runner, dispatcher))
@@ -123,7 +131,7 @@
         .map_or(0, |unix| unix.as_millis() as u64)
 }
 
-/// The program that is played unless one is named: the one built beside the rig.
+/// The path of the program to run: the one that the options name, or the one built beside this test program.
 fn program(options: &Options) -> Result<PathBuf, Bad> {
     if let Some(program) = &options.program {
         return Ok(program.clone());
@@ -136,11 +144,14 @@
         .map(|folder| folder.join("sagetrail"));
     let found = beside.into_iter().find(|path| path.is_file());
     found.ok_or_else(|| {
-        Bad("no program `sagetrail` is built beside the rig; name one with --program".to_string())
+        Bad(
+            "no program `sagetrail` was found beside this test program; name one with --program"
+                .to_string(),
+        )
     })
 }
 
-/// The scenario as the options change it.
+/// Returns the scenario with the changes that the options make.
 pub(crate) fn adapted(scenario: &Scenario, options: &Options) -> Result<Scenario, Bad> {
     let mut scenario = scenario.clone();
     scenario.processes = options.processes.unwrap_or(scenario.processes);
@@ -169,7 +180,7 @@
             let hint = sagetrail_settings::nearest(broken, names)
                 .map(|hint| format!("; did you mean '{hint}'?"));
             return Err(Bad(format!(
-                "'{broken}' is no broken variant{}",
+                "'{broken}' is not a broken variant{}",
                 hint.unwrap_or_default()
             )));
         }
@@ -182,7 +193,7 @@
     Ok(scenario)
 }
 
-/// Plays a scenario once.
+/// Runs a scenario once and checks its records.
 pub fn play(scenario: &Scenario, options: &Options) -> Result<Outcome, Bad> {
     let scenario = adapted(scenario, options)?;
     let seed = options.seed.unwrap_or(scenario.seed);
@@ -196,11 +207,11 @@
     let (records, version) =
         runtime.block_on(run(&scenario, seed, &schedule, &program, options))?;
     runtime.shutdown_background();
-    let cast = scenario.cast();
-    let breaks = judge(
-        &World {
+    let participants = scenario.participants();
+    let breaks = find_violations(
+        &RunInputs {
             scenario: &scenario,
-            cast: &cast,
+            participants: &participants,
             schedule: &schedule,
         },
         &records,
@@ -215,7 +226,8 @@
     })
 }
 
-/// So long after all are ready the play begins: what budgets hold back after a start has been given free.
+/// The time in seconds between the moment when all dispatchers are ready and the begin of the run. It is long enough
+/// for the budgets that dispatchers hold back after a start to become available.
 fn warm_up(scenario: &Scenario) -> f64 {
     let (fleet, longest) = (
         &scenario.fleet,
@@ -235,7 +247,8 @@
     } else {
         0.5
     };
-    // What is recorded is taken once former records would have ended; the store is founded within two seconds.
+    // Dispatchers accept recorded work once all records from before a start would have ended. The store is founded
+    // within two seconds.
     let keeps = |c: &crate::scenario::Category| match c.repeat.as_str() {
         "ticketed" => c.expiry.0 + c.expiry.0.max(c.window.0),
         _ => 2.0 * c.expiry.0,
@@ -255,20 +268,20 @@
 async fn run(
     scenario: &Scenario,
     seed: u64,
-    schedule: &[What],
+    schedule: &[ScheduledFault],
     program: &PathBuf,
     options: &Options,
 ) -> Result<(Records, String), Bad> {
-    let bad = |what: &str| {
-        let what = what.to_string();
-        move |error: std::io::Error| Bad(format!("{what}: {error}"))
+    let bad = |context: &str| {
+        let context = context.to_string();
+        move |error: std::io::Error| Bad(format!("{context}: {error}"))
     };
-    let stage = Stage::new().map_err(bad("addresses"))?;
-    let cast = scenario.cast();
+    let addresses = Addresses::new().map_err(bad("addresses"))?;
+    let participants = scenario.participants();
     let clock = Clock::new(Instant::now());
     let traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>> = Arc::default();
     let relays = Relays {
-        ways: Ways::default(),
+        links: Links::default(),
         clock: clock.clone(),
         seed,
         traces,
@@ -276,27 +289,27 @@
     let shared = Arc::new(Shared {
         scenario: scenario.clone(),
         seed,
-        cast: cast.clone(),
-        stage,
+        participants: participants.clone(),
+        addresses,
         clock: clock.clone(),
         relays: relays.clone(),
         list: List::new(),
         records: Mutex::default(),
         specs: Mutex::default(),
-        pool: Pool::new(cast.dispatchers),
-        lines: Mutex::default(),
+        pool: Pool::new(participants.dispatchers),
+        report_connections: Mutex::default(),
         failing: Mutex::default(),
         killed: Mutex::default(),
         handle: tokio::runtime::Handle::current(),
     });
-    let stage = &shared.stage;
+    let addresses = &shared.addresses;
     let listen = async |node: Node| {
-        TcpListener::bind(stage.own(node))
+        TcpListener::bind(addresses.listen_address(node))
             .await
             .map_err(bad("a stand-in"))
     };
     let mut runners = Vec::new();
-    for n in 0..cast.runners {
+    for n in 0..participants.runners {
         let runner = Arc::new(Runner::new(n));
         tokio::spawn(runners::serve(
             shared.clone(),
@@ -306,72 +319,80 @@
         runners.push(runner);
     }
     tokio::spawn(list::serve(shared.clone(), listen(Node::List).await?));
-    for n in 0..cast.dispatchers {
+    for n in 0..participants.dispatchers {
         let me = Node::Dispatcher(n);
         let link = |from: Node, to: Node| {
-            tokio::spawn(
-                relays
-                    .clone()
-                    .streams(stage.relay(from, to), stage.own(to), from, to),
-            )
+            tokio::spawn(relays.clone().relay_streams(
+                addresses.relay_address(from, to),
+                addresses.listen_address(to),
+                from,
+                to,
+            ))
         };
         link(me, Node::List);
         link(Node::Clients, me);
-        for r in 0..cast.runners {
+        for r in 0..participants.runners {
             link(me, Node::Runner(r));
             link(Node::Runner(r), me);
         }
-        for other in (0..cast.dispatchers).filter(|other| *other != n) {
-            let (at, to) = (stage.relay_links(n, other), stage.own_links(other));
-            tokio::spawn(relays.clone().streams(at, to, me, Node::Dispatcher(other)));
+        for other in (0..participants.dispatchers).filter(|other| *other != n) {
+            let (at, to) = (
+                addresses.fleet_relay_address(n, other),
+                addresses.fleet_address(other),
+            );
+            tokio::spawn(
+                relays
+                    .clone()
+                    .relay_streams(at, to, me, Node::Dispatcher(other)),
+            );
             tokio::spawn(
                 relays
                     .clone()
-                    .datagrams(at, to, me, Node::Dispatcher(other)),
+                    .relay_datagrams(at, to, me, Node::Dispatcher(other)),
             );
         }
     }
-    // Warm ones have run for long; those that start cold do so when the play begins.
+    // All runners start warm here. In a scenario with cold runners, they are restarted cold when the run begins.
     for runner in &runners {
-        runner.begin(&shared, false);
-        shared.list.say(runner.n, |_| {});
+        runner.start_process(&shared, false);
+        shared.list.update(runner.n, |_| {});
     }
     let folder = tempfile::tempdir().map_err(bad("a folder"))?;
     let mut dispatchers = Vec::new();
-    for n in 0..cast.dispatchers {
+    for n in 0..participants.dispatchers {
         let dispatcher = Dispatcher::new(n, folder.path(), program).map_err(bad("a folder"))?;
-        for what in schedule
+        for fault in schedule
             .iter()
-            .filter(|what| what.nodes.contains(&Node::Dispatcher(n)))
+            .filter(|fault| fault.nodes.contains(&Node::Dispatcher(n)))
         {
-            // In a trial from the start: the door's call to move the clock is there only then.
-            if ["clock-off", "clock-jump"].contains(&what.what) {
-                let off = if what.what == "clock-off" {
-                    what.by
+            // The admin call that moves the clock exists only in a process that was started with a trial setting.
+            if ["clock-off", "clock-jump"].contains(&fault.kind) {
+                let off = if fault.kind == "clock-off" {
+                    fault.by
                 } else {
                     0.0
                 };
                 dispatcher.set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
             }
-            if what.what == "disk-slow" {
-                let delay = format!("{:.3}ms", what.delay_s * 1e3);
+            if fault.kind == "disk-slow" {
+                let delay = format!("{:.3}ms", fault.delay_s * 1e3);
                 dispatcher
                     .set(&[("trial.disk_slow".to_string(), toml::Value::String(delay))].into());
             }
-            if what.what == "disk-full" {
-                let bytes = toml::Value::Integer(what.by as i64);
+            if fault.kind == "disk-full" {
+                let bytes = toml::Value::Integer(fault.by as i64);
                 dispatcher.set(&[("trial.disk_full".to_string(), bytes)].into());
             }
         }
         dispatcher
-            .start(stage, scenario, &cast)
+            .start(addresses, scenario, &participants)
             .map_err(bad("the program"))?;
         dispatchers.push(Arc::new(dispatcher));
     }
     for dispatcher in &dispatchers {
-        if !dispatcher.ready(stage).await {
+        if !dispatcher.ready(addresses).await {
             let log = dispatcher.log();
-            let last = log.lines().last().unwrap_or("without a word").to_string();
+            let last = log.lines().last().unwrap_or("its log is empty").to_string();
             return Err(Bad(format!(
                 "{} is not ready: {last}",
                 Node::Dispatcher(dispatcher.n).name()
@@ -379,15 +400,16 @@
         }
     }
     let crowd = |at: f64| {
-        let now = |what: &&What| what.what == "crowd" && what.from <= at && at < what.to;
+        let now =
+            |fault: &&ScheduledFault| fault.kind == "crowd" && fault.from <= at && at < fault.to;
         schedule
             .iter()
             .filter(now)
-            .map(|what| what.by)
+            .map(|fault| fault.by)
             .product::<f64>()
     };
     let plans = clients::plan(&shared, crowd);
-    let crew = Arc::new(Crew {
+    let running = Arc::new(RunningNodes {
         shared: shared.clone(),
         runners,
         dispatchers,
@@ -395,24 +417,26 @@
     tokio::time::sleep(Duration::from_secs_f64(warm_up(scenario))).await;
     clock.begin();
     if scenario.runners.cold {
-        for runner in &crew.runners {
-            runner.die(&shared, false);
-            crew.fresh(runner.n, true);
+        for runner in &running.runners {
+            runner.end_process(&shared, false);
+            running.start_runner(runner.n, true);
         }
     }
     let mut tasks = Vec::new();
-    for (no, what) in schedule.iter().enumerate() {
-        let (crew, what) = (crew.clone(), what.clone());
-        tasks.push(tokio::spawn(async move { crew.fault(no, what).await }));
+    for (no, fault) in schedule.iter().enumerate() {
+        let (running, fault) = (running.clone(), fault.clone());
+        tasks.push(tokio::spawn(
+            async move { running.run_fault(no, fault).await },
+        ));
     }
-    tasks.push(tokio::spawn(watch(crew.clone())));
+    tasks.push(tokio::spawn(watch_dispatchers(running.clone())));
     clients::send(shared.clone(), plans, 0.0).await;
-    // Runners' last news, and hand-offs that are still being given up.
+    // Waits for the last reports of the runners and for hand-offs that are still being given up.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    crew.look();
+    running.record_crashes();
     tasks.iter().for_each(|task| task.abort());
     let now = clock.now();
-    for dispatcher in &crew.dispatchers {
+    for dispatcher in &running.dispatchers {
         dispatcher.resume();
         dispatcher.kill();
         let mut open = dispatcher.absences.lock().unwrap();
@@ -451,26 +475,26 @@
     Ok((records, version))
 }
 
-/// Who can be hurt.
-struct Crew {
+/// The running dispatchers and runners, on which faults are injected.
+struct RunningNodes {
     shared: Arc<Shared>,
     runners: Vec<Arc<Runner>>,
     dispatchers: Vec<Arc<Dispatcher>>,
 }
 
-impl Crew {
-    /// A runner's next process, and the list's word of it.
-    fn fresh(&self, n: usize, cold: bool) {
+impl RunningNodes {
+    /// Starts the next process of a runner and adds it to the list.
+    fn start_runner(&self, n: usize, cold: bool) {
         let cold = cold && self.shared.scenario.cold.time.0 > 0.0;
-        let process = self.runners[n].begin(&self.shared, cold);
-        self.shared.list.say(n, |entry| {
-            (entry.life, entry.process) = (Life::Ready, process);
+        let process = self.runners[n].start_process(&self.shared, cold);
+        self.shared.list.update(n, |entry| {
+            (entry.lifecycle, entry.process) = (Lifecycle::Ready, process);
             entry.started_ms = if cold { unix_ms() } else { 0 };
         });
     }
 
-    /// Writes down who ended by itself.
-    fn look(&self) {
+    /// Records the dispatchers that exited unexpectedly.
+    fn record_crashes(&self) {
         for dispatcher in &self.dispatchers {
             if let Some((false, how)) = dispatcher.ended() {
                 let at = self.shared.clock.now();
@@ -484,7 +508,7 @@
         }
     }
 
-    fn absent(&self, n: usize, died: bool) {
+    fn begin_absence(&self, n: usize, died: bool) {
         let from = self.shared.clock.now();
         if died {
             self.shared.killed.lock().unwrap().push((n, from));
@@ -498,7 +522,7 @@
         self.dispatchers[n].absences.lock().unwrap().push(absence);
     }
 
-    fn present(&self, n: usize) {
+    fn end_absence(&self, n: usize) {
         let now = self.shared.clock.now();
         let mut absences = self.dispatchers[n].absences.lock().unwrap();
         absences
@@ -507,117 +531,135 @@
             .for_each(|absence| absence.to = now);
     }
 
-    /// What a process that starts again comes back with.
-    fn come_back(&self, n: usize, what: &What) {
-        self.dispatchers[n].give_disk(&what.with);
-        if let Some(off) = what.off {
+    /// Sets the disk and the clock with which a dispatcher is restarted.
+    fn prepare_restart(&self, n: usize, fault: &ScheduledFault) {
+        self.dispatchers[n].give_disk(&fault.with);
+        if let Some(off) = fault.off {
             self.dispatchers[n]
                 .set(&[("trial.clock_off".to_string(), toml::Value::Float(off))].into());
         }
     }
 
-    async fn start(&self, n: usize) {
+    async fn start_dispatcher(&self, n: usize) {
         let (shared, dispatcher) = (&self.shared, &self.dispatchers[n]);
         if dispatcher
-            .start(&shared.stage, &shared.scenario, &shared.cast)
+            .start(&shared.addresses, &shared.scenario, &shared.participants)
             .is_ok()
         {
-            dispatcher.ready(&shared.stage).await;
+            dispatcher.ready(&shared.addresses).await;
         }
-        self.present(n);
+        self.end_absence(n);
     }
 
-    /// Does it to all at once.
-    async fn each<F: Future<Output = ()>>(&self, what: &What, act: impl Fn(usize) -> F) {
+    /// Runs an action concurrently for the number of each dispatcher or runner that a fault affects.
+    async fn for_each_target<F: Future<Output = ()>>(
+        &self,
+        fault: &ScheduledFault,
+        act: impl Fn(usize) -> F,
+    ) {
         let number = |node: &Node| match node {
             Node::Dispatcher(n) | Node::Runner(n) => Some(*n),
             _ => None,
         };
-        futures_util::future::join_all(what.nodes.iter().filter_map(number).map(act)).await;
+        futures_util::future::join_all(fault.nodes.iter().filter_map(number).map(act)).await;
     }
 
-    fn ill(&self, what: &What, change: impl Fn(&mut runners::Ill)) {
-        for node in &what.nodes {
+    fn set_runner_faults(
+        &self,
+        fault: &ScheduledFault,
+        change: impl Fn(&mut runners::RunnerFaults),
+    ) {
+        for node in &fault.nodes {
             if let Node::Runner(n) = node {
-                self.runners[*n].ill.send_modify(&change);
+                self.runners[*n].faults.send_modify(&change);
             }
         }
     }
 
-    async fn fault(self: Arc<Self>, no: usize, what: What) {
+    async fn run_fault(self: Arc<Self>, no: usize, fault: ScheduledFault) {
         let clock = &self.shared.clock;
-        clock.until(what.from).await;
-        self.begin(no, &what).await;
-        if what.to.is_finite() {
-            clock.until(what.to).await;
-            self.end(no, &what).await;
+        clock.until(fault.from).await;
+        self.begin_fault(no, &fault).await;
+        if fault.to.is_finite() {
+            clock.until(fault.to).await;
+            self.end_fault(no, &fault).await;
         }
     }
 
-    async fn begin(&self, no: usize, what: &What) {
+    async fn begin_fault(&self, no: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
-        if !what.ways.is_empty() {
-            return shared.relays.ways.begin(no, what);
+        if !fault.links.is_empty() {
+            return shared.relays.links.begin(no, fault);
         }
-        let (p, by) = (what.p, what.by);
-        match what.what {
-            "hang" => self.ill(what, |ill| ill.hang = true),
-            "fail" => self.ill(what, |ill| ill.fail = p),
-            "slow" => self.ill(what, |ill| ill.slow = by),
-            "full" => self.ill(what, |ill| ill.full = true),
-            "mute" => self.ill(what, |ill| ill.mute = true),
+        let (p, by) = (fault.p, fault.by);
+        match fault.kind {
+            "hang" => self.set_runner_faults(fault, |faults| faults.hang = true),
+            "fail" => self.set_runner_faults(fault, |faults| faults.fail = p),
+            "slow" => self.set_runner_faults(fault, |faults| faults.slow = by),
+            "full" => self.set_runner_faults(fault, |faults| faults.full = true),
+            "mute" => self.set_runner_faults(fault, |faults| faults.mute = true),
             "crash" | "vanish" => {
-                let ways = what
+                let links = fault
                     .nodes
                     .iter()
-                    .flat_map(|n| shared.cast.ways(&n.name()).unwrap_or_default());
-                let cut = What {
-                    what: "cut",
-                    ways: ways.collect(),
-                    ..what.clone()
+                    .flat_map(|n| shared.participants.links(&n.name()).unwrap_or_default());
+                let cut = ScheduledFault {
+                    kind: "cut",
+                    links: links.collect(),
+                    ..fault.clone()
                 };
-                if what.what == "vanish" {
-                    shared.relays.ways.begin(no, &cut);
+                if fault.kind == "vanish" {
+                    shared.relays.links.begin(no, &cut);
                 }
-                self.ill(what, |ill| ill.dead = true);
-                let told = what.what == "crash";
-                self.each(what, |n| async move { self.runners[n].die(shared, told) })
-                    .await;
-                // Its agent, or the silence of it, reaches the list a little later.
+                self.set_runner_faults(fault, |faults| faults.dead = true);
+                let told = fault.kind == "crash";
+                self.for_each_target(fault, |n| async move {
+                    self.runners[n].end_process(shared, told)
+                })
+                .await;
+                // The list learns of the crash from the agent, or later of a lost machine from the agent's silence.
                 tokio::time::sleep(Duration::from_millis(if told { 500 } else { 2000 })).await;
-                if shared.clock.now() < what.to {
-                    self.each(what, |n| async move {
-                        shared.list.say(n, |entry| entry.life = Life::Gone)
+                if shared.clock.now() < fault.to {
+                    self.for_each_target(fault, |n| async move {
+                        shared
+                            .list
+                            .update(n, |entry| entry.lifecycle = Lifecycle::Gone)
                     })
                     .await;
                 }
             }
             "new" => {
-                self.each(what, |n| async move {
-                    self.runners[n].die(shared, true);
-                    self.fresh(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.runners[n].end_process(shared, true);
+                    self.start_runner(n, true);
                 })
                 .await;
             }
             "drain" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Draining)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Draining)
                 })
                 .await
             }
             "gone" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Gone)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Gone)
                 })
                 .await
             }
-            "by-hand" => self.each(what, |n| self.by_hand(n, true)).await,
-            "ban" => self.each(what, |n| self.ban(n, &what.with, true)).await,
-            "propose" => self.each(what, |n| self.propose(n, what)).await,
+            "by-hand" => self.for_each_target(fault, |n| self.by_hand(n, true)).await,
+            "ban" => {
+                self.for_each_target(fault, |n| self.ban(n, &fault.with, true))
+                    .await
+            }
+            "propose" => {
+                self.for_each_target(fault, |n| self.propose(n, fault))
+                    .await
+            }
             "say" => {
-                self.each(what, |n| async move {
-                    let (method, path) = what.with.split_once(' ').unwrap_or(("GET", "/store"));
-                    let _ = call(shared.stage.door(n), method, path).await;
+                self.for_each_target(fault, |n| async move {
+                    let (method, path) = fault.with.split_once(' ').unwrap_or(("GET", "/store"));
+                    let _ = http_call(shared.addresses.admin_address(n), method, path).await;
                 })
                 .await;
             }
@@ -626,52 +668,53 @@
                     .scenario
                     .categories
                     .iter()
-                    .position(|c| c.name == what.with);
+                    .position(|c| c.name == fault.with);
                 category.map(|category| shared.failing.lock().unwrap().insert(category, p));
             }
             "kill" => {
-                self.each(what, |n| async move {
-                    self.absent(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, true);
                     self.dispatchers[n].kill();
                 })
                 .await;
             }
             "restart" => {
-                self.each(what, |n| async move {
-                    self.absent(n, true);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, true);
                     self.dispatchers[n].kill();
-                    self.come_back(n, what);
-                    self.start(n).await;
+                    self.prepare_restart(n, fault);
+                    self.start_dispatcher(n).await;
                 })
                 .await;
             }
             "term" => {
-                for node in &what.nodes {
+                for node in &fault.nodes {
                     if let Node::Dispatcher(n) = node {
                         self.dispatchers[*n].term();
                     }
                 }
-                self.each(what, |n| self.after_term(n, what)).await;
+                self.for_each_target(fault, |n| self.restart_after_term(n, fault))
+                    .await;
             }
             "pause" => {
-                self.each(what, |n| async move {
-                    self.absent(n, false);
+                self.for_each_target(fault, |n| async move {
+                    self.begin_absence(n, false);
                     self.dispatchers[n].pause();
                 })
                 .await;
             }
             "clock-jump" => {
-                self.each(what, |n| async move {
+                self.for_each_target(fault, |n| async move {
                     let path = format!("/trial/clock/{by}");
-                    let _ = call(shared.stage.door(n), "POST", &path).await;
+                    let _ = http_call(shared.addresses.admin_address(n), "POST", &path).await;
                 })
                 .await;
             }
             "reload" => {
-                self.each(what, |n| async move {
-                    self.dispatchers[n].set(&what.set);
+                self.for_each_target(fault, |n| async move {
+                    self.dispatchers[n].set(&fault.set);
                     if self.dispatchers[n]
-                        .write(&shared.stage, &shared.scenario, &shared.cast)
+                        .write(&shared.addresses, &shared.scenario, &shared.participants)
                         .is_ok()
                     {
                         self.dispatchers[n].reload();
@@ -680,8 +723,13 @@
                 .await;
             }
             "drain-by-hand" => {
-                self.each(what, |n| async move {
-                    let _ = call(shared.stage.door(n), "POST", "/healthcheck/fail").await;
+                self.for_each_target(fault, |n| async move {
+                    let _ = http_call(
+                        shared.addresses.admin_address(n),
+                        "POST",
+                        "/healthcheck/fail",
+                    )
+                    .await;
                 })
                 .await;
             }
@@ -689,64 +737,72 @@
         }
     }
 
-    async fn end(&self, no: usize, what: &What) {
+    async fn end_fault(&self, no: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
-        if !what.ways.is_empty() {
-            return shared.relays.ways.end(no);
+        if !fault.links.is_empty() {
+            return shared.relays.links.end(no);
         }
-        match what.what {
-            "hang" => self.ill(what, |ill| ill.hang = false),
-            "fail" => self.ill(what, |ill| ill.fail = 0.0),
-            "slow" => self.ill(what, |ill| ill.slow = 1.0),
-            "full" => self.ill(what, |ill| ill.full = false),
-            "mute" => self.ill(what, |ill| ill.mute = false),
+        match fault.kind {
+            "hang" => self.set_runner_faults(fault, |faults| faults.hang = false),
+            "fail" => self.set_runner_faults(fault, |faults| faults.fail = 0.0),
+            "slow" => self.set_runner_faults(fault, |faults| faults.slow = 1.0),
+            "full" => self.set_runner_faults(fault, |faults| faults.full = false),
+            "mute" => self.set_runner_faults(fault, |faults| faults.mute = false),
             "crash" | "vanish" => {
-                self.ill(what, |ill| ill.dead = false);
-                shared.relays.ways.end(no);
-                self.each(what, |n| async move { self.fresh(n, true) })
+                self.set_runner_faults(fault, |faults| faults.dead = false);
+                shared.relays.links.end(no);
+                self.for_each_target(fault, |n| async move { self.start_runner(n, true) })
                     .await;
             }
             "drain" | "gone" => {
-                self.each(what, |n| async move {
-                    shared.list.say(n, |e| e.life = Life::Ready)
+                self.for_each_target(fault, |n| async move {
+                    shared.list.update(n, |e| e.lifecycle = Lifecycle::Ready)
                 })
                 .await;
             }
-            "by-hand" => self.each(what, |n| self.by_hand(n, false)).await,
-            "ban" => self.each(what, |n| self.ban(n, &what.with, false)).await,
+            "by-hand" => {
+                self.for_each_target(fault, |n| self.by_hand(n, false))
+                    .await
+            }
+            "ban" => {
+                self.for_each_target(fault, |n| self.ban(n, &fault.with, false))
+                    .await
+            }
             "fail-category" => {
                 let category = shared
                     .scenario
                     .categories
                     .iter()
-                    .position(|c| c.name == what.with);
+                    .position(|c| c.name == fault.with);
                 category.map(|category| shared.failing.lock().unwrap().remove(&category));
             }
             "kill" => {
-                let starts = what.nodes.iter().filter_map(|node| match node {
+                let starts = fault.nodes.iter().filter_map(|node| match node {
                     Node::Dispatcher(n) => Some(*n),
                     _ => None,
                 });
                 for n in starts.clone() {
-                    self.come_back(n, what);
+                    self.prepare_restart(n, fault);
                     let (shared, dispatcher) = (&self.shared, &self.dispatchers[n]);
-                    let _ = dispatcher.start(&shared.stage, &shared.scenario, &shared.cast);
+                    let _ =
+                        dispatcher.start(&shared.addresses, &shared.scenario, &shared.participants);
                 }
                 for n in starts {
-                    self.dispatchers[n].ready(&shared.stage).await;
-                    self.present(n);
+                    self.dispatchers[n].ready(&shared.addresses).await;
+                    self.end_absence(n);
                 }
             }
             "pause" => {
-                self.each(what, |n| async move {
+                self.for_each_target(fault, |n| async move {
                     self.dispatchers[n].resume();
-                    self.present(n);
+                    self.end_absence(n);
                 })
                 .await;
             }
             "drain-by-hand" => {
-                self.each(what, |n| async move {
-                    let _ = call(shared.stage.door(n), "POST", "/healthcheck/ok").await;
+                self.for_each_target(fault, |n| async move {
+                    let _ = http_call(shared.addresses.admin_address(n), "POST", "/healthcheck/ok")
+                        .await;
                 })
                 .await;
             }
@@ -754,30 +810,31 @@
         }
     }
 
-    async fn after_term(&self, n: usize, what: &What) {
+    async fn restart_after_term(&self, n: usize, fault: &ScheduledFault) {
         let began = self.shared.clock.now();
         loop {
             if self.dispatchers[n].ended().is_some() {
                 break;
             }
-            // The platform's kill, no sooner than it says.
+            // Like the platform, kills the process only after the grace of 6 s.
             if self.shared.clock.now() > began + 6.0 {
-                self.absent(n, true);
+                self.begin_absence(n, true);
                 self.dispatchers[n].kill();
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.absent(n, true);
-        self.come_back(n, what);
-        self.start(n).await;
+        self.begin_absence(n, true);
+        self.prepare_restart(n, fault);
+        self.start_dispatcher(n).await;
     }
 
-    /// A word at one door: it counts from when that has said that all agree.
+    /// Bans a runner, or lifts the ban, by an admin call to one dispatcher. A ban counts from the answer that
+    /// confirms that it was agreed.
     async fn ban(&self, runner: usize, with: &str, out: bool) {
         let shared = &self.shared;
         let door = shared
-            .cast
+            .participants
             .select(with)
             .ok()
             .and_then(|nodes| nodes.first().copied());
@@ -798,7 +855,7 @@
                 .filter(|b| b.0 == runner && b.2.is_infinite())
                 .for_each(|b| b.2 = now);
         }
-        let said = call(shared.stage.door(n), "POST", &path).await;
+        let said = http_call(shared.addresses.admin_address(n), "POST", &path).await;
         if out && matches!(said, Ok((200, _))) {
             let now = shared.clock.now();
             shared
@@ -810,14 +867,21 @@
         }
     }
 
-    async fn propose(&self, n: usize, what: &What) {
+    async fn propose(&self, n: usize, fault: &ScheduledFault) {
         let shared = &self.shared;
         let mut table = toml::Table::new();
-        what.set
+        fault
+            .set
             .iter()
-            .for_each(|(path, value)| crate::stage::put(&mut table, path, value.clone()));
+            .for_each(|(path, value)| crate::processes::set_key(&mut table, path, value.clone()));
         let text = toml::to_string(&table).unwrap_or_default();
-        let said = say(shared.stage.door(n), "POST", "/store/propose", &text).await;
+        let said = http_call_with_body(
+            shared.addresses.admin_address(n),
+            "POST",
+            "/store/propose",
+            &text,
+        )
+        .await;
         let caps = table
             .get("fleet")
             .and_then(|fleet| fleet.get("caps"))
@@ -851,7 +915,7 @@
                 .for_each(|b| b.3 = now);
         }
         for n in 0..self.dispatchers.len() {
-            let said = call(shared.stage.door(n), "POST", &path).await;
+            let said = http_call(shared.addresses.admin_address(n), "POST", &path).await;
             if out && matches!(said, Ok((200, _))) {
                 let word = (runner, n, shared.clock.now(), f64::INFINITY);
                 shared.records.lock().unwrap().by_hand.push(word);
@@ -860,16 +924,22 @@
     }
 }
 
-/// Looks each second at who ended by itself and at what each believes, and keeps an old copy of each disk.
-async fn watch(crew: Arc<Crew>) {
+/// Every second records the dispatchers that exited unexpectedly and the member states that each dispatcher reports.
+/// In the third second it copies each disk, for restarts with an old copy.
+async fn watch_dispatchers(running: Arc<RunningNodes>) {
     let mut n = 0;
     loop {
-        crew.look();
-        for dispatcher in &crew.dispatchers {
+        running.record_crashes();
+        for dispatcher in &running.dispatchers {
             if n == 2 {
                 dispatcher.copy_disk();
             }
-            let said = call(crew.shared.stage.door(dispatcher.n), "GET", "/members").await;
+            let said = http_call(
+                running.shared.addresses.admin_address(dispatcher.n),
+                "GET",
+                "/members",
+            )
+            .await;
             let Ok((200, said)) = said else { continue };
             let lives: BTreeMap<&str, &str> = said
                 .lines()
@@ -884,13 +954,19 @@
                     .get(Node::Dispatcher(n).name().as_str())
                     .map_or(String::new(), |life| life.to_string())
             };
-            let lives = (0..crew.dispatchers.len()).map(life).collect();
-            let at = crew.shared.clock.now();
-            crew.shared.records.lock().unwrap().beliefs.push(Beliefs {
-                at,
-                dispatcher: dispatcher.n,
-                lives,
-            });
+            let lives = (0..running.dispatchers.len()).map(life).collect();
+            let at = running.shared.clock.now();
+            running
+                .shared
+                .records
+                .lock()
+                .unwrap()
+                .beliefs
+                .push(Beliefs {
+                    at,
+                    dispatcher: dispatcher.n,
+                    lives,
+                });
         }
         n += 1;
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/testing/fault-testing/src/relay.rs
+++ b/crates/testing/fault-testing/src/relay.rs
@@ -1,7 +1,8 @@
-//! The relay on each link: streams and datagrams, each way by itself, with what the schedule says is wrong with it.
+//! The relays on the links. They pass on streams and datagrams, each direction separately, and apply the faults that
+//! the schedule has for the link.
 
+use crate::links::{LinkReceiver, LinkState, Links};
 use crate::names::Node;
-use crate::ways::{Told, Way, Ways};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use socket2::SockRef;
@@ -17,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Seconds since the play began; below zero before.
+/// A clock that counts seconds since the run began. It is negative before.
 #[derive(Clone)]
 pub(crate) struct Clock {
     base: Instant,
@@ -26,14 +27,14 @@
 
 impl Clock {
     pub(crate) fn new(base: Instant) -> Clock {
-        // Far off until then, so that times of before are smaller than all that follow.
+        // The begin is far in the future until it is set, so that times before it are smaller than all later ones.
         Clock {
             base,
             began: Arc::new(AtomicU64::new(1e4f64.to_bits())),
         }
     }
 
-    /// The play begins now.
+    /// Sets the begin of the run to now.
     pub(crate) fn begin(&self) {
         self.began.store(
             self.base.elapsed().as_secs_f64().to_bits(),
@@ -53,26 +54,26 @@
     }
 }
 
-/// What a relay saw of one connection: where in its bytes it was when. The judge goes by when bytes left a
-/// dispatcher, so that what a faulty link holds back is not held against it.
+/// The times at which a relay took and passed on the bytes of one connection. The checker uses the time at which
+/// bytes left a dispatcher, so that a dispatcher is not blamed for the delay of a faulty link.
 #[derive(Default)]
 pub(crate) struct Trace {
-    /// Bytes taken from who opened it by then, as (offset of the first, when).
+    /// Reads from the side that opened the connection, as (offset of the first byte, time in seconds).
     taken: Mutex<Vec<(u64, f64)>>,
-    /// Bytes handed back to it by then, as (offset past the last, when).
+    /// Writes to the side that opened the connection, as (offset after the last byte, time in seconds).
     given: Mutex<Vec<(u64, f64)>>,
     closed: Mutex<Option<f64>>,
 }
 
 impl Trace {
-    /// When the byte at this offset was taken.
+    /// When the byte at this offset was read.
     pub(crate) fn taken_at(&self, offset: u64) -> Option<f64> {
         let marks = self.taken.lock().unwrap();
         let after = marks.partition_point(|(at, _)| *at <= offset);
         after.checked_sub(1).map(|place| marks[place].1)
     }
 
-    /// When all bytes before this offset had been handed back.
+    /// When all bytes before this offset had been written back.
     pub(crate) fn given_by(&self, offset: u64) -> Option<f64> {
         let marks = self.given.lock().unwrap();
         marks
@@ -80,22 +81,22 @@
             .map(|(_, when)| *when)
     }
 
-    /// When who opened it closed it.
+    /// When the side that opened the connection closed it.
     pub(crate) fn closed_at(&self) -> Option<f64> {
         *self.closed.lock().unwrap()
     }
 }
 
-/// What all relays share.
+/// The state that all relays share.
 #[derive(Clone)]
 pub(crate) struct Relays {
-    pub ways: Ways,
+    pub links: Links,
     pub clock: Clock,
     pub seed: u64,
     pub traces: Arc<Mutex<HashMap<SocketAddr, Arc<Trace>>>>,
 }
 
-/// Bytes on the way, or how the connection ends.
+/// Bytes in transit with the time of their delivery, or the end of the connection.
 enum Piece {
     Bytes(f64, Vec<u8>),
     End(f64),
@@ -106,9 +107,9 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Waits until the way is as the test wants it.
-async fn wait(way: &mut Told, test: impl FnMut(&Way) -> bool) {
-    let _ = way.wait_for(test).await;
+/// Waits until the state of the link passes the test.
+async fn wait_for_link(link: &mut LinkReceiver, test: impl FnMut(&LinkState) -> bool) {
+    let _ = link.wait_for(test).await;
 }
 
 impl Relays {
@@ -116,29 +117,38 @@
         self.traces.lock().unwrap().get(&from).cloned()
     }
 
-    fn chance(&self, from: Node, to: Node) -> Pcg64Mcg {
+    fn rng(&self, from: Node, to: Node) -> Pcg64Mcg {
         let ids = u64::from(from.number()) << 8 | u64::from(to.number());
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(65_537).wrapping_add(ids))
     }
 
-    /// Relays what comes to `at` on to `target`, from `from` to `to`, until the runtime ends.
-    pub(crate) async fn streams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
-        let (mut there, mut back) = (self.ways.way(from, to), self.ways.way(to, from));
+    /// Relays connections from `from`, accepted at `at`, to `to` at `target`, until the runtime ends.
+    pub(crate) async fn relay_streams(
+        self,
+        at: SocketAddr,
+        target: SocketAddr,
+        from: Node,
+        to: Node,
+    ) {
+        let (mut there, mut back) = (
+            self.links.watch_link(from, to),
+            self.links.watch_link(to, from),
+        );
         let mut listener = Some(bind(at).await);
         loop {
-            let (forth, home) = (
+            let (there_now, back_now) = (
                 there.borrow_and_update().clone(),
                 back.borrow_and_update().clone(),
             );
-            if forth.refuse || home.refuse {
+            if there_now.refuse || back_now.refuse {
                 listener = None;
-            } else if forth.cut || home.cut {
+            } else if there_now.cut || back_now.cut {
                 let held = listener.take();
                 let held = match held {
                     Some(held) => held,
                     None => bind(at).await,
                 };
-                listener = Some(shut(held, at, &mut there, &mut back).await);
+                listener = Some(block_connections(held, at, &mut there, &mut back).await);
                 continue;
             } else if listener.is_none() {
                 listener = Some(bind(at).await);
@@ -152,7 +162,7 @@
                         None => std::future::pending().await,
                     }
                 } => match accepted {
-                    Ok((stream, _)) if forth.reset || home.reset => reset(&stream),
+                    Ok((stream, _)) if there_now.reset || back_now.reset => reset(&stream),
                     Ok((stream, _)) => {
                         let relays = self.clone();
                         tokio::spawn(async move { relays.connection(stream, at, target, from, to).await });
@@ -172,7 +182,7 @@
         to: Node,
     ) {
         let _ = stream.set_nodelay(true);
-        // From the relay's own address, by which the other side knows whose connection it is.
+        // Connects from the relay's own address, by which the other side knows which node opened the connection.
         let dial = async {
             let socket = TcpSocket::new_v4()?;
             socket.bind(SocketAddr::new(at.ip(), 0))?;
@@ -192,7 +202,7 @@
         let there = self.pump(
             from_read,
             to_write,
-            self.ways.way(from, to),
+            self.links.watch_link(from, to),
             (from, to),
             &trace,
             true,
@@ -200,46 +210,48 @@
         let back = self.pump(
             to_read,
             from_write,
-            self.ways.way(to, from),
+            self.links.watch_link(to, from),
             (to, from),
             &trace,
             false,
         );
-        let (mut broken_there, mut broken_back) =
-            (self.ways.way(from, to), self.ways.way(to, from));
+        let (mut broken_there, mut broken_back) = (
+            self.links.watch_link(from, to),
+            self.links.watch_link(to, from),
+        );
         tokio::select! {
             _ = async { tokio::join!(there, back) } => {}
-            () = wait(&mut broken_there, |way| way.reset) => {}
-            () = wait(&mut broken_back, |way| way.reset) => {}
+            () = wait_for_link(&mut broken_there, |link| link.reset) => {}
+            () = wait_for_link(&mut broken_back, |link| link.reset) => {}
         }
         trace.closed.lock().unwrap().get_or_insert(self.clock.now());
     }
 
-    /// One way of one connection. Whatever ends the select above drops both halves of both streams: they end by
-    /// reset if they had not ended before.
+    /// Relays one direction of a connection. When the `select!` in `connection` ends, it drops both halves of both
+    /// streams, which resets them unless they were shut down before.
     async fn pump(
         &self,
         mut read: OwnedReadHalf,
         mut write: OwnedWriteHalf,
-        way: Told,
+        link: LinkReceiver,
         ends: (Node, Node),
         trace: &Trace,
         opener: bool,
     ) {
         reset(read.as_ref());
-        let mut chance = self.chance(ends.0, ends.1);
-        // A megabyte at the most is on the way: as much as kernels keep.
+        let mut rng = self.rng(ends.0, ends.1);
+        // At most 1 MiB is in transit, about as much as the kernel buffers.
         let (put, mut pieces) = mpsc::channel::<Piece>(64);
-        let mut reads = way.clone();
+        let mut reads = link.clone();
         let take = async move {
             let (mut buffer, mut offset, mut last) = (vec![0; 16 << 10], 0u64, f64::NEG_INFINITY);
             let mut swallowed = false;
             loop {
-                wait(&mut reads, |way| !way.stall).await;
+                wait_for_link(&mut reads, |link| !link.stall).await;
                 let got = tokio::select! {
                     got = read.read(&mut buffer) => got,
                     _ = reads.changed() => {
-                        // What was swallowed is gone: the connection cannot go on.
+                        // The discarded bytes are lost, so the connection cannot continue.
                         if swallowed && !reads.borrow().black_hole {
                             let _ = put.send(Piece::Reset).await;
                             return;
@@ -247,14 +259,14 @@
                         continue;
                     }
                 };
-                let (now, way) = (self.clock.now(), reads.borrow().clone());
-                let lost = |chance: &mut Pcg64Mcg| {
+                let (now, link) = (self.clock.now(), reads.borrow().clone());
+                let lost = |rng: &mut Pcg64Mcg| {
                     let again =
-                        std::iter::repeat_with(|| way.drop < 1.0 && chance.random_bool(way.drop));
+                        std::iter::repeat_with(|| link.drop < 1.0 && rng.random_bool(link.drop));
                     0.2 * again.take(20).take_while(|lost| *lost).count() as f64
                 };
-                let jitter = way.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
-                last = last.max(now + (way.delay_s + jitter).max(0.0) + lost(&mut chance));
+                let jitter = link.jitter_s * (2.0 * rng.random::<f64>() - 1.0);
+                last = last.max(now + (link.delay_s + jitter).max(0.0) + lost(&mut rng));
                 let piece = match got {
                     Ok(0) => {
                         if opener {
@@ -268,7 +280,7 @@
                             trace.taken.lock().unwrap().push((offset, now));
                         }
                         offset += length as u64;
-                        if way.black_hole || way.drop >= 1.0 {
+                        if link.black_hole || link.drop >= 1.0 {
                             swallowed = true;
                             continue;
                         }
@@ -287,14 +299,14 @@
                 }
             }
         };
-        let mut writes = way;
+        let mut writes = link;
         let give = async move {
             let mut offset = 0u64;
             while let Some(piece) = pieces.recv().await {
                 match piece {
                     Piece::Bytes(at, bytes) => {
                         self.clock.until(at).await;
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         let rate = writes.borrow().rate;
                         if rate > 0.0 {
                             sleep(Duration::from_secs_f64(bytes.len() as f64 / rate)).await;
@@ -309,12 +321,12 @@
                     }
                     Piece::End(at) => {
                         self.clock.until(at).await;
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         let _ = write.shutdown().await;
                         return;
                     }
                     Piece::Reset => {
-                        wait(&mut writes, |way| !way.held()).await;
+                        wait_for_link(&mut writes, |link| !link.is_held()).await;
                         reset(write.as_ref());
                         return;
                     }
@@ -324,34 +336,40 @@
         tokio::join!(take, give);
     }
 
-    /// Datagrams that come to `at` go on to `target`.
-    pub(crate) async fn datagrams(self, at: SocketAddr, target: SocketAddr, from: Node, to: Node) {
+    /// Relays datagrams that arrive at `at` to `target`.
+    pub(crate) async fn relay_datagrams(
+        self,
+        at: SocketAddr,
+        target: SocketAddr,
+        from: Node,
+        to: Node,
+    ) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
         };
         let socket = Arc::new(socket);
-        let way = self.ways.way(from, to);
-        let mut chance = self.chance(from, to);
+        let link = self.links.watch_link(from, to);
+        let mut rng = self.rng(from, to);
         let mut buffer = vec![0; 64 << 10];
         loop {
             let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            let now = way.borrow().clone();
+            let now = link.borrow().clone();
             if now.cut
                 || now.black_hole
                 || now.stall
                 || now.refuse
                 || now.reset
-                || chance.random_bool(now.drop)
+                || rng.random_bool(now.drop)
             {
                 continue;
             }
-            let copies = 1 + usize::from(chance.random_bool(now.double));
+            let copies = 1 + usize::from(rng.random_bool(now.double));
             for _ in 0..copies {
-                let jitter = now.jitter_s * (2.0 * chance.random::<f64>() - 1.0);
-                let behind = if chance.random_bool(now.reorder) {
-                    0.05 * chance.random::<f64>()
+                let jitter = now.jitter_s * (2.0 * rng.random::<f64>() - 1.0);
+                let behind = if rng.random_bool(now.reorder) {
+                    0.05 * rng.random::<f64>()
                 } else {
                     0.0
                 };
@@ -371,7 +389,7 @@
     }
 }
 
-/// Guards against an address that is not quite free yet.
+/// Listens at an address. Retries until the address is free.
 async fn bind(at: SocketAddr) -> TcpListener {
     loop {
         let bound = TcpSocket::new_v4().and_then(|socket| {
@@ -386,13 +404,13 @@
     }
 }
 
-/// While a way is cut, connections never come up: the queue of a listener that holds one is full, and the kernel
-/// answers no one else.
-async fn shut(
+/// Blocks new connections while the link is cut in either direction. A listener with a backlog of 0 and one queued
+/// connection is full, so the kernel answers no further connection attempts.
+async fn block_connections(
     listener: TcpListener,
     at: SocketAddr,
-    there: &mut Told,
-    back: &mut Told,
+    there: &mut LinkReceiver,
+    back: &mut LinkReceiver,
 ) -> TcpListener {
     let _ = SockRef::from(&listener).listen(0);
     let filler: io::Result<TcpStream> = timeout(Duration::from_millis(200), TcpStream::connect(at))
--- a/crates/testing/fault-testing/tests/stories.rs
+++ b/crates/testing/fault-testing/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The rig itself: scenarios read, schedules drawn, and a referee on records made by hand.
+//! Tests of the parts that need no processes: reading scenarios, drawing schedules, and checking records made by hand.
 
 use sagetrail_fault_testing::*;
 
@@ -6,8 +6,9 @@
     Scenario::parse(text).expect_err(text).to_string()
 }
 
+/// An example that names a node or a site that does not exist with some number of processes cannot be run there.
 #[test]
-fn every_example_can_be_read_and_played_at_any_number_of_processes() {
+fn every_example_scenario_is_valid_for_any_number_of_processes() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../examples/rig");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -26,8 +27,9 @@
     assert!(seen >= 25, "{seen}");
 }
 
+/// An error that does not name the line, the key or the known values leaves the author of a scenario guessing.
 #[test]
-fn a_bad_scenario_is_told_with_its_place() {
+fn errors_in_a_scenario_name_their_place() {
     assert!(bad("length = 5").contains("line 1"));
     assert!(bad("lenght = \"5s\"").contains("unknown field `lenght`"));
     assert!(bad("[[faults]]\nat = \"1s\"\nwhat = \"kil\"\non = \"d1\"")
@@ -56,8 +58,9 @@
     Scenario::parse(text).unwrap()
 }
 
+/// A run can be repeated only if a seed always gives the same schedule.
 #[test]
-fn the_schedule_is_the_same_for_a_seed_and_another_for_another() {
+fn the_schedule_depends_on_the_seed_alone() {
     let text =
         "[[faults]]\nat = [\"1s\", \"4s\"]\nfor = \"1s\"\nwhat = \"cut\"\non = \"dispatchers<>runners\"\n\
                 one = true\nevery = \"500ms\"\ntimes = 3";
@@ -67,11 +70,12 @@
     let times: Vec<f64> = all(5).iter().map(|what| what.from).collect();
     assert_eq!(times.len(), 3);
     assert!((times[1] - times[0] - 0.5).abs() < 1e-9 && (1.0..4.0).contains(&times[0]));
-    assert!(all(5).iter().all(|what| what.ways.len() == 1));
+    assert!(all(5).iter().all(|what| what.links.len() == 1));
 }
 
+/// With one random stream for all faults, an added fault would change the times of the others.
 #[test]
-fn one_more_fault_does_not_move_the_others() {
+fn an_added_fault_does_not_move_the_others() {
     let one = "[[faults]]\nat = [\"1s\", \"4s\"]\nwhat = \"kill\"\non = \"d1\"\n";
     let two = format!("{one}[[faults]]\nat = \"2s\"\nwhat = \"kill\"\non = \"d2\"\n");
     let first = |text: &str| {
@@ -81,22 +85,22 @@
     assert_eq!(first(one), first(&two));
 }
 
-// ---- the referee ----
+// ---- the checker ----
 
-fn wi(id: &str, category: usize) -> Wi {
-    Wi {
+fn wi(id: &str, category: usize) -> RequestRecord {
+    RequestRecord {
         id: id.to_string(),
         category,
         intended: 1.0,
         sent: Some(1.0),
         wait_s: 2.5,
         answer: Some((1.2, 200, format!("{id} made"))),
-        ..Wi::default()
+        ..RequestRecord::default()
     }
 }
 
-fn ho(id: &str, runner: usize, left: f64, ended: Option<(f64, End)>) -> Ho {
-    Ho {
+fn ho(id: &str, runner: usize, left: f64, ended: Option<(f64, End)>) -> HandOff {
+    HandOff {
         id: id.to_string(),
         runner,
         process: 0,
@@ -126,7 +130,7 @@
         version: String::new(),
     };
     let mut rules: Vec<&str> = outcome
-        .world(|world| judge(world, records))
+        .with_inputs(|inputs| find_violations(inputs, records))
         .iter()
         .map(|b| b.rule)
         .collect();
@@ -134,7 +138,7 @@
     rules
 }
 
-fn with(wis: Vec<Wi>, hos: Vec<Ho>) -> Records {
+fn with(wis: Vec<RequestRecord>, hos: Vec<HandOff>) -> Records {
     let mut records = Records {
         wis,
         hos,
@@ -149,26 +153,28 @@
     records
 }
 
+/// A request without an answer, with an answer after its expiry, or with a body that no runner produced must be found.
+/// An answer that a killed process or a cut link lost is excused.
 #[test]
-fn rule_1_an_answer_that_never_comes_or_was_made_by_nobody() {
+fn rule_1_finds_missing_late_and_invented_answers() {
     let ran = || vec![ho("a", 0, 1.0, Some((1.1, End::Done)))];
     assert!(rules("", &with(vec![wi("a", 2)], ran())).is_empty());
-    let none = Wi {
+    let none = RequestRecord {
         answer: None,
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![none.clone()], ran())), ["rule-1"]);
-    let made_up = Wi {
+    let made_up = RequestRecord {
         answer: Some((1.2, 200, "made up".to_string())),
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![made_up], ran())), ["rule-1"]);
-    let late = Wi {
+    let late = RequestRecord {
         answer: Some((4.2, 502, String::new())),
         ..wi("a", 2)
     };
     assert_eq!(rules("", &with(vec![late], ran())), ["rule-1"]);
-    // What a killed process held is its client's to repeat; what a cut swallowed never came.
+    // The client must repeat what a killed process held, and what a cut lost never reached the dispatcher.
     let mut records = with(vec![none.clone()], ran());
     records.absences.push(sagetrail_fault_testing::Absence {
         dispatcher: 0,
@@ -181,13 +187,14 @@
     assert!(rules(cut, &with(vec![none], ran())).is_empty());
 }
 
+/// Work that may have run must not be handed off again unless its category allows it, and never to two runners at once.
 #[test]
-fn rule_2_an_effect_twice_or_two_hand_offs_at_once() {
+fn rule_2_finds_repeated_effects_and_concurrent_hand_offs() {
     let first = || ho("a", 0, 1.0, Some((1.1, End::Failed)));
     let declined = || ho("a", 0, 1.0, Some((1.05, End::Declined)));
     let second = || ho("a", 1, 1.4, Some((1.5, End::Done)));
-    let all = |category: usize, first: Ho, second: Ho| {
-        let hos = [first, second].map(|ho| Ho { category, ..ho });
+    let all = |category: usize, first: HandOff, second: HandOff| {
+        let hos = [first, second].map(|ho| HandOff { category, ..ho });
         rules("", &with(vec![wi("a", category)], hos.to_vec()))
     };
     assert_eq!(
@@ -205,7 +212,7 @@
         all(
             1,
             first(),
-            Ho {
+            HandOff {
                 left: 6.4,
                 came: 6.4,
                 ..second()
@@ -214,17 +221,17 @@
         ["rule-2"],
         "past its window"
     );
-    let running = Ho {
+    let running = HandOff {
         ended: Some((1.9, End::Done)),
         ..first()
     };
     assert_eq!(all(0, running, second()), ["rule-2"], "two at once");
-    let given_up = Ho {
+    let given_up = HandOff {
         ended: Some((1.3, End::GivenUp)),
         ..first()
     };
     assert!(all(0, given_up, second()).is_empty());
-    let deferred = Wi {
+    let deferred = RequestRecord {
         answer: Some((1.2, 503, String::new())),
         ..wi("a", 2)
     };
@@ -235,13 +242,14 @@
     );
 }
 
+/// A dispatcher must stop sending to a runner that the list or an operator took out of service.
 #[test]
-fn rule_3_a_first_byte_after_the_grace_by_list_or_by_hand() {
+fn rule_3_finds_hand_offs_after_the_grace_of_a_drain() {
     let mut records = with(
         vec![wi("a", 2)],
         vec![ho("a", 0, 2.0, Some((2.1, End::Done)))],
     );
-    let word = |at, ready| sagetrail_fault_testing::Word {
+    let word = |at, ready| sagetrail_fault_testing::ListUpdate {
         at,
         dispatcher: 0,
         runner: 0,
@@ -258,9 +266,10 @@
     assert_eq!(rules("", &records), ["rule-3"]);
 }
 
+/// The work of all dispatchers together must stay under the limit of a cold runner.
 #[test]
-fn rule_4_more_than_a_cold_runner_bears_in_any_span() {
-    // Four slots at a fifth, three times that: 2.4 s of work within a second, and a little by its age.
+fn rule_4_finds_too_much_work_for_a_cold_runner() {
+    // Four slots at a fifth of their speed, times three, allow 2.4 s of work within a second, and a little more by age.
     let sent = |n: usize| {
         let hos = (0..n).map(|k| {
             ho(
@@ -271,13 +280,13 @@
             )
         });
         let mut records = with(Vec::new(), hos.collect());
-        records.births.push(sagetrail_fault_testing::Birth {
+        records.births.push(sagetrail_fault_testing::ProcessStart {
             runner: 0,
             process: 0,
             at: 0.9,
             cold: true,
         });
-        records.words.push(sagetrail_fault_testing::Word {
+        records.words.push(sagetrail_fault_testing::ListUpdate {
             at: 0.92,
             dispatcher: 0,
             runner: 0,
@@ -290,14 +299,15 @@
     assert_eq!(sent(40), ["rule-4"]);
 }
 
+/// Dispatchers that each stay within a shared limit may exceed it together.
 #[test]
-fn bounds_on_what_is_shared() {
+fn exceeded_caps_and_resend_limits_are_found() {
     let caps = "[fleet]\ncaps = { once = 2 }\nresends = 1";
     let at = |ids: &[(&str, f64)]| {
         let hos = ids
             .iter()
             .map(|(id, left)| ho(id, 0, *left, Some((left + 0.3, End::Done))));
-        let hos: Vec<Ho> = hos.collect();
+        let hos: Vec<HandOff> = hos.collect();
         hos
     };
     assert!(rules(
@@ -314,13 +324,13 @@
     );
     let again = |ids: &[&str]| {
         let both = ids.iter().flat_map(|id| {
-            let first = Ho {
+            let first = HandOff {
                 category: 0,
                 ..ho(id, 0, 1.0, Some((1.1, End::Failed)))
             };
             [
                 first,
-                Ho {
+                HandOff {
                     category: 0,
                     ..ho(id, 1, 1.3, Some((1.4, End::Done)))
                 },
@@ -332,8 +342,9 @@
     assert_eq!(again(&["a", "b"]), ["bound-resends"]);
 }
 
+/// A healthy runner that gets no work must be found, also if one of three dispatchers cannot reach it.
 #[test]
-fn bound_nobody_well_is_shut_out() {
+fn a_shut_out_healthy_runner_is_found() {
     let sent = |to: &[usize]| {
         let hos = (0..1200).map(|n| {
             let left = 0.01 * f64::from(n);
@@ -342,7 +353,7 @@
             } else {
                 to[n as usize % to.len()]
             };
-            Ho {
+            HandOff {
                 category: 0,
                 ..ho(
                     &format!("a{n}"),
@@ -370,12 +381,13 @@
     );
 }
 
+/// A run that stays within all rules may still earn less or fail more than the scenario expects.
 #[test]
-fn what_a_scenario_expects_is_held_against_what_was_earned() {
+fn missed_expectations_are_found() {
     let records = with(
         vec![
             wi("a", 2),
-            Wi {
+            RequestRecord {
                 answer: Some((1.2, 502, String::new())),
                 ..wi("b", 2)
             },
@@ -393,20 +405,21 @@
     );
 }
 
+/// A client repeats recorded work under a new id after a crash. Its effect must still not occur twice.
 #[test]
-fn recorded_work_is_one_work_item_under_its_name() {
+fn recorded_work_is_one_work_item_under_the_id_of_its_first_try() {
     let text = "[store]\n[[categories]]\nname = \"once\"\nrate = 1.0\nrecord = 1";
-    let again = || Wi {
+    let again = || RequestRecord {
         first: Some("a".to_string()),
         ..wi("a-1", 0)
     };
-    let at = |id: &str, runner, left: f64, end| Ho {
+    let at = |id: &str, runner, left: f64, end| HandOff {
         category: 0,
         ..ho(id, runner, left, Some((left + 0.1, end)))
     };
     let wis = || {
         vec![
-            Wi {
+            RequestRecord {
                 answer: None,
                 closed: Some(1.1),
                 ..wi("a", 0)
@@ -433,18 +446,20 @@
         vec![at("a", 0, 1.0, End::Declined), at("a-1", 1, 1.4, End::Done)],
     );
     assert!(killed(declined).is_empty(), "it never ran the first time");
-    // What the first try made is an answer to the second.
+    // The result of the first try is a valid answer to the second.
     let mut given = with(wis(), vec![at("a", 0, 1.0, End::Done)]);
     given.wis[1].answer = Some((1.5, 200, "a made".to_string()));
     assert!(killed(given).is_empty());
 }
 
+/// A dispatcher that misses an agreed ban sends to the banned runner. This is excused only if it hears fewer than half
+/// of the others.
 #[test]
-fn bound_what_was_agreed_holds_everywhere() {
+fn hand_offs_to_a_banned_runner_are_found() {
     let banned = |schedule: &str, left: f64| {
         let mut records = with(
             vec![],
-            vec![Ho {
+            vec![HandOff {
                 dispatcher: 1,
                 ..ho("a", 2, left, Some((left + 0.1, End::Done)))
             }],
